--- /dev/null
+++ b/system/batch/tests/golden.rs
@@ -0,0 +1,136 @@
+//! The stores' operations and state keep their bytes, and operations their outputs: each value is written to the literal
+//! bytes of a fixture, and those are read and written again. A state that an earlier program has stored is restored.
+//! Leases are not part of it: the head alone holds them, and writes them nowhere.
+
+use marblecroft_batch::{Batch, Item, ItemOutcome, ListedResult, NewJob, Operation, Output};
+use marblecroft_chain::StateMachine;
+use marblecroft_wire::{decode, encode, Bytes, Message};
+use std::fmt::Debug;
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
+    (0..text.len()).step_by(2).map(digits).collect()
+}
+
+/// The fixture has one line for each value: its name and its bytes.
+#[track_caller]
+fn check<T: Message + PartialEq + Debug>(fixture: &str, values: &[(&str, T)]) {
+    let line = |(name, value): &(&str, T)| format!("{name} {}\n", hex(&encode(value)));
+    let written: String = values.iter().map(line).collect();
+    assert!(written == fixture, "other bytes than the fixture's are written:\n{written}");
+    for (line, (name, value)) in fixture.lines().zip(values) {
+        let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
+        let read: T = decode(&bytes).expect(name);
+        assert_eq!(&read, value, "{name} is read as it was");
+        assert_eq!(encode(&read), bytes, "{name} is written again as it was");
+    }
+}
+
+fn item(id: &str, tokens: u64) -> Item {
+    Item {
+        id: id.to_owned(),
+        path: format!("/batch/{id}"),
+        headers: vec![("x-token-usage".to_owned(), "30,12".to_owned()), ("b".to_owned(), "c".to_owned())],
+        body: Bytes(format!("{{\"prompt\":\"{id}\"}}").into_bytes()),
+        tokens,
+    }
+}
+
+fn job(id: &str, route: &str, items: Vec<Item>, taken_at_ms: u64) -> NewJob {
+    let host = format!("{route}.example");
+    let (id, route) = (id.to_owned(), route.to_owned());
+    NewJob { id, route, host, items, max_queued_tokens: 1000, taken_at_ms, due_after_ms: 8000 }
+}
+
+fn half_done() -> NewJob {
+    let items = vec![item("first", 100), item("second", 230), item("third", 310)];
+    job("job-1", "nightly", items, 1_700_000_000_123)
+}
+
+fn record(job: &str, item: u32, outcome: ItemOutcome) -> Operation {
+    Operation::Record { job: job.to_owned(), item, outcome }
+}
+
+fn operations() -> [(&'static str, Operation); 9] {
+    let ended = job("job-2", "hourly", vec![item("fourth", 40), item("fifth", 50)], 1_700_000_001_456);
+    let done = job("job-0", "nightly", vec![item("sixth", 7)], 1_600_000_000_000);
+    [
+        ("submit_done", Operation::Submit(done)),
+        ("submit_half_done", Operation::Submit(half_done())),
+        ("submit_ended", Operation::Submit(ended)),
+        ("record_all", record("job-0", 0, ItemOutcome::Completed("sixth's".to_owned()))),
+        ("record", record("job-1", 2, ItemOutcome::Completed("{\"a\":1}\n[DONE]".to_owned()))),
+        ("dead_letter", record("job-1", 0, ItemOutcome::DeadLettered)),
+        ("record_of_none", record("job-9", 4, ItemOutcome::DeadLettered)),
+        ("end", Operation::End { job: "job-2".to_owned() }),
+        ("forget", Operation::Forget { taken_before_ms: 1_650_000_000_000 }),
+    ]
+}
+
+#[test]
+fn operations_on_the_batch_state_keep_their_bytes() {
+    check(include_str!("golden/operations.hex"), &operations());
+}
+
+#[test]
+fn outcomes_and_results_keep_their_bytes() {
+    let outcomes =
+        [("completed", ItemOutcome::Completed("text".to_owned())), ("dead", ItemOutcome::DeadLettered)];
+    check(include_str!("golden/outcomes.hex"), &outcomes);
+    let result = ListedResult { item: 6, outcome: ItemOutcome::DeadLettered };
+    check(include_str!("golden/results.hex"), &[("result", result)]);
+    check(include_str!("golden/jobs.hex"), &[("job", half_done())]);
+    check(include_str!("golden/items.hex"), &[("item", item("seventh", 77))]);
+}
+
+#[test]
+fn the_state_with_a_half_done_job_keeps_its_bytes() {
+    let mut batch = Batch::default();
+    let outputs = operations().map(|(_, operation)| batch.apply(operation));
+    let mut expected = [const { Output::Done }; 9];
+    expected[..3].fill(Output::Accepted);
+    expected[6] = Output::Unknown;
+    assert_eq!(outputs, expected);
+    check(include_str!("golden/state.hex"), &[("state", batch), ("none", Batch::default())]);
+}
+
+#[test]
+fn a_stored_batch_state_is_restored_and_goes_on() {
+    let line = include_str!("golden/state.hex").lines().next().expect("a line");
+    let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
+    let mut batch = Batch::restore(&bytes).expect("a state");
+    assert_eq!(batch.snapshot(), bytes);
+    assert_eq!((batch.waiting_tokens("nightly"), batch.waiting_tokens("hourly")), (230, 0));
+    assert!(batch.job("job-0").is_none());
+    let kept = batch.job("job-1").expect("kept");
+    assert_eq!((kept.route.as_str(), kept.host.as_str()), ("nightly", "nightly.example"));
+    assert_eq!((kept.order, kept.taken_at_ms, kept.due_after_ms), (2, 1_700_000_000_123, 8000));
+    assert_eq!((kept.total(), kept.is_open(), kept.is_ended()), (3, true, false));
+    let results = [
+        ListedResult { item: 2, outcome: ItemOutcome::Completed("{\"a\":1}\n[DONE]".to_owned()) },
+        ListedResult { item: 0, outcome: ItemOutcome::DeadLettered },
+    ];
+    assert_eq!(kept.results(), results);
+    assert_eq!(kept.unlisted_items().collect::<Vec<_>>(), [1]);
+    assert_eq!(kept.unlisted(1), Some(&item("second", 230)));
+    assert!(batch.job("job-2").is_some_and(|job| job.is_ended() && !job.is_open()));
+    let mut other = half_done();
+    other.items[1].tokens += 1;
+    let large = job("job-3", "nightly", vec![item("eighth", 771)], 1_700_000_002_000);
+    let cases = [
+        // It is known by its digest, which does not depend on the order of headers.
+        (Operation::Submit(half_done()), Output::Accepted),
+        (Operation::Submit(other), Output::Conflict),
+        (Operation::Submit(large), Output::OverQuota),
+        (record("job-1", 1, ItemOutcome::Completed("last".to_owned())), Output::Done),
+    ];
+    for (operation, expected) in cases {
+        assert_eq!(batch.apply(operation.clone()), expected, "{operation:?}");
+    }
+    assert_eq!(batch.waiting_tokens("nightly"), 0);
+    assert!(batch.job("job-1").is_some_and(|job| !job.is_open()));
+}
--- /dev/null
+++ b/system/chain/tests/golden.rs
@@ -0,0 +1,252 @@
+//! The messages of a chain's members, and what a member writes to its disk, keep their bytes: each value is written to the
+//! literal bytes of a fixture, and those are read and written again. A log that an earlier program has stored is restored.
+
+use marblecroft_chain::agreement::{VoteReply, VoteRequest};
+use marblecroft_chain::storage::{Accepted, Storage, Vote};
+use marblecroft_chain::{
+    Append, AppendReply, Install, Member, Position, Replica, Round, StateMachine, Status, View,
+};
+use marblecroft_log::Recovered;
+use marblecroft_wire::{decode, encode, Bytes, Message};
+use std::cell::RefCell;
+use std::fmt::Debug;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
+    (0..text.len()).step_by(2).map(digits).collect()
+}
+
+/// The fixture has one line for each value: its name and its bytes.
+#[track_caller]
+fn check<T: Message + PartialEq + Debug>(fixture: &str, values: &[(&str, T)]) {
+    let line = |(name, value): &(&str, T)| format!("{name} {}\n", hex(&encode(value)));
+    let written: String = values.iter().map(line).collect();
+    assert!(written == fixture, "other bytes than the fixture's are written:\n{written}");
+    for (line, (name, value)) in fixture.lines().zip(values) {
+        let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
+        let read: T = decode(&bytes).expect(name);
+        assert_eq!(&read, value, "{name} is read as it was");
+        assert_eq!(encode(&read), bytes, "{name} is written again as it was");
+    }
+}
+
+fn address(last: u8) -> SocketAddr {
+    SocketAddr::from(([10, 1, 2, last], 7100))
+}
+
+fn member(last: u8) -> Member {
+    let identity = 0x1122_3344_5566_7700 + u64::from(last);
+    Member { address: address(last), identity, node: format!("node-{last}") }
+}
+
+fn view(number: u64) -> View {
+    View { number, members: vec![member(3), member(4)], voters: vec![member(4), member(3), member(6)] }
+}
+
+#[test]
+fn views_and_positions_keep_their_bytes() {
+    check(include_str!("golden/views.hex"), &[("view", view(300)), ("none", View::default())]);
+    check(include_str!("golden/members.hex"), &[("member", member(5))]);
+    let position = Position { index: 1000, hash: 0xfeed_0001 };
+    check(include_str!("golden/positions.hex"), &[("position", position)]);
+    check(include_str!("golden/rounds.hex"), &[("round", Round { session: 81, number: 72, confirmed: 63 })]);
+}
+
+#[test]
+fn the_hash_of_a_history_keeps_its_value() {
+    let first = Position::default().after(b"an entry of more than eight bytes");
+    assert_eq!(first, Position { index: 1, hash: 14_580_441_115_289_591_818 });
+    assert_eq!(first.after(&[]), Position { index: 2, hash: 5_234_981_554_950_789_717 });
+}
+
+#[test]
+fn votes_keep_their_bytes() {
+    let accepted = Accepted { ballot: 17, view: view(301) };
+    check(include_str!("golden/accepted.hex"), &[("accepted", accepted.clone())]);
+    let vote = Vote { instance: 301, promised: 18, accepted: Some(accepted.clone()) };
+    check(include_str!("golden/votes.hex"), &[("vote", vote), ("none", Vote::default())]);
+    let requests = [
+        ("prepare", VoteRequest::Prepare { instance: 301, ballot: 19 }),
+        ("accept", VoteRequest::Accept { instance: 302, ballot: 20, view: view(302) }),
+        ("decided", VoteRequest::Decided { view: view(303) }),
+    ];
+    check(include_str!("golden/vote_requests.hex"), &requests);
+    let replies = [
+        ("promised_none", VoteReply::Promised(None)),
+        ("promised", VoteReply::Promised(Some(accepted))),
+        ("accepted", VoteReply::Accepted),
+        ("outbid", VoteReply::Outbid(400)),
+        ("known", VoteReply::Known(view(304))),
+        ("unable", VoteReply::Unable),
+    ];
+    check(include_str!("golden/vote_replies.hex"), &replies);
+}
+
+#[test]
+fn messages_of_members_keep_their_bytes() {
+    let append = Append {
+        view: view(300),
+        round: Round { session: 0xa1b2_c3d4_e5f6, number: 77, confirmed: 76 },
+        from: Position { index: 1000, hash: 0xfeed_0001 },
+        entries: vec![Bytes(vec![1, 2, 3]), Bytes(Vec::new()), Bytes(vec![0xff; 5])],
+        to: Position { index: 1003, hash: 0xfeed_0002 },
+        notice: Bytes(vec![9, 8]),
+    };
+    check(include_str!("golden/appends.hex"), &[("append", append)]);
+    let replies = [
+        ("held", AppendReply::Held { copies: 3 }),
+        ("mismatch", AppendReply::Mismatch(Position { index: 5, hash: 0xaa })),
+        ("stale", AppendReply::Stale(view(305))),
+        ("not_member", AppendReply::NotMember),
+        ("storage", AppendReply::Storage),
+        ("failed", AppendReply::Failed(address(5))),
+    ];
+    check(include_str!("golden/append_replies.hex"), &replies);
+    let position = Position { index: 55, hash: 0xabcd_ef01 };
+    let install = Install { view: view(306), position, machine: Bytes(vec![7, 6, 5, 4]) };
+    check(include_str!("golden/installs.hex"), &[("install", install)]);
+    let status = Status {
+        identity: 0x0102_0304_0506,
+        view: view(307),
+        complete: true,
+        position,
+        settled: false,
+        suspect: Some(address(9)),
+        leaving: true,
+    };
+    check(include_str!("golden/statuses.hex"), &[("status", status), ("none", Status::default())]);
+}
+
+/// What was written, a line for each write: `segment` or `append`, and the bytes.
+#[derive(Clone, Default)]
+struct Disk(Rc<RefCell<String>>);
+
+impl Disk {
+    fn note(&self, what: &str, bytes: &[u8]) {
+        self.0.borrow_mut().push_str(&format!("{what} {}\n", hex(bytes)));
+    }
+}
+
+impl Storage for Disk {
+    fn append(&mut self, records: &[&[u8]]) -> io::Result<()> {
+        records.iter().for_each(|record| self.note("append", record));
+        Ok(())
+    }
+
+    fn start_segment(&mut self, checkpoint: &[u8]) -> io::Result<()> {
+        self.note("segment", checkpoint);
+        Ok(())
+    }
+
+    fn is_writable(&self) -> bool {
+        true
+    }
+
+    fn record_bytes(&self) -> u64 {
+        0
+    }
+}
+
+#[derive(Default)]
+struct Sum(u64);
+
+impl StateMachine for Sum {
+    type Operation = u64;
+    type Output = u64;
+
+    fn apply(&mut self, operation: u64) -> u64 {
+        self.0 += operation;
+        self.0
+    }
+
+    fn size_of(_: &u64) -> usize {
+        8
+    }
+
+    fn snapshot(&self) -> Vec<u8> {
+        encode(&self.0)
+    }
+
+    fn restore(snapshot: &[u8]) -> Option<Sum> {
+        decode(snapshot).ok().map(Sum)
+    }
+}
+
+/// A member that has ordered two entries, voted on views 2 and 3, learned view 2, and left with a vote for view 3.
+fn played(disk: &Disk) -> Replica<Sum, Disk> {
+    let founding = Some(view(1));
+    let mut replica =
+        Replica::open(disk.clone(), Recovered::default(), Sum::default(), member(3).identity, founding)
+            .expect("opens");
+    replica.propose(&vec![40, 2]).expect("written");
+    assert_eq!(
+        replica.answer_vote(&VoteRequest::Prepare { instance: 2, ballot: 5 }),
+        VoteReply::Promised(None)
+    );
+    assert_eq!(
+        replica.answer_vote(&VoteRequest::Accept { instance: 2, ballot: 6, view: view(2) }),
+        VoteReply::Accepted
+    );
+    replica.answer_vote(&VoteRequest::Decided { view: view(2) });
+    replica.propose(&vec![700]).expect("written");
+    assert_eq!(
+        replica.answer_vote(&VoteRequest::Accept { instance: 3, ballot: 7, view: view(3) }),
+        VoteReply::Accepted
+    );
+    replica
+}
+
+/// The last checkpoint of a fixture, and the records behind it.
+fn recovered(fixture: &str) -> Recovered {
+    let mut found = Recovered::default();
+    for line in fixture.lines() {
+        let (what, bytes) = line.split_once(' ').expect("two words");
+        match what {
+            "segment" => {
+                found.snapshot = Some(unhex(bytes));
+                found.records.clear();
+            }
+            _ => found.records.push(unhex(bytes)),
+        }
+    }
+    found
+}
+
+#[test]
+fn what_a_member_writes_to_its_disk_keeps_its_bytes() {
+    let disk = Disk::default();
+    played(&disk);
+    let written = disk.0.borrow();
+    assert!(
+        *written == include_str!("golden/log.hex"),
+        "other bytes than the fixture's are written:\n{written}"
+    );
+}
+
+#[test]
+fn a_stored_log_is_restored_and_its_checkpoint_keeps_its_bytes() {
+    let (disk, before) = (Disk::default(), played(&Disk::default()));
+    // Another identity and view than the stored ones, which win.
+    let found = recovered(include_str!("golden/log.hex"));
+    let replica = Replica::open(disk.clone(), found, Sum::default(), 1, None).expect("opens");
+    let written = disk.0.borrow().clone();
+    let expected = include_str!("golden/checkpoint.hex");
+    assert!(written == expected, "other bytes than the fixture's are written:\n{written}");
+    let again = Replica::open(Disk::default(), recovered(expected), Sum::default(), 1, None).expect("opens");
+    let accepted = Some(Accepted { ballot: 7, view: view(3) });
+    for replica in [replica, again] {
+        assert_eq!(replica.identity(), member(3).identity);
+        assert_eq!(replica.view(), &view(2));
+        assert_eq!(replica.vote(), &Vote { instance: 3, promised: 7, accepted: accepted.clone() });
+        assert_eq!((replica.machine().0, replica.position().index), (742, 2));
+        assert_eq!(replica.position(), before.position());
+        assert!(replica.complete());
+    }
+}
--- /dev/null
+++ b/system/control/tests/golden.rs
@@ -0,0 +1,113 @@
+//! The control plane's operations and state keep their bytes, and operations their outputs: each value is written to the
+//! literal bytes of a fixture, and those are read and written again. A state that an earlier program has stored is restored.
+
+use marblecroft_chain::{Member, StateMachine, View};
+use marblecroft_control_state::{Control, Operation, Output};
+use marblecroft_wire::{decode, encode, Bytes, Message};
+use std::fmt::Debug;
+use std::net::SocketAddr;
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
+    (0..text.len()).step_by(2).map(digits).collect()
+}
+
+/// The fixture has one line for each value: its name and its bytes.
+#[track_caller]
+fn check<T: Message + PartialEq + Debug>(fixture: &str, values: &[(&str, T)]) {
+    let line = |(name, value): &(&str, T)| format!("{name} {}\n", hex(&encode(value)));
+    let written: String = values.iter().map(line).collect();
+    assert!(written == fixture, "other bytes than the fixture's are written:\n{written}");
+    for (line, (name, value)) in fixture.lines().zip(values) {
+        let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
+        let read: T = decode(&bytes).expect(name);
+        assert_eq!(&read, value, "{name} is read as it was");
+        assert_eq!(encode(&read), bytes, "{name} is written again as it was");
+    }
+}
+
+fn member(last: u8) -> Member {
+    let identity = 0x1122_3344_5566_7700 + u64::from(last);
+    let address = SocketAddr::from(([10, 1, 2, last], 7100));
+    Member { address, identity, node: format!("node-{last}") }
+}
+
+fn view(number: u64) -> View {
+    View { number, members: vec![member(3), member(4)], voters: vec![member(4), member(3), member(6)] }
+}
+
+const WHOLE: &str = r#"{"generation":5,"routes":[{"name":"a","hostname":"x","path_prefix":"/a/","route_type":"batch","backend":"s"}],"services":[{"name":"s"},{"name":"t"}]}"#;
+const CHANGE: &str = r#"{"generation":9,"upsert":{"services":[{"name":"u","max_connections":7}]},"remove":{"services":["t"]}}"#;
+const CHANGED: &str = r#"{"generation":9,"routes":[{"name":"a","hostname":"x","path_prefix":"/a/","route_type":"batch","backend":"s"}],"services":[{"name":"s"},{"name":"u","max_connections":7}]}"#;
+
+fn operations() -> [(&'static str, Operation); 8] {
+    let replace = Operation::Replace { base: 0, generation: 5, body: Bytes(WHOLE.into()) };
+    let update = Operation::Update { base: 5, generation: 9, change: Bytes(CHANGE.into()) };
+    [
+        ("replace", replace),
+        ("view", Operation::StoreView(view(1))),
+        ("next_view", Operation::StoreView(view(2))),
+        ("retire", Operation::Retire { node: "store-7".to_owned() }),
+        ("know_store", Operation::KnowStore { node: "store-8".to_owned() }),
+        ("take_reader", Operation::TakeReader),
+        ("update", update),
+        ("late_view", Operation::StoreView(view(7))),
+    ]
+}
+
+#[test]
+fn operations_on_the_control_state_keep_their_bytes() {
+    check(include_str!("golden/operations.hex"), &operations());
+}
+
+#[test]
+fn the_state_after_all_operations_keeps_its_bytes() {
+    let mut control = Control::default();
+    let outputs = operations().map(|(_, operation)| control.apply(operation));
+    let done = Output::Done;
+    let expected = [
+        Output::Taken,
+        done.clone(),
+        done.clone(),
+        done.clone(),
+        done,
+        Output::Token(1),
+        Output::Taken,
+        Output::Ignored,
+    ];
+    assert_eq!(outputs, expected);
+    check(include_str!("golden/state.hex"), &[("state", control), ("none", Control::default())]);
+}
+
+#[test]
+fn a_stored_control_state_is_restored_and_goes_on() {
+    let line = include_str!("golden/state.hex").lines().next().expect("a line");
+    let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
+    let mut control = Control::restore(&bytes).expect("a state");
+    assert_eq!(control.snapshot(), bytes);
+    assert_eq!((control.generation(), control.sequence()), (9, 2));
+    assert_eq!(control.body(), Some(CHANGED.as_bytes()));
+    assert_eq!(control.store_view(), &view(2));
+    assert!(control.is_retired("store-7") && !control.is_retired("store-8"));
+    assert!(control.knows_store("store-8") && !control.knows_store("store-7"));
+    assert!(control.has_taken(5, WHOLE.as_bytes()) && control.has_taken(9, CHANGE.as_bytes()));
+    let replace = |base, generation| Operation::Replace { base, generation, body: Bytes(b"{}".to_vec()) };
+    let remove = r#"{"generation":11,"remove":{"services":["s"]}}"#;
+    let remove = Operation::Update { base: 9, generation: 11, change: Bytes(remove.into()) };
+    let refused = "route a: no service is named s".to_owned();
+    let cases = [
+        (operations()[0].1.clone(), Output::Taken),
+        (operations()[6].1.clone(), Output::Taken),
+        (Operation::TakeReader, Output::Token(2)),
+        (replace(8, 10), Output::Conflict(9)),
+        (replace(9, 4), Output::NotHigher(9)),
+        (remove, Output::Invalid(refused)),
+    ];
+    for (operation, expected) in cases {
+        assert_eq!(control.apply(operation.clone()), expected, "{operation:?}");
+    }
+}
--- /dev/null
+++ b/system/protocol/tests/golden.rs
@@ -0,0 +1,314 @@
+//! The messages of coordinators and stores keep their bytes: each value is written to the literal bytes of a fixture, and
+//! those are read and written again. Members of a chain that run different programs depend on it.
+
+use marblecroft_batch::{Item, ItemOutcome, NewJob};
+use marblecroft_chain::agreement::{VoteReply, VoteRequest};
+use marblecroft_chain::storage::Accepted;
+use marblecroft_chain::{Append, AppendReply, Install, Member, Position, Round, Status, View};
+use marblecroft_protocol::coordinator::{
+    ConfigurationUpdate, CoordinatorReply, CoordinatorRequest, Pull, StoreDirective, StoreReport, Updates,
+    Versions,
+};
+use marblecroft_protocol::load::{LoadNotice, ServerOut, ZoneOut};
+use marblecroft_protocol::servers::{ListVersion, Page, Server, ServerList};
+use marblecroft_protocol::store::{
+    FinishedItem, GatewayLoad, GrantedItem, ItemName, NamedResult, Peers, ResultsPage, StoreReply,
+    StoreRequest, WorkReply, WorkRequest,
+};
+use marblecroft_wire::{decode, encode, Bytes, Message};
+use std::fmt::Debug;
+use std::net::SocketAddr;
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
+    (0..text.len()).step_by(2).map(digits).collect()
+}
+
+/// The fixture has one line for each value: its name and its bytes.
+#[track_caller]
+fn check<T: Message + PartialEq + Debug>(fixture: &str, values: &[(&str, T)]) {
+    let line = |(name, value): &(&str, T)| format!("{name} {}\n", hex(&encode(value)));
+    let written: String = values.iter().map(line).collect();
+    assert!(written == fixture, "other bytes than the fixture's are written:\n{written}");
+    for (line, (name, value)) in fixture.lines().zip(values) {
+        let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
+        let read: T = decode(&bytes).expect(name);
+        assert_eq!(&read, value, "{name} is read as it was");
+        assert_eq!(encode(&read), bytes, "{name} is written again as it was");
+    }
+}
+
+fn address(last: u8, port: u16) -> SocketAddr {
+    SocketAddr::from(([10, 1, 2, last], port))
+}
+
+fn member(last: u8) -> Member {
+    let identity = 0x1122_3344_5566_7700 + u64::from(last);
+    Member { address: address(last, 7100), identity, node: format!("node-{last}") }
+}
+
+fn view() -> View {
+    View { number: 300, members: vec![member(3), member(4)], voters: vec![member(4), member(5), member(6)] }
+}
+
+fn append() -> Append {
+    Append {
+        view: view(),
+        round: Round { session: 0xa1b2_c3d4_e5f6, number: 77, confirmed: 76 },
+        from: Position { index: 1000, hash: 0xfeed_0001 },
+        entries: vec![Bytes(vec![1, 2, 3]), Bytes(Vec::new()), Bytes(vec![0xff; 5])],
+        to: Position { index: 1003, hash: 0xfeed_0002 },
+        notice: Bytes(vec![9, 8]),
+    }
+}
+
+fn install() -> Install {
+    let position = Position { index: 55, hash: 0xabcd_ef01 };
+    Install { view: view(), position, machine: Bytes(vec![7, 6, 5, 4]) }
+}
+
+fn status() -> Status {
+    Status {
+        identity: 0x0102_0304_0506,
+        view: view(),
+        complete: true,
+        position: Position { index: 21, hash: 0x9999_8888 },
+        settled: false,
+        suspect: Some(address(9, 7109)),
+        leaving: true,
+    }
+}
+
+fn server(id: &str, last: u8, draining: bool) -> Server {
+    Server {
+        id: id.to_owned(),
+        backend: "chat".to_owned(),
+        address: address(last, 8000),
+        zone: "zone-b".to_owned(),
+        slots: 24,
+        draining,
+        warmup_left_ms: 1500,
+    }
+}
+
+fn list() -> ServerList {
+    let version = ListVersion { epoch: 6, sequence: 410 };
+    ServerList { version, servers: vec![server("s-1", 20, false), server("s-2", 21, true)] }
+}
+
+fn item(id: &str) -> Item {
+    Item {
+        id: id.to_owned(),
+        path: "/batch/p".to_owned(),
+        headers: vec![("x-token-usage".to_owned(), "30,12".to_owned()), ("b".to_owned(), "c".to_owned())],
+        body: Bytes(b"{\"prompt\":1}".to_vec()),
+        tokens: 420,
+    }
+}
+
+fn job() -> NewJob {
+    NewJob {
+        id: "job-1".to_owned(),
+        route: "nightly".to_owned(),
+        host: "x.example".to_owned(),
+        items: vec![item("first"), item("second")],
+        max_queued_tokens: 670_000,
+        taken_at_ms: 1_700_000_000_123,
+        due_after_ms: 8000,
+    }
+}
+
+fn item_name(job: &str, item: u32) -> ItemName {
+    ItemName { job: job.to_owned(), item }
+}
+
+fn zones() -> Vec<ZoneOut> {
+    let zone = |zone: &str, out| ZoneOut { zone: zone.to_owned(), out };
+    vec![zone("zone-a", 1.25), zone("zone-b", 17.5)]
+}
+
+#[test]
+fn questions_to_coordinators_keep_their_bytes() {
+    let have = Versions { configuration: 12, servers: ListVersion { epoch: 3, sequence: 45 }, stores: 6 };
+    let report = StoreReport {
+        node: "store-1".to_owned(),
+        zone: "zone-c".to_owned(),
+        address: address(8, 7108),
+        status: status(),
+    };
+    let prepare = VoteRequest::Prepare { instance: 301, ballot: 9 };
+    let accept = VoteRequest::Accept { instance: 302, ballot: 10, view: view() };
+    let values = [
+        ("append", CoordinatorRequest::Append(append())),
+        ("install", CoordinatorRequest::Install(install())),
+        ("prepare", CoordinatorRequest::Vote(prepare)),
+        ("accept", CoordinatorRequest::Vote(accept)),
+        ("decided", CoordinatorRequest::Vote(VoteRequest::Decided { view: view() })),
+        ("status", CoordinatorRequest::Status),
+        (
+            "join",
+            CoordinatorRequest::Join { member: member(7), position: Position { index: 4, hash: 0xbeef } },
+        ),
+        ("leave", CoordinatorRequest::Leave(0x7766_5544_3322)),
+        ("pull", CoordinatorRequest::Pull(Pull { have, wait_ms: 2500 })),
+        ("report", CoordinatorRequest::Report(report)),
+    ];
+    check(include_str!("golden/coordinator_requests.hex"), &values);
+}
+
+#[test]
+fn answers_of_coordinators_keep_their_bytes() {
+    let updates = Updates {
+        fresh: true,
+        configuration: Some(ConfigurationUpdate { sequence: 13, body: Bytes(b"{}".to_vec()) }),
+        servers: Some(list()),
+        stores: Some(view()),
+        coordinators: vec![address(3, 7103), address(4, 7104)],
+    };
+    let directive = StoreDirective {
+        view: view(),
+        fetch_from: Some(address(6, 7106)),
+        coordinators: vec![address(1, 7101), address(2, 7102)],
+    };
+    let accepted = Accepted { ballot: 8, view: view() };
+    let v6: SocketAddr = "[2001:db8::5]:7100".parse().expect("an address");
+    let values = [
+        ("held", CoordinatorReply::Append(AppendReply::Held { copies: 3 })),
+        ("mismatch", CoordinatorReply::Append(AppendReply::Mismatch(Position { index: 5, hash: 0xaa }))),
+        ("stale", CoordinatorReply::Append(AppendReply::Stale(view()))),
+        ("not_member", CoordinatorReply::Append(AppendReply::NotMember)),
+        ("storage", CoordinatorReply::Append(AppendReply::Storage)),
+        ("failed", CoordinatorReply::Append(AppendReply::Failed(address(5, 7105)))),
+        ("promised_none", CoordinatorReply::Vote(VoteReply::Promised(None))),
+        ("promised", CoordinatorReply::Vote(VoteReply::Promised(Some(accepted)))),
+        ("accepted", CoordinatorReply::Vote(VoteReply::Accepted)),
+        ("outbid", CoordinatorReply::Vote(VoteReply::Outbid(400))),
+        ("known", CoordinatorReply::Vote(VoteReply::Known(view()))),
+        ("unable", CoordinatorReply::Vote(VoteReply::Unable)),
+        ("status", CoordinatorReply::Status(status())),
+        ("updates", CoordinatorReply::Updates(updates)),
+        ("updates_none", CoordinatorReply::Updates(Updates::default())),
+        ("stores", CoordinatorReply::Stores(directive)),
+        ("noted", CoordinatorReply::Noted),
+        ("learn", CoordinatorReply::Learn(install())),
+        ("not_head", CoordinatorReply::NotHead(Some(v6))),
+        ("not_head_none", CoordinatorReply::NotHead(None)),
+    ];
+    check(include_str!("golden/coordinator_replies.hex"), &values);
+}
+
+#[test]
+fn questions_to_stores_keep_their_bytes() {
+    let completed = FinishedItem {
+        name: item_name("job-2", 5),
+        outcome: ItemOutcome::Completed("{\"a\":1}\n[DONE]".to_owned()),
+    };
+    let dead = FinishedItem { name: item_name("job-3", 6), outcome: ItemOutcome::DeadLettered };
+    let work = WorkRequest {
+        gateway: "gateway-4".to_owned(),
+        running: vec![item_name("job-1", 2), item_name("job-1", 300)],
+        finished: vec![completed, dead],
+        room: 11,
+        load: GatewayLoad { live: 3.75, slots: 96 },
+        zone: "zone-a".to_owned(),
+        load_address: address(14, 7200),
+        peers: 0x1234_5678_9abc_def0,
+        zones: zones(),
+    };
+    let (job_id, item_id) = ("job-4".to_owned(), "third".to_owned());
+    let values = [
+        ("append", StoreRequest::Append(append())),
+        ("install", StoreRequest::Install(install())),
+        ("status", StoreRequest::Status),
+        ("fetch", StoreRequest::Fetch),
+        ("submit", StoreRequest::Submit(job())),
+        ("read", StoreRequest::Read { job: job_id.clone(), start: 17, wait_ms: 900 }),
+        ("body", StoreRequest::Body { job: job_id.clone(), item: item_id }),
+        ("end", StoreRequest::End { job: job_id }),
+        ("work", StoreRequest::Work(work)),
+    ];
+    check(include_str!("golden/store_requests.hex"), &values);
+}
+
+#[test]
+fn answers_of_stores_keep_their_bytes() {
+    let result = |id: &str, outcome| NamedResult { id: id.to_owned(), outcome };
+    let page = ResultsPage {
+        total: 40,
+        results: vec![
+            result("first", ItemOutcome::Completed("text".to_owned())),
+            result("second", ItemOutcome::DeadLettered),
+        ],
+    };
+    let granted = GrantedItem {
+        name: item_name("job-1", 1),
+        host: "x.example".to_owned(),
+        route: "nightly".to_owned(),
+        item: item("second"),
+        taken_at_ms: 1_700_000_000_456,
+    };
+    let work = WorkReply {
+        granted: vec![granted],
+        stop: vec![item_name("job-2", 8)],
+        lease_ms: 2200,
+        peers: Some(Peers { digest: 0xd1e5, addresses: vec![address(14, 7200), address(15, 7201)] }),
+        zones: zones(),
+        gateways: 5,
+        live: 21.5,
+    };
+    let values = [
+        ("append", StoreReply::Append(AppendReply::Held { copies: 2 })),
+        ("status", StoreReply::Status(status())),
+        ("state", StoreReply::State(install())),
+        ("accepted", StoreReply::Accepted),
+        ("over_quota", StoreReply::OverQuota),
+        ("conflict", StoreReply::Conflict),
+        ("results", StoreReply::Results(page)),
+        ("body", StoreReply::Body(vec![1, 2, 0xfe])),
+        ("ended", StoreReply::Ended),
+        ("not_found", StoreReply::NotFound),
+        ("work", StoreReply::Work(work)),
+        ("work_none", StoreReply::Work(WorkReply::default())),
+        ("not_head", StoreReply::NotHead(Some(address(2, 7102)))),
+        ("unavailable", StoreReply::Unavailable),
+        ("unknown", StoreReply::Unknown),
+    ];
+    check(include_str!("golden/store_replies.hex"), &values);
+}
+
+#[test]
+fn notices_of_load_keep_their_bytes() {
+    let one = ServerOut { server: 0x5151_6262, out: 19, tokens: 4100, failing: 31 };
+    let other = ServerOut { server: 0x7373, out: 0, tokens: 1, failing: 255 };
+    let notice = LoadNotice { gateway: 0x0a0b_0c0d_0e0f, sequence: 888, servers: vec![one, other] };
+    check(include_str!("golden/load.hex"), &[("notice", notice)]);
+    let [a, b] = <[ZoneOut; 2]>::try_from(zones()).expect("two zones");
+    check(include_str!("golden/zone_out.hex"), &[("a", a), ("b", b)]);
+}
+
+#[test]
+fn lists_of_servers_keep_their_bytes() {
+    check(include_str!("golden/server_list.hex"), &[("list", list()), ("none", ServerList::default())]);
+}
+
+#[test]
+fn pages_of_the_list_are_read_by_these_names() {
+    let page = Page::parse(include_str!("golden/page.json")).expect("a page");
+    let expected = Page {
+        servers: vec![server("s-1", 20, false), server("s-2", 21, true)],
+        next: Some("token-2".to_owned()),
+    };
+    assert_eq!(page, expected);
+    let least =
+        r#"{"instances":[{"id":"i","backend":"b","address":"10.1.2.3:4","zone":"z","state":"ready"}]}"#;
+    let page = Page::parse(least).expect("a page");
+    assert_eq!((page.servers[0].slots, page.servers[0].warmup_left_ms, page.next), (0, 0, None));
+    for name in ["id", "backend", "address", "zone", "state", "instances"] {
+        let without = least.replacen(&format!("\"{name}\":"), "\"other\":", 1);
+        assert_eq!(Page::parse(&without), None, "{name}");
+    }
+}
--- /dev/null
+++ b/system/wire/tests/golden.rs
@@ -0,0 +1,67 @@
+//! Frames and envelopes of calls keep their bytes: each value is written to the literal bytes of a fixture, and those are
+//! read and written again.
+
+use marblecroft_wire::{
+    decode, encode, Bytes, CallName, DecodeError, Direction, Envelope, Message, Service, PATH, VERSION,
+};
+use std::fmt::Debug;
+use std::net::SocketAddr;
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
+    (0..text.len()).step_by(2).map(digits).collect()
+}
+
+/// The fixture has one line for each value: its name and its bytes.
+#[track_caller]
+fn check<T: Message + PartialEq + Debug>(fixture: &str, values: &[(&str, T)]) {
+    let line = |(name, value): &(&str, T)| format!("{name} {}\n", hex(&encode(value)));
+    let written: String = values.iter().map(line).collect();
+    assert!(written == fixture, "other bytes than the fixture's are written:\n{written}");
+    for (line, (name, value)) in fixture.lines().zip(values) {
+        let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
+        let read: T = decode(&bytes).expect(name);
+        assert_eq!(&read, value, "{name} is read as it was");
+        assert_eq!(encode(&read), bytes, "{name} is written again as it was");
+    }
+}
+
+fn name(service: Service) -> CallName {
+    CallName {
+        caller: 0x1122_3344_5566_7788,
+        number: 513,
+        service,
+        callee: SocketAddr::from(([10, 1, 2, 3], 7100)),
+    }
+}
+
+#[test]
+fn envelopes_of_calls_keep_their_bytes() {
+    let question = Envelope {
+        direction: Direction::Question,
+        name: name(Service::Coordinators),
+        message: Bytes(vec![1, 2, 3]),
+    };
+    let answer =
+        Envelope { direction: Direction::Answer, name: name(Service::Stores), message: Bytes(vec![0xff; 4]) };
+    check(include_str!("golden/envelopes.hex"), &[("question", question), ("answer", answer)]);
+    check(include_str!("golden/names.hex"), &[("name", name(Service::Stores))]);
+    let services = [("coordinators", Service::Coordinators), ("stores", Service::Stores)];
+    check(include_str!("golden/services.hex"), &services);
+    let directions = [("question", Direction::Question), ("answer", Direction::Answer)];
+    check(include_str!("golden/directions.hex"), &directions);
+}
+
+#[test]
+fn a_frame_is_its_version_a_checksum_and_the_payload() {
+    let values = [("empty", Bytes(Vec::new())), ("text", Bytes(b"marblecroft".to_vec()))];
+    check(include_str!("golden/frames.hex"), &values);
+    assert_eq!((VERSION, PATH), (1, "/call"));
+    let mut framed = encode(&values[1].1);
+    framed[0] = 2;
+    assert_eq!(decode::<Bytes>(&framed), Err(DecodeError::Version(2)));
+}
