--- /dev/null
+++ b/system/configuration/tests/golden.rs
@@ -0,0 +1,125 @@
+//! The names and meanings of the operator's configuration stay as they are: a whole configuration with every member is read
+//! from a fixture, and a change of it is written as the literal text of another.
+
+use marblecroft_configuration::{ClientLimits, Configuration, Route, RouteType, Service, Update};
+use std::time::Duration;
+
+const WHOLE: &str = include_str!("golden/whole.json");
+const UPDATE: &str = include_str!("golden/update.json");
+const CHANGED: &str = include_str!("golden/changed.json");
+
+fn streaming() -> Route {
+    Route {
+        name: "chat".to_owned(),
+        hostname: "x.example".to_owned(),
+        path_prefix: "/chat/".to_owned(),
+        route_type: RouteType::Streaming,
+        timeout: Duration::from_millis(2100),
+        target_latency: Duration::from_millis(320),
+        priority: 3,
+        backends: vec![("s".to_owned(), 90.0), ("t".to_owned(), 10.5)],
+        attempts: 4,
+        resumable: true,
+        completion_target: Duration::from_millis(8050),
+        retention: Duration::from_secs(41),
+        max_queued_tokens: 670_001,
+    }
+}
+
+fn least(name: &str, route_type: RouteType) -> Route {
+    Route {
+        name: name.to_owned(),
+        hostname: "x.example".to_owned(),
+        path_prefix: format!("/{name}/"),
+        route_type,
+        timeout: Duration::from_secs(30),
+        target_latency: Duration::from_secs(30),
+        priority: 0,
+        backends: vec![("t".to_owned(), 1.0)],
+        attempts: 1,
+        resumable: false,
+        completion_target: Duration::MAX,
+        retention: Duration::MAX,
+        max_queued_tokens: 0,
+    }
+}
+
+fn routes(configuration: &Configuration) -> Vec<Route> {
+    let mut routes: Vec<Route> = configuration.routes().map(|route| Route::clone(route)).collect();
+    routes.sort_by(|a, b| a.name.cmp(&b.name));
+    routes
+}
+
+#[test]
+fn every_member_of_a_configuration_is_read_by_its_name() {
+    let configuration = Configuration::parse(WHOLE.as_bytes()).expect("valid");
+    assert_eq!(configuration.generation, 7);
+    let limits = ClientLimits {
+        max_header_bytes: 16_385,
+        max_body_bytes: 4_194_305,
+        header_timeout: Duration::from_millis(3100),
+        idle_timeout: Duration::from_millis(15_200),
+    };
+    assert_eq!(configuration.limits, limits);
+    let told = Service {
+        name: "s".to_owned(),
+        health_path: "/ready".to_owned(),
+        max_connections: 220,
+        slots: 24,
+        kv_cache_tokens: 305_000,
+    };
+    assert_eq!(configuration.service("s"), Some(&told));
+    let untold = Service {
+        name: "t".to_owned(),
+        health_path: "/health".to_owned(),
+        max_connections: 0,
+        slots: 0,
+        kv_cache_tokens: 0,
+    };
+    assert_eq!(configuration.service("t"), Some(&untold));
+    let expected = [
+        streaming(),
+        least("get", RouteType::Idempotent),
+        least("nightly", RouteType::Batch),
+        least("post", RouteType::NonIdempotent),
+    ];
+    assert_eq!(routes(&configuration), expected);
+}
+
+#[test]
+fn limits_that_are_not_told_keep_their_values() {
+    let configuration =
+        Configuration::parse(br#"{"generation":1,"routes":[],"services":[]}"#).expect("valid");
+    let limits = ClientLimits {
+        max_header_bytes: 16_384,
+        max_body_bytes: 4_194_304,
+        header_timeout: Duration::from_secs(3),
+        idle_timeout: Duration::from_secs(15),
+    };
+    assert_eq!(configuration.limits, limits);
+}
+
+#[test]
+fn a_configuration_without_a_needed_member_is_refused() {
+    let least = r#"{"generation":1,"routes":[{"name":"n","hostname":"h","path_prefix":"/","route_type":"batch","backend":"s"}],"services":[{"name":"s"}]}"#;
+    assert!(Configuration::parse(least.as_bytes()).is_ok());
+    for name in
+        ["generation", "routes", "services", "name", "hostname", "path_prefix", "route_type", "backend"]
+    {
+        let without = least.replacen(&format!("\"{name}\":"), "\"other\":", 1);
+        assert!(Configuration::parse(without.as_bytes()).is_err(), "{name}");
+    }
+}
+
+#[test]
+fn a_changed_configuration_keeps_its_text() {
+    let update = Update::parse(UPDATE.as_bytes()).expect("an update");
+    assert_eq!(update.generation, 12);
+    let changed = update.apply(WHOLE.trim_end().as_bytes()).expect("valid");
+    let text = String::from_utf8(changed.clone()).expect("text");
+    assert_eq!(text, CHANGED.trim_end());
+    let configuration = Configuration::parse(&changed).expect("valid");
+    assert_eq!(configuration.generation, 12);
+    let names: Vec<String> = routes(&configuration).into_iter().map(|route| route.name).collect();
+    assert_eq!(names, ["chat", "nightly", "post", "weekly"]);
+}
--- /dev/null
+++ b/system/control-core/tests/golden.rs
@@ -0,0 +1,49 @@
+//! Numbers that processes work out alike keep their values: the identities of founders and of members that are drawn, and the
+//! digest by which a gateway says which peers it knows keeps its value: a gateway and a head of the stores that run
+//! different programs are to name one set of peers alike.
+
+use marblecroft_batch::Batch;
+use marblecroft_chain::storage::NoDisk;
+use marblecroft_control_core::gateways::Gateways;
+use marblecroft_control_core::member::{founding_view, open};
+use marblecroft_log::Recovered;
+use marblecroft_protocol::store::{GatewayLoad, WorkRequest};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+fn work(number: u8) -> WorkRequest {
+    WorkRequest {
+        gateway: format!("gateway-{number}"),
+        running: Vec::new(),
+        finished: Vec::new(),
+        room: 0,
+        load: GatewayLoad::default(),
+        zone: "a".to_owned(),
+        load_address: SocketAddr::from(([10, 0, 0, number], 7735)),
+        peers: 0,
+        zones: Vec::new(),
+    }
+}
+
+#[test]
+fn the_digest_of_peers_keeps_its_value() {
+    let mut gateways = Gateways::default();
+    let none = gateways.peers("gateway-1", "a", 0).expect("new");
+    (1..=3).for_each(|number| gateways.note(Duration::ZERO, &work(number)));
+    let three = gateways.peers("gateway-1", "a", 0).expect("new");
+    assert_eq!((none.digest, three.digest), (14_695_981_039_346_656_037, 17_606_688_759_347_557_830));
+}
+
+#[test]
+fn identities_of_members_keep_their_values() {
+    let seeds = [(1, 7700), (2, 7701)].map(|(last, port)| SocketAddr::from(([10, 9, 8, last], port)));
+    let called = |seed: SocketAddr| SocketAddr::new(seed.ip(), 7800);
+    let (own, view) = founding_view(seeds[1], &seeds, called).expect("a founder");
+    assert_eq!(own, 0x0a09_0802_1e15);
+    let members: Vec<_> = view.members.iter().map(|member| (member.identity, member.address)).collect();
+    let expected = [(0x0a09_0801_1e14, called(seeds[0])), (0x0a09_0802_1e15, called(seeds[1]))];
+    assert_eq!(members, expected);
+    assert_eq!((view.number, &view.voters), (1, &view.members));
+    let opened = open::<Batch, _>(NoDisk, Recovered::default(), 0x1234, None).expect("opens");
+    assert_eq!(opened.identity(), 0x8000_0000_0000_1234);
+}
