--- /dev/null
+++ b/system/control-core/tests/stored.rs
@@ -0,0 +1,302 @@
+//! A coordinator and a store that start on logs which an earlier program has stored answer from what these hold: the
+//! configuration as an update has made it, machines to be emptied, the stores' view, and a half-done batch job. The logs are
+//! literal bytes, and the same history is written to the same bytes.
+
+use marblecroft_batch::{Batch, Item, ItemOutcome, NewJob, Operation as BatchOperation};
+use marblecroft_chain::storage::Storage;
+use marblecroft_chain::{Member, Replica, View};
+use marblecroft_control_core::coordinator::{self, Coordinator};
+use marblecroft_control_core::member::{founding_view, open};
+use marblecroft_control_core::operator::{Call, Method};
+use marblecroft_control_core::store::{self, Store};
+use marblecroft_control_core::{Node, Time};
+use marblecroft_control_state::{Control, Operation};
+use marblecroft_log::Recovered;
+use marblecroft_protocol::coordinator::{CoordinatorReply, CoordinatorRequest, Pull, Versions};
+use marblecroft_protocol::store::{
+    GatewayLoad, ItemName, NamedResult, ResultsPage, StoreReply, StoreRequest, WorkRequest,
+};
+use marblecroft_wire::Bytes;
+use std::cell::RefCell;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
+    (0..text.len()).step_by(2).map(digits).collect()
+}
+
+/// What was written, a line for each write: `segment` or `append`, and the bytes.
+#[derive(Clone, Default)]
+struct Disk(Rc<RefCell<String>>);
+
+impl Storage for Disk {
+    fn append(&mut self, records: &[&[u8]]) -> io::Result<()> {
+        let lines = records.iter().map(|record| format!("append {}\n", hex(record)));
+        self.0.borrow_mut().extend(lines);
+        Ok(())
+    }
+
+    fn start_segment(&mut self, checkpoint: &[u8]) -> io::Result<()> {
+        self.0.borrow_mut().push_str(&format!("segment {}\n", hex(checkpoint)));
+        Ok(())
+    }
+
+    fn is_writable(&self) -> bool {
+        true
+    }
+
+    fn record_bytes(&self) -> u64 {
+        0
+    }
+}
+
+/// The last checkpoint of a fixture, and the records behind it.
+fn recovered(fixture: &str) -> Recovered {
+    let mut found = Recovered::default();
+    for line in fixture.lines() {
+        let (what, bytes) = line.split_once(' ').expect("two words");
+        match what {
+            "segment" => {
+                found.snapshot = Some(unhex(bytes));
+                found.records.clear();
+            }
+            _ => found.records.push(unhex(bytes)),
+        }
+    }
+    found
+}
+
+#[track_caller]
+fn check_written(disk: &Disk, fixture: &str) {
+    let written = disk.0.borrow();
+    assert!(*written == fixture, "other bytes than the fixture's are written:\n{written}");
+}
+
+fn address(port: u16) -> SocketAddr {
+    SocketAddr::from(([10, 1, 2, 3], port))
+}
+
+const WALL_MS: u64 = 1_700_000_000_500;
+
+/// Hands an input to a process, and lets time pass until one of its outputs is the one that is looked for.
+fn ask<N: Node, R>(
+    node: &mut N,
+    now: &mut Duration,
+    first: N::Input,
+    wake: impl Fn() -> N::Input,
+    found: impl Fn(N::Output) -> Option<R>,
+) -> R {
+    let mut input = first;
+    for _ in 0..500 {
+        let outputs = node.handle(Time { steady: *now, wall_ms: WALL_MS }, input);
+        if let Some(found) = outputs.into_iter().find_map(&found) {
+            return found;
+        }
+        *now += Duration::from_millis(10);
+        input = wake();
+    }
+    panic!("there was no answer");
+}
+
+const CONTROL_LOG: &str = include_str!("stored/control_log.hex");
+const WHOLE: &str = r#"{"generation":5,"routes":[{"name":"a","hostname":"x","path_prefix":"/a/","route_type":"batch","backend":"s"}],"services":[{"name":"s"},{"name":"t"}]}"#;
+const CHANGE: &str = r#"{"generation":9,"upsert":{"services":[{"name":"u","max_connections":7}]},"remove":{"services":["t"]}}"#;
+const CHANGED: &str = r#"{"generation":9,"routes":[{"name":"a","hostname":"x","path_prefix":"/a/","route_type":"batch","backend":"s"}],"services":[{"name":"s"},{"name":"u","max_connections":7}]}"#;
+
+fn founding() -> Option<(u64, View)> {
+    founding_view(address(7700), &[address(7700)], |_| address(7100))
+}
+
+fn stores_view() -> View {
+    let member = Member { address: address(7108), identity: 0x1122_3344, node: "store-1".to_owned() };
+    View { number: 1, members: vec![member], voters: Vec::new() }
+}
+
+#[test]
+fn the_log_of_a_coordinator_keeps_its_bytes() {
+    let disk = Disk::default();
+    let mut replica: Replica<Control, _> =
+        open(disk.clone(), Recovered::default(), 1, founding()).expect("opens");
+    let replace = Operation::Replace { base: 0, generation: 5, body: Bytes(WHOLE.into()) };
+    let know = Operation::KnowStore { node: "store-7".to_owned() };
+    replica.propose(&vec![replace, know]).expect("written");
+    let update = Operation::Update { base: 5, generation: 9, change: Bytes(CHANGE.into()) };
+    let retire = Operation::Retire { node: "store-7".to_owned() };
+    replica.propose(&vec![Operation::StoreView(stores_view()), update]).expect("written");
+    replica.propose(&vec![retire, Operation::TakeReader]).expect("written");
+    check_written(&disk, CONTROL_LOG);
+}
+
+#[test]
+fn a_coordinator_on_a_stored_log_answers_from_it() {
+    let replica = open(Disk::default(), recovered(CONTROL_LOG), 2, None).expect("opens");
+    let settings = coordinator::Settings {
+        node_name: "node-1".to_owned(),
+        address: address(7100),
+        seeds: vec![address(7100)],
+        operator_port: None,
+        tolerated_machines: 0,
+        grace_period: Duration::from_secs(1),
+        reads_list: false,
+        is_durable: true,
+        session: 99,
+    };
+    let mut now = Duration::from_secs(1);
+    let mut node = Coordinator::new(settings, replica, now);
+    let mut operator = |method, url: &str, base: Option<&str>, body: &str| {
+        let (url, base) = (url.to_owned(), base.map(str::to_owned));
+        let call = Call { method, url, base, body: body.into() };
+        let input = coordinator::Input::Operator { token: 4, call };
+        let reply = ask(
+            &mut node,
+            &mut now,
+            input,
+            || coordinator::Input::Wake,
+            |output| match output {
+                coordinator::Output::AnswerOperator { reply, .. } => Some(reply),
+                _ => None,
+            },
+        );
+        (reply.status, String::from_utf8(reply.body).expect("text"))
+    };
+    assert_eq!(operator(Method::Get, "/-/Config.Read", None, ""), (200, CHANGED.to_owned()));
+    let taken_before = operator(Method::Post, "/-/Config.Update", Some("5"), CHANGE);
+    assert_eq!(taken_before, (200, String::new()));
+    let conflict = operator(Method::Post, "/-/Config.Replace", Some("5"), &WHOLE.replace(":5", ":10"));
+    assert_eq!(conflict, (412, "version 9 is current\n".to_owned()));
+    let retired = operator(Method::Get, "/-/Retire.Read/store-7", None, "");
+    assert_eq!(retired, (200, "{\"state\":\"in_progress\"}".to_owned()));
+    assert_eq!(operator(Method::Get, "/-/Retire.Read/store-1", None, "").0, 404);
+    let pull = Pull { have: Versions::default(), wait_ms: 1000 };
+    let input = coordinator::Input::Request { token: 5, request: CoordinatorRequest::Pull(pull) };
+    let updates = ask(
+        &mut node,
+        &mut now,
+        input,
+        || coordinator::Input::Wake,
+        |output| match output {
+            coordinator::Output::Answer { reply: CoordinatorReply::Updates(updates), .. } => Some(updates),
+            _ => None,
+        },
+    );
+    let configuration = updates.configuration.expect("a configuration");
+    assert_eq!((configuration.sequence, &configuration.body.0[..]), (2, CHANGED.as_bytes()));
+    assert_eq!(updates.stores, Some(stores_view()));
+    assert_eq!(updates.coordinators, [address(7100)]);
+}
+
+const BATCH_LOG: &str = include_str!("stored/batch_log.hex");
+
+fn item(id: &str, tokens: u64) -> Item {
+    Item {
+        id: id.to_owned(),
+        path: format!("/batch/{id}"),
+        headers: vec![("x-token-usage".to_owned(), "30,12".to_owned())],
+        body: Bytes(format!("{{\"prompt\":\"{id}\"}}").into_bytes()),
+        tokens,
+    }
+}
+
+fn job() -> NewJob {
+    NewJob {
+        id: "job-1".to_owned(),
+        route: "nightly".to_owned(),
+        host: "x.example".to_owned(),
+        items: vec![item("first", 100), item("second", 230), item("third", 310)],
+        max_queued_tokens: 1000,
+        taken_at_ms: 1_700_000_000_123,
+        due_after_ms: 8000,
+    }
+}
+
+fn completed() -> ItemOutcome {
+    ItemOutcome::Completed("{\"a\":1}\n[DONE]".to_owned())
+}
+
+#[test]
+fn the_log_of_a_store_keeps_its_bytes() {
+    let disk = Disk::default();
+    let mut replica: Replica<Batch, _> =
+        Replica::open(disk.clone(), Recovered::default(), Batch::default(), 0x1122_3344, None)
+            .expect("opens");
+    assert!(replica.learn(&stores_view()).expect("written"));
+    replica.propose(&vec![BatchOperation::Submit(job())]).expect("written");
+    let record = |item, outcome| BatchOperation::Record { job: "job-1".to_owned(), item, outcome };
+    replica.propose(&vec![record(2, completed()), record(0, ItemOutcome::DeadLettered)]).expect("written");
+    check_written(&disk, BATCH_LOG);
+}
+
+#[test]
+fn a_store_on_a_stored_log_answers_from_it() {
+    let replica = open(Disk::default(), recovered(BATCH_LOG), 2, None).expect("opens");
+    let settings = store::Settings {
+        node_name: "store-1".to_owned(),
+        zone: "a".to_owned(),
+        address: address(7108),
+        coordinators: vec![address(7100)],
+        tolerated_machines: 0,
+        status_time: Duration::from_secs(60),
+        grace_period: Duration::from_secs(1),
+        session: 99,
+    };
+    let mut now = Duration::from_secs(1);
+    let mut node = Store::new(settings, replica, now);
+    let mut call = |request| {
+        let input = store::Input::Request { token: 6, request };
+        ask(
+            &mut node,
+            &mut now,
+            input,
+            || store::Input::Wake,
+            |output| match output {
+                store::Output::Answer { reply, .. } => Some(reply),
+                _ => None,
+            },
+        )
+    };
+    let result = |id: &str, outcome| NamedResult { id: id.to_owned(), outcome };
+    let results = vec![result("third", completed()), result("first", ItemOutcome::DeadLettered)];
+    let read = |start| StoreRequest::Read { job: "job-1".to_owned(), start, wait_ms: 0 };
+    let page = ResultsPage { total: 3, results: results.clone() };
+    assert_eq!(call(read(0)), StoreReply::Results(page));
+    let page = ResultsPage { total: 3, results: results[1..].to_vec() };
+    assert_eq!(call(read(1)), StoreReply::Results(page));
+    let body = |item: &str| StoreRequest::Body { job: "job-1".to_owned(), item: item.to_owned() };
+    assert_eq!(call(body("second")), StoreReply::Body(b"{\"prompt\":\"second\"}".to_vec()));
+    assert_eq!(call(StoreRequest::Submit(job())), StoreReply::Accepted);
+    let mut other = job();
+    other.items[1].tokens += 1;
+    assert_eq!(call(StoreRequest::Submit(other)), StoreReply::Conflict);
+    let mut large = job();
+    (large.id, large.items[0].tokens) = ("job-2".to_owned(), 1000);
+    assert_eq!(call(StoreRequest::Submit(large)), StoreReply::OverQuota);
+    let work = || {
+        StoreRequest::Work(WorkRequest {
+            gateway: "gateway-1".to_owned(),
+            running: Vec::new(),
+            finished: Vec::new(),
+            room: 5,
+            load: GatewayLoad { live: 0.0, slots: 100 },
+            zone: "a".to_owned(),
+            load_address: address(7200),
+            peers: 0,
+            zones: Vec::new(),
+        })
+    };
+    // A head grants nothing before leases of the one before it have ended.
+    let granted = (0..1000).find_map(|_| match call(work()) {
+        StoreReply::Work(reply) => reply.granted.into_iter().next(),
+        _ => None,
+    });
+    let granted = granted.expect("the item without a result");
+    assert_eq!(granted.name, ItemName { job: "job-1".to_owned(), item: 1 });
+    assert_eq!((granted.host.as_str(), granted.route.as_str()), ("x.example", "nightly"));
+    assert_eq!((granted.item, granted.taken_at_ms), (item("second", 230), 1_700_000_000_123));
+}
