--- a/system/control-core/tests/stored.rs
+++ b/system/control-core/tests/stored.rs
@@ -130,6 +130,9 @@
     let update = Operation::Update { base: 5, generation: 9, change: Bytes(CHANGE.into()) };
     let retire = Operation::Retire { node: "store-7".to_owned() };
     replica.propose(&vec![Operation::StoreView(stores_view()), update]).expect("written");
+    // Its next start writes a checkpoint.
+    let found = recovered(&disk.0.borrow());
+    let mut replica = open::<Control, _>(disk.clone(), found, 1, None).expect("opens");
     replica.propose(&vec![retire, Operation::TakeReader]).expect("written");
     check_written(&disk, CONTROL_LOG);
 }
@@ -229,7 +232,11 @@
     assert!(replica.learn(&stores_view()).expect("written"));
     replica.propose(&vec![BatchOperation::Submit(job())]).expect("written");
     let record = |item, outcome| BatchOperation::Record { job: "job-1".to_owned(), item, outcome };
-    replica.propose(&vec![record(2, completed()), record(0, ItemOutcome::DeadLettered)]).expect("written");
+    replica.propose(&vec![record(2, completed())]).expect("written");
+    // Its next start writes a checkpoint.
+    let found = recovered(&disk.0.borrow());
+    let mut replica = open::<Batch, _>(disk.clone(), found, 1, None).expect("opens");
+    replica.propose(&vec![record(0, ItemOutcome::DeadLettered)]).expect("written");
     check_written(&disk, BATCH_LOG);
 }
 
