--- /dev/null
+++ b/discovery/tests/golden.rs
@@ -0,0 +1,273 @@
+//! Recorded bytes of what this crate stores and sends: the journal's files, the list, and the JSON of its HTTP calls.
+//!
+//! The fixtures were written by one run of the code of the day on which they were recorded. Each test encodes fixed values
+//! and compares with the fixture, decodes the fixture, and encodes what was decoded to the same bytes. A type or field that
+//! is renamed in the program is renamed in the construction code here; the fixtures stay.
+
+mod common;
+#[path = "../../testing/golden/mod.rs"]
+mod golden;
+
+use common::*;
+use golden::{bytes, same_bytes, same_text, text};
+use mapledeck_discovery::format::{Ask, Entry, Host, HostList, State, Telling};
+use mapledeck_discovery::http::{self, Call, Replica, Replicated, Request};
+use mapledeck_discovery::journal::{Disk, Journal};
+use mapledeck_discovery::store::{Command, Image, Record, Registration, Store};
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Files in memory, shared with the journal that writes them.
+#[derive(Clone, Default)]
+struct Files(Rc<RefCell<BTreeMap<String, Vec<u8>>>>);
+
+impl Files {
+    fn with(files: [(&str, Vec<u8>); 2]) -> Files {
+        Files(Rc::new(RefCell::new(
+            files.into_iter().map(|(name, bytes)| (name.to_owned(), bytes)).collect(),
+        )))
+    }
+    fn get(&self, name: &str) -> Vec<u8> {
+        self.0.borrow().get(name).cloned().unwrap_or_else(|| panic!("no file {name}"))
+    }
+}
+
+impl Disk for Files {
+    fn names(&self) -> io::Result<Vec<String>> {
+        Ok(self.0.borrow().keys().cloned().collect())
+    }
+    fn read(&self, name: &str) -> io::Result<Vec<u8>> {
+        Ok(self.get(name))
+    }
+    fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
+        self.0.borrow_mut().entry(name.to_owned()).or_default().extend_from_slice(bytes);
+        Ok(())
+    }
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
+        self.0.borrow_mut().entry(name.to_owned()).or_default().truncate(length as usize);
+        Ok(())
+    }
+    fn sync(&mut self, _: &str) -> io::Result<()> {
+        Ok(())
+    }
+    fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
+        let bytes = self.0.borrow_mut().remove(from).expect("a file");
+        self.0.borrow_mut().insert(to.to_owned(), bytes);
+        Ok(())
+    }
+    fn remove(&mut self, name: &str) -> io::Result<()> {
+        self.0.borrow_mut().remove(name);
+        Ok(())
+    }
+    fn sync_names(&mut self) -> io::Result<()> {
+        Ok(())
+    }
+}
+
+fn host(id: &str, port: u16, state: State) -> Host {
+    Host {
+        id: id.to_owned(),
+        addr: format!("10.1.2.3:{port}").parse().expect("an address"),
+        zone: format!("zone-of-{id}"),
+        kind: format!("kind-of-{id}"),
+        cell: u32::from(port) + 11,
+        state,
+        weight: f64::from(port) + 0.25,
+        started_ms: 1_700_000_000_000 + u64::from(port),
+    }
+}
+
+/// Each kind of record, and more than one server, one of them gone.
+fn records() -> Vec<Record> {
+    vec![
+        Record::Opened { version: 1001 },
+        Record::Promoted { version: 1010, epoch: 7 },
+        Record::Put { version: 1012, host: host("s-1", 81, State::Serving), lease_ms: Some(61_000) },
+        Record::Put { version: 1013, host: host("s-2", 82, State::Draining), lease_ms: None },
+        Record::Put { version: 1014, host: host("s-3", 83, State::Serving), lease_ms: Some(63_000) },
+        Record::Gone { version: 1015, id: "s-3".to_owned() },
+    ]
+}
+
+fn store() -> Store {
+    Store::restore(Image::default(), records(), Duration::ZERO)
+}
+
+#[test]
+fn the_journals_log_keeps_its_bytes() {
+    let files = Files::default();
+    let (mut journal, _) = Journal::open(files.clone()).expect("opened");
+    journal.append(&records()).expect("written");
+    same_bytes("log.hex", &files.get("log.1"));
+    same_bytes("snapshot-empty.hex", &files.get("snap.1"));
+
+    let recorded = Files::with([("log.1", bytes("log.hex")), ("snap.1", bytes("snapshot-empty.hex"))]);
+    let (_, held) = Journal::open(recorded).expect("opened");
+    assert_eq!((held.records.as_slice(), held.cut), (records().as_slice(), 0));
+    assert_eq!(held.image, Image::default());
+    let again = Files::default();
+    let (mut journal, _) = Journal::open(again.clone()).expect("opened");
+    journal.append(&held.records).expect("written");
+    same_bytes("log.hex", &again.get("log.1"));
+}
+
+#[test]
+fn the_journals_snapshot_keeps_its_bytes() {
+    let files = Files::default();
+    let (mut journal, _) = Journal::open(files.clone()).expect("opened");
+    journal.compact(&store().image()).expect("written");
+    same_bytes("snapshot.hex", &files.get("snap.2"));
+    same_bytes("log-empty.hex", &files.get("log.2"));
+
+    let recorded = Files::with([("log.9", bytes("log-empty.hex")), ("snap.9", bytes("snapshot.hex"))]);
+    let (mut journal, held) = Journal::open(recorded.clone()).expect("opened");
+    assert_eq!(held.image, store().image());
+    let restored = Store::restore(held.image, [], Duration::ZERO);
+    journal.compact(&restored.image()).expect("written");
+    same_bytes("snapshot.hex", &recorded.get("snap.10"));
+}
+
+#[test]
+fn the_list_keeps_its_text() {
+    let servers =
+        [host("s-1", 81, State::Serving), host("s-2", 82, State::Draining), host("s-3", 83, State::Deleted)];
+    let telling = |servers: &[Host]| {
+        let servers = servers.iter().collect();
+        serde_json::to_string(&Telling { version: 1015, full: true, store: 1001, epoch: 7, servers })
+            .expect("text")
+    };
+    same_text("list.json", &telling(&servers));
+
+    let list: HostList = serde_json::from_str(&text("list.json")).expect("a list");
+    let expected = HostList {
+        version: 1015,
+        full: true,
+        store: Some(1001),
+        epoch: 7,
+        servers: servers.iter().cloned().map(Entry::Readable).collect(),
+    };
+    assert_eq!(list, expected);
+    let read: Vec<Host> = list
+        .servers
+        .into_iter()
+        .map(|entry| match entry {
+            Entry::Readable(host) => host,
+            Entry::Spoilt(id) => panic!("{id:?} cannot be read"),
+        })
+        .collect();
+    same_text("list.json", &telling(&read));
+}
+
+#[test]
+fn the_stores_answers_keep_their_text() {
+    let store = store();
+    let text = |bytes: Option<Vec<u8>>| String::from_utf8(bytes.expect("an answer")).expect("UTF-8");
+    same_text("told-whole.json", &text(store.telling(None)));
+    same_text("told-changes.json", &text(store.telling(Some(1012))));
+    same_text("told-nothing.json", &text(Some(store.nothing())));
+    let shown = |id| serde_json::to_string(&store.show(id, Duration::from_millis(1500))).expect("text");
+    same_text("shown-leased.json", &shown("s-1"));
+    same_text("shown-unleased.json", &shown("s-2"));
+}
+
+#[test]
+fn what_replicas_say_keeps_its_text() {
+    let replica = Replica { store: 1001, epoch: 7, version: 1013, wait_ms: 2500 };
+    same_text("replica.json", &serde_json::to_string(&replica).expect("text"));
+    let read: Replica = serde_json::from_str(&text("replica.json")).expect("a replica");
+    assert_eq!(read, replica);
+    same_text("replica.json", &serde_json::to_string(&read).expect("text"));
+
+    let changes = Replicated { epoch: 7, records: records(), image: None };
+    let whole = Replicated { epoch: 8, records: Vec::new(), image: Some(store().image()) };
+    for (name, replicated) in [("replicated-changes.json", changes), ("replicated-whole.json", whole)] {
+        same_text(name, &serde_json::to_string(&replicated).expect("text"));
+        let read: Replicated = serde_json::from_str(&text(name)).expect("what replicas lack");
+        assert_eq!(
+            (read.epoch, &read.records, &read.image),
+            (replicated.epoch, &replicated.records, &replicated.image)
+        );
+        same_text(name, &serde_json::to_string(&read).expect("text"));
+    }
+}
+
+/// The literal bodies here are what operators and servers send.
+#[test]
+fn calls_keep_their_paths_and_fields() {
+    let understood = |method: &str, path: &str, query: &str, body: &str| {
+        let call = Call {
+            method: method.to_owned(),
+            path: path.to_owned(),
+            query: query.to_owned(),
+            body: body.as_bytes().to_vec(),
+            keeps: true,
+        };
+        http::understood(&call).expect("a call")
+    };
+    let post = |path: &str, body: &str| understood("POST", path, "", body);
+    let server = Registration {
+        id: "s-1".to_owned(),
+        addr: "10.1.2.3:81".parse().expect("an address"),
+        zone: "a".to_owned(),
+        kind: "b".to_owned(),
+        cell: 3,
+        weight: 1.5,
+    };
+    let lease = Some(Duration::from_millis(61_000));
+    assert_eq!(
+        post(
+            "/discovery/register",
+            r#"{"id":"s-1","addr":"10.1.2.3:81","zone":"a","kind":"b","cell":3,"weight":1.5,"lease_ms":61000,"revision":9}"#
+        ),
+        Request::Command(Command::Register { server, lease, revision: Some(9) })
+    );
+    let id = || "s-1".to_owned();
+    let revision = Some(9);
+    for (path, command) in [
+        ("/discovery/renew", Command::Renew { id: id() }),
+        ("/discovery/drain", Command::Drain { id: id(), revision }),
+        ("/discovery/undrain", Command::Undrain { id: id(), revision }),
+        ("/discovery/deregister", Command::Deregister { id: id(), revision }),
+    ] {
+        assert_eq!(post(path, r#"{"id":"s-1","revision":9}"#), Request::Command(command), "{path}");
+    }
+    assert_eq!(post("/discovery/show", r#"{"id":"s-1"}"#), Request::Show { id: id() });
+    assert_eq!(post("/discovery/promote", r#"{"epoch":7}"#), Request::Promote { epoch: 7 });
+    let replica = Replica { store: 1001, epoch: 7, version: 1013, wait_ms: 2500 };
+    assert_eq!(post("/discovery/records", &text("replica.json")), Request::Records(replica));
+    let watch = Ask::Watch { since: 1013, wait: Duration::from_millis(2500) };
+    assert_eq!(watch.target(), "/discovery/hosts?since=1013&timeout_ms=2500");
+    assert_eq!(
+        understood("GET", "/discovery/hosts", "since=1013&timeout_ms=2500", ""),
+        Request::Hosts(watch)
+    );
+    assert_eq!(understood("GET", "/discovery/status", "", ""), Request::Status);
+}
+
+/// Figures differ from run to run; the names and their kinds do not.
+#[test]
+fn the_services_answers_keep_their_fields() {
+    let folder = folder();
+    let service = Running::start(&folder, &config("127.0.0.1:0", &folder, ""));
+    let mut client = service.client();
+    assert_eq!(client.register("s-1", 81, r#","lease_ms":61000"#).status, 200);
+    let kinds = |answer: Answer| {
+        let serde_json::Value::Object(fields) = answer.json() else { panic!("{answer:?}") };
+        let kind = |value: &serde_json::Value| match value {
+            serde_json::Value::Number(_) => "number",
+            serde_json::Value::String(_) => "string",
+            serde_json::Value::Null => "null",
+            _ => "other",
+        };
+        let line = |(name, value): (&String, &serde_json::Value)| format!("{name} {}", kind(value));
+        fields.iter().map(line).collect::<Vec<_>>().join("\n")
+    };
+    same_text("status-fields.txt", &kinds(client.get("/discovery/status")));
+    same_text("shown-fields.txt", &kinds(client.post("/discovery/show", r#"{"id":"s-1"}"#)));
+    let gone = client.post("/discovery/deregister", r#"{"id":"s-1"}"#);
+    assert_eq!(gone.body, r#"{"id":"s-1","state":"DELETED"}"#);
+    drop(std::fs::remove_dir_all(folder));
+}
