--- a/coordination/tests/golden.rs
+++ b/quota-gateway/coordination/tests/golden.rs
@@ -5,7 +5,7 @@
 //! and compares with the fixture, decodes the fixture, and encodes what was decoded to the same bytes. A type or field that
 //! is renamed in the program is renamed in the construction code here; the fixtures stay.
 
-#[path = "../../testing/golden/mod.rs"]
+#[path = "../../../testing/support/golden/mod.rs"]
 mod golden;
 
 use golden::{bytes, from_hex, hex, same_bytes, same_text, text};
--- a/discovery/tests/golden.rs
+++ b/quota-gateway/discovery/tests/golden.rs
@@ -5,7 +5,7 @@
 //! is renamed in the program is renamed in the construction code here; the fixtures stay.
 
 mod common;
-#[path = "../../testing/golden/mod.rs"]
+#[path = "../../../testing/support/golden/mod.rs"]
 mod golden;
 
 use common::*;
--- a/gateway/tests/golden.rs
+++ b/quota-gateway/server/tests/golden.rs
@@ -6,7 +6,7 @@
 //! are as one run wrote them. They name fields as they are on the wire, so a renaming in the program changes nothing here.
 
 mod common;
-#[path = "../../testing/golden/mod.rs"]
+#[path = "../../../testing/support/golden/mod.rs"]
 mod golden;
 
 use common::*;
--- a/testing/tests/known_red.rs
+++ b/testing/support/tests/known_red.rs
@@ -15,7 +15,7 @@
         fs::write(&file, lines).expect("written");
     }
     fs::write(&listing, LISTING).expect("written");
-    let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../.ci/known-red");
+    let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../.ci/known-red");
     let output = Command::new("bash").arg(script).args([&file, &listing]).output().expect("it runs");
     fs::remove_dir_all(&folder).expect("removed");
     let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
