--- a/common/logging/tests/forms.rs
+++ b/common/logging/tests/forms.rs
@@ -1,6 +1,6 @@
 //! One event in both forms, and what is told of requests.
 
-use mapledeck_events::{subscriber, Form, Log};
+use marblecroft_logging::{subscriber, Form, Log};
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
 
@@ -20,17 +20,20 @@
 fn told(log: Log) -> String {
     let kept = Kept::default();
     let writer = kept.clone();
-    tracing::subscriber::with_default(subscriber("mapledeck", log, move || writer.clone()), || {
-        tracing::info!(server = 7, state = "DRAINING", "server {} is {}", 7, "DRAINING");
-        tracing::debug!(trace = "00ab", "taken");
-    });
+    tracing::subscriber::with_default(
+        subscriber("marblecroft-quota-gateway", log, move || writer.clone()),
+        || {
+            tracing::info!(server = 7, state = "DRAINING", "server {} is {}", 7, "DRAINING");
+            tracing::debug!(trace = "00ab", "taken");
+        },
+    );
     let bytes = kept.0.lock().expect("not poisoned").clone();
     String::from_utf8(bytes).expect("UTF-8")
 }
 
 #[test]
 fn text_is_the_line_as_it_was_and_json_has_the_fields() {
-    assert_eq!(told(Log::default()), "mapledeck: server 7 is DRAINING\n");
+    assert_eq!(told(Log::default()), "marblecroft-quota-gateway: server 7 is DRAINING\n");
     let json = told(Log { form: Form::Json, requests: false });
     let line: serde_json::Value = serde_json::from_str(&json).expect("one object");
     assert_eq!(line["message"], "server 7 is DRAINING");
--- a/control-plane/batch-state/src/job.rs
+++ b/control-plane/batch-state/src/job.rs
@@ -1,6 +1,6 @@
 //! One batch job: its items, and the results in the order in which they were recorded.
 
-use marblecroft_wire::Bytes;
+use marblecroft_rpc::Bytes;
 use musli::{Decode, Encode};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
--- a/control-plane/batch-state/src/lib.rs
+++ b/control-plane/batch-state/src/lib.rs
@@ -10,8 +10,8 @@
 
 pub use job::{Item, ItemOutcome, Job, ListedResult, NewJob};
 
-use marblecroft_chain::StateMachine;
-use marblecroft_wire::{decode, encode};
+use marblecroft_chain_replication::StateMachine;
+use marblecroft_rpc::{decode, encode};
 use musli::{Decode, Encode};
 use std::collections::BTreeMap;
 
--- a/control-plane/batch-state/tests/batch.rs
+++ b/control-plane/batch-state/tests/batch.rs
@@ -1,9 +1,9 @@
 //! Jobs as transcripts, and the sum of waiting tokens under any history.
 
-use marblecroft_batch::lease::Leases;
-use marblecroft_batch::{Batch, Item, ItemOutcome, NewJob, Operation, Output};
-use marblecroft_chain::StateMachine;
-use marblecroft_wire::Bytes;
+use marblecroft_batch_state::lease::Leases;
+use marblecroft_batch_state::{Batch, Item, ItemOutcome, NewJob, Operation, Output};
+use marblecroft_chain_replication::StateMachine;
+use marblecroft_rpc::Bytes;
 use std::time::Duration;
 
 fn job(id: &str, tokens: &[u64], most: u64) -> NewJob {
--- a/control-plane/batch-state/tests/golden.rs
+++ b/control-plane/batch-state/tests/golden.rs
@@ -2,9 +2,9 @@
 //! bytes of a fixture, and those are read and written again. A state that an earlier program has stored is restored.
 //! Leases are not part of it: the head alone holds them, and writes them nowhere.
 
-use marblecroft_batch::{Batch, Item, ItemOutcome, ListedResult, NewJob, Operation, Output};
-use marblecroft_chain::StateMachine;
-use marblecroft_wire::{decode, encode, Bytes, Message};
+use marblecroft_batch_state::{Batch, Item, ItemOutcome, ListedResult, NewJob, Operation, Output};
+use marblecroft_chain_replication::StateMachine;
+use marblecroft_rpc::{decode, encode, Bytes, Message};
 use std::fmt::Debug;
 
 fn hex(bytes: &[u8]) -> String {
--- a/control-plane/chain-replication/src/chain.rs
+++ b/control-plane/chain-replication/src/chain.rs
@@ -13,7 +13,7 @@
 use crate::replica::{Position, Received, Replica, StateMachine};
 use crate::storage::Storage;
 use crate::view::{Member, View};
-use marblecroft_wire::Bytes;
+use marblecroft_rpc::Bytes;
 use quick_error::quick_error;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
--- a/control-plane/chain-replication/src/message.rs
+++ b/control-plane/chain-replication/src/message.rs
@@ -2,7 +2,7 @@
 
 use crate::replica::Position;
 use crate::view::View;
-use marblecroft_wire::Bytes;
+use marblecroft_rpc::Bytes;
 use musli::{Decode, Encode};
 use std::net::SocketAddr;
 
--- a/control-plane/chain-replication/src/replica.rs
+++ b/control-plane/chain-replication/src/replica.rs
@@ -4,8 +4,8 @@
 use crate::message::{Append, Install};
 use crate::storage::{Checkpoint, Record, Storage, Vote};
 use crate::view::{Member, View};
-use marblecroft_log::Recovered;
-use marblecroft_wire::{decode, encode, Bytes, Message};
+use marblecroft_rpc::{decode, encode, Bytes, Message};
+use marblecroft_wal::Recovered;
 use musli::{Decode, Encode};
 use std::collections::VecDeque;
 use std::io;
--- a/control-plane/chain-replication/src/storage.rs
+++ b/control-plane/chain-replication/src/storage.rs
@@ -2,8 +2,8 @@
 
 use crate::replica::Position;
 use crate::view::View;
-use marblecroft_log::Log;
-use marblecroft_wire::Bytes;
+use marblecroft_rpc::Bytes;
+use marblecroft_wal::Log;
 use musli::{Decode, Encode};
 use std::io;
 
--- a/control-plane/chain-replication/tests/chain_model.rs
+++ b/control-plane/chain-replication/tests/chain_model.rs
@@ -1,4 +1,4 @@
-//! A model of the chain under changing views ([`marblecroft_chain::replica`]): members that miss views, lose their disk, join
+//! A model of the chain under changing views ([`marblecroft_chain_replication::replica`]): members that miss views, lose their disk, join
 //! and leave; messages that come late, twice, or never. Whoever is complete in the newest view holds everything that was
 //! acknowledged. Each mutation below breaks that, and the checker finds it. Views are decided one after the other, as
 //! `views_model.rs` shows.
--- a/control-plane/chain-replication/tests/cluster.rs
+++ b/control-plane/chain-replication/tests/cluster.rs
@@ -3,13 +3,13 @@
 //! have one number.
 
 use arbtest::arbitrary::Unstructured;
-use marblecroft_chain::agreement::{next_ballot, Outcome, Proposal, Step, VoteReply};
-use marblecroft_chain::storage::Storage;
-use marblecroft_chain::{
+use marblecroft_chain_replication::agreement::{next_ballot, Outcome, Proposal, Step, VoteReply};
+use marblecroft_chain_replication::storage::Storage;
+use marblecroft_chain_replication::{
     AppendReply, Chain, Member, Options, Output, Replica, StateMachine, Status, ToSuccessor, View,
 };
-use marblecroft_log::Recovered;
-use marblecroft_wire::{decode, encode};
+use marblecroft_rpc::{decode, encode};
+use marblecroft_wal::Recovered;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
 use std::net::SocketAddr;
@@ -408,7 +408,7 @@
         &mut self,
         from: SocketAddr,
         member: &Member,
-        request: &marblecroft_chain::agreement::VoteRequest,
+        request: &marblecroft_chain_replication::agreement::VoteRequest,
     ) -> Option<VoteReply> {
         if self.cut.contains(&(from, member.address)) {
             return None;
--- a/control-plane/chain-replication/tests/golden.rs
+++ b/control-plane/chain-replication/tests/golden.rs
@@ -1,13 +1,13 @@
 //! The messages of a chain's members, and what a member writes to its disk, keep their bytes: each value is written to the
 //! literal bytes of a fixture, and those are read and written again. A log that an earlier program has stored is restored.
 
-use marblecroft_chain::agreement::{VoteReply, VoteRequest};
-use marblecroft_chain::storage::{Accepted, Storage, Vote};
-use marblecroft_chain::{
+use marblecroft_chain_replication::agreement::{VoteReply, VoteRequest};
+use marblecroft_chain_replication::storage::{Accepted, Storage, Vote};
+use marblecroft_chain_replication::{
     Append, AppendReply, Install, Member, Position, Replica, Round, StateMachine, Status, View,
 };
-use marblecroft_log::Recovered;
-use marblecroft_wire::{decode, encode, Bytes, Message};
+use marblecroft_rpc::{decode, encode, Bytes, Message};
+use marblecroft_wal::Recovered;
 use std::cell::RefCell;
 use std::fmt::Debug;
 use std::io;
--- a/control-plane/chain-replication/tests/head.rs
+++ b/control-plane/chain-replication/tests/head.rs
@@ -1,12 +1,12 @@
 //! What a head may acknowledge while views come between its ordering and the answers, and what a lease is counted from.
 
-use marblecroft_chain::storage::NoDisk;
-use marblecroft_chain::{
+use marblecroft_chain_replication::storage::NoDisk;
+use marblecroft_chain_replication::{
     Append, AppendReply, Chain, Install, Member, Options, Output, Position, Refused, Replica, Round,
     StateMachine, ToSuccessor, View,
 };
-use marblecroft_log::Recovered;
-use marblecroft_wire::{decode, encode, Bytes};
+use marblecroft_rpc::{decode, encode, Bytes};
+use marblecroft_wal::Recovered;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/control-plane/chain-replication/tests/views_model.rs
+++ b/control-plane/chain-replication/tests/views_model.rs
@@ -1,4 +1,4 @@
-//! A model of the agreement on one view ([`marblecroft_chain::agreement`]): voters whose disks may be lost or that forget
+//! A model of the agreement on one view ([`marblecroft_chain_replication::agreement`]): voters whose disks may be lost or that forget
 //! nothing, proposers that begin again and again, requests that come late and answers that are lost. At most one view is
 //! decided, and more than half of its voters are left: a view may name a machine that joins, whose disk may be lost too, so
 //! between two losses voters have what they accepted decided. Each mutation below breaks that, and the checker finds it.
--- a/control-plane/control-state/src/lib.rs
+++ b/control-plane/control-state/src/lib.rs
@@ -6,9 +6,9 @@
 //! members; the change is replicated, and not what it makes.
 #![forbid(unsafe_code)]
 
-use marblecroft_chain::{StateMachine, View};
+use marblecroft_chain_replication::{StateMachine, View};
 use marblecroft_configuration::Update;
-use marblecroft_wire::{decode, encode, Bytes};
+use marblecroft_rpc::{decode, encode, Bytes};
 use musli::{Decode, Encode};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeSet, VecDeque};
--- a/control-plane/control-state/tests/control.rs
+++ b/control-plane/control-state/tests/control.rs
@@ -1,8 +1,8 @@
 //! Of two changes on one base one wins; what was taken is acknowledged again.
 
-use marblecroft_chain::{StateMachine, View};
+use marblecroft_chain_replication::{StateMachine, View};
 use marblecroft_control_state::{Control, Operation, Output};
-use marblecroft_wire::Bytes;
+use marblecroft_rpc::Bytes;
 
 fn replace(base: u64, generation: u64, body: &str) -> Operation {
     Operation::Replace { base, generation, body: Bytes(body.into()) }
--- a/control-plane/control-state/tests/golden.rs
+++ b/control-plane/control-state/tests/golden.rs
@@ -1,9 +1,9 @@
 //! The control plane's operations and state keep their bytes, and operations their outputs: each value is written to the
 //! literal bytes of a fixture, and those are read and written again. A state that an earlier program has stored is restored.
 
-use marblecroft_chain::{Member, StateMachine, View};
+use marblecroft_chain_replication::{Member, StateMachine, View};
 use marblecroft_control_state::{Control, Operation, Output};
-use marblecroft_wire::{decode, encode, Bytes, Message};
+use marblecroft_rpc::{decode, encode, Bytes, Message};
 use std::fmt::Debug;
 use std::net::SocketAddr;
 
--- a/control-plane/core/src/answers.rs
+++ b/control-plane/core/src/answers.rs
@@ -1,6 +1,6 @@
 //! What other coordinators have said of themselves.
 
-use marblecroft_chain::{Member, Status};
+use marblecroft_chain_replication::{Member, Status};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/control-plane/core/src/coordinator.rs
+++ b/control-plane/core/src/coordinator.rs
@@ -6,8 +6,8 @@
 use crate::operator::{self, Caller, Pending};
 use crate::store_views::{Sizes, StoreViews, FIND_HEAD};
 use crate::{Node, Time};
-use marblecroft_chain::storage::Storage;
-use marblecroft_chain::{
+use marblecroft_chain_replication::storage::Storage;
+use marblecroft_chain_replication::{
     Chain, Member, Options, Output as ChainOutput, Position, Refused, Replica, ToSuccessor, Token, View,
 };
 use marblecroft_control_state::{Control, Operation, Output as Outcome};
@@ -15,8 +15,8 @@
     ConfigurationUpdate, CoordinatorReply, CoordinatorRequest, Pull, StoreDirective, StoreReport, Updates,
 };
 use marblecroft_protocol::servers::{Server, ServerList};
-use marblecroft_wire::http::Reply;
-use marblecroft_wire::{decode, encode, Bytes};
+use marblecroft_rpc::http::Reply;
+use marblecroft_rpc::{decode, encode, Bytes};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tracing::{info, warn};
--- a/control-plane/core/src/lib.rs
+++ b/control-plane/core/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`coordinator::Coordinator`] and [`store::Store`] take inputs (a request, an answer to one of their own calls, an
 //! operator's call, a signal, the time) and return what is to be done: answers, calls, the end of the process. Their
-//! durable state is behind [`marblecroft_chain::storage::Storage`]. The same code runs in the programs of `control-plane`
+//! durable state is behind [`marblecroft_chain_replication::storage::Storage`]. The same code runs in the programs of `control-plane`
 //! and in the clusters of `simulation`.
 #![forbid(unsafe_code)]
 
--- a/control-plane/core/src/member.rs
+++ b/control-plane/core/src/member.rs
@@ -1,8 +1,8 @@
 //! What a member of a chain makes of what it finds on its disk when it starts.
 
-use marblecroft_chain::storage::Storage;
-use marblecroft_chain::{Member, Replica, StateMachine, View};
-use marblecroft_log::Recovered;
+use marblecroft_chain_replication::storage::Storage;
+use marblecroft_chain_replication::{Member, Replica, StateMachine, View};
+use marblecroft_wal::Recovered;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use tracing::{info, warn};
--- a/control-plane/core/src/membership.rs
+++ b/control-plane/core/src/membership.rs
@@ -10,9 +10,9 @@
 use crate::answers::Answers;
 use crate::coordinator::Coordinator;
 use crate::patience::{leaves_until, WaitForCopies};
-use marblecroft_chain::agreement::{Phase, Proposal, VoteRequest};
-use marblecroft_chain::storage::Storage;
-use marblecroft_chain::Member;
+use marblecroft_chain_replication::agreement::{Phase, Proposal, VoteRequest};
+use marblecroft_chain_replication::storage::Storage;
+use marblecroft_chain_replication::Member;
 use marblecroft_protocol::coordinator::{CoordinatorReply, CoordinatorRequest};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/control-plane/core/src/operator.rs
+++ b/control-plane/core/src/operator.rs
@@ -4,12 +4,12 @@
 //! call. Where there is no such round the answer is 503, or 504 where the order may have been carried out.
 
 use crate::coordinator::Coordinator;
-use marblecroft_chain::storage::Storage;
-use marblecroft_chain::{Refused, Token};
+use marblecroft_chain_replication::storage::Storage;
+use marblecroft_chain_replication::{Refused, Token};
 use marblecroft_configuration::{Configuration, Invalid, Update};
 use marblecroft_control_state::{Operation, Output};
-use marblecroft_wire::http::Reply;
-use marblecroft_wire::Bytes;
+use marblecroft_rpc::http::Reply;
+use marblecroft_rpc::Bytes;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tracing::info;
--- a/control-plane/core/src/store.rs
+++ b/control-plane/core/src/store.rs
@@ -4,11 +4,13 @@
 use crate::numbered::Numbered;
 use crate::patience::leaves_until;
 use crate::{Node, Time};
-use marblecroft_batch::capacity::Capacity;
-use marblecroft_batch::lease::{ItemKey, Leases};
-use marblecroft_batch::{Batch, ItemOutcome, NewJob, Operation, Output as Outcome};
-use marblecroft_chain::storage::Storage;
-use marblecroft_chain::{Chain, Options, Output as ChainOutput, Refused, Replica, ToSuccessor, Token};
+use marblecroft_batch_state::capacity::Capacity;
+use marblecroft_batch_state::lease::{ItemKey, Leases};
+use marblecroft_batch_state::{Batch, ItemOutcome, NewJob, Operation, Output as Outcome};
+use marblecroft_chain_replication::storage::Storage;
+use marblecroft_chain_replication::{
+    Chain, Options, Output as ChainOutput, Refused, Replica, ToSuccessor, Token,
+};
 use marblecroft_protocol::coordinator::{CoordinatorReply, CoordinatorRequest, StoreDirective, StoreReport};
 use marblecroft_protocol::store::{
     GrantedItem, ItemName, NamedResult, ResultsPage, StoreReply, StoreRequest, WorkReply, WorkRequest,
--- a/control-plane/core/src/store_views.rs
+++ b/control-plane/core/src/store_views.rs
@@ -2,7 +2,7 @@
 //! operation of their own chain, and is headed by a store that was complete in the view before.
 
 use crate::patience::{WaitForCopies, COMPLETE_LEAST};
-use marblecroft_chain::{Member, View};
+use marblecroft_chain_replication::{Member, View};
 use marblecroft_protocol::coordinator::StoreReport;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/control-plane/core/src/view_change.rs
+++ b/control-plane/core/src/view_change.rs
@@ -4,9 +4,11 @@
 use crate::coordinator::Coordinator;
 use crate::membership::{Asks, Task, TaskCall, STATUS_TIME};
 use crate::patience::COMPLETE_LEAST;
-use marblecroft_chain::agreement::{next_ballot, Outcome, Phase, Proposal, Step, VoteReply, VoteRequest};
-use marblecroft_chain::storage::Storage;
-use marblecroft_chain::{Member, View};
+use marblecroft_chain_replication::agreement::{
+    next_ballot, Outcome, Phase, Proposal, Step, VoteReply, VoteRequest,
+};
+use marblecroft_chain_replication::storage::Storage;
+use marblecroft_chain_replication::{Member, View};
 use marblecroft_protocol::coordinator::CoordinatorRequest;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/control-plane/core/tests/gateways.rs
+++ b/control-plane/core/tests/gateways.rs
@@ -1,6 +1,6 @@
 //! What the head of the stores tells gateways of each other.
 
-use marblecroft_control_core::gateways::{Gateways, PEERS_MOST};
+use marblecroft_control_plane_core::gateways::{Gateways, PEERS_MOST};
 use marblecroft_protocol::load::ZoneOut;
 use marblecroft_protocol::store::{GatewayLoad, WorkRequest};
 use std::net::SocketAddr;
--- a/control-plane/core/tests/golden.rs
+++ b/control-plane/core/tests/golden.rs
@@ -2,12 +2,12 @@
 //! digest by which a gateway says which peers it knows keeps its value: a gateway and a head of the stores that run
 //! different programs are to name one set of peers alike.
 
-use marblecroft_batch::Batch;
-use marblecroft_chain::storage::NoDisk;
-use marblecroft_control_core::gateways::Gateways;
-use marblecroft_control_core::member::{founding_view, open};
-use marblecroft_log::Recovered;
+use marblecroft_batch_state::Batch;
+use marblecroft_chain_replication::storage::NoDisk;
+use marblecroft_control_plane_core::gateways::Gateways;
+use marblecroft_control_plane_core::member::{founding_view, open};
 use marblecroft_protocol::store::{GatewayLoad, WorkRequest};
+use marblecroft_wal::Recovered;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/control-plane/core/tests/list_reader.rs
+++ b/control-plane/core/tests/list_reader.rs
@@ -1,6 +1,6 @@
 //! When the platform's list is read, and under which token it is given on.
 
-use marblecroft_control_core::list_reader::{ListReader, Step};
+use marblecroft_control_plane_core::list_reader::{ListReader, Step};
 use marblecroft_protocol::servers::Server;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/control-plane/core/tests/store_views.rs
+++ b/control-plane/core/tests/store_views.rs
@@ -1,7 +1,7 @@
 //! Which view of the stores follows: what a head that has just begun may conclude, and how few complete members there may be.
 
-use marblecroft_chain::{Member, Position, Status, View};
-use marblecroft_control_core::store_views::{Sizes, StoreViews, FIND_HEAD};
+use marblecroft_chain_replication::{Member, Position, Status, View};
+use marblecroft_control_plane_core::store_views::{Sizes, StoreViews, FIND_HEAD};
 use marblecroft_protocol::coordinator::StoreReport;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/control-plane/core/tests/stored.rs
+++ b/control-plane/core/tests/stored.rs
@@ -2,21 +2,21 @@
 //! configuration as an update has made it, machines to be emptied, the stores' view, and a half-done batch job. The logs are
 //! literal bytes, and the same history is written to the same bytes.
 
-use marblecroft_batch::{Batch, Item, ItemOutcome, NewJob, Operation as BatchOperation};
-use marblecroft_chain::storage::Storage;
-use marblecroft_chain::{Member, Replica, View};
-use marblecroft_control_core::coordinator::{self, Coordinator};
-use marblecroft_control_core::member::{founding_view, open};
-use marblecroft_control_core::operator::{Call, Method};
-use marblecroft_control_core::store::{self, Store};
-use marblecroft_control_core::{Node, Time};
+use marblecroft_batch_state::{Batch, Item, ItemOutcome, NewJob, Operation as BatchOperation};
+use marblecroft_chain_replication::storage::Storage;
+use marblecroft_chain_replication::{Member, Replica, View};
+use marblecroft_control_plane_core::coordinator::{self, Coordinator};
+use marblecroft_control_plane_core::member::{founding_view, open};
+use marblecroft_control_plane_core::operator::{Call, Method};
+use marblecroft_control_plane_core::store::{self, Store};
+use marblecroft_control_plane_core::{Node, Time};
 use marblecroft_control_state::{Control, Operation};
-use marblecroft_log::Recovered;
 use marblecroft_protocol::coordinator::{CoordinatorReply, CoordinatorRequest, Pull, Versions};
 use marblecroft_protocol::store::{
     GatewayLoad, ItemName, NamedResult, ResultsPage, StoreReply, StoreRequest, WorkRequest,
 };
-use marblecroft_wire::Bytes;
+use marblecroft_rpc::Bytes;
+use marblecroft_wal::Recovered;
 use std::cell::RefCell;
 use std::io;
 use std::net::SocketAddr;
--- a/control-plane/protocol/src/coordinator.rs
+++ b/control-plane/protocol/src/coordinator.rs
@@ -1,9 +1,9 @@
 //! Calls that a coordinator answers.
 
 use crate::servers::{ListVersion, ServerList};
-use marblecroft_chain::agreement::{VoteReply, VoteRequest};
-use marblecroft_chain::{Append, AppendReply, Install, Member, Position, Status, View};
-use marblecroft_wire::Bytes;
+use marblecroft_chain_replication::agreement::{VoteReply, VoteRequest};
+use marblecroft_chain_replication::{Append, AppendReply, Install, Member, Position, Status, View};
+use marblecroft_rpc::Bytes;
 use musli::{Decode, Encode};
 use std::net::SocketAddr;
 
--- a/control-plane/protocol/src/store.rs
+++ b/control-plane/protocol/src/store.rs
@@ -1,8 +1,8 @@
 //! Calls that a store answers.
 
 use crate::load::ZoneOut;
-use marblecroft_batch::{Item, ItemOutcome, NewJob};
-use marblecroft_chain::{Append, AppendReply, Install, Status};
+use marblecroft_batch_state::{Item, ItemOutcome, NewJob};
+use marblecroft_chain_replication::{Append, AppendReply, Install, Status};
 use musli::{Decode, Encode};
 use std::net::SocketAddr;
 
--- a/control-plane/protocol/tests/golden.rs
+++ b/control-plane/protocol/tests/golden.rs
@@ -1,10 +1,10 @@
 //! The messages of coordinators and stores keep their bytes: each value is written to the literal bytes of a fixture, and
 //! those are read and written again. Members of a chain that run different programs depend on it.
 
-use marblecroft_batch::{Item, ItemOutcome, NewJob};
-use marblecroft_chain::agreement::{VoteReply, VoteRequest};
-use marblecroft_chain::storage::Accepted;
-use marblecroft_chain::{Append, AppendReply, Install, Member, Position, Round, Status, View};
+use marblecroft_batch_state::{Item, ItemOutcome, NewJob};
+use marblecroft_chain_replication::agreement::{VoteReply, VoteRequest};
+use marblecroft_chain_replication::storage::Accepted;
+use marblecroft_chain_replication::{Append, AppendReply, Install, Member, Position, Round, Status, View};
 use marblecroft_protocol::coordinator::{
     ConfigurationUpdate, CoordinatorReply, CoordinatorRequest, Pull, StoreDirective, StoreReport, Updates,
     Versions,
@@ -15,7 +15,7 @@
     FinishedItem, GatewayLoad, GrantedItem, ItemName, NamedResult, Peers, ResultsPage, StoreReply,
     StoreRequest, WorkReply, WorkRequest,
 };
-use marblecroft_wire::{decode, encode, Bytes, Message};
+use marblecroft_rpc::{decode, encode, Bytes, Message};
 use std::fmt::Debug;
 use std::net::SocketAddr;
 
--- a/control-plane/rpc/tests/calls.rs
+++ b/control-plane/rpc/tests/calls.rs
@@ -1,7 +1,7 @@
 //! Calls over real sockets against servers that answer wrongly, late, in part or not at all: no answer is taken for another
 //! call's, and nothing is sent twice.
 
-use marblecroft_wire::{
+use marblecroft_rpc::{
     decode, encode, http, serve, Bytes, CallError, CallName, Caller, Direction, Envelope, Service,
 };
 use std::io::{Read, Write};
--- a/control-plane/rpc/tests/frame.rs
+++ b/control-plane/rpc/tests/frame.rs
@@ -1,6 +1,6 @@
 //! Messages come back as they were sent; what is damaged, short or of another version does not.
 
-use marblecroft_wire::{decode, encode, Bytes, DecodeError, VERSION};
+use marblecroft_rpc::{decode, encode, Bytes, DecodeError, VERSION};
 use musli::{Decode, Encode};
 
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
--- a/control-plane/rpc/tests/golden.rs
+++ b/control-plane/rpc/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Frames and envelopes of calls keep their bytes: each value is written to the literal bytes of a fixture, and those are
 //! read and written again.
 
-use marblecroft_wire::{
+use marblecroft_rpc::{
     decode, encode, Bytes, CallName, DecodeError, Direction, Envelope, Message, Service, PATH, VERSION,
 };
 use std::fmt::Debug;
--- a/control-plane/server/src/calls.rs
+++ b/control-plane/server/src/calls.rs
@@ -1,6 +1,6 @@
 //! Threads that wait for the answers to this process's calls, and for the answers to the calls of others.
 
-use marblecroft_chain::Token;
+use marblecroft_chain_replication::Token;
 use std::collections::HashMap;
 use std::sync::mpsc::{sync_channel, Receiver, RecvTimeoutError, SyncSender};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/control-plane/server/src/coordinator.rs
+++ b/control-plane/server/src/coordinator.rs
@@ -1,20 +1,20 @@
-//! The coordinator's program: sockets, files, threads and clocks round [`marblecroft_control_core::coordinator`].
+//! The coordinator's program: sockets, files, threads and clocks round [`marblecroft_control_plane_core::coordinator`].
 
 use crate::calls::{Callers, ThreadPool};
 use crate::disk;
 use crate::platform_list::PlatformList;
 use crate::shell::{self, Clock, Next, LINGER};
-use marblecroft_chain::storage::Storage;
-use marblecroft_chain::{Replica, View};
-use marblecroft_control_core::coordinator::{Coordinator, Input, Output, Settings as CoreSettings};
-use marblecroft_control_core::member;
-use marblecroft_control_core::operator::{Call, Method};
+use marblecroft_chain_replication::storage::Storage;
+use marblecroft_chain_replication::{Replica, View};
+use marblecroft_control_plane_core::coordinator::{Coordinator, Input, Output, Settings as CoreSettings};
+use marblecroft_control_plane_core::member;
+use marblecroft_control_plane_core::operator::{Call, Method};
 use marblecroft_control_state::Control;
 use marblecroft_protocol::coordinator::{CoordinatorReply, CoordinatorRequest};
 use marblecroft_protocol::{coordinator_address, internal_address};
+use marblecroft_rpc::http::{Reply, Request};
+use marblecroft_rpc::{draw_number, http, serve, Caller, Service};
 use marblecroft_settings::Settings;
-use marblecroft_wire::http::{Reply, Request};
-use marblecroft_wire::{draw_number, http, serve, Caller, Service};
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::mpsc::{channel, Sender};
--- a/control-plane/server/src/disk.rs
+++ b/control-plane/server/src/disk.rs
@@ -1,10 +1,10 @@
 //! Opens the log of a member of a chain, or stands in for one where the machine has no disk.
 
-use marblecroft_chain::storage::NoDisk;
-use marblecroft_chain::{Replica, StateMachine, View};
-use marblecroft_control_core::member;
-use marblecroft_log::{Log, Recovered};
-use marblecroft_wire::draw_number;
+use marblecroft_chain_replication::storage::NoDisk;
+use marblecroft_chain_replication::{Replica, StateMachine, View};
+use marblecroft_control_plane_core::member;
+use marblecroft_rpc::draw_number;
+use marblecroft_wal::{Log, Recovered};
 use std::io;
 use std::path::Path;
 
--- a/control-plane/server/src/flags.rs
+++ b/control-plane/server/src/flags.rs
@@ -2,7 +2,7 @@
 
 xflags::xflags! {
     /// The control plane of the serving tier. Settings are read from the file that MARBLECROFT_CONFIG names.
-    cmd marblecroft-control {
+    cmd marblecroft-control-plane {
         /// Keeps the configuration and the list of servers, and gives both to the gateways.
         cmd coordinator {}
         /// Keeps batch jobs.
--- a/control-plane/server/src/main.rs
+++ b/control-plane/server/src/main.rs
@@ -1,7 +1,7 @@
 //! The control plane of the serving tier.
 //!
-//! `marblecroft-control coordinator` keeps the configuration and the list of servers and gives both to the gateways;
-//! `marblecroft-control store` keeps batch jobs. `check` reads the settings and tells what is wrong with them.
+//! `marblecroft-control-plane coordinator` keeps the configuration and the list of servers and gives both to the gateways;
+//! `marblecroft-control-plane store` keeps batch jobs. `check` reads the settings and tells what is wrong with them.
 #![forbid(unsafe_code)]
 
 mod calls;
@@ -12,8 +12,8 @@
 mod shell;
 mod store;
 
-use crate::flags::{MarblecroftControl, MarblecroftControlCmd as Command};
-use mapledeck_events::Log;
+use crate::flags::{MarblecroftControlPlane, MarblecroftControlPlaneCmd as Command};
+use marblecroft_logging::Log;
 use marblecroft_settings::Settings;
 use std::process::ExitCode;
 use tracing::error;
@@ -22,12 +22,12 @@
 const BAD_USE: u8 = 2;
 
 fn main() -> ExitCode {
-    let flags = MarblecroftControl::from_env_or_exit();
-    mapledeck_events::begin("marblecroft-control", Log::default());
+    let flags = MarblecroftControlPlane::from_env_or_exit();
+    marblecroft_logging::begin("marblecroft-control-plane", Log::default());
     let settings = match Settings::load_from_environment() {
         Ok(settings) => settings,
         Err(e) => {
-            eprintln!("marblecroft-control: {e}");
+            eprintln!("marblecroft-control-plane: {e}");
             return ExitCode::from(BAD_USE);
         }
     };
--- a/control-plane/server/src/shell.rs
+++ b/control-plane/server/src/shell.rs
@@ -1,7 +1,7 @@
 //! Runs a process's decisions: one thread hands in inputs in the order in which they come, with the time, and carries out
 //! what is put out.
 
-use marblecroft_control_core::{Node, Time};
+use marblecroft_control_plane_core::{Node, Time};
 use std::io;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender};
 use std::thread;
--- a/control-plane/server/src/store.rs
+++ b/control-plane/server/src/store.rs
@@ -1,14 +1,14 @@
-//! The store's program: sockets, files, threads and clocks round [`marblecroft_control_core::store`].
+//! The store's program: sockets, files, threads and clocks round [`marblecroft_control_plane_core::store`].
 
 use crate::calls::{Callers, ThreadPool};
 use crate::disk;
 use crate::shell::{self, Clock, Next, LINGER};
-use marblecroft_batch::Batch;
-use marblecroft_control_core::store::{Input, Output, Settings as CoreSettings, Store};
+use marblecroft_batch_state::Batch;
+use marblecroft_control_plane_core::store::{Input, Output, Settings as CoreSettings, Store};
 use marblecroft_protocol::store::{StoreReply, StoreRequest};
 use marblecroft_protocol::{coordinator_address, internal_address};
+use marblecroft_rpc::{draw_number, http, serve, Caller, Service};
 use marblecroft_settings::Settings;
-use marblecroft_wire::{draw_number, http, serve, Caller, Service};
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::mpsc::{channel, Sender};
--- a/control-plane/server/tests/operator.rs
+++ b/control-plane/server/tests/operator.rs
@@ -44,7 +44,7 @@
     fn command(&self, role: &str, settings: &str) -> Command {
         let path = self.folder.join("boot.conf");
         fs::write(&path, settings).expect("written");
-        let mut command = Command::new(env!("CARGO_BIN_EXE_marblecroft-control"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_marblecroft-control-plane"));
         command.arg(role).env("MARBLECROFT_CONFIG", path).stdout(Stdio::null()).stderr(Stdio::null());
         command
     }
@@ -182,5 +182,5 @@
     );
     let bad = run(&coordinator.settings(true).replace("zone=a", "zone="));
     assert_eq!(bad.status.code(), Some(2));
-    assert_eq!(String::from_utf8_lossy(&bad.stderr), "marblecroft-control: zone is missing\n");
+    assert_eq!(String::from_utf8_lossy(&bad.stderr), "marblecroft-control-plane: zone is missing\n");
 }
--- a/control-plane/simulation/src/clients.rs
+++ b/control-plane/simulation/src/clients.rs
@@ -2,14 +2,14 @@
 
 use crate::judge::Change;
 use crate::world::{Answer, Request, Role, World};
-use marblecroft_batch::{Item, ItemOutcome, NewJob};
-use marblecroft_control_core::operator::{Call, Method};
+use marblecroft_batch_state::{Item, ItemOutcome, NewJob};
+use marblecroft_control_plane_core::operator::{Call, Method};
 use marblecroft_protocol::coordinator::{CoordinatorReply, CoordinatorRequest, Pull, Versions};
 use marblecroft_protocol::store::{
     FinishedItem, GatewayLoad, GrantedItem, ItemName, StoreReply, StoreRequest, WorkRequest,
 };
-use marblecroft_wire::http::Reply;
-use marblecroft_wire::Bytes;
+use marblecroft_rpc::http::Reply;
+use marblecroft_rpc::Bytes;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/control-plane/simulation/src/disk.rs
+++ b/control-plane/simulation/src/disk.rs
@@ -1,8 +1,8 @@
 //! A virtual disk: what was synced stays, and what was being written may be lost or torn when power goes.
 
 use fastrand::Rng;
-use marblecroft_chain::storage::Storage;
-use marblecroft_log::Recovered;
+use marblecroft_chain_replication::storage::Storage;
+use marblecroft_wal::Recovered;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
--- a/control-plane/simulation/tests/orders.rs
+++ b/control-plane/simulation/tests/orders.rs
@@ -6,12 +6,12 @@
 mod common;
 
 use common::{play_all, seconds, Scenario};
-use marblecroft_chain::StateMachine;
+use marblecroft_chain_replication::StateMachine;
 use marblecroft_control_state::{Control, Operation, Output, REMEMBERED_MOST};
+use marblecroft_rpc::Bytes;
 use marblecroft_simulation::faults::{CutFrom, Fault, Target, Ways};
 use marblecroft_simulation::world::{Cut, Role};
 use marblecroft_simulation::Spec;
-use marblecroft_wire::Bytes;
 
 #[test]
 fn whoever_holds_a_confirmation_is_struck_and_the_order_sent_again() {
--- a/control-plane/wal/tests/golden.rs
+++ b/control-plane/wal/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Segment files keep their bytes: a log that is written has the literal bytes of a fixture, and those are read again.
 
-use marblecroft_log::{Log, Recovered, MAGIC};
+use marblecroft_wal::{Log, Recovered, MAGIC};
 use std::fs;
 use std::path::{Path, PathBuf};
 
--- a/control-plane/wal/tests/power_loss.rs
+++ b/control-plane/wal/tests/power_loss.rs
@@ -1,6 +1,6 @@
 //! What was appended is there after a loss of power, whatever became of what was not synced.
 
-use marblecroft_log::{Log, Recovered};
+use marblecroft_wal::{Log, Recovered};
 use std::fs;
 use std::path::{Path, PathBuf};
 
--- a/data-plane/gateway/src/batch_runner.rs
+++ b/data-plane/gateway/src/batch_runner.rs
@@ -11,7 +11,7 @@
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, HOST};
 use hyper::{Method, StatusCode};
-use marblecroft_batch::ItemOutcome;
+use marblecroft_batch_state::ItemOutcome;
 use marblecroft_protocol::load_address;
 use marblecroft_protocol::servers::Server;
 use marblecroft_protocol::store::{
--- a/data-plane/gateway/src/flags.rs
+++ b/data-plane/gateway/src/flags.rs
@@ -2,7 +2,7 @@
 
 xflags::xflags! {
     /// The data plane of the serving tier. Settings are read from the file that MARBLECROFT_CONFIG names.
-    cmd marblecroft {
+    cmd marblecroft-data-plane {
         /// Serves clients.
         cmd gateway {
             /// NAME=VALUE: sets a constant of placement, for a trial.
--- a/data-plane/gateway/src/load_exchange.rs
+++ b/data-plane/gateway/src/load_exchange.rs
@@ -5,7 +5,7 @@
 use marblecroft_protocol::load::LoadNotice;
 use marblecroft_protocol::load_address;
 use marblecroft_routing::prompt::hash;
-use marblecroft_wire::{decode, encode};
+use marblecroft_rpc::{decode, encode};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/data-plane/gateway/src/main.rs
+++ b/data-plane/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The data plane of the serving tier: `marblecroft gateway` serves clients, `marblecroft check` reads the settings and tells
+//! The data plane of the serving tier: `marblecroft-data-plane gateway` serves clients, `marblecroft-data-plane check` reads the settings and tells
 //! what is wrong with them.
 #![forbid(unsafe_code)]
 
@@ -17,8 +17,8 @@
 mod stores;
 mod upstream;
 
-use crate::flags::{Marblecroft, MarblecroftCmd as Command};
-use mapledeck_events::Log;
+use crate::flags::{MarblecroftDataPlane, MarblecroftDataPlaneCmd as Command};
+use marblecroft_logging::Log;
 use marblecroft_routing::tuning::Tuning;
 use marblecroft_settings::Settings;
 use std::process::ExitCode;
@@ -28,12 +28,12 @@
 const BAD_USE: u8 = 2;
 
 fn main() -> ExitCode {
-    let flags = Marblecroft::from_env_or_exit();
-    mapledeck_events::begin("marblecroft", Log::default());
+    let flags = MarblecroftDataPlane::from_env_or_exit();
+    marblecroft_logging::begin("marblecroft-data-plane", Log::default());
     let settings = match Settings::load_from_environment() {
         Ok(settings) => settings,
         Err(e) => {
-            eprintln!("marblecroft: {e}");
+            eprintln!("marblecroft-data-plane: {e}");
             return ExitCode::from(BAD_USE);
         }
     };
@@ -41,7 +41,7 @@
     if let Command::Gateway(gateway) = &flags.subcommand {
         for setting in &gateway.tune {
             if let Err(e) = tuning.set(setting) {
-                eprintln!("marblecroft: --tune {e}");
+                eprintln!("marblecroft-data-plane: --tune {e}");
                 return ExitCode::from(BAD_USE);
             }
         }
--- a/data-plane/gateway/src/puller.rs
+++ b/data-plane/gateway/src/puller.rs
@@ -3,8 +3,8 @@
 use crate::state::State;
 use marblecroft_protocol::coordinator::{CoordinatorReply, CoordinatorRequest, Pull};
 use marblecroft_protocol::coordinator_address;
+use marblecroft_rpc::{Caller, Service};
 use marblecroft_settings::Settings;
-use marblecroft_wire::{Caller, Service};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::thread;
--- a/data-plane/gateway/src/readiness.rs
+++ b/data-plane/gateway/src/readiness.rs
@@ -1,7 +1,7 @@
 //! The platform's readiness checks.
 
 use crate::state::State;
-use marblecroft_wire::http::{self, Reply};
+use marblecroft_rpc::http::{self, Reply};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/data-plane/gateway/src/state.rs
+++ b/data-plane/gateway/src/state.rs
@@ -1,6 +1,6 @@
 //! What the threads of a gateway share: the newest configuration, list of servers and view of the stores.
 
-use marblecroft_chain::View;
+use marblecroft_chain_replication::View;
 use marblecroft_configuration::Configuration;
 use marblecroft_protocol::coordinator::{Updates, Versions};
 use marblecroft_protocol::servers::ServerList;
--- a/data-plane/gateway/src/stores.rs
+++ b/data-plane/gateway/src/stores.rs
@@ -2,7 +2,7 @@
 
 use crate::state::State;
 use marblecroft_protocol::store::{StoreReply, StoreRequest};
-use marblecroft_wire::{Caller, Service};
+use marblecroft_rpc::{Caller, Service};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
--- a/data-plane/routing/src/admission.rs
+++ b/data-plane/routing/src/admission.rs
@@ -1,8 +1,8 @@
 //! Admission: whether a request goes on now. The loop, the allocation to priorities and the accumulator are those of the
-//! gateway in service ([`cherrypulley::Shedder`]); here they are fed for routes.
+//! gateway in service ([`marblecroft_quota_gateway_core::Shedder`]); here they are fed for routes.
 
 use crate::Now;
-use cherrypulley::{Shedder, THROTTLE_STEP};
+use marblecroft_quota_gateway_core::{Shedder, THROTTLE_STEP};
 use std::collections::HashMap;
 use std::time::Duration;
 
--- a/quota-gateway/control-messages/tests/golden.rs
+++ b/quota-gateway/control-messages/tests/golden.rs
@@ -8,9 +8,9 @@
 mod golden;
 
 use golden::{bytes, same_bytes};
-use mapledeck_fleet::frame::{decode, encode, Fleet, Kind, Message};
-use mapledeck_fleet::published::{Body, Decision, Stamp};
-use mapledeck_fleet::report::{Asked, GoesBy, Report, Seen, ZoneSeen};
+use marblecroft_control_messages::frame::{decode, encode, Fleet, Kind, Message};
+use marblecroft_control_messages::published::{Body, Decision, Stamp};
+use marblecroft_control_messages::report::{Asked, GoesBy, Report, Seen, ZoneSeen};
 use serde::{Deserialize, Serialize};
 
 const FLEET: Fleet = Fleet(0x0102_0304_0506_0708);
--- a/quota-gateway/control-messages/tests/wire.rs
+++ b/quota-gateway/control-messages/tests/wire.rs
@@ -1,8 +1,8 @@
 //! Messages: read as written, refused whole where anything is off, and decisions that never go back at a reader.
 
-use mapledeck_fleet::frame::*;
-use mapledeck_fleet::published::*;
-use mapledeck_fleet::report::*;
+use marblecroft_control_messages::frame::*;
+use marblecroft_control_messages::published::*;
+use marblecroft_control_messages::report::*;
 use proptest::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
--- a/quota-gateway/controller/src/cells.rs
+++ b/quota-gateway/controller/src/cells.rs
@@ -1,9 +1,9 @@
 //! Asks of cells, each on its way at most once, and what came of them.
 
-use mapledeck_books::cell::{Asked, Said};
-use mapledeck_books::moves::Ask;
-use mapledeck_books::owner::Answer;
-use mapledeck_fleet::frame::{decode, encode, Fleet, Head, HEAD};
+use marblecroft_control_messages::frame::{decode, encode, Fleet, Head, HEAD};
+use marblecroft_shard_map::cell::{Asked, Said};
+use marblecroft_shard_map::moves::Ask;
+use marblecroft_shard_map::owner::Answer;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
--- a/quota-gateway/controller/src/config.rs
+++ b/quota-gateway/controller/src/config.rs
@@ -1,10 +1,10 @@
 //! A steward's configuration: one TOML file.
 
-use mapledeck_books::map::BOOKS_MOST;
-use mapledeck_books::owner::GATEWAYS_MOST;
-use mapledeck_duties::keys::DUTIES;
-use mapledeck_events::Log;
-use mapledeck_zones::settings::Settings as Zones;
+use marblecroft_logging::Log;
+use marblecroft_shard_map::map::BOOKS_MOST;
+use marblecroft_shard_map::owner::GATEWAYS_MOST;
+use marblecroft_singleton_roles::keys::DUTIES;
+use marblecroft_zone_failover::settings::Settings as Zones;
 use serde::Deserialize;
 use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
@@ -207,7 +207,7 @@
             zones.check().map_err(|e| format!("zones.{e}"))?;
         }
         if let Some(shares) = &config.shares {
-            if !mapledeck_fleet::frame::sane(shares.capacity) {
+            if !marblecroft_control_messages::frame::sane(shares.capacity) {
                 return Err("shares.capacity: no number from 0".to_owned());
             }
             if config.zones.is_none() && shares.capacity <= 0.0 {
--- a/quota-gateway/controller/src/main.rs
+++ b/quota-gateway/controller/src/main.rs
@@ -1,19 +1,19 @@
-//! `mapledeck-steward`: a candidate for the fleet's decisions, and what operators say of them.
+//! `marblecroft-controller`: a candidate for the fleet's decisions, and what operators say of them.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use mapledeck_coordination::client::Client;
-use mapledeck_coordination::metrics;
-use mapledeck_coordination::state::{Op, Owner};
-use mapledeck_duties::keys::{read, write, Candidate, Names, Order, Owns, DUTIES};
-use mapledeck_duties::run::{candidate, follow, Figures, Settings};
-use mapledeck_events::Log;
-use mapledeck_fleet::frame::{decode, Fleet};
-use mapledeck_fleet::published::Decision;
-use mapledeck_steward::config::Config;
-use mapledeck_steward::reports::Reports;
-use mapledeck_steward::work::{own, Shared};
-use mapledeck_zones::body::ZonesDecided;
+use marblecroft_control_messages::frame::{decode, Fleet};
+use marblecroft_control_messages::published::Decision;
+use marblecroft_controller::config::Config;
+use marblecroft_controller::reports::Reports;
+use marblecroft_controller::work::{own, Shared};
+use marblecroft_coordination::client::Client;
+use marblecroft_coordination::metrics;
+use marblecroft_coordination::state::{Op, Owner};
+use marblecroft_logging::Log;
+use marblecroft_singleton_roles::keys::{read, write, Candidate, Names, Order, Owns, DUTIES};
+use marblecroft_singleton_roles::run::{candidate, follow, Figures, Settings};
+use marblecroft_zone_failover::body::ZonesDecided;
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -25,7 +25,7 @@
 use tokio::task::spawn_local;
 use tracing::{error, info};
 
-const PROGRAM: &str = "mapledeck-steward";
+const PROGRAM: &str = "marblecroft-controller";
 /// An operator waits for an answer this long.
 const PATIENCE: Duration = Duration::from_secs(10);
 
@@ -72,14 +72,14 @@
                 (Some(config), log)
             }
             Err(e) => {
-                mapledeck_events::begin(PROGRAM, Log::default());
+                marblecroft_logging::begin(PROGRAM, Log::default());
                 error!("{e}");
                 return ExitCode::from(2);
             }
         },
         _ => (None, Log::default()),
     };
-    mapledeck_events::begin_of(PROGRAM, "mapledeck", log);
+    marblecroft_logging::begin_of(PROGRAM, "marblecroft", log);
     let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
     let done = runtime.map_err(|e| e.to_string()).and_then(|runtime| {
         runtime.block_on(async {
@@ -119,7 +119,7 @@
         let addr = page.local_addr().map_err(|e| e.to_string())?;
         info!(addr = %addr, "metrics at http://{addr}/metrics");
         let (shared, figures) = (shared.clone(), figures.clone());
-        spawn_local(metrics::serve(move || mapledeck_steward::metrics::page(&shared, &figures), page));
+        spawn_local(metrics::serve(move || marblecroft_controller::metrics::page(&shared, &figures), page));
     }
     spawn_local(reports.accept(listener, config.connections));
     let client = Client::behind(config.coordinators.clone(), config.coordinators_at);
--- a/quota-gateway/controller/src/metrics.rs
+++ b/quota-gateway/controller/src/metrics.rs
@@ -1,8 +1,8 @@
 //! Figures of a steward, as a page in the usual text format.
 
 use crate::work::Shared;
-use mapledeck_duties::run::Figures;
-use mapledeck_fleet::frame::Refusal;
+use marblecroft_control_messages::frame::Refusal;
+use marblecroft_singleton_roles::run::Figures;
 use prometheus_client::encoding::{text, EncodeLabelSet};
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
--- a/quota-gateway/controller/src/reports.rs
+++ b/quota-gateway/controller/src/reports.rs
@@ -1,7 +1,7 @@
 //! Gateways' reports: one kept connection from each, frames one behind another, nothing is answered.
 
-use mapledeck_fleet::frame::{decode, Fleet, Head, Refusal, HEAD};
-use mapledeck_fleet::report::Report;
+use marblecroft_control_messages::frame::{decode, Fleet, Head, Refusal, HEAD};
+use marblecroft_control_messages::report::Report;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/quota-gateway/controller/src/work.rs
+++ b/quota-gateway/controller/src/work.rs
@@ -3,9 +3,9 @@
 use crate::config::Config;
 use crate::decisions::{begin, Now};
 use crate::reports::Reports;
-use mapledeck_duties::run::{Lease, Word};
-use mapledeck_duties::view::View;
-use mapledeck_fleet::published::Stamp;
+use marblecroft_control_messages::published::Stamp;
+use marblecroft_singleton_roles::run::{Lease, Word};
+use marblecroft_singleton_roles::view::View;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/quota-gateway/controller/tests/input.rs
+++ b/quota-gateway/controller/tests/input.rs
@@ -1,9 +1,9 @@
 //! What a steward is told: configurations that cannot be used are named by their field, and reports that are none change nothing.
 
-use mapledeck_fleet::frame::{encode, Fleet, Refusal, HEAD};
-use mapledeck_fleet::report::{Asked, GoesBy, Report};
-use mapledeck_steward::config::Config;
-use mapledeck_steward::reports::Reports;
+use marblecroft_control_messages::frame::{encode, Fleet, Refusal, HEAD};
+use marblecroft_control_messages::report::{Asked, GoesBy, Report};
+use marblecroft_controller::config::Config;
+use marblecroft_controller::reports::Reports;
 use std::future::Future;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -142,12 +142,12 @@
         until(|| reports.connections.get() == 2).await;
         let mut third = TcpStream::connect(addr).await.expect("connected");
         assert_eq!(third.read(&mut [0; 1]).await.unwrap_or(0), 0, "it is turned away");
-        let many = mapledeck_steward::reports::WAITING as u32 + 50;
+        let many = marblecroft_controller::reports::WAITING as u32 + 50;
         let flood: Vec<u8> = (0..many).flat_map(report).collect();
         held[0].write_all(&flood).await.expect("written");
         until(|| reports.come.get() == u64::from(many)).await;
         assert_eq!(reports.dropped.get(), 50);
-        assert_eq!(heard.len(), mapledeck_steward::reports::WAITING);
+        assert_eq!(heard.len(), marblecroft_controller::reports::WAITING);
         drop(held);
         until(|| reports.connections.get() == 0).await;
         // A work that has ended is told nothing more.
--- a/quota-gateway/coordination/benches/service.rs
+++ b/quota-gateway/coordination/benches/service.rs
@@ -1,10 +1,10 @@
-//! What the service costs and how fast it is: `cargo bench -p mapledeck-coordination --bench service`. Three real processes on
+//! What the service costs and how fast it is: `cargo bench -p marblecroft-coordination --bench service`. Three real processes on
 //! this machine and its disk, clients in this process; bounded. Each figure is a median with the least and the most of the plays.
 
 use hdrhistogram::Histogram;
-use mapledeck_coordination::client::Client;
-use mapledeck_coordination::state::{Done, Op, Owner};
-use mapledeck_testing::Port;
+use marblecroft_coordination::client::Client;
+use marblecroft_coordination::state::{Done, Op, Owner};
+use marblecroft_test_support::Port;
 use std::cell::Cell;
 use std::fs::{self, File};
 use std::io::Write;
@@ -16,7 +16,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_mapledeck-coordinator");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_marblecroft-coordination-server");
 const LONG: Duration = Duration::from_secs(30);
 const PLAYS: usize = 5;
 const GRANTS: usize = 400;
@@ -80,7 +80,8 @@
 
 impl Cluster {
     fn new(name: &str, more: &str) -> Cluster {
-        let root = std::env::temp_dir().join(format!("mapledeck-coord-bench-{}-{name}", std::process::id()));
+        let root =
+            std::env::temp_dir().join(format!("marblecroft-coord-bench-{}-{name}", std::process::id()));
         let mut members = Vec::new();
         for i in 0..3 {
             let folder = root.join(i.to_string());
--- a/quota-gateway/coordination/src/main.rs
+++ b/quota-gateway/coordination/src/main.rs
@@ -1,17 +1,17 @@
-//! `mapledeck-coordinator`: a process of the service, and what operators ask of it.
+//! `marblecroft-coordination-server`: a process of the service, and what operators ask of it.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use mapledeck_coordination::client::{Client, Failed};
-use mapledeck_coordination::disk::Troubled;
-use mapledeck_coordination::env::{chance, Env};
-use mapledeck_coordination::metrics;
-use mapledeck_coordination::raft::NodeId;
-use mapledeck_coordination::service::{Service, Settings};
-use mapledeck_coordination::state::{Op, State};
-use mapledeck_coordination::storage::LogStore;
-use mapledeck_coordination::wire::{Channel, Request, Response};
-use mapledeck_events::Log;
+use marblecroft_coordination::client::{Client, Failed};
+use marblecroft_coordination::disk::Troubled;
+use marblecroft_coordination::env::{chance, Env};
+use marblecroft_coordination::metrics;
+use marblecroft_coordination::raft::NodeId;
+use marblecroft_coordination::service::{Service, Settings};
+use marblecroft_coordination::state::{Op, State};
+use marblecroft_coordination::storage::LogStore;
+use marblecroft_coordination::wire::{Channel, Request, Response};
+use marblecroft_logging::Log;
 use rand::Rng;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
 use tokio::time::{sleep, timeout};
 use tracing::{error, info, warn};
 
-const PROGRAM: &str = "mapledeck-coordinator";
+const PROGRAM: &str = "marblecroft-coordination-server";
 /// An operator waits for an answer this long.
 const PATIENCE: Duration = Duration::from_secs(10);
 
@@ -183,12 +183,12 @@
     let (code, result) = match args.call {
         Call::Run { config } => match Config::read(&config) {
             Err(e) => {
-                mapledeck_events::begin(PROGRAM, Log::default());
+                marblecroft_logging::begin(PROGRAM, Log::default());
                 error!("{e}");
                 return ExitCode::from(2);
             }
             Ok(config) => {
-                mapledeck_events::begin_of(PROGRAM, "mapledeck", config.log);
+                marblecroft_logging::begin_of(PROGRAM, "marblecroft", config.log);
                 // Opened before there is a runtime: it waits for its disk.
                 let opened = match config.trial {
                     None => LogStore::open(&config.data),
--- a/quota-gateway/coordination/tests/cluster.rs
+++ b/quota-gateway/coordination/tests/cluster.rs
@@ -1,9 +1,9 @@
 //! Real processes of the service: killed, stopped and woken, restarted, without their disk, restored; and their clients.
 
-use mapledeck_coordination::client::{Client, Failed};
-use mapledeck_coordination::state::{Done, News, Op, Owner, Refused, Token};
-use mapledeck_coordination::wire::{encode, Message, Request, Status};
-use mapledeck_testing::Port;
+use marblecroft_coordination::client::{Client, Failed};
+use marblecroft_coordination::state::{Done, News, Op, Owner, Refused, Token};
+use marblecroft_coordination::wire::{encode, Message, Request, Status};
+use marblecroft_test_support::Port;
 use std::fs;
 use std::future::Future;
 use std::io::{Read, Write};
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_mapledeck-coordinator");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_marblecroft-coordination-server");
 /// Bound of every wait; only a failure takes that long.
 const LONG: Duration = Duration::from_secs(30);
 const TTL: Duration = Duration::from_millis(2000);
@@ -89,7 +89,8 @@
 impl Cluster {
     fn new(size: usize) -> Cluster {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
-        let name = format!("mapledeck-coord-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
+        let name =
+            format!("marblecroft-coord-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
         let root = std::env::temp_dir().join(name);
         let mut members: Vec<Member> = (0..size).map(|number| Member::new(&root, number)).collect();
         members.iter_mut().for_each(Member::start);
--- a/quota-gateway/coordination/tests/golden.rs
+++ b/quota-gateway/coordination/tests/golden.rs
@@ -9,12 +9,14 @@
 mod golden;
 
 use golden::{bytes, from_hex, hex, same_bytes, same_text, text};
-use mapledeck_coordination::raft::{NodeId, Types};
-use mapledeck_coordination::state::{
+use marblecroft_coordination::raft::{NodeId, Types};
+use marblecroft_coordination::state::{
     Change, ClientId, Command, Done, News, Op, Owner, Refused, SessionId, State,
 };
-use mapledeck_coordination::storage::{LogStore, Stored};
-use mapledeck_coordination::wire::{encode, read, LockLine, Message, Request, Response, SessionLine, Status};
+use marblecroft_coordination::storage::{LogStore, Stored};
+use marblecroft_coordination::wire::{
+    encode, read, LockLine, Message, Request, Response, SessionLine, Status,
+};
 use openraft::error::{Fatal, InstallSnapshotError, RaftError, SnapshotMismatch};
 use openraft::raft::{
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
@@ -276,7 +278,7 @@
     );
 }
 
-/// As `mapledeck-coordinator status` prints it.
+/// As `marblecroft-coordination-server status` prints it.
 #[test]
 fn the_status_keeps_its_fields() {
     same_text("status.json", &serde_json::to_string(&status()).expect("text"));
--- a/quota-gateway/coordination/tests/interleavings.rs
+++ b/quota-gateway/coordination/tests/interleavings.rs
@@ -2,9 +2,9 @@
 //! stop between check and effect, clocks that run apart, sessions that end, a restore from an older copy. The state machine,
 //! the leases and the fence are the real ones.
 
-use mapledeck_coordination::fence::Fence;
-use mapledeck_coordination::lease::{Held, Instant, Leases};
-use mapledeck_coordination::state::{ClientId, Command, Done, Op, SessionId, State, Token};
+use marblecroft_coordination::fence::Fence;
+use marblecroft_coordination::lease::{Held, Instant, Leases};
+use marblecroft_coordination::state::{ClientId, Command, Done, Op, SessionId, State, Token};
 use stateright::{Checker, Model, Property};
 use std::time::Duration;
 
--- a/quota-gateway/coordination/tests/state.rs
+++ b/quota-gateway/coordination/tests/state.rs
@@ -1,7 +1,7 @@
 //! The state machine against a plain model under random commands: replayed and snapshotted at every step, the same state, byte
 //! for byte; and what must hold in every state.
 
-use mapledeck_coordination::state::{
+use marblecroft_coordination::state::{
     ClientId, Command, Done, News, Op, Outcome, Owner, Refused, SessionId, State, Token, VERSION,
 };
 use proptest::prelude::*;
--- a/quota-gateway/coordination/tests/storage.rs
+++ b/quota-gateway/coordination/tests/storage.rs
@@ -1,9 +1,9 @@
 //! The log's store: the consensus crate's own suite for stores, and disks that crash, tear and fail.
 
-use mapledeck_coordination::disk::Memory as Disk;
-use mapledeck_coordination::raft::{Machine, NodeId, Types};
-use mapledeck_coordination::state::Command;
-use mapledeck_coordination::storage::{LogStore, Writer};
+use marblecroft_coordination::disk::Memory as Disk;
+use marblecroft_coordination::raft::{Machine, NodeId, Types};
+use marblecroft_coordination::state::Command;
+use marblecroft_coordination::storage::{LogStore, Writer};
 use openraft::storage::{RaftLogStorage, RaftLogStorageExt};
 use openraft::testing::{StoreBuilder, Suite};
 use openraft::{CommittedLeaderId, Entry, EntryPayload, LogId, RaftLogReader, StorageError, Vote};
@@ -123,7 +123,7 @@
 /// A log with a spoilt record: the start ends with the file's name, the record and its place, and not a byte is changed.
 #[test]
 fn damage_names_the_file_and_the_place_and_touches_nothing() {
-    let folder = std::env::temp_dir().join(format!("mapledeck-damage-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("marblecroft-damage-{}", std::process::id()));
     let path = folder.join("log.redb");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/quota-gateway/core/src/lib.rs
+++ b/quota-gateway/core/src/lib.rs
@@ -4,7 +4,7 @@
 //! happened and carries out the actions that come back. It opens no socket, reads no clock, shares nothing.
 //!
 //! ```
-//! use cherrypulley::*;
+//! use marblecroft_quota_gateway_core::*;
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
--- a/quota-gateway/core/tests/cold.rs
+++ b/quota-gateway/core/tests/cold.rs
@@ -2,8 +2,8 @@
 //! gateways there are. Modules alone, on a virtual clock; nobody knows of the others.
 
 mod common;
-use cherrypulley::*;
 use common::*;
+use marblecroft_quota_gateway_core::*;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/quota-gateway/core/tests/common/mod.rs
+++ b/quota-gateway/core/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small front door for the tests: settings, and a driver that keeps the clock and delivers timers.
 #![allow(dead_code)]
 
-use cherrypulley::*;
+use marblecroft_quota_gateway_core::*;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/quota-gateway/core/tests/conformance.rs
+++ b/quota-gateway/core/tests/conformance.rs
@@ -6,9 +6,9 @@
 
 mod common;
 
-use cherrypulley::*;
 use common::*;
-use mapledeck_testing::conformance::{hold, Played};
+use marblecroft_quota_gateway_core::*;
+use marblecroft_test_support::conformance::{hold, Played};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::Path;
--- a/quota-gateway/core/tests/failures.rs
+++ b/quota-gateway/core/tests/failures.rs
@@ -1,8 +1,8 @@
 //! One small test for each failure found.
 
 mod common;
-use cherrypulley::*;
 use common::*;
+use marblecroft_quota_gateway_core::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 fn safe() -> Vec<Class> {
--- a/quota-gateway/core/tests/places.rs
+++ b/quota-gateway/core/tests/places.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use cherrypulley::*;
 use common::*;
+use marblecroft_quota_gateway_core::*;
 
 fn door() -> Door {
     // Four cells of two servers each.
--- a/quota-gateway/core/tests/quotas.rs
+++ b/quota-gateway/core/tests/quotas.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use cherrypulley::*;
 use common::*;
+use marblecroft_quota_gateway_core::*;
 
 fn safe() -> Vec<Class> {
     vec![class(Effect::Safe, 1.0)]
--- a/quota-gateway/core/tests/rules_hold.rs
+++ b/quota-gateway/core/tests/rules_hold.rs
@@ -1,8 +1,8 @@
 //! Legal random events; the five rules are asserted on the actions.
 
 mod common;
-use cherrypulley::*;
 use common::*;
+use marblecroft_quota_gateway_core::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::cell::Cell;
--- a/quota-gateway/core/tests/zones.rs
+++ b/quota-gateway/core/tests/zones.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use cherrypulley::*;
 use common::*;
+use marblecroft_quota_gateway_core::*;
 
 fn door() -> Door {
     let mut settings = settings(vec![class(Effect::Safe, 1.0)], vec![roomy()]);
--- a/quota-gateway/deadline/src/budget.rs
+++ b/quota-gateway/deadline/src/budget.rs
@@ -1,6 +1,6 @@
 //! One request's time.
 
-use cherrypulley::Time;
+use marblecroft_quota_gateway_core::Time;
 use std::time::Duration;
 
 /// An answer is out this long before the client stops waiting: its way back, and what a busy core adds.
--- a/quota-gateway/deadline/src/ledger.rs
+++ b/quota-gateway/deadline/src/ledger.rs
@@ -1,7 +1,7 @@
 //! What became of all budgets, for the operators.
 
 use crate::{Budget, Stage};
-use cherrypulley::Time;
+use marblecroft_quota_gateway_core::Time;
 use prometheus::{
     Encoder, Gauge, Histogram, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, Opts, Registry,
     TextEncoder,
--- a/quota-gateway/deadline/src/lib.rs
+++ b/quota-gateway/deadline/src/lib.rs
@@ -5,8 +5,8 @@
 //! caller says what time it is. A [`Ledger`] adds up what became of the budgets, for the operators.
 //!
 //! ```
-//! use cherrypulley::Time;
-//! use mapledeck_budget::{Budget, Stage, WAY_BACK};
+//! use marblecroft_quota_gateway_core::Time;
+//! use marblecroft_deadline::{Budget, Stage, WAY_BACK};
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
--- a/quota-gateway/deadline/tests/chain.rs
+++ b/quota-gateway/deadline/tests/chain.rs
@@ -1,7 +1,7 @@
 //! Chains of attempts on a virtual clock: whatever servers, clients and the caller do, a request stays within its budget.
 
-use cherrypulley::Time;
-use mapledeck_budget::{Budget, Stage, STALL, WAY_BACK};
+use marblecroft_deadline::{Budget, Stage, STALL, WAY_BACK};
+use marblecroft_quota_gateway_core::Time;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::time::Duration;
--- a/quota-gateway/discovery/benches/watches.rs
+++ b/quota-gateway/discovery/benches/watches.rs
@@ -1,13 +1,13 @@
 //! What a change costs with 300 watchers and 200 entries, and how long a start takes behind a long log:
-//! `cargo bench -p mapledeck-discovery --bench watches`. On one machine, watchers and service together; bounded.
+//! `cargo bench -p marblecroft-discovery --bench watches`. On one machine, watchers and service together; bounded.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
 use common::*;
-use mapledeck_discovery::format::{Host, State};
-use mapledeck_discovery::journal::{Folder, Journal};
-use mapledeck_discovery::store::{Record, Store};
+use marblecroft_discovery::format::{Host, State};
+use marblecroft_discovery::journal::{Folder, Journal};
+use marblecroft_discovery::store::{Record, Store};
 use std::fs;
 use std::io::Write;
 use std::sync::mpsc;
--- a/quota-gateway/discovery/src/config.rs
+++ b/quota-gateway/discovery/src/config.rs
@@ -1,6 +1,6 @@
 //! What the service is told at its start: one file.
 
-use mapledeck_events::Log;
+use marblecroft_logging::Log;
 use serde::Deserialize;
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -65,9 +65,13 @@
 const GATHER_MOST_MS: u64 = 200;
 
 impl Config {
-    /// Reads the file that the one argument names, or `MAPLEDECK_DISCOVERY_CONFIG`; the error is one line.
+    /// Reads the file that the one argument names, or `MARBLECROFT_DISCOVERY_CONFIG`, or the name it had before,
+    /// `MAPLEDECK_DISCOVERY_CONFIG`; the error is one line.
     pub fn load(mut args: impl Iterator<Item = OsString>) -> Result<Config, String> {
-        let path = args.next().or_else(|| env::var_os("MAPLEDECK_DISCOVERY_CONFIG"));
+        let path = args
+            .next()
+            .or_else(|| env::var_os("MARBLECROFT_DISCOVERY_CONFIG"))
+            .or_else(|| env::var_os("MAPLEDECK_DISCOVERY_CONFIG"));
         let path = PathBuf::from(path.ok_or("the configuration's file is named nowhere")?);
         if args.next().is_some() {
             return Err("more than one argument".to_owned());
--- a/quota-gateway/discovery/src/main.rs
+++ b/quota-gateway/discovery/src/main.rs
@@ -6,9 +6,9 @@
 mod service;
 
 use config::Config;
-use mapledeck_discovery::journal::{Folder, Journal};
-use mapledeck_discovery::store::Store;
-use mapledeck_events::Log;
+use marblecroft_discovery::journal::{Folder, Journal};
+use marblecroft_discovery::store::Store;
+use marblecroft_logging::Log;
 use replicas::Role;
 use service::{unix_ms, Service};
 use std::fmt::Display;
@@ -22,18 +22,18 @@
 use tracing::{error, info, warn};
 
 /// The name that lines for the operators begin with.
-const PROGRAM: &str = "mapledeck-discovery";
+const PROGRAM: &str = "marblecroft-discovery";
 
 fn main() -> ExitCode {
     let config = match Config::load(std::env::args_os().skip(1)) {
         Ok(config) => config,
         Err(e) => {
-            mapledeck_events::begin(PROGRAM, Log::default());
+            marblecroft_logging::begin(PROGRAM, Log::default());
             error!("{e}");
             return ExitCode::from(2);
         }
     };
-    mapledeck_events::begin(PROGRAM, config.log);
+    marblecroft_logging::begin(PROGRAM, config.log);
     match begin(config) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
--- a/quota-gateway/discovery/src/replicas.rs
+++ b/quota-gateway/discovery/src/replicas.rs
@@ -5,8 +5,8 @@
 
 use crate::config::Config;
 use crate::service::Service;
-use mapledeck_discovery::http::{self, No, Replica, Replicated};
-use mapledeck_discovery::store::Store;
+use marblecroft_discovery::http::{self, No, Replica, Replicated};
+use marblecroft_discovery::store::Store;
 use serde::de::DeserializeOwned;
 use std::io;
 use std::net::SocketAddr;
--- a/quota-gateway/discovery/src/service.rs
+++ b/quota-gateway/discovery/src/service.rs
@@ -2,10 +2,10 @@
 
 use crate::config::Config;
 use crate::replicas::Role;
-use mapledeck_discovery::format::Ask;
-use mapledeck_discovery::http::{self, No, Read, Replica, Replicated, Request, BODY_MOST, HEAD_MOST};
-use mapledeck_discovery::journal::{Folder, Journal};
-use mapledeck_discovery::store::{Command, Decision, Record, Refusal, Store};
+use marblecroft_discovery::format::Ask;
+use marblecroft_discovery::http::{self, No, Read, Replica, Replicated, Request, BODY_MOST, HEAD_MOST};
+use marblecroft_discovery::journal::{Folder, Journal};
+use marblecroft_discovery::store::{Command, Decision, Record, Refusal, Store};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/quota-gateway/discovery/tests/cases.rs
+++ b/quota-gateway/discovery/tests/cases.rs
@@ -1,8 +1,8 @@
 //! Single cases of the store and its journal: leases, revisions, history, damage.
 
-use mapledeck_discovery::format::*;
-use mapledeck_discovery::journal::{Folder, Journal};
-use mapledeck_discovery::store::*;
+use marblecroft_discovery::format::*;
+use marblecroft_discovery::journal::{Folder, Journal};
+use marblecroft_discovery::store::*;
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -155,7 +155,8 @@
 /// A folder of this test's own.
 fn folder() -> PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
-    let name = format!("mapledeck-discovery-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
+    let name =
+        format!("marblecroft-discovery-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
     std::env::temp_dir().join(name)
 }
 
--- a/quota-gateway/discovery/tests/common/mod.rs
+++ b/quota-gateway/discovery/tests/common/mod.rs
@@ -25,7 +25,7 @@
 pub fn folder() -> PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
-    let path = std::env::temp_dir().join(format!("mapledeck-list-{}-{number}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("marblecroft-list-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&path).expect("a folder");
     path
 }
@@ -46,7 +46,7 @@
     pub fn start(folder: &Path, config: &str) -> Running {
         let file = folder.join("config.json");
         std::fs::write(&file, config).expect("written");
-        let mut child = Command::new(env!("CARGO_BIN_EXE_mapledeck-discovery"))
+        let mut child = Command::new(env!("CARGO_BIN_EXE_marblecroft-discovery"))
             .arg(&file)
             .stderr(Stdio::piped())
             .spawn()
@@ -61,8 +61,9 @@
         let mut addr = None;
         until("it listens", || {
             let log = log.lock().unwrap();
-            addr =
-                log.lines().find_map(|l| l.strip_prefix("mapledeck-discovery: listening on ")?.parse().ok());
+            addr = log
+                .lines()
+                .find_map(|l| l.strip_prefix("marblecroft-discovery: listening on ")?.parse().ok());
             addr.is_some()
         });
         Running { child, addr: addr.expect("listening"), log }
--- a/quota-gateway/discovery/tests/follow.rs
+++ b/quota-gateway/discovery/tests/follow.rs
@@ -1,9 +1,9 @@
 //! Services and a gateway's follower together, on a virtual clock: cuts, late and reordered answers, services that are
 //! behind, another store.
 
-use mapledeck_discovery::client::*;
-use mapledeck_discovery::format::*;
-use mapledeck_discovery::store::*;
+use marblecroft_discovery::client::*;
+use marblecroft_discovery::format::*;
+use marblecroft_discovery::store::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::cell::Cell;
--- a/quota-gateway/discovery/tests/format.rs
+++ b/quota-gateway/discovery/tests/format.rs
@@ -1,6 +1,6 @@
 //! The list's format: written and read by one definition, and read by bytes of any kind.
 
-use mapledeck_discovery::format::*;
+use marblecroft_discovery::format::*;
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/quota-gateway/discovery/tests/golden.rs
+++ b/quota-gateway/discovery/tests/golden.rs
@@ -10,10 +10,10 @@
 
 use common::*;
 use golden::{bytes, same_bytes, same_text, text};
-use mapledeck_discovery::format::{Ask, Entry, Host, HostList, State, Telling};
-use mapledeck_discovery::http::{self, Call, Replica, Replicated, Request};
-use mapledeck_discovery::journal::{Disk, Journal};
-use mapledeck_discovery::store::{Command, Image, Record, Registration, Store};
+use marblecroft_discovery::format::{Ask, Entry, Host, HostList, State, Telling};
+use marblecroft_discovery::http::{self, Call, Replica, Replicated, Request};
+use marblecroft_discovery::journal::{Disk, Journal};
+use marblecroft_discovery::store::{Command, Image, Record, Registration, Store};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
--- a/quota-gateway/discovery/tests/service.rs
+++ b/quota-gateway/discovery/tests/service.rs
@@ -98,7 +98,8 @@
     assert!(shown["lease_left_ms"].as_u64() > Some(1000), "leases begin anew: {shown}");
     // Another process is refused the folder.
     let file = folder.join("config.json");
-    let other = Command::new(env!("CARGO_BIN_EXE_mapledeck-discovery")).arg(&file).output().expect("it runs");
+    let other =
+        Command::new(env!("CARGO_BIN_EXE_marblecroft-discovery")).arg(&file).output().expect("it runs");
     assert_eq!(other.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&other.stderr).contains("another process has it"));
     drop(std::fs::remove_dir_all(folder));
@@ -199,7 +200,7 @@
         let file = folder.join("bad.json");
         std::fs::write(&file, &text).expect("written");
         let output =
-            Command::new(env!("CARGO_BIN_EXE_mapledeck-discovery")).arg(&file).output().expect("it runs");
+            Command::new(env!("CARGO_BIN_EXE_marblecroft-discovery")).arg(&file).output().expect("it runs");
         let errors = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!((output.status.code(), errors.lines().count()), (Some(2), 1), "{text}: {errors}");
         assert!(errors.contains(why), "{why} in {errors}");
--- a/quota-gateway/discovery/tests/store.rs
+++ b/quota-gateway/discovery/tests/store.rs
@@ -1,8 +1,8 @@
 //! The store and its journal against a model, on a disk that fails at any step.
 
-use mapledeck_discovery::format::*;
-use mapledeck_discovery::journal::{Disk, Failed, Journal};
-use mapledeck_discovery::store::*;
+use marblecroft_discovery::format::*;
+use marblecroft_discovery::journal::{Disk, Failed, Journal};
+use marblecroft_discovery::store::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::cell::RefCell;
--- a/quota-gateway/discovery/tests/wire.rs
+++ b/quota-gateway/discovery/tests/wire.rs
@@ -1,7 +1,7 @@
 //! Every decoder of the service against bytes of any kind, and against good ones that are cut or spoilt.
 
-use mapledeck_discovery::http::*;
-use mapledeck_discovery::journal::{Folder, Journal};
+use marblecroft_discovery::http::*;
+use marblecroft_discovery::journal::{Folder, Journal};
 use proptest::prelude::*;
 
 fn good() -> impl Strategy<Value = Vec<u8>> {
@@ -70,7 +70,7 @@
     fn files_of_any_kind_are_read_or_refused(log in prop::collection::vec(any::<u8>(), 0..200), magic: bool, snapshot in prop::option::of(prop::collection::vec(any::<u8>(), 0..100))) {
         static NEXT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
         let number = NEXT.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
-        let path = std::env::temp_dir().join(format!("mapledeck-any-{}-{number}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("marblecroft-any-{}-{number}", std::process::id()));
         drop(Journal::open(Folder::take(&path).unwrap().unwrap()).expect("new"));
         let head: &[u8] = if magic { b"MDDLOG01" } else { b"" };
         std::fs::write(path.join("log.1"), [head, &log].concat()).unwrap();
--- a/quota-gateway/fair-share/src/body.rs
+++ b/quota-gateway/fair-share/src/body.rs
@@ -1,8 +1,8 @@
 //! What is published: the level, where to look more closely next, and what each gateway may send on in all.
 
-use mapledeck_fleet::frame::{sane, Kind};
-use mapledeck_fleet::published::Body;
-use mapledeck_fleet::report::POINTS_MOST;
+use marblecroft_control_messages::frame::{sane, Kind};
+use marblecroft_control_messages::published::Body;
+use marblecroft_control_messages::report::POINTS_MOST;
 use serde::{Deserialize, Serialize};
 
 /// A level that binds nobody.
--- a/quota-gateway/fair-share/src/curve.rs
+++ b/quota-gateway/fair-share/src/curve.rs
@@ -1,7 +1,7 @@
 //! Sums of firms as a function of the level: what all of them take if each takes the smaller of what it asks and of the level times
 //! its weight. Rising, concave, from 0 to all that is asked.
 
-use mapledeck_fleet::report::Asked;
+use marblecroft_control_messages::report::Asked;
 
 /// A firm at one gateway: what it asks for here, and its weight times the part of its traffic that comes through here.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/quota-gateway/fair-share/src/owner.rs
+++ b/quota-gateway/fair-share/src/owner.rs
@@ -2,9 +2,9 @@
 
 use crate::body::{SharesDecided, GATEWAYS_MOST, UNBOUND};
 use crate::curve::{first_points, points_around, read};
-use mapledeck_fleet::frame::Refusal;
-use mapledeck_fleet::published::Stamp;
-use mapledeck_fleet::report::{Asked, Report};
+use marblecroft_control_messages::frame::Refusal;
+use marblecroft_control_messages::published::Stamp;
+use marblecroft_control_messages::report::{Asked, Report};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/quota-gateway/fair-share/src/taker.rs
+++ b/quota-gateway/fair-share/src/taker.rs
@@ -2,8 +2,8 @@
 
 use crate::body::{SharesDecided, UNBOUND};
 use crate::curve::{first_points, level_for, told, Here};
-use mapledeck_fleet::published::{Reader, Standing};
-use mapledeck_fleet::report::Asked;
+use marblecroft_control_messages::published::{Reader, Standing};
+use marblecroft_control_messages::report::Asked;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/quota-gateway/fair-share/tests/conformance.rs
+++ b/quota-gateway/fair-share/tests/conformance.rs
@@ -1,11 +1,11 @@
 //! Tables of conformance of shares: rows from the design page, a clause each, played through both sides.
 
-use mapledeck_fleet::published::{Decision, Reader, Stamp};
-use mapledeck_fleet::report::{GoesBy, Report};
-use mapledeck_shares::body::SharesDecided;
-use mapledeck_shares::owner::Owner;
-use mapledeck_shares::taker::{Known, Taker, SHRINK};
-use mapledeck_testing::conformance::{hold, Played};
+use marblecroft_control_messages::published::{Decision, Reader, Stamp};
+use marblecroft_control_messages::report::{GoesBy, Report};
+use marblecroft_fair_share::body::SharesDecided;
+use marblecroft_fair_share::owner::Owner;
+use marblecroft_fair_share::taker::{Known, Taker, SHRINK};
+use marblecroft_test_support::conformance::{hold, Played};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/quota-gateway/fair-share/tests/fleet.rs
+++ b/quota-gateway/fair-share/tests/fleet.rs
@@ -1,13 +1,13 @@
 //! Whole fleets on a virtual clock: firms whose demand jumps, gateways that sum up and obey, links that lose, delay and repeat,
 //! owners that are replaced. What firms get is held against the exact solution. `SHARES_SEEDS` plays more of them.
 
-use mapledeck_exact::{fill, jain, Firm};
-use mapledeck_fleet::published::{Decision, Reader, Stamp};
-use mapledeck_fleet::report::{GoesBy, Report};
-use mapledeck_shares::body::SharesDecided;
-use mapledeck_shares::curve::{self, Here};
-use mapledeck_shares::owner::{Owner, SLACK};
-use mapledeck_shares::taker::SHRINK;
+use marblecroft_control_messages::published::{Decision, Reader, Stamp};
+use marblecroft_control_messages::report::{GoesBy, Report};
+use marblecroft_fair_share::body::SharesDecided;
+use marblecroft_fair_share::curve::{self, Here};
+use marblecroft_fair_share::owner::{Owner, SLACK};
+use marblecroft_fair_share::taker::SHRINK;
+use marblecroft_fair_share_reference::{fill, jain, Firm};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -138,9 +138,9 @@
             let here = self.here(g);
             let firms: Vec<Here> = here.iter().map(|(.., here)| *here).collect();
             // The gateway's own code, fed with what its firms ask for.
-            let mut taker = mapledeck_shares::taker::Taker::new(g as u32);
+            let mut taker = marblecroft_fair_share::taker::Taker::new(g as u32);
             for (f, k, here) in &here {
-                let known = mapledeck_shares::taker::Known {
+                let known = marblecroft_fair_share::taker::Known {
                     weight: self.firms[*f].weight,
                     part: self.firms[*f].believed[*k],
                     equal: 1.0 / self.firms[*f].spread.len() as f64,
@@ -152,7 +152,7 @@
             for ((f, ..), here) in here.iter().zip(&firms) {
                 let allowed = taker.allowed(*f as u64).expect("it has just asked");
                 let units = match taker.bound() {
-                    mapledeck_shares::taker::Bound::None => here.asks,
+                    marblecroft_fair_share::taker::Bound::None => here.asks,
                     _ => here.asks.min(allowed),
                 };
                 self.gets[*f] += units;
--- a/quota-gateway/fair-share/tests/owner.rs
+++ b/quota-gateway/fair-share/tests/owner.rs
@@ -1,9 +1,9 @@
 //! The owner's account of what gateways may still go by, step by step.
 
-use mapledeck_fleet::published::Stamp;
-use mapledeck_fleet::report::{GoesBy, Report};
-use mapledeck_shares::curve::{first_points, told, Here};
-use mapledeck_shares::owner::{Owner, SLACK};
+use marblecroft_control_messages::published::Stamp;
+use marblecroft_control_messages::report::{GoesBy, Report};
+use marblecroft_fair_share::curve::{first_points, told, Here};
+use marblecroft_fair_share::owner::{Owner, SLACK};
 use std::time::Duration;
 
 const VALID: Duration = Duration::from_secs(5);
--- a/quota-gateway/fair-share/tests/taker.rs
+++ b/quota-gateway/fair-share/tests/taker.rs
@@ -1,8 +1,8 @@
 //! A gateway's side, step by step: firms' parts by level and grant, and alone.
 
-use mapledeck_fleet::published::{Decision, Reader, Stamp};
-use mapledeck_shares::body::SharesDecided;
-use mapledeck_shares::taker::{Bound, Known, Taker, FIRMS_MOST};
+use marblecroft_control_messages::published::{Decision, Reader, Stamp};
+use marblecroft_fair_share::body::SharesDecided;
+use marblecroft_fair_share::taker::{Bound, Known, Taker, FIRMS_MOST};
 use std::time::Duration;
 
 const KNOWN: Known = Known { weight: 1.0, part: 1.0, equal: 1.0, quota: f64::INFINITY };
--- a/quota-gateway/fair-share/tests/ways.rs
+++ b/quota-gateway/fair-share/tests/ways.rs
@@ -2,9 +2,9 @@
 //! what the product does, and **prices** (one sum each, and a level that the owner moves by how far the sum is off). What is measured
 //! is rounds until the error stays under 5%, the most that is sent beyond the capacity on the way, and bytes a report.
 
-use mapledeck_exact::{fill, Firm};
-use mapledeck_fleet::report::Asked;
-use mapledeck_shares::curve::{self, read, Here};
+use marblecroft_control_messages::report::Asked;
+use marblecroft_fair_share::curve::{self, read, Here};
+use marblecroft_fair_share_reference::{fill, Firm};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/quota-gateway/membership/src/core.rs
+++ b/quota-gateway/membership/src/core.rs
@@ -2,7 +2,7 @@
 
 use crate::record::{Name, Record, State, INCARNATION_MOST};
 use crate::wire::{self, Kind, Message, Update};
-use cherrypulley::Random;
+use marblecroft_quota_gateway_core::Random;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::time::Duration;
--- a/quota-gateway/membership/tests/fleet.rs
+++ b/quota-gateway/membership/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! Many cores on a virtual network and clock, with loss, delay, cuts and pauses from a seed.
 
-use cherrypulley::Random;
-use mapledeck_membership::core::*;
-use mapledeck_membership::record::*;
-use mapledeck_membership::wire::{self, Message};
+use marblecroft_membership::core::*;
+use marblecroft_membership::record::*;
+use marblecroft_membership::wire::{self, Message};
+use marblecroft_quota_gateway_core::Random;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddrV4};
--- a/quota-gateway/membership/tests/golden.rs
+++ b/quota-gateway/membership/tests/golden.rs
@@ -8,8 +8,8 @@
 mod golden;
 
 use golden::{bytes, same_bytes};
-use mapledeck_membership::record::{Name, Record, State};
-use mapledeck_membership::wire::{Cluster, Kind, Message, Update};
+use marblecroft_membership::record::{Name, Record, State};
+use marblecroft_membership::wire::{Cluster, Kind, Message, Update};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 fn name(text: &str) -> Name {
--- a/quota-gateway/membership/tests/merge.rs
+++ b/quota-gateway/membership/tests/merge.rs
@@ -1,8 +1,8 @@
 //! Merging, and every decoder.
 
-use mapledeck_membership::core::*;
-use mapledeck_membership::record::*;
-use mapledeck_membership::wire::*;
+use marblecroft_membership::core::*;
+use marblecroft_membership::record::*;
+use marblecroft_membership::wire::*;
 use proptest::prelude::*;
 use std::net::SocketAddrV4;
 use std::time::Duration;
--- a/quota-gateway/server/benches/cost.rs
+++ b/quota-gateway/server/benches/cost.rs
@@ -1,5 +1,5 @@
 //! Instructions that the gateway takes for a request, counted by valgrind's callgrind, which does not depend on how busy
-//! the machine is: `cargo bench -p mapledeck --bench cost`. A fixed number of requests on one connection to one server; the
+//! the machine is: `cargo bench -p marblecroft-quota-gateway --bench cost`. A fixed number of requests on one connection to one server; the
 //! start is taken off by a second run with fewer. Needs valgrind.
 
 #[path = "../tests/common/mod.rs"]
--- a/quota-gateway/server/src/account.rs
+++ b/quota-gateway/server/src/account.rs
@@ -1,8 +1,8 @@
 //! Budgets on the clock: what front, engine and upstream ask of a request's time, and what the operators are told of it.
 
 use crate::clock::Clock;
-use cherrypulley::Time;
-use mapledeck_budget::{Budget, End, Ledger};
+use marblecroft_deadline::{Budget, End, Ledger};
+use marblecroft_quota_gateway_core::Time;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/quota-gateway/server/src/books.rs
+++ b/quota-gateway/server/src/books.rs
@@ -1,11 +1,11 @@
 //! The book map at the gateway: where a firm's pay runs are written, asked at the last moment before each write. Only where the
 //! configuration names it; without it nothing of this is there.
 
-use cherrypulley::{Lifecycle, Place, Scope, ServerId, ServerInfo};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
-use mapledeck_books::map::{BookMap, Epoch, Firm};
-use mapledeck_books::ticket::{NotNow, Ticket};
-use mapledeck_fleet::published::{Decision, Reader, Stamp, Taken};
+use marblecroft_control_messages::published::{Decision, Reader, Stamp, Taken};
+use marblecroft_quota_gateway_core::{Lifecycle, Place, Scope, ServerId, ServerInfo};
+use marblecroft_shard_map::map::{BookMap, Epoch, Firm};
+use marblecroft_shard_map::ticket::{NotNow, Ticket};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/quota-gateway/server/src/clock.rs
+++ b/quota-gateway/server/src/clock.rs
@@ -1,7 +1,7 @@
 //! The one scale of time: module time, deadlines and the servers' `started_ms`.
 
-use cherrypulley::Time;
-use mapledeck_transport::system::monotonic;
+use marblecroft_quota_gateway_core::Time;
+use marblecroft_transport::system::monotonic;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Unix time as it was at the start of the gateway's first process, carried on by the monotonic clock. Guards against a
--- a/quota-gateway/server/src/config.rs
+++ b/quota-gateway/server/src/config.rs
@@ -2,10 +2,10 @@
 
 use crate::console::CALLERS;
 use crate::fleet::Stewards;
-use cherrypulley_drill::Site;
-use mapledeck_discovery::client::Caution;
-use mapledeck_discovery::format::HostList;
-use mapledeck_events::Log;
+use marblecroft_discovery::client::Caution;
+use marblecroft_discovery::format::HostList;
+use marblecroft_logging::Log;
+use marblecroft_simulator_adapter::Site;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/quota-gateway/server/src/discovery.rs
+++ b/quota-gateway/server/src/discovery.rs
@@ -4,11 +4,13 @@
 
 use crate::engine::Engine;
 use crate::upstream::{collect, Link};
-use cherrypulley::{Discovery as Method, Event, Lifecycle, Random, Scope, ServerId, ServerInfo, Time};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use hyper::{Request, StatusCode};
-use mapledeck_discovery::client::{Caution, Follower, Taken};
-use mapledeck_discovery::format::{Ask, Entry, Host, HostList, State};
+use marblecroft_discovery::client::{Caution, Follower, Taken};
+use marblecroft_discovery::format::{Ask, Entry, Host, HostList, State};
+use marblecroft_quota_gateway_core::{
+    Discovery as Method, Event, Lifecycle, Random, Scope, ServerId, ServerInfo, Time,
+};
 use pace::Pace;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
--- a/quota-gateway/server/src/discovery/pace.rs
+++ b/quota-gateway/server/src/discovery/pace.rs
@@ -1,6 +1,6 @@
 //! The waits with which a list is followed, and the bound that they add up to.
 
-use cherrypulley::{Discovery as Method, Random};
+use marblecroft_quota_gateway_core::{Discovery as Method, Random};
 use std::time::Duration;
 
 /// How a list is followed.
--- a/quota-gateway/server/src/engine.rs
+++ b/quota-gateway/server/src/engine.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::handover::Links;
 use crate::upstream::{Ending, Order, Served, Upstream};
-use cherrypulley::{
+use marblecroft_quota_gateway_core::{
     Action, AttemptNo, Elsewhere, Event, NewRequest, Outcome, RequestId, ServerId, Status, Time, Token,
 };
 use std::cell::{Cell, RefCell};
@@ -79,7 +79,7 @@
     Answer(RequestId),
 }
 
-/// The decisions, and whoever looks on: [`cherrypulley::Gateway::handle`], or what stands around it.
+/// The decisions, and whoever looks on: [`marblecroft_quota_gateway_core::Gateway::handle`], or what stands around it.
 pub type Decide = Box<dyn FnMut(Time, Event, &mut Vec<Action>)>;
 
 pub struct Engine {
--- a/quota-gateway/server/src/engine/tests.rs
+++ b/quota-gateway/server/src/engine/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::flow::Sendable;
-use cherrypulley::{ClassId, CustomerId, Lifecycle, PlanId, Scope, ServerInfo};
-use mapledeck_budget::WAY_BACK;
+use marblecroft_deadline::WAY_BACK;
+use marblecroft_quota_gateway_core::{ClassId, CustomerId, Lifecycle, PlanId, Scope, ServerInfo};
 use std::net::TcpListener;
 use tokio::runtime::{Builder, LocalOptions};
 
--- a/quota-gateway/server/src/fleet/observer.rs
+++ b/quota-gateway/server/src/fleet/observer.rs
@@ -2,14 +2,14 @@
 //! reports, firms' asks for their shares, pay runs for their books.
 
 use crate::books::Books;
-use cherrypulley::{
+use marblecroft_control_messages::published::{Decision, Reader, Stamp, Taken};
+use marblecroft_control_messages::report::{Asked, Seen, ZoneSeen};
+use marblecroft_fair_share::body::SharesDecided;
+use marblecroft_fair_share::taker::{Known, Taker};
+use marblecroft_quota_gateway_core::{
     Action, AttemptNo, Effect, Event, Gateway, Lifecycle, NewRequest, Outcome, Place, RequestId, Scope,
     ServerId, ServerInfo, Settings, Status, Time,
 };
-use mapledeck_fleet::published::{Decision, Reader, Stamp, Taken};
-use mapledeck_fleet::report::{Asked, Seen, ZoneSeen};
-use mapledeck_shares::body::SharesDecided;
-use mapledeck_shares::taker::{Known, Taker};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/quota-gateway/server/src/fleet/observer/tests.rs
+++ b/quota-gateway/server/src/fleet/observer/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use cherrypulley::{Class, ClassId, CustomerId, Discovery, Plan, PlanId};
+use marblecroft_quota_gateway_core::{Class, ClassId, CustomerId, Discovery, Plan, PlanId};
 
 fn at(ms: u64) -> Time {
     Time(ms * 1_000_000)
--- a/quota-gateway/server/src/handover.rs
+++ b/quota-gateway/server/src/handover.rs
@@ -4,7 +4,7 @@
 use crate::discovery::Ids;
 use crate::engine::Engine;
 use crate::operations::{Change, Operations};
-use cherrypulley::{Elsewhere, Event, Gateway, Memory};
+use marblecroft_quota_gateway_core::{Elsewhere, Event, Gateway, Memory};
 use serde::{Deserialize, Serialize};
 use socket2::Socket;
 use std::cell::RefCell;
@@ -115,7 +115,8 @@
 /// A way to another process that has not begun to be used.
 pub struct Peer(BufReader<OwnedReadHalf>, OwnedWriteHalf);
 
-/// Where the processes of the gateway at this address meet.
+/// Where the processes of the gateway at this address meet. The name is part of the hand-over between versions: a process
+/// of an earlier version listens there.
 fn place(listen: SocketAddr) -> PathBuf {
     env::temp_dir().join(format!("mapledeck-{}.sock", listen.port()))
 }
--- a/quota-gateway/server/src/main.rs
+++ b/quota-gateway/server/src/main.rs
@@ -1,4 +1,4 @@
-//! The gateway: cherrypulley's decisions between HTTP/1.1 clients and servers, on one thread.
+//! The gateway: the decisions of `marblecroft-quota-gateway-core` between HTTP/1.1 clients and servers, on one thread.
 #![deny(unsafe_code)]
 
 mod account;
@@ -17,7 +17,6 @@
 
 use account::Accounts;
 use books::Books;
-use cherrypulley::Gateway;
 use clock::Clock;
 use config::Config;
 use console::Console;
@@ -27,7 +26,8 @@
 use fleet::Member;
 use front::Front;
 use handover::Handover;
-use mapledeck_events::Log;
+use marblecroft_logging::Log;
+use marblecroft_quota_gateway_core::Gateway;
 use operations::Operations;
 use std::cell::RefCell;
 use std::io;
@@ -45,7 +45,7 @@
 use upstream::Upstream;
 
 /// The name that lines for the operators begin with.
-const PROGRAM: &str = "mapledeck";
+const PROGRAM: &str = "marblecroft-quota-gateway";
 /// After SIGTERM new connections come for up to 0.4 s; they are accepted for a while longer.
 const LINGER: Duration = Duration::from_millis(600);
 
@@ -53,12 +53,12 @@
     let config = match Config::load() {
         Ok(config) => config,
         Err(e) => {
-            mapledeck_events::begin(PROGRAM, Log::default());
+            marblecroft_logging::begin(PROGRAM, Log::default());
             error!("{e}");
             return ExitCode::from(2);
         }
     };
-    mapledeck_events::begin(PROGRAM, config.log);
+    marblecroft_logging::begin(PROGRAM, config.log);
     // Before anything is opened: what it names is then not ours.
     let inherited = handover::inherited(config.listen).unwrap_or_else(|e| {
         warn!("{e}");
--- a/quota-gateway/server/src/operations.rs
+++ b/quota-gateway/server/src/operations.rs
@@ -4,7 +4,7 @@
 use crate::engine::Engine;
 use crate::fleet::observer::Observer;
 use crate::front::Front;
-use cherrypulley::{Event, Gateway};
+use marblecroft_quota_gateway_core::{Event, Gateway};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/quota-gateway/server/src/upstream.rs
+++ b/quota-gateway/server/src/upstream.rs
@@ -3,11 +3,11 @@
 use crate::account::Account;
 use crate::books::{Books, EPOCH, NEWER_MOST};
 use crate::flow::{Outgoing, Passed, Piece, Sendable, Words, SHORT};
-use cherrypulley::{Lifecycle, LoadReport, Scope, ServerId, ServerInfo, Status, Time};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_TYPE, HOST, TRANSFER_ENCODING};
 use hyper::{Method, Request, Response, StatusCode, Uri};
+use marblecroft_quota_gateway_core::{Lifecycle, LoadReport, Scope, ServerId, ServerInfo, Status, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -163,7 +163,7 @@
 }
 
 /// A connection that carries what a request passes on.
-pub type Link = mapledeck_transport::link::Link<Outgoing>;
+pub type Link = marblecroft_transport::link::Link<Outgoing>;
 
 struct Idle {
     link: Link,
--- a/quota-gateway/server/tests/common/mod.rs
+++ b/quota-gateway/server/tests/common/mod.rs
@@ -310,7 +310,7 @@
 /// A folder of this test's own.
 pub fn folder() -> PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
-    let name = format!("mapledeck-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
+    let name = format!("marblecroft-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
     let dir = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&dir).expect("a folder");
     dir
@@ -344,7 +344,7 @@
         let file = dir.join("config.json");
         std::fs::write(&file, config).expect("written");
         let mut child = Command::new("/bin/sh")
-            .args(["-c", script, env!("CARGO_BIN_EXE_mapledeck")])
+            .args(["-c", script, env!("CARGO_BIN_EXE_marblecroft-quota-gateway")])
             .env("RELAY_CONFIG", &file)
             .env_remove("RELAY_LISTEN")
             .env_remove("RELAY_DISCOVERY")
@@ -365,7 +365,9 @@
         let mut addr = None;
         until("it listens", || {
             let log = log.lock().unwrap();
-            addr = log.lines().find_map(|l| l.strip_prefix("mapledeck: listening on ")?.parse().ok());
+            addr = log
+                .lines()
+                .find_map(|l| l.strip_prefix("marblecroft-quota-gateway: listening on ")?.parse().ok());
             addr.is_some()
         });
         Running { child, addr: addr.expect("listening"), log, dir }
@@ -407,7 +409,7 @@
 
     pub fn console(&self) -> SocketAddr {
         let log = self.log();
-        let named = log.lines().find_map(|l| l.strip_prefix("mapledeck: console on "));
+        let named = log.lines().find_map(|l| l.strip_prefix("marblecroft-quota-gateway: console on "));
         named.expect("a console").parse().expect("an address")
     }
 
--- a/quota-gateway/server/tests/golden.rs
+++ b/quota-gateway/server/tests/golden.rs
@@ -198,7 +198,7 @@
     let dir = folder();
     let file = dir.join("config.json");
     std::fs::write(&file, config).expect("written");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_mapledeck"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_marblecroft-quota-gateway"));
     for name in ["RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONSOLE", "RELAY_FD"] {
         command.env_remove(name);
     }
@@ -207,7 +207,7 @@
     let mut child = started.expect("it starts");
     let mut errors = BufReader::new(child.stderr.take().expect("piped"));
     let said = line(&mut errors);
-    if said.starts_with("mapledeck: listening on ") {
+    if said.starts_with("marblecroft-quota-gateway: listening on ") {
         drop(child.kill());
     }
     let code = child.wait().expect("waited for").code();
--- a/quota-gateway/server/tests/lifecycle.rs
+++ b/quota-gateway/server/tests/lifecycle.rs
@@ -10,7 +10,7 @@
 fn refused(config: Option<&str>) -> (Option<i32>, String) {
     let dir = folder();
     let file = dir.join("config.json");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_mapledeck"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_marblecroft-quota-gateway"));
     for name in ["RELAY_CONFIG", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONSOLE"] {
         command.env_remove(name);
     }
--- a/quota-gateway/server/tests/list.rs
+++ b/quota-gateway/server/tests/list.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use mapledeck_testing::Port;
+use marblecroft_test_support::Port;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -16,16 +16,16 @@
 fn program() -> &'static Path {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     PROGRAM.get_or_init(|| {
-        let here = Path::new(env!("CARGO_BIN_EXE_mapledeck")).parent().expect("a folder");
+        let here = Path::new(env!("CARGO_BIN_EXE_marblecroft-quota-gateway")).parent().expect("a folder");
         let mut build = Command::new(env!("CARGO"));
         build
-            .args(["build", "--quiet", "--locked", "-p", "mapledeck-discovery"])
+            .args(["build", "--quiet", "--locked", "-p", "marblecroft-discovery"])
             .current_dir(env!("CARGO_MANIFEST_DIR"));
         if here.ends_with("release") {
             build.arg("--release");
         }
         assert!(build.status().expect("cargo runs").success());
-        here.join("mapledeck-discovery")
+        here.join("marblecroft-discovery")
     })
 }
 
@@ -236,7 +236,7 @@
         let folder = folder();
         let file = folder.join("config.json");
         std::fs::write(&file, with_service(config("127.0.0.1:0", agent, None), fields)).expect("written");
-        let mut command = Command::new(env!("CARGO_BIN_EXE_mapledeck"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_marblecroft-quota-gateway"));
         for name in ["RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONSOLE"] {
             command.env_remove(name);
         }
--- a/quota-gateway/server/tests/servers.rs
+++ b/quota-gateway/server/tests/servers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use mapledeck_testing::Port;
+use marblecroft_test_support::Port;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
--- a/quota-gateway/shard-map/src/cell.rs
+++ b/quota-gateway/shard-map/src/cell.rs
@@ -1,10 +1,10 @@
 //! What a steward asks of a cell, and a cell's side of it: one definition for both ends. Frames as all of the fleet's
-//! (`mapledeck_fleet::frame`), an answer behind each ask on the same connection.
+//! (`marblecroft_control_messages::frame`), an answer behind each ask on the same connection.
 
 use crate::fence::{Due, Fence};
 use crate::map::{Epoch, Firm, FIRM_END};
 use crate::moves::Ask;
-use mapledeck_fleet::frame::{Kind, Message};
+use marblecroft_control_messages::frame::{Kind, Message};
 use serde::{Deserialize, Serialize};
 
 /// An ask under the owner's token.
--- a/quota-gateway/shard-map/src/map.rs
+++ b/quota-gateway/shard-map/src/map.rs
@@ -1,7 +1,7 @@
 //! The book map, as it is published.
 
-use mapledeck_fleet::frame::Kind;
-use mapledeck_fleet::published::Body;
+use marblecroft_control_messages::frame::Kind;
+use marblecroft_control_messages::published::Body;
 use serde::{Deserialize, Serialize};
 
 /// A client firm, by its number.
--- a/quota-gateway/shard-map/src/owner.rs
+++ b/quota-gateway/shard-map/src/owner.rs
@@ -3,7 +3,7 @@
 use crate::map::{Book, BookMap, Cell, Epoch, Firm, Step};
 use crate::moves::{asks, Ask, Refused};
 use crate::plan::{under_way, wishes, CellSeen, Limits};
-use mapledeck_fleet::published::Stamp;
+use marblecroft_control_messages::published::Stamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/quota-gateway/shard-map/src/ticket.rs
+++ b/quota-gateway/shard-map/src/ticket.rs
@@ -1,7 +1,7 @@
 //! A gateway's side: whether and where a pay run may be written, asked at the last moment before the write.
 
 use crate::map::{BookMap, Cell, Epoch, Firm};
-use mapledeck_fleet::published::{Instant, Reader, Standing};
+use marblecroft_control_messages::published::{Instant, Reader, Standing};
 use std::time::Duration;
 
 /// A ticket is asked for at the last moment, and is worth nothing this long after: where cells do not fence, the wait for the longest
--- a/quota-gateway/shard-map/tests/conformance.rs
+++ b/quota-gateway/shard-map/tests/conformance.rs
@@ -1,13 +1,13 @@
 //! Tables of conformance of books: rows from the design page, a clause each: moves through their steps, cells' fences, gateways'
 //! tickets, what moves where.
 
-use mapledeck_books::cell::{Asked, Keeper, Needs, Said};
-use mapledeck_books::map::{BookMap, Step};
-use mapledeck_books::moves::Ask;
-use mapledeck_books::plan::{wishes, CellSeen, Limits};
-use mapledeck_books::ticket::{NotNow, Ticket};
-use mapledeck_fleet::published::{Decision, Reader, Stamp};
-use mapledeck_testing::conformance::{hold, Played};
+use marblecroft_control_messages::published::{Decision, Reader, Stamp};
+use marblecroft_shard_map::cell::{Asked, Keeper, Needs, Said};
+use marblecroft_shard_map::map::{BookMap, Step};
+use marblecroft_shard_map::moves::Ask;
+use marblecroft_shard_map::plan::{wishes, CellSeen, Limits};
+use marblecroft_shard_map::ticket::{NotNow, Ticket};
+use marblecroft_test_support::conformance::{hold, Played};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/quota-gateway/shard-map/tests/fleet.rs
+++ b/quota-gateway/shard-map/tests/fleet.rs
@@ -1,13 +1,13 @@
 //! Moves on a virtual clock: cells that fence or not, gateways with maps of any age, owners that are replaced at any step, cells and
 //! zones that are lost. `BOOKS_SEEDS` plays more of them.
 
-use mapledeck_books::fence::Fence;
-use mapledeck_books::map::{Book, BookMap, Cell, Epoch, Firm, Step, FIRM_END};
-use mapledeck_books::moves::Ask;
-use mapledeck_books::owner::{Answer, Owner, Waits};
-use mapledeck_books::plan::{under_way, CellSeen, Limits};
-use mapledeck_books::ticket::Ticket;
-use mapledeck_fleet::published::{Body, Decision, Reader, Stamp};
+use marblecroft_control_messages::published::{Body, Decision, Reader, Stamp};
+use marblecroft_shard_map::fence::Fence;
+use marblecroft_shard_map::map::{Book, BookMap, Cell, Epoch, Firm, Step, FIRM_END};
+use marblecroft_shard_map::moves::Ask;
+use marblecroft_shard_map::owner::{Answer, Owner, Waits};
+use marblecroft_shard_map::plan::{under_way, CellSeen, Limits};
+use marblecroft_shard_map::ticket::Ticket;
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/quota-gateway/shard-map/tests/interleavings.rs
+++ b/quota-gateway/shard-map/tests/interleavings.rs
@@ -2,10 +2,10 @@
 //! wake late, asks and writes that arrive late or never; with cells that fence, and with the waiting way. The map, its steps and the
 //! fence are the product's own. Each flaw below is caught.
 
-use mapledeck_books::fence::Fence;
-use mapledeck_books::map::{Book, BookMap, Cell, Epoch, Move, Step, FIRM_END};
-use mapledeck_books::moves::{asks, Ask};
-use mapledeck_fleet::published::Stamp;
+use marblecroft_control_messages::published::Stamp;
+use marblecroft_shard_map::fence::Fence;
+use marblecroft_shard_map::map::{Book, BookMap, Cell, Epoch, Move, Step, FIRM_END};
+use marblecroft_shard_map::moves::{asks, Ask};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
--- a/quota-gateway/shard-map/tests/waits.rs
+++ b/quota-gateway/shard-map/tests/waits.rs
@@ -1,10 +1,10 @@
 //! Where cells do not fence: a move waits for gateways that go by its map, or for what they hold to lapse, and then for attempts.
 
-use mapledeck_books::map::{BookMap, Step};
-use mapledeck_books::moves::Ask;
-use mapledeck_books::owner::{Answer, Owner, Waits};
-use mapledeck_books::plan::Limits;
-use mapledeck_fleet::published::Stamp;
+use marblecroft_control_messages::published::Stamp;
+use marblecroft_shard_map::map::{BookMap, Step};
+use marblecroft_shard_map::moves::Ask;
+use marblecroft_shard_map::owner::{Answer, Owner, Waits};
+use marblecroft_shard_map::plan::Limits;
 use std::time::Duration;
 
 fn at(ms: u64) -> Duration {
--- a/quota-gateway/simulator-adapter/src/main.rs
+++ b/quota-gateway/simulator-adapter/src/main.rs
@@ -3,14 +3,14 @@
 
 mod wire;
 
-use cherrypulley::{Action, Gateway, Time};
+use marblecroft_quota_gateway_core::{Action, Gateway, Time};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::panic::{self, AssertUnwindSafe};
 use wire::{Batch, In, Incoming, Out, Reply};
 
 fn main() -> io::Result<()> {
-    panic::set_hook(Box::new(|info| eprintln!("cherrypulley-drill: {info}")));
+    panic::set_hook(Box::new(|info| eprintln!("marblecroft-simulator-adapter: {info}")));
     let mut gateways: BTreeMap<String, Gateway> = BTreeMap::new();
     let mut output = io::stdout().lock();
     for line in io::stdin().lock().split(b'\n') {
@@ -21,7 +21,7 @@
         let mut reply = Reply::default();
         match serde_json::from_slice::<Batch>(&line) {
             Ok(batch) => run(&mut gateways, batch, &mut reply),
-            Err(e) => eprintln!("cherrypulley-drill: not a batch: {e}"),
+            Err(e) => eprintln!("marblecroft-simulator-adapter: not a batch: {e}"),
         }
         serde_json::to_writer(&mut output, &reply)?;
         output.write_all(b"\n")?;
@@ -38,14 +38,14 @@
         let event: In = match serde_json::from_str(item.get()) {
             Ok(event) => event,
             Err(e) => {
-                eprintln!("cherrypulley-drill: bad event: {e}");
+                eprintln!("marblecroft-simulator-adapter: bad event: {e}");
                 continue;
             }
         };
         let (instance, incoming) = match wire::read(event) {
             Ok(read) => read,
             Err(e) => {
-                eprintln!("cherrypulley-drill: bad event: {e}");
+                eprintln!("marblecroft-simulator-adapter: bad event: {e}");
                 continue;
             }
         };
@@ -55,17 +55,19 @@
             }
             Incoming::Stop => {
                 if gateways.remove(&instance).is_none() {
-                    eprintln!("cherrypulley-drill: PowerOff for {instance}, which was never started");
+                    eprintln!(
+                        "marblecroft-simulator-adapter: PowerOff for {instance}, which was never started"
+                    );
                 }
             }
             Incoming::Unused => {
                 if !gateways.contains_key(&instance) {
-                    eprintln!("cherrypulley-drill: event for {instance}, which was never started");
+                    eprintln!("marblecroft-simulator-adapter: event for {instance}, which was never started");
                 }
             }
             Incoming::Event(event) => {
                 let Some(gateway) = gateways.get_mut(&instance) else {
-                    eprintln!("cherrypulley-drill: event for {instance}, which was never started");
+                    eprintln!("marblecroft-simulator-adapter: event for {instance}, which was never started");
                     continue;
                 };
                 let done = panic::catch_unwind(AssertUnwindSafe(|| gateway.handle(now, event, &mut actions)));
--- a/quota-gateway/simulator-adapter/src/settings.rs
+++ b/quota-gateway/simulator-adapter/src/settings.rs
@@ -1,6 +1,6 @@
 //! Decodes the settings object: what the decisions need of it, and the names and limits of the site.
 
-use cherrypulley as lib;
+use marblecroft_quota_gateway_core as lib;
 use serde::Deserialize;
 use std::time::Duration;
 
--- a/quota-gateway/simulator-adapter/src/wire.rs
+++ b/quota-gateway/simulator-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The wire's messages, and their translation to and from the library's.
 
-use cherrypulley as lib;
-use cherrypulley_drill::Site;
+use marblecroft_quota_gateway_core as lib;
+use marblecroft_simulator_adapter::Site;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
--- a/quota-gateway/simulator-adapter/tests/round_trip.rs
+++ b/quota-gateway/simulator-adapter/tests/round_trip.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Stdio};
 
 fn drill(input: &str) -> (Vec<String>, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_cherrypulley-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_marblecroft-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/quota-gateway/singleton-roles/src/view.rs
+++ b/quota-gateway/singleton-roles/src/view.rs
@@ -1,6 +1,6 @@
 //! What was read of the service under one prefix, and as of when.
 
-use mapledeck_coordination::state::{Change, Revision};
+use marblecroft_coordination::state::{Change, Revision};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/quota-gateway/singleton-roles/tests/owners.rs
+++ b/quota-gateway/singleton-roles/tests/owners.rs
@@ -1,8 +1,8 @@
 //! Who should own what, and one duty from wish to giving back, for all orders of events.
 
-use mapledeck_duties::assign::assign;
-use mapledeck_duties::duty::{Action, Duty, Event, State};
-use mapledeck_duties::keys::{Candidate, Order};
+use marblecroft_singleton_roles::assign::assign;
+use marblecroft_singleton_roles::duty::{Action, Duty, Event, State};
+use marblecroft_singleton_roles::keys::{Candidate, Order};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/quota-gateway/work-handoff/src/ledger.rs
+++ b/quota-gateway/work-handoff/src/ledger.rs
@@ -6,7 +6,7 @@
 //! then on nothing that the old owner writes is taken, however late it wakes.
 
 use crate::record::{Bad, Ended, Record, Stage, ATTEMPTS_MOST};
-use mapledeck_coordination::state::{Op, Owner, Revision, Token};
+use marblecroft_coordination::state::{Op, Owner, Revision, Token};
 
 /// Shards of a gateway's work.
 pub const SHARDS: u16 = 8;
--- a/quota-gateway/work-handoff/src/record.rs
+++ b/quota-gateway/work-handoff/src/record.rs
@@ -12,7 +12,7 @@
 /// The longest request that is covered, with its head and body; what is larger is not, and is counted.
 pub const REQUEST_MOST: usize = 60 << 10;
 /// The longest record: a value of the coordination service.
-pub const RECORD_MOST: usize = mapledeck_coordination::state::bounds::VALUE;
+pub const RECORD_MOST: usize = marblecroft_coordination::state::bounds::VALUE;
 /// Attempts of a request over all its owners.
 pub const ATTEMPTS_MOST: u8 = 4;
 const NAME_MOST: usize = 256;
--- a/quota-gateway/work-handoff/tests/golden.rs
+++ b/quota-gateway/work-handoff/tests/golden.rs
@@ -8,8 +8,8 @@
 mod golden;
 
 use golden::{bytes, same_bytes};
-use mapledeck_takeover::ledger::Place;
-use mapledeck_takeover::record::{Class, Ended, Record, Stage};
+use marblecroft_work_handoff::ledger::Place;
+use marblecroft_work_handoff::record::{Class, Ended, Record, Stage};
 
 fn record(class: Class, number: u8, stage: Stage) -> Record {
     Record {
--- a/quota-gateway/work-handoff/tests/interleavings.rs
+++ b/quota-gateway/work-handoff/tests/interleavings.rs
@@ -2,10 +2,10 @@
 //! and without receipts, in all interleavings: calls, answers and attempts that are late, processes that crash, stand still and
 //! wake, sessions that end under a process that lives. And mutations, each of which must be caught.
 
-use mapledeck_coordination::state::{ClientId, Command, Done, Op, Outcome, Owner, SessionId, State, Token};
-use mapledeck_takeover::ledger::{Entry, Place};
-use mapledeck_takeover::record::{Class, Ended, Record, Stage};
-use mapledeck_takeover::succeed::{read, step, Receipt, Situation, Step};
+use marblecroft_coordination::state::{ClientId, Command, Done, Op, Outcome, Owner, SessionId, State, Token};
+use marblecroft_work_handoff::ledger::{Entry, Place};
+use marblecroft_work_handoff::record::{Class, Ended, Record, Stage};
+use marblecroft_work_handoff::succeed::{read, step, Receipt, Situation, Step};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/quota-gateway/work-handoff/tests/records.rs
+++ b/quota-gateway/work-handoff/tests/records.rs
@@ -1,9 +1,11 @@
 //! Records: what is written is read again; bytes of any kind are refused without a panic, and so is what no owner writes; the
 //! table of the design, row by row; and any sequence of owners' steps keeps what is promised of one record.
 
-use mapledeck_takeover::ledger::{Entry, Place, SHARDS};
-use mapledeck_takeover::record::{Bad, Class, Ended, Record, Stage, ATTEMPTS_MOST, REQUEST_MOST, VERSION};
-use mapledeck_takeover::succeed::{read, step, Receipt, Situation, Step};
+use marblecroft_work_handoff::ledger::{Entry, Place, SHARDS};
+use marblecroft_work_handoff::record::{
+    Bad, Class, Ended, Record, Stage, ATTEMPTS_MOST, REQUEST_MOST, VERSION,
+};
+use marblecroft_work_handoff::succeed::{read, step, Receipt, Situation, Step};
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/quota-gateway/zone-failover/src/body.rs
+++ b/quota-gateway/zone-failover/src/body.rs
@@ -1,8 +1,8 @@
 //! What is published: each zone's state, and which share of its traffic each zone sends to which.
 
-use mapledeck_fleet::frame::{sane, Kind};
-use mapledeck_fleet::published::Body;
-use mapledeck_fleet::report::{NAME_MOST, ZONES_MOST};
+use marblecroft_control_messages::frame::{sane, Kind};
+use marblecroft_control_messages::published::Body;
+use marblecroft_control_messages::report::{NAME_MOST, ZONES_MOST};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/quota-gateway/zone-failover/src/core.rs
+++ b/quota-gateway/zone-failover/src/core.rs
@@ -6,8 +6,8 @@
 use crate::flow::{flow, Load};
 use crate::settings::{ms, Settings};
 use crate::state::{Verdict, Zone};
-use mapledeck_fleet::frame::Refusal;
-use mapledeck_fleet::report::Report;
+use marblecroft_control_messages::frame::Refusal;
+use marblecroft_control_messages::report::Report;
 use std::time::Duration;
 
 /// Shares that changed by less are not worth a decision of their own ...
--- a/quota-gateway/zone-failover/src/evidence.rs
+++ b/quota-gateway/zone-failover/src/evidence.rs
@@ -2,8 +2,8 @@
 //! whose figures are a thousand times too high moves a decision by no more than its part.
 
 use crate::settings::{ms, Settings};
-use mapledeck_fleet::frame::Refusal;
-use mapledeck_fleet::report::{Report, Seen};
+use marblecroft_control_messages::frame::Refusal;
+use marblecroft_control_messages::report::{Report, Seen};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/quota-gateway/zone-failover/src/settings.rs
+++ b/quota-gateway/zone-failover/src/settings.rs
@@ -60,7 +60,7 @@
 impl Settings {
     /// The error names the field.
     pub fn check(&self) -> Result<(), String> {
-        use mapledeck_fleet::report::{NAME_MOST, ZONES_MOST};
+        use marblecroft_control_messages::report::{NAME_MOST, ZONES_MOST};
         if self.places.is_empty() || self.places.len() > ZONES_MOST {
             return Err(format!("places: {} of 1 to {ZONES_MOST}", self.places.len()));
         }
@@ -72,7 +72,7 @@
                 return Err(format!("places[{i}].name: {} comes twice", place.name));
             }
         }
-        if !mapledeck_fleet::frame::sane(self.server_bears) {
+        if !marblecroft_control_messages::frame::sane(self.server_bears) {
             return Err("server_bears: no number from 0".to_owned());
         }
         let times = [
--- a/quota-gateway/zone-failover/tests/conformance.rs
+++ b/quota-gateway/zone-failover/tests/conformance.rs
@@ -1,10 +1,10 @@
 //! Tables of conformance of the decision: rows from the design page on zones, a clause each. A clause without a row is a failure.
 
-use mapledeck_testing::conformance::{hold, Played};
-use mapledeck_zones::body::State;
-use mapledeck_zones::flow::{flow, Load};
-use mapledeck_zones::settings::{ms, Place, Settings};
-use mapledeck_zones::state::{Verdict, Zone};
+use marblecroft_test_support::conformance::{hold, Played};
+use marblecroft_zone_failover::body::State;
+use marblecroft_zone_failover::flow::{flow, Load};
+use marblecroft_zone_failover::settings::{ms, Place, Settings};
+use marblecroft_zone_failover::state::{Verdict, Zone};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/quota-gateway/zone-failover/tests/core.rs
+++ b/quota-gateway/zone-failover/tests/core.rs
@@ -1,9 +1,9 @@
 //! Rules of the whole decision that stand behind others, each in the case where it alone holds.
 
-use mapledeck_fleet::report::{Asked, GoesBy, Report, Seen, ZoneSeen};
-use mapledeck_zones::body::{State, ZoneDecided, ZonesDecided, GROWTH};
-use mapledeck_zones::core::{Order, Zones};
-use mapledeck_zones::settings::{ms, Place, Settings};
+use marblecroft_control_messages::report::{Asked, GoesBy, Report, Seen, ZoneSeen};
+use marblecroft_zone_failover::body::{State, ZoneDecided, ZonesDecided, GROWTH};
+use marblecroft_zone_failover::core::{Order, Zones};
+use marblecroft_zone_failover::settings::{ms, Place, Settings};
 
 fn settings(zones: usize) -> Settings {
     let place = |i: usize| Place { name: format!("hall-{i}"), region: String::new() };
--- a/quota-gateway/zone-failover/tests/fleet.rs
+++ b/quota-gateway/zone-failover/tests/fleet.rs
@@ -1,11 +1,11 @@
 //! Whole fleets on a virtual clock: gateways that report and obey, zones that are lost, cut, slow, cold; links that lose, delay and
 //! repeat. Each seed is another deployment. `ZONES_SEEDS` plays more of them.
 
-use mapledeck_fleet::published::{Decision, Reader, Stamp, Standing};
-use mapledeck_fleet::report::{Asked, GoesBy, Report, Seen, ZoneSeen};
-use mapledeck_zones::body::{State, ZonesDecided, GROWTH};
-use mapledeck_zones::core::Zones;
-use mapledeck_zones::settings::{Place, Settings};
+use marblecroft_control_messages::published::{Decision, Reader, Stamp, Standing};
+use marblecroft_control_messages::report::{Asked, GoesBy, Report, Seen, ZoneSeen};
+use marblecroft_zone_failover::body::{State, ZonesDecided, GROWTH};
+use marblecroft_zone_failover::core::Zones;
+use marblecroft_zone_failover::settings::{Place, Settings};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
--- a/testing/fault-injection/src/decided/shares.rs
+++ b/testing/fault-injection/src/decided/shares.rs
@@ -4,7 +4,7 @@
 use super::Broken;
 use crate::deployment::{Nanos, MS, SECOND};
 use crate::history::{At, Event, Setup, Trace};
-use mapledeck_exact::{fill, Firm};
+use marblecroft_fair_share_reference::{fill, Firm};
 use std::collections::{HashMap, HashSet};
 
 /// What is asked and sent is looked at over this long: a second holds a request or two of a firm.
--- a/testing/fault-injection/src/main.rs
+++ b/testing/fault-injection/src/main.rs
@@ -1,13 +1,13 @@
-//! `mapledeck-lab`: what it is asked for, and its exit codes.
+//! `marblecroft-fault-injection`: what it is asked for, and its exit codes.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use mapledeck_lab::follow::follow;
-use mapledeck_lab::scenario::Scenario;
-use mapledeck_lab::shell::process::become_held;
-use mapledeck_lab::shell::run::{run, usual_dir, Failure, Order, SUMMARY};
-use mapledeck_lab::verdict::{judge, Verdict};
-use mapledeck_lab::{compare, draw, report};
+use marblecroft_fault_injection::follow::follow;
+use marblecroft_fault_injection::scenario::Scenario;
+use marblecroft_fault_injection::shell::process::become_held;
+use marblecroft_fault_injection::shell::run::{run, usual_dir, Failure, Order, SUMMARY};
+use marblecroft_fault_injection::verdict::{judge, Verdict};
+use marblecroft_fault_injection::{compare, draw, report};
 use std::ffi::OsString;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -83,7 +83,7 @@
 }
 
 fn said(code: u8, e: &str) -> u8 {
-    eprintln!("mapledeck-lab: {}", e.replace('\n', " "));
+    eprintln!("marblecroft-fault-injection: {}", e.replace('\n', " "));
     code
 }
 
--- a/testing/fault-injection/src/shell/lists.rs
+++ b/testing/fault-injection/src/shell/lists.rs
@@ -16,7 +16,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use mapledeck_discovery::format::{Ask, Entry, Host, HostList, HOSTS};
+use marblecroft_discovery::format::{Ask, Entry, Host, HostList, HOSTS};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
--- a/testing/fault-injection/src/shell/owners.rs
+++ b/testing/fault-injection/src/shell/owners.rs
@@ -6,8 +6,8 @@
 use crate::deployment::{chance, End, Nanos, Stream, MS, SECOND};
 use crate::history::Event;
 use crate::shell::World;
-use mapledeck_coordination::client::{Client, Lock};
-use mapledeck_coordination::fence::Fence;
+use marblecroft_coordination::client::{Client, Lock};
+use marblecroft_coordination::fence::Fence;
 use rand::Rng;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/testing/fault-injection/src/shell/registers.rs
+++ b/testing/fault-injection/src/shell/registers.rs
@@ -7,8 +7,8 @@
 use crate::deployment::{chance, End, Nanos, Stream, MS};
 use crate::history::{Event, Returned};
 use crate::shell::World;
-use mapledeck_coordination::client::{Client, Failed};
-use mapledeck_coordination::state::{Change, Done, News, Op, Owner, Refused};
+use marblecroft_coordination::client::{Client, Failed};
+use marblecroft_coordination::state::{Change, Done, News, Op, Owner, Refused};
 use rand::Rng;
 use std::rc::Rc;
 use std::time::Duration;
--- a/testing/fault-injection/src/shell/run.rs
+++ b/testing/fault-injection/src/shell/run.rs
@@ -20,9 +20,9 @@
 use hyper::client::conn::http1;
 use hyper::Request;
 use hyper_util::rt::TokioIo;
-use mapledeck_coordination::client::Client;
-use mapledeck_coordination::wire;
-use mapledeck_discovery::format::{Host, State, Telling};
+use marblecroft_coordination::client::Client;
+use marblecroft_coordination::wire;
+use marblecroft_discovery::format::{Host, State, Telling};
 use rustix::time::{clock_gettime, ClockId};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -168,27 +168,29 @@
     let mut lists = Vec::new();
     for i in 0..scenario.fleet.list_service as u16 {
         let end = End::ListService(i);
-        let process = Process::new(world, end, order.lab.clone(), program("mapledeck-discovery")?, log(end));
+        let process =
+            Process::new(world, end, order.lab.clone(), program("marblecroft-discovery")?, log(end));
         lists.push((process, Door::open(world, end).map_err(io)?));
     }
     let mut coordinators = Vec::new();
     for i in 0..scenario.fleet.coordinators as u16 {
         let end = End::Coordinator(i);
-        let program = program("mapledeck-coordinator")?;
+        let program = program("marblecroft-coordination-server")?;
         let process = Process::new(world, end, order.lab.clone(), program, log(end));
         coordinators.push((process, Door::open(world, end).map_err(io)?));
     }
     let mut stewards = Vec::new();
     for i in 0..scenario.fleet.stewards as u16 {
         let end = End::Steward(i);
-        let process = Process::new(world, end, order.lab.clone(), program("mapledeck-steward")?, log(end));
+        let process =
+            Process::new(world, end, order.lab.clone(), program("marblecroft-controller")?, log(end));
         stewards.push((process, Door::open(world, end).map_err(io)?));
     }
     let platform = if lists.is_empty() { Some(Platform::new(world).map_err(io)?) } else { None };
     let gateway = match &scenario.fleet.program {
         Some(path) if path.is_file() => path.clone(),
         Some(path) => return Err(format!("fleet.program: {} is missing", path.display())),
-        None => program("mapledeck")?,
+        None => program("marblecroft-quota-gateway")?,
     };
     let gateways: Vec<Rc<Process>> = (0..scenario.fleet.gateways as u16)
         .map(End::Gateway)
@@ -503,7 +505,7 @@
             }
             ask(i, 0, wire::Request::Join { cluster }).await?;
         }
-        // As `mapledeck-coordinator begin` has it: all are told at once, and one that has heard of it already says no.
+        // As `marblecroft-coordination-server begin` has it: all are told at once, and one that has heard of it already says no.
         let begin = || wire::Request::Begin { members: members.clone() };
         let said = join_all((0..ports.len()).map(|i| ask(i, cluster, begin()))).await;
         match said.iter().any(|said| matches!(said, Ok(wire::Response::Done))) {
--- a/testing/fault-injection/src/stand/cell.rs
+++ b/testing/fault-injection/src/stand/cell.rs
@@ -4,9 +4,9 @@
 //! out: how a cell keeps them. A cell that is wiped has lost all of it.
 
 use crate::history::Trace;
-use mapledeck_books::cell::{Asked, Keeper, Needs, Said};
-use mapledeck_books::fence::Due;
-use mapledeck_books::map::{Epoch, Firm};
+use marblecroft_shard_map::cell::{Asked, Keeper, Needs, Said};
+use marblecroft_shard_map::fence::Due;
+use marblecroft_shard_map::map::{Epoch, Firm};
 use std::collections::{BTreeSet, HashMap};
 
 #[derive(Default)]
--- a/testing/fault-injection/src/stand/list.rs
+++ b/testing/fault-injection/src/stand/list.rs
@@ -4,7 +4,7 @@
 //! gateway, what the list learns late. Leaves out: an agent of each gateway that is behind the others, lost changes.
 
 use crate::history::Told;
-use mapledeck_discovery::format::{Ask, Host, State, Telling};
+use marblecroft_discovery::format::{Ask, Host, State, Telling};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/testing/fault-injection/tests/clusters.rs
+++ b/testing/fault-injection/tests/clusters.rs
@@ -1,22 +1,22 @@
 //! Whole clusters of the coordination service on a virtual clock, from a seed: the real processes' code over links that are cut
 //! and late, on disks that crash, tear, fail and are slow, with clocks that run apart; their histories judged as the lab judges
-//! real processes. `CLUSTER_SEEDS=1000 cargo test -p mapledeck-lab --test clusters` plays more seeds than usual.
-
-use mapledeck_coordination::client::Client;
-use mapledeck_coordination::disk::Memory;
-use mapledeck_coordination::env::{self, Connecting, Ends, Env, Network};
-use mapledeck_coordination::service::{Service, Settings};
-use mapledeck_coordination::state::{Op, Owner};
-use mapledeck_coordination::storage::{LogStore, Writer as Writes};
-use mapledeck_coordination::wire::{Channel, Request, Response};
-use mapledeck_lab::deployment::{Deployment, Drawn, End, MS, SECOND};
-use mapledeck_lab::figures::Figures;
-use mapledeck_lab::history::{Event, Reader, Setup, Writer};
-use mapledeck_lab::judge::{Finding, Judge};
-use mapledeck_lab::scenario::{FaultKind, Scenario};
-use mapledeck_lab::shell::owners::Owners;
-use mapledeck_lab::shell::relay::{relay, Watch};
-use mapledeck_lab::shell::{registers, World};
+//! real processes. `CLUSTER_SEEDS=1000 cargo test -p marblecroft-fault-injection --test clusters` plays more seeds than usual.
+
+use marblecroft_coordination::client::Client;
+use marblecroft_coordination::disk::Memory;
+use marblecroft_coordination::env::{self, Connecting, Ends, Env, Network};
+use marblecroft_coordination::service::{Service, Settings};
+use marblecroft_coordination::state::{Op, Owner};
+use marblecroft_coordination::storage::{LogStore, Writer as Writes};
+use marblecroft_coordination::wire::{Channel, Request, Response};
+use marblecroft_fault_injection::deployment::{Deployment, Drawn, End, MS, SECOND};
+use marblecroft_fault_injection::figures::Figures;
+use marblecroft_fault_injection::history::{Event, Reader, Setup, Writer};
+use marblecroft_fault_injection::judge::{Finding, Judge};
+use marblecroft_fault_injection::scenario::{FaultKind, Scenario};
+use marblecroft_fault_injection::shell::owners::Owners;
+use marblecroft_fault_injection::shell::relay::{relay, Watch};
+use marblecroft_fault_injection::shell::{registers, World};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cell::{Cell, RefCell};
@@ -459,7 +459,7 @@
     let deployment = Deployment::draw(&scenario, seed).expect("draws");
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    let path = std::env::temp_dir().join(format!("mapledeck-cluster-{}-{number}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("marblecroft-cluster-{}-{number}", std::process::id()));
     env::seed(seed);
     count_panics();
     PANICS.set(0);
--- a/testing/fault-injection/tests/datagrams.rs
+++ b/testing/fault-injection/tests/datagrams.rs
@@ -1,11 +1,11 @@
 //! Datagrams between processes pass through the lab: each hears the others under their public addresses, and a cut holds in
 //! the direction that it names.
 
-use mapledeck_lab::deployment::{Deployment, Drawn, End};
-use mapledeck_lab::history::Writer;
-use mapledeck_lab::scenario::{FaultKind, Scenario};
-use mapledeck_lab::shell::datagrams::Datagrams;
-use mapledeck_lab::shell::World;
+use marblecroft_fault_injection::deployment::{Deployment, Drawn, End};
+use marblecroft_fault_injection::history::Writer;
+use marblecroft_fault_injection::scenario::{FaultKind, Scenario};
+use marblecroft_fault_injection::shell::datagrams::Datagrams;
+use marblecroft_fault_injection::shell::World;
 use std::fs::File;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
--- a/testing/fault-injection/tests/fleet.rs
+++ b/testing/fault-injection/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! The lab as people use it: the built program, real gateways, exit codes.
 
-use mapledeck_lab::deployment::End;
-use mapledeck_lab::history::{Event, Reader};
+use marblecroft_fault_injection::deployment::End;
+use marblecroft_fault_injection::history::{Event, Reader};
 use serde_json::Value;
 use std::fs;
 use std::io::{Read, Seek, SeekFrom, Write};
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-const LAB: &str = env!("CARGO_BIN_EXE_mapledeck-lab");
+const LAB: &str = env!("CARGO_BIN_EXE_marblecroft-fault-injection");
 
 /// A folder of this test's own, gone with it.
 struct Folder(PathBuf);
@@ -18,7 +18,7 @@
 impl Folder {
     fn new() -> Folder {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
-        let name = format!("mapledeck-lab-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
+        let name = format!("marblecroft-lab-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
         let path = std::env::temp_dir().join(name);
         fs::create_dir_all(&path).expect("a folder");
         Folder(path)
@@ -78,7 +78,8 @@
     for name in ["connections", "list_calls", "probes", "renewals", "claims", "attempts"] {
         assert!(told["peaks"].get(name).is_some(), "{name}");
     }
-    let all = mapledeck_lab::judge::INVARIANTS.len() + mapledeck_lab::decided::INVARIANTS.len();
+    let all = marblecroft_fault_injection::judge::INVARIANTS.len()
+        + marblecroft_fault_injection::decided::INVARIANTS.len();
     assert_eq!(told["invariants"].as_object().map(|told| told.len()), Some(all));
 
     let again = lab(&["check", &path(&out), "--json"]);
--- a/testing/fault-injection/tests/history.rs
+++ b/testing/fault-injection/tests/history.rs
@@ -1,13 +1,13 @@
 //! Histories: every invariant holds on a good one and is broken by one that is spoilt for it; damage is named by its byte.
 
-use mapledeck_lab::decided::{self, Decided};
-use mapledeck_lab::deployment::{Drawn, End, Nanos, Quota, MS, SAFE, SECOND, UNSAFE};
-use mapledeck_lab::figures::Figures;
-use mapledeck_lab::history::{
+use marblecroft_fault_injection::decided::{self, Decided};
+use marblecroft_fault_injection::deployment::{Drawn, End, Nanos, Quota, MS, SAFE, SECOND, UNSAFE};
+use marblecroft_fault_injection::figures::Figures;
+use marblecroft_fault_injection::history::{
     Answer, At, Duty, Event, Life, Outcome, Reader, Returned, Setup, Told, Writer, ZoneState,
 };
-use mapledeck_lab::judge::{Finding, Judge, INVARIANTS};
-use mapledeck_lab::scenario::FaultKind;
+use marblecroft_fault_injection::judge::{Finding, Judge, INVARIANTS};
+use marblecroft_fault_injection::scenario::FaultKind;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/testing/fault-injection/tests/in_common.rs
+++ b/testing/fault-injection/tests/in_common.rs
@@ -1,11 +1,11 @@
 //! Shares and books: what is judged of them holds on a good history, and each invariant is broken by one that is spoilt for it; what
 //! a scenario's cells and tenants come to.
 
-use mapledeck_lab::decided::{Decided, Told};
-use mapledeck_lab::deployment::{Deployment, Nanos, Quota, MS, SAFE, SECOND, UNSAFE};
-use mapledeck_lab::history::{At, BookSeen, BookStep, Event, Outcome, Setup};
-use mapledeck_lab::judge::Finding;
-use mapledeck_lab::scenario::Scenario;
+use marblecroft_fault_injection::decided::{Decided, Told};
+use marblecroft_fault_injection::deployment::{Deployment, Nanos, Quota, MS, SAFE, SECOND, UNSAFE};
+use marblecroft_fault_injection::history::{At, BookSeen, BookStep, Event, Outcome, Setup};
+use marblecroft_fault_injection::judge::Finding;
+use marblecroft_fault_injection::scenario::Scenario;
 use std::collections::BTreeMap;
 
 const LENGTH: u64 = 30;
--- a/testing/fault-injection/tests/linear.rs
+++ b/testing/fault-injection/tests/linear.rs
@@ -1,7 +1,7 @@
 //! The check for linearizability, itself checked: what a register really did is taken, whatever overlaps; and each way of going
 //! wrong is not.
 
-use mapledeck_lab::linear::{judge, Call, Op, Ret, Verdict};
+use marblecroft_fault_injection::linear::{judge, Call, Op, Ret, Verdict};
 use proptest::prelude::*;
 
 fn call(client: u16, from: u64, to: u64, op: Op, ret: Ret) -> Call {
--- a/testing/fault-injection/tests/scenarios.rs
+++ b/testing/fault-injection/tests/scenarios.rs
@@ -1,9 +1,9 @@
 //! Scenario and site files: what they come to, and one clear line for what cannot be used.
 
-use mapledeck_lab::deployment::{Deployment, End};
-use mapledeck_lab::draw::draw;
-use mapledeck_lab::scenario::Scenario;
-use mapledeck_lab::stand::clients::Arrivals;
+use marblecroft_fault_injection::deployment::{Deployment, End};
+use marblecroft_fault_injection::draw::draw;
+use marblecroft_fault_injection::scenario::Scenario;
+use marblecroft_fault_injection::stand::clients::Arrivals;
 use std::collections::BTreeMap;
 
 #[test]
--- a/testing/fault-injection/tests/stand_ins.rs
+++ b/testing/fault-injection/tests/stand_ins.rs
@@ -1,15 +1,17 @@
 //! The stand-ins against the published pages, without sockets.
 
-use mapledeck_discovery::format::{Ask, Host, State};
-use mapledeck_lab::deployment::{chance, Deployment, Drawn, End, Nanos, Stream, MS, SECOND, UNSAFE};
-use mapledeck_lab::history::{Answer, Outcome};
-use mapledeck_lab::link::{Path, Rules};
-use mapledeck_lab::scenario::{FaultKind, Scenario, Site};
-use mapledeck_lab::stand::clients::{Arrivals, Asking, Front, Manners, Next};
-use mapledeck_lab::stand::counter::Counter;
-use mapledeck_lab::stand::list::List;
-use mapledeck_lab::stand::meter::Meter;
-use mapledeck_lab::stand::pay_server::{Act, PayServer, Receipt};
+use marblecroft_discovery::format::{Ask, Host, State};
+use marblecroft_fault_injection::deployment::{
+    chance, Deployment, Drawn, End, Nanos, Stream, MS, SECOND, UNSAFE,
+};
+use marblecroft_fault_injection::history::{Answer, Outcome};
+use marblecroft_fault_injection::link::{Path, Rules};
+use marblecroft_fault_injection::scenario::{FaultKind, Scenario, Site};
+use marblecroft_fault_injection::stand::clients::{Arrivals, Asking, Front, Manners, Next};
+use marblecroft_fault_injection::stand::counter::Counter;
+use marblecroft_fault_injection::stand::list::List;
+use marblecroft_fault_injection::stand::meter::Meter;
+use marblecroft_fault_injection::stand::pay_server::{Act, PayServer, Receipt};
 use proptest::prelude::*;
 use std::time::Duration;
 
