--- a/quota-gateway/controller/src/metrics.rs
+++ b/quota-gateway/controller/src/metrics.rs
@@ -22,7 +22,7 @@
 
 /// The page as it is now.
 pub fn page(shared: &Rc<Shared>, figures: &Rc<Figures>) -> String {
-    let mut registry = Registry::with_prefix("mapledeck_steward");
+    let mut registry = Registry::with_prefix("marblecroft_controller");
     let owns = Family::<Duty, Gauge>::default();
     for (duty, token) in figures.owns.borrow().iter() {
         owns.get_or_create(&Duty { duty: duty.clone() }).set(i64::try_from(*token).unwrap_or(i64::MAX));
--- a/quota-gateway/coordination/src/metrics.rs
+++ b/quota-gateway/coordination/src/metrics.rs
@@ -86,7 +86,7 @@
 impl Metrics {
     /// `syncs`: how long each sync of the log took.
     pub fn new(syncs: Histogram) -> Metrics {
-        let mut registry = Registry::with_prefix("mapledeck_coordination");
+        let mut registry = Registry::with_prefix("marblecroft_coordination");
         let (calls, busy, ended) = (Family::default(), Family::default(), Counter::default());
         registry.register("calls", "Calls that came, by kind", Family::clone(&calls));
         registry.register("busy", "Calls and connections turned away, by the bound", Family::clone(&busy));
--- a/quota-gateway/coordination/tests/cluster.rs
+++ b/quota-gateway/coordination/tests/cluster.rs
@@ -431,7 +431,7 @@
     let mut page = String::new();
     stream.read_to_string(&mut page).expect("a page");
     assert!(page.starts_with("HTTP/1.1 200") && page.ends_with("# EOF\n"), "{page}");
-    let line = page.lines().find_map(|line| line.strip_prefix(&format!("mapledeck_coordination_{name} ")));
+    let line = page.lines().find_map(|line| line.strip_prefix(&format!("marblecroft_coordination_{name} ")));
     line.map_or(0, |value| value.parse().expect("a number"))
 }
 
--- a/quota-gateway/deadline/src/ledger.rs
+++ b/quota-gateway/deadline/src/ledger.rs
@@ -85,36 +85,36 @@
         let registry = Registry::new();
         let stages = histograms(
             &registry,
-            "mapledeck_request_stage_seconds",
+            "marblecroft_request_stage_seconds",
             "Time that a request spent in each stage that it was in.",
             &["class", "stage"],
         )?;
         let left = histograms(
             &registry,
-            "mapledeck_request_left_seconds",
+            "marblecroft_request_left_seconds",
             "What was left of the client's time when the answer was decided.",
             &["class"],
         )?;
         let ends = counters(
             &registry,
-            "mapledeck_requests_total",
+            "marblecroft_requests_total",
             "Requests that are over, by how.",
             &["class", "end"],
         )?;
         let attempts = counters(
             &registry,
-            "mapledeck_attempts_total",
+            "marblecroft_attempts_total",
             "Requests written to servers.",
             &["class", "attempt"],
         )?;
         let withheld = counters(
             &registry,
-            "mapledeck_attempts_withheld_total",
+            "marblecroft_attempts_withheld_total",
             "Attempts that were not written, as nothing was left for them.",
             &["class"],
         )?;
         let retry_budget =
-            Gauge::new("mapledeck_retry_budget", "Further attempts that may be sent at once.")?;
+            Gauge::new("marblecroft_retry_budget", "Further attempts that may be sent at once.")?;
         registry.register(Box::new(retry_budget.clone()))?;
         let class = |name: &String| Class {
             stages: Stage::ALL.map(|stage| stages.with_label_values(&[name, stage.name()])),
--- a/quota-gateway/deadline/src/ledger/tests.rs
+++ b/quota-gateway/deadline/src/ledger/tests.rs
@@ -22,18 +22,18 @@
     let text = String::from_utf8(text).expect("UTF-8");
     assert!(format.starts_with("text/plain; version=0.0.4"), "{format}");
     for line in [
-        "# TYPE mapledeck_request_stage_seconds histogram",
-        "mapledeck_request_stage_seconds_bucket{class=\"write\",stage=\"attempt\",le=\"0.1\"} 0",
-        "mapledeck_request_stage_seconds_bucket{class=\"write\",stage=\"attempt\",le=\"0.25\"} 1",
-        "mapledeck_request_stage_seconds_sum{class=\"write\",stage=\"attempt\"} 0.2",
-        "mapledeck_request_stage_seconds_sum{class=\"write\",stage=\"connect\"} 0.01",
-        "mapledeck_request_stage_seconds_count{class=\"write\",stage=\"unseen\"} 0",
-        "mapledeck_request_left_seconds_sum{class=\"write\"} 0.28",
-        "mapledeck_requests_total{class=\"write\",end=\"answered\"} 1",
-        "mapledeck_requests_total{class=\"write\",end=\"client_gone\"} 0",
-        "mapledeck_attempts_total{attempt=\"first\",class=\"write\"} 1",
-        "mapledeck_retry_budget 2.5",
-        "mapledeck_attempts_withheld_total{class=\"read \\\"a\\\"\"} 1",
+        "# TYPE marblecroft_request_stage_seconds histogram",
+        "marblecroft_request_stage_seconds_bucket{class=\"write\",stage=\"attempt\",le=\"0.1\"} 0",
+        "marblecroft_request_stage_seconds_bucket{class=\"write\",stage=\"attempt\",le=\"0.25\"} 1",
+        "marblecroft_request_stage_seconds_sum{class=\"write\",stage=\"attempt\"} 0.2",
+        "marblecroft_request_stage_seconds_sum{class=\"write\",stage=\"connect\"} 0.01",
+        "marblecroft_request_stage_seconds_count{class=\"write\",stage=\"unseen\"} 0",
+        "marblecroft_request_left_seconds_sum{class=\"write\"} 0.28",
+        "marblecroft_requests_total{class=\"write\",end=\"answered\"} 1",
+        "marblecroft_requests_total{class=\"write\",end=\"client_gone\"} 0",
+        "marblecroft_attempts_total{attempt=\"first\",class=\"write\"} 1",
+        "marblecroft_retry_budget 2.5",
+        "marblecroft_attempts_withheld_total{class=\"read \\\"a\\\"\"} 1",
     ] {
         assert!(text.lines().any(|l| l == line), "no line {line} in\n{text}");
     }
--- a/quota-gateway/server/src/fleet/observer.rs
+++ b/quota-gateway/server/src/fleet/observer.rs
@@ -207,13 +207,13 @@
         let mut all = Vec::new();
         if let Some(shares) = &self.shares {
             let help = "Requests that their firm's share did not hold.";
-            all.push(("mapledeck_share_refused", help, shares.refused.get() as f64));
+            all.push(("marblecroft_share_refused", help, shares.refused.get() as f64));
         }
         if let Some(books) = &self.books {
             let help = "Writes that a cell turned away, as they were under another epoch.";
-            all.push(("mapledeck_book_turned_away", help, books.turned_away.get() as f64));
+            all.push(("marblecroft_book_turned_away", help, books.turned_away.get() as f64));
             let help = "Writes that were held back, as their book was open nowhere.";
-            all.push(("mapledeck_book_held_back", help, books.held_back.get() as f64));
+            all.push(("marblecroft_book_held_back", help, books.held_back.get() as f64));
         }
         all
     }
--- a/quota-gateway/server/src/operations.rs
+++ b/quota-gateway/server/src/operations.rs
@@ -91,8 +91,8 @@
             let help = "Time since a list service last said how things are.";
             let held = "Servers held though the last whole list lacked them.";
             [
-                ("mapledeck_list_age_seconds", help, age.unwrap_or(f64::INFINITY)),
-                ("mapledeck_list_suspects", held, suspects as f64),
+                ("marblecroft_list_age_seconds", help, age.unwrap_or(f64::INFINITY)),
+                ("marblecroft_list_suspects", held, suspects as f64),
             ]
         });
         list.chain(self.fleet.iter().flat_map(|fleet| fleet.figures())).collect()
--- a/quota-gateway/server/tests/list.rs
+++ b/quota-gateway/server/tests/list.rs
@@ -175,7 +175,7 @@
     let gateway = Running::start_with("exec \"$0\"", &settings, &[("RELAY_CONSOLE", "127.0.0.1:0")]);
     until("it is ready", || !gateway.client_is_refused());
     assert_eq!(gateway.client().ask(&saldo("f1", "3")).text(), "a");
-    assert!(gateway.metric("mapledeck_list_age_seconds") < LONG.as_secs_f64());
+    assert!(gateway.metric("marblecroft_list_age_seconds") < LONG.as_secs_f64());
     // Its watch goes on: what changes is told without another whole list.
     list.change("/discovery/deregister", &stubs[0]);
     list.register(&stubs[1], "");
@@ -189,7 +189,7 @@
         stubs[1].requests() > asked + 20
     });
     let _list = List::start(&place, port);
-    until("it is heard of again", || gateway.metric("mapledeck_list_age_seconds") < 1.0);
+    until("it is heard of again", || gateway.metric("marblecroft_list_age_seconds") < 1.0);
     assert_eq!(client.ask(&saldo("f4", "3")).text(), "b");
     drop(std::fs::remove_dir_all(folder));
 }
@@ -211,7 +211,7 @@
     let mut client = gateway.client();
     assert_eq!(client.ask(&saldo("m1", "3")).status(), 200, "they are suspects, and serve");
     assert_eq!(stubs[2].requests(), 0, "one that drained is no suspect");
-    assert_eq!(gateway.metric("mapledeck_list_suspects"), 2.0);
+    assert_eq!(gateway.metric("marblecroft_list_suspects"), 2.0);
     // Said to be gone, one is at once.
     agent.tell(ok(&list(3, false, &[(&stubs[0], "DELETED")])));
     agent.watched(3);
@@ -222,7 +222,7 @@
     agent.tell(ok(&list(3, false, &[])));
     until("it is given up", || {
         agent.tell(ok(&list(3, false, &[])));
-        gateway.metric("mapledeck_list_suspects") == 0.0
+        gateway.metric("marblecroft_list_suspects") == 0.0
     });
     assert_eq!(client.ask(&saldo("m3", "3")).status(), 503, "no server is left");
 }
--- a/quota-gateway/server/tests/races.rs
+++ b/quota-gateway/server/tests/races.rs
@@ -50,7 +50,7 @@
         drop(client);
         // Its attempt has gone with it, which is no end that its time would have made, and what it sent behind it goes
         // nowhere.
-        let gone = r#"mapledeck_requests_total{class="saldo",end="client_gone"}"#;
+        let gone = r#"marblecroft_requests_total{class="saldo",end="client_gone"}"#;
         until("it is known to have gone", || gateway.metric(gone) == 1.0);
         assert_eq!(held.rest(), "", "nothing more on its connection");
         let mut other = gateway.client();
--- a/quota-gateway/server/tests/time.rs
+++ b/quota-gateway/server/tests/time.rs
@@ -46,9 +46,9 @@
     assert_eq!(seen.len(), 2);
     assert!(seen[0] <= 1.4 - WAY_BACK - 0.001 && seen[0] > 1.0, "its way back is kept: {seen:?}");
     assert!(seen[1] <= seen[0] - 0.119, "the first attempt's time is gone: {seen:?}");
-    assert_eq!(gateway.metric(r#"mapledeck_attempts_total{attempt="first",class="saldo"}"#), 1.0);
-    assert_eq!(gateway.metric(r#"mapledeck_attempts_total{attempt="further",class="saldo"}"#), 1.0);
-    let spent = gateway.metric(r#"mapledeck_request_stage_seconds_sum{class="saldo",stage="attempt"}"#);
+    assert_eq!(gateway.metric(r#"marblecroft_attempts_total{attempt="first",class="saldo"}"#), 1.0);
+    assert_eq!(gateway.metric(r#"marblecroft_attempts_total{attempt="further",class="saldo"}"#), 1.0);
+    let spent = gateway.metric(r#"marblecroft_request_stage_seconds_sum{class="saldo",stage="attempt"}"#);
     assert!((0.119..1.4).contains(&spent), "{spent}");
 }
 
@@ -82,7 +82,7 @@
         assert!(told(message) <= 3.0 - 0.390 - WAY_BACK, "{name} was told {}", told(message));
     }
     drop(seen);
-    let unseen = gateway.metric(r#"mapledeck_request_stage_seconds_sum{class="saldo",stage="unseen"}"#);
+    let unseen = gateway.metric(r#"marblecroft_request_stage_seconds_sum{class="saldo",stage="unseen"}"#);
     assert!((0.78..8.0).contains(&unseen), "two lay there for 0.4 s each: {unseen}");
 }
 
@@ -97,7 +97,7 @@
     assert_eq!(answer.status(), 503);
     assert!(!answer.header("retry-after").is_empty(), "trying again is harmless");
     assert_eq!(server.requests(), 1, "nobody waits for it any more");
-    assert_eq!(gateway.metric(r#"mapledeck_requests_total{class="saldo",end="given_up_before_send"}"#), 1.0);
+    assert_eq!(gateway.metric(r#"marblecroft_requests_total{class="saldo",end="given_up_before_send"}"#), 1.0);
 }
 
 /// The system tells when bytes came in its own ticks, of 10 ms at most.
@@ -119,7 +119,7 @@
     client.write(rest);
     assert_eq!(client.answer().expect("an answer").text(), "served");
     assert!(told(&server.last()) > 2.7, "by the protocol its time begins with its last byte");
-    let read = gateway.metric(r#"mapledeck_request_stage_seconds_sum{class="saldo",stage="read"}"#);
+    let read = gateway.metric(r#"marblecroft_request_stage_seconds_sum{class="saldo",stage="read"}"#);
     assert!(((pause - ARRIVAL_TICK).as_secs_f64()..3.0).contains(&read), "{read} after a pause of {pause:?}");
 }
 
@@ -171,7 +171,7 @@
     agent.tell(ok(&hosts(2, true, &[(hanging.addr, "SERVING"), (good.addr, "SERVING")])));
     agent.watched(2);
     // One of them meets the connect that hangs, which is given 250 ms by the settings; no request has that much.
-    let connects = r#"mapledeck_request_stage_seconds_sum{class="nomina",stage="connect"}"#;
+    let connects = r#"marblecroft_request_stage_seconds_sum{class="nomina",stage="connect"}"#;
     for n in 0..40 {
         let answer = client.ask(&nomina(&format!("c{n}"), "0.250", "pago"));
         assert_eq!((answer.status(), answer.text().as_str()), (200, "served"), "request {n}");
@@ -194,10 +194,10 @@
     // On another connection, so that the request is with the gateway.
     assert_eq!(gateway.client().ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
     drop(client);
-    let gone = r#"mapledeck_requests_total{class="saldo",end="client_gone"}"#;
+    let gone = r#"marblecroft_requests_total{class="saldo",end="client_gone"}"#;
     until("it is told", || gateway.metric(gone) == 1.0);
     assert_eq!(
-        gateway.metric(r#"mapledeck_attempts_total{attempt="first",class="saldo"}"#),
+        gateway.metric(r#"marblecroft_attempts_total{attempt="first",class="saldo"}"#),
         0.0,
         "nothing was written"
     );
@@ -212,7 +212,7 @@
     assert!(answer.status() >= 500 && answer.header("retry-after").is_empty(), "it may have run: {answer:?}");
     assert!(asked.elapsed() < ms(450), "its client still waits");
     assert_eq!(server.requests(), 1);
-    let ends = r#"mapledeck_requests_total{class="nomina",end="given_up_in_attempt"}"#;
+    let ends = r#"marblecroft_requests_total{class="nomina",end="given_up_in_attempt"}"#;
     until("it is counted", || gateway.metric(ends) == 1.0);
 }
 
@@ -223,7 +223,7 @@
     let answer = gateway.client().ask_here(&nomina("u", "4", "pago"));
     assert!(answer.status() >= 500 && answer.header("retry-after").is_empty(), "{answer:?}");
     assert_eq!(servers[0].requests() + servers[1].requests(), 1);
-    assert_eq!(gateway.metric(r#"mapledeck_attempts_total{attempt="further",class="nomina"}"#), 0.0);
+    assert_eq!(gateway.metric(r#"marblecroft_attempts_total{attempt="further",class="nomina"}"#), 0.0);
 }
 
 #[test]
@@ -306,7 +306,7 @@
     until("the server has it", || server.requests() == 5);
     drop(leaving);
     let ends = |class: &str, end: &str| {
-        gateway.metric(&format!(r#"mapledeck_requests_total{{class="{class}",end="{end}"}}"#))
+        gateway.metric(&format!(r#"marblecroft_requests_total{{class="{class}",end="{end}"}}"#))
     };
     until("the client's leaving is seen", || ends("saldo", "client_gone") == 1.0);
     assert_eq!(ends("saldo", "answered"), 3.0);
@@ -320,7 +320,7 @@
     let series = |text: &str| {
         text.lines().filter(|line| !line.starts_with('#')).all(|line| {
             line.rsplit_once(' ')
-                .is_some_and(|(name, value)| name.starts_with("mapledeck_") && value.parse::<f64>().is_ok())
+                .is_some_and(|(name, value)| name.starts_with("marblecroft_") && value.parse::<f64>().is_ok())
         })
     };
     assert!(series(&answer.text()), "{}", answer.text());
@@ -340,6 +340,6 @@
     let mut client = gateway.client();
     client.write(&nomina("o", "3", "pago"));
     assert!(client.answer().is_none(), "the client can tell that it is not whole");
-    let ends = r#"mapledeck_requests_total{class="nomina",end="given_up_in_attempt"}"#;
+    let ends = r#"marblecroft_requests_total{class="nomina",end="given_up_in_attempt"}"#;
     until("it is counted", || gateway.metric(ends) == 1.0);
 }
