--- a/quota-gateway/control-messages/src/lib.rs
+++ b/quota-gateway/control-messages/src/lib.rs
@@ -1,4 +1,4 @@
-//! What gateways and stewards tell each other, without I/O (`docs/zones.md`, "On the wire").
+//! What gateways and stewards tell each other, without I/O (`docs/zone-failover.md`, "On the wire").
 //!
 //! - [`frame`]: the head that all messages have, with version, fleet, bounds and checksum.
 //! - [`published`]: a decision under a token, and a reader of it that never goes back and knows when it is alone.
--- a/quota-gateway/controller/src/lib.rs
+++ b/quota-gateway/controller/src/lib.rs
@@ -1,4 +1,4 @@
-//! A steward: a candidate for the fleet's decisions (`docs/stewards.md`).
+//! A steward: a candidate for the fleet's decisions (`docs/controller.md`).
 //!
 //! - [`config`]: its one file.
 //! - [`reports`]: gateways' reports, over kept connections; bounded in every way.
--- a/quota-gateway/fair-share/src/lib.rs
+++ b/quota-gateway/fair-share/src/lib.rs
@@ -1,4 +1,4 @@
-//! Fair shares of the fleet's capacity among firms, by distributed weighted max-min sharing (`docs/shares.md`). No I/O, no clock.
+//! Fair shares of the fleet's capacity among firms, by distributed weighted max-min sharing (`docs/fair-share.md`). No I/O, no clock.
 //!
 //! No process sees every pair of firm and gateway. A gateway sums its firms up into one function of the level (units a second for
 //! each weight); the owner adds these up, finds the level at which they meet the capacity, and publishes it with a **grant** for
--- a/quota-gateway/fair-share/tests/ways.rs
+++ b/quota-gateway/fair-share/tests/ways.rs
@@ -10,7 +10,7 @@
 
 const GATEWAYS: usize = 30;
 const ROUNDS: usize = 60;
-/// How strongly a price answers; stronger ones were tried and swing, weaker ones take longer (`docs/shares.md`).
+/// How strongly a price answers; stronger ones were tried and swing, weaker ones take longer (`docs/fair-share.md`).
 const GAINS: [f64; 3] = [0.3, 0.6, 1.0];
 
 struct Case {
--- a/quota-gateway/shard-map/src/lib.rs
+++ b/quota-gateway/shard-map/src/lib.rs
@@ -1,5 +1,5 @@
 //! Books: ranges of client firms whose pay runs are written at one cell of pay servers, and the epochs that keep a gateway with an
-//! outdated map from writing to what has moved (`docs/books.md`). No I/O, no clock.
+//! outdated map from writing to what has moved (`docs/shard-map.md`). No I/O, no clock.
 //!
 //! - [`map`]: the book map as it is published; a range's epoch only rises.
 //! - [`ticket`]: a gateway's side: the check at the last moment before a write, with its deadline in the type.
--- a/quota-gateway/singleton-roles/src/lib.rs
+++ b/quota-gateway/singleton-roles/src/lib.rs
@@ -1,4 +1,4 @@
-//! Duties: named work on behalf of the fleet, each with one owner at a time (`docs/stewards.md`).
+//! Duties: named work on behalf of the fleet, each with one owner at a time (`docs/controller.md`).
 //!
 //! - [`keys`]: where all of it stands in the coordination service.
 //! - [`assign`]: who should own what: spread evenly, zones mixed, and the loss of one moves only its own. No I/O.
--- a/quota-gateway/zone-failover/src/lib.rs
+++ b/quota-gateway/zone-failover/src/lib.rs
@@ -1,4 +1,4 @@
-//! Failover between zones and regions, decided in common (`docs/zones.md`). Nothing here does I/O or reads a clock: reports,
+//! Failover between zones and regions, decided in common (`docs/zone-failover.md`). Nothing here does I/O or reads a clock: reports,
 //! orders and instants in, decisions out; the same inputs give the same decision, byte for byte.
 //!
 //! - [`body`]: what is published, and what a gateway makes of it.
--- a/testing/fault-injection/src/history.rs
+++ b/testing/fault-injection/src/history.rs
@@ -1,6 +1,6 @@
 //! What happened in a run, as each side saw it, on one monotonic clock; and how it is kept on disk.
 //!
-//! The format is in `docs/lab.md`. A file begins with [`MAGIC`] and the version; frames follow, each its length, the
+//! The format is in `docs/fault-injection.md`. A file begins with [`MAGIC`] and the version; frames follow, each its length, the
 //! CRC-32 of its payload, and the payload: events in `postcard`. A reader never trusts a length beyond [`FRAME_MOST`].
 
 use crate::deployment::{Drawn, End, Nanos, Quota};
--- a/testing/fault-injection/src/lib.rs
+++ b/testing/fault-injection/src/lib.rs
@@ -1,5 +1,5 @@
 //! A fleet on one machine: many processes of the program, faults between them, a history of what every side saw, and a
-//! verdict. `docs/lab.md` says how it is used and what it leaves out.
+//! verdict. `docs/fault-injection.md` says how it is used and what it leaves out.
 //!
 //! - [`scenario`], [`draw`], [`deployment`]: what is asked for, and what a seed makes of it.
 //! - [`stand`], [`link`]: the rules of the stand-ins and of the links, without I/O.
