--- a/control-plane/batch-state/src/capacity.rs
+++ b/control-plane/batch-state/src/capacity.rs
@@ -4,54 +4,54 @@
 use std::time::Duration;
 
 /// A gateway that has not been heard of for so long is not counted.
-const HEARD_WITHIN: Duration = Duration::from_millis(1500);
+const REPORT_TTL: Duration = Duration::from_millis(1500);
 /// Part of all slots that live requests and items may fill together; what is left takes what comes unforeseen.
-const FILLED_MOST: f64 = 1.0;
+const MAX_OCCUPANCY: f64 = 1.0;
 /// Live requests are taken to grow to so many times their latest mean while an item runs.
-const LIVE_GROWS: f64 = 1.15;
+const LIVE_GROWTH_FACTOR: f64 = 1.15;
 /// Items may always fill this part of all slots, so that they are never starved ...
-const ITEMS_LEAST: f64 = 0.08;
+const MIN_ITEM_SHARE: f64 = 0.08;
 /// ... and never more than this.
-const ITEMS_MOST: f64 = 0.8;
+const MAX_ITEM_SHARE: f64 = 0.8;
 /// Items that a gateway may run beyond an equal part, as gateways do not ask equally often.
-const BEYOND_EQUAL: usize = 2;
+const EXTRA_ITEMS_PER_GATEWAY: usize = 2;
 
 /// What one gateway told.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct GatewayReport {
     live: f64,
     slots: u32,
-    at: Duration,
+    received_at: Duration,
 }
 
 /// What all gateways told.
 #[derive(Debug, Default)]
-pub struct Capacity {
-    gateways: BTreeMap<String, Told>,
+pub struct ItemCapacity {
+    gateways: BTreeMap<String, GatewayReport>,
 }
 
-impl Capacity {
+impl ItemCapacity {
     /// A gateway had `live` requests at servers in the mean, and sees `slots` in all.
-    pub fn note(&mut self, gateway: &str, live: f64, slots: u32, now: Duration) {
-        self.gateways.insert(gateway.to_owned(), Told { live, slots, at: now });
-        self.gateways.retain(|_, told| now.saturating_sub(told.at) < HEARD_WITHIN);
+    pub fn record_report(&mut self, gateway: &str, live: f64, slots: u32, now: Duration) {
+        self.gateways.insert(gateway.to_owned(), GatewayReport { live, slots, received_at: now });
+        self.gateways.retain(|_, told| now.saturating_sub(told.received_at) < REPORT_TTL);
     }
 
     /// Live requests that all gateways had at servers lately, in the mean.
-    pub fn live(&self) -> f64 {
+    pub fn live_requests(&self) -> f64 {
         self.gateways.values().map(|told| told.live).sum()
     }
 
     /// Items that all gateways together may run.
-    pub fn items(&self) -> usize {
+    pub fn max_running_items(&self) -> usize {
         let slots = f64::from(self.gateways.values().map(|told| told.slots).max().unwrap_or(0));
-        let left = FILLED_MOST * slots - LIVE_GROWS * self.live();
+        let left = MAX_OCCUPANCY * slots - LIVE_GROWTH_FACTOR * self.live_requests();
         // The conversion saturates.
-        left.clamp(ITEMS_LEAST * slots, ITEMS_MOST * slots).ceil() as usize
+        left.clamp(MIN_ITEM_SHARE * slots, MAX_ITEM_SHARE * slots).ceil() as usize
     }
 
     /// Items that one gateway may run.
-    pub fn items_of_one(&self) -> usize {
-        self.items().div_ceil(self.gateways.len().max(1)) + BEYOND_EQUAL
+    pub fn max_running_items_per_gateway(&self) -> usize {
+        self.max_running_items().div_ceil(self.gateways.len().max(1)) + EXTRA_ITEMS_PER_GATEWAY
     }
 }
--- a/control-plane/batch-state/src/job.rs
+++ b/control-plane/batch-state/src/job.rs
@@ -29,7 +29,7 @@
     /// Tokens that may wait on the route; 0 is no limit.
     pub max_queued_tokens: u64,
     /// When it was taken, in milliseconds since 1970 by the clock of whoever ordered it.
-    pub taken_at_ms: u64,
+    pub accepted_at_ms: u64,
     /// Time from then by which all results are due.
     pub due_after_ms: u64,
 }
@@ -74,16 +74,16 @@
 
 /// A result at a position of a job's list. It never changes.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct ListedResult {
+pub struct ItemResult {
     pub item: u32,
     pub outcome: ItemOutcome,
 }
 
 /// An item that the system keeps.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-struct KeptItem {
+struct StoredItem {
     item: Item,
-    listed: bool,
+    has_result: bool,
 }
 
 /// A job that the system keeps.
@@ -92,26 +92,26 @@
     pub route: String,
     pub host: String,
     /// Jobs that were taken earlier have a lower number.
-    pub order: u64,
-    pub taken_at_ms: u64,
+    pub sequence: u64,
+    pub accepted_at_ms: u64,
     /// Time from then by which all results are due.
     pub due_after_ms: u64,
-    items: Vec<KeptItem>,
-    results: Vec<ListedResult>,
+    items: Vec<StoredItem>,
+    results: Vec<ItemResult>,
     ended: bool,
     /// Tells a job that is sent again from another one under its id.
     digest: Bytes,
 }
 
 impl Job {
-    pub(crate) fn new(new: NewJob, order: u64) -> Job {
+    pub(crate) fn new(new: NewJob, sequence: u64) -> Job {
         let digest = digest(&new.items);
-        let items = new.items.into_iter().map(|item| KeptItem { item, listed: false }).collect();
+        let items = new.items.into_iter().map(|item| StoredItem { item, has_result: false }).collect();
         Job {
             route: new.route,
             host: new.host,
-            order,
-            taken_at_ms: new.taken_at_ms,
+            sequence,
+            accepted_at_ms: new.accepted_at_ms,
             due_after_ms: new.due_after_ms,
             items,
             results: Vec::new(),
@@ -121,7 +121,7 @@
     }
 
     /// Whether this is the job that is sent, by all that its client has sent of it.
-    pub(crate) fn is_same(&self, new: &NewJob) -> bool {
+    pub(crate) fn is_resubmission(&self, new: &NewJob) -> bool {
         self.digest == digest(&new.items)
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// The results, in the order of their positions.
-    pub fn results(&self) -> &[ListedResult] {
+    pub fn results(&self) -> &[ItemResult] {
         &self.results
     }
 
@@ -151,13 +151,13 @@
     }
 
     /// An item that has no result yet, by its index.
-    pub fn unlisted(&self, item: u32) -> Option<&Item> {
-        self.items.get(item as usize).filter(|kept| !kept.listed).map(|kept| &kept.item)
+    pub fn pending_item(&self, item: u32) -> Option<&Item> {
+        self.items.get(item as usize).filter(|kept| !kept.has_result).map(|kept| &kept.item)
     }
 
     /// An item that has no result yet, by its id.
-    pub fn unlisted_by_id(&self, id: &str) -> Option<&Item> {
-        self.items.iter().find(|kept| kept.item.id == id && !kept.listed).map(|kept| &kept.item)
+    pub fn pending_item_by_id(&self, id: &str) -> Option<&Item> {
+        self.items.iter().find(|kept| kept.item.id == id && !kept.has_result).map(|kept| &kept.item)
     }
 
     /// Whether it has an item of this id.
@@ -166,20 +166,20 @@
     }
 
     /// The indices of the items that have no result yet.
-    pub fn unlisted_items(&self) -> impl Iterator<Item = u32> + '_ {
+    pub fn pending_items(&self) -> impl Iterator<Item = u32> + '_ {
         let indices = 0u32..;
-        indices.zip(&self.items).filter(|(_, kept)| !kept.listed).map(|(index, _)| index)
+        indices.zip(&self.items).filter(|(_, kept)| !kept.has_result).map(|(index, _)| index)
     }
 
     /// Records an outcome if the item has none; returns the tokens that wait no more.
     pub(crate) fn record(&mut self, item: u32, outcome: ItemOutcome) -> u64 {
-        let Some(kept) = self.items.get_mut(item as usize).filter(|kept| !kept.listed) else { return 0 };
-        kept.listed = true;
+        let Some(kept) = self.items.get_mut(item as usize).filter(|kept| !kept.has_result) else { return 0 };
+        kept.has_result = true;
         // Nobody reads the body of an item that is listed.
         kept.item.body = Bytes::default();
         kept.item.headers = Vec::new();
         let tokens = kept.item.tokens;
-        self.results.push(ListedResult { item, outcome });
+        self.results.push(ItemResult { item, outcome });
         if self.ended {
             0
         } else {
@@ -193,7 +193,7 @@
             return 0;
         }
         let mut released = 0;
-        for kept in self.items.iter_mut().filter(|kept| !kept.listed) {
+        for kept in self.items.iter_mut().filter(|kept| !kept.has_result) {
             released += kept.item.tokens;
             kept.item.body = Bytes::default();
             kept.item.headers = Vec::new();
--- a/control-plane/batch-state/src/lease.rs
+++ b/control-plane/batch-state/src/lease.rs
@@ -1,12 +1,12 @@
 //! Who runs which item, as the head of the stores' chain has it. Nothing of it is replicated: after a change of the head
 //! the gateways tell what they run, and an item that nobody tells of is given out anew.
 
-use crate::Batch;
+use crate::BatchState;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
 /// Time that an item is taken to need until one has been run.
-const RUN_TIME_DEFAULT: Duration = Duration::from_millis(1200);
+const DEFAULT_RUN_TIME: Duration = Duration::from_millis(1200);
 /// Weight of one item's time in the mean of the latest.
 const RUN_TIME_WEIGHT: f64 = 0.05;
 /// An item is taken to need this many mean deviations more than the mean, so that most are done in time.
@@ -20,7 +20,7 @@
 struct Lease {
     gateway: String,
     /// On the caller's clock.
-    until: Duration,
+    expires_at: Duration,
     granted_at: Duration,
 }
 
@@ -34,19 +34,19 @@
 
 impl Default for RunTimes {
     fn default() -> RunTimes {
-        RunTimes { mean: RUN_TIME_DEFAULT.as_secs_f64(), deviation: 0.0 }
+        RunTimes { mean: DEFAULT_RUN_TIME.as_secs_f64(), deviation: 0.0 }
     }
 }
 
 impl RunTimes {
-    fn note(&mut self, time: Duration) {
+    fn record(&mut self, time: Duration) {
         let off = time.as_secs_f64() - self.mean;
         self.mean += RUN_TIME_WEIGHT * off;
         self.deviation += RUN_TIME_WEIGHT * (off.abs() - self.deviation);
     }
 
     /// The time within which most items are done.
-    fn most(&self) -> Duration {
+    fn upper_estimate(&self) -> Duration {
         Duration::from_secs_f64((self.mean + DEVIATIONS * self.deviation).max(0.0))
     }
 }
@@ -54,7 +54,7 @@
 /// The leases of all items that are run.
 #[derive(Debug, Default)]
 pub struct Leases {
-    held: HashMap<ItemKey, Lease>,
+    leases: HashMap<ItemKey, Lease>,
     run_times: RunTimes,
 }
 
@@ -63,7 +63,7 @@
     /// them.
     pub fn renew(
         &mut self,
-        batch: &Batch,
+        batch: &BatchState,
         gateway: &str,
         running: Vec<ItemKey>,
         now: Duration,
@@ -71,16 +71,17 @@
     ) -> Vec<ItemKey> {
         // It tells all that it runs: what else it was granted it never learnt of, or has ended.
         let kept: HashSet<&ItemKey> = running.iter().collect();
-        self.held.retain(|key, lease| lease.gateway != gateway || kept.contains(key));
+        self.leases.retain(|key, lease| lease.gateway != gateway || kept.contains(key));
         let mut lost = Vec::new();
         for key in running {
-            let wanted = batch.job(&key.0).is_some_and(|job| job.is_open() && job.unlisted(key.1).is_some());
+            let wanted =
+                batch.job(&key.0).is_some_and(|job| job.is_open() && job.pending_item(key.1).is_some());
             let others =
-                self.held.get(&key).is_some_and(|lease| lease.gateway != gateway && lease.until > now);
+                self.leases.get(&key).is_some_and(|lease| lease.gateway != gateway && lease.expires_at > now);
             if wanted && !others {
-                let granted_at = self.held.get(&key).map_or(now, |lease| lease.granted_at);
-                let lease = Lease { gateway: gateway.to_owned(), until: now + term, granted_at };
-                self.held.insert(key, lease);
+                let granted_at = self.leases.get(&key).map_or(now, |lease| lease.granted_at);
+                let lease = Lease { gateway: gateway.to_owned(), expires_at: now + term, granted_at };
+                self.leases.insert(key, lease);
             } else {
                 lost.push(key);
             }
@@ -92,29 +93,30 @@
     /// after these the others. What is late already earns less, and would make the next ones late too.
     pub fn grant(
         &mut self,
-        batch: &Batch,
+        batch: &BatchState,
         gateway: &str,
         room: usize,
         now: Duration,
         time_ms: u64,
         term: Duration,
     ) -> Vec<ItemKey> {
-        let done_ms = u64::try_from(self.run_times.most().as_millis()).unwrap_or(u64::MAX);
+        let done_ms = u64::try_from(self.run_times.upper_estimate().as_millis()).unwrap_or(u64::MAX);
         let mut open: Vec<_> = batch.open_jobs().collect();
         open.sort_by_key(|(_, job)| {
-            let due_ms = job.taken_at_ms.saturating_add(job.due_after_ms);
-            (due_ms < time_ms.saturating_add(done_ms), due_ms, job.order)
+            let due_ms = job.accepted_at_ms.saturating_add(job.due_after_ms);
+            (due_ms < time_ms.saturating_add(done_ms), due_ms, job.sequence)
         });
         let mut granted = Vec::new();
         for (id, job) in open {
-            for item in job.unlisted_items() {
+            for item in job.pending_items() {
                 if granted.len() >= room {
                     return granted;
                 }
                 let key = (id.clone(), item);
-                if self.held.get(&key).is_none_or(|lease| lease.until <= now) {
-                    let lease = Lease { gateway: gateway.to_owned(), until: now + term, granted_at: now };
-                    self.held.insert(key.clone(), lease);
+                if self.leases.get(&key).is_none_or(|lease| lease.expires_at <= now) {
+                    let lease =
+                        Lease { gateway: gateway.to_owned(), expires_at: now + term, granted_at: now };
+                    self.leases.insert(key.clone(), lease);
                     granted.push(key);
                 }
             }
@@ -124,27 +126,27 @@
 
     /// An item has a result.
     pub fn finish(&mut self, key: &ItemKey, now: Duration) {
-        if let Some(lease) = self.held.remove(key) {
-            self.run_times.note(now.saturating_sub(lease.granted_at));
+        if let Some(lease) = self.leases.remove(key) {
+            self.run_times.record(now.saturating_sub(lease.granted_at));
         }
     }
 
     /// The time within which most items are done, by the latest.
     pub fn run_time(&self) -> Duration {
-        self.run_times.most()
+        self.run_times.upper_estimate()
     }
 
     /// Forgets leases that have ended.
-    pub fn sweep(&mut self, now: Duration) {
-        self.held.retain(|_, lease| lease.until > now);
+    pub fn remove_expired(&mut self, now: Duration) {
+        self.leases.retain(|_, lease| lease.expires_at > now);
     }
 
     /// Items that are held.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.leases.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.leases.is_empty()
     }
 }
--- a/control-plane/batch-state/src/lib.rs
+++ b/control-plane/batch-state/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod job;
 pub mod lease;
 
-pub use job::{Item, ItemOutcome, Job, ListedResult, NewJob};
+pub use job::{Item, ItemOutcome, ItemResult, Job, NewJob};
 
 use marblecroft_chain_replication::StateMachine;
 use marblecroft_rpc::{decode, encode};
@@ -19,14 +19,14 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Operation {
     /// Takes a job if its tokens fit.
-    Submit(NewJob),
+    SubmitJob(NewJob),
     /// Records an item's outcome, unless it has one or its job is not known.
-    Record { job: String, item: u32, outcome: ItemOutcome },
+    RecordResult { job: String, item: u32, outcome: ItemOutcome },
     /// Ends a job: its items are not run any more.
-    End { job: String },
+    EndJob { job: String },
     /// Forgets jobs that were taken before this time (milliseconds since 1970, by the head's clock) and have ended or are
     /// done.
-    Forget { taken_before_ms: u64 },
+    ExpireJobs { accepted_before_ms: u64 },
 }
 
 /// What became of an operation.
@@ -38,22 +38,22 @@
     OverQuota,
     /// Another job was taken under its id.
     Conflict,
-    Done,
+    Applied,
     /// There is no such job.
-    Unknown,
+    UnknownJob,
 }
 
 /// The state.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
-pub struct Batch {
+pub struct BatchState {
     jobs: BTreeMap<String, Job>,
     /// Jobs taken so far; gives their order.
-    taken: u64,
+    accepted_jobs: u64,
     /// Tokens of items that wait, by route.
-    waiting: BTreeMap<String, u64>,
+    queued_tokens: BTreeMap<String, u64>,
 }
 
-impl Batch {
+impl BatchState {
     pub fn job(&self, id: &str) -> Option<&Job> {
         self.jobs.get(id)
     }
@@ -68,74 +68,74 @@
     }
 
     /// Tokens that wait on a route.
-    pub fn waiting_tokens(&self, route: &str) -> u64 {
-        self.waiting.get(route).copied().unwrap_or(0)
+    pub fn queued_tokens(&self, route: &str) -> u64 {
+        self.queued_tokens.get(route).copied().unwrap_or(0)
     }
 
     /// Whether a job of this id was taken already, or its tokens fit.
-    pub fn fits(&self, new: &NewJob) -> bool {
-        let after = self.waiting_tokens(&new.route).saturating_add(new.tokens());
+    pub fn fits_quota(&self, new: &NewJob) -> bool {
+        let after = self.queued_tokens(&new.route).saturating_add(new.tokens());
         new.max_queued_tokens == 0 || after <= new.max_queued_tokens || self.jobs.contains_key(&new.id)
     }
 
     fn submit(&mut self, new: NewJob) -> Output {
         if let Some(known) = self.jobs.get(&new.id) {
-            return if known.is_same(&new) { Output::Accepted } else { Output::Conflict };
+            return if known.is_resubmission(&new) { Output::Accepted } else { Output::Conflict };
         }
-        if !self.fits(&new) {
+        if !self.fits_quota(&new) {
             return Output::OverQuota;
         }
-        let (tokens, waiting) = (new.tokens(), self.waiting_tokens(&new.route));
-        self.waiting.insert(new.route.clone(), waiting.saturating_add(tokens));
-        self.taken += 1;
+        let (tokens, waiting) = (new.tokens(), self.queued_tokens(&new.route));
+        self.queued_tokens.insert(new.route.clone(), waiting.saturating_add(tokens));
+        self.accepted_jobs += 1;
         let id = new.id.clone();
-        self.jobs.insert(id, Job::new(new, self.taken));
+        self.jobs.insert(id, Job::new(new, self.accepted_jobs));
         Output::Accepted
     }
 
-    fn release(&mut self, route: &str, tokens: u64) {
-        if let Some(waiting) = self.waiting.get_mut(route) {
+    fn release_tokens(&mut self, route: &str, tokens: u64) {
+        if let Some(waiting) = self.queued_tokens.get_mut(route) {
             *waiting = waiting.saturating_sub(tokens);
         }
     }
 
     fn record(&mut self, id: &str, item: u32, outcome: ItemOutcome) -> Output {
-        let Some(job) = self.jobs.get_mut(id) else { return Output::Unknown };
+        let Some(job) = self.jobs.get_mut(id) else { return Output::UnknownJob };
         let released = job.record(item, outcome);
         let route = job.route.clone();
-        self.release(&route, released);
-        Output::Done
+        self.release_tokens(&route, released);
+        Output::Applied
     }
 
     fn end(&mut self, id: &str) -> Output {
-        let Some(job) = self.jobs.get_mut(id) else { return Output::Unknown };
+        let Some(job) = self.jobs.get_mut(id) else { return Output::UnknownJob };
         let released = job.end();
         let route = job.route.clone();
-        self.release(&route, released);
-        Output::Done
+        self.release_tokens(&route, released);
+        Output::Applied
     }
 }
 
-impl StateMachine for Batch {
+impl StateMachine for BatchState {
     type Operation = Operation;
     type Output = Output;
 
     fn apply(&mut self, operation: Operation) -> Output {
         match operation {
-            Operation::Submit(new) => self.submit(new),
-            Operation::Record { job, item, outcome } => self.record(&job, item, outcome),
-            Operation::End { job } => self.end(&job),
-            Operation::Forget { taken_before_ms } => {
-                self.jobs.retain(|_, job| job.is_open() || job.taken_at_ms >= taken_before_ms);
-                Output::Done
+            Operation::SubmitJob(new) => self.submit(new),
+            Operation::RecordResult { job, item, outcome } => self.record(&job, item, outcome),
+            Operation::EndJob { job } => self.end(&job),
+            Operation::ExpireJobs { accepted_before_ms: taken_before_ms } => {
+                self.jobs.retain(|_, job| job.is_open() || job.accepted_at_ms >= taken_before_ms);
+                Output::Applied
             }
         }
     }
 
     fn size_of(operation: &Operation) -> usize {
         match operation {
-            Operation::Submit(new) => new.items.iter().map(|item| item.body.0.len()).sum(),
-            Operation::Record { outcome: ItemOutcome::Completed(text), .. } => text.len(),
+            Operation::SubmitJob(new) => new.items.iter().map(|item| item.body.0.len()).sum(),
+            Operation::RecordResult { outcome: ItemOutcome::Completed(text), .. } => text.len(),
             _ => 0,
         }
     }
@@ -144,7 +144,7 @@
         encode(self)
     }
 
-    fn restore(snapshot: &[u8]) -> Option<Batch> {
+    fn restore(snapshot: &[u8]) -> Option<BatchState> {
         decode(snapshot).ok()
     }
 }
--- a/control-plane/batch-state/tests/golden.rs
+++ b/control-plane/batch-state/tests/golden.rs
@@ -2,7 +2,7 @@
 //! bytes of a fixture, and those are read and written again. A state that an earlier program has stored is restored.
 //! Leases are not part of it: the head alone holds them, and writes them nowhere.
 
-use marblecroft_batch_state::{Batch, Item, ItemOutcome, ListedResult, NewJob, Operation, Output};
+use marblecroft_batch_state::{BatchState, Item, ItemOutcome, ItemResult, NewJob, Operation, Output};
 use marblecroft_chain_replication::StateMachine;
 use marblecroft_rpc::{decode, encode, Bytes, Message};
 use std::fmt::Debug;
@@ -43,7 +43,15 @@
 fn job(id: &str, route: &str, items: Vec<Item>, taken_at_ms: u64) -> NewJob {
     let host = format!("{route}.example");
     let (id, route) = (id.to_owned(), route.to_owned());
-    NewJob { id, route, host, items, max_queued_tokens: 1000, taken_at_ms, due_after_ms: 8000 }
+    NewJob {
+        id,
+        route,
+        host,
+        items,
+        max_queued_tokens: 1000,
+        accepted_at_ms: taken_at_ms,
+        due_after_ms: 8000,
+    }
 }
 
 fn half_done() -> NewJob {
@@ -52,22 +60,22 @@
 }
 
 fn record(job: &str, item: u32, outcome: ItemOutcome) -> Operation {
-    Operation::Record { job: job.to_owned(), item, outcome }
+    Operation::RecordResult { job: job.to_owned(), item, outcome }
 }
 
 fn operations() -> [(&'static str, Operation); 9] {
     let ended = job("job-2", "hourly", vec![item("fourth", 40), item("fifth", 50)], 1_700_000_001_456);
     let done = job("job-0", "nightly", vec![item("sixth", 7)], 1_600_000_000_000);
     [
-        ("submit_done", Operation::Submit(done)),
-        ("submit_half_done", Operation::Submit(half_done())),
-        ("submit_ended", Operation::Submit(ended)),
+        ("submit_done", Operation::SubmitJob(done)),
+        ("submit_half_done", Operation::SubmitJob(half_done())),
+        ("submit_ended", Operation::SubmitJob(ended)),
         ("record_all", record("job-0", 0, ItemOutcome::Completed("sixth's".to_owned()))),
         ("record", record("job-1", 2, ItemOutcome::Completed("{\"a\":1}\n[DONE]".to_owned()))),
         ("dead_letter", record("job-1", 0, ItemOutcome::DeadLettered)),
         ("record_of_none", record("job-9", 4, ItemOutcome::DeadLettered)),
-        ("end", Operation::End { job: "job-2".to_owned() }),
-        ("forget", Operation::Forget { taken_before_ms: 1_650_000_000_000 }),
+        ("end", Operation::EndJob { job: "job-2".to_owned() }),
+        ("forget", Operation::ExpireJobs { accepted_before_ms: 1_650_000_000_000 }),
     ]
 }
 
@@ -81,7 +89,7 @@
     let outcomes =
         [("completed", ItemOutcome::Completed("text".to_owned())), ("dead", ItemOutcome::DeadLettered)];
     check(include_str!("golden/outcomes.hex"), &outcomes);
-    let result = ListedResult { item: 6, outcome: ItemOutcome::DeadLettered };
+    let result = ItemResult { item: 6, outcome: ItemOutcome::DeadLettered };
     check(include_str!("golden/results.hex"), &[("result", result)]);
     check(include_str!("golden/jobs.hex"), &[("job", half_done())]);
     check(include_str!("golden/items.hex"), &[("item", item("seventh", 77))]);
@@ -89,48 +97,48 @@
 
 #[test]
 fn the_state_with_a_half_done_job_keeps_its_bytes() {
-    let mut batch = Batch::default();
+    let mut batch = BatchState::default();
     let outputs = operations().map(|(_, operation)| batch.apply(operation));
-    let mut expected = [const { Output::Done }; 9];
+    let mut expected = [const { Output::Applied }; 9];
     expected[..3].fill(Output::Accepted);
-    expected[6] = Output::Unknown;
+    expected[6] = Output::UnknownJob;
     assert_eq!(outputs, expected);
-    check(include_str!("golden/state.hex"), &[("state", batch), ("none", Batch::default())]);
+    check(include_str!("golden/state.hex"), &[("state", batch), ("none", BatchState::default())]);
 }
 
 #[test]
 fn a_stored_batch_state_is_restored_and_goes_on() {
     let line = include_str!("golden/state.hex").lines().next().expect("a line");
     let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
-    let mut batch = Batch::restore(&bytes).expect("a state");
+    let mut batch = BatchState::restore(&bytes).expect("a state");
     assert_eq!(batch.snapshot(), bytes);
-    assert_eq!((batch.waiting_tokens("nightly"), batch.waiting_tokens("hourly")), (230, 0));
+    assert_eq!((batch.queued_tokens("nightly"), batch.queued_tokens("hourly")), (230, 0));
     assert!(batch.job("job-0").is_none());
     let kept = batch.job("job-1").expect("kept");
     assert_eq!((kept.route.as_str(), kept.host.as_str()), ("nightly", "nightly.example"));
-    assert_eq!((kept.order, kept.taken_at_ms, kept.due_after_ms), (2, 1_700_000_000_123, 8000));
+    assert_eq!((kept.sequence, kept.accepted_at_ms, kept.due_after_ms), (2, 1_700_000_000_123, 8000));
     assert_eq!((kept.total(), kept.is_open(), kept.is_ended()), (3, true, false));
     let results = [
-        ListedResult { item: 2, outcome: ItemOutcome::Completed("{\"a\":1}\n[DONE]".to_owned()) },
-        ListedResult { item: 0, outcome: ItemOutcome::DeadLettered },
+        ItemResult { item: 2, outcome: ItemOutcome::Completed("{\"a\":1}\n[DONE]".to_owned()) },
+        ItemResult { item: 0, outcome: ItemOutcome::DeadLettered },
     ];
     assert_eq!(kept.results(), results);
-    assert_eq!(kept.unlisted_items().collect::<Vec<_>>(), [1]);
-    assert_eq!(kept.unlisted(1), Some(&item("second", 230)));
+    assert_eq!(kept.pending_items().collect::<Vec<_>>(), [1]);
+    assert_eq!(kept.pending_item(1), Some(&item("second", 230)));
     assert!(batch.job("job-2").is_some_and(|job| job.is_ended() && !job.is_open()));
     let mut other = half_done();
     other.items[1].tokens += 1;
     let large = job("job-3", "nightly", vec![item("eighth", 771)], 1_700_000_002_000);
     let cases = [
         // It is known by its digest, which does not depend on the order of headers.
-        (Operation::Submit(half_done()), Output::Accepted),
-        (Operation::Submit(other), Output::Conflict),
-        (Operation::Submit(large), Output::OverQuota),
-        (record("job-1", 1, ItemOutcome::Completed("last".to_owned())), Output::Done),
+        (Operation::SubmitJob(half_done()), Output::Accepted),
+        (Operation::SubmitJob(other), Output::Conflict),
+        (Operation::SubmitJob(large), Output::OverQuota),
+        (record("job-1", 1, ItemOutcome::Completed("last".to_owned())), Output::Applied),
     ];
     for (operation, expected) in cases {
         assert_eq!(batch.apply(operation.clone()), expected, "{operation:?}");
     }
-    assert_eq!(batch.waiting_tokens("nightly"), 0);
+    assert_eq!(batch.queued_tokens("nightly"), 0);
     assert!(batch.job("job-1").is_some_and(|job| !job.is_open()));
 }
--- a/control-plane/chain-replication/src/agreement.rs
+++ b/control-plane/chain-replication/src/agreement.rs
@@ -13,15 +13,15 @@
 use std::io;
 
 /// Ballots of one round, of which each member has its own.
-const BALLOTS_A_ROUND: u64 = 64;
+const PROPOSERS_PER_ROUND: u64 = 64;
 
 /// Asks a voter for its vote on the view `instance`.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum VoteRequest {
     /// Promise to take part in no lower ballot.
-    Prepare { instance: u64, ballot: u64 },
+    Prepare { instance: u64, proposal_number: u64 },
     /// Accept this view.
-    Accept { instance: u64, ballot: u64, view: View },
+    Accept { instance: u64, proposal_number: u64, view: View },
     /// This view is decided.
     Decided { view: View },
 }
@@ -33,52 +33,51 @@
     Promised(Option<Accepted>),
     Accepted,
     /// A higher ballot is under way: this one at least.
-    Outbid(u64),
+    Preempted(u64),
     /// The view is decided already, or the member knows of another number; this is the newest that it knows.
-    Known(View),
+    CurrentView(View),
     /// The voter's disk refused, or it is no voter.
-    Unable,
+    Rejected,
 }
 
 impl<M: StateMachine, S: Storage> Replica<M, S> {
     /// Answers a request for this member's vote.
-    pub fn answer_vote(&mut self, request: &VoteRequest) -> VoteReply {
-        self.try_answer_vote(request).unwrap_or(VoteReply::Unable)
+    pub fn handle_vote_request(&mut self, request: &VoteRequest) -> VoteReply {
+        self.try_handle_vote_request(request).unwrap_or(VoteReply::Rejected)
     }
 
-    fn try_answer_vote(&mut self, request: &VoteRequest) -> io::Result<VoteReply> {
+    fn try_handle_vote_request(&mut self, request: &VoteRequest) -> io::Result<VoteReply> {
         let (instance, ballot) = match request {
             VoteRequest::Decided { view } => {
-                self.learn(view)?;
-                return Ok(VoteReply::Known(self.view().clone()));
-            }
-            VoteRequest::Prepare { instance, ballot } | VoteRequest::Accept { instance, ballot, .. } => {
-                (*instance, *ballot)
+                self.install_view(view)?;
+                return Ok(VoteReply::CurrentView(self.view().clone()));
             }
+            VoteRequest::Prepare { instance, proposal_number: ballot }
+            | VoteRequest::Accept { instance, proposal_number: ballot, .. } => (*instance, *ballot),
         };
         if instance != self.view().number + 1 {
-            return Ok(VoteReply::Known(self.view().clone()));
+            return Ok(VoteReply::CurrentView(self.view().clone()));
         }
-        if !self.view().has_voter(self.identity()) {
-            return Ok(VoteReply::Unable);
+        if !self.view().is_voter(self.identity()) {
+            return Ok(VoteReply::Rejected);
         }
         let mut vote = self.vote().clone();
         if vote.instance != instance {
             vote = Vote { instance, ..Vote::default() };
         }
         if ballot < vote.promised {
-            return Ok(VoteReply::Outbid(vote.promised));
+            return Ok(VoteReply::Preempted(vote.promised));
         }
         vote.promised = ballot;
         let reply = match request {
             VoteRequest::Accept { view, .. } => {
-                vote.accepted = Some(Accepted { ballot, view: view.clone() });
+                vote.accepted = Some(Accepted { proposal_number: ballot, view: view.clone() });
                 VoteReply::Accepted
             }
             _ => VoteReply::Promised(vote.accepted.clone()),
         };
         if vote != *self.vote() {
-            self.keep_vote(vote)?;
+            self.persist_vote(vote)?;
         }
         Ok(reply)
     }
@@ -90,7 +89,7 @@
     /// Decided, though perhaps another view than the one that was proposed.
     Decided(View),
     /// Too few members answered, or another proposer is ahead with this ballot.
-    Undecided { outbid: u64 },
+    Undecided { preempted_by: u64 },
 }
 
 /// What a proposer does after an answer.
@@ -99,8 +98,8 @@
     /// Wait for further answers.
     Wait,
     /// Ask all voters the next request.
-    Ask,
-    Ended(Outcome),
+    SendRequest,
+    Finished(Outcome),
 }
 
 /// The two phases of a ballot.
@@ -111,8 +110,8 @@
 }
 
 /// The lowest ballot of a member's own that is above `above`.
-pub fn next_ballot(above: u64, member: usize) -> u64 {
-    (above / BALLOTS_A_ROUND + 1) * BALLOTS_A_ROUND + member as u64 % BALLOTS_A_ROUND
+pub fn next_proposal_number(above: u64, member: usize) -> u64 {
+    (above / PROPOSERS_PER_ROUND + 1) * PROPOSERS_PER_ROUND + member as u64 % PROPOSERS_PER_ROUND
 }
 
 /// One proposer's attempt to have a view decided, without network. The proposer's own vote is the first that is noted: its
@@ -121,29 +120,29 @@
 pub struct Proposal {
     current: View,
     view: View,
-    ballot: u64,
+    proposal_number: u64,
     /// Voters whose disk is known to be lost.
-    lost: BTreeSet<u64>,
+    lost_voters: BTreeSet<u64>,
     phase: Phase,
-    granted: BTreeSet<u64>,
-    answered: BTreeSet<u64>,
-    highest: Option<Accepted>,
-    outbid: u64,
+    granted_by: BTreeSet<u64>,
+    answered_by: BTreeSet<u64>,
+    highest_accepted: Option<Accepted>,
+    preempted_by: u64,
 }
 
 impl Proposal {
     /// An attempt to have `view` follow `current`, with a ballot of the proposer's own.
-    pub fn new(current: View, view: View, ballot: u64, lost: BTreeSet<u64>) -> Proposal {
+    pub fn new(current: View, view: View, proposal_number: u64, lost_voters: BTreeSet<u64>) -> Proposal {
         Proposal {
             current,
             view,
-            ballot,
-            lost,
+            proposal_number,
+            lost_voters,
             phase: Phase::Prepare,
-            granted: BTreeSet::new(),
-            answered: BTreeSet::new(),
-            highest: None,
-            outbid: 0,
+            granted_by: BTreeSet::new(),
+            answered_by: BTreeSet::new(),
+            highest_accepted: None,
+            preempted_by: 0,
         }
     }
 
@@ -158,58 +157,61 @@
 
     /// What the voters are asked in this phase.
     pub fn request(&self) -> VoteRequest {
-        let (instance, ballot) = (self.current.number + 1, self.ballot);
+        let (instance, ballot) = (self.current.number + 1, self.proposal_number);
         match self.phase {
-            Phase::Prepare => VoteRequest::Prepare { instance, ballot },
-            Phase::Accept => VoteRequest::Accept { instance, ballot, view: self.view.clone() },
+            Phase::Prepare => VoteRequest::Prepare { instance, proposal_number: ballot },
+            Phase::Accept => {
+                VoteRequest::Accept { instance, proposal_number: ballot, view: self.view.clone() }
+            }
         }
     }
 
     /// Takes a voter's answer, or that there is none.
-    pub fn note(&mut self, phase: Phase, identity: u64, reply: Option<VoteReply>) -> Step {
-        if phase != self.phase || !self.current.has_voter(identity) || !self.answered.insert(identity) {
+    pub fn handle_reply(&mut self, phase: Phase, identity: u64, reply: Option<VoteReply>) -> Step {
+        if phase != self.phase || !self.current.is_voter(identity) || !self.answered_by.insert(identity) {
             return Step::Wait;
         }
         match (phase, reply) {
             (Phase::Prepare, Some(VoteReply::Promised(accepted))) => {
-                self.granted.insert(identity);
-                let known = [self.highest.take(), accepted];
-                self.highest = known.into_iter().flatten().max_by_key(|accepted| accepted.ballot);
+                self.granted_by.insert(identity);
+                let known = [self.highest_accepted.take(), accepted];
+                self.highest_accepted =
+                    known.into_iter().flatten().max_by_key(|accepted| accepted.proposal_number);
             }
             (Phase::Accept, Some(VoteReply::Accepted)) => {
-                self.granted.insert(identity);
+                self.granted_by.insert(identity);
             }
-            (_, Some(VoteReply::Known(view))) if view.number > self.current.number => {
-                return Step::Ended(Outcome::Decided(view));
+            (_, Some(VoteReply::CurrentView(view))) if view.number > self.current.number => {
+                return Step::Finished(Outcome::Decided(view));
             }
-            (_, Some(VoteReply::Outbid(other))) => self.outbid = self.outbid.max(other),
+            (_, Some(VoteReply::Preempted(other))) => self.preempted_by = self.preempted_by.max(other),
             _ => {}
         }
         if self.is_granted() {
-            return self.advance();
+            return self.start_next_phase();
         }
-        if self.answered.len() == self.current.voters.len() {
-            return Step::Ended(Outcome::Undecided { outbid: self.outbid });
+        if self.answered_by.len() == self.current.voters.len() {
+            return Step::Finished(Outcome::Undecided { preempted_by: self.preempted_by });
         }
         Step::Wait
     }
 
     fn is_granted(&self) -> bool {
-        let (majority, lost) = (self.current.majority(), self.lost.len());
-        let all_left = self.granted.union(&self.lost).count() == self.current.voters.len();
-        self.granted.len() >= majority || (lost > 0 && lost < majority && all_left)
+        let (majority, lost) = (self.current.majority(), self.lost_voters.len());
+        let all_left = self.granted_by.union(&self.lost_voters).count() == self.current.voters.len();
+        self.granted_by.len() >= majority || (lost > 0 && lost < majority && all_left)
     }
 
-    fn advance(&mut self) -> Step {
+    fn start_next_phase(&mut self) -> Step {
         if self.phase == Phase::Accept {
-            return Step::Ended(Outcome::Decided(self.view.clone()));
+            return Step::Finished(Outcome::Decided(self.view.clone()));
         }
-        if let Some(accepted) = self.highest.take() {
+        if let Some(accepted) = self.highest_accepted.take() {
             self.view = accepted.view;
         }
         self.phase = Phase::Accept;
-        self.granted.clear();
-        self.answered.clear();
-        Step::Ask
+        self.granted_by.clear();
+        self.answered_by.clear();
+        Step::SendRequest
     }
 }
--- a/control-plane/chain-replication/src/chain.rs
+++ b/control-plane/chain-replication/src/chain.rs
@@ -10,7 +10,7 @@
 //! time: nothing was acknowledged in a later view before it.
 
 use crate::message::{Append, AppendReply, Install, Round, Status};
-use crate::replica::{Position, Received, Replica, StateMachine};
+use crate::replica::{AppendOutcome, Position, Replica, StateMachine};
 use crate::storage::Storage;
 use crate::view::{Member, View};
 use marblecroft_rpc::Bytes;
@@ -21,50 +21,50 @@
 use tracing::{info, warn};
 
 /// Times that a member's position is asked for anew in one round before it counts as failed.
-const ATTEMPTS: usize = 4;
+const MAX_APPEND_ATTEMPTS: usize = 4;
 /// Operations of one round, in bytes; one that is larger has a round of its own.
-const ROUND_MOST: usize = 512 << 10;
+const MAX_ENTRY_BYTES: usize = 512 << 10;
 /// An operation below this size does not count as large, in bytes.
-const SMALL: usize = 16 << 10;
+const LARGE_OPERATION_BYTES: usize = 16 << 10;
 /// Pause after a round that did not go through the chain.
-const RETRY_PAUSE: Duration = Duration::from_millis(40);
+const RETRY_BACKOFF: Duration = Duration::from_millis(40);
 /// Rounds whose time of handling is kept until the head confirms them.
-const HANDLED_MOST: usize = 16;
+const MAX_HANDLED_ROUNDS: usize = 16;
 
 /// Names a request for whoever handed it in.
 pub type Token = u64;
 
 /// How a chain behaves in time.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct Config {
     /// Pause between two rounds without operations.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Time for one member's part of a round.
-    pub member_time: Duration,
+    pub append_timeout: Duration,
     /// Time for sending a whole state.
-    pub install_time: Duration,
+    pub install_timeout: Duration,
     /// Disks that an operation must be on before it is acknowledged.
-    pub copies: usize,
+    pub min_replicas: usize,
     /// Whether this member's storage outlives its process.
     pub is_durable: bool,
     /// A member that fails its part for so long is suspected. Longer than any lease: see [`Chain::lease_since`].
-    pub suspect_after: Duration,
+    pub suspect_timeout: Duration,
 }
 
 quick_error! {
     /// Why an operation has no result; it says whether the operation may have been carried out.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum Refused {
+    pub enum ProposalError {
         /// Another process is the head, or none is known.
         NotHead(head: Option<SocketAddr>) {
             display("another process is the head")
         }
         /// Too few members are left to take operations.
-        TooFew {
+        NotEnoughReplicas {
             display("too few copies would be made")
         }
         /// It may have been carried out, and may be later.
-        Unknown {
+        OutcomeUnknown {
             display("outcome unknown")
         }
     }
@@ -86,62 +86,62 @@
     /// Answer a message that was handed in.
     Reply { token: Token, reply: AppendReply },
     /// What became of an operation.
-    Finished { token: Token, result: Result<O, Refused> },
+    Applied { token: Token, result: Result<O, ProposalError> },
     /// The state is the newest that was acknowledged, or why it may not be read.
-    Readable { token: Token, result: Result<(), Refused> },
+    Readable { token: Token, result: Result<(), ProposalError> },
 }
 
 /// An operation that waits to be ordered.
-struct Queued<O> {
+struct QueuedOperation<O> {
     token: Token,
     operation: O,
-    until: Duration,
+    deadline: Duration,
 }
 
 /// An operation that was ordered and is not yet held by the whole chain.
-struct Ordered<O> {
+struct UncommittedOperation<O> {
     token: Token,
     /// The entry that holds it.
     index: u64,
     output: O,
-    until: Duration,
+    deadline: Duration,
 }
 
 /// A reading that waits for a round.
-struct Reading {
+struct PendingRead {
     token: Token,
-    until: Duration,
+    deadline: Duration,
 }
 
 /// A call to the member that follows, and who waits for it.
-struct Pass {
+struct InFlightAppend {
     call: u64,
     view: u64,
-    replaced: u64,
+    restore_count: u64,
     position: Position,
     successor: Member,
     /// When the round was begun here.
-    begun: Duration,
-    installs: bool,
-    readings: Vec<Reading>,
+    started_at: Duration,
+    is_install: bool,
+    reads: Vec<PendingRead>,
     /// Messages of the member before this one that are answered with its outcome.
-    upstream: Vec<Token>,
+    upstream_tokens: Vec<Token>,
 }
 
 /// What the members from one on are known to hold.
-struct Held {
+struct DownstreamProgress {
     /// When the round was begun at this member.
-    begun: Duration,
+    started_at: Duration,
     position: Position,
     /// Disks that hold it, of the members that follow.
-    copies_behind: usize,
+    durable_replicas_downstream: usize,
 }
 
 /// Where a round failed.
 enum Failure {
-    At(SocketAddr),
+    Member(SocketAddr),
     /// There is a newer view.
-    View,
+    NewerView,
 }
 
 /// What this member was when it was last looked at.
@@ -149,12 +149,12 @@
 struct Role {
     view: u64,
     is_head: bool,
-    replaced: u64,
+    restore_count: u64,
 }
 
 /// Rounds that this member has handled, of one session in one view.
 #[derive(Default)]
-struct Handled {
+struct HandledRounds {
     view: u64,
     session: u64,
     /// Number and time.
@@ -164,68 +164,68 @@
 /// A member of a chain.
 pub struct Chain<M: StateMachine, S> {
     replica: Replica<M, S>,
-    options: Options,
-    queue: VecDeque<Queued<M::Operation>>,
-    ordered: VecDeque<Ordered<M::Output>>,
-    readings: Vec<Reading>,
-    upstream: Vec<Token>,
-    pass: Option<Pass>,
-    calls: u64,
-    attempts: usize,
+    config: Config,
+    queue: VecDeque<QueuedOperation<M::Operation>>,
+    uncommitted: VecDeque<UncommittedOperation<M::Output>>,
+    reads: Vec<PendingRead>,
+    upstream_tokens: Vec<Token>,
+    in_flight: Option<InFlightAppend>,
+    last_call: u64,
+    append_attempts: usize,
     round: Round,
     /// The round that this member passes on, where it is not the head.
-    forwarded: Round,
-    heartbeat_at: Duration,
-    retry_at: Duration,
+    forwarded_round: Round,
+    next_heartbeat_at: Duration,
+    next_attempt_at: Duration,
     role: Role,
-    handled: Handled,
-    lease_since: Option<Duration>,
-    healthy_at: Option<Duration>,
-    heard_at: Option<Duration>,
-    failing: Option<(SocketAddr, Duration)>,
+    handled_rounds: HandledRounds,
+    lease_confirmed_at: Option<Duration>,
+    last_committed_round_at: Option<Duration>,
+    last_append_received_at: Option<Duration>,
+    failing_member: Option<(SocketAddr, Duration)>,
     /// The positions at which other members were last known to be.
-    positions: HashMap<u64, Position>,
-    notice: Bytes,
-    leaving: bool,
+    peer_positions: HashMap<u64, Position>,
+    broadcast: Bytes,
+    draining: bool,
 }
 
 impl<M: StateMachine, S: Storage> Chain<M, S> {
     /// A member with this state. `session` is drawn anew by every process.
-    pub fn new(replica: Replica<M, S>, options: Options, session: u64) -> Chain<M, S> {
+    pub fn new(replica: Replica<M, S>, config: Config, session: u64) -> Chain<M, S> {
         let role = role_of(&replica);
         Chain {
             replica,
-            options,
+            config,
             queue: VecDeque::new(),
-            ordered: VecDeque::new(),
-            readings: Vec::new(),
-            upstream: Vec::new(),
-            pass: None,
-            calls: 0,
-            attempts: 0,
+            uncommitted: VecDeque::new(),
+            reads: Vec::new(),
+            upstream_tokens: Vec::new(),
+            in_flight: None,
+            last_call: 0,
+            append_attempts: 0,
             round: Round { session, ..Round::default() },
-            forwarded: Round::default(),
-            heartbeat_at: Duration::ZERO,
-            retry_at: Duration::ZERO,
+            forwarded_round: Round::default(),
+            next_heartbeat_at: Duration::ZERO,
+            next_attempt_at: Duration::ZERO,
             role,
-            handled: Handled::default(),
-            lease_since: None,
-            healthy_at: None,
-            heard_at: None,
-            failing: None,
-            positions: HashMap::new(),
-            notice: Bytes::default(),
-            leaving: false,
+            handled_rounds: HandledRounds::default(),
+            lease_confirmed_at: None,
+            last_committed_round_at: None,
+            last_append_received_at: None,
+            failing_member: None,
+            peer_positions: HashMap::new(),
+            broadcast: Bytes::default(),
+            draining: false,
         }
     }
 
     /// The process is about to end: from now on it has no lease, and its status says so.
-    pub fn leave(&mut self) {
-        self.leaving = true;
+    pub fn start_draining(&mut self) {
+        self.draining = true;
     }
 
-    pub fn is_leaving(&self) -> bool {
-        self.leaving
+    pub fn is_draining(&self) -> bool {
+        self.draining
     }
 
     /// This member's state.
@@ -234,21 +234,21 @@
     }
 
     /// The state machine if the whole chain is known to hold its state.
-    pub fn settled(&self) -> Option<&M> {
-        self.replica.settled().then(|| self.replica.machine())
+    pub fn committed_machine(&self) -> Option<&M> {
+        self.replica.is_committed().then(|| self.replica.machine())
     }
 
     /// What this member says of itself.
     pub fn status(&self, now: Duration) -> Status {
-        let failing = self.failing.filter(|failing| now >= failing.1 + self.options.suspect_after);
+        let failing = self.failing_member.filter(|failing| now >= failing.1 + self.config.suspect_timeout);
         Status {
             identity: self.replica.identity(),
             view: self.replica.view().clone(),
-            complete: self.replica.complete(),
+            complete: self.replica.is_complete(),
             position: self.replica.position(),
-            settled: self.replica.settled(),
+            committed: self.replica.is_committed(),
             suspect: failing.map(|failing| failing.0),
-            leaving: self.leaving,
+            draining: self.draining,
         }
     }
 
@@ -263,29 +263,29 @@
 
     /// The newest time at which every member was in this member's view, as far as is known here. Nothing was acknowledged in
     /// a later view before it. `None` where this process is no complete member, or is about to leave.
-    pub fn lease_since(&self) -> Option<Duration> {
-        let holds = self.replica.complete() && self.replica.view().contains(self.replica.identity());
-        self.lease_since.filter(|_| holds && !self.leaving)
+    pub fn lease_confirmed_at(&self) -> Option<Duration> {
+        let holds = self.replica.is_complete() && self.replica.view().contains(self.replica.identity());
+        self.lease_confirmed_at.filter(|_| holds && !self.draining)
     }
 
     /// When the chain was last known to be whole here.
-    pub fn healthy_at(&self) -> Option<Duration> {
-        self.healthy_at
+    pub fn last_committed_round_at(&self) -> Option<Duration> {
+        self.last_committed_round_at
     }
 
     /// When anything of the chain was heard here.
-    pub fn heard_at(&self) -> Option<Duration> {
-        self.heard_at
+    pub fn last_append_received_at(&self) -> Option<Duration> {
+        self.last_append_received_at
     }
 
     /// The volatile data that the head gave last.
-    pub fn notice(&self) -> &[u8] {
-        &self.notice.0
+    pub fn broadcast(&self) -> &[u8] {
+        &self.broadcast.0
     }
 
     /// Sets the data that the head gives to all members.
-    pub fn set_notice(&mut self, notice: Vec<u8>) {
-        self.notice = Bytes(notice);
+    pub fn set_broadcast(&mut self, notice: Vec<u8>) {
+        self.broadcast = Bytes(notice);
     }
 
     /// Changes this member's durable state outside the chain's own messages: a vote, a view that was learnt, a state that
@@ -295,8 +295,8 @@
     }
 
     /// Takes notice of a view.
-    pub fn learn(&mut self, view: &View) {
-        match self.replica.learn(view) {
+    pub fn install_view(&mut self, view: &View) {
+        match self.replica.install_view(view) {
             Ok(true) => info!("view {} with {}", view.number, view.addresses()),
             Ok(false) => {}
             Err(e) => warn!("a view could not be kept: {e}"),
@@ -305,113 +305,116 @@
 
     /// Has an operation carried out and acknowledged by the whole chain. It may still be carried out after `until`, when it
     /// is answered with [`Refused::Unknown`].
-    pub fn submit(&mut self, token: Token, operation: M::Operation, until: Duration) {
-        self.queue.push_back(Queued { token, operation, until });
+    pub fn propose(&mut self, token: Token, operation: M::Operation, until: Duration) {
+        self.queue.push_back(QueuedOperation { token, operation, deadline: until });
     }
 
     /// Waits for a round that begins after this call, and confirms by it that this member's state is the newest.
-    pub fn begin_read(&mut self, token: Token, until: Duration) {
-        self.readings.push(Reading { token, until });
+    pub fn read_index(&mut self, token: Token, until: Duration) {
+        self.reads.push(PendingRead { token, deadline: until });
     }
 
     /// When [`Chain::pump`] has something to do without further input.
     pub fn next_wake(&self) -> Duration {
-        let untils = self.queue.iter().map(|queued| queued.until);
-        let untils = untils.chain(self.ordered.iter().map(|ordered| ordered.until));
-        let untils = untils.chain(self.readings.iter().map(|reading| reading.until));
+        let untils = self.queue.iter().map(|queued| queued.deadline);
+        let untils = untils.chain(self.uncommitted.iter().map(|ordered| ordered.deadline));
+        let untils = untils.chain(self.reads.iter().map(|reading| reading.deadline));
         let first_until = untils.min().unwrap_or(Duration::MAX);
-        if self.pass.is_some() || !self.is_head() {
+        if self.in_flight.is_some() || !self.is_head() {
             return first_until;
         }
-        let next_round = if self.has_work() { self.retry_at } else { self.heartbeat_at };
+        let next_round = if self.has_pending_work() { self.next_attempt_at } else { self.next_heartbeat_at };
         next_round.min(first_until)
     }
 
-    fn has_work(&self) -> bool {
-        !self.queue.is_empty() || !self.ordered.is_empty() || !self.readings.is_empty()
+    fn has_pending_work(&self) -> bool {
+        !self.queue.is_empty() || !self.uncommitted.is_empty() || !self.reads.is_empty()
     }
 
     /// Begins what is due. Called after every input, until it puts nothing more out.
-    pub fn pump(&mut self, now: Duration, out: &mut Vec<Output<M::Output>>) {
-        self.follow_role(out);
-        self.expire(now, out);
-        if self.pass.is_some() {
+    pub fn advance(&mut self, now: Duration, out: &mut Vec<Output<M::Output>>) {
+        self.on_role_change(out);
+        self.expire_deadlines(now, out);
+        if self.in_flight.is_some() {
             return;
         }
         if self.is_head() {
-            let due = if self.has_work() { self.retry_at } else { self.heartbeat_at };
+            let due = if self.has_pending_work() { self.next_attempt_at } else { self.next_heartbeat_at };
             if now < due {
                 return;
             }
-            self.order(out);
-            self.heartbeat_at = now + self.options.heartbeat;
-            self.attempts = 0;
-            let readings = std::mem::take(&mut self.readings);
-            self.begin_pass(now, readings, Vec::new(), out);
-        } else if !self.upstream.is_empty() {
-            self.attempts = 0;
-            let upstream = std::mem::take(&mut self.upstream);
-            self.begin_pass(now, Vec::new(), upstream, out);
+            self.append_queued(out);
+            self.next_heartbeat_at = now + self.config.heartbeat_interval;
+            self.append_attempts = 0;
+            let readings = std::mem::take(&mut self.reads);
+            self.send_append(now, readings, Vec::new(), out);
+        } else if !self.upstream_tokens.is_empty() {
+            self.append_attempts = 0;
+            let upstream = std::mem::take(&mut self.upstream_tokens);
+            self.send_append(now, Vec::new(), upstream, out);
         }
     }
 
     /// Whoever waits for what this member no longer does is told.
-    fn follow_role(&mut self, out: &mut Vec<Output<M::Output>>) {
+    fn on_role_change(&mut self, out: &mut Vec<Output<M::Output>>) {
         let role = role_of(&self.replica);
         let before = std::mem::replace(&mut self.role, role);
         if role.view != before.view {
-            self.failing = None;
-            self.positions.clear();
+            self.failing_member = None;
+            self.peer_positions.clear();
             self.round.confirmed = 0;
-            if let Some(pass) = self.pass.take() {
-                self.readings.extend(pass.readings);
-                self.upstream.extend(pass.upstream);
+            if let Some(pass) = self.in_flight.take() {
+                self.reads.extend(pass.reads);
+                self.upstream_tokens.extend(pass.upstream_tokens);
             }
             let view = self.replica.view().clone();
-            let stale = |token| Output::Reply { token, reply: AppendReply::Stale(view.clone()) };
-            out.extend(std::mem::take(&mut self.upstream).into_iter().map(stale));
+            let stale = |token| Output::Reply { token, reply: AppendReply::StaleView(view.clone()) };
+            out.extend(std::mem::take(&mut self.upstream_tokens).into_iter().map(stale));
         }
-        if !role.is_head || role.replaced != before.replaced {
-            let unknown = |ordered: Ordered<_>| Output::Finished {
+        if !role.is_head || role.restore_count != before.restore_count {
+            let unknown = |ordered: UncommittedOperation<_>| Output::Applied {
                 token: ordered.token,
-                result: Err(Refused::Unknown),
+                result: Err(ProposalError::OutcomeUnknown),
             };
-            out.extend(std::mem::take(&mut self.ordered).into_iter().map(unknown));
+            out.extend(std::mem::take(&mut self.uncommitted).into_iter().map(unknown));
         }
         if !role.is_head {
-            let refused = Refused::NotHead(self.head_address());
+            let refused = ProposalError::NotHead(self.head_address());
             for queued in std::mem::take(&mut self.queue) {
-                out.push(Output::Finished { token: queued.token, result: Err(refused.clone()) });
+                out.push(Output::Applied { token: queued.token, result: Err(refused.clone()) });
             }
-            let own = self.pass.iter_mut().flat_map(|pass| std::mem::take(&mut pass.readings));
-            for reading in std::mem::take(&mut self.readings).into_iter().chain(own) {
+            let own = self.in_flight.iter_mut().flat_map(|pass| std::mem::take(&mut pass.reads));
+            for reading in std::mem::take(&mut self.reads).into_iter().chain(own) {
                 out.push(Output::Readable { token: reading.token, result: Err(refused.clone()) });
             }
         }
     }
 
     /// Tells whoever has waited long enough. What was only queued was not carried out, and never will be.
-    fn expire(&mut self, now: Duration, out: &mut Vec<Output<M::Output>>) {
-        let finished = |token| Output::Finished { token, result: Err(Refused::Unknown) };
-        let late = self.ordered.iter().filter(|ordered| ordered.until <= now).map(|ordered| ordered.token);
+    fn expire_deadlines(&mut self, now: Duration, out: &mut Vec<Output<M::Output>>) {
+        let finished = |token| Output::Applied { token, result: Err(ProposalError::OutcomeUnknown) };
+        let late =
+            self.uncommitted.iter().filter(|ordered| ordered.deadline <= now).map(|ordered| ordered.token);
         out.extend(late.map(finished));
-        self.ordered.retain(|ordered| ordered.until > now);
-        let late = self.queue.iter().filter(|queued| queued.until <= now).map(|queued| queued.token);
-        out.extend(late.map(|token| Output::Finished { token, result: Err(Refused::TooFew) }));
-        self.queue.retain(|queued| queued.until > now);
-        let late = self.readings.iter().filter(|reading| reading.until <= now).map(|reading| reading.token);
-        out.extend(late.map(|token| Output::Readable { token, result: Err(Refused::Unknown) }));
-        self.readings.retain(|reading| reading.until > now);
+        self.uncommitted.retain(|ordered| ordered.deadline > now);
+        let late = self.queue.iter().filter(|queued| queued.deadline <= now).map(|queued| queued.token);
+        out.extend(
+            late.map(|token| Output::Applied { token, result: Err(ProposalError::NotEnoughReplicas) }),
+        );
+        self.queue.retain(|queued| queued.deadline > now);
+        let late = self.reads.iter().filter(|reading| reading.deadline <= now).map(|reading| reading.token);
+        out.extend(late.map(|token| Output::Readable { token, result: Err(ProposalError::OutcomeUnknown) }));
+        self.reads.retain(|reading| reading.deadline > now);
     }
 
     /// Takes what one round carries off the front of the queue.
-    fn take_round(&mut self) -> Vec<Queued<M::Operation>> {
+    fn take_round(&mut self) -> Vec<QueuedOperation<M::Operation>> {
         let mut bytes = 0;
-        let fits = |queued: &Queued<M::Operation>| {
+        let fits = |queued: &QueuedOperation<M::Operation>| {
             let size = M::size_of(&queued.operation);
             // Small ones do not wait for large ones; of these the first always goes.
-            let fits = size < SMALL || bytes == 0 || bytes + size <= ROUND_MOST;
-            if fits && size >= SMALL {
+            let fits = size < LARGE_OPERATION_BYTES || bytes == 0 || bytes + size <= MAX_ENTRY_BYTES;
+            if fits && size >= LARGE_OPERATION_BYTES {
                 bytes += size;
             }
             fits
@@ -422,10 +425,12 @@
     }
 
     /// Orders the operations of one round, as one entry.
-    fn order(&mut self, out: &mut Vec<Output<M::Output>>) {
-        if self.replica.view().members.len() < self.options.copies {
-            let refused =
-                |queued: Queued<_>| Output::Finished { token: queued.token, result: Err(Refused::TooFew) };
+    fn append_queued(&mut self, out: &mut Vec<Output<M::Output>>) {
+        if self.replica.view().members.len() < self.config.min_replicas {
+            let refused = |queued: QueuedOperation<_>| Output::Applied {
+                token: queued.token,
+                result: Err(ProposalError::NotEnoughReplicas),
+            };
             out.extend(std::mem::take(&mut self.queue).into_iter().map(refused));
             return;
         }
@@ -435,28 +440,30 @@
         }
         let (mut waiting, mut operations) = (Vec::new(), Vec::new());
         for queued in taken {
-            waiting.push((queued.token, queued.until));
+            waiting.push((queued.token, queued.deadline));
             operations.push(queued.operation);
         }
         match self.replica.propose(&operations) {
             Ok(outputs) => {
                 let index = self.replica.position().index;
-                let ordered = |((token, until), output)| Ordered { token, index, output, until };
-                self.ordered.extend(waiting.into_iter().zip(outputs).map(ordered));
+                let ordered =
+                    |((token, until), output)| UncommittedOperation { token, index, output, deadline: until };
+                self.uncommitted.extend(waiting.into_iter().zip(outputs).map(ordered));
             }
             Err(e) => {
                 warn!("the disk refused an entry: {e}");
-                let unknown = |(token, _)| Output::Finished { token, result: Err(Refused::Unknown) };
+                let unknown =
+                    |(token, _)| Output::Applied { token, result: Err(ProposalError::OutcomeUnknown) };
                 out.extend(waiting.into_iter().map(unknown));
             }
         }
     }
 
     /// Passes this member's state to the one that follows; a tail is done at once.
-    fn begin_pass(
+    fn send_append(
         &mut self,
         now: Duration,
-        readings: Vec<Reading>,
+        readings: Vec<PendingRead>,
         upstream: Vec<Token>,
         out: &mut Vec<Output<M::Output>>,
     ) {
@@ -466,216 +473,229 @@
         }
         let position = self.replica.position();
         let followed = self.replica.successor().map(|(member, left)| (member.clone(), left));
-        self.calls += 1;
+        self.last_call += 1;
         let Some((successor, left)) = followed else {
-            let held = Held { begun: now, position, copies_behind: 0 };
-            self.complete(now, held, readings, upstream, out);
+            let held = DownstreamProgress { started_at: now, position, durable_replicas_downstream: 0 };
+            self.on_round_held(now, held, readings, upstream, out);
             return;
         };
-        let from = self.positions.get(&successor.identity).copied().unwrap_or(position);
+        let from = self.peer_positions.get(&successor.identity).copied().unwrap_or(position);
         let (message, within) = match self.replica.entries_since(from) {
             Some(entries) => {
                 let append = Append {
                     view: self.replica.view().clone(),
-                    round: if is_head { self.round } else { self.forwarded },
-                    from,
+                    round: if is_head { self.round } else { self.forwarded_round },
+                    previous: from,
                     entries,
-                    to: position,
-                    notice: self.notice.clone(),
+                    last: position,
+                    broadcast: self.broadcast.clone(),
                 };
                 let parts = u32::try_from(left + 1).unwrap_or(u32::MAX);
-                (ToSuccessor::Append(append), self.options.member_time * parts)
+                (ToSuccessor::Append(append), self.config.append_timeout * parts)
             }
             None => {
-                let install = self.replica.install_message();
+                let install = self.replica.snapshot_message();
                 info!("sends its whole state, {} bytes, to {}", install.machine.0.len(), successor.address);
-                (ToSuccessor::Install(install), self.options.install_time)
+                (ToSuccessor::Install(install), self.config.install_timeout)
             }
         };
-        self.pass = Some(Pass {
-            call: self.calls,
+        self.in_flight = Some(InFlightAppend {
+            call: self.last_call,
             view: self.replica.view().number,
-            replaced: self.replica.replaced(),
+            restore_count: self.replica.restore_count(),
             position,
             successor: successor.clone(),
-            begun: now,
-            installs: matches!(message, ToSuccessor::Install(_)),
-            readings,
-            upstream,
+            started_at: now,
+            is_install: matches!(message, ToSuccessor::Install(_)),
+            reads: readings,
+            upstream_tokens: upstream,
         });
-        out.push(Output::Call { call: self.calls, to: successor, message, within });
+        out.push(Output::Call { call: self.last_call, to: successor, message, within });
     }
 
     /// The whole chain from here on holds a position.
-    fn complete(
+    fn on_round_held(
         &mut self,
         now: Duration,
-        held: Held,
-        readings: Vec<Reading>,
+        held: DownstreamProgress,
+        readings: Vec<PendingRead>,
         upstream: Vec<Token>,
         out: &mut Vec<Output<M::Output>>,
     ) {
-        let copies = held.copies_behind + usize::from(self.options.is_durable);
-        self.replica.settle(held.position);
-        self.failing = None;
-        self.heard_at = Some(now);
+        let copies = held.durable_replicas_downstream + usize::from(self.config.is_durable);
+        self.replica.commit(held.position);
+        self.failing_member = None;
+        self.last_append_received_at = Some(now);
         if self.is_head() {
             self.round.confirmed = self.round.number;
-            self.lease_since = Some(held.begun);
-            self.healthy_at = Some(now);
-        } else if self.forwarded.is_healthy() {
-            self.healthy_at = Some(now);
+            self.lease_confirmed_at = Some(held.started_at);
+            self.last_committed_round_at = Some(now);
+        } else if self.forwarded_round.follows_committed_round() {
+            self.last_committed_round_at = Some(now);
         }
         out.extend(
-            upstream.into_iter().map(|token| Output::Reply { token, reply: AppendReply::Held { copies } }),
+            upstream.into_iter().map(|token| Output::Reply {
+                token,
+                reply: AppendReply::Accepted { durable_replicas: copies },
+            }),
         );
         // With too few disks it is tried again: members with a disk may join.
-        let enough = copies >= self.options.copies;
+        let enough = copies >= self.config.min_replicas;
         while let Some(ordered) =
-            self.ordered.pop_front_if(|ordered| enough && ordered.index <= held.position.index)
+            self.uncommitted.pop_front_if(|ordered| enough && ordered.index <= held.position.index)
         {
-            out.push(Output::Finished { token: ordered.token, result: Ok(ordered.output) });
+            out.push(Output::Applied { token: ordered.token, result: Ok(ordered.output) });
         }
-        if !self.ordered.is_empty() {
-            self.retry_at = now + RETRY_PAUSE;
+        if !self.uncommitted.is_empty() {
+            self.next_attempt_at = now + RETRY_BACKOFF;
         }
         // An operation that was ordered and is not yet held shows in the state; its reading waits for the next round.
-        if self.replica.settled() {
+        if self.replica.is_committed() {
             out.extend(
                 readings.into_iter().map(|reading| Output::Readable { token: reading.token, result: Ok(()) }),
             );
         } else {
-            self.readings.extend(readings);
+            self.reads.extend(readings);
         }
     }
 
     /// Takes the answer to a call of this member's, or that there was none.
-    pub fn on_reply(
+    pub fn handle_reply(
         &mut self,
         now: Duration,
         call: u64,
         reply: Option<AppendReply>,
         out: &mut Vec<Output<M::Output>>,
     ) {
-        self.follow_role(out);
-        let Some(pass) = self.pass.take_if(|pass| pass.call == call) else { return };
+        self.on_role_change(out);
+        let Some(pass) = self.in_flight.take_if(|pass| pass.call == call) else { return };
         let stands = pass.view == self.replica.view().number
-            && pass.replaced == self.replica.replaced()
-            && self.replica.complete();
+            && pass.restore_count == self.replica.restore_count()
+            && self.replica.is_complete();
         if !stands {
-            self.fail(now, Failure::View, pass, out);
+            self.on_round_failed(now, Failure::NewerView, pass, out);
             return;
         }
         match reply {
-            Some(AppendReply::Held { copies }) => {
-                self.positions.insert(pass.successor.identity, pass.position);
-                if pass.installs {
-                    self.begin_pass(now, pass.readings, pass.upstream, out);
+            Some(AppendReply::Accepted { durable_replicas: copies }) => {
+                self.peer_positions.insert(pass.successor.identity, pass.position);
+                if pass.is_install {
+                    self.send_append(now, pass.reads, pass.upstream_tokens, out);
                 } else {
-                    let held = Held { begun: pass.begun, position: pass.position, copies_behind: copies };
-                    self.complete(now, held, pass.readings, pass.upstream, out);
+                    let held = DownstreamProgress {
+                        started_at: pass.started_at,
+                        position: pass.position,
+                        durable_replicas_downstream: copies,
+                    };
+                    self.on_round_held(now, held, pass.reads, pass.upstream_tokens, out);
                 }
             }
             Some(AppendReply::Mismatch(theirs)) => {
-                self.positions.insert(pass.successor.identity, theirs);
-                self.attempts += 1;
-                if self.attempts < ATTEMPTS {
-                    self.begin_pass(now, pass.readings, pass.upstream, out);
+                self.peer_positions.insert(pass.successor.identity, theirs);
+                self.append_attempts += 1;
+                if self.append_attempts < MAX_APPEND_ATTEMPTS {
+                    self.send_append(now, pass.reads, pass.upstream_tokens, out);
                 } else {
-                    self.fail(now, Failure::At(pass.successor.address), pass, out);
+                    self.on_round_failed(now, Failure::Member(pass.successor.address), pass, out);
                 }
             }
-            Some(AppendReply::Stale(view)) => {
-                self.learn(&view);
-                self.fail(now, Failure::View, pass, out);
+            Some(AppendReply::StaleView(view)) => {
+                self.install_view(&view);
+                self.on_round_failed(now, Failure::NewerView, pass, out);
             }
-            Some(AppendReply::Failed(address)) => {
-                self.positions.insert(pass.successor.identity, pass.position);
-                self.fail(now, Failure::At(address), pass, out);
+            Some(AppendReply::DownstreamFailed(address)) => {
+                self.peer_positions.insert(pass.successor.identity, pass.position);
+                self.on_round_failed(now, Failure::Member(address), pass, out);
             }
-            Some(AppendReply::NotMember | AppendReply::Storage) | None => {
-                self.fail(now, Failure::At(pass.successor.address), pass, out);
+            Some(AppendReply::NotMember | AppendReply::StorageError) | None => {
+                self.on_round_failed(now, Failure::Member(pass.successor.address), pass, out);
             }
         }
-        self.follow_role(out);
+        self.on_role_change(out);
     }
 
-    fn fail(&mut self, now: Duration, failure: Failure, pass: Pass, out: &mut Vec<Output<M::Output>>) {
-        self.readings.extend(pass.readings);
-        self.retry_at = now + RETRY_PAUSE;
+    fn on_round_failed(
+        &mut self,
+        now: Duration,
+        failure: Failure,
+        pass: InFlightAppend,
+        out: &mut Vec<Output<M::Output>>,
+    ) {
+        self.reads.extend(pass.reads);
+        self.next_attempt_at = now + RETRY_BACKOFF;
         let reply = match failure {
-            Failure::At(address) => {
-                if self.failing.is_none_or(|failing| failing.0 != address) {
-                    self.failing = Some((address, now));
+            Failure::Member(address) => {
+                if self.failing_member.is_none_or(|failing| failing.0 != address) {
+                    self.failing_member = Some((address, now));
                 }
-                AppendReply::Failed(address)
+                AppendReply::DownstreamFailed(address)
             }
-            Failure::View => AppendReply::Stale(self.replica.view().clone()),
+            Failure::NewerView => AppendReply::StaleView(self.replica.view().clone()),
         };
         let answer = |token| Output::Reply { token, reply: reply.clone() };
-        out.extend(pass.upstream.into_iter().map(answer));
+        out.extend(pass.upstream_tokens.into_iter().map(answer));
     }
 
     /// Takes what the member before this one sends; it is answered when the members that follow hold it too.
-    pub fn on_append(
+    pub fn handle_append(
         &mut self,
         now: Duration,
         token: Token,
         append: &Append,
         out: &mut Vec<Output<M::Output>>,
     ) {
-        let received = self.replica.receive(append);
-        self.follow_role(out);
-        if let Some(reply) = refusal(received) {
+        let received = self.replica.append(append);
+        self.on_role_change(out);
+        if let Some(reply) = rejection(received) {
             out.push(Output::Reply { token, reply });
             return;
         }
-        self.heard_at = Some(now);
-        self.note_round(now, append.view.number, append.round);
-        if self.notice != append.notice {
-            self.notice = append.notice.clone();
+        self.last_append_received_at = Some(now);
+        self.record_round(now, append.view.number, append.round);
+        if self.broadcast != append.broadcast {
+            self.broadcast = append.broadcast.clone();
         }
-        self.forwarded = append.round;
-        self.upstream.push(token);
+        self.forwarded_round = append.round;
+        self.upstream_tokens.push(token);
     }
 
     /// Notes that a round was handled, and what it confirms of rounds before.
-    fn note_round(&mut self, now: Duration, view: u64, round: Round) {
-        let handled = &mut self.handled;
+    fn record_round(&mut self, now: Duration, view: u64, round: Round) {
+        let handled = &mut self.handled_rounds;
         if (handled.view, handled.session) != (view, round.session) {
-            *handled = Handled { view, session: round.session, rounds: VecDeque::new() };
+            *handled = HandledRounds { view, session: round.session, rounds: VecDeque::new() };
         }
         let confirmed = handled.rounds.iter().find(|handled| handled.0 == round.confirmed);
-        self.lease_since = self.lease_since.max(confirmed.map(|handled| handled.1));
+        self.lease_confirmed_at = self.lease_confirmed_at.max(confirmed.map(|handled| handled.1));
         handled.rounds.push_back((round.number, now));
-        if handled.rounds.len() > HANDLED_MOST {
+        if handled.rounds.len() > MAX_HANDLED_ROUNDS {
             handled.rounds.pop_front();
         }
     }
 
     /// Takes a whole state.
-    pub fn on_install(&mut self, token: Token, install: &Install, out: &mut Vec<Output<M::Output>>) {
+    pub fn handle_install(&mut self, token: Token, install: &Install, out: &mut Vec<Output<M::Output>>) {
         let received = self.replica.install(install);
-        self.follow_role(out);
-        let reply = refusal(received).unwrap_or(AppendReply::Held { copies: 0 });
+        self.on_role_change(out);
+        let reply = rejection(received).unwrap_or(AppendReply::Accepted { durable_replicas: 0 });
         out.push(Output::Reply { token, reply });
     }
 }
 
 fn role_of<M: StateMachine, S: Storage>(replica: &Replica<M, S>) -> Role {
-    Role { view: replica.view().number, is_head: replica.is_head(), replaced: replica.replaced() }
+    Role { view: replica.view().number, is_head: replica.is_head(), restore_count: replica.restore_count() }
 }
 
 /// The reply to a message that was refused; `None` where it was taken.
-fn refusal(received: Received) -> Option<AppendReply> {
+fn rejection(received: AppendOutcome) -> Option<AppendReply> {
     match received {
-        Received::Held => None,
-        Received::Mismatch(position) => Some(AppendReply::Mismatch(position)),
-        Received::Stale(view) => Some(AppendReply::Stale(view)),
-        Received::NotMember => Some(AppendReply::NotMember),
-        Received::Storage(e) => {
+        AppendOutcome::Accepted => None,
+        AppendOutcome::Mismatch(position) => Some(AppendReply::Mismatch(position)),
+        AppendOutcome::StaleView(view) => Some(AppendReply::StaleView(view)),
+        AppendOutcome::NotMember => Some(AppendReply::NotMember),
+        AppendOutcome::StorageError(e) => {
             warn!("the disk refused: {e}");
-            Some(AppendReply::Storage)
+            Some(AppendReply::StorageError)
         }
     }
 }
--- a/control-plane/chain-replication/src/lib.rs
+++ b/control-plane/chain-replication/src/lib.rs
@@ -19,7 +19,7 @@
 pub mod storage;
 pub mod view;
 
-pub use chain::{Chain, Options, Output, Refused, ToSuccessor, Token};
+pub use chain::{Chain, Config, Output, ProposalError, ToSuccessor, Token};
 pub use message::{Append, AppendReply, Install, Round, Status};
 pub use replica::{Position, Replica, StateMachine};
 pub use view::{Member, View};
--- a/control-plane/chain-replication/src/message.rs
+++ b/control-plane/chain-replication/src/message.rs
@@ -19,7 +19,7 @@
 
 impl Round {
     /// Whether the round directly before this one went through the whole chain.
-    pub fn is_healthy(&self) -> bool {
+    pub fn follows_committed_round(&self) -> bool {
         self.confirmed > 0 && self.confirmed + 1 >= self.number
     }
 }
@@ -30,29 +30,29 @@
     pub view: View,
     pub round: Round,
     /// Where the entries begin.
-    pub from: Position,
+    pub previous: Position,
     pub entries: Vec<Bytes>,
     /// Where they end: the sender's position.
-    pub to: Position,
+    pub last: Position,
     /// Volatile data that the head gives to all members.
-    pub notice: Bytes,
+    pub broadcast: Bytes,
 }
 
 /// The answer to an [`Append`] or an [`Install`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum AppendReply {
     /// The member and all that follow it hold everything up to the sender's position, so many of them on a disk.
-    Held { copies: usize },
+    Accepted { durable_replicas: usize },
     /// The member's state is another one; it is at this position.
     Mismatch(Position),
     /// The member knows of a newer view.
-    Stale(View),
+    StaleView(View),
     /// The process is not the member that the view names.
     NotMember,
     /// The member's own disk refused.
-    Storage,
+    StorageError,
     /// A member further down the chain does not answer, or refuses.
-    Failed(SocketAddr),
+    DownstreamFailed(SocketAddr),
 }
 
 /// A whole state, for a member whose own is another one.
@@ -72,9 +72,9 @@
     pub complete: bool,
     pub position: Position,
     /// Whether its state is known to be acknowledged by the whole chain.
-    pub settled: bool,
+    pub committed: bool,
     /// A member further down the chain that has failed its part for a while.
     pub suspect: Option<SocketAddr>,
     /// Whether its process is about to end, and is to be left out.
-    pub leaving: bool,
+    pub draining: bool,
 }
--- a/control-plane/chain-replication/src/replica.rs
+++ b/control-plane/chain-replication/src/replica.rs
@@ -11,9 +11,9 @@
 use std::io;
 
 /// Records behind a checkpoint, in bytes, after which a new segment begins.
-const SEGMENT_MOST: u64 = 48 << 20;
+const MAX_SEGMENT_BYTES: u64 = 48 << 20;
 /// Entries that are kept for members that are a little behind, in bytes.
-const RECENT_MOST: usize = 8 << 20;
+const MAX_RECENT_BYTES: usize = 8 << 20;
 
 /// A deterministic state that operations change.
 pub trait StateMachine: Sized {
@@ -65,18 +65,18 @@
 
 /// What became of an [`Append`] or [`Install`] at this member.
 #[derive(Debug)]
-pub enum Received {
+pub enum AppendOutcome {
     /// It holds everything up to the sender's position, on disk.
-    Held,
+    Accepted,
     Mismatch(Position),
-    Stale(View),
+    StaleView(View),
     NotMember,
-    Storage(io::Error),
+    StorageError(io::Error),
 }
 
 /// An entry that is kept for members that are a little behind.
-struct Recent {
-    before: Position,
+struct RecentEntry {
+    previous: Position,
     entry: Vec<u8>,
 }
 
@@ -90,12 +90,12 @@
     machine: M,
     committed: Position,
     storage: S,
-    recent: VecDeque<Recent>,
+    recent: VecDeque<RecentEntry>,
     recent_bytes: usize,
     /// Times that the state was replaced by another's: what was ordered before may be gone.
-    replaced: u64,
+    restore_count: u64,
     /// The view in which the member before this one has brought it to its own state. From then on positions only grow.
-    followed: u64,
+    synchronized_in_view: u64,
 }
 
 impl<M: StateMachine, S: Storage> Replica<M, S> {
@@ -120,8 +120,8 @@
             storage,
             recent: VecDeque::new(),
             recent_bytes: 0,
-            replaced: 0,
-            followed: 0,
+            restore_count: 0,
+            synchronized_in_view: 0,
         };
         if let Some(snapshot) = recovered.snapshot {
             let checkpoint: Checkpoint =
@@ -168,7 +168,7 @@
     }
 
     /// Whether this member holds everything that was acknowledged in its view and before, as far as it knows.
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.complete
     }
 
@@ -178,8 +178,8 @@
     }
 
     /// Times that the state was replaced by another's.
-    pub fn replaced(&self) -> u64 {
-        self.replaced
+    pub fn restore_count(&self) -> u64 {
+        self.restore_count
     }
 
     pub fn successor(&self) -> Option<(&Member, usize)> {
@@ -187,12 +187,12 @@
     }
 
     /// Whether the whole chain is known to hold this state.
-    pub fn settled(&self) -> bool {
+    pub fn is_committed(&self) -> bool {
         self.committed == self.position
     }
 
     /// The whole chain holds what this member held at `position`.
-    pub fn settle(&mut self, position: Position) {
+    pub fn commit(&mut self, position: Position) {
         if position.index >= self.committed.index {
             self.committed = position;
         }
@@ -216,7 +216,7 @@
 
     /// Writes changes to disk before they are made in memory. After an error the next change begins a segment.
     fn persist(&mut self, records: &[Record]) -> io::Result<()> {
-        if !self.storage.is_writable() || self.storage.record_bytes() > SEGMENT_MOST {
+        if !self.storage.is_writable() || self.storage.record_bytes() > MAX_SEGMENT_BYTES {
             self.start_segment()?;
         }
         let encoded: Vec<Vec<u8>> = records.iter().map(encode).collect();
@@ -230,9 +230,9 @@
         // An entry was encoded by a head of the same version; one that cannot be read changes nothing anywhere.
         let operations: Vec<M::Operation> = decode(&entry).unwrap_or_default();
         self.recent_bytes += entry.len();
-        self.recent.push_back(Recent { before, entry });
+        self.recent.push_back(RecentEntry { previous: before, entry });
         // The newest is always kept: the member that follows has yet to get it.
-        while self.recent_bytes > RECENT_MOST && self.recent.len() > 1 {
+        while self.recent_bytes > MAX_RECENT_BYTES && self.recent.len() > 1 {
             let Some(oldest) = self.recent.pop_front() else { break };
             self.recent_bytes -= oldest.entry.len();
         }
@@ -251,17 +251,17 @@
         if from == self.position {
             return Some(Vec::new());
         }
-        let first = self.recent.iter().position(|recent| recent.before == from)?;
+        let first = self.recent.iter().position(|recent| recent.previous == from)?;
         Some(self.recent.iter().skip(first).map(|recent| Bytes(recent.entry.clone())).collect())
     }
 
     /// The whole state, for a member whose own is another one.
-    pub fn install_message(&self) -> Install {
+    pub fn snapshot_message(&self) -> Install {
         Install { view: self.view.clone(), position: self.position, machine: Bytes(self.machine.snapshot()) }
     }
 
     /// Takes notice of a view. This member stays complete only where it was in the view directly before.
-    pub fn learn(&mut self, view: &View) -> io::Result<bool> {
+    pub fn install_view(&mut self, view: &View) -> io::Result<bool> {
         if view.number <= self.view.number {
             return Ok(false);
         }
@@ -275,28 +275,28 @@
     }
 
     /// Why a message of this view is refused here, if it is.
-    fn refusal(&mut self, view: &View) -> Option<Received> {
+    fn reject_or_install_view(&mut self, view: &View) -> Option<AppendOutcome> {
         if view.number < self.view.number {
-            return Some(Received::Stale(self.view.clone()));
+            return Some(AppendOutcome::StaleView(self.view.clone()));
         }
         if !view.contains(self.identity) {
-            return Some(Received::NotMember);
+            return Some(AppendOutcome::NotMember);
         }
-        self.learn(view).err().map(Received::Storage)
+        self.install_view(view).err().map(AppendOutcome::StorageError)
     }
 
     /// Takes what the member before this one sends.
-    pub fn receive(&mut self, append: &Append) -> Received {
-        if let Some(refusal) = self.refusal(&append.view) {
+    pub fn append(&mut self, append: &Append) -> AppendOutcome {
+        if let Some(refusal) = self.reject_or_install_view(&append.view) {
             return refusal;
         }
         let becomes_complete = !self.complete;
         let mut records = Vec::new();
         let mut end = self.position;
-        if self.position != append.to {
-            end = append.entries.iter().fold(append.from, |at, entry| at.after(&entry.0));
-            if append.from != self.position || end != append.to {
-                return Received::Mismatch(self.position);
+        if self.position != append.last {
+            end = append.entries.iter().fold(append.previous, |at, entry| at.after(&entry.0));
+            if append.previous != self.position || end != append.last {
+                return AppendOutcome::Mismatch(self.position);
             }
             records.extend(append.entries.iter().cloned().map(Record::Entry));
         }
@@ -305,30 +305,30 @@
         }
         if !records.is_empty() {
             if let Err(e) = self.persist(&records) {
-                return Received::Storage(e);
+                return AppendOutcome::StorageError(e);
             }
         }
         self.complete = true;
-        self.followed = self.view.number;
+        self.synchronized_in_view = self.view.number;
         if end != self.position {
             for entry in &append.entries {
                 drop(self.apply(entry.0.clone()));
             }
         }
-        Received::Held
+        AppendOutcome::Accepted
     }
 
     /// Takes a whole state in place of this member's own.
-    pub fn install(&mut self, install: &Install) -> Received {
-        if let Some(refusal) = self.refusal(&install.view) {
+    pub fn install(&mut self, install: &Install) -> AppendOutcome {
+        if let Some(refusal) = self.reject_or_install_view(&install.view) {
             return refusal;
         }
-        if self.followed == self.view.number && install.position.index <= self.position.index {
+        if self.synchronized_in_view == self.view.number && install.position.index <= self.position.index {
             // Sent before what this member has taken since, and late: taking it would lose what was acknowledged.
-            return Received::Mismatch(self.position);
+            return AppendOutcome::Mismatch(self.position);
         }
         let Some(machine) = M::restore(&install.machine.0) else {
-            return Received::Storage(io::Error::new(io::ErrorKind::InvalidData, "state"));
+            return AppendOutcome::StorageError(io::Error::new(io::ErrorKind::InvalidData, "state"));
         };
         let (machine, position) = (
             std::mem::replace(&mut self.machine, machine),
@@ -340,16 +340,16 @@
         if let Err(e) = self.start_segment() {
             // Nothing of it counts before it is on disk.
             (self.machine, self.position, self.complete) = (machine, position, complete);
-            return Received::Storage(e);
+            return AppendOutcome::StorageError(e);
         }
-        self.followed = self.view.number;
-        self.replaced += 1;
-        Received::Held
+        self.synchronized_in_view = self.view.number;
+        self.restore_count += 1;
+        AppendOutcome::Accepted
     }
 
     /// Takes another process's state ahead of joining its chain. It counts for nothing until the member before this one has
     /// confirmed or replaced it; a member takes none.
-    pub fn adopt(&mut self, state: &Install) -> io::Result<()> {
+    pub fn install_as_learner(&mut self, state: &Install) -> io::Result<()> {
         if self.view.contains(self.identity) {
             return Ok(());
         }
@@ -357,14 +357,14 @@
         self.machine = M::restore(&state.machine.0).ok_or_else(unreadable)?;
         self.position = state.position;
         self.complete = false;
-        self.replaced += 1;
+        self.restore_count += 1;
         self.recent.clear();
         self.recent_bytes = 0;
         self.start_segment()
     }
 
     /// Keeps a vote on the next view.
-    pub(crate) fn keep_vote(&mut self, vote: Vote) -> io::Result<()> {
+    pub(crate) fn persist_vote(&mut self, vote: Vote) -> io::Result<()> {
         self.persist(&[Record::Vote(vote.clone())])?;
         self.vote = vote;
         Ok(())
--- a/control-plane/chain-replication/src/storage.rs
+++ b/control-plane/chain-replication/src/storage.rs
@@ -3,7 +3,7 @@
 use crate::replica::Position;
 use crate::view::View;
 use marblecroft_rpc::Bytes;
-use marblecroft_wal::Log;
+use marblecroft_wal::Wal;
 use musli::{Decode, Encode};
 use std::io;
 
@@ -19,28 +19,28 @@
     fn record_bytes(&self) -> u64;
 }
 
-impl Storage for Log {
+impl Storage for Wal {
     fn append(&mut self, records: &[&[u8]]) -> io::Result<()> {
-        Log::append(self, records)
+        Wal::append(self, records)
     }
 
     fn start_segment(&mut self, checkpoint: &[u8]) -> io::Result<()> {
-        Log::start_segment(self, checkpoint)
+        Wal::start_segment(self, checkpoint)
     }
 
     fn is_writable(&self) -> bool {
-        Log::is_writable(self)
+        Wal::is_writable(self)
     }
 
     fn record_bytes(&self) -> u64 {
-        Log::record_bytes(self)
+        Wal::record_bytes(self)
     }
 }
 
 /// What a member keeps on a machine without a disk: nothing.
-pub struct NoDisk;
+pub struct NullStorage;
 
-impl Storage for NoDisk {
+impl Storage for NullStorage {
     fn append(&mut self, _: &[&[u8]]) -> io::Result<()> {
         Ok(())
     }
@@ -71,7 +71,7 @@
 /// A view that a member has accepted under a ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Accepted {
-    pub ballot: u64,
+    pub proposal_number: u64,
     pub view: View,
 }
 
--- a/control-plane/chain-replication/src/view.rs
+++ b/control-plane/chain-replication/src/view.rs
@@ -11,7 +11,7 @@
     /// Drawn when its disk was first seen empty; a machine that lost its disk is another member.
     pub identity: u64,
     /// Name of its machine; empty for a founder, of whom the settings tell the address alone.
-    pub node: String,
+    pub node_name: String,
 }
 
 /// A numbered configuration of a chain. Number 0 means that the process knows of none yet.
@@ -33,17 +33,17 @@
 
     /// Whether this identity is a member.
     pub fn contains(&self, identity: u64) -> bool {
-        self.index_of(identity).is_some()
+        self.position_of(identity).is_some()
     }
 
     /// Place of a member in the chain, counted from the head.
-    pub fn index_of(&self, identity: u64) -> Option<usize> {
+    pub fn position_of(&self, identity: u64) -> Option<usize> {
         self.members.iter().position(|member| member.identity == identity)
     }
 
     /// The member that follows, and how many members there are from it to the tail.
     pub fn successor_of(&self, identity: u64) -> Option<(&Member, usize)> {
-        let next = self.index_of(identity)? + 1;
+        let next = self.position_of(identity)? + 1;
         Some((self.members.get(next)?, self.members.len() - next))
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Whether this identity votes on the next view.
-    pub fn has_voter(&self, identity: u64) -> bool {
+    pub fn is_voter(&self, identity: u64) -> bool {
         self.voters.iter().any(|voter| voter.identity == identity)
     }
 
--- a/control-plane/chain-replication/tests/cluster.rs
+++ b/control-plane/chain-replication/tests/cluster.rs
@@ -3,10 +3,10 @@
 //! have one number.
 
 use arbtest::arbitrary::Unstructured;
-use marblecroft_chain_replication::agreement::{next_ballot, Outcome, Proposal, Step, VoteReply};
+use marblecroft_chain_replication::agreement::{next_proposal_number, Outcome, Proposal, Step, VoteReply};
 use marblecroft_chain_replication::storage::Storage;
 use marblecroft_chain_replication::{
-    AppendReply, Chain, Member, Options, Output, Replica, StateMachine, Status, ToSuccessor, View,
+    AppendReply, Chain, Config, Member, Output, Replica, StateMachine, Status, ToSuccessor, View,
 };
 use marblecroft_rpc::{decode, encode};
 use marblecroft_wal::Recovered;
@@ -168,7 +168,7 @@
             down: None,
         };
         let founder =
-            |node| Member { address: address(node), identity: u64::from(node) + 1, node: String::new() };
+            |node| Member { address: address(node), identity: u64::from(node) + 1, node_name: String::new() };
         let founders: Vec<Member> = (0..3).map(founder).collect();
         let founding = View { number: 1, voters: founders.clone(), members: founders };
         cluster.decided.insert(1, founding.clone());
@@ -185,13 +185,13 @@
         disk.0.lock().unwrap().broken = false;
         let recovered = disk.recovered();
         let replica = Replica::open(disk, recovered, Numbers::default(), identity, founding).expect("opens");
-        let options = Options {
-            heartbeat: Duration::from_millis(500),
-            member_time: Duration::from_millis(1),
-            install_time: Duration::from_millis(1),
-            copies: TOLERATED + 1,
+        let options = Config {
+            heartbeat_interval: Duration::from_millis(500),
+            append_timeout: Duration::from_millis(1),
+            install_timeout: Duration::from_millis(1),
+            min_replicas: TOLERATED + 1,
             is_durable: true,
-            suspect_after: Duration::ZERO,
+            suspect_timeout: Duration::ZERO,
         };
         self.lives += 1;
         let chain = Chain::new(replica, options, self.lives);
@@ -234,15 +234,15 @@
                             reply: Some(reply),
                         });
                     }
-                    Output::Finished { token, result: Ok(_) } => drop(self.acknowledged.insert(token)),
-                    Output::Finished { .. } => {}
+                    Output::Applied { token, result: Ok(_) } => drop(self.acknowledged.insert(token)),
+                    Output::Applied { .. } => {}
                     Output::Readable { result: Ok(()), .. } => {
                         process.found = Some(process.chain.replica().machine().0.clone());
                     }
                     Output::Readable { .. } => {}
                 }
             }
-            process.chain.pump(self.now, &mut outputs);
+            process.chain.advance(self.now, &mut outputs);
             if outputs.is_empty() {
                 return;
             }
@@ -262,10 +262,10 @@
                 process.asked.insert(self.tokens, (from, life, call));
                 match message {
                     ToSuccessor::Append(append) => {
-                        process.chain.on_append(self.now, self.tokens, &append, &mut out);
+                        process.chain.handle_append(self.now, self.tokens, &append, &mut out);
                     }
                     ToSuccessor::Install(install) => {
-                        process.chain.on_install(self.tokens, &install, &mut out)
+                        process.chain.handle_install(self.tokens, &install, &mut out)
                     }
                 }
                 self.carry_out(to, out);
@@ -275,7 +275,7 @@
                 let Some(process) = self.running.get_mut(&to).filter(|process| process.life == life) else {
                     return;
                 };
-                process.chain.on_reply(self.now, call, reply, &mut out);
+                process.chain.handle_reply(self.now, call, reply, &mut out);
                 self.carry_out(to, out);
             }
         }
@@ -340,7 +340,8 @@
             let learnt = |joiner: &Status| joiner.view.number >= status.view.number;
             let joiner = joiner.filter(|joiner| !status.view.contains(joiner.identity) && learnt(joiner));
             let Some(joiner) = joiner.filter(|_| members.len() < 3) else { continue };
-            let member = Member { address: address(other), identity: joiner.identity, node: String::new() };
+            let member =
+                Member { address: address(other), identity: joiner.identity, node_name: String::new() };
             members.push(member);
         }
         let view = View { number: status.view.number + 1, voters: members.clone(), members };
@@ -366,12 +367,12 @@
             answer.is_some_and(|answer| answer.identity != voter.identity)
         };
         let lost = voters.iter().filter(lost).map(|voter| voter.identity).collect();
-        let ballot = next_ballot(ballot_round * 64, rank);
+        let ballot = next_proposal_number(ballot_round * 64, rank);
         let proposal = Proposal::new(status.view.clone(), view, ballot, lost);
         if let Some(Outcome::Decided(view)) = self.ask_votes(own, proposal) {
             self.record_view(&view);
             if let Some(process) = self.process(node) {
-                process.chain.learn(&view);
+                process.chain.install_view(&view);
             }
         }
     }
@@ -389,13 +390,13 @@
                 if member.identity == own.identity && !granted {
                     return None;
                 }
-                match proposal.note(phase, member.identity, reply) {
+                match proposal.handle_reply(phase, member.identity, reply) {
                     Step::Wait => {}
-                    Step::Ask => {
+                    Step::SendRequest => {
                         asks_again = true;
                         break;
                     }
-                    Step::Ended(outcome) => return Some(outcome),
+                    Step::Finished(outcome) => return Some(outcome),
                 }
             }
             if !asks_again {
@@ -418,7 +419,7 @@
         if process.chain.replica().identity() != member.identity {
             return None;
         }
-        let reply = process.chain.with_replica(|replica| replica.answer_vote(request));
+        let reply = process.chain.with_replica(|replica| replica.handle_vote_request(request));
         self.carry_out(member.address, Vec::new());
         Some(reply).filter(|_| returns)
     }
@@ -428,7 +429,7 @@
         for other in 0..NODES {
             let status = self.ask_status(address(node), address(other));
             if let (Some(status), Some(process)) = (status, self.process(node)) {
-                process.chain.learn(&status.view);
+                process.chain.install_view(&status.view);
                 self.carry_out(address(node), Vec::new());
             }
         }
@@ -438,7 +439,7 @@
         self.next += 1;
         let number = self.next;
         if let Some(process) = self.process(node).filter(|process| process.chain.is_head()) {
-            process.chain.submit(number, number, Duration::MAX);
+            process.chain.propose(number, number, Duration::MAX);
         }
     }
 
@@ -454,7 +455,7 @@
             return false;
         };
         process.found = None;
-        process.chain.begin_read(0, Duration::MAX);
+        process.chain.read_index(0, Duration::MAX);
         let before = self.acknowledged.clone();
         self.run_round(node);
         let Some(read) = self.process(node).and_then(|process| process.found.take()) else { return false };
@@ -516,7 +517,7 @@
         self.running.get(&address(node)).is_some_and(|process| {
             let replica = process.chain.replica();
             let is_open = replica.vote().instance == replica.view().number + 1;
-            is_open && replica.vote().accepted.is_some() && replica.view().has_voter(replica.identity())
+            is_open && replica.vote().accepted.is_some() && replica.view().is_voter(replica.identity())
         })
     }
 
@@ -646,13 +647,13 @@
     let mut cluster = Cluster::new();
     cluster.begin(0);
     cluster.run_round(0);
-    let late = cluster.process(0).expect("runs").chain.replica().install_message();
+    let late = cluster.process(0).expect("runs").chain.replica().snapshot_message();
     cluster.begin(0);
     cluster.run_round(0);
     let member = cluster.process(1).expect("runs");
     let position = member.chain.replica().position();
     let mut out = Vec::new();
-    member.chain.on_install(7, &late, &mut out);
+    member.chain.handle_install(7, &late, &mut out);
     assert!(matches!(out[..], [Output::Reply { token: 7, reply: AppendReply::Mismatch(_) }]), "{out:?}");
     assert_eq!(member.chain.replica().position(), position);
 }
--- a/control-plane/chain-replication/tests/golden.rs
+++ b/control-plane/chain-replication/tests/golden.rs
@@ -43,7 +43,7 @@
 
 fn member(last: u8) -> Member {
     let identity = 0x1122_3344_5566_7700 + u64::from(last);
-    Member { address: address(last), identity, node: format!("node-{last}") }
+    Member { address: address(last), identity, node_name: format!("node-{last}") }
 }
 
 fn view(number: u64) -> View {
@@ -68,13 +68,13 @@
 
 #[test]
 fn votes_keep_their_bytes() {
-    let accepted = Accepted { ballot: 17, view: view(301) };
+    let accepted = Accepted { proposal_number: 17, view: view(301) };
     check(include_str!("golden/accepted.hex"), &[("accepted", accepted.clone())]);
     let vote = Vote { instance: 301, promised: 18, accepted: Some(accepted.clone()) };
     check(include_str!("golden/votes.hex"), &[("vote", vote), ("none", Vote::default())]);
     let requests = [
-        ("prepare", VoteRequest::Prepare { instance: 301, ballot: 19 }),
-        ("accept", VoteRequest::Accept { instance: 302, ballot: 20, view: view(302) }),
+        ("prepare", VoteRequest::Prepare { instance: 301, proposal_number: 19 }),
+        ("accept", VoteRequest::Accept { instance: 302, proposal_number: 20, view: view(302) }),
         ("decided", VoteRequest::Decided { view: view(303) }),
     ];
     check(include_str!("golden/vote_requests.hex"), &requests);
@@ -82,9 +82,9 @@
         ("promised_none", VoteReply::Promised(None)),
         ("promised", VoteReply::Promised(Some(accepted))),
         ("accepted", VoteReply::Accepted),
-        ("outbid", VoteReply::Outbid(400)),
-        ("known", VoteReply::Known(view(304))),
-        ("unable", VoteReply::Unable),
+        ("outbid", VoteReply::Preempted(400)),
+        ("known", VoteReply::CurrentView(view(304))),
+        ("unable", VoteReply::Rejected),
     ];
     check(include_str!("golden/vote_replies.hex"), &replies);
 }
@@ -94,19 +94,19 @@
     let append = Append {
         view: view(300),
         round: Round { session: 0xa1b2_c3d4_e5f6, number: 77, confirmed: 76 },
-        from: Position { index: 1000, hash: 0xfeed_0001 },
+        previous: Position { index: 1000, hash: 0xfeed_0001 },
         entries: vec![Bytes(vec![1, 2, 3]), Bytes(Vec::new()), Bytes(vec![0xff; 5])],
-        to: Position { index: 1003, hash: 0xfeed_0002 },
-        notice: Bytes(vec![9, 8]),
+        last: Position { index: 1003, hash: 0xfeed_0002 },
+        broadcast: Bytes(vec![9, 8]),
     };
     check(include_str!("golden/appends.hex"), &[("append", append)]);
     let replies = [
-        ("held", AppendReply::Held { copies: 3 }),
+        ("held", AppendReply::Accepted { durable_replicas: 3 }),
         ("mismatch", AppendReply::Mismatch(Position { index: 5, hash: 0xaa })),
-        ("stale", AppendReply::Stale(view(305))),
+        ("stale", AppendReply::StaleView(view(305))),
         ("not_member", AppendReply::NotMember),
-        ("storage", AppendReply::Storage),
-        ("failed", AppendReply::Failed(address(5))),
+        ("storage", AppendReply::StorageError),
+        ("failed", AppendReply::DownstreamFailed(address(5))),
     ];
     check(include_str!("golden/append_replies.hex"), &replies);
     let position = Position { index: 55, hash: 0xabcd_ef01 };
@@ -117,9 +117,9 @@
         view: view(307),
         complete: true,
         position,
-        settled: false,
+        committed: false,
         suspect: Some(address(9)),
-        leaving: true,
+        draining: true,
     };
     check(include_str!("golden/statuses.hex"), &[("status", status), ("none", Status::default())]);
 }
@@ -187,17 +187,17 @@
             .expect("opens");
     replica.propose(&vec![40, 2]).expect("written");
     assert_eq!(
-        replica.answer_vote(&VoteRequest::Prepare { instance: 2, ballot: 5 }),
+        replica.handle_vote_request(&VoteRequest::Prepare { instance: 2, proposal_number: 5 }),
         VoteReply::Promised(None)
     );
     assert_eq!(
-        replica.answer_vote(&VoteRequest::Accept { instance: 2, ballot: 6, view: view(2) }),
+        replica.handle_vote_request(&VoteRequest::Accept { instance: 2, proposal_number: 6, view: view(2) }),
         VoteReply::Accepted
     );
-    replica.answer_vote(&VoteRequest::Decided { view: view(2) });
+    replica.handle_vote_request(&VoteRequest::Decided { view: view(2) });
     replica.propose(&vec![700]).expect("written");
     assert_eq!(
-        replica.answer_vote(&VoteRequest::Accept { instance: 3, ballot: 7, view: view(3) }),
+        replica.handle_vote_request(&VoteRequest::Accept { instance: 3, proposal_number: 7, view: view(3) }),
         VoteReply::Accepted
     );
     replica
@@ -240,13 +240,13 @@
     let expected = include_str!("golden/checkpoint.hex");
     assert!(written == expected, "other bytes than the fixture's are written:\n{written}");
     let again = Replica::open(Disk::default(), recovered(expected), Sum::default(), 1, None).expect("opens");
-    let accepted = Some(Accepted { ballot: 7, view: view(3) });
+    let accepted = Some(Accepted { proposal_number: 7, view: view(3) });
     for replica in [replica, again] {
         assert_eq!(replica.identity(), member(3).identity);
         assert_eq!(replica.view(), &view(2));
         assert_eq!(replica.vote(), &Vote { instance: 3, promised: 7, accepted: accepted.clone() });
         assert_eq!((replica.machine().0, replica.position().index), (742, 2));
         assert_eq!(replica.position(), before.position());
-        assert!(replica.complete());
+        assert!(replica.is_complete());
     }
 }
--- a/control-plane/chain-replication/tests/head.rs
+++ b/control-plane/chain-replication/tests/head.rs
@@ -1,8 +1,8 @@
 //! What a head may acknowledge while views come between its ordering and the answers, and what a lease is counted from.
 
-use marblecroft_chain_replication::storage::NoDisk;
+use marblecroft_chain_replication::storage::NullStorage;
 use marblecroft_chain_replication::{
-    Append, AppendReply, Chain, Install, Member, Options, Output, Position, Refused, Replica, Round,
+    Append, AppendReply, Chain, Config, Install, Member, Output, Position, ProposalError, Replica, Round,
     StateMachine, ToSuccessor, View,
 };
 use marblecroft_rpc::{decode, encode, Bytes};
@@ -38,11 +38,11 @@
 type Outputs = Vec<Output<u64>>;
 
 const HEARTBEAT: Duration = Duration::from_millis(100);
-const HELD: AppendReply = AppendReply::Held { copies: 2 };
+const HELD: AppendReply = AppendReply::Accepted { durable_replicas: 2 };
 
 fn member(identity: u64) -> Member {
     let address = SocketAddr::from(([10, 0, 0, identity as u8], 7000));
-    Member { address, identity, node: String::new() }
+    Member { address, identity, node_name: String::new() }
 }
 
 fn view(number: u64, members: &[u64]) -> View {
@@ -50,26 +50,26 @@
     View { number, voters: members.clone(), members }
 }
 
-fn member_of_three(identity: u64) -> Chain<Count, NoDisk> {
+fn member_of_three(identity: u64) -> Chain<Count, NullStorage> {
     let founding = Some(view(1, &[1, 2, 3]));
-    let replica =
-        Replica::open(NoDisk, Recovered::default(), Count::default(), identity, founding).expect("opens");
-    let options = Options {
-        heartbeat: HEARTBEAT,
-        member_time: Duration::from_millis(10),
-        install_time: Duration::from_millis(10),
-        copies: 2,
+    let replica = Replica::open(NullStorage, Recovered::default(), Count::default(), identity, founding)
+        .expect("opens");
+    let options = Config {
+        heartbeat_interval: HEARTBEAT,
+        append_timeout: Duration::from_millis(10),
+        install_timeout: Duration::from_millis(10),
+        min_replicas: 2,
         is_durable: true,
-        suspect_after: Duration::ZERO,
+        suspect_timeout: Duration::ZERO,
     };
     Chain::new(replica, options, identity)
 }
 
 /// A chain's member whose successor holds everything that it is sent.
 struct Driven {
-    chain: Chain<Count, NoDisk>,
+    chain: Chain<Count, NullStorage>,
     now: Duration,
-    finished: Vec<(u64, Result<u64, Refused>)>,
+    finished: Vec<(u64, Result<u64, ProposalError>)>,
 }
 
 impl Driven {
@@ -83,7 +83,7 @@
         for output in out {
             match output {
                 Output::Call { call, message, .. } => calls.push((call, message)),
-                Output::Finished { token, result } => self.finished.push((token, result)),
+                Output::Applied { token, result } => self.finished.push((token, result)),
                 Output::Reply { .. } | Output::Readable { .. } => {}
             }
         }
@@ -92,13 +92,13 @@
 
     fn pump(&mut self) -> Vec<(u64, ToSuccessor)> {
         let mut out = Outputs::new();
-        self.chain.pump(self.now, &mut out);
+        self.chain.advance(self.now, &mut out);
         self.take(out)
     }
 
     fn reply(&mut self, call: u64, reply: AppendReply) -> Vec<(u64, ToSuccessor)> {
         let mut out = Outputs::new();
-        self.chain.on_reply(self.now, call, Some(reply), &mut out);
+        self.chain.handle_reply(self.now, call, Some(reply), &mut out);
         self.take(out)
     }
 
@@ -117,9 +117,9 @@
 /// Between a head's ordering and the answer to what it passed on, it learns of a view. Whether it acknowledges.
 fn acknowledges_after(learnt: &View) -> bool {
     let mut head = Driven::head();
-    head.chain.submit(7, 5, Duration::MAX);
+    head.chain.propose(7, 5, Duration::MAX);
     let (call, _) = head.pump().pop().expect("passed on");
-    head.chain.learn(learnt);
+    head.chain.install_view(learnt);
     head.reply(call, HELD);
     head.run();
     head.finished == [(7, Ok(5))]
@@ -137,25 +137,27 @@
 #[test]
 fn a_head_whose_state_was_replaced_acknowledges_nothing_of_before() {
     let mut head = Driven::head();
-    head.chain.submit(7, 5, Duration::MAX);
+    head.chain.propose(7, 5, Duration::MAX);
     let (call, _) = head.pump().pop().expect("passed on");
     let position = Position { index: 7, hash: 7 };
     let state = Install { view: view(2, &[2, 1]), position, machine: Bytes(encode(&9u64)) };
     let mut out = Outputs::new();
-    head.chain.on_install(1, &state, &mut out);
-    assert!(out.iter().any(|output| matches!(output, Output::Reply { reply: AppendReply::Held { .. }, .. })));
+    head.chain.handle_install(1, &state, &mut out);
+    assert!(out
+        .iter()
+        .any(|output| matches!(output, Output::Reply { reply: AppendReply::Accepted { .. }, .. })));
     head.take(out);
-    head.chain.learn(&view(3, &[1, 2]));
+    head.chain.install_view(&view(3, &[1, 2]));
     assert!(head.chain.is_head());
     head.reply(call, HELD);
     head.run();
-    assert_eq!(head.finished, [(7, Err(Refused::Unknown))]);
+    assert_eq!(head.finished, [(7, Err(ProposalError::OutcomeUnknown))]);
 }
 
 #[test]
 fn an_answer_to_an_earlier_call_counts_for_nothing() {
     let mut head = Driven::head();
-    head.chain.submit(7, 5, Duration::MAX);
+    head.chain.propose(7, 5, Duration::MAX);
     let (call, _) = head.pump().pop().expect("passed on");
     head.reply(call + 1, HELD);
     head.reply(call - 1, HELD);
@@ -167,9 +169,9 @@
 #[test]
 fn what_is_on_too_few_disks_is_not_acknowledged() {
     let mut head = Driven::head();
-    head.chain.submit(7, 5, Duration::MAX);
+    head.chain.propose(7, 5, Duration::MAX);
     let (call, _) = head.pump().pop().expect("passed on");
-    head.reply(call, AppendReply::Held { copies: 0 });
+    head.reply(call, AppendReply::Accepted { durable_replicas: 0 });
     assert_eq!(head.finished, [], "held by all members, of which only this one has a disk");
     head.run();
     assert_eq!(head.finished, [(7, Ok(5))], "others have joined");
@@ -179,10 +181,10 @@
     Append {
         view: view(1, &[1, 2, 3]),
         round: Round { session, number, confirmed },
-        from: Position::default(),
+        previous: Position::default(),
         entries: Vec::new(),
-        to: Position::default(),
-        notice: Bytes::default(),
+        last: Position::default(),
+        broadcast: Bytes::default(),
     }
 }
 
@@ -191,14 +193,18 @@
     let mut tail = member_of_three(3);
     let mut out = Outputs::new();
     let at = Duration::from_millis;
-    tail.on_append(at(10), 1, &heartbeat(9, 1, 0), &mut out);
-    assert_eq!(tail.lease_since(), None, "nobody has confirmed it");
-    tail.on_append(at(20_000), 2, &heartbeat(9, 2, 1), &mut out);
-    assert_eq!(tail.lease_since(), Some(at(10)), "the second message waited while this process stood still");
-    tail.on_append(at(20_100), 3, &heartbeat(8, 3, 2), &mut out);
-    assert_eq!(tail.lease_since(), Some(at(10)), "another process's rounds prove nothing of these");
-    tail.on_append(at(20_200), 4, &heartbeat(8, 4, 3), &mut out);
-    assert_eq!(tail.lease_since(), Some(at(20_100)));
-    tail.leave();
-    assert_eq!(tail.lease_since(), None, "who is about to leave has no lease");
+    tail.handle_append(at(10), 1, &heartbeat(9, 1, 0), &mut out);
+    assert_eq!(tail.lease_confirmed_at(), None, "nobody has confirmed it");
+    tail.handle_append(at(20_000), 2, &heartbeat(9, 2, 1), &mut out);
+    assert_eq!(
+        tail.lease_confirmed_at(),
+        Some(at(10)),
+        "the second message waited while this process stood still"
+    );
+    tail.handle_append(at(20_100), 3, &heartbeat(8, 3, 2), &mut out);
+    assert_eq!(tail.lease_confirmed_at(), Some(at(10)), "another process's rounds prove nothing of these");
+    tail.handle_append(at(20_200), 4, &heartbeat(8, 4, 3), &mut out);
+    assert_eq!(tail.lease_confirmed_at(), Some(at(20_100)));
+    tail.start_draining();
+    assert_eq!(tail.lease_confirmed_at(), None, "who is about to leave has no lease");
 }
--- a/control-plane/configuration/src/document.rs
+++ b/control-plane/configuration/src/document.rs
@@ -62,12 +62,12 @@
 }
 
 /// Longest time that a configuration can name, in milliseconds.
-const MILLIS_MOST: f64 = 1e10;
+const MAX_MILLIS: f64 = 1e10;
 /// Time-out of a route that names none.
 const TIMEOUT_DEFAULT: Duration = Duration::from_secs(30);
 
 fn millis(value: f64) -> Duration {
-    Duration::from_secs_f64(value.clamp(0.0, MILLIS_MOST) / 1000.0)
+    Duration::from_secs_f64(value.clamp(0.0, MAX_MILLIS) / 1000.0)
 }
 
 /// A whole number from one that JSON may write as a fraction; what is out of range becomes the nearest that is in it.
@@ -83,7 +83,7 @@
 
 impl Document {
     pub fn read(text: &str) -> Result<Document, Invalid> {
-        if !syntax::is_whole(text) {
+        if !syntax::is_complete_document(text) {
             return Err(Invalid::Unreadable("not one whole JSON value".to_owned()));
         }
         DeJson::deserialize_json(text).map_err(|e| Invalid::Unreadable(e.to_string()))
--- a/control-plane/configuration/src/syntax.rs
+++ b/control-plane/configuration/src/syntax.rs
@@ -2,7 +2,7 @@
 //! not want, and stops the thread where the text ends inside one of them; no text reaches it unchecked.
 
 /// Values within values. Bounds the stack.
-const DEPTH_MOST: u32 = 64;
+const MAX_DEPTH: u32 = 64;
 
 struct Reader<'a> {
     text: &'a str,
@@ -11,9 +11,9 @@
 }
 
 /// Whether `text` is one JSON value and nothing else.
-pub fn is_whole(text: &str) -> bool {
+pub fn is_complete_document(text: &str) -> bool {
     let mut reader = Reader::new(text);
-    reader.value(DEPTH_MOST).is_some() && reader.peek().is_none()
+    reader.value(MAX_DEPTH).is_some() && reader.peek().is_none()
 }
 
 /// The names and values of an object, as they are written; `None` where the text is no object.
@@ -25,7 +25,7 @@
         loop {
             let name = reader.written(Reader::string)?;
             reader.take(b':')?;
-            let value = reader.written(|reader| reader.value(DEPTH_MOST))?;
+            let value = reader.written(|reader| reader.value(MAX_DEPTH))?;
             // Without its quotation marks.
             members.push((&name[1..name.len() - 1], value));
             if reader.take(b',').is_none() {
@@ -44,7 +44,7 @@
     reader.take(b'[')?;
     if reader.take(b']').is_none() {
         loop {
-            elements.push(reader.written(|reader| reader.value(DEPTH_MOST))?);
+            elements.push(reader.written(|reader| reader.value(MAX_DEPTH))?);
             if reader.take(b',').is_none() {
                 reader.take(b']')?;
                 break;
@@ -97,14 +97,14 @@
             b'{' => self.object(depth),
             b'[' => self.array(depth),
             b'"' => self.string(),
-            b't' => self.word("true"),
-            b'f' => self.word("false"),
-            b'n' => self.word("null"),
+            b't' => self.literal("true"),
+            b'f' => self.literal("false"),
+            b'n' => self.literal("null"),
             _ => self.number(),
         }
     }
 
-    fn word(&mut self, word: &str) -> Option<()> {
+    fn literal(&mut self, word: &str) -> Option<()> {
         word.bytes().try_for_each(|byte| (self.next()? == byte).then_some(()))
     }
 
--- a/control-plane/configuration/src/update.rs
+++ b/control-plane/configuration/src/update.rs
@@ -77,7 +77,7 @@
     /// Reads a change. Whether it can be made depends on the configuration that it is made on.
     pub fn parse(body: &[u8]) -> Result<Update, Invalid> {
         let text = std::str::from_utf8(body).map_err(|e| unreadable(e.to_string()))?;
-        if !syntax::is_whole(text) {
+        if !syntax::is_complete_document(text) {
             return Err(unreadable("not one whole JSON value"));
         }
         let mut update = Update { generation: 0, lists: Vec::new() };
--- a/control-plane/configuration/tests/configuration.rs
+++ b/control-plane/configuration/tests/configuration.rs
@@ -68,10 +68,10 @@
     let not =
         ["", "{", "{}{}", "[1,]", "{\"a\":}", "{a:1}", "01", "1.", "+1", "\"\\x\"", "tru", "\"a", "[1 2]"];
     for text in whole {
-        assert!(syntax::is_whole(text), "{text}");
+        assert!(syntax::is_complete_document(text), "{text}");
     }
     for text in not {
-        assert!(!syntax::is_whole(text), "{text}");
+        assert!(!syntax::is_complete_document(text), "{text}");
     }
-    assert!(!syntax::is_whole(&"[".repeat(100_000)));
+    assert!(!syntax::is_complete_document(&"[".repeat(100_000)));
 }
--- a/control-plane/control-state/tests/golden.rs
+++ b/control-plane/control-state/tests/golden.rs
@@ -2,7 +2,7 @@
 //! literal bytes of a fixture, and those are read and written again. A state that an earlier program has stored is restored.
 
 use marblecroft_chain_replication::{Member, StateMachine, View};
-use marblecroft_control_state::{Control, Operation, Output};
+use marblecroft_control_state::{ControlState, Operation, Output};
 use marblecroft_rpc::{decode, encode, Bytes, Message};
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
 fn member(last: u8) -> Member {
     let identity = 0x1122_3344_5566_7700 + u64::from(last);
     let address = SocketAddr::from(([10, 1, 2, last], 7100));
-    Member { address, identity, node: format!("node-{last}") }
+    Member { address, identity, node_name: format!("node-{last}") }
 }
 
 fn view(number: u64) -> View {
@@ -45,17 +45,17 @@
 const CHANGED: &str = r#"{"generation":9,"routes":[{"name":"a","hostname":"x","path_prefix":"/a/","route_type":"batch","backend":"s"}],"services":[{"name":"s"},{"name":"u","max_connections":7}]}"#;
 
 fn operations() -> [(&'static str, Operation); 8] {
-    let replace = Operation::Replace { base: 0, generation: 5, body: Bytes(WHOLE.into()) };
-    let update = Operation::Update { base: 5, generation: 9, change: Bytes(CHANGE.into()) };
+    let replace = Operation::ReplaceConfiguration { base: 0, generation: 5, body: Bytes(WHOLE.into()) };
+    let update = Operation::UpdateConfiguration { base: 5, generation: 9, change: Bytes(CHANGE.into()) };
     [
         ("replace", replace),
-        ("view", Operation::StoreView(view(1))),
-        ("next_view", Operation::StoreView(view(2))),
-        ("retire", Operation::Retire { node: "store-7".to_owned() }),
-        ("know_store", Operation::KnowStore { node: "store-8".to_owned() }),
-        ("take_reader", Operation::TakeReader),
+        ("view", Operation::InstallStoreView(view(1))),
+        ("next_view", Operation::InstallStoreView(view(2))),
+        ("retire", Operation::RetireStore { node: "store-7".to_owned() }),
+        ("know_store", Operation::RegisterStore { node: "store-8".to_owned() }),
+        ("take_reader", Operation::IssueReaderToken),
         ("update", update),
-        ("late_view", Operation::StoreView(view(7))),
+        ("late_view", Operation::InstallStoreView(view(7))),
     ]
 }
 
@@ -66,45 +66,46 @@
 
 #[test]
 fn the_state_after_all_operations_keeps_its_bytes() {
-    let mut control = Control::default();
+    let mut control = ControlState::default();
     let outputs = operations().map(|(_, operation)| control.apply(operation));
-    let done = Output::Done;
+    let done = Output::Applied;
     let expected = [
-        Output::Taken,
+        Output::Accepted,
         done.clone(),
         done.clone(),
         done.clone(),
         done,
         Output::Token(1),
-        Output::Taken,
+        Output::Accepted,
         Output::Ignored,
     ];
     assert_eq!(outputs, expected);
-    check(include_str!("golden/state.hex"), &[("state", control), ("none", Control::default())]);
+    check(include_str!("golden/state.hex"), &[("state", control), ("none", ControlState::default())]);
 }
 
 #[test]
 fn a_stored_control_state_is_restored_and_goes_on() {
     let line = include_str!("golden/state.hex").lines().next().expect("a line");
     let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
-    let mut control = Control::restore(&bytes).expect("a state");
+    let mut control = ControlState::restore(&bytes).expect("a state");
     assert_eq!(control.snapshot(), bytes);
     assert_eq!((control.generation(), control.sequence()), (9, 2));
     assert_eq!(control.body(), Some(CHANGED.as_bytes()));
     assert_eq!(control.store_view(), &view(2));
     assert!(control.is_retired("store-7") && !control.is_retired("store-8"));
-    assert!(control.knows_store("store-8") && !control.knows_store("store-7"));
-    assert!(control.has_taken(5, WHOLE.as_bytes()) && control.has_taken(9, CHANGE.as_bytes()));
-    let replace = |base, generation| Operation::Replace { base, generation, body: Bytes(b"{}".to_vec()) };
+    assert!(control.is_registered_store("store-8") && !control.is_registered_store("store-7"));
+    assert!(control.has_accepted(5, WHOLE.as_bytes()) && control.has_accepted(9, CHANGE.as_bytes()));
+    let replace =
+        |base, generation| Operation::ReplaceConfiguration { base, generation, body: Bytes(b"{}".to_vec()) };
     let remove = r#"{"generation":11,"remove":{"services":["s"]}}"#;
-    let remove = Operation::Update { base: 9, generation: 11, change: Bytes(remove.into()) };
+    let remove = Operation::UpdateConfiguration { base: 9, generation: 11, change: Bytes(remove.into()) };
     let refused = "route a: no service is named s".to_owned();
     let cases = [
-        (operations()[0].1.clone(), Output::Taken),
-        (operations()[6].1.clone(), Output::Taken),
-        (Operation::TakeReader, Output::Token(2)),
+        (operations()[0].1.clone(), Output::Accepted),
+        (operations()[6].1.clone(), Output::Accepted),
+        (Operation::IssueReaderToken, Output::Token(2)),
         (replace(8, 10), Output::Conflict(9)),
-        (replace(9, 4), Output::NotHigher(9)),
+        (replace(9, 4), Output::GenerationTooLow(9)),
         (remove, Output::Invalid(refused)),
     ];
     for (operation, expected) in cases {
--- a/control-plane/core/src/gateways.rs
+++ b/control-plane/core/src/gateways.rs
@@ -1,6 +1,6 @@
 //! The gateways that a store's head has heard from lately: it tells those of one zone of each other.
 
-use marblecroft_protocol::load::ZoneOut;
+use marblecroft_protocol::load::ZoneLoad;
 use marblecroft_protocol::store::{Peers, WorkRequest};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,39 +8,43 @@
 
 /// Gateways of one zone that tell each other: each notice goes to all of them. A larger zone has several such groups of
 /// about equal size, as notices that come more rarely do harm.
-pub const PEERS_MOST: usize = 24;
+pub const MAX_PEERS: usize = 24;
 /// A gateway that has not been heard of for so long is not told of.
-const HEARD_WITHIN: Duration = Duration::from_millis(3000);
+const GATEWAY_TTL: Duration = Duration::from_millis(3000);
 
-struct Heard {
+struct GatewayRecord {
     zone: String,
     address: SocketAddr,
     /// What it has at the servers of each zone.
-    zones: Vec<ZoneOut>,
-    at: Duration,
+    zone_loads: Vec<ZoneLoad>,
+    last_heard_at: Duration,
 }
 
 /// Gateways by their name.
 #[derive(Default)]
-pub struct Gateways {
-    heard: BTreeMap<String, Heard>,
+pub struct GatewayDirectory {
+    gateways: BTreeMap<String, GatewayRecord>,
 }
 
-impl Gateways {
+impl GatewayDirectory {
     /// A gateway was heard of.
-    pub fn note(&mut self, now: Duration, work: &WorkRequest) {
-        let heard =
-            Heard { zone: work.zone.clone(), address: work.load_address, zones: work.zones.clone(), at: now };
-        self.heard.insert(work.gateway.clone(), heard);
-        self.heard.retain(|_, heard| now.saturating_sub(heard.at) < HEARD_WITHIN);
+    pub fn record_work_request(&mut self, now: Duration, work: &WorkRequest) {
+        let heard = GatewayRecord {
+            zone: work.zone.clone(),
+            address: work.load_address,
+            zone_loads: work.zone_loads.clone(),
+            last_heard_at: now,
+        };
+        self.gateways.insert(work.gateway.clone(), heard);
+        self.gateways.retain(|_, heard| now.saturating_sub(heard.last_heard_at) < GATEWAY_TTL);
     }
 
     /// The gateways that are to tell `gateway`, where they are others than those of this digest.
-    pub fn peers(&self, gateway: &str, zone: &str, known: u64) -> Option<Peers> {
-        let in_zone: Vec<_> = self.heard.iter().filter(|(_, heard)| heard.zone == zone).collect();
-        let groups = in_zone.len().div_ceil(PEERS_MOST).max(1);
+    pub fn peers_of(&self, gateway: &str, zone: &str, known: u64) -> Option<Peers> {
+        let in_zone: Vec<_> = self.gateways.iter().filter(|(_, heard)| heard.zone == zone).collect();
+        let groups = in_zone.len().div_ceil(MAX_PEERS).max(1);
         let size = in_zone.len().div_ceil(groups).max(1);
-        let has_asked = |group: &&[(&String, &Heard)]| group.iter().any(|(name, _)| *name == gateway);
+        let has_asked = |group: &&[(&String, &GatewayRecord)]| group.iter().any(|(name, _)| *name == gateway);
         let group = in_zone.chunks(size).find(has_asked).unwrap_or_default();
         let addresses: Vec<SocketAddr> = group.iter().map(|(_, heard)| heard.address).collect();
         let digest = digest(&addresses);
@@ -48,16 +52,16 @@
     }
 
     pub fn count(&self) -> u32 {
-        u32::try_from(self.heard.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.gateways.len()).unwrap_or(u32::MAX)
     }
 
     /// What all gateways together have at the servers of each zone.
-    pub fn zones(&self) -> Vec<ZoneOut> {
+    pub fn zone_loads(&self) -> Vec<ZoneLoad> {
         let mut sums: BTreeMap<&str, f32> = BTreeMap::new();
-        for zone in self.heard.values().flat_map(|heard| &heard.zones) {
-            *sums.entry(&zone.zone).or_default() += zone.out;
+        for zone in self.gateways.values().flat_map(|heard| &heard.zone_loads) {
+            *sums.entry(&zone.zone).or_default() += zone.in_flight;
         }
-        sums.into_iter().map(|(zone, out)| ZoneOut { zone: zone.to_owned(), out }).collect()
+        sums.into_iter().map(|(zone, out)| ZoneLoad { zone: zone.to_owned(), in_flight: out }).collect()
     }
 }
 
--- a/control-plane/core/src/lib.rs
+++ b/control-plane/core/src/lib.rs
@@ -6,17 +6,17 @@
 //! and in the clusters of `simulation`.
 #![forbid(unsafe_code)]
 
-mod answers;
 pub mod coordinator;
 pub mod gateways;
-pub mod list_reader;
 pub mod member;
 mod membership;
-mod numbered;
 pub mod operator;
-mod patience;
+mod peer_statuses;
+mod pending_calls;
+pub mod server_list_reader;
 pub mod store;
 pub mod store_views;
+mod timeouts;
 mod view_change;
 
 use std::time::Duration;
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Time {
     /// On a clock that never goes back and counts while the process stands still.
-    pub steady: Duration,
+    pub monotonic: Duration,
     /// Milliseconds since 1970, by a clock that may be wrong.
     pub wall_ms: u64,
 }
--- a/control-plane/core/src/member.rs
+++ b/control-plane/core/src/member.rs
@@ -8,7 +8,7 @@
 use tracing::{info, warn};
 
 /// Set in every identity that is drawn, and in none of a founder, whose address and port fill 48 bits.
-const DRAWN: u64 = 1 << 63;
+const RANDOM_IDENTITY_BIT: u64 = 1 << 63;
 
 /// The identity of a founder: every process works out the same from the seeds, and no other member can have it, as the
 /// others' are drawn.
@@ -30,7 +30,7 @@
     let founder = |seed: &SocketAddr| Member {
         address: address_of(*seed),
         identity: founder_identity(*seed),
-        node: String::new(),
+        node_name: String::new(),
     };
     let members: Vec<Member> = seeds.iter().map(founder).collect();
     seeds
@@ -47,13 +47,13 @@
     drawn: u64,
     founding: Option<(u64, View)>,
 ) -> io::Result<Replica<M, S>> {
-    let drawn = drawn | DRAWN;
+    let drawn = drawn | RANDOM_IDENTITY_BIT;
     if recovered.damaged {
         warn!("the log is damaged: what was synced cannot be read; begins anew, as another member");
         return Replica::open(storage, Recovered::default(), M::default(), drawn, None);
     }
-    if recovered.passed_over > 0 {
-        info!(bytes = recovered.passed_over, "passed over what was torn at the end of the log");
+    if recovered.torn_bytes > 0 {
+        info!(bytes = recovered.torn_bytes, "passed over what was torn at the end of the log");
     }
     let (identity, view) = match founding {
         Some((identity, view)) => (identity, Some(view)),
--- a/control-plane/core/src/answers.rs
+++ b/control-plane/core/src/peer_statuses.rs
@@ -6,9 +6,9 @@
 
 /// The processes that answered, by address.
 #[derive(Default)]
-pub(crate) struct Answers(BTreeMap<SocketAddr, Status>);
+pub(crate) struct PeerStatuses(BTreeMap<SocketAddr, Status>);
 
-impl Answers {
+impl PeerStatuses {
     pub(crate) fn insert(&mut self, address: SocketAddr, status: Status) {
         self.0.insert(address, status);
     }
@@ -22,22 +22,22 @@
     }
 
     /// What was said at a member's address, by whichever process.
-    pub(crate) fn at(&self, member: &Member) -> Option<&Status> {
+    pub(crate) fn at_address_of(&self, member: &Member) -> Option<&Status> {
         self.0.get(&member.address)
     }
 
     /// What a member has said.
-    pub(crate) fn of(&self, member: &Member) -> Option<&Status> {
-        self.at(member).filter(|status| status.identity == member.identity)
+    pub(crate) fn of_member(&self, member: &Member) -> Option<&Status> {
+        self.at_address_of(member).filter(|status| status.identity == member.identity)
     }
 
     /// Whether a member's disk is known to be lost: its machine answers as another one.
     pub(crate) fn is_lost(&self, member: &Member) -> bool {
-        self.at(member).is_some_and(|status| status.identity != member.identity)
+        self.at_address_of(member).is_some_and(|status| status.identity != member.identity)
     }
 
     /// Whether the process at a member's address is about to end, or is to be no member.
-    pub(crate) fn leaves(&self, member: &Member) -> bool {
-        self.at(member).is_some_and(|status| status.leaving)
+    pub(crate) fn is_draining(&self, member: &Member) -> bool {
+        self.at_address_of(member).is_some_and(|status| status.draining)
     }
 }
--- a/control-plane/core/src/numbered.rs
+++ b/control-plane/core/src/pending_calls.rs
@@ -3,34 +3,34 @@
 use std::collections::HashMap;
 
 /// Numbers what waits, from 1.
-pub(crate) struct Numbered<T> {
-    last: u64,
-    waiting: HashMap<u64, T>,
+pub(crate) struct PendingCalls<T> {
+    last_id: u64,
+    pending: HashMap<u64, T>,
 }
 
-impl<T> Default for Numbered<T> {
-    fn default() -> Numbered<T> {
-        Numbered { last: 0, waiting: HashMap::new() }
+impl<T> Default for PendingCalls<T> {
+    fn default() -> PendingCalls<T> {
+        PendingCalls { last_id: 0, pending: HashMap::new() }
     }
 }
 
-impl<T> Numbered<T> {
+impl<T> PendingCalls<T> {
     /// Keeps something; its number.
     pub(crate) fn insert(&mut self, waits: T) -> u64 {
-        self.last += 1;
-        self.waiting.insert(self.last, waits);
-        self.last
+        self.last_id += 1;
+        self.pending.insert(self.last_id, waits);
+        self.last_id
     }
 
     pub(crate) fn get(&self, number: u64) -> Option<&T> {
-        self.waiting.get(&number)
+        self.pending.get(&number)
     }
 
     pub(crate) fn get_mut(&mut self, number: u64) -> Option<&mut T> {
-        self.waiting.get_mut(&number)
+        self.pending.get_mut(&number)
     }
 
     pub(crate) fn remove(&mut self, number: u64) -> Option<T> {
-        self.waiting.remove(&number)
+        self.pending.remove(&number)
     }
 }
--- a/control-plane/core/src/patience.rs
+++ b/control-plane/core/src/timeouts.rs
@@ -3,31 +3,31 @@
 use std::time::Duration;
 
 /// Complete members that a chain keeps while left-out disks may be sound. A chain of f + 2 still has so many after f losses.
-pub(crate) const COMPLETE_LEAST: usize = 2;
+pub(crate) const MIN_COMPLETE_MEMBERS: usize = 2;
 /// How long members that are out of reach are waited for, where the others are too few.
-const WAIT_FOR_COPIES: Duration = Duration::from_secs(20);
+const REPLICA_WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// A process that is told to end tries so long to leave its chain, or half of the time that it has.
-const LEAVE_MOST: Duration = Duration::from_secs(3);
+const MAX_DRAIN_TIME: Duration = Duration::from_secs(3);
 
 /// Members out of reach that are waited for: the view, and since when.
 #[derive(Default)]
-pub(crate) struct WaitForCopies(Option<(u64, Duration)>);
+pub(crate) struct ReplicaWait(Option<(u64, Duration)>);
 
-impl WaitForCopies {
+impl ReplicaWait {
     /// Nobody is waited for.
-    pub(crate) fn end(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.0 = None;
     }
 
     /// Whether those out of reach in the view of this number have been waited for long enough; begins to wait.
-    pub(crate) fn is_over(&mut self, now: Duration, view: u64) -> bool {
+    pub(crate) fn has_timed_out(&mut self, now: Duration, view: u64) -> bool {
         let since = self.0.filter(|since| since.0 == view).unwrap_or((view, now));
         self.0 = Some(since);
-        now >= since.1 + WAIT_FOR_COPIES
+        now >= since.1 + REPLICA_WAIT_TIMEOUT
     }
 }
 
 /// When a process that is told to end at `now` ends, whether it has left its chain or not.
-pub(crate) fn leaves_until(now: Duration, grace_period: Duration) -> Duration {
-    now + LEAVE_MOST.min(grace_period / 2)
+pub(crate) fn drain_deadline(now: Duration, grace_period: Duration) -> Duration {
+    now + MAX_DRAIN_TIME.min(grace_period / 2)
 }
--- a/control-plane/core/tests/golden.rs
+++ b/control-plane/core/tests/golden.rs
@@ -2,9 +2,9 @@
 //! digest by which a gateway says which peers it knows keeps its value: a gateway and a head of the stores that run
 //! different programs are to name one set of peers alike.
 
-use marblecroft_batch_state::Batch;
-use marblecroft_chain_replication::storage::NoDisk;
-use marblecroft_control_plane_core::gateways::Gateways;
+use marblecroft_batch_state::BatchState;
+use marblecroft_chain_replication::storage::NullStorage;
+use marblecroft_control_plane_core::gateways::GatewayDirectory;
 use marblecroft_control_plane_core::member::{founding_view, open};
 use marblecroft_protocol::store::{GatewayLoad, WorkRequest};
 use marblecroft_wal::Recovered;
@@ -16,21 +16,21 @@
         gateway: format!("gateway-{number}"),
         running: Vec::new(),
         finished: Vec::new(),
-        room: 0,
+        capacity: 0,
         load: GatewayLoad::default(),
         zone: "a".to_owned(),
         load_address: SocketAddr::from(([10, 0, 0, number], 7735)),
-        peers: 0,
-        zones: Vec::new(),
+        peers_digest: 0,
+        zone_loads: Vec::new(),
     }
 }
 
 #[test]
 fn the_digest_of_peers_keeps_its_value() {
-    let mut gateways = Gateways::default();
-    let none = gateways.peers("gateway-1", "a", 0).expect("new");
-    (1..=3).for_each(|number| gateways.note(Duration::ZERO, &work(number)));
-    let three = gateways.peers("gateway-1", "a", 0).expect("new");
+    let mut gateways = GatewayDirectory::default();
+    let none = gateways.peers_of("gateway-1", "a", 0).expect("new");
+    (1..=3).for_each(|number| gateways.record_work_request(Duration::ZERO, &work(number)));
+    let three = gateways.peers_of("gateway-1", "a", 0).expect("new");
     assert_eq!((none.digest, three.digest), (14_695_981_039_346_656_037, 17_606_688_759_347_557_830));
 }
 
@@ -44,6 +44,6 @@
     let expected = [(0x0a09_0801_1e14, called(seeds[0])), (0x0a09_0802_1e15, called(seeds[1]))];
     assert_eq!(members, expected);
     assert_eq!((view.number, &view.voters), (1, &view.members));
-    let opened = open::<Batch, _>(NoDisk, Recovered::default(), 0x1234, None).expect("opens");
+    let opened = open::<BatchState, _>(NullStorage, Recovered::default(), 0x1234, None).expect("opens");
     assert_eq!(opened.identity(), 0x8000_0000_0000_1234);
 }
--- a/control-plane/core/tests/store_views.rs
+++ b/control-plane/core/tests/store_views.rs
@@ -1,12 +1,12 @@
 //! Which view of the stores follows: what a head that has just begun may conclude, and how few complete members there may be.
 
 use marblecroft_chain_replication::{Member, Position, Status, View};
-use marblecroft_control_plane_core::store_views::{Sizes, StoreViews, FIND_HEAD};
+use marblecroft_control_plane_core::store_views::{ReplicaCounts, StoreViews, HEAD_DISCOVERY_TIME};
 use marblecroft_protocol::coordinator::StoreReport;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const SIZES: Sizes = Sizes { copies: 2, wanted: 3 };
+const SIZES: ReplicaCounts = ReplicaCounts { min_replicas: 2, target_replicas: 3 };
 const BEGUN: Duration = Duration::from_secs(100);
 
 fn address(store: u8) -> SocketAddr {
@@ -14,7 +14,7 @@
 }
 
 fn member(store: u8) -> Member {
-    Member { address: address(store), identity: u64::from(store), node: format!("store-{store}") }
+    Member { address: address(store), identity: u64::from(store), node_name: format!("store-{store}") }
 }
 
 fn view(members: &[u8]) -> View {
@@ -30,7 +30,7 @@
         position: Position { index: 1000, hash: 1 },
         ..Status::default()
     };
-    StoreReport { node: format!("store-{store}"), zone: "a".to_owned(), address: address(store), status }
+    StoreReport { node_name: format!("store-{store}"), zone: "a".to_owned(), address: address(store), status }
 }
 
 /// Stores of a head that began at [`BEGUN`], and report from then on.
@@ -42,7 +42,7 @@
 impl Stores {
     fn new() -> Stores {
         let mut views = StoreViews::default();
-        views.begin(BEGUN);
+        views.reset(BEGUN);
         Stores { views, now: BEGUN }
     }
 
@@ -51,13 +51,14 @@
         let until = self.now + time;
         while self.now < until {
             self.now += Duration::from_millis(200);
-            reports.iter().cloned().for_each(|report| self.views.note(self.now, report));
+            reports.iter().cloned().for_each(|report| self.views.record_report(self.now, report));
         }
     }
 
     /// The stores of the view that follows, if one does.
     fn next(&mut self, current: &View, retired: &[&str]) -> Option<Vec<u64>> {
-        let members = self.views.next(self.now, current, SIZES, |node| retired.contains(&node))?;
+        let members =
+            self.views.next_view_members(self.now, current, SIZES, |node| retired.contains(&node))?;
         Some(members.into_iter().map(|member| member.identity).collect())
     }
 }
@@ -69,7 +70,7 @@
     let mut stores = Stores::new();
     stores.report_for(Duration::from_millis(1200), &[report(1), report(2)]);
     assert_eq!(stores.next(&view(&[1, 2, 3]), &[]), None, "the third may still be looking for it");
-    stores.report_for(FIND_HEAD, &[report(1), report(2)]);
+    stores.report_for(HEAD_DISCOVERY_TIME, &[report(1), report(2)]);
     assert_eq!(stores.next(&view(&[1, 2, 3]), &[]), Some(vec![1, 2]));
 }
 
@@ -130,7 +131,7 @@
 fn a_process_that_is_about_to_end_is_left_out_and_does_not_join() {
     let mut stores = Stores::new();
     let mut leaving = report(3);
-    leaving.status.leaving = true;
+    leaving.status.draining = true;
     stores.report_for(MOMENT, &[report(1), report(2), leaving.clone()]);
     assert_eq!(stores.next(&view(&[1, 2, 3]), &[]), Some(vec![1, 2]));
     assert_eq!(stores.next(&view(&[1, 2]), &[]), None);
--- a/control-plane/core/tests/stored.rs
+++ b/control-plane/core/tests/stored.rs
@@ -2,7 +2,7 @@
 //! configuration as an update has made it, machines to be emptied, the stores' view, and a half-done batch job. The logs are
 //! literal bytes, and the same history is written to the same bytes.
 
-use marblecroft_batch_state::{Batch, Item, ItemOutcome, NewJob, Operation as BatchOperation};
+use marblecroft_batch_state::{BatchState, Item, ItemOutcome, NewJob, Operation as BatchOperation};
 use marblecroft_chain_replication::storage::Storage;
 use marblecroft_chain_replication::{Member, Replica, View};
 use marblecroft_control_plane_core::coordinator::{self, Coordinator};
@@ -10,10 +10,10 @@
 use marblecroft_control_plane_core::operator::{Call, Method};
 use marblecroft_control_plane_core::store::{self, Store};
 use marblecroft_control_plane_core::{Node, Time};
-use marblecroft_control_state::{Control, Operation};
-use marblecroft_protocol::coordinator::{CoordinatorReply, CoordinatorRequest, Pull, Versions};
+use marblecroft_control_state::{ControlState, Operation};
+use marblecroft_protocol::coordinator::{CoordinatorReply, CoordinatorRequest, Pull, VersionVector};
 use marblecroft_protocol::store::{
-    GatewayLoad, ItemName, NamedResult, ResultsPage, StoreReply, StoreRequest, WorkRequest,
+    GatewayLoad, ItemId, NamedResult, ResultsPage, StoreReply, StoreRequest, WorkRequest,
 };
 use marblecroft_rpc::Bytes;
 use marblecroft_wal::Recovered;
@@ -95,7 +95,7 @@
 ) -> R {
     let mut input = first;
     for _ in 0..500 {
-        let outputs = node.handle(Time { steady: *now, wall_ms: WALL_MS }, input);
+        let outputs = node.handle(Time { monotonic: *now, wall_ms: WALL_MS }, input);
         if let Some(found) = outputs.into_iter().find_map(&found) {
             return found;
         }
@@ -115,25 +115,25 @@
 }
 
 fn stores_view() -> View {
-    let member = Member { address: address(7108), identity: 0x1122_3344, node: "store-1".to_owned() };
+    let member = Member { address: address(7108), identity: 0x1122_3344, node_name: "store-1".to_owned() };
     View { number: 1, members: vec![member], voters: Vec::new() }
 }
 
 #[test]
 fn the_log_of_a_coordinator_keeps_its_bytes() {
     let disk = Disk::default();
-    let mut replica: Replica<Control, _> =
+    let mut replica: Replica<ControlState, _> =
         open(disk.clone(), Recovered::default(), 1, founding()).expect("opens");
-    let replace = Operation::Replace { base: 0, generation: 5, body: Bytes(WHOLE.into()) };
-    let know = Operation::KnowStore { node: "store-7".to_owned() };
+    let replace = Operation::ReplaceConfiguration { base: 0, generation: 5, body: Bytes(WHOLE.into()) };
+    let know = Operation::RegisterStore { node: "store-7".to_owned() };
     replica.propose(&vec![replace, know]).expect("written");
-    let update = Operation::Update { base: 5, generation: 9, change: Bytes(CHANGE.into()) };
-    let retire = Operation::Retire { node: "store-7".to_owned() };
-    replica.propose(&vec![Operation::StoreView(stores_view()), update]).expect("written");
+    let update = Operation::UpdateConfiguration { base: 5, generation: 9, change: Bytes(CHANGE.into()) };
+    let retire = Operation::RetireStore { node: "store-7".to_owned() };
+    replica.propose(&vec![Operation::InstallStoreView(stores_view()), update]).expect("written");
     // Its next start writes a checkpoint.
     let found = recovered(&disk.0.borrow());
-    let mut replica = open::<Control, _>(disk.clone(), found, 1, None).expect("opens");
-    replica.propose(&vec![retire, Operation::TakeReader]).expect("written");
+    let mut replica = open::<ControlState, _>(disk.clone(), found, 1, None).expect("opens");
+    replica.propose(&vec![retire, Operation::IssueReaderToken]).expect("written");
     check_written(&disk, CONTROL_LOG);
 }
 
@@ -147,7 +147,7 @@
         operator_port: None,
         tolerated_machines: 0,
         grace_period: Duration::from_secs(1),
-        reads_list: false,
+        reads_server_list: false,
         is_durable: true,
         session: 99,
     };
@@ -177,7 +177,7 @@
     let retired = operator(Method::Get, "/-/Retire.Read/store-7", None, "");
     assert_eq!(retired, (200, "{\"state\":\"in_progress\"}".to_owned()));
     assert_eq!(operator(Method::Get, "/-/Retire.Read/store-1", None, "").0, 404);
-    let pull = Pull { have: Versions::default(), wait_ms: 1000 };
+    let pull = Pull { known_versions: VersionVector::default(), wait_ms: 1000 };
     let input = coordinator::Input::Request { token: 5, request: CoordinatorRequest::Pull(pull) };
     let updates = ask(
         &mut node,
@@ -214,7 +214,7 @@
         host: "x.example".to_owned(),
         items: vec![item("first", 100), item("second", 230), item("third", 310)],
         max_queued_tokens: 1000,
-        taken_at_ms: 1_700_000_000_123,
+        accepted_at_ms: 1_700_000_000_123,
         due_after_ms: 8000,
     }
 }
@@ -226,16 +226,16 @@
 #[test]
 fn the_log_of_a_store_keeps_its_bytes() {
     let disk = Disk::default();
-    let mut replica: Replica<Batch, _> =
-        Replica::open(disk.clone(), Recovered::default(), Batch::default(), 0x1122_3344, None)
+    let mut replica: Replica<BatchState, _> =
+        Replica::open(disk.clone(), Recovered::default(), BatchState::default(), 0x1122_3344, None)
             .expect("opens");
-    assert!(replica.learn(&stores_view()).expect("written"));
-    replica.propose(&vec![BatchOperation::Submit(job())]).expect("written");
-    let record = |item, outcome| BatchOperation::Record { job: "job-1".to_owned(), item, outcome };
+    assert!(replica.install_view(&stores_view()).expect("written"));
+    replica.propose(&vec![BatchOperation::SubmitJob(job())]).expect("written");
+    let record = |item, outcome| BatchOperation::RecordResult { job: "job-1".to_owned(), item, outcome };
     replica.propose(&vec![record(2, completed())]).expect("written");
     // Its next start writes a checkpoint.
     let found = recovered(&disk.0.borrow());
-    let mut replica = open::<Batch, _>(disk.clone(), found, 1, None).expect("opens");
+    let mut replica = open::<BatchState, _>(disk.clone(), found, 1, None).expect("opens");
     replica.propose(&vec![record(0, ItemOutcome::DeadLettered)]).expect("written");
     check_written(&disk, BATCH_LOG);
 }
@@ -249,7 +249,7 @@
         address: address(7108),
         coordinators: vec![address(7100)],
         tolerated_machines: 0,
-        status_time: Duration::from_secs(60),
+        result_retention: Duration::from_secs(60),
         grace_period: Duration::from_secs(1),
         session: 99,
     };
@@ -270,31 +270,31 @@
     };
     let result = |id: &str, outcome| NamedResult { id: id.to_owned(), outcome };
     let results = vec![result("third", completed()), result("first", ItemOutcome::DeadLettered)];
-    let read = |start| StoreRequest::Read { job: "job-1".to_owned(), start, wait_ms: 0 };
+    let read = |start| StoreRequest::ReadResults { job: "job-1".to_owned(), start, wait_ms: 0 };
     let page = ResultsPage { total: 3, results: results.clone() };
     assert_eq!(call(read(0)), StoreReply::Results(page));
     let page = ResultsPage { total: 3, results: results[1..].to_vec() };
     assert_eq!(call(read(1)), StoreReply::Results(page));
-    let body = |item: &str| StoreRequest::Body { job: "job-1".to_owned(), item: item.to_owned() };
+    let body = |item: &str| StoreRequest::ReadItemBody { job: "job-1".to_owned(), item: item.to_owned() };
     assert_eq!(call(body("second")), StoreReply::Body(b"{\"prompt\":\"second\"}".to_vec()));
-    assert_eq!(call(StoreRequest::Submit(job())), StoreReply::Accepted);
+    assert_eq!(call(StoreRequest::SubmitJob(job())), StoreReply::Accepted);
     let mut other = job();
     other.items[1].tokens += 1;
-    assert_eq!(call(StoreRequest::Submit(other)), StoreReply::Conflict);
+    assert_eq!(call(StoreRequest::SubmitJob(other)), StoreReply::Conflict);
     let mut large = job();
     (large.id, large.items[0].tokens) = ("job-2".to_owned(), 1000);
-    assert_eq!(call(StoreRequest::Submit(large)), StoreReply::OverQuota);
+    assert_eq!(call(StoreRequest::SubmitJob(large)), StoreReply::OverQuota);
     let work = || {
         StoreRequest::Work(WorkRequest {
             gateway: "gateway-1".to_owned(),
             running: Vec::new(),
             finished: Vec::new(),
-            room: 5,
-            load: GatewayLoad { live: 0.0, slots: 100 },
+            capacity: 5,
+            load: GatewayLoad { live_requests: 0.0, slots: 100 },
             zone: "a".to_owned(),
             load_address: address(7200),
-            peers: 0,
-            zones: Vec::new(),
+            peers_digest: 0,
+            zone_loads: Vec::new(),
         })
     };
     // A head grants nothing before leases of the one before it have ended.
@@ -303,7 +303,7 @@
         _ => None,
     });
     let granted = granted.expect("the item without a result");
-    assert_eq!(granted.name, ItemName { job: "job-1".to_owned(), item: 1 });
+    assert_eq!(granted.id, ItemId { job: "job-1".to_owned(), item: 1 });
     assert_eq!((granted.host.as_str(), granted.route.as_str()), ("x.example", "nightly"));
-    assert_eq!((granted.item, granted.taken_at_ms), (item("second", 230), 1_700_000_000_123));
+    assert_eq!((granted.item, granted.accepted_at_ms), (item("second", 230), 1_700_000_000_123));
 }
--- a/control-plane/protocol/src/coordinator.rs
+++ b/control-plane/protocol/src/coordinator.rs
@@ -1,6 +1,6 @@
 //! Calls that a coordinator answers.
 
-use crate::servers::{ListVersion, ServerList};
+use crate::servers::{ServerList, ServerListVersion};
 use marblecroft_chain_replication::agreement::{VoteReply, VoteRequest};
 use marblecroft_chain_replication::{Append, AppendReply, Install, Member, Position, Status, View};
 use marblecroft_rpc::Bytes;
@@ -32,22 +32,22 @@
     Append(AppendReply),
     Vote(VoteReply),
     Status(Status),
-    Updates(Updates),
+    Updates(ConfigurationUpdates),
     Stores(StoreDirective),
     /// Noted; the view will tell.
-    Noted,
+    Acknowledged,
     /// To a process that would join: the state that it takes first.
-    Learn(Install),
+    InstallFirst(Install),
     /// Another process is the head, as far as this one knows.
     NotHead(Option<SocketAddr>),
 }
 
 /// The versions that a gateway has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Versions {
+pub struct VersionVector {
     /// Configurations taken, up to the one that it has.
     pub configuration: u64,
-    pub servers: ListVersion,
+    pub servers: ServerListVersion,
     /// Number of the view of the stores' chain.
     pub stores: u64,
 }
@@ -55,14 +55,14 @@
 /// Asks for what is newer.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Pull {
-    pub have: Versions,
+    pub known_versions: VersionVector,
     /// How long the answer may be held until there is something.
     pub wait_ms: u32,
 }
 
 /// What is newer than what a gateway has.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
-pub struct Updates {
+pub struct ConfigurationUpdates {
     /// Whether the coordinator is in touch with the others; one that was cut off tells old versions.
     pub fresh: bool,
     pub configuration: Option<ConfigurationUpdate>,
@@ -81,7 +81,7 @@
 /// What a store tells the head of the coordinators.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct StoreReport {
-    pub node: String,
+    pub node_name: String,
     pub zone: String,
     pub address: SocketAddr,
     pub status: Status,
--- a/control-plane/protocol/src/servers.rs
+++ b/control-plane/protocol/src/servers.rs
@@ -25,13 +25,13 @@
 /// The list as one read had it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ServerList {
-    pub version: ListVersion,
+    pub version: ServerListVersion,
     pub servers: Vec<Server>,
 }
 
 /// Orders lists: a later reader's are newer than an earlier one's, and a reader's own follow each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub struct ListVersion {
+pub struct ServerListVersion {
     /// The reader's fencing token.
     pub epoch: u64,
     pub sequence: u64,
--- a/control-plane/protocol/src/store.rs
+++ b/control-plane/protocol/src/store.rs
@@ -1,6 +1,6 @@
 //! Calls that a store answers.
 
-use crate::load::ZoneOut;
+use crate::load::ZoneLoad;
 use marblecroft_batch_state::{Item, ItemOutcome, NewJob};
 use marblecroft_chain_replication::{Append, AppendReply, Install, Status};
 use musli::{Decode, Encode};
@@ -17,13 +17,13 @@
     /// From a store that is to join: the whole state.
     Fetch,
     /// Take a job.
-    Submit(NewJob),
+    SubmitJob(NewJob),
     /// Results of a job from a position on.
-    Read { job: String, start: u64, wait_ms: u32 },
+    ReadResults { job: String, start: u64, wait_ms: u32 },
     /// The body of an item that is not listed.
-    Body { job: String, item: String },
+    ReadItemBody { job: String, item: String },
     /// End a job.
-    End { job: String },
+    EndJob { job: String },
     /// From a gateway that runs items.
     Work(WorkRequest),
 }
@@ -51,7 +51,7 @@
     /// Too few copies would be made. Nothing was carried out.
     Unavailable,
     /// It may have been carried out.
-    Unknown,
+    OutcomeUnknown,
 }
 
 /// A part of a job's results.
@@ -71,7 +71,7 @@
 
 /// Names an item.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Encode, Decode)]
-pub struct ItemName {
+pub struct ItemId {
     pub job: String,
     /// Its place in the job, counted from 0.
     pub item: u32,
@@ -81,19 +81,19 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct WorkRequest {
     pub gateway: String,
-    pub running: Vec<ItemName>,
+    pub running: Vec<ItemId>,
     pub finished: Vec<FinishedItem>,
     /// Items that it would begin.
-    pub room: u32,
+    pub capacity: u32,
     /// What it sees of the servers, by which the stores bound how many items all gateways run.
     pub load: GatewayLoad,
     pub zone: String,
     /// Where it takes the load notices of other gateways.
     pub load_address: SocketAddr,
     /// The digest of the peers that it was last told, 0 before the first.
-    pub peers: u64,
+    pub peers_digest: u64,
     /// What it has at the servers of each zone.
-    pub zones: Vec<ZoneOut>,
+    pub zone_loads: Vec<ZoneLoad>,
 }
 
 /// The gateways of one zone that exchange load notices.
@@ -108,7 +108,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Encode, Decode)]
 pub struct GatewayLoad {
     /// Live requests that it had at servers at once lately, in the mean.
-    pub live: f64,
+    pub live_requests: f64,
     /// Slots of all servers that requests may be sent to.
     pub slots: u32,
 }
@@ -116,7 +116,7 @@
 /// An item that was run.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct FinishedItem {
-    pub name: ItemName,
+    pub id: ItemId,
     pub outcome: ItemOutcome,
 }
 
@@ -126,27 +126,27 @@
     /// Items to run under a lease.
     pub granted: Vec<GrantedItem>,
     /// Items to stop: they are another gateway's, or are not wanted any more.
-    pub stop: Vec<ItemName>,
+    pub stop: Vec<ItemId>,
     /// How long the leases last from when the request was sent.
     pub lease_ms: u32,
     /// The gateways of its zone, where they are others than those that it knows.
     pub peers: Option<Peers>,
     /// What all gateways together have at the servers of each zone.
-    pub zones: Vec<ZoneOut>,
+    pub zone_loads: Vec<ZoneLoad>,
     /// How many gateways there are.
-    pub gateways: u32,
+    pub gateway_count: u32,
     /// Live requests that all of them had at servers lately, in the mean.
-    pub live: f32,
+    pub live_requests: f32,
 }
 
 /// An item to run.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct GrantedItem {
-    pub name: ItemName,
+    pub id: ItemId,
     /// The host and route that its job came in with.
     pub host: String,
     pub route: String,
     pub item: Item,
     /// When its job was taken, in milliseconds since 1970.
-    pub taken_at_ms: u64,
+    pub accepted_at_ms: u64,
 }
--- a/control-plane/protocol/tests/golden.rs
+++ b/control-plane/protocol/tests/golden.rs
@@ -6,13 +6,13 @@
 use marblecroft_chain_replication::storage::Accepted;
 use marblecroft_chain_replication::{Append, AppendReply, Install, Member, Position, Round, Status, View};
 use marblecroft_protocol::coordinator::{
-    ConfigurationUpdate, CoordinatorReply, CoordinatorRequest, Pull, StoreDirective, StoreReport, Updates,
-    Versions,
+    ConfigurationUpdate, ConfigurationUpdates, CoordinatorReply, CoordinatorRequest, Pull, StoreDirective,
+    StoreReport, VersionVector,
 };
-use marblecroft_protocol::load::{LoadNotice, ServerOut, ZoneOut};
-use marblecroft_protocol::servers::{ListVersion, Page, Server, ServerList};
+use marblecroft_protocol::load::{LoadUpdate, ServerLoad, ZoneLoad};
+use marblecroft_protocol::servers::{Page, Server, ServerList, ServerListVersion};
 use marblecroft_protocol::store::{
-    FinishedItem, GatewayLoad, GrantedItem, ItemName, NamedResult, Peers, ResultsPage, StoreReply,
+    FinishedItem, GatewayLoad, GrantedItem, ItemId, NamedResult, Peers, ResultsPage, StoreReply,
     StoreRequest, WorkReply, WorkRequest,
 };
 use marblecroft_rpc::{decode, encode, Bytes, Message};
@@ -48,7 +48,7 @@
 
 fn member(last: u8) -> Member {
     let identity = 0x1122_3344_5566_7700 + u64::from(last);
-    Member { address: address(last, 7100), identity, node: format!("node-{last}") }
+    Member { address: address(last, 7100), identity, node_name: format!("node-{last}") }
 }
 
 fn view() -> View {
@@ -59,10 +59,10 @@
     Append {
         view: view(),
         round: Round { session: 0xa1b2_c3d4_e5f6, number: 77, confirmed: 76 },
-        from: Position { index: 1000, hash: 0xfeed_0001 },
+        previous: Position { index: 1000, hash: 0xfeed_0001 },
         entries: vec![Bytes(vec![1, 2, 3]), Bytes(Vec::new()), Bytes(vec![0xff; 5])],
-        to: Position { index: 1003, hash: 0xfeed_0002 },
-        notice: Bytes(vec![9, 8]),
+        last: Position { index: 1003, hash: 0xfeed_0002 },
+        broadcast: Bytes(vec![9, 8]),
     }
 }
 
@@ -77,9 +77,9 @@
         view: view(),
         complete: true,
         position: Position { index: 21, hash: 0x9999_8888 },
-        settled: false,
+        committed: false,
         suspect: Some(address(9, 7109)),
-        leaving: true,
+        draining: true,
     }
 }
 
@@ -96,7 +96,7 @@
 }
 
 fn list() -> ServerList {
-    let version = ListVersion { epoch: 6, sequence: 410 };
+    let version = ServerListVersion { epoch: 6, sequence: 410 };
     ServerList { version, servers: vec![server("s-1", 20, false), server("s-2", 21, true)] }
 }
 
@@ -117,31 +117,32 @@
         host: "x.example".to_owned(),
         items: vec![item("first"), item("second")],
         max_queued_tokens: 670_000,
-        taken_at_ms: 1_700_000_000_123,
+        accepted_at_ms: 1_700_000_000_123,
         due_after_ms: 8000,
     }
 }
 
-fn item_name(job: &str, item: u32) -> ItemName {
-    ItemName { job: job.to_owned(), item }
+fn item_name(job: &str, item: u32) -> ItemId {
+    ItemId { job: job.to_owned(), item }
 }
 
-fn zones() -> Vec<ZoneOut> {
-    let zone = |zone: &str, out| ZoneOut { zone: zone.to_owned(), out };
+fn zones() -> Vec<ZoneLoad> {
+    let zone = |zone: &str, out| ZoneLoad { zone: zone.to_owned(), in_flight: out };
     vec![zone("zone-a", 1.25), zone("zone-b", 17.5)]
 }
 
 #[test]
 fn questions_to_coordinators_keep_their_bytes() {
-    let have = Versions { configuration: 12, servers: ListVersion { epoch: 3, sequence: 45 }, stores: 6 };
+    let have =
+        VersionVector { configuration: 12, servers: ServerListVersion { epoch: 3, sequence: 45 }, stores: 6 };
     let report = StoreReport {
-        node: "store-1".to_owned(),
+        node_name: "store-1".to_owned(),
         zone: "zone-c".to_owned(),
         address: address(8, 7108),
         status: status(),
     };
-    let prepare = VoteRequest::Prepare { instance: 301, ballot: 9 };
-    let accept = VoteRequest::Accept { instance: 302, ballot: 10, view: view() };
+    let prepare = VoteRequest::Prepare { instance: 301, proposal_number: 9 };
+    let accept = VoteRequest::Accept { instance: 302, proposal_number: 10, view: view() };
     let values = [
         ("append", CoordinatorRequest::Append(append())),
         ("install", CoordinatorRequest::Install(install())),
@@ -154,7 +155,7 @@
             CoordinatorRequest::Join { member: member(7), position: Position { index: 4, hash: 0xbeef } },
         ),
         ("leave", CoordinatorRequest::Leave(0x7766_5544_3322)),
-        ("pull", CoordinatorRequest::Pull(Pull { have, wait_ms: 2500 })),
+        ("pull", CoordinatorRequest::Pull(Pull { known_versions: have, wait_ms: 2500 })),
         ("report", CoordinatorRequest::Report(report)),
     ];
     check(include_str!("golden/coordinator_requests.hex"), &values);
@@ -162,7 +163,7 @@
 
 #[test]
 fn answers_of_coordinators_keep_their_bytes() {
-    let updates = Updates {
+    let updates = ConfigurationUpdates {
         fresh: true,
         configuration: Some(ConfigurationUpdate { sequence: 13, body: Bytes(b"{}".to_vec()) }),
         servers: Some(list()),
@@ -174,27 +175,27 @@
         fetch_from: Some(address(6, 7106)),
         coordinators: vec![address(1, 7101), address(2, 7102)],
     };
-    let accepted = Accepted { ballot: 8, view: view() };
+    let accepted = Accepted { proposal_number: 8, view: view() };
     let v6: SocketAddr = "[2001:db8::5]:7100".parse().expect("an address");
     let values = [
-        ("held", CoordinatorReply::Append(AppendReply::Held { copies: 3 })),
+        ("held", CoordinatorReply::Append(AppendReply::Accepted { durable_replicas: 3 })),
         ("mismatch", CoordinatorReply::Append(AppendReply::Mismatch(Position { index: 5, hash: 0xaa }))),
-        ("stale", CoordinatorReply::Append(AppendReply::Stale(view()))),
+        ("stale", CoordinatorReply::Append(AppendReply::StaleView(view()))),
         ("not_member", CoordinatorReply::Append(AppendReply::NotMember)),
-        ("storage", CoordinatorReply::Append(AppendReply::Storage)),
-        ("failed", CoordinatorReply::Append(AppendReply::Failed(address(5, 7105)))),
+        ("storage", CoordinatorReply::Append(AppendReply::StorageError)),
+        ("failed", CoordinatorReply::Append(AppendReply::DownstreamFailed(address(5, 7105)))),
         ("promised_none", CoordinatorReply::Vote(VoteReply::Promised(None))),
         ("promised", CoordinatorReply::Vote(VoteReply::Promised(Some(accepted)))),
         ("accepted", CoordinatorReply::Vote(VoteReply::Accepted)),
-        ("outbid", CoordinatorReply::Vote(VoteReply::Outbid(400))),
-        ("known", CoordinatorReply::Vote(VoteReply::Known(view()))),
-        ("unable", CoordinatorReply::Vote(VoteReply::Unable)),
+        ("outbid", CoordinatorReply::Vote(VoteReply::Preempted(400))),
+        ("known", CoordinatorReply::Vote(VoteReply::CurrentView(view()))),
+        ("unable", CoordinatorReply::Vote(VoteReply::Rejected)),
         ("status", CoordinatorReply::Status(status())),
         ("updates", CoordinatorReply::Updates(updates)),
-        ("updates_none", CoordinatorReply::Updates(Updates::default())),
+        ("updates_none", CoordinatorReply::Updates(ConfigurationUpdates::default())),
         ("stores", CoordinatorReply::Stores(directive)),
-        ("noted", CoordinatorReply::Noted),
-        ("learn", CoordinatorReply::Learn(install())),
+        ("noted", CoordinatorReply::Acknowledged),
+        ("learn", CoordinatorReply::InstallFirst(install())),
         ("not_head", CoordinatorReply::NotHead(Some(v6))),
         ("not_head_none", CoordinatorReply::NotHead(None)),
     ];
@@ -204,20 +205,20 @@
 #[test]
 fn questions_to_stores_keep_their_bytes() {
     let completed = FinishedItem {
-        name: item_name("job-2", 5),
+        id: item_name("job-2", 5),
         outcome: ItemOutcome::Completed("{\"a\":1}\n[DONE]".to_owned()),
     };
-    let dead = FinishedItem { name: item_name("job-3", 6), outcome: ItemOutcome::DeadLettered };
+    let dead = FinishedItem { id: item_name("job-3", 6), outcome: ItemOutcome::DeadLettered };
     let work = WorkRequest {
         gateway: "gateway-4".to_owned(),
         running: vec![item_name("job-1", 2), item_name("job-1", 300)],
         finished: vec![completed, dead],
-        room: 11,
-        load: GatewayLoad { live: 3.75, slots: 96 },
+        capacity: 11,
+        load: GatewayLoad { live_requests: 3.75, slots: 96 },
         zone: "zone-a".to_owned(),
         load_address: address(14, 7200),
-        peers: 0x1234_5678_9abc_def0,
-        zones: zones(),
+        peers_digest: 0x1234_5678_9abc_def0,
+        zone_loads: zones(),
     };
     let (job_id, item_id) = ("job-4".to_owned(), "third".to_owned());
     let values = [
@@ -225,10 +226,10 @@
         ("install", StoreRequest::Install(install())),
         ("status", StoreRequest::Status),
         ("fetch", StoreRequest::Fetch),
-        ("submit", StoreRequest::Submit(job())),
-        ("read", StoreRequest::Read { job: job_id.clone(), start: 17, wait_ms: 900 }),
-        ("body", StoreRequest::Body { job: job_id.clone(), item: item_id }),
-        ("end", StoreRequest::End { job: job_id }),
+        ("submit", StoreRequest::SubmitJob(job())),
+        ("read", StoreRequest::ReadResults { job: job_id.clone(), start: 17, wait_ms: 900 }),
+        ("body", StoreRequest::ReadItemBody { job: job_id.clone(), item: item_id }),
+        ("end", StoreRequest::EndJob { job: job_id }),
         ("work", StoreRequest::Work(work)),
     ];
     check(include_str!("golden/store_requests.hex"), &values);
@@ -245,23 +246,23 @@
         ],
     };
     let granted = GrantedItem {
-        name: item_name("job-1", 1),
+        id: item_name("job-1", 1),
         host: "x.example".to_owned(),
         route: "nightly".to_owned(),
         item: item("second"),
-        taken_at_ms: 1_700_000_000_456,
+        accepted_at_ms: 1_700_000_000_456,
     };
     let work = WorkReply {
         granted: vec![granted],
         stop: vec![item_name("job-2", 8)],
         lease_ms: 2200,
         peers: Some(Peers { digest: 0xd1e5, addresses: vec![address(14, 7200), address(15, 7201)] }),
-        zones: zones(),
-        gateways: 5,
-        live: 21.5,
+        zone_loads: zones(),
+        gateway_count: 5,
+        live_requests: 21.5,
     };
     let values = [
-        ("append", StoreReply::Append(AppendReply::Held { copies: 2 })),
+        ("append", StoreReply::Append(AppendReply::Accepted { durable_replicas: 2 })),
         ("status", StoreReply::Status(status())),
         ("state", StoreReply::State(install())),
         ("accepted", StoreReply::Accepted),
@@ -275,18 +276,18 @@
         ("work_none", StoreReply::Work(WorkReply::default())),
         ("not_head", StoreReply::NotHead(Some(address(2, 7102)))),
         ("unavailable", StoreReply::Unavailable),
-        ("unknown", StoreReply::Unknown),
+        ("unknown", StoreReply::OutcomeUnknown),
     ];
     check(include_str!("golden/store_replies.hex"), &values);
 }
 
 #[test]
 fn notices_of_load_keep_their_bytes() {
-    let one = ServerOut { server: 0x5151_6262, out: 19, tokens: 4100, failing: 31 };
-    let other = ServerOut { server: 0x7373, out: 0, tokens: 1, failing: 255 };
-    let notice = LoadNotice { gateway: 0x0a0b_0c0d_0e0f, sequence: 888, servers: vec![one, other] };
+    let one = ServerLoad { server: 0x5151_6262, in_flight: 19, prompt_tokens: 4100, failure_share: 31 };
+    let other = ServerLoad { server: 0x7373, in_flight: 0, prompt_tokens: 1, failure_share: 255 };
+    let notice = LoadUpdate { gateway: 0x0a0b_0c0d_0e0f, sequence: 888, servers: vec![one, other] };
     check(include_str!("golden/load.hex"), &[("notice", notice)]);
-    let [a, b] = <[ZoneOut; 2]>::try_from(zones()).expect("two zones");
+    let [a, b] = <[ZoneLoad; 2]>::try_from(zones()).expect("two zones");
     check(include_str!("golden/zone_out.hex"), &[("a", a), ("b", b)]);
 }
 
--- a/control-plane/rpc/src/call.rs
+++ b/control-plane/rpc/src/call.rs
@@ -19,11 +19,11 @@
 /// The path of every call.
 pub const PATH: &str = "/call";
 /// The longest message, in bytes: a snapshot of a store's whole state.
-const MESSAGE_MOST: u64 = 512 << 20;
+const MAX_MESSAGE_BYTES: u64 = 512 << 20;
 /// Time in which a connection must come up. A machine without power says nothing.
-const CONNECT_MOST: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Status of the answer to a call that is for another process.
-const MISDIRECTED: u16 = 421;
+const MISDIRECTED_REQUEST: u16 = 421;
 
 quick_error! {
     /// Why a call has no answer; it says whether the other side may have carried it out.
@@ -56,11 +56,11 @@
 
 /// Names one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct CallName {
+pub struct CallId {
     /// The process that asks; drawn when it starts.
     pub caller: u64,
     /// Counts its calls.
-    pub number: u64,
+    pub sequence: u64,
     pub service: Service,
     /// Where the process that is asked listens.
     pub callee: SocketAddr,
@@ -69,20 +69,20 @@
 /// Which way a message goes, so that an echo of a question is no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Direction {
-    Question,
-    Answer,
+    Request,
+    Response,
 }
 
 /// A message with the name of its call. The answer repeats the name.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Envelope {
     pub direction: Direction,
-    pub name: CallName,
+    pub call_id: CallId,
     pub message: Bytes,
 }
 
 /// A number that no other process draws.
-pub fn draw_number() -> u64 {
+pub fn random_id() -> u64 {
     // The standard library seeds its hashes from the system's source of randomness.
     let mut hasher = RandomState::new().build_hasher();
     hasher.write_u32(std::process::id());
@@ -94,7 +94,7 @@
 pub struct Caller {
     service: Service,
     identity: u64,
-    numbers: Arc<AtomicU64>,
+    next_number: Arc<AtomicU64>,
     agent: Arc<Mutex<ureq::Agent>>,
 }
 
@@ -105,13 +105,13 @@
         .max_idle_connections(16)
         .max_idle_connections_per_host(4)
         .max_idle_age(Duration::from_secs(4))
-        .timeout_connect(Some(CONNECT_MOST))
+        .timeout_connect(Some(CONNECT_TIMEOUT))
         .proxy(None)
         .build();
     config.into()
 }
 
-fn error(cause: &ureq::Error) -> CallError {
+fn classify_error(cause: &ureq::Error) -> CallError {
     let not_sent = match cause {
         ureq::Error::Timeout(ureq::Timeout::Connect) | ureq::Error::ConnectionFailed => true,
         ureq::Error::Io(e) => e.kind() == io::ErrorKind::ConnectionRefused,
@@ -129,8 +129,8 @@
     pub fn new(service: Service) -> Caller {
         Caller {
             service,
-            identity: draw_number(),
-            numbers: Arc::default(),
+            identity: random_id(),
+            next_number: Arc::default(),
             agent: Arc::new(Mutex::new(new_agent())),
         }
     }
@@ -142,20 +142,21 @@
         request: &Q,
         within: Duration,
     ) -> Result<R, CallError> {
-        let name = CallName {
+        let name = CallId {
             caller: self.identity,
-            number: self.numbers.fetch_add(1, Ordering::Relaxed),
+            sequence: self.next_number.fetch_add(1, Ordering::Relaxed),
             service: self.service,
             callee: to,
         };
-        let envelope = Envelope { direction: Direction::Question, name, message: Bytes(encode(request)) };
+        let envelope =
+            Envelope { direction: Direction::Request, call_id: name, message: Bytes(encode(request)) };
         let agent = self.agent.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let post = agent.post(format!("http://{to}{PATH}")).config().timeout_global(Some(within)).build();
         let sent = post.send(&encode(&envelope)[..]);
-        let mut response = sent.map_err(|e| error(&e))?;
-        let body = response.body_mut().with_config().limit(MESSAGE_MOST).read_to_vec();
+        let mut response = sent.map_err(|e| classify_error(&e))?;
+        let body = response.body_mut().with_config().limit(MAX_MESSAGE_BYTES).read_to_vec();
         let body = body.map_err(|e| CallError::Unknown(e.to_string()))?;
-        let answer = if response.status() == 200 { read_answer(&name, &body) } else { None };
+        let answer = if response.status() == 200 { read_response(&name, &body) } else { None };
         answer.ok_or_else(|| {
             // What comes next on the same connection may be another call's.
             *self.agent.lock().unwrap_or_else(PoisonError::into_inner) = new_agent();
@@ -165,9 +166,9 @@
 }
 
 /// The message of an answer; `None` where it is not the answer to this call.
-fn read_answer<R: Message>(name: &CallName, body: &[u8]) -> Option<R> {
+fn read_response<R: Message>(name: &CallId, body: &[u8]) -> Option<R> {
     let envelope: Envelope = decode(body).ok()?;
-    let is_answer = envelope.direction == Direction::Answer && envelope.name == *name;
+    let is_answer = envelope.direction == Direction::Response && envelope.call_id == *name;
     is_answer.then(|| decode(&envelope.message.0).ok())?
 }
 
@@ -186,15 +187,15 @@
             Ok(envelope) => envelope,
             Err(e) => return Reply::text(400, &e.to_string()),
         };
-        let name = envelope.name;
-        if envelope.direction != Direction::Question || name.callee != own || name.service != service {
-            return Reply::text(MISDIRECTED, "this call is for another process");
+        let name = envelope.call_id;
+        if envelope.direction != Direction::Request || name.callee != own || name.service != service {
+            return Reply::text(MISDIRECTED_REQUEST, "this call is for another process");
         }
         match decode(&envelope.message.0) {
             Ok(message) => match handler(message) {
                 Some(reply) => {
                     let message = Bytes(encode(&reply));
-                    let answer = Envelope { direction: Direction::Answer, name, message };
+                    let answer = Envelope { direction: Direction::Response, call_id: name, message };
                     Reply::bytes(200, encode(&answer))
                 }
                 None => Reply::text(500, "no answer in time"),
--- a/control-plane/rpc/src/frame.rs
+++ b/control-plane/rpc/src/frame.rs
@@ -7,7 +7,7 @@
 
 /// Version of the messages. A process drops messages of another version.
 pub const VERSION: u8 = 1;
-const HEADER: usize = 5;
+const HEADER_BYTES: usize = 5;
 
 /// A value that can be sent and read back.
 pub trait Message: Encode<Binary> + for<'de> Decode<'de, Binary, Global> {}
@@ -46,7 +46,7 @@
 pub fn encode<T: Message>(message: &T) -> Vec<u8> {
     // Encoding into memory fails for no value of ours; an empty payload is refused by whoever reads it.
     let payload = musli::storage::to_vec(message).unwrap_or_default();
-    let mut framed = Vec::with_capacity(HEADER + payload.len());
+    let mut framed = Vec::with_capacity(HEADER_BYTES + payload.len());
     framed.push(VERSION);
     framed.extend_from_slice(&crc32fast::hash(&payload).to_le_bytes());
     framed.extend_from_slice(&payload);
--- a/control-plane/rpc/src/http.rs
+++ b/control-plane/rpc/src/http.rs
@@ -11,15 +11,15 @@
 use tracing::warn;
 
 /// The longest body that is read, in bytes: a snapshot of a store's whole state.
-const BODY_MOST: u64 = 512 << 20;
+const MAX_BODY_BYTES: u64 = 512 << 20;
 /// Connections that may wait to be accepted.
-const BACKLOG: i32 = 256;
+const LISTEN_BACKLOG: i32 = 256;
 /// Stack of a thread that answers one request, in bytes.
-const STACK: usize = 256 << 10;
+const THREAD_STACK_BYTES: usize = 256 << 10;
 /// A peer that is gone without a word is noticed after this time of silence ...
-const KEEPALIVE_AFTER: Duration = Duration::from_secs(3);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(3);
 /// ... and after probes this far apart.
-const KEEPALIVE_EVERY: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A request as the handler gets it.
 pub struct Request {
@@ -68,7 +68,7 @@
     }
 
     /// An answer with one more header.
-    pub fn with(mut self, name: &'static str, value: String) -> Reply {
+    pub fn with_header(mut self, name: &'static str, value: String) -> Reply {
         self.headers.push((name, value));
         self
     }
@@ -78,18 +78,18 @@
 pub fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
-    let probes = TcpKeepalive::new().with_time(KEEPALIVE_AFTER).with_interval(KEEPALIVE_EVERY);
+    let probes = TcpKeepalive::new().with_time(KEEPALIVE_IDLE).with_interval(KEEPALIVE_INTERVAL);
     // Options of the listener hold for what it accepts. A system that refuses them only notices later.
     drop(socket.set_tcp_keepalive(&probes));
     drop(socket.set_tcp_nodelay(true));
     socket.bind(&addr.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
 
-fn answer(mut incoming: Incoming, handler: &dyn Fn(Request) -> Reply) {
+fn respond(mut incoming: Incoming, handler: &dyn Fn(Request) -> Reply) {
     let mut body = Vec::new();
-    if incoming.as_reader().take(BODY_MOST).read_to_end(&mut body).is_err() {
+    if incoming.as_reader().take(MAX_BODY_BYTES).read_to_end(&mut body).is_err() {
         return;
     }
     let request = Request {
@@ -119,7 +119,9 @@
     let accept = move || {
         for incoming in server.incoming_requests() {
             let handler = handler.clone();
-            let spawned = thread::Builder::new().stack_size(STACK).spawn(move || answer(incoming, &*handler));
+            let spawned = thread::Builder::new()
+                .stack_size(THREAD_STACK_BYTES)
+                .spawn(move || respond(incoming, &*handler));
             if let Err(e) = spawned {
                 warn!("no thread for a request: {e}");
             }
--- a/control-plane/rpc/src/lib.rs
+++ b/control-plane/rpc/src/lib.rs
@@ -9,5 +9,5 @@
 mod frame;
 pub mod http;
 
-pub use call::{draw_number, serve, CallError, CallName, Caller, Direction, Envelope, Service, PATH};
+pub use call::{random_id, serve, CallError, CallId, Caller, Direction, Envelope, Service, PATH};
 pub use frame::{decode, encode, Bytes, DecodeError, Message, VERSION};
--- a/control-plane/rpc/tests/calls.rs
+++ b/control-plane/rpc/tests/calls.rs
@@ -2,7 +2,7 @@
 //! call's, and nothing is sent twice.
 
 use marblecroft_rpc::{
-    decode, encode, http, serve, Bytes, CallError, CallName, Caller, Direction, Envelope, Service,
+    decode, encode, http, serve, Bytes, CallError, CallId, Caller, Direction, Envelope, Service,
 };
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -91,30 +91,28 @@
     answer
 }
 
-fn reply_to(name: CallName, text: &str) -> Vec<u8> {
+fn reply_to(name: CallId, text: &str) -> Vec<u8> {
     let message = Bytes(encode(&text.to_owned()));
-    encode(&Envelope { direction: Direction::Answer, name, message })
+    encode(&Envelope { direction: Direction::Response, call_id: name, message })
 }
 
 fn answer_wrongly(mut stream: TcpStream, behaviour: Behaviour, read: &AtomicUsize) {
-    let mut before: Option<CallName> = None;
+    let mut before: Option<CallId> = None;
     while let Some(body) = read_request(&mut stream) {
         read.fetch_add(1, Ordering::SeqCst);
         let Ok(envelope) = decode::<Envelope>(&body) else { return };
-        let name = envelope.name;
+        let name = envelope.call_id;
         let other = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
         let answer = match behaviour {
             Behaviour::Late => whole_answer(&reply_to(before.unwrap_or(name), "late")),
             Behaviour::Echo => whole_answer(&body),
             Behaviour::OtherCaller => {
-                whole_answer(&reply_to(CallName { caller: name.caller ^ 1, ..name }, "another's"))
+                whole_answer(&reply_to(CallId { caller: name.caller ^ 1, ..name }, "another's"))
             }
             Behaviour::OtherNumber => {
-                whole_answer(&reply_to(CallName { number: name.number + 1, ..name }, "another one"))
-            }
-            Behaviour::OtherCallee => {
-                whole_answer(&reply_to(CallName { callee: other, ..name }, "elsewhere"))
+                whole_answer(&reply_to(CallId { sequence: name.sequence + 1, ..name }, "another one"))
             }
+            Behaviour::OtherCallee => whole_answer(&reply_to(CallId { callee: other, ..name }, "elsewhere")),
             Behaviour::Garbage => whole_answer(b"no envelope"),
             Behaviour::TwoAnswers => {
                 let mut both = whole_answer(&reply_to(name, "right"));
--- a/control-plane/rpc/tests/golden.rs
+++ b/control-plane/rpc/tests/golden.rs
@@ -2,7 +2,7 @@
 //! read and written again.
 
 use marblecroft_rpc::{
-    decode, encode, Bytes, CallName, DecodeError, Direction, Envelope, Message, Service, PATH, VERSION,
+    decode, encode, Bytes, CallId, DecodeError, Direction, Envelope, Message, Service, PATH, VERSION,
 };
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -30,10 +30,10 @@
     }
 }
 
-fn name(service: Service) -> CallName {
-    CallName {
+fn name(service: Service) -> CallId {
+    CallId {
         caller: 0x1122_3344_5566_7788,
-        number: 513,
+        sequence: 513,
         service,
         callee: SocketAddr::from(([10, 1, 2, 3], 7100)),
     }
@@ -42,17 +42,20 @@
 #[test]
 fn envelopes_of_calls_keep_their_bytes() {
     let question = Envelope {
-        direction: Direction::Question,
-        name: name(Service::Coordinators),
+        direction: Direction::Request,
+        call_id: name(Service::Coordinators),
         message: Bytes(vec![1, 2, 3]),
     };
-    let answer =
-        Envelope { direction: Direction::Answer, name: name(Service::Stores), message: Bytes(vec![0xff; 4]) };
+    let answer = Envelope {
+        direction: Direction::Response,
+        call_id: name(Service::Stores),
+        message: Bytes(vec![0xff; 4]),
+    };
     check(include_str!("golden/envelopes.hex"), &[("question", question), ("answer", answer)]);
     check(include_str!("golden/names.hex"), &[("name", name(Service::Stores))]);
     let services = [("coordinators", Service::Coordinators), ("stores", Service::Stores)];
     check(include_str!("golden/services.hex"), &services);
-    let directions = [("question", Direction::Question), ("answer", Direction::Answer)];
+    let directions = [("question", Direction::Request), ("answer", Direction::Response)];
     check(include_str!("golden/directions.hex"), &directions);
 }
 
--- a/control-plane/server/src/calls.rs
+++ b/control-plane/server/src/calls.rs
@@ -9,11 +9,11 @@
 use tracing::warn;
 
 /// Stack of a thread that waits for an answer, in bytes.
-const STACK: usize = 256 << 10;
+const THREAD_STACK_BYTES: usize = 256 << 10;
 /// A thread without work ends after this time.
-const IDLE_MOST: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Whoever has called is answered within this time, or not at all.
-const ANSWER_MOST: Duration = Duration::from_secs(10);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
 type Job = Box<dyn FnOnce() + Send>;
 
@@ -41,7 +41,7 @@
             }
         }
         let pool = self.clone();
-        let spawned = thread::Builder::new().stack_size(STACK).spawn(move || pool.work(job));
+        let spawned = thread::Builder::new().stack_size(THREAD_STACK_BYTES).spawn(move || pool.work(job));
         if let Err(e) = spawned {
             warn!("no thread for a call: {e}");
         }
@@ -55,7 +55,7 @@
         loop {
             job();
             lock(&self.idle).push(sender.clone());
-            job = match jobs.recv_timeout(IDLE_MOST) {
+            job = match jobs.recv_timeout(IDLE_TIMEOUT) {
                 Ok(job) => job,
                 Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => return,
             };
@@ -64,27 +64,27 @@
 }
 
 /// Callers that wait for an answer, by token.
-pub struct Callers<R> {
+pub struct PendingReplies<R> {
     waiting: Mutex<(Token, HashMap<Token, SyncSender<R>>)>,
 }
 
-impl<R> Default for Callers<R> {
-    fn default() -> Callers<R> {
-        Callers { waiting: Mutex::new((0, HashMap::new())) }
+impl<R> Default for PendingReplies<R> {
+    fn default() -> PendingReplies<R> {
+        PendingReplies { waiting: Mutex::new((0, HashMap::new())) }
     }
 }
 
-impl<R> Callers<R> {
+impl<R> PendingReplies<R> {
     /// Hands in a call with `hand_in`, and waits for its answer.
-    pub fn ask(&self, hand_in: impl FnOnce(Token)) -> Option<R> {
-        let (token, answer) = self.enter();
+    pub fn call(&self, hand_in: impl FnOnce(Token)) -> Option<R> {
+        let (token, answer) = self.register();
         hand_in(token);
-        let reply = answer.recv_timeout(ANSWER_MOST).ok();
+        let reply = answer.recv_timeout(REPLY_TIMEOUT).ok();
         lock(&self.waiting).1.remove(&token);
         reply
     }
 
-    fn enter(&self) -> (Token, Receiver<R>) {
+    fn register(&self) -> (Token, Receiver<R>) {
         let (sender, answer) = sync_channel(1);
         let mut waiting = lock(&self.waiting);
         waiting.0 += 1;
@@ -94,7 +94,7 @@
     }
 
     /// Answers a call.
-    pub fn answer(&self, token: Token, reply: R) {
+    pub fn reply(&self, token: Token, reply: R) {
         if let Some(sender) = lock(&self.waiting).1.remove(&token) {
             // Whoever asked may have given up.
             drop(sender.try_send(reply));
--- a/control-plane/server/src/shell.rs
+++ b/control-plane/server/src/event_loop.rs
@@ -20,14 +20,14 @@
     pub fn time(&self) -> Time {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let wall_ms = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
-        Time { steady: self.0.elapsed(), wall_ms }
+        Time { monotonic: self.0.elapsed(), wall_ms }
     }
 }
 
 /// What carrying out an output leads to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    GoOn,
+    Continue,
     Exit,
 }
 
@@ -47,7 +47,7 @@
                 return;
             }
         }
-        let wait = node.next_wake().saturating_sub(clock.time().steady);
+        let wait = node.next_wake().saturating_sub(clock.time().monotonic);
         input = match inputs.recv_timeout(wait) {
             Ok(input) => input,
             Err(RecvTimeoutError::Timeout) => wake(),
@@ -58,7 +58,7 @@
 
 /// Hands in SIGTERM. SIGHUP says that the settings file has changed; what a control process uses of it does not change while
 /// it runs, and the signal must not end the process.
-pub fn hand_in_signals<I: Send + 'static>(
+pub fn forward_signals<I: Send + 'static>(
     inputs: Sender<I>,
     terminate: impl Fn() -> I + Send + 'static,
 ) -> io::Result<()> {
@@ -75,4 +75,4 @@
 }
 
 /// Time that the last answers have to leave before the process ends.
-pub const LINGER: Duration = Duration::from_millis(50);
+pub const FLUSH_TIME: Duration = Duration::from_millis(50);
--- a/control-plane/server/src/main.rs
+++ b/control-plane/server/src/main.rs
@@ -6,10 +6,10 @@
 
 mod calls;
 mod coordinator;
-mod disk;
+mod event_loop;
 mod flags;
-mod platform_list;
-mod shell;
+mod server_list_client;
+mod storage;
 mod store;
 
 use crate::flags::{MarblecroftControlPlane, MarblecroftControlPlaneCmd as Command};
@@ -19,7 +19,7 @@
 use tracing::error;
 
 /// Exit code for settings or arguments that cannot be used.
-const BAD_USE: u8 = 2;
+const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
     let flags = MarblecroftControlPlane::from_env_or_exit();
@@ -28,7 +28,7 @@
         Ok(settings) => settings,
         Err(e) => {
             eprintln!("marblecroft-control-plane: {e}");
-            return ExitCode::from(BAD_USE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     let ended = match flags.subcommand {
--- a/control-plane/server/src/platform_list.rs
+++ b/control-plane/server/src/server_list_client.rs
@@ -6,28 +6,28 @@
 use std::time::Duration;
 
 /// Time for one page.
-const PAGE_TIME: Duration = Duration::from_millis(800);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pages of one list. Guards against a list that does not end.
-const PAGES_MOST: usize = 200;
+const MAX_PAGES: usize = 200;
 
 /// Reads lists; keeps its connection.
 #[derive(Clone)]
-pub struct PlatformList {
+pub struct ServerListClient {
     agent: ureq::Agent,
     api: CloudApi,
 }
 
-impl PlatformList {
-    pub fn new(api: CloudApi) -> PlatformList {
-        let config = ureq::Agent::config_builder().timeout_global(Some(PAGE_TIME)).proxy(None).build();
-        PlatformList { agent: config.into(), api }
+impl ServerListClient {
+    pub fn new(api: CloudApi) -> ServerListClient {
+        let config = ureq::Agent::config_builder().timeout_global(Some(PAGE_TIMEOUT)).proxy(None).build();
+        ServerListClient { agent: config.into(), api }
     }
 
     /// The whole list; `None` where a page did not come.
     pub fn read(&self) -> Option<Vec<Server>> {
         let mut servers = Vec::new();
         let mut token: Option<String> = None;
-        for _ in 0..PAGES_MOST {
+        for _ in 0..MAX_PAGES {
             let mut get = self.agent.get(format!("http://{}/instances", self.api.address));
             if let Some(token) = &token {
                 get = get.query("page_token", token);
--- a/control-plane/server/src/disk.rs
+++ b/control-plane/server/src/storage.rs
@@ -1,10 +1,10 @@
 //! Opens the log of a member of a chain, or stands in for one where the machine has no disk.
 
-use marblecroft_chain_replication::storage::NoDisk;
+use marblecroft_chain_replication::storage::NullStorage;
 use marblecroft_chain_replication::{Replica, StateMachine, View};
 use marblecroft_control_plane_core::member;
-use marblecroft_rpc::draw_number;
-use marblecroft_wal::{Log, Recovered};
+use marblecroft_rpc::random_id;
+use marblecroft_wal::{Recovered, Wal};
 use std::io;
 use std::path::Path;
 
@@ -12,12 +12,14 @@
 pub fn open<M: StateMachine + Default>(
     folder: &Path,
     founding: Option<(u64, View)>,
-) -> io::Result<Replica<M, Log>> {
-    let (log, recovered) = Log::open(folder)?;
-    member::open(log, recovered, draw_number(), founding)
+) -> io::Result<Replica<M, Wal>> {
+    let (log, recovered) = Wal::open(folder)?;
+    member::open(log, recovered, random_id(), founding)
 }
 
 /// An empty state on a machine without a disk.
-pub fn without<M: StateMachine + Default>(founding: Option<(u64, View)>) -> io::Result<Replica<M, NoDisk>> {
-    member::open(NoDisk, Recovered::default(), draw_number(), founding)
+pub fn without<M: StateMachine + Default>(
+    founding: Option<(u64, View)>,
+) -> io::Result<Replica<M, NullStorage>> {
+    member::open(NullStorage, Recovered::default(), random_id(), founding)
 }
