--- a/control-plane/server/src/store.rs
+++ b/control-plane/server/src/store.rs
@@ -1,13 +1,13 @@
 //! The store's program: sockets, files, threads and clocks round [`marblecroft_control_plane_core::store`].
 
-use crate::calls::{Callers, ThreadPool};
-use crate::disk;
-use crate::shell::{self, Clock, Next, LINGER};
-use marblecroft_batch_state::Batch;
+use crate::calls::{PendingReplies, ThreadPool};
+use crate::event_loop::{self, Clock, Next, FLUSH_TIME};
+use crate::storage;
+use marblecroft_batch_state::BatchState;
 use marblecroft_control_plane_core::store::{Input, Output, Settings as CoreSettings, Store};
 use marblecroft_protocol::store::{StoreReply, StoreRequest};
 use marblecroft_protocol::{coordinator_address, internal_address};
-use marblecroft_rpc::{draw_number, http, serve, Caller, Service};
+use marblecroft_rpc::{http, random_id, serve, Caller, Service};
 use marblecroft_settings::Settings;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -24,9 +24,9 @@
         address,
         coordinators: seeds.collect(),
         tolerated_machines: settings.tolerated_machines,
-        status_time: settings.bounds.status,
+        result_retention: settings.bounds.status,
         grace_period: settings.bounds.grace_period,
-        session: draw_number(),
+        session: random_id(),
     }
 }
 
@@ -37,7 +37,7 @@
     coordinators: Caller,
     stores: Caller,
     pool: ThreadPool,
-    requests: Arc<Callers<StoreReply>>,
+    requests: Arc<PendingReplies<StoreReply>>,
 }
 
 /// Runs a store until the process ends.
@@ -48,10 +48,10 @@
         return Err(missing("seeds"));
     }
     let address = internal_address(IpAddr::V4(settings.ip), settings.ephemeral_ports);
-    let replica = disk::open::<Batch>(folder, None)?;
+    let replica = storage::open::<BatchState>(folder, None)?;
     info!("store {:x} starts in view {}", replica.identity(), replica.view().number);
     let clock = Clock::start();
-    let mut node = Store::new(core_settings(settings, address), replica, clock.time().steady);
+    let mut node = Store::new(core_settings(settings, address), replica, clock.time().monotonic);
     let (inputs, received) = channel();
     let shell = Shell {
         inputs,
@@ -60,11 +60,11 @@
         pool: ThreadPool::default(),
         requests: Arc::default(),
     };
-    shell::hand_in_signals(shell.inputs.clone(), || Input::Terminate)?;
+    event_loop::forward_signals(shell.inputs.clone(), || Input::Terminate)?;
     let internal = shell.clone();
     serve(http::listen(address)?, Service::Stores, move |request| internal.answer(request))?;
-    shell::run(&mut node, clock, &received, || Input::Wake, |output| shell.carry_out(output));
-    thread::sleep(LINGER);
+    event_loop::run(&mut node, clock, &received, || Input::Wake, |output| shell.carry_out(output));
+    thread::sleep(FLUSH_TIME);
     Ok(())
 }
 
@@ -75,23 +75,23 @@
     }
 
     fn answer(&self, request: StoreRequest) -> Option<StoreReply> {
-        self.requests.ask(|token| self.hand_in(Input::Request { token, request }))
+        self.requests.call(|token| self.hand_in(Input::Request { token, request }))
     }
 
     fn carry_out(&self, output: Output) -> Next {
         let shell = self.clone();
         match output {
-            Output::Answer { token, reply } => self.requests.answer(token, reply),
-            Output::CallStore { call, to, request, within } => self.pool.run(move || {
+            Output::Answer { token, reply } => self.requests.reply(token, reply),
+            Output::CallStore { call, to, request, timeout: within } => self.pool.run(move || {
                 let reply = shell.stores.call(to, &request, within).ok();
                 shell.hand_in(Input::StoreReply { call, reply });
             }),
-            Output::CallCoordinator { call, to, request, within } => self.pool.run(move || {
+            Output::CallCoordinator { call, to, request, timeout: within } => self.pool.run(move || {
                 let reply = shell.coordinators.call(to, &request, within).ok();
                 shell.hand_in(Input::CoordinatorReply { call, reply });
             }),
             Output::Exit => return Next::Exit,
         }
-        Next::GoOn
+        Next::Continue
     }
 }
--- a/control-plane/simulation/src/judge.rs
+++ b/control-plane/simulation/src/checker.rs
@@ -22,16 +22,16 @@
 
 /// An order of an operator's.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct ConfigurationChange {
     pub base: u64,
     pub generation: u64,
     /// As it is sent.
     pub body: String,
     pub is_update: bool,
     /// The routes that it may make: several where orders of one generation were sent that it may build on.
-    makes: Vec<Routes>,
+    possible_routes: Vec<Routes>,
     pub acknowledged_at: Option<Duration>,
-    pub refused: bool,
+    pub rejected: bool,
 }
 
 /// A batch job as its client sees it.
@@ -40,21 +40,21 @@
     tokens: Vec<u64>,
     accepted: bool,
     /// Whether an attempt had no final answer.
-    unclear: bool,
+    outcome_unknown: bool,
     refused: bool,
     ended: bool,
     finished: BTreeSet<usize>,
     confirmed: BTreeSet<usize>,
     /// Texts that runs of each item have made.
     texts: BTreeMap<String, BTreeSet<String>>,
-    listed: Vec<(String, String)>,
+    results: Vec<(String, String)>,
 }
 
 /// The history, as far as checks need it.
 #[derive(Default)]
-pub struct Judge {
-    found: Vec<String>,
-    orders: Vec<Order>,
+pub struct Checker {
+    violations: Vec<String>,
+    changes: Vec<ConfigurationChange>,
     /// The highest generation that a reading has shown, and when its answer came.
     read: Vec<(Duration, u64)>,
     jobs: BTreeMap<String, Job>,
@@ -74,7 +74,7 @@
 
 impl Change {
     /// The routes after this change.
-    fn made_of(&self, before: &Routes) -> Routes {
+    fn applied_to(&self, before: &Routes) -> Routes {
         let mut routes = before.clone();
         match self {
             Change::Replace(all) => routes = all.clone(),
@@ -101,18 +101,18 @@
     }
 }
 
-impl Judge {
+impl Checker {
     /// What is wrong.
-    pub fn found(&self) -> &[String] {
-        &self.found
+    pub fn violations(&self) -> &[String] {
+        &self.violations
     }
 
-    pub fn has_found(&self) -> bool {
-        !self.found.is_empty()
+    pub fn has_violation(&self) -> bool {
+        !self.violations.is_empty()
     }
 
     pub fn report(&mut self, what: String) {
-        self.found.push(what);
+        self.violations.push(what);
     }
 
     fn count(&mut self, what: &'static str) {
@@ -124,86 +124,91 @@
     }
 
     /// An operator is about to send an order; its number.
-    pub fn add_order(&mut self, base: u64, generation: u64, change: &Change) -> usize {
+    pub fn record_change(&mut self, base: u64, generation: u64, change: &Change) -> usize {
         let is_update = !matches!(change, Change::Replace(_));
-        let makes = if is_update { self.made_on(base, change) } else { vec![change.made_of(&Routes::new())] };
+        let makes = if is_update {
+            self.possible_routes_on(base, change)
+        } else {
+            vec![change.applied_to(&Routes::new())]
+        };
         let body = change.body(generation);
-        self.orders.push(Order {
+        self.changes.push(ConfigurationChange {
             base,
             generation,
             body,
             is_update,
-            makes,
+            possible_routes: makes,
             acknowledged_at: None,
-            refused: false,
+            rejected: false,
         });
-        self.orders.len() - 1
+        self.changes.len() - 1
     }
 
     /// What a change makes of the configurations that may have been in force under this generation.
-    fn made_on(&self, base: u64, change: &Change) -> Vec<Routes> {
-        let bases = self.orders.iter().filter(|order| order.generation == base && !order.refused);
+    fn possible_routes_on(&self, base: u64, change: &Change) -> Vec<Routes> {
+        let bases = self.changes.iter().filter(|order| order.generation == base && !order.rejected);
         let mut makes: Vec<Routes> =
-            bases.flat_map(|order| &order.makes).map(|before| change.made_of(before)).collect();
+            bases.flat_map(|order| &order.possible_routes).map(|before| change.applied_to(before)).collect();
         makes.sort();
         makes.dedup();
         makes
     }
 
-    pub fn order(&self, number: usize) -> &Order {
-        &self.orders[number]
+    pub fn change(&self, number: usize) -> &ConfigurationChange {
+        &self.changes[number]
     }
 
-    pub fn acknowledged_orders(&self) -> Vec<usize> {
-        (0..self.orders.len()).filter(|number| self.orders[*number].acknowledged_at.is_some()).collect()
+    pub fn acknowledged_changes(&self) -> Vec<usize> {
+        (0..self.changes.len()).filter(|number| self.changes[*number].acknowledged_at.is_some()).collect()
     }
 
     /// The newest generation that was acknowledged by a time.
     pub fn newest_acknowledged(&self, by: Duration) -> u64 {
-        let acknowledged = |order: &&Order| order.acknowledged_at.is_some_and(|at| at <= by);
-        self.orders.iter().filter(acknowledged).map(|order| order.generation).max().unwrap_or(0)
+        let acknowledged = |order: &&ConfigurationChange| order.acknowledged_at.is_some_and(|at| at <= by);
+        self.changes.iter().filter(acknowledged).map(|order| order.generation).max().unwrap_or(0)
     }
 
-    pub fn order_answered(&mut self, now: Duration, number: usize, status: u16) {
-        let before = self.orders[number].clone();
+    pub fn on_change_reply(&mut self, now: Duration, number: usize, status: u16) {
+        let before = self.changes[number].clone();
         match status {
             200 => {
                 self.count("acknowledged");
-                if before.refused {
+                if before.rejected {
                     self.report(format!("acknowledged after a refusal: {before:?}"));
                 }
-                let clashes = |other: &Order| {
+                let clashes = |other: &ConfigurationChange| {
                     let same = other.generation == before.generation || other.base == before.base;
                     other.acknowledged_at.is_some() && same && other.body != before.body
                 };
-                if let Some(other) = self.orders.iter().find(|other| clashes(other)) {
+                if let Some(other) = self.changes.iter().find(|other| clashes(other)) {
                     self.report(format!("two are acknowledged: {before:?} and {other:?}"));
                 }
-                self.orders[number].acknowledged_at.get_or_insert(now);
+                self.changes[number].acknowledged_at.get_or_insert(now);
             }
             400..=499 => {
                 self.count("refused");
                 if before.acknowledged_at.is_some() {
                     self.report(format!("refused with {status} after it was acknowledged: {before:?}"));
                 }
-                self.orders[number].refused = true;
+                self.changes[number].rejected = true;
             }
             _ => self.count("unclear"),
         }
     }
 
     fn check_in_force(&mut self, body: &str, what: &str) -> Option<u64> {
-        let makes =
-            |order: &&Order| order.makes.iter().any(|routes| configuration(order.generation, routes) == body);
+        let makes = |order: &&ConfigurationChange| {
+            order.possible_routes.iter().any(|routes| configuration(order.generation, routes) == body)
+        };
         // Two changes may make the same.
-        let making: Vec<&Order> = self.orders.iter().filter(makes).collect();
-        let order = making.iter().find(|order| !order.refused).or(making.first()).copied().cloned();
+        let making: Vec<&ConfigurationChange> = self.changes.iter().filter(makes).collect();
+        let order = making.iter().find(|order| !order.rejected).or(making.first()).copied().cloned();
         match order {
             None => {
                 self.report(format!("{what}: nobody has sent {body}"));
                 None
             }
-            Some(order) if order.refused => {
+            Some(order) if order.rejected => {
                 self.report(format!("{what}: in force though refused: {order:?}"));
                 None
             }
@@ -244,7 +249,7 @@
     }
 
     /// A gateway takes a list of servers that was read at this time.
-    pub fn list_taken(&mut self, gateway: usize, read_at: &str) {
+    pub fn on_server_list(&mut self, gateway: usize, read_at: &str) {
         let before = self.lists.insert(gateway, read_at.to_owned()).unwrap_or_default();
         if *read_at < *before {
             self.report(format!("gateway {gateway} takes a list of {read_at} after one of {before}"));
@@ -253,7 +258,7 @@
 
     /// Tokens that wait at the least, or at the most as far as clients can tell.
     fn waiting(&self, at_most: bool) -> u64 {
-        let counts = |job: &&Job| !job.ended && (job.accepted || (at_most && job.unclear));
+        let counts = |job: &&Job| !job.ended && (job.accepted || (at_most && job.outcome_unknown));
         let tokens = |job: &Job| {
             let done = if at_most { &job.confirmed } else { &job.finished };
             let left = job.tokens.iter().enumerate().filter(|(item, _)| !done.contains(item));
@@ -263,18 +268,18 @@
     }
 
     /// A job is sent; the most tokens that may wait beside it at this moment.
-    pub fn job_sent(&mut self, job: &str, tokens: &[u64]) -> u64 {
+    pub fn on_job_sent(&mut self, job: &str, tokens: &[u64]) -> u64 {
         let known = self.jobs.entry(job.to_owned()).or_default();
         known.tokens = tokens.to_vec();
-        let unclear = std::mem::replace(&mut known.unclear, false);
+        let unclear = std::mem::replace(&mut known.outcome_unknown, false);
         let most = self.waiting(true);
         if let Some(known) = self.jobs.get_mut(job) {
-            known.unclear = unclear;
+            known.outcome_unknown = unclear;
         }
         most
     }
 
-    pub fn job_accepted(&mut self, job: &str, quota: u64) {
+    pub fn on_job_accepted(&mut self, job: &str, quota: u64) {
         self.count("jobs accepted");
         if let Some(known) = self.jobs.get_mut(job) {
             known.accepted = true;
@@ -285,11 +290,11 @@
         }
     }
 
-    pub fn job_refused(&mut self, job: &str, most_before: u64, quota: u64) {
+    pub fn on_job_rejected(&mut self, job: &str, most_before: u64, quota: u64) {
         self.count("jobs refused");
         let Some(known) = self.jobs.get_mut(job) else { return };
         let tokens: u64 = known.tokens.iter().sum();
-        let (accepted, unclear) = (known.accepted, known.unclear);
+        let (accepted, unclear) = (known.accepted, known.outcome_unknown);
         known.refused = !unclear;
         if accepted {
             self.report(format!("job {job} was accepted, and is refused"));
@@ -301,7 +306,7 @@
 
     pub fn job_unclear(&mut self, job: &str) {
         if let Some(known) = self.jobs.get_mut(job) {
-            known.unclear = true;
+            known.outcome_unknown = true;
         }
     }
 
@@ -326,21 +331,21 @@
         }
     }
 
-    pub fn results_read(&mut self, job: &str, start: usize, results: &[(String, String)]) {
+    pub fn on_results(&mut self, job: &str, start: usize, results: &[(String, String)]) {
         self.count("results read");
         let Some(known) = self.jobs.get_mut(job) else { return };
         let mut wrong = None;
         for (at, result) in results.iter().enumerate() {
-            match known.listed.get(start + at) {
+            match known.results.get(start + at) {
                 Some(before) if before != result => wrong = Some(format!("{before:?} became {result:?}")),
                 Some(_) => {}
-                None if start + at == known.listed.len() => {
-                    let twice = known.listed.iter().any(|listed| listed.0 == result.0);
+                None if start + at == known.results.len() => {
+                    let twice = known.results.iter().any(|listed| listed.0 == result.0);
                     let made = known.texts.get(&result.0).is_some_and(|texts| texts.contains(&result.1));
                     if twice || !made {
                         wrong = Some(format!("{result:?} stands twice, or no run has made it"));
                     }
-                    known.listed.push(result.clone());
+                    known.results.push(result.clone());
                 }
                 None => {}
             }
@@ -350,7 +355,7 @@
         }
     }
 
-    pub fn job_not_found(&mut self, job: &str) {
+    pub fn on_job_not_found(&mut self, job: &str) {
         if self.jobs.get(job).is_some_and(|known| known.accepted) {
             self.report(format!("job {job} was accepted, and is not found"));
         }
@@ -359,6 +364,6 @@
     /// The jobs that were accepted, and how many of their results were seen.
     pub fn accepted_jobs(&self) -> Vec<(String, usize)> {
         let accepted = self.jobs.iter().filter(|(_, job)| job.accepted);
-        accepted.map(|(id, job)| (id.clone(), job.listed.len())).collect()
+        accepted.map(|(id, job)| (id.clone(), job.results.len())).collect()
     }
 }
--- a/control-plane/simulation/src/world.rs
+++ b/control-plane/simulation/src/cluster.rs
@@ -1,17 +1,17 @@
 //! Machines, the network between them, and the order of events.
 
+use crate::checker::Checker;
 use crate::clients::Client;
 use crate::disk::Disk;
 use crate::faults::Fault;
-use crate::judge::Judge;
 use fastrand::Rng;
-use marblecroft_batch_state::Batch;
+use marblecroft_batch_state::BatchState;
 use marblecroft_chain_replication::{Status, Token, View};
 use marblecroft_control_plane_core::coordinator::{self, Coordinator};
 use marblecroft_control_plane_core::operator::Call as OperatorCall;
 use marblecroft_control_plane_core::store::{self, Store};
 use marblecroft_control_plane_core::{member, Node, Time};
-use marblecroft_control_state::Control;
+use marblecroft_control_state::ControlState;
 use marblecroft_protocol::coordinator::{CoordinatorReply, CoordinatorRequest};
 use marblecroft_protocol::servers::Server;
 use marblecroft_protocol::store::{StoreReply, StoreRequest};
@@ -32,27 +32,27 @@
 /// What a write and its sync take on a disk that is well.
 const SYNC_TIME: Duration = Duration::from_millis(2);
 /// Delays on the network, in microseconds.
-const DELAY_LEAST: u64 = 200;
-const DELAY_MOST: u64 = 2500;
+const MIN_DELAY_MICROS: u64 = 200;
+const MAX_DELAY_MICROS: u64 = 2500;
 /// What a long delay adds on a bad network, in milliseconds at most.
-const LATE_MOST: u64 = 3000;
+const MAX_EXTRA_DELAY_MILLIS: u64 = 3000;
 /// Inputs in a row after which a process may want to be woken at once. One that always does keeps its processor busy.
-const HURRIES_MOST: u32 = 200;
+const MAX_IMMEDIATE_WAKES: u32 = 200;
 /// A program that could not start is started again after this time.
-const START_AGAIN: Duration = Duration::from_millis(500);
+const RESTART_DELAY: Duration = Duration::from_millis(500);
 /// The grace period that processes are told of.
-const GRACE: Duration = Duration::from_secs(8);
+const GRACE_PERIOD: Duration = Duration::from_secs(8);
 
 /// A cluster.
 #[derive(Clone, Copy, Debug)]
-pub struct Spec {
+pub struct ClusterSpec {
     pub seed: u64,
     pub coordinators: usize,
     pub stores: usize,
     /// Machines with a disk that may be lost at once.
-    pub tolerated: usize,
+    pub tolerated_machines: usize,
     /// Coordinators more that have no disk, the first of all; founders are the first three.
-    pub without_disk: usize,
+    pub diskless_coordinators: usize,
 }
 
 /// What a machine runs.
@@ -88,7 +88,7 @@
 pub enum Origin {
     Machine {
         machine: usize,
-        life: u64,
+        incarnation: u64,
         call: u64,
     },
     Client {
@@ -102,7 +102,7 @@
 enum Input {
     Request { origin: Origin, request: Request },
     Answer { call: u64, answer: Option<Answer> },
-    List(Option<Vec<Server>>),
+    ServerList(Option<Vec<Server>>),
     Terminate,
     Wake,
 }
@@ -114,17 +114,17 @@
 
 struct Running {
     process: Process,
-    life: u64,
-    started: Duration,
+    incarnation: u64,
+    started_at: Duration,
     /// How fast its steady clock runs.
-    rate: f64,
+    clock_rate: f64,
     busy_until: Duration,
     wake_at: Option<Duration>,
     inbox: VecDeque<Input>,
     origins: BTreeMap<Token, Origin>,
     tokens: Token,
     /// Inputs in a row after which it wanted to be woken at once.
-    hurries: u32,
+    immediate_wakes: u32,
 }
 
 /// A machine with its disk.
@@ -136,50 +136,50 @@
     pub has_disk: bool,
     running: Option<Running>,
     /// Nothing answers, not even with a reset.
-    pub dark: bool,
+    pub powered_off: bool,
     pub frozen: bool,
     /// It does not come back.
-    pub gone: bool,
+    pub removed: bool,
     started_before: bool,
     /// When it counts as lost no more.
-    pub lost_until: Duration,
-    rate: f64,
+    pub counts_as_lost_until: Duration,
+    clock_rate: f64,
 }
 
 /// How a way between two machines is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
-    Silent,
+pub enum LinkFault {
+    Drop,
     Reset,
 }
 
 enum Event {
     /// Something comes to a machine, for this life of its process.
-    Arrive {
+    RequestArrives {
         machine: usize,
         origin: Origin,
         request: Request,
     },
-    Answered {
+    ReplyArrives {
         origin: Origin,
         answer: Option<Answer>,
     },
     Emit {
         machine: usize,
-        life: u64,
+        incarnation: u64,
         outputs: Vec<Output>,
     },
     Process {
         machine: usize,
-        life: u64,
+        incarnation: u64,
     },
     Wake {
         machine: usize,
-        life: u64,
+        incarnation: u64,
     },
-    List {
+    ServerList {
         machine: usize,
-        life: u64,
+        incarnation: u64,
         servers: Option<Vec<Server>>,
     },
     Start {
@@ -192,27 +192,27 @@
 }
 
 /// The whole cluster.
-pub struct World {
-    pub spec: Spec,
+pub struct Cluster {
+    pub spec: ClusterSpec,
     pub rng: Rng,
     pub now: Duration,
     pub machines: Vec<Machine>,
-    pub judge: Judge,
+    pub checker: Checker,
     clients: Vec<Option<Client>>,
     events: BinaryHeap<Reverse<(Duration, u64)>>,
     payloads: BTreeMap<u64, Event>,
     sequence: u64,
-    lives: u64,
+    incarnations: u64,
     /// Calls that have no answer yet.
     unanswered: BTreeSet<Origin>,
     client_calls: u64,
-    cuts: BTreeMap<(usize, usize), Cut>,
+    link_faults: BTreeMap<(usize, usize), LinkFault>,
     /// Machines that clients do not reach.
     unreachable: BTreeSet<usize>,
     /// Disks lost since all machines of a role were last well.
     pub disks_lost: BTreeMap<Role, usize>,
     /// Chance in a thousand that something is lost, late or doubled.
-    pub badness: u32,
+    pub message_fault_permille: u32,
     seeds: Vec<SocketAddr>,
     views: BTreeMap<(bool, u64), View>,
     /// Over everything that happened, in order.
@@ -227,33 +227,33 @@
     SocketAddr::new(seed.ip(), INTERNAL_PORT)
 }
 
-impl World {
+impl Cluster {
     /// A cluster that is about to start.
-    pub fn new(spec: Spec) -> World {
-        let mut world = World {
+    pub fn new(spec: ClusterSpec) -> Cluster {
+        let mut world = Cluster {
             spec,
             rng: Rng::with_seed(spec.seed),
             now: Duration::ZERO,
             machines: Vec::new(),
-            judge: Judge::default(),
+            checker: Checker::default(),
             clients: Vec::new(),
             events: BinaryHeap::new(),
             payloads: BTreeMap::new(),
             sequence: 0,
-            lives: 0,
+            incarnations: 0,
             unanswered: BTreeSet::new(),
             client_calls: 0,
-            cuts: BTreeMap::new(),
+            link_faults: BTreeMap::new(),
             unreachable: BTreeSet::new(),
-            badness: 0,
+            message_fault_permille: 0,
             disks_lost: BTreeMap::new(),
             seeds: Vec::new(),
             views: BTreeMap::new(),
             trace: 0,
         };
-        for number in 0..spec.without_disk + spec.coordinators {
+        for number in 0..spec.diskless_coordinators + spec.coordinators {
             let machine = world.add_machine(Role::Coordinator);
-            world.machines[machine].has_disk = number >= spec.without_disk;
+            world.machines[machine].has_disk = number >= spec.diskless_coordinators;
         }
         let founders = world.machines.iter().take(FOUNDERS);
         world.seeds = founders.map(|machine| operator_address(machine.address)).collect();
@@ -262,7 +262,7 @@
         }
         for machine in 0..world.machines.len() {
             let after = Duration::from_millis(world.rng.u64(0..300));
-            world.at(after, Event::Start { machine });
+            world.schedule_event(after, Event::Start { machine });
         }
         world
     }
@@ -281,12 +281,12 @@
             disk,
             has_disk: true,
             running: None,
-            dark: false,
+            powered_off: false,
             frozen: false,
-            gone: false,
+            removed: false,
             started_before: false,
-            lost_until: Duration::ZERO,
-            rate,
+            counts_as_lost_until: Duration::ZERO,
+            clock_rate: rate,
         });
         number
     }
@@ -294,23 +294,23 @@
     pub fn add_client(&mut self, client: Client) {
         self.clients.push(Some(client));
         let client = self.clients.len() - 1;
-        self.at(Duration::from_millis(500), Event::ClientWakes { client });
+        self.schedule_event(Duration::from_millis(500), Event::ClientWakes { client });
     }
 
-    fn at(&mut self, after: Duration, event: Event) {
+    fn schedule_event(&mut self, after: Duration, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((self.now + after, self.sequence)));
         self.payloads.insert(self.sequence, event);
     }
 
     pub fn fault_at(&mut self, at: Duration, fault: Fault) {
-        self.at(at.saturating_sub(self.now), Event::Fault(fault));
+        self.schedule_event(at.saturating_sub(self.now), Event::Fault(fault));
     }
 
     /// Runs until a time, or until the judge has found something.
     pub fn run_until(&mut self, until: Duration) {
         while let Some(Reverse((at, sequence))) = self.events.peek().copied() {
-            if at > until || self.judge.has_found() {
+            if at > until || self.checker.has_violation() {
                 break;
             }
             self.events.pop();
@@ -322,7 +322,7 @@
     }
 
     /// Tells an event with its time; processes tell theirs between these.
-    fn note(&self, what: impl FnOnce() -> String) {
+    fn log(&self, what: impl FnOnce() -> String) {
         if tracing::enabled!(tracing::Level::INFO) {
             info!("{:9.3} {}", self.now.as_secs_f64(), what());
         }
@@ -335,30 +335,31 @@
     fn handle(&mut self, event: Event) {
         self.mix(self.now.as_nanos() as u64);
         match event {
-            Event::Arrive { machine, origin, request } => self.arrive(machine, origin, request),
-            Event::Answered { origin, answer } => self.answered(origin, answer),
-            Event::Emit { machine, life, outputs } => {
-                if self.life_of(machine) == Some(life) {
+            Event::RequestArrives { machine, origin, request } => self.arrive(machine, origin, request),
+            Event::ReplyArrives { origin, answer } => self.answered(origin, answer),
+            Event::Emit { machine, incarnation: life, outputs } => {
+                if self.incarnation_of(machine) == Some(life) {
                     self.machines[machine].disk.complete();
-                    self.carry_out(machine, life, outputs);
+                    self.perform_outputs(machine, life, outputs);
                 }
             }
-            Event::Process { machine, life } => {
-                if self.life_of(machine) == Some(life) {
+            Event::Process { machine, incarnation: life } => {
+                if self.incarnation_of(machine) == Some(life) {
                     self.process(machine);
                 }
             }
-            Event::Wake { machine, life } => {
+            Event::Wake { machine, incarnation: life } => {
                 let now = self.now;
-                let running = self.machines[machine].running.as_mut().filter(|running| running.life == life);
+                let running =
+                    self.machines[machine].running.as_mut().filter(|running| running.incarnation == life);
                 if let Some(running) = running.filter(|running| running.wake_at == Some(now)) {
                     running.wake_at = None;
                     self.enqueue(machine, Input::Wake);
                 }
             }
-            Event::List { machine, life, servers } => {
-                if self.life_of(machine) == Some(life) {
-                    self.enqueue(machine, Input::List(servers));
+            Event::ServerList { machine, incarnation: life, servers } => {
+                if self.incarnation_of(machine) == Some(life) {
+                    self.enqueue(machine, Input::ServerList(servers));
                 }
             }
             Event::Start { machine } => self.start(machine),
@@ -366,17 +367,17 @@
                 self.with_client(client, |client, world, number| client.wake(world, number))
             }
             Event::Fault(fault) => {
-                self.note(|| format!("{fault:?}"));
-                crate::faults::strike(self, fault);
+                self.log(|| format!("{fault:?}"));
+                crate::faults::inject(self, fault);
             }
         }
     }
 
-    fn life_of(&self, machine: usize) -> Option<u64> {
-        self.machines[machine].running.as_ref().map(|running| running.life)
+    fn incarnation_of(&self, machine: usize) -> Option<u64> {
+        self.machines[machine].running.as_ref().map(|running| running.incarnation)
     }
 
-    fn with_client(&mut self, client: usize, f: impl FnOnce(&mut Client, &mut World, usize)) {
+    fn with_client(&mut self, client: usize, f: impl FnOnce(&mut Client, &mut Cluster, usize)) {
         let Some(mut state) = self.clients[client].take() else { return };
         f(&mut state, self, client);
         self.clients[client] = Some(state);
@@ -386,7 +387,7 @@
 
     /// Wakes a client after a while.
     pub fn wake_client(&mut self, client: usize, after: Duration) {
-        self.at(after, Event::ClientWakes { client });
+        self.schedule_event(after, Event::ClientWakes { client });
     }
 
     /// A client calls a process; its answer, or that there was none in time, comes to [`Client::answered`].
@@ -405,30 +406,30 @@
     /// The machines of a role that were not taken away.
     pub fn machines_of(&self, role: Role) -> Vec<usize> {
         let is_there =
-            |machine: &usize| !self.machines[*machine].gone && self.machines[*machine].role == role;
+            |machine: &usize| !self.machines[*machine].removed && self.machines[*machine].role == role;
         (0..self.machines.len()).filter(is_there).collect()
     }
 
     // The network.
 
     fn delay(&mut self) -> Duration {
-        let delay = Duration::from_micros(self.rng.u64(DELAY_LEAST..DELAY_MOST));
-        if self.strikes() {
-            delay + Duration::from_millis(self.rng.u64(0..LATE_MOST))
+        let delay = Duration::from_micros(self.rng.u64(MIN_DELAY_MICROS..MAX_DELAY_MICROS));
+        if self.draws_message_fault() {
+            delay + Duration::from_millis(self.rng.u64(0..MAX_EXTRA_DELAY_MILLIS))
         } else {
             delay
         }
     }
 
-    fn strikes(&mut self) -> bool {
-        self.badness > 0 && self.rng.u32(0..1000) < self.badness
+    fn draws_message_fault(&mut self) -> bool {
+        self.message_fault_permille > 0 && self.rng.u32(0..1000) < self.message_fault_permille
     }
 
-    fn way(&self, from: Option<usize>, to: Option<usize>) -> Option<Cut> {
+    fn link_fault(&self, from: Option<usize>, to: Option<usize>) -> Option<LinkFault> {
         match (from, to) {
-            (Some(from), Some(to)) => self.cuts.get(&(from, to)).copied(),
+            (Some(from), Some(to)) => self.link_faults.get(&(from, to)).copied(),
             (Some(machine), None) | (None, Some(machine)) => {
-                self.unreachable.contains(&machine).then_some(Cut::Silent)
+                self.unreachable.contains(&machine).then_some(LinkFault::Drop)
             }
             (None, None) => None,
         }
@@ -436,27 +437,27 @@
 
     fn send(&mut self, from: Option<usize>, to: usize, origin: Origin, request: Request, within: Duration) {
         self.unanswered.insert(origin);
-        self.at(within, Event::Answered { origin, answer: None });
-        match self.way(from, Some(to)) {
-            Some(Cut::Silent) => return,
-            Some(Cut::Reset) => {
+        self.schedule_event(within, Event::ReplyArrives { origin, answer: None });
+        match self.link_fault(from, Some(to)) {
+            Some(LinkFault::Drop) => return,
+            Some(LinkFault::Reset) => {
                 let after = self.delay();
-                self.at(after, Event::Answered { origin, answer: None });
+                self.schedule_event(after, Event::ReplyArrives { origin, answer: None });
                 return;
             }
             None => {}
         }
-        if self.strikes() {
+        if self.draws_message_fault() {
             return;
         }
         let after = self.delay();
         // Clients' calls come once: nothing on the way makes them again.
-        if from.is_some() && self.strikes() {
+        if from.is_some() && self.draws_message_fault() {
             let again = after + self.delay();
             let (origin, request) = (Origin::Nobody, request.clone());
-            self.at(again, Event::Arrive { machine: to, origin, request });
+            self.schedule_event(again, Event::RequestArrives { machine: to, origin, request });
         }
-        self.at(after, Event::Arrive { machine: to, origin, request });
+        self.schedule_event(after, Event::RequestArrives { machine: to, origin, request });
     }
 
     fn send_back(&mut self, from: usize, origin: Origin, answer: Option<Answer>) {
@@ -465,21 +466,21 @@
             Origin::Client { .. } => None,
             Origin::Nobody => return,
         };
-        let answer = match self.way(Some(from), to) {
-            Some(Cut::Silent) => return,
-            Some(Cut::Reset) => None,
+        let answer = match self.link_fault(Some(from), to) {
+            Some(LinkFault::Drop) => return,
+            Some(LinkFault::Reset) => None,
             None => answer,
         };
-        if self.strikes() {
+        if self.draws_message_fault() {
             return;
         }
         let after = self.delay();
-        self.at(after, Event::Answered { origin, answer });
+        self.schedule_event(after, Event::ReplyArrives { origin, answer });
     }
 
     fn arrive(&mut self, machine: usize, origin: Origin, request: Request) {
         let there = &self.machines[machine];
-        if there.dark || there.gone {
+        if there.powered_off || there.removed {
             return;
         }
         let fits = matches!(
@@ -499,14 +500,14 @@
             return;
         }
         match origin {
-            Origin::Machine { machine, life, call } => {
-                if self.life_of(machine) == Some(life) {
+            Origin::Machine { machine, incarnation: life, call } => {
+                if self.incarnation_of(machine) == Some(life) {
                     self.enqueue(machine, Input::Answer { call, answer });
                 }
             }
             Origin::Client { client, call } => {
                 self.with_client(client, |client, world, number| {
-                    client.answered(world, number, call, answer)
+                    client.on_reply(world, number, call, answer)
                 });
             }
             Origin::Nobody => {}
@@ -525,8 +526,8 @@
         let there = &self.machines[machine];
         let Some(running) = &there.running else { return };
         if !there.frozen {
-            let (life, after) = (running.life, running.busy_until.saturating_sub(self.now));
-            self.at(after, Event::Process { machine, life });
+            let (life, after) = (running.incarnation, running.busy_until.saturating_sub(self.now));
+            self.schedule_event(after, Event::Process { machine, incarnation: life });
         }
     }
 
@@ -541,30 +542,31 @@
             return;
         }
         let Some(input) = running.inbox.pop_front() else { return };
-        let steady = (now - running.started).mul_f64(running.rate);
-        let time = Time { steady, wall_ms: 1_700_000_000_000 + now.as_millis() as u64 };
-        let (outputs, next_wake) = running.take(time, input);
-        running.hurries = if next_wake <= steady { running.hurries + 1 } else { 0 };
-        if running.hurries > HURRIES_MOST {
+        let steady = (now - running.started_at).mul_f64(running.clock_rate);
+        let time = Time { monotonic: steady, wall_ms: 1_700_000_000_000 + now.as_millis() as u64 };
+        let (outputs, next_wake) = running.handle(time, input);
+        running.immediate_wakes = if next_wake <= steady { running.immediate_wakes + 1 } else { 0 };
+        if running.immediate_wakes > MAX_IMMEDIATE_WAKES {
             let text = format!("{} wants to be woken at {next_wake:?}, and it is {steady:?}", there.name);
-            self.judge.report(text);
+            self.checker.report(text);
             return;
         }
-        let (life, taken) = (running.life, there.disk.take_time());
+        let (life, taken) = (running.incarnation, there.disk.take_time());
         running.busy_until = now + taken;
         if next_wake < Duration::from_secs(1 << 30) {
             // A little late, as timers are.
-            let wake_at = running.started + next_wake.div_f64(running.rate) + Duration::from_micros(50);
+            let wake_at =
+                running.started_at + next_wake.div_f64(running.clock_rate) + Duration::from_micros(50);
             let wake_at = wake_at.max(now + taken);
             if running.wake_at.is_none_or(|at| wake_at < at || at < now) {
                 running.wake_at = Some(wake_at);
-                self.at(wake_at - now, Event::Wake { machine, life });
+                self.schedule_event(wake_at - now, Event::Wake { machine, incarnation: life });
             }
         }
         if taken.is_zero() {
-            self.carry_out(machine, life, outputs);
+            self.perform_outputs(machine, life, outputs);
         } else {
-            self.at(taken, Event::Emit { machine, life, outputs });
+            self.schedule_event(taken, Event::Emit { machine, incarnation: life, outputs });
         }
         if self.machines[machine].running.as_ref().is_some_and(|running| !running.inbox.is_empty()) {
             self.schedule(machine);
@@ -572,39 +574,39 @@
         self.check_views(machine);
     }
 
-    fn carry_out(&mut self, machine: usize, life: u64, outputs: Vec<Output>) {
+    fn perform_outputs(&mut self, machine: usize, life: u64, outputs: Vec<Output>) {
         for output in outputs {
-            if self.life_of(machine) != Some(life) {
+            if self.incarnation_of(machine) != Some(life) {
                 return;
             }
             match output {
-                Output::Coordinator(output) => self.carry_out_coordinator(machine, life, output),
-                Output::Store(output) => self.carry_out_store(machine, life, output),
+                Output::Coordinator(output) => self.perform_coordinator_output(machine, life, output),
+                Output::Store(output) => self.perform_store_output(machine, life, output),
             }
         }
     }
 
-    fn carry_out_coordinator(&mut self, machine: usize, life: u64, output: coordinator::Output) {
+    fn perform_coordinator_output(&mut self, machine: usize, life: u64, output: coordinator::Output) {
         use coordinator::Output as Out;
         match output {
             Out::Answer { token, reply } => self.answer(machine, token, Answer::Coordinator(reply)),
             Out::AnswerOperator { token, reply } => self.answer(machine, token, Answer::Operator(reply)),
-            Out::Call { call, to, request, within } => {
+            Out::Call { call, to, request, timeout: within } => {
                 self.call(machine, life, call, to, Request::Coordinator(request), within);
             }
-            Out::ReadList => self.read_list(machine, life),
+            Out::ReadServerList => self.read_server_list(machine, life),
             Out::Exit => self.exit(machine),
         }
     }
 
-    fn carry_out_store(&mut self, machine: usize, life: u64, output: store::Output) {
+    fn perform_store_output(&mut self, machine: usize, life: u64, output: store::Output) {
         use store::Output as Out;
         match output {
             Out::Answer { token, reply } => self.answer(machine, token, Answer::Store(reply)),
-            Out::CallStore { call, to, request, within } => {
+            Out::CallStore { call, to, request, timeout: within } => {
                 self.call(machine, life, call, to, Request::Store(request), within);
             }
-            Out::CallCoordinator { call, to, request, within } => {
+            Out::CallCoordinator { call, to, request, timeout: within } => {
                 self.call(machine, life, call, to, Request::Coordinator(request), within);
             }
             Out::Exit => self.exit(machine),
@@ -617,7 +619,7 @@
         match origin {
             Some(origin) => self.send_back(machine, origin, Some(answer)),
             None => self
-                .judge
+                .checker
                 .report(format!("{} answers a call twice or that nobody made", self.machines[machine].name)),
         }
     }
@@ -631,15 +633,15 @@
         request: Request,
         within: Duration,
     ) {
-        let origin = Origin::Machine { machine, life, call };
+        let origin = Origin::Machine { machine, incarnation: life, call };
         match self.machine_at(to) {
             Some(to) => self.send(Some(machine), to, origin, request, within),
-            None => self.at(within, Event::Answered { origin, answer: None }),
+            None => self.schedule_event(within, Event::ReplyArrives { origin, answer: None }),
         }
     }
 
     /// The platform's list tells when it was read, as the id of its only server.
-    fn read_list(&mut self, machine: usize, life: u64) {
+    fn read_server_list(&mut self, machine: usize, life: u64) {
         let read_at = self.now.as_millis();
         let server = Server {
             id: format!("{read_at:012}"),
@@ -650,9 +652,9 @@
             draining: false,
             warmup_left_ms: 0,
         };
-        let servers = if self.strikes() { None } else { Some(vec![server]) };
+        let servers = if self.draws_message_fault() { None } else { Some(vec![server]) };
         let after = self.delay() + self.delay();
-        self.at(after, Event::List { machine, life, servers });
+        self.schedule_event(after, Event::ServerList { machine, incarnation: life, servers });
     }
 
     /// No two views have one number.
@@ -670,17 +672,17 @@
         let known = self.views.entry((is_store, number)).or_insert_with(|| view.clone());
         if known != view {
             let text = format!("two views have number {number}: {known:?} and {view:?}");
-            self.judge.report(text);
+            self.checker.report(text);
         }
         if is_new {
             let identities: BTreeSet<u64> = known.members.iter().map(|member| member.identity).collect();
             if identities.len() != known.members.len() {
-                self.judge.report(format!("a member stands twice in view {number}: {addresses}"));
+                self.checker.report(format!("a member stands twice in view {number}: {addresses}"));
             }
             let voters: Vec<String> =
                 known.voters.iter().map(|voter| voter.address.ip().to_string()).collect();
             let (name, voters) = (self.machines[machine].name.clone(), voters.join(" "));
-            self.note(|| format!("{name} is the first to learn view {number}: {addresses}, voters {voters}"));
+            self.log(|| format!("{name} is the first to learn view {number}: {addresses}, voters {voters}"));
         }
     }
 
@@ -688,14 +690,14 @@
 
     fn start(&mut self, machine: usize) {
         let there = &self.machines[machine];
-        if there.running.is_some() || there.gone {
+        if there.running.is_some() || there.removed {
             return;
         }
         if !there.has_disk {
             there.disk.wipe();
         }
-        self.lives += 1;
-        let (life, drawn) = (self.lives, self.rng.u64(..));
+        self.incarnations += 1;
+        let (life, drawn) = (self.incarnations, self.rng.u64(..));
         let founds = !there.started_before && there.role == Role::Coordinator;
         let founding = member::founding_view(operator_address(there.address), &self.seeds, internal_address);
         let founding = founding.filter(|_| founds);
@@ -705,29 +707,29 @@
         };
         let Ok(process) = process else {
             // The program ends with an error, and is started again.
-            self.at(START_AGAIN, Event::Start { machine });
+            self.schedule_event(RESTART_DELAY, Event::Start { machine });
             return;
         };
         let there = &mut self.machines[machine];
         let busy = there.disk.take_time();
         there.disk.complete();
         there.started_before = true;
-        there.dark = false;
+        there.powered_off = false;
         there.frozen = false;
         there.running = Some(Running {
             process,
-            life,
-            started: self.now,
-            rate: there.rate,
+            incarnation: life,
+            started_at: self.now,
+            clock_rate: there.clock_rate,
             busy_until: self.now + busy,
             wake_at: None,
             inbox: VecDeque::new(),
             origins: BTreeMap::new(),
             tokens: 0,
-            hurries: 0,
+            immediate_wakes: 0,
         });
         let name = there.name.clone();
-        self.note(|| format!("{name} starts"));
+        self.log(|| format!("{name} starts"));
         self.enqueue(machine, Input::Wake);
     }
 
@@ -740,15 +742,15 @@
     ) -> io::Result<Process> {
         let there = &self.machines[machine];
         let recovered = there.disk.recovered();
-        let replica = member::open::<Control, _>(there.disk.clone(), recovered, drawn, founding)?;
+        let replica = member::open::<ControlState, _>(there.disk.clone(), recovered, drawn, founding)?;
         let settings = coordinator::Settings {
             node_name: there.name.clone(),
             address: there.address,
             seeds: self.seeds.iter().copied().map(internal_address).collect(),
             operator_port: Some(OPERATOR_PORT),
-            tolerated_machines: self.spec.tolerated,
-            grace_period: GRACE,
-            reads_list: true,
+            tolerated_machines: self.spec.tolerated_machines,
+            grace_period: GRACE_PERIOD,
+            reads_server_list: true,
             is_durable: there.has_disk,
             session: life,
         };
@@ -758,15 +760,15 @@
     fn new_store(&self, machine: usize, life: u64, drawn: u64) -> io::Result<Process> {
         let there = &self.machines[machine];
         let recovered = there.disk.recovered();
-        let replica = member::open::<Batch, _>(there.disk.clone(), recovered, drawn, None)?;
+        let replica = member::open::<BatchState, _>(there.disk.clone(), recovered, drawn, None)?;
         let settings = store::Settings {
             node_name: there.name.clone(),
             zone: format!("zone-{}", machine % 3),
             address: there.address,
             coordinators: self.seeds.iter().copied().map(internal_address).collect(),
-            tolerated_machines: self.spec.tolerated,
-            status_time: Duration::from_secs(120),
-            grace_period: GRACE,
+            tolerated_machines: self.spec.tolerated_machines,
+            result_retention: Duration::from_secs(120),
+            grace_period: GRACE_PERIOD,
             session: life,
         };
         Ok(Process::Store(Box::new(Store::new(settings, replica, Duration::ZERO))))
@@ -775,13 +777,13 @@
     /// A process ends by itself; whoever waits for it gets a reset.
     fn exit(&mut self, machine: usize) {
         let name = self.machines[machine].name.clone();
-        self.note(|| format!("{name} exits"));
+        self.log(|| format!("{name} exits"));
         self.machines[machine].disk.complete();
         self.end_process(machine);
     }
 
     fn end_process(&mut self, machine: usize) {
-        let dark = self.machines[machine].dark;
+        let dark = self.machines[machine].powered_off;
         let Some(running) = self.machines[machine].running.take() else { return };
         if dark {
             return;
@@ -798,7 +800,7 @@
 
     /// A process is killed, or its machine loses power: then nothing answers.
     pub fn kill(&mut self, machine: usize, power: bool) {
-        self.machines[machine].dark = power;
+        self.machines[machine].powered_off = power;
         let disk = self.machines[machine].disk.clone();
         if self.machines[machine].running.is_some() {
             disk.lose_power(&mut self.rng);
@@ -809,7 +811,7 @@
 
     /// A machine comes back, or its process does.
     pub fn restart(&mut self, machine: usize, after: Duration) {
-        self.at(after, Event::Start { machine });
+        self.schedule_event(after, Event::Start { machine });
     }
 
     /// SIGTERM.
@@ -828,18 +830,18 @@
     }
 
     /// Cuts the way from one machine to another.
-    pub fn cut(&mut self, from: usize, to: usize, how: Cut) {
-        self.cuts.insert((from, to), how);
+    pub fn partition(&mut self, from: usize, to: usize, how: LinkFault) {
+        self.link_faults.insert((from, to), how);
     }
 
     /// Cuts a machine off from clients.
-    pub fn cut_from_clients(&mut self, machine: usize) {
+    pub fn isolate_from_clients(&mut self, machine: usize) {
         self.unreachable.insert(machine);
     }
 
     /// Heals all ways from and to a machine.
     pub fn heal(&mut self, machine: usize) {
-        self.cuts.retain(|(from, to), _| *from != machine && *to != machine);
+        self.link_faults.retain(|(from, to), _| *from != machine && *to != machine);
         self.unreachable.remove(&machine);
     }
 
@@ -852,7 +854,7 @@
     /// What a process says of itself.
     pub fn status(&self, machine: usize) -> Option<Status> {
         let running = self.machines[machine].running.as_ref()?;
-        let steady = (self.now - running.started).mul_f64(running.rate);
+        let steady = (self.now - running.started_at).mul_f64(running.clock_rate);
         Some(match &running.process {
             Process::Coordinator(node) => node.chain().status(steady),
             Process::Store(node) => node.chain().status(steady),
@@ -896,18 +898,18 @@
     }
 
     /// Machines that count as lost at this moment.
-    pub fn lost(&self) -> BTreeSet<usize> {
+    pub fn lost_machines(&self) -> BTreeSet<usize> {
         let is_lost = |machine: &usize| {
             let there = &self.machines[*machine];
             there.has_disk
-                && !there.gone
-                && (there.lost_until > self.now || there.running.is_none() || there.frozen)
+                && !there.removed
+                && (there.counts_as_lost_until > self.now || there.running.is_none() || there.frozen)
         };
         (0..self.machines.len()).filter(is_lost).collect()
     }
 
     /// Running coordinators that hold a configuration of at least this generation, as acknowledged or not.
-    pub fn holders(&self, generation: u64) -> usize {
+    pub fn coordinators_with_generation(&self, generation: u64) -> usize {
         let holds = |machine: &&Machine| match machine.running.as_ref().map(|running| &running.process) {
             Some(Process::Coordinator(node)) => node.chain().replica().machine().generation() >= generation,
             _ => false,
@@ -917,7 +919,7 @@
 }
 
 impl Running {
-    fn take(&mut self, time: Time, input: Input) -> (Vec<Output>, Duration) {
+    fn handle(&mut self, time: Time, input: Input) -> (Vec<Output>, Duration) {
         let mut token_of = |origin| {
             self.tokens += 1;
             self.origins.insert(self.tokens, origin);
@@ -940,7 +942,7 @@
                         };
                         In::Reply { call, reply }
                     }
-                    Input::List(servers) => In::List(servers),
+                    Input::ServerList(servers) => In::ServerList(servers),
                     Input::Terminate => In::Terminate,
                     Input::Wake | Input::Request { .. } => In::Wake,
                 };
@@ -957,10 +959,10 @@
                         Some(Answer::Store(reply)) => In::StoreReply { call, reply: Some(reply) },
                         Some(Answer::Coordinator(reply)) => In::CoordinatorReply { call, reply: Some(reply) },
                         Some(Answer::Operator(_)) => In::Wake,
-                        None => node.no_answer(call),
+                        None => node.timeout_input(call),
                     },
                     Input::Terminate => In::Terminate,
-                    Input::Wake | Input::List(_) | Input::Request { .. } => In::Wake,
+                    Input::Wake | Input::ServerList(_) | Input::Request { .. } => In::Wake,
                 };
                 let outputs = node.handle(time, input).into_iter().map(Output::Store).collect();
                 (outputs, node.next_wake())
--- a/control-plane/simulation/src/disk.rs
+++ b/control-plane/simulation/src/disk.rs
@@ -43,7 +43,7 @@
         Recovered {
             snapshot: state.checkpoint.clone(),
             records: state.records.clone(),
-            passed_over: 0,
+            torn_bytes: 0,
             damaged: state.damaged,
         }
     }
--- a/control-plane/simulation/src/faults.rs
+++ b/control-plane/simulation/src/faults.rs
@@ -1,16 +1,16 @@
 //! Troubles, and plans of them drawn from a seed within what the deployment bears.
 
 use crate::clients::{BatchClient, Client, Gateway, Operator, Runner};
-use crate::world::{Cut, Role, Spec, World};
+use crate::cluster::{Cluster, ClusterSpec, LinkFault, Role};
 use fastrand::Rng;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tracing::info;
 
 /// A machine counts as lost for so long after it is back.
-pub const CATCH_UP: Duration = Duration::from_secs(5);
+pub const CATCH_UP_TIME: Duration = Duration::from_secs(5);
 /// After the last trouble the cluster serves again within this time.
-pub const RECOVERY: Duration = Duration::from_secs(15);
+pub const RECOVERY_TIME: Duration = Duration::from_secs(15);
 
 /// Which machine is struck.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,21 +24,21 @@
 
 /// From what a machine is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutFrom {
+pub enum PartitionScope {
     /// The machines of its role.
     Peers,
     /// All machines.
     Machines,
     /// All machines and all clients.
-    Everybody,
+    MachinesAndClients,
 }
 
 /// The ways that are cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ways {
+pub enum PartitionDirection {
     Both,
-    In,
-    Out,
+    Inbound,
+    Outbound,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -54,7 +54,7 @@
         back_after: Duration,
     },
     /// A bit flips in what was synced; the process is restarted.
-    Damage {
+    CorruptDisk {
         target: Target,
     },
     Freeze {
@@ -64,11 +64,11 @@
     Thaw {
         machine: usize,
     },
-    Cut {
+    Partition {
         target: Target,
-        from: CutFrom,
-        ways: Ways,
-        how: Cut,
+        from: PartitionScope,
+        ways: PartitionDirection,
+        how: LinkFault,
         time: Duration,
     },
     /// Half of a role from the other half.
@@ -104,22 +104,22 @@
         sync: Duration,
         time: Duration,
     },
-    RefusingDisk {
+    FailingDisk {
         target: Target,
         time: Duration,
     },
-    MendDisk {
+    RepairDisk {
         machine: usize,
     },
-    BadNetwork {
-        badness: u32,
+    LossyNetwork {
+        message_fault_permille: u32,
         time: Duration,
     },
-    GoodNetwork,
+    ReliableNetwork,
 }
 
 /// The machine that a target means now.
-fn machine_of(world: &mut World, target: Target) -> Option<usize> {
+fn machine_of(world: &mut Cluster, target: Target) -> Option<usize> {
     let machine = match target {
         Target::Any(role) => {
             let mut machines = world.machines_of(role);
@@ -130,27 +130,31 @@
         Target::Tail(role) => world.tail_of(role),
         Target::Machine(machine) => Some(machine),
     }?;
-    (!world.machines[machine].gone).then_some(machine)
+    (!world.machines[machine].removed).then_some(machine)
 }
 
 /// Notes that a machine counts as lost until some time after it is back.
-fn lose(world: &mut World, machine: usize, back_after: Duration) {
-    let until = world.now + back_after + CATCH_UP;
+fn lose(world: &mut Cluster, machine: usize, back_after: Duration) {
+    let until = world.now + back_after + CATCH_UP_TIME;
     let machine = &mut world.machines[machine];
-    machine.lost_until = machine.lost_until.max(until);
+    machine.counts_as_lost_until = machine.counts_as_lost_until.max(until);
 }
 
 /// Whether one more disk may be lost now: no more machines are lost with it than are tolerated, and no more disks since all
 /// machines were last well.
-fn may_lose_disk(world: &mut World, machine: usize) -> bool {
+fn may_lose_disk(world: &mut Cluster, machine: usize) -> bool {
     let role = world.machines[machine].role;
-    let lost = world.lost().into_iter().filter(|lost| *lost != machine && world.machines[*lost].role == role);
+    let lost = world
+        .lost_machines()
+        .into_iter()
+        .filter(|lost| *lost != machine && world.machines[*lost].role == role);
     let lost = lost.count();
-    if lost == 0 && world.now >= world.machines[machine].lost_until {
+    if lost == 0 && world.now >= world.machines[machine].counts_as_lost_until {
         world.disks_lost.insert(role, 0);
     }
     let disks = world.disks_lost.entry(role).or_default();
-    let may = lost.max(*disks) < world.spec.tolerated && world.now >= world.machines[machine].lost_until;
+    let may = lost.max(*disks) < world.spec.tolerated_machines
+        && world.now >= world.machines[machine].counts_as_lost_until;
     if may {
         *disks += 1;
     }
@@ -158,21 +162,21 @@
 }
 
 /// Carries out a fault.
-pub fn strike(world: &mut World, fault: Fault) {
+pub fn inject(world: &mut Cluster, fault: Fault) {
     match fault {
         Fault::Thaw { machine } => world.set_frozen(machine, false),
         Fault::Heal { machine } => world.heal(machine),
-        Fault::MendDisk { machine } => {
+        Fault::RepairDisk { machine } => {
             world.machines[machine].disk.set_refuses(false);
             world.machines[machine].disk.set_sync_time(Duration::from_millis(2));
         }
-        Fault::GoodNetwork => world.badness = 0,
-        Fault::BadNetwork { badness, time } => {
-            world.badness = badness;
+        Fault::ReliableNetwork => world.message_fault_permille = 0,
+        Fault::LossyNetwork { message_fault_permille: badness, time } => {
+            world.message_fault_permille = badness;
             for machine in 0..world.machines.len() {
                 lose(world, machine, time);
             }
-            world.fault_at(world.now + time, Fault::GoodNetwork);
+            world.fault_at(world.now + time, Fault::ReliableNetwork);
         }
         Fault::KillAll { power } => kill_all(world, power),
         Fault::WipeAndPowerOff { disks } => wipe_and_power_off(world, disks),
@@ -184,13 +188,13 @@
         }
         Fault::Kill { target, .. }
         | Fault::Wipe { target, .. }
-        | Fault::Damage { target }
+        | Fault::CorruptDisk { target }
         | Fault::Freeze { target, .. }
-        | Fault::Cut { target, .. }
+        | Fault::Partition { target, .. }
         | Fault::Terminate { target }
         | Fault::Replace { target, .. }
         | Fault::SlowDisk { target, .. }
-        | Fault::RefusingDisk { target, .. } => {
+        | Fault::FailingDisk { target, .. } => {
             if let Some(machine) = machine_of(world, target) {
                 strike_machine(world, machine, fault);
             }
@@ -198,7 +202,7 @@
     }
 }
 
-fn strike_machine(world: &mut World, machine: usize, fault: Fault) {
+fn strike_machine(world: &mut Cluster, machine: usize, fault: Fault) {
     if !world.machines[machine].has_disk && !matches!(fault, Fault::Kill { .. } | Fault::Freeze { .. }) {
         return;
     }
@@ -209,13 +213,13 @@
             world.restart(machine, back_after);
         }
         Fault::Wipe { back_after, .. } => wipe(world, machine, back_after),
-        Fault::Damage { .. } => damage(world, machine),
+        Fault::CorruptDisk { .. } => damage(world, machine),
         Fault::Freeze { time, .. } => {
             lose(world, machine, time);
             world.set_frozen(machine, true);
             world.fault_at(world.now + time, Fault::Thaw { machine });
         }
-        Fault::Cut { from, ways, how, time, .. } => cut(world, machine, from, ways, how, time),
+        Fault::Partition { from, ways, how, time, .. } => partition(world, machine, from, ways, how, time),
         Fault::Terminate { .. } => {
             lose(world, machine, Duration::from_secs(5));
             world.terminate(machine);
@@ -232,14 +236,14 @@
         Fault::SlowDisk { sync, time, .. } => {
             lose(world, machine, time);
             world.machines[machine].disk.set_sync_time(sync);
-            world.fault_at(world.now + time, Fault::MendDisk { machine });
+            world.fault_at(world.now + time, Fault::RepairDisk { machine });
         }
-        Fault::RefusingDisk { time, .. } => refuse_writes(world, machine, time),
+        Fault::FailingDisk { time, .. } => refuse_writes(world, machine, time),
         _ => {}
     }
 }
 
-fn wipe(world: &mut World, machine: usize, back_after: Duration) {
+fn wipe(world: &mut Cluster, machine: usize, back_after: Duration) {
     if !may_lose_disk(world, machine) {
         return;
     }
@@ -249,7 +253,7 @@
     world.restart(machine, back_after);
 }
 
-fn damage(world: &mut World, machine: usize) {
+fn damage(world: &mut Cluster, machine: usize) {
     const BACK_AFTER: Duration = Duration::from_millis(300);
     if !may_lose_disk(world, machine) {
         return;
@@ -261,37 +265,44 @@
     world.restart(machine, BACK_AFTER);
 }
 
-fn refuse_writes(world: &mut World, machine: usize, time: Duration) {
+fn refuse_writes(world: &mut Cluster, machine: usize, time: Duration) {
     // A process cannot start on a disk that takes nothing.
     if !world.is_running(machine) {
         return;
     }
     lose(world, machine, time);
     world.machines[machine].disk.set_refuses(true);
-    world.fault_at(world.now + time, Fault::MendDisk { machine });
+    world.fault_at(world.now + time, Fault::RepairDisk { machine });
 }
 
-fn cut(world: &mut World, machine: usize, from: CutFrom, ways: Ways, how: Cut, time: Duration) {
+fn partition(
+    world: &mut Cluster,
+    machine: usize,
+    from: PartitionScope,
+    ways: PartitionDirection,
+    how: LinkFault,
+    time: Duration,
+) {
     lose(world, machine, time);
     let role = world.machines[machine].role;
     for other in 0..world.machines.len() {
-        if other == machine || (from == CutFrom::Peers && world.machines[other].role != role) {
+        if other == machine || (from == PartitionScope::Peers && world.machines[other].role != role) {
             continue;
         }
-        if ways != Ways::In {
-            world.cut(machine, other, how);
+        if ways != PartitionDirection::Inbound {
+            world.partition(machine, other, how);
         }
-        if ways != Ways::Out {
-            world.cut(other, machine, how);
+        if ways != PartitionDirection::Outbound {
+            world.partition(other, machine, how);
         }
     }
-    if from == CutFrom::Everybody {
-        world.cut_from_clients(machine);
+    if from == PartitionScope::MachinesAndClients {
+        world.isolate_from_clients(machine);
     }
     world.fault_at(world.now + time, Fault::Heal { machine });
 }
 
-fn split(world: &mut World, role: Role, time: Duration) {
+fn split(world: &mut Cluster, role: Role, time: Duration) {
     let mut machines = world.machines_of(role);
     world.rng.shuffle(&mut machines);
     let (left, right) = machines.split_at(machines.len() / 2);
@@ -301,16 +312,16 @@
     for &machine in left {
         lose(world, machine, time);
         for &other in right {
-            world.cut(machine, other, Cut::Silent);
-            world.cut(other, machine, Cut::Silent);
+            world.partition(machine, other, LinkFault::Drop);
+            world.partition(other, machine, LinkFault::Drop);
         }
         world.fault_at(world.now + time, Fault::Heal { machine });
     }
 }
 
-fn kill_all(world: &mut World, power: bool) {
+fn kill_all(world: &mut Cluster, power: bool) {
     for machine in 0..world.machines.len() {
-        if !world.machines[machine].gone && world.is_running(machine) {
+        if !world.machines[machine].removed && world.is_running(machine) {
             let back_after = Duration::from_millis(world.rng.u64(200..1000));
             lose(world, machine, back_after);
             world.kill(machine, power);
@@ -319,13 +330,13 @@
     }
 }
 
-fn wipe_and_power_off(world: &mut World, disks: usize) {
-    let lost = world.lost();
+fn wipe_and_power_off(world: &mut Cluster, disks: usize) {
+    let lost = world.lost_machines();
     let mut left = [disks; 2];
     let mut machines: Vec<usize> = (0..world.machines.len()).collect();
     world.rng.shuffle(&mut machines);
     for machine in machines {
-        if world.machines[machine].gone || !world.is_running(machine) {
+        if world.machines[machine].removed || !world.is_running(machine) {
             continue;
         }
         let role = world.machines[machine].role;
@@ -343,11 +354,11 @@
     }
 }
 
-fn replace(world: &mut World, machine: usize) {
+fn replace(world: &mut Cluster, machine: usize) {
     let role = world.machines[machine].role;
-    let lost = world.lost().into_iter().filter(|lost| world.machines[*lost].role == role).count();
+    let lost = world.lost_machines().into_iter().filter(|lost| world.machines[*lost].role == role).count();
     // Machines that never come back must leave a majority of the voters, which takes 2f + 1 of them.
-    let (coordinators, tolerated) = (world.spec.coordinators, world.spec.tolerated);
+    let (coordinators, tolerated) = (world.spec.coordinators, world.spec.tolerated_machines);
     let leaves_majority =
         role == Role::Store || (coordinators > 2 * tolerated && 2 * (lost + 1) < coordinators);
     if !may_lose_disk(world, machine) || !leaves_majority {
@@ -356,7 +367,7 @@
     let added = world.add_machine(role);
     lose(world, added, Duration::from_secs(1));
     world.kill(machine, true);
-    world.machines[machine].gone = true;
+    world.machines[machine].removed = true;
     world.restart(added, Duration::from_secs(1));
 }
 
@@ -389,34 +400,40 @@
     Duration::from_secs_f64(least + (most - least) * rng.f64())
 }
 
-fn draw_fault(rng: &mut Rng, spec: &Spec) -> Fault {
+fn draw_fault(rng: &mut Rng, spec: &ClusterSpec) -> Fault {
     let target = draw_target(rng);
     let power = rng.bool();
     match rng.u32(0..18) {
         0..=1 => Fault::Kill { target, power, back_after: seconds(rng, 0.1, 6.0) },
         2..=3 => Fault::Wipe { target, back_after: seconds(rng, 0.1, 4.0) },
-        4 => Fault::Damage { target },
+        4 => Fault::CorruptDisk { target },
         5 => Fault::Freeze { target, time: seconds(rng, 0.3, 20.0) },
         6..=8 => {
-            let from = [CutFrom::Peers, CutFrom::Machines, CutFrom::Everybody][rng.usize(0..3)];
-            let ways = [Ways::Both, Ways::Both, Ways::In, Ways::Out][rng.usize(0..4)];
-            let how = if rng.bool() { Cut::Silent } else { Cut::Reset };
-            Fault::Cut { target, from, ways, how, time: seconds(rng, 1.0, 20.0) }
+            let from = [PartitionScope::Peers, PartitionScope::Machines, PartitionScope::MachinesAndClients]
+                [rng.usize(0..3)];
+            let ways = [
+                PartitionDirection::Both,
+                PartitionDirection::Both,
+                PartitionDirection::Inbound,
+                PartitionDirection::Outbound,
+            ][rng.usize(0..4)];
+            let how = if rng.bool() { LinkFault::Drop } else { LinkFault::Reset };
+            Fault::Partition { target, from, ways, how, time: seconds(rng, 1.0, 20.0) }
         }
         9 => Fault::Split { role: draw_role(rng), time: seconds(rng, 1.0, 12.0) },
         10 => Fault::Terminate { target },
         11 => Fault::Replace { target },
         12 => Fault::KillAll { power },
-        13 => Fault::WipeAndPowerOff { disks: spec.tolerated },
+        13 => Fault::WipeAndPowerOff { disks: spec.tolerated_machines },
         14 => Fault::SlowDisk { target, sync: seconds(rng, 0.02, 2.0), time: seconds(rng, 1.0, 8.0) },
-        15 => Fault::RefusingDisk { target, time: seconds(rng, 0.5, 6.0) },
+        15 => Fault::FailingDisk { target, time: seconds(rng, 0.5, 6.0) },
         16 => Fault::Add { role: draw_role(rng) },
-        _ => Fault::BadNetwork { badness: rng.u32(5..80), time: seconds(rng, 2.0, 15.0) },
+        _ => Fault::LossyNetwork { message_fault_permille: rng.u32(5..80), time: seconds(rng, 2.0, 15.0) },
     }
 }
 
 /// Longest time that a fault lasts.
-const FAULT_MOST: Duration = Duration::from_secs(21);
+const MAX_FAULTS: Duration = Duration::from_secs(21);
 
 impl Plan {
     /// These troubles, the last of which is over at a time.
@@ -425,7 +442,7 @@
     }
 
     /// Draws the troubles of a seed: some alone, some in pairs at the same moment, some shortly behind each other.
-    pub fn draw(spec: &Spec) -> Plan {
+    pub fn draw(spec: &ClusterSpec) -> Plan {
         let mut rng = Rng::with_seed(spec.seed ^ 0x5bd1_e995);
         let mut faults = Vec::new();
         let mut at = seconds(&mut rng, 4.0, 8.0);
@@ -439,7 +456,7 @@
                 _ => seconds(&mut rng, 4.0, 12.0),
             };
         }
-        Plan { faults, quiet_from: last + FAULT_MOST + CATCH_UP }
+        Plan { faults, quiet_from: last + MAX_FAULTS + CATCH_UP_TIME }
     }
 }
 
@@ -453,7 +470,7 @@
 }
 
 /// Adds the clients that every run has.
-pub fn add_clients(world: &mut World, change_pause: u64) {
+pub fn add_clients(world: &mut Cluster, change_pause: u64) {
     for name in 0..2 {
         world.add_client(Client::Operator(Operator::new(name, change_pause)));
     }
@@ -467,49 +484,53 @@
 }
 
 /// Longest pause of an operator between two errands, in milliseconds.
-const CHANGE_PAUSE: u64 = 700;
+const CHANGE_INTERVAL: u64 = 700;
 
 /// Runs a cluster through a plan and until it must serve again.
-pub fn run(spec: Spec, plan: &Plan) -> Verdict {
-    run_with(spec, plan, CHANGE_PAUSE)
+pub fn run(spec: ClusterSpec, plan: &Plan) -> Verdict {
+    run_with(spec, plan, CHANGE_INTERVAL)
 }
 
 /// The same with operators that pause for so many milliseconds at most.
-pub fn run_with(spec: Spec, plan: &Plan, change_pause: u64) -> Verdict {
-    let mut world = World::new(spec);
+pub fn run_with(spec: ClusterSpec, plan: &Plan, change_pause: u64) -> Verdict {
+    let mut world = Cluster::new(spec);
     add_clients(&mut world, change_pause);
     for (at, fault) in &plan.faults {
         world.fault_at(*at, *fault);
     }
-    world.run_until(plan.quiet_from + RECOVERY);
+    world.run_until(plan.quiet_from + RECOVERY_TIME);
     finish(&mut world);
     world.describe().into_iter().for_each(|line| info!("{line}"));
     verdict(&world)
 }
 
 /// Checks that a cluster without trouble serves: changes, readings, pulls and jobs go on, and enough copies are there.
-pub fn finish(world: &mut World) {
+pub fn finish(world: &mut Cluster) {
     // Readings are drawn less often than changes.
     const SERVED: [(&str, u64); 4] = [("acknowledged", 8), ("pulled", 8), ("read", 30), ("results read", 30)];
     let begun = world.now;
-    let before = SERVED.map(|(what, _)| world.judge.count_of(what));
+    let before = SERVED.map(|(what, _)| world.checker.count_of(what));
     for ((what, seconds), before) in SERVED.into_iter().zip(before) {
         let until = begun + Duration::from_secs(seconds);
-        while world.judge.count_of(what) == before && world.now < until && !world.judge.has_found() {
+        while world.checker.count_of(what) == before && world.now < until && !world.checker.has_violation() {
             let next = world.now + Duration::from_secs(1);
             world.run_until(next);
         }
-        if !world.judge.has_found() && world.judge.count_of(what) == before {
-            world.judge.report(format!("no longer served: {what}"));
+        if !world.checker.has_violation() && world.checker.count_of(what) == before {
+            world.checker.report(format!("no longer served: {what}"));
         }
     }
-    let newest = world.judge.newest_acknowledged(world.now);
-    let (holders, copies) = (world.holders(newest), world.spec.tolerated + 1);
-    if !world.judge.has_found() && holders < copies {
-        world.judge.report(format!("{holders} copies of {newest}, {copies} are asked for"));
+    let newest = world.checker.newest_acknowledged(world.now);
+    let (holders, copies) = (world.coordinators_with_generation(newest), world.spec.tolerated_machines + 1);
+    if !world.checker.has_violation() && holders < copies {
+        world.checker.report(format!("{holders} copies of {newest}, {copies} are asked for"));
     }
 }
 
-pub fn verdict(world: &World) -> Verdict {
-    Verdict { found: world.judge.found().to_vec(), trace: world.trace, counts: world.judge.counts.clone() }
+pub fn verdict(world: &Cluster) -> Verdict {
+    Verdict {
+        found: world.checker.violations().to_vec(),
+        trace: world.trace,
+        counts: world.checker.counts.clone(),
+    }
 }
--- a/control-plane/simulation/src/lib.rs
+++ b/control-plane/simulation/src/lib.rs
@@ -5,12 +5,12 @@
 //! the history of everything that was asked and answered. A seed replays exactly.
 #![forbid(unsafe_code)]
 
+pub mod checker;
 pub mod clients;
-pub mod days;
+pub mod cluster;
 pub mod disk;
 pub mod faults;
-pub mod judge;
-pub mod world;
+pub mod scenarios;
 
+pub use cluster::{Cluster, ClusterSpec};
 pub use faults::{Fault, Plan};
-pub use world::{Spec, World};
--- a/control-plane/simulation/src/main.rs
+++ b/control-plane/simulation/src/main.rs
@@ -1,8 +1,8 @@
 //! Searches seeds for broken rules: `marblecroft-simulation search`, and plays one again: `marblecroft-simulation replay`.
 
-use marblecroft_simulation::days::{day, troubles, Model};
 use marblecroft_simulation::faults::{self, Plan};
-use marblecroft_simulation::Spec;
+use marblecroft_simulation::scenarios::{random_faults, scenario, Model};
+use marblecroft_simulation::ClusterSpec;
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -67,17 +67,17 @@
     stores: Option<usize>,
     tolerated: Option<usize>,
     without_disk: Option<usize>,
-) -> Spec {
-    Spec {
+) -> ClusterSpec {
+    ClusterSpec {
         seed,
         coordinators: coordinators.unwrap_or(COORDINATORS),
         stores: stores.unwrap_or(STORES),
-        tolerated: tolerated.unwrap_or(TOLERATED),
-        without_disk: without_disk.unwrap_or(0),
+        tolerated_machines: tolerated.unwrap_or(TOLERATED),
+        diskless_coordinators: without_disk.unwrap_or(0),
     }
 }
 
-fn search(from: u64, seeds: u64, spec: Spec, threads: usize) -> ExitCode {
+fn search(from: u64, seeds: u64, spec: ClusterSpec, threads: usize) -> ExitCode {
     let (next, failed) = (AtomicU64::new(from), Mutex::new(Vec::new()));
     let counts = Mutex::new(BTreeMap::<&str, u64>::new());
     let begun = Instant::now();
@@ -88,7 +88,7 @@
                 if seed >= from + seeds {
                     return;
                 }
-                let spec = Spec { seed, ..spec };
+                let spec = ClusterSpec { seed, ..spec };
                 let verdict = faults::run(spec, &Plan::draw(&spec));
                 if let Ok(mut counts) = counts.lock() {
                     verdict.counts.iter().for_each(|(what, count)| *counts.entry(what).or_default() += count);
@@ -109,9 +109,9 @@
         "{} coordinators and {} without a disk, {} stores, {} tolerated: {seeds} seeds from {from}, {a_second:.1} a second, \
          {} failed",
         spec.coordinators,
-        spec.without_disk,
+        spec.diskless_coordinators,
         spec.stores,
-        spec.tolerated,
+        spec.tolerated_machines,
         failed.len()
     );
     if failed.is_empty() {
@@ -121,13 +121,13 @@
     }
 }
 
-fn write_days(site: &Path, out: &Path, from: usize, days: usize, seed: u64) -> io::Result<()> {
+fn write_scenarios(site: &Path, out: &Path, from: usize, days: usize, seed: u64) -> io::Result<()> {
     let model = Model::read(&fs::read_to_string(site)?);
     let model =
         model.ok_or_else(|| io::Error::new(io::ErrorKind::InvalidData, "the site file has no day"))?;
     fs::create_dir_all(out)?;
     for number in from..from + days {
-        let (text, told) = day(&model, number, seed);
+        let (text, told) = scenario(&model, number, seed);
         fs::write(out.join(format!("{number:03}.toml")), text)?;
         writeln!(io::stdout(), "{number:03} {told}")?;
     }
@@ -141,8 +141,8 @@
             search(s.from.unwrap_or(1), s.seeds.unwrap_or(1000), spec, s.threads.unwrap_or(4))
         }
         MarblecroftSimulationCmd::Days(d) => {
-            let (from, days) = (d.from.unwrap_or(0), d.days.unwrap_or_else(troubles));
-            match write_days(&d.site, &d.out, from, days, d.seed.unwrap_or(1)) {
+            let (from, days) = (d.from.unwrap_or(0), d.days.unwrap_or_else(random_faults));
+            match write_scenarios(&d.site, &d.out, from, days, d.seed.unwrap_or(1)) {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(e) => {
                     eprintln!("marblecroft-simulation: {}: {e}", d.site.display());
--- a/control-plane/simulation/src/days.rs
+++ b/control-plane/simulation/src/scenarios.rs
@@ -119,7 +119,7 @@
 }
 
 /// All kinds with all of their variants, and whom they strike.
-fn all_troubles() -> Vec<(&'static Kind, &'static str, &'static str)> {
+fn all_faults() -> Vec<(&'static Kind, &'static str, &'static str)> {
     let mut all = Vec::new();
     for kind in &KINDS {
         for role in if kind.on { &["core", "store"][..] } else { &[""][..] } {
@@ -130,14 +130,14 @@
 }
 
 /// Days that this many kinds, variants and machines make.
-pub fn troubles() -> usize {
-    all_troubles().len()
+pub fn random_faults() -> usize {
+    all_faults().len()
 }
 
 /// A day of the bench's form, and one line that says what strikes.
-pub fn day(model: &Model, number: usize, seed: u64) -> (String, String) {
+pub fn scenario(model: &Model, number: usize, seed: u64) -> (String, String) {
     let mut rng = Rng::with_seed(seed.wrapping_mul(1_000_003) ^ number as u64);
-    let all = all_troubles();
+    let all = all_faults();
     let (kind, variant, role) = all[number % all.len()];
     let at = FIRST_AT + rng.f64();
     let mut faults = entry(kind, variant, role, at);
--- a/control-plane/simulation/tests/common/mod.rs
+++ b/control-plane/simulation/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the scenarios share.
 
-use marblecroft_simulation::faults::{self, Fault, Plan, Verdict, CATCH_UP};
-use marblecroft_simulation::Spec;
+use marblecroft_simulation::faults::{self, Fault, Plan, Verdict, CATCH_UP_TIME};
+use marblecroft_simulation::ClusterSpec;
 use std::sync::Mutex;
 use std::thread;
 use std::time::Duration;
@@ -13,16 +13,16 @@
 /// A scenario by its name.
 pub struct Scenario {
     pub name: String,
-    pub spec: Spec,
+    pub spec: ClusterSpec,
     pub plan: Plan,
     pub change_pause: u64,
 }
 
 impl Scenario {
     /// Troubles at their times, in seconds; the last one is over at `quiet_from`.
-    pub fn new(name: String, spec: Spec, faults: Vec<(f64, Fault)>, quiet_from: f64) -> Scenario {
+    pub fn new(name: String, spec: ClusterSpec, faults: Vec<(f64, Fault)>, quiet_from: f64) -> Scenario {
         let faults = faults.into_iter().map(|(at, fault)| (seconds(at), fault)).collect();
-        let plan = Plan::of(faults, seconds(quiet_from) + CATCH_UP);
+        let plan = Plan::of(faults, seconds(quiet_from) + CATCH_UP_TIME);
         Scenario { name, spec, plan, change_pause: 300 }
     }
 
--- a/control-plane/simulation/tests/cut_off.rs
+++ b/control-plane/simulation/tests/cut_off.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::{play_all, seconds, Scenario};
-use marblecroft_simulation::faults::{CutFrom, Fault, Target, Ways};
-use marblecroft_simulation::world::{Cut, Role};
-use marblecroft_simulation::Spec;
+use marblecroft_simulation::cluster::{LinkFault, Role};
+use marblecroft_simulation::faults::{Fault, PartitionDirection, PartitionScope, Target};
+use marblecroft_simulation::ClusterSpec;
 
 const CUT_FOR: f64 = 20.0;
 const TARGETS: [Target; 5] = [
@@ -18,21 +18,22 @@
     Target::Tail(Role::Store),
 ];
 
-fn spec(seed: u64) -> Spec {
-    Spec { seed, coordinators: 4, stores: 4, tolerated: 1, without_disk: 0 }
+fn spec(seed: u64) -> ClusterSpec {
+    ClusterSpec { seed, coordinators: 4, stores: 4, tolerated_machines: 1, diskless_coordinators: 0 }
 }
 
-fn cut(target: Target, from: CutFrom, ways: Ways, how: Cut) -> Fault {
-    Fault::Cut { target, from, ways, how, time: seconds(CUT_FOR) }
+fn cut(target: Target, from: PartitionScope, ways: PartitionDirection, how: LinkFault) -> Fault {
+    Fault::Partition { target, from, ways, how, time: seconds(CUT_FOR) }
 }
 
 /// Every place, from everything, each way, silent and reset.
 fn all_cuts() -> Vec<Fault> {
     let mut cuts = Vec::new();
     for target in TARGETS {
-        for from in [CutFrom::Peers, CutFrom::Machines, CutFrom::Everybody] {
-            for ways in [Ways::Both, Ways::In, Ways::Out] {
-                cuts.extend([Cut::Silent, Cut::Reset].map(|how| cut(target, from, ways, how)));
+        for from in [PartitionScope::Peers, PartitionScope::Machines, PartitionScope::MachinesAndClients] {
+            for ways in [PartitionDirection::Both, PartitionDirection::Inbound, PartitionDirection::Outbound]
+            {
+                cuts.extend([LinkFault::Drop, LinkFault::Reset].map(|how| cut(target, from, ways, how)));
             }
         }
     }
@@ -96,11 +97,11 @@
             // It wakes cut off from its peers: what it hears first is what was sent to it long ago.
             let target = Target::Machine(machine);
             let freeze = Fault::Freeze { target, time: seconds(time) };
-            let alone = Fault::Cut {
+            let alone = Fault::Partition {
                 target,
-                from: CutFrom::Peers,
-                ways: Ways::Both,
-                how: Cut::Silent,
+                from: PartitionScope::Peers,
+                ways: PartitionDirection::Both,
+                how: LinkFault::Drop,
                 time: seconds(4.0),
             };
             let faults = vec![(6.0, freeze), (5.9 + time, alone)];
--- a/control-plane/simulation/tests/many_changes.rs
+++ b/control-plane/simulation/tests/many_changes.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::{play_all, seconds, Scenario};
-use marblecroft_simulation::faults::{CutFrom, Fault, Target, Ways};
-use marblecroft_simulation::world::{Cut, Role};
-use marblecroft_simulation::Spec;
+use marblecroft_simulation::cluster::{LinkFault, Role};
+use marblecroft_simulation::faults::{Fault, PartitionDirection, PartitionScope, Target};
+use marblecroft_simulation::ClusterSpec;
 
 #[test]
 fn a_thousand_changes_with_members_away_for_any_stretch_of_them() {
@@ -17,25 +17,25 @@
         for (case, fault) in [
             Fault::Kill { target, power: true, back_after: seconds(away) },
             Fault::Freeze { target, time: seconds(away) },
-            Fault::Cut {
+            Fault::Partition {
                 target,
-                from: CutFrom::Machines,
-                ways: Ways::Both,
-                how: Cut::Silent,
+                from: PartitionScope::Machines,
+                ways: PartitionDirection::Both,
+                how: LinkFault::Drop,
                 time: seconds(away),
             },
         ]
         .into_iter()
         .enumerate()
         {
-            let spec = Spec {
+            let spec = ClusterSpec {
                 seed: (number * 10 + case) as u64,
                 coordinators: 3,
                 stores: 3,
-                tolerated: 1,
-                without_disk: 0,
+                tolerated_machines: 1,
+                diskless_coordinators: 0,
             };
-            let damage = Fault::Damage { target: Target::Tail(Role::Coordinator) };
+            let damage = Fault::CorruptDisk { target: Target::Tail(Role::Coordinator) };
             let wipe = Fault::Wipe { target: Target::Head(Role::Coordinator), back_after: seconds(0.2) };
             let later = 8.0 + away + 8.0;
             let faults = vec![(8.0, fault), (later, damage), (later + 8.0, wipe)];
@@ -49,7 +49,8 @@
 
 #[test]
 fn the_changes_are_a_thousand() {
-    let spec = Spec { seed: 5, coordinators: 3, stores: 3, tolerated: 1, without_disk: 0 };
+    let spec =
+        ClusterSpec { seed: 5, coordinators: 3, stores: 3, tolerated_machines: 1, diskless_coordinators: 0 };
     let mut scenario = Scenario::new("calm".to_owned(), spec, Vec::new(), 100.0);
     scenario.change_pause = 15;
     let verdict = scenario.run();
--- a/control-plane/simulation/tests/orders.rs
+++ b/control-plane/simulation/tests/orders.rs
@@ -7,21 +7,21 @@
 
 use common::{play_all, seconds, Scenario};
 use marblecroft_chain_replication::StateMachine;
-use marblecroft_control_state::{Control, Operation, Output, REMEMBERED_MOST};
+use marblecroft_control_state::{ControlState, Operation, Output, MAX_REMEMBERED_GENERATIONS};
 use marblecroft_rpc::Bytes;
-use marblecroft_simulation::faults::{CutFrom, Fault, Target, Ways};
-use marblecroft_simulation::world::{Cut, Role};
-use marblecroft_simulation::Spec;
+use marblecroft_simulation::cluster::{LinkFault, Role};
+use marblecroft_simulation::faults::{Fault, PartitionDirection, PartitionScope, Target};
+use marblecroft_simulation::ClusterSpec;
 
 #[test]
 fn whoever_holds_a_confirmation_is_struck_and_the_order_sent_again() {
     let head = Target::Head(Role::Coordinator);
     let tail = Target::Tail(Role::Coordinator);
-    let cut = |target, ways| Fault::Cut {
+    let cut = |target, ways| Fault::Partition {
         target,
-        from: CutFrom::Everybody,
+        from: PartitionScope::MachinesAndClients,
         ways,
-        how: Cut::Silent,
+        how: LinkFault::Drop,
         time: seconds(6.0),
     };
     let strikes = [
@@ -30,20 +30,20 @@
         Fault::Wipe { target: head, back_after: seconds(0.3) },
         Fault::Wipe { target: tail, back_after: seconds(0.3) },
         Fault::Terminate { target: head },
-        cut(head, Ways::Out),
-        cut(head, Ways::In),
-        cut(tail, Ways::Out),
+        cut(head, PartitionDirection::Outbound),
+        cut(head, PartitionDirection::Inbound),
+        cut(tail, PartitionDirection::Outbound),
         Fault::KillAll { power: true },
     ];
     let mut scenarios = Vec::new();
     for (number, strike) in strikes.into_iter().enumerate() {
         for step in 0..6u32 {
-            let spec = Spec {
+            let spec = ClusterSpec {
                 seed: (number * 10) as u64 + u64::from(step),
                 coordinators: 3,
                 stores: 3,
-                tolerated: 1,
-                without_disk: 0,
+                tolerated_machines: 1,
+                diskless_coordinators: 0,
             };
             // At ever other moments of the changes that are under way.
             let at = 6.0 + 0.0037 * f64::from(step);
@@ -58,20 +58,21 @@
 
 #[test]
 fn behind_what_is_remembered_an_order_is_neither_confirmed_nor_refused() {
-    let mut control = Control::default();
+    let mut control = ControlState::default();
     let body = |generation: u64| Bytes(format!("body {generation}").into_bytes());
-    let replace = |base, generation| Operation::Replace { base, generation, body: body(generation) };
-    let most = REMEMBERED_MOST as u64;
+    let replace =
+        |base, generation| Operation::ReplaceConfiguration { base, generation, body: body(generation) };
+    let most = MAX_REMEMBERED_GENERATIONS as u64;
     for generation in 1..=most + 5 {
-        assert_eq!(control.apply(replace(generation - 1, generation)), Output::Taken);
+        assert_eq!(control.apply(replace(generation - 1, generation)), Output::Accepted);
     }
-    assert_eq!(control.apply(replace(5, 6)), Output::Taken, "remembered");
+    assert_eq!(control.apply(replace(5, 6)), Output::Accepted, "remembered");
     for generation in 1..=5 {
-        assert_eq!(control.apply(replace(generation - 1, generation)), Output::Forgotten);
+        assert_eq!(control.apply(replace(generation - 1, generation)), Output::GenerationForgotten);
     }
-    let restored = Control::restore(&control.snapshot()).expect("a snapshot");
+    let restored = ControlState::restore(&control.snapshot()).expect("a snapshot");
     assert_eq!(restored, control);
     // What a coordinator keeps for each order: a digest of 32 bytes, a number and their lengths.
     let size = control.snapshot().len();
-    assert!(size < REMEMBERED_MOST * 64, "{size} bytes");
+    assert!(size < MAX_REMEMBERED_GENERATIONS * 64, "{size} bytes");
 }
--- a/control-plane/simulation/tests/second_loss.rs
+++ b/control-plane/simulation/tests/second_loss.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::{play_all, seconds, Scenario};
-use marblecroft_simulation::faults::{Fault, Target, CATCH_UP};
-use marblecroft_simulation::world::Role;
-use marblecroft_simulation::Spec;
+use marblecroft_simulation::cluster::Role;
+use marblecroft_simulation::faults::{Fault, Target, CATCH_UP_TIME};
+use marblecroft_simulation::ClusterSpec;
 
 /// A little more than a machine has to catch up.
 const STEP: f64 = 7.0;
@@ -19,13 +19,19 @@
     [
         Fault::Wipe { target, back_after: seconds(0.3) },
         Fault::Replace { target },
-        Fault::Damage { target },
+        Fault::CorruptDisk { target },
         Fault::Terminate { target },
     ]
 }
 
-fn spec(seed: u64, (coordinators, tolerated): (usize, usize)) -> Spec {
-    Spec { seed, coordinators, stores: 2 * tolerated + 2, tolerated, without_disk: 0 }
+fn spec(seed: u64, (coordinators, tolerated): (usize, usize)) -> ClusterSpec {
+    ClusterSpec {
+        seed,
+        coordinators,
+        stores: 2 * tolerated + 2,
+        tolerated_machines: tolerated,
+        diskless_coordinators: 0,
+    }
 }
 
 fn targets(role: Role) -> [Target; 2] {
@@ -35,7 +41,7 @@
 #[test]
 fn one_loss_follows_the_other() {
     let mut scenarios = Vec::new();
-    let step = CATCH_UP.as_secs_f64().max(STEP);
+    let step = CATCH_UP_TIME.as_secs_f64().max(STEP);
     for (number, size) in SIZES.into_iter().enumerate() {
         for role in [Role::Coordinator, Role::Store] {
             for (case, (first, second)) in targets(role)
--- a/control-plane/simulation/tests/seeds.rs
+++ b/control-plane/simulation/tests/seeds.rs
@@ -5,7 +5,7 @@
 
 use common::{play_all, Scenario};
 use marblecroft_simulation::faults::{self, Plan};
-use marblecroft_simulation::Spec;
+use marblecroft_simulation::ClusterSpec;
 
 /// Seeds of each size.
 const SEEDS: u64 = 24;
@@ -26,7 +26,13 @@
     let mut scenarios = Vec::new();
     for (coordinators, without_disk, stores, tolerated) in SIZES {
         for seed in 1..=SEEDS {
-            let spec = Spec { seed, coordinators, stores, tolerated, without_disk };
+            let spec = ClusterSpec {
+                seed,
+                coordinators,
+                stores,
+                tolerated_machines: tolerated,
+                diskless_coordinators: without_disk,
+            };
             let plan = Plan::draw(&spec);
             scenarios.push(Scenario { name: format!("seed {seed}"), spec, plan, change_pause: 700 });
         }
@@ -36,10 +42,11 @@
 
 #[test]
 fn a_seed_replays_exactly() {
-    let spec = Spec { seed: 77, coordinators: 4, stores: 4, tolerated: 1, without_disk: 0 };
+    let spec =
+        ClusterSpec { seed: 77, coordinators: 4, stores: 4, tolerated_machines: 1, diskless_coordinators: 0 };
     let plan = Plan::draw(&spec);
     let (first, again) = (faults::run(spec, &plan), faults::run(spec, &plan));
     assert_eq!((first.trace, first.counts), (again.trace, again.counts));
-    let other = Spec { seed: 78, ..spec };
+    let other = ClusterSpec { seed: 78, ..spec };
     assert_ne!(first.trace, faults::run(other, &Plan::draw(&other)).trace);
 }
--- a/control-plane/wal/src/lib.rs
+++ b/control-plane/wal/src/lib.rs
@@ -24,13 +24,13 @@
 /// What [`MAGIC`] has in every version.
 const MAGIC_PREFIX: &[u8] = b"mcroft\x00";
 /// First bytes of a mark's payload.
-const MARK: [u8; 8] = *b"mc-mark\x00";
+const APPEND_MARKER: [u8; 8] = *b"mc-mark\x00";
 /// Bytes of a mark's payload.
-const MARK_LENGTH: usize = 24;
+const APPEND_MARKER_BYTES: usize = 24;
 /// Bytes in front of a record's payload.
-const HEADER: usize = 8;
+const RECORD_HEADER_BYTES: usize = 8;
 /// The longest payload of a record, in bytes. Guards against a length that was torn or damaged.
-const PAYLOAD_MOST: usize = 512 << 20;
+const MAX_PAYLOAD_BYTES: usize = 512 << 20;
 
 /// What [`Log::open`] found on the disk.
 #[derive(Debug, Default, PartialEq, Eq)]
@@ -40,25 +40,25 @@
     /// The records behind it, in order.
     pub records: Vec<Vec<u8>>,
     /// Bytes behind the last whole record that were passed over.
-    pub passed_over: usize,
+    pub torn_bytes: usize,
     /// Whether something that was synced cannot be read: what was found is an older state than was told of.
     pub damaged: bool,
 }
 
 /// The open log of one folder.
-pub struct Log {
-    folder: PathBuf,
+pub struct Wal {
+    directory: PathBuf,
     /// Number of the segment that is written.
-    number: u64,
+    segment_number: u64,
     file: Option<File>,
     /// Bytes of that segment, and of the snapshot at its start.
-    length: u64,
-    snapshot_length: u64,
+    segment_bytes: u64,
+    snapshot_bytes: u64,
 }
 
-impl Log {
+impl Wal {
     /// Opens the log in `folder`, which is made if it is not there. Records can be appended after [`Log::start_segment`].
-    pub fn open(folder: &Path) -> io::Result<(Log, Recovered)> {
+    pub fn open(folder: &Path) -> io::Result<(Wal, Recovered)> {
         fs::create_dir_all(folder)?;
         let mut numbers = segment_numbers(folder)?;
         numbers.sort_unstable();
@@ -71,36 +71,41 @@
                 break;
             }
             // Nothing is appended to a segment before its snapshot is synced and the older segments are gone for good.
-            recovered.damaged |= find_mark(&bytes, number).is_some();
+            recovered.damaged |= find_append_marker(&bytes, number).is_some();
         }
         if recovered.snapshot.is_none() {
             recovered.damaged |= newest > 1;
         }
-        let log =
-            Log { folder: folder.to_owned(), number: newest, file: None, length: 0, snapshot_length: 0 };
+        let log = Wal {
+            directory: folder.to_owned(),
+            segment_number: newest,
+            file: None,
+            segment_bytes: 0,
+            snapshot_bytes: 0,
+        };
         Ok((log, recovered))
     }
 
     /// Begins a segment with this snapshot, which is durable on return, and removes the older segments.
     pub fn start_segment(&mut self, snapshot: &[u8]) -> io::Result<()> {
-        let number = self.number + 1;
-        let mut bytes = Vec::with_capacity(MAGIC.len() + HEADER + snapshot.len());
+        let number = self.segment_number + 1;
+        let mut bytes = Vec::with_capacity(MAGIC.len() + RECORD_HEADER_BYTES + snapshot.len());
         bytes.extend_from_slice(&MAGIC);
         encode_record(snapshot, &mut bytes)?;
         // The number is used up even where the write fails, so that no torn segment is written over.
-        self.number = number;
+        self.segment_number = number;
         let mut file =
-            OpenOptions::new().write(true).create_new(true).open(segment_path(&self.folder, number))?;
+            OpenOptions::new().write(true).create_new(true).open(segment_path(&self.directory, number))?;
         file.write_all(&bytes)?;
         file.sync_all()?;
-        sync_folder(&self.folder)?;
-        self.length = bytes.len() as u64;
-        self.snapshot_length = self.length;
-        for older in segment_numbers(&self.folder)?.into_iter().filter(|&older| older < number) {
-            fs::remove_file(segment_path(&self.folder, older))?;
+        sync_directory(&self.directory)?;
+        self.segment_bytes = bytes.len() as u64;
+        self.snapshot_bytes = self.segment_bytes;
+        for older in segment_numbers(&self.directory)?.into_iter().filter(|&older| older < number) {
+            fs::remove_file(segment_path(&self.directory, older))?;
         }
         // An older segment beside a broken one then says that nothing was told of the newer one.
-        sync_folder(&self.folder)?;
+        sync_directory(&self.directory)?;
         self.file = Some(file);
         Ok(())
     }
@@ -109,13 +114,13 @@
     pub fn append(&mut self, records: &[&[u8]]) -> io::Result<()> {
         let mut file = self.file.take().ok_or_else(|| io::Error::other("the segment is not writable"))?;
         let mut bytes = Vec::new();
-        encode_record(&mark(self.number, self.length), &mut bytes)?;
+        encode_record(&append_marker(self.segment_number, self.segment_bytes), &mut bytes)?;
         for record in records {
             encode_record(record, &mut bytes)?;
         }
         file.write_all(&bytes)?;
         file.sync_data()?;
-        self.length += bytes.len() as u64;
+        self.segment_bytes += bytes.len() as u64;
         self.file = Some(file);
         Ok(())
     }
@@ -127,7 +132,7 @@
 
     /// Bytes of records behind the snapshot of the segment that is written.
     pub fn record_bytes(&self) -> u64 {
-        self.length - self.snapshot_length
+        self.segment_bytes - self.snapshot_bytes
     }
 }
 
@@ -145,7 +150,7 @@
     Ok(numbers)
 }
 
-fn sync_folder(folder: &Path) -> io::Result<()> {
+fn sync_directory(folder: &Path) -> io::Result<()> {
     File::open(folder)?.sync_all()
 }
 
@@ -156,7 +161,7 @@
 }
 
 fn encode_record(payload: &[u8], into: &mut Vec<u8>) -> io::Result<()> {
-    let length = u32::try_from(payload.len()).ok().filter(|&length| length as usize <= PAYLOAD_MOST);
+    let length = u32::try_from(payload.len()).ok().filter(|&length| length as usize <= MAX_PAYLOAD_BYTES);
     let length = length.ok_or_else(|| io::Error::other("a record is too long"))?;
     into.extend_from_slice(&length.to_le_bytes());
     into.extend_from_slice(&crc32fast::hash(payload).to_le_bytes());
@@ -169,7 +174,7 @@
     let (length, rest) = bytes.split_first_chunk::<4>()?;
     let (checksum, rest) = rest.split_first_chunk::<4>()?;
     let length = usize::try_from(u32::from_le_bytes(*length)).ok()?;
-    if length > PAYLOAD_MOST || length > rest.len() {
+    if length > MAX_PAYLOAD_BYTES || length > rest.len() {
         return None;
     }
     let (payload, rest) = rest.split_at(length);
@@ -177,26 +182,26 @@
 }
 
 /// The payload of the mark at an offset of a segment.
-fn mark(number: u64, offset: u64) -> [u8; MARK_LENGTH] {
-    let mut payload = [0; MARK_LENGTH];
-    payload[..8].copy_from_slice(&MARK);
+fn append_marker(number: u64, offset: u64) -> [u8; APPEND_MARKER_BYTES] {
+    let mut payload = [0; APPEND_MARKER_BYTES];
+    payload[..8].copy_from_slice(&APPEND_MARKER);
     payload[8..16].copy_from_slice(&number.to_le_bytes());
     payload[16..].copy_from_slice(&offset.to_le_bytes());
     payload
 }
 
 /// Offset of the first whole mark of this segment at or behind the start of `bytes`, which is the whole segment.
-fn find_mark(bytes: &[u8], number: u64) -> Option<usize> {
-    find_mark_behind(bytes, number, MAGIC.len())
+fn find_append_marker(bytes: &[u8], number: u64) -> Option<usize> {
+    find_append_marker_from(bytes, number, MAGIC.len())
 }
 
-fn find_mark_behind(bytes: &[u8], number: u64, from: usize) -> Option<usize> {
+fn find_append_marker_from(bytes: &[u8], number: u64, from: usize) -> Option<usize> {
     let is_mark = |offset: &usize| {
         let payload = decode_record(&bytes[*offset..]).map(|(payload, _)| payload);
-        payload == Some(&mark(number, *offset as u64)[..])
+        payload == Some(&append_marker(number, *offset as u64)[..])
     };
     // The length in front of a mark is always the same, and rules most offsets out.
-    let length = (MARK_LENGTH as u32).to_le_bytes();
+    let length = (APPEND_MARKER_BYTES as u32).to_le_bytes();
     (from..bytes.len()).filter(|&offset| bytes[offset..].starts_with(&length)).find(is_mark)
 }
 
@@ -205,20 +210,20 @@
     let Some(body) = bytes.strip_prefix(&MAGIC) else {
         let version = bytes.strip_prefix(MAGIC_PREFIX).and_then(|rest| rest.first().copied());
         // Zero is a torn header, and marks of this format mean that the version was damaged.
-        let other = version.filter(|version| *version != 0 && find_mark(bytes, number).is_none());
+        let other = version.filter(|version| *version != 0 && find_append_marker(bytes, number).is_none());
         return other.map_or(Ok(None), |version| Err(unknown_format(number, version)));
     };
     let Some((snapshot, mut rest)) = decode_record(body) else { return Ok(None) };
     let mut recovered = Recovered { snapshot: Some(snapshot.to_vec()), ..Recovered::default() };
     while let Some((payload, behind)) = decode_record(rest) {
         let offset = (bytes.len() - rest.len()) as u64;
-        if payload != mark(number, offset) {
+        if payload != append_marker(number, offset) {
             recovered.records.push(payload.to_vec());
         }
         rest = behind;
     }
-    recovered.passed_over = rest.len();
-    recovered.damaged = find_mark_behind(bytes, number, bytes.len() - rest.len()).is_some();
+    recovered.torn_bytes = rest.len();
+    recovered.damaged = find_append_marker_from(bytes, number, bytes.len() - rest.len()).is_some();
     Ok(Some(recovered))
 }
 
--- a/control-plane/wal/tests/golden.rs
+++ b/control-plane/wal/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Segment files keep their bytes: a log that is written has the literal bytes of a fixture, and those are read again.
 
-use marblecroft_wal::{Log, Recovered, MAGIC};
+use marblecroft_wal::{Recovered, Wal, MAGIC};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -28,7 +28,7 @@
 fn a_segment_file_keeps_its_name_and_bytes() {
     assert_eq!(&MAGIC, b"mcroft\x00\x02");
     let folder = folder("written");
-    let (mut log, found) = Log::open(&folder).expect("opens");
+    let (mut log, found) = Wal::open(&folder).expect("opens");
     assert_eq!(found, Recovered::default());
     log.start_segment(b"an older snapshot").expect("written");
     log.start_segment(b"the snapshot").expect("written");
@@ -47,11 +47,11 @@
     let folder = folder("read");
     let stored = unhex(include_str!("golden/segment.hex").trim_end());
     fs::write(folder.join(SEGMENT), &stored).expect("written");
-    let (mut log, found) = Log::open(&folder).expect("opens");
+    let (mut log, found) = Wal::open(&folder).expect("opens");
     let expected = Recovered {
         snapshot: Some(b"the snapshot".to_vec()),
         records: vec![b"first".to_vec(), Vec::new(), vec![0xff; 9]],
-        passed_over: 0,
+        torn_bytes: 0,
         damaged: false,
     };
     assert_eq!(found, expected);
--- a/control-plane/wal/tests/power_loss.rs
+++ b/control-plane/wal/tests/power_loss.rs
@@ -1,6 +1,6 @@
 //! What was appended is there after a loss of power, whatever became of what was not synced.
 
-use marblecroft_wal::{Log, Recovered};
+use marblecroft_wal::{Recovered, Wal};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -29,13 +29,13 @@
 }
 
 fn reopened(folder: &Path) -> Recovered {
-    Log::open(folder).expect("opens").1
+    Wal::open(folder).expect("opens").1
 }
 
 #[test]
 fn an_empty_folder_has_no_snapshot_and_nothing_can_be_appended_before_a_segment_starts() {
     let folder = Folder::new("empty");
-    let (mut log, found) = Log::open(&folder.0).expect("opens");
+    let (mut log, found) = Wal::open(&folder.0).expect("opens");
     assert_eq!(found, Recovered::default());
     assert!(log.append(&[b"x"]).is_err());
 }
@@ -43,7 +43,7 @@
 #[test]
 fn every_prefix_of_a_segment_gives_back_exactly_the_whole_records_in_it() {
     let folder = Folder::new("prefix");
-    let (mut log, _) = Log::open(&folder.0).expect("opens");
+    let (mut log, _) = Wal::open(&folder.0).expect("opens");
     log.start_segment(b"state").expect("starts");
     let first = fs::metadata(only_segment(&folder.0)).expect("there").len() as usize;
     let records: [&[u8]; 3] = [b"one", b"", b"three"];
@@ -71,7 +71,7 @@
 #[test]
 fn a_flipped_bit_is_never_read_as_data() {
     let folder = Folder::new("flip");
-    let (mut log, _) = Log::open(&folder.0).expect("opens");
+    let (mut log, _) = Wal::open(&folder.0).expect("opens");
     log.start_segment(b"state").expect("starts");
     log.append(&[b"first", b"second"]).expect("appended");
     let path = only_segment(&folder.0);
@@ -90,7 +90,7 @@
 #[test]
 fn a_torn_new_segment_leaves_the_one_before_in_force() {
     let folder = Folder::new("torn");
-    let (mut log, _) = Log::open(&folder.0).expect("opens");
+    let (mut log, _) = Wal::open(&folder.0).expect("opens");
     log.start_segment(b"old").expect("starts");
     log.append(&[b"record"]).expect("appended");
     let kept = (only_segment(&folder.0), fs::read(only_segment(&folder.0)).expect("read"));
@@ -111,7 +111,7 @@
     let folder = Folder::new("random");
     arbtest::arbtest(|u| {
         drop(fs::remove_dir_all(&folder.0));
-        let (mut log, _) = Log::open(&folder.0).expect("opens");
+        let (mut log, _) = Wal::open(&folder.0).expect("opens");
         let (mut snapshot, mut records) = (Vec::new(), Vec::new());
         log.start_segment(&snapshot).expect("starts");
         for _ in 0..u.int_in_range(0..=20)? {
@@ -124,7 +124,7 @@
                 records.push(payload);
             }
             if u.ratio(1, 5)? {
-                let (reopened, found) = Log::open(&folder.0).expect("opens");
+                let (reopened, found) = Wal::open(&folder.0).expect("opens");
                 assert_eq!(found.records, records);
                 log = reopened;
                 log.start_segment(&snapshot).expect("starts");
@@ -141,7 +141,7 @@
 #[test]
 fn damage_in_front_of_what_was_synced_later_is_told_from_a_torn_end() {
     let folder = Folder::new("damage");
-    let (mut log, _) = Log::open(&folder.0).expect("opens");
+    let (mut log, _) = Wal::open(&folder.0).expect("opens");
     log.start_segment(b"state").expect("starts");
     for _ in 0..100 {
         log.append(&[b"a record", b"another one"]).expect("appended");
@@ -170,7 +170,7 @@
 #[test]
 fn a_newest_segment_without_a_snapshot_is_damage_where_something_was_appended_or_no_older_one_is_left() {
     let folder = Folder::new("newest");
-    let (mut log, _) = Log::open(&folder.0).expect("opens");
+    let (mut log, _) = Wal::open(&folder.0).expect("opens");
     log.start_segment(b"old").expect("starts");
     let kept = (only_segment(&folder.0), fs::read(only_segment(&folder.0)).expect("read"));
     log.start_segment(b"new state").expect("starts");
@@ -195,12 +195,12 @@
 #[test]
 fn an_unknown_format_is_an_error_and_not_an_empty_disk() {
     let folder = Folder::new("format");
-    let (mut log, _) = Log::open(&folder.0).expect("opens");
+    let (mut log, _) = Wal::open(&folder.0).expect("opens");
     log.start_segment(b"state").expect("starts");
     let path = only_segment(&folder.0);
     let mut bytes = fs::read(&path).expect("read");
     bytes[7] = 9;
     fs::write(&path, &bytes).expect("written");
-    let error = Log::open(&folder.0).err().expect("refused").to_string();
+    let error = Wal::open(&folder.0).err().expect("refused").to_string();
     assert_eq!(error, "segment 1 has format 9, and this program reads format 2");
 }
--- a/data-plane/gateway/src/batch_api.rs
+++ b/data-plane/gateway/src/batch_api.rs
@@ -3,9 +3,9 @@
 // What `nanoserde` derives holds this shape.
 #![allow(clippy::question_mark)]
 
-use crate::body::{whole, AnswerBody};
-use crate::front::{own, refusal, Whole};
+use crate::body::{full, ResponseBody};
 use crate::gateway::Gateway;
+use crate::server::{local_reply, rejection, BufferedRequest};
 use crate::stores::Outcome;
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -24,17 +24,17 @@
 use tracing::info;
 
 /// The most items of one job.
-const ITEMS_MOST: usize = 200;
+const MAX_ITEMS: usize = 200;
 /// Time in which a job is taken; its client waits longer.
 const SUBMIT_TIME: Duration = Duration::from_millis(3000);
 const READ_TIME: Duration = Duration::from_millis(2200);
 /// The longest that a reading is held.
-const WAIT_MOST: u32 = 1000;
+const MAX_WAIT: u32 = 1000;
 /// Told to clients whose job does not fit, in seconds.
 const RETRY_QUOTA: &str = "0.7";
 const RETRY_SOON: &str = "0.3";
 
-const LOTS: &str = "/-/lots/";
+const BATCH_JOBS_PREFIX: &str = "/-/lots/";
 const ITEMS: &str = "/-/items/";
 
 #[derive(DeJson)]
@@ -90,10 +90,10 @@
 
 impl Call {
     /// The call that a request is; `None` where it is a client's request for a route.
-    pub fn of(request: &Whole) -> Option<Call> {
+    pub fn of(request: &BufferedRequest) -> Option<Call> {
         let path = request.uri.path();
         let query = request.uri.query().unwrap_or_default();
-        if let Some(job) = path.strip_prefix(LOTS) {
+        if let Some(job) = path.strip_prefix(BATCH_JOBS_PREFIX) {
             let job = job.to_owned();
             return Some(match request.method {
                 Method::GET => Call::Read {
@@ -113,26 +113,26 @@
     }
 }
 
-fn json(body: String) -> Response<AnswerBody> {
-    let mut response = Response::new(whole(body));
+fn json(body: String) -> Response<ResponseBody> {
+    let mut response = Response::new(full(body));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
 async fn call(gateway: &Gateway, request: StoreRequest, within: Duration) -> Outcome {
     let stores = gateway.stores.clone();
-    spawn_blocking(move || stores.call(&request, within)).await.unwrap_or(Outcome::MayHaveRun)
+    spawn_blocking(move || stores.call(&request, within)).await.unwrap_or(Outcome::MayHaveExecuted)
 }
 
 /// The items of a job, or what is wrong with it.
 fn read_items(body: &[u8]) -> Result<Vec<Item>, String> {
     let text = std::str::from_utf8(body).map_err(|e| e.to_string())?;
-    if !syntax::is_whole(text) {
+    if !syntax::is_complete_document(text) {
         return Err("not one whole JSON value".to_owned());
     }
     let document: JobDocument = DeJson::deserialize_json(text).map_err(|e| e.to_string())?;
-    if document.requests.is_empty() || document.requests.len() > ITEMS_MOST {
-        return Err(format!("requests: expected 1 to {ITEMS_MOST} items"));
+    if document.requests.is_empty() || document.requests.len() > MAX_ITEMS {
+        return Err(format!("requests: expected 1 to {MAX_ITEMS} items"));
     }
     let mut ids = HashSet::new();
     let mut items = Vec::new();
@@ -156,72 +156,78 @@
 
 /// Tokens that may wait on a route. The stores count an item until its result is recorded, which is later than its server
 /// finishes it, so that they may use all of the overage.
-fn most_queued(configured: u64, overage: f64) -> u64 {
+fn max_queued_tokens(configured: u64, overage: f64) -> u64 {
     // The conversion saturates.
     (configured as f64 * (1.0 + overage)).floor() as u64
 }
 
 /// Takes a job.
-pub async fn submit(gateway: &Rc<Gateway>, route: &Arc<Route>, request: Whole) -> Response<AnswerBody> {
+pub async fn submit(
+    gateway: &Rc<Gateway>,
+    route: &Arc<Route>,
+    request: BufferedRequest,
+) -> Response<ResponseBody> {
     if request.method != Method::POST {
-        return own(StatusCode::METHOD_NOT_ALLOWED, "a job is submitted with POST");
+        return local_reply(StatusCode::METHOD_NOT_ALLOWED, "a job is submitted with POST");
     }
     let Some(id) = request.header("x-request-id").map(str::to_owned) else {
-        return own(StatusCode::BAD_REQUEST, "X-Request-Id is missing");
+        return local_reply(StatusCode::BAD_REQUEST, "X-Request-Id is missing");
     };
     let items = match read_items(&request.body) {
         Ok(items) => items,
-        Err(e) => return own(StatusCode::BAD_REQUEST, &e),
+        Err(e) => return local_reply(StatusCode::BAD_REQUEST, &e),
     };
     let job = NewJob {
         id,
         route: route.name.clone(),
         host: request.host().to_owned(),
         items,
-        max_queued_tokens: most_queued(route.max_queued_tokens, gateway.settings.bounds.quota_overage),
-        taken_at_ms: 0,
+        max_queued_tokens: max_queued_tokens(route.max_queued_tokens, gateway.settings.bounds.quota_overage),
+        accepted_at_ms: 0,
         due_after_ms: u64::try_from(route.completion_target.as_millis()).unwrap_or(u64::MAX),
     };
     let (begun, trace) = (Instant::now(), job.id.clone());
-    let outcome = call(gateway, StoreRequest::Submit(job), SUBMIT_TIME).await;
+    let outcome = call(gateway, StoreRequest::SubmitJob(job), SUBMIT_TIME).await;
     if !matches!(&outcome, Outcome::Reply(reply) if **reply == StoreReply::Accepted) {
         info!(id = %trace, "job {trace} was not taken after {} ms: {outcome:?}", begun.elapsed().as_millis());
     }
     match outcome {
         Outcome::Reply(reply) => match *reply {
-            StoreReply::Accepted => own(StatusCode::ACCEPTED, "taken"),
+            StoreReply::Accepted => local_reply(StatusCode::ACCEPTED, "taken"),
             StoreReply::OverQuota => {
-                refusal(StatusCode::TOO_MANY_REQUESTS, "too many tokens wait", RETRY_QUOTA)
+                rejection(StatusCode::TOO_MANY_REQUESTS, "too many tokens wait", RETRY_QUOTA)
             }
-            StoreReply::Conflict => own(StatusCode::CONFLICT, "another job was taken under this id"),
-            _ => own(StatusCode::GATEWAY_TIMEOUT, "the outcome is not known"),
+            StoreReply::Conflict => local_reply(StatusCode::CONFLICT, "another job was taken under this id"),
+            _ => local_reply(StatusCode::GATEWAY_TIMEOUT, "the outcome is not known"),
         },
-        Outcome::NotRun => refusal(StatusCode::SERVICE_UNAVAILABLE, "no store takes the job", RETRY_SOON),
-        Outcome::MayHaveRun => own(StatusCode::GATEWAY_TIMEOUT, "the outcome is not known"),
+        Outcome::NotExecuted => {
+            rejection(StatusCode::SERVICE_UNAVAILABLE, "no store takes the job", RETRY_SOON)
+        }
+        Outcome::MayHaveExecuted => local_reply(StatusCode::GATEWAY_TIMEOUT, "the outcome is not known"),
     }
 }
 
 /// Answers a call on a job.
-pub async fn answer(gateway: &Rc<Gateway>, request: Call) -> Response<AnswerBody> {
+pub async fn answer(gateway: &Rc<Gateway>, request: Call) -> Response<ResponseBody> {
     let (request, start) = match request {
         Call::Read { job, start, wait_ms } => {
-            (StoreRequest::Read { job, start, wait_ms: wait_ms.min(WAIT_MOST) }, start)
+            (StoreRequest::ReadResults { job, start, wait_ms: wait_ms.min(MAX_WAIT) }, start)
         }
-        Call::Body { job, item } => (StoreRequest::Body { job, item }, 0),
-        Call::End { job } => (StoreRequest::End { job }, 0),
-        Call::Unknown => return own(StatusCode::NOT_FOUND, "no such call"),
+        Call::Body { job, item } => (StoreRequest::ReadItemBody { job, item }, 0),
+        Call::End { job } => (StoreRequest::EndJob { job }, 0),
+        Call::Unknown => return local_reply(StatusCode::NOT_FOUND, "no such call"),
     };
     let unsure =
-        || refusal(StatusCode::SERVICE_UNAVAILABLE, "the stores cannot say at the moment", RETRY_SOON);
+        || rejection(StatusCode::SERVICE_UNAVAILABLE, "the stores cannot say at the moment", RETRY_SOON);
     match call(gateway, request, READ_TIME).await {
         Outcome::Reply(reply) => match *reply {
             StoreReply::Results(page) => json(page_json(page, start)),
-            StoreReply::Body(body) => Response::new(whole(body)),
-            StoreReply::Ended => own(StatusCode::OK, "ended"),
-            StoreReply::NotFound => own(StatusCode::NOT_FOUND, "there is none"),
+            StoreReply::Body(body) => Response::new(full(body)),
+            StoreReply::Ended => local_reply(StatusCode::OK, "ended"),
+            StoreReply::NotFound => local_reply(StatusCode::NOT_FOUND, "there is none"),
             _ => unsure(),
         },
-        Outcome::NotRun | Outcome::MayHaveRun => unsure(),
+        Outcome::NotExecuted | Outcome::MayHaveExecuted => unsure(),
     }
 }
 
--- a/data-plane/gateway/src/body.rs
+++ b/data-plane/gateway/src/body.rs
@@ -8,22 +8,22 @@
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 
 /// The body of any answer.
-pub type AnswerBody = Pin<Box<dyn Body<Data = Bytes, Error = io::Error>>>;
+pub type ResponseBody = Pin<Box<dyn Body<Data = Bytes, Error = io::Error>>>;
 
 /// Parts of a stream that may wait for the client to take them.
-const PARTS_WAITING: usize = 16;
+const MAX_BUFFERED_CHUNKS: usize = 16;
 
 /// A body that is there as a whole.
-pub fn whole(bytes: impl Into<Bytes>) -> AnswerBody {
+pub fn full(bytes: impl Into<Bytes>) -> ResponseBody {
     Box::pin(Full::new(bytes.into()).map_err(|never| match never {}))
 }
 
 /// What a stream's end is sent to: parts of it, or the error with which it breaks off.
-pub type PartSender = Sender<io::Result<Bytes>>;
+pub type ChunkSender = Sender<io::Result<Bytes>>;
 
-struct Parts(Receiver<io::Result<Bytes>>);
+struct ChunkStream(Receiver<io::Result<Bytes>>);
 
-impl Body for Parts {
+impl Body for ChunkStream {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -33,7 +33,7 @@
 }
 
 /// A body that is passed on as it comes. It ends well when the sender is dropped.
-pub fn stream() -> (PartSender, AnswerBody) {
-    let (sender, receiver) = channel(PARTS_WAITING);
-    (sender, Box::pin(Parts(receiver)))
+pub fn stream() -> (ChunkSender, ResponseBody) {
+    let (sender, receiver) = channel(MAX_BUFFERED_CHUNKS);
+    (sender, Box::pin(ChunkStream(receiver)))
 }
--- a/data-plane/gateway/src/gateway.rs
+++ b/data-plane/gateway/src/gateway.rs
@@ -1,17 +1,17 @@
 //! One gateway process: its threads, and what its tasks share.
 
 use crate::batch_runner;
-use crate::concurrency::Concurrency;
-use crate::front;
+use crate::concurrency::MeanConcurrency;
 use crate::load_exchange::{self, LoadExchange};
 use crate::puller;
 use crate::readiness;
+use crate::server;
 use crate::state::State;
 use crate::stores::Stores;
-use crate::upstream::Pool;
+use crate::upstream::ConnectionPool;
 use marblecroft_configuration::{Configuration, RouteType};
-use marblecroft_routing::admission::{Admission, Class};
-use marblecroft_routing::placement::Fleet;
+use marblecroft_routing::admission::{Admission, RouteClass};
+use marblecroft_routing::balance::LoadBalancer;
 use marblecroft_routing::prompt::hash;
 use marblecroft_routing::tuning::Tuning;
 use marblecroft_routing::Now;
@@ -29,35 +29,35 @@
 use tracing::info;
 
 /// Pause between two sweeps of idle connections.
-const SWEEP_EVERY: Duration = Duration::from_millis(300);
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(300);
 /// Threads that wait for calls to stores, at most.
-const BLOCKING_THREADS: usize = 48;
+const MAX_BLOCKING_THREADS: usize = 48;
 /// Stack of a thread, in bytes.
-const STACK: usize = 256 << 10;
+const THREAD_STACK_BYTES: usize = 256 << 10;
 /// Assumed time in which the servers' load answers to admission.
-const LOAD_LAG: Duration = Duration::from_millis(300);
+const ADMISSION_LAG: Duration = Duration::from_millis(300);
 
 /// What the tasks of a gateway share; all of them run on one thread.
 pub struct Gateway {
     pub settings: Settings,
     pub state: Arc<State>,
     pub stores: Stores,
-    pub pool: Pool,
-    pub fleet: RefCell<Fleet>,
+    pub pool: ConnectionPool,
+    pub balancer: RefCell<LoadBalancer>,
     pub load_exchange: LoadExchange,
     pub tuning: Tuning,
     pub admission: RefCell<Admission>,
     /// Client requests that have no whole answer yet.
     pub in_flight: Cell<usize>,
     /// Live requests at servers.
-    pub live: Concurrency,
-    started: Instant,
+    pub live_concurrency: MeanConcurrency,
+    started_at: Instant,
 }
 
 impl Gateway {
     /// Time on the clock of placement and admission.
     pub fn now(&self) -> Now {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
     /// The service that a request goes to, by the weights of its route.
@@ -80,68 +80,68 @@
     }
 
     /// Connections that each server of a service takes from all gateways together; 0 is not told.
-    pub fn connections_of(&self, service: &str) -> u32 {
-        let configuration = self.state.known().configuration;
+    pub fn max_connections_of(&self, service: &str) -> u32 {
+        let configuration = self.state.snapshot().configuration;
         configuration.and_then(|c| c.service(service).map(|s| s.max_connections)).unwrap_or(0)
     }
 
-    fn configure(&self, configuration: &Configuration) {
-        let classes = configuration.routes().map(|route| Class {
+    fn configure_admission(&self, configuration: &Configuration) {
+        let classes = configuration.routes().map(|route| RouteClass {
             route: route.name.clone(),
             priority: route.priority,
-            worth: if route.route_type == RouteType::Batch {
+            value: if route.route_type == RouteType::Batch {
                 0.0
             } else {
                 1.0 / route.target_latency.as_secs_f64().max(1e-3)
             },
         });
-        let mut classes: Vec<Class> = classes.collect();
+        let mut classes: Vec<RouteClass> = classes.collect();
         classes.sort_by(|a, b| a.route.cmp(&b.route));
         self.admission.borrow_mut().configure(classes);
     }
 
     /// Follows what the coordinators tell.
-    async fn follow(self: Rc<Gateway>) {
+    async fn follow_updates(self: Rc<Gateway>) {
         let (mut configuration, mut servers) = (0, None);
         loop {
             let changed = self.state.changed.notified();
-            let known = self.state.known();
+            let known = self.state.snapshot();
             if let Some(newest) =
                 known.configuration.filter(|_| known.versions.configuration != configuration)
             {
                 configuration = known.versions.configuration;
-                self.configure(&newest);
+                self.configure_admission(&newest);
             }
             if servers != Some(known.versions.servers) {
                 servers = Some(known.versions.servers);
-                self.fleet.borrow_mut().update(&known.servers);
+                self.balancer.borrow_mut().update(&known.servers);
             }
-            drop(tokio::time::timeout(SWEEP_EVERY, changed).await);
+            drop(tokio::time::timeout(IDLE_SWEEP_INTERVAL, changed).await);
         }
     }
 
-    async fn assess(self: Rc<Gateway>) {
+    async fn assess_load(self: Rc<Gateway>) {
         loop {
-            sleep(marblecroft_routing::admission::STEP).await;
-            let known = self.state.known();
+            sleep(marblecroft_routing::admission::ASSESSMENT_INTERVAL).await;
+            let known = self.state.snapshot();
             let Some(configuration) = known.configuration else { continue };
             let now = self.now();
             let occupancy = {
-                let fleet = self.fleet.borrow();
+                let fleet = self.balancer.borrow();
                 configuration
                     .services()
                     .filter_map(|service| fleet.occupancy(&service.name, now))
                     .reduce(f64::max)
             };
             let idle = self.in_flight.get() == 0;
-            self.admission.borrow_mut().assess(now, occupancy, LOAD_LAG, idle);
+            self.admission.borrow_mut().assess(now, occupancy, ADMISSION_LAG, idle);
         }
     }
 
-    async fn sweep(self: Rc<Gateway>) {
+    async fn close_idle_connections(self: Rc<Gateway>) {
         loop {
-            sleep(SWEEP_EVERY).await;
-            self.pool.sweep();
+            sleep(IDLE_SWEEP_INTERVAL).await;
+            self.pool.close_expired();
         }
     }
 }
@@ -154,23 +154,23 @@
     let state = Arc::new(State::default());
     readiness::serve(ready, state.clone())?;
     let (pulling, pulled) = (settings.clone(), state.clone());
-    thread::Builder::new().stack_size(STACK).spawn(move || puller::run(&pulling, &pulled))?;
+    thread::Builder::new().stack_size(THREAD_STACK_BYTES).spawn(move || puller::run(&pulling, &pulled))?;
     let runtime = Builder::new_current_thread()
         .enable_all()
-        .max_blocking_threads(BLOCKING_THREADS)
-        .thread_stack_size(STACK)
+        .max_blocking_threads(MAX_BLOCKING_THREADS)
+        .thread_stack_size(THREAD_STACK_BYTES)
         .build()?;
     let seed = hash(settings.node_name.as_bytes());
     let gateway = Rc::new(Gateway {
         stores: Stores::new(state.clone()),
-        pool: Pool::default(),
-        fleet: RefCell::new(Fleet::new(&settings.zone, seed, tuning.clone())),
+        pool: ConnectionPool::default(),
+        balancer: RefCell::new(LoadBalancer::new(&settings.zone, seed, tuning.clone())),
         load_exchange: LoadExchange::default(),
         tuning,
         admission: RefCell::default(),
         in_flight: Cell::new(0),
-        live: Concurrency::default(),
-        started: Instant::now(),
+        live_concurrency: MeanConcurrency::default(),
+        started_at: Instant::now(),
         state,
         settings,
     });
@@ -178,16 +178,16 @@
     let serving = async move {
         let mut term = signal(SignalKind::terminate())?;
         let mut hangup = signal(SignalKind::hangup())?;
-        spawn_local(gateway.clone().follow());
-        spawn_local(gateway.clone().assess());
-        spawn_local(gateway.clone().sweep());
+        spawn_local(gateway.clone().follow_updates());
+        spawn_local(gateway.clone().assess_load());
+        spawn_local(gateway.clone().close_idle_connections());
         spawn_local(batch_runner::run(gateway.clone()));
         spawn_local(load_exchange::run(gateway.clone()));
         // Settings that can change are read anew by nobody yet; the signal must not end the process.
         spawn_local(async move { while hangup.recv().await.is_some() {} });
-        let listener = front::listen(front)?;
+        let listener = server::listen(front)?;
         info!(node = %gateway.settings.node_name, "gateway starts");
-        front::serve(&gateway, listener, async move {
+        server::serve(&gateway, listener, async move {
             term.recv().await;
         })
         .await;
--- a/data-plane/gateway/src/live.rs
+++ b/data-plane/gateway/src/live_request.rs
@@ -3,11 +3,12 @@
 //! Every attempt ends in a verdict: nothing ran, it may have run, or it was answered. Only what never ran is refused with 429
 //! or 503.
 
-use crate::body::{stream, whole, AnswerBody, PartSender};
-use crate::front::{own, refusal, Whole};
+use crate::body::{full, stream, ChunkSender, ResponseBody};
 use crate::gateway::Gateway;
+use crate::server::{local_reply, rejection, BufferedRequest};
 use crate::upstream::{
-    Answer, Failure, Link, Order, LAST_EVENT_ID, NOT_EXECUTED, REQUEST_ID, SERVER_LOAD, SIGNATURE, TIMEOUT_MS,
+    AttemptError, Connection, UpstreamRequest, UpstreamResponse, LAST_EVENT_ID, NOT_EXECUTED, REQUEST_ID,
+    SERVER_LOAD, SIGNATURE, TIMEOUT_MS,
 };
 use http_body_util::BodyExt;
 use hyper::body::{Bytes, Incoming};
@@ -18,8 +19,8 @@
 use hyper::{Response, StatusCode};
 use marblecroft_configuration::Route;
 use marblecroft_protocol::servers::Server;
-use marblecroft_routing::events::Splitter;
-use marblecroft_routing::placement::{ServerOutcome, ToldLoad, Wish};
+use marblecroft_routing::balance::{PlacementRequest, ReportedLoad, ServerOutcome};
+use marblecroft_routing::events::EventSplitter;
 use marblecroft_routing::prompt::Prompt;
 use std::io;
 use std::rc::Rc;
@@ -30,26 +31,26 @@
 use tracing::debug;
 
 /// Servers that refuse, or do not come up, that one request is offered to.
-const OFFERS_MOST: u32 = 5;
+const MAX_OFFERS: u32 = 5;
 /// An answer is out so long before the client stops waiting.
-const WAY_BACK: Duration = Duration::from_millis(15);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
 /// A server that has said nothing for so long may be a machine that has vanished; a stream that can be taken up elsewhere
 /// is.
-const SILENCE_MOST: Duration = Duration::from_millis(700);
+const FRAME_TIMEOUT: Duration = Duration::from_millis(700);
 /// Longest answer that is kept whole, in bytes.
-const WHOLE_MOST: usize = 32 << 20;
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 32 << 20;
 /// Time that a request has where its client tells none.
-const TIME_DEFAULT: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Told to clients that are refused for overload, in seconds.
-const RETRY_OVERLOAD: &str = "0.5";
+const RETRY_AFTER_OVERLOAD: &str = "0.5";
 /// ... and for want of a server that takes the request.
-const RETRY_NO_SERVER: &str = "0.3";
+const RETRY_AFTER_NO_SERVER: &str = "0.3";
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
 /// Headers that concern one connection alone.
-const OF_ONE_CONNECTION: [HeaderName; 7] =
+const HOP_BY_HOP_HEADERS: [HeaderName; 7] =
     [CONNECTION, KEEP_ALIVE, PROXY_CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
 
 /// Removes the headers that concern one connection alone, and those that `Connection` names.
@@ -61,47 +62,47 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&OF_ONE_CONNECTION) {
+    for name in named.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
 }
 
 /// A request at a server; counted there until it is dropped.
-struct Placed {
+struct InFlightAttempt {
     gateway: Rc<Gateway>,
     server: Server,
 }
 
-impl Placed {
-    fn new(gateway: &Rc<Gateway>, server: Server, prompt: &Prompt) -> Placed {
-        gateway.fleet.borrow_mut().sent(&server.id, prompt.tokens_in, gateway.now());
-        gateway.live.enter();
-        Placed { gateway: gateway.clone(), server }
+impl InFlightAttempt {
+    fn new(gateway: &Rc<Gateway>, server: Server, prompt: &Prompt) -> InFlightAttempt {
+        gateway.balancer.borrow_mut().on_sent(&server.id, prompt.input_tokens, gateway.now());
+        gateway.live_concurrency.enter();
+        InFlightAttempt { gateway: gateway.clone(), server }
     }
 }
 
-impl Drop for Placed {
+impl Drop for InFlightAttempt {
     fn drop(&mut self) {
-        self.gateway.fleet.borrow_mut().ended(&self.server.id, self.gateway.now());
-        self.gateway.live.leave();
+        self.gateway.balancer.borrow_mut().on_finished(&self.server.id, self.gateway.now());
+        self.gateway.live_concurrency.leave();
     }
 }
 
 /// A live request on its way.
-struct Live {
+struct LiveRequest {
     gateway: Rc<Gateway>,
     route: Arc<Route>,
     service: String,
-    order: Order,
+    request: UpstreamRequest,
     id: String,
     prompt: Prompt,
-    begun: Instant,
+    received_at: Instant,
     deadline: Instant,
-    tried: Vec<String>,
+    attempted: Vec<String>,
     /// Attempts that may have run.
-    runs: u32,
+    executions: u32,
     /// Offers that a server refused, or that did not reach one.
-    offers: u32,
+    rejections: u32,
 }
 
 /// What one attempt came to.
@@ -109,109 +110,119 @@
     /// A 2xx of the right server for this request.
     Success(Box<Success>),
     /// Another answer of the server's own, whole.
-    Answered(Response<AnswerBody>),
+    Response(Response<ResponseBody>),
     /// Nothing ran.
-    NotRun,
-    MayHaveRun,
+    NotExecuted,
+    MayHaveExecuted,
 }
 
 struct Success {
-    placed: Placed,
+    attempt: InFlightAttempt,
     head: hyper::http::response::Parts,
     body: Incoming,
-    link: Link,
+    connection: Connection,
 }
 
 /// Serves a live request.
-pub async fn serve(gateway: &Rc<Gateway>, route: Arc<Route>, request: Whole) -> Response<AnswerBody> {
+pub async fn serve(
+    gateway: &Rc<Gateway>,
+    route: Arc<Route>,
+    request: BufferedRequest,
+) -> Response<ResponseBody> {
     let Some(id) = request.header("x-request-id").map(str::to_owned) else {
-        return own(StatusCode::BAD_REQUEST, "X-Request-Id is missing");
+        return local_reply(StatusCode::BAD_REQUEST, "X-Request-Id is missing");
     };
     let told = request.header("x-timeout-ms").and_then(|ms| ms.trim().parse::<f64>().ok());
-    let told = told.map_or(TIME_DEFAULT, |ms| Duration::from_secs_f64(ms.clamp(0.0, 1e9) / 1000.0));
-    let deadline = request.at + told.min(route.timeout).saturating_sub(WAY_BACK);
+    let told = told.map_or(DEFAULT_TIMEOUT, |ms| Duration::from_secs_f64(ms.clamp(0.0, 1e9) / 1000.0));
+    let deadline = request.received_at + told.min(route.timeout).saturating_sub(RESPONSE_MARGIN);
     let prompt = Prompt::parse(request.header("x-token-usage"), request.header("x-prefix-hash"));
     if !gateway.admission.borrow_mut().admit(&route.name, prompt.cost().max(1.0)) {
-        return refusal(StatusCode::TOO_MANY_REQUESTS, "overloaded", RETRY_OVERLOAD);
+        return rejection(StatusCode::TOO_MANY_REQUESTS, "overloaded", RETRY_AFTER_OVERLOAD);
     }
     let mut headers = request.headers;
     strip_connection_headers(&mut headers);
     headers.remove(CONTENT_LENGTH);
     let may_repeat = route.may_run_twice() && route.attempts > 1;
-    let order = Order { method: request.method, uri: request.uri, headers, body: request.body, may_repeat };
-    let live = Live {
+    let order = UpstreamRequest {
+        method: request.method,
+        uri: request.uri,
+        headers,
+        body: request.body,
+        idempotent: may_repeat,
+    };
+    let live = LiveRequest {
         service: gateway.service_of(&route, &id),
         gateway: gateway.clone(),
-        order,
+        request: order,
         id,
         prompt,
-        begun: request.at,
+        received_at: request.received_at,
         deadline,
-        tried: Vec::new(),
-        runs: 0,
-        offers: 0,
+        attempted: Vec::new(),
+        executions: 0,
+        rejections: 0,
         route,
     };
     live.run().await
 }
 
-impl Live {
-    async fn run(mut self) -> Response<AnswerBody> {
+impl LiveRequest {
+    async fn run(mut self) -> Response<ResponseBody> {
         loop {
             match self.attempt(None).await {
-                Some(Verdict::Success(success)) => return self.pass_on(*success).await,
-                Some(Verdict::Answered(response)) => return response,
-                Some(Verdict::NotRun) => self.offers += 1,
-                Some(Verdict::MayHaveRun) => {
-                    self.runs += 1;
-                    if !self.may_run_again() {
-                        return own(StatusCode::BAD_GATEWAY, "the server broke off");
+                Some(Verdict::Success(success)) => return self.forward(*success).await,
+                Some(Verdict::Response(response)) => return response,
+                Some(Verdict::NotExecuted) => self.rejections += 1,
+                Some(Verdict::MayHaveExecuted) => {
+                    self.executions += 1;
+                    if !self.may_retry() {
+                        return local_reply(StatusCode::BAD_GATEWAY, "the server broke off");
                     }
                 }
-                None => return self.give_up(),
+                None => return self.no_response(),
             }
-            if self.offers >= OFFERS_MOST || Instant::now() >= self.deadline {
-                return self.give_up();
+            if self.rejections >= MAX_OFFERS || Instant::now() >= self.deadline {
+                return self.no_response();
             }
         }
     }
 
     /// Connections that each server of the service takes.
-    fn connections(&self) -> u32 {
-        self.gateway.connections_of(&self.service)
+    fn max_connections(&self) -> u32 {
+        self.gateway.max_connections_of(&self.service)
     }
 
-    fn may_run_again(&self) -> bool {
-        self.route.may_run_twice() && self.runs < self.route.attempts
+    fn may_retry(&self) -> bool {
+        self.route.may_run_twice() && self.executions < self.route.attempts
     }
 
     /// The answer where no server takes the request, or time is up.
-    fn give_up(&self) -> Response<AnswerBody> {
-        if self.runs + self.offers > 0 {
+    fn no_response(&self) -> Response<ResponseBody> {
+        if self.executions + self.rejections > 0 {
             let (deadline, aim) = (self.route.timeout, self.route.target_latency);
-            self.gateway.admission.borrow_mut().sample(&self.route.name, deadline, aim);
+            self.gateway.admission.borrow_mut().record_latency(&self.route.name, deadline, aim);
         }
-        if self.runs > 0 && !self.route.may_run_twice() {
-            return own(StatusCode::BAD_GATEWAY, "no server has answered");
+        if self.executions > 0 && !self.route.may_run_twice() {
+            return local_reply(StatusCode::BAD_GATEWAY, "no server has answered");
         }
-        if self.runs > 0 {
-            return own(StatusCode::GATEWAY_TIMEOUT, "no server has answered");
+        if self.executions > 0 {
+            return local_reply(StatusCode::GATEWAY_TIMEOUT, "no server has answered");
         }
-        refusal(StatusCode::SERVICE_UNAVAILABLE, "no server takes the request", RETRY_NO_SERVER)
+        rejection(StatusCode::SERVICE_UNAVAILABLE, "no server takes the request", RETRY_AFTER_NO_SERVER)
     }
 
     /// One attempt at the best server; `None` where there is none, or no time.
     async fn attempt(&mut self, resume_after: Option<u64>) -> Option<Verdict> {
-        let wish = Wish {
+        let wish = PlacementRequest {
             service: &self.service,
-            shared: self.prompt.shared_key(),
-            tried: &self.tried,
-            load_most: f64::INFINITY,
+            prefix_key: self.prompt.prefix_key(),
+            attempted: &self.attempted,
+            max_load: f64::INFINITY,
         };
-        let server = self.gateway.fleet.borrow_mut().choose(&wish, self.gateway.now())?;
+        let server = self.gateway.balancer.borrow_mut().choose(&wish, self.gateway.now())?;
         let left = self.deadline.checked_duration_since(Instant::now())?;
-        self.tried.push(server.id.clone());
-        let headers = &mut self.order.headers;
+        self.attempted.push(server.id.clone());
+        let headers = &mut self.request.headers;
         headers.insert(
             TIMEOUT_MS,
             HeaderValue::from(u64::try_from(left.as_millis()).unwrap_or(u64::MAX).max(1)),
@@ -219,158 +230,162 @@
         if let Some(last) = resume_after {
             headers.insert(LAST_EVENT_ID, HeaderValue::from(last));
         }
-        let placed = Placed::new(&self.gateway, server, &self.prompt);
-        let patience = if self.may_resume_elsewhere() { SILENCE_MOST.min(left) } else { left };
-        let usable = || self.gateway.fleet.borrow().usable(&placed.server.id);
-        let sending = self.gateway.pool.send(&placed.server, &self.order, usable);
+        let placed = InFlightAttempt::new(&self.gateway, server, &self.prompt);
+        let patience = if self.may_resume() { FRAME_TIMEOUT.min(left) } else { left };
+        let usable = || self.gateway.balancer.borrow().is_available(&placed.server.id);
+        let sending = self.gateway.pool.send(&placed.server, &self.request, usable);
         let sent = timeout(patience, sending).await;
         let now = self.gateway.now();
         match sent {
-            Ok(Ok(answer)) => Some(self.judge(placed, answer).await),
+            Ok(Ok(answer)) => Some(self.verdict_of(placed, answer).await),
             Ok(Err(failure)) => {
                 debug!(id = %self.id, server = %placed.server.id, ?failure, "attempt failed");
-                self.gateway.fleet.borrow_mut().note_outcome(&placed.server.id, ServerOutcome::Failed, now);
-                self.gateway.pool.forget(&placed.server);
+                self.gateway.balancer.borrow_mut().on_outcome(&placed.server.id, ServerOutcome::Failed, now);
+                self.gateway.pool.close_idle_to(&placed.server);
                 Some(match failure {
-                    Failure::NotSent => Verdict::NotRun,
-                    Failure::MayHaveRun => Verdict::MayHaveRun,
+                    AttemptError::NotSent => Verdict::NotExecuted,
+                    AttemptError::MayHaveExecuted => Verdict::MayHaveExecuted,
                 })
             }
             Err(_) => {
-                self.gateway.fleet.borrow_mut().note_outcome(&placed.server.id, ServerOutcome::Failed, now);
-                self.gateway.pool.forget(&placed.server);
-                Some(Verdict::MayHaveRun)
+                self.gateway.balancer.borrow_mut().on_outcome(&placed.server.id, ServerOutcome::Failed, now);
+                self.gateway.pool.close_idle_to(&placed.server);
+                Some(Verdict::MayHaveExecuted)
             }
         }
     }
 
     /// Whether another attempt is left after this one.
-    fn may_resume_elsewhere(&self) -> bool {
-        self.route.may_run_twice() && self.runs + 1 < self.route.attempts
+    fn may_resume(&self) -> bool {
+        self.route.may_run_twice() && self.executions + 1 < self.route.attempts
     }
 
     /// What the head of an answer tells.
-    async fn judge(&self, placed: Placed, answer: Answer) -> Verdict {
-        let Answer { response, link } = answer;
+    async fn verdict_of(&self, placed: InFlightAttempt, answer: UpstreamResponse) -> Verdict {
+        let UpstreamResponse { response, connection: link } = answer;
         let (head, body) = response.into_parts();
         let now = self.gateway.now();
         let header = |name: &HeaderName| head.headers.get(name).and_then(|value| value.to_str().ok());
         {
-            let mut fleet = self.gateway.fleet.borrow_mut();
-            if let Some(load) = header(&SERVER_LOAD).and_then(ToldLoad::parse) {
-                fleet.told(&placed.server.id, load, now);
+            let mut fleet = self.gateway.balancer.borrow_mut();
+            if let Some(load) = header(&SERVER_LOAD).and_then(ReportedLoad::parse) {
+                fleet.on_reported_load(&placed.server.id, load, now);
             }
         }
         let not_run =
             head.headers.contains_key(NOT_EXECUTED) || head.status == StatusCode::MISDIRECTED_REQUEST;
         let signed = head.headers.contains_key(SIGNATURE);
         if not_run && !(200..300).contains(&head.status.as_u16()) {
-            self.gateway.fleet.borrow_mut().note_outcome(&placed.server.id, ServerOutcome::Full, now);
-            self.finish_short(&placed.server, link, &head.headers, body).await;
-            return Verdict::NotRun;
+            self.gateway.balancer.borrow_mut().on_outcome(&placed.server.id, ServerOutcome::Full, now);
+            self.drain_response(&placed.server, link, &head.headers, body).await;
+            return Verdict::NotExecuted;
         }
         let outcome =
-            if head.status.is_server_error() { ServerOutcome::Failed } else { ServerOutcome::Answered };
-        self.gateway.fleet.borrow_mut().note_outcome(&placed.server.id, outcome, now);
+            if head.status.is_server_error() { ServerOutcome::Failed } else { ServerOutcome::Succeeded };
+        self.gateway.balancer.borrow_mut().on_outcome(&placed.server.id, outcome, now);
         // An answer to another request, or none of the server's own: the connection is not used again.
         let own = header(&REQUEST_ID).is_none_or(|id| id == self.id);
         let plain = !head.headers.contains_key(CONTENT_ENCODING);
         if head.status.is_success() {
             if own && signed && plain {
-                return Verdict::Success(Box::new(Success { placed, head, body, link }));
+                return Verdict::Success(Box::new(Success { attempt: placed, head, body, connection: link }));
             }
-            return Verdict::MayHaveRun;
+            return Verdict::MayHaveExecuted;
         }
         if !own || !signed || head.status.is_informational() {
-            return Verdict::MayHaveRun;
+            return Verdict::MayHaveExecuted;
         }
-        match self.read_short(body).await {
+        match self.read_buffered(body).await {
             Some(bytes) => {
-                self.gateway.pool.give_back(&placed.server, link, &head.headers, self.connections());
-                let mut response = Response::new(whole(bytes));
+                self.gateway.pool.put_back(&placed.server, link, &head.headers, self.max_connections());
+                let mut response = Response::new(full(bytes));
                 *response.status_mut() = head.status;
                 *response.headers_mut() = head.headers;
                 strip_connection_headers(response.headers_mut());
-                Verdict::Answered(response)
+                Verdict::Response(response)
             }
-            None => Verdict::MayHaveRun,
+            None => Verdict::MayHaveExecuted,
         }
     }
 
-    async fn read_short(&self, body: Incoming) -> Option<Bytes> {
-        let limited = http_body_util::Limited::new(body, WHOLE_MOST);
+    async fn read_buffered(&self, body: Incoming) -> Option<Bytes> {
+        let limited = http_body_util::Limited::new(body, MAX_BUFFERED_RESPONSE_BYTES);
         let collected = timeout_at(self.deadline, limited.collect()).await;
         collected.ok()?.ok().map(|body| body.to_bytes())
     }
 
     /// Reads the rest of a refusal, so that its connection can be used again.
-    async fn finish_short(&self, server: &Server, link: Link, headers: &HeaderMap, body: Incoming) {
+    async fn drain_response(&self, server: &Server, link: Connection, headers: &HeaderMap, body: Incoming) {
         const REFUSAL_TIME: Duration = Duration::from_millis(20);
         if let Ok(Ok(_)) = timeout(REFUSAL_TIME, body.collect()).await {
-            self.gateway.pool.give_back(server, link, headers, self.connections());
+            self.gateway.pool.put_back(server, link, headers, self.max_connections());
         }
     }
 
     /// Passes a success on: events as they come, anything else once it is whole.
-    async fn pass_on(self, success: Success) -> Response<AnswerBody> {
+    async fn forward(self, success: Success) -> Response<ResponseBody> {
         let event_stream = success
             .head
             .headers
             .get(CONTENT_TYPE)
             .and_then(|value| value.to_str().ok())
             .is_some_and(|value| value.starts_with("text/event-stream"));
-        let mut response = Response::new(whole(Bytes::new()));
+        let mut response = Response::new(full(Bytes::new()));
         *response.status_mut() = success.head.status;
         *response.headers_mut() = success.head.headers.clone();
         strip_connection_headers(response.headers_mut());
         if !event_stream {
-            return self.pass_whole(success, response).await;
+            return self.forward_buffered(success, response).await;
         }
         response.headers_mut().remove(CONTENT_LENGTH);
         let (parts, body) = stream();
         *response.body_mut() = body;
-        spawn_local(self.pump(success, parts));
+        spawn_local(self.forward_stream(success, parts));
         response
     }
 
-    async fn pass_whole(
+    async fn forward_buffered(
         mut self,
         success: Success,
-        mut response: Response<AnswerBody>,
-    ) -> Response<AnswerBody> {
-        let Success { placed, head, body, link } = success;
-        match self.read_short(body).await {
+        mut response: Response<ResponseBody>,
+    ) -> Response<ResponseBody> {
+        let Success { attempt: placed, head, body, connection: link } = success;
+        match self.read_buffered(body).await {
             Some(bytes) => {
-                self.gateway.pool.give_back(&placed.server, link, &head.headers, self.connections());
-                let took = self.begun.elapsed();
-                self.gateway.admission.borrow_mut().sample(&self.route.name, took, self.route.target_latency);
-                *response.body_mut() = whole(bytes);
+                self.gateway.pool.put_back(&placed.server, link, &head.headers, self.max_connections());
+                let took = self.received_at.elapsed();
+                self.gateway.admission.borrow_mut().record_latency(
+                    &self.route.name,
+                    took,
+                    self.route.target_latency,
+                );
+                *response.body_mut() = full(bytes);
                 response
             }
             None => {
-                self.runs += 1;
-                own(StatusCode::BAD_GATEWAY, "the server broke off")
+                self.executions += 1;
+                local_reply(StatusCode::BAD_GATEWAY, "the server broke off")
             }
         }
     }
 
     /// Passes events on, from one server after the other where the route allows it.
-    async fn pump(mut self, success: Success, parts: PartSender) {
+    async fn forward_stream(mut self, success: Success, parts: ChunkSender) {
         let mut next = Some(success);
         let mut last_event = None;
         while let Some(success) = next.take() {
-            let end = self.pump_one(success, &parts, &mut last_event).await;
+            let end = self.forward_events(success, &parts, &mut last_event).await;
             match end {
-                StreamEnd::Whole | StreamEnd::ClientGone => return,
+                StreamEnd::Complete | StreamEnd::ClientDisconnected => return,
                 StreamEnd::Broken => {}
             }
-            self.runs += 1;
-            while next.is_none() && self.may_run_again() && self.offers < OFFERS_MOST {
+            self.executions += 1;
+            while next.is_none() && self.may_retry() && self.rejections < MAX_OFFERS {
                 match self.attempt(last_event).await {
                     Some(Verdict::Success(success)) => next = Some(*success),
-                    Some(Verdict::NotRun) => self.offers += 1,
-                    Some(Verdict::MayHaveRun) => self.runs += 1,
-                    Some(Verdict::Answered(_)) | None => break,
+                    Some(Verdict::NotExecuted) => self.rejections += 1,
+                    Some(Verdict::MayHaveExecuted) => self.executions += 1,
+                    Some(Verdict::Response(_)) | None => break,
                 }
             }
         }
@@ -378,31 +393,31 @@
         drop(parts.send(Err(io::Error::other("the server broke off"))).await);
     }
 
-    async fn pump_one(
+    async fn forward_events(
         &self,
         success: Success,
-        parts: &PartSender,
+        parts: &ChunkSender,
         last_event: &mut Option<u64>,
     ) -> StreamEnd {
-        let Success { placed, head, mut body, link } = success;
-        let mut splitter = Splitter::default();
+        let Success { attempt: placed, head, mut body, connection: link } = success;
+        let mut splitter = EventSplitter::default();
         let mut first = last_event.is_none();
         loop {
-            let patience = if self.may_resume_elsewhere() { SILENCE_MOST } else { TIME_DEFAULT };
+            let patience = if self.may_resume() { FRAME_TIMEOUT } else { DEFAULT_TIMEOUT };
             let frame = tokio::select! {
                 frame = timeout(patience, body.frame()) => frame,
-                () = parts.closed() => return StreamEnd::ClientGone,
+                () = parts.closed() => return StreamEnd::ClientDisconnected,
             };
             let data = match frame {
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
                 Ok(None) if splitter.is_partial() => return StreamEnd::Broken,
                 Ok(None) => {
-                    self.gateway.pool.give_back(&placed.server, link, &head.headers, self.connections());
-                    return StreamEnd::Whole;
+                    self.gateway.pool.put_back(&placed.server, link, &head.headers, self.max_connections());
+                    return StreamEnd::Complete;
                 }
                 Ok(Some(Err(_))) => return StreamEnd::Broken,
                 Err(_) => {
-                    self.gateway.fleet.borrow_mut().note_outcome(
+                    self.gateway.balancer.borrow_mut().on_outcome(
                         &placed.server.id,
                         ServerOutcome::Failed,
                         self.gateway.now(),
@@ -423,11 +438,15 @@
                 continue;
             }
             if std::mem::take(&mut first) {
-                let took = self.begun.elapsed();
-                self.gateway.admission.borrow_mut().sample(&self.route.name, took, self.route.target_latency);
+                let took = self.received_at.elapsed();
+                self.gateway.admission.borrow_mut().record_latency(
+                    &self.route.name,
+                    took,
+                    self.route.target_latency,
+                );
             }
             if parts.send(Ok(out.into())).await.is_err() {
-                return StreamEnd::ClientGone;
+                return StreamEnd::ClientDisconnected;
             }
         }
     }
@@ -435,7 +454,7 @@
 
 /// How one server's part of a stream ended.
 enum StreamEnd {
-    Whole,
+    Complete,
     Broken,
-    ClientGone,
+    ClientDisconnected,
 }
--- a/data-plane/gateway/src/load_exchange.rs
+++ b/data-plane/gateway/src/load_exchange.rs
@@ -2,7 +2,7 @@
 //! that is lost is made good by the next. Who the others are is told by the head of the stores.
 
 use crate::gateway::Gateway;
-use marblecroft_protocol::load::LoadNotice;
+use marblecroft_protocol::load::LoadUpdate;
 use marblecroft_protocol::load_address;
 use marblecroft_routing::prompt::hash;
 use marblecroft_rpc::{decode, encode};
@@ -16,15 +16,15 @@
 use tracing::warn;
 
 /// A notice is repeated after this time where nothing has changed.
-const REPEAT_EVERY: Duration = Duration::from_millis(400);
+const MAX_UPDATE_INTERVAL: Duration = Duration::from_millis(400);
 /// Longest datagram that is read, in bytes.
-const DATAGRAM_MOST: usize = 16 << 10;
+const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 /// Bytes of a datagram's headers.
-const DATAGRAM_HEAD: usize = 28;
+const DATAGRAM_HEADER_BYTES: usize = 28;
 /// What notices may cost a gateway, in bytes a second; with more peers they are sent more rarely.
-const BYTES_PER_S: f64 = 48_000.0;
+const MAX_BYTES_PER_SECOND: f64 = 48_000.0;
 /// Pause after an error of the socket.
-const ERROR_PAUSE: Duration = Duration::from_millis(200);
+const ERROR_BACKOFF: Duration = Duration::from_millis(200);
 
 /// The other gateways of the zone.
 #[derive(Default)]
@@ -60,10 +60,10 @@
             return;
         }
     };
-    tokio::join!(tell(&gateway, &socket, own, pause), listen(&gateway, &socket));
+    tokio::join!(send_updates(&gateway, &socket, own, pause), receive_updates(&gateway, &socket));
 }
 
-async fn tell(gateway: &Gateway, socket: &UdpSocket, own: SocketAddr, least: Duration) {
+async fn send_updates(gateway: &Gateway, socket: &UdpSocket, own: SocketAddr, least: Duration) {
     // Of a later process they are higher.
     let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let mut sequence = u64::try_from(started.as_millis()).unwrap_or(0) << 20;
@@ -71,8 +71,8 @@
     let mut pause = least;
     loop {
         sleep(pause).await;
-        let changes = gateway.fleet.borrow().changes();
-        if changes == told && told_at.elapsed() < REPEAT_EVERY {
+        let changes = gateway.balancer.borrow().changes();
+        if changes == told && told_at.elapsed() < MAX_UPDATE_INTERVAL {
             continue;
         }
         let peers: Vec<SocketAddr> =
@@ -81,31 +81,31 @@
             continue;
         }
         (told, told_at, sequence) = (changes, Instant::now(), sequence + 1);
-        let servers = gateway.fleet.borrow_mut().tell(gateway.now());
-        let notice = LoadNotice { gateway: hash(gateway.settings.node_name.as_bytes()), sequence, servers };
+        let servers = gateway.balancer.borrow_mut().take_load_update(gateway.now());
+        let notice = LoadUpdate { gateway: hash(gateway.settings.node_name.as_bytes()), sequence, servers };
         let datagram = encode(&notice);
         for peer in &peers {
             // A notice that cannot be sent is like one that is lost.
             drop(socket.try_send_to(&datagram, *peer));
         }
-        let bytes = peers.len() * (datagram.len() + DATAGRAM_HEAD);
-        pause = least.max(Duration::from_secs_f64(bytes as f64 / BYTES_PER_S));
+        let bytes = peers.len() * (datagram.len() + DATAGRAM_HEADER_BYTES);
+        pause = least.max(Duration::from_secs_f64(bytes as f64 / MAX_BYTES_PER_SECOND));
     }
 }
 
-async fn listen(gateway: &Gateway, socket: &UdpSocket) {
-    let mut buffer = vec![0; DATAGRAM_MOST];
+async fn receive_updates(gateway: &Gateway, socket: &UdpSocket) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut newest: HashMap<u64, u64> = HashMap::new();
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
-            sleep(ERROR_PAUSE).await;
+            sleep(ERROR_BACKOFF).await;
             continue;
         };
-        let Ok(notice) = decode::<LoadNotice>(&buffer[..length]) else { continue };
+        let Ok(notice) = decode::<LoadUpdate>(&buffer[..length]) else { continue };
         let known = newest.entry(notice.gateway).or_default();
         if notice.sequence > *known {
             *known = notice.sequence;
-            gateway.fleet.borrow_mut().note_peer(notice.gateway, &notice.servers, gateway.now());
+            gateway.balancer.borrow_mut().on_peer_load(notice.gateway, &notice.servers, gateway.now());
         }
     }
 }
--- a/data-plane/gateway/src/main.rs
+++ b/data-plane/gateway/src/main.rs
@@ -7,12 +7,12 @@
 mod body;
 mod concurrency;
 mod flags;
-mod front;
 mod gateway;
-mod live;
+mod live_request;
 mod load_exchange;
 mod puller;
 mod readiness;
+mod server;
 mod state;
 mod stores;
 mod upstream;
@@ -25,7 +25,7 @@
 use tracing::error;
 
 /// Exit code for settings or arguments that cannot be used.
-const BAD_USE: u8 = 2;
+const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
     let flags = MarblecroftDataPlane::from_env_or_exit();
@@ -34,7 +34,7 @@
         Ok(settings) => settings,
         Err(e) => {
             eprintln!("marblecroft-data-plane: {e}");
-            return ExitCode::from(BAD_USE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     let mut tuning = Tuning::default();
@@ -42,7 +42,7 @@
         for setting in &gateway.tune {
             if let Err(e) = tuning.set(setting) {
                 eprintln!("marblecroft-data-plane: --tune {e}");
-                return ExitCode::from(BAD_USE);
+                return ExitCode::from(EXIT_USAGE);
             }
         }
     }
--- a/data-plane/gateway/src/puller.rs
+++ b/data-plane/gateway/src/puller.rs
@@ -11,11 +11,11 @@
 use std::time::Duration;
 
 /// How long a coordinator may hold a question.
-const HOLD: Duration = Duration::from_millis(500);
+const PULL_WAIT: Duration = Duration::from_millis(500);
 /// Time for its answer.
-const ANSWER: Duration = Duration::from_millis(800);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause after an answer without use.
-const PAUSE: Duration = Duration::from_millis(60);
+const RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Runs until the process ends.
 pub fn run(settings: &Settings, state: &Arc<State>) {
@@ -29,9 +29,9 @@
     let mut at = usize::from(settings.ip.octets()[3]) + usize::from(settings.ip.octets()[1]);
     loop {
         let to = coordinators[at % coordinators.len()];
-        let wait_ms = u32::try_from(HOLD.as_millis()).unwrap_or(u32::MAX);
-        let pull = CoordinatorRequest::Pull(Pull { have: state.versions(), wait_ms });
-        match caller.call(to, &pull, ANSWER) {
+        let wait_ms = u32::try_from(PULL_WAIT.as_millis()).unwrap_or(u32::MAX);
+        let pull = CoordinatorRequest::Pull(Pull { known_versions: state.versions(), wait_ms });
+        match caller.call(to, &pull, REPLY_TIMEOUT) {
             Ok(CoordinatorReply::Updates(updates)) => {
                 for coordinator in &updates.coordinators {
                     if !coordinators.contains(coordinator) {
@@ -42,12 +42,12 @@
                     state.update(updates);
                 } else {
                     at += 1;
-                    thread::sleep(PAUSE);
+                    thread::sleep(RETRY_INTERVAL);
                 }
             }
             Ok(_) | Err(_) => {
                 at += 1;
-                thread::sleep(PAUSE);
+                thread::sleep(RETRY_INTERVAL);
             }
         }
     }
--- a/data-plane/gateway/src/front.rs
+++ b/data-plane/gateway/src/server.rs
@@ -1,9 +1,9 @@
 //! Clients' connections: accepted, served, and ended without cutting a request off.
 
 use crate::batch_api;
-use crate::body::{whole, AnswerBody};
+use crate::body::{full, ResponseBody};
 use crate::gateway::Gateway;
-use crate::live;
+use crate::live_request;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{HeaderMap, HeaderValue, CONNECTION, HOST, RETRY_AFTER};
@@ -28,37 +28,37 @@
 use tracing::info;
 
 /// Connections that may wait to be accepted.
-const BACKLOG: i32 = 1024;
+const LISTEN_BACKLOG: i32 = 1024;
 /// Heads of requests until a configuration says how long they may be and take.
-const IDLE_DEFAULT: Duration = Duration::from_secs(15);
-const MAX_HEADER_DEFAULT: usize = 16 << 10;
-const MAX_BODY_DEFAULT: usize = 4 << 20;
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+const DEFAULT_MAX_HEADER_BYTES: usize = 16 << 10;
+const DEFAULT_MAX_BODY_BYTES: usize = 4 << 20;
 /// A body must come in this time.
-const BODY_TIME: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// After SIGTERM connections are still accepted for so long: the platform looks twice, a second apart, before it sends no
 /// more.
-const ACCEPT_ON: Duration = Duration::from_millis(2600);
+const DRAIN_ACCEPT_TIME: Duration = Duration::from_millis(2600);
 /// The process ends this long before it would be killed, if requests are still open.
-const BEFORE_KILL: Duration = Duration::from_millis(600);
+const KILL_MARGIN: Duration = Duration::from_millis(600);
 /// Pause between two looks at whether all requests are answered.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Told to clients whose request was not carried out for want of something that comes back soon, in seconds.
-const RETRY_SOON: &str = "0.2";
+const RETRY_AFTER_NOT_READY: &str = "0.2";
 
 /// The operator's call that tells the configuration.
-const CONFIGURATION_READ: &str = "/-/Config.Read";
+const CONFIGURATION_READ_PATH: &str = "/-/Config.Read";
 
 /// A request that has come whole.
-pub struct Whole {
+pub struct BufferedRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
     pub body: Bytes,
     /// When it had come.
-    pub at: Instant,
+    pub received_at: Instant,
 }
 
-impl Whole {
+impl BufferedRequest {
     /// A header's value, if it is text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
@@ -78,20 +78,20 @@
     let probes = TcpKeepalive::new().with_time(Duration::from_secs(5)).with_interval(Duration::from_secs(2));
     drop(socket.set_tcp_keepalive(&probes));
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     TcpListener::from_std(socket.into())
 }
 
 /// An answer of the gateway's own.
-pub fn own(status: StatusCode, text: &str) -> Response<AnswerBody> {
-    let mut response = Response::new(whole(format!("{text}\n")));
+pub fn local_reply(status: StatusCode, text: &str) -> Response<ResponseBody> {
+    let mut response = Response::new(full(format!("{text}\n")));
     *response.status_mut() = status;
     response
 }
 
 /// The promise that the request has not run and never will, and when to come back.
-pub fn refusal(status: StatusCode, text: &str, retry_after: &str) -> Response<AnswerBody> {
-    let mut response = own(status, text);
+pub fn rejection(status: StatusCode, text: &str, retry_after: &str) -> Response<ResponseBody> {
+    let mut response = local_reply(status, text);
     if let Ok(value) = HeaderValue::from_str(retry_after) {
         response.headers_mut().insert(RETRY_AFTER, value);
     }
@@ -99,16 +99,16 @@
 }
 
 /// Counts a request that is open.
-struct Open(Rc<Gateway>);
+struct InFlightRequest(Rc<Gateway>);
 
-impl Open {
-    fn new(gateway: &Rc<Gateway>) -> Open {
+impl InFlightRequest {
+    fn new(gateway: &Rc<Gateway>) -> InFlightRequest {
         gateway.in_flight.set(gateway.in_flight.get() + 1);
-        Open(gateway.clone())
+        InFlightRequest(gateway.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.0.in_flight.set(self.0.in_flight.get() - 1);
     }
@@ -122,52 +122,52 @@
         loop {
             tokio::select! {
                 () = &mut end => break,
-                accepted = listener.accept() => take(gateway, accepted, &closing).await,
+                accepted = listener.accept() => accept(gateway, accepted, &closing).await,
             }
         }
     }
     info!("ends: no new connections are asked for");
     gateway.state.terminate();
-    let ends_at = Instant::now() + gateway.settings.bounds.grace_period.saturating_sub(BEFORE_KILL);
-    let accept_until = Instant::now() + ACCEPT_ON;
+    let ends_at = Instant::now() + gateway.settings.bounds.grace_period.saturating_sub(KILL_MARGIN);
+    let accept_until = Instant::now() + DRAIN_ACCEPT_TIME;
     while Instant::now() < accept_until {
         tokio::select! {
             () = sleep(accept_until - Instant::now()) => {}
-            accepted = listener.accept() => take(gateway, accepted, &closing).await,
+            accepted = listener.accept() => accept(gateway, accepted, &closing).await,
         }
     }
     close.send_replace(true);
     // Whoever connects now is refused by the system, and has lost nothing.
     drop(listener);
-    sleep(LOOK_EVERY).await;
+    sleep(DRAIN_CHECK_INTERVAL).await;
     while gateway.in_flight.get() > 0 && Instant::now() < ends_at {
-        sleep(LOOK_EVERY).await;
+        sleep(DRAIN_CHECK_INTERVAL).await;
     }
     // The last bytes are on their way.
-    sleep(LOOK_EVERY).await;
+    sleep(DRAIN_CHECK_INTERVAL).await;
     info!(left = gateway.in_flight.get(), "ended");
 }
 
-async fn take(
+async fn accept(
     gateway: &Rc<Gateway>,
     accepted: io::Result<(TcpStream, SocketAddr)>,
     closing: &watch::Receiver<bool>,
 ) {
     match accepted {
         Ok((stream, _)) => {
-            spawn_local(connection(gateway.clone(), stream, closing.clone()));
+            spawn_local(serve_connection(gateway.clone(), stream, closing.clone()));
         }
         // For want of descriptors, above all.
-        Err(_) => sleep(LOOK_EVERY).await,
+        Err(_) => sleep(DRAIN_CHECK_INTERVAL).await,
     }
 }
 
-async fn connection(gateway: Rc<Gateway>, stream: TcpStream, mut closing: watch::Receiver<bool>) {
+async fn serve_connection(gateway: Rc<Gateway>, stream: TcpStream, mut closing: watch::Receiver<bool>) {
     drop(stream.set_nodelay(true));
-    let limits = gateway.state.known().configuration.map(|configuration| configuration.limits.clone());
-    let idle = limits.as_ref().map_or(IDLE_DEFAULT, |limits| limits.idle_timeout);
-    let header_most = limits.as_ref().map_or(MAX_HEADER_DEFAULT, |limits| limits.max_header_bytes);
-    let service = service_fn(|request| answer(gateway.clone(), request));
+    let limits = gateway.state.snapshot().configuration.map(|configuration| configuration.limits.clone());
+    let idle = limits.as_ref().map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout);
+    let header_most = limits.as_ref().map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.max_header_bytes);
+    let service = service_fn(|request| handle(gateway.clone(), request));
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(idle)
@@ -186,12 +186,12 @@
     }
 }
 
-async fn answer(
+async fn handle(
     gateway: Rc<Gateway>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Infallible> {
-    let open = Open::new(&gateway);
-    let mut response = match read_whole(&gateway, request).await {
+) -> Result<Response<ResponseBody>, Infallible> {
+    let open = InFlightRequest::new(&gateway);
+    let mut response = match buffer_request(&gateway, request).await {
         Ok(whole) => dispatch(&gateway, whole).await,
         Err(refused) => refused,
     };
@@ -199,16 +199,16 @@
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     // An answer that is passed on as it comes is open until its body is dropped.
-    Ok(response.map(|body| -> AnswerBody { Box::pin(Held { body, _open: open }) }))
+    Ok(response.map(|body| -> ResponseBody { Box::pin(TrackedBody { body, _in_flight: open }) }))
 }
 
 /// A body that keeps its request open.
-struct Held {
-    body: AnswerBody,
-    _open: Open,
+struct TrackedBody {
+    body: ResponseBody,
+    _in_flight: InFlightRequest,
 }
 
-impl hyper::body::Body for Held {
+impl hyper::body::Body for TrackedBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -228,40 +228,48 @@
     }
 }
 
-async fn read_whole(gateway: &Gateway, request: Request<Incoming>) -> Result<Whole, Response<AnswerBody>> {
-    let most = gateway.state.known().configuration.map_or(MAX_BODY_DEFAULT, |c| c.limits.max_body_bytes);
+async fn buffer_request(
+    gateway: &Gateway,
+    request: Request<Incoming>,
+) -> Result<BufferedRequest, Response<ResponseBody>> {
+    let most =
+        gateway.state.snapshot().configuration.map_or(DEFAULT_MAX_BODY_BYTES, |c| c.limits.max_body_bytes);
     let (head, body) = request.into_parts();
-    match timeout(BODY_TIME, Limited::new(body, most).collect()).await {
-        Ok(Ok(body)) => Ok(Whole {
+    match timeout(BODY_TIMEOUT, Limited::new(body, most).collect()).await {
+        Ok(Ok(body)) => Ok(BufferedRequest {
             method: head.method,
             uri: head.uri,
             headers: head.headers,
             body: body.to_bytes(),
-            at: Instant::now(),
+            received_at: Instant::now(),
         }),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
-            Err(own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"))
+            Err(local_reply(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"))
         }
-        Ok(Err(_)) => Err(own(StatusCode::BAD_REQUEST, "the body did not come whole")),
-        Err(_) => Err(own(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
+        Ok(Err(_)) => Err(local_reply(StatusCode::BAD_REQUEST, "the body did not come whole")),
+        Err(_) => Err(local_reply(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
     }
 }
 
-async fn dispatch(gateway: &Rc<Gateway>, whole: Whole) -> Response<AnswerBody> {
+async fn dispatch(gateway: &Rc<Gateway>, whole: BufferedRequest) -> Response<ResponseBody> {
     if let Some(call) = batch_api::Call::of(&whole) {
         return batch_api::answer(gateway, call).await;
     }
-    if whole.uri.path() == CONFIGURATION_READ {
+    if whole.uri.path() == CONFIGURATION_READ_PATH {
         // A gateway cannot prove that it has the newest.
-        return refusal(
+        return rejection(
             StatusCode::SERVICE_UNAVAILABLE,
             "the coordinators tell the configuration",
-            RETRY_SOON,
+            RETRY_AFTER_NOT_READY,
         );
     }
-    let known = gateway.state.known();
+    let known = gateway.state.snapshot();
     let Some(configuration) = known.configuration else {
-        return refusal(StatusCode::SERVICE_UNAVAILABLE, "there is no configuration yet", RETRY_SOON);
+        return rejection(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "there is no configuration yet",
+            RETRY_AFTER_NOT_READY,
+        );
     };
     route(gateway, &configuration, whole).await
 }
@@ -269,14 +277,14 @@
 async fn route(
     gateway: &Rc<Gateway>,
     configuration: &Arc<Configuration>,
-    whole: Whole,
-) -> Response<AnswerBody> {
+    whole: BufferedRequest,
+) -> Response<ResponseBody> {
     let Some(route) = configuration.route(whole.host(), whole.uri.path()).cloned() else {
-        return own(StatusCode::NOT_FOUND, "no route");
+        return local_reply(StatusCode::NOT_FOUND, "no route");
     };
     if route.route_type == RouteType::Batch {
         batch_api::submit(gateway, &route, whole).await
     } else {
-        live::serve(gateway, route, whole).await
+        live_request::serve(gateway, route, whole).await
     }
 }
--- a/data-plane/gateway/src/state.rs
+++ b/data-plane/gateway/src/state.rs
@@ -2,7 +2,7 @@
 
 use marblecroft_chain_replication::View;
 use marblecroft_configuration::Configuration;
-use marblecroft_protocol::coordinator::{Updates, Versions};
+use marblecroft_protocol::coordinator::{ConfigurationUpdates, VersionVector};
 use marblecroft_protocol::servers::ServerList;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,33 +11,33 @@
 
 /// The newest of each that this process knows. Nothing of it goes back within the process's life.
 #[derive(Clone, Default)]
-pub struct Known {
+pub struct Snapshot {
     pub configuration: Option<Arc<Configuration>>,
     pub servers: Arc<ServerList>,
     pub stores: Arc<View>,
-    pub versions: Versions,
+    pub versions: VersionVector,
 }
 
 /// Shared by all threads.
 #[derive(Default)]
 pub struct State {
-    known: Mutex<Known>,
+    snapshot: Mutex<Snapshot>,
     /// Something has changed.
     pub changed: Notify,
     terminating: AtomicBool,
 }
 
 impl State {
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Snapshot> {
+        self.snapshot.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The newest of each.
-    pub fn known(&self) -> Known {
+    pub fn snapshot(&self) -> Snapshot {
         self.lock().clone()
     }
 
-    pub fn versions(&self) -> Versions {
+    pub fn versions(&self) -> VersionVector {
         self.lock().versions
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// Takes what a coordinator told, as far as it is newer.
-    pub fn update(&self, updates: Updates) {
+    pub fn update(&self, updates: ConfigurationUpdates) {
         let mut known = self.lock();
         if let Some(update) = updates.configuration {
             if update.sequence > known.versions.configuration {
--- a/data-plane/gateway/src/stores.rs
+++ b/data-plane/gateway/src/stores.rs
@@ -8,18 +8,18 @@
 use std::time::{Duration, Instant};
 
 /// Time for one call.
-const CALL_MOST: Duration = Duration::from_millis(1500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Pause after a call that no head answered.
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     Reply(Box<StoreReply>),
     /// No store has carried it out or will.
-    NotRun,
+    NotExecuted,
     /// A store may have carried it out.
-    MayHaveRun,
+    MayHaveExecuted,
 }
 
 /// Calls to the stores. Each blocks its thread.
@@ -37,7 +37,7 @@
     }
 
     fn candidates(&self) -> Vec<SocketAddr> {
-        let view = self.state.known().stores;
+        let view = self.state.snapshot().stores;
         let head = *self.head.lock().unwrap_or_else(PoisonError::into_inner);
         let known = head.filter(|head| head.0 == view.number).map(|head| head.1);
         let members = view.members.iter().map(|member| member.address);
@@ -60,24 +60,24 @@
                     break;
                 }
                 asked += 1;
-                match self.caller.call(to, request, left.min(CALL_MOST)) {
+                match self.caller.call(to, request, left.min(CALL_TIMEOUT)) {
                     Ok(StoreReply::NotHead(head)) => {
                         next = head.filter(|head| *head != to && asked < 3);
                     }
                     Ok(StoreReply::Unavailable) => {}
-                    Ok(StoreReply::Unknown) => may_have_run = true,
+                    Ok(StoreReply::OutcomeUnknown) => may_have_run = true,
                     Ok(reply) => {
-                        let view = self.state.known().stores.number;
+                        let view = self.state.snapshot().stores.number;
                         *self.head.lock().unwrap_or_else(PoisonError::into_inner) = Some((view, to));
                         return Outcome::Reply(Box::new(reply));
                     }
                     Err(e) => may_have_run |= e.may_have_run(),
                 }
             }
-            if Instant::now() + PAUSE >= until {
-                return if may_have_run { Outcome::MayHaveRun } else { Outcome::NotRun };
+            if Instant::now() + RETRY_INTERVAL >= until {
+                return if may_have_run { Outcome::MayHaveExecuted } else { Outcome::NotExecuted };
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(RETRY_INTERVAL);
         }
     }
 }
--- a/data-plane/routing/src/admission.rs
+++ b/data-plane/routing/src/admission.rs
@@ -7,20 +7,20 @@
 use std::time::Duration;
 
 /// Time between two assessments.
-pub const STEP: Duration = Duration::from_millis(100);
+pub const ASSESSMENT_INTERVAL: Duration = Duration::from_millis(100);
 /// A rank of a route is worth more than anything that a lower rank can be.
-const RANK: f64 = 1e6;
+const PRIORITY_WEIGHT: f64 = 1e6;
 /// Weight of a request's cost in its class's average.
 const COST_WEIGHT: f64 = 0.02;
 
 /// What sets a route's place in the order of shedding.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct RouteClass {
     pub route: String,
     /// 0 is the highest.
     pub priority: u32,
     /// Orders routes of one priority.
-    pub worth: f64,
+    pub value: f64,
 }
 
 /// The throttle of one gateway.
@@ -28,39 +28,46 @@
 pub struct Admission {
     shedder: Shedder,
     /// Place of a route in the throttle.
-    places: HashMap<String, usize>,
-    classes: Vec<Class>,
+    class_indices: HashMap<String, usize>,
+    classes: Vec<RouteClass>,
     /// Average cost of each class's requests, in tokens.
-    costs: Vec<f64>,
-    assessed_at: Now,
+    average_costs: Vec<f64>,
+    last_assessed_at: Now,
     /// Whether the servers tell their load; latencies stand in for it only where they do not.
-    told: bool,
+    servers_report_load: bool,
 }
 
 impl Admission {
     /// Follows the configuration; the fraction that is allowed stays.
-    pub fn configure(&mut self, classes: Vec<Class>) {
-        if classes == self.classes && !self.places.is_empty() {
+    pub fn configure(&mut self, classes: Vec<RouteClass>) {
+        if classes == self.classes && !self.class_indices.is_empty() {
             return;
         }
-        let worths: Vec<f64> =
-            classes.iter().map(|class| class.worth + RANK * (100.0 - f64::from(class.priority))).collect();
-        let allowed = if self.places.is_empty() { 1.0 } else { self.shedder.f };
+        let worths: Vec<f64> = classes
+            .iter()
+            .map(|class| class.value + PRIORITY_WEIGHT * (100.0 - f64::from(class.priority)))
+            .collect();
+        let allowed = if self.class_indices.is_empty() { 1.0 } else { self.shedder.f };
         self.shedder = Shedder::new(worths.into_iter());
         self.shedder.f = allowed;
         let costs = classes.iter().map(|class| {
-            self.places.get(&class.route).and_then(|&place| self.costs.get(place)).copied().unwrap_or(0.0)
+            self.class_indices
+                .get(&class.route)
+                .and_then(|&place| self.average_costs.get(place))
+                .copied()
+                .unwrap_or(0.0)
         });
-        self.costs = costs.collect();
-        self.places = classes.iter().enumerate().map(|(place, c)| (c.route.clone(), place)).collect();
+        self.average_costs = costs.collect();
+        self.class_indices = classes.iter().enumerate().map(|(place, c)| (c.route.clone(), place)).collect();
         self.classes = classes;
     }
 
     /// The average cost of a class against that of the base class, the one whose requests cost the least.
     fn relative_cost(&self, place: usize) -> f64 {
-        let base = self.costs.iter().copied().filter(|&cost| cost > 0.0).fold(f64::INFINITY, f64::min);
-        if base.is_finite() && self.costs[place] > 0.0 {
-            self.costs[place] / base
+        let base =
+            self.average_costs.iter().copied().filter(|&cost| cost > 0.0).fold(f64::INFINITY, f64::min);
+        if base.is_finite() && self.average_costs[place] > 0.0 {
+            self.average_costs[place] / base
         } else {
             1.0
         }
@@ -68,8 +75,8 @@
 
     /// Whether a request of this route goes on. What goes on counts as sent.
     pub fn admit(&mut self, route: &str, cost: f64) -> bool {
-        let Some(&place) = self.places.get(route) else { return true };
-        let average = &mut self.costs[place];
+        let Some(&place) = self.class_indices.get(route) else { return true };
+        let average = &mut self.average_costs[place];
         *average = if *average > 0.0 { *average + COST_WEIGHT * (cost - *average) } else { cost };
         let relative = self.relative_cost(place);
         let passes = self.shedder.pass(place, relative);
@@ -80,9 +87,10 @@
     }
 
     /// A first event came after `latency`, where `aim` was wanted. A refusal or a time-out counts as the deadline.
-    pub fn sample(&mut self, route: &str, latency: Duration, aim: Duration) {
-        let Some(&place) = self.places.get(route) else { return };
-        let late = if self.told { 0.0 } else { latency.as_secs_f64() / aim.as_secs_f64().max(1e-3) };
+    pub fn record_latency(&mut self, route: &str, latency: Duration, aim: Duration) {
+        let Some(&place) = self.class_indices.get(route) else { return };
+        let late =
+            if self.servers_report_load { 0.0 } else { latency.as_secs_f64() / aim.as_secs_f64().max(1e-3) };
         let cost = self.relative_cost(place);
         self.shedder.sample(1.0, cost, late);
     }
@@ -90,17 +98,20 @@
     /// Assesses the load when a step is over. `occupancy` is how far the servers are taken, where they tell; `idle` says
     /// that nothing is out.
     pub fn assess(&mut self, now: Now, occupancy: Option<f64>, lag: Duration, idle: bool) {
-        self.told = occupancy.is_some_and(|occupancy| occupancy > 0.0);
-        while now.saturating_sub(self.assessed_at) >= STEP {
-            self.assessed_at =
-                if now.saturating_sub(self.assessed_at) > STEP * 10 { now } else { self.assessed_at + STEP };
+        self.servers_report_load = occupancy.is_some_and(|occupancy| occupancy > 0.0);
+        while now.saturating_sub(self.last_assessed_at) >= ASSESSMENT_INTERVAL {
+            self.last_assessed_at = if now.saturating_sub(self.last_assessed_at) > ASSESSMENT_INTERVAL * 10 {
+                now
+            } else {
+                self.last_assessed_at + ASSESSMENT_INTERVAL
+            };
             self.shedder.assess(occupancy, lag.as_secs_f64().max(THROTTLE_STEP), idle);
         }
     }
 
     /// The fraction of demand that is allowed.
-    pub fn allowed(&self) -> f64 {
-        if self.places.is_empty() {
+    pub fn admitted_fraction(&self) -> f64 {
+        if self.class_indices.is_empty() {
             1.0
         } else {
             self.shedder.f
--- a/data-plane/routing/src/events.rs
+++ b/data-plane/routing/src/events.rs
@@ -1,11 +1,11 @@
 //! Server-sent events, cut out of a stream of bytes.
 
 /// Most bytes of one event. Guards memory against a stream that never ends one.
-const EVENT_MOST: usize = 4 << 20;
+const MAX_EVENT_BYTES: usize = 4 << 20;
 
 /// A whole event.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Event {
+pub struct ServerSentEvent {
     /// As it came, with the empty line that ends it.
     pub bytes: Vec<u8>,
     /// Its id, where it has one that is a whole number.
@@ -16,20 +16,20 @@
 
 /// Cuts a stream into events.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     pending: Vec<u8>,
     /// Bytes of `pending` that hold no end of an event.
     searched: usize,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Takes bytes as they come.
     pub fn push(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
     }
 
     /// The next whole event.
-    pub fn next_event(&mut self) -> Option<Event> {
+    pub fn next_event(&mut self) -> Option<ServerSentEvent> {
         let end = self.find_end()?;
         let rest = self.pending.split_off(end);
         let bytes = std::mem::replace(&mut self.pending, rest);
@@ -44,7 +44,7 @@
 
     /// Whether an event is longer than can be kept.
     pub fn is_overlong(&self) -> bool {
-        self.pending.len() > EVENT_MOST
+        self.pending.len() > MAX_EVENT_BYTES
     }
 
     /// Where the first empty line ends.
@@ -65,7 +65,7 @@
     }
 }
 
-fn parse(bytes: Vec<u8>) -> Event {
+fn parse(bytes: Vec<u8>) -> ServerSentEvent {
     let mut id = None;
     let mut data: Vec<String> = Vec::new();
     for line in bytes.split(|&byte| byte == b'\n') {
@@ -79,5 +79,5 @@
             _ => {}
         }
     }
-    Event { bytes, id, data: data.join("\n") }
+    ServerSentEvent { bytes, id, data: data.join("\n") }
 }
--- a/data-plane/routing/src/lib.rs
+++ b/data-plane/routing/src/lib.rs
@@ -3,8 +3,8 @@
 #![forbid(unsafe_code)]
 
 pub mod admission;
+pub mod balance;
 pub mod events;
-pub mod placement;
 pub mod prompt;
 pub mod tuning;
 
--- a/data-plane/routing/src/prompt.rs
+++ b/data-plane/routing/src/prompt.rs
@@ -2,7 +2,7 @@
 
 /// A part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptPart {
     /// Hash of the part's name.
     pub id: u64,
     pub tokens: u32,
@@ -11,15 +11,15 @@
 /// A request for tokens.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    pub tokens_in: u32,
+    pub input_tokens: u32,
     /// The most tokens out.
-    pub tokens_out: u32,
+    pub max_output_tokens: u32,
     /// In order; the last one is the request's own, or its session's.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
 }
 
 /// Tokens of one decoding step weigh as much as so many tokens of a prompt, as in the users' own measure of size.
-const OUT_WEIGHT: f64 = 10.0;
+const OUTPUT_TOKEN_WEIGHT: f64 = 10.0;
 
 impl Prompt {
     /// From `X-Token-Usage` ("IN,OUT") and `X-Prefix-Hash` ("ID:TOKENS,..."); what cannot be read counts as absent.
@@ -28,18 +28,22 @@
         let number = |text: &str| text.trim().parse().unwrap_or(0);
         let parts = prefixes.into_iter().flat_map(|list| list.split(',')).filter_map(|part| {
             let (id, tokens) = part.trim().split_once(':')?;
-            Some(Part { id: hash(id.as_bytes()), tokens: number(tokens) })
+            Some(PromptPart { id: hash(id.as_bytes()), tokens: number(tokens) })
         });
-        Prompt { tokens_in: number(tokens_in), tokens_out: number(tokens_out), parts: parts.collect() }
+        Prompt {
+            input_tokens: number(tokens_in),
+            max_output_tokens: number(tokens_out),
+            parts: parts.collect(),
+        }
     }
 
     /// Its cost in tokens of a prompt.
     pub fn cost(&self) -> f64 {
-        f64::from(self.tokens_in) + OUT_WEIGHT * f64::from(self.tokens_out)
+        f64::from(self.input_tokens) + OUTPUT_TOKEN_WEIGHT * f64::from(self.max_output_tokens)
     }
 
     /// The parts that other requests may share, as one key; equal keys have equal shared parts.
-    pub fn shared_key(&self) -> Option<u64> {
+    pub fn prefix_key(&self) -> Option<u64> {
         let shared = self.parts.len().checked_sub(1).filter(|&shared| shared > 0)?;
         Some(self.parts[..shared].iter().fold(0, |key, part| mix(key ^ part.id)))
     }
--- a/data-plane/routing/tests/golden.rs
+++ b/data-plane/routing/tests/golden.rs
@@ -2,8 +2,8 @@
 //! follow from them. Gateways that run different programs are to name servers alike and to send like prompts alike.
 
 use marblecroft_protocol::servers::{Server, ServerList};
-use marblecroft_routing::placement::{Fleet, Wish};
-use marblecroft_routing::prompt::{hash, mix, Part, Prompt};
+use marblecroft_routing::balance::{LoadBalancer, PlacementRequest};
+use marblecroft_routing::prompt::{hash, mix, Prompt, PromptPart};
 use marblecroft_routing::tuning::Tuning;
 use std::time::Duration;
 
@@ -37,14 +37,14 @@
 #[test]
 fn keys_of_prompts_keep_their_values() {
     let prompt = Prompt::parse(Some("1460,80"), Some("5c1e07a2:800, 91bd3f06:410,e4402b7d:250"));
-    let part = |id, tokens| Part { id, tokens };
+    let part = |id, tokens| PromptPart { id, tokens };
     let parts = vec![
         part(17_407_074_884_502_035_781, 800),
         part(7_970_587_945_965_462_874, 410),
         part(7_310_267_169_902_242_791, 250),
     ];
-    assert_eq!(prompt, Prompt { tokens_in: 1460, tokens_out: 80, parts });
-    assert_eq!(prompt.shared_key(), Some(11_749_453_319_025_264_180));
+    assert_eq!(prompt, Prompt { input_tokens: 1460, max_output_tokens: 80, parts });
+    assert_eq!(prompt.prefix_key(), Some(11_749_453_319_025_264_180));
     assert_eq!((prompt.shared_tokens(), prompt.cost()), (1210, 2260.0));
 }
 
@@ -64,13 +64,14 @@
 fn a_prompt_with_shared_parts_goes_to_the_same_servers() {
     let list = ServerList { servers: (0..12).map(server).collect(), ..ServerList::default() };
     let choices = ["5c1e07a2:800,x:1", "91bd3f06:410,x:1", "e4402b7d:250,x:1"].map(|prefixes| {
-        let mut fleet = Fleet::new("a", 7, Tuning::default());
+        let mut fleet = LoadBalancer::new("a", 7, Tuning::default());
         fleet.update(&list);
-        let shared = Prompt::parse(None, Some(prefixes)).shared_key();
-        let wish = Wish { service: "s", shared, tried: &[], load_most: f64::INFINITY };
+        let shared = Prompt::parse(None, Some(prefixes)).prefix_key();
+        let wish =
+            PlacementRequest { service: "s", prefix_key: shared, attempted: &[], max_load: f64::INFINITY };
         [(); 4].map(|()| {
             let id = fleet.choose(&wish, Duration::from_secs(1)).expect("a server").id;
-            fleet.sent(&id, 500, Duration::from_secs(1));
+            fleet.on_sent(&id, 500, Duration::from_secs(1));
             id
         })
     });
--- a/quota-gateway/server/tests/time.rs
+++ b/quota-gateway/server/tests/time.rs
@@ -97,7 +97,10 @@
     assert_eq!(answer.status(), 503);
     assert!(!answer.header("retry-after").is_empty(), "trying again is harmless");
     assert_eq!(server.requests(), 1, "nobody waits for it any more");
-    assert_eq!(gateway.metric(r#"marblecroft_requests_total{class="saldo",end="given_up_before_send"}"#), 1.0);
+    assert_eq!(
+        gateway.metric(r#"marblecroft_requests_total{class="saldo",end="given_up_before_send"}"#),
+        1.0
+    );
 }
 
 /// The system tells when bytes came in its own ticks, of 10 ms at most.
