--- /dev/null
+++ b/quota-gateway/fair-share/tests/golden.rs
@@ -0,0 +1,29 @@
+//! Recorded bytes of the published decision on shares. A type or field that is renamed in the program is renamed in the
+//! construction code here; the fixture stays.
+
+#[path = "../../../testing/support/golden/mod.rs"]
+mod golden;
+
+use golden::{bytes, same_bytes};
+use marblecroft_control_messages::frame::{decode, encode, Fleet};
+use marblecroft_control_messages::published::{Decision, Stamp};
+use marblecroft_fair_share::body::SharesDecided;
+
+const FLEET: Fleet = Fleet(0x0102_0304_0506_0708);
+
+#[test]
+fn decisions_on_shares_keep_their_bytes() {
+    let body = SharesDecided {
+        level: 12.5,
+        capacity: 900.25,
+        weight: 41.75,
+        points: vec![0.5, 1.25, 9.0],
+        grants: vec![(3, 10.5), (70_001, 20.25)],
+    };
+    let decision = Decision { stamp: Stamp { token: 1009, revision: 2011 }, valid_ms: 3017, body };
+    let encoded = encode(FLEET, &decision).expect("it fits");
+    same_bytes("decision.hex", &encoded);
+    let read: Decision<SharesDecided> = decode(FLEET, &bytes("decision.hex")).expect("it is read");
+    assert_eq!(read, decision);
+    same_bytes("decision.hex", &encode(FLEET, &read).expect("it fits"));
+}
