--- /dev/null
+++ b/control-plane/control-state/src/acceptance.rs
@@ -0,0 +1,79 @@
+//! The acceptance of configurations: optimistic concurrency by generation, and idempotence by digest.
+//!
+//! A submission names the generation that it is based on, so of two concurrent ones the second is rejected with a conflict.
+//! A client whose reply was lost submits again; as accepted submissions are retained by their digest, the repetition is
+//! acknowledged without being applied a second time, also after later ones were accepted.
+
+use crate::operation::Output;
+use crate::state::{digest, AcceptedConfiguration, ControlState};
+use marblecroft_configuration::Update;
+use marblecroft_rpc::Bytes;
+
+/// Number of accepted submissions that are retained, so that repetitions of them are acknowledged. Whether a submission
+/// older than these was accepted is unknown.
+pub const MAX_REMEMBERED_GENERATIONS: usize = 20_000;
+
+/// Accepts a complete configuration, or rejects it.
+pub(crate) fn replace_configuration(
+    state: &mut ControlState,
+    base: u64,
+    generation: u64,
+    body: Bytes,
+) -> Output {
+    if let Some(output) = check_generation(state, base, generation, &body.0) {
+        return output;
+    }
+    let digest = digest(&body.0);
+    accept(state, AcceptedConfiguration { generation, digest }, body)
+}
+
+/// Accepts a change of the configuration in force, or rejects it.
+pub(crate) fn update_configuration(
+    state: &mut ControlState,
+    base: u64,
+    generation: u64,
+    change: &Bytes,
+) -> Output {
+    if let Some(output) = check_generation(state, base, generation, &change.0) {
+        return output;
+    }
+    match Update::parse(&change.0).and_then(|update| update.apply(&state.body.0)) {
+        Ok(body) => {
+            let accepted = AcceptedConfiguration { generation, digest: digest(&change.0) };
+            accept(state, accepted, Bytes(body))
+        }
+        Err(e) => Output::Invalid(e.to_string()),
+    }
+}
+
+/// Returns the output of a submission that is a repetition or is rejected; `None` where it is to be applied.
+///
+/// The order matters: a repetition is acknowledged whatever is in force by now, and a conflict is only reported where the
+/// submission is certain not to have been accepted before.
+fn check_generation(state: &ControlState, base: u64, generation: u64, submission: &[u8]) -> Option<Output> {
+    if state.has_accepted(generation, submission) {
+        Some(Output::Accepted)
+    } else if generation <= state.highest_pruned_generation {
+        Some(Output::GenerationForgotten)
+    } else if base != state.generation {
+        Some(Output::Conflict(state.generation))
+    } else if generation <= state.generation {
+        Some(Output::GenerationTooLow(state.generation))
+    } else {
+        None
+    }
+}
+
+/// Puts the configuration `body` in force and retains the submission that resulted in it.
+fn accept(state: &mut ControlState, accepted: AcceptedConfiguration, body: Bytes) -> Output {
+    state.generation = accepted.generation;
+    state.body = body;
+    state.sequence += 1;
+    state.accepted.push_back(accepted);
+    if state.accepted.len() > MAX_REMEMBERED_GENERATIONS {
+        if let Some(oldest) = state.accepted.pop_front() {
+            state.highest_pruned_generation = oldest.generation;
+        }
+    }
+    Output::Accepted
+}
--- a/control-plane/control-state/tests/control.rs
+++ b/control-plane/control-state/tests/control.rs
@@ -1,4 +1,4 @@
-//! Of two changes on one base one wins; what was taken is acknowledged again.
+//! Of two submissions on one base one is accepted, and a repetition of an accepted one is acknowledged.
 
 use marblecroft_chain_replication::{StateMachine, View};
 use marblecroft_control_state::{ControlState, Operation, Output};
@@ -33,7 +33,7 @@
     assert_eq!(ControlState::restore(&control.snapshot()), Some(control));
 }
 
-fn whole(generation: u64, routes: &str) -> String {
+fn complete(generation: u64, routes: &str) -> String {
     format!("{{\"generation\":{generation},\"routes\":[{routes}],\"services\":[{{\"name\":\"s\"}}]}}")
 }
 
@@ -50,39 +50,39 @@
 }
 
 #[test]
-fn a_transcript_of_changes_of_named_items_and_whole_configurations() {
+fn a_transcript_of_updates_and_complete_configurations() {
     let mut control = ControlState::default();
-    let adds = |name: &str| format!("\"upsert\":{{\"routes\":[{}]}}", route(name));
-    let nothing_yet = "not an update: there is no configuration to change".to_owned();
+    let upsert = |name: &str| format!("\"upsert\":{{\"routes\":[{}]}}", route(name));
+    let no_configuration = "not an update: there is no configuration to change".to_owned();
     let no_service = "route a: no service is named s".to_owned();
     let transcript = [
-        (update(0, 2, "\"upsert\":{}"), Output::Invalid(nothing_yet)),
-        (replace(0, 3, &whole(3, &route("a"))), Output::Accepted),
-        (update(3, 7, &adds("b")), Output::Accepted),
-        (update(3, 7, &adds("b")), Output::Accepted),
-        (update(3, 7, &adds("c")), Output::Conflict(7)),
-        (replace(3, 8, &whole(8, "")), Output::Conflict(7)),
-        (update(7, 7, &adds("c")), Output::GenerationTooLow(7)),
+        (update(0, 2, "\"upsert\":{}"), Output::Invalid(no_configuration)),
+        (replace(0, 3, &complete(3, &route("a"))), Output::Accepted),
+        (update(3, 7, &upsert("b")), Output::Accepted),
+        (update(3, 7, &upsert("b")), Output::Accepted),
+        (update(3, 7, &upsert("c")), Output::Conflict(7)),
+        (replace(3, 8, &complete(8, "")), Output::Conflict(7)),
+        (update(7, 7, &upsert("c")), Output::GenerationTooLow(7)),
         (update(7, 8, "\"remove\":{\"services\":[\"s\"]}"), Output::Invalid(no_service)),
-        (replace(7, 9, &whole(9, &route("d"))), Output::Accepted),
+        (replace(7, 9, &complete(9, &route("d"))), Output::Accepted),
         (update(9, 12, "\"remove\":{\"routes\":[\"d\"]}"), Output::Accepted),
-        (update(3, 7, &adds("b")), Output::Accepted),
-        (replace(0, 3, &whole(3, &route("a"))), Output::Accepted),
+        (update(3, 7, &upsert("b")), Output::Accepted),
+        (replace(0, 3, &complete(3, &route("a"))), Output::Accepted),
     ];
     for (operation, expected) in transcript {
         assert_eq!(control.apply(operation.clone()), expected, "{operation:?}");
         let restored = ControlState::restore(&control.snapshot()).expect("a snapshot");
-        assert_eq!(restored, control, "a member that installs the state goes on from the same");
+        assert_eq!(restored, control, "a replica that installs the snapshot continues from the same state");
         control = restored;
     }
     assert_eq!((control.generation(), control.sequence()), (12, 4));
-    assert_eq!(control.body(), Some(whole(12, "").as_bytes()));
+    assert_eq!(control.body(), Some(complete(12, "").as_bytes()));
 }
 
 #[test]
-fn a_change_is_acknowledged_again_after_a_thousand_others() {
+fn a_repeated_update_is_acknowledged_after_a_thousand_others() {
     let mut control = ControlState::default();
-    assert_eq!(control.apply(replace(0, 1, &whole(1, ""))), Output::Accepted);
+    assert_eq!(control.apply(replace(0, 1, &complete(1, ""))), Output::Accepted);
     let change = |base: u64| update(base, base + 1, &format!("\"upsert\":{{\"routes\":[{}]}}", route("a")));
     for base in 1..=1000 {
         assert_eq!(control.apply(change(base)), Output::Accepted);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn views_of_the_stores_follow_each_other_without_gaps() {
+fn store_views_are_installed_in_sequence_without_gaps() {
     let mut control = ControlState::default();
     let view = |number| Operation::InstallStoreView(View { number, ..View::default() });
     assert_eq!(control.apply(view(2)), Output::Ignored);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn every_reader_of_the_list_has_a_higher_token_than_all_before() {
+fn each_issued_reader_token_is_higher_than_all_before() {
     let mut control = ControlState::default();
     assert_eq!(control.apply(Operation::IssueReaderToken), Output::Token(1));
     let mut restored = ControlState::restore(&control.snapshot()).expect("a snapshot");
--- a/control-plane/control-state/tests/golden.rs
+++ b/control-plane/control-state/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The control plane's operations and state keep their bytes, and operations their outputs: each value is written to the
-//! literal bytes of a fixture, and those are read and written again. A state that an earlier program has stored is restored.
+//! The encodings of operations and state and the outputs of operations do not change: each value is encoded and compared with
+//! the fixture, which is decoded and encoded again. A state that an earlier release has stored is restored.
 
 use marblecroft_chain_replication::{Member, StateMachine, View};
 use marblecroft_control_state::{ControlState, Operation, Output};
@@ -16,17 +16,17 @@
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
-/// The fixture has one line for each value: its name and its bytes.
+/// Checks values against a fixture with one line for each value: its name and its bytes in hexadecimal.
 #[track_caller]
 fn check<T: Message + PartialEq + Debug>(fixture: &str, values: &[(&str, T)]) {
     let line = |(name, value): &(&str, T)| format!("{name} {}\n", hex(&encode(value)));
     let written: String = values.iter().map(line).collect();
-    assert!(written == fixture, "other bytes than the fixture's are written:\n{written}");
+    assert!(written == fixture, "the encoding differs from the fixture:\n{written}");
     for (line, (name, value)) in fixture.lines().zip(values) {
         let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
         let read: T = decode(&bytes).expect(name);
-        assert_eq!(&read, value, "{name} is read as it was");
-        assert_eq!(encode(&read), bytes, "{name} is written again as it was");
+        assert_eq!(&read, value, "{name} is decoded as it was");
+        assert_eq!(encode(&read), bytes, "{name} is encoded again as it was");
     }
 }
 
@@ -40,12 +40,12 @@
     View { number, members: vec![member(3), member(4)], voters: vec![member(4), member(3), member(6)] }
 }
 
-const WHOLE: &str = r#"{"generation":5,"routes":[{"name":"a","hostname":"x","path_prefix":"/a/","route_type":"batch","backend":"s"}],"services":[{"name":"s"},{"name":"t"}]}"#;
+const COMPLETE: &str = r#"{"generation":5,"routes":[{"name":"a","hostname":"x","path_prefix":"/a/","route_type":"batch","backend":"s"}],"services":[{"name":"s"},{"name":"t"}]}"#;
 const CHANGE: &str = r#"{"generation":9,"upsert":{"services":[{"name":"u","max_connections":7}]},"remove":{"services":["t"]}}"#;
 const CHANGED: &str = r#"{"generation":9,"routes":[{"name":"a","hostname":"x","path_prefix":"/a/","route_type":"batch","backend":"s"}],"services":[{"name":"s"},{"name":"u","max_connections":7}]}"#;
 
 fn operations() -> [(&'static str, Operation); 8] {
-    let replace = Operation::ReplaceConfiguration { base: 0, generation: 5, body: Bytes(WHOLE.into()) };
+    let replace = Operation::ReplaceConfiguration { base: 0, generation: 5, body: Bytes(COMPLETE.into()) };
     let update = Operation::UpdateConfiguration { base: 5, generation: 9, change: Bytes(CHANGE.into()) };
     [
         ("replace", replace),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_stored_control_state_is_restored_and_goes_on() {
+fn a_stored_control_state_is_restored_and_usable() {
     let line = include_str!("golden/state.hex").lines().next().expect("a line");
     let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
     let mut control = ControlState::restore(&bytes).expect("a state");
@@ -94,19 +94,19 @@
     assert_eq!(control.store_view(), &view(2));
     assert!(control.is_retired("store-7") && !control.is_retired("store-8"));
     assert!(control.is_registered_store("store-8") && !control.is_registered_store("store-7"));
-    assert!(control.has_accepted(5, WHOLE.as_bytes()) && control.has_accepted(9, CHANGE.as_bytes()));
+    assert!(control.has_accepted(5, COMPLETE.as_bytes()) && control.has_accepted(9, CHANGE.as_bytes()));
     let replace =
         |base, generation| Operation::ReplaceConfiguration { base, generation, body: Bytes(b"{}".to_vec()) };
     let remove = r#"{"generation":11,"remove":{"services":["s"]}}"#;
     let remove = Operation::UpdateConfiguration { base: 9, generation: 11, change: Bytes(remove.into()) };
-    let refused = "route a: no service is named s".to_owned();
+    let invalid = "route a: no service is named s".to_owned();
     let cases = [
         (operations()[0].1.clone(), Output::Accepted),
         (operations()[6].1.clone(), Output::Accepted),
         (Operation::IssueReaderToken, Output::Token(2)),
         (replace(8, 10), Output::Conflict(9)),
         (replace(9, 4), Output::GenerationTooLow(9)),
-        (remove, Output::Invalid(refused)),
+        (remove, Output::Invalid(invalid)),
     ];
     for (operation, expected) in cases {
         assert_eq!(control.apply(operation.clone()), expected, "{operation:?}");
