--- a/control-plane/batch-state/src/job.rs
+++ b/control-plane/batch-state/src/job.rs
@@ -1,105 +1,72 @@
 //! One batch job: its items, and the results in the order in which they were recorded.
+//!
+//! Clients read results by position, so results are only ever appended, and an item has at most one.
 
+use crate::item::{digest, Item, ItemOutcome, ItemResult};
 use marblecroft_rpc::Bytes;
 use musli::{Decode, Encode};
-use sha2::{Digest, Sha256};
-use std::collections::BTreeMap;
 
-/// An item as it was sent.
-#[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Item {
-    pub id: String,
-    pub path: String,
-    /// Names and values.
-    pub headers: Vec<(String, String)>,
-    pub body: Bytes,
-    /// Tokens of the prompt and the most out.
-    pub tokens: u64,
-}
-
-/// A job as it was sent.
+/// A job as it was submitted.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct NewJob {
+    /// The client's id of the job.
     pub id: String,
-    /// Name of the route that it came in on.
+    /// Name of the route on which the job was submitted.
     pub route: String,
-    /// The host that its items are sent with.
+    /// The `Host` header with which the items are sent.
     pub host: String,
+    /// The items; an item's index is its position here.
     pub items: Vec<Item>,
-    /// Tokens that may wait on the route; 0 is no limit.
+    /// Limit on the queued tokens of the route; 0 is no limit.
     pub max_queued_tokens: u64,
-    /// When it was taken, in milliseconds since 1970 by the clock of whoever ordered it.
+    /// When the job was accepted, in milliseconds since 1970 by the clock of the process that proposed it.
     pub accepted_at_ms: u64,
-    /// Time from then by which all results are due.
+    /// Time in milliseconds from `accepted_at_ms` within which all results are due.
     pub due_after_ms: u64,
 }
 
 impl NewJob {
-    /// Tokens of all items.
+    /// Returns the tokens of all items.
     pub fn tokens(&self) -> u64 {
         self.items.iter().map(|item| item.tokens).sum()
     }
 }
 
-/// SHA-256 over what a client has sent of a job, each field after its length.
-fn digest(items: &[Item]) -> Bytes {
-    let mut hasher = Sha256::new();
-    let mut field = |bytes: &[u8]| {
-        hasher.update((bytes.len() as u64).to_le_bytes());
-        hasher.update(bytes);
-    };
-    for item in items {
-        field(item.id.as_bytes());
-        field(item.path.as_bytes());
-        // Their order is nobody's choice.
-        let headers: BTreeMap<&String, &String> =
-            item.headers.iter().map(|(name, value)| (name, value)).collect();
-        for (name, value) in headers {
-            field(name.as_bytes());
-            field(value.as_bytes());
-        }
-        field(&item.body.0);
-        field(&item.tokens.to_le_bytes());
-    }
-    Bytes(hasher.finalize().to_vec())
-}
-
-/// How an item ended.
-#[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum ItemOutcome {
-    /// The data of all events, with line feeds between them.
-    Completed(String),
-    DeadLettered,
-}
-
-/// A result at a position of a job's list. It never changes.
-#[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct ItemResult {
-    pub item: u32,
-    pub outcome: ItemOutcome,
-}
-
-/// An item that the system keeps.
+/// An item and whether it has a result.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 struct StoredItem {
     item: Item,
     has_result: bool,
 }
 
-/// A job that the system keeps.
+impl StoredItem {
+    /// Drops the request's headers and body, which are not needed once the item will not be run any more. Its id and
+    /// tokens remain.
+    fn drop_request(&mut self) {
+        self.item.body = Bytes::default();
+        self.item.headers = Vec::new();
+    }
+}
+
+/// A stored job.
+///
+/// Snapshots encode the fields by their position: new ones are appended, and none is reordered.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Job {
+    /// Name of the route on which the job was submitted.
     pub route: String,
+    /// The `Host` header with which the items are sent.
     pub host: String,
-    /// Jobs that were taken earlier have a lower number.
+    /// Number of the job in the order of acceptance, from 1.
     pub sequence: u64,
+    /// When the job was accepted, in milliseconds since 1970 by the clock of the process that proposed it.
     pub accepted_at_ms: u64,
-    /// Time from then by which all results are due.
+    /// Time in milliseconds from `accepted_at_ms` within which all results are due.
     pub due_after_ms: u64,
     items: Vec<StoredItem>,
     results: Vec<ItemResult>,
     ended: bool,
-    /// Tells a job that is sent again from another one under its id.
+    /// Digest of the submitted items; tells a resubmission of this job from another job under the same id.
     digest: Bytes,
 }
 
@@ -120,66 +87,67 @@
         }
     }
 
-    /// Whether this is the job that is sent, by all that its client has sent of it.
+    /// Returns whether `new` is a repeated submission of this job, judged by all that its client submits.
     pub(crate) fn is_resubmission(&self, new: &NewJob) -> bool {
         self.digest == digest(&new.items)
     }
 
-    /// Items in all.
+    /// Returns the number of items.
     pub fn total(&self) -> usize {
         self.items.len()
     }
 
-    /// The results, in the order of their positions.
+    /// Returns the results, in the order in which they were recorded.
     pub fn results(&self) -> &[ItemResult] {
         &self.results
     }
 
-    /// Whether it was ended by its client.
+    /// Returns whether the client has ended the job.
     pub fn is_ended(&self) -> bool {
         self.ended
     }
 
-    /// Whether items of it are to be run.
+    /// Returns whether the job has items to run.
     pub fn is_open(&self) -> bool {
         !self.ended && self.results.len() < self.items.len()
     }
 
-    /// The id of an item.
+    /// Returns the id of the item at an index.
     pub fn item_id(&self, item: u32) -> Option<&str> {
-        self.items.get(item as usize).map(|kept| kept.item.id.as_str())
+        self.items.get(item as usize).map(|stored| stored.item.id.as_str())
     }
 
-    /// An item that has no result yet, by its index.
+    /// Returns the item at an index if it has no result yet.
     pub fn pending_item(&self, item: u32) -> Option<&Item> {
-        self.items.get(item as usize).filter(|kept| !kept.has_result).map(|kept| &kept.item)
+        self.items.get(item as usize).filter(|stored| !stored.has_result).map(|stored| &stored.item)
     }
 
-    /// An item that has no result yet, by its id.
+    /// Returns the item of an id if it has no result yet.
     pub fn pending_item_by_id(&self, id: &str) -> Option<&Item> {
-        self.items.iter().find(|kept| kept.item.id == id && !kept.has_result).map(|kept| &kept.item)
+        let pending = self.items.iter().find(|stored| stored.item.id == id && !stored.has_result);
+        pending.map(|stored| &stored.item)
     }
 
-    /// Whether it has an item of this id.
+    /// Returns whether the job has an item of this id.
     pub fn has_item(&self, id: &str) -> bool {
-        self.items.iter().any(|kept| kept.item.id == id)
+        self.items.iter().any(|stored| stored.item.id == id)
     }
 
-    /// The indices of the items that have no result yet.
+    /// Returns the indices of the items without a result, in ascending order.
     pub fn pending_items(&self) -> impl Iterator<Item = u32> + '_ {
         let indices = 0u32..;
-        indices.zip(&self.items).filter(|(_, kept)| !kept.has_result).map(|(index, _)| index)
+        indices.zip(&self.items).filter(|(_, stored)| !stored.has_result).map(|(index, _)| index)
     }
 
-    /// Records an outcome if the item has none; returns the tokens that wait no more.
+    /// Records the outcome of an item unless it has one. Returns the tokens that are no longer queued.
     pub(crate) fn record(&mut self, item: u32, outcome: ItemOutcome) -> u64 {
-        let Some(kept) = self.items.get_mut(item as usize).filter(|kept| !kept.has_result) else { return 0 };
-        kept.has_result = true;
-        // Nobody reads the body of an item that is listed.
-        kept.item.body = Bytes::default();
-        kept.item.headers = Vec::new();
-        let tokens = kept.item.tokens;
+        let pending = self.items.get_mut(item as usize).filter(|stored| !stored.has_result);
+        let Some(stored) = pending else { return 0 };
+        stored.has_result = true;
+        stored.drop_request();
+        let tokens = stored.item.tokens;
         self.results.push(ItemResult { item, outcome });
+        // The end of a job has released the tokens of all its items.
         if self.ended {
             0
         } else {
@@ -187,16 +155,15 @@
         }
     }
 
-    /// Ends the job; returns the tokens that wait no more.
+    /// Ends the job. Returns the tokens that are no longer queued.
     pub(crate) fn end(&mut self) -> u64 {
         if std::mem::replace(&mut self.ended, true) {
             return 0;
         }
         let mut released = 0;
-        for kept in self.items.iter_mut().filter(|kept| !kept.has_result) {
-            released += kept.item.tokens;
-            kept.item.body = Bytes::default();
-            kept.item.headers = Vec::new();
+        for stored in self.items.iter_mut().filter(|stored| !stored.has_result) {
+            released += stored.item.tokens;
+            stored.drop_request();
         }
         released
     }
--- a/control-plane/batch-state/src/lease.rs
+++ b/control-plane/batch-state/src/lease.rs
@@ -1,34 +1,54 @@
-//! Who runs which item, as the head of the stores' chain has it. Nothing of it is replicated: after a change of the head
-//! the gateways tell what they run, and an item that nobody tells of is given out anew.
-
-use crate::BatchState;
+//! Leases: which gateway runs which item, as the head of the stores' chain has granted it.
+//!
+//! At each work request a gateway's leases are first renewed for the items that it says it runs, then it is granted more.
+//! Nothing of this is replicated. After a change of head the gateways report what they run, and items that no gateway
+//! reports are granted anew.
+
+use crate::item::ItemId;
+use crate::job::Job;
+use crate::state::BatchState;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// Time that an item is taken to need until one has been run.
+/// Estimate of an item's run time before any was measured.
 const DEFAULT_RUN_TIME: Duration = Duration::from_millis(1200);
-/// Weight of one item's time in the mean of the latest.
+/// Weight of the latest run time in the moving averages.
 const RUN_TIME_WEIGHT: f64 = 0.05;
-/// An item is taken to need this many mean deviations more than the mean, so that most are done in time.
+/// Mean deviations above the mean at which most run times lie below the estimate.
 const DEVIATIONS: f64 = 1.0;
 
-/// An item, by its job and its place in it.
-pub type ItemKey = (String, u32);
-
-/// A gateway's right to run an item, until it ends or is renewed.
+/// A gateway's right to run an item.
 #[derive(Clone, Debug)]
 struct Lease {
     gateway: String,
-    /// On the caller's clock.
+    /// When the lease ends unless it is renewed, on the head's monotonic clock.
     expires_at: Duration,
+    /// When the item was first granted to the gateway, on the same clock; renewals leave it as it is.
     granted_at: Duration,
 }
 
-/// How long items take lately, from when they are granted until their result is told.
+/// Who leases items, from when and for how long.
+#[derive(Clone, Copy, Debug)]
+pub struct LeaseTerms<'a> {
+    /// Name of the gateway.
+    pub gateway: &'a str,
+    /// The current time on the head's monotonic clock.
+    pub now: Duration,
+    /// Time from `now` after which the lease ends unless it is renewed.
+    pub duration: Duration,
+}
+
+impl LeaseTerms<'_> {
+    fn lease(&self, granted_at: Duration) -> Lease {
+        Lease { gateway: self.gateway.to_owned(), expires_at: self.now + self.duration, granted_at }
+    }
+}
+
+/// Exponentially weighted moving averages of items' run times, from the grant until the result is reported, in seconds.
 #[derive(Debug)]
 struct RunTimes {
-    /// In seconds.
     mean: f64,
+    /// Mean absolute deviation.
     deviation: f64,
 }
 
@@ -40,113 +60,124 @@
 
 impl RunTimes {
     fn record(&mut self, time: Duration) {
-        let off = time.as_secs_f64() - self.mean;
-        self.mean += RUN_TIME_WEIGHT * off;
-        self.deviation += RUN_TIME_WEIGHT * (off.abs() - self.deviation);
+        let error = time.as_secs_f64() - self.mean;
+        self.mean += RUN_TIME_WEIGHT * error;
+        self.deviation += RUN_TIME_WEIGHT * (error.abs() - self.deviation);
     }
 
-    /// The time within which most items are done.
+    /// Returns the time within which most items are done.
     fn upper_estimate(&self) -> Duration {
         Duration::from_secs_f64((self.mean + DEVIATIONS * self.deviation).max(0.0))
     }
 }
 
-/// The leases of all items that are run.
+/// The leases of all items that gateways run.
 #[derive(Debug, Default)]
 pub struct Leases {
-    leases: HashMap<ItemKey, Lease>,
+    leases: HashMap<ItemId, Lease>,
     run_times: RunTimes,
 }
 
 impl Leases {
-    /// A gateway runs these items; those that another gateway holds, or that are not to be run, are returned: it stops
-    /// them.
-    pub fn renew(
-        &mut self,
-        batch: &BatchState,
-        gateway: &str,
-        running: Vec<ItemKey>,
-        now: Duration,
-        term: Duration,
-    ) -> Vec<ItemKey> {
-        // It tells all that it runs: what else it was granted it never learnt of, or has ended.
-        let kept: HashSet<&ItemKey> = running.iter().collect();
-        self.leases.retain(|key, lease| lease.gateway != gateway || kept.contains(key));
-        let mut lost = Vec::new();
-        for key in running {
-            let wanted =
-                batch.job(&key.0).is_some_and(|job| job.is_open() && job.pending_item(key.1).is_some());
-            let others =
-                self.leases.get(&key).is_some_and(|lease| lease.gateway != gateway && lease.expires_at > now);
-            if wanted && !others {
-                let granted_at = self.leases.get(&key).map_or(now, |lease| lease.granted_at);
-                let lease = Lease { gateway: gateway.to_owned(), expires_at: now + term, granted_at };
-                self.leases.insert(key, lease);
-            } else {
-                lost.push(key);
+    /// Renews the leases of `running`, which are all the items that the gateway runs. Returns those that it is to stop:
+    /// another gateway has leased them, or they are not to be run any more.
+    pub fn renew(&mut self, terms: &LeaseTerms<'_>, batch: &BatchState, running: Vec<ItemId>) -> Vec<ItemId> {
+        self.release_unreported(terms.gateway, &running);
+        let mut stopped = Vec::new();
+        for id in running {
+            let pending = batch.job(&id.job).is_some_and(|job| is_pending(job, id.item));
+            if !pending || self.is_leased_by_other(&id, terms) {
+                stopped.push(id);
+                continue;
             }
+            let granted_at = self.leases.get(&id).map_or(terms.now, |lease| lease.granted_at);
+            self.leases.insert(id, terms.lease(granted_at));
         }
-        lost
+        stopped
     }
 
-    /// Gives items that nobody holds to a gateway: of the jobs that can still be done in time the one that is due first, and
-    /// after these the others. What is late already earns less, and would make the next ones late too.
+    /// Releases the gateway's leases of items that it does not report as running: the reply that granted them was lost, or
+    /// they have ended.
+    fn release_unreported(&mut self, gateway: &str, running: &[ItemId]) {
+        let reported: HashSet<&ItemId> = running.iter().collect();
+        self.leases.retain(|id, lease| lease.gateway != gateway || reported.contains(id));
+    }
+
+    fn is_leased_by_other(&self, id: &ItemId, terms: &LeaseTerms<'_>) -> bool {
+        let lease = self.leases.get(id);
+        lease.is_some_and(|lease| lease.gateway != terms.gateway && lease.expires_at > terms.now)
+    }
+
+    /// Leases up to `max_items` items that are not leased to the gateway, and returns them. `wall_ms` is the time in
+    /// milliseconds since 1970 by the head's clock.
+    ///
+    /// Jobs that can still meet their deadline come first, earliest deadline first (EDF), then those that cannot, in the
+    /// same order. Plain EDF would prefer the late ones, and under overload it misses one deadline after the other: results
+    /// that are late anyway would take the time in which the next jobs could still be on time.
     pub fn grant(
         &mut self,
+        terms: &LeaseTerms<'_>,
         batch: &BatchState,
-        gateway: &str,
-        room: usize,
-        now: Duration,
-        time_ms: u64,
-        term: Duration,
-    ) -> Vec<ItemKey> {
-        let done_ms = u64::try_from(self.run_times.upper_estimate().as_millis()).unwrap_or(u64::MAX);
-        let mut open: Vec<_> = batch.open_jobs().collect();
-        open.sort_by_key(|(_, job)| {
-            let due_ms = job.accepted_at_ms.saturating_add(job.due_after_ms);
-            (due_ms < time_ms.saturating_add(done_ms), due_ms, job.sequence)
-        });
+        max_items: usize,
+        wall_ms: u64,
+    ) -> Vec<ItemId> {
         let mut granted = Vec::new();
-        for (id, job) in open {
+        for (job_id, job) in self.jobs_by_urgency(batch, wall_ms) {
             for item in job.pending_items() {
-                if granted.len() >= room {
+                if granted.len() >= max_items {
                     return granted;
                 }
-                let key = (id.clone(), item);
-                if self.leases.get(&key).is_none_or(|lease| lease.expires_at <= now) {
-                    let lease =
-                        Lease { gateway: gateway.to_owned(), expires_at: now + term, granted_at: now };
-                    self.leases.insert(key.clone(), lease);
-                    granted.push(key);
+                let id = ItemId { job: job_id.clone(), item };
+                if self.leases.get(&id).is_none_or(|lease| lease.expires_at <= terms.now) {
+                    self.leases.insert(id.clone(), terms.lease(terms.now));
+                    granted.push(id);
                 }
             }
         }
         granted
     }
 
-    /// An item has a result.
-    pub fn finish(&mut self, key: &ItemKey, now: Duration) {
-        if let Some(lease) = self.leases.remove(key) {
+    /// Returns the open jobs in the order in which their items are granted; see [`Leases::grant`].
+    fn jobs_by_urgency<'a>(&self, batch: &'a BatchState, wall_ms: u64) -> Vec<(&'a String, &'a Job)> {
+        let run_time_ms = u64::try_from(self.run_time().as_millis()).unwrap_or(u64::MAX);
+        let earliest_done_at_ms = wall_ms.saturating_add(run_time_ms);
+        let mut jobs: Vec<_> = batch.open_jobs().collect();
+        jobs.sort_by_key(|(_, job)| {
+            let deadline_ms = job.accepted_at_ms.saturating_add(job.due_after_ms);
+            (deadline_ms < earliest_done_at_ms, deadline_ms, job.sequence)
+        });
+        jobs
+    }
+
+    /// Ends the lease of an item that has a result, and takes its run time into account.
+    pub fn finish(&mut self, id: &ItemId, now: Duration) {
+        if let Some(lease) = self.leases.remove(id) {
             self.run_times.record(now.saturating_sub(lease.granted_at));
         }
     }
 
-    /// The time within which most items are done, by the latest.
+    /// Returns the time from the grant within which most items are done, estimated from the latest ones.
     pub fn run_time(&self) -> Duration {
         self.run_times.upper_estimate()
     }
 
-    /// Forgets leases that have ended.
+    /// Removes the leases that have ended by `now`.
     pub fn remove_expired(&mut self, now: Duration) {
         self.leases.retain(|_, lease| lease.expires_at > now);
     }
 
-    /// Items that are held.
+    /// Returns the number of leased items.
     pub fn len(&self) -> usize {
         self.leases.len()
     }
 
+    /// Returns whether no item is leased.
     pub fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
 }
+
+/// Returns whether an item of a job is to be run.
+fn is_pending(job: &Job, item: u32) -> bool {
+    job.is_open() && job.pending_item(item).is_some()
+}
--- a/control-plane/batch-state/tests/golden.rs
+++ b/control-plane/batch-state/tests/golden.rs
@@ -1,6 +1,6 @@
-//! The stores' operations and state keep their bytes, and operations their outputs: each value is written to the literal
-//! bytes of a fixture, and those are read and written again. A state that an earlier program has stored is restored.
-//! Leases are not part of it: the head alone holds them, and writes them nowhere.
+//! The encodings of operations and state and the outputs of operations do not change: each value is encoded and compared
+//! with the fixture, which is decoded and encoded again. A state that an earlier release has stored is restored.
+//! Leases are volatile and never encoded.
 
 use marblecroft_batch_state::{BatchState, Item, ItemOutcome, ItemResult, NewJob, Operation, Output};
 use marblecroft_chain_replication::StateMachine;
@@ -16,17 +16,17 @@
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
-/// The fixture has one line for each value: its name and its bytes.
+/// Checks values against a fixture with one line for each value: its name and its bytes in hexadecimal.
 #[track_caller]
 fn check<T: Message + PartialEq + Debug>(fixture: &str, values: &[(&str, T)]) {
     let line = |(name, value): &(&str, T)| format!("{name} {}\n", hex(&encode(value)));
     let written: String = values.iter().map(line).collect();
-    assert!(written == fixture, "other bytes than the fixture's are written:\n{written}");
+    assert!(written == fixture, "the encoding differs from the fixture:\n{written}");
     for (line, (name, value)) in fixture.lines().zip(values) {
         let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
         let read: T = decode(&bytes).expect(name);
-        assert_eq!(&read, value, "{name} is read as it was");
-        assert_eq!(encode(&read), bytes, "{name} is written again as it was");
+        assert_eq!(&read, value, "{name} is decoded as it was");
+        assert_eq!(encode(&read), bytes, "{name} is encoded again as it was");
     }
 }
 
@@ -40,18 +40,10 @@
     }
 }
 
-fn job(id: &str, route: &str, items: Vec<Item>, taken_at_ms: u64) -> NewJob {
+fn job(id: &str, route: &str, items: Vec<Item>, accepted_at_ms: u64) -> NewJob {
     let host = format!("{route}.example");
     let (id, route) = (id.to_owned(), route.to_owned());
-    NewJob {
-        id,
-        route,
-        host,
-        items,
-        max_queued_tokens: 1000,
-        accepted_at_ms: taken_at_ms,
-        due_after_ms: 8000,
-    }
+    NewJob { id, route, host, items, max_queued_tokens: 1000, accepted_at_ms, due_after_ms: 8000 }
 }
 
 fn half_done() -> NewJob {
@@ -107,30 +99,30 @@
 }
 
 #[test]
-fn a_stored_batch_state_is_restored_and_goes_on() {
+fn a_stored_batch_state_is_restored_and_usable() {
     let line = include_str!("golden/state.hex").lines().next().expect("a line");
     let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
     let mut batch = BatchState::restore(&bytes).expect("a state");
     assert_eq!(batch.snapshot(), bytes);
     assert_eq!((batch.queued_tokens("nightly"), batch.queued_tokens("hourly")), (230, 0));
     assert!(batch.job("job-0").is_none());
-    let kept = batch.job("job-1").expect("kept");
-    assert_eq!((kept.route.as_str(), kept.host.as_str()), ("nightly", "nightly.example"));
-    assert_eq!((kept.sequence, kept.accepted_at_ms, kept.due_after_ms), (2, 1_700_000_000_123, 8000));
-    assert_eq!((kept.total(), kept.is_open(), kept.is_ended()), (3, true, false));
+    let stored = batch.job("job-1").expect("stored");
+    assert_eq!((stored.route.as_str(), stored.host.as_str()), ("nightly", "nightly.example"));
+    assert_eq!((stored.sequence, stored.accepted_at_ms, stored.due_after_ms), (2, 1_700_000_000_123, 8000));
+    assert_eq!((stored.total(), stored.is_open(), stored.is_ended()), (3, true, false));
     let results = [
         ItemResult { item: 2, outcome: ItemOutcome::Completed("{\"a\":1}\n[DONE]".to_owned()) },
         ItemResult { item: 0, outcome: ItemOutcome::DeadLettered },
     ];
-    assert_eq!(kept.results(), results);
-    assert_eq!(kept.pending_items().collect::<Vec<_>>(), [1]);
-    assert_eq!(kept.pending_item(1), Some(&item("second", 230)));
+    assert_eq!(stored.results(), results);
+    assert_eq!(stored.pending_items().collect::<Vec<_>>(), [1]);
+    assert_eq!(stored.pending_item(1), Some(&item("second", 230)));
     assert!(batch.job("job-2").is_some_and(|job| job.is_ended() && !job.is_open()));
     let mut other = half_done();
     other.items[1].tokens += 1;
     let large = job("job-3", "nightly", vec![item("eighth", 771)], 1_700_000_002_000);
     let cases = [
-        // It is known by its digest, which does not depend on the order of headers.
+        // A resubmission is recognised by its digest, which does not depend on the order of headers.
         (Operation::SubmitJob(half_done()), Output::Accepted),
         (Operation::SubmitJob(other), Output::Conflict),
         (Operation::SubmitJob(large), Output::OverQuota),
--- a/control-plane/core/src/store.rs
+++ b/control-plane/core/src/store.rs
@@ -5,7 +5,7 @@
 use crate::timeouts::drain_deadline;
 use crate::{Node, Time};
 use marblecroft_batch_state::capacity::ItemCapacity;
-use marblecroft_batch_state::lease::{ItemKey, Leases};
+use marblecroft_batch_state::lease::{LeaseTerms, Leases};
 use marblecroft_batch_state::{BatchState, ItemOutcome, NewJob, Operation, Output as Outcome};
 use marblecroft_chain_replication::storage::Storage;
 use marblecroft_chain_replication::{
@@ -145,8 +145,8 @@
 /// What a gateway has told, and waits to be granted.
 struct WorkCall {
     token: Token,
-    finished: Vec<ItemKey>,
-    running: Vec<ItemKey>,
+    finished: Vec<ItemId>,
+    running: Vec<ItemId>,
     gateway: String,
     capacity: usize,
     zone: String,
@@ -327,7 +327,6 @@
 
     /// Records what a gateway has run; then its leases are renewed and it is granted more.
     fn handle_work(&mut self, now: Duration, token: Token, request: WorkRequest) {
-        let key = |name: &ItemId| (name.job.clone(), name.item);
         self.lease_manager.capacity.record_report(
             &request.gateway,
             request.load.live_requests,
@@ -337,8 +336,8 @@
         self.lease_manager.gateways.record_work_request(now, &request);
         let work = WorkCall {
             token,
-            finished: request.finished.iter().map(|finished| key(&finished.id)).collect(),
-            running: request.running.iter().map(key).collect(),
+            finished: request.finished.iter().map(|finished| finished.id.clone()).collect(),
+            running: request.running.clone(),
             gateway: request.gateway.clone(),
             capacity: request.capacity as usize,
             zone: request.zone.clone(),
@@ -553,14 +552,15 @@
         work.finished.iter().for_each(|key| granting.leases.finish(key, now));
         granting.leases.remove_expired(now);
         let own = work.running.len();
-        let stop = granting.leases.renew(batch, &work.gateway, work.running, now, LEASE_DURATION);
+        let terms = LeaseTerms { gateway: &work.gateway, now, duration: LEASE_DURATION };
+        let stop = granting.leases.renew(&terms, batch, work.running);
         let left = granting.capacity.max_running_items().saturating_sub(granting.leases.len());
         let of_one = granting.capacity.max_running_items_per_gateway().saturating_sub(own);
         let room = if granting.may_grant(now) { work.capacity.min(left).min(of_one) } else { 0 };
-        let granted = granting.leases.grant(batch, &work.gateway, room, now, time.wall_ms, LEASE_DURATION);
+        let granted = granting.leases.grant(&terms, batch, room, time.wall_ms);
         let reply = WorkReply {
-            granted: granted.iter().filter_map(|key| granted_item(batch, key)).collect(),
-            stop: stop.into_iter().map(|(job, item)| ItemId { job, item }).collect(),
+            granted: granted.iter().filter_map(|id| granted_item(batch, id)).collect(),
+            stop,
             lease_ms: u32::try_from(LEASE_DURATION.as_millis()).unwrap_or(u32::MAX),
             peers: granting.gateways.peers_of(&work.gateway, &work.zone, work.peers_digest),
             zone_loads: granting.gateways.zone_loads(),
@@ -709,13 +709,13 @@
     Some(ResultsRange { page, open: job.is_open() })
 }
 
-fn granted_item(batch: &BatchState, key: &ItemKey) -> Option<GrantedItem> {
-    let job = batch.job(&key.0)?;
+fn granted_item(batch: &BatchState, id: &ItemId) -> Option<GrantedItem> {
+    let job = batch.job(&id.job)?;
     Some(GrantedItem {
-        id: ItemId { job: key.0.clone(), item: key.1 },
+        id: id.clone(),
         host: job.host.clone(),
         route: job.route.clone(),
-        item: job.pending_item(key.1)?.clone(),
+        item: job.pending_item(id.item)?.clone(),
         accepted_at_ms: job.accepted_at_ms,
     })
 }
--- a/control-plane/protocol/src/store.rs
+++ b/control-plane/protocol/src/store.rs
@@ -1,6 +1,8 @@
 //! Calls that a store answers.
 
 use crate::load::ZoneLoad;
+pub use marblecroft_batch_state::ItemId;
+
 use marblecroft_batch_state::{Item, ItemOutcome, NewJob};
 use marblecroft_chain_replication::{Append, AppendReply, Install, Status};
 use musli::{Decode, Encode};
@@ -69,14 +71,6 @@
     pub outcome: ItemOutcome,
 }
 
-/// Names an item.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Encode, Decode)]
-pub struct ItemId {
-    pub job: String,
-    /// Its place in the job, counted from 0.
-    pub item: u32,
-}
-
 /// A gateway tells what it runs and has run, and asks for more.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct WorkRequest {
