--- a/data-plane/gateway/src/batch_runner.rs
+++ b/data-plane/gateway/src/batch_runner.rs
@@ -101,7 +101,7 @@
         let running: Vec<ItemId> = self.running.borrow().keys().cloned().collect();
         let room =
             if gateway.state.is_terminating() { 0 } else { MAX_RUNNING_ITEMS.saturating_sub(running.len()) };
-        let zones = gateway.balancer.borrow_mut().zone_means(gateway.now());
+        let zones = gateway.balancer.borrow_mut().zone_averages(gateway.now());
         let slots = gateway.balancer.borrow().total_slots();
         let request = StoreRequest::Work(WorkRequest {
             gateway: gateway.settings.node_name.clone(),
--- a/data-plane/gateway/src/concurrency.rs
+++ b/data-plane/gateway/src/concurrency.rs
@@ -1,15 +1,16 @@
-//! How many requests there are at once, in the mean over the latest time.
+//! The moving average of the live requests that this gateway has at servers at once, which it reports to the stores.
 
+use marblecroft_routing::ewma::Ewma;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// What was so long ago weighs less by a factor of e.
+/// The time constant of the average.
 const TIME_CONSTANT: Duration = Duration::from_millis(800);
 
-/// A count and its mean.
+/// A count of concurrent requests and its moving average.
 pub struct MeanConcurrency {
     count: Cell<usize>,
-    mean: Cell<f64>,
+    average: Cell<Ewma>,
     updated_at: Cell<Instant>,
 }
 
@@ -17,36 +18,38 @@
     fn default() -> MeanConcurrency {
         MeanConcurrency {
             count: Cell::default(),
-            mean: Cell::default(),
+            average: Cell::default(),
             updated_at: Cell::new(Instant::now()),
         }
     }
 }
 
 impl MeanConcurrency {
-    /// One more.
+    /// Counts one more request.
     pub fn enter(&self) {
-        self.update();
+        self.advance();
         self.count.set(self.count.get() + 1);
     }
 
-    /// One less.
+    /// Counts one request less.
     pub fn leave(&self) {
-        self.update();
+        self.advance();
         self.count.set(self.count.get().saturating_sub(1));
     }
 
-    /// The mean.
+    /// Returns the average as of now.
     pub fn recent_mean(&self) -> f64 {
-        self.update();
-        self.mean.get()
+        self.advance();
+        self.average.get().average()
     }
 
-    fn update(&self) {
+    /// Accounts for the time since the last update with the count as it was.
+    fn advance(&self) {
         let now = Instant::now();
-        let spans =
+        let elapsed =
             now.duration_since(self.updated_at.replace(now)).as_secs_f64() / TIME_CONSTANT.as_secs_f64();
-        let count = self.count.get() as f64;
-        self.mean.set(count + (self.mean.get() - count) * (-spans).exp());
+        let mut average = self.average.get();
+        average.advance(self.count.get() as f64, elapsed);
+        self.average.set(average);
     }
 }
--- a/data-plane/gateway/src/gateway.rs
+++ b/data-plane/gateway/src/gateway.rs
@@ -12,7 +12,7 @@
 use marblecroft_configuration::{Configuration, RouteType};
 use marblecroft_routing::admission::{Admission, RouteClass};
 use marblecroft_routing::balance::LoadBalancer;
-use marblecroft_routing::prompt::hash;
+use marblecroft_routing::hash::{fnv1a, unit_interval};
 use marblecroft_routing::tuning::Tuning;
 use marblecroft_routing::Now;
 use marblecroft_settings::Settings;
@@ -63,7 +63,7 @@
     /// The service that a request goes to, by the weights of its route.
     pub fn service_of(&self, route: &marblecroft_configuration::Route, id: &str) -> String {
         let total: f64 = route.backends.iter().map(|(_, weight)| weight).sum();
-        let mut at = (hash(id.as_bytes()) >> 11) as f64 / (1u64 << 53) as f64 * total;
+        let mut at = unit_interval(fnv1a(id.as_bytes())) * total;
         for (name, weight) in &route.backends {
             if at < *weight {
                 return name.clone();
@@ -160,7 +160,7 @@
         .max_blocking_threads(MAX_BLOCKING_THREADS)
         .thread_stack_size(THREAD_STACK_BYTES)
         .build()?;
-    let seed = hash(settings.node_name.as_bytes());
+    let seed = fnv1a(settings.node_name.as_bytes());
     let gateway = Rc::new(Gateway {
         stores: Stores::new(state.clone()),
         pool: ConnectionPool::default(),
--- a/data-plane/gateway/src/load_exchange.rs
+++ b/data-plane/gateway/src/load_exchange.rs
@@ -4,7 +4,7 @@
 use crate::gateway::Gateway;
 use marblecroft_protocol::load::LoadUpdate;
 use marblecroft_protocol::load_address;
-use marblecroft_routing::prompt::hash;
+use marblecroft_routing::hash::fnv1a;
 use marblecroft_rpc::{decode, encode};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -48,7 +48,7 @@
 
 /// Exchanges notices until the process ends.
 pub async fn run(gateway: Rc<Gateway>) {
-    let pause = Duration::from_secs_f64(gateway.tuning.notice_ms / 1000.0);
+    let pause = Duration::from_secs_f64(gateway.tuning.load_update_interval_ms / 1000.0);
     if pause.is_zero() {
         return;
     }
@@ -82,7 +82,7 @@
         }
         (told, told_at, sequence) = (changes, Instant::now(), sequence + 1);
         let servers = gateway.balancer.borrow_mut().take_load_update(gateway.now());
-        let notice = LoadUpdate { gateway: hash(gateway.settings.node_name.as_bytes()), sequence, servers };
+        let notice = LoadUpdate { gateway: fnv1a(gateway.settings.node_name.as_bytes()), sequence, servers };
         let datagram = encode(&notice);
         for peer in &peers {
             // A notice that cannot be sent is like one that is lost.
--- a/data-plane/routing/src/admission.rs
+++ b/data-plane/routing/src/admission.rs
@@ -1,115 +1,143 @@
-//! Admission: whether a request goes on now. The loop, the allocation to priorities and the accumulator are those of the
-//! gateway in service ([`marblecroft_quota_gateway_core::Shedder`]); here they are fed for routes.
+//! Admission control: overload is shed before a request reaches a server, the lowest priority first.
+//!
+//! Overload detection, the allocation of capacity to priorities and the throttle are those of the quota gateway
+//! ([`Shedder`], after Kasera et al.): the loop compares the servers' occupancy with a set point once per
+//! [`ASSESSMENT_INTERVAL`] and corrects the fraction of the demand that is admitted by the ratio. This module feeds it: it
+//! maps routes to its priorities and weighs requests by cost.
+//!
+//! A request passes through [`Admission::admit`] once, before placement; its latency comes back through
+//! [`Admission::record_latency`]. Occupancy is the better signal and is used wherever servers report it. Latencies stand in
+//! for it elsewhere: they show overload only after queues have grown.
+//!
+//! Each gateway runs a loop of its own and admits by what it sees itself. That needs no exchange, but gateways with few
+//! requests of a route admit in coarse steps.
 
 use crate::Now;
 use marblecroft_quota_gateway_core::{Shedder, THROTTLE_STEP};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time between two assessments.
+/// The interval between two assessments of the load.
 pub const ASSESSMENT_INTERVAL: Duration = Duration::from_millis(100);
-/// A rank of a route is worth more than anything that a lower rank can be.
+/// After a gap of more than so many intervals the missed assessments are not made up for.
+const MAX_MISSED_ASSESSMENTS: u32 = 10;
+/// The weight of one level of priority: more than any `value` within a level, so that levels never mix.
 const PRIORITY_WEIGHT: f64 = 1e6;
-/// Weight of a request's cost in its class's average.
+/// Priorities count down from here.
+const MAX_PRIORITY: f64 = 100.0;
+/// The weight of one request in its route's average cost.
 const COST_WEIGHT: f64 = 0.02;
 
-/// What sets a route's place in the order of shedding.
+/// The rank of a route in the order of shedding.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteClass {
+    /// The route's name.
     pub route: String,
-    /// 0 is the highest.
+    /// The level of priority; 0 is the highest and is shed last.
     pub priority: u32,
-    /// Orders routes of one priority.
+    /// Orders the routes of one level: the higher, the later it is shed.
     pub value: f64,
 }
 
-/// The throttle of one gateway.
+impl RouteClass {
+    /// Returns the rank as one number for the shedder.
+    fn weight(&self) -> f64 {
+        self.value + PRIORITY_WEIGHT * (MAX_PRIORITY - f64::from(self.priority))
+    }
+}
+
+/// The admission control of one gateway.
 #[derive(Default)]
 pub struct Admission {
     shedder: Shedder,
-    /// Place of a route in the throttle.
+    /// Indices into `classes` and `average_costs`, by route.
     class_indices: HashMap<String, usize>,
     classes: Vec<RouteClass>,
-    /// Average cost of each class's requests, in tokens.
+    /// The average cost of each class's requests, in tokens; 0 before the first one.
     average_costs: Vec<f64>,
     last_assessed_at: Now,
-    /// Whether the servers tell their load; latencies stand in for it only where they do not.
+    /// Whether servers report their load. Latencies stand in for it only where they do not.
     servers_report_load: bool,
 }
 
 impl Admission {
-    /// Follows the configuration; the fraction that is allowed stays.
+    /// Takes over the routes of a configuration. The admitted fraction and the average costs of routes that stay are kept;
+    /// the demand that the shedder has measured is not. Nothing happens where the classes are as before.
     pub fn configure(&mut self, classes: Vec<RouteClass>) {
         if classes == self.classes && !self.class_indices.is_empty() {
             return;
         }
-        let worths: Vec<f64> = classes
-            .iter()
-            .map(|class| class.value + PRIORITY_WEIGHT * (100.0 - f64::from(class.priority)))
-            .collect();
-        let allowed = if self.class_indices.is_empty() { 1.0 } else { self.shedder.f };
-        self.shedder = Shedder::new(worths.into_iter());
-        self.shedder.f = allowed;
+        let admitted = self.admitted_fraction();
+        self.shedder = Shedder::new(classes.iter().map(RouteClass::weight));
+        self.shedder.f = admitted;
         let costs = classes.iter().map(|class| {
             self.class_indices
                 .get(&class.route)
-                .and_then(|&place| self.average_costs.get(place))
+                .and_then(|&index| self.average_costs.get(index))
                 .copied()
                 .unwrap_or(0.0)
         });
         self.average_costs = costs.collect();
-        self.class_indices = classes.iter().enumerate().map(|(place, c)| (c.route.clone(), place)).collect();
+        self.class_indices =
+            classes.iter().enumerate().map(|(index, class)| (class.route.clone(), index)).collect();
         self.classes = classes;
     }
 
-    /// The average cost of a class against that of the base class, the one whose requests cost the least.
-    fn relative_cost(&self, place: usize) -> f64 {
+    /// Returns the average cost of a class as a multiple of the cheapest class's; 1 where it is not known.
+    fn relative_cost(&self, index: usize) -> f64 {
         let base =
             self.average_costs.iter().copied().filter(|&cost| cost > 0.0).fold(f64::INFINITY, f64::min);
-        if base.is_finite() && self.average_costs[place] > 0.0 {
-            self.average_costs[place] / base
+        if base.is_finite() && self.average_costs[index] > 0.0 {
+            self.average_costs[index] / base
         } else {
             1.0
         }
     }
 
-    /// Whether a request of this route goes on. What goes on counts as sent.
+    /// Decides whether a request of `route` is admitted. One that is counts as sent. `cost` is in tokens. Requests of a
+    /// route that is not configured are admitted.
     pub fn admit(&mut self, route: &str, cost: f64) -> bool {
-        let Some(&place) = self.class_indices.get(route) else { return true };
-        let average = &mut self.average_costs[place];
+        let Some(&index) = self.class_indices.get(route) else { return true };
+        let average = &mut self.average_costs[index];
         *average = if *average > 0.0 { *average + COST_WEIGHT * (cost - *average) } else { cost };
-        let relative = self.relative_cost(place);
-        let passes = self.shedder.pass(place, relative);
-        if passes {
+        let relative = self.relative_cost(index);
+        let is_admitted = self.shedder.pass(index, relative);
+        if is_admitted {
             self.shedder.sent(relative);
         }
-        passes
+        is_admitted
     }
 
-    /// A first event came after `latency`, where `aim` was wanted. A refusal or a time-out counts as the deadline.
-    pub fn record_latency(&mut self, route: &str, latency: Duration, aim: Duration) {
-        let Some(&place) = self.class_indices.get(route) else { return };
-        let late =
-            if self.servers_report_load { 0.0 } else { latency.as_secs_f64() / aim.as_secs_f64().max(1e-3) };
-        let cost = self.relative_cost(place);
-        self.shedder.sample(1.0, cost, late);
+    /// Records the time to the first event of a response, against the route's latency target. A request that was rejected
+    /// by the servers or timed out counts with its time limit.
+    pub fn record_latency(&mut self, route: &str, latency: Duration, target: Duration) {
+        let Some(&index) = self.class_indices.get(route) else { return };
+        let lateness = if self.servers_report_load {
+            0.0
+        } else {
+            latency.as_secs_f64() / target.as_secs_f64().max(1e-3)
+        };
+        let cost = self.relative_cost(index);
+        self.shedder.sample(1.0, cost, lateness);
     }
 
-    /// Assesses the load when a step is over. `occupancy` is how far the servers are taken, where they tell; `idle` says
-    /// that nothing is out.
-    pub fn assess(&mut self, now: Now, occupancy: Option<f64>, lag: Duration, idle: bool) {
+    /// Assesses the load once for each interval that has passed. `occupancy` is the load of the servers as a share of their
+    /// slots, where they report it; `lag` is the time that it takes to show an effect; `is_idle` says that no request is in
+    /// flight.
+    pub fn assess(&mut self, now: Now, occupancy: Option<f64>, lag: Duration, is_idle: bool) {
         self.servers_report_load = occupancy.is_some_and(|occupancy| occupancy > 0.0);
         while now.saturating_sub(self.last_assessed_at) >= ASSESSMENT_INTERVAL {
-            self.last_assessed_at = if now.saturating_sub(self.last_assessed_at) > ASSESSMENT_INTERVAL * 10 {
+            let gap = now.saturating_sub(self.last_assessed_at);
+            self.last_assessed_at = if gap > ASSESSMENT_INTERVAL * MAX_MISSED_ASSESSMENTS {
                 now
             } else {
                 self.last_assessed_at + ASSESSMENT_INTERVAL
             };
-            self.shedder.assess(occupancy, lag.as_secs_f64().max(THROTTLE_STEP), idle);
+            self.shedder.assess(occupancy, lag.as_secs_f64().max(THROTTLE_STEP), is_idle);
         }
     }
 
-    /// The fraction of demand that is allowed.
+    /// Returns the fraction of the demand that is admitted, from 0 to 1.
     pub fn admitted_fraction(&self) -> f64 {
         if self.class_indices.is_empty() {
             1.0
--- a/data-plane/routing/src/prompt.rs
+++ b/data-plane/routing/src/prompt.rs
@@ -1,71 +1,73 @@
-//! What a request tells of its prompt: its size, and the parts that other requests share.
+//! What a request's headers say of its prompt: its size, and the segments that other requests share.
 
-/// A part of a prompt.
+use crate::hash::{fnv1a, splitmix64};
+
+/// The cost of one output token in prompt tokens: a decoding step takes about as long as prefilling so many. The clients'
+/// own measure of a request's size uses the same ratio.
+const OUTPUT_TOKEN_WEIGHT: f64 = 10.0;
+
+/// A segment of a prompt, as `X-Prefix-Hash` names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PromptPart {
-    /// Hash of the part's name.
+pub struct PromptSegment {
+    /// The hash of the segment's id.
     pub id: u64,
+    /// Its length in tokens.
     pub tokens: u32,
 }
 
-/// A request for tokens.
+/// The size and structure of a request's prompt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
+    /// The length of the prompt in tokens.
     pub input_tokens: u32,
-    /// The most tokens out.
+    /// The most tokens that may be generated.
     pub max_output_tokens: u32,
-    /// In order; the last one is the request's own, or its session's.
-    pub parts: Vec<PromptPart>,
+    /// The segments in order. The last one is the request's own, or its session's; those before it may be shared.
+    pub segments: Vec<PromptSegment>,
 }
 
-/// Tokens of one decoding step weigh as much as so many tokens of a prompt, as in the users' own measure of size.
-const OUTPUT_TOKEN_WEIGHT: f64 = 10.0;
-
 impl Prompt {
-    /// From `X-Token-Usage` ("IN,OUT") and `X-Prefix-Hash` ("ID:TOKENS,..."); what cannot be read counts as absent.
+    /// Parses `X-Token-Usage` (`IN,OUT`) and `X-Prefix-Hash` (`ID:TOKENS,...`). What cannot be parsed counts as absent: the
+    /// headers are hints, and a request is served without them too.
+    ///
+    /// ```
+    /// use marblecroft_routing::prompt::Prompt;
+    /// let prompt = Prompt::parse(Some("1460,80"), Some("5c1e07a2:800,91bd3f06:410,e4402b7d:250"));
+    /// assert_eq!(prompt.input_tokens, 1460);
+    /// assert_eq!(prompt.shared_tokens(), 1210);
+    /// ```
     pub fn parse(usage: Option<&str>, prefixes: Option<&str>) -> Prompt {
-        let (tokens_in, tokens_out) = usage.and_then(|usage| usage.split_once(',')).unwrap_or(("0", "0"));
+        let (input, output) = usage.and_then(|usage| usage.split_once(',')).unwrap_or(("0", "0"));
         let number = |text: &str| text.trim().parse().unwrap_or(0);
-        let parts = prefixes.into_iter().flat_map(|list| list.split(',')).filter_map(|part| {
-            let (id, tokens) = part.trim().split_once(':')?;
-            Some(PromptPart { id: hash(id.as_bytes()), tokens: number(tokens) })
+        let segments = prefixes.into_iter().flat_map(|list| list.split(',')).filter_map(|segment| {
+            let (id, tokens) = segment.trim().split_once(':')?;
+            Some(PromptSegment { id: fnv1a(id.as_bytes()), tokens: number(tokens) })
         });
         Prompt {
-            input_tokens: number(tokens_in),
-            max_output_tokens: number(tokens_out),
-            parts: parts.collect(),
+            input_tokens: number(input),
+            max_output_tokens: number(output),
+            segments: segments.collect(),
         }
     }
 
-    /// Its cost in tokens of a prompt.
+    /// Returns the cost of the request in prompt tokens.
     pub fn cost(&self) -> f64 {
         f64::from(self.input_tokens) + OUTPUT_TOKEN_WEIGHT * f64::from(self.max_output_tokens)
     }
 
-    /// The parts that other requests may share, as one key; equal keys have equal shared parts.
+    fn shared_segments(&self) -> &[PromptSegment] {
+        &self.segments[..self.segments.len().saturating_sub(1)]
+    }
+
+    /// Returns the key of the shared prefix, all segments but the last; `None` where nothing is shared. Prompts with the
+    /// same shared segments have the same key.
     pub fn prefix_key(&self) -> Option<u64> {
-        let shared = self.parts.len().checked_sub(1).filter(|&shared| shared > 0)?;
-        Some(self.parts[..shared].iter().fold(0, |key, part| mix(key ^ part.id)))
+        let shared = self.shared_segments();
+        (!shared.is_empty()).then(|| shared.iter().fold(0, |key, segment| splitmix64(key ^ segment.id)))
     }
 
-    /// Tokens of those parts.
+    /// Returns the length of the shared prefix in tokens.
     pub fn shared_tokens(&self) -> u32 {
-        let shared = self.parts.len().saturating_sub(1);
-        self.parts[..shared].iter().map(|part| part.tokens).sum()
+        self.shared_segments().iter().map(|segment| segment.tokens).sum()
     }
 }
-
-/// FNV-1a, 64 bits.
-pub fn hash(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash: u64, byte| {
-        (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
-    })
-}
-
-/// Spreads the bits of a number over all of it (the finalizer of SplitMix64).
-pub fn mix(value: u64) -> u64 {
-    let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    value ^ (value >> 31)
-}
--- a/data-plane/routing/src/tuning.rs
+++ b/data-plane/routing/src/tuning.rs
@@ -1,69 +1,110 @@
-//! The constants of placement, in one table: each with its unit, and why it is what it is. `marblecroft gateway --tune
-//! NAME=VALUE` sets one for a trial; operators have no need of them.
+//! The constants of placement, in one table: each with its name on the command line, its unit, its default, and the reason
+//! for it. `marblecroft-data-plane gateway --tune NAME=VALUE` sets one for a trial; operators have no need of them.
 
+use quick_error::quick_error;
 use std::time::Duration;
 
+quick_error! {
+    /// Why a setting of the form `NAME=VALUE` is refused; the text is one line for the operator.
+    #[derive(Debug, Clone, PartialEq, Eq)]
+    pub enum TuningError {
+        /// It has no `=`.
+        NoValue(setting: String) {
+            display("{setting}: expected NAME=VALUE")
+        }
+        /// Its value is not a number.
+        NotANumber(setting: String) {
+            display("{setting}: expected a number")
+        }
+        /// No constant has this name.
+        UnknownName(name: String) {
+            display("{name}: no such constant")
+        }
+    }
+}
+
+/// Defines [`Tuning`] from rows `"name on the command line" => field = default`.
 macro_rules! tuning {
-    ($($(#[$doc:meta])* $name:ident = $default:expr;)*) => {
+    ($($(#[$doc:meta])* $name:literal => $field:ident = $default:expr;)*) => {
         /// The constants of placement.
         #[derive(Clone, Debug, PartialEq)]
         pub struct Tuning {
-            $($(#[$doc])* pub $name: f64,)*
+            $($(#[$doc])* pub $field: f64,)*
         }
 
         impl Default for Tuning {
             fn default() -> Tuning {
-                Tuning { $($name: $default,)* }
+                Tuning { $($field: $default,)* }
             }
         }
 
         impl Tuning {
-            /// Sets one constant, from "NAME=VALUE".
-            pub fn set(&mut self, setting: &str) -> Result<(), String> {
-                let (name, value) = setting.split_once('=').ok_or(format!("{setting}: expected NAME=VALUE"))?;
-                let value: f64 = value.parse().map_err(|_| format!("{setting}: expected a number"))?;
+            /// Returns the field of a name on the command line.
+            fn field_mut(&mut self, name: &str) -> Option<&mut f64> {
                 match name {
-                    $(stringify!($name) => self.$name = value,)*
-                    _ => return Err(format!("{name}: no such constant")),
+                    $($name => Some(&mut self.$field),)*
+                    _ => None,
                 }
-                Ok(())
             }
         }
     };
 }
 
 tuning! {
-    /// What others have at a server is taken to halve in this time after it was told, in milliseconds.
-    told_half_life_ms = 1500.0;
-    /// What another gateway has told of its requests counts for this time, in milliseconds; gateways tell more often.
-    peer_lasts_ms = 1500.0;
-    /// Memory of the means that gateways tell of each zone, in milliseconds.
-    mean_memory_ms = 400.0;
-    /// What was told of all gateways counts for this time, in milliseconds; it comes every 250.
-    zone_lasts_ms = 1500.0;
-    /// Load, as a share of a server's slots, that a server of another zone is taken to have on top.
-    other_zone_load = 0.2;
-    /// Load, as a share of a server's slots, that one is taken to have on top that has probably not kept the shared parts.
-    not_kept_load = 0.08;
-    /// Tokens of prompts that a server is taken to read in a millisecond, while it does nothing else.
-    read_per_ms = 60.0;
-    /// So many tokens to read make a server as dear as if all its slots were taken: streams there pause while it reads.
-    reading_scale_tokens = 8000.0;
-    /// Load, as a share of a server's slots, up to which servers are chosen by chance.
-    chance_load = 0.04;
-    /// The share of requests that fail at a server halves in this time, in milliseconds, where it gets none.
-    failing_half_life_ms = 3000.0;
-    /// Weight of one outcome in the share of requests that fail.
-    failing_weight = 0.3;
-    /// Load, as a share of its slots, that a server is taken to have on top at which all requests fail.
-    failing_load = 1.5;
-    /// Pause between two notices to other gateways of the zone, in milliseconds; 0: none are sent.
-    notice_ms = 30.0;
-    /// Servers that a prompt's shared parts are spread over.
-    keepers = 3.0;
+    /// The half-life of a server's own report of its load, in milliseconds: what other gateways have there is taken to halve
+    /// in this time.
+    "told_half_life_ms" => reported_load_half_life_ms = 1500.0;
+    /// The time for which a peer gateway's update of its load counts, in milliseconds. Updates come far more often.
+    "peer_lasts_ms" => peer_load_ttl_ms = 1500.0;
+    /// The time constant of the moving averages of load by zone, in milliseconds.
+    "mean_memory_ms" => zone_average_time_constant_ms = 400.0;
+    /// The time for which a report of the load of all gateways counts, in milliseconds. It comes every 250.
+    "zone_lasts_ms" => cluster_load_ttl_ms = 1500.0;
+    /// The penalty of a server in another zone, as a share of its slots.
+    "other_zone_load" => other_zone_load = 0.2;
+    /// The penalty of a server that probably has not cached the prompt's shared prefix, as a share of its slots.
+    "not_kept_load" => cold_prefix_penalty = 0.08;
+    /// The prompt tokens that a server is taken to prefill in a millisecond.
+    "read_per_ms" => prefill_tokens_per_ms = 60.0;
+    /// The prompt tokens to prefill that cost as much as all slots of the server: decoding stalls during prefill.
+    "reading_scale_tokens" => prefill_scale_tokens = 8000.0;
+    /// The upper bound of the random term, as a share of a server's slots. Servers that differ by less are chosen by chance.
+    "chance_load" => jitter = 0.04;
+    /// The half-life of a server's failure rate, in milliseconds, while it gets no requests.
+    "failing_half_life_ms" => failure_rate_half_life_ms = 3000.0;
+    /// The weight of one outcome in the failure rate.
+    "failing_weight" => failure_rate_weight = 0.3;
+    /// The penalty of a server at which all requests fail, as a share of its slots.
+    "failing_load" => failure_penalty = 1.5;
+    /// The least interval between two load updates to the gateways of the zone, in milliseconds; 0 turns them off.
+    "notice_ms" => load_update_interval_ms = 30.0;
+    /// The number of servers that share the prompts of one prefix. Truncated to a whole number.
+    "keepers" => affine_servers = 3.0;
+}
+
+impl Tuning {
+    /// Sets one constant, from `NAME=VALUE`.
+    ///
+    /// # Errors
+    ///
+    /// Where the setting has another form, or no constant has the name. All constants are then as before.
+    ///
+    /// ```
+    /// let mut tuning = marblecroft_routing::tuning::Tuning::default();
+    /// tuning.set("keepers=2").unwrap();
+    /// assert_eq!(tuning.affine_servers, 2.0);
+    /// ```
+    pub fn set(&mut self, setting: &str) -> Result<(), TuningError> {
+        let no_value = || TuningError::NoValue(setting.to_owned());
+        let (name, value) = setting.split_once('=').ok_or_else(no_value)?;
+        let value = value.parse().map_err(|_| TuningError::NotANumber(setting.to_owned()))?;
+        let field = self.field_mut(name).ok_or_else(|| TuningError::UnknownName(name.to_owned()))?;
+        *field = value;
+        Ok(())
+    }
 }
 
-/// Milliseconds as a time.
-pub(crate) fn millis(value: f64) -> Duration {
-    Duration::from_secs_f64(value.max(0.0) / 1000.0)
+/// Returns a number of milliseconds as a duration; 0 for a negative one.
+pub(crate) fn duration_from_ms(ms: f64) -> Duration {
+    Duration::from_secs_f64(ms.max(0.0) / 1000.0)
 }
--- a/data-plane/routing/tests/golden.rs
+++ b/data-plane/routing/tests/golden.rs
@@ -1,17 +1,18 @@
-//! The numbers that choose servers keep their values: hashes of names, keys of prompts' shared parts, and the choices that
-//! follow from them. Gateways that run different programs are to name servers alike and to send like prompts alike.
+//! Pins the numbers that placement rests on: hashes of names, keys of shared prefixes, and the choices that follow from them.
+//! Gateways of different releases must rank servers alike and name them alike.
 
 use marblecroft_protocol::servers::{Server, ServerList};
 use marblecroft_routing::balance::{LoadBalancer, PlacementRequest};
-use marblecroft_routing::prompt::{hash, mix, Prompt, PromptPart};
+use marblecroft_routing::hash::{fnv1a, splitmix64};
+use marblecroft_routing::prompt::{Prompt, PromptSegment};
 use marblecroft_routing::tuning::Tuning;
 use std::time::Duration;
 
 #[test]
-fn hashes_of_names_keep_their_values() {
+fn fnv1a_hashes_keep_their_values() {
     let names: [&[u8]; 4] = [b"", b"a", b"gateway-1", b"server-0123456789"];
     assert_eq!(
-        names.map(hash),
+        names.map(fnv1a),
         [
             14_695_981_039_346_656_037,
             12_638_187_200_555_641_996,
@@ -22,9 +23,9 @@
 }
 
 #[test]
-fn spread_numbers_keep_their_values() {
+fn splitmix64_keeps_its_values() {
     assert_eq!(
-        [0, 1, 0x0123_4567_89ab_cdef, u64::MAX].map(mix),
+        [0, 1, 0x0123_4567_89ab_cdef, u64::MAX].map(splitmix64),
         [
             16_294_208_416_658_607_535,
             10_451_216_379_200_822_465,
@@ -35,15 +36,15 @@
 }
 
 #[test]
-fn keys_of_prompts_keep_their_values() {
+fn prefix_keys_keep_their_values() {
     let prompt = Prompt::parse(Some("1460,80"), Some("5c1e07a2:800, 91bd3f06:410,e4402b7d:250"));
-    let part = |id, tokens| PromptPart { id, tokens };
-    let parts = vec![
-        part(17_407_074_884_502_035_781, 800),
-        part(7_970_587_945_965_462_874, 410),
-        part(7_310_267_169_902_242_791, 250),
+    let segment = |id, tokens| PromptSegment { id, tokens };
+    let segments = vec![
+        segment(17_407_074_884_502_035_781, 800),
+        segment(7_970_587_945_965_462_874, 410),
+        segment(7_310_267_169_902_242_791, 250),
     ];
-    assert_eq!(prompt, Prompt { input_tokens: 1460, max_output_tokens: 80, parts });
+    assert_eq!(prompt, Prompt { input_tokens: 1460, max_output_tokens: 80, segments });
     assert_eq!(prompt.prefix_key(), Some(11_749_453_319_025_264_180));
     assert_eq!((prompt.shared_tokens(), prompt.cost()), (1210, 2260.0));
 }
@@ -61,17 +62,16 @@
 }
 
 #[test]
-fn a_prompt_with_shared_parts_goes_to_the_same_servers() {
+fn prompts_with_a_shared_prefix_go_to_the_same_servers() {
     let list = ServerList { servers: (0..12).map(server).collect(), ..ServerList::default() };
     let choices = ["5c1e07a2:800,x:1", "91bd3f06:410,x:1", "e4402b7d:250,x:1"].map(|prefixes| {
-        let mut fleet = LoadBalancer::new("a", 7, Tuning::default());
-        fleet.update(&list);
-        let shared = Prompt::parse(None, Some(prefixes)).prefix_key();
-        let wish =
-            PlacementRequest { service: "s", prefix_key: shared, attempted: &[], max_load: f64::INFINITY };
+        let mut balancer = LoadBalancer::new("a", 7, Tuning::default());
+        balancer.update(&list);
+        let prefix_key = Prompt::parse(None, Some(prefixes)).prefix_key();
+        let request = PlacementRequest { service: "s", prefix_key, attempted: &[], max_load: f64::INFINITY };
         [(); 4].map(|()| {
-            let id = fleet.choose(&wish, Duration::from_secs(1)).expect("a server").id;
-            fleet.on_sent(&id, 500, Duration::from_secs(1));
+            let id = balancer.choose(&request, Duration::from_secs(1)).expect("a server").id;
+            balancer.on_sent(&id, 500, Duration::from_secs(1));
             id
         })
     });
--- a/data-plane/routing/tests/routing.rs
+++ b/data-plane/routing/tests/routing.rs
@@ -1,10 +1,11 @@
-//! Events however they are cut, prompts, and where requests go.
+//! Event splitting, prompt headers, placement, admission and tuning, through the public interface.
 
 use marblecroft_protocol::load::ZoneLoad;
 use marblecroft_protocol::servers::{Server, ServerList};
 use marblecroft_routing::admission::{Admission, RouteClass};
 use marblecroft_routing::balance::{LoadBalancer, PlacementRequest, ReportedLoad, ServerOutcome};
 use marblecroft_routing::events::EventSplitter;
+use marblecroft_routing::ewma::Ewma;
 use marblecroft_routing::prompt::Prompt;
 use marblecroft_routing::tuning::Tuning;
 use std::time::Duration;
@@ -12,19 +13,19 @@
 const STREAM: &str = "id: 1\ndata: one\n\nid: 2\r\ndata: two\r\ndata: lines\r\n\r\ndata:three\n\n";
 
 #[test]
-fn events_are_the_same_however_the_stream_is_cut() {
+fn events_do_not_depend_on_how_the_stream_is_chunked() {
     arbtest::arbtest(|u| {
         let mut splitter = EventSplitter::default();
         let (mut rest, mut events) = (STREAM.as_bytes(), Vec::new());
         while !rest.is_empty() {
-            let (part, behind) = rest.split_at(u.int_in_range(1..=rest.len())?);
-            splitter.push(part);
-            rest = behind;
+            let (chunk, remaining) = rest.split_at(u.int_in_range(1..=rest.len())?);
+            splitter.push(chunk);
+            rest = remaining;
             events.extend(std::iter::from_fn(|| splitter.next_event()));
         }
         assert!(!splitter.is_partial());
-        let told: Vec<_> = events.iter().map(|event| (event.id, event.data.as_str())).collect();
-        assert_eq!(told, [(Some(1), "one"), (Some(2), "two\nlines"), (None, "three")]);
+        let fields: Vec<_> = events.iter().map(|event| (event.id, event.data.as_str())).collect();
+        assert_eq!(fields, [(Some(1), "one"), (Some(2), "two\nlines"), (None, "three")]);
         let bytes: Vec<u8> = events.into_iter().flat_map(|event| event.bytes).collect();
         assert_eq!(bytes, STREAM.as_bytes());
         Ok(())
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn a_prompt_is_read_from_its_headers() {
+fn a_prompt_is_parsed_from_its_headers() {
     let prompt = Prompt::parse(Some("1460,80"), Some("5c1e07a2:800,91bd3f06:410,e4402b7d:250"));
     assert_eq!((prompt.input_tokens, prompt.max_output_tokens, prompt.shared_tokens()), (1460, 80, 1210));
     let other = Prompt::parse(Some("9,9"), Some("5c1e07a2:800,91bd3f06:410,ffff:1"));
@@ -54,36 +55,36 @@
     }
 }
 
-fn choose(fleet: &mut LoadBalancer, tried: &[String], load_most: f64) -> Option<String> {
-    let wish = PlacementRequest { service: "s", prefix_key: None, attempted: tried, max_load: load_most };
-    fleet.choose(&wish, Duration::from_secs(1)).map(|server| server.id)
+fn choose(balancer: &mut LoadBalancer, attempted: &[String], max_load: f64) -> Option<String> {
+    let request = PlacementRequest { service: "s", prefix_key: None, attempted, max_load };
+    balancer.choose(&request, Duration::from_secs(1)).map(|server| server.id)
 }
 
 #[test]
-fn requests_go_to_the_least_taken_server_of_the_own_zone_that_is_not_draining() {
-    let mut fleet = LoadBalancer::new("a", 1, Tuning::default());
+fn requests_go_to_the_least_loaded_available_server_of_the_local_zone() {
+    let mut balancer = LoadBalancer::new("a", 1, Tuning::default());
     let mut list = ServerList { servers: vec![server("x", "a"), server("y", "b")], ..ServerList::default() };
-    fleet.update(&list);
+    balancer.update(&list);
     let now = Duration::from_secs(1);
-    assert_eq!(choose(&mut fleet, &[], f64::INFINITY).as_deref(), Some("x"));
-    assert_eq!(choose(&mut fleet, &["x".to_owned()], f64::INFINITY).as_deref(), Some("y"));
-    fleet.on_reported_load("x", ReportedLoad { running: 6, waiting: 0, slots: 8 }, now);
-    assert_eq!(choose(&mut fleet, &[], f64::INFINITY).as_deref(), Some("y"));
-    fleet.on_outcome("y", ServerOutcome::Failed, now);
-    assert_eq!(choose(&mut fleet, &[], f64::INFINITY).as_deref(), Some("x"));
-    assert_eq!(choose(&mut fleet, &[], 0.5), None, "x is taken further, y is avoided");
+    assert_eq!(choose(&mut balancer, &[], f64::INFINITY).as_deref(), Some("x"));
+    assert_eq!(choose(&mut balancer, &["x".to_owned()], f64::INFINITY).as_deref(), Some("y"));
+    balancer.on_reported_load("x", ReportedLoad { running: 6, waiting: 0, slots: 8 }, now);
+    assert_eq!(choose(&mut balancer, &[], f64::INFINITY).as_deref(), Some("y"));
+    balancer.on_outcome("y", ServerOutcome::Failed, now);
+    assert_eq!(choose(&mut balancer, &[], f64::INFINITY).as_deref(), Some("x"));
+    assert_eq!(choose(&mut balancer, &[], 0.5), None, "x is above the limit, y is ejected");
     list.servers[0].draining = true;
-    fleet.update(&list);
-    assert!(!fleet.is_available("x"));
+    balancer.update(&list);
+    assert!(!balancer.is_available("x"));
     assert_eq!(
-        choose(&mut fleet, &[], f64::INFINITY).as_deref(),
+        choose(&mut balancer, &[], f64::INFINITY).as_deref(),
         Some("y"),
-        "the only one is tried all the same"
+        "the last available server is chosen although it is ejected"
     );
 }
 
 #[test]
-fn overload_is_shed_from_the_lowest_priority_up() {
+fn overload_sheds_the_lowest_priority_first() {
     let mut admission = Admission::default();
     let class = |route: &str, priority| RouteClass { route: route.to_owned(), priority, value: 1.0 };
     admission.configure(vec![class("high", 0), class("low", 2)]);
@@ -103,102 +104,145 @@
 }
 
 #[test]
-fn what_other_gateways_have_at_a_server_counts_until_it_is_old() {
-    let (mut own, mut other) = (fleet_of_two("a"), fleet_of_two("a"));
+fn peer_load_counts_until_it_expires() {
+    let (mut own, mut other) = (balancer_of_two("a"), balancer_of_two("a"));
     let at = Duration::from_millis;
     for _ in 0..5 {
         other.on_sent("near", 10, at(1000));
     }
     own.on_peer_load(7, &other.take_load_update(at(1200)), at(1000));
-    assert_eq!(choose_at(&mut own, at(1100)).as_deref(), Some("near-too"), "the other one is taken");
+    assert_eq!(choose_at(&mut own, at(1100)).as_deref(), Some("near-too"), "the other one is loaded");
     assert_eq!(
         other
             .take_load_update(at(1200))
             .iter()
-            .map(|told| (told.in_flight, told.prompt_tokens))
+            .map(|load| (load.in_flight, load.prompt_tokens))
             .collect::<Vec<_>>(),
         [(5, 0)]
     );
     (0..5).for_each(|_| other.on_finished("near", at(1200)));
     own.on_peer_load(7, &other.take_load_update(at(1200)), at(1200));
     own.on_sent("near-too", 10, at(1200));
-    assert_eq!(choose_at(&mut own, at(1200)).as_deref(), Some("near"), "what is told last counts");
+    assert_eq!(choose_at(&mut own, at(1200)).as_deref(), Some("near"), "the latest update counts");
     (0..5).for_each(|_| other.on_sent("near", 10, at(1300)));
     own.on_peer_load(7, &other.take_load_update(at(1200)), at(1300));
     assert_eq!(choose_at(&mut own, at(1400)).as_deref(), Some("near-too"));
     assert_eq!(
         choose_at(&mut own, at(9000)).as_deref(),
         Some("near"),
-        "a gateway that is gone has nothing out"
+        "the load of a silent gateway expires"
     );
 }
 
 #[test]
-fn a_server_of_another_zone_is_taken_to_be_as_full_as_that_zone_is() {
+fn a_server_of_another_zone_has_at_least_the_occupancy_of_that_zone() {
     let at = Duration::from_millis;
     let list = ServerList { servers: vec![server("near", "a"), server("far", "b")], ..ServerList::default() };
-    let mut fleet = LoadBalancer::new("a", 1, Tuning::default());
-    fleet.update(&list);
-    (0..5).for_each(|_| fleet.on_sent("near", 0, at(0)));
-    assert_eq!(choose_at(&mut fleet, at(1000)).as_deref(), Some("far"), "nothing is known of the other zone");
+    let mut balancer = LoadBalancer::new("a", 1, Tuning::default());
+    balancer.update(&list);
+    (0..5).for_each(|_| balancer.on_sent("near", 0, at(0)));
+    assert_eq!(
+        choose_at(&mut balancer, at(1000)).as_deref(),
+        Some("far"),
+        "the load of the other zone is unknown"
+    );
     let zones = [
         ZoneLoad { zone: "a".to_owned(), in_flight: 5.0 },
         ZoneLoad { zone: "b".to_owned(), in_flight: 6.0 },
     ];
-    fleet.on_cluster_load(&zones, 3.0, at(1000));
-    assert_eq!(choose_at(&mut fleet, at(1100)).as_deref(), Some("near"), "the other zone is fuller");
+    balancer.on_cluster_load(&zones, 3.0, at(1000));
+    assert_eq!(choose_at(&mut balancer, at(1100)).as_deref(), Some("near"), "the other zone is more loaded");
     assert_eq!(
-        fleet.occupancy("s", at(1100)),
+        balancer.occupancy("s", at(1100)),
         Some(3.0 / 16.0),
         "live requests of all gateways over all slots"
     );
-    assert_eq!(choose_at(&mut fleet, at(9000)).as_deref(), Some("far"), "it is old");
-    let means = fleet.zone_means(at(9000));
-    assert!(means.iter().any(|mean| mean.zone == "a" && mean.in_flight > 4.9), "{means:?}");
+    assert_eq!(choose_at(&mut balancer, at(9000)).as_deref(), Some("far"), "the report has expired");
+    let averages = balancer.zone_averages(at(9000));
+    assert!(averages.iter().any(|average| average.zone == "a" && average.in_flight > 4.9), "{averages:?}");
 }
 
-fn fleet_of_two(zone: &str) -> LoadBalancer {
+fn balancer_of_two(zone: &str) -> LoadBalancer {
     let list =
         ServerList { servers: vec![server("near", zone), server("near-too", zone)], ..ServerList::default() };
-    let mut fleet = LoadBalancer::new(zone, 1, Tuning::default());
-    fleet.update(&list);
-    fleet
+    let mut balancer = LoadBalancer::new(zone, 1, Tuning::default());
+    balancer.update(&list);
+    balancer
 }
 
-fn choose_at(fleet: &mut LoadBalancer, now: Duration) -> Option<String> {
-    let wish = PlacementRequest { service: "s", prefix_key: None, attempted: &[], max_load: f64::INFINITY };
-    fleet.choose(&wish, now).map(|server| server.id)
+fn choose_at(balancer: &mut LoadBalancer, now: Duration) -> Option<String> {
+    let request =
+        PlacementRequest { service: "s", prefix_key: None, attempted: &[], max_load: f64::INFINITY };
+    balancer.choose(&request, now).map(|server| server.id)
 }
 
 #[test]
-fn a_server_at_which_requests_fail_gets_less_than_its_peers_and_is_tried_again_in_time() {
+fn a_failing_server_gets_less_traffic_and_recovers_with_time() {
     let at = Duration::from_millis;
-    let (mut own, mut other) = (fleet_of_two("a"), fleet_of_two("a"));
+    let (mut own, mut other) = (balancer_of_two("a"), balancer_of_two("a"));
     // Every other request fails, at once, so that the server looks idle.
     for _ in 0..5 {
         own.on_outcome("near", ServerOutcome::Failed, at(1000));
         own.on_outcome("near", ServerOutcome::Succeeded, at(1000));
     }
     own.on_sent("near-too", 0, at(1000));
-    assert_eq!(choose_at(&mut own, at(1100)).as_deref(), Some("near-too"), "although it is taken more");
+    assert_eq!(choose_at(&mut own, at(1100)).as_deref(), Some("near-too"), "although its load is higher");
     other.on_peer_load(1, &own.take_load_update(at(1100)), at(1100));
-    assert_eq!(choose_at(&mut other, at(1200)).as_deref(), Some("near-too"), "gateways tell each other");
-    let told = other.take_load_update(at(1200));
-    assert!(told.iter().all(|told| told.failure_share == 0), "what was told is not told on: {told:?}");
+    assert_eq!(choose_at(&mut other, at(1200)).as_deref(), Some("near-too"), "peers report failure rates");
+    let update = other.take_load_update(at(1200));
+    assert!(
+        update.iter().all(|load| load.failure_share == 0),
+        "reported rates are not passed on: {update:?}"
+    );
     (0..3).for_each(|_| other.on_sent("near-too", 0, at(1200)));
-    assert_eq!(choose_at(&mut other, at(15_000)).as_deref(), Some("near"), "it is tried again");
+    assert_eq!(choose_at(&mut other, at(15_000)).as_deref(), Some("near"), "the rate has decayed");
     for id in ["near", "near-too"] {
         (0..9).for_each(|_| other.on_outcome(id, ServerOutcome::Failed, at(20_000)));
     }
-    assert!(choose_at(&mut other, at(26_000)).is_some(), "where all fail there is no better one");
+    assert!(choose_at(&mut other, at(26_000)).is_some(), "where all fail one is chosen all the same");
 }
 
 #[test]
-fn a_constant_is_set_by_its_name_or_refused_in_one_line() {
+fn a_constant_is_set_by_its_flag_name_or_refused_with_one_line() {
     let mut tuning = Tuning::default();
     assert_eq!(tuning.set("other_zone_load=0.5"), Ok(()));
     assert_eq!(tuning.other_zone_load, 0.5);
-    assert_eq!(tuning.set("other_zone_load=x"), Err("other_zone_load=x: expected a number".to_owned()));
-    assert_eq!(tuning.set("nothing=1"), Err("nothing: no such constant".to_owned()));
-    assert_eq!(tuning.set("nothing"), Err("nothing: expected NAME=VALUE".to_owned()));
+    let mut refusal = |setting: &str| tuning.set(setting).map_err(|e| e.to_string());
+    assert_eq!(refusal("other_zone_load=x"), Err("other_zone_load=x: expected a number".to_owned()));
+    assert_eq!(refusal("nothing=1"), Err("nothing: no such constant".to_owned()));
+    assert_eq!(refusal("nothing"), Err("nothing: expected NAME=VALUE".to_owned()));
+}
+
+#[test]
+fn the_flag_names_of_all_constants_are_accepted() {
+    let names = [
+        "told_half_life_ms",
+        "peer_lasts_ms",
+        "mean_memory_ms",
+        "zone_lasts_ms",
+        "other_zone_load",
+        "not_kept_load",
+        "read_per_ms",
+        "reading_scale_tokens",
+        "chance_load",
+        "failing_half_life_ms",
+        "failing_weight",
+        "failing_load",
+        "notice_ms",
+        "keepers",
+    ];
+    for name in names {
+        let mut tuning = Tuning::default();
+        assert_eq!(tuning.set(&format!("{name}=0.125")), Ok(()));
+        assert_ne!(tuning, Tuning::default(), "{name}");
+    }
+}
+
+#[test]
+fn an_average_advances_in_one_step_as_in_many() {
+    let (mut once, mut often) = (Ewma::default(), Ewma::default());
+    once.advance(8.0, 1.0);
+    (0..10).for_each(|_| often.advance(8.0, 0.1));
+    assert!((once.average() - often.average()).abs() < 1e-9, "{once:?} {often:?}");
+    assert!((Ewma::rising_from_zero(8.0, 1.0).average() - once.average()).abs() < 1e-9);
 }
