--- a/data-plane/gateway/src/state.rs
+++ b/data-plane/gateway/src/state.rs
@@ -1,4 +1,7 @@
 //! What the threads of a gateway share: the newest configuration, list of servers and view of the stores.
+//!
+//! The puller's thread writes it, everybody else takes snapshots. Each of the three carries a version of its own and is
+//! replaced only by a newer one, so that a slow coordinator cannot take a gateway back.
 
 use marblecroft_chain_replication::View;
 use marblecroft_configuration::Configuration;
@@ -9,20 +12,54 @@
 use tokio::sync::Notify;
 use tracing::{info, warn};
 
-/// The newest of each that this process knows. Nothing of it goes back within the process's life.
+/// The newest of each that this process knows. Cheap to clone.
 #[derive(Clone, Default)]
 pub struct Snapshot {
+    /// The configuration in force; `None` until the first one has come.
     pub configuration: Option<Arc<Configuration>>,
+    /// The model servers; empty until the first list has come.
     pub servers: Arc<ServerList>,
+    /// The view of the stores; number 0 until the first one has come.
     pub stores: Arc<View>,
+    /// The versions of the three.
     pub versions: VersionVector,
 }
 
-/// Shared by all threads.
+impl Snapshot {
+    /// Takes over each part that is newer. A configuration that cannot be parsed is passed over, and its version with it.
+    fn update(&mut self, updates: ConfigurationUpdates) {
+        if let Some(update) = updates.configuration {
+            if update.sequence > self.versions.configuration {
+                match Configuration::parse(&update.body.0) {
+                    Ok(configuration) => {
+                        info!(generation = %configuration.generation, "configuration in force");
+                        self.configuration = Some(Arc::new(configuration));
+                        self.versions.configuration = update.sequence;
+                    }
+                    Err(e) => warn!(error = %e, "configuration cannot be parsed"),
+                }
+            }
+        }
+        if let Some(list) = updates.servers {
+            if list.version > self.versions.servers {
+                self.versions.servers = list.version;
+                self.servers = Arc::new(list);
+            }
+        }
+        if let Some(view) = updates.stores {
+            if view.number > self.versions.stores {
+                self.versions.stores = view.number;
+                self.stores = Arc::new(view);
+            }
+        }
+    }
+}
+
+/// The shared state.
 #[derive(Default)]
 pub struct State {
     snapshot: Mutex<Snapshot>,
-    /// Something has changed.
+    /// Notified after each update, and when the process begins to end.
     pub changed: Notify,
     terminating: AtomicBool,
 }
@@ -32,59 +69,36 @@
         self.snapshot.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The newest of each.
+    /// Returns the newest of each.
     pub fn snapshot(&self) -> Snapshot {
         self.lock().clone()
     }
 
+    /// Returns the versions of the newest of each.
     pub fn versions(&self) -> VersionVector {
         self.lock().versions
     }
 
-    /// Whether clients can be served.
+    /// Whether clients can be served: configuration and servers are known, and the process does not end.
     pub fn is_ready(&self) -> bool {
-        let known = self.lock();
-        known.configuration.is_some() && !known.servers.servers.is_empty() && !self.is_terminating()
+        let snapshot = self.lock();
+        snapshot.configuration.is_some() && !snapshot.servers.servers.is_empty() && !self.is_terminating()
     }
 
+    /// Whether the process has begun to end.
     pub fn is_terminating(&self) -> bool {
         self.terminating.load(Ordering::Relaxed)
     }
 
-    /// The process is to end.
+    /// Makes readiness fail and new work stop, because the process is to end.
     pub fn terminate(&self) {
         self.terminating.store(true, Ordering::Relaxed);
         self.changed.notify_waiters();
     }
 
-    /// Takes what a coordinator told, as far as it is newer.
+    /// Takes over what a coordinator sent, as far as it is newer.
     pub fn update(&self, updates: ConfigurationUpdates) {
-        let mut known = self.lock();
-        if let Some(update) = updates.configuration {
-            if update.sequence > known.versions.configuration {
-                match Configuration::parse(&update.body.0) {
-                    Ok(configuration) => {
-                        info!("configuration {} is in force", configuration.generation);
-                        known.configuration = Some(Arc::new(configuration));
-                        known.versions.configuration = update.sequence;
-                    }
-                    Err(e) => warn!("a configuration cannot be read: {e}"),
-                }
-            }
-        }
-        if let Some(list) = updates.servers {
-            if list.version > known.versions.servers {
-                known.versions.servers = list.version;
-                known.servers = Arc::new(list);
-            }
-        }
-        if let Some(view) = updates.stores {
-            if view.number > known.versions.stores {
-                known.versions.stores = view.number;
-                known.stores = Arc::new(view);
-            }
-        }
-        drop(known);
+        self.lock().update(updates);
         self.changed.notify_waiters();
     }
 }
