--- /dev/null
+++ b/data-plane/gateway/src/batch_api/call.rs
@@ -0,0 +1,69 @@
+//! Calls on jobs that were submitted, as clients write them in path and query.
+
+use crate::request::BufferedRequest;
+use hyper::Method;
+
+const JOBS_PATH_PREFIX: &str = "/-/lots/";
+const ITEMS_PATH_PREFIX: &str = "/-/items/";
+
+/// A call on a job.
+#[derive(Debug, PartialEq, Eq)]
+pub enum JobCall {
+    /// Reads a page of results.
+    ReadResults {
+        /// The job's id.
+        job: String,
+        /// The number of results to pass over.
+        start: u64,
+        /// The time to wait for a result where there is none yet, as the client asks for it.
+        wait_ms: u32,
+    },
+    /// Reads the body with which an item was submitted.
+    ReadItemBody {
+        /// The job's id.
+        job: String,
+        /// The item's id.
+        item: String,
+    },
+    /// Ends the job.
+    End {
+        /// The job's id.
+        job: String,
+    },
+    /// There is no such call.
+    Unknown,
+}
+
+impl JobCall {
+    /// Returns the call that a request is; `None` where it is a request for a route.
+    pub fn of(request: &BufferedRequest) -> Option<JobCall> {
+        let path = request.uri.path();
+        let query = request.uri.query().unwrap_or_default();
+        if let Some(job) = path.strip_prefix(JOBS_PATH_PREFIX) {
+            let job = job.to_owned();
+            return Some(match request.method {
+                Method::GET => JobCall::ReadResults {
+                    job,
+                    start: query_parameter(query, "start_after").and_then(|n| n.parse().ok()).unwrap_or(0),
+                    wait_ms: request.header("x-wait-ms").and_then(|ms| ms.trim().parse().ok()).unwrap_or(0),
+                },
+                Method::DELETE => JobCall::End { job },
+                _ => JobCall::Unknown,
+            });
+        }
+        let job = path.strip_prefix(ITEMS_PATH_PREFIX)?.to_owned();
+        Some(match (&request.method, query_parameter(query, "id")) {
+            (&Method::GET, Some(item)) => JobCall::ReadItemBody { job, item: item.to_owned() },
+            _ => JobCall::Unknown,
+        })
+    }
+}
+
+/// Returns the first value of a parameter, as it stands: ids need no percent-encoding.
+fn query_parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+    let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+    pairs.find(|pair| pair.0 == name).map(|pair| pair.1)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/data-plane/gateway/src/live/streaming.rs
@@ -0,0 +1,102 @@
+//! Forwarding of event streams, and their resumption at another server.
+//!
+//! The client gets complete events only. When a server breaks off or falls silent, the next attempt asks another server to
+//! continue after the last event that was forwarded (`Last-Event-Id`), and its events follow in the same response. This
+//! needs servers that generate the same events for the same request, which is what the route's permission to execute a
+//! request twice stands for.
+
+use super::attempt::{AttemptOutcome, ServerResponse, FRAME_TIMEOUT};
+use super::{LiveRequest, DEFAULT_TIMEOUT, MAX_REJECTIONS};
+use crate::body::ChunkSender;
+use crate::upstream::{EventStream, StreamStep};
+use marblecroft_routing::balance::ServerOutcome;
+use std::io;
+use tracing::debug;
+
+/// How one server's section of a stream ended.
+enum StreamEnd {
+    Complete,
+    Broken,
+    ClientDisconnected,
+}
+
+impl LiveRequest {
+    /// Forwards events from one server after the other, as far as the route allows.
+    pub(super) async fn forward_stream(mut self, success: ServerResponse, chunks: ChunkSender) {
+        let mut next = Some(success);
+        let mut last_event = None;
+        while let Some(success) = next.take() {
+            match self.forward_events(success, &chunks, &mut last_event).await {
+                StreamEnd::Complete | StreamEnd::ClientDisconnected => return,
+                StreamEnd::Broken => {}
+            }
+            self.executions += 1;
+            next = self.resume(last_event).await;
+        }
+        debug!(id = %self.id, "stream broke off");
+        // A client that has disconnected needs no error.
+        let _ = chunks.send(Err(io::Error::other("the server broke off"))).await;
+    }
+
+    /// Makes attempts to resume the stream after `last_event`; `None` where the route allows no more, or there is no server.
+    async fn resume(&mut self, last_event: Option<u64>) -> Option<ServerResponse> {
+        while self.may_retry() && self.rejections < MAX_REJECTIONS {
+            match self.attempt(last_event).await {
+                Some(AttemptOutcome::Success(success)) => return Some(*success),
+                Some(AttemptOutcome::NotExecuted) => self.rejections += 1,
+                Some(AttemptOutcome::MayHaveExecuted) => self.executions += 1,
+                Some(AttemptOutcome::Response(_)) | None => return None,
+            }
+        }
+        None
+    }
+
+    /// Forwards the events of one server; `last_event` follows the ids of those that are complete.
+    async fn forward_events(
+        &self,
+        success: ServerResponse,
+        chunks: &ChunkSender,
+        last_event: &mut Option<u64>,
+    ) -> StreamEnd {
+        let ServerResponse { attempt, head, body, connection } = success;
+        let mut stream = EventStream::new(body);
+        let mut is_first = last_event.is_none();
+        loop {
+            let frame_timeout = if self.may_retry_after_this() { FRAME_TIMEOUT } else { DEFAULT_TIMEOUT };
+            let step = tokio::select! {
+                step = stream.next(frame_timeout) => step,
+                () = chunks.closed() => return StreamEnd::ClientDisconnected,
+            };
+            let (events, is_overlong) = match step {
+                StreamStep::Events { events, is_overlong } => (events, is_overlong),
+                StreamStep::Complete => {
+                    let max_connections = self.max_connections();
+                    self.gateway.pool.put_back(attempt.server(), connection, &head.headers, max_connections);
+                    return StreamEnd::Complete;
+                }
+                StreamStep::Broken => return StreamEnd::Broken,
+                StreamStep::TimedOut => {
+                    self.gateway.record_outcome(attempt.server(), ServerOutcome::Failed);
+                    return StreamEnd::Broken;
+                }
+            };
+            let mut bytes = Vec::new();
+            for event in events {
+                bytes.extend_from_slice(&event.bytes);
+                *last_event = event.id.or(*last_event);
+            }
+            if is_overlong {
+                return StreamEnd::Broken;
+            }
+            if bytes.is_empty() {
+                continue;
+            }
+            if std::mem::take(&mut is_first) {
+                self.record_latency(self.received_at.elapsed());
+            }
+            if chunks.send(Ok(bytes.into())).await.is_err() {
+                return StreamEnd::ClientDisconnected;
+            }
+        }
+    }
+}
--- a/data-plane/gateway/src/load_exchange.rs
+++ b/data-plane/gateway/src/load_exchange.rs
@@ -1,12 +1,15 @@
-//! Gateways of one zone tell each other what they have at the servers, by datagrams: a notice holds all that is out, so one
-//! that is lost is made good by the next. Who the others are is told by the head of the stores.
+//! The exchange of load with the other gateways of the zone, by UDP datagrams.
+//!
+//! Each update holds the sender's full state, so one that is lost is made up for by the next, and there are no
+//! acknowledgements. An update is sent when something has changed, and from time to time otherwise, since peers let an old
+//! one expire. The interval grows with the number of peers, so that the cost to a gateway is bounded. What the updates hold
+//! and change is decided in [`marblecroft_routing::balance`].
 
 use crate::gateway::Gateway;
 use marblecroft_protocol::load::LoadUpdate;
 use marblecroft_protocol::load_address;
 use marblecroft_routing::hash::fnv1a;
 use marblecroft_rpc::{decode, encode};
-use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,97 +18,82 @@
 use tokio::time::sleep;
 use tracing::warn;
 
-/// A notice is repeated after this time where nothing has changed.
+/// An update is repeated after this time where nothing has changed.
 const MAX_UPDATE_INTERVAL: Duration = Duration::from_millis(400);
-/// Longest datagram that is read, in bytes.
+/// The longest datagram that is read.
 const MAX_DATAGRAM_BYTES: usize = 16 << 10;
-/// Bytes of a datagram's headers.
+/// The size of a datagram's IP and UDP headers.
 const DATAGRAM_HEADER_BYTES: usize = 28;
-/// What notices may cost a gateway, in bytes a second; with more peers they are sent more rarely.
+/// The bandwidth that a gateway may spend on updates. With more peers they are sent less often.
 const MAX_BYTES_PER_SECOND: f64 = 48_000.0;
-/// Pause after an error of the socket.
+/// The backoff after an error of the socket.
 const ERROR_BACKOFF: Duration = Duration::from_millis(200);
 
-/// The other gateways of the zone.
-#[derive(Default)]
-pub struct LoadExchange {
-    digest: RefCell<u64>,
-    peers: RefCell<Vec<SocketAddr>>,
-}
-
-impl LoadExchange {
-    /// What tells the peers that are known from others.
-    pub fn digest(&self) -> u64 {
-        *self.digest.borrow()
-    }
-
-    /// Takes who the others are.
-    pub fn update(&self, digest: u64, peers: Vec<SocketAddr>) {
-        *self.digest.borrow_mut() = digest;
-        *self.peers.borrow_mut() = peers;
-    }
-}
-
-/// Exchanges notices until the process ends.
+/// Exchanges updates until the process ends; not at all where they are turned off or the socket cannot be bound. Gateways
+/// then place requests by the servers' own reports alone.
 pub async fn run(gateway: Rc<Gateway>) {
-    let pause = Duration::from_secs_f64(gateway.tuning.load_update_interval_ms / 1000.0);
-    if pause.is_zero() {
+    let min_interval = Duration::from_secs_f64(gateway.tuning.load_update_interval_ms / 1000.0);
+    if min_interval.is_zero() {
         return;
     }
     let own = load_address(gateway.settings.ip.into(), gateway.settings.ephemeral_ports);
     let socket = match UdpSocket::bind(own).await {
         Ok(socket) => socket,
         Err(e) => {
-            warn!("no load notices: {own}: {e}");
+            warn!(address = %own, error = %e, "load exchange is off: cannot bind");
             return;
         }
     };
-    tokio::join!(send_updates(&gateway, &socket, own, pause), receive_updates(&gateway, &socket));
+    tokio::join!(send_updates(&gateway, &socket, own, min_interval), receive_updates(&gateway, &socket));
+}
+
+/// Returns the first sequence number of this process. It is higher than all of an earlier process under the same name.
+fn initial_sequence() -> u64 {
+    let started_at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(started_at.as_millis()).unwrap_or(0) << 20
 }
 
-async fn send_updates(gateway: &Gateway, socket: &UdpSocket, own: SocketAddr, least: Duration) {
-    // Of a later process they are higher.
-    let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let mut sequence = u64::try_from(started.as_millis()).unwrap_or(0) << 20;
-    let (mut told, mut told_at) = (0, Instant::now());
-    let mut pause = least;
+async fn send_updates(gateway: &Gateway, socket: &UdpSocket, own: SocketAddr, min_interval: Duration) {
+    let mut sequence = initial_sequence();
+    let (mut sent_changes, mut sent_at) = (0, Instant::now());
+    let mut interval = min_interval;
     loop {
-        sleep(pause).await;
+        sleep(interval).await;
         let changes = gateway.balancer.borrow().changes();
-        if changes == told && told_at.elapsed() < MAX_UPDATE_INTERVAL {
+        if changes == sent_changes && sent_at.elapsed() < MAX_UPDATE_INTERVAL {
             continue;
         }
-        let peers: Vec<SocketAddr> =
-            gateway.load_exchange.peers.borrow().iter().filter(|peer| **peer != own).copied().collect();
+        let peers = gateway.peers.except(own);
         if peers.is_empty() {
             continue;
         }
-        (told, told_at, sequence) = (changes, Instant::now(), sequence + 1);
+        (sent_changes, sent_at, sequence) = (changes, Instant::now(), sequence + 1);
         let servers = gateway.balancer.borrow_mut().take_load_update(gateway.now());
-        let notice = LoadUpdate { gateway: fnv1a(gateway.settings.node_name.as_bytes()), sequence, servers };
-        let datagram = encode(&notice);
+        let update = LoadUpdate { gateway: fnv1a(gateway.settings.node_name.as_bytes()), sequence, servers };
+        let datagram = encode(&update);
         for peer in &peers {
-            // A notice that cannot be sent is like one that is lost.
-            drop(socket.try_send_to(&datagram, *peer));
+            // An update that cannot be sent is like one that is lost.
+            let _ = socket.try_send_to(&datagram, *peer);
         }
         let bytes = peers.len() * (datagram.len() + DATAGRAM_HEADER_BYTES);
-        pause = least.max(Duration::from_secs_f64(bytes as f64 / MAX_BYTES_PER_SECOND));
+        interval = min_interval.max(Duration::from_secs_f64(bytes as f64 / MAX_BYTES_PER_SECOND));
     }
 }
 
 async fn receive_updates(gateway: &Gateway, socket: &UdpSocket) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-    let mut newest: HashMap<u64, u64> = HashMap::new();
+    let mut newest_sequences: HashMap<u64, u64> = HashMap::new();
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
             sleep(ERROR_BACKOFF).await;
             continue;
         };
-        let Ok(notice) = decode::<LoadUpdate>(&buffer[..length]) else { continue };
-        let known = newest.entry(notice.gateway).or_default();
-        if notice.sequence > *known {
-            *known = notice.sequence;
-            gateway.balancer.borrow_mut().on_peer_load(notice.gateway, &notice.servers, gateway.now());
+        let Ok(update) = decode::<LoadUpdate>(&buffer[..length]) else { continue };
+        // A datagram that was overtaken by a newer one is dropped.
+        let newest = newest_sequences.entry(update.gateway).or_default();
+        if update.sequence > *newest {
+            *newest = update.sequence;
+            gateway.balancer.borrow_mut().on_peer_load(update.gateway, &update.servers, gateway.now());
         }
     }
 }
--- a/data-plane/gateway/src/main.rs
+++ b/data-plane/gateway/src/main.rs
@@ -1,5 +1,22 @@
-//! The data plane of the serving tier: `marblecroft-data-plane gateway` serves clients, `marblecroft-data-plane check` reads the settings and tells
-//! what is wrong with them.
+//! The data plane of the serving tier: gateways between clients and model servers.
+//!
+//! `marblecroft-data-plane gateway` serves clients; `marblecroft-data-plane check` reads the settings and tells what is wrong
+//! with them.
+//!
+//! The modules by layer, each using those below it:
+//!
+//! | layer | modules |
+//! |---|---|
+//! | process | `startup`: threads and tasks; `flags` |
+//! | clients | `server`: connections, dispatch and drain; `readiness` |
+//! | requests | `live`: live requests; `batch_api`: submission and results of batch jobs; `batch_runner`: their items |
+//! | background | `puller`: configuration and servers; `load_exchange`: load of the zone's gateways; `maintenance` |
+//! | shared state | `gateway`; `in_flight`: guards that count requests |
+//! | servers and stores | `upstream`: attempts, connections, verdicts; `stores`: calls to the chain's head |
+//! | parts | `state`, `peers`, `concurrency`, `request`, `reply`, `headers`, `body` |
+//!
+//! A client's request comes through `server`, is buffered (`request`), and goes to `live` or `batch_api` by its route. Which
+//! request is admitted and which server it goes to is decided without I/O in [`marblecroft_routing`].
 #![forbid(unsafe_code)]
 
 mod batch_api;
@@ -8,11 +25,18 @@
 mod concurrency;
 mod flags;
 mod gateway;
-mod live_request;
+mod headers;
+mod in_flight;
+mod live;
 mod load_exchange;
+mod maintenance;
+mod peers;
 mod puller;
 mod readiness;
+mod reply;
+mod request;
 mod server;
+mod startup;
 mod state;
 mod stores;
 mod upstream;
@@ -47,7 +71,7 @@
         }
     }
     match flags.subcommand {
-        Command::Gateway(_) => match gateway::run(settings, tuning) {
+        Command::Gateway(_) => match startup::run(settings, tuning) {
             Ok(()) => ExitCode::SUCCESS,
             Err(e) => {
                 error!("{e}");
--- /dev/null
+++ b/data-plane/gateway/src/maintenance.rs
@@ -0,0 +1,80 @@
+//! Periodic tasks: they carry updates of the configuration and of the servers to admission and placement, assess the load,
+//! and close idle connections.
+
+use crate::gateway::Gateway;
+use marblecroft_configuration::{Configuration, Route, RouteType};
+use marblecroft_routing::admission::{RouteClass, ASSESSMENT_INTERVAL};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{sleep, timeout};
+
+/// The interval between two sweeps of idle connections, and the longest wait for a notice of an update.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(300);
+/// The assumed time until a change of the admitted fraction shows in the servers' load.
+const ADMISSION_LAG: Duration = Duration::from_millis(300);
+
+/// Hands new configurations to admission and new lists of servers to the balancer.
+pub async fn follow_updates(gateway: Rc<Gateway>) {
+    let (mut configuration_version, mut servers_version) = (0, None);
+    loop {
+        // Before the snapshot, so that no change between the two is missed.
+        let changed = gateway.state.changed.notified();
+        let snapshot = gateway.state.snapshot();
+        let versions = snapshot.versions;
+        if let Some(configuration) =
+            snapshot.configuration.filter(|_| versions.configuration != configuration_version)
+        {
+            configuration_version = versions.configuration;
+            gateway.admission.borrow_mut().configure(route_classes(&configuration));
+        }
+        if servers_version != Some(versions.servers) {
+            servers_version = Some(versions.servers);
+            gateway.balancer.borrow_mut().update(&snapshot.servers);
+        }
+        // Whether it was notified or not, it looks again.
+        let _ = timeout(SWEEP_INTERVAL, changed).await;
+    }
+}
+
+/// Returns the classes of all routes, in the order of their names.
+fn route_classes(configuration: &Configuration) -> Vec<RouteClass> {
+    let mut classes: Vec<RouteClass> = configuration.routes().map(|route| route_class(route)).collect();
+    classes.sort_by(|a, b| a.route.cmp(&b.route));
+    classes
+}
+
+/// Within a priority, routes with a short latency target are worth most, and batch routes least.
+fn route_class(route: &Route) -> RouteClass {
+    let value = if route.route_type == RouteType::Batch {
+        0.0
+    } else {
+        1.0 / route.target_latency.as_secs_f64().max(1e-3)
+    };
+    RouteClass { route: route.name.clone(), priority: route.priority, value }
+}
+
+/// Assesses the load for admission, by the most loaded service.
+pub async fn assess_load(gateway: Rc<Gateway>) {
+    loop {
+        sleep(ASSESSMENT_INTERVAL).await;
+        let Some(configuration) = gateway.state.snapshot().configuration else { continue };
+        let now = gateway.now();
+        let occupancy = {
+            let balancer = gateway.balancer.borrow();
+            configuration
+                .services()
+                .filter_map(|service| balancer.occupancy(&service.name, now))
+                .reduce(f64::max)
+        };
+        let is_idle = gateway.in_flight.get() == 0;
+        gateway.admission.borrow_mut().assess(now, occupancy, ADMISSION_LAG, is_idle);
+    }
+}
+
+/// Closes connections that have been idle for too long.
+pub async fn close_idle_connections(gateway: Rc<Gateway>) {
+    loop {
+        sleep(SWEEP_INTERVAL).await;
+        gateway.pool.close_expired();
+    }
+}
--- /dev/null
+++ b/data-plane/gateway/src/server/dispatch.rs
@@ -0,0 +1,49 @@
+//! Which part of the gateway a buffered request goes to: calls on batch jobs by their path, everything else by its route.
+
+use crate::body::ResponseBody;
+use crate::gateway::Gateway;
+use crate::reply::{local_reply, rejection};
+use crate::request::BufferedRequest;
+use crate::{batch_api, live};
+use hyper::{Response, StatusCode};
+use marblecroft_configuration::{Configuration, RouteType};
+use std::rc::Rc;
+
+/// Sent as `Retry-After` where the request could not be executed for want of something that comes soon, in seconds.
+const RETRY_AFTER_NOT_READY: &str = "0.2";
+/// The operator's call for the configuration in force.
+const CONFIGURATION_READ_PATH: &str = "/-/Config.Read";
+
+/// Serves a request.
+pub(super) async fn dispatch(gateway: &Rc<Gateway>, request: BufferedRequest) -> Response<ResponseBody> {
+    if let Some(call) = batch_api::JobCall::of(&request) {
+        return batch_api::answer(gateway, call).await;
+    }
+    if request.uri.path() == CONFIGURATION_READ_PATH {
+        // A gateway cannot prove that it has the newest one.
+        return not_ready("the coordinators tell the configuration");
+    }
+    match gateway.state.snapshot().configuration {
+        Some(configuration) => route(gateway, &configuration, request).await,
+        None => not_ready("there is no configuration yet"),
+    }
+}
+
+fn not_ready(text: &str) -> Response<ResponseBody> {
+    rejection(StatusCode::SERVICE_UNAVAILABLE, text, RETRY_AFTER_NOT_READY)
+}
+
+async fn route(
+    gateway: &Rc<Gateway>,
+    configuration: &Configuration,
+    request: BufferedRequest,
+) -> Response<ResponseBody> {
+    let Some(route) = configuration.route(request.host(), request.uri.path()).cloned() else {
+        return local_reply(StatusCode::NOT_FOUND, "no route");
+    };
+    if route.route_type == RouteType::Batch {
+        batch_api::submit(gateway, &route, request).await
+    } else {
+        live::serve(gateway, route, request).await
+    }
+}
--- /dev/null
+++ b/data-plane/gateway/src/server/mod.rs
@@ -0,0 +1,155 @@
+//! Clients' connections: accepted, served, and drained without cutting a request off.
+//!
+//! A connection passes here in this order: `listener` accepts it, [`serve_connection`] reads its requests one after the
+//! other, each is buffered completely, and `dispatch` hands it on by its path or route.
+//!
+//! The drain after SIGTERM has three steps, in this order: readiness fails, while connections are still accepted until the
+//! platform has noticed; the listener closes, and each response asks its client to close the connection; the process ends
+//! when no request is in flight, or shortly before it would be killed.
+
+mod dispatch;
+mod listener;
+
+pub use listener::listen;
+
+use crate::body::{guarded, ResponseBody};
+use crate::gateway::Gateway;
+use crate::request::BufferedRequest;
+use hyper::body::Incoming;
+use hyper::header::{HeaderValue, CONNECTION};
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response};
+use hyper_util::rt::{TokioIo, TokioTimer};
+use std::convert::Infallible;
+use std::future::Future;
+use std::io;
+use std::net::SocketAddr;
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+use tokio::time::{sleep, Instant};
+use tracing::info;
+
+/// The limits of a connection until there is a configuration.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+const DEFAULT_MAX_HEADER_BYTES: usize = 16 << 10;
+const DEFAULT_MAX_BODY_BYTES: usize = 4 << 20;
+/// The least buffer that hyper accepts for a head.
+const MIN_HEADER_BUFFER_BYTES: usize = 8 << 10;
+/// Connections are accepted for so long after SIGTERM: the platform checks readiness twice, a second apart, before it stops
+/// sending clients here.
+const DRAIN_ACCEPT_TIME: Duration = Duration::from_millis(2600);
+/// The process ends so long before it would be killed, even if requests are still in flight.
+const KILL_MARGIN: Duration = Duration::from_millis(600);
+/// The interval between two checks whether requests are in flight; also the backoff after a failed `accept`.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// A client's request whose response is not complete.
+struct InFlightRequest(Rc<Gateway>);
+
+impl InFlightRequest {
+    fn new(gateway: &Rc<Gateway>) -> InFlightRequest {
+        gateway.in_flight.set(gateway.in_flight.get() + 1);
+        InFlightRequest(gateway.clone())
+    }
+}
+
+impl Drop for InFlightRequest {
+    fn drop(&mut self) {
+        self.0.in_flight.set(self.0.in_flight.get() - 1);
+    }
+}
+
+/// Serves until `terminated` is ready and the drain is over.
+pub async fn serve(gateway: &Rc<Gateway>, listener: TcpListener, terminated: impl Future<Output = ()>) {
+    let (close, closing) = watch::channel(false);
+    {
+        let mut terminated = pin!(terminated);
+        loop {
+            tokio::select! {
+                () = &mut terminated => break,
+                accepted = listener.accept() => on_accept(gateway, accepted, &closing).await,
+            }
+        }
+    }
+    info!("drain started");
+    gateway.state.terminate();
+    let ends_at = Instant::now() + gateway.settings.bounds.grace_period.saturating_sub(KILL_MARGIN);
+    let accept_until = Instant::now() + DRAIN_ACCEPT_TIME;
+    while Instant::now() < accept_until {
+        tokio::select! {
+            () = sleep(accept_until - Instant::now()) => {}
+            accepted = listener.accept() => on_accept(gateway, accepted, &closing).await,
+        }
+    }
+    close.send_replace(true);
+    // Clients that connect from now on are refused by the system, and have lost nothing.
+    drop(listener);
+    sleep(DRAIN_CHECK_INTERVAL).await;
+    while gateway.in_flight.get() > 0 && Instant::now() < ends_at {
+        sleep(DRAIN_CHECK_INTERVAL).await;
+    }
+    // Time for the last bytes to be written.
+    sleep(DRAIN_CHECK_INTERVAL).await;
+    info!(in_flight = gateway.in_flight.get(), "drain ended");
+}
+
+async fn on_accept(
+    gateway: &Rc<Gateway>,
+    accepted: io::Result<(TcpStream, SocketAddr)>,
+    closing: &watch::Receiver<bool>,
+) {
+    match accepted {
+        Ok((stream, _)) => {
+            spawn_local(serve_connection(gateway.clone(), stream, closing.clone()));
+        }
+        // Mostly for want of descriptors; without a pause this would be a busy loop.
+        Err(_) => sleep(DRAIN_CHECK_INTERVAL).await,
+    }
+}
+
+/// Serves the requests of one connection until the client closes it, or the drain does after the current request.
+async fn serve_connection(gateway: Rc<Gateway>, stream: TcpStream, mut closing: watch::Receiver<bool>) {
+    // Without it responses come a little later.
+    let _ = stream.set_nodelay(true);
+    let limits = gateway.state.snapshot().configuration.map(|configuration| configuration.limits.clone());
+    let idle_timeout = limits.as_ref().map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout);
+    let max_header_bytes = limits.as_ref().map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.max_header_bytes);
+    let service = service_fn(|request| handle_request(gateway.clone(), request));
+    let connection = http1::Builder::new()
+        .timer(TokioTimer::new())
+        .header_read_timeout(idle_timeout)
+        .max_buf_size(max_header_bytes.max(MIN_HEADER_BUFFER_BYTES))
+        .serve_connection(TokioIo::new(stream), service);
+    let mut connection = pin!(connection);
+    // An error is a client that broke off or a response that did; the closing connection shows it to the client.
+    tokio::select! {
+        _ = &mut connection => {}
+        _ = closing.changed() => {
+            connection.as_mut().graceful_shutdown();
+            let _ = connection.await;
+        }
+    }
+}
+
+async fn handle_request(
+    gateway: Rc<Gateway>,
+    request: Request<Incoming>,
+) -> Result<Response<ResponseBody>, Infallible> {
+    let in_flight = InFlightRequest::new(&gateway);
+    let max_body_bytes =
+        gateway.state.snapshot().configuration.map_or(DEFAULT_MAX_BODY_BYTES, |c| c.limits.max_body_bytes);
+    let mut response = match BufferedRequest::read(request, max_body_bytes).await {
+        Ok(request) => dispatch::dispatch(&gateway, request).await,
+        Err(reply) => reply,
+    };
+    if gateway.state.is_terminating() {
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    }
+    // A stream is in flight until its body is dropped.
+    Ok(response.map(|body| guarded(body, in_flight)))
+}
--- /dev/null
+++ b/data-plane/gateway/src/upstream/attempt.rs
@@ -0,0 +1,105 @@
+//! One attempt of a request at one server, as far as the head of the response.
+
+use super::pool::{Connection, ConnectionPool};
+use crate::headers::EXPECTED_INSTANCE;
+use http_body_util::Full;
+use hyper::body::{Bytes, Incoming};
+use hyper::header::{HeaderMap, HeaderValue};
+use hyper::{Method, Request, Response, Uri};
+use marblecroft_protocol::servers::Server;
+use std::time::Duration;
+
+/// The time in which a connection must be established.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// A request as it is sent to a server; the same for each attempt.
+#[derive(Clone)]
+pub struct UpstreamRequest {
+    /// The method.
+    pub method: Method,
+    /// Path and query.
+    pub uri: Uri,
+    /// End-to-end headers.
+    pub headers: HeaderMap,
+    /// The complete body.
+    pub body: Bytes,
+    /// Whether the request may be executed twice, and so be sent again after no response or a reset.
+    pub idempotent: bool,
+}
+
+/// Why an attempt brought no response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptError {
+    /// Nothing reached the server.
+    NotSent,
+    /// The request was written, at least in part, and may have been executed.
+    MayHaveExecuted,
+}
+
+/// The head of a response, with the connection that its body comes on.
+pub struct UpstreamResponse {
+    /// The head, and the body that is still to be read.
+    pub response: Response<Incoming>,
+    /// The connection. Dropping it ends the attempt.
+    pub connection: Connection,
+}
+
+impl ConnectionPool {
+    /// Sends a request to a server and waits for the head of the response. Dropping the future gives the attempt up.
+    /// `may_send` is evaluated directly before anything is written: the server may have begun to drain meanwhile.
+    ///
+    /// # Errors
+    ///
+    /// [`AttemptError`] tells whether the request may have been executed.
+    pub async fn send(
+        &self,
+        server: &Server,
+        request: &UpstreamRequest,
+        may_send: impl Fn() -> bool,
+    ) -> Result<UpstreamResponse, AttemptError> {
+        let mut http_request = to_http_request(server, request);
+        let mut may_repeat = request.idempotent;
+        loop {
+            let (mut connection, is_reused) = match self.take(server, request.idempotent) {
+                Some(connection) => (connection, true),
+                None => {
+                    let opened = Connection::open(server.address, CONNECT_TIMEOUT, Some(self.open.clone()));
+                    (opened.await.map_err(|_| AttemptError::NotSent)?, false)
+                }
+            };
+            if connection.ready().await {
+                if !may_send() {
+                    return Err(AttemptError::NotSent);
+                }
+                match connection.try_send(http_request).await {
+                    Ok(response) => return Ok(UpstreamResponse { response, connection }),
+                    Err(mut e) => match e.take_message() {
+                        Some(unsent) => http_request = unsent,
+                        None if is_reused && may_repeat => {
+                            // The server had dropped the idle connection: once more, to the same server.
+                            may_repeat = false;
+                            http_request = to_http_request(server, request);
+                        }
+                        None => return Err(AttemptError::MayHaveExecuted),
+                    },
+                }
+            }
+            // The connection was closed before anything was written. A reused one is replaced; a new one shows a fault.
+            if !is_reused {
+                return Err(AttemptError::NotSent);
+            }
+        }
+    }
+}
+
+/// Returns the request for one server. It names the incarnation, so that no other one behind the same address executes it.
+fn to_http_request(server: &Server, request: &UpstreamRequest) -> Request<Full<Bytes>> {
+    let mut http_request = Request::new(Full::new(request.body.clone()));
+    *http_request.method_mut() = request.method.clone();
+    *http_request.uri_mut() = request.uri.clone();
+    *http_request.headers_mut() = request.headers.clone();
+    if let Ok(id) = HeaderValue::from_str(&server.id) {
+        http_request.headers_mut().insert(EXPECTED_INSTANCE, id);
+    }
+    http_request
+}
--- a/data-plane/gateway/src/upstream/pool.rs
+++ b/data-plane/gateway/src/upstream/pool.rs
@@ -1,9 +1,15 @@
-//! Connections to model servers, and one attempt of a request at a server.
-
+//! Idle connections to model servers.
+//!
+//! Opening a connection to a server is dear, but reusing an idle one has a race: the server may be closing it, or may have
+//! dropped it silently, while the request is under way. Then nobody knows whether the request was executed. The pool
+//! therefore keeps connections for a short time only for requests that must not be executed twice, and longer for
+//! idempotent ones, which can simply be sent again. It also limits how many it keeps: servers accept a limited number of
+//! connections from all gateways together and reset those beyond.
+
+use crate::headers::KEEP_ALIVE;
 use http_body_util::Full;
-use hyper::body::{Bytes, Incoming};
-use hyper::header::{HeaderMap, HeaderName, HeaderValue};
-use hyper::{Method, Request, Response, Uri};
+use hyper::body::Bytes;
+use hyper::header::{HeaderMap, CONNECTION};
 use marblecroft_protocol::servers::Server;
 use marblecroft_transport::link::Link as TransportLink;
 use std::cell::{Cell, RefCell};
@@ -15,81 +21,67 @@
 /// A connection to a model server.
 pub type Connection = TransportLink<Full<Bytes>>;
 
-/// A connection must come up in this time.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// A connection that has just brought an answer is not used again for this long: some servers send an answer twice.
+/// A connection rests this long after a response before it is used again: some servers send a response twice, and the second
+/// one would be taken for the response to the next request.
 const REUSE_DELAY: Duration = Duration::from_millis(15);
-/// A connection that has stood idle for longer is not used for what must not be sent twice: its server may be closing it, or
-/// have dropped it without a word.
+/// The longest idle time after which a connection is used for a request that must not be executed twice.
 const SHORT_IDLE_TIMEOUT: Duration = Duration::from_millis(400);
-/// ... and for what may be sent again, where servers have room for such connections.
+/// The longest idle time for idempotent requests, where servers accept enough connections.
 const LONG_IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Part of the connections that a server takes which all gateways together may keep idle for long.
+/// The share of a server's connections that all gateways together may keep idle for the long time.
 const LONG_IDLE_SHARE: f64 = 0.4;
-/// Idle connections to one server. Servers reset what goes beyond their cap over all gateways.
+/// The most idle connections to one server.
 const MAX_IDLE_PER_SERVER: usize = 2;
-/// Part of the time that a server says it keeps idle connections for which it is made use of.
+/// The share of a server's announced keep-alive time that is made use of; the rest is margin for the race with its closing.
 const KEEP_ALIVE_FRACTION: f64 = 0.6;
 
-pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-pub const SIGNATURE: HeaderName = HeaderName::from_static("x-response-signature");
-pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
-pub const TIMEOUT_MS: HeaderName = HeaderName::from_static("x-timeout-ms");
-pub const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("x-expected-instance");
-pub const SERVER_LOAD: HeaderName = HeaderName::from_static("x-server-load");
-pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-
-/// What is sent to a server.
-#[derive(Clone)]
-pub struct UpstreamRequest {
-    pub method: Method,
-    /// Path and query.
-    pub uri: Uri,
-    pub headers: HeaderMap,
-    pub body: Bytes,
-    /// Whether it may be sent again after no response or a reset.
-    pub idempotent: bool,
-}
-
-/// Why an attempt brought no answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptError {
-    /// Nothing reached the server.
-    NotSent,
-    /// It was written, in part at least, and may have run.
-    MayHaveExecuted,
+/// The key of a server's connections: an incarnation at an address.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct PoolKey {
+    id: String,
+    address: SocketAddr,
 }
 
-/// An answer's head, with the connection that its body comes on.
-pub struct UpstreamResponse {
-    pub response: Response<Incoming>,
-    pub connection: Connection,
+impl PoolKey {
+    fn of(server: &Server) -> PoolKey {
+        PoolKey { id: server.id.clone(), address: server.address }
+    }
 }
 
 struct IdleConnection {
     connection: Connection,
-    since: Instant,
-    /// How long the server keeps it.
+    idle_since: Instant,
+    /// The idle time after which it is closed.
     timeout: Duration,
 }
 
-/// Idle connections, by incarnation and address.
+impl IdleConnection {
+    fn idle_time(&self, now: Instant) -> Duration {
+        now.duration_since(self.idle_since)
+    }
+
+    fn is_usable(&self, now: Instant) -> bool {
+        self.idle_time(now) < self.timeout && !self.connection.is_closed()
+    }
+}
+
+/// Idle connections, oldest first for each server.
 #[derive(Default)]
 pub struct ConnectionPool {
-    idle: RefCell<HashMap<(String, SocketAddr), Vec<IdleConnection>>>,
-    open: Rc<Cell<usize>>,
-    /// Gateways that keep connections to the servers, as far as is known.
+    idle: RefCell<HashMap<PoolKey, Vec<IdleConnection>>>,
+    /// The number of open connections, idle or not.
+    pub(super) open: Rc<Cell<usize>>,
+    /// The number of gateways that share the servers' connections; 0 until it is known.
     gateways: Cell<u32>,
 }
 
 impl ConnectionPool {
-    /// Takes notice of how many gateways there are.
+    /// Sets the number of gateways that share the servers' connections.
     pub fn set_gateway_count(&self, gateways: u32) {
         self.gateways.set(gateways);
     }
 
-    /// How long idle connections may be used for what may be sent again.
+    /// Returns how long a connection may stay idle, where each server accepts `max_connections` from all gateways.
     fn idle_timeout(&self, max_connections: u32) -> Duration {
         let share = f64::from(max_connections) * LONG_IDLE_SHARE / f64::from(self.gateways.get().max(1));
         let has_room = self.gateways.get() > 0 && share >= MAX_IDLE_PER_SERVER as f64;
@@ -100,114 +92,68 @@
         }
     }
 
-    fn take(&self, server: &Server, may_repeat: bool) -> Option<Connection> {
+    /// Takes out an idle connection for a request.
+    pub(super) fn take(&self, server: &Server, is_idempotent: bool) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let here = idle.get_mut(&(server.id.clone(), server.address))?;
+        let connections = idle.get_mut(&PoolKey::of(server))?;
         let now = Instant::now();
-        here.retain(|idle| now.duration_since(idle.since) < idle.timeout && !idle.connection.is_closed());
-        let rested = |idle: &IdleConnection| now.duration_since(idle.since) >= REUSE_DELAY;
-        // What may be sent again takes the one that has rested longest, and leaves the others to what may not.
-        let at = if may_repeat {
-            here.iter().position(rested)?
+        connections.retain(|idle| idle.is_usable(now));
+        let is_rested = |idle: &IdleConnection| idle.idle_time(now) >= REUSE_DELAY;
+        // Idempotent requests take the one that has been idle longest, and leave the others to those that are not.
+        let index = if is_idempotent {
+            connections.iter().position(is_rested)?
         } else {
-            here.iter()
-                .rposition(|idle| rested(idle) && now.duration_since(idle.since) < SHORT_IDLE_TIMEOUT)?
+            connections
+                .iter()
+                .rposition(|idle| is_rested(idle) && idle.idle_time(now) < SHORT_IDLE_TIMEOUT)?
         };
-        let link = here.remove(at).connection;
-        link.clean().then_some(link)
+        let connection = connections.remove(index).connection;
+        connection.clean().then_some(connection)
     }
 
-    /// Keeps a connection whose answer has come whole.
-    pub fn put_back(&self, server: &Server, link: Connection, answer: &HeaderMap, max_connections: u32) {
-        let closes = answer
-            .get(hyper::header::CONNECTION)
-            .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
-        if closes || link.is_closed() {
+    /// Puts a connection back whose response has been read to its end; `headers` are those of the response.
+    pub fn put_back(
+        &self,
+        server: &Server,
+        connection: Connection,
+        headers: &HeaderMap,
+        max_connections: u32,
+    ) {
+        let closes =
+            headers.get(CONNECTION).is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
+        if closes || connection.is_closed() {
             return;
         }
-        let told = answer.get(KEEP_ALIVE).and_then(|value| value.to_str().ok()).and_then(timeout_of);
-        let most = self.idle_timeout(max_connections);
-        let kept = told.map_or(most, |told| told.mul_f64(KEEP_ALIVE_FRACTION).min(most));
+        let announced = headers.get(KEEP_ALIVE).and_then(|value| value.to_str().ok());
+        let max = self.idle_timeout(max_connections);
+        let timeout = announced
+            .and_then(parse_keep_alive)
+            .map_or(max, |announced| announced.mul_f64(KEEP_ALIVE_FRACTION).min(max));
         let mut idle = self.idle.borrow_mut();
-        let here = idle.entry((server.id.clone(), server.address)).or_default();
-        if here.len() >= MAX_IDLE_PER_SERVER {
-            here.remove(0);
+        let connections = idle.entry(PoolKey::of(server)).or_default();
+        if connections.len() >= MAX_IDLE_PER_SERVER {
+            connections.remove(0);
         }
-        here.push(IdleConnection { connection: link, since: Instant::now(), timeout: kept });
+        connections.push(IdleConnection { connection, idle_since: Instant::now(), timeout });
     }
 
-    /// Closes connections that have stood idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn close_expired(&self) {
         let now = Instant::now();
-        self.idle.borrow_mut().retain(|_, idle| {
-            idle.retain(|idle| now.duration_since(idle.since) < idle.timeout && !idle.connection.is_closed());
-            !idle.is_empty()
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain(|idle| idle.is_usable(now));
+            !connections.is_empty()
         });
     }
 
-    /// Closes the idle connections to a server that fell silent.
+    /// Closes the idle connections to a server at which an attempt has failed.
     pub fn close_idle_to(&self, server: &Server) {
-        self.idle.borrow_mut().remove(&(server.id.clone(), server.address));
-    }
-
-    /// Sends a request to a server and waits for the head of its answer. Dropping the future gives the attempt up.
-    /// `may_send` is asked directly before anything is written.
-    pub async fn send(
-        &self,
-        server: &Server,
-        order: &UpstreamRequest,
-        may_send: impl Fn() -> bool,
-    ) -> Result<UpstreamResponse, AttemptError> {
-        let mut request = to_http_request(server, order);
-        let mut may_repeat = order.idempotent;
-        loop {
-            let (mut link, kept) = match self.take(server, order.idempotent) {
-                Some(link) => (link, true),
-                None => {
-                    let opened =
-                        Connection::open(server.address, CONNECT_TIMEOUT, Some(self.open.clone())).await;
-                    (opened.map_err(|_| AttemptError::NotSent)?, false)
-                }
-            };
-            if link.ready().await {
-                if !may_send() {
-                    return Err(AttemptError::NotSent);
-                }
-                match link.try_send(request).await {
-                    Ok(response) => return Ok(UpstreamResponse { response, connection: link }),
-                    Err(mut e) => match e.take_message() {
-                        Some(unsent) => request = unsent,
-                        None if kept && may_repeat => {
-                            // Its server had dropped the connection: once more, to the same server.
-                            may_repeat = false;
-                            request = to_http_request(server, order);
-                        }
-                        None => return Err(AttemptError::MayHaveExecuted),
-                    },
-                }
-            }
-            // It was closed before anything was written; a kept one is replaced.
-            if !kept {
-                return Err(AttemptError::NotSent);
-            }
-        }
-    }
-}
-
-/// The request to a server: it names the incarnation, so that no other one runs it.
-fn to_http_request(server: &Server, order: &UpstreamRequest) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(order.body.clone()));
-    *request.method_mut() = order.method.clone();
-    *request.uri_mut() = order.uri.clone();
-    *request.headers_mut() = order.headers.clone();
-    if let Ok(id) = HeaderValue::from_str(&server.id) {
-        request.headers_mut().insert(EXPECTED_INSTANCE, id);
+        self.idle.borrow_mut().remove(&PoolKey::of(server));
     }
-    request
 }
 
-/// The time of a `Keep-Alive` header.
-fn timeout_of(value: &str) -> Option<Duration> {
-    let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
+/// Returns the `timeout` parameter of a `Keep-Alive` header.
+fn parse_keep_alive(value: &str) -> Option<Duration> {
+    let seconds = value.split(',').find_map(|parameter| parameter.trim().strip_prefix("timeout="))?;
     Some(Duration::from_secs(seconds.trim().parse().ok()?))
 }
