--- a/data-plane/gateway/src/batch_api/mod.rs
+++ b/data-plane/gateway/src/batch_api/mod.rs
@@ -13,6 +13,7 @@
 
 use crate::body::{full, ResponseBody};
 use crate::gateway::Gateway;
+use crate::headers::REQUEST_ID;
 use crate::reply::{json, local_reply, rejection};
 use crate::request::BufferedRequest;
 use crate::stores::CallOutcome;
@@ -61,7 +62,7 @@
     if request.method != Method::POST {
         return local_reply(StatusCode::METHOD_NOT_ALLOWED, "a job is submitted with POST");
     }
-    let Some(id) = request.header("x-request-id").map(str::to_owned) else {
+    let Some(id) = request.header(REQUEST_ID.as_str()).map(str::to_owned) else {
         return local_reply(StatusCode::BAD_REQUEST, "X-Request-Id is missing");
     };
     let items = match parse_items(&request.body) {
--- a/data-plane/gateway/src/live/attempt.rs
+++ b/data-plane/gateway/src/live/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt of a live request: placement, sending, and what follows from the response's head.
 
-use super::LiveRequest;
+use super::request::LiveRequest;
 use crate::body::{full, ResponseBody};
 use crate::headers::{strip_hop_by_hop, LAST_EVENT_ID, TIMEOUT_MS};
 use crate::in_flight::{InFlightAttempt, LiveConcurrency};
--- a/data-plane/gateway/src/live/forward.rs
+++ b/data-plane/gateway/src/live/forward.rs
@@ -3,7 +3,7 @@
 //! A response that is not a stream is buffered so that the client never gets a torn one with status 200.
 
 use super::attempt::ServerResponse;
-use super::LiveRequest;
+use super::request::LiveRequest;
 use crate::body::{full, stream, ResponseBody};
 use crate::headers::strip_hop_by_hop;
 use crate::reply::local_reply;
--- a/data-plane/gateway/src/live/mod.rs
+++ b/data-plane/gateway/src/live/mod.rs
@@ -13,11 +13,12 @@
 
 mod attempt;
 mod forward;
+mod request;
 mod streaming;
 
 use crate::body::ResponseBody;
 use crate::gateway::Gateway;
-use crate::headers::{strip_hop_by_hop, PREFIX_HASH, TOKEN_USAGE};
+use crate::headers::{strip_hop_by_hop, PREFIX_HASH, REQUEST_ID, TIMEOUT_MS, TOKEN_USAGE};
 use crate::reply::{local_reply, rejection};
 use crate::request::BufferedRequest;
 use crate::upstream::UpstreamRequest;
@@ -26,51 +27,26 @@
 use hyper::{Response, StatusCode};
 use marblecroft_configuration::Route;
 use marblecroft_routing::prompt::Prompt;
+use request::{LiveRequest, DEFAULT_TIMEOUT, MAX_REJECTIONS};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The most attempts of one request that servers may decline or that may not reach one.
-const MAX_REJECTIONS: u32 = 5;
 /// The response is sent so long before the client stops waiting.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
-/// The time that a request has whose client states none.
-const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Sent as `Retry-After` to clients whose request is shed, in seconds ...
 const RETRY_AFTER_OVERLOAD: &str = "0.5";
 /// ... and to those for whose request there is no server.
 const RETRY_AFTER_NO_SERVER: &str = "0.3";
 
-/// A live request under way.
-struct LiveRequest {
-    gateway: Rc<Gateway>,
-    route: Arc<Route>,
-    /// The service, by the weights of the route.
-    service: String,
-    /// The request as it is sent to servers.
-    request: UpstreamRequest,
-    /// The client's id of the request.
-    id: String,
-    prompt: Prompt,
-    received_at: Instant,
-    /// When the response must be on its way.
-    deadline: Instant,
-    /// Ids of the servers of all attempts so far.
-    attempted: Vec<String>,
-    /// The attempts that may have been executed.
-    executions: u32,
-    /// The attempts that a server declined or that did not reach one.
-    rejections: u32,
-}
-
 /// Serves a live request.
 pub async fn serve(
     gateway: &Rc<Gateway>,
     route: Arc<Route>,
     request: BufferedRequest,
 ) -> Response<ResponseBody> {
-    let Some(id) = request.header("x-request-id").map(str::to_owned) else {
+    let Some(id) = request.header(REQUEST_ID.as_str()).map(str::to_owned) else {
         return local_reply(StatusCode::BAD_REQUEST, "X-Request-Id is missing");
     };
     let deadline = deadline(&request, &route);
@@ -96,7 +72,7 @@
 
 /// Returns when the response must be on its way: by the client's `X-Timeout-Ms`, but by the route's time limit at the latest.
 fn deadline(request: &BufferedRequest, route: &Route) -> Instant {
-    let stated = request.header("x-timeout-ms").and_then(|ms| ms.trim().parse::<f64>().ok());
+    let stated = request.header(TIMEOUT_MS.as_str()).and_then(|ms| ms.trim().parse::<f64>().ok());
     let time_limit =
         stated.map_or(DEFAULT_TIMEOUT, |ms| Duration::from_secs_f64(ms.clamp(0.0, 1e9) / 1000.0));
     request.received_at + time_limit.min(route.timeout).saturating_sub(RESPONSE_MARGIN)
@@ -138,27 +114,6 @@
         }
     }
 
-    /// Returns the number of connections that each server of the service accepts.
-    fn max_connections(&self) -> u32 {
-        self.gateway.max_connections_of(&self.service)
-    }
-
-    /// Whether the route allows another attempt after those that have ended.
-    fn may_retry(&self) -> bool {
-        self.route.may_run_twice() && self.executions < self.route.attempts
-    }
-
-    /// Whether the route will allow another attempt after the one that is under way.
-    fn may_retry_after_this(&self) -> bool {
-        self.route.may_run_twice() && self.executions + 1 < self.route.attempts
-    }
-
-    /// Tells admission in what time the request got its first event, or its response.
-    fn record_latency(&self, latency: Duration) {
-        let target = self.route.target_latency;
-        self.gateway.admission.borrow_mut().record_latency(&self.route.name, latency, target);
-    }
-
     /// Returns the response where no server is left, or no time.
     fn no_response(&self) -> Response<ResponseBody> {
         if self.executions + self.rejections > 0 {
--- a/data-plane/gateway/src/live/streaming.rs
+++ b/data-plane/gateway/src/live/streaming.rs
@@ -6,7 +6,7 @@
 //! request twice stands for.
 
 use super::attempt::{AttemptOutcome, ServerResponse, FRAME_TIMEOUT};
-use super::{LiveRequest, DEFAULT_TIMEOUT, MAX_REJECTIONS};
+use super::request::{LiveRequest, DEFAULT_TIMEOUT, MAX_REJECTIONS};
 use crate::body::ChunkSender;
 use crate::upstream::{EventStream, StreamStep};
 use marblecroft_routing::balance::ServerOutcome;
--- a/data-plane/routing/src/balance/choose.rs
+++ b/data-plane/routing/src/balance/choose.rs
@@ -6,10 +6,10 @@
 //! server at the same moment. The jitter term and the updates between gateways counter it.
 
 use super::endpoint::Endpoint;
-use super::{affinity, LoadBalancer};
+use super::zone_load::ClusterLoad;
 use crate::hash::{fnv1a, splitmix64, unit_interval};
+use crate::tuning::Tuning;
 use crate::Now;
-use marblecroft_protocol::servers::Server;
 
 /// The cost of an ejected server: more than all other terms together, so that it is chosen only where all are ejected.
 const EJECTION_COST: f64 = 100.0;
@@ -59,20 +59,36 @@
     }
 }
 
-/// What the servers are compared for in one choice.
-struct Comparison<'a> {
-    balancer: &'a LoadBalancer,
+/// What the servers are compared by in one choice.
+pub(super) struct Comparison<'a> {
+    pub(super) tuning: &'a Tuning,
+    pub(super) local_zone: &'a str,
+    pub(super) cluster_load: &'a ClusterLoad,
     /// The servers that prefer the prompt's prefix; empty where there is no prefix.
-    affine_servers: Vec<String>,
-    turn: u64,
-    now: Now,
+    pub(super) affine_servers: Vec<String>,
+    /// The random number of this choice.
+    pub(super) turn: u64,
+    pub(super) now: Now,
 }
 
 impl Comparison<'_> {
+    /// Returns the least costly endpoint for a request, of those that it has not tried and that are below its limit.
+    pub(super) fn choose<'e>(
+        &self,
+        endpoints: impl Iterator<Item = &'e Endpoint>,
+        request: &PlacementRequest<'_>,
+    ) -> Option<&'e Endpoint> {
+        let best = endpoints
+            .filter(|endpoint| !request.attempted.contains(&endpoint.server.id))
+            .filter(|endpoint| endpoint.occupancy(self.tuning, self.now) <= request.max_load)
+            .min_by(|a, b| self.cost(a).total_cmp(&self.cost(b)))?;
+        let is_excluded = best.ejection.is_ejected(self.now) && request.max_load.is_finite();
+        (!is_excluded).then_some(best)
+    }
+
     fn cost(&self, endpoint: &Endpoint) -> f64 {
-        let (balancer, tuning, now) = (self.balancer, &self.balancer.tuning, self.now);
-        let server = &endpoint.server;
-        let is_local = server.zone == balancer.local_zone;
+        let (tuning, now, server) = (self.tuning, self.now, &endpoint.server);
+        let is_local = server.zone == self.local_zone;
         let occupancy = endpoint.occupancy(tuning, now);
         let is_affine = self.affine_servers.is_empty() || self.affine_servers.contains(&server.id);
         let random = unit_interval(splitmix64(self.turn ^ fnv1a(server.id.as_bytes())));
@@ -80,7 +96,7 @@
             occupancy: if is_local {
                 occupancy
             } else {
-                occupancy.max(balancer.cluster_load.zone_occupancy(tuning, &server.zone, now))
+                occupancy.max(self.cluster_load.zone_occupancy(tuning, &server.zone, now))
             },
             failures: endpoint.effective_failure_rate(tuning, now) * tuning.failure_penalty,
             other_zone: if is_local { 0.0 } else { tuning.other_zone_load },
@@ -92,25 +108,3 @@
         cost.total()
     }
 }
-
-impl LoadBalancer {
-    /// Returns the least costly server for a request; `None` where the service has none that is available, below
-    /// `max_load` and not tried yet.
-    pub fn choose(&mut self, request: &PlacementRequest<'_>, now: Now) -> Option<Server> {
-        self.turn = splitmix64(self.turn);
-        let local = self.endpoints_of(request.service).filter(|e| e.server.zone == self.local_zone);
-        let count = self.tuning.affine_servers as usize;
-        let affine_servers =
-            request.prefix_key.map(|key| affinity::affine_servers(local, key, count)).unwrap_or_default();
-        let comparison = Comparison { balancer: self, affine_servers, turn: self.turn, now };
-        let best = self
-            .endpoints_of(request.service)
-            .filter(|endpoint| !request.attempted.contains(&endpoint.server.id))
-            .filter(|endpoint| endpoint.occupancy(&self.tuning, now) <= request.max_load)
-            .min_by(|a, b| comparison.cost(a).total_cmp(&comparison.cost(b)))?;
-        if best.ejection.is_ejected(now) && request.max_load.is_finite() {
-            return None;
-        }
-        Some(best.server.clone())
-    }
-}
--- a/data-plane/routing/src/balance/endpoint.rs
+++ b/data-plane/routing/src/balance/endpoint.rs
@@ -5,10 +5,11 @@
 //! but ages between responses, and the updates of peer gateways, which cover only the local zone but come every few tens of
 //! milliseconds. The larger one counts: both err towards too little when they age.
 
-use super::load_exchange::PeerLoad;
+use super::freshness::is_fresh;
 use super::outlier::{Ejection, FailureRate, ServerOutcome};
 use crate::tuning::{duration_from_ms, Tuning};
 use crate::Now;
+use marblecroft_protocol::load::ServerLoad;
 use marblecroft_protocol::servers::Server;
 use std::collections::HashMap;
 
@@ -38,6 +39,15 @@
     }
 }
 
+/// The load of one peer gateway at a server.
+#[derive(Clone, Copy, Debug)]
+struct PeerLoad {
+    /// Requests of the peer at the server.
+    in_flight: u32,
+    /// When the peer reported it.
+    reported_at: Now,
+}
+
 /// Requests of other gateways, as the server's last report implies them.
 #[derive(Clone, Copy, Debug)]
 struct ObservedLoad {
@@ -76,12 +86,12 @@
     prefill: PrefillBacklog,
     observed: Option<ObservedLoad>,
     /// The load of peer gateways at the server, by the peers' hashes.
-    pub(super) peer_loads: HashMap<u64, PeerLoad>,
+    peer_loads: HashMap<u64, PeerLoad>,
     pub(super) ejection: Ejection,
     /// The failure rate that this gateway has measured itself.
     pub(super) failure_rate: FailureRate,
     /// The highest failure rate that peer gateways have reported. Kept apart, so that it is not reported back to them.
-    pub(super) peer_failure_rate: FailureRate,
+    peer_failure_rate: FailureRate,
 }
 
 impl Endpoint {
@@ -114,6 +124,24 @@
         self.observed = Some(ObservedLoad { others_in_flight: others.max(0.0), reported_at: now });
     }
 
+    /// Drops what a peer gateway reported.
+    pub(super) fn forget_peer(&mut self, peer: u64) {
+        self.peer_loads.remove(&peer);
+    }
+
+    /// Takes over what a peer gateway reports of this server. Of the failure rate it is the highest that counts, until it has
+    /// decayed below a lower one.
+    pub(super) fn on_peer_load(&mut self, tuning: &Tuning, peer: u64, load: &ServerLoad, now: Now) {
+        if load.in_flight > 0 {
+            self.peer_loads.insert(peer, PeerLoad { in_flight: load.in_flight, reported_at: now });
+        }
+        self.add_prompt_tokens(tuning, load.prompt_tokens, now);
+        let reported = f64::from(load.failure_share) / f64::from(u8::MAX);
+        if reported > self.peer_failure_rate.decayed(tuning, now) {
+            self.peer_failure_rate = FailureRate::reported(reported, now);
+        }
+    }
+
     pub(super) fn on_outcome(&mut self, tuning: &Tuning, outcome: ServerOutcome, now: Now) {
         match outcome {
             ServerOutcome::Succeeded => self.failure_rate.record(tuning, 0.0, now),
@@ -137,7 +165,7 @@
     /// Returns the requests of peer gateways whose update is recent.
     fn peer_in_flight(&self, tuning: &Tuning, now: Now) -> f64 {
         let ttl = duration_from_ms(tuning.peer_load_ttl_ms);
-        let recent = self.peer_loads.values().filter(|peer| super::is_fresh(peer.reported_at, ttl, now));
+        let recent = self.peer_loads.values().filter(|peer| is_fresh(peer.reported_at, ttl, now));
         recent.map(|peer| f64::from(peer.in_flight)).sum()
     }
 
--- a/data-plane/routing/src/balance/zone_load.rs
+++ b/data-plane/routing/src/balance/zone_load.rs
@@ -5,7 +5,7 @@
 //! for the occupancy of a remote server and not as its load.
 
 use super::endpoint::Endpoint;
-use super::LoadBalancer;
+use super::freshness::is_fresh;
 use crate::ewma::Ewma;
 use crate::tuning::{duration_from_ms, Tuning};
 use crate::Now;
@@ -44,6 +44,14 @@
             }
         }
     }
+
+    /// Returns the averages as of the last time that they were advanced.
+    pub(super) fn report(&self) -> Vec<ZoneLoad> {
+        let averages = self.averages.iter();
+        averages
+            .map(|(zone, average)| ZoneLoad { zone: zone.clone(), in_flight: average.average() as f32 })
+            .collect()
+    }
 }
 
 /// The load of all gateways together, as the stores last reported it.
@@ -57,9 +65,32 @@
 }
 
 impl ClusterLoad {
+    /// A report at `now`: requests in flight by zone, and `live` requests at all servers. Only available endpoints count for
+    /// the slots of a zone.
+    pub(super) fn new<'a>(
+        zones: &[ZoneLoad],
+        live: f32,
+        endpoints: impl Iterator<Item = &'a Endpoint>,
+        now: Now,
+    ) -> ClusterLoad {
+        let mut slots: HashMap<&str, u32> = HashMap::new();
+        for endpoint in endpoints.filter(|endpoint| endpoint.is_available()) {
+            *slots.entry(&endpoint.server.zone).or_default() += endpoint.server.slots;
+        }
+        let occupancy = |zone: &ZoneLoad| {
+            let slots = slots.get(zone.zone.as_str()).copied().unwrap_or(0);
+            f64::from(zone.in_flight) / f64::from(slots.max(1))
+        };
+        ClusterLoad {
+            zone_occupancy: zones.iter().map(|zone| (zone.zone.clone(), occupancy(zone))).collect(),
+            live_requests: f64::from(live),
+            reported_at: Some(now),
+        }
+    }
+
     fn is_fresh(&self, tuning: &Tuning, now: Now) -> bool {
         let ttl = duration_from_ms(tuning.cluster_load_ttl_ms);
-        self.reported_at.is_some_and(|at| super::is_fresh(at, ttl, now))
+        self.reported_at.is_some_and(|at| is_fresh(at, ttl, now))
     }
 
     /// Returns the mean occupancy of a zone's servers; 0 where it is not known.
@@ -80,37 +111,3 @@
         }
     }
 }
-
-impl LoadBalancer {
-    /// Advances the averages of this gateway's requests by zone; called before any count of them changes.
-    pub(super) fn advance_zone_averages(&mut self, now: Now) {
-        self.zone_averages.advance(self.endpoints.values(), &self.tuning, now);
-    }
-
-    /// Returns the moving averages of this gateway's requests in flight, by zone.
-    pub fn zone_averages(&mut self, now: Now) -> Vec<ZoneLoad> {
-        self.advance_zone_averages(now);
-        let averages = self.zone_averages.averages.iter();
-        averages
-            .map(|(zone, average)| ZoneLoad { zone: zone.clone(), in_flight: average.average() as f32 })
-            .collect()
-    }
-
-    /// Handles a report of the load of all gateways together: requests in flight by zone, and `live` requests at all
-    /// servers. It replaces the one before.
-    pub fn on_cluster_load(&mut self, zones: &[ZoneLoad], live: f32, now: Now) {
-        let mut slots: HashMap<&str, u32> = HashMap::new();
-        for endpoint in self.endpoints.values().filter(|endpoint| endpoint.is_available()) {
-            *slots.entry(&endpoint.server.zone).or_default() += endpoint.server.slots;
-        }
-        let occupancy = |zone: &ZoneLoad| {
-            let slots = slots.get(zone.zone.as_str()).copied().unwrap_or(0);
-            f64::from(zone.in_flight) / f64::from(slots.max(1))
-        };
-        self.cluster_load = ClusterLoad {
-            zone_occupancy: zones.iter().map(|zone| (zone.zone.clone(), occupancy(zone))).collect(),
-            live_requests: f64::from(live),
-            reported_at: Some(now),
-        };
-    }
-}
