--- /dev/null
+++ b/data-plane/gateway/src/live/mod.rs
@@ -0,0 +1,130 @@
+//! Live requests: a client waits for the response.
+//!
+//! A request passes here in this order:
+//!
+//! 1. [`serve`] reads its id, its deadline and its prompt, and asks admission. A request that is shed costs nothing more.
+//! 2. [`LiveRequest::run`] makes attempts (`attempt`), one after the other, until one succeeds, the route allows no more, or
+//!    the deadline is near.
+//! 3. A success is forwarded (`forward`): a plain response once it is complete, an event stream event by event
+//!    (`streaming`). A stream that breaks off is resumed at another server inside the same response.
+//!
+//! Only a request that no server has executed is rejected with 429 or 503: these statuses promise the client that it may
+//! send the request again.
+
+mod attempt;
+mod forward;
+mod request;
+mod streaming;
+
+use crate::body::ResponseBody;
+use crate::gateway::Gateway;
+use crate::headers::{strip_hop_by_hop, PREFIX_HASH, REQUEST_ID, TIMEOUT_MS, TOKEN_USAGE};
+use crate::reply::{local_reply, rejection};
+use crate::request::BufferedRequest;
+use crate::upstream::UpstreamRequest;
+use attempt::AttemptOutcome;
+use hyper::header::CONTENT_LENGTH;
+use hyper::{Response, StatusCode};
+use marblecroft_configuration::Route;
+use marblecroft_routing::prompt::Prompt;
+use request::{LiveRequest, DEFAULT_TIMEOUT, MAX_REJECTIONS};
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// The response is sent so long before the client stops waiting.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
+/// Sent as `Retry-After` to clients whose request is shed, in seconds ...
+const RETRY_AFTER_OVERLOAD: &str = "0.5";
+/// ... and to those for whose request there is no server.
+const RETRY_AFTER_NO_SERVER: &str = "0.3";
+
+/// Serves a live request.
+pub async fn serve(
+    gateway: &Rc<Gateway>,
+    route: Arc<Route>,
+    request: BufferedRequest,
+) -> Response<ResponseBody> {
+    let Some(id) = request.header(REQUEST_ID.as_str()).map(str::to_owned) else {
+        return local_reply(StatusCode::BAD_REQUEST, "X-Request-Id is missing");
+    };
+    let deadline = deadline(&request, &route);
+    let prompt = Prompt::parse(request.header(TOKEN_USAGE), request.header(PREFIX_HASH));
+    if !gateway.admission.borrow_mut().admit(&route.name, prompt.cost().max(1.0)) {
+        return rejection(StatusCode::TOO_MANY_REQUESTS, "overloaded", RETRY_AFTER_OVERLOAD);
+    }
+    let live = LiveRequest {
+        service: gateway.service_of(&route, &id),
+        gateway: gateway.clone(),
+        received_at: request.received_at,
+        request: upstream_request(request, &route),
+        id,
+        prompt,
+        deadline,
+        attempted: Vec::new(),
+        executions: 0,
+        rejections: 0,
+        route,
+    };
+    live.run().await
+}
+
+/// Returns when the response must be on its way: by the client's `X-Timeout-Ms`, but by the route's time limit at the latest.
+fn deadline(request: &BufferedRequest, route: &Route) -> Instant {
+    let stated = request.header(TIMEOUT_MS.as_str()).and_then(|ms| ms.trim().parse::<f64>().ok());
+    let time_limit =
+        stated.map_or(DEFAULT_TIMEOUT, |ms| Duration::from_secs_f64(ms.clamp(0.0, 1e9) / 1000.0));
+    request.received_at + time_limit.min(route.timeout).saturating_sub(RESPONSE_MARGIN)
+}
+
+/// Returns the request as it is sent to servers: with end-to-end headers only.
+fn upstream_request(request: BufferedRequest, route: &Route) -> UpstreamRequest {
+    let mut headers = request.headers;
+    strip_hop_by_hop(&mut headers);
+    headers.remove(CONTENT_LENGTH);
+    UpstreamRequest {
+        method: request.method,
+        uri: request.uri,
+        headers,
+        body: request.body,
+        idempotent: route.may_run_twice() && route.attempts > 1,
+    }
+}
+
+impl LiveRequest {
+    /// Makes attempts until there is a response.
+    async fn run(mut self) -> Response<ResponseBody> {
+        loop {
+            match self.attempt(None).await {
+                Some(AttemptOutcome::Success(success)) => return self.forward(*success).await,
+                Some(AttemptOutcome::Response(response)) => return response,
+                Some(AttemptOutcome::NotExecuted) => self.rejections += 1,
+                Some(AttemptOutcome::MayHaveExecuted) => {
+                    self.executions += 1;
+                    if !self.may_retry() {
+                        return local_reply(StatusCode::BAD_GATEWAY, "the server broke off");
+                    }
+                }
+                None => return self.no_response(),
+            }
+            if self.rejections >= MAX_REJECTIONS || Instant::now() >= self.deadline {
+                return self.no_response();
+            }
+        }
+    }
+
+    /// Returns the response where no server is left, or no time.
+    fn no_response(&self) -> Response<ResponseBody> {
+        if self.executions + self.rejections > 0 {
+            self.record_latency(self.route.timeout);
+        }
+        if self.executions > 0 && !self.route.may_run_twice() {
+            return local_reply(StatusCode::BAD_GATEWAY, "no server has answered");
+        }
+        if self.executions > 0 {
+            return local_reply(StatusCode::GATEWAY_TIMEOUT, "no server has answered");
+        }
+        rejection(StatusCode::SERVICE_UNAVAILABLE, "no server takes the request", RETRY_AFTER_NO_SERVER)
+    }
+}
--- /dev/null
+++ b/data-plane/gateway/src/upstream/pool.rs
@@ -0,0 +1,159 @@
+//! Idle connections to model servers.
+//!
+//! Opening a connection to a server is dear, but reusing an idle one has a race: the server may be closing it, or may have
+//! dropped it silently, while the request is under way. Then nobody knows whether the request was executed. The pool
+//! therefore keeps connections for a short time only for requests that must not be executed twice, and longer for
+//! idempotent ones, which can simply be sent again. It also limits how many it keeps: servers accept a limited number of
+//! connections from all gateways together and reset those beyond.
+
+use crate::headers::KEEP_ALIVE;
+use http_body_util::Full;
+use hyper::body::Bytes;
+use hyper::header::{HeaderMap, CONNECTION};
+use marblecroft_protocol::servers::Server;
+use marblecroft_transport::link::Link as TransportLink;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// A connection to a model server.
+pub type Connection = TransportLink<Full<Bytes>>;
+
+/// A connection rests this long after a response before it is used again: some servers send a response twice, and the second
+/// one would be taken for the response to the next request.
+const REUSE_DELAY: Duration = Duration::from_millis(15);
+/// The longest idle time after which a connection is used for a request that must not be executed twice.
+const SHORT_IDLE_TIMEOUT: Duration = Duration::from_millis(400);
+/// The longest idle time for idempotent requests, where servers accept enough connections.
+const LONG_IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The share of a server's connections that all gateways together may keep idle for the long time.
+const LONG_IDLE_SHARE: f64 = 0.4;
+/// The most idle connections to one server.
+const MAX_IDLE_PER_SERVER: usize = 2;
+/// The share of a server's announced keep-alive time that is made use of; the rest is margin for the race with its closing.
+const KEEP_ALIVE_FRACTION: f64 = 0.6;
+
+/// The key of a server's connections: an incarnation at an address.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct PoolKey {
+    id: String,
+    address: SocketAddr,
+}
+
+impl PoolKey {
+    fn of(server: &Server) -> PoolKey {
+        PoolKey { id: server.id.clone(), address: server.address }
+    }
+}
+
+struct IdleConnection {
+    connection: Connection,
+    idle_since: Instant,
+    /// The idle time after which it is closed.
+    timeout: Duration,
+}
+
+impl IdleConnection {
+    fn idle_time(&self, now: Instant) -> Duration {
+        now.duration_since(self.idle_since)
+    }
+
+    fn is_usable(&self, now: Instant) -> bool {
+        self.idle_time(now) < self.timeout && !self.connection.is_closed()
+    }
+}
+
+/// Idle connections, oldest first for each server.
+#[derive(Default)]
+pub struct ConnectionPool {
+    idle: RefCell<HashMap<PoolKey, Vec<IdleConnection>>>,
+    /// The number of open connections, idle or not.
+    pub(super) open: Rc<Cell<usize>>,
+    /// The number of gateways that share the servers' connections; 0 until it is known.
+    gateways: Cell<u32>,
+}
+
+impl ConnectionPool {
+    /// Sets the number of gateways that share the servers' connections.
+    pub fn set_gateway_count(&self, gateways: u32) {
+        self.gateways.set(gateways);
+    }
+
+    /// Returns how long a connection may stay idle, where each server accepts `max_connections` from all gateways.
+    fn idle_timeout(&self, max_connections: u32) -> Duration {
+        let share = f64::from(max_connections) * LONG_IDLE_SHARE / f64::from(self.gateways.get().max(1));
+        let has_room = self.gateways.get() > 0 && share >= MAX_IDLE_PER_SERVER as f64;
+        if has_room {
+            LONG_IDLE_TIMEOUT
+        } else {
+            SHORT_IDLE_TIMEOUT
+        }
+    }
+
+    /// Takes out an idle connection for a request.
+    pub(super) fn take(&self, server: &Server, is_idempotent: bool) -> Option<Connection> {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(&PoolKey::of(server))?;
+        let now = Instant::now();
+        connections.retain(|idle| idle.is_usable(now));
+        let is_rested = |idle: &IdleConnection| idle.idle_time(now) >= REUSE_DELAY;
+        // Idempotent requests take the one that has been idle longest, and leave the others to those that are not.
+        let index = if is_idempotent {
+            connections.iter().position(is_rested)?
+        } else {
+            connections
+                .iter()
+                .rposition(|idle| is_rested(idle) && idle.idle_time(now) < SHORT_IDLE_TIMEOUT)?
+        };
+        let connection = connections.remove(index).connection;
+        connection.clean().then_some(connection)
+    }
+
+    /// Puts a connection back whose response has been read to its end; `headers` are those of the response.
+    pub fn put_back(
+        &self,
+        server: &Server,
+        connection: Connection,
+        headers: &HeaderMap,
+        max_connections: u32,
+    ) {
+        let closes =
+            headers.get(CONNECTION).is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
+        if closes || connection.is_closed() {
+            return;
+        }
+        let announced = headers.get(KEEP_ALIVE).and_then(|value| value.to_str().ok());
+        let max = self.idle_timeout(max_connections);
+        let timeout = announced
+            .and_then(parse_keep_alive)
+            .map_or(max, |announced| announced.mul_f64(KEEP_ALIVE_FRACTION).min(max));
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.entry(PoolKey::of(server)).or_default();
+        if connections.len() >= MAX_IDLE_PER_SERVER {
+            connections.remove(0);
+        }
+        connections.push(IdleConnection { connection, idle_since: Instant::now(), timeout });
+    }
+
+    /// Closes connections that have been idle for too long.
+    pub fn close_expired(&self) {
+        let now = Instant::now();
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain(|idle| idle.is_usable(now));
+            !connections.is_empty()
+        });
+    }
+
+    /// Closes the idle connections to a server at which an attempt has failed.
+    pub fn close_idle_to(&self, server: &Server) {
+        self.idle.borrow_mut().remove(&PoolKey::of(server));
+    }
+}
+
+/// Returns the `timeout` parameter of a `Keep-Alive` header.
+fn parse_keep_alive(value: &str) -> Option<Duration> {
+    let seconds = value.split(',').find_map(|parameter| parameter.trim().strip_prefix("timeout="))?;
+    Some(Duration::from_secs(seconds.trim().parse().ok()?))
+}
