--- a/data-plane/routing/tests/routing.rs
+++ b/data-plane/routing/tests/routing.rs
@@ -246,3 +246,54 @@
     assert!((once.average() - often.average()).abs() < 1e-9, "{once:?} {often:?}");
     assert!((Ewma::rising_from_zero(8.0, 1.0).average() - once.average()).abs() < 1e-9);
 }
+
+/// Whether the single server of a balancer can be chosen below a limit, which ejected servers cannot.
+fn is_ejected(balancer: &mut LoadBalancer, now: Duration) -> bool {
+    let request = PlacementRequest { service: "s", prefix_key: None, attempted: &[], max_load: 9.0 };
+    balancer.choose(&request, now).is_none()
+}
+
+#[test]
+fn ejections_double_up_to_a_limit_and_end_with_a_success() {
+    let mut balancer = LoadBalancer::new("a", 1, Tuning::default());
+    balancer.update(&ServerList { servers: vec![server("x", "a")], ..ServerList::default() });
+    let mut now = Duration::from_secs(1);
+    for backoff_ms in [500, 1000, 2000, 4000, 4000] {
+        balancer.on_outcome("x", ServerOutcome::Failed, now);
+        balancer.on_outcome("x", ServerOutcome::Failed, now);
+        let until = now + Duration::from_millis(backoff_ms);
+        assert!(is_ejected(&mut balancer, until - Duration::from_millis(1)), "{backoff_ms}");
+        assert!(!is_ejected(&mut balancer, until), "failures of one moment count once: {backoff_ms}");
+        now = until;
+    }
+    balancer.on_outcome("x", ServerOutcome::Failed, now);
+    balancer.on_outcome("x", ServerOutcome::Succeeded, now);
+    assert!(!is_ejected(&mut balancer, now));
+    balancer.on_outcome("x", ServerOutcome::Full, now);
+    assert!(is_ejected(&mut balancer, now + Duration::from_millis(59)));
+    assert!(!is_ejected(&mut balancer, now + Duration::from_millis(60)));
+}
+
+#[test]
+fn only_the_prefixes_of_a_server_move_when_it_leaves() {
+    let choices = |servers: &[u32]| -> Vec<String> {
+        let servers = servers.iter().map(|number| server(&format!("server-{number}"), "a")).collect();
+        let list = ServerList { servers, ..ServerList::default() };
+        let choose = |key| {
+            // One affine server, and no random term.
+            let mut tuning = Tuning::default();
+            tuning.set("keepers=1").and_then(|()| tuning.set("chance_load=0")).expect("constants");
+            let mut balancer = LoadBalancer::new("a", 1, tuning);
+            balancer.update(&list);
+            let request =
+                PlacementRequest { service: "s", prefix_key: Some(key), attempted: &[], max_load: 1.0 };
+            balancer.choose(&request, Duration::from_secs(1)).expect("a server").id
+        };
+        (0..200).map(choose).collect()
+    };
+    let (before, after) = (choices(&[0, 1, 2, 3, 4]), choices(&[0, 1, 3, 4]));
+    for (before, after) in before.iter().zip(&after) {
+        assert!(before == after || before == "server-2", "{before} {after}");
+    }
+    assert!((10..80).contains(&before.iter().filter(|id| *id == "server-2").count()));
+}
