--- a/control-plane/protocol/src/coordinator.rs
+++ b/control-plane/protocol/src/coordinator.rs
@@ -1,4 +1,10 @@
-//! Calls that a coordinator answers.
+//! Requests to coordinators and their replies.
+//!
+//! Coordinators send each other the messages of their own chain (append, install, vote) and the requests of membership (join,
+//! leave). Gateways pull new versions of the configuration, the server list and the stores' view, with long polling. Stores
+//! report to the head of the coordinators and receive their view in return.
+//!
+//! Messages are encoded by position: new variants and fields are appended, and none is reordered.
 
 use crate::servers::{ServerList, ServerListVersion};
 use marblecroft_chain_replication::agreement::{VoteReply, VoteRequest};
@@ -7,93 +13,120 @@
 use musli::{Decode, Encode};
 use std::net::SocketAddr;
 
+/// A request to a coordinator.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum CoordinatorRequest {
-    /// From the member before this one.
+    /// Replicates log entries. Sent by the predecessor in the chain, without entries as a heartbeat.
     Append(Append),
-    /// From the member before this one.
+    /// Replaces the state by a snapshot. Sent by the predecessor in the chain to a member that has fallen too far behind.
     Install(Install),
-    /// From a member that proposes a view.
+    /// A message of the agreement on the next view. Sent by a member that proposes one.
     Vote(VoteRequest),
-    /// From anyone: what this process says of itself.
+    /// Queries the process's status. Sent by any process; used as health check and to find the head.
     Status,
-    /// From a process that is not in the view and would be, with the position of its state.
-    Join { member: Member, position: Position },
-    /// From a member that is about to end, as its status says too: the head leaves it out. Names its identity.
+    /// Requests to become a member of the view. Sent to the head by a coordinator that is not one.
+    Join {
+        /// The process that is to become a member.
+        member: Member,
+        /// The position of the state that it has.
+        position: Position,
+    },
+    /// Requests to be left out of the next view. Sent to the head by a member that is draining; holds the member's identity.
     Leave(u64),
-    /// From a gateway: what is newer than what it has.
+    /// Requests what is newer than the sender's versions. Sent by gateways.
     Pull(Pull),
-    /// From a store.
+    /// Reports a store's status. Sent by each store periodically.
     Report(StoreReport),
 }
 
+/// A reply of a coordinator.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum CoordinatorReply {
+    /// Reply to [`CoordinatorRequest::Append`] and [`CoordinatorRequest::Install`].
     Append(AppendReply),
+    /// Reply to [`CoordinatorRequest::Vote`].
     Vote(VoteReply),
+    /// Reply to [`CoordinatorRequest::Status`].
     Status(Status),
+    /// Reply to [`CoordinatorRequest::Pull`].
     Updates(ConfigurationUpdates),
+    /// Reply to [`CoordinatorRequest::Report`].
     Stores(StoreDirective),
-    /// Noted; the view will tell.
+    /// Reply to [`CoordinatorRequest::Join`] and [`CoordinatorRequest::Leave`]: the request is taken into account. It has
+    /// taken effect once a view says so.
     Acknowledged,
-    /// To a process that would join: the state that it takes first.
+    /// Reply to [`CoordinatorRequest::Join`] of a process whose state is too old: the state that it has to install before
+    /// it can become a member.
     InstallFirst(Install),
-    /// Another process is the head, as far as this one knows.
+    /// Reply of a process that is not the head to a request for the head: the head's address, where it is known.
     NotHead(Option<SocketAddr>),
 }
 
-/// The versions that a gateway has.
+/// The versions that a gateway has. A version that is 0 is that of a gateway that has none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct VersionVector {
-    /// Configurations taken, up to the one that it has.
+    /// Sequence number of the configuration; see [`ConfigurationUpdate::sequence`].
     pub configuration: u64,
+    /// Version of the server list.
     pub servers: ServerListVersion,
     /// Number of the view of the stores' chain.
     pub stores: u64,
 }
 
-/// Asks for what is newer.
+/// A gateway's request for what is newer than its versions.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Pull {
+    /// The versions that the gateway has.
     pub known_versions: VersionVector,
-    /// How long the answer may be held until there is something.
+    /// Longest time in milliseconds for which the coordinator may defer its reply while there is nothing newer.
     pub wait_ms: u32,
 }
 
-/// What is newer than what a gateway has.
+/// What is newer than the versions of a gateway; `None` where nothing is.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ConfigurationUpdates {
-    /// Whether the coordinator is in touch with the others; one that was cut off tells old versions.
+    /// Whether the coordinator is in contact with the other members. One that is partitioned off may reply with versions
+    /// that have been superseded.
     pub fresh: bool,
+    /// A newer configuration.
     pub configuration: Option<ConfigurationUpdate>,
+    /// A newer server list.
     pub servers: Option<ServerList>,
+    /// A newer view of the stores' chain.
     pub stores: Option<View>,
-    /// Where coordinators are called.
+    /// Internal addresses of the coordinators.
     pub coordinators: Vec<SocketAddr>,
 }
 
+/// A configuration and its place in the sequence of all that were accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationUpdate {
+    /// Number of configurations accepted up to this one. Gateways never return to a lower one.
     pub sequence: u64,
+    /// The configuration in JSON.
     pub body: Bytes,
 }
 
-/// What a store tells the head of the coordinators.
+/// A store's periodic report to the head of the coordinators.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct StoreReport {
+    /// Name of the store's machine.
     pub node_name: String,
+    /// Zone of the store's machine.
     pub zone: String,
+    /// Internal address of the store.
     pub address: SocketAddr,
+    /// The store's own view of its chain.
     pub status: Status,
 }
 
-/// What the head of the coordinators tells a store.
+/// The reply of the head of the coordinators to a store's report.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct StoreDirective {
-    /// The view of the stores' chain.
+    /// The newest view of the stores' chain.
     pub view: View,
-    /// A member whose state the store is to fetch, as it is to join next.
+    /// Internal address of a member from which the store is to fetch the state, as it is to be added to the chain.
     pub fetch_from: Option<SocketAddr>,
-    /// Where coordinators are called.
+    /// Internal addresses of the coordinators.
     pub coordinators: Vec<SocketAddr>,
 }
--- a/control-plane/protocol/src/lib.rs
+++ b/control-plane/protocol/src/lib.rs
@@ -1,4 +1,9 @@
-//! The calls that processes of the serving tier answer each other, as typed messages.
+//! The messages between processes of the serving tier.
+//!
+//! [`coordinator`] and [`store`] hold the requests and replies of the two replicated services; they are carried by
+//! `marblecroft-rpc`. [`servers`] is the list of model servers, as the platform's API returns it and as coordinators pass it
+//! on. [`load`] is the datagram that gateways of one zone exchange. The functions here derive the addresses on which
+//! processes call each other: internal ports are the same on all machines.
 #![forbid(unsafe_code)]
 
 pub mod coordinator;
@@ -8,18 +13,20 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-/// Where the coordinator on the machine of a seed is called: the seed names its operator's API, and internal ports are the
-/// same on all machines.
+/// Returns the internal address of the coordinator on a seed's machine. `seed` is the address of its operator API, and
+/// `ephemeral_ports` are the first and last internal port.
 pub fn coordinator_address(seed: SocketAddr, ephemeral_ports: (u16, u16)) -> SocketAddr {
     internal_address(seed.ip(), ephemeral_ports)
 }
 
-/// Where a coordinator or store on a machine is called by other processes.
+/// Returns the address on which the coordinator or store of a machine is called by other processes. `ephemeral_ports` are
+/// the first and last internal port.
 pub fn internal_address(ip: IpAddr, ephemeral_ports: (u16, u16)) -> SocketAddr {
     SocketAddr::new(ip, ephemeral_ports.0)
 }
 
-/// Where a gateway is told by datagrams what other gateways have at the servers.
+/// Returns the address on which the gateway of a machine receives the load datagrams of other gateways. `ephemeral_ports`
+/// are the first and last internal port.
 pub fn load_address(ip: IpAddr, ephemeral_ports: (u16, u16)) -> SocketAddr {
     SocketAddr::new(ip, ephemeral_ports.1)
 }
--- a/control-plane/protocol/src/load.rs
+++ b/control-plane/protocol/src/load.rs
@@ -1,34 +1,39 @@
-//! What gateways of one zone tell each other of the servers, by datagrams. One that is lost is made good by the next.
+//! The datagrams by which the gateways of one zone inform each other of their requests in flight.
+//!
+//! Each carries the complete load of its sender, so a lost one is compensated by the next. Messages are encoded by position:
+//! new fields are appended, and none is reordered.
 
 use musli::{Decode, Encode};
 
-/// All that a gateway has out.
+/// The load of one gateway at all servers. Sent periodically to each peer of the gateway's zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct LoadUpdate {
-    /// Hash of the gateway's name.
+    /// Hash of the sending gateway's name.
     pub gateway: u64,
-    /// Orders the notices of one process; one that was overtaken is dropped.
+    /// Orders the datagrams of one process; the receiver drops one that was overtaken.
     pub sequence: u64,
+    /// The servers at which the gateway has load.
     pub servers: Vec<ServerLoad>,
 }
 
-/// What a gateway has at one server.
+/// The load of one gateway at one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ServerLoad {
     /// Hash of the server's id.
     pub server: u64,
-    /// Requests that the server has of this gateway.
+    /// Requests of this gateway that the server has not completed.
     pub in_flight: u32,
-    /// Tokens of prompts that the gateway has sent there since its last notice.
+    /// Prompt tokens that the gateway has sent to the server since its previous datagram.
     pub prompt_tokens: u32,
-    /// The share of its requests that fail there, as this gateway has met it itself, of 255.
+    /// Share of the gateway's own requests that fail at the server, in units of 1/255.
     pub failure_share: u8,
 }
 
-/// What is out at the servers of one zone.
+/// The requests in flight at the servers of one zone, of one gateway or of all together.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ZoneLoad {
+    /// Name of the servers' zone.
     pub zone: String,
-    /// Requests, in the mean over the latest time.
+    /// Requests in flight, as a moving average.
     pub in_flight: f32,
 }
--- a/control-plane/protocol/src/servers.rs
+++ b/control-plane/protocol/src/servers.rs
@@ -1,48 +1,61 @@
-//! The list of model servers: as the platform tells it, and as coordinators pass it on.
+//! The list of model servers.
+//!
+//! The reader, which is one coordinator at a time, polls the platform's API: [`Page`] parses one page of its JSON. The
+//! resulting [`ServerList`] is passed to gateways with a version by which a list of an earlier reader is recognised.
 
-// What `nanoserde` derives holds this shape.
+// The code that `nanoserde` derives has this shape.
 #![allow(clippy::question_mark)]
 
 use musli::{Decode, Encode};
 use nanoserde::DeJson;
 use std::net::SocketAddr;
 
-/// A server of the list.
+/// A model server. Encoded by position: new fields are appended, and none is reordered.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Server {
-    /// Names one incarnation.
+    /// The platform's id of the server. Names one incarnation: a restarted server has another one.
     pub id: String,
-    /// Its service.
+    /// Name of the service that the server belongs to.
     pub backend: String,
+    /// Address on which the server accepts requests.
     pub address: SocketAddr,
+    /// Zone of the server's machine.
     pub zone: String,
+    /// Requests that the server runs concurrently; 0 where the platform does not say.
     pub slots: u32,
+    /// Whether the server is not to receive new requests.
     pub draining: bool,
-    /// Time for which it stays slow.
+    /// Time in milliseconds from the read of the list for which the server is still warming up and therefore slow.
     pub warmup_left_ms: u32,
 }
 
-/// The list as one read had it.
+/// The list of servers as one complete read returned it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ServerList {
+    /// The version of this list.
     pub version: ServerListVersion,
+    /// All servers.
     pub servers: Vec<Server>,
 }
 
-/// Orders lists: a later reader's are newer than an earlier one's, and a reader's own follow each other.
+/// The version of a server list. The order of fields matters: lists of a later reader are newer than those of an earlier one,
+/// and those of one reader are ordered by their sequence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct ServerListVersion {
-    /// The reader's fencing token.
+    /// The fencing token of the reader, from 1; 0 before the first list.
     pub epoch: u64,
+    /// Number of the list among those of its reader.
     pub sequence: u64,
 }
 
+/// A page as the platform writes it.
 #[derive(DeJson)]
 struct PageDocument {
     instances: Vec<InstanceDocument>,
     next_page_token: Option<String>,
 }
 
+/// A server as the platform writes it.
 #[derive(DeJson)]
 struct InstanceDocument {
     id: String,
@@ -54,25 +67,26 @@
     warmup_left_ms: Option<f64>,
 }
 
-/// One page of the platform's list.
+/// One page of the platform's server list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page {
+    /// The servers of this page.
     pub servers: Vec<Server>,
-    /// Names the following page.
+    /// Token of the following page; `None` on the last.
     pub next: Option<String>,
 }
 
 impl Page {
-    /// Reads a page; `None` where it is not one.
+    /// Parses a page; returns `None` where the text is not one. Unknown members are ignored.
     pub fn parse(text: &str) -> Option<Page> {
         let page: PageDocument = DeJson::deserialize_json(text).ok()?;
-        let servers = page.instances.into_iter().map(InstanceDocument::server).collect::<Option<_>>()?;
+        let servers = page.instances.into_iter().map(InstanceDocument::into_server).collect::<Option<_>>()?;
         Some(Page { servers, next: page.next_page_token.filter(|token| !token.is_empty()) })
     }
 }
 
 impl InstanceDocument {
-    fn server(self) -> Option<Server> {
+    fn into_server(self) -> Option<Server> {
         Some(Server {
             id: self.id,
             backend: self.backend,
--- a/control-plane/protocol/src/store.rs
+++ b/control-plane/protocol/src/store.rs
@@ -1,4 +1,9 @@
-//! Calls that a store answers.
+//! Requests to stores and their replies.
+//!
+//! Stores send each other the messages of their chain (append, install). Gateways submit jobs, read their results and end
+//! them for clients, and exchange [`WorkRequest`] and [`WorkReply`] to run items under leases; only the head serves these.
+//!
+//! Messages are encoded by position: new variants and fields are appended, and none is reordered.
 
 use crate::load::ZoneLoad;
 pub use marblecroft_batch_state::ItemId;
@@ -8,139 +13,176 @@
 use musli::{Decode, Encode};
 use std::net::SocketAddr;
 
+/// A request to a store.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum StoreRequest {
-    /// From the member before this one.
+    /// Replicates log entries. Sent by the predecessor in the chain, without entries as a heartbeat.
     Append(Append),
-    /// From the member before this one.
+    /// Replaces the state by a snapshot. Sent by the predecessor in the chain to a member that has fallen too far behind.
     Install(Install),
-    /// From anyone: what this process says of itself.
+    /// Queries the process's status. Sent by any process.
     Status,
-    /// From a store that is to join: the whole state.
+    /// Requests a snapshot of the state. Sent by a store that is to be added to the chain.
     Fetch,
-    /// Take a job.
+    /// Submits a job. Sent by a gateway for a client; idempotent, as the job is recognised by its id and content.
     SubmitJob(NewJob),
-    /// Results of a job from a position on.
-    ReadResults { job: String, start: u64, wait_ms: u32 },
-    /// The body of an item that is not listed.
-    ReadItemBody { job: String, item: String },
-    /// End a job.
-    EndJob { job: String },
-    /// From a gateway that runs items.
+    /// Reads a job's results from a position on. Sent by a gateway for a client.
+    ReadResults {
+        /// Id of the job.
+        job: String,
+        /// Position of the first result to return, from 0.
+        start: u64,
+        /// Longest time in milliseconds for which the reply may be deferred while there is no result at `start`.
+        wait_ms: u32,
+    },
+    /// Reads the request body of an item that has no result yet. Sent by a gateway for a client.
+    ReadItemBody {
+        /// Id of the job.
+        job: String,
+        /// The client's id of the item.
+        item: String,
+    },
+    /// Ends a job; idempotent. Sent by a gateway for a client.
+    EndJob {
+        /// Id of the job.
+        job: String,
+    },
+    /// Reports and requests items to run. Sent by each gateway periodically.
     Work(WorkRequest),
 }
 
+/// A reply of a store.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum StoreReply {
+    /// Reply to [`StoreRequest::Append`] and [`StoreRequest::Install`].
     Append(AppendReply),
+    /// Reply to [`StoreRequest::Status`].
     Status(Status),
+    /// Reply to [`StoreRequest::Fetch`].
     State(Install),
-    /// A job was taken.
+    /// The submitted job is stored.
     Accepted,
-    /// A job does not fit; none of it runs.
+    /// The submitted job exceeds its route's quota; none of its items runs.
     OverQuota,
-    /// Another job was taken under its id; none of this one runs.
+    /// Another job is stored under the submitted job's id; none of the submitted job's items runs.
     Conflict,
+    /// Reply to [`StoreRequest::ReadResults`].
     Results(ResultsPage),
+    /// Reply to [`StoreRequest::ReadItemBody`].
     Body(#[musli(bytes)] Vec<u8>),
-    /// A job was ended.
+    /// The job is ended.
     Ended,
-    /// There is no such job, or no such item without a result.
+    /// No such job is stored, or it has no such item without a result.
     NotFound,
+    /// Reply to [`StoreRequest::Work`].
     Work(WorkReply),
-    /// Another process is the head, as far as this one knows. Nothing was carried out.
+    /// The process is not the head, and nothing was executed; holds the head's address, where it is known.
     NotHead(Option<SocketAddr>),
-    /// Too few copies would be made. Nothing was carried out.
+    /// The chain has too few members to replicate the change safely; nothing was executed.
     Unavailable,
-    /// It may have been carried out.
+    /// The request may or may not have been executed.
     OutcomeUnknown,
 }
 
-/// A part of a job's results.
+/// Consecutive results of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ResultsPage {
-    /// Items of the job.
+    /// Number of items of the job.
     pub total: u64,
+    /// The results from the requested position on, possibly not all that there are.
     pub results: Vec<NamedResult>,
 }
 
-/// A result by the id of its item.
+/// A result with the id of its item.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct NamedResult {
+    /// The client's id of the item.
     pub id: String,
+    /// The outcome of the item.
     pub outcome: ItemOutcome,
 }
 
-/// A gateway tells what it runs and has run, and asks for more.
+/// A gateway's periodic report of what it runs and has run, and its request for more items.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct WorkRequest {
+    /// Name of the gateway.
     pub gateway: String,
+    /// All items that the gateway runs; the leases of others are released.
     pub running: Vec<ItemId>,
+    /// Items whose outcome has not been acknowledged.
     pub finished: Vec<FinishedItem>,
-    /// Items that it would begin.
+    /// Number of items that the gateway would begin to run.
     pub capacity: u32,
-    /// What it sees of the servers, by which the stores bound how many items all gateways run.
+    /// The gateway's live load, from which the head derives how many items all gateways together may run.
     pub load: GatewayLoad,
+    /// Zone of the gateway's machine.
     pub zone: String,
-    /// Where it takes the load notices of other gateways.
+    /// Address on which the gateway receives the load datagrams of other gateways.
     pub load_address: SocketAddr,
-    /// The digest of the peers that it was last told, 0 before the first.
+    /// [`Peers::digest`] of the latest peers that the gateway received; 0 before the first.
     pub peers_digest: u64,
-    /// What it has at the servers of each zone.
+    /// The gateway's own requests in flight at the servers of each zone.
     pub zone_loads: Vec<ZoneLoad>,
 }
 
-/// The gateways of one zone that exchange load notices.
+/// The gateways with which a gateway exchanges load datagrams: those of its zone, or one group of them in a large zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Peers {
-    /// Tells one set of peers from another.
+    /// Hash of the addresses; another one says that the set has changed.
     pub digest: u64,
+    /// Addresses on which the gateways receive load datagrams.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// What a gateway sees of the servers.
+/// The live load of a gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Encode, Decode)]
 pub struct GatewayLoad {
-    /// Live requests that it had at servers at once lately, in the mean.
+    /// Concurrent live requests of the gateway at servers, as a moving average.
     pub live_requests: f64,
-    /// Slots of all servers that requests may be sent to.
+    /// Sum of the slots of all servers that the gateway may send requests to.
     pub slots: u32,
 }
 
-/// An item that was run.
+/// The outcome of an item that the gateway has run.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct FinishedItem {
+    /// The item.
     pub id: ItemId,
+    /// Its outcome.
     pub outcome: ItemOutcome,
 }
 
-/// What a gateway is to do.
+/// The reply to a gateway's work request.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct WorkReply {
-    /// Items to run under a lease.
+    /// Items that are newly leased to the gateway.
     pub granted: Vec<GrantedItem>,
-    /// Items to stop: they are another gateway's, or are not wanted any more.
+    /// Items that the gateway is to stop, as they are leased to another gateway or not to be run any more.
     pub stop: Vec<ItemId>,
-    /// How long the leases last from when the request was sent.
+    /// Duration of the leases in milliseconds. It counts from when the gateway sent the request, so that the gateway's
+    /// leases never outlast the head's.
     pub lease_ms: u32,
-    /// The gateways of its zone, where they are others than those that it knows.
+    /// The gateway's peers, where they differ from those whose digest the request held.
     pub peers: Option<Peers>,
-    /// What all gateways together have at the servers of each zone.
+    /// Requests of all gateways together in flight at the servers of each zone.
     pub zone_loads: Vec<ZoneLoad>,
-    /// How many gateways there are.
+    /// Number of gateways that have requested work lately.
     pub gateway_count: u32,
-    /// Live requests that all of them had at servers lately, in the mean.
+    /// Concurrent live requests of all gateways together at servers, as a moving average.
     pub live_requests: f32,
 }
 
 /// An item to run.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct GrantedItem {
+    /// The item's identity.
     pub id: ItemId,
-    /// The host and route that its job came in with.
+    /// The `Host` header with which the item is sent.
     pub host: String,
+    /// Name of the route on which the job was submitted.
     pub route: String,
+    /// The request to send.
     pub item: Item,
-    /// When its job was taken, in milliseconds since 1970.
+    /// When the job was accepted, in milliseconds since 1970 by the clock of the process that proposed it.
     pub accepted_at_ms: u64,
 }
--- a/control-plane/protocol/tests/golden.rs
+++ b/control-plane/protocol/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The messages of coordinators and stores keep their bytes: each value is written to the literal bytes of a fixture, and
-//! those are read and written again. Members of a chain that run different programs depend on it.
+//! The encodings of messages do not change: each value is encoded and compared with the fixture, which is decoded and
+//! encoded again. Members of a chain that run different releases depend on it.
 
 use marblecroft_batch_state::{Item, ItemOutcome, NewJob};
 use marblecroft_chain_replication::agreement::{VoteReply, VoteRequest};
@@ -28,17 +28,17 @@
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
-/// The fixture has one line for each value: its name and its bytes.
+/// Checks values against a fixture with one line for each value: its name and its bytes in hexadecimal.
 #[track_caller]
 fn check<T: Message + PartialEq + Debug>(fixture: &str, values: &[(&str, T)]) {
     let line = |(name, value): &(&str, T)| format!("{name} {}\n", hex(&encode(value)));
     let written: String = values.iter().map(line).collect();
-    assert!(written == fixture, "other bytes than the fixture's are written:\n{written}");
+    assert!(written == fixture, "the encoding differs from the fixture:\n{written}");
     for (line, (name, value)) in fixture.lines().zip(values) {
         let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
         let read: T = decode(&bytes).expect(name);
-        assert_eq!(&read, value, "{name} is read as it was");
-        assert_eq!(encode(&read), bytes, "{name} is written again as it was");
+        assert_eq!(&read, value, "{name} is decoded as it was");
+        assert_eq!(encode(&read), bytes, "{name} is encoded again as it was");
     }
 }
 
@@ -95,7 +95,7 @@
     }
 }
 
-fn list() -> ServerList {
+fn server_list() -> ServerList {
     let version = ServerListVersion { epoch: 6, sequence: 410 };
     ServerList { version, servers: vec![server("s-1", 20, false), server("s-2", 21, true)] }
 }
@@ -122,18 +122,18 @@
     }
 }
 
-fn item_name(job: &str, item: u32) -> ItemId {
+fn item_id(job: &str, item: u32) -> ItemId {
     ItemId { job: job.to_owned(), item }
 }
 
-fn zones() -> Vec<ZoneLoad> {
-    let zone = |zone: &str, out| ZoneLoad { zone: zone.to_owned(), in_flight: out };
+fn zone_loads() -> Vec<ZoneLoad> {
+    let zone = |zone: &str, in_flight| ZoneLoad { zone: zone.to_owned(), in_flight };
     vec![zone("zone-a", 1.25), zone("zone-b", 17.5)]
 }
 
 #[test]
-fn questions_to_coordinators_keep_their_bytes() {
-    let have =
+fn requests_to_coordinators_keep_their_bytes() {
+    let known_versions =
         VersionVector { configuration: 12, servers: ServerListVersion { epoch: 3, sequence: 45 }, stores: 6 };
     let report = StoreReport {
         node_name: "store-1".to_owned(),
@@ -155,18 +155,18 @@
             CoordinatorRequest::Join { member: member(7), position: Position { index: 4, hash: 0xbeef } },
         ),
         ("leave", CoordinatorRequest::Leave(0x7766_5544_3322)),
-        ("pull", CoordinatorRequest::Pull(Pull { known_versions: have, wait_ms: 2500 })),
+        ("pull", CoordinatorRequest::Pull(Pull { known_versions, wait_ms: 2500 })),
         ("report", CoordinatorRequest::Report(report)),
     ];
     check(include_str!("golden/coordinator_requests.hex"), &values);
 }
 
 #[test]
-fn answers_of_coordinators_keep_their_bytes() {
+fn replies_of_coordinators_keep_their_bytes() {
     let updates = ConfigurationUpdates {
         fresh: true,
         configuration: Some(ConfigurationUpdate { sequence: 13, body: Bytes(b"{}".to_vec()) }),
-        servers: Some(list()),
+        servers: Some(server_list()),
         stores: Some(view()),
         coordinators: vec![address(3, 7103), address(4, 7104)],
     };
@@ -203,24 +203,24 @@
 }
 
 #[test]
-fn questions_to_stores_keep_their_bytes() {
+fn requests_to_stores_keep_their_bytes() {
     let completed = FinishedItem {
-        id: item_name("job-2", 5),
+        id: item_id("job-2", 5),
         outcome: ItemOutcome::Completed("{\"a\":1}\n[DONE]".to_owned()),
     };
-    let dead = FinishedItem { id: item_name("job-3", 6), outcome: ItemOutcome::DeadLettered };
+    let dead = FinishedItem { id: item_id("job-3", 6), outcome: ItemOutcome::DeadLettered };
     let work = WorkRequest {
         gateway: "gateway-4".to_owned(),
-        running: vec![item_name("job-1", 2), item_name("job-1", 300)],
+        running: vec![item_id("job-1", 2), item_id("job-1", 300)],
         finished: vec![completed, dead],
         capacity: 11,
         load: GatewayLoad { live_requests: 3.75, slots: 96 },
         zone: "zone-a".to_owned(),
         load_address: address(14, 7200),
         peers_digest: 0x1234_5678_9abc_def0,
-        zone_loads: zones(),
+        zone_loads: zone_loads(),
     };
-    let (job_id, item_id) = ("job-4".to_owned(), "third".to_owned());
+    let (job_id, item) = ("job-4".to_owned(), "third".to_owned());
     let values = [
         ("append", StoreRequest::Append(append())),
         ("install", StoreRequest::Install(install())),
@@ -228,7 +228,7 @@
         ("fetch", StoreRequest::Fetch),
         ("submit", StoreRequest::SubmitJob(job())),
         ("read", StoreRequest::ReadResults { job: job_id.clone(), start: 17, wait_ms: 900 }),
-        ("body", StoreRequest::ReadItemBody { job: job_id.clone(), item: item_id }),
+        ("body", StoreRequest::ReadItemBody { job: job_id.clone(), item }),
         ("end", StoreRequest::EndJob { job: job_id }),
         ("work", StoreRequest::Work(work)),
     ];
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn answers_of_stores_keep_their_bytes() {
+fn replies_of_stores_keep_their_bytes() {
     let result = |id: &str, outcome| NamedResult { id: id.to_owned(), outcome };
     let page = ResultsPage {
         total: 40,
@@ -246,7 +246,7 @@
         ],
     };
     let granted = GrantedItem {
-        id: item_name("job-1", 1),
+        id: item_id("job-1", 1),
         host: "x.example".to_owned(),
         route: "nightly".to_owned(),
         item: item("second"),
@@ -254,10 +254,10 @@
     };
     let work = WorkReply {
         granted: vec![granted],
-        stop: vec![item_name("job-2", 8)],
+        stop: vec![item_id("job-2", 8)],
         lease_ms: 2200,
         peers: Some(Peers { digest: 0xd1e5, addresses: vec![address(14, 7200), address(15, 7201)] }),
-        zone_loads: zones(),
+        zone_loads: zone_loads(),
         gateway_count: 5,
         live_requests: 21.5,
     };
@@ -282,34 +282,37 @@
 }
 
 #[test]
-fn notices_of_load_keep_their_bytes() {
+fn load_datagrams_keep_their_bytes() {
     let one = ServerLoad { server: 0x5151_6262, in_flight: 19, prompt_tokens: 4100, failure_share: 31 };
     let other = ServerLoad { server: 0x7373, in_flight: 0, prompt_tokens: 1, failure_share: 255 };
-    let notice = LoadUpdate { gateway: 0x0a0b_0c0d_0e0f, sequence: 888, servers: vec![one, other] };
-    check(include_str!("golden/load.hex"), &[("notice", notice)]);
-    let [a, b] = <[ZoneLoad; 2]>::try_from(zones()).expect("two zones");
+    let update = LoadUpdate { gateway: 0x0a0b_0c0d_0e0f, sequence: 888, servers: vec![one, other] };
+    check(include_str!("golden/load.hex"), &[("notice", update)]);
+    let [a, b] = <[ZoneLoad; 2]>::try_from(zone_loads()).expect("two zones");
     check(include_str!("golden/zone_out.hex"), &[("a", a), ("b", b)]);
 }
 
 #[test]
-fn lists_of_servers_keep_their_bytes() {
-    check(include_str!("golden/server_list.hex"), &[("list", list()), ("none", ServerList::default())]);
+fn server_lists_keep_their_bytes() {
+    check(
+        include_str!("golden/server_list.hex"),
+        &[("list", server_list()), ("none", ServerList::default())],
+    );
 }
 
 #[test]
-fn pages_of_the_list_are_read_by_these_names() {
+fn pages_of_the_platform_are_parsed_by_their_member_names() {
     let page = Page::parse(include_str!("golden/page.json")).expect("a page");
     let expected = Page {
         servers: vec![server("s-1", 20, false), server("s-2", 21, true)],
         next: Some("token-2".to_owned()),
     };
     assert_eq!(page, expected);
-    let least =
+    let minimal =
         r#"{"instances":[{"id":"i","backend":"b","address":"10.1.2.3:4","zone":"z","state":"ready"}]}"#;
-    let page = Page::parse(least).expect("a page");
+    let page = Page::parse(minimal).expect("a page");
     assert_eq!((page.servers[0].slots, page.servers[0].warmup_left_ms, page.next), (0, 0, None));
     for name in ["id", "backend", "address", "zone", "state", "instances"] {
-        let without = least.replacen(&format!("\"{name}\":"), "\"other\":", 1);
+        let without = minimal.replacen(&format!("\"{name}\":"), "\"other\":", 1);
         assert_eq!(Page::parse(&without), None, "{name}");
     }
 }
