--- a/control-plane/rpc/src/frame.rs
+++ b/control-plane/rpc/src/frame.rs
@@ -1,50 +1,55 @@
-//! The frame round a message: version (1 byte), CRC-32 of the payload (4 bytes, little endian), payload.
+//! The frame of a message: version (1 byte), CRC-32 of the payload (4 bytes, little endian), payload.
+//!
+//! The payload is the message in musli's storage encoding. The checksum detects corruption beyond TCP's own checksum, and of
+//! files that hold framed values.
 
 use musli::alloc::Global;
 use musli::mode::Binary;
 use musli::{Decode, Encode};
 use quick_error::quick_error;
 
-/// Version of the messages. A process drops messages of another version.
+/// Version of the messages' encoding. A process rejects messages of another version.
 pub const VERSION: u8 = 1;
+/// Length of the version and the checksum.
 const HEADER_BYTES: usize = 5;
 
-/// A value that can be sent and read back.
+/// A value that can be encoded and decoded.
 pub trait Message: Encode<Binary> + for<'de> Decode<'de, Binary, Global> {}
 
 impl<T: Encode<Binary> + for<'de> Decode<'de, Binary, Global>> Message for T {}
 
-/// Bytes that are encoded as one block.
+/// Bytes that are encoded as one block, and not as a sequence of numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[musli(transparent)]
 pub struct Bytes(#[musli(bytes)] pub Vec<u8>);
 
 quick_error! {
-    /// Why bytes are not a message.
+    /// Why bytes are not a framed message.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum DecodeError {
-        /// Too short for a frame.
+        /// The bytes are too short for a frame.
         Short {
             display("shorter than a frame")
         }
-        /// Sent by another version.
+        /// The message was encoded by another version.
         Version(found: u8) {
             display("version {found}, expected {VERSION}")
         }
-        /// The checksum does not match.
+        /// The checksum does not match the payload.
         Checksum {
             display("the checksum does not match")
         }
-        /// The payload is not the expected value.
+        /// The payload does not encode the expected type. Holds the decoder's text, as its error cannot be compared.
         Payload(cause: String) {
             display("payload: {cause}")
         }
     }
 }
 
-/// A message in its frame.
+/// Returns a message in its frame.
 pub fn encode<T: Message>(message: &T) -> Vec<u8> {
-    // Encoding into memory fails for no value of ours; an empty payload is refused by whoever reads it.
+    // Encoding into memory cannot fail for the types of this workspace. Were it to, the empty payload would be rejected by
+    // the decoder.
     let payload = musli::storage::to_vec(message).unwrap_or_default();
     let mut framed = Vec::with_capacity(HEADER_BYTES + payload.len());
     framed.push(VERSION);
@@ -53,7 +58,11 @@
     framed
 }
 
-/// The message in a frame.
+/// Returns the message in a frame.
+///
+/// # Errors
+///
+/// Returns an error if the frame is incomplete, of another version or corrupted, or if it holds another type.
 pub fn decode<T: Message>(framed: &[u8]) -> Result<T, DecodeError> {
     let (version, rest) = framed.split_first().ok_or(DecodeError::Short)?;
     if *version != VERSION {
--- a/control-plane/rpc/src/lib.rs
+++ b/control-plane/rpc/src/lib.rs
@@ -1,13 +1,19 @@
 //! Calls between processes of the serving tier.
 //!
-//! A message is a musli value in a frame with a version and a checksum ([`encode`], [`decode`]); a call is one HTTP POST
-//! with a message each way, in an envelope that names the call ([`Caller`], [`serve`]). [`http`] holds the small HTTP server that the operator's API and the
-//! readiness checks use as well.
+//! A message is a musli value in a frame with a version and a checksum ([`encode`], [`decode`]). A call is one HTTP POST with
+//! a message in each direction, in an [`Envelope`] that identifies the call: a [`Caller`] sends it, [`serve`] handles it.
+//! [`http`] is the small HTTP server below, which the operator's API and the readiness checks use as well.
 #![forbid(unsafe_code)]
 
-mod call;
+mod caller;
+mod envelope;
 mod frame;
 pub mod http;
+mod random;
+mod server;
 
-pub use call::{random_id, serve, CallError, CallId, Caller, Direction, Envelope, Service, PATH};
+pub use caller::{CallError, Caller, PATH};
+pub use envelope::{CallId, Direction, Envelope, Service};
 pub use frame::{decode, encode, Bytes, DecodeError, Message, VERSION};
+pub use random::random_id;
+pub use server::serve;
--- /dev/null
+++ b/control-plane/rpc/src/server.rs
@@ -0,0 +1,50 @@
+//! The called side: checks that a request is meant for this process, hands it to the handler and returns the response.
+
+use crate::envelope::{Direction, Envelope, Service};
+use crate::frame::{decode, encode, Bytes, Message};
+use crate::http::{self, Reply};
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+
+/// Status of the reply to a call that is meant for another process.
+const MISDIRECTED_REQUEST: u16 = 421;
+
+/// Serves calls to `service` on `listener`, each on a thread of its own, until the process ends.
+///
+/// A call whose envelope names another address or service is rejected and not executed. Where the handler returns `None` the
+/// caller is left with an unknown outcome.
+///
+/// # Errors
+///
+/// Returns an error if the listener has no address or the accepting thread cannot be started.
+pub fn serve<Q, R, F>(listener: TcpListener, service: Service, handler: F) -> io::Result<()>
+where
+    Q: Message,
+    R: Message,
+    F: Fn(Q) -> Option<R> + Send + Sync + 'static,
+{
+    let own_address = listener.local_addr()?;
+    http::serve(listener, move |request| {
+        handle_call(&request.body, own_address, service, &handler).unwrap_or_else(|rejection| rejection)
+    })
+}
+
+/// Executes the call in `body`. Both the response and a rejection are replies; a rejected call was not executed, except where
+/// the handler has returned none.
+fn handle_call<Q: Message, R: Message>(
+    body: &[u8],
+    own_address: SocketAddr,
+    service: Service,
+    handler: &impl Fn(Q) -> Option<R>,
+) -> Result<Reply, Reply> {
+    let envelope: Envelope = decode(body).map_err(|e| Reply::text(400, &e.to_string()))?;
+    let call_id = envelope.call_id;
+    let is_request = envelope.direction == Direction::Request;
+    if !is_request || call_id.callee != own_address || call_id.service != service {
+        return Err(Reply::text(MISDIRECTED_REQUEST, "this call is for another process"));
+    }
+    let request = decode(&envelope.message.0).map_err(|e| Reply::text(400, &e.to_string()))?;
+    let response = handler(request).ok_or_else(|| Reply::text(500, "no answer in time"))?;
+    let message = Bytes(encode(&response));
+    Ok(Reply::bytes(200, encode(&Envelope { direction: Direction::Response, call_id, message })))
+}
--- a/control-plane/rpc/tests/calls.rs
+++ b/control-plane/rpc/tests/calls.rs
@@ -1,5 +1,5 @@
-//! Calls over real sockets against servers that answer wrongly, late, in part or not at all: no answer is taken for another
-//! call's, and nothing is sent twice.
+//! Calls over real sockets against servers that respond wrongly, late, incompletely or not at all: no response is taken for
+//! another call's, and no request is sent twice.
 
 use marblecroft_rpc::{
     decode, encode, http, serve, Bytes, CallError, CallId, Caller, Direction, Envelope, Service,
@@ -11,54 +11,54 @@
 use std::thread;
 use std::time::Duration;
 
-const WITHIN: Duration = Duration::from_secs(5);
-/// A server that says nothing is given up after this time, in which it has read the question on any machine.
-const SILENCE: Duration = Duration::from_secs(1);
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of calls to a server that does not respond; long enough for the server to read the request on any machine.
+const NO_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a wrong server does with a whole question.
+/// What a faulty server does with a complete request.
 #[derive(Clone, Copy, Debug)]
 enum Behaviour {
-    /// The first question is answered as it should be; the others get the answer to the one before.
+    /// Responds to the first request correctly, and to each further one with the response to the previous one.
     Late,
     Echo,
     OtherCaller,
-    OtherNumber,
+    OtherSequence,
     OtherCallee,
     Garbage,
     Close,
     Reset,
-    HalfHead,
-    HalfBody,
-    Silence,
-    /// A whole answer and a second one behind it on the same connection.
-    TwoAnswers,
+    TruncatedHeader,
+    TruncatedBody,
+    NoResponse,
+    /// Sends a correct response and a second one after it on the same connection.
+    TwoResponses,
 }
 
-/// A server that counts the questions it has read, on any connection.
-struct WrongServer {
+/// A faulty server that counts its connections and the requests that it has read on all of them.
+struct FaultyServer {
     address: SocketAddr,
-    questions: Arc<AtomicUsize>,
+    requests: Arc<AtomicUsize>,
     connections: Arc<AtomicUsize>,
 }
 
-impl WrongServer {
-    fn start(behaviour: Behaviour) -> WrongServer {
+impl FaultyServer {
+    fn start(behaviour: Behaviour) -> FaultyServer {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("bound");
         let address = listener.local_addr().expect("an address");
-        let (questions, connections) = (Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
-        let (read, accepted) = (questions.clone(), connections.clone());
+        let (requests, connections) = (Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
+        let (read, accepted) = (requests.clone(), connections.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 accepted.fetch_add(1, Ordering::SeqCst);
                 let read = read.clone();
-                thread::spawn(move || answer_wrongly(stream, behaviour, &read));
+                thread::spawn(move || respond_wrongly(stream, behaviour, &read));
             }
         });
-        WrongServer { address, questions, connections }
+        FaultyServer { address, requests, connections }
     }
 
-    fn questions(&self) -> usize {
-        self.questions.load(Ordering::SeqCst)
+    fn requests(&self) -> usize {
+        self.requests.load(Ordering::SeqCst)
     }
 
     fn connections(&self) -> usize {
@@ -66,7 +66,7 @@
     }
 }
 
-/// Reads one HTTP request; its body.
+/// Reads one HTTP request and returns its body.
 fn read_request(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4096];
@@ -85,162 +85,170 @@
     }
 }
 
-fn whole_answer(body: &[u8]) -> Vec<u8> {
-    let mut answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
-    answer.extend_from_slice(body);
-    answer
+fn http_response(body: &[u8]) -> Vec<u8> {
+    let mut response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
+    response.extend_from_slice(body);
+    response
 }
 
-fn reply_to(name: CallId, text: &str) -> Vec<u8> {
+fn response_to(call_id: CallId, text: &str) -> Vec<u8> {
     let message = Bytes(encode(&text.to_owned()));
-    encode(&Envelope { direction: Direction::Response, call_id: name, message })
+    encode(&Envelope { direction: Direction::Response, call_id, message })
 }
 
-fn answer_wrongly(mut stream: TcpStream, behaviour: Behaviour, read: &AtomicUsize) {
-    let mut before: Option<CallId> = None;
+fn respond_wrongly(mut stream: TcpStream, behaviour: Behaviour, read: &AtomicUsize) {
+    let mut previous: Option<CallId> = None;
     while let Some(body) = read_request(&mut stream) {
         read.fetch_add(1, Ordering::SeqCst);
         let Ok(envelope) = decode::<Envelope>(&body) else { return };
-        let name = envelope.call_id;
+        let call_id = envelope.call_id;
         let other = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
-        let answer = match behaviour {
-            Behaviour::Late => whole_answer(&reply_to(before.unwrap_or(name), "late")),
-            Behaviour::Echo => whole_answer(&body),
+        let response = match behaviour {
+            Behaviour::Late => http_response(&response_to(previous.unwrap_or(call_id), "late")),
+            Behaviour::Echo => http_response(&body),
             Behaviour::OtherCaller => {
-                whole_answer(&reply_to(CallId { caller: name.caller ^ 1, ..name }, "another's"))
+                http_response(&response_to(CallId { caller: call_id.caller ^ 1, ..call_id }, "another's"))
             }
-            Behaviour::OtherNumber => {
-                whole_answer(&reply_to(CallId { sequence: name.sequence + 1, ..name }, "another one"))
+            Behaviour::OtherSequence => http_response(&response_to(
+                CallId { sequence: call_id.sequence + 1, ..call_id },
+                "another one",
+            )),
+            Behaviour::OtherCallee => {
+                http_response(&response_to(CallId { callee: other, ..call_id }, "elsewhere"))
             }
-            Behaviour::OtherCallee => whole_answer(&reply_to(CallId { callee: other, ..name }, "elsewhere")),
-            Behaviour::Garbage => whole_answer(b"no envelope"),
-            Behaviour::TwoAnswers => {
-                let mut both = whole_answer(&reply_to(name, "right"));
-                both.extend(whole_answer(&reply_to(name, "second")));
+            Behaviour::Garbage => http_response(b"no envelope"),
+            Behaviour::TwoResponses => {
+                let mut both = http_response(&response_to(call_id, "right"));
+                both.extend(http_response(&response_to(call_id, "second")));
                 both
             }
-            Behaviour::HalfHead => b"HTTP/1.1 200 OK\r\nContent-Le".to_vec(),
-            Behaviour::HalfBody => {
-                let mut answer = whole_answer(&reply_to(name, "right"));
-                answer.truncate(answer.len() - 3);
-                answer
+            Behaviour::TruncatedHeader => b"HTTP/1.1 200 OK\r\nContent-Le".to_vec(),
+            Behaviour::TruncatedBody => {
+                let mut response = http_response(&response_to(call_id, "right"));
+                response.truncate(response.len() - 3);
+                response
             }
             Behaviour::Close => return,
             Behaviour::Reset => {
-                reset(&stream);
+                reset_on_close(&stream);
                 return;
             }
-            Behaviour::Silence => {
-                // Holds the connection until the caller gives up.
-                drop(stream.read(&mut [0]));
+            Behaviour::NoResponse => {
+                // Keeps the connection open until the caller closes it; how the read ends does not matter.
+                let _ = stream.read(&mut [0]);
                 return;
             }
         };
-        before = Some(name);
-        if stream.write_all(&answer).is_err() {
+        previous = Some(call_id);
+        if stream.write_all(&response).is_err() {
             return;
         }
-        if matches!(behaviour, Behaviour::HalfHead | Behaviour::HalfBody) {
-            drop(stream.shutdown(Shutdown::Write));
+        if matches!(behaviour, Behaviour::TruncatedHeader | Behaviour::TruncatedBody) {
+            // The caller may have closed the connection already.
+            let _ = stream.shutdown(Shutdown::Write);
             return;
         }
     }
 }
 
-/// Lets the connection end with a reset.
-fn reset(stream: &TcpStream) {
+/// Makes the connection end with a reset when it is closed.
+fn reset_on_close(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     socket.set_linger(Some(Duration::ZERO)).expect("an option");
 }
 
-fn call(caller: &Caller, to: SocketAddr, within: Duration) -> Result<String, CallError> {
-    caller.call(to, &"question".to_owned(), within)
+fn call(caller: &Caller, to: SocketAddr, timeout: Duration) -> Result<String, CallError> {
+    caller.call(to, &"request".to_owned(), timeout)
 }
 
 #[test]
-fn an_answer_that_is_not_this_calls_leaves_the_outcome_unknown() {
+fn a_response_to_another_call_makes_the_outcome_unknown() {
     for behaviour in [
         Behaviour::Echo,
         Behaviour::OtherCaller,
-        Behaviour::OtherNumber,
+        Behaviour::OtherSequence,
         Behaviour::OtherCallee,
         Behaviour::Garbage,
     ] {
-        let server = WrongServer::start(behaviour);
+        let server = FaultyServer::start(behaviour);
         let caller = Caller::new(Service::Coordinators);
         for count in 1..=3 {
-            let error = call(&caller, server.address, WITHIN).expect_err("no answer of this call's");
-            assert!(error.may_have_run(), "{behaviour:?}: {error}");
-            assert_eq!(server.questions(), count, "{behaviour:?}: sent once a call");
-            assert_eq!(server.connections(), count, "{behaviour:?}: the connection was ended");
+            let error = call(&caller, server.address, TIMEOUT).expect_err("no response to this call");
+            assert!(error.may_have_executed(), "{behaviour:?}: {error}");
+            assert_eq!(server.requests(), count, "{behaviour:?}: sent once per call");
+            assert_eq!(server.connections(), count, "{behaviour:?}: the connection was discarded");
         }
     }
 }
 
 #[test]
-fn a_late_answer_on_a_kept_connection_is_not_believed() {
-    let server = WrongServer::start(Behaviour::Late);
+fn a_late_response_on_a_reused_connection_is_rejected() {
+    let server = FaultyServer::start(Behaviour::Late);
     let caller = Caller::new(Service::Stores);
-    assert_eq!(call(&caller, server.address, WITHIN).expect("answered"), "late");
-    let error = call(&caller, server.address, WITHIN).expect_err("the answer to the call before");
-    assert!(error.may_have_run());
-    assert_eq!((server.questions(), server.connections()), (2, 1), "on the kept connection");
-    assert_eq!(call(&caller, server.address, WITHIN).expect("answered"), "late");
-    assert_eq!((server.questions(), server.connections()), (3, 2), "on a new one");
+    assert_eq!(call(&caller, server.address, TIMEOUT).expect("a response"), "late");
+    let error = call(&caller, server.address, TIMEOUT).expect_err("the response to the previous call");
+    assert!(error.may_have_executed());
+    assert_eq!((server.requests(), server.connections()), (2, 1), "on the reused connection");
+    assert_eq!(call(&caller, server.address, TIMEOUT).expect("a response"), "late");
+    assert_eq!((server.requests(), server.connections()), (3, 2), "on a new one");
 }
 
 #[test]
-fn a_second_answer_on_a_connection_is_never_the_next_calls() {
-    let server = WrongServer::start(Behaviour::TwoAnswers);
+fn a_second_response_on_a_connection_is_never_taken_for_the_next_calls() {
+    let server = FaultyServer::start(Behaviour::TwoResponses);
     let caller = Caller::new(Service::Stores);
     for _ in 0..20 {
-        match call(&caller, server.address, WITHIN) {
-            Ok(answer) => assert_eq!(answer, "right"),
-            Err(error) => assert!(error.may_have_run(), "{error}"),
+        match call(&caller, server.address, TIMEOUT) {
+            Ok(response) => assert_eq!(response, "right"),
+            Err(error) => assert!(error.may_have_executed(), "{error}"),
         }
     }
-    assert!(server.questions() <= 20, "sent once a call");
+    assert!(server.requests() <= 20, "sent at most once per call");
 }
 
 #[test]
-fn nothing_is_sent_again_after_a_close_a_reset_a_part_or_silence() {
-    for behaviour in
-        [Behaviour::Close, Behaviour::Reset, Behaviour::HalfHead, Behaviour::HalfBody, Behaviour::Silence]
-    {
-        let server = WrongServer::start(behaviour);
-        let within = if matches!(behaviour, Behaviour::Silence) { SILENCE } else { WITHIN };
+fn no_request_is_repeated_after_a_close_a_reset_a_truncated_response_or_a_timeout() {
+    for behaviour in [
+        Behaviour::Close,
+        Behaviour::Reset,
+        Behaviour::TruncatedHeader,
+        Behaviour::TruncatedBody,
+        Behaviour::NoResponse,
+    ] {
+        let server = FaultyServer::start(behaviour);
+        let timeout = if matches!(behaviour, Behaviour::NoResponse) { NO_RESPONSE_TIMEOUT } else { TIMEOUT };
         let caller = Caller::new(Service::Coordinators);
         for count in 1..=3 {
-            let error = call(&caller, server.address, within).expect_err("no whole answer");
-            assert!(error.may_have_run(), "{behaviour:?}: {error}");
-            assert_eq!(server.questions(), count, "{behaviour:?}");
+            let error = call(&caller, server.address, timeout).expect_err("no complete response");
+            assert!(error.may_have_executed(), "{behaviour:?}: {error}");
+            assert_eq!(server.requests(), count, "{behaviour:?}");
         }
     }
 }
 
 #[test]
-fn where_nobody_listens_nothing_was_sent() {
+fn a_refused_connection_means_that_nothing_was_executed() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("bound");
     let address = listener.local_addr().expect("an address");
     drop(listener);
-    let error = call(&Caller::new(Service::Stores), address, WITHIN).expect_err("nobody listens");
-    assert!(!error.may_have_run(), "{error}");
+    let error = call(&Caller::new(Service::Stores), address, TIMEOUT).expect_err("nobody listens");
+    assert!(!error.may_have_executed(), "{error}");
 }
 
 #[test]
-fn a_call_for_another_service_or_address_is_not_carried_out() {
+fn a_call_to_another_service_is_not_executed() {
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let listener = http::listen(address).expect("bound");
     let address = listener.local_addr().expect("an address");
-    let carried_out = Arc::<AtomicUsize>::default();
-    let count = carried_out.clone();
-    let answer = move |question: String| {
+    let executed = Arc::<AtomicUsize>::default();
+    let count = executed.clone();
+    let handler = move |request: String| {
         count.fetch_add(1, Ordering::SeqCst);
-        Some(format!("answer to {question}"))
+        Some(format!("response to {request}"))
     };
-    serve(listener, Service::Stores, answer).expect("serves");
-    let right: Result<String, _> = call(&Caller::new(Service::Stores), address, WITHIN);
-    assert_eq!(right.expect("answered"), "answer to question");
-    call(&Caller::new(Service::Coordinators), address, WITHIN).expect_err("another service");
-    assert_eq!(carried_out.load(Ordering::SeqCst), 1);
+    serve(listener, Service::Stores, handler).expect("serves");
+    let response: Result<String, _> = call(&Caller::new(Service::Stores), address, TIMEOUT);
+    assert_eq!(response.expect("a response"), "response to request");
+    call(&Caller::new(Service::Coordinators), address, TIMEOUT).expect_err("another service");
+    assert_eq!(executed.load(Ordering::SeqCst), 1);
 }
--- a/control-plane/rpc/tests/frame.rs
+++ b/control-plane/rpc/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Messages come back as they were sent; what is damaged, short or of another version does not.
+//! Messages are decoded as they were encoded; corrupted and truncated frames and those of other versions are rejected.
 
 use marblecroft_rpc::{decode, encode, Bytes, DecodeError, VERSION};
 use musli::{Decode, Encode};
@@ -14,19 +14,19 @@
 }
 
 #[test]
-fn a_message_comes_back_as_it_was_sent() {
+fn a_message_is_decoded_as_it_was_encoded() {
     for message in [Sample::Plain, sample()] {
         assert_eq!(decode(&encode(&message)), Ok(message));
     }
 }
 
 #[test]
-fn damaged_and_short_frames_and_other_versions_are_refused() {
+fn corrupted_and_truncated_frames_and_other_versions_are_rejected() {
     let framed = encode(&sample());
     for bit in 8..framed.len() * 8 {
-        let mut damaged = framed.clone();
-        damaged[bit / 8] ^= 1 << (bit % 8);
-        assert_eq!(decode::<Sample>(&damaged), Err(DecodeError::Checksum), "bit {bit}");
+        let mut corrupted = framed.clone();
+        corrupted[bit / 8] ^= 1 << (bit % 8);
+        assert_eq!(decode::<Sample>(&corrupted), Err(DecodeError::Checksum), "bit {bit}");
     }
     for length in 0..framed.len() {
         assert!(decode::<Sample>(&framed[..length]).is_err(), "{length} bytes");
--- a/control-plane/rpc/tests/golden.rs
+++ b/control-plane/rpc/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Frames and envelopes of calls keep their bytes: each value is written to the literal bytes of a fixture, and those are
-//! read and written again.
+//! The encodings of frames and envelopes do not change: each value is encoded and compared with the fixture, which is decoded
+//! and encoded again.
 
 use marblecroft_rpc::{
     decode, encode, Bytes, CallId, DecodeError, Direction, Envelope, Message, Service, PATH, VERSION,
@@ -16,21 +16,21 @@
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
-/// The fixture has one line for each value: its name and its bytes.
+/// Checks values against a fixture with one line for each value: its name and its bytes in hexadecimal.
 #[track_caller]
 fn check<T: Message + PartialEq + Debug>(fixture: &str, values: &[(&str, T)]) {
     let line = |(name, value): &(&str, T)| format!("{name} {}\n", hex(&encode(value)));
     let written: String = values.iter().map(line).collect();
-    assert!(written == fixture, "other bytes than the fixture's are written:\n{written}");
+    assert!(written == fixture, "the encoding differs from the fixture:\n{written}");
     for (line, (name, value)) in fixture.lines().zip(values) {
         let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
         let read: T = decode(&bytes).expect(name);
-        assert_eq!(&read, value, "{name} is read as it was");
-        assert_eq!(encode(&read), bytes, "{name} is written again as it was");
+        assert_eq!(&read, value, "{name} is decoded as it was");
+        assert_eq!(encode(&read), bytes, "{name} is encoded again as it was");
     }
 }
 
-fn name(service: Service) -> CallId {
+fn call_id(service: Service) -> CallId {
     CallId {
         caller: 0x1122_3344_5566_7788,
         sequence: 513,
@@ -41,18 +41,18 @@
 
 #[test]
 fn envelopes_of_calls_keep_their_bytes() {
-    let question = Envelope {
+    let request = Envelope {
         direction: Direction::Request,
-        call_id: name(Service::Coordinators),
+        call_id: call_id(Service::Coordinators),
         message: Bytes(vec![1, 2, 3]),
     };
-    let answer = Envelope {
+    let response = Envelope {
         direction: Direction::Response,
-        call_id: name(Service::Stores),
+        call_id: call_id(Service::Stores),
         message: Bytes(vec![0xff; 4]),
     };
-    check(include_str!("golden/envelopes.hex"), &[("question", question), ("answer", answer)]);
-    check(include_str!("golden/names.hex"), &[("name", name(Service::Stores))]);
+    check(include_str!("golden/envelopes.hex"), &[("question", request), ("answer", response)]);
+    check(include_str!("golden/names.hex"), &[("name", call_id(Service::Stores))]);
     let services = [("coordinators", Service::Coordinators), ("stores", Service::Stores)];
     check(include_str!("golden/services.hex"), &services);
     let directions = [("question", Direction::Request), ("answer", Direction::Response)];
--- a/data-plane/gateway/src/stores.rs
+++ b/data-plane/gateway/src/stores.rs
@@ -109,7 +109,7 @@
                     *self.head() = Some(KnownHead { view, address });
                     return Some(reply);
                 }
-                Err(e) => *may_have_executed |= e.may_have_run(),
+                Err(e) => *may_have_executed |= e.may_have_executed(),
             }
         }
         None
