--- a/control-plane/configuration/src/document.rs
+++ b/control-plane/configuration/src/document.rs
@@ -1,14 +1,31 @@
-//! The configuration as the operator writes it, in JSON.
+//! Parses the JSON in which the operator writes a configuration, and checks each part by itself.
+//!
+//! The names of the members below are the operator's. Numbers may be written as fractions or exceed their range: they are
+//! truncated, and clamped to the range. What is missing gets its default, which the docs of the target types name.
 
-// What `nanoserde` derives holds this shape.
+// The code that `nanoserde` derives has this shape.
 #![allow(clippy::question_mark)]
 
-use crate::{syntax, ClientLimits, Configuration, Invalid, Route, RouteType, Service};
+use crate::configuration::Configuration;
+use crate::error::ConfigurationError;
+use crate::route::{Route, RouteType, WeightedBackend};
+use crate::service::{ClientLimits, Service};
+use crate::syntax;
 use nanoserde::DeJson;
 use std::time::Duration;
 
+/// Upper bound of a duration in milliseconds; longer ones are clamped to it.
+const MAX_DURATION_MS: f64 = 1e10;
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
+const DEFAULT_MAX_HEADER_BYTES: u32 = 16 << 10;
+const DEFAULT_MAX_BODY_BYTES: u32 = 4 << 20;
+const DEFAULT_HEADER_TIMEOUT_MS: f64 = 3000.0;
+const DEFAULT_IDLE_TIMEOUT_MS: f64 = 15_000.0;
+const DEFAULT_HEALTH_PATH: &str = "/health";
+
+/// A configuration as the operator writes it. Unknown members are ignored.
 #[derive(DeJson)]
-pub struct Document {
+struct Document {
     generation: u64,
     routes: Vec<RouteDocument>,
     services: Vec<ServiceDocument>,
@@ -53,7 +70,7 @@
     kv_cache_tokens: Option<f64>,
 }
 
-#[derive(DeJson)]
+#[derive(DeJson, Default)]
 struct LimitsDocument {
     max_header_bytes: Option<f64>,
     max_body_bytes: Option<f64>,
@@ -61,116 +78,133 @@
     idle_timeout_ms: Option<f64>,
 }
 
-/// Longest time that a configuration can name, in milliseconds.
-const MAX_MILLIS: f64 = 1e10;
-/// Time-out of a route that names none.
-const TIMEOUT_DEFAULT: Duration = Duration::from_secs(30);
-
-fn millis(value: f64) -> Duration {
-    Duration::from_secs_f64(value.clamp(0.0, MAX_MILLIS) / 1000.0)
-}
-
-/// A whole number from one that JSON may write as a fraction; what is out of range becomes the nearest that is in it.
-fn whole(value: Option<f64>, default: u32) -> u32 {
-    // The conversion saturates.
-    value.map_or(default, |value| value as u32)
-}
-
-fn large(value: Option<f64>) -> u64 {
-    // The conversion saturates.
-    value.map_or(0, |value| value as u64)
+impl Configuration {
+    /// Parses and checks a configuration in JSON.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error that names the first fault, with the route or service that has it.
+    pub fn parse(text: &[u8]) -> Result<Configuration, ConfigurationError> {
+        let text = std::str::from_utf8(text).map_err(ConfigurationError::NotUtf8)?;
+        if !syntax::is_complete_document(text) {
+            return Err(ConfigurationError::IncompleteJson);
+        }
+        let document: Document = DeJson::deserialize_json(text).map_err(ConfigurationError::Json)?;
+        document.into_configuration()
+    }
 }
 
 impl Document {
-    pub fn read(text: &str) -> Result<Document, Invalid> {
-        if !syntax::is_complete_document(text) {
-            return Err(Invalid::Unreadable("not one whole JSON value".to_owned()));
-        }
-        DeJson::deserialize_json(text).map_err(|e| Invalid::Unreadable(e.to_string()))
+    fn into_configuration(self) -> Result<Configuration, ConfigurationError> {
+        let limits = self.limits.unwrap_or_default().into_limits();
+        let services = self.services.into_iter().map(ServiceDocument::into_service).collect();
+        let routes: Result<Vec<Route>, ConfigurationError> =
+            self.routes.into_iter().map(RouteDocument::into_route).collect();
+        Configuration::new(self.generation, limits, services, routes?)
     }
+}
 
-    pub fn checked(self) -> Result<Configuration, Invalid> {
-        let limits = self.limits.unwrap_or(LimitsDocument {
-            max_header_bytes: None,
-            max_body_bytes: None,
-            header_timeout_ms: None,
-            idle_timeout_ms: None,
-        });
-        let limits = ClientLimits {
-            max_header_bytes: whole(limits.max_header_bytes, 16 << 10) as usize,
-            max_body_bytes: whole(limits.max_body_bytes, 4 << 20) as usize,
-            header_timeout: millis(limits.header_timeout_ms.unwrap_or(3000.0)),
-            idle_timeout: millis(limits.idle_timeout_ms.unwrap_or(15_000.0)),
-        };
-        let services = self.services.into_iter().map(ServiceDocument::checked).collect();
-        let routes: Result<Vec<Route>, Invalid> =
-            self.routes.into_iter().map(RouteDocument::checked).collect();
-        Configuration::of(self.generation, limits, services, routes?)
+impl LimitsDocument {
+    fn into_limits(self) -> ClientLimits {
+        ClientLimits {
+            max_header_bytes: integer_or(self.max_header_bytes, DEFAULT_MAX_HEADER_BYTES) as usize,
+            max_body_bytes: integer_or(self.max_body_bytes, DEFAULT_MAX_BODY_BYTES) as usize,
+            header_timeout: milliseconds(self.header_timeout_ms.unwrap_or(DEFAULT_HEADER_TIMEOUT_MS)),
+            idle_timeout: milliseconds(self.idle_timeout_ms.unwrap_or(DEFAULT_IDLE_TIMEOUT_MS)),
+        }
     }
 }
 
 impl ServiceDocument {
-    fn checked(self) -> Service {
-        let (slots, kv_cache_tokens) = self.engine.map_or((None, None), |e| (e.slots, e.kv_cache_tokens));
+    fn into_service(self) -> Service {
+        let (slots, kv_cache_tokens) =
+            self.engine.map_or((None, None), |engine| (engine.slots, engine.kv_cache_tokens));
         Service {
             name: self.name,
-            health_path: self.health_path.unwrap_or_else(|| "/health".to_owned()),
-            max_connections: whole(self.max_connections, 0),
-            slots: whole(slots, 0),
-            kv_cache_tokens: large(kv_cache_tokens),
+            health_path: self.health_path.unwrap_or_else(|| DEFAULT_HEALTH_PATH.to_owned()),
+            max_connections: integer_or(self.max_connections, 0),
+            slots: integer_or(slots, 0),
+            kv_cache_tokens: large_integer_or_zero(kv_cache_tokens),
         }
     }
 }
 
 impl RouteDocument {
-    fn checked(self) -> Result<Route, Invalid> {
-        let name = self.name;
-        let refuse = |what| Err(Invalid::Route(name.clone(), what));
-        let prefix = &self.path_prefix;
+    fn into_route(self) -> Result<Route, ConfigurationError> {
+        let invalid = |reason| ConfigurationError::InvalidRoute(self.name.clone(), reason);
         if self.hostname.is_empty() {
-            return refuse("hostname is empty");
-        }
-        if !prefix.starts_with('/') || !prefix.ends_with('/') {
-            return refuse("path_prefix must begin and end with a slash");
-        }
-        let route_type = match self.route_type.as_str() {
-            "idempotent" => RouteType::Idempotent,
-            "non_idempotent" => RouteType::NonIdempotent,
-            "streaming" => RouteType::Streaming,
-            "batch" => RouteType::Batch,
-            _ => return refuse("route_type is none of idempotent, non_idempotent, streaming, batch"),
-        };
-        let backends: Vec<(String, f64)> = match (self.traffic_split, self.backend) {
-            (Some(split), _) if !split.is_empty() => {
-                split.into_iter().map(|part| (part.backend, part.weight)).collect()
-            }
-            (_, Some(backend)) => vec![(backend, 1.0)],
-            _ => return refuse("neither backend nor traffic_split is there"),
-        };
-        if backends.iter().any(|(_, weight)| !weight.is_finite() || *weight < 0.0) {
-            return refuse("a weight is negative");
+            return Err(invalid("hostname is empty"));
         }
-        if backends.iter().map(|(_, weight)| weight).sum::<f64>() <= 0.0 {
-            return refuse("the weights add up to 0");
+        if !self.path_prefix.starts_with('/') || !self.path_prefix.ends_with('/') {
+            return Err(invalid("path_prefix must begin and end with a slash"));
         }
-        let timeout = self.timeout_ms.map_or(TIMEOUT_DEFAULT, millis);
+        let route_type = parse_route_type(&self.route_type).map_err(invalid)?;
+        let backends = weighted_backends(self.traffic_split, self.backend).map_err(invalid)?;
+        let timeout = self.timeout_ms.map_or(DEFAULT_TIMEOUT, milliseconds);
         if timeout.is_zero() {
-            return refuse("timeout_ms is 0");
+            return Err(invalid("timeout_ms is 0"));
         }
         Ok(Route {
+            name: self.name,
             hostname: self.hostname,
             path_prefix: self.path_prefix,
             route_type,
             timeout,
-            target_latency: self.target_latency_ms.map_or(timeout, millis),
-            priority: whole(self.priority, 0),
+            target_latency: self.target_latency_ms.map_or(timeout, milliseconds),
+            priority: integer_or(self.priority, 0),
             backends,
-            attempts: whole(self.attempts, 1).max(1),
+            attempts: integer_or(self.attempts, 1).max(1),
             resumable: self.resumable.unwrap_or(false),
-            completion_target: self.completion_target_ms.map_or(Duration::MAX, millis),
-            retention: self.retention_s.map_or(Duration::MAX, |s| millis(s * 1000.0)),
-            max_queued_tokens: large(self.max_queued_tokens),
-            name,
+            completion_target: self.completion_target_ms.map_or(Duration::MAX, milliseconds),
+            retention: self.retention_s.map_or(Duration::MAX, |seconds| milliseconds(seconds * 1000.0)),
+            max_queued_tokens: large_integer_or_zero(self.max_queued_tokens),
         })
     }
 }
+
+/// Returns the route type of a name, or why there is none.
+fn parse_route_type(name: &str) -> Result<RouteType, &'static str> {
+    match name {
+        "idempotent" => Ok(RouteType::Idempotent),
+        "non_idempotent" => Ok(RouteType::NonIdempotent),
+        "streaming" => Ok(RouteType::Streaming),
+        "batch" => Ok(RouteType::Batch),
+        _ => Err("route_type is none of idempotent, non_idempotent, streaming, batch"),
+    }
+}
+
+/// Returns the backends of a route, or why they are invalid. A traffic split takes precedence over a single backend.
+fn weighted_backends(
+    traffic_split: Option<Vec<SplitDocument>>,
+    backend: Option<String>,
+) -> Result<Vec<WeightedBackend>, &'static str> {
+    let backends: Vec<WeightedBackend> = match (traffic_split, backend) {
+        (Some(split), _) if !split.is_empty() => split
+            .into_iter()
+            .map(|part| WeightedBackend { service: part.backend, weight: part.weight })
+            .collect(),
+        (_, Some(service)) => vec![WeightedBackend { service, weight: 1.0 }],
+        _ => return Err("neither backend nor traffic_split is there"),
+    };
+    if backends.iter().any(|backend| !backend.weight.is_finite() || backend.weight < 0.0) {
+        return Err("a weight is negative");
+    }
+    if backends.iter().map(|backend| backend.weight).sum::<f64>() <= 0.0 {
+        return Err("the weights add up to 0");
+    }
+    Ok(backends)
+}
+
+fn milliseconds(value: f64) -> Duration {
+    Duration::from_secs_f64(value.clamp(0.0, MAX_DURATION_MS) / 1000.0)
+}
+
+fn integer_or(value: Option<f64>, default: u32) -> u32 {
+    // The conversion truncates and saturates.
+    value.map_or(default, |value| value as u32)
+}
+
+fn large_integer_or_zero(value: Option<f64>) -> u64 {
+    // The conversion truncates and saturates.
+    value.map_or(0, |value| value as u64)
+}
--- a/control-plane/configuration/src/syntax.rs
+++ b/control-plane/configuration/src/syntax.rs
@@ -1,101 +1,89 @@
-//! Whether a text is one whole JSON value, and where the parts of one stand in it. `nanoserde` passes over parts that it does
-//! not want, and stops the thread where the text ends inside one of them; no text reaches it unchecked.
-
-/// Values within values. Bounds the stack.
+//! A scanner of JSON that keeps the text of values.
+//!
+//! It has two purposes. First, `nanoserde` skips members that the target type does not have without checking them, and does
+//! not return where the text ends inside one; so no text reaches it that [`is_complete_document`] does not accept. Second, a
+//! change of a configuration keeps what it does not change literally as the operator wrote it.
+//!
+//! The functions of the scanner return `None` where the text is not JSON by RFC 8259.
+
+/// Levels of nested values that are accepted. Bounds the stack, as the scanner is recursive.
 const MAX_DEPTH: u32 = 64;
 
-struct Reader<'a> {
-    text: &'a str,
-    /// Where the next byte stands.
-    at: usize,
-}
-
-/// Whether `text` is one JSON value and nothing else.
+/// Returns whether `text` is exactly one JSON value.
 pub fn is_complete_document(text: &str) -> bool {
     let mut reader = Reader::new(text);
     reader.value(MAX_DEPTH).is_some() && reader.peek().is_none()
 }
 
-/// The names and values of an object, as they are written; `None` where the text is no object.
+/// Returns the names of an object's members, without quotation marks, and the texts of their values; `None` where the text is
+/// not exactly one object.
 pub fn members(text: &str) -> Option<Vec<(&str, &str)>> {
     let mut reader = Reader::new(text);
     let mut members = Vec::new();
-    reader.take(b'{')?;
-    if reader.take(b'}').is_none() {
-        loop {
-            let name = reader.written(Reader::string)?;
-            reader.take(b':')?;
-            let value = reader.written(|reader| reader.value(MAX_DEPTH))?;
-            // Without its quotation marks.
-            members.push((&name[1..name.len() - 1], value));
-            if reader.take(b',').is_none() {
-                reader.take(b'}')?;
-                break;
-            }
-        }
-    }
+    reader.object(MAX_DEPTH, &mut |name, value| members.push((name, value)))?;
     reader.peek().is_none().then_some(members)
 }
 
-/// The values of an array, as they are written; `None` where the text is no array.
+/// Returns the texts of an array's elements; `None` where the text is not exactly one array.
 pub fn elements(text: &str) -> Option<Vec<&str>> {
     let mut reader = Reader::new(text);
     let mut elements = Vec::new();
-    reader.take(b'[')?;
-    if reader.take(b']').is_none() {
-        loop {
-            elements.push(reader.written(|reader| reader.value(MAX_DEPTH))?);
-            if reader.take(b',').is_none() {
-                reader.take(b']')?;
-                break;
-            }
-        }
-    }
+    reader.array(MAX_DEPTH, &mut |element| elements.push(element))?;
     reader.peek().is_none().then_some(elements)
 }
 
+struct Reader<'a> {
+    text: &'a str,
+    /// Offset of the next byte.
+    position: usize,
+}
+
 impl<'a> Reader<'a> {
     fn new(text: &'a str) -> Reader<'a> {
-        Reader { text, at: 0 }
+        Reader { text, position: 0 }
     }
 
-    /// The text of what `read` passes over.
-    fn written(&mut self, read: impl FnOnce(&mut Reader<'a>) -> Option<()>) -> Option<&'a str> {
+    /// Returns the text that `read` passes over, without white space before it.
+    fn text_of(&mut self, read: impl FnOnce(&mut Reader<'a>) -> Option<()>) -> Option<&'a str> {
         self.peek()?;
-        let from = self.at;
+        let start = self.position;
         read(self)?;
-        self.text.get(from..self.at)
+        self.text.get(start..self.position)
     }
 
+    /// Takes the next byte.
     fn next(&mut self) -> Option<u8> {
-        let byte = self.text.as_bytes().get(self.at).copied()?;
-        self.at += 1;
+        let byte = self.text.as_bytes().get(self.position).copied()?;
+        self.position += 1;
         Some(byte)
     }
 
-    fn next_if(&mut self, wanted: impl FnOnce(u8) -> bool) -> Option<u8> {
-        let byte = self.text.as_bytes().get(self.at).copied().filter(|byte| wanted(*byte))?;
-        self.at += 1;
+    /// Takes the next byte if it satisfies a condition.
+    fn next_if(&mut self, condition: impl FnOnce(u8) -> bool) -> Option<u8> {
+        let byte = self.text.as_bytes().get(self.position).copied().filter(|byte| condition(*byte))?;
+        self.position += 1;
         Some(byte)
     }
 
-    /// The next byte that is not white space.
+    /// Passes over white space and returns the byte after it without taking it.
     fn peek(&mut self) -> Option<u8> {
         while self.next_if(|byte| matches!(byte, b' ' | b'\t' | b'\n' | b'\r')).is_some() {}
-        self.text.as_bytes().get(self.at).copied()
+        self.text.as_bytes().get(self.position).copied()
     }
 
+    /// Takes a byte that is expected next after white space.
     fn take(&mut self, expected: u8) -> Option<()> {
         (self.peek()? == expected).then(|| {
-            self.at += 1;
+            self.position += 1;
         })
     }
 
+    /// Passes over a value that nests at most `depth` levels deep.
     fn value(&mut self, depth: u32) -> Option<()> {
         let depth = depth.checked_sub(1)?;
         match self.peek()? {
-            b'{' => self.object(depth),
-            b'[' => self.array(depth),
+            b'{' => self.object(depth, &mut |_, _| {}),
+            b'[' => self.array(depth, &mut |_| {}),
             b'"' => self.string(),
             b't' => self.literal("true"),
             b'f' => self.literal("false"),
@@ -108,34 +96,38 @@
         word.bytes().try_for_each(|byte| (self.next()? == byte).then_some(()))
     }
 
-    fn object(&mut self, depth: u32) -> Option<()> {
+    /// Passes over an object and hands each member's name, without quotation marks, and value to `on_member`.
+    fn object(&mut self, depth: u32, on_member: &mut dyn FnMut(&'a str, &'a str)) -> Option<()> {
         self.take(b'{')?;
         if self.take(b'}').is_some() {
             return Some(());
         }
         loop {
-            self.string()?;
+            let name = self.text_of(Reader::string)?;
             self.take(b':')?;
-            self.value(depth)?;
+            let value = self.text_of(|reader| reader.value(depth))?;
+            on_member(&name[1..name.len() - 1], value);
             if self.take(b',').is_none() {
                 return self.take(b'}');
             }
         }
     }
 
-    fn array(&mut self, depth: u32) -> Option<()> {
+    /// Passes over an array and hands each element to `on_element`.
+    fn array(&mut self, depth: u32, on_element: &mut dyn FnMut(&'a str)) -> Option<()> {
         self.take(b'[')?;
         if self.take(b']').is_some() {
             return Some(());
         }
         loop {
-            self.value(depth)?;
+            on_element(self.text_of(|reader| reader.value(depth))?);
             if self.take(b',').is_none() {
                 return self.take(b']');
             }
         }
     }
 
+    /// Passes over a string with its quotation marks.
     fn string(&mut self) -> Option<()> {
         self.take(b'"')?;
         loop {
@@ -148,6 +140,7 @@
         }
     }
 
+    /// Passes over what follows the backslash of an escape sequence.
     fn escape(&mut self) -> Option<()> {
         match self.next()? {
             b'"' | b'\\' | b'/' | b'b' | b'f' | b'n' | b'r' | b't' => Some(()),
@@ -156,6 +149,7 @@
         }
     }
 
+    /// Passes over one or more digits.
     fn digits(&mut self) -> Option<()> {
         self.next_if(|byte| byte.is_ascii_digit())?;
         while self.next_if(|byte| byte.is_ascii_digit()).is_some() {}
--- a/control-plane/configuration/src/update.rs
+++ b/control-plane/configuration/src/update.rs
@@ -1,41 +1,52 @@
-//! A change of named items: what stands in the configuration is kept as it was written, items are added, replaced by their
-//! name, or removed.
+//! A change of named items of a configuration.
 //!
-//! An item of the same name is replaced whole, in its place; new ones come last. A name to remove that is not there changes
-//! nothing. One name both to add and to remove, or twice in one list, is refused.
+//! The change names lists of the configuration, and for each of them items to upsert and names of items to remove:
+//! `{"generation": 8, "upsert": {"routes": [...]}, "remove": {"services": ["s"]}}`. An item of the same name is replaced
+//! completely, at its position; new ones are appended. A name to remove that does not exist changes nothing. What the change
+//! does not name keeps its text literally, with members that this program does not know.
+//!
+//! [`Update::parse`] rejects what is ambiguous by itself, such as an item that is both upserted and removed; [`Update::apply`]
+//! rejects what does not result in a valid configuration.
 
-// What `nanoserde` derives holds this shape.
+// The code that `nanoserde` derives has this shape.
 #![allow(clippy::question_mark)]
 
-use crate::{syntax, Configuration, Invalid};
+use crate::configuration::Configuration;
+use crate::error::{ConfigurationError, UpdateError};
+use crate::syntax;
 use nanoserde::DeJson;
+use std::collections::HashSet;
 
-/// The list of all routes, and that of all services: these may be added to before they exist.
-const LISTS: [&str; 2] = ["routes", "services"];
+/// The lists that a configuration may omit; a change may create them.
+const OPTIONAL_LISTS: [&str; 2] = ["routes", "services"];
 const GENERATION: &str = "generation";
 const UPSERT: &str = "upsert";
 const REMOVE: &str = "remove";
 
-/// A change that was read.
+/// A change of named items of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Update {
-    /// The generation that the changed configuration has.
+    /// The generation of the resulting configuration.
     pub generation: u64,
+    /// In the order in which the change first names the lists.
     lists: Vec<ListChange>,
 }
 
-/// What becomes of one list.
+/// The change of one list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ListChange {
+    /// Name of the member of the configuration that is the list.
     list: String,
-    upsert: Vec<Named>,
+    upsert: Vec<NamedItem>,
+    /// Names of items.
     remove: Vec<String>,
 }
 
-/// An item, as it is written.
+/// An item of a list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Named {
+struct NamedItem {
     name: String,
+    /// The item as it was written, in JSON.
     text: String,
 }
 
@@ -49,140 +60,147 @@
     generation: u64,
 }
 
-fn unreadable(what: impl Into<String>) -> Invalid {
-    Invalid::Update(what.into())
-}
-
-fn read<T: DeJson>(text: &str) -> Result<T, Invalid> {
-    T::deserialize_json(text).map_err(|e| unreadable(e.to_string()))
-}
-
-fn members(text: &str) -> Result<Vec<(&str, &str)>, Invalid> {
-    syntax::members(text).ok_or_else(|| unreadable("an object is missing"))
-}
-
-fn named(text: &str) -> Result<Named, Invalid> {
-    members(text)?;
-    let name = read::<NameDocument>(text)?.name;
-    Ok(Named { name, text: text.to_owned() })
-}
-
-/// The items of a list, as they are written.
-fn items(list: &str, text: &str) -> Result<Vec<Named>, Invalid> {
-    let elements = syntax::elements(text).ok_or_else(|| unreadable(format!("{list} is no list")))?;
-    elements.into_iter().map(named).collect()
-}
-
 impl Update {
-    /// Reads a change. Whether it can be made depends on the configuration that it is made on.
-    pub fn parse(body: &[u8]) -> Result<Update, Invalid> {
-        let text = std::str::from_utf8(body).map_err(|e| unreadable(e.to_string()))?;
+    /// Parses a change in JSON. Whether it can be applied depends on the configuration that it is applied to.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`ConfigurationError::InvalidUpdate`] if the text is not a change, or names an item twice in one list.
+    pub fn parse(body: &[u8]) -> Result<Update, ConfigurationError> {
+        Ok(Update::parse_text(body)?)
+    }
+
+    fn parse_text(body: &[u8]) -> Result<Update, UpdateError> {
+        let text = std::str::from_utf8(body)?;
         if !syntax::is_complete_document(text) {
-            return Err(unreadable("not one whole JSON value"));
+            return Err(UpdateError::IncompleteJson);
         }
-        let mut update = Update { generation: 0, lists: Vec::new() };
         let members = members(text)?;
-        if let Some(name) = repeated(members.iter().map(|member| member.0)) {
-            return Err(unreadable(format!("{name} is there twice")));
+        if let Some(name) = find_duplicate(members.iter().map(|member| member.0)) {
+            return Err(UpdateError::DuplicateMember(name));
         }
         if !members.iter().any(|member| member.0 == GENERATION) {
-            return Err(unreadable("generation is missing"));
+            return Err(UpdateError::MissingGeneration);
         }
+        let mut update = Update { generation: 0, lists: Vec::new() };
         for (name, value) in members {
             match name {
-                GENERATION => update.generation = read::<GenerationDocument>(text)?.generation,
-                UPSERT => update.read_upsert(value)?,
-                REMOVE => update.read_remove(value)?,
+                GENERATION => update.generation = GenerationDocument::deserialize_json(text)?.generation,
+                UPSERT => update.parse_upsert(value)?,
+                REMOVE => update.parse_remove(value)?,
                 _ => {}
             }
         }
-        update.check()?;
+        update.check_names()?;
         Ok(update)
     }
 
-    fn list(&mut self, name: &str) -> &mut ListChange {
-        let at = self.lists.iter().position(|change| change.list == name).unwrap_or_else(|| {
-            self.lists.push(ListChange { list: name.to_owned(), ..ListChange::default() });
+    /// Returns the change of a list, which is added if there is none yet.
+    fn list_mut(&mut self, list: &str) -> &mut ListChange {
+        let known = self.lists.iter().position(|change| change.list == list);
+        let index = known.unwrap_or_else(|| {
+            self.lists.push(ListChange { list: list.to_owned(), ..ListChange::default() });
             self.lists.len() - 1
         });
-        &mut self.lists[at]
+        &mut self.lists[index]
     }
 
-    fn read_upsert(&mut self, text: &str) -> Result<(), Invalid> {
+    fn parse_upsert(&mut self, text: &str) -> Result<(), UpdateError> {
         for (list, value) in members(text)? {
-            self.list(list).upsert.extend(items(list, value)?);
+            self.list_mut(list).upsert.extend(parse_items(list, value)?);
         }
         Ok(())
     }
 
-    fn read_remove(&mut self, text: &str) -> Result<(), Invalid> {
+    fn parse_remove(&mut self, text: &str) -> Result<(), UpdateError> {
         for (list, value) in members(text)? {
-            let names = read::<Vec<String>>(value)?;
-            self.list(list).remove.extend(names);
+            let names = Vec::<String>::deserialize_json(value)?;
+            self.list_mut(list).remove.extend(names);
         }
         Ok(())
     }
 
-    fn check(&self) -> Result<(), Invalid> {
+    /// Checks that no item occurs twice in the change of one list.
+    fn check_names(&self) -> Result<(), UpdateError> {
         for change in &self.lists {
-            let names = change.upsert.iter().map(|item| item.name.as_str());
-            if let Some(name) = repeated(names.chain(change.remove.iter().map(String::as_str))) {
-                return Err(unreadable(format!("{name} is named twice in {}", change.list)));
+            let upserted = change.upsert.iter().map(|item| item.name.as_str());
+            if let Some(name) = find_duplicate(upserted.chain(change.remove.iter().map(String::as_str))) {
+                return Err(UpdateError::DuplicateItem(name, change.list.clone()));
             }
         }
         Ok(())
     }
 
-    /// The configuration with this change, checked as a whole.
-    pub fn apply(&self, current: &[u8]) -> Result<Vec<u8>, Invalid> {
-        let text = std::str::from_utf8(current).map_err(|e| unreadable(e.to_string()))?;
-        let current =
-            syntax::members(text).ok_or_else(|| unreadable("there is no configuration to change"))?;
-        let mut changed: Vec<(String, String)> = Vec::new();
+    /// Returns the text of the configuration that results from applying the change to `current`.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the result would not be a valid configuration.
+    pub fn apply(&self, current: &[u8]) -> Result<Vec<u8>, ConfigurationError> {
+        let changed = self.apply_to_text(current)?.into_bytes();
+        Configuration::parse(&changed)?;
+        Ok(changed)
+    }
+
+    fn apply_to_text(&self, current: &[u8]) -> Result<String, UpdateError> {
+        let current = std::str::from_utf8(current)?;
+        let current = syntax::members(current).ok_or(UpdateError::NoConfiguration)?;
+        let mut members = Vec::new();
         for (name, value) in &current {
             let value = match self.lists.iter().find(|change| change.list == *name) {
                 Some(change) => change.apply(value)?,
                 None if *name == GENERATION => self.generation.to_string(),
                 None => (*value).to_owned(),
             };
-            changed.push(((*name).to_owned(), value));
+            members.push(format!("\"{name}\":{value}"));
         }
-        for change in &self.lists {
-            if current.iter().any(|member| member.0 == change.list) {
-                continue;
-            }
-            if !LISTS.contains(&change.list.as_str()) {
-                return Err(unreadable(format!("the configuration has no list {}", change.list)));
+        let is_missing = |list: &str| !current.iter().any(|(name, _)| *name == list);
+        for change in self.lists.iter().filter(|change| is_missing(&change.list)) {
+            if !OPTIONAL_LISTS.contains(&change.list.as_str()) {
+                return Err(UpdateError::UnknownList(change.list.clone()));
             }
-            changed.push((change.list.clone(), change.apply("[]")?));
+            members.push(format!("\"{}\":{}", change.list, change.apply("[]")?));
         }
-        let members: Vec<String> =
-            changed.iter().map(|(name, value)| format!("\"{name}\":{value}")).collect();
-        let whole = format!("{{{}}}", members.join(",")).into_bytes();
-        Configuration::parse(&whole)?;
-        Ok(whole)
+        Ok(format!("{{{}}}", members.join(",")))
     }
 }
 
 impl ListChange {
-    /// The list with this change.
-    fn apply(&self, list: &str) -> Result<String, Invalid> {
-        let mut left = self.upsert.clone();
-        let mut kept: Vec<String> = Vec::new();
-        for item in items(&self.list, list)? {
+    /// Returns the text of the list that results from applying the change to the text of a list.
+    fn apply(&self, list: &str) -> Result<String, UpdateError> {
+        let mut new_items = self.upsert.clone();
+        let mut texts: Vec<String> = Vec::new();
+        for item in parse_items(&self.list, list)? {
             if self.remove.contains(&item.name) {
                 continue;
             }
-            let replaced = left.iter().position(|new| new.name == item.name).map(|at| left.remove(at));
-            kept.push(replaced.unwrap_or(item).text);
+            let replacement = new_items.iter().position(|new| new.name == item.name);
+            let replacement = replacement.map(|index| new_items.remove(index));
+            texts.push(replacement.unwrap_or(item).text);
         }
-        kept.extend(left.into_iter().map(|new| new.text));
-        Ok(format!("[{}]", kept.join(",")))
+        texts.extend(new_items.into_iter().map(|new| new.text));
+        Ok(format!("[{}]", texts.join(",")))
     }
 }
 
-/// A name that occurs more than once.
-fn repeated<'a>(names: impl Iterator<Item = &'a str>) -> Option<String> {
-    let mut seen = std::collections::HashSet::new();
-    names.into_iter().find(|name| !seen.insert(*name)).map(str::to_owned)
+fn members(text: &str) -> Result<Vec<(&str, &str)>, UpdateError> {
+    syntax::members(text).ok_or(UpdateError::NotAnObject)
+}
+
+/// Parses the items of a list. `list` is its name, for the error.
+fn parse_items(list: &str, text: &str) -> Result<Vec<NamedItem>, UpdateError> {
+    let elements = syntax::elements(text).ok_or_else(|| UpdateError::NotAList(list.to_owned()))?;
+    elements.into_iter().map(parse_item).collect()
+}
+
+fn parse_item(text: &str) -> Result<NamedItem, UpdateError> {
+    members(text)?;
+    let name = NameDocument::deserialize_json(text)?.name;
+    Ok(NamedItem { name, text: text.to_owned() })
+}
+
+/// Returns the first name that occurs for the second time.
+fn find_duplicate<'a>(mut names: impl Iterator<Item = &'a str>) -> Option<String> {
+    let mut seen = HashSet::new();
+    names.find(|name| !seen.insert(*name)).map(str::to_owned)
 }
--- a/control-plane/configuration/tests/configuration.rs
+++ b/control-plane/configuration/tests/configuration.rs
@@ -1,6 +1,6 @@
-//! Configurations are read as a whole; each kind of invalid one is refused in a line that names the place.
+//! Valid configurations are parsed and looked up; each kind of invalid one is rejected in one line that names its place.
 
-use marblecroft_configuration::{syntax, Configuration, Invalid, RouteType};
+use marblecroft_configuration::{syntax, Configuration, ConfigurationError, RouteType};
 use std::time::Duration;
 
 const TEXT: &str = r#"{"generation":7,"routes":[
@@ -18,22 +18,22 @@
     assert_eq!(found("X.EXAMPLE:80", "/p/q/1"), Some("b"));
     assert_eq!(found("x.example", "/p"), None);
     assert_eq!(found("y.example", "/p/1"), None);
-    let batch = configuration.route("x.example", "/p/q/1").expect("there");
+    let batch = configuration.route("x.example", "/p/q/1").expect("configured");
     assert_eq!((batch.route_type, batch.attempts), (RouteType::Batch, 3));
     assert_eq!(batch.retention, Duration::from_secs(40));
     assert_eq!(batch.max_queued_tokens, 670_000);
-    assert_eq!(configuration.service("s").expect("there").slots, 24);
+    assert_eq!(configuration.service("s").expect("configured").slots, 24);
 }
 
 #[test]
-fn every_prefix_of_a_configuration_is_refused() {
+fn every_proper_prefix_of_a_configuration_is_rejected() {
     for length in 0..TEXT.len() {
         assert!(Configuration::parse(&TEXT.as_bytes()[..length]).is_err(), "{length} bytes");
     }
 }
 
 #[test]
-fn what_is_invalid_is_refused_with_its_place() {
+fn an_invalid_configuration_is_rejected_with_the_route_and_reason() {
     let cases = [
         (
             "\"backend\":\"s\",\"attempts\"",
@@ -56,21 +56,21 @@
     ];
     for (valid, invalid, expected) in cases {
         let text = TEXT.replacen(valid, invalid, 1);
-        let refused = Configuration::parse(text.as_bytes()).expect_err(invalid);
-        assert_eq!(refused.to_string(), expected);
+        let error = Configuration::parse(text.as_bytes()).expect_err(invalid);
+        assert_eq!(error.to_string(), expected);
     }
-    assert!(matches!(Configuration::parse(b"\xff"), Err(Invalid::Unreadable(_))));
+    assert!(matches!(Configuration::parse(b"\xff"), Err(ConfigurationError::NotUtf8(_))));
 }
 
 #[test]
-fn json_is_one_whole_value_and_nothing_else() {
-    let whole = ["{}", "[]", "0", "-1.5e+3", " {\"a\" : [1, true, null, \"\\u00e9\\n\"]} ", "\"x\""];
-    let not =
+fn a_complete_document_is_exactly_one_json_value() {
+    let complete = ["{}", "[]", "0", "-1.5e+3", " {\"a\" : [1, true, null, \"\\u00e9\\n\"]} ", "\"x\""];
+    let incomplete =
         ["", "{", "{}{}", "[1,]", "{\"a\":}", "{a:1}", "01", "1.", "+1", "\"\\x\"", "tru", "\"a", "[1 2]"];
-    for text in whole {
+    for text in complete {
         assert!(syntax::is_complete_document(text), "{text}");
     }
-    for text in not {
+    for text in incomplete {
         assert!(!syntax::is_complete_document(text), "{text}");
     }
     assert!(!syntax::is_complete_document(&"[".repeat(100_000)));
--- a/control-plane/configuration/tests/golden.rs
+++ b/control-plane/configuration/tests/golden.rs
@@ -1,13 +1,19 @@
-//! The names and meanings of the operator's configuration stay as they are: a whole configuration with every member is read
-//! from a fixture, and a change of it is written as the literal text of another.
+//! The members of the operator's configuration keep their names and meanings: a configuration with every member is parsed from
+//! a fixture, and the result of a change of it is the literal text of another.
 
-use marblecroft_configuration::{ClientLimits, Configuration, Route, RouteType, Service, Update};
+use marblecroft_configuration::{
+    ClientLimits, Configuration, Route, RouteType, Service, Update, WeightedBackend,
+};
 use std::time::Duration;
 
-const WHOLE: &str = include_str!("golden/whole.json");
+const COMPLETE: &str = include_str!("golden/whole.json");
 const UPDATE: &str = include_str!("golden/update.json");
 const CHANGED: &str = include_str!("golden/changed.json");
 
+fn backend(service: &str, weight: f64) -> WeightedBackend {
+    WeightedBackend { service: service.to_owned(), weight }
+}
+
 fn streaming() -> Route {
     Route {
         name: "chat".to_owned(),
@@ -17,7 +23,7 @@
         timeout: Duration::from_millis(2100),
         target_latency: Duration::from_millis(320),
         priority: 3,
-        backends: vec![("s".to_owned(), 90.0), ("t".to_owned(), 10.5)],
+        backends: vec![backend("s", 90.0), backend("t", 10.5)],
         attempts: 4,
         resumable: true,
         completion_target: Duration::from_millis(8050),
@@ -26,7 +32,7 @@
     }
 }
 
-fn least(name: &str, route_type: RouteType) -> Route {
+fn with_defaults(name: &str, route_type: RouteType) -> Route {
     Route {
         name: name.to_owned(),
         hostname: "x.example".to_owned(),
@@ -35,7 +41,7 @@
         timeout: Duration::from_secs(30),
         target_latency: Duration::from_secs(30),
         priority: 0,
-        backends: vec![("t".to_owned(), 1.0)],
+        backends: vec![backend("t", 1.0)],
         attempts: 1,
         resumable: false,
         completion_target: Duration::MAX,
@@ -51,8 +57,8 @@
 }
 
 #[test]
-fn every_member_of_a_configuration_is_read_by_its_name() {
-    let configuration = Configuration::parse(WHOLE.as_bytes()).expect("valid");
+fn every_member_of_a_configuration_is_parsed_by_its_name() {
+    let configuration = Configuration::parse(COMPLETE.as_bytes()).expect("valid");
     assert_eq!(configuration.generation, 7);
     let limits = ClientLimits {
         max_header_bytes: 16_385,
@@ -61,33 +67,33 @@
         idle_timeout: Duration::from_millis(15_200),
     };
     assert_eq!(configuration.limits, limits);
-    let told = Service {
+    let explicit = Service {
         name: "s".to_owned(),
         health_path: "/ready".to_owned(),
         max_connections: 220,
         slots: 24,
         kv_cache_tokens: 305_000,
     };
-    assert_eq!(configuration.service("s"), Some(&told));
-    let untold = Service {
+    assert_eq!(configuration.service("s"), Some(&explicit));
+    let default = Service {
         name: "t".to_owned(),
         health_path: "/health".to_owned(),
         max_connections: 0,
         slots: 0,
         kv_cache_tokens: 0,
     };
-    assert_eq!(configuration.service("t"), Some(&untold));
+    assert_eq!(configuration.service("t"), Some(&default));
     let expected = [
         streaming(),
-        least("get", RouteType::Idempotent),
-        least("nightly", RouteType::Batch),
-        least("post", RouteType::NonIdempotent),
+        with_defaults("get", RouteType::Idempotent),
+        with_defaults("nightly", RouteType::Batch),
+        with_defaults("post", RouteType::NonIdempotent),
     ];
     assert_eq!(routes(&configuration), expected);
 }
 
 #[test]
-fn limits_that_are_not_told_keep_their_values() {
+fn default_limits_keep_their_values() {
     let configuration =
         Configuration::parse(br#"{"generation":1,"routes":[],"services":[]}"#).expect("valid");
     let limits = ClientLimits {
@@ -100,13 +106,13 @@
 }
 
 #[test]
-fn a_configuration_without_a_needed_member_is_refused() {
-    let least = r#"{"generation":1,"routes":[{"name":"n","hostname":"h","path_prefix":"/","route_type":"batch","backend":"s"}],"services":[{"name":"s"}]}"#;
-    assert!(Configuration::parse(least.as_bytes()).is_ok());
+fn a_configuration_without_a_required_member_is_rejected() {
+    let minimal = r#"{"generation":1,"routes":[{"name":"n","hostname":"h","path_prefix":"/","route_type":"batch","backend":"s"}],"services":[{"name":"s"}]}"#;
+    assert!(Configuration::parse(minimal.as_bytes()).is_ok());
     for name in
         ["generation", "routes", "services", "name", "hostname", "path_prefix", "route_type", "backend"]
     {
-        let without = least.replacen(&format!("\"{name}\":"), "\"other\":", 1);
+        let without = minimal.replacen(&format!("\"{name}\":"), "\"other\":", 1);
         assert!(Configuration::parse(without.as_bytes()).is_err(), "{name}");
     }
 }
@@ -115,7 +121,7 @@
 fn a_changed_configuration_keeps_its_text() {
     let update = Update::parse(UPDATE.as_bytes()).expect("an update");
     assert_eq!(update.generation, 12);
-    let changed = update.apply(WHOLE.trim_end().as_bytes()).expect("valid");
+    let changed = update.apply(COMPLETE.trim_end().as_bytes()).expect("valid");
     let text = String::from_utf8(changed.clone()).expect("text");
     assert_eq!(text, CHANGED.trim_end());
     let configuration = Configuration::parse(&changed).expect("valid");
--- a/control-plane/configuration/tests/update.rs
+++ b/control-plane/configuration/tests/update.rs
@@ -1,4 +1,4 @@
-//! Changes of named items: what they make of a configuration, and which are refused.
+//! Changes of named items: the configurations that result, and which changes are rejected.
 
 use marblecroft_configuration::{Configuration, Update};
 
@@ -13,14 +13,14 @@
     )
 }
 
-/// What a change makes of the configuration, or why it is refused.
+/// Returns the configuration that results from a change, or why the change is rejected.
 fn changed(change: &str) -> Result<String, String> {
     let update = Update::parse(change.as_bytes()).map_err(|e| e.to_string())?;
-    let whole = update.apply(CURRENT.as_bytes()).map_err(|e| e.to_string())?;
-    Ok(String::from_utf8(whole).expect("text"))
+    let changed = update.apply(CURRENT.as_bytes()).map_err(|e| e.to_string())?;
+    Ok(String::from_utf8(changed).expect("text"))
 }
 
-/// The routes of a configuration by name, in their order, and its generation.
+/// Returns the generation of a configuration and the sorted names of its routes.
 fn names(text: &str) -> (u64, Vec<String>) {
     let configuration = Configuration::parse(text.as_bytes()).expect("valid");
     let mut names: Vec<String> = configuration.routes().map(|route| route.name.clone()).collect();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn items_are_replaced_in_place_added_at_the_end_and_removed_and_the_rest_stays_as_written() {
+fn items_are_replaced_appended_and_removed_and_all_else_keeps_its_text() {
     let (a, c) = (route("a", "/other/", "t"), route("c", "/c/", "s"));
     let change = format!(
         r#"{{"generation":9,"upsert":{{"routes":[{c},{a}]}},"remove":{{"routes":["b","not-there"]}}}}"#
@@ -38,22 +38,22 @@
         r#"{{"generation":9,"routes":[{a},{c}],"services":[{{"name":"s"}},{{"name":"t","engine":{{"slots":8}}}}],"tenants":[],"limits":{{"max_header_bytes":16384}}}}"#
     );
     assert_eq!(changed(&change), Ok(expected));
-    let whole = changed(r#"{"remove":{"routes":["b"],"services":["t"]},"generation":8}"#).expect("valid");
-    assert_eq!(names(&whole), (8, vec!["a".to_owned()]));
-    assert!(whole.contains(r#""unknown":{"deep":[1, 2]}"#), "{whole}");
+    let text = changed(r#"{"remove":{"routes":["b"],"services":["t"]},"generation":8}"#).expect("valid");
+    assert_eq!(names(&text), (8, vec!["a".to_owned()]));
+    assert!(text.contains(r#""unknown":{"deep":[1, 2]}"#), "{text}");
 }
 
 #[test]
-fn a_change_of_nothing_changes_the_generation() {
+fn an_empty_change_only_changes_the_generation() {
     for change in [r#"{"generation":8}"#, r#"{"generation":8,"upsert":{},"remove":{"routes":[]}}"#] {
-        let whole = changed(change).expect("valid");
-        assert_eq!(names(&whole), (8, vec!["a".to_owned(), "b".to_owned()]));
+        let text = changed(change).expect("valid");
+        assert_eq!(names(&text), (8, vec!["a".to_owned(), "b".to_owned()]));
     }
 }
 
 #[test]
-fn what_cannot_be_made_is_refused_with_its_reason() {
-    let (twice, same_place) = (route("c", "/c/", "s"), route("c", "/a/", "s"));
+fn an_invalid_change_is_rejected_with_its_reason() {
+    let (twice, same_prefix) = (route("c", "/c/", "s"), route("c", "/a/", "s"));
     let cases = [
         (r#"{"generation":8"#.to_owned(), "not an update: not one whole JSON value"),
         (r#"[8]"#.to_owned(), "not an update: an object is missing"),
@@ -71,7 +71,7 @@
         ),
         (r#"{"generation":8,"remove":{"services":["t"]}}"#.to_owned(), "route b: no service is named t"),
         (
-            format!(r#"{{"generation":8,"upsert":{{"routes":[{same_place}]}}}}"#),
+            format!(r#"{{"generation":8,"upsert":{{"routes":[{same_prefix}]}}}}"#),
             "route c: another route has the same hostname and path_prefix",
         ),
         (
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn every_prefix_of_a_change_is_refused() {
+fn every_proper_prefix_of_a_change_is_rejected() {
     let change = format!(r#"{{"generation":9,"upsert":{{"routes":[{}]}}}}"#, route("c", "/c/", "s"));
     for length in 0..change.len() {
         assert!(Update::parse(&change.as_bytes()[..length]).is_err(), "{length} bytes");
--- a/control-plane/core/src/operator.rs
+++ b/control-plane/core/src/operator.rs
@@ -6,7 +6,7 @@
 use crate::coordinator::Coordinator;
 use marblecroft_chain_replication::storage::Storage;
 use marblecroft_chain_replication::{ProposalError, Token};
-use marblecroft_configuration::{Configuration, Invalid, Update};
+use marblecroft_configuration::{Configuration, ConfigurationError, Update};
 use marblecroft_control_state::{Operation, Output};
 use marblecroft_rpc::http::Reply;
 use marblecroft_rpc::Bytes;
@@ -77,13 +77,13 @@
 }
 
 /// The generation of a whole configuration, and the order to put it in force.
-fn parse_replace(base: u64, body: Vec<u8>) -> Result<(u64, Operation), Invalid> {
+fn parse_replace(base: u64, body: Vec<u8>) -> Result<(u64, Operation), ConfigurationError> {
     let generation = Configuration::parse(&body)?.generation;
     Ok((generation, Operation::ReplaceConfiguration { base, generation, body: Bytes(body) }))
 }
 
 /// The generation of a change of named items, and the order to make it.
-fn parse_update(base: u64, body: Vec<u8>) -> Result<(u64, Operation), Invalid> {
+fn parse_update(base: u64, body: Vec<u8>) -> Result<(u64, Operation), ConfigurationError> {
     let generation = Update::parse(&body)?.generation;
     Ok((generation, Operation::UpdateConfiguration { base, generation, change: Bytes(body) }))
 }
--- a/data-plane/gateway/src/gateway.rs
+++ b/data-plane/gateway/src/gateway.rs
@@ -72,17 +72,17 @@
     /// Returns the service that a request goes to, by the weights of its route. Equal ids go to the same service, at each
     /// gateway; the name is empty where no service has a weight.
     pub fn service_of(&self, route: &Route, id: &str) -> String {
-        let total: f64 = route.backends.iter().map(|(_, weight)| weight).sum();
+        let total: f64 = route.backends.iter().map(|backend| backend.weight).sum();
         let mut point = unit_interval(fnv1a(id.as_bytes())) * total;
-        for (name, weight) in &route.backends {
-            if point < *weight {
-                return name.clone();
+        for backend in &route.backends {
+            if point < backend.weight {
+                return backend.service.clone();
             }
-            point -= weight;
+            point -= backend.weight;
         }
         // Rounding can carry the point past the last weight.
-        let last = route.backends.iter().rev().find(|(_, weight)| *weight > 0.0);
-        last.map(|(name, _)| name.clone()).unwrap_or_default()
+        let last = route.backends.iter().rev().find(|backend| backend.weight > 0.0);
+        last.map(|backend| backend.service.clone()).unwrap_or_default()
     }
 
     /// Returns the number of connections that each server of a service accepts from all gateways together; 0 where that is
