--- a/common/settings/src/error.rs
+++ b/common/settings/src/error.rs
@@ -1,32 +1,32 @@
-//! Why a settings file is refused.
+//! Why a settings file is rejected.
 
 use quick_error::quick_error;
 use std::io;
 use std::path::PathBuf;
 
 quick_error! {
-    /// Why a settings file is refused; its text is one line for the operator.
+    /// Why a settings file is rejected. The display text is one line for the operator.
     #[derive(Debug)]
     pub enum Error {
-        /// The environment names no file.
-        NoPath {
-            display("the variable {} names no settings file", crate::PATH_VARIABLE)
+        /// The environment variable that names the file is not set.
+        NoPath(variable: &'static str) {
+            display("the variable {variable} names no settings file")
         }
         /// The file cannot be read.
         Unreadable(path: PathBuf, cause: io::Error) {
             display("settings file {}: {}", path.display(), cause)
             source(cause)
         }
-        /// A line has no `=`.
-        Line(number: usize) {
+        /// A line, counted from 1, has no `=`.
+        MalformedLine(number: usize) {
             display("line {number}: expected key=value")
         }
-        /// A key that every process needs is absent or empty.
-        Missing(key: &'static str) {
+        /// A required key is absent or its value is empty.
+        MissingKey(key: &'static str) {
             display("{key} is missing")
         }
         /// A value cannot be used.
-        Value(key: String, value: String, allowed: &'static str) {
+        InvalidValue(key: String, value: String, allowed: &'static str) {
             display("{key}={value}: expected {allowed}")
         }
     }
--- a/common/settings/src/fields.rs
+++ b/common/settings/src/fields.rs
@@ -1,105 +1,117 @@
-//! The lines of a settings file, looked up by key and converted.
+//! The fields of a settings file, looked up by key and converted.
 
-use crate::Error;
+use crate::error::Error;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The longest duration that a setting may name.
-const SECONDS_MOST: f64 = 1e7;
+/// Upper bound of a duration in seconds; longer ones are clamped to it.
+const MAX_DURATION_S: f64 = 1e7;
 
-/// The lines of one file, by key.
-pub struct Fields<'a>(BTreeMap<&'a str, &'a str>);
+/// The fields of one file. Empty lines and those that begin with `#` are ignored; of lines with equal keys the last counts.
+pub struct Fields<'a> {
+    values: BTreeMap<&'a str, &'a str>,
+}
 
 impl<'a> Fields<'a> {
+    /// Splits a text into fields.
     pub fn parse(text: &'a str) -> Result<Fields<'a>, Error> {
-        let mut fields = BTreeMap::new();
+        let mut values = BTreeMap::new();
         for (index, line) in text.lines().enumerate() {
             let line = line.trim();
             if line.is_empty() || line.starts_with('#') {
                 continue;
             }
-            let (key, value) = line.split_once('=').ok_or(Error::Line(index + 1))?;
-            fields.insert(key.trim(), value.trim());
+            let (key, value) = line.split_once('=').ok_or(Error::MalformedLine(index + 1))?;
+            values.insert(key.trim(), value.trim());
         }
-        Ok(Fields(fields))
+        Ok(Fields { values })
     }
 
-    /// The value of a key that is present and not empty.
+    /// Returns the value of a key that is present and not empty.
     pub fn optional(&self, key: &str) -> Option<&'a str> {
-        self.0.get(key).copied().filter(|value| !value.is_empty())
+        self.values.get(key).copied().filter(|value| !value.is_empty())
     }
 
+    /// Returns the value of a key that must be present and not empty.
     pub fn required(&self, key: &'static str) -> Result<&'a str, Error> {
-        self.optional(key).ok_or(Error::Missing(key))
+        self.optional(key).ok_or(Error::MissingKey(key))
     }
 
-    /// What follows `prefix` in the keys that begin with it.
-    pub fn names_below(&self, prefix: &str) -> Vec<String> {
-        self.0.keys().filter_map(|key| key.strip_prefix(prefix)).map(str::to_owned).collect()
+    /// Returns the rests of the keys that begin with `prefix`, sorted.
+    pub fn keys_with_prefix(&self, prefix: &str) -> Vec<String> {
+        self.values.keys().filter_map(|key| key.strip_prefix(prefix)).map(str::to_owned).collect()
     }
 
     fn converted<T: FromStr>(&self, key: &str, allowed: &'static str) -> Result<Option<T>, Error> {
-        let convert =
-            |value: &str| value.parse().map_err(|_| Error::Value(key.to_owned(), value.to_owned(), allowed));
+        let convert = |value: &str| value.parse().map_err(|_| invalid(key, value, allowed));
         self.optional(key).map(convert).transpose()
     }
 
-    pub fn whole(&self, key: &str, default: u64) -> Result<u64, Error> {
+    /// Returns an integer, or its default.
+    pub fn integer(&self, key: &str, default: u64) -> Result<u64, Error> {
         Ok(self.converted(key, "a whole number")?.unwrap_or(default))
     }
 
-    /// A number that is finite and not negative.
-    pub fn fraction(&self, key: &str, default: f64) -> Result<f64, Error> {
+    /// Returns a number that is finite and not negative, or its default.
+    pub fn non_negative(&self, key: &str, default: f64) -> Result<f64, Error> {
         const ALLOWED: &str = "a number, 0 or more";
         let number = self.converted(key, ALLOWED)?.unwrap_or(default);
         if number.is_finite() && number >= 0.0 {
             Ok(number)
         } else {
-            Err(Error::Value(key.to_owned(), number.to_string(), ALLOWED))
+            Err(invalid(key, &number.to_string(), ALLOWED))
         }
     }
 
+    /// Returns a duration in seconds, or its default.
     pub fn seconds(&self, key: &str, default: f64) -> Result<Duration, Error> {
-        Ok(Duration::from_secs_f64(self.fraction(key, default)?.min(SECONDS_MOST)))
+        Ok(Duration::from_secs_f64(self.non_negative(key, default)?.min(MAX_DURATION_S)))
     }
 
-    pub fn millis(&self, key: &str, default: f64) -> Result<Duration, Error> {
-        Ok(Duration::from_secs_f64((self.fraction(key, default)? / 1000.0).min(SECONDS_MOST)))
+    /// Returns a duration in milliseconds, or its default.
+    pub fn milliseconds(&self, key: &str, default: f64) -> Result<Duration, Error> {
+        Ok(Duration::from_secs_f64((self.non_negative(key, default)? / 1000.0).min(MAX_DURATION_S)))
     }
 
-    pub fn flag(&self, key: &str, default: bool) -> Result<bool, Error> {
+    /// Returns a boolean, or its default.
+    pub fn boolean(&self, key: &str, default: bool) -> Result<bool, Error> {
         Ok(self.converted(key, "true or false")?.unwrap_or(default))
     }
 
+    /// Returns the address of a key that may be absent.
     pub fn address(&self, key: &str) -> Result<Option<SocketAddr>, Error> {
         self.converted(key, "IP:PORT")
     }
 
+    /// Returns the IP address of a required key.
     pub fn ip(&self, key: &'static str) -> Result<Ipv4Addr, Error> {
-        self.converted(key, "an IPv4 address")?.ok_or(Error::Missing(key))
+        self.converted(key, "an IPv4 address")?.ok_or(Error::MissingKey(key))
     }
 
+    /// Returns a list of addresses, joined by commas; empty where the key is absent.
     pub fn addresses(&self, key: &str) -> Result<Vec<SocketAddr>, Error> {
-        let convert = |part: &str| {
-            let refused = || Error::Value(key.to_owned(), part.to_owned(), "IP:PORT, joined by commas");
-            part.trim().parse().map_err(|_| refused())
-        };
+        let convert =
+            |part: &str| part.trim().parse().map_err(|_| invalid(key, part, "IP:PORT, joined by commas"));
         self.optional(key).map_or(Ok(Vec::new()), |list| list.split(',').map(convert).collect())
     }
 
-    /// Two ports, the second not before the first.
-    pub fn ports(&self, key: &'static str) -> Result<(u16, u16), Error> {
+    /// Returns the first and the last port of a range. Neither is 0, and the last is not below the first.
+    pub fn port_range(&self, key: &'static str) -> Result<(u16, u16), Error> {
         let value = self.required(key)?;
-        let refused = || Error::Value(key.to_owned(), value.to_owned(), "FIRST,LAST ports");
-        let (first, last) = value.split_once(',').ok_or_else(refused)?;
-        let port = |text: &str| text.trim().parse::<u16>().map_err(|_| refused());
-        let ports = (port(first)?, port(last)?);
-        if ports.0 > 0 && ports.0 <= ports.1 {
-            Ok(ports)
+        let invalid_range = || invalid(key, value, "FIRST,LAST ports");
+        let parse_port = |text: &str| text.trim().parse::<u16>().map_err(|_| invalid_range());
+        let (first, last) = value.split_once(',').ok_or_else(invalid_range)?;
+        let (first, last) = (parse_port(first)?, parse_port(last)?);
+        if first > 0 && first <= last {
+            Ok((first, last))
         } else {
-            Err(refused())
+            Err(invalid_range())
         }
     }
 }
+
+fn invalid(key: &str, value: &str, allowed: &'static str) -> Error {
+    Error::InvalidValue(key.to_owned(), value.to_owned(), allowed)
+}
--- a/common/settings/tests/settings.rs
+++ b/common/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! A settings file is read as a whole; each value that cannot be used is refused in one line that names it.
+//! A valid settings file is parsed; each invalid value is rejected in one line that names it.
 
 use marblecroft_settings::Settings;
 use std::time::Duration;
@@ -29,19 +29,19 @@
 ";
 
 #[test]
-fn a_whole_file_is_read_and_unknown_or_empty_keys_are_passed_over() {
-    let settings = Settings::parse(FILE).expect("a proper file");
+fn a_complete_file_is_parsed_and_unknown_or_empty_keys_are_ignored() {
+    let settings = Settings::parse(FILE).expect("a valid file");
     assert_eq!(settings.zones, ["a", "b"]);
     assert_eq!(settings.seeds.len(), 2);
     assert_eq!(settings.ephemeral_ports, (7720, 7735));
     assert_eq!(settings.bounds.catch_up, Duration::from_millis(4500));
     assert_eq!(settings.tolerated_machines, 1);
     assert!(settings.bootstrap);
-    assert_eq!(settings.cloud_api.expect("named").rate_per_s, 47.0);
+    assert_eq!(settings.cloud_api.expect("present").rate_per_s, 47.0);
 }
 
 #[test]
-fn a_bad_value_is_refused_by_key_value_and_what_is_allowed() {
+fn an_invalid_value_is_rejected_with_its_key_and_what_is_allowed() {
     let cases = [
         ("ip=10.1.0.13", "ip=ten", "ip=ten: expected an IPv4 address"),
         ("node_name=edge-a-1", "node_name=", "node_name is missing"),
@@ -70,8 +70,8 @@
             "cloud_api.address=cloud: expected IP:PORT",
         ),
     ];
-    for (line, bad, expected) in cases {
-        let refused = Settings::parse(&FILE.replacen(line, bad, 1)).expect_err(bad);
-        assert_eq!(refused.to_string(), expected);
+    for (valid, invalid, expected) in cases {
+        let error = Settings::parse(&FILE.replacen(valid, invalid, 1)).expect_err(invalid);
+        assert_eq!(error.to_string(), expected);
     }
 }
