--- a/control-plane/server/src/main.rs
+++ b/control-plane/server/src/main.rs
@@ -13,7 +13,7 @@
 mod store;
 
 use crate::flags::{MarblecroftControlPlane, MarblecroftControlPlaneCmd as Command};
-use marblecroft_logging::Log;
+use marblecroft_logging::LogConfig;
 use marblecroft_settings::Settings;
 use std::process::ExitCode;
 use tracing::error;
@@ -23,7 +23,7 @@
 
 fn main() -> ExitCode {
     let flags = MarblecroftControlPlane::from_env_or_exit();
-    marblecroft_logging::begin("marblecroft-control-plane", Log::default());
+    marblecroft_logging::init("marblecroft-control-plane", LogConfig::default());
     let settings = match Settings::load_from_environment() {
         Ok(settings) => settings,
         Err(e) => {
--- a/control-plane/simulation/src/main.rs
+++ b/control-plane/simulation/src/main.rs
@@ -151,7 +151,7 @@
             }
         }
         MarblecroftSimulationCmd::Replay(r) => {
-            marblecroft_logging::begin("simulation", marblecroft_logging::Log::default());
+            marblecroft_logging::init("simulation", marblecroft_logging::LogConfig::default());
             let spec = spec_of(r.seed, r.coordinators, r.stores, r.tolerated, r.without_disk);
             let verdict = faults::run(spec, &Plan::draw(&spec));
             verdict.found.iter().for_each(|found| println!("FOUND {found}"));
--- a/quota-gateway/controller/src/config.rs
+++ b/quota-gateway/controller/src/config.rs
@@ -1,6 +1,6 @@
 //! A steward's configuration: one TOML file.
 
-use marblecroft_logging::Log;
+use marblecroft_logging::LogConfig;
 use marblecroft_shard_map::map::BOOKS_MOST;
 use marblecroft_shard_map::owner::GATEWAYS_MOST;
 use marblecroft_singleton_roles::keys::DUTIES;
@@ -37,7 +37,7 @@
     /// Where the page of metrics is served; nowhere without it.
     pub metrics: Option<SocketAddr>,
     #[serde(default)]
-    pub log: Log,
+    pub log: LogConfig,
     /// How long a reader may go by each decision after it last knew it for the newest.
     #[serde(default)]
     pub valid: Valid,
--- a/quota-gateway/controller/src/main.rs
+++ b/quota-gateway/controller/src/main.rs
@@ -10,7 +10,7 @@
 use marblecroft_coordination::client::Client;
 use marblecroft_coordination::metrics;
 use marblecroft_coordination::state::{Op, Owner};
-use marblecroft_logging::Log;
+use marblecroft_logging::LogConfig;
 use marblecroft_singleton_roles::keys::{read, write, Candidate, Names, Order, Owns, DUTIES};
 use marblecroft_singleton_roles::run::{candidate, follow, Figures, Settings};
 use marblecroft_zone_failover::body::ZonesDecided;
@@ -72,14 +72,14 @@
                 (Some(config), log)
             }
             Err(e) => {
-                marblecroft_logging::begin(PROGRAM, Log::default());
+                marblecroft_logging::init(PROGRAM, LogConfig::default());
                 error!("{e}");
                 return ExitCode::from(2);
             }
         },
-        _ => (None, Log::default()),
+        _ => (None, LogConfig::default()),
     };
-    marblecroft_logging::begin_of(PROGRAM, "marblecroft", log);
+    marblecroft_logging::init_for_target(PROGRAM, "marblecroft", log);
     let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
     let done = runtime.map_err(|e| e.to_string()).and_then(|runtime| {
         runtime.block_on(async {
--- a/quota-gateway/coordination/src/main.rs
+++ b/quota-gateway/coordination/src/main.rs
@@ -11,7 +11,7 @@
 use marblecroft_coordination::state::{Op, State};
 use marblecroft_coordination::storage::LogStore;
 use marblecroft_coordination::wire::{Channel, Request, Response};
-use marblecroft_logging::Log;
+use marblecroft_logging::LogConfig;
 use rand::Rng;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -106,7 +106,7 @@
     metrics: Option<SocketAddr>,
     trial: Option<Trial>,
     #[serde(default)]
-    log: Log,
+    log: LogConfig,
 }
 
 /// Troubles to try a cluster with. Never for one that anybody relies on.
@@ -183,12 +183,12 @@
     let (code, result) = match args.call {
         Call::Run { config } => match Config::read(&config) {
             Err(e) => {
-                marblecroft_logging::begin(PROGRAM, Log::default());
+                marblecroft_logging::init(PROGRAM, LogConfig::default());
                 error!("{e}");
                 return ExitCode::from(2);
             }
             Ok(config) => {
-                marblecroft_logging::begin_of(PROGRAM, "marblecroft", config.log);
+                marblecroft_logging::init_for_target(PROGRAM, "marblecroft", config.log);
                 // Opened before there is a runtime: it waits for its disk.
                 let opened = match config.trial {
                     None => LogStore::open(&config.data),
--- a/quota-gateway/discovery/src/config.rs
+++ b/quota-gateway/discovery/src/config.rs
@@ -1,6 +1,6 @@
 //! What the service is told at its start: one file.
 
-use marblecroft_logging::Log;
+use marblecroft_logging::LogConfig;
 use serde::Deserialize;
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
     pub limits: Limits,
     /// How events are told on standard error.
     #[serde(default)]
-    pub log: Log,
+    pub log: LogConfig,
 }
 
 fn stale() -> u64 {
--- a/quota-gateway/discovery/src/main.rs
+++ b/quota-gateway/discovery/src/main.rs
@@ -8,7 +8,7 @@
 use config::Config;
 use marblecroft_discovery::journal::{Folder, Journal};
 use marblecroft_discovery::store::Store;
-use marblecroft_logging::Log;
+use marblecroft_logging::LogConfig;
 use replicas::Role;
 use service::{unix_ms, Service};
 use std::fmt::Display;
@@ -28,12 +28,12 @@
     let config = match Config::load(std::env::args_os().skip(1)) {
         Ok(config) => config,
         Err(e) => {
-            marblecroft_logging::begin(PROGRAM, Log::default());
+            marblecroft_logging::init(PROGRAM, LogConfig::default());
             error!("{e}");
             return ExitCode::from(2);
         }
     };
-    marblecroft_logging::begin(PROGRAM, config.log);
+    marblecroft_logging::init(PROGRAM, config.log);
     match begin(config) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
--- a/quota-gateway/server/src/config.rs
+++ b/quota-gateway/server/src/config.rs
@@ -4,7 +4,7 @@
 use crate::fleet::Stewards;
 use marblecroft_discovery::client::Caution;
 use marblecroft_discovery::format::HostList;
-use marblecroft_logging::Log;
+use marblecroft_logging::LogConfig;
 use marblecroft_simulator_adapter::Site;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
     pub settings: Site,
     /// How events are told on standard error.
     #[serde(default)]
-    pub log: Log,
+    pub log: LogConfig,
 }
 
 #[derive(Clone, Debug, Deserialize)]
--- a/quota-gateway/server/src/main.rs
+++ b/quota-gateway/server/src/main.rs
@@ -26,7 +26,7 @@
 use fleet::Member;
 use front::Front;
 use handover::Handover;
-use marblecroft_logging::Log;
+use marblecroft_logging::LogConfig;
 use marblecroft_quota_gateway_core::Gateway;
 use operations::Operations;
 use std::cell::RefCell;
@@ -53,12 +53,12 @@
     let config = match Config::load() {
         Ok(config) => config,
         Err(e) => {
-            marblecroft_logging::begin(PROGRAM, Log::default());
+            marblecroft_logging::init(PROGRAM, LogConfig::default());
             error!("{e}");
             return ExitCode::from(2);
         }
     };
-    marblecroft_logging::begin(PROGRAM, config.log);
+    marblecroft_logging::init(PROGRAM, config.log);
     // Before anything is opened: what it names is then not ours.
     let inherited = handover::inherited(config.listen).unwrap_or_else(|e| {
         warn!("{e}");
