--- a/common/transport/src/link.rs
+++ b/common/transport/src/connection.rs
@@ -1,6 +1,6 @@
 //! A client connection to a server.
 
-use crate::socket::{Io, Socket};
+use crate::socket::{HyperIo, Socket};
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::client::conn::TrySendError;
@@ -17,52 +17,53 @@
 
 /// An answer's head holds at most this much, and as much is read of a body at once. Guards memory against a head
 /// that does not end.
-const MAX_HEAD: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 /// ... and so many lines.
 const MAX_HEADERS: usize = 64;
 
 /// A connection. Dropping it closes it, which is how an attempt is given up.
-pub struct Link<B> {
+pub struct ClientConnection<B> {
     sender: SendRequest<B>,
     socket: Rc<Socket<()>>,
     driver: AbortHandle,
-    _counted: Option<Counted>,
+    _count: Option<ConnectionCount>,
 }
 
-impl<B> Drop for Link<B> {
+impl<B> Drop for ClientConnection<B> {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-impl<B> Link<B>
+impl<B> ClientConnection<B>
 where
     B: Body + 'static,
     B::Data: Send,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
     /// Connects; `open` counts the connections of a budget.
-    pub async fn open(
+    pub async fn connect(
         addr: SocketAddr,
         within: Duration,
         open: Option<Rc<Cell<usize>>>,
-    ) -> io::Result<Link<B>> {
+    ) -> io::Result<ClientConnection<B>> {
         // Counted from here on, as a connection that is coming up holds a descriptor too.
-        let counted = open.map(Counted::new);
+        let counted = open.map(ConnectionCount::new);
         let stream = timeout(within, TcpStream::connect(addr)).await??;
         let socket = Socket::new(stream, ())?;
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(MAX_HEAD).max_headers(MAX_HEADERS);
-        let (sender, connection) = builder.handshake(Io(socket.clone())).await.map_err(io::Error::other)?;
+        builder.max_buf_size(MAX_HEAD_BYTES).max_headers(MAX_HEADERS);
+        let (sender, connection) =
+            builder.handshake(HyperIo(socket.clone())).await.map_err(io::Error::other)?;
         // How a connection ends is seen by the request on it, if there is one.
         let driver = spawn_local(async move { drop(connection.await) }).abort_handle();
-        Ok(Link { sender, socket, driver, _counted: counted })
+        Ok(ClientConnection { sender, socket, driver, _count: counted })
     }
 
     /// Whether a request can be sent on it that will be answered by what comes: the server has not closed it, and
     /// nothing has come behind the last answer, which would be taken for that of the next request.
-    pub fn clean(&self) -> bool {
-        !self.is_closed() && self.socket.quiet()
+    pub fn is_reusable(&self) -> bool {
+        !self.is_closed() && self.socket.has_no_input()
     }
 
     /// Whether hyper holds the connection for ended.
@@ -89,16 +90,16 @@
 }
 
 /// A place in a budget of connections.
-struct Counted(Rc<Cell<usize>>);
+struct ConnectionCount(Rc<Cell<usize>>);
 
-impl Counted {
-    fn new(open: Rc<Cell<usize>>) -> Counted {
+impl ConnectionCount {
+    fn new(open: Rc<Cell<usize>>) -> ConnectionCount {
         open.set(open.get() + 1);
-        Counted(open)
+        ConnectionCount(open)
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionCount {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/common/transport/src/framing.rs
+++ b/common/transport/src/framing.rs
@@ -7,17 +7,17 @@
 use std::collections::VecDeque;
 
 /// As much of a line as is looked at: a name that matters and a number behind it.
-const LINE: usize = 64;
+const MAX_LINE_PREFIX_BYTES: usize = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// At most one length, or chunks.
-    Plain,
+    Unambiguous,
     /// Several lengths, or one beside a coding.
     Ambiguous,
 }
 
-enum Place {
+enum State {
     Head,
     Body(u64),
     ChunkSize,
@@ -25,75 +25,75 @@
     Chunk(u64),
     Trailers,
     /// Nothing more can be read from such a connection.
-    Lost,
+    Unrecoverable,
 }
 
 /// Follows the bytes of a connection, and keeps what each head said until it is asked for.
-pub struct Heads {
-    place: Place,
+pub struct HeadScanner {
+    state: State,
     /// The beginning of the line that has not ended, and whether one before it belongs to the same head.
-    line: Vec<u8>,
-    begun: bool,
-    lengths: usize,
+    line_prefix: Vec<u8>,
+    has_request_line: bool,
+    content_length_count: usize,
     /// `None` where it cannot be read.
-    length: Option<u64>,
-    coded: bool,
-    found: VecDeque<Framing>,
+    content_length: Option<u64>,
+    has_transfer_encoding: bool,
+    framings: VecDeque<Framing>,
 }
 
-impl Default for Heads {
-    fn default() -> Heads {
-        Heads {
-            place: Place::Head,
-            line: Vec::new(),
-            begun: false,
-            lengths: 0,
-            length: Some(0),
-            coded: false,
-            found: VecDeque::new(),
+impl Default for HeadScanner {
+    fn default() -> HeadScanner {
+        HeadScanner {
+            state: State::Head,
+            line_prefix: Vec::new(),
+            has_request_line: false,
+            content_length_count: 0,
+            content_length: Some(0),
+            has_transfer_encoding: false,
+            framings: VecDeque::new(),
         }
     }
 }
 
-impl Heads {
+impl HeadScanner {
     /// What the next head said, in the order in which they came.
-    pub fn take_next(&mut self) -> Option<Framing> {
-        self.found.pop_front()
+    pub fn take_framing(&mut self) -> Option<Framing> {
+        self.framings.pop_front()
     }
 
     /// Whether a head has begun and not ended.
-    pub fn unfinished(&self) -> bool {
-        matches!(self.place, Place::Head) && (self.begun || !self.line.is_empty())
+    pub fn is_in_head(&self) -> bool {
+        matches!(self.state, State::Head) && (self.has_request_line || !self.line_prefix.is_empty())
     }
 
     /// Whether a body has begun and not ended.
-    pub fn in_body(&self) -> bool {
-        !matches!(self.place, Place::Head)
+    pub fn is_in_body(&self) -> bool {
+        !matches!(self.state, State::Head)
     }
 
-    pub fn read(&mut self, mut bytes: &[u8]) {
+    pub fn scan(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            match self.place {
-                Place::Lost => return,
-                Place::Body(left) | Place::Chunk(left) => {
+            match self.state {
+                State::Unrecoverable => return,
+                State::Body(left) | State::Chunk(left) => {
                     let here = bytes.len().min(usize::try_from(left).unwrap_or(usize::MAX));
                     bytes = &bytes[here..];
                     let left = left - here as u64;
-                    self.place = match self.place {
-                        Place::Body(_) if left > 0 => Place::Body(left),
-                        Place::Body(_) => Place::Head,
-                        _ if left > 0 => Place::Chunk(left),
-                        _ => Place::ChunkSize,
+                    self.state = match self.state {
+                        State::Body(_) if left > 0 => State::Body(left),
+                        State::Body(_) => State::Head,
+                        _ if left > 0 => State::Chunk(left),
+                        _ => State::ChunkSize,
                     };
                 }
-                Place::Head | Place::ChunkSize | Place::Trailers => {
+                State::Head | State::ChunkSize | State::Trailers => {
                     let end = bytes.iter().position(|&b| b == b'\n');
                     let (part, rest) = bytes.split_at(end.map_or(bytes.len(), |end| end + 1));
-                    let room = LINE - self.line.len();
-                    self.line.extend_from_slice(&part[..part.len().min(room)]);
+                    let room = MAX_LINE_PREFIX_BYTES - self.line_prefix.len();
+                    self.line_prefix.extend_from_slice(&part[..part.len().min(room)]);
                     if end.is_some() {
-                        self.line_ended();
-                        self.line.clear();
+                        self.on_line_end();
+                        self.line_prefix.clear();
                     }
                     bytes = rest;
                 }
@@ -101,24 +101,24 @@
         }
     }
 
-    fn line_ended(&mut self) {
-        let line = self.line.trim_ascii_end();
-        match self.place {
-            Place::ChunkSize => {
+    fn on_line_end(&mut self) {
+        let line = self.line_prefix.trim_ascii_end();
+        match self.state {
+            State::ChunkSize => {
                 // What follows the digits is an extension.
                 let digits = line.split(|b| !b.is_ascii_hexdigit()).next().unwrap_or_default();
                 let size =
                     std::str::from_utf8(digits).ok().and_then(|text| u64::from_str_radix(text, 16).ok());
-                self.place = match size {
-                    Some(0) => Place::Trailers,
-                    Some(size) => Place::Chunk(size.saturating_add(2)),
-                    None => Place::Lost,
+                self.state = match size {
+                    Some(0) => State::Trailers,
+                    Some(size) => State::Chunk(size.saturating_add(2)),
+                    None => State::Unrecoverable,
                 };
                 return;
             }
-            Place::Trailers => {
+            State::Trailers => {
                 if line.is_empty() {
-                    self.place = Place::Head;
+                    self.state = State::Head;
                 }
                 return;
             }
@@ -126,32 +126,39 @@
         }
         if line.is_empty() {
             // Empty lines ahead of a request are passed over.
-            if self.begun {
-                self.head_ended();
+            if self.has_request_line {
+                self.on_head_end();
             }
-        } else if !std::mem::replace(&mut self.begun, true) {
+        } else if !std::mem::replace(&mut self.has_request_line, true) {
             // The request's own line.
         } else if let Some(colon) = line.iter().position(|&b| b == b':') {
             let (name, value) = (&line[..colon], &line[colon + 1..]);
             if name.eq_ignore_ascii_case(b"content-length") {
-                self.lengths += 1;
-                self.length = std::str::from_utf8(value).ok().and_then(|text| text.trim().parse().ok());
+                self.content_length_count += 1;
+                self.content_length =
+                    std::str::from_utf8(value).ok().and_then(|text| text.trim().parse().ok());
             } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
-                self.coded = true;
+                self.has_transfer_encoding = true;
             }
         }
     }
 
-    fn head_ended(&mut self) {
-        let (framing, place) = match (self.lengths, self.coded, self.length) {
-            (0, true, _) => (Framing::Plain, Place::ChunkSize),
-            (0, false, _) | (1, false, Some(0)) => (Framing::Plain, Place::Head),
-            (1, false, Some(length)) => (Framing::Plain, Place::Body(length)),
-            _ => (Framing::Ambiguous, Place::Lost),
+    fn on_head_end(&mut self) {
+        let (framing, place) =
+            match (self.content_length_count, self.has_transfer_encoding, self.content_length) {
+                (0, true, _) => (Framing::Unambiguous, State::ChunkSize),
+                (0, false, _) | (1, false, Some(0)) => (Framing::Unambiguous, State::Head),
+                (1, false, Some(length)) => (Framing::Unambiguous, State::Body(length)),
+                _ => (Framing::Ambiguous, State::Unrecoverable),
+            };
+        let found = std::mem::take(&mut self.framings);
+        *self = HeadScanner {
+            state: place,
+            line_prefix: std::mem::take(&mut self.line_prefix),
+            framings: found,
+            ..HeadScanner::default()
         };
-        let found = std::mem::take(&mut self.found);
-        *self = Heads { place, line: std::mem::take(&mut self.line), found, ..Heads::default() };
-        self.found.push_back(framing);
+        self.framings.push_back(framing);
     }
 }
 
--- a/common/transport/src/socket.rs
+++ b/common/transport/src/socket.rs
@@ -1,6 +1,6 @@
 //! Sockets below hyper: hyper reads and writes them, their owner looks at them and has the last word.
 
-use crate::system::{last_came, on_its_way};
+use crate::system::{time_since_last_received, unacknowledged_bytes};
 use futures_util::FutureExt;
 use hyper::rt::{Read, ReadBufCursor, Write};
 use socket2::SockRef;
@@ -19,75 +19,75 @@
 use tokio::time::{sleep, timeout};
 
 /// Most that is taken from the system at once.
-const PIECE: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 /// Most that is read of a connection beyond what hyper has asked for: a whole head.
-const AHEAD: usize = 16 << 10;
+const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
 /// With so much read ahead, whether the peer has gone is looked at again after this time. Nothing is to be sent on
 /// for a client that left more than 100 ms ago; hurts by a call to the system each time, for floods alone.
-const LOOK: Duration = Duration::from_millis(40);
+const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// A connection that ends with input unread is read on for this long and this far: a whole long body. Guards against
 /// the reset that closing it at once would send: it takes away the answer that the peer has not read yet.
 const LINGER: (Duration, usize) = (Duration::from_secs(1), 32 << 20);
 
 /// Who looks on while hyper uses a socket.
-pub trait Watch {
+pub trait SocketObserver {
     /// Bytes have come.
-    fn received(&self, _: &[u8]) {}
+    fn on_received(&self, _: &[u8]) {}
     /// Whether what hyper writes goes out. hyper answers on its own what it cannot read, with no word of why.
-    fn lets_out(&self) -> bool {
+    fn permits_output(&self) -> bool {
         true
     }
     /// The system takes no more for now, as the peer reads nothing; or it takes some again.
-    fn blocked(&self, _: bool) {}
+    fn on_blocked(&self, _: bool) {}
     /// All that hyper had to write is with the system.
-    fn flushed(&self) {}
+    fn on_flushed(&self) {}
 }
 
-impl Watch for () {}
+impl SocketObserver for () {}
 
-impl<W: Watch> Watch for Rc<W> {
-    fn received(&self, bytes: &[u8]) {
-        (**self).received(bytes);
+impl<W: SocketObserver> SocketObserver for Rc<W> {
+    fn on_received(&self, bytes: &[u8]) {
+        (**self).on_received(bytes);
     }
 
-    fn lets_out(&self) -> bool {
-        (**self).lets_out()
+    fn permits_output(&self) -> bool {
+        (**self).permits_output()
     }
 
-    fn blocked(&self, blocked: bool) {
-        (**self).blocked(blocked);
+    fn on_blocked(&self, blocked: bool) {
+        (**self).on_blocked(blocked);
     }
 
-    fn flushed(&self) {
-        (**self).flushed();
+    fn on_flushed(&self) {
+        (**self).on_flushed();
     }
 }
 
 pub struct Socket<W> {
     stream: TcpStream,
-    ahead: RefCell<Ahead>,
-    pub watch: W,
+    read_ahead: RefCell<ReadAhead>,
+    pub observer: W,
 }
 
 /// What was read before hyper asked for it.
 #[derive(Default)]
-struct Ahead {
+struct ReadAhead {
     bytes: VecDeque<u8>,
     /// The peer sends nothing more.
-    ended: bool,
+    is_closed: bool,
 }
 
-impl<W: Watch> Socket<W> {
+impl<W: SocketObserver> Socket<W> {
     pub fn new(stream: TcpStream, watch: W) -> io::Result<Rc<Socket<W>>> {
         stream.set_nodelay(true)?;
-        Ok(Rc::new(Socket { stream, ahead: RefCell::default(), watch }))
+        Ok(Rc::new(Socket { stream, read_ahead: RefCell::default(), observer: watch }))
     }
 
     /// Whether nothing has come since, not even an end. Asks the system: what the runtime holds for true may be
     /// older than bytes that are there.
-    pub fn quiet(&self) -> bool {
-        let ahead = self.ahead.borrow();
-        if ahead.ended || !ahead.bytes.is_empty() {
+    pub fn has_no_input(&self) -> bool {
+        let ahead = self.read_ahead.borrow();
+        if ahead.is_closed || !ahead.bytes.is_empty() {
             return false;
         }
         let mut byte = [MaybeUninit::uninit()];
@@ -97,17 +97,17 @@
     /// Waits until the peer has gone while an answer is owed to it. Where bytes of a next request lie before the
     /// end, hyper asks for nothing more until it has answered, so they are read ahead; behind more than [`AHEAD`] the
     /// system is asked now and then whether the end has come. To be polled behind hyper, in the same task.
-    pub async fn gone(&self, owed: impl Fn() -> bool) {
+    pub async fn peer_closed(&self, owed: impl Fn() -> bool) {
         while !self.read_ahead(&owed).await {
-            sleep(LOOK).await;
-            if owed() && self.ended_behind() {
+            sleep(PEER_CHECK_INTERVAL).await;
+            if owed() && self.is_read_closed() {
                 return;
             }
         }
     }
 
     /// Whether the end of what the peer sends is here, be it behind bytes that nobody has read.
-    fn ended_behind(&self) -> bool {
+    fn is_read_closed(&self) -> bool {
         let ready = self.stream.ready(Interest::READABLE).now_or_never();
         ready.is_some_and(|ready| ready.map_or(true, |ready| ready.is_read_closed()))
     }
@@ -116,8 +116,8 @@
     async fn read_ahead(&self, owed: impl Fn() -> bool) -> bool {
         poll_fn(|cx| loop {
             let (room, ended) = {
-                let ahead = self.ahead.borrow();
-                (AHEAD.saturating_sub(ahead.bytes.len()), ahead.ended)
+                let ahead = self.read_ahead.borrow();
+                (MAX_READ_AHEAD_BYTES.saturating_sub(ahead.bytes.len()), ahead.is_closed)
             };
             if !owed() {
                 return Poll::Pending;
@@ -128,11 +128,11 @@
             if ready!(self.stream.poll_read_ready(cx)).is_err() {
                 return Poll::Ready(true);
             }
-            let mut piece = [0; PIECE];
-            match self.stream.try_read(&mut piece[..room.min(PIECE)]) {
-                Ok(0) => self.ahead.borrow_mut().ended = true,
+            let mut piece = [0; CHUNK_BYTES];
+            match self.stream.try_read(&mut piece[..room.min(CHUNK_BYTES)]) {
+                Ok(0) => self.read_ahead.borrow_mut().is_closed = true,
                 Ok(n) => {
-                    self.ahead.borrow_mut().bytes.extend(&piece[..n]);
+                    self.read_ahead.borrow_mut().bytes.extend(&piece[..n]);
                     // hyper may be waiting for them.
                     cx.waker().wake_by_ref();
                 }
@@ -144,12 +144,12 @@
     }
 
     /// How long ago its last bytes came, where the system tells.
-    pub fn last_came(&self) -> Option<Duration> {
-        last_came(&self.stream).ok()
+    pub fn time_since_last_received(&self) -> Option<Duration> {
+        time_since_last_received(&self.stream).ok()
     }
 
     /// Says a last thing, as far as it can be said at once, and that nothing more comes.
-    pub fn end(&self, word: &[u8]) {
+    pub fn shutdown(&self, word: &[u8]) {
         if !word.is_empty() {
             drop(self.stream.try_write(word));
         }
@@ -158,14 +158,14 @@
 
     /// Whether closing it now takes away what the peer has not had yet: the system resets a connection that is closed over
     /// bytes that nobody read.
-    pub fn would_cut(&self) -> bool {
-        !self.quiet() && on_its_way(&self.stream).map_or(true, |bytes| bytes > 0)
+    pub fn would_reset_on_close(&self) -> bool {
+        !self.has_no_input() && unacknowledged_bytes(&self.stream).map_or(true, |bytes| bytes > 0)
     }
 
     /// Reads on until the peer has closed too, within bounds.
     pub async fn linger(&self) {
         let drain = async {
-            let (mut left, mut piece) = (LINGER.1, [0; PIECE]);
+            let (mut left, mut piece) = (LINGER.1, [0; CHUNK_BYTES]);
             while left > 0 && self.stream.readable().await.is_ok() {
                 match self.stream.try_read(&mut piece) {
                     Ok(0) => return,
@@ -180,18 +180,18 @@
 }
 
 /// hyper's side of a socket.
-pub struct Io<W>(pub Rc<Socket<W>>);
+pub struct HyperIo<W>(pub Rc<Socket<W>>);
 
-impl<W: Watch> Read for Io<W> {
+impl<W: SocketObserver> Read for HyperIo<W> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, mut buf: ReadBufCursor) -> Poll<io::Result<()>> {
-        let mut piece = [0; PIECE];
-        let room = buf.remaining().min(PIECE);
-        let mut ahead = self.0.ahead.borrow_mut();
+        let mut piece = [0; CHUNK_BYTES];
+        let room = buf.remaining().min(CHUNK_BYTES);
+        let mut ahead = self.0.read_ahead.borrow_mut();
         let held = ahead.bytes.len().min(room);
-        if held > 0 || ahead.ended {
+        if held > 0 || ahead.is_closed {
             piece.iter_mut().zip(ahead.bytes.drain(..held)).for_each(|(to, byte)| *to = byte);
             drop(ahead);
-            self.0.watch.received(&piece[..held]);
+            self.0.observer.on_received(&piece[..held]);
             buf.put_slice(&piece[..held]);
             return Poll::Ready(Ok(()));
         }
@@ -200,7 +200,7 @@
             ready!(self.0.stream.poll_read_ready(cx))?;
             match self.0.stream.try_read(&mut piece[..room]) {
                 Ok(n) => {
-                    self.0.watch.received(&piece[..n]);
+                    self.0.observer.on_received(&piece[..n]);
                     buf.put_slice(&piece[..n]);
                     return Poll::Ready(Ok(()));
                 }
@@ -211,19 +211,19 @@
     }
 }
 
-impl<W: Watch> Io<W> {
-    fn poll_out(
+impl<W: SocketObserver> HyperIo<W> {
+    fn poll_write_with(
         &self,
         cx: &mut Context,
         all: usize,
         write: impl Fn(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
-        if !self.0.watch.lets_out() {
+        if !self.0.observer.permits_output() {
             return Poll::Ready(Ok(all));
         }
         loop {
             let writable = self.0.stream.poll_write_ready(cx);
-            self.0.watch.blocked(writable.is_pending());
+            self.0.observer.on_blocked(writable.is_pending());
             ready!(writable)?;
             match write(&self.0.stream) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
@@ -233,9 +233,9 @@
     }
 }
 
-impl<W: Watch> Write for Io<W> {
+impl<W: SocketObserver> Write for HyperIo<W> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_out(cx, buf.len(), |stream| stream.try_write(buf))
+        self.poll_write_with(cx, buf.len(), |stream| stream.try_write(buf))
     }
 
     fn poll_write_vectored(
@@ -243,7 +243,7 @@
         cx: &mut Context,
         bufs: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
-        self.poll_out(cx, bufs.iter().map(|b| b.len()).sum(), |stream| stream.try_write_vectored(bufs))
+        self.poll_write_with(cx, bufs.iter().map(|b| b.len()).sum(), |stream| stream.try_write_vectored(bufs))
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -251,7 +251,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        self.0.watch.flushed();
+        self.0.observer.on_flushed();
         Poll::Ready(Ok(()))
     }
 
--- a/common/transport/src/system.rs
+++ b/common/transport/src/system.rs
@@ -7,7 +7,7 @@
 /// Time since the machine's start, on the clock of [`std::time::Instant`], which is one for all processes and is never
 /// set. An `Instant` cannot be told to another process.
 #[allow(unsafe_code)]
-pub fn monotonic() -> Duration {
+pub fn monotonic_now() -> Duration {
     let mut now = libc::timespec { tv_sec: 0, tv_nsec: 0 };
     // SAFETY: it writes one `timespec`, which `now` is.
     let result = unsafe { libc::clock_gettime(libc::CLOCK_MONOTONIC, &raw mut now) };
@@ -19,7 +19,7 @@
 /// How long ago the last bytes of a connection came, whether they have been read or not, and also those that came before
 /// it was accepted. In whole milliseconds, and as coarse as the system's tick.
 #[allow(unsafe_code)]
-pub fn last_came(socket: &impl AsFd) -> io::Result<Duration> {
+pub fn time_since_last_received(socket: &impl AsFd) -> io::Result<Duration> {
     // SAFETY: it is plain numbers, for each of which zero is a value.
     let mut info: libc::tcp_info = unsafe { std::mem::zeroed() };
     let mut length = libc::socklen_t::try_from(size_of::<libc::tcp_info>()).unwrap_or(0);
@@ -36,7 +36,7 @@
 
 /// Bytes written to a connection that its peer's system has not said to have.
 #[allow(unsafe_code)]
-pub fn on_its_way(socket: &impl AsFd) -> io::Result<usize> {
+pub fn unacknowledged_bytes(socket: &impl AsFd) -> io::Result<usize> {
     let mut bytes: libc::c_int = 0;
     // SAFETY: it writes one `int`, which `bytes` is; the descriptor is borrowed and so open.
     let result = unsafe { libc::ioctl(socket.as_fd().as_raw_fd(), libc::TIOCOUTQ, &raw mut bytes) };
--- a/common/transport/src/system/tests.rs
+++ b/common/transport/src/system/tests.rs
@@ -13,7 +13,7 @@
     std::thread::sleep(Duration::from_millis(120));
     let (accepted, _) = listener.accept().expect("accepted");
     let least = written.elapsed();
-    let age = last_came(&accepted).expect("the system tells");
+    let age = time_since_last_received(&accepted).expect("the system tells");
     // A tick either way.
     let tick = Duration::from_millis(11);
     assert!(age + tick >= least && age <= before.elapsed() + tick, "{age:?}, {least:?} at least");
@@ -21,8 +21,8 @@
 
 #[test]
 fn the_clock_is_that_of_instants() {
-    let (instant, before) = (Instant::now(), monotonic());
+    let (instant, before) = (Instant::now(), monotonic_now());
     std::thread::sleep(Duration::from_millis(5));
-    let (after, took) = (monotonic(), instant.elapsed());
+    let (after, took) = (monotonic_now(), instant.elapsed());
     assert!(after - before <= took && after - before >= Duration::from_millis(5));
 }
--- a/data-plane/gateway/src/upstream/attempt.rs
+++ b/data-plane/gateway/src/upstream/attempt.rs
@@ -63,7 +63,8 @@
             let (mut connection, is_reused) = match self.take(server, request.idempotent) {
                 Some(connection) => (connection, true),
                 None => {
-                    let opened = Connection::open(server.address, CONNECT_TIMEOUT, Some(self.open.clone()));
+                    let opened =
+                        Connection::connect(server.address, CONNECT_TIMEOUT, Some(self.open.clone()));
                     (opened.await.map_err(|_| AttemptError::NotSent)?, false)
                 }
             };
--- a/data-plane/gateway/src/upstream/pool.rs
+++ b/data-plane/gateway/src/upstream/pool.rs
@@ -11,7 +11,7 @@
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, CONNECTION};
 use marblecroft_protocol::servers::Server;
-use marblecroft_transport::link::Link as TransportLink;
+use marblecroft_transport::connection::ClientConnection as TransportLink;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -108,7 +108,7 @@
                 .rposition(|idle| is_rested(idle) && idle.idle_time(now) < SHORT_IDLE_TIMEOUT)?
         };
         let connection = connections.remove(index).connection;
-        connection.clean().then_some(connection)
+        connection.is_reusable().then_some(connection)
     }
 
     /// Puts a connection back whose response has been read to its end; `headers` are those of the response.
--- a/quota-gateway/server/src/clock.rs
+++ b/quota-gateway/server/src/clock.rs
@@ -1,7 +1,7 @@
 //! The one scale of time: module time, deadlines and the servers' `started_ms`.
 
 use marblecroft_quota_gateway_core::Time;
-use marblecroft_transport::system::monotonic;
+use marblecroft_transport::system::monotonic_now;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Unix time as it was at the start of the gateway's first process, carried on by the monotonic clock. Guards against a
@@ -19,7 +19,7 @@
 impl Clock {
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { origin: nanos(unix).saturating_sub(nanos(monotonic())) }
+        Clock { origin: nanos(unix).saturating_sub(nanos(monotonic_now())) }
     }
 
     /// The clock of another process on this machine, whose instants then mean the same here.
@@ -32,7 +32,7 @@
     }
 
     pub fn now(&self) -> Time {
-        Time(self.origin).after(monotonic())
+        Time(self.origin).after(monotonic_now())
     }
 }
 
--- a/quota-gateway/server/src/console.rs
+++ b/quota-gateway/server/src/console.rs
@@ -8,8 +8,8 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
-use marblecroft_transport::framing::{Framing, Heads};
-use marblecroft_transport::socket::{Io, Socket, Watch};
+use marblecroft_transport::framing::{Framing, HeadScanner};
+use marblecroft_transport::socket::{HyperIo, Socket, SocketObserver};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -38,14 +38,14 @@
 /// Follows what a caller sends, for what hyper does not tell.
 #[derive(Default)]
 struct Caller {
-    heads: RefCell<Heads>,
+    heads: RefCell<HeadScanner>,
     begun: Cell<bool>,
 }
 
-impl Watch for Caller {
-    fn received(&self, bytes: &[u8]) {
+impl SocketObserver for Caller {
+    fn on_received(&self, bytes: &[u8]) {
         self.begun.set(true);
-        self.heads.borrow_mut().read(bytes);
+        self.heads.borrow_mut().scan(bytes);
     }
 }
 
@@ -113,20 +113,20 @@
         let caller = Rc::new(Caller::default());
         let Ok(socket) = Socket::new(stream, caller.clone()) else { return };
         let service = service_fn(|request| {
-            let (console, framing) = (self.clone(), caller.heads.borrow_mut().take_next());
+            let (console, framing) = (self.clone(), caller.heads.borrow_mut().take_framing());
             async move { Ok::<_, Infallible>(console.answer(request, framing).await) }
         });
         let connection = http1::Builder::new()
             .keep_alive(false)
             .half_close(true)
             .max_buf_size(MAX_HEAD)
-            .serve_connection(Io(socket.clone()), service);
+            .serve_connection(HyperIo(socket.clone()), service);
         // How it ended is the caller's affair; what hyper could not read it has answered.
         let late = timeout(CALL_MOST, connection).await.is_err();
         let word = (late && caller.begun.get())
             .then(|| last_word(StatusCode::REQUEST_TIMEOUT, "the call did not come in time"));
-        socket.end(&word.unwrap_or_default());
-        if !socket.quiet() {
+        socket.shutdown(&word.unwrap_or_default());
+        if !socket.has_no_input() {
             socket.linger().await;
         }
     }
--- a/quota-gateway/server/src/discovery.rs
+++ b/quota-gateway/server/src/discovery.rs
@@ -466,13 +466,13 @@
     let ask = since.map_or(Ask::Whole, |(since, wait)| Ask::Watch { since, wait });
     // The agent may have closed the connection since, or said that it would: no reason to wait with the call.
     if let Some(kept) = &mut link {
-        if !kept.ready().await || !kept.clean() {
+        if !kept.ready().await || !kept.is_reusable() {
             link = None;
         }
     }
     let mut link = match link {
         Some(kept) => kept,
-        None => Link::open(agent, patience, None).await?,
+        None => Link::connect(agent, patience, None).await?,
     };
     let request = Request::get(ask.target()).header("host", agent.to_string()).body(Default::default());
     let answer = link.send(request?).await?;
--- a/quota-gateway/server/src/front.rs
+++ b/quota-gateway/server/src/front.rs
@@ -13,8 +13,8 @@
 use marblecroft_deadline::STALL;
 use marblecroft_quota_gateway_core::{ClassId, CustomerId, Effect, NewRequest, PlanId, RequestId};
 use marblecroft_simulator_adapter::Site;
-use marblecroft_transport::framing::{Framing, Heads};
-use marblecroft_transport::socket::{Io, Socket, Watch};
+use marblecroft_transport::framing::{Framing, HeadScanner};
+use marblecroft_transport::socket::{HyperIo, Socket, SocketObserver};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::convert::Infallible;
@@ -111,7 +111,7 @@
     told: Cell<Option<Instant>>,
     /// `told` has changed.
     news: Notify,
-    heads: RefCell<Heads>,
+    heads: RefCell<HeadScanner>,
     /// When the first bytes came of a head that has not ended.
     head_since: Cell<Option<Instant>>,
     /// How long the last whole head took to come.
@@ -175,11 +175,11 @@
     }
 }
 
-impl Watch for Client {
-    fn received(&self, bytes: &[u8]) {
+impl SocketObserver for Client {
+    fn on_received(&self, bytes: &[u8]) {
         let mut heads = self.heads.borrow_mut();
-        heads.read(bytes);
-        if !heads.unfinished() {
+        heads.scan(bytes);
+        if !heads.is_in_head() {
             let since = self.head_since.take();
             self.head_took.set(since.map_or(Duration::ZERO, |since| since.elapsed()));
         } else if self.head_since.get().is_none() {
@@ -187,17 +187,17 @@
         }
     }
 
-    fn lets_out(&self) -> bool {
+    fn permits_output(&self) -> bool {
         self.idle_since().is_none()
     }
 
-    fn blocked(&self, blocked: bool) {
+    fn on_blocked(&self, blocked: bool) {
         if let Phase::Answering(since) = self.phase.get() {
             self.phase.set(Phase::Answering(blocked.then(|| since.unwrap_or_else(Instant::now))));
         }
     }
 
-    fn flushed(&self) {
+    fn on_flushed(&self) {
         if matches!(self.phase.get(), Phase::Answering(_)) && !self.words_left.get() {
             self.phase.set(Phase::Idle(Instant::now()));
             self.account.take().iter().for_each(|account| account.flushed());
@@ -337,9 +337,9 @@
     async fn serve(self: &Rc<Self>, client: &Rc<Client>, stream: TcpStream) {
         let Ok(socket) = Socket::new(stream, client.clone()) else { return };
         let word = self.converse(client, &socket).await;
-        let unread = client.rejected.get() || word.is_some() || client.heads.borrow().in_body();
-        socket.end(&word.map(|(status, why)| last_word(status, why)).unwrap_or_default());
-        if unread || socket.would_cut() {
+        let unread = client.rejected.get() || word.is_some() || client.heads.borrow().is_in_body();
+        socket.shutdown(&word.map(|(status, why)| last_word(status, why)).unwrap_or_default());
+        if unread || socket.would_reset_on_close() {
             socket.linger().await;
         }
     }
@@ -356,7 +356,7 @@
             async move {
                 client.asked.set(true);
                 client.phase.set(Phase::Open);
-                let framing = client.heads.borrow_mut().take_next().unwrap_or(Framing::Ambiguous);
+                let framing = client.heads.borrow_mut().take_framing().unwrap_or(Framing::Ambiguous);
                 let responding = front.respond(request, framing, &socket);
                 let answered = AssertUnwindSafe(responding).catch_unwind().await;
                 // The panic's own line is on standard error.
@@ -381,7 +381,7 @@
         let mut connection = pin!(http1::Builder::new()
             .max_buf_size(MAX_HEAD)
             .max_headers(MAX_HEADERS)
-            .serve_connection(Io(socket.clone()), service));
+            .serve_connection(HyperIo(socket.clone()), service));
         let mut look: Option<Instant> = None;
         loop {
             let due = client.due().unwrap_or_else(|| Instant::now() + HEAD_MOST).max(look.unwrap_or(began));
@@ -397,12 +397,12 @@
                 }
                 () = client.news.notified() => {}
                 // What it has asked goes with it.
-                () = socket.gone(|| matches!(client.phase.get(), Phase::Open)) => return None,
+                () = socket.peer_closed(|| matches!(client.phase.get(), Phase::Open)) => return None,
                 () = sleep_until(due.into()) => {
                     // It may have moved on meanwhile: the time is not set anew with each request.
                     if client.due().is_some_and(|due| due <= Instant::now()) {
                         let idle = client.idle_since().is_some() && client.head_since.get().is_none();
-                        if idle && look.is_none() && !socket.quiet() {
+                        if idle && look.is_none() && !socket.has_no_input() {
                             // A request is here that was not yet read, and is served first; or an end.
                             look = Some(Instant::now() + LOOK_AGAIN);
                             continue;
@@ -532,7 +532,7 @@
         }
         let (request, order, _open) = self.read(request, socket).await?;
         let flow = order.body.flow().cloned();
-        socket.watch.account.replace(Some(order.account.clone()));
+        socket.observer.account.replace(Some(order.account.clone()));
         let (id, answered) = self.engine.arrive(request, order);
         // Dropped with what is below it: whatever comes of the rest of a body, the decisions hear that it is over.
         let mut owed = Owed { engine: &self.engine, id: Some(id) };
@@ -596,13 +596,13 @@
         if body.size_hint().lower() > MAX_BODY as u64 {
             return Err(too_long());
         }
-        let account = self.engine.accounts.begin(class, wait, socket.watch.head_took.get());
+        let account = self.engine.accounts.begin(class, wait, socket.observer.head_took.get());
         let body = begin(body, &account).await?;
         // The time of a request counts from its last byte, and that of one whose body is still to come from then.
         let flows = body.flow().is_some();
         if !flows {
             // It may have lain in the queue of a full listener, or behind a loop that was busy or stood still.
-            account.whole(socket.last_came().filter(|&ago| ago >= TICK).unwrap_or_default());
+            account.whole(socket.time_since_last_received().filter(|&ago| ago >= TICK).unwrap_or_default());
         }
         let deadline = account.ends_at_most();
         let headers = [TRACE_ID, IDEMPOTENCY_KEY, CONTENT_TYPE]
--- a/quota-gateway/server/src/upstream.rs
+++ b/quota-gateway/server/src/upstream.rs
@@ -163,7 +163,7 @@
 }
 
 /// A connection that carries what a request passes on.
-pub type Link = marblecroft_transport::link::Link<Outgoing>;
+pub type Link = marblecroft_transport::connection::ClientConnection<Outgoing>;
 
 struct Idle {
     link: Link,
@@ -326,7 +326,7 @@
     pub fn sweep(&self) {
         let limit = self.idle_limit.at(Instant::now());
         self.idle.borrow_mut().retain(|_, idle| {
-            idle.retain(|i| i.since.elapsed() < limit && i.link.clean());
+            idle.retain(|i| i.since.elapsed() < limit && i.link.is_reusable());
             !idle.is_empty()
         });
     }
@@ -349,12 +349,12 @@
         let newest_first = (0..rested).rev().map(|at| here.remove(at));
         newest_first
             .map(|i| (i.link, now.duration_since(i.since)))
-            .find(|(link, idle)| *idle < limit && link.clean())
+            .find(|(link, idle)| *idle < limit && link.is_reusable())
     }
 
     async fn connect(&self, peer: &Peer, account: &Account) -> io::Result<Link> {
         let (begun, within) = (Instant::now(), account.connecting(self.connect_timeout));
-        let link = Link::open(peer.addr, within, Some(self.open.clone())).await?;
+        let link = Link::connect(peer.addr, within, Some(self.open.clone())).await?;
         let (mean, took) = (self.connect_time.get(), begun.elapsed());
         self.connect_time.set(mean.mul_f64(1.0 - CONNECT_WEIGHT) + took.mul_f64(CONNECT_WEIGHT));
         Ok(link)
