--- a/common/transport/src/connection.rs
+++ b/common/transport/src/connection.rs
@@ -1,4 +1,6 @@
 //! A client connection to a server.
+//!
+//! hyper's connection future runs as a task of its own; the requests on the connection see how it ends.
 
 use crate::socket::{HyperIo, Socket};
 use hyper::body::{Body, Incoming};
@@ -13,18 +15,19 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, AbortHandle};
-use tokio::time::timeout;
+use tokio::time;
 
-/// An answer's head holds at most this much, and as much is read of a body at once. Guards memory against a head
-/// that does not end.
+/// Upper bound of the head of a response, and of how much of a body is read at once. Bounds the memory that a server can
+/// make the process use by a head without end.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// ... and so many lines.
+/// Upper bound of the number of fields in the head of a response.
 const MAX_HEADERS: usize = 64;
 
-/// A connection. Dropping it closes it, which is how an attempt is given up.
+/// A connection. Dropping it closes it, which is how an attempt is cancelled.
 pub struct ClientConnection<B> {
     sender: SendRequest<B>,
     socket: Rc<Socket<()>>,
+    /// The task that runs hyper's side of the connection.
     driver: AbortHandle,
     _count: Option<ConnectionCount>,
 }
@@ -41,46 +44,67 @@
     B::Data: Send,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    /// Connects; `open` counts the connections of a budget.
+    /// Connects to a server. The connection is counted in `connection_count` until it is dropped, and also while it is being
+    /// established.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection is not established within `timeout`.
+    ///
+    /// # Panics
+    ///
+    /// Panics outside a `tokio` `LocalSet`.
     pub async fn connect(
-        addr: SocketAddr,
-        within: Duration,
-        open: Option<Rc<Cell<usize>>>,
+        address: SocketAddr,
+        timeout: Duration,
+        connection_count: Option<Rc<Cell<usize>>>,
     ) -> io::Result<ClientConnection<B>> {
-        // Counted from here on, as a connection that is coming up holds a descriptor too.
-        let counted = open.map(ConnectionCount::new);
-        let stream = timeout(within, TcpStream::connect(addr)).await??;
+        // Counted from here on, as a connection that is being established holds a descriptor too.
+        let count = connection_count.map(ConnectionCount::new);
+        let stream = time::timeout(timeout, TcpStream::connect(address)).await??;
         let socket = Socket::new(stream, ())?;
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MAX_HEAD_BYTES).max_headers(MAX_HEADERS);
         let (sender, connection) =
             builder.handshake(HyperIo(socket.clone())).await.map_err(io::Error::other)?;
-        // How a connection ends is seen by the request on it, if there is one.
-        let driver = spawn_local(async move { drop(connection.await) }).abort_handle();
-        Ok(ClientConnection { sender, socket, driver, _count: counted })
+        let drive = async move {
+            // The request on the connection, if there is one, receives the error as well.
+            let _ = connection.await;
+        };
+        let driver = spawn_local(drive).abort_handle();
+        Ok(ClientConnection { sender, socket, driver, _count: count })
     }
 
-    /// Whether a request can be sent on it that will be answered by what comes: the server has not closed it, and
-    /// nothing has come behind the last answer, which would be taken for that of the next request.
+    /// Returns whether a next request would receive its own response: the server has not closed the connection, and has sent
+    /// nothing after the last response, which would be taken for the next one.
     pub fn is_reusable(&self) -> bool {
         !self.is_closed() && self.socket.has_no_input()
     }
 
-    /// Whether hyper holds the connection for ended.
+    /// Returns whether hyper considers the connection closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Waits until a request can be sent; whether the connection still stands.
+    /// Waits until a request can be sent. Returns whether the connection is still open.
     pub async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
+    /// Sends a request and waits for the head of the response.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the exchange fails; the server may have received the request.
     pub async fn send(&mut self, request: Request<B>) -> hyper::Result<Response<Incoming>> {
         self.sender.send_request(request).await
     }
 
-    /// Like [`Link::send`], but gives back a request of which nothing was written.
+    /// Like [`ClientConnection::send`], but the error returns a request of which nothing was written.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the exchange fails.
     pub async fn try_send(
         &mut self,
         request: Request<B>,
@@ -89,13 +113,13 @@
     }
 }
 
-/// A place in a budget of connections.
+/// Counts one connection until it is dropped.
 struct ConnectionCount(Rc<Cell<usize>>);
 
 impl ConnectionCount {
-    fn new(open: Rc<Cell<usize>>) -> ConnectionCount {
-        open.set(open.get() + 1);
-        ConnectionCount(open)
+    fn new(count: Rc<Cell<usize>>) -> ConnectionCount {
+        count.set(count.get() + 1);
+        ConnectionCount(count)
     }
 }
 
--- a/common/transport/src/framing.rs
+++ b/common/transport/src/framing.rs
@@ -1,43 +1,55 @@
-//! How heads of requests say where their bodies end, read beside hyper.
+//! Scans the heads of requests for how they delimit their bodies, beside hyper.
 //!
-//! hyper takes a `Transfer-Encoding` over a `Content-Length`, merges equal lengths, and tells of neither. Of two
-//! readers of such a request one may take for its body what the other takes for a further request, so it must
-//! not be passed on.
+//! hyper prefers a `Transfer-Encoding` to a `Content-Length`, merges equal lengths, and reports neither. Where two parsers of
+//! such a request differ, one takes for the body what the other takes for another request (request smuggling, RFC 9112,
+//! section 11.2), so it must not be forwarded.
 
 use std::collections::VecDeque;
 
-/// As much of a line as is looked at: a name that matters and a number behind it.
+/// Bytes of a line that are examined: a relevant name and the number after it.
 const MAX_LINE_PREFIX_BYTES: usize = 64;
+/// Length of the line end after a chunk's data.
+const CHUNK_END_BYTES: u64 = 2;
 
+/// How a request's head delimits its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// At most one length, or chunks.
+    /// By at most one length, or by a transfer coding.
     Unambiguous,
-    /// Several lengths, or one beside a coding.
+    /// By several lengths, by a length and a transfer coding, or by a length that is not a number.
     Ambiguous,
 }
 
+/// Where in the stream of requests the next byte belongs.
 enum State {
     Head,
+    /// Bytes of the body that are still to come.
     Body(u64),
+    /// The line with a chunk's size.
     ChunkSize,
-    /// With the end of its line.
+    /// Bytes of the chunk and its line end that are still to come.
     Chunk(u64),
     Trailers,
-    /// Nothing more can be read from such a connection.
+    /// After an ambiguous head or a malformed chunk: the rest of the connection cannot be scanned.
     Unrecoverable,
 }
 
-/// Follows the bytes of a connection, and keeps what each head said until it is asked for.
-pub struct HeadScanner {
-    state: State,
-    /// The beginning of the line that has not ended, and whether one before it belongs to the same head.
-    line_prefix: Vec<u8>,
+/// What the head that is being scanned has said so far.
+#[derive(Default)]
+struct Head {
     has_request_line: bool,
     content_length_count: usize,
-    /// `None` where it cannot be read.
+    /// The last length; `None` where it is not a number.
     content_length: Option<u64>,
     has_transfer_encoding: bool,
+}
+
+/// Scans the bytes of a connection and queues the framing of each head until it is taken.
+pub struct HeadScanner {
+    state: State,
+    /// The beginning of the line that is not complete yet, up to [`MAX_LINE_PREFIX_BYTES`].
+    line_prefix: Vec<u8>,
+    head: Head,
     framings: VecDeque<Framing>,
 }
 
@@ -46,119 +58,122 @@
         HeadScanner {
             state: State::Head,
             line_prefix: Vec::new(),
-            has_request_line: false,
-            content_length_count: 0,
-            content_length: Some(0),
-            has_transfer_encoding: false,
+            head: Head::default(),
             framings: VecDeque::new(),
         }
     }
 }
 
 impl HeadScanner {
-    /// What the next head said, in the order in which they came.
+    /// Takes the framing of the next head, in the order of the requests; `None` while there is no complete one.
     pub fn take_framing(&mut self) -> Option<Framing> {
         self.framings.pop_front()
     }
 
-    /// Whether a head has begun and not ended.
+    /// Returns whether a head has begun and is not complete.
     pub fn is_in_head(&self) -> bool {
-        matches!(self.state, State::Head) && (self.has_request_line || !self.line_prefix.is_empty())
+        matches!(self.state, State::Head) && (self.head.has_request_line || !self.line_prefix.is_empty())
     }
 
-    /// Whether a body has begun and not ended.
+    /// Returns whether a body has begun and is not complete, or the rest of the connection cannot be scanned.
     pub fn is_in_body(&self) -> bool {
         !matches!(self.state, State::Head)
     }
 
+    /// Scans the next bytes of the connection.
     pub fn scan(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            match self.state {
+            bytes = match self.state {
                 State::Unrecoverable => return,
-                State::Body(left) | State::Chunk(left) => {
-                    let here = bytes.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-                    bytes = &bytes[here..];
-                    let left = left - here as u64;
-                    self.state = match self.state {
-                        State::Body(_) if left > 0 => State::Body(left),
-                        State::Body(_) => State::Head,
-                        _ if left > 0 => State::Chunk(left),
-                        _ => State::ChunkSize,
-                    };
+                State::Body(left) => {
+                    let (left, rest) = skip(bytes, left);
+                    self.state = if left > 0 { State::Body(left) } else { State::Head };
+                    rest
                 }
-                State::Head | State::ChunkSize | State::Trailers => {
-                    let end = bytes.iter().position(|&b| b == b'\n');
-                    let (part, rest) = bytes.split_at(end.map_or(bytes.len(), |end| end + 1));
-                    let room = MAX_LINE_PREFIX_BYTES - self.line_prefix.len();
-                    self.line_prefix.extend_from_slice(&part[..part.len().min(room)]);
-                    if end.is_some() {
-                        self.on_line_end();
-                        self.line_prefix.clear();
-                    }
-                    bytes = rest;
+                State::Chunk(left) => {
+                    let (left, rest) = skip(bytes, left);
+                    self.state = if left > 0 { State::Chunk(left) } else { State::ChunkSize };
+                    rest
                 }
+                State::Head | State::ChunkSize | State::Trailers => self.scan_line(bytes),
             }
         }
     }
 
-    fn on_line_end(&mut self) {
-        let line = self.line_prefix.trim_ascii_end();
-        match self.state {
-            State::ChunkSize => {
-                // What follows the digits is an extension.
-                let digits = line.split(|b| !b.is_ascii_hexdigit()).next().unwrap_or_default();
-                let size =
-                    std::str::from_utf8(digits).ok().and_then(|text| u64::from_str_radix(text, 16).ok());
-                self.state = match size {
-                    Some(0) => State::Trailers,
-                    Some(size) => State::Chunk(size.saturating_add(2)),
-                    None => State::Unrecoverable,
-                };
-                return;
-            }
-            State::Trailers => {
-                if line.is_empty() {
-                    self.state = State::Head;
-                }
-                return;
-            }
-            _ => {}
+    /// Scans bytes up to the end of the line, and returns the rest.
+    fn scan_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+        let end = bytes.iter().position(|&b| b == b'\n');
+        let (line, rest) = bytes.split_at(end.map_or(bytes.len(), |end| end + 1));
+        let free = MAX_LINE_PREFIX_BYTES - self.line_prefix.len();
+        self.line_prefix.extend_from_slice(&line[..line.len().min(free)]);
+        if end.is_some() {
+            let mut line = std::mem::take(&mut self.line_prefix);
+            self.on_line(line.trim_ascii_end());
+            // The allocation is reused for the next line.
+            line.clear();
+            self.line_prefix = line;
         }
-        if line.is_empty() {
-            // Empty lines ahead of a request are passed over.
-            if self.has_request_line {
-                self.on_head_end();
-            }
-        } else if !std::mem::replace(&mut self.has_request_line, true) {
-            // The request's own line.
-        } else if let Some(colon) = line.iter().position(|&b| b == b':') {
-            let (name, value) = (&line[..colon], &line[colon + 1..]);
-            if name.eq_ignore_ascii_case(b"content-length") {
-                self.content_length_count += 1;
-                self.content_length =
-                    std::str::from_utf8(value).ok().and_then(|text| text.trim().parse().ok());
-            } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
-                self.has_transfer_encoding = true;
-            }
+        rest
+    }
+
+    fn on_line(&mut self, line: &[u8]) {
+        match self.state {
+            State::ChunkSize => self.state = after_chunk_size(line),
+            State::Trailers if line.is_empty() => self.state = State::Head,
+            State::Trailers => {}
+            // Empty lines before a request line are ignored.
+            _ if line.is_empty() && !self.head.has_request_line => {}
+            _ if line.is_empty() => self.on_head_end(),
+            _ if !self.head.has_request_line => self.head.has_request_line = true,
+            _ => self.head.on_field(line),
         }
     }
 
     fn on_head_end(&mut self) {
-        let (framing, place) =
-            match (self.content_length_count, self.has_transfer_encoding, self.content_length) {
-                (0, true, _) => (Framing::Unambiguous, State::ChunkSize),
-                (0, false, _) | (1, false, Some(0)) => (Framing::Unambiguous, State::Head),
-                (1, false, Some(length)) => (Framing::Unambiguous, State::Body(length)),
-                _ => (Framing::Ambiguous, State::Unrecoverable),
-            };
-        let found = std::mem::take(&mut self.framings);
-        *self = HeadScanner {
-            state: place,
-            line_prefix: std::mem::take(&mut self.line_prefix),
-            framings: found,
-            ..HeadScanner::default()
-        };
+        let (framing, state) = std::mem::take(&mut self.head).framing();
         self.framings.push_back(framing);
+        self.state = state;
+    }
+}
+
+impl Head {
+    fn on_field(&mut self, line: &[u8]) {
+        let Some(colon) = line.iter().position(|&b| b == b':') else { return };
+        let (name, value) = (&line[..colon], &line[colon + 1..]);
+        if name.eq_ignore_ascii_case(b"content-length") {
+            self.content_length_count += 1;
+            self.content_length = std::str::from_utf8(value).ok().and_then(|text| text.trim().parse().ok());
+        } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
+            self.has_transfer_encoding = true;
+        }
+    }
+
+    /// Returns the framing of the complete head, and the state after it.
+    fn framing(&self) -> (Framing, State) {
+        match (self.content_length_count, self.has_transfer_encoding, self.content_length) {
+            (0, true, _) => (Framing::Unambiguous, State::ChunkSize),
+            (0, false, _) | (1, false, Some(0)) => (Framing::Unambiguous, State::Head),
+            (1, false, Some(length)) => (Framing::Unambiguous, State::Body(length)),
+            _ => (Framing::Ambiguous, State::Unrecoverable),
+        }
+    }
+}
+
+/// Skips up to `left` bytes. Returns how many are still to be skipped, and the rest.
+fn skip(bytes: &[u8], left: u64) -> (u64, &[u8]) {
+    let skipped = bytes.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+    (left - skipped as u64, &bytes[skipped..])
+}
+
+/// Returns the state after the line with a chunk's size.
+fn after_chunk_size(line: &[u8]) -> State {
+    // What follows the digits is an extension.
+    let digits = line.split(|b| !b.is_ascii_hexdigit()).next().unwrap_or_default();
+    let size = std::str::from_utf8(digits).ok().and_then(|text| u64::from_str_radix(text, 16).ok());
+    match size {
+        Some(0) => State::Trailers,
+        Some(size) => State::Chunk(size.saturating_add(CHUNK_END_BYTES)),
+        None => State::Unrecoverable,
     }
 }
 
--- a/common/transport/src/framing/tests.rs
+++ b/common/transport/src/framing/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// What the heads in `text` say when it comes in pieces of this size.
-fn read(text: &str, piece: usize) -> Vec<Framing> {
-    let mut heads = HeadScanner::default();
-    text.as_bytes().chunks(piece).for_each(|bytes| heads.scan(bytes));
-    std::iter::from_fn(|| heads.take_framing()).collect()
+/// Returns the framings of the heads in `text` when it is scanned in chunks of this size.
+fn framings_of(text: &str, chunk_size: usize) -> Vec<Framing> {
+    let mut scanner = HeadScanner::default();
+    text.as_bytes().chunks(chunk_size).for_each(|bytes| scanner.scan(bytes));
+    std::iter::from_fn(|| scanner.take_framing()).collect()
 }
 
 #[test]
-fn heads_are_followed_however_they_are_cut() {
+fn framings_do_not_depend_on_how_the_bytes_are_split() {
     use Framing::*;
     let hidden = "GET /hidden HTTP/1.1\r\n\r\n";
-    for (text, found) in [
+    for (text, expected) in [
         ("GET / HTTP/1.1\r\nA: b\r\n\r\nGET / HTTP/1.1\r\n\r\n".to_owned(), vec![Unambiguous, Unambiguous]),
         (
             format!("POST / HTTP/1.1\r\ncontent-length: 24\r\n\r\n{hidden}\r\n\r\nGET / HTTP/1.1\n\n"),
@@ -51,20 +51,20 @@
             vec![Ambiguous],
         ),
     ] {
-        for piece in [1, 7, 1000] {
-            assert_eq!(read(&text, piece), found, "{text:?} in pieces of {piece}");
+        for chunk_size in [1, 7, 1000] {
+            assert_eq!(framings_of(&text, chunk_size), expected, "{text:?} in chunks of {chunk_size}");
         }
     }
 }
 
 #[test]
-fn an_unfinished_head_is_told_from_none() {
-    let mut heads = HeadScanner::default();
-    assert!(!heads.is_in_head());
-    heads.scan(b"GE");
-    assert!(heads.is_in_head());
-    heads.scan(b"T / HTTP/1.1\r\n");
-    assert!(heads.is_in_head());
-    heads.scan(b"\r\n");
-    assert!(!heads.is_in_head());
+fn an_incomplete_head_is_distinguished_from_none() {
+    let mut scanner = HeadScanner::default();
+    assert!(!scanner.is_in_head());
+    scanner.scan(b"GE");
+    assert!(scanner.is_in_head());
+    scanner.scan(b"T / HTTP/1.1\r\n");
+    assert!(scanner.is_in_head());
+    scanner.scan(b"\r\n");
+    assert!(!scanner.is_in_head());
 }
--- a/common/transport/src/lib.rs
+++ b/common/transport/src/lib.rs
@@ -1,7 +1,11 @@
-//! Network code that the gateway in service and the serving tier's data plane share.
+//! Network code that the quota gateway and the serving tier's data plane share.
 //!
-//! [`socket`] lets hyper use a socket that its owner still watches, [`framing`] reads how the heads of requests say where
-//! their bodies end, [`link`] is a client connection to a server, and [`system`] asks the kernel about a socket.
+//! hyper parses and writes HTTP; what it does not expose is added here, below it and beside it:
+//!
+//! - [`socket`] is the socket under hyper, which its owner can observe and close in its own way.
+//! - [`framing`] scans the bytes that a client sends for heads whose body length is ambiguous.
+//! - [`connection`] is a client connection to a server.
+//! - [`system`] holds the calls to the kernel that no crate in use offers.
 
 pub mod connection;
 pub mod framing;
--- a/common/transport/src/socket.rs
+++ b/common/transport/src/socket.rs
@@ -1,8 +1,18 @@
-//! Sockets below hyper: hyper reads and writes them, their owner looks at them and has the last word.
+//! A socket under hyper that its owner can observe, and closes in its own way.
+//!
+//! hyper reads and writes it through [`HyperIo`]. Meanwhile the owner sees what passes ([`SocketObserver`]), detects that the
+//! peer has closed the connection while a response is still being produced ([`Socket::peer_closed`]), and in the end sends a
+//! last reply ([`Socket::shutdown`]) and reads what is left, so that the kernel does not reset the connection before the peer
+//! has read the reply ([`Socket::linger`]).
+
+mod hyper_io;
+mod observer;
+
+pub use hyper_io::HyperIo;
+pub use observer::SocketObserver;
 
 use crate::system::{time_since_last_received, unacknowledged_bytes};
 use futures_util::FutureExt;
-use hyper::rt::{Read, ReadBufCursor, Write};
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -10,129 +20,105 @@
 use std::io;
 use std::mem::MaybeUninit;
 use std::net::Shutdown;
-use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{ready, Context, Poll};
+use std::task::{ready, Poll};
 use std::time::Duration;
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Most that is taken from the system at once.
+/// Bytes that are read from the kernel at once.
 const CHUNK_BYTES: usize = 16 << 10;
-/// Most that is read of a connection beyond what hyper has asked for: a whole head.
+/// Bytes that are read of a connection beyond what hyper has asked for: a complete head.
 const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
-/// With so much read ahead, whether the peer has gone is looked at again after this time. Nothing is to be sent on
-/// for a client that left more than 100 ms ago; hurts by a call to the system each time, for floods alone.
+/// Interval at which a socket with that many bytes read ahead is checked for whether the peer has closed it. Requests are not
+/// to be forwarded for a client that left more than 100 ms ago. Each check costs a system call, for floods only.
 const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(40);
-/// A connection that ends with input unread is read on for this long and this far: a whole long body. Guards against
-/// the reset that closing it at once would send: it takes away the answer that the peer has not read yet.
-const LINGER: (Duration, usize) = (Duration::from_secs(1), 32 << 20);
-
-/// Who looks on while hyper uses a socket.
-pub trait SocketObserver {
-    /// Bytes have come.
-    fn on_received(&self, _: &[u8]) {}
-    /// Whether what hyper writes goes out. hyper answers on its own what it cannot read, with no word of why.
-    fn permits_output(&self) -> bool {
-        true
-    }
-    /// The system takes no more for now, as the peer reads nothing; or it takes some again.
-    fn on_blocked(&self, _: bool) {}
-    /// All that hyper had to write is with the system.
-    fn on_flushed(&self) {}
-}
-
-impl SocketObserver for () {}
-
-impl<W: SocketObserver> SocketObserver for Rc<W> {
-    fn on_received(&self, bytes: &[u8]) {
-        (**self).on_received(bytes);
-    }
-
-    fn permits_output(&self) -> bool {
-        (**self).permits_output()
-    }
-
-    fn on_blocked(&self, blocked: bool) {
-        (**self).on_blocked(blocked);
-    }
+/// Time for which a closing connection is still read ...
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// ... and bytes that are read: a long body.
+const MAX_LINGER_BYTES: usize = 32 << 20;
 
-    fn on_flushed(&self) {
-        (**self).on_flushed();
-    }
-}
-
-pub struct Socket<W> {
+/// A socket that hyper uses and its owner observes.
+pub struct Socket<O> {
     stream: TcpStream,
     read_ahead: RefCell<ReadAhead>,
-    pub observer: W,
+    /// The owner's observer.
+    pub observer: O,
 }
 
 /// What was read before hyper asked for it.
 #[derive(Default)]
 struct ReadAhead {
     bytes: VecDeque<u8>,
-    /// The peer sends nothing more.
+    /// Whether the peer has closed its side after these bytes.
     is_closed: bool,
 }
 
-impl<W: SocketObserver> Socket<W> {
-    pub fn new(stream: TcpStream, watch: W) -> io::Result<Rc<Socket<W>>> {
+impl<O: SocketObserver> Socket<O> {
+    /// Creates a socket on a connection, and switches off Nagle's algorithm.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the option cannot be set, as the connection has failed.
+    pub fn new(stream: TcpStream, observer: O) -> io::Result<Rc<Socket<O>>> {
         stream.set_nodelay(true)?;
-        Ok(Rc::new(Socket { stream, read_ahead: RefCell::default(), observer: watch }))
+        Ok(Rc::new(Socket { stream, read_ahead: RefCell::default(), observer }))
     }
 
-    /// Whether nothing has come since, not even an end. Asks the system: what the runtime holds for true may be
-    /// older than bytes that are there.
+    /// Returns whether there is nothing to read, neither bytes nor the end of the connection. Asks the kernel, as the
+    /// runtime's readiness may be older than bytes that have arrived.
     pub fn has_no_input(&self) -> bool {
-        let ahead = self.read_ahead.borrow();
-        if ahead.is_closed || !ahead.bytes.is_empty() {
+        let read_ahead = self.read_ahead.borrow();
+        if read_ahead.is_closed || !read_ahead.bytes.is_empty() {
             return false;
         }
         let mut byte = [MaybeUninit::uninit()];
         matches!(SockRef::from(&self.stream).peek(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Waits until the peer has gone while an answer is owed to it. Where bytes of a next request lie before the
-    /// end, hyper asks for nothing more until it has answered, so they are read ahead; behind more than [`AHEAD`] the
-    /// system is asked now and then whether the end has come. To be polled behind hyper, in the same task.
-    pub async fn peer_closed(&self, owed: impl Fn() -> bool) {
-        while !self.read_ahead(&owed).await {
+    /// Waits until the peer has closed the connection while a response is owed to it.
+    ///
+    /// hyper reads nothing more of a connection until it has responded, so bytes of a next request would hide the end behind
+    /// them: they are read ahead. Behind more than 16 KiB of them the kernel is polled for the end. The future has to be
+    /// polled after hyper's, in the same task.
+    pub async fn peer_closed(&self, is_owed: impl Fn() -> bool) {
+        while !self.read_ahead(&is_owed).await {
             sleep(PEER_CHECK_INTERVAL).await;
-            if owed() && self.is_read_closed() {
+            if is_owed() && self.is_read_closed() {
                 return;
             }
         }
     }
 
-    /// Whether the end of what the peer sends is here, be it behind bytes that nobody has read.
+    /// Returns whether the peer has closed its side, even if bytes before the end have not been read.
     fn is_read_closed(&self) -> bool {
-        let ready = self.stream.ready(Interest::READABLE).now_or_never();
-        ready.is_some_and(|ready| ready.map_or(true, |ready| ready.is_read_closed()))
+        let readiness = self.stream.ready(Interest::READABLE).now_or_never();
+        readiness.is_some_and(|ready| ready.map_or(true, |ready| ready.is_read_closed()))
     }
 
-    /// Reads ahead while an answer is owed; whether the peer has gone, or there is no more room.
-    async fn read_ahead(&self, owed: impl Fn() -> bool) -> bool {
+    /// Reads ahead while a response is owed. Returns whether the peer has closed the connection; otherwise the limit of what
+    /// is read ahead is reached.
+    async fn read_ahead(&self, is_owed: impl Fn() -> bool) -> bool {
         poll_fn(|cx| loop {
-            let (room, ended) = {
-                let ahead = self.read_ahead.borrow();
-                (MAX_READ_AHEAD_BYTES.saturating_sub(ahead.bytes.len()), ahead.is_closed)
+            let (free_bytes, is_closed) = {
+                let read_ahead = self.read_ahead.borrow();
+                (MAX_READ_AHEAD_BYTES.saturating_sub(read_ahead.bytes.len()), read_ahead.is_closed)
             };
-            if !owed() {
+            if !is_owed() {
                 return Poll::Pending;
             }
-            if ended || room == 0 {
-                return Poll::Ready(ended);
+            if is_closed || free_bytes == 0 {
+                return Poll::Ready(is_closed);
             }
             if ready!(self.stream.poll_read_ready(cx)).is_err() {
                 return Poll::Ready(true);
             }
-            let mut piece = [0; CHUNK_BYTES];
-            match self.stream.try_read(&mut piece[..room.min(CHUNK_BYTES)]) {
+            let mut chunk = [0; CHUNK_BYTES];
+            match self.stream.try_read(&mut chunk[..free_bytes.min(CHUNK_BYTES)]) {
                 Ok(0) => self.read_ahead.borrow_mut().is_closed = true,
-                Ok(n) => {
-                    self.read_ahead.borrow_mut().bytes.extend(&piece[..n]);
+                Ok(length) => {
+                    self.read_ahead.borrow_mut().bytes.extend(&chunk[..length]);
                     // hyper may be waiting for them.
                     cx.waker().wake_by_ref();
                 }
@@ -143,120 +129,54 @@
         .await
     }
 
-    /// How long ago its last bytes came, where the system tells.
+    /// Moves bytes that were read ahead to `chunk` and returns their number, which is 0 at the end of the connection; `None`
+    /// where nothing was read ahead.
+    fn take_read_ahead(&self, chunk: &mut [u8]) -> Option<usize> {
+        let mut read_ahead = self.read_ahead.borrow_mut();
+        let length = read_ahead.bytes.len().min(chunk.len());
+        if length == 0 && !read_ahead.is_closed {
+            return None;
+        }
+        chunk.iter_mut().zip(read_ahead.bytes.drain(..length)).for_each(|(to, byte)| *to = byte);
+        Some(length)
+    }
+
+    /// Returns the time since the last bytes were received, where the kernel reports it.
     pub fn time_since_last_received(&self) -> Option<Duration> {
         time_since_last_received(&self.stream).ok()
     }
 
-    /// Says a last thing, as far as it can be said at once, and that nothing more comes.
-    pub fn shutdown(&self, word: &[u8]) {
-        if !word.is_empty() {
-            drop(self.stream.try_write(word));
+    /// Sends `last_bytes` as far as that is possible at once, and closes this side of the connection.
+    pub fn shutdown(&self, last_bytes: &[u8]) {
+        if !last_bytes.is_empty() {
+            // The connection ends whether or not the peer still takes the bytes.
+            let _ = self.stream.try_write(last_bytes);
         }
-        drop(SockRef::from(&self.stream).shutdown(Shutdown::Write));
+        // This fails where the peer has reset the connection, which is closed then anyway.
+        let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
     }
 
-    /// Whether closing it now takes away what the peer has not had yet: the system resets a connection that is closed over
-    /// bytes that nobody read.
+    /// Returns whether closing the socket now could discard what the peer has not received yet: the kernel resets a
+    /// connection that is closed with unread input.
     pub fn would_reset_on_close(&self) -> bool {
         !self.has_no_input() && unacknowledged_bytes(&self.stream).map_or(true, |bytes| bytes > 0)
     }
 
-    /// Reads on until the peer has closed too, within bounds.
+    /// Reads and discards input until the peer has closed the connection too, for 1 s and 32 MiB at most. This avoids the
+    /// reset that closing a connection with unread input sends, which would discard the response that the peer has not read.
     pub async fn linger(&self) {
-        let drain = async {
-            let (mut left, mut piece) = (LINGER.1, [0; CHUNK_BYTES]);
+        let discard_input = async {
+            let (mut left, mut chunk) = (MAX_LINGER_BYTES, [0; CHUNK_BYTES]);
             while left > 0 && self.stream.readable().await.is_ok() {
-                match self.stream.try_read(&mut piece) {
+                match self.stream.try_read(&mut chunk) {
                     Ok(0) => return,
-                    Ok(n) => left = left.saturating_sub(n),
+                    Ok(length) => left = left.saturating_sub(length),
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                     Err(_) => return,
                 }
             }
         };
-        drop(timeout(LINGER.0, drain).await);
-    }
-}
-
-/// hyper's side of a socket.
-pub struct HyperIo<W>(pub Rc<Socket<W>>);
-
-impl<W: SocketObserver> Read for HyperIo<W> {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, mut buf: ReadBufCursor) -> Poll<io::Result<()>> {
-        let mut piece = [0; CHUNK_BYTES];
-        let room = buf.remaining().min(CHUNK_BYTES);
-        let mut ahead = self.0.read_ahead.borrow_mut();
-        let held = ahead.bytes.len().min(room);
-        if held > 0 || ahead.is_closed {
-            piece.iter_mut().zip(ahead.bytes.drain(..held)).for_each(|(to, byte)| *to = byte);
-            drop(ahead);
-            self.0.observer.on_received(&piece[..held]);
-            buf.put_slice(&piece[..held]);
-            return Poll::Ready(Ok(()));
-        }
-        drop(ahead);
-        loop {
-            ready!(self.0.stream.poll_read_ready(cx))?;
-            match self.0.stream.try_read(&mut piece[..room]) {
-                Ok(n) => {
-                    self.0.observer.on_received(&piece[..n]);
-                    buf.put_slice(&piece[..n]);
-                    return Poll::Ready(Ok(()));
-                }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(e) => return Poll::Ready(Err(e)),
-            }
-        }
-    }
-}
-
-impl<W: SocketObserver> HyperIo<W> {
-    fn poll_write_with(
-        &self,
-        cx: &mut Context,
-        all: usize,
-        write: impl Fn(&TcpStream) -> io::Result<usize>,
-    ) -> Poll<io::Result<usize>> {
-        if !self.0.observer.permits_output() {
-            return Poll::Ready(Ok(all));
-        }
-        loop {
-            let writable = self.0.stream.poll_write_ready(cx);
-            self.0.observer.on_blocked(writable.is_pending());
-            ready!(writable)?;
-            match write(&self.0.stream) {
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                written => return Poll::Ready(written),
-            }
-        }
-    }
-}
-
-impl<W: SocketObserver> Write for HyperIo<W> {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_write_with(cx, buf.len(), |stream| stream.try_write(buf))
-    }
-
-    fn poll_write_vectored(
-        self: Pin<&mut Self>,
-        cx: &mut Context,
-        bufs: &[io::IoSlice],
-    ) -> Poll<io::Result<usize>> {
-        self.poll_write_with(cx, bufs.iter().map(|b| b.len()).sum(), |stream| stream.try_write_vectored(bufs))
-    }
-
-    fn is_write_vectored(&self) -> bool {
-        true
-    }
-
-    fn poll_flush(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        self.0.observer.on_flushed();
-        Poll::Ready(Ok(()))
-    }
-
-    /// The owner ends it, who may have something left to say.
-    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(()))
+        // After the timeout the connection is closed as it is.
+        let _ = timeout(LINGER_TIMEOUT, discard_input).await;
     }
 }
--- a/common/transport/src/system.rs
+++ b/common/transport/src/system.rs
@@ -1,32 +1,36 @@
-//! What only the system knows, asked of it directly: the crates that are used here have no call for it.
+//! Calls to the kernel that no crate in use offers.
 
 use std::io;
 use std::os::fd::{AsFd, AsRawFd};
 use std::time::Duration;
 
-/// Time since the machine's start, on the clock of [`std::time::Instant`], which is one for all processes and is never
-/// set. An `Instant` cannot be told to another process.
-#[allow(unsafe_code)]
+/// Returns the time since the machine's start on the clock of [`std::time::Instant`], which is the same for all processes of
+/// the machine and is never set. Unlike an `Instant`, it can be sent to another process.
+#[allow(unsafe_code, reason = "the standard library does not expose the value of an `Instant`")]
 pub fn monotonic_now() -> Duration {
     let mut now = libc::timespec { tv_sec: 0, tv_nsec: 0 };
-    // SAFETY: it writes one `timespec`, which `now` is.
+    // SAFETY: the call writes one `timespec`, which `now` is.
     let result = unsafe { libc::clock_gettime(libc::CLOCK_MONOTONIC, &raw mut now) };
-    // It fails for no argument given here.
+    // It fails only for an invalid clock or pointer.
     debug_assert_eq!(result, 0);
     Duration::new(u64::try_from(now.tv_sec).unwrap_or(0), u32::try_from(now.tv_nsec).unwrap_or(0))
 }
 
-/// How long ago the last bytes of a connection came, whether they have been read or not, and also those that came before
-/// it was accepted. In whole milliseconds, and as coarse as the system's tick.
-#[allow(unsafe_code)]
+/// Returns the time since the kernel last received data on a connection, whether the data has been read or not, and also where
+/// it was received before the connection was accepted. In whole milliseconds, and as coarse as the kernel's tick.
+///
+/// # Errors
+///
+/// Returns an error if `socket` is not a TCP connection.
+#[allow(unsafe_code, reason = "socket2 does not expose TCP_INFO")]
 pub fn time_since_last_received(socket: &impl AsFd) -> io::Result<Duration> {
-    // SAFETY: it is plain numbers, for each of which zero is a value.
+    // SAFETY: `tcp_info` consists of integers, for each of which zero is a valid value.
     let mut info: libc::tcp_info = unsafe { std::mem::zeroed() };
     let mut length = libc::socklen_t::try_from(size_of::<libc::tcp_info>()).unwrap_or(0);
-    let (fd, place) = (socket.as_fd().as_raw_fd(), (&raw mut info).cast());
+    let (fd, target) = (socket.as_fd().as_raw_fd(), (&raw mut info).cast());
     // SAFETY: at most `length` bytes are written, which is the size of `info`; the descriptor is borrowed and so open.
-    let result = unsafe { libc::getsockopt(fd, libc::IPPROTO_TCP, libc::TCP_INFO, place, &raw mut length) };
-    // A system that knows less says so by the length; what it did not write is zero.
+    let result = unsafe { libc::getsockopt(fd, libc::IPPROTO_TCP, libc::TCP_INFO, target, &raw mut length) };
+    // An older kernel writes less; what it did not write stays zero.
     if result == 0 {
         Ok(Duration::from_millis(info.tcpi_last_data_recv.into()))
     } else {
@@ -34,11 +38,15 @@
     }
 }
 
-/// Bytes written to a connection that its peer's system has not said to have.
-#[allow(unsafe_code)]
+/// Returns the number of bytes that were written to a connection and that the peer's kernel has not acknowledged.
+///
+/// # Errors
+///
+/// Returns an error if `socket` is not a connection.
+#[allow(unsafe_code, reason = "socket2 does not expose TIOCOUTQ")]
 pub fn unacknowledged_bytes(socket: &impl AsFd) -> io::Result<usize> {
     let mut bytes: libc::c_int = 0;
-    // SAFETY: it writes one `int`, which `bytes` is; the descriptor is borrowed and so open.
+    // SAFETY: the call writes one `int`, which `bytes` is; the descriptor is borrowed and so open.
     let result = unsafe { libc::ioctl(socket.as_fd().as_raw_fd(), libc::TIOCOUTQ, &raw mut bytes) };
     if result == 0 {
         Ok(usize::try_from(bytes).unwrap_or(0))
