--- a/common/transport/src/framing.rs
+++ b/common/transport/src/framing.rs
@@ -1,157 +1,179 @@
-//! How heads of requests say where their bodies end, read beside hyper.
+//! Scans the heads of requests for how they delimit their bodies, beside hyper.
 //!
-//! hyper takes a `Transfer-Encoding` over a `Content-Length`, merges equal lengths, and tells of neither. Of two
-//! readers of such a request one may take for its body what the other takes for a further request, so it must
-//! not be passed on.
+//! hyper prefers a `Transfer-Encoding` to a `Content-Length`, merges equal lengths, and reports neither. Where two parsers of
+//! such a request differ, one takes for the body what the other takes for another request (request smuggling, RFC 9112,
+//! section 11.2), so it must not be forwarded.
 
 use std::collections::VecDeque;
 
-/// As much of a line as is looked at: a name that matters and a number behind it.
-const LINE: usize = 64;
+/// Bytes of a line that are examined: a relevant name and the number after it.
+const MAX_LINE_PREFIX_BYTES: usize = 64;
+/// Length of the line end after a chunk's data.
+const CHUNK_END_BYTES: u64 = 2;
 
+/// How a request's head delimits its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// At most one length, or chunks.
-    Plain,
-    /// Several lengths, or one beside a coding.
+    /// By at most one length, or by a transfer coding.
+    Unambiguous,
+    /// By several lengths, by a length and a transfer coding, or by a length that is not a number.
     Ambiguous,
 }
 
-enum Place {
+/// Where in the stream of requests the next byte belongs.
+enum State {
     Head,
+    /// Bytes of the body that are still to come.
     Body(u64),
+    /// The line with a chunk's size.
     ChunkSize,
-    /// With the end of its line.
+    /// Bytes of the chunk and its line end that are still to come.
     Chunk(u64),
     Trailers,
-    /// Nothing more can be read from such a connection.
-    Lost,
+    /// After an ambiguous head or a malformed chunk: the rest of the connection cannot be scanned.
+    Unrecoverable,
 }
 
-/// Follows the bytes of a connection, and keeps what each head said until it is asked for.
-pub struct Heads {
-    place: Place,
-    /// The beginning of the line that has not ended, and whether one before it belongs to the same head.
-    line: Vec<u8>,
-    begun: bool,
-    lengths: usize,
-    /// `None` where it cannot be read.
-    length: Option<u64>,
-    coded: bool,
-    found: VecDeque<Framing>,
+/// What the head that is being scanned has said so far.
+#[derive(Default)]
+struct Head {
+    has_request_line: bool,
+    content_length_count: usize,
+    /// The last length; `None` where it is not a number.
+    content_length: Option<u64>,
+    has_transfer_encoding: bool,
 }
 
-impl Default for Heads {
-    fn default() -> Heads {
-        Heads {
-            place: Place::Head,
-            line: Vec::new(),
-            begun: false,
-            lengths: 0,
-            length: Some(0),
-            coded: false,
-            found: VecDeque::new(),
+/// Scans the bytes of a connection and queues the framing of each head until it is taken.
+pub struct HeadScanner {
+    state: State,
+    /// The beginning of the line that is not complete yet, up to [`MAX_LINE_PREFIX_BYTES`].
+    line_prefix: Vec<u8>,
+    head: Head,
+    framings: VecDeque<Framing>,
+}
+
+impl Default for HeadScanner {
+    fn default() -> HeadScanner {
+        HeadScanner {
+            state: State::Head,
+            line_prefix: Vec::new(),
+            head: Head::default(),
+            framings: VecDeque::new(),
         }
     }
 }
 
-impl Heads {
-    /// What the next head said, in the order in which they came.
-    pub fn take_next(&mut self) -> Option<Framing> {
-        self.found.pop_front()
+impl HeadScanner {
+    /// Takes the framing of the next head, in the order of the requests; `None` while there is no complete one.
+    pub fn take_framing(&mut self) -> Option<Framing> {
+        self.framings.pop_front()
     }
 
-    /// Whether a head has begun and not ended.
-    pub fn unfinished(&self) -> bool {
-        matches!(self.place, Place::Head) && (self.begun || !self.line.is_empty())
+    /// Returns whether a head has begun and is not complete.
+    pub fn is_in_head(&self) -> bool {
+        matches!(self.state, State::Head) && (self.head.has_request_line || !self.line_prefix.is_empty())
     }
 
-    /// Whether a body has begun and not ended.
-    pub fn in_body(&self) -> bool {
-        !matches!(self.place, Place::Head)
+    /// Returns whether a body has begun and is not complete, or the rest of the connection cannot be scanned.
+    pub fn is_in_body(&self) -> bool {
+        !matches!(self.state, State::Head)
     }
 
-    pub fn read(&mut self, mut bytes: &[u8]) {
+    /// Scans the next bytes of the connection.
+    pub fn scan(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            match self.place {
-                Place::Lost => return,
-                Place::Body(left) | Place::Chunk(left) => {
-                    let here = bytes.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-                    bytes = &bytes[here..];
-                    let left = left - here as u64;
-                    self.place = match self.place {
-                        Place::Body(_) if left > 0 => Place::Body(left),
-                        Place::Body(_) => Place::Head,
-                        _ if left > 0 => Place::Chunk(left),
-                        _ => Place::ChunkSize,
-                    };
+            bytes = match self.state {
+                State::Unrecoverable => return,
+                State::Body(left) => {
+                    let (left, rest) = skip(bytes, left);
+                    self.state = if left > 0 { State::Body(left) } else { State::Head };
+                    rest
                 }
-                Place::Head | Place::ChunkSize | Place::Trailers => {
-                    let end = bytes.iter().position(|&b| b == b'\n');
-                    let (part, rest) = bytes.split_at(end.map_or(bytes.len(), |end| end + 1));
-                    let room = LINE - self.line.len();
-                    self.line.extend_from_slice(&part[..part.len().min(room)]);
-                    if end.is_some() {
-                        self.line_ended();
-                        self.line.clear();
-                    }
-                    bytes = rest;
+                State::Chunk(left) => {
+                    let (left, rest) = skip(bytes, left);
+                    self.state = if left > 0 { State::Chunk(left) } else { State::ChunkSize };
+                    rest
                 }
+                State::Head | State::ChunkSize | State::Trailers => self.scan_line(bytes),
             }
         }
     }
 
-    fn line_ended(&mut self) {
-        let line = self.line.trim_ascii_end();
-        match self.place {
-            Place::ChunkSize => {
-                // What follows the digits is an extension.
-                let digits = line.split(|b| !b.is_ascii_hexdigit()).next().unwrap_or_default();
-                let size =
-                    std::str::from_utf8(digits).ok().and_then(|text| u64::from_str_radix(text, 16).ok());
-                self.place = match size {
-                    Some(0) => Place::Trailers,
-                    Some(size) => Place::Chunk(size.saturating_add(2)),
-                    None => Place::Lost,
-                };
-                return;
-            }
-            Place::Trailers => {
-                if line.is_empty() {
-                    self.place = Place::Head;
-                }
-                return;
-            }
-            _ => {}
+    /// Scans bytes up to the end of the line, and returns the rest.
+    fn scan_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+        let end = bytes.iter().position(|&b| b == b'\n');
+        let (line, rest) = bytes.split_at(end.map_or(bytes.len(), |end| end + 1));
+        let free = MAX_LINE_PREFIX_BYTES - self.line_prefix.len();
+        self.line_prefix.extend_from_slice(&line[..line.len().min(free)]);
+        if end.is_some() {
+            let mut line = std::mem::take(&mut self.line_prefix);
+            self.on_line(line.trim_ascii_end());
+            // The allocation is reused for the next line.
+            line.clear();
+            self.line_prefix = line;
         }
-        if line.is_empty() {
-            // Empty lines ahead of a request are passed over.
-            if self.begun {
-                self.head_ended();
-            }
-        } else if !std::mem::replace(&mut self.begun, true) {
-            // The request's own line.
-        } else if let Some(colon) = line.iter().position(|&b| b == b':') {
-            let (name, value) = (&line[..colon], &line[colon + 1..]);
-            if name.eq_ignore_ascii_case(b"content-length") {
-                self.lengths += 1;
-                self.length = std::str::from_utf8(value).ok().and_then(|text| text.trim().parse().ok());
-            } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
-                self.coded = true;
-            }
+        rest
+    }
+
+    fn on_line(&mut self, line: &[u8]) {
+        match self.state {
+            State::ChunkSize => self.state = after_chunk_size(line),
+            State::Trailers if line.is_empty() => self.state = State::Head,
+            State::Trailers => {}
+            // Empty lines before a request line are ignored.
+            _ if line.is_empty() && !self.head.has_request_line => {}
+            _ if line.is_empty() => self.on_head_end(),
+            _ if !self.head.has_request_line => self.head.has_request_line = true,
+            _ => self.head.on_field(line),
         }
     }
 
-    fn head_ended(&mut self) {
-        let (framing, place) = match (self.lengths, self.coded, self.length) {
-            (0, true, _) => (Framing::Plain, Place::ChunkSize),
-            (0, false, _) | (1, false, Some(0)) => (Framing::Plain, Place::Head),
-            (1, false, Some(length)) => (Framing::Plain, Place::Body(length)),
-            _ => (Framing::Ambiguous, Place::Lost),
-        };
-        let found = std::mem::take(&mut self.found);
-        *self = Heads { place, line: std::mem::take(&mut self.line), found, ..Heads::default() };
-        self.found.push_back(framing);
+    fn on_head_end(&mut self) {
+        let (framing, state) = std::mem::take(&mut self.head).framing();
+        self.framings.push_back(framing);
+        self.state = state;
+    }
+}
+
+impl Head {
+    fn on_field(&mut self, line: &[u8]) {
+        let Some(colon) = line.iter().position(|&b| b == b':') else { return };
+        let (name, value) = (&line[..colon], &line[colon + 1..]);
+        if name.eq_ignore_ascii_case(b"content-length") {
+            self.content_length_count += 1;
+            self.content_length = std::str::from_utf8(value).ok().and_then(|text| text.trim().parse().ok());
+        } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
+            self.has_transfer_encoding = true;
+        }
+    }
+
+    /// Returns the framing of the complete head, and the state after it.
+    fn framing(&self) -> (Framing, State) {
+        match (self.content_length_count, self.has_transfer_encoding, self.content_length) {
+            (0, true, _) => (Framing::Unambiguous, State::ChunkSize),
+            (0, false, _) | (1, false, Some(0)) => (Framing::Unambiguous, State::Head),
+            (1, false, Some(length)) => (Framing::Unambiguous, State::Body(length)),
+            _ => (Framing::Ambiguous, State::Unrecoverable),
+        }
+    }
+}
+
+/// Skips up to `left` bytes. Returns how many are still to be skipped, and the rest.
+fn skip(bytes: &[u8], left: u64) -> (u64, &[u8]) {
+    let skipped = bytes.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+    (left - skipped as u64, &bytes[skipped..])
+}
+
+/// Returns the state after the line with a chunk's size.
+fn after_chunk_size(line: &[u8]) -> State {
+    // What follows the digits is an extension.
+    let digits = line.split(|b| !b.is_ascii_hexdigit()).next().unwrap_or_default();
+    let size = std::str::from_utf8(digits).ok().and_then(|text| u64::from_str_radix(text, 16).ok());
+    match size {
+        Some(0) => State::Trailers,
+        Some(size) => State::Chunk(size.saturating_add(CHUNK_END_BYTES)),
+        None => State::Unrecoverable,
     }
 }
 
