--- a/data-plane/routing/src/admission.rs
+++ b/data-plane/routing/src/admission.rs
@@ -101,9 +101,9 @@
         let average = &mut self.average_costs[index];
         *average = if *average > 0.0 { *average + COST_WEIGHT * (cost - *average) } else { cost };
         let relative = self.relative_cost(index);
-        let is_admitted = self.shedder.pass(index, relative);
+        let is_admitted = self.shedder.admit(index, relative);
         if is_admitted {
-            self.shedder.sent(relative);
+            self.shedder.on_admitted(relative);
         }
         is_admitted
     }
@@ -118,7 +118,7 @@
             latency.as_secs_f64() / target.as_secs_f64().max(1e-3)
         };
         let cost = self.relative_cost(index);
-        self.shedder.sample(1.0, cost, lateness);
+        self.shedder.record_latency(1.0, cost, lateness);
     }
 
     /// Assesses the load once for each interval that has passed. `occupancy` is the load of the servers as a share of their
--- a/quota-gateway/control-messages/src/frame.rs
+++ b/quota-gateway/control-messages/src/frame.rs
@@ -11,7 +11,7 @@
 pub const VERSION: u16 = 1;
 pub const HEAD: usize = 23;
 /// The longest payload: a value of the coordination service, which is to hold a decision with its head, is 64 KiB at most.
-pub const PAYLOAD_MOST: usize = (64 << 10) - HEAD;
+pub const MAX_PAYLOAD_BYTES: usize = (64 << 10) - HEAD;
 
 /// What a message is; its number is part of the format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Refusal {
     /// Shorter than it says, or no head at all.
-    CutOff,
+    Truncated,
     /// Of something else: its first bytes are not these.
     Foreign,
     /// Another build's format.
@@ -59,7 +59,7 @@
 
 impl Refusal {
     pub const ALL: [Refusal; 8] = [
-        Refusal::CutOff,
+        Refusal::Truncated,
         Refusal::Foreign,
         Refusal::Version,
         Refusal::Fleet,
@@ -72,7 +72,7 @@
     /// As metrics and log lines name it.
     pub fn name(self) -> &'static str {
         match self {
-            Refusal::CutOff => "cut_off",
+            Refusal::Truncated => "cut_off",
             Refusal::Foreign => "foreign",
             Refusal::Version => "version",
             Refusal::Fleet => "fleet",
@@ -105,7 +105,7 @@
 /// A message with its head; `None` where it is too long, which its own bounds keep it from being.
 pub fn encode<M: Message>(fleet: Fleet, message: &M) -> Option<Vec<u8>> {
     // Into memory; it cannot fail but for want of it.
-    let payload = postcard::to_stdvec(message).ok().filter(|payload| payload.len() <= PAYLOAD_MOST)?;
+    let payload = postcard::to_stdvec(message).ok().filter(|payload| payload.len() <= MAX_PAYLOAD_BYTES)?;
     let mut bytes = Vec::with_capacity(HEAD + payload.len());
     bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&VERSION.to_le_bytes());
@@ -127,7 +127,7 @@
 impl Head {
     /// Reads one from the first [`HEAD`] bytes; what is refused by its head needs no more bytes to be refused.
     pub fn read(fleet: Fleet, bytes: &[u8]) -> Result<Head, Refusal> {
-        let head: &[u8; HEAD] = bytes.first_chunk().ok_or(Refusal::CutOff)?;
+        let head: &[u8; HEAD] = bytes.first_chunk().ok_or(Refusal::Truncated)?;
         let part = |from: usize, upto: usize| {
             head[from..upto].iter().rev().fold(0_u64, |n, byte| n << 8 | u64::from(*byte))
         };
@@ -141,7 +141,7 @@
             return Err(Refusal::Fleet);
         }
         let length = part(15, 19) as usize;
-        if length > PAYLOAD_MOST {
+        if length > MAX_PAYLOAD_BYTES {
             return Err(Refusal::TooLong);
         }
         Ok(Head { kind: head[6], length, sum: part(19, 23) as u32 })
@@ -156,7 +156,7 @@
     }
     let payload = &bytes[HEAD..];
     if payload.len() < head.length {
-        return Err(Refusal::CutOff);
+        return Err(Refusal::Truncated);
     }
     if payload.len() > head.length {
         return Err(Refusal::TooLong);
--- a/quota-gateway/control-messages/src/published.rs
+++ b/quota-gateway/control-messages/src/published.rs
@@ -16,7 +16,7 @@
 }
 
 /// The longest that a decision may be valid for.
-pub const VALID_MOST: Duration = Duration::from_secs(600);
+pub const MAX_VALIDITY: Duration = Duration::from_secs(600);
 
 /// What is decided.
 pub trait Body: Serialize + DeserializeOwned {
@@ -39,7 +39,7 @@
     fn sensible(&self) -> bool {
         let valid = Duration::from_millis(self.valid_ms.into());
         self.stamp.token > 0
-            && (1..=VALID_MOST.as_millis()).contains(&valid.as_millis())
+            && (1..=MAX_VALIDITY.as_millis()).contains(&valid.as_millis())
             && self.body.sensible()
     }
 }
@@ -68,7 +68,7 @@
 
 /// The one that is held, and until when it is valid.
 #[derive(Clone, Debug)]
-struct Held<T> {
+struct CurrentDecision<T> {
     decision: Decision<T>,
     until: Instant,
 }
@@ -76,13 +76,13 @@
 /// A reader of one duty's decisions.
 #[derive(Clone, Debug)]
 pub struct Reader<T> {
-    held: Option<Held<T>>,
+    current: Option<CurrentDecision<T>>,
     late: u64,
 }
 
 impl<T> Default for Reader<T> {
     fn default() -> Reader<T> {
-        Reader { held: None, late: 0 }
+        Reader { current: None, late: 0 }
     }
 }
 
@@ -91,7 +91,7 @@
     /// newest only then.
     pub fn take(&mut self, asked: Instant, decision: Decision<T>) -> Taken {
         let until = asked + Duration::from_millis(decision.valid_ms.into());
-        match &mut self.held {
+        match &mut self.current {
             Some(held) if decision.stamp < held.decision.stamp => {
                 self.late += 1;
                 Taken::Late
@@ -107,7 +107,7 @@
                 Taken::Renewed
             }
             _ => {
-                self.held = Some(Held { decision, until });
+                self.current = Some(CurrentDecision { decision, until });
                 Taken::New
             }
         }
@@ -115,13 +115,13 @@
 
     /// Nothing has changed since the decision that is held: it was the newest at this instant or later.
     pub fn renewed(&mut self, asked: Instant) {
-        if let Some(held) = &mut self.held {
+        if let Some(held) = &mut self.current {
             held.until = held.until.max(asked + Duration::from_millis(held.decision.valid_ms.into()));
         }
     }
 
     pub fn standing(&self, now: Instant) -> Standing<'_, T> {
-        match &self.held {
+        match &self.current {
             None => Standing::Never,
             Some(held) if now < held.until => Standing::Valid(&held.decision),
             Some(held) => Standing::Lapsed(&held.decision, now - held.until),
@@ -130,12 +130,12 @@
 
     /// Until when the one that is held is valid.
     pub fn until(&self) -> Option<Instant> {
-        self.held.as_ref().map(|held| held.until)
+        self.current.as_ref().map(|held| held.until)
     }
 
     /// The newest that was read, valid or not.
     pub fn stamp(&self) -> Option<Stamp> {
-        self.held.as_ref().map(|held| held.decision.stamp)
+        self.current.as_ref().map(|held| held.decision.stamp)
     }
 
     /// Decisions that came after newer ones.
--- a/quota-gateway/control-messages/src/report.rs
+++ b/quota-gateway/control-messages/src/report.rs
@@ -5,10 +5,10 @@
 use serde::{Deserialize, Serialize};
 
 /// Bounds of a report.
-pub const ZONES_MOST: usize = 64;
-pub const POINTS_MOST: usize = 64;
-pub const BOOKS_MOST: usize = 256;
-pub const NAME_MOST: usize = 64;
+pub const MAX_ZONES: usize = 64;
+pub const MAX_POINTS: usize = 64;
+pub const MAX_SHARDS: usize = 256;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// Attempts at one zone's servers that ended in the span, by how.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -45,7 +45,7 @@
 /// What a gateway's firms ask, as a function of the level: the sum over its firms of the smaller of what each asks and of the
 /// level times its weight here, at these points.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Asked {
+pub struct Demand {
     /// All that is asked, in units a second: the function's end.
     pub all: f64,
     /// The sum of weights of firms that ask.
@@ -59,33 +59,33 @@
 pub struct Report {
     pub gateway: u32,
     /// Drawn at its start; another one means that it kept nothing.
-    pub life: u64,
+    pub incarnation: u64,
     /// Rises within a life: what comes late or twice is told by it.
     pub number: u64,
     pub zone: String,
     /// What these figures cover.
     pub span_ms: u32,
     /// Units a second that clients ask for here, refused ones with them.
-    pub asked: f64,
+    pub requested_units: f64,
     pub zones: Vec<ZoneSeen>,
-    pub shares: Asked,
+    pub shares: Demand,
     /// The newest decisions that it goes by.
-    pub goes_by: GoesBy,
+    pub goes_by: AppliedDecisions,
 }
 
 /// The decisions that a gateway holds; the default: none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct GoesBy {
+pub struct AppliedDecisions {
     pub zones: Stamp,
     pub shares: Stamp,
-    pub books: Stamp,
+    pub shard_map: Stamp,
 }
 
 impl Message for Report {
     const KIND: Kind = Kind::Report;
 
     fn sensible(&self) -> bool {
-        let name = |name: &str| !name.is_empty() && name.len() <= NAME_MOST;
+        let name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
         let zone = |z: &ZoneSeen| {
             name(&z.zone)
                 && z.seen.figures().into_iter().chain([z.servers, z.warm]).all(sane)
@@ -97,9 +97,9 @@
         let points = &self.shares.points;
         (1..=60_000).contains(&self.span_ms)
             && name(&self.zone)
-            && self.zones.len() <= ZONES_MOST
-            && points.len() <= POINTS_MOST
-            && sane(self.asked)
+            && self.zones.len() <= MAX_ZONES
+            && points.len() <= MAX_POINTS
+            && sane(self.requested_units)
             && self.zones.iter().all(zone)
             && self.zones.iter().enumerate().all(|(i, z)| self.zones[..i].iter().all(|y| y.zone != z.zone))
             && [self.shares.all, self.shares.weight].into_iter().all(sane)
--- a/quota-gateway/control-messages/tests/golden.rs
+++ b/quota-gateway/control-messages/tests/golden.rs
@@ -10,7 +10,7 @@
 use golden::{bytes, same_bytes};
 use marblecroft_control_messages::frame::{decode, encode, Fleet, Kind, Message};
 use marblecroft_control_messages::published::{Body, Decision, Stamp};
-use marblecroft_control_messages::report::{Asked, GoesBy, Report, Seen, ZoneSeen};
+use marblecroft_control_messages::report::{AppliedDecisions, Demand, Report, Seen, ZoneSeen};
 use serde::{Deserialize, Serialize};
 
 const FLEET: Fleet = Fleet(0x0102_0304_0506_0708);
@@ -36,14 +36,14 @@
 fn reports_keep_their_bytes() {
     let report = Report {
         gateway: 300,
-        life: 0x1112_1314_1516_1718,
+        incarnation: 0x1112_1314_1516_1718,
         number: 70_001,
         zone: "hall-a".to_owned(),
         span_ms: 1003,
-        asked: 12.5,
+        requested_units: 12.5,
         zones: vec![zone("hall-b", 10.0), zone("hall-c", 20.0)],
-        shares: Asked { all: 9.75, weight: 4.25, points: vec![(0.5, 2.0), (1.5, 4.0)] },
-        goes_by: GoesBy { zones: stamp(1), shares: stamp(2), books: stamp(3) },
+        shares: Demand { all: 9.75, weight: 4.25, points: vec![(0.5, 2.0), (1.5, 4.0)] },
+        goes_by: AppliedDecisions { zones: stamp(1), shares: stamp(2), shard_map: stamp(3) },
     };
     keeps_its_bytes("report.hex", &report);
 }
--- a/quota-gateway/control-messages/tests/wire.rs
+++ b/quota-gateway/control-messages/tests/wire.rs
@@ -27,14 +27,14 @@
     let seen = Seen { served: 3.0, busy: 1.0, failed: 0.0, unconnected: 0.0 };
     Report {
         gateway: 3,
-        life: 99,
+        incarnation: 99,
         number: 1,
         zone: "hall-a".to_owned(),
         span_ms: 1000,
-        asked: 12.5,
+        requested_units: 12.5,
         zones: vec![ZoneSeen { zone: "hall-b".to_owned(), seen, servers: 9.0, warm: 8.5 }],
-        shares: Asked { all: 9.0, weight: 4.0, points: vec![(0.5, 2.0), (1.0, 4.0)] },
-        goes_by: GoesBy::default(),
+        shares: Demand { all: 9.0, weight: 4.0, points: vec![(0.5, 2.0), (1.0, 4.0)] },
+        goes_by: AppliedDecisions::default(),
     }
 }
 
@@ -45,16 +45,16 @@
     let spoil: [(&str, Spoil); 12] = [
         ("span", |r| r.span_ms = 0),
         ("a zone without a name", |r| r.zone.clear()),
-        ("a long name", |r| r.zones[0].zone = "h".repeat(NAME_MOST + 1)),
-        ("no number", |r| r.asked = f64::NAN),
+        ("a long name", |r| r.zones[0].zone = "h".repeat(MAX_NAME_BYTES + 1)),
+        ("no number", |r| r.requested_units = f64::NAN),
         ("negative", |r| r.zones[0].seen.failed = -1.0),
         ("huge", |r| r.zones[0].servers = 1e13),
         ("more warm than there are", |r| r.zones[0].warm = 10.0),
-        ("too many zones", |r| r.zones = vec![r.zones[0].clone(); ZONES_MOST + 1]),
+        ("too many zones", |r| r.zones = vec![r.zones[0].clone(); MAX_ZONES + 1]),
         ("a zone twice", |r| r.zones.push(r.zones[0].clone())),
         ("levels that fall", |r| r.shares.points.reverse()),
         ("a sum that falls", |r| r.shares.points[1].1 = 1.0),
-        ("too many points", |r| r.shares.points = (0..=POINTS_MOST).map(|i| (i as f64, 0.0)).collect()),
+        ("too many points", |r| r.shares.points = (0..=MAX_POINTS).map(|i| (i as f64, 0.0)).collect()),
     ];
     assert_eq!(decode::<Report>(FLEET, &encode(FLEET, &report()).unwrap()), Ok(report()));
     for (what, spoil) in spoil {
@@ -79,7 +79,7 @@
     assert_eq!(spoilt(7, 1), Err(Refusal::Fleet));
     assert_eq!(spoilt(18, 0x7f), Err(Refusal::TooLong));
     assert_eq!(spoilt(HEAD, 1), Err(Refusal::Damaged));
-    assert_eq!(decode::<Report>(FLEET, &bytes[..bytes.len() - 1]), Err(Refusal::CutOff));
+    assert_eq!(decode::<Report>(FLEET, &bytes[..bytes.len() - 1]), Err(Refusal::Truncated));
     assert_eq!(decode::<Decision<Level>>(FLEET, &bytes), Err(Refusal::Kind));
     let endless = Decision { valid_ms: u32::MAX, ..decision(1, 1, 1.0) };
     let bytes = encode(FLEET, &endless).unwrap();
--- a/quota-gateway/controller/src/cells.rs
+++ b/quota-gateway/controller/src/cells.rs
@@ -1,8 +1,8 @@
 //! Asks of cells, each on its way at most once, and what came of them.
 
 use marblecroft_control_messages::frame::{decode, encode, Fleet, Head, HEAD};
-use marblecroft_shard_map::cell::{Asked, Said};
-use marblecroft_shard_map::moves::Ask;
+use marblecroft_shard_map::cell::{CellReply, CellRequest};
+use marblecroft_shard_map::moves::CellOperation;
 use marblecroft_shard_map::owner::Answer;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,9 +17,9 @@
 use tokio::time::timeout;
 
 /// One ask is waited for this long; it is asked again as long as the map wants it.
-const ASK: Duration = Duration::from_secs(1);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// Asks that are on their way at once.
-const ASKS_MOST: usize = 64;
+const MAX_CONCURRENT_REQUESTS: usize = 64;
 /// Between two tries of an ask that is not at its end, or that found nobody.
 const AGAIN: Duration = Duration::from_millis(20);
 
@@ -28,8 +28,8 @@
     fleet: Fleet,
     at: BTreeMap<u32, SocketAddr>,
     links: RefCell<BTreeMap<u32, TcpStream>>,
-    out: RefCell<BTreeSet<Ask>>,
-    answers: RefCell<Vec<Answer>>,
+    in_flight: RefCell<BTreeSet<CellOperation>>,
+    replies: RefCell<Vec<Answer>>,
     /// Something was answered.
     pub answered: Notify,
     pub failed: Cell<u64>,
@@ -43,8 +43,8 @@
             fleet,
             at,
             links: RefCell::default(),
-            out: RefCell::default(),
-            answers: RefCell::default(),
+            in_flight: RefCell::default(),
+            replies: RefCell::default(),
             answered: Notify::new(),
             failed: Cell::new(0),
             fenced: Cell::new(0),
@@ -52,43 +52,43 @@
     }
 
     /// What has been answered since it was last asked for.
-    pub fn answers(&self) -> Vec<Answer> {
-        std::mem::take(&mut self.answers.borrow_mut())
+    pub fn take_replies(&self) -> Vec<Answer> {
+        std::mem::take(&mut self.replies.borrow_mut())
     }
 
     /// Asks, unless the same is on its way.
-    pub fn ask(self: &Rc<Self>, token: u64, ask: Ask) {
-        let mut out = self.out.borrow_mut();
-        if out.len() >= ASKS_MOST || !out.insert(ask) {
+    pub fn request(self: &Rc<Self>, token: u64, ask: CellOperation) {
+        let mut out = self.in_flight.borrow_mut();
+        if out.len() >= MAX_CONCURRENT_REQUESTS || !out.insert(ask) {
             return;
         }
         drop(out);
         let cells = self.clone();
         spawn_local(async move {
-            match timeout(ASK, cells.exchange(token, ask)).await {
-                Ok(Ok(Said::Done)) => cells.answers.borrow_mut().push(match ask {
-                    Ask::Shut { range, epoch, .. } => Answer::Shut(range.0, epoch),
-                    Ask::Copy { range, epoch, .. } => Answer::Copied(range.0, epoch),
-                    Ask::Open { range, epoch, .. } => Answer::Opened(range.0, epoch),
+            match timeout(REQUEST_TIMEOUT, cells.exchange(token, ask)).await {
+                Ok(Ok(CellReply::Done)) => cells.replies.borrow_mut().push(match ask {
+                    CellOperation::Close { range, epoch, .. } => Answer::Shut(range.0, epoch),
+                    CellOperation::Copy { range, epoch, .. } => Answer::Copied(range.0, epoch),
+                    CellOperation::Open { range, epoch, .. } => Answer::Opened(range.0, epoch),
                 }),
-                Ok(Ok(Said::NotYet)) => tokio::time::sleep(AGAIN).await,
-                Ok(Ok(Said::Fenced { .. })) => {
+                Ok(Ok(CellReply::InProgress)) => tokio::time::sleep(AGAIN).await,
+                Ok(Ok(CellReply::Fenced { .. })) => {
                     cells.fenced.set(cells.fenced.get() + 1);
-                    tokio::time::sleep(ASK).await;
+                    tokio::time::sleep(REQUEST_TIMEOUT).await;
                 }
                 // Another epoch is due there: the map that is published next says which, or another owner's does.
-                Ok(Ok(Said::Higher)) => tokio::time::sleep(ASK).await,
+                Ok(Ok(CellReply::Higher)) => tokio::time::sleep(REQUEST_TIMEOUT).await,
                 Ok(Err(_)) | Err(_) => {
                     cells.failed.set(cells.failed.get() + 1);
                     tokio::time::sleep(AGAIN).await;
                 }
             }
-            cells.out.borrow_mut().remove(&ask);
+            cells.in_flight.borrow_mut().remove(&ask);
             cells.answered.notify_one();
         });
     }
 
-    async fn exchange(&self, token: u64, ask: Ask) -> io::Result<Said> {
+    async fn exchange(&self, token: u64, ask: CellOperation) -> io::Result<CellReply> {
         let cell = ask.cell();
         let kept = self.links.borrow_mut().remove(&cell);
         let mut link = match kept {
@@ -98,7 +98,8 @@
                 TcpStream::connect(addr).await?
             }
         };
-        let bytes = encode(self.fleet, &Asked { token, ask }).ok_or_else(|| io::Error::other("too long"))?;
+        let bytes = encode(self.fleet, &CellRequest { token, operation: ask })
+            .ok_or_else(|| io::Error::other("too long"))?;
         link.write_all(&bytes).await?;
         let said = read_said(self.fleet, &mut link).await?;
         self.links.borrow_mut().insert(cell, link);
@@ -106,12 +107,12 @@
     }
 }
 
-async fn read_said(fleet: Fleet, link: &mut TcpStream) -> io::Result<Said> {
+async fn read_said(fleet: Fleet, link: &mut TcpStream) -> io::Result<CellReply> {
     let strange = |why| io::Error::other(format!("a cell says what is no answer: {why}"));
     let mut bytes = vec![0; HEAD];
     link.read_exact(&mut bytes).await?;
     let length = Head::read(fleet, &bytes).map_err(strange)?.length;
     bytes.resize(HEAD + length, 0);
     link.read_exact(&mut bytes[HEAD..]).await?;
-    decode::<Said>(fleet, &bytes).map_err(strange)
+    decode::<CellReply>(fleet, &bytes).map_err(strange)
 }
--- a/quota-gateway/controller/src/config.rs
+++ b/quota-gateway/controller/src/config.rs
@@ -1,9 +1,9 @@
 //! A steward's configuration: one TOML file.
 
 use marblecroft_logging::Log;
-use marblecroft_shard_map::map::BOOKS_MOST;
-use marblecroft_shard_map::owner::GATEWAYS_MOST;
-use marblecroft_singleton_roles::keys::DUTIES;
+use marblecroft_shard_map::map::MAX_SHARDS;
+use marblecroft_shard_map::owner::MAX_GATEWAYS;
+use marblecroft_singleton_roles::keys::ROLES;
 use marblecroft_zone_failover::settings::Settings as Zones;
 use serde::Deserialize;
 use std::net::{IpAddr, SocketAddr};
@@ -44,15 +44,15 @@
     /// The zones, where they are decided on.
     pub zones: Option<Zones>,
     /// Where shares are decided on; capacity is that of the zones' decision, or this.
-    pub shares: Option<Shares>,
+    pub shares: Option<FairShareConfig>,
     /// Where it is decided which book is written at which cell.
-    pub books: Option<Books>,
+    pub books: Option<ShardMapConfig>,
 }
 
 /// A cell of pay servers, and where it takes what is asked of it.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct BookCell {
+pub struct ShardCell {
     /// As the list names it.
     pub number: u32,
     pub zone: String,
@@ -63,11 +63,11 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Books {
+pub struct ShardMapConfig {
     /// Books that a map begins with where none stands, of the same width.
-    #[serde(default = "books")]
+    #[serde(default = "default_shard_count")]
     pub count: usize,
-    pub cells: Vec<BookCell>,
+    pub cells: Vec<ShardCell>,
     /// Cells remember epochs and turn lower ones away; without it a move waits for gateways instead.
     pub fencing: bool,
     /// Gateways that there are: while fewer are heard, one that is not may hold an older map.
@@ -76,11 +76,11 @@
     #[serde(default = "attempt_ms")]
     pub attempt_ms: u64,
     /// A step that is not answered for this long is given up, where it can be.
-    #[serde(default = "patience_ms")]
+    #[serde(default = "default_timeout_ms")]
     pub patience_ms: u64,
 }
 
-fn books() -> usize {
+fn default_shard_count() -> usize {
     8
 }
 
@@ -88,18 +88,18 @@
     4000
 }
 
-fn patience_ms() -> u64 {
+fn default_timeout_ms() -> u64 {
     5000
 }
 
-impl Books {
+impl ShardMapConfig {
     /// The error names the field.
     fn check(&self, loopback: bool) -> Result<(), String> {
-        if !(1..=BOOKS_MOST).contains(&self.count) {
-            return Err(format!("count: from 1 to {BOOKS_MOST}"));
+        if !(1..=MAX_SHARDS).contains(&self.count) {
+            return Err(format!("count: from 1 to {MAX_SHARDS}"));
         }
-        if self.cells.is_empty() || self.cells.len() > CELLS_MOST {
-            return Err(format!("cells: 1 to {CELLS_MOST}"));
+        if self.cells.is_empty() || self.cells.len() > MAX_CELLS {
+            return Err(format!("cells: 1 to {MAX_CELLS}"));
         }
         for (i, cell) in self.cells.iter().enumerate() {
             if self.cells[..i].iter().any(|other| other.number == cell.number) {
@@ -111,8 +111,8 @@
                 ));
             }
         }
-        if self.gateways == 0 || self.gateways > GATEWAYS_MOST {
-            return Err(format!("gateways: from 1 to {GATEWAYS_MOST}"));
+        if self.gateways == 0 || self.gateways > MAX_GATEWAYS {
+            return Err(format!("gateways: from 1 to {MAX_GATEWAYS}"));
         }
         for (field, value) in [("attempt_ms", self.attempt_ms), ("patience_ms", self.patience_ms)] {
             if !(100..=600_000).contains(&value) {
@@ -124,7 +124,7 @@
 }
 
 /// Cells that a map is dealt out over.
-const CELLS_MOST: usize = 1024;
+const MAX_CELLS: usize = 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -145,7 +145,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Shares {
+pub struct FairShareConfig {
     /// Units a second, where zones are not decided on.
     pub capacity: f64,
 }
@@ -163,7 +163,7 @@
 }
 
 /// The longest name: a part of a name in the coordination service.
-const NAME_MOST: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 impl Config {
     /// The error is one line that names the field.
@@ -176,8 +176,8 @@
         let config: Config = toml::from_str(text).map_err(|e| e.to_string().trim().replace('\n', " "))?;
         for (field, name) in [("fleet", &config.fleet), ("name", &config.name)] {
             let plain = name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b));
-            if name.is_empty() || name.len() > NAME_MOST || !plain {
-                return Err(format!("{field}: 1 to {NAME_MOST} letters, digits, '-', '_', '.'"));
+            if name.is_empty() || name.len() > MAX_NAME_BYTES || !plain {
+                return Err(format!("{field}: 1 to {MAX_NAME_BYTES} letters, digits, '-', '_', '.'"));
             }
         }
         for (field, addr) in [("listen", Some(config.listen)), ("metrics", config.metrics)] {
@@ -217,15 +217,15 @@
         if let Some(books) = &config.books {
             books.check(!config.allow_other_than_loopback).map_err(|e| format!("books.{e}"))?;
         }
-        if config.duties().is_empty() {
+        if config.roles().is_empty() {
             return Err("zones, shares, books: one of them at least".to_owned());
         }
         Ok(config)
     }
 
     /// The duties that it is a candidate for.
-    pub fn duties(&self) -> Vec<&'static str> {
+    pub fn roles(&self) -> Vec<&'static str> {
         let named = [self.zones.is_some(), self.shares.is_some(), self.books.is_some()];
-        DUTIES.into_iter().zip(named).filter(|(_, named)| *named).map(|(duty, _)| duty).collect()
+        ROLES.into_iter().zip(named).filter(|(_, named)| *named).map(|(duty, _)| duty).collect()
     }
 }
--- a/quota-gateway/controller/src/decisions.rs
+++ b/quota-gateway/controller/src/decisions.rs
@@ -1,18 +1,18 @@
 //! Each decision core behind one interface: reports and what is published in, a decision out.
 
-use crate::books::BooksDuty;
 use crate::cells::Cells;
-use crate::config::{Config, Shares as SharesConfig, Valid};
+use crate::config::{Config, FairShareConfig as SharesConfig, Valid};
+use crate::shard_map_role::ShardMapRole;
 use marblecroft_control_messages::frame::{decode, encode, Fleet, Refusal};
 use marblecroft_control_messages::published::{Body, Decision, Stamp};
 use marblecroft_control_messages::report::Report;
-use marblecroft_fair_share::body::SharesDecided;
+use marblecroft_fair_share::body::ShareDecision;
 use marblecroft_fair_share::owner::Owner as Shares;
 use marblecroft_fair_share::taker::SHRINK;
 use marblecroft_singleton_roles::keys::Names;
 use marblecroft_singleton_roles::view::View;
 use marblecroft_zone_failover::body::{State, ZonesDecided};
-use marblecroft_zone_failover::core::{Order, Zones};
+use marblecroft_zone_failover::core::{OperatorCommand, Zones};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -48,25 +48,32 @@
             let before = read::<ZonesDecided>(fleet, duty, standing).map(|decision| decision.body);
             let core = Zones::begin(settings, now, before.as_ref());
             let held = BTreeSet::new();
-            Some(Box::new(ZonesDuty { fleet, names, valid: config.valid, core, held, kept: 0 }))
+            Some(Box::new(ZoneFailoverRole {
+                fleet,
+                names,
+                valid: config.valid,
+                core,
+                held_zones: held,
+                rejected_failovers: 0,
+            }))
         }
         "shares" => {
-            let before = read::<SharesDecided>(fleet, duty, standing);
+            let before = read::<ShareDecision>(fleet, duty, standing);
             let standing = before.as_ref().map(|decision| (decision.stamp, &decision.body));
             let valid = Duration::from_millis(config.valid.shares_ms.into());
-            let core = Shares::begin(now, valid, SHRINK, SETTLE, standing);
-            Some(Box::new(SharesDuty { fleet, names, valid: config.valid, config: config.shares?, core }))
+            let core = Shares::begin(now, valid, SHRINK, OBSERVATION_TIME, standing);
+            Some(Box::new(FairShareRole { fleet, names, valid: config.valid, config: config.shares?, core }))
         }
         "books" => {
             let books = config.books.clone()?;
-            Some(Box::new(BooksDuty::begin(fleet, names, config.valid, books, now, standing)))
+            Some(Box::new(ShardMapRole::begin(fleet, names, config.valid, books, now, standing)))
         }
         _ => None,
     }
 }
 
 /// An owner of shares listens for so long before it decides: two reports of every gateway.
-const SETTLE: Duration = Duration::from_millis(2200);
+const OBSERVATION_TIME: Duration = Duration::from_millis(2200);
 
 /// A decision of another build is as none: this one decides anew, from what it hears.
 pub fn read<T: Body>(fleet: Fleet, duty: &str, standing: Option<&[u8]>) -> Option<Decision<T>> {
@@ -74,39 +81,39 @@
     decision.inspect_err(|why| warn!(duty, "{duty}: the decision that stands cannot be read: {why}")).ok()
 }
 
-struct ZonesDuty {
+struct ZoneFailoverRole {
     fleet: Fleet,
     names: Names,
     valid: Valid,
     core: Zones,
     /// Zones that operators hold out.
-    held: BTreeSet<String>,
-    kept: u64,
+    held_zones: BTreeSet<String>,
+    rejected_failovers: u64,
 }
 
-impl Decides for ZonesDuty {
+impl Decides for ZoneFailoverRole {
     fn report(&mut self, now: Now, report: &Report) -> Result<(), Refusal> {
         self.core.report(now, report)
     }
 
     fn view(&mut self, now: Now, view: &View) {
-        let holds = self.names.hold("");
+        let holds = self.names.zone_hold("");
         let told: BTreeSet<String> = view.under(&holds).map(|(zone, _)| zone.to_owned()).collect();
-        for zone in told.difference(&self.held) {
-            if !self.core.order(now, &Order::Hold(zone.clone())) {
+        for zone in told.difference(&self.held_zones) {
+            if !self.core.on_operator_command(now, &OperatorCommand::Hold(zone.clone())) {
                 warn!(zone = %zone, "an operator holds out {zone}, which is none of the zones");
             }
         }
-        for zone in self.held.difference(&told) {
-            self.core.order(now, &Order::Return(zone.clone()));
+        for zone in self.held_zones.difference(&told) {
+            self.core.on_operator_command(now, &OperatorCommand::Return(zone.clone()));
         }
         // One that an owner before this one took for held, and that nobody holds any more.
-        for zone in self.core.held_out() {
+        for zone in self.core.held_zones() {
             if !told.contains(&zone) {
-                self.core.order(now, &Order::Return(zone));
+                self.core.on_operator_command(now, &OperatorCommand::Return(zone));
             }
         }
-        self.held = told;
+        self.held_zones = told;
     }
 
     fn decide(&mut self, now: Now, stamp: Stamp) -> Option<Vec<u8>> {
@@ -115,17 +122,17 @@
             info!(zone = %moved.zone, from = moved.from.name(), to = moved.to.name(),
                 "{} is {}, was {}", moved.zone, moved.to.name(), moved.from.name());
         }
-        if self.core.kept() > self.kept {
-            if self.kept == 0 {
+        if self.core.rejected_failovers() > self.rejected_failovers {
+            if self.rejected_failovers == 0 {
                 warn!("a zone looks lost and is kept: it is the last, or another region has just moved");
             }
-            self.kept = self.core.kept();
+            self.rejected_failovers = self.core.rejected_failovers();
         }
         encode(self.fleet, &Decision { stamp, valid_ms: self.valid.zones_ms, body: decided? })
     }
 }
 
-struct SharesDuty {
+struct FairShareRole {
     fleet: Fleet,
     names: Names,
     valid: Valid,
@@ -133,7 +140,7 @@
     core: Shares,
 }
 
-impl Decides for SharesDuty {
+impl Decides for FairShareRole {
     fn report(&mut self, now: Now, report: &Report) -> Result<(), Refusal> {
         self.core.report(now, report)
     }
@@ -141,7 +148,7 @@
     fn view(&mut self, _: Now, view: &View) {
         let zones = view.get(&self.names.decision("zones"));
         let zones = zones.and_then(|bytes| decode::<Decision<ZonesDecided>>(self.fleet, bytes).ok());
-        let takes = |state: State| !matches!(state, State::Out | State::HeldOut);
+        let takes = |state: State| !matches!(state, State::FailedOver | State::HeldByOperator);
         let bears = zones.map(|decision| {
             let open = decision.body.zones.iter().filter(|zone| takes(zone.state));
             open.map(|zone| zone.bears).sum::<f64>()
--- a/quota-gateway/controller/src/lib.rs
+++ b/quota-gateway/controller/src/lib.rs
@@ -8,10 +8,10 @@
 //! - [`metrics`]: figures for whoever watches over it.
 #![forbid(unsafe_code)]
 
-pub mod books;
 pub mod cells;
 pub mod config;
 pub mod decisions;
 pub mod metrics;
 pub mod reports;
+pub mod shard_map_role;
 pub mod work;
--- a/quota-gateway/controller/src/main.rs
+++ b/quota-gateway/controller/src/main.rs
@@ -6,12 +6,12 @@
 use marblecroft_control_messages::published::Decision;
 use marblecroft_controller::config::Config;
 use marblecroft_controller::reports::Reports;
-use marblecroft_controller::work::{own, Shared};
+use marblecroft_controller::work::{run_role, Shared};
 use marblecroft_coordination::client::Client;
 use marblecroft_coordination::metrics;
 use marblecroft_coordination::state::{Op, Owner};
 use marblecroft_logging::Log;
-use marblecroft_singleton_roles::keys::{read, write, Candidate, Names, Order, Owns, DUTIES};
+use marblecroft_singleton_roles::keys::{read, write, Candidate, Names, OperatorCommand, RoleOwner, ROLES};
 use marblecroft_singleton_roles::run::{candidate, follow, Figures, Settings};
 use marblecroft_zone_failover::body::ZonesDecided;
 use std::cell::{Cell, RefCell};
@@ -27,7 +27,7 @@
 
 const PROGRAM: &str = "marblecroft-controller";
 /// An operator waits for an answer this long.
-const PATIENCE: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A candidate for the fleet's decisions, and what operators say of them
 #[derive(Parser)]
@@ -85,7 +85,7 @@
         runtime.block_on(async {
             match config {
                 Some(config) => serve(config).await,
-                None => ask(args).await,
+                None => call(args).await,
             }
         })
     });
@@ -139,10 +139,10 @@
         session: Duration::from_millis(config.session_ms),
     };
     // For the life of the process.
-    let duties: &'static [&'static str] = config.duties().leak();
+    let duties: &'static [&'static str] = config.roles().leak();
     let work = {
         let shared = shared.clone();
-        move |lease| own(shared.clone(), lease)
+        move |lease| run_role(shared.clone(), lease)
     };
     info!(addr = %listen, "listening on {listen}");
     tokio::select! {
@@ -153,40 +153,40 @@
     Ok(())
 }
 
-async fn ask(args: Args) -> Result<(), String> {
+async fn call(args: Args) -> Result<(), String> {
     let client = Client::new(args.at);
     let names = Names::of(&args.fleet);
     let known = |duty: &str| {
-        let known = DUTIES.contains(&duty);
-        known.then_some(()).ok_or_else(|| format!("{duty}: the duties are {}", DUTIES.join(", ")))
+        let known = ROLES.contains(&duty);
+        known.then_some(()).ok_or_else(|| format!("{duty}: the duties are {}", ROLES.join(", ")))
     };
     let put = |key: String, value: Vec<u8>| Op::Put { key, value, expect: None, owner: Owner::Nobody };
     let delete = |key: String| Op::Delete { key, expect: None, owner: Owner::Nobody };
     let op = match args.call {
         Call::Run { .. } => return Err("run is no question".to_owned()),
         Call::Zones => return zones(&client, &names, &args.fleet).await,
-        Call::Duties => return duties(&client, &names).await,
-        Call::Hold { zone } => put(names.hold(&zone), vec![1]),
-        Call::Return { zone } => delete(names.hold(&zone)),
+        Call::Duties => return print_roles(&client, &names).await,
+        Call::Hold { zone } => put(names.zone_hold(&zone), vec![1]),
+        Call::Return { zone } => delete(names.zone_hold(&zone)),
         Call::Move { duty, to } => {
             known(&duty)?;
-            put(names.order(&duty), write(&Order::Move(to)))
+            put(names.operator_command(&duty), write(&OperatorCommand::Move(to)))
         }
         Call::Pause { duty } => {
             known(&duty)?;
-            put(names.order(&duty), write(&Order::Pause))
+            put(names.operator_command(&duty), write(&OperatorCommand::Pause))
         }
         Call::Resume { duty } => {
             known(&duty)?;
-            delete(names.order(&duty))
+            delete(names.operator_command(&duty))
         }
     };
-    client.call(op, PATIENCE).await.map(drop).map_err(|e| e.to_string())
+    client.call(op, CALL_TIMEOUT).await.map(drop).map_err(|e| e.to_string())
 }
 
 async fn zones(client: &Client, names: &Names, fleet: &str) -> Result<(), String> {
     let key = names.decision("zones");
-    let (_, values) = client.read(&key, PATIENCE).await.map_err(|e| e.to_string())?;
+    let (_, values) = client.read(&key, CALL_TIMEOUT).await.map_err(|e| e.to_string())?;
     let Some((_, bytes, _)) = values.into_iter().find(|(name, ..)| *name == key) else {
         return Err("nothing is decided yet".to_owned());
     };
@@ -209,17 +209,17 @@
     Ok(())
 }
 
-async fn duties(client: &Client, names: &Names) -> Result<(), String> {
-    let (_, values) = client.read(&names.prefix, PATIENCE).await.map_err(|e| e.to_string())?;
-    for duty in DUTIES {
+async fn print_roles(client: &Client, names: &Names) -> Result<(), String> {
+    let (_, values) = client.read(&names.prefix, CALL_TIMEOUT).await.map_err(|e| e.to_string())?;
+    for duty in ROLES {
         let at =
             |key: String| values.iter().find(|(name, ..)| *name == key).map(|(_, value, _)| value.as_slice());
-        let owner = at(names.owner(duty)).and_then(read::<Owns>);
-        let order = at(names.order(duty)).and_then(read::<Order>);
+        let owner = at(names.owner(duty)).and_then(read::<RoleOwner>);
+        let order = at(names.operator_command(duty)).and_then(read::<OperatorCommand>);
         let order = match order {
             None => String::new(),
-            Some(Order::Pause) => ", paused".to_owned(),
-            Some(Order::Move(who)) => format!(", to be {who}'s"),
+            Some(OperatorCommand::Pause) => ", paused".to_owned(),
+            Some(OperatorCommand::Move(who)) => format!(", to be {who}'s"),
         };
         match owner {
             Some(owner) => {
--- a/quota-gateway/controller/src/metrics.rs
+++ b/quota-gateway/controller/src/metrics.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::AtomicU64;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct Duty {
+struct RoleLabels {
     duty: String,
 }
 
@@ -23,9 +23,9 @@
 /// The page as it is now.
 pub fn page(shared: &Rc<Shared>, figures: &Rc<Figures>) -> String {
     let mut registry = Registry::with_prefix("marblecroft_controller");
-    let owns = Family::<Duty, Gauge>::default();
+    let owns = Family::<RoleLabels, Gauge>::default();
     for (duty, token) in figures.owns.borrow().iter() {
-        owns.get_or_create(&Duty { duty: duty.clone() }).set(i64::try_from(*token).unwrap_or(i64::MAX));
+        owns.get_or_create(&RoleLabels { duty: duty.clone() }).set(i64::try_from(*token).unwrap_or(i64::MAX));
     }
     registry.register("owns", "Duties that are owned here, by the token", owns);
     let refused = Family::<Why, Gauge>::default();
--- a/quota-gateway/controller/src/reports.rs
+++ b/quota-gateway/controller/src/reports.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, timeout};
 
 /// A gateway reports once a second; one that says nothing for this long has gone without a word, and its place is wanted.
-const SILENT: Duration = Duration::from_secs(30);
+const GATEWAY_TTL: Duration = Duration::from_secs(30);
 /// Reports that wait for one duty's turn; what comes beyond is dropped, as the next one of its gateway says the same or newer.
 pub const WAITING: usize = 8192;
 
@@ -90,7 +90,7 @@
     async fn hear(&self, mut stream: TcpStream) {
         loop {
             let mut bytes = vec![0; HEAD];
-            match timeout(SILENT, stream.read_exact(&mut bytes)).await {
+            match timeout(GATEWAY_TTL, stream.read_exact(&mut bytes)).await {
                 Ok(Ok(_)) => {}
                 _ => return,
             }
@@ -99,9 +99,9 @@
                 Err(why) => return self.refuse(why),
             };
             bytes.resize(HEAD + length, 0);
-            match timeout(SILENT, stream.read_exact(&mut bytes[HEAD..])).await {
+            match timeout(GATEWAY_TTL, stream.read_exact(&mut bytes[HEAD..])).await {
                 Ok(Ok(_)) => {}
-                _ => return self.refuse(Refusal::CutOff),
+                _ => return self.refuse(Refusal::Truncated),
             }
             self.bytes.set(self.bytes.get() + bytes.len() as u64);
             match decode::<Report>(self.fleet, &bytes) {
--- a/quota-gateway/controller/src/books.rs
+++ b/quota-gateway/controller/src/shard_map_role.rs
@@ -1,13 +1,13 @@
 //! The duty of the books: the core behind the interface of all decisions, what it knows of cells, and what it asks of them.
 
 use crate::cells::Cells;
-use crate::config::{Books as BooksConfig, Valid};
+use crate::config::{ShardMapConfig as BooksConfig, Valid};
 use crate::decisions::{read, Decides, Now};
 use marblecroft_control_messages::frame::{decode, encode, Fleet, Refusal};
 use marblecroft_control_messages::published::{Decision, Stamp};
 use marblecroft_control_messages::report::Report;
-use marblecroft_shard_map::map::{BookMap, Cell, Firm};
-use marblecroft_shard_map::moves::Ask;
+use marblecroft_shard_map::map::{Cell, Firm, ShardMap};
+use marblecroft_shard_map::moves::CellOperation;
 use marblecroft_shard_map::owner::{Owner, Waits};
 use marblecroft_shard_map::plan::{CellSeen, Limits};
 use marblecroft_singleton_roles::keys::{self, Names};
@@ -21,7 +21,7 @@
 /// A cell that nothing says what it bears is taken to bear this.
 const BEARS: f64 = 1e9;
 
-pub struct BooksDuty {
+pub struct ShardMapRole {
     fleet: Fleet,
     names: Names,
     valid: Valid,
@@ -29,14 +29,14 @@
     core: Owner,
     cells: Rc<Cells>,
     /// What is asked of cells once the map that wants it is published.
-    asks: Vec<Ask>,
+    pending_requests: Vec<CellOperation>,
     /// The map that is on its way to be published.
-    publishing: Option<BookMap>,
+    publishing: Option<ShardMap>,
     token: u64,
     moves: u64,
 }
 
-impl BooksDuty {
+impl ShardMapRole {
     pub fn begin(
         fleet: Fleet,
         names: Names,
@@ -44,10 +44,10 @@
         config: BooksConfig,
         now: Now,
         standing: Option<&[u8]>,
-    ) -> BooksDuty {
-        let before = read::<BookMap>(fleet, "books", standing);
+    ) -> ShardMapRole {
+        let before = read::<ShardMap>(fleet, "books", standing);
         let numbers: Vec<Cell> = config.cells.iter().map(|cell| cell.number).collect();
-        let map = before.map_or_else(|| BookMap::even(config.count, &numbers), |before| before.body);
+        let map = before.map_or_else(|| ShardMap::even(config.count, &numbers), |before| before.body);
         let waits = Waits {
             fencing: config.fencing,
             gateways: config.gateways,
@@ -56,14 +56,14 @@
             patience: Duration::from_millis(config.patience_ms),
         };
         let at = config.cells.iter().map(|cell| (cell.number, cell.at)).collect();
-        BooksDuty {
+        ShardMapRole {
             fleet,
             names,
             valid,
             core: Owner::begin(now, map, waits, Limits::default()),
             cells: Cells::new(fleet, at),
             config,
-            asks: Vec::new(),
+            pending_requests: Vec::new(),
             publishing: None,
             token: 0,
             moves: 0,
@@ -72,16 +72,16 @@
 
     /// What operators say: this firm's book is to be at that cell, for as long as that takes writes.
     fn orders(&mut self, now: Now, view: &View, seen: &BTreeMap<Cell, CellSeen>) {
-        let prefix = self.names.book("");
+        let prefix = self.names.shard_override("");
         for (firm, bytes) in view.under(&prefix) {
             let (Ok(firm), Some(to)) = (firm.parse::<Firm>(), keys::read::<Cell>(bytes)) else {
                 continue;
             };
             let map = self.core.map();
-            let stands = map.find(firm).map(|at| map.books[at]);
-            let wanted = stands.is_some_and(|book| book.moving.is_none() && book.cell != to);
+            let stands = map.find(firm).map(|at| map.shards[at]);
+            let wanted = stands.is_some_and(|book| book.migration.is_none() && book.cell != to);
             if wanted && seen.get(&to).is_some_and(|cell| cell.takes && !cell.leave) {
-                if let Err(why) = self.core.order(now, firm, to) {
+                if let Err(why) = self.core.on_operator_command(now, firm, to) {
                     warn!(firm, to, ?why, "the book of {firm} is not moved to cell {to}: {why:?}");
                 }
             }
@@ -89,9 +89,9 @@
     }
 }
 
-impl Decides for BooksDuty {
+impl Decides for ShardMapRole {
     fn report(&mut self, now: Now, report: &Report) -> Result<(), Refusal> {
-        self.core.goes_by(now, report.gateway, report.goes_by.books);
+        self.core.goes_by(now, report.gateway, report.goes_by.shard_map);
         Ok(())
     }
 
@@ -110,7 +110,7 @@
                 region: cell.region.clone(),
                 // Into one that is about to be out, or only just back, nothing moves.
                 takes: state == State::Serving,
-                leave: matches!(state, State::Out | State::HeldOut),
+                leave: matches!(state, State::FailedOver | State::HeldByOperator),
                 bears: bears / of(&cell.zone) as f64,
                 load: 0.0,
             };
@@ -119,7 +119,7 @@
         let seen: BTreeMap<Cell, CellSeen> = seen.collect();
         self.orders(now, view, &seen);
         self.core.cells(seen);
-        for answer in self.cells.answers() {
+        for answer in self.cells.take_replies() {
             self.core.answered(now, answer);
         }
     }
@@ -127,7 +127,7 @@
     fn decide(&mut self, now: Now, stamp: Stamp) -> Option<Vec<u8>> {
         self.token = stamp.token;
         let (asks, changed) = self.core.tick(now);
-        self.asks = asks;
+        self.pending_requests = asks;
         if self.core.moves > self.moves {
             info!(moves = self.core.moves, "{} books have moved under this owner", self.core.moves);
             self.moves = self.core.moves;
@@ -149,8 +149,8 @@
     fn act(&mut self) {
         // What a map wants is asked only once it is known to be written down.
         if self.publishing.is_none() {
-            for ask in std::mem::take(&mut self.asks) {
-                self.cells.ask(self.token, ask);
+            for ask in std::mem::take(&mut self.pending_requests) {
+                self.cells.request(self.token, ask);
             }
         }
     }
--- a/quota-gateway/controller/src/work.rs
+++ b/quota-gateway/controller/src/work.rs
@@ -4,7 +4,7 @@
 use crate::decisions::{begin, Now};
 use crate::reports::Reports;
 use marblecroft_control_messages::published::Stamp;
-use marblecroft_singleton_roles::run::{Lease, Word};
+use marblecroft_singleton_roles::run::{Lease, LeaseEvent};
 use marblecroft_singleton_roles::view::View;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -33,21 +33,21 @@
 const READ: Duration = Duration::from_secs(2);
 
 /// Does a duty until its lease is to finish or cannot act any more.
-pub async fn own(shared: Rc<Shared>, mut lease: Lease) {
-    let mut reports = shared.reports.subscribe(&lease.duty);
-    let key = lease.names.decision(&lease.duty);
+pub async fn run_role(shared: Rc<Shared>, mut lease: Lease) {
+    let mut reports = shared.reports.subscribe(&lease.role);
+    let key = lease.names.decision(&lease.role);
     let standing = loop {
         match lease.client.read(&key, READ).await {
             Ok((_, values)) => {
                 break values.into_iter().find(|(name, ..)| *name == key).map(|(_, value, _)| value)
             }
             Err(e) if lease.act().is_some() => {
-                warn!(duty = %lease.duty, "{}: what stands is not read: {e}", lease.duty)
+                warn!(duty = %lease.role, "{}: what stands is not read: {e}", lease.role)
             }
             Err(_) => return,
         }
     };
-    let Some(mut core) = begin(&shared.config, &lease.duty, shared.now(), standing.as_deref()) else {
+    let Some(mut core) = begin(&shared.config, &lease.role, shared.now(), standing.as_deref()) else {
         return;
     };
     let wakes = core.wakes();
@@ -66,12 +66,12 @@
         if let Some(bytes) = decided {
             stamp = next;
             match lease.publish(key.clone(), bytes).await {
-                Word::Taken => {
+                LeaseEvent::Taken => {
                     core.published(shared.now(), stamp);
                     shared.published.set(shared.published.get() + 1);
                 }
-                Word::Unknown => {}
-                Word::Over => return,
+                LeaseEvent::Unknown => {}
+                LeaseEvent::Over => return,
             }
         }
         if lease.act().is_some() {
--- a/quota-gateway/controller/tests/input.rs
+++ b/quota-gateway/controller/tests/input.rs
@@ -1,7 +1,7 @@
 //! What a steward is told: configurations that cannot be used are named by their field, and reports that are none change nothing.
 
 use marblecroft_control_messages::frame::{encode, Fleet, Refusal, HEAD};
-use marblecroft_control_messages::report::{Asked, GoesBy, Report};
+use marblecroft_control_messages::report::{AppliedDecisions, Demand, Report};
 use marblecroft_controller::config::Config;
 use marblecroft_controller::reports::Reports;
 use std::future::Future;
@@ -63,14 +63,14 @@
 fn report(gateway: u32) -> Vec<u8> {
     let report = Report {
         gateway,
-        life: 1,
+        incarnation: 1,
         number: 1,
         zone: "hall-a".to_owned(),
         span_ms: 1000,
-        asked: 1.0,
+        requested_units: 1.0,
         zones: Vec::new(),
-        shares: Asked::default(),
-        goes_by: GoesBy::default(),
+        shares: Demand::default(),
+        goes_by: AppliedDecisions::default(),
     };
     encode(FLEET, &report).expect("short")
 }
@@ -121,7 +121,7 @@
         let mut half = TcpStream::connect(addr).await.expect("connected");
         half.write_all(&report(3)[..HEAD + 2]).await.expect("written");
         drop(half);
-        until(|| count(Refusal::CutOff) == 1).await;
+        until(|| count(Refusal::Truncated) == 1).await;
         assert_eq!(reports.come.get(), 1);
     });
 }
--- a/quota-gateway/coordination/benches/service.rs
+++ b/quota-gateway/coordination/benches/service.rs
@@ -287,7 +287,7 @@
             let before = cluster.on_core();
             sleep(RENEWING).await;
             shares.push((cluster.on_core() - before) / RENEWING.as_secs_f64() * 100.0);
-            let lives = kept.iter().filter(|session| session.lives()).count();
+            let lives = kept.iter().filter(|session| session.is_alive()).count();
             assert_eq!(lives, clients * each, "all live on");
         });
     }
--- a/quota-gateway/coordination/src/client.rs
+++ b/quota-gateway/coordination/src/client.rs
@@ -4,9 +4,9 @@
 //! after a lost answer takes effect once. A watch resumes by its revision, and never misses a change or goes back.
 
 use crate::env::{chance, Clock, Env};
-use crate::lease::Held;
+use crate::lease::HeldLease;
 use crate::peers::translated;
-use crate::state::{ClientId, Done, News, Op, Refused, Revision, SessionId, Token};
+use crate::state::{Changes, ClientId, Done, Op, Refused, Revision, SessionId, Token};
 use crate::wire::{Channel, Request, Response};
 use rand::Rng;
 use std::cell::{Cell, RefCell};
@@ -20,9 +20,9 @@
 use tokio::time::{sleep, timeout_at, Instant};
 
 /// One process is waited for at most this long before another one is asked; a watch for as much longer as it waits.
-const ONE_MOST: Duration = Duration::from_millis(1500);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Pauses between tries grow from the first to the second, each jittered by half either way.
-const PAUSE: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(500));
+const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(500));
 /// Sessions are renewed so many times in their length.
 const RENEWALS: u32 = 4;
 /// A watch that has nothing to tell comes back after this: that it does not is how a leader that has fallen silent is noticed.
@@ -51,22 +51,22 @@
 
 /// What the service knows this client by, and the numbers of its calls. Another one begins where the service says that it has
 /// forgotten this one: after an hour without a call, or as it began anew or was restored from a copy.
-struct Life {
+struct ClientIncarnation {
     id: ClientId,
     number: Cell<u64>,
     /// Numbers of calls that have no answer yet.
     open: RefCell<BTreeSet<u64>>,
 }
 
-impl Life {
-    fn begin() -> Rc<Life> {
+impl ClientIncarnation {
+    fn begin() -> Rc<ClientIncarnation> {
         let id = ClientId(chance(|rng| rng.random()));
-        Rc::new(Life { id, number: Cell::new(0), open: RefCell::default() })
+        Rc::new(ClientIncarnation { id, number: Cell::new(0), open: RefCell::default() })
     }
 }
 
 struct Inner {
-    life: RefCell<Rc<Life>>,
+    incarnation: RefCell<Rc<ClientIncarnation>>,
     addrs: Vec<String>,
     /// Where the leader that is named is called, with its own port, if there is a translator between.
     at: Option<IpAddr>,
@@ -75,7 +75,7 @@
     leader: RefCell<Option<String>>,
     channel: RefCell<Option<Channel>>,
     connecting: tokio::sync::Mutex<()>,
-    sessions: RefCell<BTreeMap<SessionId, Weak<Kept>>>,
+    sessions: RefCell<BTreeMap<SessionId, Weak<SessionState>>>,
     clock: Clock,
     env: Env,
 }
@@ -99,7 +99,7 @@
     pub fn in_env(env: Env, addrs: Vec<String>, at: Option<IpAddr>) -> Client {
         let turn = if addrs.is_empty() { 0 } else { chance(|rng| rng.random_range(0..addrs.len())) };
         Client(Rc::new(Inner {
-            life: RefCell::new(Life::begin()),
+            incarnation: RefCell::new(ClientIncarnation::begin()),
             addrs,
             at,
             turn: Cell::new(turn),
@@ -126,7 +126,7 @@
         let addr = addr.ok_or_else(|| std::io::Error::other("no address is known"))?;
         // Which cluster it is, is not known before it was asked.
         let stranger = Channel::connect_in(&self.0.env, &addr, 0).await?;
-        let cluster = match stranger.ask(Request::Identity).await? {
+        let cluster = match stranger.call(Request::Identity).await? {
             Response::Identity { cluster, .. } if cluster != 0 => cluster,
             _ => return Err(std::io::Error::other("it is of no cluster yet")),
         };
@@ -136,15 +136,15 @@
     }
 
     /// Asks whoever leads, again and again, until there is an answer or the time is over.
-    async fn ask(
+    async fn call_leader(
         &self,
         request: impl Fn() -> Request,
         one: Duration,
         until: Instant,
     ) -> Result<Response, Failed> {
-        let mut pause = PAUSE.0;
+        let mut pause = RETRY_BACKOFF.0;
         loop {
-            let asked = async { self.channel().await?.ask(request()).await };
+            let asked = async { self.channel().await?.call(request()).await };
             let most = (Instant::now() + one).min(until);
             let mut wait = pause.mul_f64(chance(|rng| rng.random_range(0.5..1.5)));
             match timeout_at(most, asked).await {
@@ -170,7 +170,7 @@
                 }
                 Ok(Err(_)) | Err(_) => drop(self.0.channel.replace(None)),
             }
-            pause = (pause * 2).min(PAUSE.1);
+            pause = (pause * 2).min(RETRY_BACKOFF.1);
             if Instant::now() + wait >= until {
                 return Err(Failed::TimedOut);
             }
@@ -180,7 +180,7 @@
 
     /// Has something done, once.
     pub async fn call(&self, op: Op, within: Duration) -> Result<Done, Failed> {
-        let life = self.0.life.borrow().clone();
+        let life = self.0.incarnation.borrow().clone();
         let number = life.number.get() + 1;
         life.number.set(number);
         life.open.borrow_mut().insert(number);
@@ -192,13 +192,13 @@
             let done = life.open.borrow().first().map_or(number, |first| *first) - 1;
             Request::Call { client: life.id, number, done, op: op.clone() }
         };
-        let answer = self.ask(request, ONE_MOST, Instant::now() + within).await;
+        let answer = self.call_leader(request, ATTEMPT_TIMEOUT, Instant::now() + within).await;
         life.open.borrow_mut().remove(&number);
         match answer? {
             Response::Outcome(outcome) => {
                 let forgotten = outcome == Err(Refused::Forgotten);
-                if forgotten && Rc::ptr_eq(&self.0.life.borrow(), &life) {
-                    self.0.life.replace(Life::begin());
+                if forgotten && Rc::ptr_eq(&self.0.incarnation.borrow(), &life) {
+                    self.0.incarnation.replace(ClientIncarnation::begin());
                 }
                 outcome.map_err(Failed::Refused)
             }
@@ -213,7 +213,7 @@
         within: Duration,
     ) -> Result<(Revision, Vec<(String, Vec<u8>, Revision)>), Failed> {
         let request = || Request::Read { prefix: prefix.to_owned(), stale: false };
-        match self.ask(request, ONE_MOST, Instant::now() + within).await? {
+        match self.call_leader(request, ATTEMPT_TIMEOUT, Instant::now() + within).await? {
             Response::Values { revision, values, .. } => Ok((revision, values)),
             other => Err(Failed::No(format!("an answer of another kind: {other:?}"))),
         }
@@ -225,19 +225,27 @@
         request: impl Fn() -> Request,
         within: Duration,
     ) -> Result<Response, Failed> {
-        self.ask(request, ONE_MOST, Instant::now() + within).await
+        self.call_leader(request, ATTEMPT_TIMEOUT, Instant::now() + within).await
     }
 
     /// Changes behind a revision, as soon as there are some; possibly none, and then the revision to go on from.
-    pub async fn news(&self, prefix: &str, since: Revision, within: Duration) -> Result<News, Failed> {
+    pub async fn changes_since(
+        &self,
+        prefix: &str,
+        since: Revision,
+        within: Duration,
+    ) -> Result<Changes, Failed> {
         let wait = within.min(WATCH);
         let request = || Request::Watch {
             prefix: prefix.to_owned(),
             since,
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
         };
-        match self.ask(request, wait + ONE_MOST, Instant::now() + within + ONE_MOST).await? {
-            Response::News(news) => Ok(news),
+        match self
+            .call_leader(request, wait + ATTEMPT_TIMEOUT, Instant::now() + within + ATTEMPT_TIMEOUT)
+            .await?
+        {
+            Response::Changes(news) => Ok(news),
             other => Err(Failed::No(format!("an answer of another kind: {other:?}"))),
         }
     }
@@ -252,11 +260,11 @@
         let asked = self.now();
         let opened = self.call(Op::Open { ttl_ms, name: name.to_owned() }, within).await?;
         let Done::Opened(id) = opened else { return Err(Failed::No("no session was opened".to_owned())) };
-        let kept = Rc::new(Kept {
+        let kept = Rc::new(SessionState {
             client: self.clone(),
             id,
             ttl,
-            held: Cell::new(Held::asked_at(asked, ttl, 0)),
+            lease: Cell::new(HeldLease::granted_at_request(asked, ttl, 0)),
             over: Cell::new(false),
             lapsing: Cell::new(false),
         });
@@ -274,7 +282,7 @@
     // Clients that began together do not renew together.
     let mut share = chance(|rng| rng.random_range(0.3..1.0));
     loop {
-        let kept: Vec<Rc<Kept>> = {
+        let kept: Vec<Rc<SessionState>> = {
             let mut sessions = client.0.sessions.borrow_mut();
             sessions
                 .retain(|_, kept| kept.upgrade().is_some_and(|kept| !kept.over.get() && !kept.lapsing.get()));
@@ -287,11 +295,11 @@
         share = chance(|rng| rng.random_range(0.8..1.2));
         let asked = client.now();
         let request = || Request::Renew { sessions: ids.clone() };
-        let answer = client.ask(request, shortest / RENEWALS, Instant::now() + shortest / 2).await;
+        let answer = client.call_leader(request, shortest / RENEWALS, Instant::now() + shortest / 2).await;
         let Ok(Response::Renewed(live)) = answer else { continue };
         for kept in client.0.sessions.borrow().values().filter_map(Weak::upgrade) {
             if live.contains(&kept.id) {
-                kept.held.set(kept.held.get().renewed(asked, kept.ttl));
+                kept.lease.set(kept.lease.get().renewed(asked, kept.ttl));
             } else if ids.contains(&kept.id) {
                 kept.over.set(true);
             }
@@ -299,18 +307,18 @@
     }
 }
 
-struct Kept {
+struct SessionState {
     client: Client,
     id: SessionId,
     ttl: Duration,
     /// Until when the session lives for certain; without a token of its own.
-    held: Cell<Held>,
+    lease: Cell<HeldLease>,
     over: Cell<bool>,
     lapsing: Cell<bool>,
 }
 
 /// A session of this process; renewed for as long as it or a lock of it is held here, and then over in its time.
-pub struct Session(Rc<Kept>);
+pub struct Session(Rc<SessionState>);
 
 impl Session {
     pub fn id(&self) -> SessionId {
@@ -323,8 +331,8 @@
     }
 
     /// Whether it lives for certain.
-    pub fn lives(&self) -> bool {
-        !self.0.over.get() && self.0.held.get().act(self.0.client.now()).is_some()
+    pub fn is_alive(&self) -> bool {
+        !self.0.over.get() && self.0.lease.get().act(self.0.client.now()).is_some()
     }
 
     /// The lock, waiting for it in order for so long.
@@ -333,7 +341,7 @@
         if granted == Err(Failed::TimedOut) {
             // The place in the queue is given back, or it would be granted to nobody who waits; it may never have been taken.
             let leave = Op::Release { session: self.0.id, lock: lock.to_owned() };
-            drop(self.0.client.call(leave, ONE_MOST).await);
+            drop(self.0.client.call(leave, ATTEMPT_TIMEOUT).await);
         }
         granted.map(|token| Lock { name: lock.to_owned(), token, session: self.0.clone() })
     }
@@ -354,9 +362,9 @@
             // asking once more.
             since = Some(match since {
                 None => client.read(lock, rest()).await?.0,
-                Some(from) => match bounded(until, client.news(lock, from, rest())).await? {
-                    News::Changes { upto, .. } => upto,
-                    News::Lost { now } => now,
+                Some(from) => match bounded(until, client.changes_since(lock, from, rest())).await? {
+                    Changes::Changes { upto, .. } => upto,
+                    Changes::Lost { now } => now,
                 },
             });
         }
@@ -378,7 +386,7 @@
 pub struct Lock {
     name: String,
     token: Token,
-    session: Rc<Kept>,
+    session: Rc<SessionState>,
 }
 
 impl Lock {
@@ -386,7 +394,7 @@
     /// effect checks the token all the same: this process may stop between here and there.
     pub fn act(&self) -> Option<Token> {
         let lives =
-            !self.session.over.get() && self.session.held.get().act(self.session.client.now()).is_some();
+            !self.session.over.get() && self.session.lease.get().act(self.session.client.now()).is_some();
         lives.then_some(self.token)
     }
 
--- a/quota-gateway/coordination/src/fence.rs
+++ b/quota-gateway/coordination/src/fencing.rs
@@ -5,7 +5,7 @@
 
 /// The highest token seen at one place. A check by the owner itself is never enough: it can stop between check and act.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Fence {
+pub struct FencedResource {
     highest: Token,
 }
 
@@ -16,7 +16,7 @@
     pub highest: Token,
 }
 
-impl Fence {
+impl FencedResource {
     /// Lets an effect under this token pass, or says that it comes too late.
     pub fn admit(&mut self, token: Token) -> Result<(), Late> {
         if token < self.highest {
--- a/quota-gateway/coordination/src/lease.rs
+++ b/quota-gateway/coordination/src/lease.rs
@@ -11,43 +11,43 @@
 pub type Instant = Duration;
 
 /// The most that two clocks may run apart, as a share. Ten times what oscillators do, as a machine under a hypervisor may.
-pub const DRIFT_MOST: f64 = 0.1;
+pub const MAX_CLOCK_DRIFT: f64 = 0.1;
 /// Lengths that a session may have.
-pub const TTL_LEAST: Duration = Duration::from_millis(500);
-pub const TTL_MOST: Duration = Duration::from_secs(300);
+pub const MIN_TTL: Duration = Duration::from_millis(500);
+pub const MAX_TTL: Duration = Duration::from_secs(300);
 
 /// What is left of a session's time at its holder: shorter than the service's, by the drift and a hundredth more.
 fn holders_share(ttl: Duration) -> Duration {
-    ttl.mul_f64(0.99 / (1.0 + DRIFT_MOST))
+    ttl.mul_f64(0.99 / (1.0 + MAX_CLOCK_DRIFT))
 }
 
 /// A lock that is held, at its holder. It is worth nothing after its deadline, and every act asks it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Held {
+pub struct HeldLease {
     token: Token,
-    until: Instant,
+    expires_at: Instant,
 }
 
-impl Held {
+impl HeldLease {
     /// A grant, or a renewal, that was asked for at this instant: the session's time is counted from *before* the call left,
     /// as the service may have begun to count then.
-    pub fn asked_at(asked: Instant, ttl: Duration, token: Token) -> Held {
-        Held { token, until: asked + holders_share(ttl) }
+    pub fn granted_at_request(asked: Instant, ttl: Duration, token: Token) -> HeldLease {
+        HeldLease { token, expires_at: asked + holders_share(ttl) }
     }
 
     /// The same lock after a renewal that was asked for at this instant and answered. An answer that came late never
     /// shortens what an earlier one gave.
-    pub fn renewed(self, asked: Instant, ttl: Duration) -> Held {
-        Held { until: self.until.max(asked + holders_share(ttl)), ..self }
+    pub fn renewed(self, asked: Instant, ttl: Duration) -> HeldLease {
+        HeldLease { expires_at: self.expires_at.max(asked + holders_share(ttl)), ..self }
     }
 
     /// The token to act under at this instant; `None` once the service may have ended the session.
     pub fn act(&self, now: Instant) -> Option<Token> {
-        (now < self.until).then_some(self.token)
+        (now < self.expires_at).then_some(self.token)
     }
 
     pub fn until(&self) -> Instant {
-        self.until
+        self.expires_at
     }
 }
 
--- a/quota-gateway/coordination/src/lib.rs
+++ b/quota-gateway/coordination/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`lease`]: when a session ends, for the service and, earlier, for its holder.
 //! - [`fence`]: the place that takes an effect, and remembers the highest token.
 //! - [`raft`], [`storage`]: the consensus crate's view of the state machine, and the log on a disk.
-//! - [`env`], [`disk`]: clocks, chance, connections and disks, so that whole clusters can be played from a seed.
+//! - [`mod@env`], [`disk`]: clocks, chance, connections and disks, so that whole clusters can be played from a seed.
 //! - [`metrics`]: figures for whoever watches over a process.
 //! - [`wire`], [`peers`], [`service`], [`client`]: frames, processes among each other, one process, and its clients.
 #![forbid(unsafe_code)]
@@ -12,7 +12,7 @@
 pub mod client;
 pub mod disk;
 pub mod env;
-pub mod fence;
+pub mod fencing;
 pub mod lease;
 pub mod metrics;
 pub mod peers;
--- a/quota-gateway/coordination/src/main.rs
+++ b/quota-gateway/coordination/src/main.rs
@@ -29,7 +29,7 @@
 
 const PROGRAM: &str = "marblecroft-coordination-server";
 /// An operator waits for an answer this long.
-const PATIENCE: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A process of the coordination service, and what operators ask of it
 #[derive(Parser)]
@@ -210,8 +210,9 @@
             (ExitCode::FAILURE, restore(&file, &data, &addr).inspect_err(|e| eprintln!("{PROGRAM}: {e}")))
         }
         call => {
-            let asked =
-                runtime.map_err(|e| e.to_string()).and_then(|runtime| runtime.block_on(ask(args.at, call)));
+            let asked = runtime
+                .map_err(|e| e.to_string())
+                .and_then(|runtime| runtime.block_on(run_call(args.at, call)));
             (ExitCode::FAILURE, asked.inspect_err(|e| eprintln!("{PROGRAM}: {e}")))
         }
     };
@@ -289,8 +290,8 @@
 }
 
 async fn one(addr: &str, cluster: u64, request: Request) -> Result<Response, String> {
-    let asked = async { Channel::connect(addr, cluster).await?.ask(request).await };
-    match timeout(PATIENCE, asked).await {
+    let asked = async { Channel::connect(addr, cluster).await?.call(request).await };
+    match timeout(CALL_TIMEOUT, asked).await {
         Ok(answer) => answer.map_err(|e| format!("{addr}: {e}")),
         Err(_) => Err(format!("{addr}: no answer")),
     }
@@ -311,7 +312,7 @@
     }
 }
 
-async fn ask(at: Vec<String>, call: Call) -> Result<(), String> {
+async fn run_call(at: Vec<String>, call: Call) -> Result<(), String> {
     let client = Client::new(at.clone());
     match call {
         Call::Begin => {
@@ -365,7 +366,7 @@
         }
         Call::Add { addr } => {
             let (node, cluster) = identity(&addr).await?;
-            let own = match client.question(|| Request::Identity, PATIENCE).await.map_err(failed)? {
+            let own = match client.question(|| Request::Identity, CALL_TIMEOUT).await.map_err(failed)? {
                 Response::Identity { cluster, .. } => cluster,
                 other => return Err(format!("{other:?}")),
             };
@@ -374,16 +375,16 @@
             }
             agreed(&addr, one(&addr, 0, Request::Join { cluster: own }).await?)?;
             let add = || Request::Add { node, addr: addr.clone() };
-            agreed(&addr, client.question(add, PATIENCE).await.map_err(failed)?)?;
+            agreed(&addr, client.question(add, CALL_TIMEOUT).await.map_err(failed)?)?;
             println!("{node:016x} {addr} votes");
         }
         Call::Remove { node } => {
             let node =
                 NodeId::from_str_radix(&node, 16).map_err(|_| format!("{node:?} is no member's number"))?;
-            let answer = client.question(|| Request::Remove { node }, PATIENCE).await.map_err(failed)?;
+            let answer = client.question(|| Request::Remove { node }, CALL_TIMEOUT).await.map_err(failed)?;
             agreed("the service", answer)?;
         }
-        Call::Locks => match client.question(|| Request::Locks, PATIENCE).await.map_err(failed)? {
+        Call::Locks => match client.question(|| Request::Locks, CALL_TIMEOUT).await.map_err(failed)? {
             Response::Locks(lines) => lines.iter().for_each(|line| {
                 println!(
                     "{} token {} session {} of {}, {} wait",
@@ -392,19 +393,19 @@
             }),
             other => return Err(format!("{other:?}")),
         },
-        Call::Sessions => match client.question(|| Request::Sessions, PATIENCE).await.map_err(failed)? {
+        Call::Sessions => match client.question(|| Request::Sessions, CALL_TIMEOUT).await.map_err(failed)? {
             Response::Sessions(lines) => lines.iter().for_each(|line| {
                 println!("{} of {}, {} ms, {} locks", line.id.0, line.who, line.ttl_ms, line.locks);
             }),
             other => return Err(format!("{other:?}")),
         },
-        Call::Release { lock } => drop(client.call(Op::Revoke { lock }, PATIENCE).await.map_err(failed)?),
+        Call::Release { lock } => drop(client.call(Op::Revoke { lock }, CALL_TIMEOUT).await.map_err(failed)?),
         Call::Snapshot { file } => {
             let mut all = Vec::new();
             loop {
                 let from = all.len() as u64;
-                match client.question(|| Request::Snapshot { from }, PATIENCE).await.map_err(failed)? {
-                    Response::Part { total, bytes } if !bytes.is_empty() => {
+                match client.question(|| Request::Snapshot { from }, CALL_TIMEOUT).await.map_err(failed)? {
+                    Response::SnapshotChunk { total, bytes } if !bytes.is_empty() => {
                         all.extend(bytes);
                         if all.len() as u64 >= total {
                             break;
--- a/quota-gateway/coordination/src/metrics.rs
+++ b/quota-gateway/coordination/src/metrics.rs
@@ -25,7 +25,7 @@
 
 /// Readers of the page at once, and how long one may take.
 const READERS: usize = 8;
-const READER_MOST: Duration = Duration::from_secs(5);
+const READER_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq, EncodeLabelValue)]
 enum Kind {
@@ -38,7 +38,7 @@
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct Asked {
+struct RequestLabels {
     kind: Kind,
 }
 
@@ -61,7 +61,7 @@
 /// What is counted as it happens, and what is looked up when the page is asked for.
 pub struct Metrics {
     registry: Registry,
-    calls: Family<Asked, Counter>,
+    calls: Family<RequestLabels, Counter>,
     busy: Family<Busy, Counter>,
     ended: Counter,
     gauges: Gauges,
@@ -112,7 +112,7 @@
         Metrics { registry, calls, busy, ended, gauges }
     }
 
-    pub fn asked(&self, request: &Request) {
+    pub fn count_request(&self, request: &Request) {
         let kind = match request {
             Request::Append(_) | Request::Vote(_) | Request::Install(_) => Kind::Consensus,
             Request::Call { .. } => Kind::Call,
@@ -121,7 +121,7 @@
             Request::Watch { .. } => Kind::Watch,
             _ => Kind::Operator,
         };
-        self.calls.get_or_create(&Asked { kind }).inc();
+        self.calls.get_or_create(&RequestLabels { kind }).inc();
     }
 
     pub fn refused(&self, why: Why) {
@@ -173,7 +173,7 @@
         let Ok(place) = readers.clone().acquire_owned().await else { return };
         let page = page.clone();
         spawn_local(async move {
-            drop(timeout(READER_MOST, hear(page, stream)).await);
+            drop(timeout(READER_TIMEOUT, hear(page, stream)).await);
             drop(place);
         });
     }
--- a/quota-gateway/coordination/src/peers.rs
+++ b/quota-gateway/coordination/src/peers.rs
@@ -56,7 +56,7 @@
 type Failed<E> = RPCError<NodeId, <Types as RaftTypeConfig>::Node, E>;
 
 impl Peer {
-    async fn ask<E: Error>(&mut self, request: Request, within: Duration) -> Result<Response, Failed<E>> {
+    async fn call<E: Error>(&mut self, request: Request, within: Duration) -> Result<Response, Failed<E>> {
         let asked = async {
             let channel = match &self.channel {
                 Some(channel) => channel.clone(),
@@ -65,7 +65,7 @@
                     self.channel.insert(channel).clone()
                 }
             };
-            channel.ask(request).await
+            channel.call(request).await
         };
         let answered = timeout(within, asked).await;
         match answered {
@@ -95,7 +95,7 @@
         rpc: AppendEntriesRequest<Types>,
         option: RPCOption,
     ) -> Result<AppendEntriesResponse<NodeId>, Failed<RaftError<NodeId>>> {
-        match self.ask(Request::Append(rpc), option.hard_ttl()).await? {
+        match self.call(Request::Append(rpc), option.hard_ttl()).await? {
             Response::Append(answer) => {
                 answer.map_err(|e| RPCError::RemoteError(RemoteError::new(self.node, e)))
             }
@@ -108,7 +108,7 @@
         rpc: InstallSnapshotRequest<Types>,
         option: RPCOption,
     ) -> Result<InstallSnapshotResponse<NodeId>, Failed<RaftError<NodeId, InstallSnapshotError>>> {
-        match self.ask(Request::Install(rpc), option.hard_ttl()).await? {
+        match self.call(Request::Install(rpc), option.hard_ttl()).await? {
             Response::Install(answer) => {
                 answer.map_err(|e| RPCError::RemoteError(RemoteError::new(self.node, e)))
             }
@@ -121,7 +121,7 @@
         rpc: VoteRequest<NodeId>,
         option: RPCOption,
     ) -> Result<VoteResponse<NodeId>, Failed<RaftError<NodeId>>> {
-        match self.ask(Request::Vote(rpc), option.hard_ttl()).await? {
+        match self.call(Request::Vote(rpc), option.hard_ttl()).await? {
             Response::Vote(answer) => {
                 answer.map_err(|e| RPCError::RemoteError(RemoteError::new(self.node, e)))
             }
--- a/quota-gateway/coordination/src/service.rs
+++ b/quota-gateway/coordination/src/service.rs
@@ -8,7 +8,8 @@
 use crate::state::{bounds, ClientId, Command, Op, Outcome, Refused, SessionId, Token};
 use crate::storage::LogStore;
 use crate::wire::{
-    read, write, Broken, LockLine, Message, Request, Response, SessionLine, Status, IN_FLIGHT, PAYLOAD_MOST,
+    read, write, Broken, LockStatus, Message, Request, Response, SessionStatus, Status, IN_FLIGHT,
+    MAX_PAYLOAD_BYTES,
 };
 use openraft::error::{ClientWriteError, RaftError};
 use openraft::{BasicNode, ChangeMembers, Config, ServerState, SnapshotPolicy};
@@ -29,19 +30,19 @@
 /// The leader looks for sessions that are over this often.
 const LOOK_EVERY: Duration = Duration::from_millis(25);
 /// The longest that a watch waits.
-const WATCH_MOST: Duration = Duration::from_secs(60);
+const MAX_WATCH_TIME: Duration = Duration::from_secs(60);
 /// A part of a snapshot that is handed out at once.
-const PART: usize = 1 << 20;
+const SNAPSHOT_CHUNK_BYTES: usize = 1 << 20;
 /// Bytes of answers that wait to be read, for one connection and for all together ...
-const ROOM_ONE: usize = 8 << 20;
-const ROOM_ALL: usize = 64 << 20;
+const MAX_PENDING_BYTES_PER_CONNECTION: usize = 8 << 20;
+const MAX_PENDING_BYTES: usize = 64 << 20;
 /// ... and how long an answer waits for room; then it is `busy`.
-const ROOM_WAIT: Duration = Duration::from_secs(1);
+const PENDING_BYTES_TIMEOUT: Duration = Duration::from_secs(1);
 /// Bytes of values in one answer, and of changes.
-const VALUES: usize = PAYLOAD_MOST / 2;
-const NEWS: usize = 1 << 20;
+const VALUES: usize = MAX_PAYLOAD_BYTES / 2;
+const MAX_CHANGES_BYTES: usize = 1 << 20;
 /// A reader that takes nothing for so long is cut off.
-const WRITE_MOST: Duration = Duration::from_secs(10);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 /// How many tokens a millisecond of the wall clock stands for: more than are ever given in one.
 const TOKENS_PER_MS: Token = 1024;
 
@@ -87,10 +88,10 @@
 }
 
 /// A client that has not called for so long is forgotten, with the answers kept for it.
-const FORGET_AFTER: Duration = Duration::from_secs(3600);
+const CLIENT_TTL: Duration = Duration::from_secs(3600);
 
 /// Where a connection's answers wait.
-struct Room {
+struct ResponseBudget {
     one: Arc<Semaphore>,
     all: Arc<Semaphore>,
 }
@@ -98,7 +99,7 @@
 /// Held until the answer is written.
 type Taken = (OwnedSemaphorePermit, OwnedSemaphorePermit);
 
-impl Room {
+impl ResponseBudget {
     /// Room for an answer of so many bytes at the most, before it is made; none in time: its reader takes too little, or all
     /// together do.
     async fn take(&self, bytes: usize) -> Option<Taken> {
@@ -108,7 +109,7 @@
             let one = self.one.clone().acquire_many_owned(permits).await.ok()?;
             Some((one, self.all.clone().acquire_many_owned(permits).await.ok()?))
         };
-        timeout(ROOM_WAIT, both).await.ok().flatten()
+        timeout(PENDING_BYTES_TIMEOUT, both).await.ok().flatten()
     }
 }
 
@@ -136,7 +137,7 @@
             max_payload_entries: 3,
             replication_lag_threshold: settings.snapshot_every * 2,
             snapshot_policy: SnapshotPolicy::LogsSinceLast(settings.snapshot_every),
-            snapshot_max_chunk_size: PART as u64,
+            snapshot_max_chunk_size: SNAPSHOT_CHUNK_BYTES as u64,
             max_in_snapshot_log_to_keep: settings.snapshot_every,
             ..Config::default()
         };
@@ -150,7 +151,7 @@
             clock: env.clock(),
             env,
             calls: Semaphore::new(settings.calls),
-            room: Arc::new(Semaphore::new(ROOM_ALL)),
+            room: Arc::new(Semaphore::new(MAX_PENDING_BYTES)),
             metrics: Metrics::new(log.sync_times()),
             connections: Arc::new(Semaphore::new(settings.connections)),
             settings,
@@ -248,11 +249,11 @@
         }
         let gone: Vec<ClientId> = {
             let heard = self.heard.borrow();
-            heard.iter().filter(|(_, at)| at.elapsed() > FORGET_AFTER).map(|(id, _)| *id).take(256).collect()
+            heard.iter().filter(|(_, at)| at.elapsed() > CLIENT_TTL).map(|(id, _)| *id).take(256).collect()
         };
         if !gone.is_empty() {
             self.heard.borrow_mut().retain(|id, _| !gone.contains(id));
-            drop(self.raft.client_write(vec![Command::Forget { clients: gone }]).await);
+            drop(self.raft.client_write(vec![Command::ExpireClients { clients: gone }]).await);
         }
     }
 
@@ -310,18 +311,21 @@
         let cluster = self.cluster.clone();
         let writer = spawn_local(async move {
             while let Some((number, (response, taken))) = answered.recv().await {
-                let message = Message::Answer(number, response);
-                let written = timeout(WRITE_MOST, write(&mut write_half, cluster.get(), &message)).await;
+                let message = Message::Response(number, response);
+                let written = timeout(WRITE_TIMEOUT, write(&mut write_half, cluster.get(), &message)).await;
                 if !matches!(written, Ok(Ok(()))) {
                     return;
                 }
                 drop(taken);
             }
         });
-        let room = Rc::new(Room { one: Arc::new(Semaphore::new(ROOM_ONE)), all: self.room.clone() });
+        let room = Rc::new(ResponseBudget {
+            one: Arc::new(Semaphore::new(MAX_PENDING_BYTES_PER_CONNECTION)),
+            all: self.room.clone(),
+        });
         loop {
             match read(&mut from).await {
-                Ok((cluster, Message::Ask(number, request))) => {
+                Ok((cluster, Message::Request(number, request))) => {
                     if !self.admits(cluster, &request) {
                         self.drops("of another cluster");
                         break;
@@ -333,7 +337,7 @@
                         async move { drop(place.send((number, service.answer(request, &room).await))) },
                     );
                 }
-                Ok((_, Message::Answer(..))) => {
+                Ok((_, Message::Response(..))) => {
                     self.drops("an answer to nothing");
                     break;
                 }
@@ -346,7 +350,7 @@
         }
         drop(answers);
         // What is asked already is answered, as long as somebody reads it.
-        drop(timeout(WATCH_MOST, writer).await);
+        drop(timeout(MAX_WATCH_TIME, writer).await);
     }
 
     fn drops(&self, why: &'static str) {
@@ -378,8 +382,8 @@
         }
     }
 
-    async fn answer(self: &Rc<Self>, request: Request, room: &Room) -> Placed {
-        self.metrics.asked(&request);
+    async fn answer(self: &Rc<Self>, request: Request, room: &ResponseBudget) -> Placed {
+        self.metrics.count_request(&request);
         match request {
             // The consensus bounds its own calls: one for each process at a time.
             Request::Append(rpc) => return small(Response::Append(self.raft.append_entries(rpc).await)),
@@ -411,17 +415,21 @@
             Request::Call { client, number, done, op } => self.call(client, number, done, op).await,
             Request::Renew { sessions } => self.renew(sessions).await,
             Request::Read { prefix, stale } => {
-                return self.in_room(room, VALUES, || self.read(&prefix, stale)).await;
+                return self.within_response_budget(room, VALUES, || self.read(&prefix, stale)).await;
             }
             Request::Watch { prefix, since, wait_ms } => {
-                let wait = Duration::from_millis(wait_ms.into()).min(WATCH_MOST);
+                let wait = Duration::from_millis(wait_ms.into()).min(MAX_WATCH_TIME);
                 return self.watch(&prefix, since, wait, room).await;
             }
             Request::Status => Response::Status(self.status()),
             Request::Locks | Request::Sessions => {
-                return self.in_room(room, VALUES, || async { self.lines(&request) }).await;
+                return self.within_response_budget(room, VALUES, || async { self.lines(&request) }).await;
+            }
+            Request::Snapshot { from } => {
+                return self
+                    .within_response_budget(room, SNAPSHOT_CHUNK_BYTES, || self.snapshot_chunk(from))
+                    .await
             }
-            Request::Snapshot { from } => return self.in_room(room, PART, || self.part(from)).await,
             Request::Append(_) | Request::Vote(_) | Request::Install(_) => {
                 Response::No("answered above".into())
             }
@@ -429,9 +437,9 @@
     }
 
     /// Makes an answer of so many bytes at the most, once there is room for it.
-    async fn in_room<F: Future<Output = Response>>(
+    async fn within_response_budget<F: Future<Output = Response>>(
         &self,
-        room: &Room,
+        room: &ResponseBudget,
         bytes: usize,
         make: impl FnOnce() -> F,
     ) -> Placed {
@@ -459,13 +467,13 @@
                     let (holder, token) = lock.holder?;
                     let waiting = lock.waiting.len() as u32;
                     let who = who.get(&holder).copied().unwrap_or_default().to_owned();
-                    Some(LockLine { name: name.to_owned(), holder, who, token, waiting })
+                    Some(LockStatus { name: name.to_owned(), holder, who, token, waiting })
                 };
                 let lines = state.locks().filter_map(line);
                 Response::Locks(lines.take_while(|line| fits(line.name.len() + line.who.len())).collect())
             }
             _ => {
-                let line = |(id, session): (SessionId, &crate::state::Session)| SessionLine {
+                let line = |(id, session): (SessionId, &crate::state::Session)| SessionStatus {
                     id,
                     who: session.name.clone(),
                     ttl_ms: session.ttl_ms,
@@ -578,18 +586,19 @@
     }
 
     /// Only the leader tells changes, so that a watch never goes back by going to another process.
-    async fn watch(&self, prefix: &str, since: u64, wait: Duration, room: &Room) -> Placed {
+    async fn watch(&self, prefix: &str, since: u64, wait: Duration, room: &ResponseBudget) -> Placed {
         let until = Instant::now() + wait;
         loop {
             let changed = self.machine.changed.notified();
             if !self.confirmed().await {
                 return small(self.elsewhere());
             }
-            let news =
-                || async { Response::News(self.machine.with(|state| state.news(prefix, since, NEWS))) };
-            if self.machine.with(|state| state.has_news(prefix, since)) {
+            let news = || async {
+                Response::Changes(self.machine.with(|state| state.changes(prefix, since, MAX_CHANGES_BYTES)))
+            };
+            if self.machine.with(|state| state.has_changes(prefix, since)) {
                 // The last change may reach beyond by its own size.
-                return self.in_room(room, NEWS + bounds::VALUE, news).await;
+                return self.within_response_budget(room, MAX_CHANGES_BYTES + bounds::VALUE, news).await;
             }
             if tokio::time::timeout_at(until, changed).await.is_err() {
                 return small(news().await);
@@ -598,7 +607,7 @@
     }
 
     /// A part of the state as of the first part's time.
-    async fn part(&self, from: u64) -> Response {
+    async fn snapshot_chunk(&self, from: u64) -> Response {
         if from == 0 {
             if !self.confirmed().await {
                 return self.elsewhere();
@@ -610,7 +619,10 @@
         }
         let snapshot = self.snapshot.borrow();
         let rest = snapshot.get(from as usize..).unwrap_or_default();
-        Response::Part { total: snapshot.len() as u64, bytes: rest[..rest.len().min(PART)].to_vec() }
+        Response::SnapshotChunk {
+            total: snapshot.len() as u64,
+            bytes: rest[..rest.len().min(SNAPSHOT_CHUNK_BYTES)].to_vec(),
+        }
     }
 
     pub fn status(&self) -> Status {
--- a/quota-gateway/coordination/src/state.rs
+++ b/quota-gateway/coordination/src/state.rs
@@ -28,7 +28,7 @@
     pub const WAITERS: usize = 1_024;
     pub const CLIENTS: usize = 100_000;
     /// Answers that are kept for a client which has not said that it has them.
-    pub const ANSWERS: usize = 1_024;
+    pub const MAX_CACHED_REPLIES: usize = 1_024;
     /// Bytes of all values with their keys.
     pub const VALUE_BYTES: usize = 64 << 20;
     pub const VALUE: usize = 64 << 10;
@@ -108,7 +108,7 @@
     /// The service begins, begins anew, or was restored: tokens go on above this.
     Floor { token: Token },
     /// The leader has not heard from these clients for long.
-    Forget { clients: Vec<ClientId> },
+    ExpireClients { clients: Vec<ClientId> },
 }
 
 /// What became of a wish that was granted.
@@ -212,13 +212,13 @@
 struct Client {
     /// Answers are kept for numbers above this.
     done: u64,
-    answers: BTreeMap<u64, Kept>,
+    answers: BTreeMap<u64, CachedReply>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Kept {
+struct CachedReply {
     /// The CRC-32 of what was asked: two clients that drew one id would else take each other's answers for their own.
-    asked: u32,
+    request_crc: u32,
     outcome: Outcome,
 }
 
@@ -245,7 +245,7 @@
 
 /// What a watch is told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum Changes {
     /// All changes behind the revision that was asked from, up to this one.
     Changes { upto: Revision, changes: Vec<(Revision, Change)> },
     /// That is too long ago, or of another life: read anew and watch from there.
@@ -268,7 +268,7 @@
                 self.next_token = self.next_token.max(*token);
                 None
             }
-            Command::Forget { clients } => {
+            Command::ExpireClients { clients } => {
                 clients.iter().for_each(|client| drop(self.clients.remove(client)));
                 None
             }
@@ -284,7 +284,7 @@
         match self.clients.get_mut(&id) {
             Some(client) => {
                 if let Some(kept) = client.answers.get(&number) {
-                    return match kept.asked == asked {
+                    return match kept.request_crc == asked {
                         true => kept.outcome.clone(),
                         false => Err(Refused::Bad("number: it was used for something else".to_owned())),
                     };
@@ -294,7 +294,7 @@
                 }
                 client.done = client.done.max(done.min(number - 1));
                 client.answers = client.answers.split_off(&(client.done + 1));
-                if client.answers.len() >= bounds::ANSWERS {
+                if client.answers.len() >= bounds::MAX_CACHED_REPLIES {
                     return Err(Refused::Busy(BUSY_MS));
                 }
             }
@@ -304,15 +304,15 @@
             None if crowded => return Err(Refused::Busy(BUSY_MS)),
             None => drop(self.clients.insert(id, Client::default())),
         }
-        let outcome = self.whole(op);
+        let outcome = self.apply_atomically(op);
         if let Some(client) = self.clients.get_mut(&id) {
-            client.answers.insert(number, Kept { asked, outcome: outcome.clone() });
+            client.answers.insert(number, CachedReply { request_crc: asked, outcome: outcome.clone() });
         }
         outcome
     }
 
     /// A batch that fails in its middle leaves nothing behind.
-    fn whole(&mut self, op: &Op) -> Outcome {
+    fn apply_atomically(&mut self, op: &Op) -> Outcome {
         let Op::Batch(ops) = op else { return self.one(op) };
         let bytes: usize =
             ops.iter().map(|op| if let Op::Put { value, .. } = op { value.len() } else { 0 }).sum();
@@ -369,7 +369,7 @@
 
     fn open(&mut self, ttl_ms: u32, name: &str) -> Outcome {
         Self::named("name", name)?;
-        let (least, most) = (crate::lease::TTL_LEAST.as_millis(), crate::lease::TTL_MOST.as_millis());
+        let (least, most) = (crate::lease::MIN_TTL.as_millis(), crate::lease::MAX_TTL.as_millis());
         if !(least..=most).contains(&u128::from(ttl_ms)) {
             return Err(Refused::Bad("ttl_ms".to_owned()));
         }
@@ -579,7 +579,7 @@
     }
 
     /// Whether there is anything to tell behind a revision, of all whose name begins so.
-    pub fn has_news(&self, prefix: &str, since: Revision) -> bool {
+    pub fn has_changes(&self, prefix: &str, since: Revision) -> bool {
         since < self.forgotten || since > self.revision || self.behind(prefix, since).next().is_some()
     }
 
@@ -594,9 +594,9 @@
 
     /// What has changed behind a revision, of all whose name begins so: up to about so many bytes, and the rest when it is
     /// asked for from there.
-    pub fn news(&self, prefix: &str, since: Revision, most: usize) -> News {
+    pub fn changes(&self, prefix: &str, since: Revision, most: usize) -> Changes {
         if since < self.forgotten || since > self.revision {
-            return News::Lost { now: self.revision };
+            return Changes::Lost { now: self.revision };
         }
         let (mut bytes, mut upto, mut changes) = (0, self.revision, Vec::new());
         for (revision, change) in self.behind(prefix, since) {
@@ -608,7 +608,7 @@
             }
             changes.push((*revision, change.clone()));
         }
-        News::Changes { upto, changes }
+        Changes::Changes { upto, changes }
     }
 
     /// The highest token that was ever given, or that tokens go on above.
--- a/quota-gateway/coordination/src/storage.rs
+++ b/quota-gateway/coordination/src/storage.rs
@@ -73,7 +73,7 @@
 
 /// What is in memory: all entries that are not purged.
 #[derive(Default)]
-struct Held {
+struct StoredLog {
     entries: BTreeMap<u64, Entry<Types>>,
     purged: Option<LogId<NodeId>>,
     committed: Option<LogId<NodeId>>,
@@ -84,7 +84,7 @@
 
 #[derive(Clone)]
 pub struct LogStore {
-    held: Arc<Mutex<Held>>,
+    state: Arc<Mutex<StoredLog>>,
     writes: Sender<Write>,
     together: Arc<Mutex<Counts>>,
     syncs: Histogram,
@@ -107,7 +107,7 @@
 
 impl Damage {
     /// One line; with where the record is in the file, if it can be found there.
-    fn line(self, file: Option<&Path>) -> String {
+    fn to_line(self, file: Option<&Path>) -> String {
         let at = file.and_then(|file| offset(&fs::read(file).ok()?, &self.bytes));
         match at {
             Some(at) => format!("{} at byte {at}; nothing was touched", self.what),
@@ -171,7 +171,7 @@
         if fs::metadata(&path).is_ok_and(|there| there.len() > 0) {
             let overlay = Overlay::open(&path).map_err(|e| named(&e))?;
             let seen = Database::builder().create_with_backend(overlay).map_err(|e| named(&e))?;
-            drop(read(&seen).map_err(|damage| named(&damage.line(Some(&path))))?);
+            drop(read(&seen).map_err(|damage| named(&damage.to_line(Some(&path))))?);
         }
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(&path);
         let backend = FileBackend::new(file.map_err(|e| named(&e))?).map_err(|e| named(&e))?;
@@ -186,7 +186,7 @@
     }
 
     fn of(database: Database, group: bool, writer: Writer) -> Result<LogStore, String> {
-        let mut held = read(&database).map_err(|damage| damage.line(None))?;
+        let mut held = read(&database).map_err(|damage| damage.to_line(None))?;
         let identity = match held.identity {
             Some(identity) if identity.version != VERSION => {
                 return Err(format!("its version is {}, this program reads {VERSION}", identity.version));
@@ -237,23 +237,23 @@
                 }
             })),
         }
-        Ok(LogStore { held: Arc::new(Mutex::new(held)), writes, together, syncs })
+        Ok(LogStore { state: Arc::new(Mutex::new(held)), writes, together, syncs })
     }
 
     /// Nobody panics while holding it, so it is never poisoned; if somebody did, what is held is whole all the same.
-    fn held(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, StoredLog> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub fn identity(&self) -> Identity {
-        self.held().identity.unwrap_or(Identity { node: 0, cluster: 0, version: VERSION })
+        self.state().identity.unwrap_or(Identity { node: 0, cluster: 0, version: VERSION })
     }
 
     /// This folder is of a cluster from now on.
     pub async fn join(&self, cluster: u64) -> io::Result<()> {
         let identity = Identity { cluster, ..self.identity() };
         self.keep(IDENTITY, &identity).await?;
-        self.held().identity = Some(identity);
+        self.state().identity = Some(identity);
         Ok(())
     }
 
@@ -274,7 +274,7 @@
         // Last: a folder that was not finished is of no cluster.
         let identity = Identity { cluster: chance(|rng| rng.random::<u64>()) | 1, ..self.identity() };
         self.keep_now(IDENTITY, &identity)?;
-        self.held().identity = Some(identity);
+        self.state().identity = Some(identity);
         Ok(())
     }
 
@@ -283,12 +283,12 @@
     }
 
     pub fn snapshot(&self) -> Result<Option<Stored>, String> {
-        Ok(self.held().snapshot.clone())
+        Ok(self.state().snapshot.clone())
     }
 
     pub async fn keep_snapshot(&self, stored: Stored) -> io::Result<()> {
         self.keep(SNAPSHOT, &stored).await?;
-        self.held().snapshot = Some(stored);
+        self.state().snapshot = Some(stored);
         Ok(())
     }
 
@@ -325,7 +325,7 @@
 }
 
 /// All that a store holds. Entries must be consecutive: a hole is damage, and nothing is touched then.
-fn read(database: &Database) -> Result<Held, Damage> {
+fn read(database: &Database) -> Result<StoredLog, Damage> {
     fn store(e: impl std::fmt::Display) -> Damage {
         Damage { what: e.to_string(), bytes: Vec::new() }
     }
@@ -335,20 +335,20 @@
     setup.commit().map_err(store)?;
     let reading = database.begin_read().map_err(store)?;
     let meta = reading.open_table(META).map_err(store)?;
-    fn part<T: DeserializeOwned>(
+    fn read_entry<T: DeserializeOwned>(
         meta: &impl ReadableTable<&'static str, &'static [u8]>,
         name: &'static str,
     ) -> Result<Option<T>, Damage> {
         let value = meta.get(name).map_err(store)?;
         value.map(|value| decode(name, value.value())).transpose()
     }
-    let mut held = Held {
+    let mut held = StoredLog {
         entries: BTreeMap::new(),
-        purged: part(&meta, PURGED)?,
-        committed: part(&meta, COMMITTED)?,
-        vote: part(&meta, VOTE)?,
-        snapshot: part(&meta, SNAPSHOT)?,
-        identity: part(&meta, IDENTITY)?,
+        purged: read_entry(&meta, PURGED)?,
+        committed: read_entry(&meta, COMMITTED)?,
+        vote: read_entry(&meta, VOTE)?,
+        snapshot: read_entry(&meta, SNAPSHOT)?,
+        identity: read_entry(&meta, IDENTITY)?,
     };
     let log = reading.open_table(LOG).map_err(store)?;
     let first = held.purged.map_or(0, |purged: LogId<NodeId>| purged.index + 1);
@@ -445,7 +445,7 @@
         &mut self,
         range: RB,
     ) -> Result<Vec<Entry<Types>>, StorageError<NodeId>> {
-        Ok(self.held().entries.range(range).map(|(_, entry)| entry.clone()).collect())
+        Ok(self.state().entries.range(range).map(|(_, entry)| entry.clone()).collect())
     }
 }
 
@@ -453,7 +453,7 @@
     type LogReader = LogStore;
 
     async fn get_log_state(&mut self) -> Result<LogState<Types>, StorageError<NodeId>> {
-        let held = self.held();
+        let held = self.state();
         let last = held.entries.last_key_value().map(|(_, entry)| *entry.get_log_id());
         Ok(LogState { last_purged_log_id: held.purged, last_log_id: last.or(held.purged) })
     }
@@ -464,22 +464,22 @@
 
     async fn save_vote(&mut self, vote: &Vote<NodeId>) -> Result<(), StorageError<NodeId>> {
         self.keep(VOTE, vote).await.map_err(|e| StorageIOError::write_vote(AnyError::error(e)))?;
-        self.held().vote = Some(*vote);
+        self.state().vote = Some(*vote);
         Ok(())
     }
 
     async fn read_vote(&mut self) -> Result<Option<Vote<NodeId>>, StorageError<NodeId>> {
-        Ok(self.held().vote)
+        Ok(self.state().vote)
     }
 
     /// Written with the next entries: an older one only means that less is applied before a leader is heard of.
     async fn save_committed(&mut self, committed: Option<LogId<NodeId>>) -> Result<(), StorageError<NodeId>> {
-        self.held().committed = committed;
+        self.state().committed = committed;
         Ok(())
     }
 
     async fn read_committed(&mut self) -> Result<Option<LogId<NodeId>>, StorageError<NodeId>> {
-        Ok(self.held().committed)
+        Ok(self.state().committed)
     }
 
     async fn append<I>(&mut self, entries: I, callback: LogFlushed<Types>) -> Result<(), StorageError<NodeId>>
@@ -489,7 +489,7 @@
     {
         let mut bytes = Vec::new();
         let committed = {
-            let mut held = self.held();
+            let mut held = self.state();
             for entry in entries {
                 let index = entry.get_log_id().index;
                 bytes.push((index, encode(&entry).map_err(write_error)?));
@@ -501,13 +501,13 @@
     }
 
     async fn truncate(&mut self, from: LogId<NodeId>) -> Result<(), StorageError<NodeId>> {
-        self.held().entries.retain(|index, _| *index < from.index);
+        self.state().entries.retain(|index, _| *index < from.index);
         self.write(Write::Truncate(from.index)).await.map_err(write_error)
     }
 
     async fn purge(&mut self, upto: LogId<NodeId>) -> Result<(), StorageError<NodeId>> {
         {
-            let mut held = self.held();
+            let mut held = self.state();
             held.entries.retain(|index, _| *index > upto.index);
             held.purged = Some(upto);
         }
--- a/quota-gateway/coordination/src/wire.rs
+++ b/quota-gateway/coordination/src/wire.rs
@@ -5,7 +5,7 @@
 
 use crate::env::{Ends, Env};
 use crate::raft::{NodeId, Types};
-use crate::state::{ClientId, News, Op, Outcome, Revision, SessionId, Token};
+use crate::state::{Changes, ClientId, Op, Outcome, Revision, SessionId, Token};
 use openraft::error::{InstallSnapshotError, RaftError};
 use openraft::raft::{
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
@@ -21,7 +21,7 @@
 pub const MAGIC: [u8; 4] = *b"MDCO";
 pub const VERSION: u16 = 2;
 /// The longest payload: a full batch of the largest values, and room.
-pub const PAYLOAD_MOST: usize = 8 << 20;
+pub const MAX_PAYLOAD_BYTES: usize = 8 << 20;
 const HEAD: usize = 22;
 /// Calls on one connection that have no answer yet.
 pub const IN_FLIGHT: usize = 1024;
@@ -99,11 +99,11 @@
         values: Vec<(String, Vec<u8>, Revision)>,
         age_ms: Option<u64>,
     },
-    News(News),
+    Changes(Changes),
     Status(Status),
-    Locks(Vec<LockLine>),
-    Sessions(Vec<SessionLine>),
-    Part {
+    Locks(Vec<LockStatus>),
+    Sessions(Vec<SessionStatus>),
+    SnapshotChunk {
         total: u64,
         bytes: Vec<u8>,
     },
@@ -141,7 +141,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LockLine {
+pub struct LockStatus {
     pub name: String,
     pub holder: SessionId,
     pub who: String,
@@ -150,7 +150,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SessionLine {
+pub struct SessionStatus {
     pub id: SessionId,
     pub who: String,
     pub ttl_ms: u32,
@@ -160,8 +160,8 @@
 /// A message, with the number that an answer shares with its question.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Message {
-    Ask(u64, Request),
-    Answer(u64, Response),
+    Request(u64, Request),
+    Response(u64, Response),
 }
 
 /// Why a frame is none.
@@ -178,7 +178,7 @@
     let mut frame = vec![0; HEAD];
     frame = postcard::to_extend(message, frame).map_err(io::Error::other)?;
     let payload = &frame[HEAD..];
-    if payload.len() > PAYLOAD_MOST {
+    if payload.len() > MAX_PAYLOAD_BYTES {
         return Err(io::Error::new(io::ErrorKind::InvalidInput, "a message is too long"));
     }
     let (length, sum) = (payload.len() as u32, crc32fast::hash(payload));
@@ -202,7 +202,7 @@
         return Err(Broken::Strange("another version"));
     }
     let length = word(14) as usize;
-    if length > PAYLOAD_MOST {
+    if length > MAX_PAYLOAD_BYTES {
         return Err(Broken::Strange("too long"));
     }
     let mut payload = vec![0; length];
@@ -221,12 +221,12 @@
     to.write_all(&encode(cluster, message)?).await
 }
 
-type Asked = (Request, oneshot::Sender<Response>);
+type PendingRequest = (Request, oneshot::Sender<Response>);
 
 /// A connection on which many may ask at once.
 #[derive(Clone)]
 pub struct Channel {
-    asks: mpsc::Sender<Asked>,
+    requests: mpsc::Sender<PendingRequest>,
 }
 
 impl Channel {
@@ -239,26 +239,26 @@
         let ends = env.network.connect(addr).await?;
         let (asks, asked) = mpsc::channel(IN_FLIGHT);
         spawn_local(converse(ends, cluster, asked));
-        Ok(Channel { asks })
+        Ok(Channel { requests: asks })
     }
 
     /// Asks, and waits for the answer; an error: the connection has ended, and it may have been done.
-    pub async fn ask(&self, request: Request) -> io::Result<Response> {
+    pub async fn call(&self, request: Request) -> io::Result<Response> {
         let (answer, answered) = oneshot::channel();
         let ended = || io::Error::new(io::ErrorKind::ConnectionReset, "the connection has ended");
-        self.asks.send((request, answer)).await.map_err(|_| ended())?;
+        self.requests.send((request, answer)).await.map_err(|_| ended())?;
         answered.await.map_err(|_| ended())
     }
 }
 
 /// Serves a channel until its connection ends or nobody can ask any more.
-async fn converse(ends: Ends, cluster: u64, mut asked: mpsc::Receiver<Asked>) {
+async fn converse(ends: Ends, cluster: u64, mut asked: mpsc::Receiver<PendingRequest>) {
     let (read_half, mut write_half) = (ends.read, ends.write);
     // Frames are read on a task of their own: a read that is given up halfway would lose what it has.
     let (come, mut answers) = mpsc::channel(64);
     let reader = spawn_local(async move {
         let mut from = BufReader::new(read_half);
-        while let Ok((_, Message::Answer(number, response))) = read(&mut from).await {
+        while let Ok((_, Message::Response(number, response))) = read(&mut from).await {
             if come.send((number, response)).await.is_err() {
                 return;
             }
@@ -276,7 +276,7 @@
                 waiting.retain(|_, answer| !answer.is_closed());
                 next += 1;
                 waiting.insert(next, answer);
-                if write(&mut write_half, cluster, &Message::Ask(next, request)).await.is_err() {
+                if write(&mut write_half, cluster, &Message::Request(next, request)).await.is_err() {
                     break;
                 }
             }
--- a/quota-gateway/coordination/tests/cluster.rs
+++ b/quota-gateway/coordination/tests/cluster.rs
@@ -1,7 +1,7 @@
 //! Real processes of the service: killed, stopped and woken, restarted, without their disk, restored; and their clients.
 
 use marblecroft_coordination::client::{Client, Failed};
-use marblecroft_coordination::state::{Done, News, Op, Owner, Refused, Token};
+use marblecroft_coordination::state::{Changes, Done, Op, Owner, Refused, Token};
 use marblecroft_coordination::wire::{encode, Message, Request, Status};
 use marblecroft_test_support::Port;
 use std::fs;
@@ -298,13 +298,13 @@
                 cluster.members[leader].kill();
             }
             while seen.len() < at.0 as usize {
-                match watcher.news("chain", since, LONG).await.expect("news") {
-                    News::Changes { upto, changes } => {
+                match watcher.changes_since("chain", since, LONG).await.expect("news") {
+                    Changes::Changes { upto, changes } => {
                         assert!(upto >= since);
                         seen.extend(changes.iter().map(|(revision, _)| *revision));
                         since = upto;
                     }
-                    News::Lost { .. } => panic!("not that long ago"),
+                    Changes::Lost { .. } => panic!("not that long ago"),
                 }
             }
         }
@@ -397,7 +397,7 @@
     let mut deaf = TcpStream::connect(&member.addr).expect("it listens");
     for number in 0..500 {
         let read = Request::Read { prefix: "big-".to_owned(), stale: false };
-        deaf.write_all(&encode(status.cluster, &Message::Ask(number, read)).expect("short"))
+        deaf.write_all(&encode(status.cluster, &Message::Request(number, read)).expect("short"))
             .expect("written");
     }
     let resident = || {
--- a/quota-gateway/coordination/tests/golden.rs
+++ b/quota-gateway/coordination/tests/golden.rs
@@ -11,11 +11,11 @@
 use golden::{bytes, from_hex, hex, same_bytes, same_text, text};
 use marblecroft_coordination::raft::{NodeId, Types};
 use marblecroft_coordination::state::{
-    Change, ClientId, Command, Done, News, Op, Owner, Refused, SessionId, State,
+    Change, Changes, ClientId, Command, Done, Op, Owner, Refused, SessionId, State,
 };
 use marblecroft_coordination::storage::{LogStore, Stored};
 use marblecroft_coordination::wire::{
-    encode, read, LockLine, Message, Request, Response, SessionLine, Status,
+    encode, read, LockStatus, Message, Request, Response, SessionStatus, Status,
 };
 use openraft::error::{Fatal, InstallSnapshotError, RaftError, SnapshotMismatch};
 use openraft::raft::{
@@ -84,7 +84,7 @@
     let mut commands: Vec<Command> = (11..).zip(ops()).map(call).collect();
     commands.push(Command::End { sessions: vec![SESSION, SessionId(7002)] });
     commands.push(Command::Floor { token: 505 });
-    commands.push(Command::Forget { clients: vec![ClientId(802), ClientId(803)] });
+    commands.push(Command::ExpireClients { clients: vec![ClientId(802), ClientId(803)] });
     commands
 }
 
@@ -183,14 +183,14 @@
         (910, Change::Lock { name: "lock-d".to_owned(), holder: None }),
         (911, Change::Session { id: SessionId(7003), open: true }),
     ];
-    let lock = LockLine {
+    let lock = LockStatus {
         name: "lock-a".to_owned(),
         holder: SESSION,
         who: "who".to_owned(),
         token: 508,
         waiting: 4,
     };
-    let session = SessionLine { id: SESSION, who: "who".to_owned(), ttl_ms: 5100, locks: 5 };
+    let session = SessionStatus { id: SESSION, who: "who".to_owned(), ttl_ms: 5100, locks: 5 };
     let value = |key: &str, revision| (key.to_owned(), vec![6, 7], revision);
     vec![
         ("append-success", Response::Append(Ok(AppendEntriesResponse::Success))),
@@ -221,12 +221,12 @@
                 age_ms: Some(17),
             },
         ),
-        ("news-changes", Response::News(News::Changes { upto: 914, changes })),
-        ("news-lost", Response::News(News::Lost { now: 915 })),
+        ("news-changes", Response::Changes(Changes::Changes { upto: 914, changes })),
+        ("news-lost", Response::Changes(Changes::Lost { now: 915 })),
         ("status", Response::Status(status())),
         ("locks", Response::Locks(vec![lock])),
         ("sessions", Response::Sessions(vec![session])),
-        ("part", Response::Part { total: 9000, bytes: vec![3, 2, 1] }),
+        ("part", Response::SnapshotChunk { total: 9000, bytes: vec![3, 2, 1] }),
         ("not-leader", Response::NotLeader { leader: Some("10.1.2.42:7400".to_owned()) }),
         ("busy", Response::Busy { after_ms: 250 }),
         ("no", Response::No("a reason".to_owned())),
@@ -263,7 +263,7 @@
     let asked = (301..).zip(requests());
     frames_keep_their_bytes(
         "requests.txt",
-        asked.map(|(number, (name, request))| (name, Message::Ask(number, request))).collect(),
+        asked.map(|(number, (name, request))| (name, Message::Request(number, request))).collect(),
     );
 }
 
@@ -273,7 +273,7 @@
     frames_keep_their_bytes(
         "responses.txt",
         answered
-            .map(|(number, (name, response))| (name.to_owned(), Message::Answer(number, response)))
+            .map(|(number, (name, response))| (name.to_owned(), Message::Response(number, response)))
             .collect(),
     );
 }
--- a/quota-gateway/coordination/tests/interleavings.rs
+++ b/quota-gateway/coordination/tests/interleavings.rs
@@ -2,8 +2,8 @@
 //! stop between check and effect, clocks that run apart, sessions that end, a restore from an older copy. The state machine,
 //! the leases and the fence are the real ones.
 
-use marblecroft_coordination::fence::Fence;
-use marblecroft_coordination::lease::{Held, Instant, Leases};
+use marblecroft_coordination::fencing::FencedResource;
+use marblecroft_coordination::lease::{HeldLease, Instant, Leases};
 use marblecroft_coordination::state::{ClientId, Command, Done, Op, SessionId, State, Token};
 use stateright::{Checker, Model, Property};
 use std::time::Duration;
@@ -38,10 +38,10 @@
     Asked(Instant),
     /// The service has granted it; the answer is on its way.
     Granted(Instant, Token),
-    Has(Held),
+    Has(HeldLease),
     /// A renewal has left.
-    Renewing(Held, Instant),
-    Renewed(Held, Instant),
+    Renewing(HeldLease, Instant),
+    Renewed(HeldLease, Instant),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -67,7 +67,7 @@
     /// There was a change of leader.
     led: bool,
     holders: [Holder; 2],
-    fence: Fence,
+    fence: FencedResource,
     /// The token of the last effect that was taken, and whether one ever came under a lower one.
     last: Token,
     backwards: bool,
@@ -163,7 +163,9 @@
         let ttl = if self.mutation == Mutation::NoMarginForDrift { TTL.mul_f64(1.1 / 0.99) } else { TTL };
         let phase = &mut world.holders[holder].phase;
         *phase = match phase.clone() {
-            Phase::Granted(asked, token) => Phase::Has(Held::asked_at(counted(asked), ttl, token)),
+            Phase::Granted(asked, token) => {
+                Phase::Has(HeldLease::granted_at_request(counted(asked), ttl, token))
+            }
             Phase::Renewed(held, asked) => Phase::Has(held.renewed(counted(asked), ttl)),
             other => other,
         };
@@ -193,7 +195,7 @@
             restored: false,
             led: false,
             holders: [holder.clone(), holder],
-            fence: Fence::default(),
+            fence: FencedResource::default(),
             last: 0,
             backwards: false,
             granted: Vec::new(),
--- a/quota-gateway/coordination/tests/state.rs
+++ b/quota-gateway/coordination/tests/state.rs
@@ -2,7 +2,7 @@
 //! for byte; and what must hold in every state.
 
 use marblecroft_coordination::state::{
-    ClientId, Command, Done, News, Op, Outcome, Owner, Refused, SessionId, State, Token, VERSION,
+    Changes, ClientId, Command, Done, Op, Outcome, Owner, Refused, SessionId, State, Token, VERSION,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -258,7 +258,7 @@
                 }
                 Command::End { sessions } => sessions.iter().for_each(|session| model.end(session.0)),
                 Command::Floor { token } => model.token = model.token.max(*token),
-                Command::Forget { .. } => {}
+                Command::ExpireClients { .. } => {}
             }
             prop_assert_eq!(state.token_floor(), model.token);
             prop_assert_eq!(state.revision(), model.revision);
@@ -274,7 +274,7 @@
             let values: BTreeMap<String, Vec<u8>> = state.read("").1.into_iter().map(|(k, v)| (k.to_owned(), v.value.clone())).collect();
             prop_assert_eq!(values, model.values.iter().map(|(k, v)| (k.clone(), v.0.clone())).collect::<BTreeMap<_, _>>());
             // A watch that holds the state before is told what leads to the state now.
-            let News::Changes { upto, changes } = state.news("", before.revision(), usize::MAX) else { panic!("not that long ago") };
+            let Changes::Changes { upto, changes } = state.changes("", before.revision(), usize::MAX) else { panic!("not that long ago") };
             prop_assert_eq!(upto, state.revision());
             let revisions: Vec<u64> = changes.iter().map(|(revision, _)| *revision).collect();
             prop_assert_eq!(revisions, (before.revision() + 1..=upto).collect::<Vec<_>>());
@@ -355,7 +355,7 @@
         Some(Err(Refused::Forgotten)),
         "it has said that it has that answer"
     );
-    state.apply(&Command::Forget { clients: vec![ClientId(7)] });
+    state.apply(&Command::ExpireClients { clients: vec![ClientId(7)] });
     assert_eq!(state.apply(&open(2, 1)), Some(Err(Refused::Forgotten)));
     assert_eq!(state.sessions().count(), 2);
 }
@@ -386,7 +386,7 @@
     }
     let (mut since, mut told, mut pieces) = (0, Vec::new(), 0);
     while since < state.revision() {
-        let News::Changes { upto, changes } = state.news("even", since, 5000) else {
+        let Changes::Changes { upto, changes } = state.changes("even", since, 5000) else {
             panic!("not that long ago")
         };
         assert!(upto > since && changes.len() <= 4);
@@ -396,7 +396,7 @@
     assert_eq!(told, (1..=20).map(|n| n * 2).collect::<Vec<_>>());
     assert_eq!(pieces, 5);
     assert!(
-        matches!(state.news("even", 0, 1), News::Changes { changes, .. } if changes.len() == 1),
+        matches!(state.changes("even", 0, 1), Changes::Changes { changes, .. } if changes.len() == 1),
         "one at the least"
     );
 }
--- a/quota-gateway/core/src/api.rs
+++ b/quota-gateway/core/src/api.rs
@@ -1,6 +1,6 @@
 //! The interface of the decisions: what a gateway is told (settings, events) and what it asks for (actions).
 
-use crate::numbers::sane;
+use crate::numbers::sanitize;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -47,7 +47,7 @@
 
 /// The servers among which a repeat of a keyed request is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     All,
     Zone,
     Cell,
@@ -59,7 +59,7 @@
     /// Harmless.
     Safe,
     /// Dropped by the servers of one group, for a time from the earliest attempt that may have run.
-    Keyed { group: Group, window: Duration },
+    Keyed { group: DeduplicationScope, window: Duration },
     /// Harmful.
     Unsafe,
 }
@@ -68,10 +68,10 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// The longest a client waits.
     pub deadline: Duration,
-    pub worth: f64,
+    pub value: f64,
     pub effect: Effect,
 }
 
@@ -83,30 +83,30 @@
     /// Units that the quota's store holds.
     pub burst: f64,
     /// Attempts open at once.
-    pub open_limit: u32,
+    pub max_in_flight: u32,
     /// Units a second that fill the hard ceiling's store.
-    pub ceiling_rate: f64,
+    pub rate_limit: f64,
     /// Units that the hard ceiling's store holds.
-    pub ceiling_depth: f64,
+    pub rate_limit_burst: f64,
     /// Units by which that store may fall below zero.
-    pub ceiling_slack: f64,
+    pub rate_limit_slack: f64,
     /// Factor on the worth of a request.
     pub price: f64,
     /// Share of its worth that a request beyond the quota earns when served.
-    pub over_worth: f64,
+    pub over_quota_value: f64,
     /// Share of its worth that sending a request beyond the quota costs.
-    pub over_cost: f64,
+    pub over_quota_cost: f64,
 }
 
 impl Settings {
     /// The worth of each priority of the throttle: a class under a plan, inside the quota and beyond it.
-    pub(crate) fn worths(&self) -> impl Iterator<Item = f64> + '_ {
+    pub(crate) fn priority_values(&self) -> impl Iterator<Item = f64> + '_ {
         let of_plan = move |plan: &'_ Plan| {
-            let factors = [1.0, sane(plan.over_worth - plan.over_cost)];
-            let price = sane(plan.price);
+            let factors = [1.0, sanitize(plan.over_quota_value - plan.over_quota_cost)];
+            let price = sanitize(plan.price);
             self.classes
                 .iter()
-                .flat_map(move |class| factors.map(|factor| sane(class.worth) * price * factor))
+                .flat_map(move |class| factors.map(|factor| sanitize(class.value) * price * factor))
         };
         self.plans.iter().flat_map(of_plan)
     }
@@ -118,7 +118,7 @@
     /// Changes come unasked.
     Push,
     /// Changes come only after [`Action::Subscribe`].
-    Ask,
+    Subscribe,
 }
 
 /// What a gateway is told when it starts.
@@ -127,7 +127,7 @@
     /// How many gateways there are.
     pub gateways: u32,
     /// Which of them this is, from 0.
-    pub number: u32,
+    pub gateway_index: u32,
     /// The zone this gateway is in.
     pub zone: u32,
     pub classes: Vec<Class>,
@@ -136,7 +136,7 @@
     /// [`Action::Cancel`] is permitted.
     pub cancel: bool,
     /// Two attempts of one request may be out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     pub max_attempts: u32,
     /// The longest retry-after that a client observes.
     pub max_retry_after: Duration,
@@ -147,13 +147,13 @@
     /// The most units that one request counts.
     pub max_units: f64,
     /// A starting server does at least this share of its work ...
-    pub cold_from: f64,
+    pub slow_start_initial_share: f64,
     /// ... and all of it after this long.
-    pub cold_ramp: Duration,
+    pub slow_start_duration: Duration,
     /// A cold server falls over when sent this multiple of what it can do ...
-    pub cold_multiple: f64,
+    pub slow_start_overload_factor: f64,
     /// ... for this long.
-    pub cold_window: Duration,
+    pub slow_start_window: Duration,
     /// Price of an attempt that crosses zones, as a share of a request.
     pub cross_zone_price: f64,
 }
@@ -206,14 +206,14 @@
     Ok,
     Error,
     /// Turned away unexamined; it never ran.
-    Full,
+    Rejected,
     TimedOut,
     /// Not connected; it never ran.
     ConnectFailed,
     Reset,
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 /// A client's try.
@@ -230,10 +230,10 @@
     /// Gateways through which this customer's requests come.
     pub gateways: u32,
     /// The client says that it has tried before; its earlier try had an id of its own.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// Its body is long and still on its way: it can be passed on but once, and what the request has of time begins
     /// with [`Event::Written`].
-    pub flows: bool,
+    pub body_in_flight: bool,
 }
 
 /// The end of an attempt.
@@ -247,18 +247,18 @@
     /// The client has had its final answer.
     pub finished: bool,
     /// The customer's metered use over all gateways, as a share of its limit.
-    pub metered: Option<f64>,
+    pub metered_use: Option<f64>,
     /// The units that the request really counted.
-    pub true_units: Option<f64>,
+    pub actual_units: Option<f64>,
     pub report: LoadReport,
     /// The request can't be sent again: its body is gone.
-    pub last: bool,
+    pub not_retryable: bool,
 }
 
 /// What another process of the same gateway does, while one replaces the other. For quotas, ceilings and cold
 /// servers the two count as one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Elsewhere {
+pub enum PeerProcessEvent {
     /// It has sent an attempt; units are counted with a request's first one.
     Sent { customer: CustomerId, plan: PlanId, gateways: u32, units: f64, server: ServerId },
     /// One that it had sent has ended, answered or not.
@@ -269,14 +269,14 @@
 
 /// Where the fleet's decisions let a request go.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Place {
+pub enum Placement {
     /// None binds it.
     #[default]
-    Anywhere,
+    Unrestricted,
     /// Its attempts are written at servers of this cell alone.
     Cell(u32),
     /// Nowhere now: it is refused, unless its quota refuses it before.
-    Nowhere { retry_after: Duration },
+    Unavailable { retry_after: Duration },
 }
 
 /// What is decided in common of one zone, for one gateway.
@@ -286,7 +286,7 @@
     /// The share of this gateway's first attempts that goes there; nothing goes where it is 0.
     pub share: f64,
     /// Requests a second that may go there from here, whatever the share; infinite: no such bound.
-    pub most: f64,
+    pub max_rate: f64,
 }
 
 /// What happens to a gateway.
@@ -298,14 +298,14 @@
     },
     Request(NewRequest),
     /// The same, where what the fleet decides binds it.
-    Placed(NewRequest, Place),
+    RequestWithPlacement(NewRequest, Placement),
     /// A request that was bound to a cell is bound to this one from now on: what it writes has moved.
-    Moved {
+    PlacementMoved {
         id: RequestId,
         cell: u32,
     },
     /// The server has the last of a body that flows; the request's deadline from now on.
-    Written {
+    BodyWritten {
         id: RequestId,
         attempt: AttemptNo,
         deadline: Time,
@@ -317,14 +317,14 @@
     },
     Outcome(Outcome),
     /// The client left; nothing more is owed.
-    Departed(RequestId),
+    ClientDisconnected(RequestId),
     /// The operators leave a server out, whatever the list says of it ...
-    Disabled(ServerId),
+    ServerDisabled(ServerId),
     /// ... and put it back.
-    Enabled(ServerId),
-    Elsewhere(Elsewhere),
+    ServerEnabled(ServerId),
+    PeerProcess(PeerProcessEvent),
     /// Which zones are sent what, as decided in common; empty: nothing is decided, and each gateway chooses for itself.
-    Zones(Vec<ZoneShare>),
+    ZoneShares(Vec<ZoneShare>),
     Timer(Token),
 }
 
@@ -332,11 +332,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt, given up at `until`. Of one that a window binds, nothing is written at `begin_by` or later.
-    Send { id: RequestId, server: ServerId, until: Time, begin_by: Option<Time> },
+    Send { id: RequestId, server: ServerId, deadline: Time, begin_by: Option<Time> },
     /// Stop waiting for an attempt.
     Cancel { id: RequestId, attempt: AttemptNo },
     /// Final answer: trying again is harmless.
-    Refuse { id: RequestId, retry_after: Duration },
+    Reject { id: RequestId, retry_after: Duration },
     /// Final answer: no promise.
     Fail { id: RequestId },
     /// Ask for [`Event::Timer`] at or after `at`.
--- a/quota-gateway/core/src/rules/throttle.rs
+++ b/quota-gateway/core/src/decisions/load_shedding.rs
@@ -1,18 +1,18 @@
 //! The throttle: overload detection, allocation and throttling (Kasera IV-B2, IV-C, IV-D).
 
-use crate::numbers::mix;
+use crate::numbers::ewma;
 use serde::{Deserialize, Serialize};
 
 /// Seconds between assessments of the load (design).
-pub const STEP: f64 = 0.1;
+pub const STEP_SECS: f64 = 0.1;
 /// Samples that an assessment averages (design: k).
-const SAMPLES: usize = 3;
+const SAMPLE_COUNT: usize = 3;
 /// Answers that make an interval a sample (ours).
-const SAMPLE_LEAST: f64 = 8.0;
+const MIN_ANSWERS_PER_SAMPLE: f64 = 8.0;
 /// The load that the loop steers for, as occupancy (design).
-const RHO_THRESH: f64 = 0.95;
+const TARGET_OCCUPANCY: f64 = 0.95;
 /// Least fraction allowed (design).
-const F_MIN: f64 = 0.005;
+const MIN_ADMITTED_FRACTION: f64 = 0.005;
 /// Weight of a new estimate of the acceptance threshold (design) ...
 const ALPHA_WEIGHT: f64 = 0.02;
 /// ... and steps between two (ours: the paper's 300 would leave the threshold unset for half a minute).
@@ -45,14 +45,14 @@
     /// The fraction of demand that is allowed.
     pub f: f64,
     pub(crate) alpha_thresh: Option<f64>,
-    pub(crate) samples: [Sample; SAMPLES],
+    pub(crate) samples: [Sample; SAMPLE_COUNT],
     pub(crate) steps: u64,
     /// Seconds since anything was sampled.
     pub(crate) quiet: f64,
     /// Indexed by (plan, class, beyond).
     pub(crate) priorities: Vec<Priority>,
     #[serde(skip)]
-    pub(crate) order: Vec<usize>,
+    pub(crate) by_value: Vec<usize>,
 }
 
 impl Shedder {
@@ -60,13 +60,13 @@
     pub fn new(worths: impl Iterator<Item = f64>) -> Shedder {
         let priority = |worth| Priority { worth, arrived: 0.0, demand: 0.0, tau: 0.0, r: 0.0 };
         let priorities: Vec<Priority> = worths.map(priority).collect();
-        let mut order: Vec<usize> = (0..priorities.len()).collect();
-        order.sort_by(|&a, &b| priorities[a].worth.total_cmp(&priorities[b].worth));
-        Shedder { f: 1.0, priorities, order, ..Shedder::default() }
+        let mut by_value: Vec<usize> = (0..priorities.len()).collect();
+        by_value.sort_by(|&a, &b| priorities[a].worth.total_cmp(&priorities[b].worth));
+        Shedder { f: 1.0, priorities, by_value, ..Shedder::default() }
     }
 
     /// The accumulator (Kasera IV-D): whether one request of this priority passes.
-    pub fn pass(&mut self, priority: usize, cost: f64) -> bool {
+    pub fn admit(&mut self, priority: usize, cost: f64) -> bool {
         let p = &mut self.priorities[priority];
         p.arrived += cost;
         p.r += 1.0 - p.tau;
@@ -78,13 +78,13 @@
     }
 
     /// Counts what was let in and sent on.
-    pub fn sent(&mut self, cost: f64) {
-        self.samples[SAMPLES - 1].sent += cost;
+    pub fn on_admitted(&mut self, cost: f64) {
+        self.samples[SAMPLE_COUNT - 1].sent += cost;
     }
 
     /// Counts a latency over its aim in the interval that runs, as `count` answers.
-    pub fn sample(&mut self, count: f64, cost: f64, late: f64) {
-        let sample = &mut self.samples[SAMPLES - 1];
+    pub fn record_latency(&mut self, count: f64, cost: f64, late: f64) {
+        let sample = &mut self.samples[SAMPLE_COUNT - 1];
         let weight = cost * count;
         sample.count += count;
         self.quiet = 0.0;
@@ -98,22 +98,22 @@
     pub fn assess(&mut self, reported: Option<f64>, lag: f64, idle: bool) {
         self.steps += 1;
         let sum = |part: fn(&Sample) -> f64| self.samples.iter().map(part).sum::<f64>();
-        let alpha = sum(|s| s.sent) / sum(|s| s.span).max(STEP);
+        let alpha = sum(|s| s.sent) / sum(|s| s.span).max(STEP_SECS);
         let weight = sum(|s| s.weight);
-        let by_latency = (weight > 0.0).then(|| RHO_THRESH * sum(|s| s.late) / weight);
+        let by_latency = (weight > 0.0).then(|| TARGET_OCCUPANCY * sum(|s| s.late) / weight);
         let rho = reported.into_iter().chain(by_latency).reduce(f64::max).filter(|&rho| rho > 0.0);
-        self.quiet += STEP;
-        let open = &mut self.samples[SAMPLES - 1];
-        open.span += STEP;
+        self.quiet += STEP_SECS;
+        let open = &mut self.samples[SAMPLE_COUNT - 1];
+        open.span += STEP_SECS;
         // What is shed here nobody answers: with fewer let in, fewer are enough, or f would stay where it is
         // for want of the answers that it keeps from coming.
-        let full = open.count >= (SAMPLE_LEAST * self.f).max(1.0);
+        let full = open.count >= (MIN_ANSWERS_PER_SAMPLE * self.f).max(1.0);
         if let Some(rho) = rho.filter(|_| full) {
-            let mut ratio = RHO_THRESH / rho;
+            let mut ratio = TARGET_OCCUPANCY / rho;
             if let Some(thresh) = self.alpha_thresh.filter(|_| reported.is_some() && alpha > 0.0) {
                 // Departure: the threshold is learnt at this gateway's share of the traffic, so it cuts only
                 // while the occupancy agrees; else traffic shifted here by a crash would be refused for it.
-                if rho > RHO_THRESH {
+                if rho > TARGET_OCCUPANCY {
                     ratio = ratio.min(thresh / alpha);
                 }
             }
@@ -121,31 +121,31 @@
             // within the step. Guards against swings when answers take many steps; hurts by a later cut.
             self.f *= ratio.powf(open.span / (open.span + lag));
             if self.steps.is_multiple_of(ALPHA_STEPS) && reported.is_some() && alpha > 0.0 {
-                let estimate = RHO_THRESH * alpha / rho;
+                let estimate = TARGET_OCCUPANCY * alpha / rho;
                 self.alpha_thresh =
-                    Some(self.alpha_thresh.map_or(estimate, |old| mix(old, estimate, ALPHA_WEIGHT)));
+                    Some(self.alpha_thresh.map_or(estimate, |old| ewma(old, estimate, ALPHA_WEIGHT)));
             }
-        } else if idle && self.quiet > SAMPLES as f64 * SAMPLE_LEAST * STEP.max(lag) {
+        } else if idle && self.quiet > SAMPLE_COUNT as f64 * MIN_ANSWERS_PER_SAMPLE * STEP_SECS.max(lag) {
             // Departure: all demand is refused and nothing is out, so no sample can ever raise f again.
-            self.f /= RHO_THRESH;
+            self.f /= TARGET_OCCUPANCY;
         }
-        self.f = self.f.clamp(F_MIN, 1.0);
+        self.f = self.f.clamp(MIN_ADMITTED_FRACTION, 1.0);
         self.allocate();
         if full {
             self.samples.rotate_left(1);
-            self.samples[SAMPLES - 1] = Sample::default();
+            self.samples[SAMPLE_COUNT - 1] = Sample::default();
         }
     }
 
     /// Formula (4): the lowest priorities bear the shed share of demand.
     pub(crate) fn allocate(&mut self) {
         for p in &mut self.priorities {
-            p.demand = mix(p.demand, p.arrived / STEP, DEMAND_WEIGHT);
+            p.demand = ewma(p.demand, p.arrived / STEP_SECS, DEMAND_WEIGHT);
             p.arrived = 0.0;
         }
         let demand: f64 = self.priorities.iter().map(|p| p.demand).sum();
         let mut shed = (1.0 - self.f) * demand;
-        for &i in &self.order {
+        for &i in &self.by_value {
             let p = &mut self.priorities[i];
             p.tau = if shed <= 0.0 || p.demand <= 0.0 { 0.0 } else { (shed / p.demand).min(1.0) };
             shed -= p.demand.min(shed);
--- a/quota-gateway/core/src/rules/tests.rs
+++ b/quota-gateway/core/src/decisions/tests.rs
@@ -10,25 +10,25 @@
 #[test]
 fn servers_that_are_gone_are_forgotten_once_no_request_needs_them() {
     let ms = Duration::from_millis;
-    let effect = Effect::Keyed { group: Group::Cell, window: ms(5000) };
+    let effect = Effect::Keyed { group: DeduplicationScope::Cell, window: ms(5000) };
     let settings = Settings {
         gateways: 1,
-        number: 0,
+        gateway_index: 0,
         zone: 0,
-        classes: vec![Class { aim: ms(800), deadline: ms(3000), worth: 1.0, effect }],
+        classes: vec![Class { latency_target: ms(800), deadline: ms(3000), value: 1.0, effect }],
         plans: vec![Plan { rate: 1e6, burst: 1e6, price: 1.0, ..Plan::default() }],
         discovery: Discovery::Push,
         cancel: true,
-        second_copies: true,
+        hedging: true,
         max_attempts: 3,
         max_retry_after: ms(500),
         tick: ms(2),
         meter_period: ms(0),
         max_units: 1.0,
-        cold_from: 0.2,
-        cold_ramp: ms(15_000),
-        cold_multiple: 3.0,
-        cold_window: ms(1500),
+        slow_start_initial_share: 0.2,
+        slow_start_duration: ms(15_000),
+        slow_start_overload_factor: 3.0,
+        slow_start_window: ms(1500),
         cross_zone_price: 0.0,
     };
     let mut gateway = Gateway::new(settings, 7);
@@ -45,15 +45,15 @@
         deadline: Time(3_000_000_000),
         units: 1.0,
         gateways: 1,
-        repeat: false,
-        flows: false,
+        is_retry: false,
+        body_in_flight: false,
     };
     let mut actions = Vec::new();
     gateway.handle(Time(now), Event::Request(request), &mut actions);
     assert!(actions.iter().any(|a| matches!(a, Action::Send { server: ServerId(49), .. })));
     list(&mut gateway, now, Scope::Delta, 49, Lifecycle::Gone);
     let mut steps = |gateway: &mut Gateway| {
-        for _ in 0..SLICE_STEPS {
+        for _ in 0..STEPS_PER_SLICE {
             now += 100_000_000;
             gateway.handle(Time(now), Event::Timer(Token(TOKEN_STEP)), &mut Vec::new());
         }
@@ -61,17 +61,17 @@
     steps(&mut gateway);
     let kept: Vec<_> = gateway.servers.keys().copied().collect();
     assert_eq!(kept, [ServerId(49)], "its cell bounds where the request may be repeated");
-    gateway.handle(Time(1_000_000_000), Event::Departed(RequestId(1)), &mut Vec::new());
+    gateway.handle(Time(1_000_000_000), Event::ClientDisconnected(RequestId(1)), &mut Vec::new());
     let outcome = Outcome {
         id: RequestId(1),
         attempt: AttemptNo(0),
         status: Status::Cancelled,
         elapsed: ms(1000),
         finished: true,
-        metered: None,
-        true_units: None,
+        metered_use: None,
+        actual_units: None,
         report: LoadReport::default(),
-        last: false,
+        not_retryable: false,
     };
     gateway.handle(Time(1_000_000_000), Event::Outcome(outcome), &mut Vec::new());
     steps(&mut gateway);
--- a/quota-gateway/core/src/lib.rs
+++ b/quota-gateway/core/src/lib.rs
@@ -56,13 +56,13 @@
 //! ```
 #![forbid(unsafe_code)]
 
-mod accounts;
 mod api;
+mod decisions;
 mod numbers;
-mod rules;
+mod state_transfer;
 
-pub use accounts::Memory;
 pub use api::*;
+pub use decisions::load_shedding::{Shedder, STEP_SECS as THROTTLE_STEP};
+pub use decisions::Gateway;
 pub use numbers::Random;
-pub use rules::throttle::{Shedder, STEP as THROTTLE_STEP};
-pub use rules::Gateway;
+pub use state_transfer::StateSnapshot;
--- a/quota-gateway/core/tests/cold.rs
+++ b/quota-gateway/core/tests/cold.rs
@@ -29,11 +29,11 @@
     fn settings(&self, gateways: u32, number: u32) -> Settings {
         Settings {
             gateways,
-            number,
-            cold_from: self.cold_from,
-            cold_ramp: ms(self.ramp_ms),
-            cold_multiple: MULTIPLE,
-            cold_window: ms(self.window_ms),
+            gateway_index: number,
+            slow_start_initial_share: self.cold_from,
+            slow_start_duration: ms(self.ramp_ms),
+            slow_start_overload_factor: MULTIPLE,
+            slow_start_window: ms(self.window_ms),
             ..settings(vec![class(Effect::Safe, 1.0)], vec![roomy()])
         }
     }
@@ -177,9 +177,9 @@
     held("put back", |fleet| {
         let asked = fleet.site.asked();
         fleet.play(asked, 4000);
-        fleet.tell(&Event::Disabled(ServerId(0)));
+        fleet.tell(&Event::ServerDisabled(ServerId(0)));
         fleet.play(asked, 3000);
-        fleet.tell(&Event::Enabled(ServerId(0)));
+        fleet.tell(&Event::ServerEnabled(ServerId(0)));
         // It was restarted meanwhile, and the list is late to say so.
         let began = fleet.now;
         fleet.play(asked * 1.5, 4000);
--- a/quota-gateway/core/tests/common/mod.rs
+++ b/quota-gateway/core/tests/common/mod.rs
@@ -10,36 +10,36 @@
 }
 
 pub fn class(effect: Effect, worth: f64) -> Class {
-    Class { aim: ms(800), deadline: ms(3000), worth, effect }
+    Class { latency_target: ms(800), deadline: ms(3000), value: worth, effect }
 }
 
-pub fn keyed(group: Group) -> Effect {
+pub fn keyed(group: DeduplicationScope) -> Effect {
     Effect::Keyed { group, window: ms(2000) }
 }
 
 pub fn roomy() -> Plan {
-    Plan { rate: 1e6, burst: 1e6, price: 1.0, over_cost: 1.0, ..Plan::default() }
+    Plan { rate: 1e6, burst: 1e6, price: 1.0, over_quota_cost: 1.0, ..Plan::default() }
 }
 
 pub fn settings(classes: Vec<Class>, plans: Vec<Plan>) -> Settings {
     Settings {
         gateways: 2,
-        number: 0,
+        gateway_index: 0,
         zone: 0,
         classes,
         plans,
         discovery: Discovery::Push,
         cancel: true,
-        second_copies: false,
+        hedging: false,
         max_attempts: 4,
         max_retry_after: ms(500),
         tick: ms(2),
         meter_period: ms(1000),
         max_units: 6.0,
-        cold_from: 0.2,
-        cold_ramp: ms(10_000),
-        cold_multiple: 3.0,
-        cold_window: ms(1500),
+        slow_start_initial_share: 0.2,
+        slow_start_duration: ms(10_000),
+        slow_start_overload_factor: 3.0,
+        slow_start_window: ms(1500),
         cross_zone_price: 0.0,
     }
 }
@@ -128,8 +128,8 @@
             deadline: Time(self.now + 3_000_000_000),
             units,
             gateways: self.spread,
-            repeat: false,
-            flows: false,
+            is_retry: false,
+            body_in_flight: false,
         }));
         (id, actions)
     }
@@ -155,10 +155,10 @@
         status,
         elapsed: ms(millis),
         finished: status == Status::Ok,
-        metered: None,
-        true_units: None,
+        metered_use: None,
+        actual_units: None,
         report: LoadReport::default(),
-        last: false,
+        not_retryable: false,
     }
 }
 
@@ -170,7 +170,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/quota-gateway/core/tests/conformance.rs
+++ b/quota-gateway/core/tests/conformance.rs
@@ -140,7 +140,7 @@
     match name {
         "ok" => Status::Ok,
         "error" => Status::Error,
-        "turned away" => Status::Full,
+        "turned away" => Status::Rejected,
         "timed out" => Status::TimedOut,
         "could not connect" => Status::ConnectFailed,
         "reset" => Status::Reset,
@@ -159,8 +159,8 @@
         rate: p.rate,
         burst: p.burst,
         price: p.price,
-        over_worth: p.over_worth,
-        over_cost: p.over_cost,
+        over_quota_value: p.over_worth,
+        over_quota_cost: p.over_cost,
         ..Plan::default()
     };
     let mut settings = settings(classes, given.plans.iter().map(plan).collect());
@@ -186,8 +186,8 @@
                             let told = outcome(id, 0, status(end), *ms);
                             door.event(Event::Outcome(Outcome {
                                 report,
-                                metered: *metered,
-                                last: true,
+                                metered_use: *metered,
+                                not_retryable: true,
                                 ..told
                             }));
                         }
@@ -209,11 +209,11 @@
                     let entered = sent(&actions).is_some();
                     seen.push(if entered { '1' } else { '0' });
                     if entered {
-                        door.event(Event::Departed(id));
+                        door.event(Event::ClientDisconnected(id));
                         door.settle(id, 0, Status::Cancelled, 0);
                     }
                     let told = actions.iter().find_map(|action| match action {
-                        Action::Refuse { retry_after, .. } => Some(retry_after.as_millis() as u64),
+                        Action::Reject { retry_after, .. } => Some(retry_after.as_millis() as u64),
                         _ => None,
                     });
                     if entered != told.is_none() {
--- a/quota-gateway/core/tests/failures.rs
+++ b/quota-gateway/core/tests/failures.rs
@@ -12,7 +12,9 @@
 /// A request whose server never answers still gets one final answer before its deadline.
 #[test]
 fn every_request_is_answered_in_time() {
-    for effect in [Effect::Safe, keyed(Group::Zone), keyed(Group::All), Effect::Unsafe] {
+    for effect in
+        [Effect::Safe, keyed(DeduplicationScope::Zone), keyed(DeduplicationScope::All), Effect::Unsafe]
+    {
         let mut door = Door::new(settings(vec![class(effect, 1.0)], vec![roomy()]), 1);
         let (id, first) = door.request(0, 0, 1);
         assert!(sent(&first).is_some());
@@ -20,7 +22,7 @@
         let finals: Vec<u64> = door
             .log
             .iter()
-            .filter(|(_, a)| matches!(a, Action::Refuse { id: i, .. } | Action::Fail { id: i } if *i == id))
+            .filter(|(_, a)| matches!(a, Action::Reject { id: i, .. } | Action::Fail { id: i } if *i == id))
             .map(|(at, _)| *at)
             .collect();
         assert_eq!(finals.len(), 1, "{effect:?}");
@@ -31,7 +33,7 @@
 /// Keyed work that may have run fails instead of being refused, and is repeated only in its group.
 #[test]
 fn keyed_work_stays_in_its_group() {
-    let mut door = Door::new(settings(vec![class(keyed(Group::Zone), 1.0)], vec![roomy()]), 8);
+    let mut door = Door::new(settings(vec![class(keyed(DeduplicationScope::Zone), 1.0)], vec![roomy()]), 8);
     for _ in 0..20 {
         let (id, first) = door.request(0, 0, 1);
         let first = sent(&first).expect("room");
@@ -75,7 +77,7 @@
 /// One gateway of two sends on no more than its half of a ceiling, which starts empty but for the slack.
 #[test]
 fn ceiling_is_kept_alone() {
-    let plan = Plan { ceiling_rate: 10.0, ceiling_depth: 20.0, ceiling_slack: 2.0, ..roomy() };
+    let plan = Plan { rate_limit: 10.0, rate_limit_burst: 20.0, rate_limit_slack: 2.0, ..roomy() };
     let mut door = Door::new(settings(safe(), vec![plan]), 20);
     let mut units = 0.0;
     for step in 1..=1000 {
@@ -91,7 +93,7 @@
 /// A part of a ceiling fills from the gateway's start: a customer's first request after that finds it.
 #[test]
 fn ceiling_fills_from_the_start_of_the_gateway() {
-    let plan = Plan { ceiling_rate: 2.0, ceiling_depth: 10.0, ..roomy() };
+    let plan = Plan { rate_limit: 2.0, rate_limit_burst: 10.0, ..roomy() };
     let mut door = Door::new(settings(safe(), vec![plan]), 4);
     assert!(refused(&door.request_of(0, 0, 1, 3.0).1));
     door.pass(3000);
@@ -167,7 +169,7 @@
             door.settle(id, 0, Status::Ok, 900);
         }
     }
-    assert!(door.log.iter().any(|(_, a)| matches!(a, Action::Refuse { .. })), "sheds");
+    assert!(door.log.iter().any(|(_, a)| matches!(a, Action::Reject { .. })), "sheds");
     let (_, last) = door.request(0, 0, 1);
     assert!(sent(&last).is_some() || refused(&last));
 }
@@ -199,8 +201,8 @@
 /// Beyond its quota a hard plan is refused with a retry-after, a soft one passes where there is room.
 #[test]
 fn quota_is_held_and_soft_plans_pass() {
-    let hard = Plan { rate: 2.0, burst: 4.0, price: 1.0, over_cost: 1.0, ..Plan::default() };
-    let soft = Plan { over_worth: 0.5, over_cost: 0.0, ..hard.clone() };
+    let hard = Plan { rate: 2.0, burst: 4.0, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
+    let soft = Plan { over_quota_value: 0.5, over_quota_cost: 0.0, ..hard.clone() };
     let mut door = Door::new(settings(safe(), vec![hard, soft]), 20);
     let through = |door: &mut Door, plan: usize| {
         (0..40).filter(|_| door.serve(0, plan, plan as u64, 10).is_some()).count()
@@ -215,7 +217,7 @@
 fn absurd_numbers_are_borne() {
     let plan = Plan { rate: f64::NAN, burst: f64::NEG_INFINITY, price: f64::INFINITY, ..Plan::default() };
     let mut odd = settings(safe(), vec![plan, roomy()]);
-    odd.cold_from = f64::NAN;
+    odd.slow_start_initial_share = f64::NAN;
     odd.gateways = 0;
     let mut door = Door::new(odd, 2);
     for i in 0..50 {
@@ -223,8 +225,8 @@
         if sent(&actions).is_some() {
             let mut told = outcome(id, 0, Status::Ok, 0);
             told.report.queue = Some(f64::INFINITY);
-            told.metered = Some(f64::NAN);
-            told.true_units = Some(f64::NAN);
+            told.metered_use = Some(f64::NAN);
+            told.actual_units = Some(f64::NAN);
             door.event(Event::Outcome(told));
         } else {
             assert!(refused(&actions));
@@ -264,8 +266,14 @@
 /// With many gateways the open cap counts what the others have out.
 #[test]
 fn open_cap_counts_the_others() {
-    let plan =
-        Plan { rate: 100.0, burst: 200.0, open_limit: 4, price: 1.0, over_cost: 1.0, ..Plan::default() };
+    let plan = Plan {
+        rate: 100.0,
+        burst: 200.0,
+        max_in_flight: 4,
+        price: 1.0,
+        over_quota_cost: 1.0,
+        ..Plan::default()
+    };
     let mut door = Door::new(settings(safe(), vec![plan]), 30);
     let let_in = (0..10).filter(|_| sent(&door.request(0, 0, 1).1).is_some()).count();
     assert!((1..=4).contains(&let_in), "{let_in}");
@@ -275,7 +283,7 @@
 /// and beyond the quota more tightly.
 #[test]
 fn attempts_out_are_bounded() {
-    let soft = Plan { rate: 0.001, burst: 0.001, price: 1.0, over_worth: 0.5, ..Plan::default() };
+    let soft = Plan { rate: 0.001, burst: 0.001, price: 1.0, over_quota_value: 0.5, ..Plan::default() };
     let out = |gateways: u32, plan: usize| {
         let mut cfg = settings(safe(), vec![roomy(), soft.clone()]);
         cfg.gateways = gateways;
@@ -366,7 +374,7 @@
 /// sight; and what the store holds was taken by all of them at once.
 #[test]
 fn room_seen_by_many_gateways_is_split_by_chance() {
-    let plan = Plan { rate: 2.0, burst: 12.0, price: 1.0, over_cost: 1.2, ..Plan::default() };
+    let plan = Plan { rate: 2.0, burst: 12.0, price: 1.0, over_quota_cost: 1.2, ..Plan::default() };
     let mut let_in = [0, 0];
     for seed in 0..100 {
         let mut door = Door::seeded(settings(safe(), vec![plan.clone()]), 4, seed);
@@ -384,7 +392,7 @@
 /// Clients with little time left took quota and server work for answers that could not come in their time.
 #[test]
 fn a_try_without_time_for_an_answer_is_refused() {
-    let plan = Plan { rate: 0.001, burst: 40.0, price: 1.0, over_cost: 1.0, ..Plan::default() };
+    let plan = Plan { rate: 0.001, burst: 40.0, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
     let mut door = Door::new(settings(safe(), vec![plan, roomy()]), 4);
     for _ in 0..100 {
         door.serve(0, 1, 1, 300);
@@ -400,8 +408,8 @@
             deadline: Time(door.now + left * 1_000_000),
             units: 1.0,
             gateways: 2,
-            repeat: false,
-            flows: false,
+            is_retry: false,
+            body_in_flight: false,
         }))
     };
     // Answers take 300 ms: 100 ms are too little, 250 ms may do.
@@ -414,7 +422,7 @@
 /// quota from first tries.
 #[test]
 fn a_repeat_whose_aim_has_passed_takes_no_quota() {
-    let plan = Plan { rate: 0.001, burst: 40.0, price: 1.0, over_cost: 1.0, ..Plan::default() };
+    let plan = Plan { rate: 0.001, burst: 40.0, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
     let mut door = Door::new(settings(safe(), vec![plan]), 4);
     let ask = |door: &mut Door, wait: u64, repeat: bool| {
         let id = RequestId(1_000_000 + door.next);
@@ -427,8 +435,8 @@
             deadline: Time(door.now + wait * 1_000_000),
             units: 1.0,
             gateways: 2,
-            repeat,
-            flows: false,
+            is_retry: repeat,
+            body_in_flight: false,
         }));
         let let_in = sent(&actions).is_some();
         if let_in {
@@ -452,12 +460,12 @@
 fn a_refusal_says_when_it_is_worth_coming_back() {
     let advice = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
-            Action::Refuse { retry_after, .. } => Some(retry_after.as_millis()),
+            Action::Reject { retry_after, .. } => Some(retry_after.as_millis()),
             _ => None,
         })
     };
     // Half of the quota's two units are this gateway's, and half a unit a second.
-    let plan = Plan { rate: 1.0, burst: 2.0, price: 1.0, over_cost: 1.0, ..Plan::default() };
+    let plan = Plan { rate: 1.0, burst: 2.0, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
     let unmetered = Settings { meter_period: ms(0), ..settings(safe(), vec![plan, roomy()]) };
     let mut door = Door::new(unmetered, 4);
     assert!(door.serve(0, 0, 7, 10).is_some());
@@ -478,7 +486,7 @@
 /// a minute: its whole store seemed spent, and what was beyond the slice was refused.
 #[test]
 fn one_high_reading_of_the_meter_does_not_empty_the_store() {
-    let plan = Plan { rate: 1.0, burst: 12.0, price: 1.0, over_cost: 1.2, ..Plan::default() };
+    let plan = Plan { rate: 1.0, burst: 12.0, price: 1.0, over_quota_cost: 1.2, ..Plan::default() };
     let mut let_in = [0, 0];
     for (steady, let_in) in let_in.iter_mut().enumerate() {
         for seed in 0..100 {
@@ -488,7 +496,7 @@
                 let (id, _) = door.request(0, 0, 1);
                 door.pass(50);
                 let mut told = outcome(id, 0, Status::Ok, 50);
-                told.metered = Some(if steady == 1 || n == 7 { 4.0 } else { 0.0 });
+                told.metered_use = Some(if steady == 1 || n == 7 { 4.0 } else { 0.0 });
                 door.event(Event::Outcome(told));
                 door.pass(3000);
             }
@@ -520,7 +528,7 @@
         let (id, _) = door.request(0, 0, 1);
         door.pass(5);
         if hangs_up {
-            door.event(Event::Departed(id));
+            door.event(Event::ClientDisconnected(id));
         }
         door.settle(id, 0, Status::Cancelled, 5);
         door.pass(160);
@@ -534,7 +542,7 @@
 #[test]
 fn the_last_units_are_left_to_the_class_of_more_worth() {
     let classes = || vec![class(Effect::Safe, 3.0), class(Effect::Unsafe, 2.0)];
-    let plan = |burst: f64| Plan { rate: 0.001, burst, price: 1.0, over_cost: 1.0, ..Plan::default() };
+    let plan = |burst: f64| Plan { rate: 0.001, burst, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
     let plans = vec![plan(4.0), plan(2.0)];
     let unmetered = Settings { meter_period: ms(0), ..settings(classes(), plans) };
     let mut door = Door::new(unmetered, 4);
@@ -549,7 +557,7 @@
 /// A reading of the meter was dropped after some seconds, and a heavy customer seen seldom was new each time.
 #[test]
 fn a_heavy_customer_is_remembered_between_rare_tries() {
-    let plan = Plan { rate: 1.0, burst: 6.0, price: 1.0, over_cost: 1.2, ..Plan::default() };
+    let plan = Plan { rate: 1.0, burst: 6.0, price: 1.0, over_quota_cost: 1.2, ..Plan::default() };
     let mut let_in = [0, 0];
     for (heavy, let_in) in let_in.iter_mut().enumerate() {
         let mut door = Door::new(settings(safe(), vec![plan.clone()]), 4);
@@ -560,7 +568,7 @@
             if sent(&actions).is_some() {
                 *let_in += 1;
                 let mut told = outcome(id, 0, Status::Ok, 50);
-                told.metered = Some(if heavy == 1 { 4.0 } else { 0.3 });
+                told.metered_use = Some(if heavy == 1 { 4.0 } else { 0.3 });
                 door.event(Event::Outcome(told));
             }
             door.pass(15_000);
@@ -576,10 +584,10 @@
         rate: 1e3,
         burst: 1e3,
         price: 1.0,
-        over_cost: 1.0,
-        ceiling_rate: 8.0,
-        ceiling_depth: 48.0,
-        ceiling_slack: 6.0,
+        over_quota_cost: 1.0,
+        rate_limit: 8.0,
+        rate_limit_burst: 48.0,
+        rate_limit_slack: 6.0,
         ..Plan::default()
     };
     let door = |seed| {
@@ -631,8 +639,8 @@
 #[test]
 fn what_operators_leave_out_gets_nothing_until_it_is_put_back() {
     let mut door = Door::new(settings(safe(), vec![roomy()]), 2);
-    door.event(Event::Disabled(ServerId(0)));
-    door.event(Event::Disabled(ServerId(0)));
+    door.event(Event::ServerDisabled(ServerId(0)));
+    door.event(Event::ServerDisabled(ServerId(0)));
     let started = |at: u64| ServerInfo { started: Some(Time(at)), ..server(0) };
     for at in [0, 1_000_000_000, 2_000_000_000] {
         door.list(Scope::Delta, vec![started(at)]);
@@ -640,12 +648,12 @@
             assert_eq!(door.serve(0, 0, 1, 10), Some(ServerId(1)));
         }
     }
-    door.event(Event::Enabled(ServerId(0)));
-    door.event(Event::Enabled(ServerId(0)));
+    door.event(Event::ServerEnabled(ServerId(0)));
+    door.event(Event::ServerEnabled(ServerId(0)));
     let next: Vec<_> = (0..100).map(|_| door.serve(0, 0, 1, 10)).collect();
     assert!(next.contains(&Some(ServerId(0))), "it gets work within a second");
     // One that was never left out is not taken for one that was.
-    door.event(Event::Enabled(ServerId(1)));
+    door.event(Event::ServerEnabled(ServerId(1)));
     assert!((0..10).any(|_| door.serve(0, 0, 1, 10) == Some(ServerId(1))));
 }
 
@@ -657,9 +665,9 @@
     for _ in 0..300 {
         door.serve(0, 0, 1, 10);
     }
-    door.event(Event::Disabled(ServerId(0)));
+    door.event(Event::ServerDisabled(ServerId(0)));
     door.pass(3000);
-    door.event(Event::Enabled(ServerId(0)));
+    door.event(Event::ServerEnabled(ServerId(0)));
     let share = |door: &mut Door, tries: usize| {
         let hits = (0..tries).filter(|_| door.serve(0, 0, 1, 10) == Some(ServerId(0))).count();
         hits as f64 / tries as f64
@@ -674,36 +682,42 @@
 /// A process that replaces another one goes on with its accounts, and the two keep them together while both live.
 #[test]
 fn an_upgrade_counts_nothing_twice_and_forgets_nothing() {
-    let plan =
-        Plan { rate: 0.001, burst: 12.0, price: 1.0, over_cost: 1.0, open_limit: 8, ..Plan::default() };
+    let plan = Plan {
+        rate: 0.001,
+        burst: 12.0,
+        price: 1.0,
+        over_quota_cost: 1.0,
+        max_in_flight: 8,
+        ..Plan::default()
+    };
     let cfg = settings(vec![class(Effect::Safe, 1.0)], vec![plan]);
     let cfg = Settings { gateways: 1, meter_period: ms(0), ..cfg };
     let mut old = Door::new(cfg.clone(), 2);
     old.spread = 1;
-    old.event(Event::Disabled(ServerId(0)));
+    old.event(Event::ServerDisabled(ServerId(0)));
     for _ in 0..4 {
         assert_eq!(old.serve(0, 0, 7, 10), Some(ServerId(1)));
     }
     let (id, actions) = old.request(0, 0, 7);
     assert!(sent(&actions).is_some(), "one is out while the next process starts");
 
-    let memory = serde_json::to_string(&old.gateway.memory()).expect("written");
+    let memory = serde_json::to_string(&old.gateway.snapshot()).expect("written");
     let mut new = Door::new(cfg.clone(), 0);
     new.gateway = Gateway::new(cfg, 43);
-    new.gateway.remember(serde_json::from_str(&memory).expect("read"));
+    new.gateway.restore(serde_json::from_str(&memory).expect("read"));
     (new.now, new.next, new.spread) = (old.now, 1000, 1);
     new.timers.clear();
     new.list(Scope::Full, (0..2).map(server).collect());
     assert!(!new.timers.is_empty(), "its clockwork runs");
-    let told = |new: &mut Door, news| drop(new.event(Event::Elsewhere(news)));
+    let told = |new: &mut Door, news| drop(new.event(Event::PeerProcess(news)));
     let (customer, server) = (CustomerId(7), ServerId(1));
     // Five of the twelve units are taken; the old one takes five more, then each is refused at the end of them.
     old.settle(id, 0, Status::Ok, 10);
-    told(&mut new, Elsewhere::Ended { customer, server, answered: true });
+    told(&mut new, PeerProcessEvent::Ended { customer, server, answered: true });
     for _ in 0..5 {
         assert!(old.serve(0, 0, 7, 10).is_some());
-        told(&mut new, Elsewhere::Sent { customer, plan: PlanId(0), gateways: 1, units: 1.0, server });
-        told(&mut new, Elsewhere::Ended { customer, server, answered: true });
+        told(&mut new, PeerProcessEvent::Sent { customer, plan: PlanId(0), gateways: 1, units: 1.0, server });
+        told(&mut new, PeerProcessEvent::Ended { customer, server, answered: true });
     }
     let served: Vec<_> = (0..4).map(|_| new.serve(0, 0, 7, 10)).collect();
     assert_eq!(served, [Some(ServerId(1)), Some(ServerId(1)), None, None], "left out, and two units left");
@@ -711,11 +725,17 @@
     for _ in 0..9 {
         told(
             &mut new,
-            Elsewhere::Sent { customer: CustomerId(8), plan: PlanId(0), gateways: 1, units: 0.0, server },
+            PeerProcessEvent::Sent {
+                customer: CustomerId(8),
+                plan: PlanId(0),
+                gateways: 1,
+                units: 0.0,
+                server,
+            },
         );
     }
     assert_eq!(new.serve(0, 0, 8, 10), None);
-    told(&mut new, Elsewhere::Gone);
+    told(&mut new, PeerProcessEvent::Gone);
     assert_eq!(new.serve(0, 0, 8, 10), Some(ServerId(1)));
 }
 
@@ -729,8 +749,8 @@
         deadline: Time(door.now + 3_000_000_000),
         units: 1.0,
         gateways: 2,
-        repeat: false,
-        flows: true,
+        is_retry: false,
+        body_in_flight: true,
     }))
 }
 
@@ -738,7 +758,7 @@
 /// of the attempts that its customer may have out, nor work for the server.
 #[test]
 fn the_time_of_a_long_request_begins_with_its_last_byte() {
-    let plan = Plan { open_limit: 2, ..roomy() };
+    let plan = Plan { max_in_flight: 2, ..roomy() };
     let mut door = Door::new(settings(vec![class(Effect::Unsafe, 1.0)], vec![plan]), 1);
     for id in 900..905 {
         assert!(sent(&long_request(&mut door, id)).is_some(), "{id}: none of them is out yet");
@@ -747,7 +767,7 @@
     assert!(!refused(&passed) && !failed(&passed), "it is waited for while it gets on");
     let (id, attempt) = (RequestId(900), AttemptNo(0));
     let deadline = Time(door.now + 3_000_000_000);
-    door.event(Event::Written { id, attempt, deadline });
+    door.event(Event::BodyWritten { id, attempt, deadline });
     let passed = door.pass(2900);
     assert!(!refused(&passed) && !failed(&passed));
     let (_, more) = door.request(0, 0, 1);
@@ -760,7 +780,7 @@
 fn a_body_that_is_gone_is_not_sent_again() {
     let mut door = Door::new(settings(safe(), vec![roomy()]), 4);
     assert!(sent(&long_request(&mut door, 900)).is_some());
-    let gone = Outcome { last: true, ..outcome(RequestId(900), 0, Status::ConnectFailed, 5) };
+    let gone = Outcome { not_retryable: true, ..outcome(RequestId(900), 0, Status::ConnectFailed, 5) };
     let after = door.event(Event::Outcome(gone));
     assert!(sent(&after).is_none() && refused(&after), "it never ran");
     assert!(sent(&long_request(&mut door, 901)).is_some());
@@ -867,7 +887,7 @@
 /// The servers that each of so many gateways sends to, of the listed ones, when each answers at once.
 fn sets(gateways: u32, listed: &[u32]) -> Vec<BTreeSet<u32>> {
     let set = |number| {
-        let cfg = Settings { gateways, number, ..settings(safe(), vec![roomy()]) };
+        let cfg = Settings { gateways, gateway_index: number, ..settings(safe(), vec![roomy()]) };
         let mut door = Door::seeded(cfg, 0, u64::from(number));
         door.list(Scope::Full, listed.iter().map(|&id| ServerInfo { zone: id % 3, ..server(id) }).collect());
         (0..200).filter_map(|_| door.serve(0, 0, 1, 20)).map(|server| server.0).collect()
@@ -899,9 +919,9 @@
 fn few_gateways_use_all_servers() {
     assert!(sets(3, &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11]).iter().all(|set| set.len() == 12));
     // Odd settings are harmless.
-    let odd = Settings { gateways: u32::MAX, number: u32::MAX, ..settings(safe(), vec![roomy()]) };
+    let odd = Settings { gateways: u32::MAX, gateway_index: u32::MAX, ..settings(safe(), vec![roomy()]) };
     assert!(Door::new(odd, 40).serve(0, 0, 1, 20).is_some());
-    let none = Settings { gateways: 0, number: 7, ..settings(safe(), vec![roomy()]) };
+    let none = Settings { gateways: 0, gateway_index: 7, ..settings(safe(), vec![roomy()]) };
     assert!(Door::new(none, 2).serve(0, 0, 1, 20).is_some());
 }
 
@@ -933,7 +953,7 @@
 fn cold_servers_get_their_part_from_many_gateways() {
     let (mut to_cold, mut all) = (0, 0);
     for number in 0..100 {
-        let cfg = Settings { gateways: 100, number, ..settings(safe(), vec![roomy()]) };
+        let cfg = Settings { gateways: 100, gateway_index: number, ..settings(safe(), vec![roomy()]) };
         let mut door = Door::seeded(cfg, 60, u64::from(number));
         let serve = |door: &mut Door| {
             let server = door.serve(0, 0, 1, 20);
--- a/quota-gateway/core/tests/places.rs
+++ b/quota-gateway/core/tests/places.rs
@@ -10,7 +10,7 @@
     Door::new(settings(vec![class(Effect::Unsafe, 1.0)], vec![roomy()]), 8)
 }
 
-fn placed(door: &mut Door, id: u32, place: Place) -> Vec<Action> {
+fn placed(door: &mut Door, id: u32, place: Placement) -> Vec<Action> {
     let request = NewRequest {
         id: RequestId(id),
         class: ClassId(0),
@@ -19,10 +19,10 @@
         deadline: Time(door.now + 3_000_000_000),
         units: 1.0,
         gateways: 2,
-        repeat: false,
-        flows: false,
+        is_retry: false,
+        body_in_flight: false,
     };
-    door.event(Event::Placed(request, place))
+    door.event(Event::RequestWithPlacement(request, place))
 }
 
 fn cell(server: Option<ServerId>) -> Option<u32> {
@@ -37,46 +37,46 @@
 #[test]
 fn a_request_goes_to_its_cell_alone() {
     let mut door = door();
-    let shares = |zone: u32| ZoneShare { zone, share: 0.5, most: f64::INFINITY };
+    let shares = |zone: u32| ZoneShare { zone, share: 0.5, max_rate: f64::INFINITY };
     for (id, lanes) in [(1, vec![]), (2, vec![shares(0), shares(1)])] {
-        door.event(Event::Zones(lanes));
+        door.event(Event::ZoneShares(lanes));
         for n in 0..20 {
             let id = id * 100 + n;
-            let actions = placed(&mut door, id, Place::Cell(3));
+            let actions = placed(&mut door, id, Placement::Cell(3));
             assert_eq!(cell(sent(&actions)), Some(3));
             door.pass(5);
             door.settle(RequestId(id), 0, Status::Ok, 5);
         }
     }
     // A zone that nothing may be sent to takes no writes either.
-    door.event(Event::Zones(vec![shares(0)]));
-    assert!(refused(&placed(&mut door, 900, Place::Cell(3))));
+    door.event(Event::ZoneShares(vec![shares(0)]));
+    assert!(refused(&placed(&mut door, 900, Placement::Cell(3))));
 }
 
 #[test]
 fn a_request_that_was_turned_away_goes_where_its_book_has_moved() {
     let mut door = door();
-    let first = placed(&mut door, 1, Place::Cell(0));
+    let first = placed(&mut door, 1, Placement::Cell(0));
     assert_eq!(cell(sent(&first)), Some(0));
-    door.event(Event::Moved { id: RequestId(1), cell: 2 });
-    let again = door.settle(RequestId(1), 0, Status::Moot, 3);
+    door.event(Event::PlacementMoved { id: RequestId(1), cell: 2 });
+    let again = door.settle(RequestId(1), 0, Status::NotSent, 3);
     assert_eq!(cell(sent(&again)), Some(2), "it never ran, so it may be written once more");
     // What may have run is not sent again, wherever its book is.
-    door.event(Event::Moved { id: RequestId(1), cell: 1 });
+    door.event(Event::PlacementMoved { id: RequestId(1), cell: 1 });
     assert!(failed(&door.settle(RequestId(1), 1, Status::Reset, 3)));
 }
 
 #[test]
 fn a_request_that_may_go_nowhere_is_refused_at_once_and_told_when_to_come_back() {
     let mut door = door();
-    let actions = placed(&mut door, 1, Place::Nowhere { retry_after: ms(400) });
-    assert!(actions.contains(&Action::Refuse { id: RequestId(1), retry_after: ms(400) }), "{actions:?}");
+    let actions = placed(&mut door, 1, Placement::Unavailable { retry_after: ms(400) });
+    assert!(actions.contains(&Action::Reject { id: RequestId(1), retry_after: ms(400) }), "{actions:?}");
     assert_eq!(sent(&actions), None);
     // The quota goes before: what it refuses is told by it.
-    let plan = Plan { rate: 0.1, burst: 0.5, price: 1.0, over_cost: 1.0, ..Plan::default() };
+    let plan = Plan { rate: 0.1, burst: 0.5, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
     let mut poor = Door::new(settings(vec![class(Effect::Safe, 1.0)], vec![plan]), 4);
-    let actions = placed(&mut poor, 1, Place::Nowhere { retry_after: ms(400) });
+    let actions = placed(&mut poor, 1, Placement::Unavailable { retry_after: ms(400) });
     assert!(
-        refused(&actions) && !actions.contains(&Action::Refuse { id: RequestId(1), retry_after: ms(400) })
+        refused(&actions) && !actions.contains(&Action::Reject { id: RequestId(1), retry_after: ms(400) })
     );
 }
--- a/quota-gateway/core/tests/quotas.rs
+++ b/quota-gateway/core/tests/quotas.rs
@@ -11,7 +11,12 @@
 
 /// A customer's first try at one of a hundred gateways.
 fn first_try(plan: &Plan, number: u32) -> (Door, NewRequest) {
-    let cfg = Settings { gateways: 100, number, max_units: 1.0, ..settings(safe(), vec![plan.clone()]) };
+    let cfg = Settings {
+        gateways: 100,
+        gateway_index: number,
+        max_units: 1.0,
+        ..settings(safe(), vec![plan.clone()])
+    };
     let request = NewRequest {
         id: RequestId(0),
         class: ClassId(0),
@@ -20,14 +25,14 @@
         deadline: Time(3_000_000_000),
         units: 1.0,
         gateways: 75,
-        repeat: false,
-        flows: false,
+        is_retry: false,
+        body_in_flight: false,
     };
     (Door::seeded(cfg, 6, u64::from(number)), request)
 }
 
 fn plan() -> Plan {
-    Plan { rate: 1.0, burst: 6.0, price: 1.0, over_cost: 1.0, ..Plan::default() }
+    Plan { rate: 1.0, burst: 6.0, price: 1.0, over_quota_cost: 1.0, ..Plan::default() }
 }
 
 /// A customer that comes through many gateways was refused where its quota was known to be used, and its repeat let in as
@@ -37,7 +42,7 @@
     let let_in = |gateways: u32, repeat: bool| {
         let ask = |number: u32| {
             let (mut door, request) = first_try(&plan(), number);
-            sent(&door.event(Event::Request(NewRequest { gateways, repeat, ..request }))).is_some()
+            sent(&door.event(Event::Request(NewRequest { gateways, is_retry: repeat, ..request }))).is_some()
         };
         (0..100).filter(|&number| ask(number)).count()
     };
@@ -59,7 +64,7 @@
                 door.pass(20);
                 if sent(&actions).is_some() {
                     door.event(Event::Outcome(Outcome {
-                        metered: Some(used),
+                        metered_use: Some(used),
                         ..outcome(id, 0, Status::Ok, 20)
                     }));
                 }
@@ -81,10 +86,10 @@
 /// and in quotas.
 fn unmetered((rate, burst, units): (f64, f64, f64), use_of_quota: f64, seed: u64) -> (f64, f64) {
     const GATEWAYS: usize = 150;
-    let plan = Plan { rate, burst, price: 1.0, over_cost: 1.0, ..Plan::default() };
+    let plan = Plan { rate, burst, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
     let settings = |number| Settings {
         gateways: 200,
-        number,
+        gateway_index: number,
         meter_period: ms(0),
         max_units: 8.0,
         ..settings(safe(), vec![plan.clone()])
--- a/quota-gateway/core/tests/rules_hold.rs
+++ b/quota-gateway/core/tests/rules_hold.rs
@@ -38,20 +38,22 @@
 }
 
 fn never_ran(end: Option<Status>) -> bool {
-    matches!(end, Some(Status::Full | Status::ConnectFailed | Status::Moot))
+    matches!(end, Some(Status::Rejected | Status::ConnectFailed | Status::NotSent))
 }
 
 /// Settings with all effects and a ceiling.
 fn mixed(second_copies: bool, cancel: bool) -> Settings {
     let classes =
-        [Effect::Safe, keyed(Group::Zone), keyed(Group::All), Effect::Unsafe].map(|e| class(e, 1.0)).to_vec();
-    let limited = Plan { ceiling_rate: 4.0, ceiling_depth: 8.0, ceiling_slack: 1.0, ..roomy() };
-    Settings { second_copies, cancel, ..settings(classes, vec![roomy(), limited]) }
+        [Effect::Safe, keyed(DeduplicationScope::Zone), keyed(DeduplicationScope::All), Effect::Unsafe]
+            .map(|e| class(e, 1.0))
+            .to_vec();
+    let limited = Plan { rate_limit: 4.0, rate_limit_burst: 8.0, rate_limit_slack: 1.0, ..roomy() };
+    Settings { hedging: second_copies, cancel, ..settings(classes, vec![roomy(), limited]) }
 }
 
 fn play(steps: &[Step], cfg: &Settings) -> Vec<(u64, Action)> {
     let (second_copies, cancel, classes, plans) =
-        (cfg.second_copies, cfg.cancel, cfg.classes.clone(), cfg.plans.clone());
+        (cfg.hedging, cfg.cancel, cfg.classes.clone(), cfg.plans.clone());
     let mut door = Door::new(cfg.clone(), 6);
     let mut held: BTreeMap<RequestId, Held> = BTreeMap::new();
     let mut stopped: BTreeMap<ServerId, bool> = BTreeMap::new();
@@ -87,10 +89,10 @@
                     let status = match status {
                         0..=4 => Status::Ok,
                         5 => Status::Error,
-                        6 => Status::Full,
+                        6 => Status::Rejected,
                         7 => Status::ConnectFailed,
                         8 => Status::Reset,
-                        9 => Status::Moot,
+                        9 => Status::NotSent,
                         _ => Status::Cancelled,
                     };
                     let h = held.get_mut(&id).expect("held");
@@ -107,7 +109,7 @@
                     held.iter().filter(|(_, h)| !h.answered && !h.departed).map(|(id, _)| *id).collect();
                 if let Some(id) = open.get(which % open.len().max(1)) {
                     held.get_mut(id).expect("held").departed = true;
-                    door.event(Event::Departed(*id));
+                    door.event(Event::ClientDisconnected(*id));
                 }
             }
             Step::Pass { millis } => {
@@ -146,29 +148,29 @@
                                     "nothing says by when it must begin"
                                 );
                                 let same = match group {
-                                    Group::All => true,
-                                    Group::Zone => first.0 .0 % 2 == server.0 % 2,
-                                    Group::Cell => first.0 .0 % 4 == server.0 % 4,
+                                    DeduplicationScope::All => true,
+                                    DeduplicationScope::Zone => first.0 .0 % 2 == server.0 % 2,
+                                    DeduplicationScope::Cell => first.0 .0 % 4 == server.0 % 4,
                                 };
                                 assert!(same, "outside the group");
                             }
                         }
                     }
                     let limited = &plans[owner[&id].0];
-                    if h.attempts.is_empty() && limited.ceiling_rate > 0.0 {
+                    if h.attempts.is_empty() && limited.rate_limit > 0.0 {
                         let used = ceiling.entry(owner[&id]).or_default();
                         *used += 1.0;
-                        let half = (limited.ceiling_slack + limited.ceiling_rate * at as f64 / 1e9) / 2.0;
+                        let half = (limited.rate_limit_slack + limited.rate_limit * at as f64 / 1e9) / 2.0;
                         assert!(*used <= half + 1e-6, "ceiling: {used} of {half}");
                     }
                     h.attempts.push((server, at, None));
                 }
-                Action::Refuse { id, .. } | Action::Fail { id } => {
+                Action::Reject { id, .. } | Action::Fail { id } => {
                     let h = held.get_mut(&id).expect("held");
                     assert!(!h.answered, "two final answers");
-                    if matches!(action, Action::Refuse { .. }) {
+                    if matches!(action, Action::Reject { .. }) {
                         let harmless = match classes[h.class].effect {
-                            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+                            Effect::Safe | Effect::Keyed { group: DeduplicationScope::All, .. } => true,
                             _ => h.attempts.iter().all(|a| never_ran(a.2)),
                         };
                         assert!(harmless, "refused though it may have run");
@@ -228,12 +230,17 @@
     window_ms: u64,
 }
 
-const fn in_group(group: Group, window_ms: u64) -> Effect {
+const fn in_group(group: DeduplicationScope, window_ms: u64) -> Effect {
     Effect::Keyed { group, window: Duration::from_millis(window_ms) }
 }
 
 const fn of(effect: Effect, aim_ms: u64, deadline_ms: u64, worth: f64) -> Class {
-    Class { aim: Duration::from_millis(aim_ms), deadline: Duration::from_millis(deadline_ms), worth, effect }
+    Class {
+        latency_target: Duration::from_millis(aim_ms),
+        deadline: Duration::from_millis(deadline_ms),
+        value: worth,
+        effect,
+    }
 }
 
 /// A plan with a rate alone, and what a request beyond it costs.
@@ -241,13 +248,13 @@
     Plan {
         rate,
         burst,
-        open_limit: 0,
-        ceiling_rate: 0.0,
-        ceiling_depth: 0.0,
-        ceiling_slack: 0.0,
+        max_in_flight: 0,
+        rate_limit: 0.0,
+        rate_limit_burst: 0.0,
+        rate_limit_slack: 0.0,
         price: 1.0,
-        over_worth: 0.0,
-        over_cost,
+        over_quota_value: 0.0,
+        over_quota_cost: over_cost,
     }
 }
 
@@ -257,8 +264,8 @@
         classes: &[of(Effect::Safe, 1000, 4000, 3.0), of(Effect::Unsafe, 1000, 4000, 2.0)],
         plans: &[
             soft(0.8, 3.5, 0.8),
-            Plan { open_limit: 2, ..soft(1.5, 6.5, 1.2) },
-            Plan { ceiling_rate: 12.8, ceiling_depth: 20.5, ceiling_slack: 2.0, ..soft(6.1, 9.8, 0.8) },
+            Plan { max_in_flight: 2, ..soft(1.5, 6.5, 1.2) },
+            Plan { rate_limit: 12.8, rate_limit_burst: 20.5, rate_limit_slack: 2.0, ..soft(6.1, 9.8, 0.8) },
         ],
         second_copies: false,
         cancel: true,
@@ -273,7 +280,7 @@
         plans: &[
             soft(1.3, 5.1, 1.2),
             soft(1.4, 5.7, 0.8),
-            Plan { over_worth: 0.2, ..soft(4.4, 19.0, 0.0) },
+            Plan { over_quota_value: 0.2, ..soft(4.4, 19.0, 0.0) },
             soft(11.0, 25.0, 1.2),
         ],
         second_copies: true,
@@ -287,33 +294,33 @@
         name: "a class of 700 ms, keys by cell for 900 ms, lists asked for",
         classes: &[
             of(Effect::Safe, 400, 700, 4.0),
-            of(in_group(Group::Cell, 900), 1800, 6000, 5.0),
+            of(in_group(DeduplicationScope::Cell, 900), 1800, 6000, 5.0),
             of(Effect::Unsafe, 1200, 3500, 2.0),
         ],
         plans: &[
             soft(5.5, 11.0, 1.0),
-            Plan { over_worth: 0.2, ..soft(1.6, 6.4, 0.1) },
-            Plan { open_limit: 2, ..soft(1.1, 4.4, 0.8) },
+            Plan { over_quota_value: 0.2, ..soft(1.6, 6.4, 0.1) },
+            Plan { max_in_flight: 2, ..soft(1.1, 4.4, 0.8) },
             soft(2.7, 6.7, 1.1),
         ],
         second_copies: true,
         cancel: true,
         max_attempts: 3,
         meter_ms: 0,
-        discovery: Discovery::Ask,
+        discovery: Discovery::Subscribe,
         window_ms: 2000,
     },
     Deployment {
         name: "four classes, nothing called off, keys by zone for 1.1 s and by all for 700 ms",
         classes: &[
             of(Effect::Safe, 300, 500, 1.0),
-            of(in_group(Group::Zone, 1100), 1800, 9000, 5.0),
+            of(in_group(DeduplicationScope::Zone, 1100), 1800, 9000, 5.0),
             of(Effect::Unsafe, 1200, 3500, 2.0),
-            of(in_group(Group::All, 700), 1000, 2500, 6.0),
+            of(in_group(DeduplicationScope::All, 700), 1000, 2500, 6.0),
         ],
         plans: &[
             soft(1.3, 5.2, 0.9),
-            Plan { ceiling_rate: 12.0, ceiling_depth: 20.0, ceiling_slack: 2.0, ..soft(5.5, 9.0, 1.0) },
+            Plan { rate_limit: 12.0, rate_limit_burst: 20.0, rate_limit_slack: 2.0, ..soft(5.5, 9.0, 1.0) },
         ],
         second_copies: false,
         cancel: false,
@@ -327,12 +334,12 @@
 impl Deployment {
     fn settings(&self) -> Settings {
         Settings {
-            second_copies: self.second_copies,
+            hedging: self.second_copies,
             cancel: self.cancel,
             max_attempts: self.max_attempts,
             meter_period: ms(self.meter_ms),
             discovery: self.discovery,
-            cold_window: ms(self.window_ms),
+            slow_start_window: ms(self.window_ms),
             ..settings(self.classes.to_vec(), self.plans.to_vec())
         }
     }
--- a/quota-gateway/core/tests/zones.rs
+++ b/quota-gateway/core/tests/zones.rs
@@ -14,7 +14,7 @@
 }
 
 fn share(zone: u32, share: f64, most: f64) -> ZoneShare {
-    ZoneShare { zone, share, most }
+    ZoneShare { zone, share, max_rate: most }
 }
 
 /// How many of so many requests, 10 ms apart, go to zone 1; and how many are refused.
@@ -34,12 +34,12 @@
     let mut door = door();
     let (alone, refused) = abroad(&mut door, 200);
     assert!(alone < 20 && refused == 0, "alone it stays at home: {alone}");
-    door.event(Event::Zones(vec![share(0, 0.9, f64::INFINITY), share(1, 0.1, 1000.0)]));
+    door.event(Event::ZoneShares(vec![share(0, 0.9, f64::INFINITY), share(1, 0.1, 1000.0)]));
     assert_eq!(abroad(&mut door, 200), (20, 0));
     // Another decision, and then none.
-    door.event(Event::Zones(vec![share(0, 0.0, f64::INFINITY), share(1, 1.0, 1000.0)]));
+    door.event(Event::ZoneShares(vec![share(0, 0.0, f64::INFINITY), share(1, 1.0, 1000.0)]));
     assert_eq!(abroad(&mut door, 200), (200, 0));
-    door.event(Event::Zones(Vec::new()));
+    door.event(Event::ZoneShares(Vec::new()));
     let (alone, refused) = abroad(&mut door, 200);
     assert!(alone < 20 && refused == 0, "as before: {alone}");
 }
@@ -48,10 +48,10 @@
 #[test]
 fn what_goes_abroad_keeps_its_rate() {
     let mut door = door();
-    door.event(Event::Zones(vec![share(0, 0.5, f64::INFINITY), share(1, 0.5, 10.0)]));
+    door.event(Event::ZoneShares(vec![share(0, 0.5, f64::INFINITY), share(1, 0.5, 10.0)]));
     let (abroad_in_two_seconds, refused) = abroad(&mut door, 200);
     assert!((18..=22).contains(&abroad_in_two_seconds) && refused == 0, "{abroad_in_two_seconds}");
-    door.event(Event::Zones(vec![share(0, 0.0, f64::INFINITY), share(1, 1.0, 10.0)]));
+    door.event(Event::ZoneShares(vec![share(0, 0.0, f64::INFINITY), share(1, 1.0, 10.0)]));
     let (abroad, refused) = abroad(&mut door, 200);
     assert!((18..=32).contains(&abroad) && refused == 200 - abroad, "{abroad}, {refused} refused");
 }
@@ -60,7 +60,7 @@
 fn a_repeat_goes_to_no_zone_that_is_out_and_an_empty_zone_keeps_nobody() {
     let mut door = door();
     abroad(&mut door, 100);
-    door.event(Event::Zones(vec![share(0, 0.0, f64::INFINITY), share(1, 1.0, 1000.0)]));
+    door.event(Event::ZoneShares(vec![share(0, 0.0, f64::INFINITY), share(1, 1.0, 1000.0)]));
     for _ in 0..20 {
         let (id, actions) = door.request(0, 0, 1);
         assert_eq!(sent(&actions).map(|server| server.0 % 2), Some(1));
@@ -70,7 +70,7 @@
         door.pass(100);
     }
     // The list has nothing there any more, and the decision is older than that.
-    door.event(Event::Zones(vec![share(0, 0.5, f64::INFINITY), share(1, 0.5, 1000.0)]));
+    door.event(Event::ZoneShares(vec![share(0, 0.5, f64::INFINITY), share(1, 0.5, 1000.0)]));
     door.list(Scope::Full, (0..8).step_by(2).map(server).collect());
     assert_eq!(abroad(&mut door, 100), (0, 0));
 }
--- a/quota-gateway/deadline/src/budget.rs
+++ b/quota-gateway/deadline/src/budget.rs
@@ -4,21 +4,21 @@
 use std::time::Duration;
 
 /// An answer is out this long before the client stops waiting: its way back, and what a busy core adds.
-pub const WAY_BACK: Duration = Duration::from_millis(10);
+pub const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
 /// An answer that the client takes nothing of is given up after this time, whatever is left: a slow reader whose answer
 /// came in time is owed all of it, however long that takes, and one that has gone must not hold its connection for good.
-pub const STALL: Duration = Duration::from_secs(5);
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// The part of what is left that may go on one connection that does not come up, so that as much is left to try another
 /// server in. Nothing ran where no connection came up, so a further attempt is harmless whatever the class.
-const CONNECT_PART: u32 = 2;
+const CONNECT_DIVISOR: u32 = 2;
 /// What servers are told is a whole number of these.
-const TOLD_IN: Duration = Duration::from_millis(1);
+const ADVERTISED_UNIT: Duration = Duration::from_millis(1);
 
 /// What a request's time goes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// It lay with the system: its connection was not yet accepted, or the gateway was busy.
-    Unseen,
+    Unread,
     /// Its head and body came. By the protocol the client's time begins with the last byte, so this takes none of it.
     Read,
     /// For a server: before the first attempt and between two.
@@ -33,11 +33,11 @@
 
 impl Stage {
     pub const ALL: [Stage; 6] =
-        [Stage::Unseen, Stage::Read, Stage::Waiting, Stage::Connect, Stage::Attempt, Stage::Write];
+        [Stage::Unread, Stage::Read, Stage::Waiting, Stage::Connect, Stage::Attempt, Stage::Write];
 
     pub fn name(self) -> &'static str {
         match self {
-            Stage::Unseen => "unseen",
+            Stage::Unread => "unseen",
             Stage::Read => "read",
             Stage::Waiting => "waiting",
             Stage::Connect => "connect",
@@ -49,9 +49,9 @@
 
 /// Where a request's time went. A stage that it never was in is told from one that took no time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Spent([Option<Duration>; Stage::ALL.len()]);
+pub struct StageTimes([Option<Duration>; Stage::ALL.len()]);
 
-impl Spent {
+impl StageTimes {
     pub fn of(&self, stage: Stage) -> Duration {
         self.0[stage as usize].unwrap_or_default()
     }
@@ -63,7 +63,7 @@
 
     /// What was taken of the client's time until the answer.
     pub fn charged(&self) -> Duration {
-        [Stage::Unseen, Stage::Waiting, Stage::Connect, Stage::Attempt]
+        [Stage::Unread, Stage::Waiting, Stage::Connect, Stage::Attempt]
             .map(|stage| self.of(stage))
             .iter()
             .sum()
@@ -81,87 +81,89 @@
 /// What a client's time is left for. Begins when the request does and counts down from the request's last byte.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    told: Duration,
+    client_timeout: Duration,
     /// When the last byte came, once it has.
-    counts: Option<Time>,
+    complete_at: Option<Time>,
     /// Nothing lasts beyond this: the process ends.
-    cut: Option<Time>,
+    process_ends_at: Option<Time>,
     stage: Stage,
     /// Until when `spent` is reckoned.
-    reckoned: Time,
-    spent: Spent,
+    accounted_until: Time,
+    spent: StageTimes,
     /// Requests written to servers, in part at least.
     sends: u32,
     /// What the last of them was told.
-    rest: Option<Duration>,
+    last_advertised: Option<Duration>,
     answered: bool,
 }
 
 impl Budget {
     /// A request begins to come, whose client will wait for so long from its last byte.
-    pub fn reading(told: Duration, now: Time) -> Budget {
+    pub fn new(client_timeout: Duration, now: Time) -> Budget {
         Budget {
-            told,
-            counts: None,
-            cut: None,
+            client_timeout,
+            complete_at: None,
+            process_ends_at: None,
             stage: Stage::Read,
-            reckoned: now,
-            spent: Spent::default(),
+            accounted_until: now,
+            spent: StageTimes::default(),
             sends: 0,
-            rest: None,
+            last_advertised: None,
             answered: false,
         }
     }
 
     /// Its last byte is read, and came so long ago: the client's time counts from then. Of a body that is passed on as it
     /// comes, the last byte is with the server.
-    pub fn whole(&mut self, now: Time, ago: Duration) {
-        if self.counts.is_some() {
+    pub fn on_complete(&mut self, now: Time, ago: Duration) {
+        if self.complete_at.is_some() {
             return;
         }
-        self.reckon(now);
+        self.account(now);
         // What was told to have come before the first byte was looked for lay with the system all the same.
         let read = &mut self.spent.0[Stage::Read as usize];
         *read = read.map(|read| read.saturating_sub(ago));
         if !ago.is_zero() {
-            self.spent.add(Stage::Unseen, ago);
+            self.spent.add(Stage::Unread, ago);
         }
-        self.counts = Some(Time(now.0.saturating_sub(u64::try_from(ago.as_nanos()).unwrap_or(u64::MAX))));
+        self.complete_at =
+            Some(Time(now.0.saturating_sub(u64::try_from(ago.as_nanos()).unwrap_or(u64::MAX))));
         if self.stage == Stage::Read {
             self.stage = Stage::Waiting;
         }
     }
 
     /// The process ends then, and nothing lasts longer. What was shorter stays so.
-    pub fn cut(&mut self, by: Time) {
-        self.cut = Some(self.cut.map_or(by, |cut| cut.min(by)));
+    pub fn end_by(&mut self, by: Time) {
+        self.process_ends_at = Some(self.process_ends_at.map_or(by, |cut| cut.min(by)));
     }
 
     /// When the answer must be out; not known while the request is still coming, unless the process ends.
-    pub fn ends(&self) -> Option<Time> {
-        let full = self.counts.map(|since| since.after(self.told.saturating_sub(WAY_BACK)));
-        full.into_iter().chain(self.cut).min()
+    pub fn deadline(&self) -> Option<Time> {
+        let full =
+            self.complete_at.map(|since| since.after(self.client_timeout.saturating_sub(RESPONSE_MARGIN)));
+        full.into_iter().chain(self.process_ends_at).min()
     }
 
     /// When it would have to be out if the last byte came now.
-    pub fn ends_at_most(&self, now: Time) -> Time {
-        self.ends().unwrap_or_else(|| now.after(self.told.saturating_sub(WAY_BACK)))
+    pub fn latest_deadline(&self, now: Time) -> Time {
+        self.deadline().unwrap_or_else(|| now.after(self.client_timeout.saturating_sub(RESPONSE_MARGIN)))
     }
 
     /// What is left; not known while the request is still coming, unless the process ends.
-    pub fn left(&self, now: Time) -> Option<Duration> {
-        self.ends().map(|ends| between(now, ends))
+    pub fn remaining(&self, now: Time) -> Option<Duration> {
+        self.deadline().map(|ends| between(now, ends))
     }
 
     /// How long a wait of at most this may last.
-    pub fn bound(&self, now: Time, most: Duration) -> Duration {
-        self.left(now).map_or(most, |left| left.min(most))
+    pub fn limit_wait(&self, now: Time, most: Duration) -> Duration {
+        self.remaining(now).map_or(most, |left| left.min(most))
     }
 
     /// A connection comes up from now on; how long it may take, of at most this.
     pub fn connecting(&mut self, now: Time, most: Duration) -> Duration {
         self.enter(now, Stage::Connect);
-        self.left(now).map_or(most, |left| most.min(left / CONNECT_PART))
+        self.remaining(now).map_or(most, |left| most.min(left / CONNECT_DIVISOR))
     }
 
     /// It is about to be written to a server that is given up at `until` and whose answer takes `back` for its way: what
@@ -171,15 +173,18 @@
         if self.answered {
             return None;
         }
-        let rest = between(now, until).min(self.told.saturating_sub(WAY_BACK));
-        let rest = self.bound(now, rest).saturating_sub(back).min(self.rest.unwrap_or(Duration::MAX));
-        let whole = rest - Duration::from_nanos((rest.as_nanos() % TOLD_IN.as_nanos()) as u64);
+        let rest = between(now, until).min(self.client_timeout.saturating_sub(RESPONSE_MARGIN));
+        let rest = self
+            .limit_wait(now, rest)
+            .saturating_sub(back)
+            .min(self.last_advertised.unwrap_or(Duration::MAX));
+        let whole = rest - Duration::from_nanos((rest.as_nanos() % ADVERTISED_UNIT.as_nanos()) as u64);
         if whole.is_zero() {
             return None;
         }
         self.enter(now, Stage::Attempt);
         self.sends += 1;
-        self.rest = Some(whole);
+        self.last_advertised = Some(whole);
         Some(whole)
     }
 
@@ -210,30 +215,30 @@
     }
 
     /// What its client told.
-    pub fn told(&self) -> Duration {
-        self.told
+    pub fn client_timeout(&self) -> Duration {
+        self.client_timeout
     }
 
     /// Where its time has gone until now.
-    pub fn spent(&self, now: Time) -> Spent {
+    pub fn spent(&self, now: Time) -> StageTimes {
         let mut sofar = self.clone();
-        sofar.reckon(now);
+        sofar.account(now);
         sofar.spent
     }
 
     /// What goes on once its answer is out is no longer its affair.
     fn enter(&mut self, now: Time, stage: Stage) {
         if !self.answered {
-            self.reckon(now);
+            self.account(now);
             self.stage = stage;
         }
     }
 
     /// Puts the time since the last reckoning down to the stage that it is in. While the client is still sending it is
     /// the client's, whatever goes on beside.
-    fn reckon(&mut self, now: Time) {
-        let stage = if self.counts.is_none() && !self.answered { Stage::Read } else { self.stage };
-        self.spent.add(stage, between(self.reckoned, now));
-        self.reckoned = self.reckoned.max(now);
+    fn account(&mut self, now: Time) {
+        let stage = if self.complete_at.is_none() && !self.answered { Stage::Read } else { self.stage };
+        self.spent.add(stage, between(self.accounted_until, now));
+        self.accounted_until = self.accounted_until.max(now);
     }
 }
--- a/quota-gateway/deadline/src/lib.rs
+++ b/quota-gateway/deadline/src/lib.rs
@@ -25,7 +25,7 @@
 #![forbid(unsafe_code)]
 
 mod budget;
-mod ledger;
+mod outcome_totals;
 
-pub use budget::{Budget, Spent, Stage, STALL, WAY_BACK};
-pub use ledger::{End, Ledger};
+pub use budget::{Budget, Stage, StageTimes, RESPONSE_MARGIN, STALL_TIMEOUT};
+pub use outcome_totals::{End, OutcomeTotals};
--- a/quota-gateway/deadline/src/ledger.rs
+++ b/quota-gateway/deadline/src/outcome_totals.rs
@@ -49,7 +49,7 @@
 }
 
 /// Totals for each class of requests. What they are labelled with is fixed at the start, so that their number is.
-pub struct Ledger {
+pub struct OutcomeTotals {
     registry: Registry,
     classes: Vec<Class>,
     retry_budget: Gauge,
@@ -79,9 +79,9 @@
     Ok(counters)
 }
 
-impl Ledger {
+impl OutcomeTotals {
     /// For the classes of these names, in the order of their numbers.
-    pub fn new(classes: &[String]) -> prometheus::Result<Ledger> {
+    pub fn new(classes: &[String]) -> prometheus::Result<OutcomeTotals> {
         let registry = Registry::new();
         let stages = histograms(
             &registry,
@@ -125,7 +125,7 @@
             withheld: withheld.with_label_values(&[name]),
         };
         let classes = classes.iter().map(class).collect();
-        Ok(Ledger { registry, classes, retry_budget, shown: RefCell::default() })
+        Ok(OutcomeTotals { registry, classes, retry_budget, shown: RefCell::default() })
     }
 
     /// A request of this class was written to a server, for the first time or once more.
@@ -144,7 +144,7 @@
 
     /// Its answer was decided.
     pub fn decided(&self, class: usize, budget: &Budget, now: Time) {
-        if let (Some(class), Some(left)) = (self.classes.get(class), budget.left(now)) {
+        if let (Some(class), Some(left)) = (self.classes.get(class), budget.remaining(now)) {
             class.left.observe(left.as_secs_f64());
         }
     }
--- a/quota-gateway/deadline/src/ledger/tests.rs
+++ b/quota-gateway/deadline/src/outcome_totals/tests.rs
@@ -5,9 +5,9 @@
 fn what_became_of_budgets_is_told_by_class_stage_and_end() {
     let at = |millis: u64| Time(millis * 1_000_000);
     let ms = Duration::from_millis;
-    let ledger = Ledger::new(&["read \"a\"".to_owned(), "write".to_owned()]).expect("a ledger");
-    let mut budget = Budget::reading(ms(500), at(0));
-    budget.whole(at(20), ms(0));
+    let ledger = OutcomeTotals::new(&["read \"a\"".to_owned(), "write".to_owned()]).expect("a ledger");
+    let mut budget = Budget::new(ms(500), at(0));
+    budget.on_complete(at(20), ms(0));
     budget.connecting(at(20), ms(250));
     budget.sending(at(30), at(500), ms(0)).expect("time is left");
     ledger.sent(1, true);
