--- a/quota-gateway/deadline/tests/chain.rs
+++ b/quota-gateway/deadline/tests/chain.rs
@@ -1,6 +1,6 @@
 //! Chains of attempts on a virtual clock: whatever servers, clients and the caller do, a request stays within its budget.
 
-use marblecroft_deadline::{Budget, Stage, STALL, WAY_BACK};
+use marblecroft_deadline::{Budget, Stage, RESPONSE_MARGIN, STALL_TIMEOUT};
 use marblecroft_quota_gateway_core::Time;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -94,13 +94,13 @@
 
 /// Plays a chain as the gateway does: no wait is longer than the budget says, and when nothing is left the answer is out.
 fn play(chain: &Chain) -> Seen {
-    let mut budget = Budget::reading(ms(chain.told), at(chain.begun));
+    let mut budget = Budget::new(ms(chain.told), at(chain.begun));
     let mut now = at(chain.begun + chain.reading);
-    budget.whole(now, ms(chain.ago));
+    budget.on_complete(now, ms(chain.ago));
     if let Some(cut) = chain.cut {
-        budget.cut(now.after(ms(cut)));
+        budget.end_by(now.after(ms(cut)));
     }
-    let ends = budget.ends().expect("it is whole");
+    let ends = budget.deadline().expect("it is whole");
     let mut sends = Vec::new();
     'tries: for one in &chain.tries {
         if now >= ends {
@@ -123,20 +123,24 @@
             continue;
         }
         sends.push((now, rest));
-        let wait = budget.bound(now, one.answer.map_or(Duration::MAX, ms));
+        let wait = budget.limit_wait(now, one.answer.map_or(Duration::MAX, ms));
         now = now.after(wait);
         if one.served && one.answer.is_some_and(|after| ms(after) <= wait) && now < ends {
             break;
         }
         budget.waiting(now);
-        now = now.after(budget.bound(now, ms(one.pause)));
+        now = now.after(budget.limit_wait(now, ms(one.pause)));
     }
     assert!(budget.answered(now), "the first answer stands");
     assert!(!budget.answered(now), "and no other");
     let seen = Seen { sends, answered: now, budget };
     let mut late = seen.budget.clone();
     let soon = now.after(ms(1));
-    assert_eq!(late.sending(soon, ends.after(STALL), ms(0)), None, "nothing is sent behind the answer");
+    assert_eq!(
+        late.sending(soon, ends.after(STALL_TIMEOUT), ms(0)),
+        None,
+        "nothing is sent behind the answer"
+    );
     seen
 }
 
@@ -152,7 +156,7 @@
         .run(&chain(), |chain| {
             let seen = play(&chain);
             let read = at(chain.begun + chain.reading);
-            let given = ms(chain.told).saturating_sub(WAY_BACK);
+            let given = ms(chain.told).saturating_sub(RESPONSE_MARGIN);
             let most = chain.cut.map_or(given, |cut| given.min(ms(cut + chain.ago)));
             let written = seen.answered.after(ms(chain.write));
             let spent = seen.budget.spent(written);
@@ -190,8 +194,8 @@
 
 #[test]
 fn a_connect_that_hangs_leaves_time_for_another_server() {
-    let mut budget = Budget::reading(ms(310), at(0));
-    budget.whole(at(0), ms(0));
+    let mut budget = Budget::new(ms(310), at(0));
+    budget.on_complete(at(0), ms(0));
     let mut now = at(0);
     let mut waits = Vec::new();
     for _ in 0..4 {
@@ -206,15 +210,15 @@
 
 #[test]
 fn the_time_of_a_body_that_is_passed_on_begins_with_its_last_byte() {
-    let mut budget = Budget::reading(ms(500), at(0));
-    assert_eq!(budget.left(at(5000)), None, "the client is still sending");
-    assert_eq!(budget.bound(at(5000), ms(250)), ms(250));
+    let mut budget = Budget::new(ms(500), at(0));
+    assert_eq!(budget.remaining(at(5000)), None, "the client is still sending");
+    assert_eq!(budget.limit_wait(at(5000), ms(250)), ms(250));
     assert_eq!(budget.connecting(at(1000), ms(250)), ms(250));
     assert_eq!(budget.sending(at(1010), Time(u64::MAX), ms(2)), Some(ms(488)));
-    budget.whole(at(9000), ms(0));
-    assert_eq!(budget.ends(), Some(at(9490)));
-    budget.whole(at(9400), ms(0));
-    assert_eq!(budget.ends(), Some(at(9490)), "the last byte comes once");
+    budget.on_complete(at(9000), ms(0));
+    assert_eq!(budget.deadline(), Some(at(9490)));
+    budget.on_complete(at(9400), ms(0));
+    assert_eq!(budget.deadline(), Some(at(9490)), "the last byte comes once");
     budget.answered(at(9100));
     let spent = budget.spent(at(9100));
     assert_eq!((spent.of(Stage::Read), spent.of(Stage::Attempt)), (ms(9000), ms(100)));
@@ -222,14 +226,14 @@
 
 #[test]
 fn a_process_that_ends_cuts_every_budget_and_lengthens_none() {
-    let mut budget = Budget::reading(ms(500), at(0));
-    budget.cut(at(2000));
-    assert_eq!(budget.left(at(1700)), Some(ms(300)), "one that is still coming too");
-    budget.whole(at(1000), ms(0));
-    assert_eq!(budget.ends(), Some(at(1490)));
-    budget.cut(at(1200));
-    budget.cut(at(1400));
-    assert_eq!(budget.ends(), Some(at(1200)));
+    let mut budget = Budget::new(ms(500), at(0));
+    budget.end_by(at(2000));
+    assert_eq!(budget.remaining(at(1700)), Some(ms(300)), "one that is still coming too");
+    budget.on_complete(at(1000), ms(0));
+    assert_eq!(budget.deadline(), Some(at(1490)));
+    budget.end_by(at(1200));
+    budget.end_by(at(1400));
+    assert_eq!(budget.deadline(), Some(at(1200)));
     assert_eq!(budget.sending(at(1100), at(1490), ms(0)), Some(ms(100)));
     assert_eq!(budget.sending(at(1200), at(1490), ms(0)), None);
 }
@@ -237,15 +241,15 @@
 #[test]
 fn a_budget_that_is_smaller_than_its_ways_sends_nothing() {
     for told in [0, 1, 9, 10, 11] {
-        let mut budget = Budget::reading(ms(told), at(0));
-        budget.whole(at(0), ms(0));
+        let mut budget = Budget::new(ms(told), at(0));
+        budget.on_complete(at(0), ms(0));
         assert_eq!(budget.sending(at(0), at(4000), ms(1)), None, "{told} ms");
         assert!(budget.answered(at(0)), "and is answered all the same");
     }
     // Read later than its client waits.
-    let mut budget = Budget::reading(ms(400), at(1000));
-    budget.whole(at(1000), ms(500));
-    assert_eq!(budget.left(at(1000)), Some(ms(0)));
-    assert_eq!(budget.spent(at(1000)).of(Stage::Unseen), ms(500));
+    let mut budget = Budget::new(ms(400), at(1000));
+    budget.on_complete(at(1000), ms(500));
+    assert_eq!(budget.remaining(at(1000)), Some(ms(0)));
+    assert_eq!(budget.spent(at(1000)).of(Stage::Unread), ms(500));
     assert_eq!(budget.sending(at(1000), at(4000), ms(0)), None);
 }
--- a/quota-gateway/discovery/src/client.rs
+++ b/quota-gateway/discovery/src/client.rs
@@ -16,7 +16,7 @@
     /// A whole list without more than this share of the servers that were held ...
     pub share: f64,
     /// ... takes them off only after this long, if nothing else is told of them until then.
-    pub hold: Duration,
+    pub removal_delay: Duration,
 }
 
 /// What becomes of a list.
@@ -37,7 +37,7 @@
     store: Option<u64>,
     epoch: u64,
     version: Option<u64>,
-    held: BTreeMap<String, Host>,
+    endpoints: BTreeMap<String, Host>,
     /// Servers that a list lacked all at once, and when they are given up.
     missing: BTreeMap<String, Now>,
     /// When a service last said how things are.
@@ -51,7 +51,7 @@
             store: None,
             epoch: 0,
             version: None,
-            held: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             missing: BTreeMap::new(),
             heard: None,
         }
@@ -96,12 +96,12 @@
         for entry in &servers {
             match entry {
                 // Also one that drains: what is said of it is no longer missing, and binds.
-                Entry::Readable(host) if host.state == State::Deleted => self.forget(&host.id),
+                Entry::Readable(host) if host.state == State::Deleted => self.remove(&host.id),
                 Entry::Readable(host) => {
                     self.missing.remove(&host.id);
-                    self.held.insert(host.id.clone(), host.clone());
+                    self.endpoints.insert(host.id.clone(), host.clone());
                 }
-                Entry::Spoilt(Some(id)) => self.forget(id),
+                Entry::Spoilt(Some(id)) => self.remove(id),
                 Entry::Spoilt(None) => {}
             }
         }
@@ -109,24 +109,24 @@
             let told = |id: &str| {
                 servers.iter().any(|entry| matches!(entry, Entry::Readable(host) if host.id == id))
             };
-            let lacks: Vec<String> = self.held.keys().filter(|id| !told(id)).cloned().collect();
-            let sudden = lacks.len() as f64 > self.caution.share * self.held.len() as f64;
+            let lacks: Vec<String> = self.endpoints.keys().filter(|id| !told(id)).cloned().collect();
+            let sudden = lacks.len() as f64 > self.caution.share * self.endpoints.len() as f64;
             for id in lacks {
                 // One that drained has been told so, and is not missed.
-                let draining = self.held.get(&id).is_none_or(|host| host.state != State::Serving);
+                let draining = self.endpoints.get(&id).is_none_or(|host| host.state != State::Serving);
                 if draining || !(sudden || self.missing.contains_key(&id)) {
-                    self.forget(&id);
+                    self.remove(&id);
                     continue;
                 }
-                self.missing.entry(id.clone()).or_insert(now + self.caution.hold);
-                servers.extend(self.held.get(&id).cloned().map(Entry::Readable));
+                self.missing.entry(id.clone()).or_insert(now + self.caution.removal_delay);
+                servers.extend(self.endpoints.get(&id).cloned().map(Entry::Readable));
             }
         }
         Taken::List(HostList { version, full, store, epoch, servers })
     }
 
-    fn forget(&mut self, id: &str) {
-        self.held.remove(id);
+    fn remove(&mut self, id: &str) {
+        self.endpoints.remove(id);
         self.missing.remove(id);
     }
 
@@ -140,11 +140,11 @@
         let over: Vec<String> =
             self.missing.iter().filter(|(_, until)| **until <= now).map(|(id, _)| id.clone()).collect();
         let gone = |id: &String| {
-            let host = self.held.get(id)?;
+            let host = self.endpoints.get(id)?;
             Some(Entry::Readable(Host { state: State::Deleted, ..host.clone() }))
         };
         let servers: Vec<Entry> = over.iter().filter_map(gone).collect();
-        over.iter().for_each(|id| self.forget(id));
+        over.iter().for_each(|id| self.remove(id));
         let version = self.version.filter(|_| !servers.is_empty())?;
         Some(HostList { version, full: false, store: self.store, epoch: self.epoch, servers })
     }
--- a/quota-gateway/discovery/src/config.rs
+++ b/quota-gateway/discovery/src/config.rs
@@ -37,10 +37,10 @@
 }
 
 /// Others of a store.
-const PEERS_MOST: usize = 8;
+const MAX_PEERS: usize = 8;
 /// A replica that is further behind is no use.
-const STALE_MOST_MS: u64 = 60_000;
-const STALE_LEAST_MS: u64 = 1000;
+const MAX_STALENESS_MS: u64 = 60_000;
+const MIN_STALENESS_MS: u64 = 1000;
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -62,7 +62,7 @@
 }
 
 /// What is gathered for longer is no longer news: drains bind gateways half a second after they are told.
-const GATHER_MOST_MS: u64 = 200;
+const MAX_BATCHING_MS: u64 = 200;
 
 impl Config {
     /// Reads the file that the one argument names, or `MARBLECROFT_DISCOVERY_CONFIG`, or the name it had before,
@@ -87,15 +87,15 @@
                 config.listen
             ));
         }
-        if config.peers.len() > PEERS_MOST {
-            return Err(format!("peers: more than {PEERS_MOST}"));
+        if config.peers.len() > MAX_PEERS {
+            return Err(format!("peers: more than {MAX_PEERS}"));
         }
-        if !(STALE_LEAST_MS..=STALE_MOST_MS).contains(&config.stale_ms) {
-            return Err(format!("stale_ms: not from {STALE_LEAST_MS} to {STALE_MOST_MS}"));
+        if !(MIN_STALENESS_MS..=MAX_STALENESS_MS).contains(&config.stale_ms) {
+            return Err(format!("stale_ms: not from {MIN_STALENESS_MS} to {MAX_STALENESS_MS}"));
         }
         let Limits { connections, watches, whole_lists_per_s, gather_ms } = config.limits;
-        if connections == 0 || watches == 0 || whole_lists_per_s == 0 || gather_ms > GATHER_MOST_MS {
-            return Err(format!("limits: each is above 0, and gather_ms {GATHER_MOST_MS} at most"));
+        if connections == 0 || watches == 0 || whole_lists_per_s == 0 || gather_ms > MAX_BATCHING_MS {
+            return Err(format!("limits: each is above 0, and gather_ms {MAX_BATCHING_MS} at most"));
         }
         Ok(config)
     }
--- a/quota-gateway/discovery/src/format.rs
+++ b/quota-gateway/discovery/src/format.rs
@@ -11,9 +11,9 @@
 /// Where the list is asked for.
 pub const HOSTS: &str = "/discovery/hosts";
 /// The longest that a watch waits.
-pub const WAIT_MOST: Duration = Duration::from_secs(60);
+pub const MAX_WATCH_TIME: Duration = Duration::from_secs(60);
 /// The longest list, in bytes: bodies are no longer by the protocol.
-pub const LIST_MOST: usize = 64 << 10;
+pub const MAX_LIST_BYTES: usize = 64 << 10;
 
 /// A list of servers, whole or what has changed.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -93,25 +93,27 @@
 
 /// A call for the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum ListRequest {
     /// All of it, at once.
-    Whole,
+    Full,
     /// What is newer than a version, as soon as there is something, or nothing after a wait.
     Watch { since: u64, wait: Duration },
 }
 
-impl Ask {
+impl ListRequest {
     /// The call's path and query.
     pub fn target(&self) -> String {
         match self {
-            Ask::Whole => HOSTS.to_owned(),
-            Ask::Watch { since, wait } => format!("{HOSTS}?since={since}&timeout_ms={}", wait.as_millis()),
+            ListRequest::Full => HOSTS.to_owned(),
+            ListRequest::Watch { since, wait } => {
+                format!("{HOSTS}?since={since}&timeout_ms={}", wait.as_millis())
+            }
         }
     }
 
     /// Reads a call's query; the error names the field. Names that mean nothing here are passed over, and a wait of any
     /// length is one of at most [`WAIT_MOST`].
-    pub fn of_query(query: &str) -> Result<Ask, String> {
+    pub fn of_query(query: &str) -> Result<ListRequest, String> {
         let (mut since, mut wait) = (None, None);
         for pair in query.split('&').filter(|pair| !pair.is_empty()) {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
@@ -129,7 +131,7 @@
             // All digits, so only its size can be wrong: what is beyond all numbers is beyond all versions and waits.
             *place = Some(value.parse::<u64>().unwrap_or(u64::MAX));
         }
-        let wait = Duration::from_millis(wait.unwrap_or(0)).min(WAIT_MOST);
-        Ok(since.map_or(Ask::Whole, |since| Ask::Watch { since, wait }))
+        let wait = Duration::from_millis(wait.unwrap_or(0)).min(MAX_WATCH_TIME);
+        Ok(since.map_or(ListRequest::Full, |since| ListRequest::Watch { since, wait }))
     }
 }
--- a/quota-gateway/discovery/src/http.rs
+++ b/quota-gateway/discovery/src/http.rs
@@ -1,20 +1,20 @@
 //! Calls and answers as bytes: HTTP/1.1, one call at a time on a connection, bodies with a length.
 
-use crate::format::{Ask, HOSTS};
-use crate::store::{Command, Image, Record, Refusal, Registration, LEASE_LEAST, LEASE_MOST, NAME_MOST};
+use crate::format::{ListRequest, HOSTS};
+use crate::store::{Command, Image, Record, Refusal, Registration, MAX_LEASE, MAX_NAME_BYTES, MIN_LEASE};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// A call's head holds at most this much ...
-pub const HEAD_MOST: usize = 8 << 10;
+pub const MAX_HEAD_BYTES: usize = 8 << 10;
 /// ... and so many lines, ...
-const LINES_MOST: usize = 32;
+const MAX_HEADER_LINES: usize = 32;
 /// ... and its body this.
-pub const BODY_MOST: usize = 4 << 10;
+pub const MAX_BODY_BYTES: usize = 4 << 10;
 /// The greatest weight of a server, in those of others.
-const WEIGHT_MOST: f64 = 1e6;
+const MAX_WEIGHT: f64 = 1e6;
 
 /// What is said to a call that is not carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -70,11 +70,11 @@
 
 /// Reads a call from the beginning of what has come.
 pub fn read(bytes: &[u8]) -> Read {
-    let mut lines = [httparse::EMPTY_HEADER; LINES_MOST];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
     let mut request = httparse::Request::new(&mut lines);
     let head = match request.parse(bytes) {
-        Ok(httparse::Status::Complete(head)) if head <= HEAD_MOST => head,
-        Ok(httparse::Status::Partial) if bytes.len() <= HEAD_MOST => return Read::Part,
+        Ok(httparse::Status::Complete(head)) if head <= MAX_HEAD_BYTES => head,
+        Ok(httparse::Status::Partial) if bytes.len() <= MAX_HEAD_BYTES => return Read::Part,
         Ok(_) | Err(httparse::Error::TooManyHeaders) => {
             return Read::Unreadable(No::new(431, "the head is too long"));
         }
@@ -100,8 +100,8 @@
         }
     }
     let length = length.unwrap_or(0);
-    if length > BODY_MOST {
-        return Read::Unreadable(No::new(413, format!("the body is longer than {BODY_MOST} bytes")));
+    if length > MAX_BODY_BYTES {
+        return Read::Unreadable(No::new(413, format!("the body is longer than {MAX_BODY_BYTES} bytes")));
     }
     let Some(body) = bytes.get(head..head + length) else { return Read::Part };
     let target = request.path.unwrap_or_default();
@@ -119,7 +119,7 @@
 /// What is asked.
 #[derive(Debug, PartialEq)]
 pub enum Request {
-    Hosts(Ask),
+    Hosts(ListRequest),
     /// One entry, with its revision and lease.
     Show {
         id: String,
@@ -191,19 +191,19 @@
 fn body<T: DeserializeOwned>(body: &[u8]) -> Result<T, No> {
     let mut deserializer = serde_json::Deserializer::from_slice(body);
     let value = serde_path_to_error::deserialize(&mut deserializer);
-    let value = value.map_err(|e| No::new(400, one_line(&e.to_string())))?;
+    let value = value.map_err(|e| No::new(400, single_line(&e.to_string())))?;
     deserializer.end().map_err(|_| No::new(400, "the body holds more than one value"))?;
     Ok(value)
 }
 
 /// What is repeated to the caller holds no line's end of the caller's.
-fn one_line(text: &str) -> String {
+fn single_line(text: &str) -> String {
     text.chars().map(|c| if c.is_control() { ' ' } else { c }).take(200).collect()
 }
 
 fn named(field: &str, name: &str, may_be_empty: bool) -> Result<(), No> {
-    if name.len() > NAME_MOST {
-        return Err(No::new(400, format!("{field}: longer than {NAME_MOST} bytes")));
+    if name.len() > MAX_NAME_BYTES {
+        return Err(No::new(400, format!("{field}: longer than {MAX_NAME_BYTES} bytes")));
     }
     if name.is_empty() && !may_be_empty {
         return Err(No::new(400, format!("{field}: empty")));
@@ -229,7 +229,7 @@
     let command = match call.path.as_str() {
         HOSTS => {
             takes("GET")?;
-            return Ask::of_query(&call.query).map(Request::Hosts).map_err(|why| No::new(400, why));
+            return ListRequest::of_query(&call.query).map(Request::Hosts).map_err(|why| No::new(400, why));
         }
         "/discovery/status" => return takes("GET").map(|()| Request::Status),
         "/discovery/show" => {
@@ -264,12 +264,12 @@
     named("id", &told.id, false)?;
     named("zone", &told.zone, true)?;
     named("kind", &told.kind, true)?;
-    if !(told.weight > 0.0 && told.weight <= WEIGHT_MOST) {
-        return Err(No::new(400, format!("weight: not above 0 and up to {WEIGHT_MOST}")));
+    if !(told.weight > 0.0 && told.weight <= MAX_WEIGHT) {
+        return Err(No::new(400, format!("weight: not above 0 and up to {MAX_WEIGHT}")));
     }
     let lease = told.lease_ms.map(Duration::from_millis);
-    if lease.is_some_and(|lease| !(LEASE_LEAST..=LEASE_MOST).contains(&lease)) {
-        let (least, most) = (LEASE_LEAST.as_millis(), LEASE_MOST.as_millis());
+    if lease.is_some_and(|lease| !(MIN_LEASE..=MAX_LEASE).contains(&lease)) {
+        let (least, most) = (MIN_LEASE.as_millis(), MAX_LEASE.as_millis());
         return Err(No::new(400, format!("lease_ms: not from {least} to {most}")));
     }
     let server = Registration {
@@ -284,7 +284,7 @@
     Ok(Command::Register { server, lease, revision: told.revision })
 }
 
-fn word(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -322,7 +322,7 @@
 
 /// The body of a whole answer of 200; why there is none.
 pub fn answered(bytes: &[u8]) -> Result<&[u8], String> {
-    let mut lines = [httparse::EMPTY_HEADER; LINES_MOST];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
     let mut response = httparse::Response::new(&mut lines);
     let Ok(httparse::Status::Complete(head)) = response.parse(bytes) else {
         return Err("an answer that cannot be read".to_owned());
@@ -335,7 +335,7 @@
         (Some(200), Some(body)) => Ok(body),
         (Some(200), None) => Err("an answer that is cut off".to_owned()),
         (code, body) => {
-            let why = body.map(|body| one_line(&String::from_utf8_lossy(body))).unwrap_or_default();
+            let why = body.map(|body| single_line(&String::from_utf8_lossy(body))).unwrap_or_default();
             Err(format!("answered {}: {}", code.unwrap_or(0), why.trim()))
         }
     }
@@ -344,7 +344,7 @@
 pub fn no(no: &No, keeps: bool) -> Vec<u8> {
     let connection = if keeps { "" } else { "Connection: close\r\n" };
     let retry = no.retry_after.map(|after| format!("Retry-After: {after}\r\n")).unwrap_or_default();
-    let (status, word, why) = (no.status, word(no.status), &no.why);
+    let (status, word, why) = (no.status, reason_phrase(no.status), &no.why);
     format!(
         "HTTP/1.1 {status} {word}\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: {}\r\n{retry}{connection}\r\n{why}\n",
         why.len() + 1
--- a/quota-gateway/discovery/src/journal.rs
+++ b/quota-gateway/discovery/src/journal.rs
@@ -82,9 +82,9 @@
 /// A frame's length, that length's checksum and that of what it holds, before it.
 const FRAME_HEAD: usize = 12;
 /// The longest frame of a log; what says that it is longer is damage.
-const FRAME_MOST: usize = 1 << 20;
+const MAX_FRAME_BYTES: usize = 1 << 20;
 /// Bytes of a log after which it begins anew behind a snapshot.
-pub const LOG_MOST: u64 = 4 << 20;
+pub const MAX_LOG_BYTES: u64 = 4 << 20;
 
 /// Why a journal cannot be opened.
 #[derive(Debug)]
@@ -114,11 +114,11 @@
 }
 
 /// What a journal held when it was opened.
-pub struct Held {
+pub struct Recovered {
     pub image: Image,
     pub records: Vec<Record>,
     /// Bytes of a torn tail that were cut off.
-    pub cut: u64,
+    pub torn_bytes: u64,
 }
 
 pub struct Journal<D> {
@@ -145,7 +145,7 @@
 
 /// What stands at a place in a file of frames.
 enum Frame<'a> {
-    Whole(&'a [u8]),
+    Complete(&'a [u8]),
     End,
     /// Its beginning, and then the file's end or bytes that were never written.
     Torn,
@@ -153,7 +153,7 @@
 }
 
 /// Without the end that was never written: a file may have been lengthened before.
-fn written_part(bytes: &[u8]) -> &[u8] {
+fn trim_unwritten(bytes: &[u8]) -> &[u8] {
     let end = bytes.iter().rposition(|&b| b != UNWRITTEN).map_or(0, |last| last + 1);
     &bytes[..end]
 }
@@ -162,7 +162,7 @@
     if bytes.is_empty() {
         return Frame::End;
     }
-    if written_part(bytes).is_empty() {
+    if trim_unwritten(bytes).is_empty() {
         return Frame::Torn;
     }
     let Some((head, rest)) = bytes.split_at_checked(FRAME_HEAD) else { return Frame::Torn };
@@ -179,7 +179,7 @@
     }
     let Some(payload) = rest.get(..length) else { return Frame::Torn };
     if crc32fast::hash(payload) == word(8) {
-        Frame::Whole(payload)
+        Frame::Complete(payload)
     } else if rest[length..].iter().chain(payload.last()).all(|&b| b == UNWRITTEN) {
         Frame::Torn
     } else {
@@ -197,7 +197,7 @@
 
 impl<D: Disk> Journal<D> {
     /// Opens what is there, or makes the first generation of a store that is new.
-    pub fn open(disk: D) -> Result<(Journal<D>, Held), Failed> {
+    pub fn open(disk: D) -> Result<(Journal<D>, Recovered), Failed> {
         let names = disk.names()?;
         let generations = |kind: &str| -> Vec<u64> {
             let number = |name: &String| name.strip_prefix(kind)?.strip_prefix('.')?.parse().ok();
@@ -215,7 +215,7 @@
                 });
             }
             journal.compact(&Image::default())?;
-            return Ok((journal, Held { image: Image::default(), records: Vec::new(), cut: 0 }));
+            return Ok((journal, Recovered { image: Image::default(), records: Vec::new(), torn_bytes: 0 }));
         };
         let image = journal.snapshot()?;
         let (records, cut) = if logs.contains(&generation) { journal.log()? } else { (Vec::new(), 0) };
@@ -223,8 +223,8 @@
             // Its maker stopped between the two.
             journal.begin_log()?;
         }
-        journal.forget_others()?;
-        Ok((journal, Held { image, records, cut }))
+        journal.remove_old_files()?;
+        Ok((journal, Recovered { image, records, torn_bytes: cut }))
     }
 
     fn file(&self, kind: &str) -> String {
@@ -239,7 +239,7 @@
             bytes.strip_prefix(SNAPSHOT_MAGIC).ok_or_else(|| damaged(0, "no snapshot of this version"))?;
         // It had its name only when all of it was durable, so nothing here can be torn.
         match frame_at(frames, frames.len()) {
-            Frame::Whole(payload) if payload.len() + FRAME_HEAD == frames.len() => {
+            Frame::Complete(payload) if payload.len() + FRAME_HEAD == frames.len() => {
                 read(payload).map_err(|why| damaged(8, why))
             }
             Frame::Damaged(why) => Err(damaged(8, why)),
@@ -257,8 +257,8 @@
             at = LOG_MAGIC.len();
             loop {
                 let damaged = |why| Failed::Damaged { file: file.clone(), offset: at as u64, why };
-                match frame_at(&bytes[at..], FRAME_MOST) {
-                    Frame::Whole(payload) => {
+                match frame_at(&bytes[at..], MAX_FRAME_BYTES) {
+                    Frame::Complete(payload) => {
                         records.extend(read::<Vec<Record>>(payload).map_err(damaged)?);
                         at += FRAME_HEAD + payload.len();
                     }
@@ -266,7 +266,7 @@
                     Frame::Damaged(why) => return Err(damaged(why)),
                 }
             }
-        } else if !LOG_MAGIC.starts_with(written_part(&bytes)) {
+        } else if !LOG_MAGIC.starts_with(trim_unwritten(&bytes)) {
             return Err(Failed::Damaged { file, offset: 0, why: "no log of this version" });
         }
         let cut = (bytes.len() - at) as u64;
@@ -288,7 +288,7 @@
     }
 
     /// Removes what earlier generations and unfinished snapshots left.
-    fn forget_others(&mut self) -> io::Result<()> {
+    fn remove_old_files(&mut self) -> io::Result<()> {
         let keep = [self.file("snap"), self.file("log"), "lock".to_owned()];
         for name in self.disk.names()?.into_iter().filter(|name| !keep.contains(name)) {
             if name.starts_with("snap.") || name.starts_with("log.") {
@@ -321,7 +321,7 @@
 
     /// Whether the log has grown so long that a snapshot is due.
     pub fn long(&self) -> bool {
-        self.length > LOG_MOST
+        self.length > MAX_LOG_BYTES
     }
 
     /// Bytes of the log.
@@ -349,7 +349,7 @@
         self.begin_log()?;
         self.broken = false;
         // What cannot be removed now is at the next start.
-        drop(self.forget_others());
+        drop(self.remove_old_files());
         Ok(())
     }
 }
--- a/quota-gateway/discovery/src/main.rs
+++ b/quota-gateway/discovery/src/main.rs
@@ -48,8 +48,11 @@
     let folder = Folder::take(&config.data).map_err(|e| place(&e))?;
     let folder = folder.ok_or_else(|| place(&"another process has it"))?;
     let (mut journal, held) = Journal::open(folder).map_err(|e| place(&e))?;
-    if held.cut > 0 {
-        warn!(bytes = held.cut, "cut off {} bytes at the log's end that nobody was told of", held.cut);
+    if held.torn_bytes > 0 {
+        warn!(
+            bytes = held.torn_bytes,
+            "cut off {} bytes at the log's end that nobody was told of", held.torn_bytes
+        );
     }
     let mut store = Store::restore(held.image, held.records, Duration::ZERO);
     let role = Role::at_start(&config, &store);
@@ -73,7 +76,7 @@
     let leases = service.clone();
     spawn_local(async move { leases.end_leases().await });
     let changes = service.clone();
-    spawn_local(async move { changes.tell_changes().await });
+    spawn_local(async move { changes.notify_watchers().await });
     replicas::begin(&service);
     info!(addr = %listen, "listening on {listen}");
     tokio::select! {
--- a/quota-gateway/discovery/src/replicas.rs
+++ b/quota-gateway/discovery/src/replicas.rs
@@ -19,13 +19,13 @@
 use tracing::{info, warn};
 
 /// Peers are asked so often ...
-const ASK_EVERY: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// ... and have this long to answer; a replica's call that waits has as much beside its wait.
-const ANSWER_MOST: Duration = Duration::from_secs(1);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 /// A replica's call waits for changes for so long, and is in step as of its answer.
 const WAIT: Duration = Duration::from_millis(500);
 /// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 /// The longest answer: an image, which holds the list, those gone and the history.
 const ANSWER_LONGEST: u64 = 4 << 20;
 
@@ -144,7 +144,11 @@
 }
 
 /// One call to another process.
-async fn ask<T: DeserializeOwned>(addr: SocketAddr, call: &[u8], within: Duration) -> Result<T, String> {
+async fn call_peer<T: DeserializeOwned>(
+    addr: SocketAddr,
+    call: &[u8],
+    within: Duration,
+) -> Result<T, String> {
     let asking = async {
         let mut stream = TcpStream::connect(addr).await?;
         stream.write_all(call).await?;
@@ -174,7 +178,7 @@
 async fn watch(service: &Service, number: usize, peer: SocketAddr) {
     let call = http::call("GET", "/discovery/status", b"");
     loop {
-        if let Ok(status) = ask::<serde_json::Value>(peer, &call, ANSWER_MOST).await {
+        if let Ok(status) = call_peer::<serde_json::Value>(peer, &call, REPLY_TIMEOUT).await {
             if let Some(epoch) = status["epoch"].as_u64() {
                 service.heard_of(epoch);
                 if epoch <= service.store.borrow().epoch() {
@@ -182,7 +186,7 @@
                 }
             }
         }
-        sleep(ASK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -196,7 +200,7 @@
         };
         let Some(writer) = writer else {
             // Promoted; it may be superseded again.
-            sleep(ASK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
             continue;
         };
         let replica = {
@@ -207,7 +211,7 @@
         let body = serde_json::to_vec(&replica).unwrap_or_default();
         let call = http::call("POST", "/discovery/records", &body);
         let asked = Instant::now();
-        let told = ask::<Replicated>(writer, &call, WAIT + ANSWER_MOST).await;
+        let told = call_peer::<Replicated>(writer, &call, WAIT + REPLY_TIMEOUT).await;
         match told.and_then(|told| service.replicate(told)) {
             Ok(()) => {
                 if std::mem::replace(&mut quiet, false) {
@@ -223,7 +227,7 @@
                 if !std::mem::replace(&mut quiet, true) {
                     warn!(%writer, error = %e, "cannot follow {writer}: {e}");
                 }
-                sleep(PAUSE).await;
+                sleep(RETRY_INTERVAL).await;
             }
         }
     }
--- a/quota-gateway/discovery/src/service.rs
+++ b/quota-gateway/discovery/src/service.rs
@@ -2,8 +2,10 @@
 
 use crate::config::Config;
 use crate::replicas::Role;
-use marblecroft_discovery::format::Ask;
-use marblecroft_discovery::http::{self, No, Read, Replica, Replicated, Request, BODY_MOST, HEAD_MOST};
+use marblecroft_discovery::format::ListRequest;
+use marblecroft_discovery::http::{
+    self, No, Read, Replica, Replicated, Request, MAX_BODY_BYTES, MAX_HEAD_BYTES,
+};
 use marblecroft_discovery::journal::{Folder, Journal};
 use marblecroft_discovery::store::{Command, Decision, Record, Refusal, Store};
 use std::cell::{Cell, RefCell};
@@ -18,24 +20,24 @@
 use tracing::{error, info, warn};
 
 /// A call that has begun has this long to come.
-const CALL_MOST: Duration = Duration::from_millis(2500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
 /// A connection on which nothing is asked for this long is closed: longer than any watch waits, so that a half-open one
 /// goes at last.
-const IDLE_MOST: Duration = Duration::from_secs(75);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
 /// Whoever takes nothing of an answer for this long is given up, and so no more than one answer waits for anybody.
-const WRITE_MOST: Duration = Duration::from_secs(5);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// After SIGTERM the last answers have this long.
-const CLOSE_MOST: Duration = Duration::from_secs(2);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 /// After a write that failed, the end of a lease is tried again.
 const RETRY: Duration = Duration::from_secs(1);
 /// Pause after an accept that failed, for want of descriptors above all.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// Leases that have ended and may not be written yet are looked at again after this time.
-const LEASE_PAUSE: Duration = Duration::from_millis(5);
+const LEASE_RECHECK_INTERVAL: Duration = Duration::from_millis(5);
 /// The longest that a replica waits for changes; it hears as often that there are none.
-const REPLICA_MOST: Duration = Duration::from_secs(1);
+const MAX_REPLICA_WAIT: Duration = Duration::from_secs(1);
 /// Answers that are kept to be shared: those who watch hold a few versions at the most.
-const SHARED_MOST: usize = 64;
+const MAX_CACHED_REPLIES: usize = 64;
 
 pub fn unix_ms() -> u64 {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -54,7 +56,7 @@
 }
 
 /// Whole lists that may be sent, which refill with time.
-struct Whole {
+struct FullListBudget {
     left: f64,
     at: Instant,
 }
@@ -66,9 +68,9 @@
     pub store: RefCell<Store>,
     journal: RefCell<Journal<Folder>>,
     encoded: RefCell<Encoded>,
-    whole: RefCell<Whole>,
+    full_list_budget: RefCell<FullListBudget>,
     /// The version that those who wait have been woken for.
-    told: watch::Sender<u64>,
+    announced_version: watch::Sender<u64>,
     gathering: Cell<bool>,
     changed: Notify,
     /// A lease may end sooner than it was reckoned.
@@ -82,18 +84,18 @@
 }
 
 /// A place among those that are bounded.
-struct Place<'a>(&'a Cell<usize>);
+struct Slot<'a>(&'a Cell<usize>);
 
-impl<'a> Place<'a> {
-    fn take(count: &'a Cell<usize>, most: usize) -> Option<Place<'a>> {
+impl<'a> Slot<'a> {
+    fn take(count: &'a Cell<usize>, most: usize) -> Option<Slot<'a>> {
         (count.get() < most).then(|| {
             count.set(count.get() + 1);
-            Place(count)
+            Slot(count)
         })
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for Slot<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -102,15 +104,15 @@
 impl Service {
     pub fn new(config: Config, role: Role, store: Store, journal: Journal<Folder>) -> Rc<Service> {
         let begun = Instant::now();
-        let whole = Whole { left: f64::from(config.limits.whole_lists_per_s), at: begun };
+        let whole = FullListBudget { left: f64::from(config.limits.whole_lists_per_s), at: begun };
         Rc::new(Service {
             role: RefCell::new(role),
             begun,
-            told: watch::channel(store.version()).0,
+            announced_version: watch::channel(store.version()).0,
             store: RefCell::new(store),
             journal: RefCell::new(journal),
             encoded: RefCell::default(),
-            whole: RefCell::new(whole),
+            full_list_budget: RefCell::new(whole),
             gathering: Cell::new(false),
             changed: Notify::new(),
             leases: Notify::new(),
@@ -139,7 +141,7 @@
                     if !std::mem::replace(&mut logged, true) {
                         warn!(error = %e, "accept: {e}");
                     }
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
@@ -148,7 +150,7 @@
     /// Answers whoever waits and closes all connections.
     pub async fn close(&self) {
         self.closing.send_replace(true);
-        let until = Instant::now() + CLOSE_MOST;
+        let until = Instant::now() + SHUTDOWN_TIMEOUT;
         while self.connections.get() > 0 && Instant::now() < until {
             drop(timeout_at(until, self.left.notified()).await);
         }
@@ -156,9 +158,9 @@
 
     async fn hear(self: Rc<Self>, mut stream: TcpStream) {
         drop(stream.set_nodelay(true));
-        let Some(place) = Place::take(&self.connections, self.config.limits.connections) else {
+        let Some(place) = Slot::take(&self.connections, self.config.limits.connections) else {
             let busy = http::no(&No::busy("too many connections"), false);
-            drop(timeout(WRITE_MOST, stream.write_all(&busy)).await);
+            drop(timeout(WRITE_TIMEOUT, stream.write_all(&busy)).await);
             return;
         };
         self.converse(&mut stream).await;
@@ -193,16 +195,16 @@
                     tokio::select! {
                         answer = self.hosts(ask, &mut closing) => answer,
                         // One that has gone is not waited with.
-                        () = gone(stream) => return,
+                        () = wait_for_close(stream) => return,
                     }
                 }
                 Ok(Request::Records(replica)) => {
                     tokio::select! {
                         answer = self.records(replica, &mut closing) => answer,
-                        () = gone(stream) => return,
+                        () = wait_for_close(stream) => return,
                     }
                 }
-                Ok(request) => self.carry_out(request).map(|body| http::yes(&body, true).into()),
+                Ok(request) => self.perform(request).map(|body| http::yes(&body, true).into()),
                 Err(no) => Err(no),
             };
             let answer = answer.unwrap_or_else(|no| http::no(&no, true).into());
@@ -228,7 +230,7 @@
         come: &mut Vec<u8>,
         closing: &mut watch::Receiver<bool>,
     ) -> Result<Option<(http::Call, usize)>, No> {
-        let mut until = Instant::now() + if come.is_empty() { IDLE_MOST } else { CALL_MOST };
+        let mut until = Instant::now() + if come.is_empty() { IDLE_TIMEOUT } else { CALL_TIMEOUT };
         loop {
             match http::read(come) {
                 Read::Whole(call, used) => return Ok(Some((call, used))),
@@ -245,11 +247,11 @@
                 Ok(Ok(0) | Err(_)) => return Ok(None),
                 Ok(Ok(n)) => {
                     if !begun {
-                        until = Instant::now() + CALL_MOST;
+                        until = Instant::now() + CALL_TIMEOUT;
                     }
                     come.extend_from_slice(&piece[..n]);
                     // More than a call and the beginning of the next is nobody's here.
-                    if come.len() > HEAD_MOST + 2 * BODY_MOST + 2048 {
+                    if come.len() > MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES + 2048 {
                         return Err(No::new(413, "more than one call at a time"));
                     }
                 }
@@ -261,19 +263,19 @@
 
     async fn write(&self, stream: &mut TcpStream, answer: &[u8]) -> bool {
         self.bytes.set(self.bytes.get() + answer.len() as u64);
-        matches!(timeout(WRITE_MOST, stream.write_all(answer)).await, Ok(Ok(())))
+        matches!(timeout(WRITE_TIMEOUT, stream.write_all(answer)).await, Ok(Ok(())))
     }
 
     /// The list, or what is newer than the caller's as soon as there is something.
-    async fn hosts(&self, ask: Ask, closing: &mut watch::Receiver<bool>) -> Result<Shared, No> {
+    async fn hosts(&self, ask: ListRequest, closing: &mut watch::Receiver<bool>) -> Result<Shared, No> {
         self.role.borrow().serves(&self.config, &self.store.borrow())?;
-        let Ask::Watch { since, wait } = ask else { return self.telling(None) };
+        let ListRequest::Watch { since, wait } = ask else { return self.telling(None) };
         if since != self.store.borrow().version() || wait.is_zero() {
             return self.telling(Some(since));
         }
         let busy = || No::busy("too many watches");
-        let _place = Place::take(&self.watches, self.config.limits.watches).ok_or_else(busy)?;
-        let mut told = self.told.subscribe();
+        let _place = Slot::take(&self.watches, self.config.limits.watches).ok_or_else(busy)?;
+        let mut told = self.announced_version.subscribe();
         tokio::select! {
             _ = told.wait_for(|told| *told > since) => {}
             _ = closing.wait_for(|closing| *closing) => {}
@@ -293,11 +295,11 @@
         let same = |s: &Store| s.origin() == store && s.epoch() == epoch;
         let lacks = { same(&self.store.borrow()) && self.store.borrow().version() == version };
         if lacks {
-            let mut told = self.told.subscribe();
+            let mut told = self.announced_version.subscribe();
             tokio::select! {
                 _ = told.wait_for(|told| *told > version) => {}
                 _ = closing.wait_for(|closing| *closing) => {}
-                () = sleep(Duration::from_millis(wait_ms).min(REPLICA_MOST)) => {}
+                () = sleep(Duration::from_millis(wait_ms).min(MAX_REPLICA_WAIT)) => {}
             }
         }
         let held = self.store.borrow();
@@ -326,7 +328,7 @@
             let store = Store::follow(image, now);
             self.journal.borrow_mut().compact(&store.image()).map_err(|e| e.to_string())?;
             *self.store.borrow_mut() = store;
-            self.tell();
+            self.schedule_notification();
         } else if !told.records.is_empty() {
             let mut journal = self.journal.borrow_mut();
             journal.append(&told.records).map_err(|e| e.to_string())?;
@@ -336,7 +338,7 @@
                 drop(journal.compact(&store.image()));
             }
             drop((journal, store));
-            self.tell();
+            self.schedule_notification();
         }
         Ok(())
     }
@@ -359,12 +361,12 @@
     fn telling(&self, since: Option<u64>) -> Result<Shared, No> {
         let store = self.store.borrow();
         let mut encoded = self.encoded.borrow_mut();
-        if encoded.version != store.version() || encoded.by_since.len() >= SHARED_MOST {
+        if encoded.version != store.version() || encoded.by_since.len() >= MAX_CACHED_REPLIES {
             *encoded = Encoded { version: store.version(), by_since: HashMap::new() };
         }
         // Whoever holds nothing that this store knows gets the same as whoever holds nothing.
         let since = since.filter(|&since| store.knows(since));
-        if since.is_none() && !self.whole.borrow_mut().take(self.config.limits.whole_lists_per_s) {
+        if since.is_none() && !self.full_list_budget.borrow_mut().take(self.config.limits.whole_lists_per_s) {
             return Err(No::busy("too many whole lists"));
         }
         let answer = encoded.by_since.entry(since).or_insert_with(|| {
@@ -375,7 +377,7 @@
     }
 
     /// Carries out what is no call for the list.
-    fn carry_out(&self, request: Request) -> Result<Vec<u8>, No> {
+    fn perform(&self, request: Request) -> Result<Vec<u8>, No> {
         match request {
             Request::Command(command) => self.command(&command),
             Request::Show { id } => self.shown(&id),
@@ -436,24 +438,24 @@
             }
         }
         self.leases.notify_one();
-        self.tell();
+        self.schedule_notification();
         Ok(())
     }
 
     /// Wakes those who wait, a moment later: what comes in the meantime is told along.
-    fn tell(&self) {
+    fn schedule_notification(&self) {
         if !self.gathering.replace(true) {
             self.changed.notify_one();
         }
     }
 
     /// Tells of changes, for good.
-    pub async fn tell_changes(&self) {
+    pub async fn notify_watchers(&self) {
         loop {
             self.changed.notified().await;
             sleep(Duration::from_millis(self.config.limits.gather_ms)).await;
             self.gathering.set(false);
-            self.told.send_replace(self.store.borrow().version());
+            self.announced_version.send_replace(self.store.borrow().version());
         }
     }
 
@@ -481,16 +483,16 @@
                 .store
                 .borrow()
                 .next_end()
-                .map(|end| (self.begun + end).max(Instant::now() + LEASE_PAUSE));
+                .map(|end| (self.begun + end).max(Instant::now() + LEASE_RECHECK_INTERVAL));
             tokio::select! {
-                () = sleep_until(next.unwrap_or_else(|| Instant::now() + IDLE_MOST)) => {}
+                () = sleep_until(next.unwrap_or_else(|| Instant::now() + IDLE_TIMEOUT)) => {}
                 () = self.leases.notified() => {}
             }
         }
     }
 }
 
-impl Whole {
+impl FullListBudget {
     /// Takes one; whether there is one.
     fn take(&mut self, rate: u32) -> bool {
         let (now, rate) = (Instant::now(), f64::from(rate));
@@ -514,7 +516,7 @@
 }
 
 /// Waits until the caller has closed its connection; what else it sends is its next call.
-async fn gone(stream: &TcpStream) {
+async fn wait_for_close(stream: &TcpStream) {
     let mut byte = [0];
     loop {
         match stream.peek(&mut byte).await {
--- a/quota-gateway/discovery/src/store.rs
+++ b/quota-gateway/discovery/src/store.rs
@@ -4,20 +4,20 @@
 //! [`Store::apply`] it, so that a disk that fails leaves no half of a change behind. Time is the caller's: a monotonic one
 //! for leases, and Unix time for starts.
 
-use crate::format::{Host, State, Telling, LIST_MOST};
+use crate::format::{Host, State, Telling, MAX_LIST_BYTES};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// The longest id, zone and kind, in bytes.
-pub const NAME_MOST: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// Leases last from this ...
-pub const LEASE_LEAST: Duration = Duration::from_secs(1);
+pub const MIN_LEASE: Duration = Duration::from_secs(1);
 /// ... to this.
-pub const LEASE_MOST: Duration = Duration::from_secs(3600);
+pub const MAX_LEASE: Duration = Duration::from_secs(3600);
 /// Changes that are kept for watches. Older ones are answered with the whole list.
-const HISTORY_MOST: usize = 4096;
+const MAX_HISTORY: usize = 4096;
 /// Versions begin at the time of creation in milliseconds times this, and go on from the time of each start: no two
 /// stores' versions meet, nor those before and after a disk was set back. They stay below 2^53, as readers may have no
 /// whole numbers beyond.
@@ -119,7 +119,7 @@
     Change(Record),
 }
 
-struct Kept {
+struct StoredEntry {
     host: Host,
     /// The version of its last change.
     revision: u64,
@@ -128,7 +128,7 @@
     ends: Option<Now>,
 }
 
-impl Kept {
+impl StoredEntry {
     fn live(&self, now: Now) -> bool {
         self.ends.is_none_or(|ends| now < ends)
     }
@@ -174,7 +174,7 @@
     /// Rises with each promotion, and whether the last one was of this process.
     epoch: u64,
     promoted: bool,
-    entries: BTreeMap<String, Kept>,
+    entries: BTreeMap<String, StoredEntry>,
     /// Entries that are gone and whose going is in the history.
     gone: BTreeMap<String, Host>,
     /// The last changes, the oldest first: all of those after `floor`.
@@ -185,7 +185,7 @@
 }
 
 fn length(host: &Host) -> usize {
-    serde_json::to_vec(host).map_or(LIST_MOST, |text| text.len() + 1)
+    serde_json::to_vec(host).map_or(MAX_LIST_BYTES, |text| text.len() + 1)
 }
 
 fn millis(lease: Duration) -> u64 {
@@ -264,7 +264,7 @@
     }
 
     pub fn image(&self) -> Image {
-        let kept = |kept: &Kept| (kept.host.clone(), kept.revision, kept.lease.map(millis));
+        let kept = |kept: &StoredEntry| (kept.host.clone(), kept.revision, kept.lease.map(millis));
         Image {
             version: self.version,
             origin: self.origin,
@@ -306,7 +306,7 @@
                 };
                 let put = |host: Host| {
                     let before = self.entries.get(&host.id).map_or(0, |kept| length(&kept.host));
-                    if self.listed - before + length(&host) + LIST_FRAME > LIST_MOST {
+                    if self.listed - before + length(&host) + LIST_FRAME > MAX_LIST_BYTES {
                         return Err(Refusal::TooLong);
                     }
                     Ok(Decision::Change(Record::Put { version, host, lease_ms: lease.map(millis) }))
@@ -340,7 +340,7 @@
         }
     }
 
-    fn live(&self, id: &str, revision: Option<u64>, now: Now) -> Result<&Kept, Refusal> {
+    fn live(&self, id: &str, revision: Option<u64>, now: Now) -> Result<&StoredEntry, Refusal> {
         let kept = self.entries.get(id).filter(|kept| kept.live(now)).ok_or(Refusal::Unknown)?;
         match revision {
             Some(revision) if revision != kept.revision => Err(Refusal::Conflict { revision: kept.revision }),
@@ -411,7 +411,7 @@
             }
         };
         self.history.push_back((version, id));
-        while self.history.len() > HISTORY_MOST {
+        while self.history.len() > MAX_HISTORY {
             let Some((version, id)) = self.history.pop_front() else { break };
             self.floor = version;
             // Told of no more once its last change has left the history.
@@ -424,14 +424,14 @@
     fn keep(&mut self, host: Host, revision: u64, lease_ms: Option<u64>, now: Now) {
         let lease = lease_ms.map(Duration::from_millis);
         self.listed += length(&host);
-        let kept = Kept { revision, lease, ends: lease.map(|lease| now + lease), host };
+        let kept = StoredEntry { revision, lease, ends: lease.map(|lease| now + lease), host };
         if let Some(before) = self.entries.insert(kept.host.id.clone(), kept) {
             self.listed -= length(&before.host);
         }
     }
 
     /// Every entry as it is listed. One whose lease has just ended is listed until its going is recorded.
-    pub fn whole(&self) -> Vec<&Host> {
+    pub fn full_list(&self) -> Vec<&Host> {
         self.entries.values().map(|kept| &kept.host).collect()
     }
 
@@ -446,7 +446,7 @@
             return Newer::Nothing;
         }
         if !self.knows(since) {
-            return Newer::Whole(self.whole());
+            return Newer::Whole(self.full_list());
         }
         let from = self.history.partition_point(|(version, _)| *version <= since);
         let changed: BTreeSet<&str> = self.history.range(from..).map(|(_, id)| id.as_str()).collect();
@@ -457,7 +457,7 @@
     /// The answer to a watch that holds this version, as bytes; `None` where there is nothing newer.
     pub fn telling(&self, since: Option<u64>) -> Option<Vec<u8>> {
         let (full, servers) = match since.map(|since| self.newer(since)) {
-            None => (true, self.whole()),
+            None => (true, self.full_list()),
             Some(Newer::Nothing) => return None,
             Some(Newer::Whole(servers)) => (true, servers),
             Some(Newer::Changes(servers)) => (false, servers),
--- a/quota-gateway/discovery/tests/cases.rs
+++ b/quota-gateway/discovery/tests/cases.rs
@@ -63,7 +63,7 @@
 #[test]
 fn a_registration_after_the_end_is_a_new_start_and_one_before_it_is_not() {
     let mut store = store();
-    let started = |store: &Store| store.whole()[0].started_ms;
+    let started = |store: &Store| store.full_list()[0].started_ms;
     let at = |store: &mut Store, command: &Command, now, unix| match store.decide(command, now, unix) {
         Ok(Decision::Change(record)) => store.apply(record, now),
         other => panic!("{other:?}"),
@@ -88,7 +88,7 @@
     assert!(moved > revision);
     let late = Command::Deregister { id: "s".into(), revision: Some(revision) };
     assert_eq!(done(&mut store, late, secs(1)), Err(Refusal::Conflict { revision: moved }));
-    assert_eq!(store.whole()[0].addr.port(), 2);
+    assert_eq!(store.full_list()[0].addr.port(), 2);
 }
 
 #[test]
@@ -99,7 +99,7 @@
     let version = done(&mut store, drain.clone(), secs(1)).expect("known");
     assert_eq!(done(&mut store, drain, secs(2)), Ok(version));
     assert_eq!(done(&mut store, register("s", 1, None, None), secs(3)), Ok(version));
-    assert_eq!(store.whole()[0].state, State::Draining);
+    assert_eq!(store.full_list()[0].state, State::Draining);
     assert!(
         done(&mut store, Command::Undrain { id: "s".into(), revision: None }, secs(4)).expect("known")
             > version
@@ -146,7 +146,7 @@
         result.err()
     });
     assert_eq!(refused, Some(Refusal::TooLong));
-    assert!(store.telling(None).expect("a list").len() <= LIST_MOST && held > 200, "{held}");
+    assert!(store.telling(None).expect("a list").len() <= MAX_LIST_BYTES && held > 200, "{held}");
     let one = Command::Deregister { id: format!("server-{:0>100}", 0), revision: None };
     done(&mut store, one, secs(0)).expect("known");
     done(&mut store, register("s", 1, None, None), secs(0)).expect("there is room again");
@@ -163,7 +163,7 @@
 fn open(path: &Path) -> Result<(Journal<Folder>, Vec<Record>, u64), String> {
     let folder = Folder::take(path).map_err(|e| e.to_string())?.ok_or("taken")?;
     let (journal, held) = Journal::open(folder).map_err(|e| e.to_string())?;
-    Ok((journal, held.records, held.cut))
+    Ok((journal, held.records, held.torn_bytes))
 }
 
 fn gone(version: u64) -> Record {
--- a/quota-gateway/discovery/tests/follow.rs
+++ b/quota-gateway/discovery/tests/follow.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const CAUTION: Caution = Caution { share: 0.5, hold: Duration::from_secs(10) };
+const CAUTION: Caution = Caution { share: 0.5, removal_delay: Duration::from_secs(10) };
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -167,7 +167,7 @@
 }
 
 fn listed(store: &Store) -> BTreeMap<String, State> {
-    store.whole().into_iter().map(|host| (host.id.clone(), host.state)).collect()
+    store.full_list().into_iter().map(|host| (host.id.clone(), host.state)).collect()
 }
 
 /// Answers may overtake each other, as failover leaves calls behind; what is held never is older than it was, and once the
@@ -255,7 +255,7 @@
             if let Taken::List(list) = follower.take(whole, ms(now)) {
                 pass(&mut held, &list);
             }
-            follower.give_up(ms(now) + CAUTION.hold).iter().for_each(|list| pass(&mut held, list));
+            follower.give_up(ms(now) + CAUTION.removal_delay).iter().for_each(|list| pass(&mut held, list));
             prop_assert_eq!(held, listed(&stores[0]));
             Ok(())
         })
--- a/quota-gateway/discovery/tests/format.rs
+++ b/quota-gateway/discovery/tests/format.rs
@@ -44,19 +44,19 @@
 
     #[test]
     fn a_call_is_read_as_it_is_written(since: u64, millis in 0..100_000_u64) {
-        let ask = Ask::Watch { since, wait: Duration::from_millis(millis) };
+        let ask = ListRequest::Watch { since, wait: Duration::from_millis(millis) };
         let target = ask.target();
         let (path, query) = target.split_once('?').expect("a query");
         prop_assert_eq!(path, HOSTS);
-        let wait = Duration::from_millis(millis).min(WAIT_MOST);
-        prop_assert_eq!(Ask::of_query(query), Ok(Ask::Watch { since, wait }));
+        let wait = Duration::from_millis(millis).min(MAX_WATCH_TIME);
+        prop_assert_eq!(ListRequest::of_query(query), Ok(ListRequest::Watch { since, wait }));
     }
 
     #[test]
     fn bytes_of_any_kind_are_read_or_not_and_never_more(bytes in prop::collection::vec(any::<u8>(), 0..400), query: String) {
         drop(serde_json::from_slice::<HostList>(&bytes));
-        if let Ok(Ask::Watch { wait, .. }) = Ask::of_query(&query) {
-            prop_assert!(wait <= WAIT_MOST);
+        if let Ok(ListRequest::Watch { wait, .. }) = ListRequest::of_query(&query) {
+            prop_assert!(wait <= MAX_WATCH_TIME);
         }
     }
 
@@ -77,12 +77,15 @@
 #[test]
 fn calls_that_cannot_be_read_name_the_field() {
     for (query, ask) in [
-        ("", Ok(Ask::Whole)),
-        ("timeout_ms=5", Ok(Ask::Whole)),
-        ("since=0", Ok(Ask::Watch { since: 0, wait: Duration::ZERO })),
-        ("x=1&since=7&timeout_ms=0", Ok(Ask::Watch { since: 7, wait: Duration::ZERO })),
-        ("since=7&timeout_ms=99999999999999999999999", Ok(Ask::Watch { since: 7, wait: WAIT_MOST })),
-        ("since=99999999999999999999999", Ok(Ask::Watch { since: u64::MAX, wait: Duration::ZERO })),
+        ("", Ok(ListRequest::Full)),
+        ("timeout_ms=5", Ok(ListRequest::Full)),
+        ("since=0", Ok(ListRequest::Watch { since: 0, wait: Duration::ZERO })),
+        ("x=1&since=7&timeout_ms=0", Ok(ListRequest::Watch { since: 7, wait: Duration::ZERO })),
+        (
+            "since=7&timeout_ms=99999999999999999999999",
+            Ok(ListRequest::Watch { since: 7, wait: MAX_WATCH_TIME }),
+        ),
+        ("since=99999999999999999999999", Ok(ListRequest::Watch { since: u64::MAX, wait: Duration::ZERO })),
         ("since=-1", Err("since is no whole number".to_owned())),
         ("since=+1", Err("since is no whole number".to_owned())),
         ("since=", Err("since is no whole number".to_owned())),
@@ -91,6 +94,6 @@
         ("since=1&since=2", Err("since comes more than once".to_owned())),
         ("since=1&timeout_ms=1e3", Err("timeout_ms is no whole number".to_owned())),
     ] {
-        assert_eq!(Ask::of_query(query), ask, "{query:?}");
+        assert_eq!(ListRequest::of_query(query), ask, "{query:?}");
     }
 }
--- a/quota-gateway/discovery/tests/golden.rs
+++ b/quota-gateway/discovery/tests/golden.rs
@@ -10,7 +10,7 @@
 
 use common::*;
 use golden::{bytes, same_bytes, same_text, text};
-use marblecroft_discovery::format::{Ask, Entry, Host, HostList, State, Telling};
+use marblecroft_discovery::format::{Entry, Host, HostList, ListRequest, State, Telling};
 use marblecroft_discovery::http::{self, Call, Replica, Replicated, Request};
 use marblecroft_discovery::journal::{Disk, Journal};
 use marblecroft_discovery::store::{Command, Image, Record, Registration, Store};
@@ -106,7 +106,7 @@
 
     let recorded = Files::with([("log.1", bytes("log.hex")), ("snap.1", bytes("snapshot-empty.hex"))]);
     let (_, held) = Journal::open(recorded).expect("opened");
-    assert_eq!((held.records.as_slice(), held.cut), (records().as_slice(), 0));
+    assert_eq!((held.records.as_slice(), held.torn_bytes), (records().as_slice(), 0));
     assert_eq!(held.image, Image::default());
     let again = Files::default();
     let (mut journal, _) = Journal::open(again.clone()).expect("opened");
@@ -238,7 +238,7 @@
     assert_eq!(post("/discovery/promote", r#"{"epoch":7}"#), Request::Promote { epoch: 7 });
     let replica = Replica { store: 1001, epoch: 7, version: 1013, wait_ms: 2500 };
     assert_eq!(post("/discovery/records", &text("replica.json")), Request::Records(replica));
-    let watch = Ask::Watch { since: 1013, wait: Duration::from_millis(2500) };
+    let watch = ListRequest::Watch { since: 1013, wait: Duration::from_millis(2500) };
     assert_eq!(watch.target(), "/discovery/hosts?since=1013&timeout_ms=2500");
     assert_eq!(
         understood("GET", "/discovery/hosts", "since=1013&timeout_ms=2500", ""),
--- a/quota-gateway/discovery/tests/store.rs
+++ b/quota-gateway/discovery/tests/store.rs
@@ -271,7 +271,7 @@
 }
 
 fn listed(store: &Store) -> Model {
-    store.whole().into_iter().map(|host| (host.id.clone(), (host.addr.port(), host.state))).collect()
+    store.full_list().into_iter().map(|host| (host.id.clone(), (host.addr.port(), host.state))).collect()
 }
 
 impl World {
--- a/quota-gateway/discovery/tests/wire.rs
+++ b/quota-gateway/discovery/tests/wire.rs
@@ -17,7 +17,7 @@
     #[test]
     fn bytes_of_any_kind_are_a_call_or_not(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         if let Read::Whole(call, used) = read(&bytes) {
-            prop_assert!(used <= bytes.len() && call.body.len() <= BODY_MOST);
+            prop_assert!(used <= bytes.len() && call.body.len() <= MAX_BODY_BYTES);
             drop(understood(&call));
         }
         drop(answered(&bytes));
--- a/quota-gateway/fair-share/src/body.rs
+++ b/quota-gateway/fair-share/src/body.rs
@@ -2,16 +2,16 @@
 
 use marblecroft_control_messages::frame::{sane, Kind};
 use marblecroft_control_messages::published::Body;
-use marblecroft_control_messages::report::POINTS_MOST;
+use marblecroft_control_messages::report::MAX_POINTS;
 use serde::{Deserialize, Serialize};
 
 /// A level that binds nobody.
 pub const UNBOUND: f64 = 1e12;
 /// The most gateways that a decision names.
-pub const GATEWAYS_MOST: usize = 4096;
+pub const MAX_GATEWAYS: usize = 4096;
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct SharesDecided {
+pub struct ShareDecision {
     /// Units a second for each weight; [`UNBOUND`] where capacity is not short.
     pub level: f64,
     /// Units a second that all gateways together may send on.
@@ -24,22 +24,22 @@
     pub grants: Vec<(u32, f32)>,
 }
 
-impl SharesDecided {
+impl ShareDecision {
     pub fn grant(&self, gateway: u32) -> Option<f64> {
         let at = self.grants.binary_search_by_key(&gateway, |(gateway, _)| *gateway).ok()?;
         Some(f64::from(self.grants[at].1))
     }
 }
 
-impl Body for SharesDecided {
+impl Body for ShareDecision {
     const KIND: Kind = Kind::Shares;
 
     fn sensible(&self) -> bool {
         [self.level, self.capacity, self.weight].into_iter().all(sane)
-            && self.points.len() <= POINTS_MOST
+            && self.points.len() <= MAX_POINTS
             && self.points.iter().copied().all(sane)
             && self.points.windows(2).all(|w| w[0] < w[1])
-            && self.grants.len() <= GATEWAYS_MOST
+            && self.grants.len() <= MAX_GATEWAYS
             && self.grants.windows(2).all(|w| w[0].0 < w[1].0)
             && self.grants.iter().all(|(_, units)| sane(f64::from(*units)))
     }
--- a/quota-gateway/fair-share/src/curve.rs
+++ b/quota-gateway/fair-share/src/curve.rs
@@ -1,25 +1,28 @@
 //! Sums of firms as a function of the level: what all of them take if each takes the smaller of what it asks and of the level times
 //! its weight. Rising, concave, from 0 to all that is asked.
 
-use marblecroft_control_messages::report::Asked;
+use marblecroft_control_messages::report::Demand;
 
 /// A firm at one gateway: what it asks for here, and its weight times the part of its traffic that comes through here.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Here {
-    pub asks: f64,
+pub struct LocalFirm {
+    pub demand: f64,
     pub weight: f64,
 }
 
 /// The function itself, at one level.
-pub fn sum(firms: &[Here], level: f64) -> f64 {
-    firms.iter().map(|firm| firm.asks.min(level * firm.weight)).sum()
+pub fn sum(firms: &[LocalFirm], level: f64) -> f64 {
+    firms.iter().map(|firm| firm.demand.min(level * firm.weight)).sum()
 }
 
 /// The level at which firms take so much, exactly; none where they ask for less.
-pub fn level_for(firms: &[Here], units: f64) -> Option<f64> {
+pub fn level_for(firms: &[LocalFirm], units: f64) -> Option<f64> {
     // By the level at which each has all that it asks for: below it its weight counts, above it what it asks.
-    let mut full: Vec<(f64, Here)> =
-        firms.iter().filter(|f| f.weight > 0.0 && f.asks > 0.0).map(|f| (f.asks / f.weight, *f)).collect();
+    let mut full: Vec<(f64, LocalFirm)> = firms
+        .iter()
+        .filter(|f| f.weight > 0.0 && f.demand > 0.0)
+        .map(|f| (f.demand / f.weight, *f))
+        .collect();
     full.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut weight: f64 = full.iter().map(|(_, firm)| firm.weight).sum();
     let mut taken = 0.0;
@@ -27,24 +30,24 @@
         if taken + at * weight >= units {
             return Some((units - taken).max(0.0) / weight);
         }
-        taken += firm.asks;
+        taken += firm.demand;
         weight -= firm.weight;
     }
     None
 }
 
 /// What a gateway tells of its firms, at these levels.
-pub fn told(firms: &[Here], points: &[f64]) -> Asked {
-    Asked {
-        all: firms.iter().map(|firm| firm.asks).sum(),
-        weight: firms.iter().filter(|firm| firm.asks > 0.0).map(|firm| firm.weight).sum(),
+pub fn sample(firms: &[LocalFirm], points: &[f64]) -> Demand {
+    Demand {
+        all: firms.iter().map(|firm| firm.demand).sum(),
+        weight: firms.iter().filter(|firm| firm.demand > 0.0).map(|firm| firm.weight).sum(),
         points: points.iter().map(|&at| (at, sum(firms, at))).collect(),
     }
 }
 
 /// The function as far as it was told: straight from point to point, which a concave function never lies below; and flat behind
 /// the last, as nothing tells where the rest is asked.
-pub fn read(asked: &Asked, level: f64) -> f64 {
+pub fn read(asked: &Demand, level: f64) -> f64 {
     let mut before = (0.0, 0.0);
     for &(at, sum) in &asked.points {
         if level <= at {
--- a/quota-gateway/fair-share/src/owner.rs
+++ b/quota-gateway/fair-share/src/owner.rs
@@ -1,10 +1,10 @@
 //! The owner's side: finds the level at which what all gateways tell meets the capacity, and gives each gateway its grant.
 
-use crate::body::{SharesDecided, GATEWAYS_MOST, UNBOUND};
+use crate::body::{ShareDecision, MAX_GATEWAYS, UNBOUND};
 use crate::curve::{first_points, points_around, read};
 use marblecroft_control_messages::frame::Refusal;
 use marblecroft_control_messages::published::Stamp;
-use marblecroft_control_messages::report::{Asked, Report};
+use marblecroft_control_messages::report::{Demand, Report};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
 pub const SLACK: f64 = 0.05;
 /// A gateway that was not heard for this long is taken for gone, and what was kept for it is given to others. One that is cut off
 /// for longer and lives is the stated exception.
-pub const GONE: Duration = Duration::from_secs(60);
+pub const GRANT_LIFETIME: Duration = Duration::from_secs(60);
 /// Clocks may run apart by this, as the lease of a session allows.
 const DRIFT: f64 = 0.1;
 /// Of what nobody asks for, so much is given out by weight: room for demand that grows before the next decision.
 const SPARE: f64 = 0.9;
 /// A decision that moves no grant by more than this part of the capacity and no level by more is not worth telling.
-const WORTH_TELLING: f64 = 0.002;
+const MIN_RELATIVE_CHANGE: f64 = 0.002;
 
 /// What is known of a gateway.
 #[derive(Clone, Debug)]
@@ -28,7 +28,7 @@
     at: Now,
     life: u64,
     number: u64,
-    asked: Asked,
+    asked: Demand,
     /// Grants that it may go by: of the decision that it last said to go by, and of all later ones.
     grants: Vec<(Stamp, f64)>,
     /// Since when decisions have not named it, as it is not heard. One that it reads leaves it its floor; where it reads none,
@@ -54,14 +54,14 @@
 /// Halvings of the span in which the level is sought: to one part in 10^15 of it.
 const HALVINGS: u32 = 50;
 /// Decisions that a gateway has not said to go by yet, of which each is kept account of.
-const PENDING_MOST: usize = 64;
+const MAX_PENDING_DECISIONS: usize = 64;
 
 pub struct Owner {
     gateways: BTreeMap<u32, Heard>,
     capacity: f64,
     valid: Duration,
     shrink: Duration,
-    last: Option<SharesDecided>,
+    last: Option<ShareDecision>,
     begun: Now,
     /// When it last had its turn.
     moment: Now,
@@ -77,12 +77,12 @@
         valid: Duration,
         shrink: Duration,
         settle: Duration,
-        before: Option<(Stamp, &SharesDecided)>,
+        before: Option<(Stamp, &ShareDecision)>,
     ) -> Owner {
         let gateways = before.into_iter().flat_map(|(stamp, decided)| {
             decided.grants.iter().map(move |&(gateway, units)| {
                 let grants = vec![(stamp, f64::from(units))];
-                let asked = Asked::default();
+                let asked = Demand::default();
                 (gateway, Heard { at: now, life: 0, number: 0, asked, grants, omitted: None })
             })
         });
@@ -106,18 +106,18 @@
 
     pub fn report(&mut self, now: Now, report: &Report) -> Result<(), Refusal> {
         let known = self.gateways.get(&report.gateway);
-        if known.is_some_and(|heard| heard.life == report.life && heard.number >= report.number) {
+        if known.is_some_and(|heard| heard.life == report.incarnation && heard.number >= report.number) {
             self.repeated += 1;
             return Ok(());
         }
-        if known.is_none() && self.gateways.len() >= GATEWAYS_MOST {
+        if known.is_none() && self.gateways.len() >= MAX_GATEWAYS {
             return Err(Refusal::TooLong);
         }
         let goes_by = report.goes_by.shares;
         let mut grants = self.gateways.remove(&report.gateway).map_or_else(Vec::new, |heard| heard.grants);
         // A new life holds nothing yet and takes whatever is published next; what an old one held is gone with it.
         grants.retain(|(stamp, _)| *stamp >= goes_by);
-        let (life, number, asked) = (report.life, report.number, report.shares.clone());
+        let (life, number, asked) = (report.incarnation, report.number, report.shares.clone());
         let heard = Heard { at: now, life, number, asked, grants, omitted: None };
         self.gateways.insert(report.gateway, heard);
         Ok(())
@@ -161,7 +161,7 @@
     }
 
     /// Decides, if there is something worth telling. `stamp` is what it will be published under.
-    pub fn decide(&mut self, now: Now, stamp: Stamp) -> Option<SharesDecided> {
+    pub fn decide(&mut self, now: Now, stamp: Stamp) -> Option<ShareDecision> {
         // One that stood still has heard nobody in that time: it begins again by listening, and leaves out nobody for it.
         let stood_still = now.saturating_sub(self.moment);
         self.moment = now;
@@ -172,8 +172,9 @@
         if now.saturating_sub(self.begun) < self.settle || self.capacity <= 0.0 {
             return None;
         }
-        self.gateways
-            .retain(|_, heard| heard.omitted.is_none_or(|omitted| now.saturating_sub(omitted) < GONE));
+        self.gateways.retain(|_, heard| {
+            heard.omitted.is_none_or(|omitted| now.saturating_sub(omitted) < GRANT_LIFETIME)
+        });
         let weight = self.weight();
         let reserved = self.reserved(now);
         // Who cannot be told anything keeps what it has; the others share the rest.
@@ -215,7 +216,7 @@
             })
             .collect();
         let points = if level < UNBOUND { points_around(level) } else { self.resting_points() };
-        let decided = SharesDecided { level, capacity: self.capacity, weight, points, grants };
+        let decided = ShareDecision { level, capacity: self.capacity, weight, points, grants };
         if self.last.as_ref().is_some_and(|last| !differs(last, &decided)) {
             return None;
         }
@@ -224,10 +225,10 @@
         }
         for (gateway, units) in &decided.grants {
             if let Some(heard) = self.gateways.get_mut(gateway) {
-                if heard.grants.len() >= PENDING_MOST {
+                if heard.grants.len() >= MAX_PENDING_DECISIONS {
                     // The highest stands for all that are left out.
                     let most = heard.grants.iter().map(|(_, units)| *units).fold(0.0, f64::max);
-                    heard.grants = vec![(heard.grants[PENDING_MOST - 1].0, most)];
+                    heard.grants = vec![(heard.grants[MAX_PENDING_DECISIONS - 1].0, most)];
                 }
                 heard.grants.push((stamp, f64::from(*units)));
             }
@@ -251,9 +252,9 @@
     }
 }
 
-fn differs(a: &SharesDecided, b: &SharesDecided) -> bool {
-    let far = |a: f64, b: f64| (a - b).abs() > WORTH_TELLING * a.abs().max(b.abs());
-    let worth = WORTH_TELLING * b.capacity;
+fn differs(a: &ShareDecision, b: &ShareDecision) -> bool {
+    let far = |a: f64, b: f64| (a - b).abs() > MIN_RELATIVE_CHANGE * a.abs().max(b.abs());
+    let worth = MIN_RELATIVE_CHANGE * b.capacity;
     a.grants.len() != b.grants.len()
         || far(a.level, b.level)
         || far(a.capacity, b.capacity)
--- a/quota-gateway/fair-share/src/taker.rs
+++ b/quota-gateway/fair-share/src/taker.rs
@@ -1,9 +1,9 @@
 //! A gateway's side: what its firms ask, what it tells of it, and what each of them may be sent on.
 
-use crate::body::{SharesDecided, UNBOUND};
-use crate::curve::{first_points, level_for, told, Here};
+use crate::body::{ShareDecision, UNBOUND};
+use crate::curve::{first_points, level_for, sample, LocalFirm};
 use marblecroft_control_messages::published::{Reader, Standing};
-use marblecroft_control_messages::report::Asked;
+use marblecroft_control_messages::report::Demand;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 /// A firm's store holds so many seconds of what it may be sent on: requests come in whole units.
 const STORE: f64 = 1.0;
 /// Firms that are kept account of, and a firm that asked for nothing for this long is forgotten.
-pub const FIRMS_MOST: usize = 50_000;
-const FORGET: Duration = Duration::from_secs(30);
+pub const MAX_FIRMS: usize = 50_000;
+const FIRM_TTL: Duration = Duration::from_secs(30);
 /// Alone, a gateway shrinks from its last grant to its equal part in this long.
 pub const SHRINK: Duration = Duration::from_secs(10);
 
 /// What is known of a firm beside what it asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Known {
+pub struct FirmQuota {
     pub weight: f64,
     /// The part of its traffic that comes through here, as the meter tells, and the part if all of its gateways had the same.
     pub part: f64,
@@ -32,7 +32,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Firm {
-    known: Known,
+    known: FirmQuota,
     /// Units a second asked for, with memory, and when that was reckoned.
     rate: f64,
     at: Now,
@@ -84,8 +84,8 @@
 
     /// A firm asks for so many units, let in or not; whether its share holds them. What is asked again after a refusal is no
     /// further demand: coming back at once gains nothing.
-    pub fn ask(&mut self, now: Now, firm: u64, known: Known, units: f64, again: bool) -> bool {
-        if self.firms.len() >= FIRMS_MOST && !self.firms.contains_key(&firm) {
+    pub fn request(&mut self, now: Now, firm: u64, known: FirmQuota, units: f64, again: bool) -> bool {
+        if self.firms.len() >= MAX_FIRMS && !self.firms.contains_key(&firm) {
             // Unknown to the account, so no share of its own: let in only where nobody is bound.
             return matches!(self.bound, Bound::None);
         }
@@ -127,22 +127,22 @@
         }
     }
 
-    fn here(&self, now: Now) -> Vec<Here> {
-        let here = |firm: &Firm| Here {
-            asks: firm.rate_at(now).min(firm.known.quota),
+    fn here(&self, now: Now) -> Vec<LocalFirm> {
+        let here = |firm: &Firm| LocalFirm {
+            demand: firm.rate_at(now).min(firm.known.quota),
             weight: firm.known.weight * firm.known.part,
         };
         self.firms.values().map(here).collect()
     }
 
     /// What is told, once a second. Forgets firms that have long been silent.
-    pub fn report(&mut self, now: Now) -> Asked {
-        self.firms.retain(|_, firm| now.saturating_sub(firm.at) < FORGET);
-        told(&self.here(now), &self.points)
+    pub fn report(&mut self, now: Now) -> Demand {
+        self.firms.retain(|_, firm| now.saturating_sub(firm.at) < FIRM_TTL);
+        sample(&self.here(now), &self.points)
     }
 
     /// Works out what each firm may be sent on, by the decision that stands; a few times a second.
-    pub fn obey(&mut self, now: Now, reader: &Reader<SharesDecided>) {
+    pub fn obey(&mut self, now: Now, reader: &Reader<ShareDecision>) {
         let standing = reader.standing(now);
         let decided = match standing {
             Standing::Never => {
--- a/quota-gateway/fair-share/tests/conformance.rs
+++ b/quota-gateway/fair-share/tests/conformance.rs
@@ -1,10 +1,10 @@
 //! Tables of conformance of shares: rows from the design page, a clause each, played through both sides.
 
 use marblecroft_control_messages::published::{Decision, Reader, Stamp};
-use marblecroft_control_messages::report::{GoesBy, Report};
-use marblecroft_fair_share::body::SharesDecided;
+use marblecroft_control_messages::report::{AppliedDecisions, Report};
+use marblecroft_fair_share::body::ShareDecision;
 use marblecroft_fair_share::owner::Owner;
-use marblecroft_fair_share::taker::{Known, Taker, SHRINK};
+use marblecroft_fair_share::taker::{FirmQuota, Taker, SHRINK};
 use marblecroft_test_support::conformance::{hold, Played};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -52,7 +52,7 @@
     fn play(&self) -> Result<(), String> {
         let gateways = self.firms.iter().map(|(_, at)| at.len()).max().unwrap_or(0);
         let mut takers: Vec<Taker> = (0..gateways as u32).map(Taker::new).collect();
-        let mut readers: Vec<Reader<SharesDecided>> = vec![Reader::default(); gateways];
+        let mut readers: Vec<Reader<ShareDecision>> = vec![Reader::default(); gateways];
         let at = |ms: u64| Duration::from_millis(ms);
         let mut owner = Owner::begin(at(0), VALID, SHRINK, at(1500), None);
         owner.capacity(self.capacity);
@@ -66,11 +66,15 @@
                 for (f, (weight, asks)) in self.firms.iter().enumerate() {
                     let all: f64 = asks.iter().sum();
                     for (g, asks) in asks.iter().enumerate().filter(|(_, asks)| **asks > 0.0) {
-                        let known =
-                            Known { weight: *weight, part: asks / all, equal: asks / all, quota: self.quota };
+                        let known = FirmQuota {
+                            weight: *weight,
+                            part: asks / all,
+                            equal: asks / all,
+                            quota: self.quota,
+                        };
                         let units = asks / PIECES as f64;
                         for try_ in 0..=self.again {
-                            if takers[g].ask(now, f as u64, known, units, try_ > 0) {
+                            if takers[g].request(now, f as u64, known, units, try_ > 0) {
                                 takers[g].take(f as u64, units);
                                 gets[f] += if second == last { units } else { 0.0 };
                                 break;
@@ -87,14 +91,17 @@
                 continue;
             }
             for (g, taker) in takers.iter_mut().enumerate() {
-                let goes_by = GoesBy { shares: readers[g].stamp().unwrap_or_default(), ..GoesBy::default() };
+                let goes_by = AppliedDecisions {
+                    shares: readers[g].stamp().unwrap_or_default(),
+                    ..AppliedDecisions::default()
+                };
                 let report = Report {
                     gateway: g as u32,
-                    life: 1,
+                    incarnation: 1,
                     number: second + 1,
                     zone: "hall-a".to_owned(),
                     span_ms: 1000,
-                    asked: 1.0,
+                    requested_units: 1.0,
                     zones: Vec::new(),
                     shares: taker.report(now),
                     goes_by,
--- a/quota-gateway/fair-share/tests/fleet.rs
+++ b/quota-gateway/fair-share/tests/fleet.rs
@@ -2,9 +2,9 @@
 //! owners that are replaced. What firms get is held against the exact solution. `SHARES_SEEDS` plays more of them.
 
 use marblecroft_control_messages::published::{Decision, Reader, Stamp};
-use marblecroft_control_messages::report::{GoesBy, Report};
-use marblecroft_fair_share::body::SharesDecided;
-use marblecroft_fair_share::curve::{self, Here};
+use marblecroft_control_messages::report::{AppliedDecisions, Report};
+use marblecroft_fair_share::body::ShareDecision;
+use marblecroft_fair_share::curve::{self, LocalFirm};
 use marblecroft_fair_share::owner::{Owner, SLACK};
 use marblecroft_fair_share::taker::SHRINK;
 use marblecroft_fair_share_reference::{fill, jain, Firm};
@@ -32,7 +32,7 @@
 }
 
 struct Gate {
-    reader: Reader<SharesDecided>,
+    reader: Reader<ShareDecision>,
     points: Vec<f64>,
     number: u64,
     report_at: u64,
@@ -49,9 +49,9 @@
     owner: Owner,
     stamp: Stamp,
     lossy: f64,
-    decisions: Vec<(u64, usize, Decision<SharesDecided>)>,
+    decisions: Vec<(u64, usize, Decision<ShareDecision>)>,
     reports: Vec<(u64, Report)>,
-    last: Option<(Stamp, SharesDecided)>,
+    last: Option<(Stamp, ShareDecision)>,
     /// What each firm gets, in units a second, in the last step.
     gets: Vec<f64>,
     bytes: usize,
@@ -121,10 +121,10 @@
     }
 
     /// What each gateway's firms are there, as it believes.
-    fn here(&self, gateway: usize) -> Vec<(usize, usize, Here)> {
+    fn here(&self, gateway: usize) -> Vec<(usize, usize, LocalFirm)> {
         let here = |&(f, k): &(usize, usize)| {
             let firm = &self.firms[f];
-            (f, k, Here { asks: firm.asks * firm.spread[k].1, weight: firm.weight * firm.believed[k] })
+            (f, k, LocalFirm { demand: firm.asks * firm.spread[k].1, weight: firm.weight * firm.believed[k] })
         };
         self.at[gateway].iter().map(here).collect()
     }
@@ -136,24 +136,24 @@
         let mut all = 0.0;
         for g in 0..self.gates.len() {
             let here = self.here(g);
-            let firms: Vec<Here> = here.iter().map(|(.., here)| *here).collect();
+            let firms: Vec<LocalFirm> = here.iter().map(|(.., here)| *here).collect();
             // The gateway's own code, fed with what its firms ask for.
             let mut taker = marblecroft_fair_share::taker::Taker::new(g as u32);
             for (f, k, here) in &here {
-                let known = marblecroft_fair_share::taker::Known {
+                let known = marblecroft_fair_share::taker::FirmQuota {
                     weight: self.firms[*f].weight,
                     part: self.firms[*f].believed[*k],
                     equal: 1.0 / self.firms[*f].spread.len() as f64,
                     quota: f64::INFINITY,
                 };
-                taker.ask(now, *f as u64, known, here.asks, false);
+                taker.request(now, *f as u64, known, here.demand, false);
             }
             taker.obey(now, &self.gates[g].reader);
             for ((f, ..), here) in here.iter().zip(&firms) {
                 let allowed = taker.allowed(*f as u64).expect("it has just asked");
                 let units = match taker.bound() {
-                    marblecroft_fair_share::taker::Bound::None => here.asks,
-                    _ => here.asks.min(allowed),
+                    marblecroft_fair_share::taker::Bound::None => here.demand,
+                    _ => here.demand.min(allowed),
                 };
                 self.gets[*f] += units;
                 all += units;
@@ -182,17 +182,20 @@
             }
             self.gates[g].report_at += ROUND;
             self.gates[g].number += 1;
-            let here: Vec<Here> = self.here(g).into_iter().map(|(.., here)| here).collect();
+            let here: Vec<LocalFirm> = self.here(g).into_iter().map(|(.., here)| here).collect();
             let gate = &self.gates[g];
-            let shares = curve::told(&here, &gate.points);
-            let goes_by = GoesBy { shares: gate.reader.stamp().unwrap_or_default(), ..GoesBy::default() };
+            let shares = curve::sample(&here, &gate.points);
+            let goes_by = AppliedDecisions {
+                shares: gate.reader.stamp().unwrap_or_default(),
+                ..AppliedDecisions::default()
+            };
             let report = Report {
                 gateway: g as u32,
-                life: 1,
+                incarnation: 1,
                 number: gate.number,
                 zone: "hall-a".to_owned(),
                 span_ms: 1000,
-                asked: shares.all,
+                requested_units: shares.all,
                 zones: Vec::new(),
                 shares,
                 goes_by,
--- a/quota-gateway/fair-share/tests/golden.rs
+++ b/quota-gateway/fair-share/tests/golden.rs
@@ -7,13 +7,13 @@
 use golden::{bytes, same_bytes};
 use marblecroft_control_messages::frame::{decode, encode, Fleet};
 use marblecroft_control_messages::published::{Decision, Stamp};
-use marblecroft_fair_share::body::SharesDecided;
+use marblecroft_fair_share::body::ShareDecision;
 
 const FLEET: Fleet = Fleet(0x0102_0304_0506_0708);
 
 #[test]
 fn decisions_on_shares_keep_their_bytes() {
-    let body = SharesDecided {
+    let body = ShareDecision {
         level: 12.5,
         capacity: 900.25,
         weight: 41.75,
@@ -23,7 +23,7 @@
     let decision = Decision { stamp: Stamp { token: 1009, revision: 2011 }, valid_ms: 3017, body };
     let encoded = encode(FLEET, &decision).expect("it fits");
     same_bytes("decision.hex", &encoded);
-    let read: Decision<SharesDecided> = decode(FLEET, &bytes("decision.hex")).expect("it is read");
+    let read: Decision<ShareDecision> = decode(FLEET, &bytes("decision.hex")).expect("it is read");
     assert_eq!(read, decision);
     same_bytes("decision.hex", &encode(FLEET, &read).expect("it fits"));
 }
--- a/quota-gateway/fair-share/tests/owner.rs
+++ b/quota-gateway/fair-share/tests/owner.rs
@@ -1,8 +1,8 @@
 //! The owner's account of what gateways may still go by, step by step.
 
 use marblecroft_control_messages::published::Stamp;
-use marblecroft_control_messages::report::{GoesBy, Report};
-use marblecroft_fair_share::curve::{first_points, told, Here};
+use marblecroft_control_messages::report::{AppliedDecisions, Report};
+use marblecroft_fair_share::curve::{first_points, sample, LocalFirm};
 use marblecroft_fair_share::owner::{Owner, SLACK};
 use std::time::Duration;
 
@@ -16,14 +16,14 @@
 fn report(gateway: u32, number: u64, asks: f64, goes_by: Stamp) -> Report {
     Report {
         gateway,
-        life: 1,
+        incarnation: 1,
         number,
         zone: "hall-a".to_owned(),
         span_ms: 1000,
-        asked: asks,
+        requested_units: asks,
         zones: Vec::new(),
-        shares: told(&[Here { asks, weight: 1.0 }], &first_points()),
-        goes_by: GoesBy { shares: goes_by, ..GoesBy::default() },
+        shares: sample(&[LocalFirm { demand: asks, weight: 1.0 }], &first_points()),
+        goes_by: AppliedDecisions { shares: goes_by, ..AppliedDecisions::default() },
     }
 }
 
--- a/quota-gateway/fair-share/tests/taker.rs
+++ b/quota-gateway/fair-share/tests/taker.rs
@@ -1,19 +1,19 @@
 //! A gateway's side, step by step: firms' parts by level and grant, and alone.
 
 use marblecroft_control_messages::published::{Decision, Reader, Stamp};
-use marblecroft_fair_share::body::SharesDecided;
-use marblecroft_fair_share::taker::{Bound, Known, Taker, FIRMS_MOST};
+use marblecroft_fair_share::body::ShareDecision;
+use marblecroft_fair_share::taker::{Bound, FirmQuota, Taker, MAX_FIRMS};
 use std::time::Duration;
 
-const KNOWN: Known = Known { weight: 1.0, part: 1.0, equal: 1.0, quota: f64::INFINITY };
+const KNOWN: FirmQuota = FirmQuota { weight: 1.0, part: 1.0, equal: 1.0, quota: f64::INFINITY };
 
 fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
 /// Of 100 units for weights of 10 in all, to a gateway that has a grant of 30.
-fn reader(level: f64, grant: f32) -> Reader<SharesDecided> {
-    let body = SharesDecided {
+fn reader(level: f64, grant: f32) -> Reader<ShareDecision> {
+    let body = ShareDecision {
         level,
         capacity: 100.0,
         weight: 10.0,
@@ -26,13 +26,14 @@
 }
 
 /// Two firms that ask for 40 units a second each, one with three times the weight; what each is sent on in a second.
-fn sent(taker: &mut Taker, reader: &Reader<SharesDecided>, from: u64) -> [f64; 2] {
+fn sent(taker: &mut Taker, reader: &Reader<ShareDecision>, from: u64) -> [f64; 2] {
     let mut sent = [0.0; 2];
     for step in 0..40 {
         let now = at(from + step * 25);
         for (firm, weight) in [(0, 1.0), (1, 3.0)] {
             // Its whole traffic comes through here, of which an equal part would be a quarter.
-            if taker.ask(now, firm, Known { weight, part: 1.0, equal: 0.25, quota: 35.0 }, 1.0, false) {
+            if taker.request(now, firm, FirmQuota { weight, part: 1.0, equal: 0.25, quota: 35.0 }, 1.0, false)
+            {
                 taker.take(firm, 1.0);
                 sent[firm as usize] += 1.0;
             }
@@ -84,12 +85,12 @@
 #[test]
 fn firms_without_end_do_not_grow_the_account() {
     let mut taker = Taker::new(7);
-    for firm in 0..FIRMS_MOST as u64 + 100 {
-        taker.ask(at(0), firm, KNOWN, 1.0, false);
+    for firm in 0..MAX_FIRMS as u64 + 100 {
+        taker.request(at(0), firm, KNOWN, 1.0, false);
     }
-    assert_eq!(taker.firms(), FIRMS_MOST);
+    assert_eq!(taker.firms(), MAX_FIRMS);
     taker.obey(at(0), &reader(5.0, 30.0));
-    assert!(!taker.ask(at(1), u64::MAX, KNOWN, 1.0, false));
+    assert!(!taker.request(at(1), u64::MAX, KNOWN, 1.0, false));
     // Silent for half a minute, all are forgotten.
     taker.report(at(31_000));
     assert_eq!(taker.firms(), 0);
--- a/quota-gateway/fair-share/tests/ways.rs
+++ b/quota-gateway/fair-share/tests/ways.rs
@@ -2,8 +2,8 @@
 //! what the product does, and **prices** (one sum each, and a level that the owner moves by how far the sum is off). What is measured
 //! is rounds until the error stays under 5%, the most that is sent beyond the capacity on the way, and bytes a report.
 
-use marblecroft_control_messages::report::Asked;
-use marblecroft_fair_share::curve::{self, read, Here};
+use marblecroft_control_messages::report::Demand;
+use marblecroft_fair_share::curve::{self, read, LocalFirm};
 use marblecroft_fair_share_reference::{fill, Firm};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -15,7 +15,7 @@
 
 struct Case {
     firms: Vec<Firm>,
-    here: Vec<Vec<(usize, Here)>>,
+    here: Vec<Vec<(usize, LocalFirm)>>,
     capacity: f64,
     exact: Vec<f64>,
 }
@@ -31,7 +31,7 @@
         for (k, part) in parts.iter().enumerate() {
             let part = part / sum;
             here[(first + k) % GATEWAYS]
-                .push((f, Here { asks: firm.asks * part, weight: firm.weight * part }));
+                .push((f, LocalFirm { demand: firm.asks * part, weight: firm.weight * part }));
         }
     }
     let capacity = firms.iter().map(|firm| firm.asks).sum::<f64>() * rng.random_range(0.3..0.8);
@@ -39,7 +39,7 @@
 }
 
 impl Case {
-    fn here(&self, gateway: usize) -> Vec<Here> {
+    fn here(&self, gateway: usize) -> Vec<LocalFirm> {
         self.here[gateway].iter().map(|(_, here)| *here).collect()
     }
 
@@ -47,13 +47,13 @@
     fn outcome(&self, level: f64) -> (f64, f64) {
         let mut gets = vec![0.0; self.firms.len()];
         for (f, here) in self.here.iter().flatten() {
-            gets[*f] += here.asks.min(level * here.weight);
+            gets[*f] += here.demand.min(level * here.weight);
         }
         let far: f64 = self.exact.iter().zip(&gets).map(|(a, b)| (a - b).abs()).sum();
         (far / self.capacity, gets.iter().sum::<f64>() / self.capacity - 1.0)
     }
 
-    fn level(&self, told: &[Asked]) -> f64 {
+    fn level(&self, told: &[Demand]) -> f64 {
         let sum = |level: f64| told.iter().map(|asked| read(asked, level)).sum::<f64>();
         let (mut low, mut high) = (0.0, 1e5);
         for _ in 0..60 {
@@ -87,7 +87,7 @@
     // From the level that fitted the case before: a jump of all demands and of the capacity.
     let by_levels = |(before, now): &(Case, Case)| {
         let fit = |case: &Case, points: &[f64]| {
-            case.level(&(0..GATEWAYS).map(|g| curve::told(&case.here(g), points)).collect::<Vec<_>>())
+            case.level(&(0..GATEWAYS).map(|g| curve::sample(&case.here(g), points)).collect::<Vec<_>>())
         };
         let mut level = fit(before, &curve::points_around(fit(before, &curve::first_points())));
         let mut levels = Vec::new();
@@ -98,22 +98,22 @@
         judged(now, &levels)
     };
     let by_prices = |(before, now): &(Case, Case), gain: f64| {
-        let all: Vec<Here> = before.here.iter().flatten().map(|(_, here)| *here).collect();
+        let all: Vec<LocalFirm> = before.here.iter().flatten().map(|(_, here)| *here).collect();
         let mut levels = vec![curve::level_for(&all, before.capacity).expect("it is short")];
         for round in 0..ROUNDS - 1 {
             let sent = now
                 .here
                 .iter()
                 .flatten()
-                .map(|(_, here)| here.asks.min(levels[round] * here.weight))
+                .map(|(_, here)| here.demand.min(levels[round] * here.weight))
                 .sum::<f64>();
             levels.push(levels[round] * (now.capacity / sent).powf(gain));
         }
         judged(now, &levels)
     };
     let levels: Vec<_> = cases.iter().map(by_levels).collect();
-    let told = curve::told(&cases[0].0.here(0), &curve::points_around(3.0));
-    let bytes = |asked: &Asked| postcard::to_stdvec(asked).map_or(0, |bytes| bytes.len());
+    let told = curve::sample(&cases[0].0.here(0), &curve::points_around(3.0));
+    let bytes = |asked: &Demand| postcard::to_stdvec(asked).map_or(0, |bytes| bytes.len());
     println!(
         "levels: rounds {} (most {}), beyond {:.3}, {} bytes",
         median(levels.iter().map(|(rounds, _)| *rounds).collect()),
@@ -128,7 +128,7 @@
             median(prices.iter().map(|(rounds, _)| *rounds).collect()),
             prices.iter().map(|(rounds, _)| *rounds).max().expect("cases"),
             prices.iter().map(|(_, beyond)| *beyond).fold(0.0, f64::max),
-            bytes(&Asked { points: Vec::new(), ..told.clone() }),
+            bytes(&Demand { points: Vec::new(), ..told.clone() }),
         );
         let rounds = |all: &[(usize, f64)]| median(all.iter().map(|(rounds, _)| *rounds).collect());
         let beyond = |all: &[(usize, f64)]| all.iter().map(|(_, beyond)| *beyond).fold(0.0, f64::max);
--- a/quota-gateway/membership/src/core.rs
+++ b/quota-gateway/membership/src/core.rs
@@ -1,6 +1,6 @@
 //! The failure detector, without I/O: messages and time in; messages, exchanges and changes out.
 
-use crate::record::{Name, Record, State, INCARNATION_MOST};
+use crate::record::{Name, Record, State, MAX_INCARNATION};
 use crate::wire::{self, Kind, Message, Update};
 use marblecroft_quota_gateway_core::Random;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,15 +13,15 @@
 /// Others who are asked to probe a member that does not answer (SWIM: k).
 const HELPERS: usize = 3;
 /// A direct probe has this part of a protocol period; what is left is the helpers'.
-const DIRECT_PART: f64 = 0.4;
+const DIRECT_PROBE_SHARE: f64 = 0.4;
 /// Part of the direct probe's time after which a helper says that it has no answer either (Lifeguard).
-const NACK_PART: f64 = 0.8;
+const NACK_SHARE: f64 = 0.8;
 /// The worst that a member holds its own health for (Lifeguard: S).
 const HEALTH_WORST: u32 = 8;
 /// A suspicion lasts this many periods for each tenfold of members, once enough others confirm it (Lifeguard: alpha) ...
-const SUSPECT_LEAST: f64 = 4.0;
+const SUSPICION_ALPHA: f64 = 4.0;
 /// ... and this many times as long while nobody does (beta) ...
-const SUSPECT_MOST: f64 = 6.0;
+const SUSPICION_BETA: f64 = 6.0;
 /// ... and so many others are enough (K).
 const CONFIRMERS: usize = 3;
 /// News is passed on so many times for each tenfold of members (SWIM: lambda).
@@ -35,13 +35,13 @@
 /// comes back from behind a cut, knows few.
 const EXCHANGE_SOON: f64 = 2.0;
 /// Part of the exchanges that are with a seed, whether it is held for present or not.
-const SEED_PART: f64 = 0.2;
+const SEED_EXCHANGE_SHARE: f64 = 0.2;
 /// A wake that comes later than this part of a period was this process's own standing still.
 const STOOD_STILL: f64 = 0.5;
 /// Members there may be, present or remembered. What is told beyond is passed over and counted.
-pub const MEMBERS_MOST: usize = 2048;
+pub const MAX_MEMBERS: usize = 2048;
 /// Probes on behalf of others at once; further ones are left to other helpers.
-const RELAYS_MOST: usize = 64;
+const MAX_RELAYS: usize = 64;
 /// Members who are told of a leave at once.
 const FAREWELLS: usize = 8;
 
@@ -129,7 +129,7 @@
     /// When helpers are asked, and whether they were.
     direct_until: Now,
     helpers: u32,
-    asked: bool,
+    helpers_asked: bool,
     nacks: u32,
     answered: bool,
 }
@@ -141,7 +141,7 @@
     nack_at: Now,
 }
 
-struct News {
+struct PendingUpdate {
     update: Update,
     sent: u32,
 }
@@ -153,7 +153,7 @@
     /// The others.
     members: BTreeMap<Name, Member>,
     suspicions: BTreeMap<Name, Suspicion>,
-    news: BTreeMap<Name, News>,
+    news: BTreeMap<Name, PendingUpdate>,
     /// Whom to probe next, the next one last: each is probed once in a round.
     round: Vec<Name>,
     probe: Option<Probe>,
@@ -186,7 +186,7 @@
         // All that start together begin their periods apart.
         let period_end = now + settings.period.mul_f64(random.uniform());
         Core {
-            incarnation: incarnation.min(INCARNATION_MOST),
+            incarnation: incarnation.min(MAX_INCARNATION),
             members: BTreeMap::new(),
             suspicions: BTreeMap::new(),
             news: BTreeMap::new(),
@@ -225,7 +225,7 @@
         self.health
     }
 
-    fn own(&self) -> Record {
+    fn local_record(&self) -> Record {
         Record {
             name: self.settings.name.clone(),
             addr: self.settings.addr,
@@ -237,7 +237,7 @@
 
     /// All that is known, this member included.
     pub fn state(&self) -> Vec<Record> {
-        let own = (!self.displaced).then(|| self.own());
+        let own = (!self.displaced).then(|| self.local_record());
         own.into_iter().chain(self.members.values().map(|member| member.record.clone())).collect()
     }
 
@@ -280,7 +280,7 @@
 
     /// When suspicions are over: the sooner, the more others suspect the same (Lifeguard).
     fn suspicion_ends(&self) -> impl Fn(&Suspicion) -> Now {
-        let least = SUSPECT_LEAST * self.tenfolds();
+        let least = SUSPICION_ALPHA * self.tenfolds();
         // With few members there are few to confirm it.
         let enough = CONFIRMERS.min(self.present().saturating_sub(2));
         let period = self.settings.period;
@@ -288,7 +288,7 @@
             let others = suspicion.by.len().saturating_sub(1).min(enough);
             let left =
                 if enough == 0 { 0.0 } else { 1.0 - ((others + 1) as f64).ln() / ((enough + 1) as f64).ln() };
-            let periods = least * (1.0 + (SUSPECT_MOST - 1.0) * left);
+            let periods = least * (1.0 + (SUSPICION_BETA - 1.0) * left);
             suspicion.since + period.mul_f64(periods) + suspicion.deaf
         }
     }
@@ -303,7 +303,7 @@
             member.heard = now;
         }
         for update in updates {
-            self.told(update, now, out);
+            self.on_update(update, now, out);
         }
         match kind {
             Kind::Ping { seq, target } => {
@@ -323,9 +323,9 @@
                 }
             }
             Kind::PingReq { seq, target, addr } => {
-                if self.relays.len() < RELAYS_MOST && target != self.settings.name {
+                if self.relays.len() < MAX_RELAYS && target != self.settings.name {
                     let own = self.next_seq();
-                    let nack_at = now + self.scaled(DIRECT_PART * NACK_PART);
+                    let nack_at = now + self.scaled(DIRECT_PROBE_SHARE * NACK_SHARE);
                     self.relays.insert(own, Relay { origin: from_addr, origin_seq: seq, nack_at });
                     self.send(addr, Kind::Ping { seq: own, target: target.clone() }, Some(&target), out);
                 }
@@ -347,7 +347,7 @@
         }
         let (by, before) = (short(&self.settings.name), self.news_heard);
         for record in records {
-            self.told(Update { record, by }, now, out);
+            self.on_update(Update { record, by }, now, out);
         }
         if self.news_heard != before {
             let apart = 0.5 + self.random.uniform();
@@ -362,7 +362,7 @@
         if std::mem::replace(&mut self.leaving, true) || self.displaced {
             return;
         }
-        let update = Update { record: self.own(), by: 0 };
+        let update = Update { record: self.local_record(), by: 0 };
         for name in self.some(FAREWELLS, None) {
             let Some(member) = self.members.get(&name) else { continue };
             let message = Message {
@@ -376,16 +376,16 @@
     }
 
     /// Something is said of a member.
-    fn told(&mut self, update: Update, now: Now, out: &mut Vec<Action>) {
+    fn on_update(&mut self, update: Update, now: Now, out: &mut Vec<Action>) {
         let Update { record, by } = update;
-        if record.incarnation > INCARNATION_MOST {
+        if record.incarnation > MAX_INCARNATION {
             return;
         }
         if record.name == self.settings.name {
-            return self.told_of_self(record, out);
+            return self.on_update_of_self(record, out);
         }
         let Some(member) = self.members.get_mut(&record.name) else {
-            if self.members.len() >= MEMBERS_MOST {
+            if self.members.len() >= MAX_MEMBERS {
                 self.figures.passed_over += 1;
                 return;
             }
@@ -403,7 +403,7 @@
             }
             return self.spread(Update { record, by });
         };
-        if !record.beats(&member.record) {
+        if !record.overrides(&member.record) {
             // A further one who suspects it shortens its time, and is news as long as that counts.
             let again = record.state == State::Suspect && record.incarnation == member.record.incarnation;
             if let Some(suspicion) = self.suspicions.get_mut(&record.name).filter(|_| again) {
@@ -434,7 +434,7 @@
     }
 
     /// What others hold of this member must be what it says itself.
-    fn told_of_self(&mut self, record: Record, out: &mut Vec<Action>) {
+    fn on_update_of_self(&mut self, record: Record, out: &mut Vec<Action>) {
         if record.incarnation < self.incarnation {
             return;
         }
@@ -455,8 +455,8 @@
             self.figures.refuted_own += 1;
             self.health = (self.health + 1).min(HEALTH_WORST);
         }
-        self.incarnation = (record.incarnation + 1).min(INCARNATION_MOST);
-        self.spread(Update { record: self.own(), by: 0 });
+        self.incarnation = (record.incarnation + 1).min(MAX_INCARNATION);
+        self.spread(Update { record: self.local_record(), by: 0 });
     }
 
     fn suspected(&mut self, name: &Name, by: u32, now: Now) {
@@ -473,7 +473,7 @@
     /// Has something passed on.
     fn spread(&mut self, update: Update) {
         self.news_heard += 1;
-        self.news.insert(update.record.name.clone(), News { update, sent: 0 });
+        self.news.insert(update.record.name.clone(), PendingUpdate { update, sent: 0 });
     }
 
     fn next_seq(&mut self) -> u32 {
@@ -504,7 +504,7 @@
             kind,
             updates: Vec::new(),
         };
-        let mut room = wire::room(&message);
+        let mut room = wire::remaining_bytes(&message);
         let suspect =
             whom.and_then(|name| self.members.get(name)).filter(|m| m.record.state == State::Suspect);
         if let Some(member) = suspect {
@@ -516,16 +516,16 @@
         }
         let most = (SPREAD * self.tenfolds()).ceil() as u32;
         let mut order: Vec<(u32, &Name)> = self.news.iter().map(|(name, news)| (news.sent, name)).collect();
-        if order.len() > wire::UPDATES_MOST {
-            order.select_nth_unstable(wire::UPDATES_MOST);
-            order.truncate(wire::UPDATES_MOST);
+        if order.len() > wire::MAX_UPDATES {
+            order.select_nth_unstable(wire::MAX_UPDATES);
+            order.truncate(wire::MAX_UPDATES);
         }
         order.sort_unstable();
         let names: Vec<Name> = order.into_iter().map(|(_, name)| name.clone()).collect();
         for name in names {
             let Some(news) = self.news.get_mut(&name) else { continue };
             let length = wire::length(&news.update);
-            if length > room || message.updates.len() >= wire::UPDATES_MOST {
+            if length > room || message.updates.len() >= wire::MAX_UPDATES {
                 break;
             }
             room -= length;
@@ -552,10 +552,11 @@
             self.stood_still(late, now);
         }
         self.end_relays(now, out);
-        if let Some(probe) = self.probe.as_ref().filter(|p| !p.answered && !p.asked && now >= p.direct_until)
+        if let Some(probe) =
+            self.probe.as_ref().filter(|p| !p.answered && !p.helpers_asked && now >= p.direct_until)
         {
             let (target, seq) = (probe.target.clone(), probe.seq);
-            self.ask_helpers(&target, seq, out);
+            self.request_indirect_probes(&target, seq, out);
         }
         if now >= self.period_end {
             self.end_period(now, out);
@@ -585,11 +586,11 @@
         }
     }
 
-    fn ask_helpers(&mut self, target: &Name, seq: u32, out: &mut Vec<Action>) {
+    fn request_indirect_probes(&mut self, target: &Name, seq: u32, out: &mut Vec<Action>) {
         let helpers = self.some(HELPERS, Some(target));
         let Some(addr) = self.members.get(target).map(|member| member.record.addr) else { return };
         if let Some(probe) = &mut self.probe {
-            (probe.asked, probe.helpers) = (true, helpers.len() as u32);
+            (probe.helpers_asked, probe.helpers) = (true, helpers.len() as u32);
         }
         for helper in helpers {
             if let Some(to) = self.members.get(&helper).map(|member| member.record.addr) {
@@ -619,9 +620,9 @@
         self.probe = Some(Probe {
             target: target.clone(),
             seq,
-            direct_until: now + self.scaled(DIRECT_PART * health),
+            direct_until: now + self.scaled(DIRECT_PROBE_SHARE * health),
             helpers: 0,
-            asked: false,
+            helpers_asked: false,
             nacks: 0,
             answered: false,
         });
@@ -632,7 +633,7 @@
     fn next_target(&mut self) -> Option<Name> {
         for fresh in [false, true] {
             if fresh {
-                self.round = self.some(MEMBERS_MOST, None);
+                self.round = self.some(MAX_MEMBERS, None);
             }
             while let Some(name) = self.round.pop() {
                 if self.members.get(&name).is_some_and(|member| member.record.state.present()) {
@@ -648,7 +649,7 @@
             return;
         };
         let record = Record { state: State::Suspect, ..member.record.clone() };
-        self.told(Update { record, by: short(&self.settings.name) }, now, out);
+        self.on_update(Update { record, by: short(&self.settings.name) }, now, out);
     }
 
     fn end_suspicions(&mut self, now: Now, out: &mut Vec<Action>) {
@@ -658,7 +659,7 @@
         for name in ended {
             if let Some(member) = self.members.get(&name) {
                 let record = Record { state: State::Failed, ..member.record.clone() };
-                self.told(Update { record, by: 0 }, now, out);
+                self.on_update(Update { record, by: 0 }, now, out);
             }
             self.suspicions.remove(&name);
         }
@@ -670,7 +671,7 @@
             self.some(1, None).pop().and_then(|name| self.members.get(&name)).map(|m| m.record.addr);
         let alone = with.is_none();
         // Also later now and then: two halves that have held each other for failed meet again at a seed.
-        if alone || self.random.uniform() < SEED_PART {
+        if alone || self.random.uniform() < SEED_EXCHANGE_SHARE {
             let seeds = &self.settings.seeds;
             let seed = (self.random.uniform() * seeds.len() as f64) as usize;
             with = seeds.get(seed).copied().or(with);
@@ -684,7 +685,7 @@
     }
 
     fn set_wake(&mut self) {
-        let probe = self.probe.as_ref().filter(|p| !p.answered && !p.asked).map(|p| p.direct_until);
+        let probe = self.probe.as_ref().filter(|p| !p.answered && !p.helpers_asked).map(|p| p.direct_until);
         let relay = self.relays.values().map(|relay| relay.nack_at).min();
         let suspicion = if self.suspicions.is_empty() {
             None
--- a/quota-gateway/membership/src/record.rs
+++ b/quota-gateway/membership/src/record.rs
@@ -5,10 +5,10 @@
 use std::rc::Rc;
 
 /// The longest name of a member, and of a zone, in bytes.
-pub const NAME_MOST: usize = 48;
+pub const MAX_NAME_BYTES: usize = 48;
 /// Incarnations are at most this. One that is said to be higher is impossible; a member that gets here by itself can refute
 /// nothing more, and is held for failed until it starts under another name.
-pub const INCARNATION_MOST: u64 = 1 << 62;
+pub const MAX_INCARNATION: u64 = 1 << 62;
 
 /// A member's name, and a zone's: one to [`NAME_MOST`] bytes of text, or none for a zone that is not known.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -16,7 +16,7 @@
 
 impl Name {
     pub fn new(text: &str) -> Option<Name> {
-        (text.len() <= NAME_MOST).then(|| Name(text.into()))
+        (text.len() <= MAX_NAME_BYTES).then(|| Name(text.into()))
     }
 
     pub fn as_str(&self) -> &str {
@@ -68,13 +68,13 @@
     }
 
     /// Whether this is news to whoever holds the other.
-    pub fn beats(&self, other: &Record) -> bool {
+    pub fn overrides(&self, other: &Record) -> bool {
         self.rank() > other.rank()
     }
 
     /// The one of two sayings of one member that stands.
     pub fn merged(self, other: Record) -> Record {
-        if other.beats(&self) {
+        if other.overrides(&self) {
             other
         } else {
             self
--- a/quota-gateway/membership/src/wire.rs
+++ b/quota-gateway/membership/src/wire.rs
@@ -1,26 +1,27 @@
 //! Messages as datagrams: a version, the cluster's name, the message and an authentication code over all of it.
 
-use crate::record::{Name, Record, State, INCARNATION_MOST, NAME_MOST};
+use crate::record::{Name, Record, State, MAX_INCARNATION, MAX_NAME_BYTES};
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// A datagram is at most this long, so that it passes any way in one piece.
-pub const DATAGRAM_MOST: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// What is said of members in one message.
-pub const UPDATES_MOST: usize = 64;
+pub const MAX_UPDATES: usize = 64;
 /// The longest name of a cluster, in bytes.
-pub const CLUSTER_MOST: usize = 32;
+pub const MAX_CLUSTER_NAME_BYTES: usize = 32;
 const VERSION: u8 = 1;
 /// Bytes of the code: half of what HMAC-SHA-256 gives, which RFC 2104 holds for enough.
 const CODE: usize = 16;
 /// Keys that count at once: the one that signs, and that of before or after it.
-pub const KEYS_MOST: usize = 2;
+pub const MAX_KEYS: usize = 2;
 /// What is said of one member, beside its name and zone: two lengths, address, incarnation, state, who says it.
 const UPDATE_FRAME: usize = 2 + 6 + 8 + 1 + 4;
 /// What a message takes at most beside what it says of members: version, the cluster's and the code, kind, number of
 /// updates, sequence, two names with their lengths and two addresses.
-const MESSAGE_MOST: usize = 1 + 1 + CLUSTER_MOST + CODE + 1 + 1 + 4 + 2 * (1 + NAME_MOST) + 2 * 6;
+const MAX_MESSAGE_BYTES: usize =
+    1 + 1 + MAX_CLUSTER_NAME_BYTES + CODE + 1 + 1 + 4 + 2 * (1 + MAX_NAME_BYTES) + 2 * 6;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Kind {
@@ -79,9 +80,9 @@
 }
 
 /// Bytes that are left for what is said of members.
-pub fn room(message: &Message) -> usize {
+pub fn remaining_bytes(message: &Message) -> usize {
     let said: usize = message.updates.iter().map(length).sum();
-    (DATAGRAM_MOST - MESSAGE_MOST).saturating_sub(said)
+    (MAX_DATAGRAM_BYTES - MAX_MESSAGE_BYTES).saturating_sub(said)
 }
 
 /// The keys and the name of a cluster.
@@ -94,7 +95,7 @@
 impl Cluster {
     /// `None` where the name is too long, or there is no key or too many.
     pub fn new(name: &str, keys: &[&[u8]]) -> Option<Cluster> {
-        let fits = name.len() <= CLUSTER_MOST && (1..=KEYS_MOST).contains(&keys.len());
+        let fits = name.len() <= MAX_CLUSTER_NAME_BYTES && (1..=MAX_KEYS).contains(&keys.len());
         let keys: Option<Vec<_>> = keys.iter().map(|key| Hmac::new_from_slice(key).ok()).collect();
         keys.filter(|_| fits).map(|keys| Cluster { name: name.as_bytes().to_vec(), keys })
     }
@@ -136,7 +137,7 @@
     }
 
     pub fn decode(&self, datagram: &[u8]) -> Result<Message, Dropped> {
-        if datagram.len() > DATAGRAM_MOST || datagram.len() < 2 + CODE {
+        if datagram.len() > MAX_DATAGRAM_BYTES || datagram.len() < 2 + CODE {
             return Err(Dropped::Length);
         }
         if datagram[0] != VERSION {
@@ -198,7 +199,7 @@
 
     fn update(&mut self) -> Option<Update> {
         let (name, zone, addr) = (self.name(false)?, self.name(true)?, self.addr()?);
-        let incarnation = Some(u64::from_le_bytes(self.bytes()?)).filter(|&n| n <= INCARNATION_MOST)?;
+        let incarnation = Some(u64::from_le_bytes(self.bytes()?)).filter(|&n| n <= MAX_INCARNATION)?;
         let [state] = self.bytes()?;
         let state =
             [State::Alive, State::Suspect, State::Failed, State::Left].get(usize::from(state)).copied()?;
@@ -219,7 +220,7 @@
             _ => return None,
         };
         let [count] = self.bytes()?;
-        let count = Some(usize::from(count)).filter(|&count| count <= UPDATES_MOST)?;
+        let count = Some(usize::from(count)).filter(|&count| count <= MAX_UPDATES)?;
         let updates: Option<Vec<Update>> = (0..count).map(|_| self.update()).collect();
         Some(Message { from, from_addr, kind, updates: updates? })
     }
--- a/quota-gateway/membership/tests/fleet.rs
+++ b/quota-gateway/membership/tests/fleet.rs
@@ -130,8 +130,8 @@
             match action {
                 Action::Send { to, message } => {
                     self.datagrams += 1;
-                    let length = wire::DATAGRAM_MOST - wire::room(&message);
-                    assert!(length <= wire::DATAGRAM_MOST);
+                    let length = wire::MAX_DATAGRAM_BYTES - wire::remaining_bytes(&message);
+                    assert!(length <= wire::MAX_DATAGRAM_BYTES);
                     self.bytes += length as u64;
                     let Some(to) = self.node_at(to) else { continue };
                     if (self.cut)(node, to) || self.random.uniform() < self.loss {
@@ -474,17 +474,17 @@
     core.exchanged(net.now, vec![own], &mut Vec::new());
     assert_eq!(core.incarnation(), before);
     core.exchanged(net.now, (0..10_000).map(|n| stranger(n, 1)).collect(), &mut Vec::new());
-    assert!(core.state().len() <= MEMBERS_MOST + 1 && core.figures.passed_over > 7000);
+    assert!(core.state().len() <= MAX_MEMBERS + 1 && core.figures.passed_over > 7000);
     // At the end of all incarnations it refutes nothing more, and does not go beyond.
     let last = Record {
         name: name(0),
         addr: addr(0),
         zone: name(0),
-        incarnation: INCARNATION_MOST,
+        incarnation: MAX_INCARNATION,
         state: State::Failed,
     };
     core.exchanged(net.now, vec![last], &mut Vec::new());
-    assert_eq!(core.incarnation(), INCARNATION_MOST);
+    assert_eq!(core.incarnation(), MAX_INCARNATION);
 }
 
 #[test]
--- a/quota-gateway/membership/tests/merge.rs
+++ b/quota-gateway/membership/tests/merge.rs
@@ -20,7 +20,7 @@
 }
 
 fn record() -> impl Strategy<Value = Record> {
-    (name(), addr(), name(), prop_oneof![0..4_u64, 0..=INCARNATION_MOST], state())
+    (name(), addr(), name(), prop_oneof![0..4_u64, 0..=MAX_INCARNATION], state())
         .prop_map(|(name, addr, zone, incarnation, state)| Record { name, addr, zone, incarnation, state })
 }
 
@@ -104,7 +104,7 @@
     #[test]
     fn a_message_is_read_as_it_is_written(message in message()) {
         let datagram = cluster().encode(&message);
-        prop_assert!(datagram.len() <= DATAGRAM_MOST);
+        prop_assert!(datagram.len() <= MAX_DATAGRAM_BYTES);
         prop_assert_eq!(cluster().decode(&datagram), Ok(message.clone()));
         // Also by whoever signs with the other key, and not by others.
         let rotated = Cluster::new("pay", &[b"old key", b"new key"]).expect("a cluster");
--- a/quota-gateway/server/src/flow.rs
+++ b/quota-gateway/server/src/body.rs
@@ -14,28 +14,28 @@
 
 /// A body that is no longer than this is held whole: a request can then be sent again, and an answer counts only when
 /// all of it is here.
-pub const SHORT: usize = 64 << 10;
+pub const MAX_BUFFERED_BYTES: usize = 64 << 10;
 /// Whoever sends a body has this long before its first byte and between two ...
-const PAUSE: Duration = Duration::from_millis(2500);
+const MAX_GAP: Duration = Duration::from_millis(2500);
 /// ... and brings this many bytes a second at least, but for that time. Guards against bodies that drip.
-const PACE: f64 = 24.0 * 1024.0;
+const MIN_BYTES_PER_SECOND: f64 = 24.0 * 1024.0;
 
 /// A server that takes nothing more of a body has lost it after this time.
-const TAKE_MOST: Duration = Duration::from_secs(5);
+const SLOW_READER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long a peer has been waited for, and what it has brought: time-outs ask for progress, as a long body takes
 /// long.
 #[derive(Clone, Copy)]
-pub struct Pace {
+pub struct TransferRate {
     waited: Duration,
     since: Option<Instant>,
     brought: usize,
 }
 
-impl Pace {
+impl TransferRate {
     /// One that is being waited for from now on.
-    pub fn waiting() -> Pace {
-        Pace { waited: Duration::ZERO, since: Some(Instant::now()), brought: 0 }
+    pub fn waiting() -> TransferRate {
+        TransferRate { waited: Duration::ZERO, since: Some(Instant::now()), brought: 0 }
     }
 
     fn waits(&mut self) {
@@ -56,8 +56,8 @@
     /// When it has been waited for too long, as things stand; `None` while it is not waited for.
     pub fn due(&self) -> Option<Instant> {
         let since = self.since?;
-        let left = Duration::from_secs_f64(self.brought as f64 / PACE) + PAUSE;
-        Some(since + PAUSE.min(left.saturating_sub(self.waited)))
+        let left = Duration::from_secs_f64(self.brought as f64 / MIN_BYTES_PER_SECOND) + MAX_GAP;
+        Some(since + MAX_GAP.min(left.saturating_sub(self.waited)))
     }
 }
 
@@ -75,25 +75,25 @@
 }
 
 /// A request's body that is passed on, once: what has come of it, and the rest.
-pub struct Flow {
+pub struct StreamedBody {
     body: RefCell<Option<(Bytes, Incoming)>>,
     length: Option<u64>,
     passed: Cell<Passed>,
-    pace: Cell<Pace>,
+    pace: Cell<TransferRate>,
     /// When it last got on.
-    moved: Cell<Instant>,
-    news: Notify,
+    last_progress_at: Cell<Instant>,
+    changed: Notify,
 }
 
-impl Flow {
-    pub fn new(begun: Bytes, rest: Incoming, length: Option<u64>) -> Rc<Flow> {
-        Rc::new(Flow {
+impl StreamedBody {
+    pub fn new(begun: Bytes, rest: Incoming, length: Option<u64>) -> Rc<StreamedBody> {
+        Rc::new(StreamedBody {
             body: RefCell::new(Some((begun, rest))),
             length,
             passed: Cell::new(Passed::Nothing),
-            pace: Cell::new(Pace { since: None, ..Pace::waiting() }),
-            moved: Cell::new(Instant::now()),
-            news: Notify::new(),
+            pace: Cell::new(TransferRate { since: None, ..TransferRate::waiting() }),
+            last_progress_at: Cell::new(Instant::now()),
+            changed: Notify::new(),
         })
     }
 
@@ -102,26 +102,26 @@
     }
 
     /// Whether an attempt has taken it, so that no other can send it.
-    pub fn spent(&self) -> bool {
+    pub fn is_consumed(&self) -> bool {
         self.body.borrow().is_none()
     }
 
     /// Waits until the server has all of it; for good if that does not come to be.
     pub async fn all(&self) {
         while self.passed.get() != Passed::All {
-            self.news.notified().await;
+            self.changed.notified().await;
         }
     }
 
     /// Waits until something has become of it, or until then.
     pub async fn changed(&self, until: Instant) {
-        drop(timeout_at(until.into(), self.news.notified()).await);
+        drop(timeout_at(until.into(), self.changed.notified()).await);
     }
 
     /// When the client has been waited for too long, or the server, until that has it all.
     pub fn due(&self) -> Option<Instant> {
         let passing = self.passed.get() != Passed::All;
-        passing.then(|| self.pace.get().due().unwrap_or(self.moved.get() + TAKE_MOST))
+        passing.then(|| self.pace.get().due().unwrap_or(self.last_progress_at.get() + SLOW_READER_TIMEOUT))
     }
 
     /// Whether it is the client that is waited for.
@@ -131,14 +131,14 @@
 
     fn change(&self, passed: Passed) {
         self.passed.set(passed);
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
     }
 }
 
 /// A request's body, as an attempt sends it.
 pub enum Outgoing {
     Whole(Full<Bytes>),
-    Flow { flow: Rc<Flow>, begun: Bytes, rest: Incoming, sent: usize },
+    Flow { flow: Rc<StreamedBody>, begun: Bytes, rest: Incoming, sent: usize },
 }
 
 impl Outgoing {
@@ -206,7 +206,7 @@
         };
         pace.brought(data.len());
         flow.pace.set(pace);
-        flow.moved.set(Instant::now());
+        flow.last_progress_at.set(Instant::now());
         *sent += data.len();
         if *sent > MAX_BODY {
             flow.change(Passed::TooLong);
@@ -234,11 +234,11 @@
 /// A request's body, for as many attempts as it lasts.
 pub enum Sendable {
     Whole(Bytes),
-    Flow(Rc<Flow>),
+    Flow(Rc<StreamedBody>),
 }
 
 impl Sendable {
-    pub fn flow(&self) -> Option<&Rc<Flow>> {
+    pub fn flow(&self) -> Option<&Rc<StreamedBody>> {
         match self {
             Sendable::Whole(_) => None,
             Sendable::Flow(flow) => Some(flow),
@@ -247,44 +247,44 @@
 }
 
 /// A piece of an answer. Without the end the answer is cut off.
-pub enum Piece {
+pub enum Chunk {
     Data(Bytes),
     End,
 }
 
 /// Pieces of an answer that wait to be taken.
-const WAITING: usize = 2;
+const CHUNKS_BUFFERED: usize = 2;
 
 /// An answer's body.
-pub enum Words {
+pub enum ResponseBody {
     Whole(Full<Bytes>),
-    Flow { pieces: mpsc::Receiver<Piece>, length: Option<u64> },
+    Flow { pieces: mpsc::Receiver<Chunk>, length: Option<u64> },
 }
 
-impl Words {
+impl ResponseBody {
     /// A body that is passed on, and where its pieces go.
-    pub fn flow(length: Option<u64>) -> (mpsc::Sender<Piece>, Words) {
-        let (sender, pieces) = mpsc::channel(WAITING);
-        (sender, Words::Flow { pieces, length })
+    pub fn flow(length: Option<u64>) -> (mpsc::Sender<Chunk>, ResponseBody) {
+        let (sender, pieces) = mpsc::channel(CHUNKS_BUFFERED);
+        (sender, ResponseBody::Flow { pieces, length })
     }
 }
 
-impl From<Bytes> for Words {
-    fn from(whole: Bytes) -> Words {
-        Words::Whole(Full::new(whole))
+impl From<Bytes> for ResponseBody {
+    fn from(whole: Bytes) -> ResponseBody {
+        ResponseBody::Whole(Full::new(whole))
     }
 }
 
-impl Body for Words {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match self.get_mut() {
-            Words::Whole(whole) => Pin::new(whole).poll_frame(cx).map_err(|never| match never {}),
-            Words::Flow { pieces, .. } => Poll::Ready(match ready!(pieces.poll_recv(cx)) {
-                Some(Piece::Data(data)) => Some(Ok(Frame::data(data))),
-                Some(Piece::End) => None,
+            ResponseBody::Whole(whole) => Pin::new(whole).poll_frame(cx).map_err(|never| match never {}),
+            ResponseBody::Flow { pieces, .. } => Poll::Ready(match ready!(pieces.poll_recv(cx)) {
+                Some(Chunk::Data(data)) => Some(Ok(Frame::data(data))),
+                Some(Chunk::End) => None,
                 // The connection goes with it, which is how the client knows.
                 None => Some(Err(io::ErrorKind::UnexpectedEof.into())),
             }),
@@ -292,13 +292,13 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Words::Whole(whole) if whole.is_end_stream())
+        matches!(self, ResponseBody::Whole(whole) if whole.is_end_stream())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Words::Whole(whole) => whole.size_hint(),
-            Words::Flow { length, .. } => length.map_or_else(SizeHint::default, SizeHint::with_exact),
+            ResponseBody::Whole(whole) => whole.size_hint(),
+            ResponseBody::Flow { length, .. } => length.map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
--- a/quota-gateway/server/src/config.rs
+++ b/quota-gateway/server/src/config.rs
@@ -1,7 +1,7 @@
 //! What a gateway is told at its start: the file that `RELAY_CONFIG` names, and the variables beside it.
 
-use crate::console::CALLERS;
-use crate::fleet::Stewards;
+use crate::console::MAX_CALLERS;
+use crate::fleet_decisions::Stewards;
 use marblecroft_discovery::client::Caution;
 use marblecroft_discovery::format::HostList;
 use marblecroft_logging::Log;
@@ -39,27 +39,27 @@
     /// Asked in turn when the one that `discovery` names fails.
     #[serde(default)]
     others: Vec<SocketAddr>,
-    #[serde(default = "share")]
+    #[serde(default = "default_missing_share")]
     missing_share: f64,
-    #[serde(default = "hold")]
+    #[serde(default = "default_missing_hold_ms")]
     missing_hold_ms: u64,
 }
 
-fn share() -> f64 {
+fn default_missing_share() -> f64 {
     0.5
 }
 
-fn hold() -> u64 {
+fn default_missing_hold_ms() -> u64 {
     10_000
 }
 
 /// Further addresses of the list service, and the longest that missing servers are held.
-const OTHERS_MOST: usize = 8;
-const HOLD_MOST_MS: u64 = 60_000;
+const MAX_OTHER_SERVICES: usize = 8;
+const MAX_MISSING_HOLD_MS: u64 = 60_000;
 
 impl ListService {
     pub fn caution(&self) -> Caution {
-        Caution { share: self.missing_share, hold: Duration::from_millis(self.missing_hold_ms) }
+        Caution { share: self.missing_share, removal_delay: Duration::from_millis(self.missing_hold_ms) }
     }
 }
 
@@ -75,9 +75,9 @@
     pub fn load() -> Result<Config, String> {
         let mut config = Config::from_file()?;
         let Config { listen, discovery, console, .. } = &mut config;
-        *listen = variable("RELAY_LISTEN")?.unwrap_or(*listen);
-        *discovery = variable("RELAY_DISCOVERY")?.unwrap_or(*discovery);
-        *console = variable("RELAY_CONSOLE")?.or(*console);
+        *listen = address_variable("RELAY_LISTEN")?.unwrap_or(*listen);
+        *discovery = address_variable("RELAY_DISCOVERY")?.unwrap_or(*discovery);
+        *console = address_variable("RELAY_CONSOLE")?.or(*console);
         Ok(config)
     }
 
@@ -93,14 +93,18 @@
             serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(text))
                 .map_err(|e| e.to_string())?;
         // With fewer there is nothing left for clients and servers beside what the process itself needs.
-        if config.limits.sockets < 2 * RESERVED {
-            return Err(format!("limits.sockets: {} is under {}", config.limits.sockets, 2 * RESERVED));
+        if config.limits.sockets < 2 * RESERVED_SOCKETS {
+            return Err(format!(
+                "limits.sockets: {} is under {}",
+                config.limits.sockets,
+                2 * RESERVED_SOCKETS
+            ));
         }
         if let Some(ListService { others, missing_share, missing_hold_ms }) = &config.list_service {
-            let usable = others.len() <= OTHERS_MOST && (0.0..=1.0).contains(missing_share);
-            if !usable || *missing_hold_ms > HOLD_MOST_MS {
+            let usable = others.len() <= MAX_OTHER_SERVICES && (0.0..=1.0).contains(missing_share);
+            if !usable || *missing_hold_ms > MAX_MISSING_HOLD_MS {
                 return Err(format!(
-                    "list_service: {OTHERS_MOST} others, a share of 1 and {HOLD_MOST_MS} ms at the most"
+                    "list_service: {MAX_OTHER_SERVICES} others, a share of 1 and {MAX_MISSING_HOLD_MS} ms at the most"
                 ));
             }
         }
@@ -116,17 +120,17 @@
 }
 
 /// Connections there are in any case.
-const LEAST: usize = 8;
+const MIN_SOCKETS: usize = 8;
 
 /// The address that a variable names, if it is set.
-fn variable(name: &str) -> Result<Option<SocketAddr>, String> {
+fn address_variable(name: &str) -> Result<Option<SocketAddr>, String> {
     let Ok(value) = env::var(name) else { return Ok(None) };
     value.parse().map(Some).map_err(|e| format!("{name}: {value:?}: {e}"))
 }
 
 /// Descriptors for the process itself: standard streams, epoll, signals, the listener, discovery, and some
 /// that are closed already but not yet given back.
-const RESERVED: usize = 32;
+const RESERVED_SOCKETS: usize = 32;
 
 impl Config {
     /// Connections from clients and to servers. A request holds one of each, and a second copy one more to a
@@ -134,9 +138,9 @@
     /// While another process of this gateway lives, the two share them.
     pub fn budget(&self, shared: bool) -> (usize, usize) {
         // Those of the operators' callers are kept free for them, whatever the clients do.
-        let console = self.console.map_or(0, |_| CALLERS);
+        let console = self.console.map_or(0, |_| MAX_CALLERS);
         let sockets = if shared { self.limits.sockets / 2 } else { self.limits.sockets };
-        let free = sockets.saturating_sub(RESERVED + console).max(LEAST);
+        let free = sockets.saturating_sub(RESERVED_SOCKETS + console).max(MIN_SOCKETS);
         let clients = free * 3 / 5;
         (clients, free - clients)
     }
--- a/quota-gateway/server/src/console/tests.rs
+++ b/quota-gateway/server/src/console/tests.rs
@@ -6,22 +6,26 @@
     for (method, uri, call) in [
         (Method::GET, "/ready", Ok(Call::Ready)),
         (Method::GET, "/metrics", Ok(Call::Metrics)),
-        (Method::PUT, "/metrics", Err(No::Method(Method::GET))),
+        (Method::PUT, "/metrics", Err(CallError::Method(Method::GET))),
         (Method::PUT, "/drain", Ok(Call::Change(Change::Drain))),
         (Method::PUT, "/undrain", Ok(Call::Change(Change::Undrain))),
         (Method::PUT, "/pay-servers/disable?name=s-1", disable("s-1")),
         (Method::PUT, "/pay-servers/disable?why=x&name=s%2d1", disable("s-1")),
         (Method::PUT, "/pay-servers/enable?name=s", Ok(Call::Change(Change::Enable("s".to_owned())))),
-        (Method::PUT, "/ready", Err(No::Method(Method::GET))),
-        (Method::POST, "/drain", Err(No::Method(Method::PUT))),
-        (Method::GET, "/pay-servers/enable?name=s", Err(No::Method(Method::PUT))),
-        (Method::PUT, "/pay-servers/disable", Err(No::Malformed("name=ID is missing"))),
-        (Method::PUT, "/pay-servers/disable?name=", Err(No::Malformed("name=ID is missing"))),
-        (Method::PUT, "/pay-servers/disable?name=a&name=b", Err(No::Malformed("name comes more than once"))),
-        (Method::PUT, "/pay-servers/", Err(No::UnknownPath)),
-        (Method::GET, "/", Err(No::UnknownPath)),
+        (Method::PUT, "/ready", Err(CallError::Method(Method::GET))),
+        (Method::POST, "/drain", Err(CallError::Method(Method::PUT))),
+        (Method::GET, "/pay-servers/enable?name=s", Err(CallError::Method(Method::PUT))),
+        (Method::PUT, "/pay-servers/disable", Err(CallError::Malformed("name=ID is missing"))),
+        (Method::PUT, "/pay-servers/disable?name=", Err(CallError::Malformed("name=ID is missing"))),
+        (
+            Method::PUT,
+            "/pay-servers/disable?name=a&name=b",
+            Err(CallError::Malformed("name comes more than once")),
+        ),
+        (Method::PUT, "/pay-servers/", Err(CallError::UnknownPath)),
+        (Method::GET, "/", Err(CallError::UnknownPath)),
     ] {
         let (path, query) = uri.split_once('?').map_or((uri, None), |(path, query)| (path, Some(query)));
-        assert_eq!(understood(&method, path, query), call, "{method} {uri}");
+        assert_eq!(parse_call(&method, path, query), call, "{method} {uri}");
     }
 }
--- a/quota-gateway/server/src/discovery.rs
+++ b/quota-gateway/server/src/discovery.rs
@@ -3,15 +3,15 @@
 mod pace;
 
 use crate::engine::Engine;
-use crate::upstream::{collect, Link};
+use crate::upstream::{collect, Connection};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use hyper::{Request, StatusCode};
 use marblecroft_discovery::client::{Caution, Follower, Taken};
-use marblecroft_discovery::format::{Ask, Entry, Host, HostList, State};
+use marblecroft_discovery::format::{Entry, Host, HostList, ListRequest, State};
 use marblecroft_quota_gateway_core::{
     Discovery as Method, Event, Lifecycle, Random, Scope, ServerId, ServerInfo, Time,
 };
-use pace::Pace;
+use pace::FollowTiming;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,29 +23,29 @@
 use tracing::{info, warn};
 
 /// Why a call brought no list.
-enum Failed {
+enum FetchError {
     /// The agent lives and turned the call away, as discovery has too many: what is held is as good as before, and a
     /// whole list would cost it far more than what has changed.
-    Busy(Link),
+    Busy(Connection),
     Otherwise(String),
 }
 
-impl<E: std::fmt::Display> From<E> for Failed {
-    fn from(cause: E) -> Failed {
-        Failed::Otherwise(cause.to_string())
+impl<E: std::fmt::Display> From<E> for FetchError {
+    fn from(cause: E) -> FetchError {
+        FetchError::Otherwise(cause.to_string())
     }
 }
 
 /// Numbers for names: those of the settings keep their places, others follow as they turn up, and what comes
 /// after the last one counts as one name: names that are ever new would grow without bound.
-struct Names(Vec<String>);
+struct NameTable(Vec<String>);
 
-const NAMES_MOST: usize = 256;
+const MAX_NAMES: usize = 256;
 
-impl Names {
+impl NameTable {
     fn index(&mut self, name: String) -> u32 {
         let index = self.0.iter().position(|known| *known == name).unwrap_or_else(|| {
-            if self.0.len() < NAMES_MOST {
+            if self.0.len() < MAX_NAMES {
                 self.0.push(name);
             }
             self.0.len() - 1
@@ -57,10 +57,10 @@
 /// Numbers for ids of servers, by a hash, so that a server has the same number after a restart of the gateway;
 /// one whose number is taken gets the next free one.
 #[derive(Clone, Default, Serialize, Deserialize)]
-pub struct Ids(HashMap<u32, Numbered>);
+pub struct ServerIds(HashMap<u32, KnownServer>);
 
 #[derive(Clone, Serialize, Deserialize)]
-struct Numbered {
+struct KnownServer {
     id: String,
     /// As the list last had it, while it is listed.
     host: Option<Host>,
@@ -72,9 +72,9 @@
 }
 
 /// A number is kept for a server that is gone for longer than any request lasts that was sent to it.
-const NUMBER_KEPT: Duration = Duration::from_secs(60);
+const ID_RETENTION: Duration = Duration::from_secs(60);
 
-impl Ids {
+impl ServerIds {
     fn number(&mut self, id: &str) -> ServerId {
         // FNV-1a.
         let mut number =
@@ -85,7 +85,7 @@
         self.0.entry(number).or_insert_with(|| {
             // The decisions' own lines name servers by number.
             info!(server = %id, number, "server {id} is number {number}");
-            Numbered { id: id.to_owned(), host: None, disabled: false, gone: None }
+            KnownServer { id: id.to_owned(), host: None, disabled: false, gone: None }
         });
         ServerId(number)
     }
@@ -111,49 +111,49 @@
             numbered.host = None;
         }
         self.0.retain(|_, numbered| {
-            numbered.disabled || numbered.gone.is_none_or(|gone| now - gone < NUMBER_KEPT)
+            numbered.disabled || numbered.gone.is_none_or(|gone| now - gone < ID_RETENTION)
         });
     }
 }
 
 /// When a gateway has its turn: they cannot agree on it, so each takes one by chance.
-fn turn(round: Duration, random: &mut Random) -> Duration {
+fn jitter(round: Duration, random: &mut Random) -> Duration {
     round.mul_f64(random.uniform())
 }
 
 /// How the project's own list service is followed.
-pub struct Service {
+pub struct ListFollower {
     follower: Follower,
     begun: Instant,
-    figures: Rc<Figures>,
+    figures: Rc<ListMetrics>,
 }
 
 /// What operators see of it.
 #[derive(Default)]
-pub struct Figures {
-    heard: Cell<Option<Instant>>,
+pub struct ListMetrics {
+    last_heard_at: Cell<Option<Instant>>,
     suspects: Cell<usize>,
 }
 
-impl Figures {
+impl ListMetrics {
     /// Seconds since a service last said how things are, and servers held though the last whole list lacked them.
     pub fn now(&self) -> (Option<f64>, usize) {
-        (self.heard.get().map(|heard| heard.elapsed().as_secs_f64()), self.suspects.get())
+        (self.last_heard_at.get().map(|heard| heard.elapsed().as_secs_f64()), self.suspects.get())
     }
 }
 
-impl Service {
-    pub fn new(caution: Caution) -> Service {
-        Service { follower: Follower::new(caution), begun: Instant::now(), figures: Rc::default() }
+impl ListFollower {
+    pub fn new(caution: Caution) -> ListFollower {
+        ListFollower { follower: Follower::new(caution), begun: Instant::now(), figures: Rc::default() }
     }
 
-    pub fn figures(&self) -> Rc<Figures> {
+    pub fn figures(&self) -> Rc<ListMetrics> {
         self.figures.clone()
     }
 
     fn show(&self) {
         let age = self.follower.age(self.begun.elapsed());
-        self.figures.heard.set(age.and_then(|age| Instant::now().checked_sub(age)));
+        self.figures.last_heard_at.set(age.and_then(|age| Instant::now().checked_sub(age)));
         self.figures.suspects.set(self.follower.suspects());
     }
 }
@@ -164,70 +164,70 @@
     /// Where the list is asked for, which a new configuration may change: the agent, and others that tell the same.
     agents: watch::Receiver<Vec<SocketAddr>>,
     /// Where the list is that of the project's own service: what is held of it, whatever one of several says.
-    service: Option<Service>,
-    zones: Names,
-    kinds: Names,
-    ids: Rc<RefCell<Ids>>,
+    service: Option<ListFollower>,
+    zones: NameTable,
+    kinds: NameTable,
+    ids: Rc<RefCell<ServerIds>>,
     version: Option<u64>,
     /// Scatters what many gateways would else do at the same time.
     random: Random,
-    pace: Pace,
+    pace: FollowTiming,
     /// The time in which all gateways have had their turn.
     round: Duration,
     /// An entry that could not be read has been logged.
-    spoilt: bool,
+    had_invalid_list: bool,
 }
 
 impl Discovery {
     pub fn new(
         engine: Rc<Engine>,
         agents: watch::Receiver<Vec<SocketAddr>>,
-        service: Option<Service>,
+        service: Option<ListFollower>,
         zones: Vec<String>,
         kinds: Vec<String>,
         (method, gateways): (Method, u32),
         seed: u64,
     ) -> Discovery {
-        let pace = Pace::of(method, service.is_some());
+        let pace = FollowTiming::of(method, service.is_some());
         Discovery {
             engine,
             agents,
             service,
-            zones: Names(zones),
-            kinds: Names(kinds),
+            zones: NameTable(zones),
+            kinds: NameTable(kinds),
             ids: Rc::default(),
             version: None,
             random: Random(seed),
             pace,
             round: pace.round(gateways),
-            spoilt: false,
+            had_invalid_list: false,
         }
     }
 
     /// The servers' ids and numbers, as they are told of.
-    pub fn ids(&self) -> Rc<RefCell<Ids>> {
+    pub fn ids(&self) -> Rc<RefCell<ServerIds>> {
         self.ids.clone()
     }
 
     /// Takes over what another process of this gateway held. The agent may have told that one more than it passed on,
     /// so the whole list is asked for next. Whether it held one.
-    pub fn adopt(&mut self, ids: Ids) -> bool {
+    pub fn adopt(&mut self, ids: ServerIds) -> bool {
         let listed = ids.0.values().filter_map(|n| n.host.clone().map(Entry::Readable));
         let servers: Vec<Entry> = listed.collect();
         for (&number, _) in ids.0.iter().filter(|(_, numbered)| numbered.disabled) {
-            self.engine.upstream.leave_out(ServerId(number), true);
+            self.engine.upstream.set_disabled(ServerId(number), true);
         }
         self.ids.replace(ids);
         if servers.is_empty() {
             return false;
         }
-        self.told(HostList { version: 0, full: true, store: None, epoch: 0, servers });
+        self.on_list(HostList { version: 0, full: true, store: None, epoch: 0, servers });
         self.version = None;
         true
     }
 
     /// Takes a list in.
-    pub fn told(&mut self, list: HostList) {
+    pub fn on_list(&mut self, list: HostList) {
         let ids = self.ids.clone();
         let mut ids = ids.borrow_mut();
         self.version = Some(list.version);
@@ -237,12 +237,12 @@
             let host = match entry {
                 Entry::Readable(host) => host,
                 Entry::Spoilt(id) => {
-                    if !std::mem::replace(&mut self.spoilt, true) {
+                    if !std::mem::replace(&mut self.had_invalid_list, true) {
                         warn!("discovery: an entry cannot be read, ignored from now on");
                     }
                     let Some(known) = id
                         .map(|id| ids.number(&id))
-                        .and_then(|id| self.engine.upstream.peer(id).map(|peer| (id, peer.addr)))
+                        .and_then(|id| self.engine.upstream.process_of(id).map(|peer| (id, peer.addr)))
                     else {
                         continue;
                     };
@@ -278,7 +278,7 @@
         let scope = if list.full { Scope::Full } else { Scope::Delta };
         ids.listed(scope, &servers, Instant::now());
         drop(ids);
-        self.engine.upstream.listed(scope, &servers, &addresses);
+        self.engine.upstream.on_server_list(scope, &servers, &addresses);
         self.engine.post(Event::Servers { scope, servers });
     }
 
@@ -300,7 +300,7 @@
     }
 
     /// What a gateway is to follow of a list that was told; why there is nothing.
-    fn followed(&mut self, list: HostList) -> Result<HostList, &'static str> {
+    fn merge(&mut self, list: HostList) -> Result<HostList, &'static str> {
         let Some(service) = &mut self.service else { return Ok(list) };
         let taken = service.follower.take(list, service.begun.elapsed());
         service.show();
@@ -315,13 +315,13 @@
     }
 
     /// Takes off servers that have been missing for too long.
-    fn give_up(&mut self) {
+    fn on_fetch_failed(&mut self) {
         let over = self.service.as_mut().and_then(|service| {
             let over = service.follower.give_up(service.begun.elapsed());
             service.show();
             over
         });
-        over.into_iter().for_each(|list| self.told(list));
+        over.into_iter().for_each(|list| self.on_list(list));
     }
 
     /// How long a watch waits.
@@ -335,7 +335,7 @@
 
     /// What is asked after a call that was not answered. What is held of the service's own list is good with any of its
     /// processes; of the platform's the whole list is asked for, as a watch would wait again before it is known for silent.
-    fn afresh(&self) -> Option<(u64, Duration)> {
+    fn full_list_request(&self) -> Option<(u64, Duration)> {
         Some((self.version.filter(|_| self.service.is_some())?, Duration::ZERO))
     }
 
@@ -343,33 +343,33 @@
     async fn watch(&mut self, addresses: &[SocketAddr], held: impl Fn()) {
         let mut link = None;
         let mut at = 0;
-        let mut pause = self.pace.pause.0;
+        let mut pause = self.pace.backoff.0;
         let (mut quiet, mut whole, mut busy) = (false, false, false);
         if self.version.is_some() {
             // There is a list to go on with, and the other gateways may have been restarted too.
-            sleep(turn(self.round, &mut self.random)).await;
+            sleep(jitter(self.round, &mut self.random)).await;
         }
         loop {
-            self.give_up();
+            self.on_fetch_failed();
             let wait = self.wait();
             let since = self.version.filter(|_| !whole || self.service.is_some()).map(|since| (since, wait));
             let patience = match (since, busy) {
-                (_, true) => self.pace.busy_patience,
-                (Some(_), false) => self.pace.watch_patience,
-                (None, false) => self.pace.patience,
+                (_, true) => self.pace.busy_timeout,
+                (Some(_), false) => self.pace.watch_timeout,
+                (None, false) => self.pace.timeout,
             };
             busy = false;
-            let ended = self.ask(addresses, &mut at, since, patience, link.take(), &mut quiet).await;
+            let ended = self.query(addresses, &mut at, since, patience, link.take(), &mut quiet).await;
             let cause = match ended {
-                Ok((list, kept)) => match self.followed(list) {
+                Ok((list, kept)) => match self.merge(list) {
                     Ok(list) => {
                         // A watch that ended without news has nothing to take in.
                         if list.full || !list.servers.is_empty() || self.version != Some(list.version) {
-                            self.told(list);
+                            self.on_list(list);
                         }
                         held();
                         link = Some(kept);
-                        (pause, quiet, whole) = (self.pace.pause.0, false, false);
+                        (pause, quiet, whole) = (self.pace.backoff.0, false, false);
                         // At once: a watch goes on only if the next call comes within 200 ms.
                         continue;
                     }
@@ -378,43 +378,43 @@
                         cause.to_owned()
                     }
                 },
-                Err(Failed::Busy(kept)) => {
+                Err(FetchError::Busy(kept)) => {
                     (busy, link) = (true, Some(kept));
                     "busy".to_owned()
                 }
-                Err(Failed::Otherwise(cause)) => {
+                Err(FetchError::Otherwise(cause)) => {
                     whole = true;
                     cause
                 }
             };
-            lost(&mut quiet, &cause);
+            log_lost(&mut quiet, &cause);
             if addresses.len() > 1 {
                 (at, link) = ((at + 1) % addresses.len(), None);
             }
             let apart = if busy { pause.max(self.round) } else { pause };
-            sleep(Pace::scattered(apart, &mut self.random)).await;
-            pause = (pause * 2).min(self.pace.pause.1);
+            sleep(FollowTiming::jittered(apart, &mut self.random)).await;
+            pause = (pause * 2).min(self.pace.backoff.1);
         }
     }
 
     /// One call, and others beside it where it stays silent: the first answer, and its connection. Calls that are slow are
     /// not given up before their time, and those that are left have no more to say once one is answered.
-    async fn ask(
+    async fn query(
         &mut self,
         addresses: &[SocketAddr],
         at: &mut usize,
         since: Option<(u64, Duration)>,
         patience: Duration,
-        link: Option<Link>,
+        link: Option<Connection>,
         quiet: &mut bool,
-    ) -> Result<(HostList, Link), Failed> {
+    ) -> Result<(HostList, Connection), FetchError> {
         let mut calls = FuturesUnordered::new();
         let Some(&agent) = addresses.get(*at) else { return Err("no address".into()) };
         calls.push(call(agent, since, patience, link));
         let mut next = since.map_or(Duration::ZERO, |(_, wait)| wait);
         loop {
             let beside = async {
-                match self.pace.beside {
+                match self.pace.full_list_after {
                     Some(beside) => sleep(next + beside).await,
                     None => std::future::pending().await,
                 }
@@ -422,16 +422,16 @@
             tokio::select! {
                 ended = calls.next() => match ended {
                     // One that fails leaves it to the others; the last of them speaks for all.
-                    Some(Err(Failed::Otherwise(_))) if !calls.is_empty() => {}
+                    Some(Err(FetchError::Otherwise(_))) if !calls.is_empty() => {}
                     Some(ended) => return ended,
                     None => return Err("no answer".into()),
                 },
                 () = beside => {
-                    lost(quiet, "no answer");
+                    log_lost(quiet, "no answer");
                     next = Duration::ZERO;
                     *at = (*at + 1) % addresses.len();
-                    self.give_up();
-                    calls.push(call(addresses[*at], self.afresh(), patience, None));
+                    self.on_fetch_failed();
+                    calls.push(call(addresses[*at], self.full_list_request(), patience, None));
                 }
             }
         }
@@ -439,7 +439,7 @@
 }
 
 /// The old list stands. One line for a whole outage, however many calls fail in it.
-fn lost(quiet: &mut bool, cause: &str) {
+fn log_lost(quiet: &mut bool, cause: &str) {
     if !std::mem::replace(quiet, true) {
         warn!(cause = %cause, "discovery: {cause}");
     }
@@ -450,20 +450,20 @@
     agent: SocketAddr,
     since: Option<(u64, Duration)>,
     patience: Duration,
-    link: Option<Link>,
-) -> Result<(HostList, Link), Failed> {
+    link: Option<Connection>,
+) -> Result<(HostList, Connection), FetchError> {
     let wait = since.map_or(Duration::ZERO, |(_, wait)| wait);
-    let called = timeout(wait + patience, answered(agent, since, patience, link)).await;
+    let called = timeout(wait + patience, call_within(agent, since, patience, link)).await;
     called.unwrap_or_else(|_| Err("no answer".into()))
 }
 
-async fn answered(
+async fn call_within(
     agent: SocketAddr,
     since: Option<(u64, Duration)>,
     patience: Duration,
-    mut link: Option<Link>,
-) -> Result<(HostList, Link), Failed> {
-    let ask = since.map_or(Ask::Whole, |(since, wait)| Ask::Watch { since, wait });
+    mut link: Option<Connection>,
+) -> Result<(HostList, Connection), FetchError> {
+    let ask = since.map_or(ListRequest::Full, |(since, wait)| ListRequest::Watch { since, wait });
     // The agent may have closed the connection since, or said that it would: no reason to wait with the call.
     if let Some(kept) = &mut link {
         if !kept.ready().await || !kept.clean() {
@@ -472,7 +472,7 @@
     }
     let mut link = match link {
         Some(kept) => kept,
-        None => Link::open(agent, patience, None).await?,
+        None => Connection::open(agent, patience, None).await?,
     };
     let request = Request::get(ask.target()).header("host", agent.to_string()).body(Default::default());
     let answer = link.send(request?).await?;
@@ -483,7 +483,7 @@
             let list = serde_json::from_slice(&body).map_err(|e| format!("malformed list: {e}"))?;
             Ok((list, link))
         }
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Err(Failed::Busy(link)),
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Err(FetchError::Busy(link)),
         _ => Err(format!("answered {status}").into()),
     }
 }
--- a/quota-gateway/server/src/discovery/pace.rs
+++ b/quota-gateway/server/src/discovery/pace.rs
@@ -5,22 +5,22 @@
 
 /// How a list is followed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct FollowTiming {
     /// How long a watch waits for news.
     pub wait: Duration,
     /// A call that has said nothing this long after its wait gets another one beside it; none: it is waited for alone.
-    pub beside: Option<Duration>,
+    pub full_list_after: Option<Duration>,
     /// A watch that has said nothing this long after its wait is given up: it has had its turn before.
-    pub watch_patience: Duration,
+    pub watch_timeout: Duration,
     /// A call for the whole list, which waits its turn among those of all gateways, is given up after this time.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// ... or this long after a busy answer: a call waits its turn then, and each that is given up too early is work for
     /// nothing, which keeps the others waiting.
-    pub busy_patience: Duration,
+    pub busy_timeout: Duration,
     /// The first and the longest pause after a failed call, before scatter.
-    pub pause: (Duration, Duration),
+    pub backoff: (Duration, Duration),
     /// Time in which discovery is counted on to answer one gateway's new watch.
-    pub turn: Duration,
+    pub stagger: Duration,
 }
 
 /// Where lists must be asked for, calls are priced and those given up are work for nothing. A change counts as told 6 s
@@ -31,48 +31,48 @@
 /// keeps the others waiting, so it is waited for for longer. All gateways start a watch when they have been restarted
 /// together or turned away together, and discovery works on calls too that have been given up: with less than a turn
 /// between them it gets to none before its caller has gone.
-const ASKED: Pace = Pace {
+const POLLED: FollowTiming = FollowTiming {
     wait: Duration::from_millis(2500),
-    beside: None,
-    watch_patience: Duration::from_millis(500),
-    patience: Duration::from_millis(2600),
-    busy_patience: Duration::from_millis(1800),
-    pause: (Duration::from_millis(50), Duration::from_millis(400)),
-    turn: Duration::from_millis(35),
+    full_list_after: None,
+    watch_timeout: Duration::from_millis(500),
+    timeout: Duration::from_millis(2600),
+    busy_timeout: Duration::from_millis(1800),
+    backoff: (Duration::from_millis(50), Duration::from_millis(400)),
+    stagger: Duration::from_millis(35),
 };
 
 /// Where they are pushed, the agent is on this machine, answers at once and at no cost, and what it holds counts as told
 /// from the moment on when it has it, whatever calls it left unanswered. A call that fell silent is never answered, so
 /// another goes out beside it soon; it is not given up for that, so that an agent that is only slow is heard too.
-const PUSHED: Pace = Pace {
+const PUSHED: FollowTiming = FollowTiming {
     wait: Duration::from_millis(200),
-    beside: Some(Duration::from_millis(80)),
-    watch_patience: Duration::from_millis(400),
-    patience: Duration::from_millis(400),
-    busy_patience: Duration::from_millis(400),
-    pause: (Duration::from_millis(50), Duration::from_millis(50)),
-    turn: Duration::ZERO,
+    full_list_after: Some(Duration::from_millis(80)),
+    watch_timeout: Duration::from_millis(400),
+    timeout: Duration::from_millis(400),
+    busy_timeout: Duration::from_millis(400),
+    backoff: (Duration::from_millis(50), Duration::from_millis(50)),
+    stagger: Duration::ZERO,
 };
 
 /// The project's own service tells changes unasked too, from a few processes for all gateways: their watches share one
 /// encoding, but each call costs them a little, and each of several hundred that comes back at the same time more.
-const SERVED: Pace = Pace {
+const SERVED: FollowTiming = FollowTiming {
     wait: Duration::from_secs(1),
-    beside: Some(Duration::from_millis(250)),
-    watch_patience: Duration::from_secs(1),
-    patience: Duration::from_secs(1),
-    busy_patience: Duration::from_secs(3),
-    pause: (Duration::from_millis(50), Duration::from_millis(500)),
-    turn: Duration::ZERO,
+    full_list_after: Some(Duration::from_millis(250)),
+    watch_timeout: Duration::from_secs(1),
+    timeout: Duration::from_secs(1),
+    busy_timeout: Duration::from_secs(3),
+    backoff: (Duration::from_millis(50), Duration::from_millis(500)),
+    stagger: Duration::ZERO,
 };
 
 /// Scatter of a pause: from half of it to half as much again.
-const SCATTER: (f64, f64) = (0.5, 1.0);
+const JITTER: (f64, f64) = (0.5, 1.0);
 /// The longest round: with more gateways than have their turn in it, discovery turns some away rather than that all hear too
 /// late.
-const ROUND_MOST: Duration = Duration::from_millis(2800);
+const MAX_ROUND: Duration = Duration::from_millis(2800);
 /// A change counts as told so long after discovery had it and could be reached, whatever became of the calls before.
-const TOLD: Duration = Duration::from_secs(6);
+const UPDATE_BOUND: Duration = Duration::from_secs(6);
 
 const fn longer(one: Duration, other: Duration) -> Duration {
     if one.as_nanos() > other.as_nanos() {
@@ -83,20 +83,20 @@
 }
 
 /// A pause at the upper end of its scatter.
-const fn drawn_out(pause: Duration) -> Duration {
+const fn longest_backoff(pause: Duration) -> Duration {
     pause.saturating_mul(3).checked_div(2).expect("no division by zero")
 }
 
 const _: () = {
-    assert!(ASKED.told_within().as_nanos() <= TOLD.as_nanos());
-    assert!(PUSHED.told_within().as_nanos() <= TOLD.as_nanos());
-    assert!(SERVED.told_within().as_nanos() <= TOLD.as_nanos());
+    assert!(POLLED.update_bound().as_nanos() <= UPDATE_BOUND.as_nanos());
+    assert!(PUSHED.update_bound().as_nanos() <= UPDATE_BOUND.as_nanos());
+    assert!(SERVED.update_bound().as_nanos() <= UPDATE_BOUND.as_nanos());
 };
 
-impl Pace {
-    pub fn of(method: Method, own_service: bool) -> Pace {
+impl FollowTiming {
+    pub fn of(method: Method, own_service: bool) -> FollowTiming {
         match (method, own_service) {
-            (Method::Ask, _) => ASKED,
+            (Method::Subscribe, _) => POLLED,
             (Method::Push, false) => PUSHED,
             (Method::Push, true) => SERVED,
         }
@@ -105,41 +105,42 @@
     /// The longest from the moment on when discovery has a change and can be reached until a call goes out that it can
     /// answer, whatever state that moment is met in: a watch that fell silent as it began, a call that did, a pause.
     pub const fn heard_within(&self) -> Duration {
-        match self.beside {
-            Some(beside) => longer(self.wait.saturating_add(beside), drawn_out(self.pause.1)),
+        match self.full_list_after {
+            Some(beside) => longer(self.wait.saturating_add(beside), longest_backoff(self.backoff.1)),
             None => {
-                let watch = self.wait.saturating_add(self.watch_patience);
+                let watch = self.wait.saturating_add(self.watch_timeout);
                 longer(
-                    watch.saturating_add(drawn_out(self.pause.0)),
-                    self.patience.saturating_add(drawn_out(self.pause.1)),
+                    watch.saturating_add(longest_backoff(self.backoff.0)),
+                    self.timeout.saturating_add(longest_backoff(self.backoff.1)),
                 )
             }
         }
     }
 
     /// The same until that call has been answered, or would be given up; and the same for gateways that were turned away.
-    pub const fn told_within(&self) -> Duration {
-        let refused = drawn_out(longer(self.pause.1, self.round_most())).saturating_add(self.busy_patience);
-        longer(self.heard_within().saturating_add(self.patience), refused)
+    pub const fn update_bound(&self) -> Duration {
+        let refused =
+            longest_backoff(longer(self.backoff.1, self.max_round())).saturating_add(self.busy_timeout);
+        longer(self.heard_within().saturating_add(self.timeout), refused)
     }
 
     /// A pause after a failed call, of this length before scatter.
-    pub fn scattered(pause: Duration, random: &mut Random) -> Duration {
-        pause.mul_f64(SCATTER.0 + SCATTER.1 * random.uniform())
+    pub fn jittered(pause: Duration, random: &mut Random) -> Duration {
+        pause.mul_f64(JITTER.0 + JITTER.1 * random.uniform())
     }
 
-    const fn round_most(&self) -> Duration {
-        if self.turn.is_zero() {
+    const fn max_round(&self) -> Duration {
+        if self.stagger.is_zero() {
             Duration::ZERO
         } else {
-            ROUND_MOST
+            MAX_ROUND
         }
     }
 
     /// The time in which each gateway has its turn with a discovery that must be asked. Where changes come unasked a watch
     /// costs it nothing, and what it has to tell counts as told at once.
     pub fn round(&self, gateways: u32) -> Duration {
-        self.turn.saturating_mul(gateways).min(self.round_most())
+        self.stagger.saturating_mul(gateways).min(self.max_round())
     }
 }
 
--- a/quota-gateway/server/src/engine/tests.rs
+++ b/quota-gateway/server/src/engine/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::flow::Sendable;
-use marblecroft_deadline::WAY_BACK;
+use crate::body::Sendable;
+use marblecroft_deadline::RESPONSE_MARGIN;
 use marblecroft_quota_gateway_core::{ClassId, CustomerId, Lifecycle, PlanId, Scope, ServerInfo};
 use std::net::TcpListener;
 use tokio::runtime::{Builder, LocalOptions};
@@ -17,7 +17,7 @@
     let server = ServerInfo { id: SERVER, lifecycle: Lifecycle::Running, ..ServerInfo::default() };
     let clock = Clock::start();
     let upstream = Upstream::new(Duration::from_secs(5), Duration::from_secs(5), 10, None);
-    upstream.listed(Scope::Full, &[server], &[(SERVER, silent.local_addr().expect("bound"))]);
+    upstream.on_server_list(Scope::Full, &[server], &[(SERVER, silent.local_addr().expect("bound"))]);
     let told: Rc<RefCell<Vec<Event>>> = Rc::default();
     let keep = told.clone();
     let decide = move |_, event: Event, actions: &mut Vec<Action>| {
@@ -25,8 +25,8 @@
         keep.borrow_mut().push(event.clone());
         script(&event, actions);
     };
-    let accounts = Accounts::new(clock, None);
-    let engine = Engine::deciding(Box::new(decide), clock, accounts, upstream, 2);
+    let accounts = RequestBudgets::new(clock, None);
+    let engine = Engine::new(Box::new(decide), clock, accounts, upstream, 2);
     let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
     runtime.expect("a runtime").block_on(async {
         let timers = engine.clone();
@@ -36,29 +36,29 @@
 }
 
 fn arrive(engine: &Engine, wait: Duration) -> (RequestId, oneshot::Receiver<Answer>) {
-    let account = engine.accounts.begin(0, wait + WAY_BACK, Duration::ZERO);
-    account.whole(Duration::ZERO);
+    let account = engine.accounts.begin(0, wait + RESPONSE_MARGIN, Duration::ZERO);
+    account.on_complete(Duration::ZERO);
     let request = NewRequest {
         id: RequestId(0),
         class: ClassId(0),
         plan: PlanId(0),
         customer: CustomerId(1),
-        deadline: account.ends_at_most(),
+        deadline: account.latest_deadline(),
         units: 1.0,
         gateways: 1,
-        repeat: false,
-        flows: false,
+        is_retry: false,
+        body_in_flight: false,
     };
-    let order = Order {
+    let order = UpstreamRequest {
         method: Default::default(),
         uri: Default::default(),
         headers: Default::default(),
         body: Sendable::Whole(Default::default()),
         writes: None,
         account,
-        over: Cell::new(false),
+        finished: Cell::new(false),
     };
-    engine.arrive(request, order)
+    engine.on_request(request, order)
 }
 
 const LONG: Duration = Duration::from_secs(60);
@@ -73,7 +73,7 @@
 }
 
 fn send(id: RequestId, server: ServerId, until: Time) -> Action {
-    Action::Send { id, server, until, begin_by: None }
+    Action::Send { id, server, deadline: until, begin_by: None }
 }
 
 #[test]
@@ -86,13 +86,13 @@
             actions.push(send(r.id, SERVER, Time(0)));
             actions.push(Action::Fail { id: r.id });
             actions.push(send(r.id, SERVER, Time(0)));
-            actions.push(Action::Refuse { id: r.id, retry_after: LONG });
+            actions.push(Action::Reject { id: r.id, retry_after: LONG });
         }
     };
     with(script, async |engine, told| {
         let (_, answered) = arrive(engine, LONG);
         assert!(matches!(answered.await, Ok(Answer::Failed)), "the first final answer stands");
-        let moot = Status::Moot;
+        let moot = Status::NotSent;
         let all = [(0, Status::ConnectFailed, true), (1, moot, true), (2, moot, true), (3, moot, true)];
         assert_eq!(outcomes(told), all);
         assert!(engine.open.borrow().is_empty());
@@ -129,10 +129,10 @@
     with(script, async |engine, told| {
         let (first, answered) = arrive(engine, LONG);
         assert!(matches!(answered.await, Ok(Answer::Broken)));
-        assert!(matches!(told.borrow().last(), Some(Event::Departed(id)) if *id == first));
+        assert!(matches!(told.borrow().last(), Some(Event::ClientDisconnected(id)) if *id == first));
         let (second, answered) = arrive(engine, Duration::from_millis(20));
         assert!(matches!(answered.await, Ok(Answer::Overdue)));
-        assert!(matches!(told.borrow().last(), Some(Event::Departed(id)) if *id == second));
+        assert!(matches!(told.borrow().last(), Some(Event::ClientDisconnected(id)) if *id == second));
         assert!(engine.open.borrow().is_empty(), "nothing is left of either");
     });
 }
@@ -143,9 +143,12 @@
         |_, _| {},
         async |engine, told| {
             let (id, _) = arrive(engine, LONG);
-            engine.departed(id);
-            engine.departed(id);
-            assert_eq!(told.borrow().iter().filter(|event| matches!(event, Event::Departed(_))).count(), 1);
+            engine.on_client_disconnected(id);
+            engine.on_client_disconnected(id);
+            assert_eq!(
+                told.borrow().iter().filter(|event| matches!(event, Event::ClientDisconnected(_))).count(),
+                1
+            );
         },
     );
 }
--- a/quota-gateway/server/src/fleet.rs
+++ b/quota-gateway/server/src/fleet_decisions.rs
@@ -3,16 +3,16 @@
 
 pub mod observer;
 
-use crate::books::Books;
 use crate::engine::Engine;
+use crate::shard_map::ShardRouting;
 use marblecroft_control_messages::frame::{decode, encode, Fleet, Refusal};
 use marblecroft_control_messages::published::{Body, Decision, Reader, Stamp, Standing, Taken};
-use marblecroft_control_messages::report::{GoesBy, Report};
+use marblecroft_control_messages::report::{AppliedDecisions, Report};
 use marblecroft_coordination::client::Client;
-use marblecroft_fair_share::body::SharesDecided;
+use marblecroft_fair_share::body::ShareDecision;
 use marblecroft_quota_gateway_core::{Event, ZoneShare};
-use marblecroft_shard_map::map::BookMap;
-use marblecroft_singleton_roles::keys::{read, Names, Owns};
+use marblecroft_shard_map::map::ShardMap;
+use marblecroft_singleton_roles::keys::{read, Names, RoleOwner};
 use marblecroft_singleton_roles::run::follow;
 use marblecroft_singleton_roles::view::View;
 use marblecroft_zone_failover::body::ZonesDecided;
@@ -80,22 +80,22 @@
 }
 
 /// A steward that takes no report for this long is not waited for; the next report says more.
-const SEND_MOST: Duration = Duration::from_millis(300);
+const SEND_TIMEOUT: Duration = Duration::from_millis(300);
 /// A report that cannot wait for its turn leaves within this.
-const AT_ONCE: Duration = Duration::from_millis(100);
+const NODELAY_TIMEOUT: Duration = Duration::from_millis(100);
 /// How often it is looked whether a decision has lapsed, and what this gateway may send where is worked out anew.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What was read of the fleet.
-struct Known {
+struct KnownDecisions {
     zones: Reader<ZonesDecided>,
     /// Where reports go.
     owners: BTreeSet<SocketAddr>,
     /// What the decisions were told last.
-    told: Vec<ZoneShare>,
+    announced: Vec<ZoneShare>,
     refused: BTreeMap<Refusal, u64>,
     lapsed: bool,
-    asked: f64,
+    requests_per_second: f64,
 }
 
 /// The gateway's part of the fleet.
@@ -105,11 +105,11 @@
     names: Names,
     engine: Weak<Engine>,
     observer: Rc<Observer>,
-    books: Option<Rc<Books>>,
+    books: Option<Rc<ShardRouting>>,
     zone: String,
-    life: u64,
-    begun: Instant,
-    known: RefCell<Known>,
+    incarnation: u64,
+    started_at: Instant,
+    decisions: RefCell<KnownDecisions>,
 }
 
 impl Member {
@@ -118,7 +118,7 @@
         config: Stewards,
         engine: &Rc<Engine>,
         observer: Rc<Observer>,
-        books: Option<Rc<Books>>,
+        books: Option<Rc<ShardRouting>>,
         begun: Instant,
         zone: u32,
         life: u64,
@@ -131,37 +131,41 @@
             observer,
             books,
             zone,
-            life,
-            begun,
-            known: RefCell::new(Known {
+            incarnation: life,
+            started_at: begun,
+            decisions: RefCell::new(KnownDecisions {
                 zones: Reader::default(),
                 owners: BTreeSet::new(),
-                told: Vec::new(),
+                announced: Vec::new(),
                 refused: BTreeMap::new(),
                 lapsed: false,
-                asked: 0.0,
+                requests_per_second: 0.0,
             }),
             config,
         });
         let client = Client::behind(member.config.coordinators.clone(), member.config.at);
         let (seen, prefix) = (member.clone(), member.names.prefix.clone());
-        let clock = member.begun;
+        let clock = member.started_at;
         spawn_local(follow(client, prefix, move || clock.elapsed(), move |view| seen.read(view)));
-        spawn_local(member.clone().report());
-        spawn_local(member.obey());
+        spawn_local(member.clone().send_reports());
+        spawn_local(member.apply_decisions());
     }
 
     /// Takes in what the fleet has published.
     fn read(&self, view: &View) {
-        let asked = view.asked().unwrap_or_default();
+        let asked = view.as_of().unwrap_or_default();
         self.read_one::<ZonesDecided>(view, "zones", |decision| {
-            Some(self.known.borrow_mut().zones.take(asked, decision))
+            Some(self.decisions.borrow_mut().zones.take(asked, decision))
         });
-        self.read_one::<SharesDecided>(view, "shares", |decision| self.observer.take_shares(asked, decision));
-        self.read_one::<BookMap>(view, "books", |decision| Some(self.books.as_ref()?.take(asked, decision)));
-        let mut known = self.known.borrow_mut();
+        self.read_one::<ShareDecision>(view, "shares", |decision| {
+            self.observer.install_shares(asked, decision)
+        });
+        self.read_one::<ShardMap>(view, "books", |decision| {
+            Some(self.books.as_ref()?.install(asked, decision))
+        });
+        let mut known = self.decisions.borrow_mut();
         let owners = format!("{}owner/", self.names.prefix);
-        let reached = |owns: Owns| {
+        let reached = |owns: RoleOwner| {
             let addr: SocketAddr = owns.addr.parse().ok()?;
             Some(self.config.at.map_or(addr, |at| SocketAddr::from((at, addr.port()))))
         };
@@ -182,7 +186,7 @@
             }
             Err(why) => {
                 // One line for each cause; the one that is held stands.
-                let mut known = self.known.borrow_mut();
+                let mut known = self.decisions.borrow_mut();
                 if *known.refused.entry(why).and_modify(|n| *n += 1).or_insert(1) == 1 {
                     warn!(why = why.name(), duty, "a decision on {duty} is refused: {why}");
                 }
@@ -191,17 +195,17 @@
     }
 
     /// Hands what stands to the decisions, whenever it differs; nothing where it has lapsed.
-    async fn obey(self: Rc<Self>) {
-        let mut ticks = interval(LOOK);
+    async fn apply_decisions(self: Rc<Self>) {
+        let mut ticks = interval(CHECK_INTERVAL);
         loop {
             ticks.tick().await;
             let Some(engine) = self.engine.upgrade() else { return };
-            self.observer.obey_shares();
-            let mut known = self.known.borrow_mut();
-            let standing = known.zones.standing(self.begun.elapsed());
+            self.observer.apply_shares();
+            let mut known = self.decisions.borrow_mut();
+            let standing = known.zones.standing(self.started_at.elapsed());
             let lapsed = matches!(standing, Standing::Lapsed(..));
             let bound = match standing {
-                Standing::Valid(decision) => decision.body.for_gateway(&self.zone, known.asked),
+                Standing::Valid(decision) => decision.body.for_gateway(&self.zone, known.requests_per_second),
                 Standing::Never | Standing::Lapsed(..) => None,
             };
             let shares: Vec<ZoneShare> = bound
@@ -210,7 +214,7 @@
                 .filter_map(|(name, share)| {
                     let abroad = bound.as_ref()?.abroad.iter().find(|(zone, _)| zone == name);
                     let most = abroad.map_or(f64::INFINITY, |(_, most)| *most);
-                    Some(ZoneShare { zone: self.observer.zone_number(name)?, share: *share, most })
+                    Some(ZoneShare { zone: self.observer.zone_number(name)?, share: *share, max_rate: most })
                 })
                 .collect();
             if std::mem::replace(&mut known.lapsed, lapsed) != lapsed {
@@ -220,29 +224,29 @@
                     info!("goes by what is decided in common again");
                 }
             }
-            if known.told != shares {
-                known.told.clone_from(&shares);
+            if known.announced != shares {
+                known.announced.clone_from(&shares);
                 drop(known);
-                engine.post(Event::Zones(shares));
+                engine.post(Event::ZoneShares(shares));
             }
         }
     }
 
     /// Tells what was seen, to each owner over a connection that is kept.
-    async fn report(self: Rc<Self>) {
+    async fn send_reports(self: Rc<Self>) {
         let every = Duration::from_millis(self.config.report_ms);
         let mut ticks = interval(every);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut links: BTreeMap<SocketAddr, TcpStream> = BTreeMap::new();
         let (mut number, mut last) = (0, Instant::now());
         // Gateways that were started together do not report together.
-        tokio::time::sleep(every.mul_f64((self.life % 1000) as f64 / 1000.0)).await;
+        tokio::time::sleep(every.mul_f64((self.incarnation % 1000) as f64 / 1000.0)).await;
         loop {
             tokio::select! {
                 _ = ticks.tick() => {}
                 // Reported at once, spread a little, as all hear of it together.
-                () = self.observer.emptied.notified() => {
-                    tokio::time::sleep(AT_ONCE.mul_f64((self.life % 100) as f64 / 100.0)).await;
+                () = self.observer.zone_emptied.notified() => {
+                    tokio::time::sleep(NODELAY_TIMEOUT.mul_f64((self.incarnation % 100) as f64 / 100.0)).await;
                     ticks.reset();
                 }
             }
@@ -250,36 +254,36 @@
             number += 1;
             let span = last.elapsed().as_secs_f64().max(1e-3);
             last = Instant::now();
-            let (asked, zones) = self.observer.take(engine.clock.now());
+            let (asked, zones) = self.observer.take_report(engine.clock.now());
             drop(engine);
             let report = {
-                let mut known = self.known.borrow_mut();
+                let mut known = self.decisions.borrow_mut();
                 // Of a second or two: shares of what is asked are worked out by it.
-                known.asked += 0.5 * (asked / span - known.asked);
-                let (shares, shares_stamp) = self.observer.take_asked();
-                let goes_by = GoesBy {
+                known.requests_per_second += 0.5 * (asked / span - known.requests_per_second);
+                let (shares, shares_stamp) = self.observer.take_demand();
+                let goes_by = AppliedDecisions {
                     zones: known.zones.stamp().unwrap_or_default(),
                     shares: shares_stamp,
-                    books: self.books.as_ref().and_then(|books| books.stamp()).unwrap_or_default(),
+                    shard_map: self.books.as_ref().and_then(|books| books.stamp()).unwrap_or_default(),
                 };
                 Report {
                     gateway: self.config.gateway,
-                    life: self.life,
+                    incarnation: self.incarnation,
                     number,
                     zone: self.zone.clone(),
                     span_ms: ((span * 1000.0) as u32).clamp(1, 60_000),
-                    asked: asked / span,
+                    requested_units: asked / span,
                     zones,
                     shares,
                     goes_by,
                 }
             };
             let Some(bytes) = encode(self.fleet, &report) else { continue };
-            let owners = self.known.borrow().owners.clone();
+            let owners = self.decisions.borrow().owners.clone();
             links.retain(|addr, _| owners.contains(addr));
             for addr in owners {
                 let link = links.remove(&addr);
-                let sent = timeout(SEND_MOST, send(addr, link, &bytes)).await;
+                let sent = timeout(SEND_TIMEOUT, send(addr, link, &bytes)).await;
                 if let Ok(Ok(link)) = sent {
                     links.insert(addr, link);
                 }
--- a/quota-gateway/server/src/fleet/observer.rs
+++ b/quota-gateway/server/src/fleet_decisions/observer.rs
@@ -1,13 +1,13 @@
 //! What passes between the engine and the decisions, seen and, where the fleet's decisions say so, placed: attempts by zone for the
 //! reports, firms' asks for their shares, pay runs for their books.
 
-use crate::books::Books;
+use crate::shard_map::ShardRouting;
 use marblecroft_control_messages::published::{Decision, Reader, Stamp, Taken};
-use marblecroft_control_messages::report::{Asked, Seen, ZoneSeen};
-use marblecroft_fair_share::body::SharesDecided;
-use marblecroft_fair_share::taker::{Known, Taker};
+use marblecroft_control_messages::report::{Demand, Seen, ZoneSeen};
+use marblecroft_fair_share::body::ShareDecision;
+use marblecroft_fair_share::taker::{FirmQuota, Taker};
 use marblecroft_quota_gateway_core::{
-    Action, AttemptNo, Effect, Event, Gateway, Lifecycle, NewRequest, Outcome, Place, RequestId, Scope,
+    Action, AttemptNo, Effect, Event, Gateway, Lifecycle, NewRequest, Outcome, Placement, RequestId, Scope,
     ServerId, ServerInfo, Settings, Status, Time,
 };
 use std::cell::{Cell, RefCell};
@@ -17,57 +17,57 @@
 use tokio::sync::Notify;
 
 /// An attempt that was called off after this long had met silence.
-const SILENCE: Duration = Duration::from_millis(300);
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(300);
 /// Requests whose attempts are kept in mind: far more than are ever open here.
-const OPEN_MOST: usize = 20_000;
+const MAX_TRACKED_REQUESTS: usize = 20_000;
 /// A request that its firm's share does not hold is worth another try after this long: of the order in which shares are worked out.
-const SHARE_BACK: Duration = Duration::from_millis(400);
+const SHARE_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// An attempt of a request.
-struct Sent {
+struct SentAttempt {
     server: ServerId,
-    at: Time,
+    sent_at: Time,
     /// It has been told of as failed, for its silence: whatever it ends in but an answer says nothing more.
-    told: bool,
+    counted: bool,
     ended: bool,
 }
 
 /// A request, as long as it may have an attempt out.
-struct Tried {
+struct TrackedRequest {
     units: f64,
     /// The time that an answer is wanted in: a server that is silent for longer is not well, whenever the attempt is given up.
-    aim: Duration,
-    sent: Vec<Sent>,
+    latency_target: Duration,
+    attempts: Vec<SentAttempt>,
 }
 
 /// What is seen between two reports.
 #[derive(Default)]
-struct Sight {
+struct Observations {
     servers: BTreeMap<ServerId, ServerInfo>,
-    tried: BTreeMap<RequestId, Tried>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
     seen: BTreeMap<u32, Seen>,
-    asked: f64,
+    demand: f64,
 }
 
 /// This gateway's side of shares.
-struct Shares {
+struct FairShares {
     taker: RefCell<Taker>,
-    decided: RefCell<Reader<SharesDecided>>,
+    decided: RefCell<Reader<ShareDecision>>,
     /// Requests that were refused as their firm's share did not hold them.
     refused: Cell<u64>,
 }
 
 /// Watches what the decisions are told and what they ask for.
 pub struct Observer {
-    sight: RefCell<Sight>,
+    observations: RefCell<Observations>,
     /// Zones by the numbers that the list's names have here.
     zones: Vec<String>,
     settings: Settings,
-    shares: Option<Shares>,
-    books: Option<Rc<Books>>,
-    begun: Instant,
+    fair_shares: Option<FairShares>,
+    shard_routing: Option<Rc<ShardRouting>>,
+    started_at: Instant,
     /// Nothing is listed in a zone any more: whoever decides on zones need not wait for the next report's turn.
-    pub emptied: Notify,
+    pub zone_emptied: Notify,
 }
 
 impl Observer {
@@ -76,36 +76,44 @@
         zones: Vec<String>,
         settings: Settings,
         gateway: Option<u32>,
-        books: Option<Rc<Books>>,
+        books: Option<Rc<ShardRouting>>,
         begun: Instant,
     ) -> Rc<Observer> {
-        let shares = gateway.map(|gateway| Shares {
+        let shares = gateway.map(|gateway| FairShares {
             taker: RefCell::new(Taker::new(gateway)),
             decided: RefCell::default(),
             refused: Cell::new(0),
         });
         let (sight, emptied) = (RefCell::default(), Notify::new());
-        Rc::new(Observer { sight, zones, settings, shares, books, begun, emptied })
+        Rc::new(Observer {
+            observations: sight,
+            zones,
+            settings,
+            fair_shares: shares,
+            shard_routing: books,
+            started_at: begun,
+            zone_emptied: emptied,
+        })
     }
 
     /// Hands an event to the decisions, and looks on.
     pub fn pass(&self, gateway: &mut Gateway, now: Time, event: Event, actions: &mut Vec<Action>) {
-        self.told(&event);
+        self.on_event(&event);
         let (event, request) = match event {
             Event::Request(request) => {
-                let place = self.place(gateway, &request);
+                let place = self.placement(gateway, &request);
                 let of = Some((request.id, request.customer, request.units));
                 match place {
-                    Place::Anywhere => (Event::Request(request), of),
-                    place => (Event::Placed(request, place), of),
+                    Placement::Unrestricted => (Event::Request(request), of),
+                    place => (Event::RequestWithPlacement(request, place), of),
                 }
             }
             event => (event, None),
         };
         gateway.handle(now, event, actions);
-        self.asked_for(now, actions);
+        self.on_actions(now, actions);
         // Its first attempt goes out at once or never.
-        if let (Some(shares), Some((id, customer, units))) = (&self.shares, request) {
+        if let (Some(shares), Some((id, customer, units))) = (&self.fair_shares, request) {
             if actions.iter().any(|action| matches!(action, Action::Send { id: sent, .. } if *sent == id)) {
                 shares.taker.borrow_mut().take(customer.0, units);
             }
@@ -113,105 +121,117 @@
     }
 
     /// Where what the fleet decides lets a request go: its firm's share first, then the book that it writes.
-    fn place(&self, gateway: &Gateway, request: &NewRequest) -> Place {
-        if let Some(shares) = &self.shares {
-            if !self.share_holds(gateway, request, shares) {
+    fn placement(&self, gateway: &Gateway, request: &NewRequest) -> Placement {
+        if let Some(shares) = &self.fair_shares {
+            if !self.is_within_share(gateway, request, shares) {
                 shares.refused.set(shares.refused.get() + 1);
-                return Place::Nowhere { retry_after: SHARE_BACK };
+                return Placement::Unavailable { retry_after: SHARE_RETRY_AFTER };
             }
         }
         let writes =
             self.settings.classes.get(request.class.0).is_some_and(|class| class.effect != Effect::Safe);
-        match &self.books {
-            Some(books) if writes => books.place(request.customer.0),
-            _ => Place::Anywhere,
+        match &self.shard_routing {
+            Some(books) if writes => books.placement(request.customer.0),
+            _ => Placement::Unrestricted,
         }
     }
 
-    fn share_holds(&self, gateway: &Gateway, request: &NewRequest, shares: &Shares) -> bool {
+    fn is_within_share(&self, gateway: &Gateway, request: &NewRequest, shares: &FairShares) -> bool {
         let Some(plan) = self.settings.plans.get(request.plan.0) else { return true };
         let equal = 1.0 / f64::from(request.gateways.max(1));
-        let part = gateway.part(request.customer).unwrap_or(equal);
+        let part = gateway.customer_share(request.customer).unwrap_or(equal);
         // What it pays, by what it has contracted; a plan without a rate weighs by its price alone.
         let contracted = if plan.rate > 0.0 { plan.rate } else { 1.0 };
         let quota = if plan.rate > 0.0 { plan.rate * part.max(equal) } else { f64::INFINITY };
-        let known = Known { weight: plan.price * contracted, part, equal, quota };
-        let now = self.begun.elapsed();
-        shares.taker.borrow_mut().ask(now, request.customer.0, known, request.units, request.repeat)
+        let known = FirmQuota { weight: plan.price * contracted, part, equal, quota };
+        let now = self.started_at.elapsed();
+        shares.taker.borrow_mut().request(now, request.customer.0, known, request.units, request.is_retry)
     }
 
     /// An event, before the decisions have it.
-    fn told(&self, event: &Event) {
-        let mut sight = self.sight.borrow_mut();
+    fn on_event(&self, event: &Event) {
+        let mut sight = self.observations.borrow_mut();
         match event {
             // A client's repeat is no demand of its own.
             Event::Request(request) => {
-                sight.asked += if request.repeat { 0.0 } else { request.units };
-                let aim = self.settings.classes.get(request.class.0).map_or(SILENCE, |class| class.aim);
-                sight.tried.insert(request.id, Tried { units: request.units, aim, sent: Vec::new() });
-                if sight.tried.len() > OPEN_MOST {
-                    sight.tried.pop_first();
+                sight.demand += if request.is_retry { 0.0 } else { request.units };
+                let aim = self
+                    .settings
+                    .classes
+                    .get(request.class.0)
+                    .map_or(UNRESPONSIVE_AFTER, |class| class.latency_target);
+                sight.requests.insert(
+                    request.id,
+                    TrackedRequest { units: request.units, latency_target: aim, attempts: Vec::new() },
+                );
+                if sight.requests.len() > MAX_TRACKED_REQUESTS {
+                    sight.requests.pop_first();
                 }
             }
-            Event::Outcome(outcome) => sight.ended(outcome),
+            Event::Outcome(outcome) => sight.on_outcome(outcome),
             Event::Servers { scope, servers } => {
                 let before = sight.listed_zones();
                 sight.listed(*scope, servers);
                 if !sight.listed_zones().is_superset(&before) {
-                    self.emptied.notify_one();
+                    self.zone_emptied.notify_one();
                 }
-                self.books.iter().for_each(|books| books.listed(*scope, servers));
+                self.shard_routing.iter().for_each(|books| books.on_server_list(*scope, servers));
             }
             _ => {}
         }
     }
 
     /// What the decisions ask for.
-    fn asked_for(&self, now: Time, actions: &[Action]) {
-        let mut sight = self.sight.borrow_mut();
+    fn on_actions(&self, now: Time, actions: &[Action]) {
+        let mut sight = self.observations.borrow_mut();
         for action in actions {
             match action {
                 Action::Send { id, server, .. } => {
-                    if let Some(tried) = sight.tried.get_mut(id) {
-                        tried.sent.push(Sent { server: *server, at: now, told: false, ended: false });
+                    if let Some(tried) = sight.requests.get_mut(id) {
+                        tried.attempts.push(SentAttempt {
+                            server: *server,
+                            sent_at: now,
+                            counted: false,
+                            ended: false,
+                        });
                     }
                 }
                 // What has no attempt out has no further outcome.
-                Action::Refuse { id, .. } | Action::Fail { id } => sight.over(*id),
+                Action::Reject { id, .. } | Action::Fail { id } => sight.on_finished(*id),
                 _ => {}
             }
         }
     }
 
     /// A decision on shares was read.
-    pub fn take_shares(&self, asked: Duration, decision: Decision<SharesDecided>) -> Option<Taken> {
-        Some(self.shares.as_ref()?.decided.borrow_mut().take(asked, decision))
+    pub fn install_shares(&self, asked: Duration, decision: Decision<ShareDecision>) -> Option<Taken> {
+        Some(self.fair_shares.as_ref()?.decided.borrow_mut().take(asked, decision))
     }
 
     /// Works out what each firm may be sent on; a few times a second.
-    pub fn obey_shares(&self) {
-        if let Some(shares) = &self.shares {
-            shares.taker.borrow_mut().obey(self.begun.elapsed(), &shares.decided.borrow());
+    pub fn apply_shares(&self) {
+        if let Some(shares) = &self.fair_shares {
+            shares.taker.borrow_mut().obey(self.started_at.elapsed(), &shares.decided.borrow());
         }
     }
 
     /// What is told of firms, and by which decision this gateway goes.
-    pub fn take_asked(&self) -> (Asked, Stamp) {
-        let Some(shares) = &self.shares else { return (Asked::default(), Stamp::default()) };
-        let told = shares.taker.borrow_mut().report(self.begun.elapsed());
+    pub fn take_demand(&self) -> (Demand, Stamp) {
+        let Some(shares) = &self.fair_shares else { return (Demand::default(), Stamp::default()) };
+        let told = shares.taker.borrow_mut().report(self.started_at.elapsed());
         (told, shares.decided.borrow().stamp().unwrap_or_default())
     }
 
     /// Figures of shares and books for whoever watches: name, help, value.
     pub fn figures(&self) -> Vec<(&'static str, &'static str, f64)> {
         let mut all = Vec::new();
-        if let Some(shares) = &self.shares {
+        if let Some(shares) = &self.fair_shares {
             let help = "Requests that their firm's share did not hold.";
             all.push(("marblecroft_share_refused", help, shares.refused.get() as f64));
         }
-        if let Some(books) = &self.books {
+        if let Some(books) = &self.shard_routing {
             let help = "Writes that a cell turned away, as they were under another epoch.";
-            all.push(("marblecroft_book_turned_away", help, books.turned_away.get() as f64));
+            all.push(("marblecroft_book_turned_away", help, books.rejected_by_cell.get() as f64));
             let help = "Writes that were held back, as their book was open nowhere.";
             all.push(("marblecroft_book_held_back", help, books.held_back.get() as f64));
         }
@@ -228,15 +248,15 @@
     }
 
     /// What was seen since the last time, by zone, and what was asked.
-    pub fn take(&self, now: Time) -> (f64, Vec<ZoneSeen>) {
-        let mut sight = self.sight.borrow_mut();
-        sight.count_silent(now);
-        let (asked, mut seen) = (std::mem::take(&mut sight.asked), std::mem::take(&mut sight.seen));
+    pub fn take_report(&self, now: Time) -> (f64, Vec<ZoneSeen>) {
+        let mut sight = self.observations.borrow_mut();
+        sight.count_unresponsive(now);
+        let (asked, mut seen) = (std::mem::take(&mut sight.demand), std::mem::take(&mut sight.seen));
         let zones = (0..).zip(&self.zones).map(|(zone, name)| {
             let running = |s: &&ServerInfo| s.zone == zone && s.lifecycle == Lifecycle::Running;
             let (servers, warm) =
                 sight.servers.values().filter(running).fold((0.0, 0.0), |(servers, warm), server| {
-                    (servers + 1.0, warm + self.warmth(server, now))
+                    (servers + 1.0, warm + self.warm_share(server, now))
                 });
             let seen = seen.remove(&zone).unwrap_or_default();
             ZoneSeen { zone: name.clone(), seen, servers, warm: warm.min(servers) }
@@ -244,10 +264,10 @@
         (asked, zones.collect())
     }
 
-    fn warmth(&self, server: &ServerInfo, now: Time) -> f64 {
-        let ramp = self.settings.cold_ramp.as_secs_f64();
+    fn warm_share(&self, server: &ServerInfo, now: Time) -> f64 {
+        let ramp = self.settings.slow_start_duration.as_secs_f64();
         let age = server.started.map_or(ramp, |started| now.since(started));
-        let from = self.settings.cold_from.clamp(0.0, 1.0);
+        let from = self.settings.slow_start_initial_share.clamp(0.0, 1.0);
         if ramp > 0.0 {
             (from + (1.0 - from) * age / ramp).min(1.0)
         } else {
@@ -256,7 +276,7 @@
     }
 }
 
-impl Sight {
+impl Observations {
     /// Zones in which servers run.
     fn listed_zones(&self) -> BTreeSet<u32> {
         let running = |server: &&ServerInfo| server.lifecycle == Lifecycle::Running;
@@ -277,9 +297,9 @@
     }
 
     /// A request is answered; one that still has an attempt out is kept until that ends.
-    fn over(&mut self, id: RequestId) {
-        if self.tried.get(&id).is_some_and(|tried| tried.sent.iter().all(|sent| sent.ended)) {
-            self.tried.remove(&id);
+    fn on_finished(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|tried| tried.attempts.iter().all(|sent| sent.ended)) {
+            self.requests.remove(&id);
         }
     }
 
@@ -289,12 +309,14 @@
 
     /// Attempts that have met silence for longer than an answer is wanted in count once, without being waited for: a zone that is
     /// lost without a word would else be seen only when they are given up.
-    fn count_silent(&mut self, now: Time) {
+    fn count_unresponsive(&mut self, now: Time) {
         let mut silent = Vec::new();
-        for Tried { units, aim, sent } in self.tried.values_mut() {
-            let long = |sent: &&mut Sent| !sent.ended && !sent.told && now.since(sent.at) > aim.as_secs_f64();
+        for TrackedRequest { units, latency_target: aim, attempts: sent } in self.requests.values_mut() {
+            let long = |sent: &&mut SentAttempt| {
+                !sent.ended && !sent.counted && now.since(sent.sent_at) > aim.as_secs_f64()
+            };
             for sent in sent.iter_mut().filter(long) {
-                sent.told = true;
+                sent.counted = true;
                 silent.push((sent.server, *units));
             }
         }
@@ -305,16 +327,16 @@
         }
     }
 
-    fn ended(&mut self, outcome: &Outcome) {
+    fn on_outcome(&mut self, outcome: &Outcome) {
         let AttemptNo(number) = outcome.attempt;
-        let Some(tried) = self.tried.get_mut(&outcome.id) else { return };
-        let (units, sent) = (tried.units, tried.sent.get_mut(number as usize));
+        let Some(tried) = self.requests.get_mut(&outcome.id) else { return };
+        let (units, sent) = (tried.units, tried.attempts.get_mut(number as usize));
         let at = sent.map(|sent| {
             sent.ended = true;
-            (sent.server, sent.told)
+            (sent.server, sent.counted)
         });
         if outcome.finished {
-            self.tried.remove(&outcome.id);
+            self.requests.remove(&outcome.id);
         }
         let Some((server, told)) = at else { return };
         let Some(zone) = self.zone(server) else { return };
@@ -322,12 +344,12 @@
         match outcome.status {
             Status::Ok => seen.served += units,
             _ if told => {}
-            Status::Full => seen.busy += units,
+            Status::Rejected => seen.busy += units,
             Status::Error | Status::Reset | Status::TimedOut => seen.failed += units,
             Status::ConnectFailed => seen.unconnected += units,
             // Given up for its silence; one that is called off sooner says nothing of the server.
-            Status::Cancelled if outcome.elapsed >= SILENCE => seen.failed += units,
-            Status::Cancelled | Status::Moot => {}
+            Status::Cancelled if outcome.elapsed >= UNRESPONSIVE_AFTER => seen.failed += units,
+            Status::Cancelled | Status::NotSent => {}
         }
     }
 }
