--- a/quota-gateway/server/src/fleet/observer/tests.rs
+++ b/quota-gateway/server/src/fleet_decisions/observer/tests.rs
@@ -9,22 +9,27 @@
     let ms = Duration::from_millis;
     Settings {
         gateways: 1,
-        number: 0,
+        gateway_index: 0,
         zone: 0,
-        classes: vec![Class { aim: ms(800), deadline: ms(3000), worth: 1.0, effect: Effect::Safe }],
+        classes: vec![Class {
+            latency_target: ms(800),
+            deadline: ms(3000),
+            value: 1.0,
+            effect: Effect::Safe,
+        }],
         plans: vec![Plan { rate: 5.0, burst: 10.0, price: 1.0, ..Plan::default() }],
         discovery: Discovery::Push,
         cancel: true,
-        second_copies: false,
+        hedging: false,
         max_attempts: 3,
         max_retry_after: ms(500),
         tick: ms(2),
         meter_period: ms(0),
         max_units: 1.0,
-        cold_from: 0.2,
-        cold_ramp: ms(15_000),
-        cold_multiple: 3.0,
-        cold_window: ms(1500),
+        slow_start_initial_share: 0.2,
+        slow_start_duration: ms(15_000),
+        slow_start_overload_factor: 3.0,
+        slow_start_window: ms(1500),
         cross_zone_price: 0.0,
     }
 }
@@ -36,7 +41,7 @@
     let zones = vec!["hall-a".to_owned(), "hall-b".to_owned()];
     let observer = Observer::new(zones, settings(), None, None, Instant::now());
     let server = ServerInfo { id: ServerId(1), zone: 1, lifecycle: Lifecycle::Running, ..Default::default() };
-    observer.told(&Event::Servers { scope: Scope::Full, servers: vec![server] });
+    observer.on_event(&Event::Servers { scope: Scope::Full, servers: vec![server] });
     let request = NewRequest {
         id: RequestId(1),
         class: ClassId(0),
@@ -45,29 +50,29 @@
         deadline: at(4000),
         units: 2.0,
         gateways: 1,
-        repeat: false,
-        flows: false,
+        is_retry: false,
+        body_in_flight: false,
     };
-    observer.told(&Event::Request(request));
-    observer.asked_for(
+    observer.on_event(&Event::Request(request));
+    observer.on_actions(
         at(0),
-        &[Action::Send { id: RequestId(1), server: ServerId(1), until: at(4000), begin_by: None }],
+        &[Action::Send { id: RequestId(1), server: ServerId(1), deadline: at(4000), begin_by: None }],
     );
-    let failed = |now: u64| observer.take(at(now)).1[1].seen.failed;
-    let aim = observer.settings.classes[0].aim.as_millis() as u64;
+    let failed = |now: u64| observer.take_report(at(now)).1[1].seen.failed;
+    let aim = observer.settings.classes[0].latency_target.as_millis() as u64;
     assert_eq!((failed(aim - 10), failed(aim + 10), failed(aim + 1000)), (0.0, 2.0, 0.0));
-    observer.told(&Event::Outcome(Outcome {
+    observer.on_event(&Event::Outcome(Outcome {
         id: RequestId(1),
         attempt: AttemptNo(0),
         status: Status::TimedOut,
         elapsed: Duration::from_secs(4),
         finished: false,
-        metered: None,
-        true_units: None,
+        metered_use: None,
+        actual_units: None,
         report: Default::default(),
-        last: false,
+        not_retryable: false,
     }));
     assert_eq!(failed(5000), 0.0);
-    observer.asked_for(at(5000), &[Action::Fail { id: RequestId(1) }]);
-    assert!(observer.sight.borrow().tried.is_empty(), "nothing is kept of what is over");
+    observer.on_actions(at(5000), &[Action::Fail { id: RequestId(1) }]);
+    assert!(observer.observations.borrow().requests.is_empty(), "nothing is kept of what is over");
 }
--- a/quota-gateway/server/src/handover.rs
+++ b/quota-gateway/server/src/handover.rs
@@ -1,10 +1,10 @@
 //! While one process of the gateway replaces another: the listening socket that both were started with, what the
 //! new process takes over from the living old one, and what each tells the other from then on.
 
-use crate::discovery::Ids;
+use crate::discovery::ServerIds;
 use crate::engine::Engine;
 use crate::operations::{Change, Operations};
-use marblecroft_quota_gateway_core::{Elsewhere, Event, Gateway, Memory};
+use marblecroft_quota_gateway_core::{Event, Gateway, PeerProcessEvent, StateSnapshot};
 use serde::{Deserialize, Serialize};
 use socket2::Socket;
 use std::cell::RefCell;
@@ -26,16 +26,16 @@
 /// Form of what is handed over. Processes of other forms start afresh beside each other.
 const VERSION: u32 = 1;
 /// Bound of what is handed over, in bytes: some thousand customers.
-const ESTATE_MOST: u64 = 2 << 20;
+const MAX_SNAPSHOT_BYTES: u64 = 2 << 20;
 /// Bound of one piece of news.
-const NEWS_MOST: u64 = 4 << 10;
+const MAX_UPDATE_BYTES: u64 = 4 << 10;
 /// Pieces of news that may wait to be read. A process that reads none is no other half of this gateway.
-const NEWS_WAITING: usize = 4096;
+const UPDATES_BUFFERED: usize = 4096;
 /// The old process answers within this time or is taken for dead: the new one must be ready in six seconds, and its
 /// operators have an answer within one.
-const ANSWER_MOST: Duration = Duration::from_millis(800);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause after an accept that failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// The clients' listening socket, where whoever started this process holds it and names its descriptor. To be
 /// called before anything else is opened, which could otherwise have that number.
@@ -67,45 +67,45 @@
 
 /// What the new process takes over.
 #[derive(Serialize, Deserialize)]
-pub struct Estate {
+pub struct HandoverSnapshot {
     version: u32,
-    pub ids: Ids,
+    pub ids: ServerIds,
     pub draining: bool,
     /// That of the clock that the memory's instants are on; none told by a process from before it was.
     #[serde(default)]
     pub origin: Option<u64>,
-    pub memory: Memory,
+    pub memory: StateSnapshot,
 }
 
 /// What the two tell each other.
 #[derive(Debug, Serialize, Deserialize)]
-enum News {
+enum PeerUpdate {
     Change(Change),
-    Elsewhere(Elsewhere),
+    Elsewhere(PeerProcessEvent),
 }
 
 /// The ways to the other processes of this gateway; there is none but during an upgrade.
 #[derive(Default)]
-pub struct Links(RefCell<Vec<mpsc::Sender<String>>>);
+pub struct PeerLinks(RefCell<Vec<mpsc::Sender<String>>>);
 
-impl Links {
+impl PeerLinks {
     pub fn any(&self) -> bool {
         !self.0.borrow().is_empty()
     }
 
-    pub fn sent(&self, news: impl FnOnce() -> Elsewhere) {
+    pub fn sent(&self, news: impl FnOnce() -> PeerProcessEvent) {
         if self.any() {
-            self.tell(&News::Elsewhere(news()));
+            self.broadcast(&PeerUpdate::Elsewhere(news()));
         }
     }
 
     pub fn changed(&self, change: &Change) {
         if self.any() {
-            self.tell(&News::Change(change.clone()));
+            self.broadcast(&PeerUpdate::Change(change.clone()));
         }
     }
 
-    fn tell(&self, news: &News) {
+    fn broadcast(&self, news: &PeerUpdate) {
         if let Ok(line) = serde_json::to_string(news) {
             self.0.borrow_mut().retain(|link| link.try_send(line.clone() + "\n").is_ok());
         }
@@ -117,15 +117,15 @@
 
 /// Where the processes of the gateway at this address meet. The name is part of the hand-over between versions: a process
 /// of an earlier version listens there.
-fn place(listen: SocketAddr) -> PathBuf {
+fn socket_path(listen: SocketAddr) -> PathBuf {
     env::temp_dir().join(format!("mapledeck-{}.sock", listen.port()))
 }
 
 /// Asks the living process of this gateway for what it knows. `None` where there is none: a socket in the file system
 /// may be a dead one's, and what cannot be read is not half taken.
-pub async fn take_over(listen: SocketAddr) -> Option<(Estate, Peer)> {
-    let path = place(listen);
-    match timeout(ANSWER_MOST, ask(&path)).await {
+pub async fn take_over(listen: SocketAddr) -> Option<(HandoverSnapshot, Peer)> {
+    let path = socket_path(listen);
+    match timeout(ANSWER_TIMEOUT, request_snapshot(&path)).await {
         Ok(Ok(taken)) => {
             info!(path = %path.display(), "takes over from the process at {}", path.display());
             return Some(taken);
@@ -137,12 +137,12 @@
     None
 }
 
-async fn ask(path: &Path) -> io::Result<(Estate, Peer)> {
+async fn request_snapshot(path: &Path) -> io::Result<(HandoverSnapshot, Peer)> {
     let (reader, mut writer) = UnixStream::connect(path).await?.into_split();
     let mut reader = BufReader::new(reader);
     writer.write_all(format!("{VERSION}\n").as_bytes()).await?;
-    let line = line(&mut reader, ESTATE_MOST).await?;
-    let estate: Estate = serde_json::from_str(&line)?;
+    let line = read_line(&mut reader, MAX_SNAPSHOT_BYTES).await?;
+    let estate: HandoverSnapshot = serde_json::from_str(&line)?;
     if estate.version != VERSION {
         return Err(io::Error::other(format!("version {}", estate.version)));
     }
@@ -150,7 +150,7 @@
 }
 
 /// A whole line; the end before its end, and one that is too long, are errors.
-async fn line(reader: &mut (impl AsyncBufRead + Unpin), most: u64) -> io::Result<String> {
+async fn read_line(reader: &mut (impl AsyncBufRead + Unpin), most: u64) -> io::Result<String> {
     let mut line = String::new();
     reader.take(most).read_line(&mut line).await?;
     if line.pop() != Some('\n') {
@@ -171,14 +171,15 @@
 impl Handover {
     /// Keeps in step with the process that this one took over from.
     pub fn join(self: &Rc<Self>, peer: Peer) {
-        let (sender, receiver) = mpsc::channel(NEWS_WAITING);
+        let (sender, receiver) = mpsc::channel(UPDATES_BUFFERED);
         spawn_local(self.clone().exchange(peer, sender, receiver));
     }
 
     /// Offers what this process knows to whichever comes next, for good.
     pub fn offer(self: Rc<Self>, listen: SocketAddr) -> io::Result<impl Future<Output = ()>> {
         // Put in place whole, over that of the process before.
-        let (place, new) = (place(listen), place(listen).with_extension(process::id().to_string()));
+        let (place, new) =
+            (socket_path(listen), socket_path(listen).with_extension(process::id().to_string()));
         drop(fs::remove_file(&new));
         let listener = UnixListener::bind(&new)?;
         fs::rename(&new, &place)?;
@@ -186,7 +187,7 @@
             loop {
                 match listener.accept().await {
                     Ok((stream, _)) => drop(spawn_local(self.clone().hand_over(stream))),
-                    Err(_) => sleep(ACCEPT_PAUSE).await,
+                    Err(_) => sleep(ACCEPT_BACKOFF).await,
                 }
             }
         })
@@ -195,19 +196,19 @@
     async fn hand_over(self: Rc<Self>, stream: UnixStream) {
         let (reader, writer) = stream.into_split();
         let mut peer = Peer(BufReader::new(reader), writer);
-        match timeout(ANSWER_MOST, line(&mut peer.0, NEWS_MOST)).await {
+        match timeout(ANSWER_TIMEOUT, read_line(&mut peer.0, MAX_UPDATE_BYTES)).await {
             Ok(Ok(version)) if version == VERSION.to_string() => {}
             _ => return,
         }
-        let estate = Estate {
+        let estate = HandoverSnapshot {
             version: VERSION,
             ids: self.operations.ids.borrow().clone(),
-            draining: self.operations.front.draining(),
+            draining: self.operations.server.draining(),
             origin: Some(self.engine.clock.origin()),
-            memory: self.gateway.borrow().memory(),
+            memory: self.gateway.borrow().snapshot(),
         };
         let Ok(estate) = serde_json::to_string(&estate) else { return };
-        let (sender, receiver) = mpsc::channel(NEWS_WAITING);
+        let (sender, receiver) = mpsc::channel(UPDATES_BUFFERED);
         // First in line, so that the news that follows is of what came after it.
         drop(sender.try_send(estate + "\n"));
         info!("hands over to a new process");
@@ -233,10 +234,10 @@
             }
         };
         let hearing = async {
-            while let Ok(line) = line(&mut reader, NEWS_MOST).await {
+            while let Ok(line) = read_line(&mut reader, MAX_UPDATE_BYTES).await {
                 match serde_json::from_str(&line) {
-                    Ok(News::Elsewhere(news)) => self.engine.post(Event::Elsewhere(news)),
-                    Ok(News::Change(change)) => drop(self.operations.make(&change)),
+                    Ok(PeerUpdate::Elsewhere(news)) => self.engine.post(Event::PeerProcess(news)),
+                    Ok(PeerUpdate::Change(change)) => drop(self.operations.apply(&change)),
                     Err(_) => return,
                 }
             }
@@ -247,7 +248,7 @@
         }
         links.0.borrow_mut().retain(|link| !link.same_channel(&sender));
         if !links.any() {
-            self.engine.post(Event::Elsewhere(Elsewhere::Gone));
+            self.engine.post(Event::PeerProcess(PeerProcessEvent::Gone));
             (self.shared)(false);
         }
         info!("the other process is gone");
--- a/quota-gateway/server/src/main.rs
+++ b/quota-gateway/server/src/main.rs
@@ -1,34 +1,34 @@
 //! The gateway: the decisions of `marblecroft-quota-gateway-core` between HTTP/1.1 clients and servers, on one thread.
 #![deny(unsafe_code)]
 
-mod account;
-mod books;
+mod body;
 mod clock;
 mod config;
 mod console;
 mod discovery;
 mod engine;
-mod fleet;
-mod flow;
-mod front;
+mod fleet_decisions;
 mod handover;
 mod operations;
+mod request_budget;
+mod server;
+mod shard_map;
 mod upstream;
 
-use account::Accounts;
-use books::Books;
 use clock::Clock;
 use config::Config;
 use console::Console;
-use discovery::{Discovery, Service};
+use discovery::{Discovery, ListFollower};
 use engine::{Decide, Engine};
-use fleet::observer::Observer;
-use fleet::Member;
-use front::Front;
+use fleet_decisions::observer::Observer;
+use fleet_decisions::Member;
 use handover::Handover;
 use marblecroft_logging::Log;
 use marblecroft_quota_gateway_core::Gateway;
 use operations::Operations;
+use request_budget::RequestBudgets;
+use server::ClientServer;
+use shard_map::ShardRouting;
 use std::cell::RefCell;
 use std::io;
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
 /// The name that lines for the operators begin with.
 const PROGRAM: &str = "marblecroft-quota-gateway";
 /// After SIGTERM new connections come for up to 0.4 s; they are accepted for a while longer.
-const LINGER: Duration = Duration::from_millis(600);
+const FLUSH_TIME: Duration = Duration::from_millis(600);
 
 fn main() -> ExitCode {
     let config = match Config::load() {
@@ -131,35 +131,36 @@
     let told = taken.as_ref().and_then(|(estate, _)| estate.origin);
     let clock = told.map_or_else(Clock::start, Clock::of_origin);
     let site = config.settings.clone();
-    let accounts = Accounts::new(clock, console.as_ref().map(|_| site.classes.as_slice()));
+    let accounts = RequestBudgets::new(clock, console.as_ref().map(|_| site.classes.as_slice()));
     let begun = std::time::Instant::now();
-    let books = config.stewards.as_ref().is_some_and(|stewards| stewards.books()).then(|| Books::new(begun));
+    let books =
+        config.stewards.as_ref().is_some_and(|stewards| stewards.books()).then(|| ShardRouting::new(begun));
     let upstream = Upstream::new(site.connect_timeout, site.idle, servers, books.clone());
     let gateway = Rc::new(RefCell::new(Gateway::new(site.settings.clone(), config.seed)));
     let observer = config.stewards.as_ref().map(|stewards| {
         Observer::new(site.zones.clone(), site.settings.clone(), stewards.shares(), books.clone(), begun)
     });
     let decide = deciding(gateway.clone(), observer.clone());
-    let engine = Engine::deciding(decide, clock, accounts, upstream, site.settings.max_attempts);
+    let engine = Engine::new(decide, clock, accounts, upstream, site.settings.max_attempts);
     let seen = observer.clone();
     if let (Some(stewards), Some(observer)) = (config.stewards.take(), observer) {
         Member::begin(stewards, &engine, observer, books, begun, site.settings.zone, config.seed);
     }
-    let front = Front::new(engine.clone(), site.clone(), clients);
+    let front = ClientServer::new(engine.clone(), site.clone(), clients);
 
     let (told, agents) = watch::channel(config.agents());
     spawn_local(reload(hangup, told));
-    let service = config.list_service.as_ref().map(|service| Service::new(service.caution()));
-    let list = service.as_ref().map(Service::figures);
+    let service = config.list_service.as_ref().map(|service| ListFollower::new(service.caution()));
+    let list = service.as_ref().map(ListFollower::figures);
     let fleet = (site.settings.discovery, site.settings.gateways);
     let mut discovery =
         Discovery::new(engine.clone(), agents, service, site.zones, site.kinds, fleet, config.seed);
     let operations = Operations {
         engine: engine.clone(),
         gateway: gateway.clone(),
-        front: front.clone(),
+        server: front.clone(),
         ids: discovery.ids(),
-        list,
+        list_metrics: list,
         fleet: seen,
     };
     let operations = Rc::new(operations);
@@ -176,7 +177,7 @@
         }),
     });
     if let Some((estate, peer)) = taken {
-        gateway.borrow_mut().remember(estate.memory);
+        gateway.borrow_mut().restore(estate.memory);
         if discovery.adopt(estate.ids) {
             front.set_ready();
         }
@@ -185,7 +186,7 @@
         }
         handover.join(peer);
     } else if let Some(known) = known {
-        discovery.told(known);
+        discovery.on_list(known);
         front.set_ready();
     }
     if replaceable {
@@ -217,11 +218,11 @@
     if !replaced {
         tokio::select! {
             () = front.accept(&listener) => {}
-            () = sleep_until(terminated + LINGER) => {}
+            () = sleep_until(terminated + FLUSH_TIME) => {}
         }
         front.accept_queued(&listener);
     }
     drop(listener);
-    front.emptied(terminated.into()).await;
+    front.wait_until_empty(terminated.into()).await;
     Ok(())
 }
--- a/quota-gateway/server/src/operations.rs
+++ b/quota-gateway/server/src/operations.rs
@@ -1,9 +1,9 @@
 //! What operators can ask of a running gateway, and who is told of it.
 
-use crate::discovery::{Figures, Ids};
+use crate::discovery::{ListMetrics, ServerIds};
 use crate::engine::Engine;
-use crate::fleet::observer::Observer;
-use crate::front::Front;
+use crate::fleet_decisions::observer::Observer;
+use crate::server::ClientServer;
 use marblecroft_quota_gateway_core::{Event, Gateway};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -22,7 +22,7 @@
 
 /// What is said to a call that was carried out.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum Reply {
     Yes,
     /// A text, and of what type it is.
     Text(Vec<u8>, String),
@@ -52,41 +52,41 @@
 pub struct Operations {
     pub engine: Rc<Engine>,
     pub gateway: Rc<RefCell<Gateway>>,
-    pub front: Rc<Front>,
-    pub ids: Rc<RefCell<Ids>>,
+    pub server: Rc<ClientServer>,
+    pub ids: Rc<RefCell<ServerIds>>,
     /// Of the project's own list service, where that is followed.
-    pub list: Option<Rc<Figures>>,
+    pub list_metrics: Option<Rc<ListMetrics>>,
     /// Of shares and books, where the fleet decides on them.
     pub fleet: Option<Rc<Observer>>,
 }
 
 impl Operations {
-    pub fn carry_out(&self, call: &Call) -> Result<Said, Refusal> {
+    pub fn perform(&self, call: &Call) -> Result<Reply, Refusal> {
         match call {
-            Call::Ready => self.front.takes_clients().then_some(Said::Yes).ok_or(Refusal::NotReady),
+            Call::Ready => self.server.takes_clients().then_some(Reply::Yes).ok_or(Refusal::NotReady),
             Call::Metrics => {
                 let left = self.gateway.borrow().retry_budget();
                 let ledger = self.engine.accounts.ledger.as_ref();
                 if let Some(ledger) = ledger {
-                    for (name, help, value) in self.figures() {
+                    for (name, help, value) in self.metrics() {
                         ledger.show(name, help, value).map_err(|_| Refusal::NoAccount)?;
                     }
                 }
                 let text = ledger.map(|ledger| ledger.exposition(left));
                 let (text, format) = text.and_then(Result::ok).ok_or(Refusal::NoAccount)?;
-                Ok(Said::Text(text, format))
+                Ok(Reply::Text(text, format))
             }
             Call::Change(change) => {
                 // Also where it is unknown here: the other process may have heard of more.
                 self.engine.links.changed(change);
-                self.make(change).map(|()| Said::Yes)
+                self.apply(change).map(|()| Reply::Yes)
             }
         }
     }
 
     /// What is known beside the budgets, where there is somebody who can tell: of the list, of the fleet.
-    fn figures(&self) -> Vec<(&'static str, &'static str, f64)> {
-        let list = self.list.iter().flat_map(|list| {
+    fn metrics(&self) -> Vec<(&'static str, &'static str, f64)> {
+        let list = self.list_metrics.iter().flat_map(|list| {
             let (age, suspects) = list.now();
             let help = "Time since a list service last said how things are.";
             let held = "Servers held though the last whole list lacked them.";
@@ -99,16 +99,16 @@
     }
 
     /// Makes a change in this process.
-    pub fn make(&self, change: &Change) -> Result<(), Refusal> {
+    pub fn apply(&self, change: &Change) -> Result<(), Refusal> {
         match change {
             Change::Disable(name) | Change::Enable(name) => {
                 let disabled = matches!(change, Change::Disable(_));
                 let id = self.ids.borrow_mut().disable(name, disabled);
                 let id = id.ok_or_else(|| Refusal::Unknown(name.clone()))?;
-                self.engine.post(if disabled { Event::Disabled(id) } else { Event::Enabled(id) });
+                self.engine.post(if disabled { Event::ServerDisabled(id) } else { Event::ServerEnabled(id) });
             }
-            Change::Drain => self.front.drain(),
-            Change::Undrain => self.front.undrain(),
+            Change::Drain => self.server.drain(),
+            Change::Undrain => self.server.undrain(),
         }
         info!(change = ?change, "operators: {change:?}");
         Ok(())
--- a/quota-gateway/server/src/books.rs
+++ b/quota-gateway/server/src/shard_map.rs
@@ -3,8 +3,8 @@
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use marblecroft_control_messages::published::{Decision, Reader, Stamp, Taken};
-use marblecroft_quota_gateway_core::{Lifecycle, Place, Scope, ServerId, ServerInfo};
-use marblecroft_shard_map::map::{BookMap, Epoch, Firm};
+use marblecroft_quota_gateway_core::{Lifecycle, Placement, Scope, ServerId, ServerInfo};
+use marblecroft_shard_map::map::{Epoch, Firm, ShardMap};
 use marblecroft_shard_map::ticket::{NotNow, Ticket};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,33 +19,33 @@
 const DUE: HeaderName = HeaderName::from_static("x-book-due");
 /// A newer map is waited for this long before its attempt is told to have ended: a move's pause, as cells that fence have it. What
 /// is left of the request's time bounds it further.
-pub const NEWER_MOST: Duration = Duration::from_millis(300);
+pub const MAX_MAP_UPDATE_WAIT: Duration = Duration::from_millis(300);
 
 /// What is known of books here.
-pub struct Books {
-    map: RefCell<Reader<BookMap>>,
+pub struct ShardRouting {
+    map: RefCell<Reader<ShardMap>>,
     cells: RefCell<BTreeMap<ServerId, u32>>,
-    begun: Instant,
+    started_at: Instant,
     changed: Notify,
     /// Writes that a cell turned away as they were under another epoch, and writes that found no ticket.
-    pub turned_away: Cell<u64>,
+    pub rejected_by_cell: Cell<u64>,
     pub held_back: Cell<u64>,
 }
 
-impl Books {
-    pub fn new(begun: Instant) -> Rc<Books> {
-        Rc::new(Books {
+impl ShardRouting {
+    pub fn new(begun: Instant) -> Rc<ShardRouting> {
+        Rc::new(ShardRouting {
             map: RefCell::default(),
             cells: RefCell::default(),
-            begun,
+            started_at: begun,
             changed: Notify::new(),
-            turned_away: Cell::new(0),
+            rejected_by_cell: Cell::new(0),
             held_back: Cell::new(0),
         })
     }
 
     /// A map was read; `asked`: an instant, since `begun`, before the question left.
-    pub fn take(&self, asked: Duration, decision: Decision<BookMap>) -> Taken {
+    pub fn install(&self, asked: Duration, decision: Decision<ShardMap>) -> Taken {
         let taken = self.map.borrow_mut().take(asked, decision);
         if taken == Taken::New {
             self.changed.notify_waiters();
@@ -58,7 +58,7 @@
     }
 
     /// Follows the list: which cell each server is of.
-    pub fn listed(&self, scope: Scope, servers: &[ServerInfo]) {
+    pub fn on_server_list(&self, scope: Scope, servers: &[ServerInfo]) {
         let mut cells = self.cells.borrow_mut();
         if scope == Scope::Full {
             cells.clear();
@@ -71,25 +71,25 @@
         }
     }
 
-    fn ask(&self, firm: Firm) -> Result<Ticket, NotNow> {
-        Ticket::ask(self.begun.elapsed(), &self.map.borrow(), firm)
+    fn ticket(&self, firm: Firm) -> Result<Ticket, NotNow> {
+        Ticket::acquire(self.started_at.elapsed(), &self.map.borrow(), firm)
     }
 
     /// Where a firm's pay run goes, as far as can be said when it arrives.
-    pub fn place(&self, firm: Firm) -> Place {
-        match self.ask(firm) {
-            Ok(ticket) => Place::Cell(ticket.cell()),
+    pub fn placement(&self, firm: Firm) -> Placement {
+        match self.ticket(firm) {
+            Ok(ticket) => Placement::Cell(ticket.cell()),
             Err(why) => {
                 self.held_back.set(self.held_back.get() + 1);
-                Place::Nowhere { retry_after: why.retry_after() }
+                Placement::Unavailable { retry_after: why.retry_after() }
             }
         }
     }
 
     /// The epoch to write under at a server, at this moment; none where nothing may be written there now.
     pub fn epoch(&self, firm: Firm, server: ServerId) -> Option<HeaderValue> {
-        let ticket = self.ask(firm).ok()?;
-        let (cell, epoch) = ticket.write(self.begun.elapsed())?;
+        let ticket = self.ticket(firm).ok()?;
+        let (cell, epoch) = ticket.write(self.started_at.elapsed())?;
         let there = self.cells.borrow().get(&server) == Some(&cell);
         there.then(|| HeaderValue::from(epoch)).or_else(|| {
             self.held_back.set(self.held_back.get() + 1);
@@ -98,20 +98,20 @@
     }
 
     /// Whether a cell turned a write away as it was under another epoch; the one that is due there.
-    pub fn due(&self, headers: &HeaderMap) -> Option<Epoch> {
+    pub fn epoch_due(&self, headers: &HeaderMap) -> Option<Epoch> {
         let due = headers.get(DUE)?.to_str().ok()?.parse().ok()?;
-        self.turned_away.set(self.turned_away.get() + 1);
+        self.rejected_by_cell.set(self.rejected_by_cell.get() + 1);
         Some(due)
     }
 
     /// The cell of a firm's book, once this gateway goes by a map by which it may be written there: a map that is newer than the
     /// one by which a write has just been turned away is on its way here.
-    pub async fn moved(&self, firm: Firm, most: Duration) -> Option<u32> {
+    pub async fn wait_for_move(&self, firm: Firm, most: Duration) -> Option<u32> {
         let before = self.stamp();
         let newer = async {
             loop {
                 let changed = self.changed.notified();
-                match self.ask(firm) {
+                match self.ticket(firm) {
                     Ok(ticket) if self.stamp() > before => return ticket.cell(),
                     _ => changed.await,
                 }
--- a/quota-gateway/server/src/upstream.rs
+++ b/quota-gateway/server/src/upstream.rs
@@ -1,8 +1,8 @@
 //! Connections to servers, and attempts on them: what was sent, and how it ended.
 
-use crate::account::Account;
-use crate::books::{Books, EPOCH, NEWER_MOST};
-use crate::flow::{Outgoing, Passed, Piece, Sendable, Words, SHORT};
+use crate::body::{Chunk, Outgoing, Passed, ResponseBody, Sendable, MAX_BUFFERED_BYTES};
+use crate::request_budget::RequestBudget;
+use crate::shard_map::{ShardRouting, EPOCH, MAX_MAP_UPDATE_WAIT};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_TYPE, HOST, TRANSFER_ENCODING};
@@ -28,43 +28,43 @@
 /// comes up (this at least), where one that cuts work off comes later ...
 const AT_ONCE: Duration = Duration::from_millis(2);
 /// ... on a connection that had been idle for this long at least. Bounds what cuts taken for closings can do.
-const IDLE_LEAST: Duration = Duration::from_millis(20);
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(20);
 /// The idle time that is allowed doubles in this time after a closing that was learnt of, up to the settings' share.
-const IDLE_REGAIN: Duration = Duration::from_secs(10);
+const IDLE_RECOVERY: Duration = Duration::from_secs(10);
 /// A connection that has just brought an answer is not used again for this long. Some servers send an answer twice, the
 /// second 0.5 to 3.7 ms late (31 of them on four short days): behind a further request it would be taken for that one's.
 /// Guards against answers that are another request's; hurts by a further connection where requests to a server follow on
 /// each other faster.
-const REST: Duration = Duration::from_millis(15);
+const REUSE_DELAY: Duration = Duration::from_millis(15);
 /// Weight of a connection's time to come up in their mean.
 const CONNECT_WEIGHT: f64 = 0.1;
 /// The most that a server's answer is reckoned to take on its way here: connections that come up slowly tell of busy
 /// servers, not of long ways.
-const BACK_MOST: Duration = Duration::from_millis(10);
+const MAX_RESPONSE_MARGIN: Duration = Duration::from_millis(10);
 
 pub const EXPIRES_IN: HeaderName = HeaderName::from_static("x-expires-in");
-const NEVER_RAN: HeaderName = HeaderName::from_static("x-never-ran");
+const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-never-ran");
 const METER: HeaderName = HeaderName::from_static("x-meter");
 const LOAD: HeaderName = HeaderName::from_static("endpoint-load-metrics");
 
 /// A short answer counts only when it has come whole: a refusal proves nothing before, and a 200 serves nobody. One
 /// that does not go on for this long is spoilt: it may keep its connection open for good, and another attempt is
 /// possible while nothing has gone out.
-const SHORT_PAUSE: Duration = Duration::from_millis(500);
+const SHORT_BODY_TIMEOUT: Duration = Duration::from_millis(500);
 /// An answer that does not say how long it is and is not whole after this time is taken for a long one.
-const HOLD: Duration = Duration::from_millis(150);
+const MAX_BUFFERING_TIME: Duration = Duration::from_millis(150);
 /// A long answer has begun to go out, so a server that pauses is waited for for longer.
-const LONG_PAUSE: Duration = Duration::from_secs(10);
+const STREAM_TIMEOUT: Duration = Duration::from_secs(10);
 /// The most that a customer's use can be, in percent: a hundred times its quota.
-const METER_MOST: f64 = 10_000.0;
+const MAX_METER: f64 = 10_000.0;
 /// The longest queue, in requests, that a server can have.
-const QUEUE_MOST: f64 = 100_000.0;
+const MAX_REPORTED_QUEUE: f64 = 100_000.0;
 /// The largest share of its processor that one can say is busy: all of it, and some for noise.
-const UTIL_MOST: f64 = 1.5;
+const MAX_REPORTED_UTILIZATION: f64 = 1.5;
 
 /// Reads a list of servers to its end; `None` when it is cut off or too long.
 pub async fn collect(body: Incoming) -> Option<Bytes> {
-    Limited::new(body, SHORT).collect().await.ok().map(|whole| whole.to_bytes())
+    Limited::new(body, MAX_BUFFERED_BYTES).collect().await.ok().map(|whole| whole.to_bytes())
 }
 
 /// The next bytes of a body; `None` at its end.
@@ -79,41 +79,41 @@
 }
 
 /// How much of an answer has come.
-enum Read {
-    Whole(Bytes),
+enum BodyStart {
+    Complete(Bytes),
     /// So far.
-    Part(Bytes),
-    Spoilt,
+    Partial(Bytes),
+    Broken,
 }
 
 /// Reads an answer that may turn out to be long.
-async fn read_short(body: &mut Incoming, account: &Account) -> Read {
+async fn read_short(body: &mut Incoming, account: &RequestBudget) -> BodyStart {
     let length = body.size_hint().exact();
-    if length.is_some_and(|length| length > SHORT as u64) {
-        return Read::Part(Bytes::new());
+    if length.is_some_and(|length| length > MAX_BUFFERED_BYTES as u64) {
+        return BodyStart::Partial(Bytes::new());
     }
-    let hold = Instant::now() + account.bound(HOLD);
+    let hold = Instant::now() + account.limit_wait(MAX_BUFFERING_TIME);
     let mut come = Vec::new();
     loop {
         let pause = if length.is_some() {
-            account.bound(SHORT_PAUSE)
+            account.limit_wait(SHORT_BODY_TIMEOUT)
         } else {
             hold.saturating_duration_since(Instant::now())
         };
         match timeout(pause, more(body)).await {
             Ok(Ok(Some(data))) => come.extend_from_slice(&data),
-            Ok(Ok(None)) => return Read::Whole(come.into()),
-            Err(_) if length.is_none() => return Read::Part(come.into()),
-            Ok(Err(_)) | Err(_) => return Read::Spoilt,
+            Ok(Ok(None)) => return BodyStart::Complete(come.into()),
+            Err(_) if length.is_none() => return BodyStart::Partial(come.into()),
+            Ok(Err(_)) | Err(_) => return BodyStart::Broken,
         }
-        if come.len() > SHORT {
-            return Read::Part(come.into());
+        if come.len() > MAX_BUFFERED_BYTES {
+            return BodyStart::Partial(come.into());
         }
     }
 }
 
 /// What every attempt of a request carries, unchanged from the client.
-pub struct Order {
+pub struct UpstreamRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
@@ -121,13 +121,13 @@
     /// The firm whose book it writes, where there are books.
     pub writes: Option<u64>,
     /// What its client's time is left for.
-    pub account: Rc<Account>,
+    pub account: Rc<RequestBudget>,
     /// Set with the final answer. Nothing is sent for the request after that, also where attempts that are
     /// still connecting may not be cancelled.
-    pub over: Cell<bool>,
+    pub finished: Cell<bool>,
 }
 
-impl Order {
+impl UpstreamRequest {
     /// The id that its client gave it; every request that comes this far has one.
     pub fn trace(&self) -> &str {
         self.headers.get("x-trace-id").and_then(|id| id.to_str().ok()).unwrap_or_default()
@@ -140,55 +140,55 @@
 }
 
 /// A server's 200 answer: whole, or a long one that has begun.
-pub struct Served {
-    pub body: Words,
+pub struct ServedResponse {
+    pub body: ResponseBody,
     pub content_type: Option<HeaderValue>,
 }
 
 /// How an attempt ended.
-pub struct Ending {
+pub struct AttemptEnd {
     pub status: Status,
     pub metered: Option<f64>,
     pub report: LoadReport,
     /// With [`Status::Ok`] alone, and when it has not begun to go out before.
-    pub served: Option<Served>,
+    pub served: Option<ServedResponse>,
     /// The cell of its book, where another one than the attempt went to or met.
     pub moved: Option<u32>,
 }
 
-impl From<Status> for Ending {
-    fn from(status: Status) -> Ending {
-        Ending { status, metered: None, report: LoadReport::default(), served: None, moved: None }
+impl From<Status> for AttemptEnd {
+    fn from(status: Status) -> AttemptEnd {
+        AttemptEnd { status, metered: None, report: LoadReport::default(), served: None, moved: None }
     }
 }
 
 /// A connection that carries what a request passes on.
-pub type Link = marblecroft_transport::link::Link<Outgoing>;
+pub type Connection = marblecroft_transport::link::Link<Outgoing>;
 
-struct Idle {
-    link: Link,
+struct IdleConnection {
+    connection: Connection,
     since: Instant,
 }
 
 /// How long a connection may have stood idle to be used again.
 struct IdleLimit {
-    most: Duration,
+    max: Duration,
     /// What the last connection that was lost showed, and when.
-    learnt: Cell<Option<(Duration, Instant)>>,
+    learned: Cell<Option<(Duration, Instant)>>,
 }
 
 impl IdleLimit {
     fn at(&self, now: Instant) -> Duration {
-        self.learnt.get().map_or(self.most, |(limit, since)| {
-            let doublings = now.duration_since(since).as_secs_f64() / IDLE_REGAIN.as_secs_f64();
-            self.most.min(limit.mul_f64(doublings.min(32.0).exp2()))
+        self.learned.get().map_or(self.max, |(limit, since)| {
+            let doublings = now.duration_since(since).as_secs_f64() / IDLE_RECOVERY.as_secs_f64();
+            self.max.min(limit.mul_f64(doublings.min(32.0).exp2()))
         })
     }
 
     /// A connection that had stood idle for so long turned out to be closed.
     fn closed(&self, idle: Duration, now: Instant) {
-        if idle >= IDLE_LEAST {
-            self.learnt.set(Some((self.at(now).min(idle.mul_f64(IDLE_SHARE)), now)));
+        if idle >= MIN_IDLE_TIMEOUT {
+            self.learned.set(Some((self.at(now).min(idle.mul_f64(IDLE_SHARE)), now)));
         }
     }
 }
@@ -196,7 +196,7 @@
 /// A server as one list had it. An address may be another's later on, and a server that has started anew knows
 /// nothing of the connections from before, so links are kept under all three.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Peer {
+pub struct ServerProcess {
     server: ServerId,
     pub addr: SocketAddr,
     started: Option<Time>,
@@ -211,29 +211,29 @@
     budget: Cell<usize>,
     open: Rc<Cell<usize>>,
     /// Servers that are listed, and whether as running.
-    known: RefCell<BTreeMap<ServerId, (Peer, Lifecycle)>>,
+    servers: RefCell<BTreeMap<ServerId, (ServerProcess, Lifecycle)>>,
     /// Those that the operators leave out.
-    left_out: RefCell<BTreeSet<ServerId>>,
+    disabled: RefCell<BTreeSet<ServerId>>,
     /// Idle connections to those that run, the most recently used last.
-    idle: RefCell<BTreeMap<Peer, Vec<Idle>>>,
+    idle: RefCell<BTreeMap<ServerProcess, Vec<IdleConnection>>>,
     /// When each of them was last heard of on a connection, be it by its end.
-    heard: RefCell<BTreeMap<Peer, Instant>>,
+    last_heard_at: RefCell<BTreeMap<ServerProcess, Instant>>,
     malformed: [Cell<bool>; 2],
-    books: Option<Rc<Books>>,
+    shard_routing: Option<Rc<ShardRouting>>,
 }
 
 /// An attempt that has no answer yet. A server that has said nothing at all since the attempt began may be a
 /// machine that has vanished: connections to it stay open and silent, while new ones fail and so prove that
 /// nothing ran. When such an attempt is given up, the idle connections are not used again.
-struct Unanswered<'a> {
+struct PendingResponse<'a> {
     upstream: &'a Upstream,
-    peer: Peer,
+    peer: ServerProcess,
     begun: Instant,
 }
 
-impl Drop for Unanswered<'_> {
+impl Drop for PendingResponse<'_> {
     fn drop(&mut self) {
-        let heard = self.upstream.heard.borrow().get(&self.peer).copied();
+        let heard = self.upstream.last_heard_at.borrow().get(&self.peer).copied();
         if heard.is_none_or(|heard| heard < self.begun) {
             self.upstream.idle.borrow_mut().remove(&self.peer);
         }
@@ -245,20 +245,20 @@
         connect_timeout: Duration,
         idle: Duration,
         budget: usize,
-        books: Option<Rc<Books>>,
+        shard_routing: Option<Rc<ShardRouting>>,
     ) -> Upstream {
         Upstream {
             connect_timeout,
-            idle_limit: IdleLimit { most: idle.mul_f64(IDLE_SHARE), learnt: Cell::new(None) },
+            idle_limit: IdleLimit { max: idle.mul_f64(IDLE_SHARE), learned: Cell::new(None) },
             connect_time: Cell::new(AT_ONCE),
             budget: Cell::new(budget),
             open: Rc::default(),
-            known: RefCell::default(),
-            left_out: RefCell::default(),
+            servers: RefCell::default(),
+            disabled: RefCell::default(),
             idle: RefCell::default(),
-            heard: RefCell::default(),
+            last_heard_at: RefCell::default(),
             malformed: Default::default(),
-            books,
+            shard_routing,
         }
     }
 
@@ -269,8 +269,8 @@
     }
 
     /// Follows the list: addresses, and no idle connection to what drains, is gone or has started anew.
-    pub fn listed(&self, scope: Scope, servers: &[ServerInfo], addresses: &[(ServerId, SocketAddr)]) {
-        let mut known = self.known.borrow_mut();
+    pub fn on_server_list(&self, scope: Scope, servers: &[ServerInfo], addresses: &[(ServerId, SocketAddr)]) {
+        let mut known = self.servers.borrow_mut();
         if scope == Scope::Full {
             known.clear();
         }
@@ -278,27 +278,27 @@
             if server.lifecycle == Lifecycle::Gone {
                 known.remove(&id);
             } else {
-                let peer = Peer { server: id, addr, started: server.started };
+                let peer = ServerProcess { server: id, addr, started: server.started };
                 known.insert(id, (peer, server.lifecycle));
             }
         }
         drop(known);
-        self.idle.borrow_mut().retain(|peer, _| self.runs(peer));
-        self.heard.borrow_mut().retain(|peer, _| self.runs(peer));
+        self.idle.borrow_mut().retain(|peer, _| self.is_current(peer));
+        self.last_heard_at.borrow_mut().retain(|peer, _| self.is_current(peer));
     }
 
-    pub fn peer(&self, server: ServerId) -> Option<Peer> {
-        self.known.borrow().get(&server).map(|known| known.0)
+    pub fn process_of(&self, server: ServerId) -> Option<ServerProcess> {
+        self.servers.borrow().get(&server).map(|known| known.0)
     }
 
     /// Whether the list has it still, and as running.
-    fn runs(&self, peer: &Peer) -> bool {
-        self.known.borrow().get(&peer.server) == Some(&(*peer, Lifecycle::Running))
+    fn is_current(&self, peer: &ServerProcess) -> bool {
+        self.servers.borrow().get(&peer.server) == Some(&(*peer, Lifecycle::Running))
     }
 
     /// The operators leave a server out, or put it back.
-    pub fn leave_out(&self, server: ServerId, out: bool) {
-        let mut left_out = self.left_out.borrow_mut();
+    pub fn set_disabled(&self, server: ServerId, out: bool) {
+        let mut left_out = self.disabled.borrow_mut();
         if out {
             left_out.insert(server);
         } else {
@@ -308,17 +308,17 @@
 
     /// Whether an attempt that was decided on a while ago may still begin. A connection takes its time to come up, and
     /// meanwhile the client may have left, the server may have been told to drain, and a window may have ended.
-    fn may_begin(&self, peer: &Peer, order: &Order, begin_by: Option<Time>) -> bool {
-        !order.over.get()
-            && self.runs(peer)
-            && !self.left_out.borrow().contains(&peer.server)
-            && begin_by.is_none_or(|by| order.account.before(by))
+    fn may_begin(&self, peer: &ServerProcess, order: &UpstreamRequest, begin_by: Option<Time>) -> bool {
+        !order.finished.get()
+            && self.is_current(peer)
+            && !self.disabled.borrow().contains(&peer.server)
+            && begin_by.is_none_or(|by| order.account.is_before(by))
     }
 
-    fn heard_of(&self, peer: Peer) {
+    fn on_heard(&self, peer: ServerProcess) {
         // An attempt may outlast its server, which nobody would forget then.
-        if self.runs(&peer) {
-            self.heard.borrow_mut().insert(peer, Instant::now());
+        if self.is_current(&peer) {
+            self.last_heard_at.borrow_mut().insert(peer, Instant::now());
         }
     }
 
@@ -326,7 +326,7 @@
     pub fn sweep(&self) {
         let limit = self.idle_limit.at(Instant::now());
         self.idle.borrow_mut().retain(|_, idle| {
-            idle.retain(|i| i.since.elapsed() < limit && i.link.clean());
+            idle.retain(|i| i.since.elapsed() < limit && i.connection.clean());
             !idle.is_empty()
         });
     }
@@ -339,31 +339,31 @@
     }
 
     /// A connection that is kept, and how long it has been idle.
-    fn idle(&self, peer: &Peer) -> Option<(Link, Duration)> {
+    fn take_idle(&self, peer: &ServerProcess) -> Option<(Connection, Duration)> {
         let mut idle = self.idle.borrow_mut();
         let here = idle.get_mut(peer)?;
         let now = Instant::now();
         let limit = self.idle_limit.at(now);
         // In the order in which they were given back.
-        let rested = here.partition_point(|i| now.duration_since(i.since) >= REST);
+        let rested = here.partition_point(|i| now.duration_since(i.since) >= REUSE_DELAY);
         let newest_first = (0..rested).rev().map(|at| here.remove(at));
         newest_first
-            .map(|i| (i.link, now.duration_since(i.since)))
+            .map(|i| (i.connection, now.duration_since(i.since)))
             .find(|(link, idle)| *idle < limit && link.clean())
     }
 
-    async fn connect(&self, peer: &Peer, account: &Account) -> io::Result<Link> {
-        let (begun, within) = (Instant::now(), account.connecting(self.connect_timeout));
-        let link = Link::open(peer.addr, within, Some(self.open.clone())).await?;
+    async fn connect(&self, peer: &ServerProcess, account: &RequestBudget) -> io::Result<Connection> {
+        let (begun, within) = (Instant::now(), account.on_connecting(self.connect_timeout));
+        let link = Connection::open(peer.addr, within, Some(self.open.clone())).await?;
         let (mean, took) = (self.connect_time.get(), begun.elapsed());
         self.connect_time.set(mean.mul_f64(1.0 - CONNECT_WEIGHT) + took.mul_f64(CONNECT_WEIGHT));
         Ok(link)
     }
 
-    fn give_back(&self, peer: Peer, link: Link) {
-        if !link.is_closed() && self.runs(&peer) {
+    fn put_back(&self, peer: ServerProcess, link: Connection) {
+        if !link.is_closed() && self.is_current(&peer) {
             let since = Instant::now();
-            self.idle.borrow_mut().entry(peer).or_default().push(Idle { link, since });
+            self.idle.borrow_mut().entry(peer).or_default().push(IdleConnection { connection: link, since });
         }
     }
 
@@ -371,14 +371,14 @@
     /// called with a long answer when it begins.
     pub async fn attempt(
         &self,
-        peer: Peer,
-        order: &Order,
+        peer: ServerProcess,
+        order: &UpstreamRequest,
         until: Option<Time>,
         begin_by: Option<Time>,
-        begun: impl Fn(Served),
-    ) -> Ending {
+        begun: impl Fn(ServedResponse),
+    ) -> AttemptEnd {
         // Passed on already: there is nothing left to send.
-        let Some(body) = Outgoing::of(&order.body) else { return Status::Moot.into() };
+        let Some(body) = Outgoing::of(&order.body) else { return Status::NotSent.into() };
         let mut request = Request::new(body);
         *request.method_mut() = order.method.clone();
         *request.uri_mut() = order.uri.clone();
@@ -387,13 +387,13 @@
             request.headers_mut().insert(HOST, host);
         }
         loop {
-            let (mut link, idle) = match self.idle(&peer) {
+            let (mut link, idle) = match self.take_idle(&peer) {
                 Some((link, idle)) => (link, Some(idle)),
                 None => {
                     if self.open.get() >= self.budget.get() && !self.close_one_idle() {
                         // Want of descriptors here, and nothing that the server has done.
                         request.into_body().put_back();
-                        return Status::Moot.into();
+                        return Status::NotSent.into();
                     }
                     match self.connect(&peer, &order.account).await {
                         Ok(link) => (link, None),
@@ -407,49 +407,49 @@
             if link.ready().await {
                 if !self.may_begin(&peer, order, begin_by) {
                     request.into_body().put_back();
-                    self.give_back(peer, link);
-                    return Status::Moot.into();
+                    self.put_back(peer, link);
+                    return Status::NotSent.into();
                 }
                 // A connection comes up with one way there and one back.
-                let back = (self.connect_time.get() / 2).min(BACK_MOST);
-                let Some(left) = order.account.sending(until, back) else {
+                let back = (self.connect_time.get() / 2).min(MAX_RESPONSE_MARGIN);
+                let Some(left) = order.account.on_sending(until, back) else {
                     request.into_body().put_back();
-                    self.give_back(peer, link);
-                    return Status::Moot.into();
+                    self.put_back(peer, link);
+                    return Status::NotSent.into();
                 };
                 if let Ok(left) = HeaderValue::from_str(&format!("{:.3}", left.as_secs_f64())) {
                     request.headers_mut().insert(EXPIRES_IN, left);
                 }
-                if let Some((books, firm)) = self.books.as_ref().zip(order.writes) {
+                if let Some((books, firm)) = self.shard_routing.as_ref().zip(order.writes) {
                     let Some(epoch) = books.epoch(firm, peer.server) else {
-                        order.account.unsent();
+                        order.account.on_not_sent();
                         request.into_body().put_back();
-                        self.give_back(peer, link);
-                        return turned_away(books, firm, order).await;
+                        self.put_back(peer, link);
+                        return rejected_by_cell(books, firm, order).await;
                     };
                     request.headers_mut().insert(EPOCH, epoch);
                 }
                 let written = Instant::now();
-                let _unanswered = Unanswered { upstream: self, peer, begun: written };
+                let _unanswered = PendingResponse { upstream: self, peer, begun: written };
                 let sent = link.try_send(request).await;
-                self.heard_of(peer);
+                self.on_heard(peer);
                 match sent {
                     Ok(answer) => {
-                        let due = |books: &Rc<Books>| books.due(answer.headers());
-                        let books = self.books.as_ref().filter(|_| order.writes.is_some());
+                        let due = |books: &Rc<ShardRouting>| books.epoch_due(answer.headers());
+                        let books = self.shard_routing.as_ref().filter(|_| order.writes.is_some());
                         let elsewhere = books.and_then(due).is_some();
-                        let ending = self.read(peer, link, order, answer, begun).await;
+                        let ending = self.read_response(peer, link, order, answer, begun).await;
                         return match (books, order.writes) {
                             // It never ran, and says nothing of the server.
-                            (Some(books), Some(firm)) if elsewhere && ending.status == Status::Full => {
-                                turned_away(books, firm, order).await
+                            (Some(books), Some(firm)) if elsewhere && ending.status == Status::Rejected => {
+                                rejected_by_cell(books, firm, order).await
                             }
                             _ => ending,
                         };
                     }
                     Err(mut e) => match e.take_message() {
                         Some(unsent) => {
-                            order.account.unsent();
+                            order.account.on_not_sent();
                             request = unsent;
                         }
                         // The last byte was not written, so it never ran.
@@ -474,22 +474,22 @@
         }
     }
 
-    async fn read(
+    async fn read_response(
         &self,
-        peer: Peer,
-        link: Link,
-        order: &Order,
+        peer: ServerProcess,
+        link: Connection,
+        order: &UpstreamRequest,
         answer: Response<Incoming>,
-        begun: impl Fn(Served),
-    ) -> Ending {
+        begun: impl Fn(ServedResponse),
+    ) -> AttemptEnd {
         let (head, mut body) = answer.into_parts();
-        let never_ran = head.headers.get(NEVER_RAN).is_some_and(|mark| mark == "1");
+        let never_ran = head.headers.get(NOT_EXECUTED).is_some_and(|mark| mark == "1");
         let status = match head.status {
             StatusCode::OK => Status::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Status::Full,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Status::Rejected,
             _ => Status::Error,
         };
-        let mut ending = Ending {
+        let mut ending = AttemptEnd {
             metered: self.readable(0, "meter", &head.headers, METER, percent),
             report: self.readable(1, "load report", &head.headers, LOAD, load).unwrap_or_default(),
             ..status.into()
@@ -501,35 +501,36 @@
         }
         // One that only the end of its connection ends may have been cut anywhere, unless that end was announced.
         let length = body.size_hint().exact();
-        let bounded =
-            length.is_some() || head.headers.contains_key(TRANSFER_ENCODING) || closes(&head.headers);
+        let bounded = length.is_some()
+            || head.headers.contains_key(TRANSFER_ENCODING)
+            || closes_connection(&head.headers);
         let read = match length {
-            Some(length) if length > MAX_BODY as u64 => Read::Spoilt,
+            Some(length) if length > MAX_BODY as u64 => BodyStart::Broken,
             _ if bounded => read_short(&mut body, &order.account).await,
-            _ => Read::Spoilt,
+            _ => BodyStart::Broken,
         };
         let content_type = head.headers.get(CONTENT_TYPE).cloned();
         match read {
-            Read::Whole(whole) => {
+            BodyStart::Complete(whole) => {
                 if status == Status::Ok {
-                    ending.served = Some(Served { body: whole.into(), content_type });
+                    ending.served = Some(ServedResponse { body: whole.into(), content_type });
                 }
             }
-            Read::Part(come) if status == Status::Ok => {
-                let (pieces, words) = Words::flow(length);
-                begun(Served { body: words, content_type });
-                ending.status = pass_on(come, body, &pieces).await;
+            BodyStart::Partial(come) if status == Status::Ok => {
+                let (pieces, words) = ResponseBody::flow(length);
+                begun(ServedResponse { body: words, content_type });
+                ending.status = forward(come, body, &pieces).await;
                 if ending.status == Status::Reset {
-                    order.account.broke_off();
+                    order.account.on_broken();
                 }
-                self.heard_of(peer);
+                self.on_heard(peer);
             }
             // Also a refusal that is spoilt or too long: its mark proves nothing then.
-            Read::Part(_) | Read::Spoilt => ending.status = Status::Reset,
+            BodyStart::Partial(_) | BodyStart::Broken => ending.status = Status::Reset,
         }
         // With a part of the request unsent, what is sent next would be taken for the rest.
-        if matches!(ending.status, Status::Ok | Status::Full) && order.passed() == Passed::All {
-            self.give_back(peer, link);
+        if matches!(ending.status, Status::Ok | Status::Rejected) && order.passed() == Passed::All {
+            self.put_back(peer, link);
         }
         ending
     }
@@ -554,13 +555,13 @@
 
 /// An attempt that was not written, or turned away, as its book is not open there: it ends once it is known where it is, or that it
 /// will be nowhere soon.
-async fn turned_away(books: &Books, firm: u64, order: &Order) -> Ending {
-    let moved = books.moved(firm, order.account.bound(NEWER_MOST)).await;
-    Ending { moved, ..Status::Moot.into() }
+async fn rejected_by_cell(books: &ShardRouting, firm: u64, order: &UpstreamRequest) -> AttemptEnd {
+    let moved = books.wait_for_move(firm, order.account.limit_wait(MAX_MAP_UPDATE_WAIT)).await;
+    AttemptEnd { moved, ..Status::NotSent.into() }
 }
 
 /// Whether the end of an answer's connection is the answer's end, as it says.
-fn closes(headers: &HeaderMap) -> bool {
+fn closes_connection(headers: &HeaderMap) -> bool {
     let close = |value: &HeaderValue| {
         value.to_str().is_ok_and(|text| text.split(',').any(|word| word.trim().eq_ignore_ascii_case("close")))
     };
@@ -568,16 +569,16 @@
 }
 
 /// Passes a long answer on; how it ended.
-async fn pass_on(come: Bytes, mut body: Incoming, pieces: &Sender<Piece>) -> Status {
+async fn forward(come: Bytes, mut body: Incoming, pieces: &Sender<Chunk>) -> Status {
     let mut next = Some(come).filter(|come| !come.is_empty());
     loop {
         if let Some(data) = next.take() {
-            if pieces.send(Piece::Data(data)).await.is_err() {
+            if pieces.send(Chunk::Data(data)).await.is_err() {
                 return Status::Cancelled;
             }
         }
         tokio::select! {
-            read = timeout(LONG_PAUSE, more(&mut body)) => match read {
+            read = timeout(STREAM_TIMEOUT, more(&mut body)) => match read {
                 Ok(Ok(Some(data))) => next = Some(data),
                 Ok(Ok(None)) => break,
                 // The sender goes, and the client sees that it is cut off.
@@ -587,12 +588,12 @@
         }
     }
     // A client that has had the length that it was told does not wait for the end.
-    drop(pieces.send(Piece::End).await);
+    drop(pieces.send(Chunk::End).await);
     Status::Ok
 }
 
 fn percent(text: &str) -> Option<f64> {
-    text.trim().parse().ok().filter(|used| (0.0..=METER_MOST).contains(used)).map(|used| used / 100.0)
+    text.trim().parse().ok().filter(|used| (0.0..=MAX_METER).contains(used)).map(|used| used / 100.0)
 }
 
 /// All fields of a report must be readable: what spoilt one may have spoilt the others.
@@ -602,8 +603,8 @@
         let (name, value) = pair.split_once('=')?;
         let value: f64 = value.trim().parse().ok()?;
         let (field, most) = match name.trim() {
-            "queue" => (&mut report.queue, QUEUE_MOST),
-            "util" => (&mut report.utilization, UTIL_MOST),
+            "queue" => (&mut report.queue, MAX_REPORTED_QUEUE),
+            "util" => (&mut report.utilization, MAX_REPORTED_UTILIZATION),
             _ if value.is_finite() => continue,
             _ => return None,
         };
--- a/quota-gateway/shard-map/src/fence.rs
+++ b/quota-gateway/shard-map/src/fencing.rs
@@ -17,26 +17,26 @@
 
 /// A cell's account of all firms; those that it was never told of are at epoch 0 and shut.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Fence {
+pub struct EpochFence {
     ranges: Vec<Range>,
 }
 
 /// Ranges that a cell keeps account of; neighbours that are alike are one.
-pub const RANGES_MOST: usize = 4096;
+pub const MAX_RANGES: usize = 4096;
 
-impl Default for Fence {
-    fn default() -> Fence {
-        Fence { ranges: vec![Range { first: 0, epoch: 0, open: false }] }
+impl Default for EpochFence {
+    fn default() -> EpochFence {
+        EpochFence { ranges: vec![Range { first: 0, epoch: 0, open: false }] }
     }
 }
 
-impl Fence {
+impl EpochFence {
     fn at(&self, firm: Firm) -> usize {
         self.ranges.partition_point(|range| range.first <= firm).saturating_sub(1)
     }
 
     /// Cuts a range in two where a firm begins one.
-    fn cut(&mut self, firm: Firm) {
+    fn split_at(&mut self, firm: Firm) {
         if firm >= FIRM_END {
             return;
         }
@@ -49,7 +49,7 @@
     /// From now on firms from `first` up to `end` are at this epoch, open or shut. False, and nothing is changed, where any of
     /// them is at a higher one, or at the same and shut: an old owner that woke late opens nothing.
     pub fn set(&mut self, (first, end): (Firm, Firm), epoch: Epoch, open: bool) -> bool {
-        if first >= end || end > FIRM_END || epoch == 0 || self.ranges.len() + 2 > RANGES_MOST {
+        if first >= end || end > FIRM_END || epoch == 0 || self.ranges.len() + 2 > MAX_RANGES {
             return false;
         }
         let touched = self.ranges.iter().enumerate().filter(|(at, range)| {
@@ -60,8 +60,8 @@
         if touched.clone().any(|(_, range)| newer(range)) {
             return false;
         }
-        self.cut(first);
-        self.cut(end);
+        self.split_at(first);
+        self.split_at(end);
         for range in self.ranges.iter_mut().filter(|range| (first..end).contains(&range.first)) {
             (range.epoch, range.open) = (epoch, open);
         }
--- a/quota-gateway/shard-map/src/lib.rs
+++ b/quota-gateway/shard-map/src/lib.rs
@@ -11,7 +11,7 @@
 #![forbid(unsafe_code)]
 
 pub mod cell;
-pub mod fence;
+pub mod fencing;
 pub mod map;
 pub mod moves;
 pub mod owner;
--- a/quota-gateway/shard-map/src/map.rs
+++ b/quota-gateway/shard-map/src/map.rs
@@ -13,11 +13,11 @@
 
 /// Firms are numbers under this.
 pub const FIRM_END: Firm = 1 << 33;
-pub const BOOKS_MOST: usize = 1024;
+pub const MAX_SHARDS: usize = 1024;
 
 /// How far a move has come. Each step is written down before it is acted on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Step {
+pub enum MigrationStep {
     /// Decided; nothing is different yet.
     Planned,
     /// The epoch is raised: nobody may write, and the old cell turns lower epochs away, or gateways are waited for.
@@ -29,40 +29,41 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Move {
+pub struct Migration {
     pub to: Cell,
-    pub step: Step,
+    pub step: MigrationStep,
 }
 
 /// A range of firms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Book {
+pub struct Shard {
     /// The first firm; the range ends before the next book's first.
     pub first: Firm,
     pub cell: Cell,
     pub epoch: Epoch,
-    pub moving: Option<Move>,
+    pub migration: Option<Migration>,
 }
 
-impl Book {
+impl Shard {
     /// Whether pay runs may be written now.
     pub fn open(&self) -> bool {
-        self.moving.is_none_or(|moving| moving.step == Step::Planned)
+        self.migration.is_none_or(|moving| moving.step == MigrationStep::Planned)
     }
 }
 
 /// All books, in the order of their firms; they have neither gap nor overlap, as each begins where the one before ends.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct BookMap {
-    pub books: Vec<Book>,
+pub struct ShardMap {
+    pub shards: Vec<Shard>,
 }
 
-impl BookMap {
+impl ShardMap {
     /// So many books of the same width, dealt out over cells.
-    pub fn even(count: usize, cells: &[Cell]) -> BookMap {
+    pub fn even(count: usize, cells: &[Cell]) -> ShardMap {
         let first = |i: usize| FIRM_END / count.max(1) as u64 * i as u64;
-        let book = |i: usize| Book { first: first(i), cell: cells[i % cells.len()], epoch: 1, moving: None };
-        BookMap { books: if cells.is_empty() { Vec::new() } else { (0..count).map(book).collect() } }
+        let book =
+            |i: usize| Shard { first: first(i), cell: cells[i % cells.len()], epoch: 1, migration: None };
+        ShardMap { shards: if cells.is_empty() { Vec::new() } else { (0..count).map(book).collect() } }
     }
 
     /// The book that a firm is in.
@@ -70,26 +71,26 @@
         if firm >= FIRM_END {
             return None;
         }
-        self.books.partition_point(|book| book.first <= firm).checked_sub(1)
+        self.shards.partition_point(|book| book.first <= firm).checked_sub(1)
     }
 
     /// Where a book ends: its first firm that is not in it.
     pub fn end(&self, at: usize) -> Firm {
-        self.books.get(at + 1).map_or(FIRM_END, |next| next.first)
+        self.shards.get(at + 1).map_or(FIRM_END, |next| next.first)
     }
 }
 
-impl Body for BookMap {
+impl Body for ShardMap {
     const KIND: Kind = Kind::Books;
 
     fn sensible(&self) -> bool {
-        (1..=BOOKS_MOST).contains(&self.books.len())
-            && self.books[0].first == 0
-            && self.books.windows(2).all(|two| two[0].first < two[1].first)
-            && self.books.iter().all(|book| {
+        (1..=MAX_SHARDS).contains(&self.shards.len())
+            && self.shards[0].first == 0
+            && self.shards.windows(2).all(|two| two[0].first < two[1].first)
+            && self.shards.iter().all(|book| {
                 // Back to the own cell is the last step of a move that was abandoned.
-                let way = |moving: Move| moving.to != book.cell || moving.step == Step::Copied;
-                book.first < FIRM_END && book.epoch > 0 && book.moving.is_none_or(way)
+                let way = |moving: Migration| moving.to != book.cell || moving.step == MigrationStep::Copied;
+                book.first < FIRM_END && book.epoch > 0 && book.migration.is_none_or(way)
             })
     }
 }
--- a/quota-gateway/shard-map/src/owner.rs
+++ b/quota-gateway/shard-map/src/owner.rs
@@ -1,7 +1,7 @@
 //! The owner of the books: plans moves, leads each through its steps, and waits for what each needs.
 
-use crate::map::{Book, BookMap, Cell, Epoch, Firm, Step};
-use crate::moves::{asks, Ask, Refused};
+use crate::map::{Cell, Epoch, Firm, MigrationStep, Shard, ShardMap};
+use crate::moves::{cell_operation, CellOperation, MigrationError};
 use crate::plan::{under_way, wishes, CellSeen, Limits};
 use marblecroft_control_messages::published::Stamp;
 use std::collections::{BTreeMap, BTreeSet};
@@ -38,7 +38,7 @@
 
 /// A raised epoch that gateways are told of.
 #[derive(Clone, Debug)]
-struct Told {
+struct SentOperation {
     /// Under which stamp and when it was published first.
     stamp: Stamp,
     at: Now,
@@ -47,7 +47,7 @@
 }
 
 pub struct Owner {
-    map: BookMap,
+    map: ShardMap,
     waits: Waits,
     limits: Limits,
     cells: BTreeMap<Cell, CellSeen>,
@@ -55,10 +55,10 @@
     /// Since when each book has stood where it is, and since when each move is in its step; both by first firm, as books may be
     /// cut and joined.
     still: BTreeMap<Firm, Now>,
-    in_step: BTreeMap<Firm, (Step, Now)>,
+    in_step: BTreeMap<Firm, (MigrationStep, Now)>,
     /// What each gateway last said to go by.
     gateways: BTreeMap<u32, Stamp>,
-    told: BTreeMap<(Firm, Epoch), Told>,
+    sent_operations: BTreeMap<(Firm, Epoch), SentOperation>,
     begun: Now,
     changed: bool,
     /// Books that stand, by epoch, whose cells have said to this owner that they are open there. A cell that was begun anew knows
@@ -69,20 +69,20 @@
 }
 
 /// Cells that are asked at once to open what stands there.
-const OPENS_MOST: usize = 64;
+const MAX_CONCURRENT_OPENS: usize = 64;
 
 /// The most gateways that are kept account of.
-pub const GATEWAYS_MOST: usize = 4096;
+pub const MAX_GATEWAYS: usize = 4096;
 
 impl Owner {
     /// An owner begins with the map that stands. Its own times begin now: a move whose step began under another owner is waited
     /// for as long as if it had begun now.
-    pub fn begin(now: Now, map: BookMap, waits: Waits, limits: Limits) -> Owner {
-        let still = map.books.iter().map(|book| (book.first, now)).collect();
+    pub fn begin(now: Now, map: ShardMap, waits: Waits, limits: Limits) -> Owner {
+        let still = map.shards.iter().map(|book| (book.first, now)).collect();
         let in_step =
-            map.books.iter().filter_map(|book| Some((book.first, (book.moving?.step, now)))).collect();
+            map.shards.iter().filter_map(|book| Some((book.first, (book.migration?.step, now)))).collect();
         Owner {
-            load: vec![0.0; map.books.len()],
+            load: vec![0.0; map.shards.len()],
             map,
             waits,
             limits,
@@ -90,7 +90,7 @@
             still,
             in_step,
             gateways: BTreeMap::new(),
-            told: BTreeMap::new(),
+            sent_operations: BTreeMap::new(),
             begun: now,
             changed: true,
             open: BTreeSet::new(),
@@ -98,7 +98,7 @@
         }
     }
 
-    pub fn map(&self) -> &BookMap {
+    pub fn map(&self) -> &ShardMap {
         &self.map
     }
 
@@ -114,33 +114,33 @@
 
     /// A gateway says which map it goes by.
     pub fn goes_by(&mut self, now: Now, gateway: u32, stamp: Stamp) {
-        if self.gateways.len() < GATEWAYS_MOST || self.gateways.contains_key(&gateway) {
+        if self.gateways.len() < MAX_GATEWAYS || self.gateways.contains_key(&gateway) {
             self.gateways.insert(gateway, stamp);
-            for told in self.told.values_mut().filter(|told| stamp >= told.stamp) {
+            for told in self.sent_operations.values_mut().filter(|told| stamp >= told.stamp) {
                 told.said.entry(gateway).or_insert(now);
             }
         }
     }
 
     /// An operator's word.
-    pub fn order(&mut self, now: Now, firm: Firm, to: Cell) -> Result<(), Refused> {
-        let at = self.map.find(firm).ok_or(Refused::NoBook)?;
+    pub fn on_operator_command(&mut self, now: Now, firm: Firm, to: Cell) -> Result<(), MigrationError> {
+        let at = self.map.find(firm).ok_or(MigrationError::NoSuchShard)?;
         self.map.plan(at, to)?;
         self.step_begun(now, at);
         Ok(())
     }
 
     /// An operator's word, or a target that is lost: back, as far as there is a way back.
-    pub fn abandon(&mut self, now: Now, firm: Firm) -> Result<(), Refused> {
-        let at = self.map.find(firm).ok_or(Refused::NoBook)?;
+    pub fn abandon(&mut self, now: Now, firm: Firm) -> Result<(), MigrationError> {
+        let at = self.map.find(firm).ok_or(MigrationError::NoSuchShard)?;
         self.map.abandon(at)?;
         self.step_begun(now, at);
         Ok(())
     }
 
     fn step_begun(&mut self, now: Now, at: usize) {
-        let book = self.map.books[at];
-        match book.moving {
+        let book = self.map.shards[at];
+        match book.migration {
             Some(moving) => self.in_step.insert(book.first, (moving.step, now)),
             None => {
                 self.still.insert(book.first, now);
@@ -154,8 +154,8 @@
     pub fn answered(&mut self, now: Now, answer: Answer) {
         let (Answer::Shut(first, epoch) | Answer::Copied(first, epoch) | Answer::Opened(first, epoch)) =
             answer;
-        let Some(at) = self.map.find(first).filter(|&at| self.map.books[at].first == first) else { return };
-        let book = self.map.books[at];
+        let Some(at) = self.map.find(first).filter(|&at| self.map.shards[at].first == first) else { return };
+        let book = self.map.shards[at];
         if let Answer::Opened(first, epoch) = answer {
             if book.open() && book.epoch == epoch {
                 self.open.insert((first, epoch));
@@ -164,7 +164,7 @@
         }
         let done = match answer {
             Answer::Shut(..) if self.waits.fencing => self.map.drained(at, epoch),
-            Answer::Shut(..) => Err(Refused::NotSo),
+            Answer::Shut(..) => Err(MigrationError::NotSo),
             Answer::Copied(..) => self.map.copied(at, epoch),
             Answer::Opened(..) => self.map.serve(at, epoch),
         };
@@ -175,18 +175,20 @@
     }
 
     /// The map was published under this stamp: from now on readers may go by it.
-    pub fn published(&mut self, now: Now, stamp: Stamp, map: &BookMap) {
-        for book in map.books.iter().filter(|book| book.moving.is_some_and(|m| m.step == Step::Fencing)) {
-            let told = || Told { stamp, at: now, said: BTreeMap::new() };
-            self.told.entry((book.first, book.epoch)).or_insert_with(told);
+    pub fn published(&mut self, now: Now, stamp: Stamp, map: &ShardMap) {
+        for book in
+            map.shards.iter().filter(|book| book.migration.is_some_and(|m| m.step == MigrationStep::Fencing))
+        {
+            let told = || SentOperation { stamp, at: now, said: BTreeMap::new() };
+            self.sent_operations.entry((book.first, book.epoch)).or_insert_with(told);
         }
-        let epochs: BTreeMap<Firm, Epoch> = map.books.iter().map(|book| (book.first, book.epoch)).collect();
-        self.told.retain(|(first, epoch), _| epochs.get(first).is_some_and(|now| now <= epoch));
+        let epochs: BTreeMap<Firm, Epoch> = map.shards.iter().map(|book| (book.first, book.epoch)).collect();
+        self.sent_operations.retain(|(first, epoch), _| epochs.get(first).is_some_and(|now| now <= epoch));
     }
 
     /// Without fences: whether nobody can write under the old epoch any more.
-    fn waited_out(&self, now: Now, first: Firm, epoch: Epoch) -> bool {
-        let Some(told) = self.told.get(&(first, epoch)) else { return false };
+    fn old_epoch_expired(&self, now: Now, first: Firm, epoch: Epoch) -> bool {
+        let Some(told) = self.sent_operations.get(&(first, epoch)) else { return false };
         let lapsed = told.at + self.waits.valid.mul_f64(1.0 + DRIFT);
         // Those that go by it need not be waited for, but for what they sent before they did; one that is not known may hold an
         // older map until it lapses.
@@ -198,66 +200,69 @@
 
     /// One moment: what has come of waiting, what may begin, what is wished for. What is to be asked of cells; and whether the
     /// map is to be published.
-    pub fn tick(&mut self, now: Now) -> (Vec<Ask>, bool) {
-        for at in 0..self.map.books.len() {
+    pub fn tick(&mut self, now: Now) -> (Vec<CellOperation>, bool) {
+        for at in 0..self.map.shards.len() {
             self.go_on(now, at);
         }
         let rested: Vec<Duration> = self
             .map
-            .books
+            .shards
             .iter()
             .map(|book| now.saturating_sub(self.still.get(&book.first).copied().unwrap_or(self.begun)))
             .collect();
         for wish in wishes(&self.map, &self.cells, &self.load, &rested, &self.limits) {
-            if self.map.plan(wish.book, wish.to).is_ok() {
-                self.step_begun(now, wish.book);
+            if self.map.plan(wish.shard, wish.to).is_ok() {
+                self.step_begun(now, wish.shard);
             }
         }
         let fencing = self.waits.fencing;
-        let stands = self.map.books.iter().filter(|book| book.open());
+        let stands = self.map.shards.iter().filter(|book| book.open());
         let standing: BTreeSet<(Firm, Epoch)> = stands.map(|book| (book.first, book.epoch)).collect();
         self.open.retain(|book| standing.contains(book));
         let unopened = |at: &usize| {
-            let book = &self.map.books[*at];
+            let book = &self.map.shards[*at];
             fencing && book.open() && !self.open.contains(&(book.first, book.epoch))
         };
-        let opens = (0..self.map.books.len()).filter(unopened).take(OPENS_MOST).map(|at| {
-            let Book { first, cell, epoch, .. } = self.map.books[at];
-            Ask::Open { cell, range: (first, self.map.end(at)), epoch }
+        let opens = (0..self.map.shards.len()).filter(unopened).take(MAX_CONCURRENT_OPENS).map(|at| {
+            let Shard { first, cell, epoch, .. } = self.map.shards[at];
+            CellOperation::Open { cell, range: (first, self.map.end(at)), epoch }
         });
-        let asks = (0..self.map.books.len()).filter_map(|at| asks(&self.map, at, fencing)).chain(opens);
+        let asks =
+            (0..self.map.shards.len()).filter_map(|at| cell_operation(&self.map, at, fencing)).chain(opens);
         (asks.collect(), std::mem::take(&mut self.changed))
     }
 
     fn go_on(&mut self, now: Now, at: usize) {
-        let book = self.map.books[at];
-        let Some(moving) = book.moving else { return };
+        let book = self.map.shards[at];
+        let Some(moving) = book.migration else { return };
         let since = self.in_step.get(&book.first).map_or(now, |(_, since)| *since);
         let slow = now.saturating_sub(since) > self.waits.patience;
         let target = self.cells.get(&moving.to);
         let target_lost = target.is_some_and(|cell| !cell.takes || cell.leave) && moving.to != book.cell;
         let done = match moving.step {
             // Into a zone that has been lost since: not at all, or back.
-            Step::Planned if target_lost => self.map.abandon(at),
-            Step::Planned if under_way(&self.map) < self.limits.at_once => self.map.fence(at),
-            Step::Fencing if target_lost => self.map.abandon(at),
-            Step::Fencing if !self.waits.fencing && self.waited_out(now, book.first, book.epoch) => {
+            MigrationStep::Planned if target_lost => self.map.abandon(at),
+            MigrationStep::Planned if under_way(&self.map) < self.limits.at_once => self.map.raise_epoch(at),
+            MigrationStep::Fencing if target_lost => self.map.abandon(at),
+            MigrationStep::Fencing
+                if !self.waits.fencing && self.old_epoch_expired(now, book.first, book.epoch) =>
+            {
                 self.map.drained(at, book.epoch)
             }
-            Step::Drained if target_lost || slow => {
+            MigrationStep::Drained if target_lost || slow => {
                 // The old cell may be what is slow: back to it helps only while it takes writes.
                 let old_takes = self.cells.get(&book.cell).is_none_or(|cell| cell.takes);
                 if old_takes {
                     self.map.abandon(at)
                 } else {
-                    Err(Refused::NotSo)
+                    Err(MigrationError::NotSo)
                 }
             }
-            Step::Copied if !self.waits.fencing => {
+            MigrationStep::Copied if !self.waits.fencing => {
                 self.moves += 1;
                 self.map.serve(at, book.epoch)
             }
-            _ => Err(Refused::NotSo),
+            _ => Err(MigrationError::NotSo),
         };
         if done.is_ok() {
             self.step_begun(now, at);
--- a/quota-gateway/shard-map/src/plan.rs
+++ b/quota-gateway/shard-map/src/plan.rs
@@ -1,7 +1,7 @@
 //! What moves where: away from cells that are lost, drained or full, to the nearest that has room; bounded in moves at once, in
 //! distance and in flapping; never into a zone that is out or about to be.
 
-use crate::map::{BookMap, Cell, Step};
+use crate::map::{Cell, MigrationStep, ShardMap};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -38,8 +38,8 @@
 
 /// One move, as it is wished for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wish {
-    pub book: usize,
+pub struct PlannedMigration {
+    pub shard: usize,
     pub to: Cell,
 }
 
@@ -53,32 +53,36 @@
 }
 
 /// Books that move now, by how many there are in each step but `planned`.
-pub fn under_way(map: &BookMap) -> usize {
-    map.books.iter().filter(|book| book.moving.is_some_and(|moving| moving.step > Step::Planned)).count()
+pub fn under_way(map: &ShardMap) -> usize {
+    map.shards
+        .iter()
+        .filter(|book| book.migration.is_some_and(|moving| moving.step > MigrationStep::Planned))
+        .count()
 }
 
 /// Moves that are worth planning, most pressing first. `load`: units a second written in each book; `rested`: for how long each
 /// has stood where it is.
 pub fn wishes(
-    map: &BookMap,
+    map: &ShardMap,
     cells: &BTreeMap<Cell, CellSeen>,
     load: &[f64],
     rested: &[Duration],
     limits: &Limits,
-) -> Vec<Wish> {
+) -> Vec<PlannedMigration> {
     let mut cells = cells.clone();
     // What is on its way counts where it will be.
-    for (at, book) in map.books.iter().enumerate() {
-        if let Some(cell) = book.moving.and_then(|moving| cells.get_mut(&moving.to)) {
+    for (at, book) in map.shards.iter().enumerate() {
+        if let Some(cell) = book.migration.and_then(|moving| cells.get_mut(&moving.to)) {
             cell.load += load.get(at).copied().unwrap_or(0.0);
         }
     }
     let mut wishes = Vec::new();
-    let mut planned = map.books.iter().filter(|book| book.moving.is_some()).count();
+    let mut planned = map.shards.iter().filter(|book| book.migration.is_some()).count();
     // Those of cells that are to be left first, and within them the most written.
-    let mut order: Vec<usize> = (0..map.books.len()).filter(|&at| map.books[at].moving.is_none()).collect();
+    let mut order: Vec<usize> =
+        (0..map.shards.len()).filter(|&at| map.shards[at].migration.is_none()).collect();
     let leaves =
-        |at: usize, cells: &BTreeMap<Cell, CellSeen>| cells.get(&map.books[at].cell).is_none_or(|c| c.leave);
+        |at: usize, cells: &BTreeMap<Cell, CellSeen>| cells.get(&map.shards[at].cell).is_none_or(|c| c.leave);
     let units = |at: usize| load.get(at).copied().unwrap_or(0.0);
     order.sort_by(|&a, &b| {
         leaves(b, &cells).cmp(&leaves(a, &cells)).then(units(b).total_cmp(&units(a))).then(a.cmp(&b))
@@ -88,7 +92,7 @@
         if planned >= 2 * limits.at_once {
             break;
         }
-        let Some(from) = cells.get(&map.books[at].cell).cloned() else { continue };
+        let Some(from) = cells.get(&map.shards[at].cell).cloned() else { continue };
         let rests = rested.get(at).is_some_and(|rested| *rested < limits.rest);
         let crowded = from.load > limits.full.0 * from.bears;
         if !(from.leave || crowded && !rests) {
@@ -98,7 +102,7 @@
         let best = cells
             .iter()
             .filter(|(number, cell)| {
-                **number != map.books[at].cell && cell.takes && !cell.leave && room(cell)
+                **number != map.shards[at].cell && cell.takes && !cell.leave && room(cell)
             })
             .min_by(|(a, x), (b, y)| {
                 let part = |cell: &CellSeen| cell.load / cell.bears.max(1e-9);
@@ -107,9 +111,9 @@
             .map(|(number, _)| *number);
         let Some(to) = best else { continue };
         cells.entry(to).and_modify(|cell| cell.load += units(at));
-        cells.entry(map.books[at].cell).and_modify(|cell| cell.load -= units(at));
+        cells.entry(map.shards[at].cell).and_modify(|cell| cell.load -= units(at));
         planned += 1;
-        wishes.push(Wish { book: at, to });
+        wishes.push(PlannedMigration { shard: at, to });
     }
     wishes
 }
--- a/quota-gateway/shard-map/src/ticket.rs
+++ b/quota-gateway/shard-map/src/ticket.rs
@@ -1,6 +1,6 @@
 //! A gateway's side: whether and where a pay run may be written, asked at the last moment before the write.
 
-use crate::map::{BookMap, Cell, Epoch, Firm};
+use crate::map::{Cell, Epoch, Firm, ShardMap};
 use marblecroft_control_messages::published::{Instant, Reader, Standing};
 use std::time::Duration;
 
@@ -40,11 +40,11 @@
 
 impl Ticket {
     /// A ticket for a firm, if the map is valid now and its book is open.
-    pub fn ask(now: Instant, reader: &Reader<BookMap>, firm: Firm) -> Result<Ticket, NotNow> {
+    pub fn acquire(now: Instant, reader: &Reader<ShardMap>, firm: Firm) -> Result<Ticket, NotNow> {
         let Standing::Valid(decision) = reader.standing(now) else { return Err(NotNow::Alone) };
         let until = reader.until().unwrap_or(now).min(now + TICKET);
         let at = decision.body.find(firm).ok_or(NotNow::Unknown)?;
-        let book = decision.body.books[at];
+        let book = decision.body.shards[at];
         if !book.open() {
             return Err(NotNow::Moving);
         }
--- a/quota-gateway/shard-map/tests/conformance.rs
+++ b/quota-gateway/shard-map/tests/conformance.rs
@@ -2,9 +2,9 @@
 //! tickets, what moves where.
 
 use marblecroft_control_messages::published::{Decision, Reader, Stamp};
-use marblecroft_shard_map::cell::{Asked, Keeper, Needs, Said};
-use marblecroft_shard_map::map::{BookMap, Step};
-use marblecroft_shard_map::moves::Ask;
+use marblecroft_shard_map::cell::{CellReply, CellRequest, CellState, Needs};
+use marblecroft_shard_map::map::{MigrationStep, ShardMap};
+use marblecroft_shard_map::moves::CellOperation;
 use marblecroft_shard_map::plan::{wishes, CellSeen, Limits};
 use marblecroft_shard_map::ticket::{NotNow, Ticket};
 use marblecroft_test_support::conformance::{hold, Played};
@@ -52,12 +52,12 @@
 }
 
 fn moved(steps: &[(String, String)]) -> Result<(), String> {
-    let mut map = BookMap::even(2, &[0, 1]);
+    let mut map = ShardMap::even(2, &[0, 1]);
     for (what, wanted) in steps {
-        let epoch = map.books[0].epoch;
+        let epoch = map.shards[0].epoch;
         let done = match what.as_str() {
             "plan" => map.plan(0, 1),
-            "fence" => map.fence(0),
+            "fence" => map.raise_epoch(0),
             "drained" => map.drained(0, epoch),
             "drained late" => map.drained(0, epoch - 1),
             "copied" => map.copied(0, epoch),
@@ -66,9 +66,9 @@
             "split" => map.split(0, 5),
             other => return Err(format!("nothing is called {other}")),
         };
-        let book = map.books[0];
+        let book = map.shards[0];
         let step =
-            book.moving.map_or("stands".to_owned(), |moving| format!("{:?}", moving.step).to_lowercase());
+            book.migration.map_or("stands".to_owned(), |moving| format!("{:?}", moving.step).to_lowercase());
         let seen =
             if done.is_ok() { format!("{step} {} {}", book.cell, book.epoch) } else { "no".to_owned() };
         told(seen.as_str(), wanted).map_err(|e| format!("{what}: {e}"))?;
@@ -77,7 +77,7 @@
 }
 
 fn celled(steps: &[(String, String)]) -> Result<(), String> {
-    let mut keeper = Keeper::default();
+    let mut keeper = CellState::default();
     for (what, wanted) in steps {
         let words: Vec<&str> = what.split(' ').collect();
         let number = |i: usize| words[i].parse::<u64>().map_err(|e| format!("{what}: {e}"));
@@ -91,11 +91,11 @@
                 let range = (from.parse().map_err(|_| "a firm")?, end.parse().map_err(|_| "a firm")?);
                 let (epoch, token) = (number(2)?, number(3)?);
                 let ask = match word {
-                    "shut" => Ask::Shut { cell: 0, range, epoch },
-                    _ => Ask::Open { cell: 0, range, epoch },
+                    "shut" => CellOperation::Close { cell: 0, range, epoch },
+                    _ => CellOperation::Open { cell: 0, range, epoch },
                 };
-                match keeper.take(&Asked { token, ask }) {
-                    Needs::Nothing(Said::Done) => "done".to_owned(),
+                match keeper.take(&CellRequest { token, operation: ask }) {
+                    Needs::Nothing(CellReply::Done) => "done".to_owned(),
                     Needs::Nothing(said) => format!("{said:?}").to_lowercase(),
                     Needs::Quiet(_) => "once quiet".to_owned(),
                     Needs::Copy { .. } => "copy".to_owned(),
@@ -108,12 +108,12 @@
 }
 
 fn ticketed(at: u64, step: &str, says: &str) -> Result<(), String> {
-    let mut map = BookMap::even(1, &[4]);
+    let mut map = ShardMap::even(1, &[4]);
     let steps = ["planned", "fencing", "drained", "copied"];
     let upto = steps.iter().position(|name| *name == step).map_or(0, |step| step + 1);
-    let doing: [fn(&mut BookMap); 4] = [
+    let doing: [fn(&mut ShardMap); 4] = [
         |map| map.plan(0, 5).expect("it stands"),
-        |map| map.fence(0).expect("planned"),
+        |map| map.raise_epoch(0).expect("planned"),
         |map| map.drained(0, 2).expect("fencing"),
         |map| map.copied(0, 2).expect("drained"),
     ];
@@ -124,7 +124,7 @@
         reader.take(Duration::ZERO, Decision { stamp, valid_ms: 1000, body: map });
     }
     let now = Duration::from_millis(at);
-    let seen = match Ticket::ask(now, &reader, 7) {
+    let seen = match Ticket::acquire(now, &reader, 7) {
         Ok(ticket) => {
             let (cell, epoch) = ticket.write(now).ok_or("over at once")?;
             let until = (at..at + 2000).find(|ms| ticket.write(Duration::from_millis(*ms)).is_none());
@@ -143,8 +143,8 @@
     rested_s: u64,
     moves: &[(usize, u32)],
 ) -> Result<(), String> {
-    let mut map = BookMap::even(books.len(), &[0]);
-    map.books.iter_mut().zip(books).for_each(|(book, (cell, _))| book.cell = *cell);
+    let mut map = ShardMap::even(books.len(), &[0]);
+    map.shards.iter_mut().zip(books).for_each(|(book, (cell, _))| book.cell = *cell);
     let cells: BTreeMap<u32, CellSeen> = (0..)
         .zip(cells)
         .map(|(number, (place, how, load))| {
@@ -158,7 +158,7 @@
     let rested = vec![Duration::from_secs(rested_s); books.len()];
     let mut seen: Vec<(usize, u32)> = wishes(&map, &cells, &load, &rested, &Limits::default())
         .iter()
-        .map(|wish| (wish.book, wish.to))
+        .map(|wish| (wish.shard, wish.to))
         .collect();
     seen.sort_unstable();
     told(seen, moves.to_vec())
@@ -187,5 +187,9 @@
     });
     hold(&tables.clause, rows);
     // A book in the middle of its move is open to nobody.
-    assert!(Step::Planned < Step::Fencing && Step::Fencing < Step::Drained && Step::Drained < Step::Copied);
+    assert!(
+        MigrationStep::Planned < MigrationStep::Fencing
+            && MigrationStep::Fencing < MigrationStep::Drained
+            && MigrationStep::Drained < MigrationStep::Copied
+    );
 }
--- a/quota-gateway/shard-map/tests/fleet.rs
+++ b/quota-gateway/shard-map/tests/fleet.rs
@@ -2,9 +2,9 @@
 //! zones that are lost. `BOOKS_SEEDS` plays more of them.
 
 use marblecroft_control_messages::published::{Body, Decision, Reader, Stamp};
-use marblecroft_shard_map::fence::Fence;
-use marblecroft_shard_map::map::{Book, BookMap, Cell, Epoch, Firm, Step, FIRM_END};
-use marblecroft_shard_map::moves::Ask;
+use marblecroft_shard_map::fencing::EpochFence;
+use marblecroft_shard_map::map::{Cell, Epoch, Firm, MigrationStep, Shard, ShardMap, FIRM_END};
+use marblecroft_shard_map::moves::CellOperation;
 use marblecroft_shard_map::owner::{Answer, Owner, Waits};
 use marblecroft_shard_map::plan::{under_way, CellSeen, Limits};
 use marblecroft_shard_map::ticket::Ticket;
@@ -23,7 +23,7 @@
 
 #[derive(Default)]
 struct CellState {
-    fence: Fence,
+    fence: EpochFence,
     has: BTreeSet<(u64, Firm)>,
     lost: bool,
 }
@@ -36,14 +36,14 @@
     now: u64,
     fencing: bool,
     cells: BTreeMap<Cell, CellState>,
-    gateways: Vec<Reader<BookMap>>,
+    gateways: Vec<Reader<ShardMap>>,
     deaf: BTreeSet<usize>,
     owner: Owner,
     stamp: Stamp,
-    published: BookMap,
-    readings: Vec<(u64, usize, Decision<BookMap>)>,
+    published: ShardMap,
+    readings: Vec<(u64, usize, Decision<ShardMap>)>,
     writes: Vec<Write>,
-    asks: Vec<(u64, Ask)>,
+    asks: Vec<(u64, CellOperation)>,
     acknowledged: Vec<(u64, Firm)>,
     taken: BTreeMap<u64, Cell>,
     runs: u64,
@@ -56,10 +56,10 @@
 impl World {
     fn new(seed: u64, fencing: bool, books: usize, cells: u32, gateways: usize) -> World {
         let numbers: Vec<Cell> = (0..cells).collect();
-        let map = BookMap::even(books, &numbers);
+        let map = ShardMap::even(books, &numbers);
         let mut states: BTreeMap<Cell, CellState> =
             numbers.iter().map(|cell| (*cell, CellState::default())).collect();
-        for (i, book) in map.books.iter().enumerate() {
+        for (i, book) in map.shards.iter().enumerate() {
             states.get_mut(&book.cell).unwrap().fence.set((book.first, map.end(i)), 1, true);
         }
         let mut world = World {
@@ -113,8 +113,8 @@
     fn publish(&mut self) {
         let map = self.owner.map().clone();
         assert!(map.sensible(), "{map:?}");
-        for (i, book) in map.books.iter().enumerate() {
-            let before = self.published.find(book.first).map(|at| self.published.books[at].epoch);
+        for (i, book) in map.shards.iter().enumerate() {
+            let before = self.published.find(book.first).map(|at| self.published.shards[at].epoch);
             assert!(before <= Some(book.epoch), "book {i}: an epoch fell from {before:?} to {}", book.epoch);
             if book.open() {
                 if let Some(since) = self.paused.remove(&book.first) {
@@ -157,8 +157,9 @@
             let (g, firm) =
                 (self.rng.random_range(0..self.gateways.len()), self.rng.random_range(0..FIRM_END));
             self.runs += 1;
-            if let Some((cell, epoch)) =
-                Ticket::ask(at(now), &self.gateways[g], firm).ok().and_then(|ticket| ticket.write(at(now)))
+            if let Some((cell, epoch)) = Ticket::acquire(at(now), &self.gateways[g], firm)
+                .ok()
+                .and_then(|ticket| ticket.write(at(now)))
             {
                 let slow = if self.rng.random::<f64>() < 0.1 { ATTEMPT - 50 } else { 40 };
                 self.writes.push((now + self.rng.random_range(5..=slow), self.runs, firm, cell, epoch));
@@ -197,9 +198,10 @@
             self.late_refused += 1;
             return;
         }
-        let book = self.published.books[self.published.find(firm).expect("a book")];
+        let book = self.published.shards[self.published.find(firm).expect("a book")];
         // On its way back to this very cell nothing has left it.
-        let drained = book.moving.is_some_and(|moving| moving.step >= Step::Drained && moving.to != cell);
+        let drained =
+            book.migration.is_some_and(|moving| moving.step >= MigrationStep::Drained && moving.to != cell);
         assert!(
             !(drained && epoch < book.epoch),
             "taken under {epoch} at a range drained under {}",
@@ -210,20 +212,22 @@
         self.acknowledged.push((run, firm));
     }
 
-    fn obey(&mut self, ask: Ask) {
+    fn obey(&mut self, ask: CellOperation) {
         let now = at(self.now);
         match ask {
-            Ask::Shut { cell, range, epoch } | Ask::Open { cell, range, epoch }
+            CellOperation::Close { cell, range, epoch } | CellOperation::Open { cell, range, epoch }
                 if !self.cells[&cell].lost =>
             {
-                let open = matches!(ask, Ask::Open { .. });
+                let open = matches!(ask, CellOperation::Open { .. });
                 if self.cells.get_mut(&cell).unwrap().fence.set(range, epoch, open) {
                     let answer =
                         if open { Answer::Opened(range.0, epoch) } else { Answer::Shut(range.0, epoch) };
                     self.owner.answered(now, answer);
                 }
             }
-            Ask::Copy { cell, to, range, epoch } if !self.cells[&cell].lost && !self.cells[&to].lost => {
+            CellOperation::Copy { cell, to, range, epoch }
+                if !self.cells[&cell].lost && !self.cells[&to].lost =>
+            {
                 let copied: Vec<_> = self.cells[&cell]
                     .has
                     .iter()
@@ -246,10 +250,10 @@
     /// What was acknowledged is where its book serves.
     fn nothing_lost(&self, what: &str) {
         for (run, firm) in &self.acknowledged {
-            let book = self.published.books[self.published.find(*firm).expect("a book")];
+            let book = self.published.shards[self.published.find(*firm).expect("a book")];
             let cell = book
-                .moving
-                .filter(|moving| moving.step == Step::Copied)
+                .migration
+                .filter(|moving| moving.step == MigrationStep::Copied)
                 .map_or(book.cell, |moving| moving.to);
             assert!(
                 self.cells[&cell].has.contains(&(*run, *firm)),
@@ -282,7 +286,7 @@
             let firm = FIRM_END / 64 * (i * 7 % 64);
             let to = world.rng.random_range(0..6);
             // There already is no failure.
-            let _ = world.owner.order(at(world.now), firm, to);
+            let _ = world.owner.on_operator_command(at(world.now), firm, to);
         }
         for _ in 0..world.rng.random_range(0..5) {
             let ms = world.rng.random_range(10..1500);
@@ -296,7 +300,7 @@
         world.deaf.clear();
         world.run(1000);
         assert!(
-            world.published.books.iter().all(|book| book.moving.is_none()),
+            world.published.shards.iter().all(|book| book.migration.is_none()),
             "{what}: {:?}",
             world.published
         );
@@ -318,7 +322,7 @@
         let mut world = World::new(seed, true, 24, 6, 6);
         world.run(500);
         for i in 0..4 {
-            let _ = world.owner.order(at(world.now), FIRM_END / 24 * (i * 6 + 1), 5);
+            let _ = world.owner.on_operator_command(at(world.now), FIRM_END / 24 * (i * 6 + 1), 5);
         }
         world.run(30 + seed * 20);
         // Cells 2 and 5 stand in one zone, which is lost; after a while its cells can be read again, but take nothing.
@@ -348,9 +352,9 @@
         }
         world.owner.cells(cells);
         world.run(60_000);
-        let left = world.published.books.iter().filter(|book| [2, 5].contains(&book.cell)).count();
+        let left = world.published.shards.iter().filter(|book| [2, 5].contains(&book.cell)).count();
         assert_eq!(left, 0, "{what}: {:?}", world.published);
-        assert!(world.published.books.iter().all(|book| book.moving.is_none()), "{what}");
+        assert!(world.published.shards.iter().all(|book| book.migration.is_none()), "{what}");
         world.nothing_lost(&what);
     }
 }
@@ -361,7 +365,7 @@
     fn a_fence_never_goes_back(
         sets in proptest::collection::vec((0u64..16, 1u64..16, 1u64..6, any::<bool>()), 1..80),
     ) {
-        let (mut fence, unit) = (Fence::default(), FIRM_END / 16);
+        let (mut fence, unit) = (EpochFence::default(), FIRM_END / 16);
         for (first, width, epoch, open) in sets {
             let range = (first * unit, ((first + width) * unit).min(FIRM_END));
             let before: Vec<_> = (0..16).map(|i| (fence.epoch(i * unit), fence.admit(i * unit, fence.epoch(i * unit)))).collect();
@@ -383,7 +387,7 @@
     /// Maps that overlap, leave a hole or name what cannot be are refused; cuts and joins keep what is sensible so.
     #[test]
     fn maps_stay_sensible(cuts in proptest::collection::vec((0usize..8, 1u64..FIRM_END, any::<bool>()), 1..40)) {
-        let mut map = BookMap::even(4, &[0, 1]);
+        let mut map = ShardMap::even(4, &[0, 1]);
         for (at, middle, join) in cuts {
             let before = map.clone();
             let done = if join { map.merge(at) } else { map.split(at, middle) };
@@ -391,19 +395,19 @@
             prop_assert_eq!(done.is_err(), map == before);
             for firm in [0, middle, FIRM_END - 1] {
                 let (a, b) = (before.find(firm).unwrap(), map.find(firm).unwrap());
-                prop_assert_eq!((before.books[a].cell, before.books[a].epoch), (map.books[b].cell, map.books[b].epoch));
+                prop_assert_eq!((before.shards[a].cell, before.shards[a].epoch), (map.shards[b].cell, map.shards[b].epoch));
             }
         }
-        let spoil: [fn(&mut Vec<Book>); 5] = [
+        let spoil: [fn(&mut Vec<Shard>); 5] = [
             |books| books.clear(),
             |books| books[0].first = 1,
-            |books| books.push(Book { first: FIRM_END, ..books[0] }),
+            |books| books.push(Shard { first: FIRM_END, ..books[0] }),
             |books| books.insert(1, books[0]),
             |books| books[0].epoch = 0,
         ];
         for spoil in spoil {
             let mut spoilt = map.clone();
-            spoil(&mut spoilt.books);
+            spoil(&mut spoilt.shards);
             prop_assert!(!spoilt.sensible());
         }
     }
--- a/quota-gateway/shard-map/tests/golden.rs
+++ b/quota-gateway/shard-map/tests/golden.rs
@@ -7,9 +7,9 @@
 use golden::{bytes, same_bytes};
 use marblecroft_control_messages::frame::{decode, encode, Fleet, Message};
 use marblecroft_control_messages::published::{Decision, Stamp};
-use marblecroft_shard_map::cell::{Asked, Said};
-use marblecroft_shard_map::map::{Book, BookMap, Move, Step};
-use marblecroft_shard_map::moves::Ask;
+use marblecroft_shard_map::cell::{CellReply, CellRequest};
+use marblecroft_shard_map::map::{Migration, MigrationStep, Shard, ShardMap};
+use marblecroft_shard_map::moves::CellOperation;
 
 const FLEET: Fleet = Fleet(0x0102_0304_0506_0708);
 
@@ -22,36 +22,36 @@
 
 #[test]
 fn maps_keep_their_bytes() {
-    let book = |number: u32, step: Option<Step>| Book {
+    let book = |number: u32, step: Option<MigrationStep>| Shard {
         first: u64::from(number) * 1_000_003,
         cell: 40 + number,
         epoch: 500 + u64::from(number),
-        moving: step.map(|step| Move { to: 60 + number, step }),
+        migration: step.map(|step| Migration { to: 60 + number, step }),
     };
     let books = vec![
         book(0, None),
-        book(1, Some(Step::Planned)),
-        book(2, Some(Step::Fencing)),
-        book(3, Some(Step::Drained)),
-        book(4, Some(Step::Copied)),
+        book(1, Some(MigrationStep::Planned)),
+        book(2, Some(MigrationStep::Fencing)),
+        book(3, Some(MigrationStep::Drained)),
+        book(4, Some(MigrationStep::Copied)),
     ];
     let stamp = Stamp { token: 1009, revision: 2011 };
-    keeps_its_bytes("map.hex", &Decision { stamp, valid_ms: 3017, body: BookMap { books } });
+    keeps_its_bytes("map.hex", &Decision { stamp, valid_ms: 3017, body: ShardMap { shards: books } });
 }
 
 #[test]
 fn requests_to_cells_keep_their_bytes() {
     let range = (1_000_003, 2_000_006);
-    let asked = |ask| Asked { token: 1013, ask };
-    keeps_its_bytes("shut.hex", &asked(Ask::Shut { cell: 41, range, epoch: 501 }));
-    keeps_its_bytes("copy.hex", &asked(Ask::Copy { cell: 42, to: 62, range, epoch: 502 }));
-    keeps_its_bytes("open.hex", &asked(Ask::Open { cell: 43, range, epoch: 503 }));
+    let asked = |ask| CellRequest { token: 1013, operation: ask };
+    keeps_its_bytes("shut.hex", &asked(CellOperation::Close { cell: 41, range, epoch: 501 }));
+    keeps_its_bytes("copy.hex", &asked(CellOperation::Copy { cell: 42, to: 62, range, epoch: 502 }));
+    keeps_its_bytes("open.hex", &asked(CellOperation::Open { cell: 43, range, epoch: 503 }));
 }
 
 #[test]
 fn replies_of_cells_keep_their_bytes() {
-    keeps_its_bytes("done.hex", &Said::Done);
-    keeps_its_bytes("not-yet.hex", &Said::NotYet);
-    keeps_its_bytes("higher.hex", &Said::Higher);
-    keeps_its_bytes("fenced.hex", &Said::Fenced { token: 1019 });
+    keeps_its_bytes("done.hex", &CellReply::Done);
+    keeps_its_bytes("not-yet.hex", &CellReply::InProgress);
+    keeps_its_bytes("higher.hex", &CellReply::Higher);
+    keeps_its_bytes("fenced.hex", &CellReply::Fenced { token: 1019 });
 }
--- a/quota-gateway/shard-map/tests/interleavings.rs
+++ b/quota-gateway/shard-map/tests/interleavings.rs
@@ -3,9 +3,9 @@
 //! fence are the product's own. Each flaw below is caught.
 
 use marblecroft_control_messages::published::Stamp;
-use marblecroft_shard_map::fence::Fence;
-use marblecroft_shard_map::map::{Book, BookMap, Cell, Epoch, Move, Step, FIRM_END};
-use marblecroft_shard_map::moves::{asks, Ask};
+use marblecroft_shard_map::fencing::EpochFence;
+use marblecroft_shard_map::map::{Cell, Epoch, Migration, MigrationStep, Shard, ShardMap, FIRM_END};
+use marblecroft_shard_map::moves::{cell_operation, CellOperation};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Gateway {
     /// The newest map that it has read, and whether it is valid still.
-    held: Option<(Stamp, Book)>,
+    held: Option<(Stamp, Shard)>,
     valid: bool,
     /// Asked for, and not yet written.
     ticket: Option<(Cell, Epoch)>,
@@ -64,7 +64,7 @@
 struct Owner {
     token: u64,
     /// Its copy of the map, and the revision that it knows.
-    map: BookMap,
+    map: ShardMap,
     revision: u64,
 }
 
@@ -73,15 +73,15 @@
     /// As coordination has it: the lock's token, and the map with its stamp.
     token: u64,
     stamp: Stamp,
-    map: BookMap,
+    map: ShardMap,
     owners: Vec<Owner>,
-    fences: Vec<Fence>,
+    fences: Vec<EpochFence>,
     /// Runs that each cell has; and those that it took as writes, with the epoch.
     has: Vec<BTreeSet<usize>>,
     taken: BTreeSet<(usize, Cell, Epoch)>,
     gateways: Vec<Gateway>,
     writes: BTreeSet<(usize, Cell, Epoch)>,
-    asks: BTreeSet<Ask>,
+    asks: BTreeSet<CellOperation>,
     /// Epochs under which nothing may be taken at the old cell any more, as the map says so.
     drained: BTreeSet<Epoch>,
     abandoned: bool,
@@ -98,8 +98,8 @@
     /// An owner asks cells for what its copy says.
     Asks(usize),
     /// A cell does what it was asked for; the owners hear of it, or none does.
-    Do(Ask, bool),
-    LoseAsk(Ask),
+    Do(CellOperation, bool),
+    LoseAsk(CellOperation),
     /// A gateway reads the newest map; or, late, the one that came before.
     Read(usize),
     Lapse(usize),
@@ -138,28 +138,32 @@
     }
 
     /// The next step in an owner's copy, if there is one that needs no answer.
-    fn next(&self, state: &State, map: &mut BookMap) -> bool {
-        let book = map.books[0];
-        match book.moving.map(|moving| moving.step) {
+    fn next(&self, state: &State, map: &mut ShardMap) -> bool {
+        let book = map.shards[0];
+        match book.migration.map(|moving| moving.step) {
             None => book.cell == 0 && !state.abandoned && map.plan(0, 1).is_ok(),
-            Some(Step::Planned) => {
-                let done = map.fence(0).is_ok();
+            Some(MigrationStep::Planned) => {
+                let done = map.raise_epoch(0).is_ok();
                 if self.flawed(Flaw::KeepsEpoch) {
-                    map.books[0].epoch -= 1;
+                    map.shards[0].epoch -= 1;
                 }
                 done
             }
-            Some(Step::Fencing) if self.flawed(Flaw::CopiesUndrained) => map.drained(0, book.epoch).is_ok(),
-            Some(Step::Fencing) if !self.fencing && self.waited(state, book.epoch) => {
+            Some(MigrationStep::Fencing) if self.flawed(Flaw::CopiesUndrained) => {
                 map.drained(0, book.epoch).is_ok()
             }
-            Some(Step::Drained) if self.flawed(Flaw::ServesEarly) => map.copied(0, book.epoch).is_ok(),
-            Some(Step::Copied) if !self.fencing => map.serve(0, book.epoch).is_ok(),
+            Some(MigrationStep::Fencing) if !self.fencing && self.waited(state, book.epoch) => {
+                map.drained(0, book.epoch).is_ok()
+            }
+            Some(MigrationStep::Drained) if self.flawed(Flaw::ServesEarly) => {
+                map.copied(0, book.epoch).is_ok()
+            }
+            Some(MigrationStep::Copied) if !self.fencing => map.serve(0, book.epoch).is_ok(),
             _ => false,
         }
     }
 
-    fn publish(&self, state: &mut State, who: usize, map: BookMap) {
+    fn publish(&self, state: &mut State, who: usize, map: ShardMap) {
         let owner = &state.owners[who];
         let stamp = Stamp { token: owner.token, revision: owner.revision + 1 };
         let fenced = owner.token < state.token;
@@ -172,11 +176,14 @@
             }
             return;
         }
-        let book = map.books[0];
-        if book.epoch < state.map.books[0].epoch {
+        let book = map.shards[0];
+        if book.epoch < state.map.shards[0].epoch {
             state.wrong = Some("a range's epoch fell");
         }
-        if book.moving.is_some_and(|moving| moving.step >= Step::Drained && moving.to != book.cell) {
+        if book
+            .migration
+            .is_some_and(|moving| moving.step >= MigrationStep::Drained && moving.to != book.cell)
+        {
             state.drained.insert(book.epoch);
         }
         state.stamp = Stamp { revision: state.stamp.revision.max(stamp.revision), ..stamp };
@@ -184,11 +191,11 @@
         (state.owners[who].map, state.owners[who].revision) = (map, state.stamp.revision);
     }
 
-    fn cell_does(&self, state: &mut State, ask: Ask) -> bool {
+    fn cell_does(&self, state: &mut State, ask: CellOperation) -> bool {
         match ask {
-            Ask::Shut { cell, range, epoch } => self.set(state, cell, range, epoch, false),
-            Ask::Open { cell, range, epoch } => self.set(state, cell, range, epoch, true),
-            Ask::Copy { cell, to, .. } => {
+            CellOperation::Close { cell, range, epoch } => self.set(state, cell, range, epoch, false),
+            CellOperation::Open { cell, range, epoch } => self.set(state, cell, range, epoch, true),
+            CellOperation::Copy { cell, to, .. } => {
                 let copied = state.has[cell_index(cell)].clone();
                 state.has[cell_index(to)].extend(copied);
                 true
@@ -200,13 +207,13 @@
         state.fences[cell_index(cell)].set(range, epoch, open)
     }
 
-    fn hear(&self, state: &mut State, ask: Ask) {
+    fn hear(&self, state: &mut State, ask: CellOperation) {
         for who in 0..state.owners.len() {
             let mut map = state.owners[who].map.clone();
             let done = match ask {
-                Ask::Shut { epoch, .. } => map.drained(0, epoch),
-                Ask::Copy { epoch, .. } => map.copied(0, epoch),
-                Ask::Open { epoch, .. } => map.serve(0, epoch),
+                CellOperation::Close { epoch, .. } => map.drained(0, epoch),
+                CellOperation::Copy { epoch, .. } => map.copied(0, epoch),
+                CellOperation::Open { epoch, .. } => map.serve(0, epoch),
             };
             if done.is_ok() {
                 self.publish(state, who, map);
@@ -220,12 +227,12 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let map = BookMap { books: vec![Book { first: 0, cell: 0, epoch: 1, moving: None }] };
-        let mut fences = vec![Fence::default(), Fence::default()];
+        let map = ShardMap { shards: vec![Shard { first: 0, cell: 0, epoch: 1, migration: None }] };
+        let mut fences = vec![EpochFence::default(), EpochFence::default()];
         fences[0].set(ALL, 1, true);
         let stamp = Stamp { token: 1, revision: 1 };
         let gateway = Gateway {
-            held: Some((stamp, map.books[0])),
+            held: Some((stamp, map.shards[0])),
             valid: true,
             ticket: None,
             run: Run::Waits,
@@ -257,9 +264,9 @@
             if self.next(state, &mut map) {
                 actions.push(Action::Step(who));
             }
-            let moving = owner.map.books[0].moving;
-            let late = moving.is_some_and(|moving| moving.step == Step::Copied && moving.to == 1);
-            let serves = moving.is_none() && owner.map.books[0].cell == 1 && self.flawed(Flaw::AbandonsLate);
+            let moving = owner.map.shards[0].migration;
+            let late = moving.is_some_and(|moving| moving.step == MigrationStep::Copied && moving.to == 1);
+            let serves = moving.is_none() && owner.map.shards[0].cell == 1 && self.flawed(Flaw::AbandonsLate);
             if !state.abandoned && (serves || moving.is_some() && !late) {
                 actions.push(Action::Abandon(who));
             }
@@ -271,7 +278,7 @@
             actions.extend([Action::Do(*ask, true), Action::Do(*ask, false), Action::LoseAsk(*ask)]);
         }
         for (g, gateway) in state.gateways.iter().enumerate() {
-            if gateway.held != Some((state.stamp, state.map.books[0])) || !gateway.valid {
+            if gateway.held != Some((state.stamp, state.map.shards[0])) || !gateway.valid {
                 actions.push(Action::Read(g));
             }
             if gateway.valid {
@@ -315,13 +322,14 @@
             }
             Action::Abandon(who) => {
                 let mut map = state.owners[who].map.clone();
-                let before = map.books[0];
+                let before = map.shards[0];
                 if map.abandon(0).is_err() && self.flawed(Flaw::AbandonsLate) {
-                    let back = Move { to: 0, step: Step::Copied };
-                    map.books[0] = Book { cell: 0, epoch: before.epoch + 1, moving: Some(back), ..before };
+                    let back = Migration { to: 0, step: MigrationStep::Copied };
+                    map.shards[0] =
+                        Shard { cell: 0, epoch: before.epoch + 1, migration: Some(back), ..before };
                 }
                 if self.flawed(Flaw::AbandonKeepsEpoch) {
-                    map.books[0].epoch = before.epoch;
+                    map.shards[0].epoch = before.epoch;
                 }
                 state.abandoned = true;
                 self.publish(&mut state, who, map);
@@ -337,7 +345,7 @@
             }
             Action::LoseAsk(ask) => drop(state.asks.remove(&ask)),
             Action::Read(g) => {
-                let newest = (state.stamp, state.map.books[0]);
+                let newest = (state.stamp, state.map.shards[0]);
                 let gateway = &mut state.gateways[g];
                 gateway.held = Some(newest);
                 gateway.valid = true;
@@ -400,10 +408,10 @@
                 |_, state: &State| state.wrong.is_none(),
             ),
             Property::always("what was acknowledged is where the book serves", |_, state: &State| {
-                let book = state.map.books[0];
-                let at = match book.moving {
+                let book = state.map.shards[0];
+                let at = match book.migration {
                     None => book.cell,
-                    Some(moving) if moving.step == Step::Copied => moving.to,
+                    Some(moving) if moving.step == MigrationStep::Copied => moving.to,
                     Some(_) => book.cell,
                 };
                 state
@@ -414,18 +422,20 @@
                     .all(|(run, _)| state.has[cell_index(at)].contains(&run))
             }),
             Property::sometimes("a move ends, and a run is written at the new cell", |_, state: &State| {
-                let book = state.map.books[0];
-                book.moving.is_none() && book.cell == 1 && state.taken.iter().any(|(_, cell, _)| *cell == 1)
+                let book = state.map.shards[0];
+                book.migration.is_none()
+                    && book.cell == 1
+                    && state.taken.iter().any(|(_, cell, _)| *cell == 1)
             }),
             Property::sometimes("a second owner ends what the first began", |_, state: &State| {
-                let book = state.map.books[0];
-                state.stamp.token == 2 && book.moving.is_none() && book.cell == 1
+                let book = state.map.shards[0];
+                state.stamp.token == 2 && book.migration.is_none() && book.cell == 1
             }),
             Property::sometimes(
                 "a move is abandoned, and a run is written at the old cell behind it",
                 |_, state: &State| {
-                    let book = state.map.books[0];
-                    book.moving.is_none()
+                    let book = state.map.shards[0];
+                    book.migration.is_none()
                         && state.taken.iter().any(|(_, cell, epoch)| *cell == 0 && *epoch > 2)
                 },
             ),
@@ -434,8 +444,8 @@
 }
 
 impl Moving {
-    fn asked_for(&self, owner: &Owner) -> Option<Ask> {
-        asks(&owner.map, 0, self.fencing)
+    fn asked_for(&self, owner: &Owner) -> Option<CellOperation> {
+        cell_operation(&owner.map, 0, self.fencing)
     }
 }
 
--- a/quota-gateway/shard-map/tests/waits.rs
+++ b/quota-gateway/shard-map/tests/waits.rs
@@ -1,8 +1,8 @@
 //! Where cells do not fence: a move waits for gateways that go by its map, or for what they hold to lapse, and then for attempts.
 
 use marblecroft_control_messages::published::Stamp;
-use marblecroft_shard_map::map::{BookMap, Step};
-use marblecroft_shard_map::moves::Ask;
+use marblecroft_shard_map::map::{MigrationStep, ShardMap};
+use marblecroft_shard_map::moves::CellOperation;
 use marblecroft_shard_map::owner::{Answer, Owner, Waits};
 use marblecroft_shard_map::plan::Limits;
 use std::time::Duration;
@@ -22,10 +22,10 @@
 /// When a move that is ordered at 0 is drained. Gateways report each second; the last of three says so much later that it goes by
 /// the new map, or never.
 fn drained_at(last_says: Option<u64>) -> u64 {
-    let mut owner = Owner::begin(at(0), BookMap::even(4, &[0, 1]), WAITS, Limits::default());
+    let mut owner = Owner::begin(at(0), ShardMap::even(4, &[0, 1]), WAITS, Limits::default());
     let (before, after) = (Stamp { token: 3, revision: 1 }, Stamp { token: 3, revision: 2 });
     (0..3).for_each(|gateway| owner.goes_by(at(0), gateway, before));
-    owner.order(at(0), 0, 1).expect("it is at another one");
+    owner.on_operator_command(at(0), 0, 1).expect("it is at another one");
     for ms in (0..30_000).step_by(200) {
         if ms % 1000 == 0 {
             for gateway in 0..3 {
@@ -42,7 +42,7 @@
             let map = owner.map().clone();
             owner.published(at(ms), after, &map);
         }
-        if asks.iter().any(|ask| matches!(ask, Ask::Copy { .. })) {
+        if asks.iter().any(|ask| matches!(ask, CellOperation::Copy { .. })) {
             return ms;
         }
     }
@@ -61,17 +61,17 @@
 #[test]
 fn cells_are_asked_to_open_what_stands_there() {
     let waits = Waits { fencing: true, ..WAITS };
-    let mut owner = Owner::begin(at(0), BookMap::even(2, &[0, 1]), waits, Limits::default());
+    let mut owner = Owner::begin(at(0), ShardMap::even(2, &[0, 1]), waits, Limits::default());
     let (asks, _) = owner.tick(at(0));
-    let open = |ask: &Ask| matches!(ask, Ask::Open { epoch: 1, .. });
+    let open = |ask: &CellOperation| matches!(ask, CellOperation::Open { epoch: 1, .. });
     assert!(asks.len() == 2 && asks.iter().all(open), "{asks:?}");
     owner.answered(at(1), Answer::Opened(0, 1));
     let (asks, _) = owner.tick(at(2));
-    assert!(matches!(asks[..], [Ask::Open { cell: 1, .. }]), "{asks:?}");
-    owner.answered(at(3), Answer::Opened(owner.map().books[1].first, 1));
+    assert!(matches!(asks[..], [CellOperation::Open { cell: 1, .. }]), "{asks:?}");
+    owner.answered(at(3), Answer::Opened(owner.map().shards[1].first, 1));
     assert!(owner.tick(at(4)).0.is_empty());
     // A move opens its new cell itself.
-    owner.order(at(5), 0, 1).expect("it is at another one");
+    owner.on_operator_command(at(5), 0, 1).expect("it is at another one");
     owner.tick(at(6));
-    assert_eq!(owner.map().books[0].moving.map(|moving| moving.step), Some(Step::Fencing));
+    assert_eq!(owner.map().shards[0].migration.map(|moving| moving.step), Some(MigrationStep::Fencing));
 }
--- a/quota-gateway/simulator-adapter/src/settings.rs
+++ b/quota-gateway/simulator-adapter/src/settings.rs
@@ -138,26 +138,26 @@
             idle: Duration::from_nanos(boot.limits.conn_idle),
             settings: lib::Settings {
                 gateways: boot.fleet_size,
-                number: boot.me,
+                gateway_index: boot.me,
                 zone: boot.zone,
                 classes: boot.profiles.into_iter().map(class).collect::<Result<_, _>>()?,
                 plans: boot.plans.into_iter().map(plan).collect(),
                 discovery: match boot.discovery.as_str() {
                     "push" => lib::Discovery::Push,
-                    "ask" => lib::Discovery::Ask,
+                    "ask" => lib::Discovery::Subscribe,
                     other => return Err(format!("unknown Discovery {other:?}")),
                 },
                 cancel: boot.limits.cancel,
-                second_copies: boot.limits.second_copies,
+                hedging: boot.limits.second_copies,
                 max_attempts: boot.limits.max_attempts,
                 max_retry_after: Duration::from_nanos(boot.limits.max_retry_after),
                 tick: Duration::from_nanos(boot.tick),
                 meter_period: Duration::from_nanos(boot.domain.metering),
                 max_units: boot.domain.units_top,
-                cold_from: boot.rules.cold_from,
-                cold_ramp: Duration::from_nanos(boot.rules.ramp_time),
-                cold_multiple: boot.rules.overload_factor,
-                cold_window: Duration::from_nanos(boot.rules.fall),
+                slow_start_initial_share: boot.rules.cold_from,
+                slow_start_duration: Duration::from_nanos(boot.rules.ramp_time),
+                slow_start_overload_factor: boot.rules.overload_factor,
+                slow_start_window: Duration::from_nanos(boot.rules.fall),
                 cross_zone_price: boot.fees.cross_zone,
             },
         })
@@ -166,9 +166,9 @@
 
 fn class(profile: Profile) -> Result<lib::Class, String> {
     let group = match profile.group.as_str() {
-        "" | "all" => lib::Group::All,
-        "zone" => lib::Group::Zone,
-        "cell" => lib::Group::Cell,
+        "" | "all" => lib::DeduplicationScope::All,
+        "zone" => lib::DeduplicationScope::Zone,
+        "cell" => lib::DeduplicationScope::Cell,
         other => return Err(format!("unknown Group {other:?}")),
     };
     let effect = match profile.effect.as_str() {
@@ -178,9 +178,9 @@
         other => return Err(format!("unknown Effect {other:?}")),
     };
     Ok(lib::Class {
-        aim: Duration::from_nanos(profile.aim),
+        latency_target: Duration::from_nanos(profile.aim),
         deadline: Duration::from_nanos(profile.deadline),
-        worth: profile.importance,
+        value: profile.importance,
         effect,
     })
 }
@@ -189,12 +189,12 @@
     lib::Plan {
         rate: plan.rate,
         burst: plan.burst,
-        open_limit: plan.at_once,
-        ceiling_rate: plan.never_over_rate,
-        ceiling_depth: plan.never_over_depth,
-        ceiling_slack: plan.cap_slack,
+        max_in_flight: plan.at_once,
+        rate_limit: plan.never_over_rate,
+        rate_limit_burst: plan.never_over_depth,
+        rate_limit_slack: plan.cap_slack,
         price: plan.value_factor,
-        over_worth: plan.over_worth,
-        over_cost: plan.over_cost,
+        over_quota_value: plan.over_worth,
+        over_quota_cost: plan.over_cost,
     }
 }
--- a/quota-gateway/simulator-adapter/src/wire.rs
+++ b/quota-gateway/simulator-adapter/src/wire.rs
@@ -95,7 +95,7 @@
 }
 
 /// The bit that marks a client's repeat.
-const REPEAT: u32 = 2;
+const RETRY_BIT: u32 = 2;
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
@@ -183,8 +183,8 @@
                 deadline: lib::Time(m.deadline),
                 units: m.size_units,
                 gateways: m.n_entries as u32,
-                repeat: m.bitmap & REPEAT != 0,
-                flows: false,
+                is_retry: m.bitmap & RETRY_BIT != 0,
+                body_in_flight: false,
             };
             (m.gateway_id, Incoming::Event(lib::Event::Request(request)))
         }
@@ -199,9 +199,9 @@
                 status: status(m.status)?,
                 elapsed: Duration::from_nanos(m.spent),
                 finished: m.over,
-                metered: (m.quota_use > 0).then(|| (m.quota_use - 1) as f64 / 100.0),
-                true_units: (m.true_units > 0.0).then_some(m.true_units),
-                last: false,
+                metered_use: (m.quota_use > 0).then(|| (m.quota_use - 1) as f64 / 100.0),
+                actual_units: (m.true_units > 0.0).then_some(m.true_units),
+                not_retryable: false,
                 report: lib::LoadReport {
                     queue: m.server_stats.get("queue").copied(),
                     utilization: m.server_stats.get("util").copied(),
@@ -209,7 +209,9 @@
             };
             (m.gateway_id, Incoming::Event(lib::Event::Outcome(outcome)))
         }
-        In::Dropped(m) => (m.gateway_id, Incoming::Event(lib::Event::Departed(lib::RequestId(m.tid)))),
+        In::Dropped(m) => {
+            (m.gateway_id, Incoming::Event(lib::Event::ClientDisconnected(lib::RequestId(m.tid))))
+        }
         In::DeadlineHit(m) => (m.gateway_id, Incoming::Event(lib::Event::Timer(lib::Token(m.r#ref)))),
     })
 }
@@ -235,12 +237,12 @@
     Ok(match code {
         0 => lib::Status::Ok,
         255 => lib::Status::Error,
-        254 => lib::Status::Full,
+        254 => lib::Status::Rejected,
         253 => lib::Status::TimedOut,
         252 => lib::Status::ConnectFailed,
         251 => lib::Status::Reset,
         250 => lib::Status::Cancelled,
-        249 => lib::Status::Moot,
+        249 => lib::Status::NotSent,
         other => return Err(format!("Settled: unknown Status {other}")),
     })
 }
@@ -275,11 +277,11 @@
 pub fn write(instance: &str, action: lib::Action) -> Out {
     let gateway_id = instance.to_owned();
     match action {
-        lib::Action::Send { id, server, until, .. } => {
+        lib::Action::Send { id, server, deadline: until, .. } => {
             Out::Route { gateway_id, tid: id.0, try_until: until.0, server: server.0 }
         }
         lib::Action::Cancel { id, attempt } => Out::UndoSend { gateway_id, tid: id.0, send_no: attempt.0 },
-        lib::Action::Refuse { id, retry_after } => {
+        lib::Action::Reject { id, retry_after } => {
             let retry_after = u64::try_from(retry_after.as_nanos()).unwrap_or(u64::MAX);
             Out::Shed { gateway_id, tid: id.0, retry_after }
         }
--- a/quota-gateway/singleton-roles/src/assign.rs
+++ b/quota-gateway/singleton-roles/src/assign.rs
@@ -1,6 +1,6 @@
 //! Who should own what. Every candidate works it out from the same view and comes to the same; a lock decides, never this.
 
-use crate::keys::{Candidate, Order};
+use crate::keys::{Candidate, OperatorCommand};
 use std::collections::BTreeMap;
 
 /// FNV-1a with a finalizer: which candidate a duty prefers, the same wherever it is reckoned.
@@ -17,7 +17,7 @@
     duties: &[&str],
     candidates: &BTreeMap<String, Candidate>,
     owners: &BTreeMap<String, String>,
-    orders: &BTreeMap<String, Order>,
+    orders: &BTreeMap<String, OperatorCommand>,
 ) -> BTreeMap<String, Option<String>> {
     let mut assigned: BTreeMap<String, Option<String>> = BTreeMap::new();
     let mut held: BTreeMap<&str, usize> = candidates.keys().map(|who| (who.as_str(), 0)).collect();
@@ -31,8 +31,8 @@
     // An operator's word first, then whoever has it, then the rest.
     for duty in duties {
         match orders.get(*duty) {
-            Some(Order::Pause) => drop(assigned.insert((*duty).to_owned(), None)),
-            Some(Order::Move(who)) if candidates.contains_key(who) => {
+            Some(OperatorCommand::Pause) => drop(assigned.insert((*duty).to_owned(), None)),
+            Some(OperatorCommand::Move(who)) if candidates.contains_key(who) => {
                 let (duty, who) = give(duty, who, &mut held);
                 assigned.insert(duty, who);
             }
--- a/quota-gateway/singleton-roles/src/keys.rs
+++ b/quota-gateway/singleton-roles/src/keys.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The duties of stewards. What each needs of the others' it reads from what is published, and waits for none.
-pub const DUTIES: [&str; 3] = ["zones", "shares", "books"];
+pub const ROLES: [&str; 3] = ["zones", "shares", "books"];
 
 /// A process that would own duties.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
 
 /// Who owns a duty, where it takes reports, and since which token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Owns {
+pub struct RoleOwner {
     pub who: String,
     pub addr: String,
     pub token: u64,
@@ -28,7 +28,7 @@
 
 /// What operators say of a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Order {
+pub enum OperatorCommand {
     /// Nobody is to own it.
     Pause,
     /// This one, while it lives.
@@ -59,16 +59,16 @@
         format!("{}{duty}", self.prefix)
     }
 
-    pub fn order(&self, duty: &str) -> String {
+    pub fn operator_command(&self, duty: &str) -> String {
         format!("{}order/{duty}", self.prefix)
     }
 
-    pub fn hold(&self, zone: &str) -> String {
+    pub fn zone_hold(&self, zone: &str) -> String {
         format!("{}hold/{zone}", self.prefix)
     }
 
     /// An operator's word on where a firm's book is to be.
-    pub fn book(&self, firm: &str) -> String {
+    pub fn shard_override(&self, firm: &str) -> String {
         format!("{}book/{firm}", self.prefix)
     }
 
--- a/quota-gateway/singleton-roles/src/lib.rs
+++ b/quota-gateway/singleton-roles/src/lib.rs
@@ -8,7 +8,7 @@
 #![forbid(unsafe_code)]
 
 pub mod assign;
-pub mod duty;
 pub mod keys;
+pub mod role;
 pub mod run;
 pub mod view;
--- a/quota-gateway/singleton-roles/src/duty.rs
+++ b/quota-gateway/singleton-roles/src/role.rs
@@ -37,7 +37,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    Wish,
+    RequestLock,
     /// The work begins under this token.
     Begin(u64),
     /// The work is to finish and end.
@@ -48,18 +48,18 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Duty {
+pub struct Role {
     state: State,
     wanted: bool,
 }
 
-impl Default for Duty {
-    fn default() -> Duty {
-        Duty { state: State::Idle, wanted: false }
+impl Default for Role {
+    fn default() -> Role {
+        Role { state: State::Idle, wanted: false }
     }
 }
 
-impl Duty {
+impl Role {
     pub fn state(&self) -> State {
         self.state
     }
@@ -69,13 +69,13 @@
             self.wanted = wanted;
         }
         match (self.state, event) {
-            (State::Idle, Event::Wanted(true)) => self.enter(State::Wishing, &[Action::Wish]),
+            (State::Idle, Event::Wanted(true)) => self.enter(State::Wishing, &[Action::RequestLock]),
             (State::Wishing, Event::Granted(token)) if self.wanted => {
                 self.enter(State::Owning(token), &[Action::Begin(token)])
             }
             // It came too late: another one is to have it.
             (State::Wishing, Event::Granted(_)) => self.enter(State::Idle, &[Action::GiveBack]),
-            (State::Wishing, Event::NotGranted) if self.wanted => vec![Action::Wish],
+            (State::Wishing, Event::NotGranted) if self.wanted => vec![Action::RequestLock],
             (State::Wishing, Event::NotGranted) => self.enter(State::Idle, &[]),
             (State::Owning(token), Event::Wanted(false)) => {
                 self.enter(State::Finishing(token, now + FINISH), &[Action::Finish])
@@ -98,7 +98,7 @@
 
     fn lost(&mut self, actions: &[Action]) -> Vec<Action> {
         self.state = if self.wanted { State::Wishing } else { State::Idle };
-        let wish = self.wanted.then_some(Action::Wish);
+        let wish = self.wanted.then_some(Action::RequestLock);
         actions.iter().copied().chain(wish).collect()
     }
 }
--- a/quota-gateway/singleton-roles/src/run.rs
+++ b/quota-gateway/singleton-roles/src/run.rs
@@ -1,11 +1,11 @@
 //! The shell: a candidate on the coordination client, and whoever only follows what is published.
 
 use crate::assign::assign;
-use crate::duty::{Action, Duty, Event, State};
-use crate::keys::{read, write, Candidate, Names, Order, Owns};
+use crate::keys::{read, write, Candidate, Names, OperatorCommand, RoleOwner};
+use crate::role::{Action, Event, Role, State};
 use crate::view::View;
 use marblecroft_coordination::client::{Client, Failed, Lock, Session};
-use marblecroft_coordination::state::{News, Op, Owner, Refused};
+use marblecroft_coordination::state::{Changes, Op, Owner, Refused};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -44,13 +44,13 @@
         };
         loop {
             let asked = clock();
-            match client.news(&prefix, since, RENEW).await {
-                Ok(News::Changes { upto, changes }) => {
+            match client.changes_since(&prefix, since, RENEW).await {
+                Ok(Changes::Changes { upto, changes }) => {
                     view.change(asked, changes);
                     since = upto;
                     seen(&view);
                 }
-                Ok(News::Lost { .. }) => break,
+                Ok(Changes::Lost { .. }) => break,
                 Err(_) => sleep(RETRY).await,
             }
         }
@@ -59,7 +59,7 @@
 
 /// What came of a word of an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum LeaseEvent {
     /// It is published.
     Taken,
     /// It may have been, or may yet be.
@@ -71,7 +71,7 @@
 /// A duty that is owned, for its work.
 #[derive(Clone)]
 pub struct Lease {
-    pub duty: String,
+    pub role: String,
     pub token: u64,
     pub names: Names,
     pub client: Client,
@@ -92,23 +92,23 @@
     }
 
     /// Publishes under the token.
-    pub async fn publish(&self, key: String, value: Vec<u8>) -> Word {
-        let Some(token) = self.act() else { return Word::Over };
-        let unknown = || if self.act().is_some() { Word::Unknown } else { Word::Over };
-        let owner = Owner::Lock { name: self.names.lock(&self.duty), token };
+    pub async fn publish(&self, key: String, value: Vec<u8>) -> LeaseEvent {
+        let Some(token) = self.act() else { return LeaseEvent::Over };
+        let unknown = || if self.act().is_some() { LeaseEvent::Unknown } else { LeaseEvent::Over };
+        let owner = Owner::Lock { name: self.names.lock(&self.role), token };
         let put = Op::Put { key, value, expect: None, owner };
         // Once only: sent again it may come after what was published later.
         match self.client.call(put, CALL).await {
-            Ok(_) => Word::Taken,
+            Ok(_) => LeaseEvent::Taken,
             Err(Failed::Refused(Refused::Fenced(_))) => {
                 self.refused.set(self.refused.get() + 1);
-                warn!(duty = %self.duty, token, "{}: a word under token {token} came too late and is refused", self.duty);
-                Word::Over
+                warn!(duty = %self.role, token, "{}: a word under token {token} came too late and is refused", self.role);
+                LeaseEvent::Over
             }
             // Whether it took effect is not known; the next one says the same or more.
             Err(Failed::TimedOut) => unknown(),
             Err(e) => {
-                warn!(duty = %self.duty, "{}: not published: {e}", self.duty);
+                warn!(duty = %self.role, "{}: not published: {e}", self.role);
                 unknown()
             }
         }
@@ -173,9 +173,9 @@
         view.under(&candidates).filter_map(|(who, value)| Some((who.to_owned(), read(value)?))).collect();
     let owners: BTreeMap<String, String> = view
         .under(&owners)
-        .filter_map(|(duty, value)| Some((duty.to_owned(), read::<Owns>(value)?.who)))
+        .filter_map(|(duty, value)| Some((duty.to_owned(), read::<RoleOwner>(value)?.who)))
         .collect();
-    let orders: BTreeMap<String, Order> =
+    let orders: BTreeMap<String, OperatorCommand> =
         view.under(&orders).filter_map(|(duty, value)| Some((duty.to_owned(), read(value)?))).collect();
     assign(duties, &candidates, &owners, &orders)
 }
@@ -226,7 +226,7 @@
     let owned: Vec<JoinHandle<()>> = duties
         .iter()
         .map(|duty| {
-            let keeper = Keeper {
+            let keeper = RoleRunner {
                 client: client.clone(),
                 settings: settings.clone(),
                 names: names.clone(),
@@ -237,7 +237,7 @@
             spawn_local(keeper.keep(tell.subscribe(), work.clone()))
         })
         .collect();
-    while session.lives() {
+    while session.is_alive() {
         sleep(LOOK).await;
     }
     session.let_lapse();
@@ -249,7 +249,7 @@
 }
 
 /// One duty in one session's life.
-struct Keeper {
+struct RoleRunner {
     client: Client,
     settings: Settings,
     names: Names,
@@ -270,19 +270,19 @@
     }
 }
 
-impl Keeper {
+impl RoleRunner {
     async fn keep<W, F>(self, mut told: watch::Receiver<BTreeMap<String, Option<String>>>, work: W)
     where
         W: Fn(Lease) -> F,
         F: Future<Output = ()> + 'static,
     {
         let begun = Instant::now();
-        let mut duty = Duty::default();
+        let mut duty = Role::default();
         let lock: Rc<RefCell<Option<Lock>>> = Rc::default();
         let mut working: Option<Working> = None;
         let (granted, mut grants) = mpsc::channel::<Option<Lock>>(1);
         let ended = Rc::new(Notify::new());
-        while self.session.lives() {
+        while self.session.is_alive() {
             let mine = {
                 let told = told.borrow_and_update();
                 told.get(&self.duty).is_some_and(|who| who.as_deref() == Some(&self.settings.who))
@@ -323,7 +323,7 @@
         F: Future<Output = ()> + 'static,
     {
         match action {
-            Action::Wish => {
+            Action::RequestLock => {
                 let (session, name, granted) =
                     (self.session.clone(), self.names.lock(&self.duty), granted.clone());
                 spawn_local(async move {
@@ -340,7 +340,7 @@
                 self.figures.gained.set(self.figures.gained.get() + 1);
                 let (finish, told) = watch::channel(false);
                 let lease = Lease {
-                    duty: self.duty.clone(),
+                    role: self.duty.clone(),
                     token,
                     names: self.names.clone(),
                     client: self.client.clone(),
@@ -348,7 +348,7 @@
                     finish: told,
                     refused: self.figures.refused.clone(),
                 };
-                let owns = Owns {
+                let owns = RoleOwner {
                     who: self.settings.who.clone(),
                     addr: self.settings.candidate.addr.clone(),
                     token,
@@ -356,7 +356,7 @@
                 let (key, ended) = (self.names.owner(&self.duty), ended.clone());
                 let done = work(lease.clone());
                 let task = spawn_local(async move {
-                    if lease.publish(key, write(&owns)).await != Word::Over {
+                    if lease.publish(key, write(&owns)).await != LeaseEvent::Over {
                         done.await;
                     }
                     ended.notify_one();
@@ -370,11 +370,11 @@
             }
             Action::Abort => {
                 *working = None;
-                self.gone("can no longer show its lock, or took too long to finish");
+                self.on_session_lost("can no longer show its lock, or took too long to finish");
             }
             Action::GiveBack => {
                 *working = None;
-                self.gone("given back");
+                self.on_session_lost("given back");
                 let lock = lock.borrow_mut().take();
                 if let Some(lock) = lock {
                     drop(lock.release(CALL).await);
@@ -383,7 +383,7 @@
         }
     }
 
-    fn gone(&self, why: &str) {
+    fn on_session_lost(&self, why: &str) {
         if self.figures.owns.borrow_mut().remove(&self.duty).is_some() {
             info!(duty = %self.duty, "owns {} no longer: {why}", self.duty);
         }
--- a/quota-gateway/singleton-roles/src/view.rs
+++ b/quota-gateway/singleton-roles/src/view.rs
@@ -8,22 +8,22 @@
 pub type Now = Duration;
 
 /// The most entries that are kept; what is beyond is not known here, and counted.
-pub const ENTRIES_MOST: usize = 8192;
+pub const MAX_ENTRIES: usize = 8192;
 
 #[derive(Clone, Debug, Default)]
 pub struct View {
     values: BTreeMap<String, Vec<u8>>,
     /// An instant before the last answer's question left: what is held was all there is then, or later.
-    asked: Option<Now>,
+    as_of: Option<Now>,
     pub beyond: u64,
 }
 
 impl View {
     /// All there is, read anew.
     pub fn reset(&mut self, asked: Now, values: Vec<(String, Vec<u8>, Revision)>) {
-        self.beyond += values.len().saturating_sub(ENTRIES_MOST) as u64;
-        self.values = values.into_iter().take(ENTRIES_MOST).map(|(key, value, _)| (key, value)).collect();
-        self.asked = Some(asked);
+        self.beyond += values.len().saturating_sub(MAX_ENTRIES) as u64;
+        self.values = values.into_iter().take(MAX_ENTRIES).map(|(key, value, _)| (key, value)).collect();
+        self.as_of = Some(asked);
     }
 
     /// What has changed since, possibly nothing; the names of it.
@@ -32,7 +32,7 @@
         for (_, change) in changes {
             match change {
                 Change::Value { key, value } => {
-                    if self.values.len() >= ENTRIES_MOST && !self.values.contains_key(&key) {
+                    if self.values.len() >= MAX_ENTRIES && !self.values.contains_key(&key) {
                         self.beyond += 1;
                         continue;
                     }
@@ -46,7 +46,7 @@
                 Change::Lock { .. } | Change::Session { .. } => {}
             }
         }
-        self.asked = Some(asked);
+        self.as_of = Some(asked);
         changed
     }
 
@@ -60,7 +60,7 @@
         from.map_while(move |(key, value)| Some((key.strip_prefix(prefix)?, value.as_slice())))
     }
 
-    pub fn asked(&self) -> Option<Now> {
-        self.asked
+    pub fn as_of(&self) -> Option<Now> {
+        self.as_of
     }
 }
--- a/quota-gateway/singleton-roles/tests/golden.rs
+++ b/quota-gateway/singleton-roles/tests/golden.rs
@@ -5,7 +5,7 @@
 mod golden;
 
 use golden::{bytes, same_bytes, same_text};
-use marblecroft_singleton_roles::keys::{read, write, Candidate, Names, Order, Owns, DUTIES};
+use marblecroft_singleton_roles::keys::{read, write, Candidate, Names, OperatorCommand, RoleOwner, ROLES};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -18,25 +18,25 @@
 fn records_keep_their_bytes() {
     let (zone, addr) = ("hall-a".to_owned(), "10.1.2.3:7400".to_owned());
     keeps_its_bytes("candidate.hex", &Candidate { zone, addr: addr.clone() });
-    keeps_its_bytes("owner.hex", &Owns { who: "steward-b".to_owned(), addr, token: 1009 });
-    keeps_its_bytes("pause.hex", &Order::Pause);
-    keeps_its_bytes("move.hex", &Order::Move("steward-c".to_owned()));
+    keeps_its_bytes("owner.hex", &RoleOwner { who: "steward-b".to_owned(), addr, token: 1009 });
+    keeps_its_bytes("pause.hex", &OperatorCommand::Pause);
+    keeps_its_bytes("move.hex", &OperatorCommand::Move("steward-c".to_owned()));
 }
 
 #[test]
 fn keys_keep_their_names() {
     let names = Names::of("payroll");
-    let duty = DUTIES[0];
+    let duty = ROLES[0];
     let keys = [
         names.prefix.clone(),
         names.candidate("steward-a"),
         names.owner(duty),
         names.decision(duty),
-        names.order(duty),
-        names.hold("hall-b"),
-        names.book("77"),
+        names.operator_command(duty),
+        names.zone_hold("hall-b"),
+        names.shard_override("77"),
         names.lock(duty),
-        DUTIES.join(" "),
+        ROLES.join(" "),
     ];
     same_text("keys.txt", &keys.join("\n"));
 }
--- a/quota-gateway/singleton-roles/tests/owners.rs
+++ b/quota-gateway/singleton-roles/tests/owners.rs
@@ -1,8 +1,8 @@
 //! Who should own what, and one duty from wish to giving back, for all orders of events.
 
 use marblecroft_singleton_roles::assign::assign;
-use marblecroft_singleton_roles::duty::{Action, Duty, Event, State};
-use marblecroft_singleton_roles::keys::{Candidate, Order};
+use marblecroft_singleton_roles::keys::{Candidate, OperatorCommand};
+use marblecroft_singleton_roles::role::{Action, Event, Role, State};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,9 +21,9 @@
     let owners: std::collections::BTreeSet<_> = spread.values().flatten().collect();
     assert_eq!(owners.len(), 3, "one each: {spread:?}");
     let orders = BTreeMap::from([
-        ("zones".to_owned(), Order::Pause),
-        ("shares".to_owned(), Order::Move("b".to_owned())),
-        ("books".to_owned(), Order::Move("nobody".to_owned())),
+        ("zones".to_owned(), OperatorCommand::Pause),
+        ("shares".to_owned(), OperatorCommand::Move("b".to_owned())),
+        ("books".to_owned(), OperatorCommand::Move("nobody".to_owned())),
     ]);
     let ordered = assign(&duties, &all, &BTreeMap::from([("shares".to_owned(), "a".to_owned())]), &orders);
     assert_eq!(ordered["zones"], None);
@@ -65,7 +65,7 @@
     /// back or lost, never kept by one that idles.
     #[test]
     fn work_runs_only_between_a_grant_and_its_end(events in proptest::collection::vec(0u8..7, 1..80)) {
-        let (mut duty, mut now) = (Duty::default(), Duration::ZERO);
+        let (mut duty, mut now) = (Role::default(), Duration::ZERO);
         let (mut wishes, mut working, mut holds, mut token) = (0, false, false, 0);
         for event in events {
             now += Duration::from_millis(700);
@@ -84,7 +84,7 @@
             }
             for action in duty.handle(now, event) {
                 match action {
-                    Action::Wish => wishes += 1,
+                    Action::RequestLock => wishes += 1,
                     Action::Begin(under) => {
                         prop_assert!(!working && holds && under == token);
                         working = true;
--- a/quota-gateway/work-handoff/src/lib.rs
+++ b/quota-gateway/work-handoff/src/lib.rs
@@ -6,6 +6,6 @@
 //! - [`succeed`]: the table of what a successor may do.
 #![forbid(unsafe_code)]
 
-pub mod ledger;
 pub mod record;
 pub mod succeed;
+pub mod work_log;
--- a/quota-gateway/work-handoff/src/record.rs
+++ b/quota-gateway/work-handoff/src/record.rs
@@ -10,12 +10,12 @@
 pub const VERSION: u8 = 1;
 const HEAD: usize = 5;
 /// The longest request that is covered, with its head and body; what is larger is not, and is counted.
-pub const REQUEST_MOST: usize = 60 << 10;
+pub const MAX_REQUEST_BYTES: usize = 60 << 10;
 /// The longest record: a value of the coordination service.
-pub const RECORD_MOST: usize = marblecroft_coordination::state::bounds::VALUE;
+pub const MAX_RECORD_BYTES: usize = marblecroft_coordination::state::bounds::VALUE;
 /// Attempts of a request over all its owners.
-pub const ATTEMPTS_MOST: u8 = 4;
-const NAME_MOST: usize = 256;
+pub const MAX_ATTEMPTS: u8 = 4;
+const MAX_NAME_BYTES: usize = 256;
 
 /// What may be done twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -92,11 +92,11 @@
 impl Record {
     pub fn encode(&self) -> Result<Vec<u8>, Bad> {
         self.check()?;
-        if self.request.len() > REQUEST_MOST {
+        if self.request.len() > MAX_REQUEST_BYTES {
             return Err(Bad::TooLarge);
         }
         let mut bytes = postcard::to_extend(self, vec![0; HEAD]).map_err(|_| Bad::TooLarge)?;
-        if bytes.len() > RECORD_MOST {
+        if bytes.len() > MAX_RECORD_BYTES {
             return Err(Bad::TooLarge);
         }
         let sum = crc32fast::hash(&bytes[HEAD..]);
@@ -123,10 +123,10 @@
     fn check(&self) -> Result<(), Bad> {
         let impossible = |what| Err(Bad::Impossible(what));
         match &self.stage {
-            _ if self.attempts > ATTEMPTS_MOST => impossible("number of attempts"),
+            _ if self.attempts > MAX_ATTEMPTS => impossible("number of attempts"),
             Stage::Intent { .. } if self.attempts == 0 => impossible("intent without an attempt"),
             Stage::Intent { .. } if !self.counted => impossible("intent without its unit"),
-            Stage::Intent { server, .. } if server.is_empty() || server.len() > NAME_MOST => {
+            Stage::Intent { server, .. } if server.is_empty() || server.len() > MAX_NAME_BYTES => {
                 impossible("server")
             }
             Stage::Outcome(Ended::Answered(_) | Ended::Unknown) if self.attempts == 0 => {
--- a/quota-gateway/work-handoff/src/succeed.rs
+++ b/quota-gateway/work-handoff/src/succeed.rs
@@ -1,6 +1,6 @@
 //! What a successor does with work that it has claimed, by what the ledger says.
 
-use crate::record::{Class, Ended, Record, Stage, ATTEMPTS_MOST};
+use crate::record::{Class, Ended, Record, Stage, MAX_ATTEMPTS};
 use std::time::Duration;
 
 /// What a successor knows beside the record.
@@ -43,14 +43,14 @@
 }
 
 /// How long a seal that found the attempt running waits before it asks again.
-pub const ASK_AGAIN: Duration = Duration::from_millis(50);
+pub const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 fn left(record: &Record, age: Duration) -> Duration {
     Duration::from_millis(record.left_ms.into()).saturating_sub(age)
 }
 
 fn may_send(record: &Record, age: Duration) -> bool {
-    !left(record, age).is_zero() && record.attempts < ATTEMPTS_MOST
+    !left(record, age).is_zero() && record.attempts < MAX_ATTEMPTS
 }
 
 /// The table of the design: by state and class, within what is left of its time and attempts.
@@ -83,7 +83,7 @@
             Step::End(Ended::Unknown)
         }
         Receipt::Out if left(record, age).is_zero() => Step::End(Ended::GivenUp),
-        Receipt::Out => Step::Wait(ASK_AGAIN),
+        Receipt::Out => Step::Wait(RECHECK_INTERVAL),
         Receipt::Sealed if may_send(record, age) => Step::Send,
         Receipt::Sealed => Step::End(Ended::GivenUp),
     }
--- a/quota-gateway/work-handoff/src/ledger.rs
+++ b/quota-gateway/work-handoff/src/work_log.rs
@@ -5,7 +5,7 @@
 //! each, and each so much at once as it bears. A claim is that lock, granted to another session once the owner's is over: from
 //! then on nothing that the old owner writes is taken, however late it wakes.
 
-use crate::record::{Bad, Ended, Record, Stage, ATTEMPTS_MOST};
+use crate::record::{Bad, Ended, Record, Stage, MAX_ATTEMPTS};
 use marblecroft_coordination::state::{Op, Owner, Revision, Token};
 
 /// Shards of a gateway's work.
@@ -13,13 +13,13 @@
 
 /// Where one request's record lies.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Place {
+pub struct RecordKey {
     /// Of the gateway that took it, for its life: it names its session, so that a restart under the same name begins anew.
     pub owner: String,
     pub trace: String,
 }
 
-impl Place {
+impl RecordKey {
     pub fn shard(&self) -> u16 {
         // Any even spread will do; both ends must have the same one.
         (crc32fast::hash(self.trace.as_bytes()) % u32::from(SHARDS)) as u16
@@ -47,31 +47,31 @@
 /// A record as its writer knows it: what it is, and at which revision; 0 for one that is not written yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Entry {
-    pub place: Place,
+    pub key: RecordKey,
     pub revision: Revision,
     pub record: Record,
 }
 
 impl Entry {
     /// One that was just taken.
-    pub fn accepted(place: Place, record: Record) -> Entry {
-        Entry { place, revision: 0, record: Record { stage: Stage::Accepted, ..record } }
+    pub fn accepted(key: RecordKey, record: Record) -> Entry {
+        Entry { key, revision: 0, record: Record { stage: Stage::Accepted, ..record } }
     }
 
     /// The command that writes it as it is now, and nothing but on what it builds on.
     pub fn write(&self, token: Token) -> Result<Op, Bad> {
         Ok(Op::Put {
-            key: self.place.key(),
+            key: self.key.key(),
             value: self.record.encode()?,
             expect: Some(self.revision),
-            owner: Owner::Lock { name: self.place.lock(), token },
+            owner: Owner::Lock { name: self.key.lock(), token },
         })
     }
 
     /// An attempt is about to be written: it counts from now on, whatever comes of it. `None`: it has had all it may have, or has
     /// ended. Its unit is counted with its first one; `left_ms` and `out_ms` as of now.
     pub fn intends(&self, server: &str, left_ms: u32, out_ms: u32) -> Option<Entry> {
-        if self.record.attempts >= ATTEMPTS_MOST || matches!(self.record.stage, Stage::Outcome(_)) {
+        if self.record.attempts >= MAX_ATTEMPTS || matches!(self.record.stage, Stage::Outcome(_)) {
             return None;
         }
         let stage = Stage::Intent { server: server.to_owned(), out_ms };
--- a/quota-gateway/work-handoff/tests/golden.rs
+++ b/quota-gateway/work-handoff/tests/golden.rs
@@ -8,8 +8,8 @@
 mod golden;
 
 use golden::{bytes, same_bytes};
-use marblecroft_work_handoff::ledger::Place;
 use marblecroft_work_handoff::record::{Class, Ended, Record, Stage};
+use marblecroft_work_handoff::work_log::RecordKey;
 
 fn record(class: Class, number: u8, stage: Stage) -> Record {
     Record {
@@ -50,6 +50,6 @@
 /// Another shard or key, and a successor would not find what was written before.
 #[test]
 fn records_keep_their_place() {
-    let place = Place { owner: "gateway-3".to_owned(), trace: "4bf92f3577b34da6".to_owned() };
+    let place = RecordKey { owner: "gateway-3".to_owned(), trace: "4bf92f3577b34da6".to_owned() };
     golden::same_text("place.txt", &format!("{} {}", place.shard(), place.key()));
 }
--- a/quota-gateway/work-handoff/tests/interleavings.rs
+++ b/quota-gateway/work-handoff/tests/interleavings.rs
@@ -3,9 +3,9 @@
 //! wake, sessions that end under a process that lives. And mutations, each of which must be caught.
 
 use marblecroft_coordination::state::{ClientId, Command, Done, Op, Outcome, Owner, SessionId, State, Token};
-use marblecroft_work_handoff::ledger::{Entry, Place};
 use marblecroft_work_handoff::record::{Class, Ended, Record, Stage};
 use marblecroft_work_handoff::succeed::{read, step, Receipt, Situation, Step};
+use marblecroft_work_handoff::work_log::{Entry, RecordKey};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -121,8 +121,8 @@
     SessionId(agent as u64 + 1)
 }
 
-fn place() -> Place {
-    Place { owner: "g".to_owned(), trace: "t".to_owned() }
+fn place() -> RecordKey {
+    RecordKey { owner: "g".to_owned(), trace: "t".to_owned() }
 }
 
 fn bytes<T: serde::Serialize>(value: &T) -> Vec<u8> {
@@ -177,7 +177,7 @@
     fn record(&self) -> Option<Entry> {
         let value = self.ledger.value(&place().key())?;
         let record = Record::decode(&value.value).expect("nobody else writes there");
-        Some(Entry { place: place(), revision: value.revision, record })
+        Some(Entry { key: place(), revision: value.revision, record })
     }
 
     fn follow(&mut self, agent: usize, entry: &Entry, what: Step, config: &Config) {
--- a/quota-gateway/work-handoff/tests/records.rs
+++ b/quota-gateway/work-handoff/tests/records.rs
@@ -1,11 +1,11 @@
 //! Records: what is written is read again; bytes of any kind are refused without a panic, and so is what no owner writes; the
 //! table of the design, row by row; and any sequence of owners' steps keeps what is promised of one record.
 
-use marblecroft_work_handoff::ledger::{Entry, Place, SHARDS};
 use marblecroft_work_handoff::record::{
-    Bad, Class, Ended, Record, Stage, ATTEMPTS_MOST, REQUEST_MOST, VERSION,
+    Bad, Class, Ended, Record, Stage, MAX_ATTEMPTS, MAX_REQUEST_BYTES, VERSION,
 };
 use marblecroft_work_handoff::succeed::{read, step, Receipt, Situation, Step};
+use marblecroft_work_handoff::work_log::{Entry, RecordKey, SHARDS};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -94,7 +94,7 @@
     for (record, what) in [
         (Record { attempts: 0, ..good.clone() }, "intent without an attempt"),
         (Record { counted: false, ..good.clone() }, "intent without its unit"),
-        (Record { attempts: ATTEMPTS_MOST + 1, ..good.clone() }, "number of attempts"),
+        (Record { attempts: MAX_ATTEMPTS + 1, ..good.clone() }, "number of attempts"),
         (Record { stage: Stage::Intent { server: String::new(), out_ms: 1 }, ..good.clone() }, "server"),
         (
             Record { attempts: 0, stage: Stage::Outcome(Ended::Unknown), ..good.clone() },
@@ -103,9 +103,9 @@
     ] {
         assert_eq!(record.encode(), Err(Bad::Impossible(what)));
     }
-    let at_bound = Record { request: vec![0; REQUEST_MOST], ..good.clone() };
+    let at_bound = Record { request: vec![0; MAX_REQUEST_BYTES], ..good.clone() };
     assert!(at_bound.encode().is_ok());
-    assert_eq!(Record { request: vec![0; REQUEST_MOST + 1], ..good }.encode(), Err(Bad::TooLarge));
+    assert_eq!(Record { request: vec![0; MAX_REQUEST_BYTES + 1], ..good }.encode(), Err(Bad::TooLarge));
 }
 
 proptest! {
@@ -117,7 +117,7 @@
             bytes[1..5].copy_from_slice(&sum.to_le_bytes());
         }
         if let Ok(record) = Record::decode(&bytes) {
-            prop_assert!(record.attempts <= ATTEMPTS_MOST);
+            prop_assert!(record.attempts <= MAX_ATTEMPTS);
         }
     }
 
@@ -125,7 +125,7 @@
     /// word, and every record on the way can be written and read.
     #[test]
     fn whatever_owners_do_a_record_keeps_its_order(steps in prop::collection::vec(0u8..4, 0..30), trace in "[a-z0-9]{1,16}") {
-        let place = Place { owner: "g".to_owned(), trace };
+        let place = RecordKey { owner: "g".to_owned(), trace };
         prop_assert!(place.shard() < SHARDS && place.key().ends_with(&place.trace));
         let mut entry = Entry::accepted(place, record(Class::NeverTwice, 0, Stage::Accepted));
         for what in steps {
@@ -137,7 +137,7 @@
             let before = entry.record.clone();
             let over = matches!(before.stage, Stage::Outcome(_));
             let Some(next) = next else {
-                prop_assert!(over || what == 2 && before.stage == Stage::Accepted || before.attempts == ATTEMPTS_MOST);
+                prop_assert!(over || what == 2 && before.stage == Stage::Accepted || before.attempts == MAX_ATTEMPTS);
                 continue;
             };
             prop_assert!(!over && next.record.attempts >= before.attempts && next.record.counted >= before.counted);
--- a/quota-gateway/zone-failover/src/body.rs
+++ b/quota-gateway/zone-failover/src/body.rs
@@ -2,7 +2,7 @@
 
 use marblecroft_control_messages::frame::{sane, Kind};
 use marblecroft_control_messages::published::Body;
-use marblecroft_control_messages::report::{NAME_MOST, ZONES_MOST};
+use marblecroft_control_messages::report::{MAX_NAME_BYTES, MAX_ZONES};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -10,11 +10,11 @@
     Serving,
     /// Something is wrong with it, or with those who look: nobody new is sent there, its own traffic stays.
     Suspect,
-    Out,
+    FailedOver,
     /// Back, with a share that rises.
     Returning,
     /// An operator's word.
-    HeldOut,
+    HeldByOperator,
 }
 
 impl State {
@@ -22,9 +22,9 @@
         match self {
             State::Serving => "serving",
             State::Suspect => "suspect",
-            State::Out => "out",
+            State::FailedOver => "out",
             State::Returning => "returning",
-            State::HeldOut => "held_out",
+            State::HeldByOperator => "held_out",
         }
     }
 
@@ -61,9 +61,9 @@
     fn sensible(&self) -> bool {
         let n = self.zones.len();
         let share = |share: &f64| (0.0..=1.0).contains(share);
-        (1..=ZONES_MOST).contains(&n)
+        (1..=MAX_ZONES).contains(&n)
             && self.zones.iter().enumerate().all(|(i, zone)| {
-                (1..=NAME_MOST).contains(&zone.name.len())
+                (1..=MAX_NAME_BYTES).contains(&zone.name.len())
                     && self.zones[..i].iter().all(|other| other.name != zone.name)
                     && sane(zone.bears)
                     && sane(zone.asked)
@@ -94,7 +94,7 @@
         if own.shares.iter().all(|share| *share <= 0.0) {
             return None;
         }
-        let part = GROWTH * asked.min(own.asked / f64::from(own.gateways.max(1)) * PART_MOST);
+        let part = GROWTH * asked.min(own.asked / f64::from(own.gateways.max(1)) * MAX_RELATIVE_TRAFFIC);
         let named = || self.zones.iter().zip(&own.shares).map(|(to, share)| (to.name.clone(), *share));
         Some(Bound {
             shares: named().collect(),
@@ -104,4 +104,4 @@
 }
 
 /// A gateway takes several times the mean of its zone's traffic at the most.
-const PART_MOST: f64 = 8.0;
+const MAX_RELATIVE_TRAFFIC: f64 = 8.0;
--- a/quota-gateway/zone-failover/src/capacity.rs
+++ b/quota-gateway/zone-failover/src/capacity.rs
@@ -7,9 +7,9 @@
 /// In a second in which servers turn work away it sinks by this part, but not under what is served.
 const STEP_DOWN: f64 = 0.15;
 /// A peak is half forgotten in this long.
-const FORGET: f64 = 600.0;
+const PEAK_HALF_LIFE_SECS: f64 = 600.0;
 /// Before anything was seen one server is taken to bear this; small, as the first seconds teach more.
-const LEAST: f64 = 1.0;
+const INITIAL_SERVER_CAPACITY: f64 = 1.0;
 
 /// What one warm server of a zone takes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -20,7 +20,7 @@
 
 impl Learnt {
     /// As the decision before had it.
-    pub fn told(unit: f64, at: Duration) -> Learnt {
+    pub fn from_decision(unit: f64, at: Duration) -> Learnt {
         Learnt { unit, at }
     }
 
@@ -32,7 +32,7 @@
             return;
         }
         let seen = served / warm;
-        self.unit *= 0.5_f64.powf(dt / FORGET);
+        self.unit *= 0.5_f64.powf(dt / PEAK_HALF_LIFE_SECS);
         if pressed {
             self.unit = (self.unit * (1.0 - STEP_DOWN * dt.min(1.0))).max(seen);
         } else {
@@ -46,6 +46,6 @@
             return known;
         }
         let more = if pressed { 1.0 } else { 1.0 + STEP_UP };
-        (self.unit * more).max(LEAST)
+        (self.unit * more).max(INITIAL_SERVER_CAPACITY)
     }
 }
--- a/quota-gateway/zone-failover/src/core.rs
+++ b/quota-gateway/zone-failover/src/core.rs
@@ -11,17 +11,17 @@
 use std::time::Duration;
 
 /// Shares that changed by less are not worth a decision of their own ...
-const WORTH_TELLING: f64 = 0.01;
+const MIN_SHARE_CHANGE: f64 = 0.01;
 /// ... but one comes at least this often, so that capacities that rise slowly are told.
-const AT_LEAST: Duration = Duration::from_secs(2);
+const MAX_DECISION_INTERVAL: Duration = Duration::from_secs(2);
 /// A zone that returns is open for at least so much of what it bears, as its share rises: its clients may have gone elsewhere.
-const RETURN_LEAST: f64 = 0.25;
+const MIN_RETURN_SHARE: f64 = 0.25;
 /// Gateways that must see a zone fail; all of them where the fleet has fewer.
 const WITNESSES: f64 = 2.0;
 
 /// An operator's order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum OperatorCommand {
     Hold(String),
     Return(String),
 }
@@ -62,7 +62,7 @@
         let learnt = settings.places.iter().map(|place| {
             let unit = told(&place.name).filter(|zone| zone.bears > 0.0).map_or(0.0, |zone| zone.bears);
             // Per server it is learnt again from the first reports; until then the zone's sum bounds it.
-            Learnt::told(unit / SERVERS_GUESSED, now)
+            Learnt::from_decision(unit / SERVERS_GUESSED, now)
         });
         let learnt = learnt.collect();
         let evidence = Evidence::default();
@@ -84,19 +84,19 @@
     }
 
     /// False: no zone is called so.
-    pub fn order(&mut self, now: Now, order: &Order) -> bool {
-        let (Order::Hold(name) | Order::Return(name)) = order;
+    pub fn on_operator_command(&mut self, now: Now, order: &OperatorCommand) -> bool {
+        let (OperatorCommand::Hold(name) | OperatorCommand::Return(name)) = order;
         let Some(at) = self.settings.zone(name) else { return false };
         let from = self.zones[at].state;
         match order {
-            Order::Hold(_) => self.zones[at].hold_out(now),
-            Order::Return(_) => self.zones[at].let_back(now),
+            OperatorCommand::Hold(_) => self.zones[at].hold_by_operator(now),
+            OperatorCommand::Return(_) => self.zones[at].let_back(now),
         }
-        self.note(at, from);
+        self.record_transition(at, from);
         true
     }
 
-    fn note(&mut self, at: usize, from: State) {
+    fn record_transition(&mut self, at: usize, from: State) {
         let to = self.zones[at].state;
         if from != to {
             self.moved.push(Moved { zone: self.settings.places[at].name.clone(), from, to });
@@ -113,14 +113,18 @@
     }
 
     /// Zones that are held out.
-    pub fn held_out(&self) -> Vec<String> {
-        let held =
-            self.settings.places.iter().zip(&self.zones).filter(|(_, zone)| zone.state == State::HeldOut);
+    pub fn held_zones(&self) -> Vec<String> {
+        let held = self
+            .settings
+            .places
+            .iter()
+            .zip(&self.zones)
+            .filter(|(_, zone)| zone.state == State::HeldByOperator);
         held.map(|(place, _)| place.name.clone()).collect()
     }
 
     /// Falls that were refused, as the zone is the last, or another region has just moved.
-    pub fn kept(&self) -> u64 {
+    pub fn rejected_failovers(&self) -> u64 {
         self.kept
     }
 
@@ -134,7 +138,7 @@
 
     /// Whether a zone's gateways see no other zone at all, though others see each other: it is they who are cut off, and what
     /// they say of others counts for nothing.
-    fn cut_off(&self, from: usize) -> bool {
+    fn is_partitioned(&self, from: usize) -> bool {
         let others = || (0..self.n()).filter(move |&to| to != from);
         let seen = |from: usize, to: usize| self.evidence.opinion(from, to);
         let sees_none = others().any(|to| seen(from, to).votes() > 0.0)
@@ -194,11 +198,11 @@
 
     /// One moment: judges, and decides if there is something worth telling.
     pub fn tick(&mut self, now: Now) -> Option<ZonesDecided> {
-        self.evidence.forget(now, &self.settings);
+        self.evidence.expire(now, &self.settings);
         if now.saturating_sub(self.begun) < ms(self.settings.settle_ms) || self.evidence.heard() == 0 {
             return None;
         }
-        let cut_off: Vec<bool> = (0..self.n()).map(|zone| self.cut_off(zone)).collect();
+        let cut_off: Vec<bool> = (0..self.n()).map(|zone| self.is_partitioned(zone)).collect();
         let verdicts: Vec<Verdict> = (0..self.n()).map(|zone| self.verdict(zone, &cut_off)).collect();
         // Everything is down: that is evidence against who looks.
         let looked = verdicts.iter().filter(|verdict| **verdict != Verdict::Unseen);
@@ -212,8 +216,8 @@
             let servers = self.evidence.servers(at).0 > 0.0;
             let from = self.zones[at].state;
             let region = self.settings.places[at].region.clone();
-            self.zones[at].judge(now, &self.settings, verdict, may_fall, servers);
-            if from != State::Out && self.zones[at].state == State::Out {
+            self.zones[at].advance(now, &self.settings, verdict, may_fall, servers);
+            if from != State::FailedOver && self.zones[at].state == State::FailedOver {
                 let mut others = self.settings.places.iter().zip(&self.zones);
                 if !others.any(|(place, zone)| place.region == region && zone.state.takes()) {
                     self.region_moved = Some((now, region));
@@ -221,13 +225,12 @@
             } else if !may_fall && lost(&verdict) {
                 self.kept += 1;
             }
-            self.note(at, from);
+            self.record_transition(at, from);
         }
         let decided = self.decide(now);
-        let tell = self
-            .last
-            .as_ref()
-            .is_none_or(|(at, last)| now.saturating_sub(*at) >= AT_LEAST || differs(last, &decided));
+        let tell = self.last.as_ref().is_none_or(|(at, last)| {
+            now.saturating_sub(*at) >= MAX_DECISION_INTERVAL || differs(last, &decided)
+        });
         if !tell {
             return None;
         }
@@ -237,7 +240,7 @@
 
     fn decide(&mut self, now: Now) -> ZonesDecided {
         let n = self.n();
-        let asked: Vec<f64> = (0..n).map(|zone| self.evidence.asked(zone)).collect();
+        let asked: Vec<f64> = (0..n).map(|zone| self.evidence.demand(zone)).collect();
         let mut bears = Vec::with_capacity(n);
         for zone in 0..n {
             let warm = self.evidence.servers(zone).1;
@@ -255,7 +258,7 @@
             let open = self.zones[zone].open(now, &self.settings);
             let returning = self.zones[zone].state == State::Returning;
             open * if returning {
-                bears[zone].min(asked[zone].max(RETURN_LEAST * bears[zone]))
+                bears[zone].min(asked[zone].max(MIN_RETURN_SHARE * bears[zone]))
             } else {
                 bears[zone]
             }
@@ -291,7 +294,7 @@
 const SERVERS_GUESSED: f64 = 64.0;
 
 fn differs(a: &ZonesDecided, b: &ZonesDecided) -> bool {
-    let far = |a: &[f64], b: &[f64]| a.iter().zip(b).any(|(a, b)| (a - b).abs() > WORTH_TELLING);
+    let far = |a: &[f64], b: &[f64]| a.iter().zip(b).any(|(a, b)| (a - b).abs() > MIN_SHARE_CHANGE);
     a.zones.len() != b.zones.len()
         || a.zones.iter().zip(&b.zones).any(|(a, b)| a.state != b.state || far(&a.shares, &b.shares))
 }
--- a/quota-gateway/zone-failover/src/evidence.rs
+++ b/quota-gateway/zone-failover/src/evidence.rs
@@ -16,7 +16,7 @@
 /// So many attempts are more than little.
 const MUCH: f64 = 8.0;
 /// So many attempts make a vote: with fewer, chance does.
-const VOTE_LEAST: f64 = 2.0;
+const MIN_ATTEMPTS_PER_VOTE: f64 = 2.0;
 /// So many voices of the last second are enough to leave out what was before.
 const VOICES_ENOUGH: f64 = 3.0;
 /// Of which so many must have failed to vote against a zone ...
@@ -24,9 +24,9 @@
 /// ... or been turned away as busy, to call it pressed.
 const PRESSED: f64 = 0.1;
 /// What one gateway is asked for counts for so many times the others' mean at the most: traffic is uneven, but not more so.
-const ASKED_MOST: f64 = 8.0;
+const MAX_RELATIVE_DEMAND: f64 = 8.0;
 /// The most gateways that are kept account of.
-pub const GATEWAYS_MOST: usize = 4096;
+pub const MAX_GATEWAYS: usize = 4096;
 
 /// What one gateway told last, and what it has seen of late.
 #[derive(Clone, Debug)]
@@ -98,17 +98,17 @@
         let places: Option<Vec<usize>> = report.zones.iter().map(|seen| settings.zone(&seen.zone)).collect();
         let places = places.ok_or(Refusal::Absurd)?;
         let before = self.gateways.get(&report.gateway);
-        if before.is_some_and(|heard| heard.life == report.life && heard.number >= report.number) {
+        if before.is_some_and(|heard| heard.life == report.incarnation && heard.number >= report.number) {
             self.repeated += 1;
             return Ok(());
         }
-        if before.is_none() && self.gateways.len() >= GATEWAYS_MOST {
+        if before.is_none() && self.gateways.len() >= MAX_GATEWAYS {
             return Err(Refusal::TooLong);
         }
         // What an earlier life saw says nothing of this one's way.
         let mut seen = before
             .filter(|heard| {
-                heard.life == report.life && now.saturating_sub(heard.at) < ms(settings.unheard_ms)
+                heard.life == report.incarnation && now.saturating_sub(heard.at) < ms(settings.unheard_ms)
             })
             .map_or_else(|| vec![Seen::default(); n], |heard| heard.seen.clone());
         let (mut servers, mut served, mut last) = (vec![None; n], vec![0.0; n], vec![Seen::default(); n]);
@@ -124,10 +124,10 @@
         }
         let heard = Heard {
             at: now,
-            life: report.life,
+            life: report.incarnation,
             number: report.number,
             zone,
-            asked: report.asked,
+            asked: report.requested_units,
             seen,
             last,
             servers,
@@ -138,7 +138,7 @@
     }
 
     /// Leaves out of account whoever was not heard for too long.
-    pub fn forget(&mut self, now: Now, settings: &Settings) {
+    pub fn expire(&mut self, now: Now, settings: &Settings) {
         self.moment = self.moment.max(now);
         self.gateways.retain(|_, heard| now.saturating_sub(heard.at) < ms(settings.unheard_ms));
     }
@@ -157,7 +157,7 @@
             let seen = seen(heard)[to];
             let lost = seen.failed + seen.unconnected;
             // A gateway has one voice, and less of one where it has tried less than a vote takes.
-            let voice = (seen.all() / VOTE_LEAST).min(1.0);
+            let voice = (seen.all() / MIN_ATTEMPTS_PER_VOTE).min(1.0);
             if lost > BAD * seen.all() {
                 opinion.bad += voice;
             } else {
@@ -188,7 +188,7 @@
     }
 
     /// Units a second that a zone's gateways are asked for, each clipped by what the others of the fleet are.
-    pub fn asked(&self, zone: usize) -> f64 {
+    pub fn demand(&self, zone: usize) -> f64 {
         let all: f64 = self.gateways.values().map(|heard| heard.asked).sum();
         let others = (self.gateways.len() as f64 - 1.0).max(1.0);
         let mut sorted: Vec<f64> = self.gateways.values().map(|heard| heard.asked).collect();
@@ -200,7 +200,11 @@
             .filter(|heard| heard.zone == zone)
             .map(|heard| {
                 let mean = (all - heard.asked) / others;
-                let most = if sorted.len() < 4 { f64::INFINITY } else { ASKED_MOST * mean.min(4.0 * median) };
+                let most = if sorted.len() < 4 {
+                    f64::INFINITY
+                } else {
+                    MAX_RELATIVE_DEMAND * mean.min(4.0 * median)
+                };
                 heard.asked.min(most.max(1.0))
             })
             .sum()
--- a/quota-gateway/zone-failover/src/settings.rs
+++ b/quota-gateway/zone-failover/src/settings.rs
@@ -60,13 +60,16 @@
 impl Settings {
     /// The error names the field.
     pub fn check(&self) -> Result<(), String> {
-        use marblecroft_control_messages::report::{NAME_MOST, ZONES_MOST};
-        if self.places.is_empty() || self.places.len() > ZONES_MOST {
-            return Err(format!("places: {} of 1 to {ZONES_MOST}", self.places.len()));
+        use marblecroft_control_messages::report::{MAX_NAME_BYTES, MAX_ZONES};
+        if self.places.is_empty() || self.places.len() > MAX_ZONES {
+            return Err(format!("places: {} of 1 to {MAX_ZONES}", self.places.len()));
         }
         for (i, place) in self.places.iter().enumerate() {
-            if place.name.is_empty() || place.name.len() > NAME_MOST || place.region.len() > NAME_MOST {
-                return Err(format!("places[{i}]: a name has 1 to {NAME_MOST} bytes"));
+            if place.name.is_empty()
+                || place.name.len() > MAX_NAME_BYTES
+                || place.region.len() > MAX_NAME_BYTES
+            {
+                return Err(format!("places[{i}]: a name has 1 to {MAX_NAME_BYTES} bytes"));
             }
             if self.places[..i].iter().any(|other| other.name == place.name) {
                 return Err(format!("places[{i}].name: {} comes twice", place.name));
--- a/quota-gateway/zone-failover/src/state.rs
+++ b/quota-gateway/zone-failover/src/state.rs
@@ -48,7 +48,7 @@
     }
 
     /// How long it stays out.
-    pub fn hold(&self, settings: &Settings) -> Duration {
+    pub fn hold_time(&self, settings: &Settings) -> Duration {
         let doublings = self.falls.min(16);
         ms(settings.hold_ms.saturating_mul(1 << doublings).min(settings.hold_most_ms.max(settings.hold_ms)))
     }
@@ -57,7 +57,7 @@
     pub fn open(&self, now: Duration, settings: &Settings) -> f64 {
         match self.state {
             State::Serving | State::Suspect => 1.0,
-            State::Out | State::HeldOut => 0.0,
+            State::FailedOver | State::HeldByOperator => 0.0,
             State::Returning => {
                 let part = self.for_long(now).as_secs_f64() / ms(settings.ramp_ms).as_secs_f64();
                 (FIRST_SHARE + (1.0 - FIRST_SHARE) * part).min(1.0)
@@ -67,7 +67,7 @@
 
     /// Moves by this moment's verdict. `may_fall`: it may go out, as another zone is left and no region has moved too lately.
     /// `servers`: whether any are listed, without which it has nothing to return with.
-    pub fn judge(
+    pub fn advance(
         &mut self,
         now: Duration,
         settings: &Settings,
@@ -85,7 +85,7 @@
         let lasting = gone
             || self.lost_since.is_some_and(|since| now.saturating_sub(since) >= ms(settings.out_after_ms));
         match (self.state, verdict) {
-            (State::HeldOut, _) => {}
+            (State::HeldByOperator, _) => {}
             (State::Serving, Verdict::Gone) if may_fall => self.fall(now),
             (State::Serving, Verdict::Lost | Verdict::Gone | Verdict::Doubtful) => {
                 self.enter(now, State::Suspect)
@@ -100,7 +100,7 @@
             (State::Returning, _) if self.for_long(now) >= ms(settings.ramp_ms) => {
                 self.enter(now, State::Serving)
             }
-            (State::Out, _) if self.for_long(now) >= self.hold(settings) && servers => {
+            (State::FailedOver, _) if self.for_long(now) >= self.hold_time(settings) && servers => {
                 self.lost_since = None;
                 self.enter(now, State::Returning);
             }
@@ -114,18 +114,18 @@
 
     fn fall(&mut self, now: Duration) {
         self.lost_since = None;
-        self.enter(now, State::Out);
+        self.enter(now, State::FailedOver);
     }
 
     /// An operator's word.
-    pub fn hold_out(&mut self, now: Duration) {
+    pub fn hold_by_operator(&mut self, now: Duration) {
         self.lost_since = None;
-        self.enter(now, State::HeldOut);
+        self.enter(now, State::HeldByOperator);
     }
 
     /// An operator's word that it may come back, at once.
     pub fn let_back(&mut self, now: Duration) {
-        if matches!(self.state, State::HeldOut | State::Out) {
+        if matches!(self.state, State::HeldByOperator | State::FailedOver) {
             self.lost_since = None;
             self.enter(now, State::Returning);
         }
--- a/quota-gateway/zone-failover/tests/conformance.rs
+++ b/quota-gateway/zone-failover/tests/conformance.rs
@@ -90,7 +90,7 @@
         let mut now = Duration::ZERO;
         for (at, verdict, state) in &self.steps {
             now = ms(*at);
-            let mut judge = |verdict, servers| zone.judge(now, &settings, verdict, self.may_fall, servers);
+            let mut judge = |verdict, servers| zone.advance(now, &settings, verdict, self.may_fall, servers);
             match verdict.as_str() {
                 "well" => judge(Verdict::Well, true),
                 "doubtful" => judge(Verdict::Doubtful, true),
@@ -98,7 +98,7 @@
                 "gone" => judge(Verdict::Gone, false),
                 "unseen" => judge(Verdict::Unseen, true),
                 "no servers" => judge(Verdict::Unseen, false),
-                "hold" => zone.hold_out(now),
+                "hold" => zone.hold_by_operator(now),
                 "return" => zone.let_back(now),
                 other => return Err(format!("no verdict is called {other}")),
             }
@@ -144,5 +144,5 @@
         let e = read(text).expect_err(text);
         assert!(e.contains(field), "{text}: {e}");
     }
-    assert_eq!(State::HeldOut.name(), "held_out");
+    assert_eq!(State::HeldByOperator.name(), "held_out");
 }
--- a/quota-gateway/zone-failover/tests/core.rs
+++ b/quota-gateway/zone-failover/tests/core.rs
@@ -1,8 +1,8 @@
 //! Rules of the whole decision that stand behind others, each in the case where it alone holds.
 
-use marblecroft_control_messages::report::{Asked, GoesBy, Report, Seen, ZoneSeen};
+use marblecroft_control_messages::report::{AppliedDecisions, Demand, Report, Seen, ZoneSeen};
 use marblecroft_zone_failover::body::{State, ZoneDecided, ZonesDecided, GROWTH};
-use marblecroft_zone_failover::core::{Order, Zones};
+use marblecroft_zone_failover::core::{OperatorCommand, Zones};
 use marblecroft_zone_failover::settings::{ms, Place, Settings};
 
 fn settings(zones: usize) -> Settings {
@@ -20,14 +20,14 @@
     });
     Report {
         gateway,
-        life: 1,
+        incarnation: 1,
         number,
         zone: format!("hall-{zone}"),
         span_ms: 1000,
-        asked: 20.0,
+        requested_units: 20.0,
         zones: zones.collect(),
-        shares: Asked::default(),
-        goes_by: GoesBy::default(),
+        shares: Demand::default(),
+        goes_by: AppliedDecisions::default(),
     }
 }
 
@@ -74,7 +74,7 @@
         core.tick(ms(5000 + tenth * 100));
     }
     play(3, 7, 5, &mut core, |_, _| vec![DARK; 3]);
-    assert!(states(&core, 3).iter().all(|state| *state != State::Out), "{:?}", states(&core, 3));
+    assert!(states(&core, 3).iter().all(|state| *state != State::FailedOver), "{:?}", states(&core, 3));
 }
 
 /// A zone and its gateways are gone in one moment, and those that are left hear that nothing is listed there any more: it is out with
@@ -91,7 +91,7 @@
         }
         core.tick(ms(at));
     }
-    assert_eq!(states(&core, 2), [State::Serving, State::Out]);
+    assert_eq!(states(&core, 2), [State::Serving, State::FailedOver]);
 }
 
 /// The last zone that takes anything stays, whatever is said of it.
@@ -99,14 +99,14 @@
 fn the_last_zone_is_kept() {
     let mut core = Zones::begin(settings(2), ms(0), None);
     play(2, 0, 5, &mut core, |_, _| vec![WELL; 2]);
-    assert!(core.order(ms(5000), &Order::Hold("hall-1".to_owned())));
+    assert!(core.on_operator_command(ms(5000), &OperatorCommand::Hold("hall-1".to_owned())));
     // Nothing is listed in the other one any more, while the one that is held is well.
     play(2, 5, 10, &mut core, |_, _| vec![(0.0, 10.0, 0.0), WELL]);
-    assert_eq!(states(&core, 2), [State::Suspect, State::HeldOut]);
-    assert!(core.kept() > 0);
-    assert!(core.order(ms(15_000), &Order::Return("hall-1".to_owned())));
+    assert_eq!(states(&core, 2), [State::Suspect, State::HeldByOperator]);
+    assert!(core.rejected_failovers() > 0);
+    assert!(core.on_operator_command(ms(15_000), &OperatorCommand::Return("hall-1".to_owned())));
     play(2, 15, 3, &mut core, |_, _| vec![(0.0, 10.0, 0.0), WELL]);
-    assert_eq!(states(&core, 2), [State::Out, State::Returning], "now there is another");
+    assert_eq!(states(&core, 2), [State::FailedOver, State::Returning], "now there is another");
 }
 
 /// A new owner has heard nobody: it decides nothing before every gateway could tell twice, and goes on with the states that stand.
@@ -114,14 +114,14 @@
 fn a_new_owner_listens_first() {
     let mut core = Zones::begin(settings(2), ms(0), None);
     play(2, 0, 5, &mut core, |_, _| vec![WELL; 2]);
-    core.order(ms(5000), &Order::Hold("hall-1".to_owned()));
+    core.on_operator_command(ms(5000), &OperatorCommand::Hold("hall-1".to_owned()));
     let before = core.tick(ms(5000)).expect("a state has changed");
     let mut next = Zones::begin(settings(2), ms(5000), Some(&before));
     next.report(ms(5100), &report(0, 6, 0, &[DARK, DARK])).expect("well formed");
     for at in (5100..7200).step_by(100) {
         assert_eq!(next.tick(ms(at)), None, "at {at}");
     }
-    assert_eq!(states(&next, 2), [State::Serving, State::HeldOut]);
+    assert_eq!(states(&next, 2), [State::Serving, State::HeldByOperator]);
     play(2, 7, 2, &mut next, |_, _| vec![WELL; 2]);
     assert!(next.tick(ms(9000)).is_some() || states(&next, 2)[0] == State::Serving);
 }
@@ -145,7 +145,7 @@
         }
         (0..10).for_each(|tenth| drop(core.tick(ms(second * 1000 + tenth * 100))));
     }
-    assert_ne!(states(&core, 2)[0], State::Out);
+    assert_ne!(states(&core, 2)[0], State::FailedOver);
 }
 
 /// A gateway with most of the traffic has one voice all the same.
--- a/quota-gateway/zone-failover/tests/fleet.rs
+++ b/quota-gateway/zone-failover/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! repeat. Each seed is another deployment. `ZONES_SEEDS` plays more of them.
 
 use marblecroft_control_messages::published::{Decision, Reader, Stamp, Standing};
-use marblecroft_control_messages::report::{Asked, GoesBy, Report, Seen, ZoneSeen};
+use marblecroft_control_messages::report::{AppliedDecisions, Demand, Report, Seen, ZoneSeen};
 use marblecroft_zone_failover::body::{State, ZonesDecided, GROWTH};
 use marblecroft_zone_failover::core::Zones;
 use marblecroft_zone_failover::settings::{Place, Settings};
@@ -268,14 +268,14 @@
             });
             let report = Report {
                 gateway: g as u32,
-                life: self.gateways[g].life,
+                incarnation: self.gateways[g].life,
                 number: self.gateways[g].number,
                 zone: self.settings.places[self.gateways[g].zone].name.clone(),
                 span_ms: span.clamp(1, 60_000) as u32,
-                asked,
+                requested_units: asked,
                 zones: zones.collect(),
-                shares: Asked::default(),
-                goes_by: GoesBy::default(),
+                shares: Demand::default(),
+                goes_by: AppliedDecisions::default(),
             };
             let lost = deaf || self.rng.random::<f64>() < self.lossy;
             let copies = if lost { 0 } else { 1 + usize::from(self.rng.random::<f64>() < self.lossy) };
@@ -290,7 +290,7 @@
         let now = self.now;
         let Some(body) = self.zones.tick(at(now)) else { return };
         assert!(
-            body.zones.iter().any(|zone| !matches!(zone.state, State::Out | State::HeldOut)),
+            body.zones.iter().any(|zone| !matches!(zone.state, State::FailedOver | State::HeldByOperator)),
             "{:?}: all zones are out at {now}: {body:?}",
             self.fault
         );
@@ -303,7 +303,7 @@
                 self.fault
             );
         }
-        for moved in self.zones.moved().into_iter().filter(|moved| moved.to == State::Out) {
+        for moved in self.zones.moved().into_iter().filter(|moved| moved.to == State::FailedOver) {
             self.outs += 1;
             self.fallen.insert(moved.zone);
         }
@@ -387,7 +387,11 @@
                 assert!(during >= 0.95 * possible, "{what}: {during} of {possible} possible");
             }
             if fault == Fault::AllDark {
-                assert!(world.states().iter().all(|s| *s != State::Out), "{what}: {:?}", world.states());
+                assert!(
+                    world.states().iter().all(|s| *s != State::FailedOver),
+                    "{what}: {:?}",
+                    world.states()
+                );
             }
             if matches!(fault, Fault::Owner | Fault::Deaf(_)) {
                 assert!(during > 0.97 && world.outs == 0, "{what}: {during}, {} out", world.outs);
@@ -432,18 +436,18 @@
             world.run(6000);
             let mut report = Report {
                 gateway: 0,
-                life: 1,
+                incarnation: 1,
                 number: u64::MAX - 1,
                 zone: "hall-0".to_owned(),
                 span_ms: 1000,
-                asked: 20.0,
+                requested_units: 20.0,
                 zones: Vec::new(),
-                shares: Asked::default(),
-                goes_by: GoesBy::default(),
+                shares: Demand::default(),
+                goes_by: AppliedDecisions::default(),
             };
             let seen = |scale: f64| Seen { served: 20.0 * scale, ..Seen::default() };
             let lie = lies as f64;
-            report.asked *= 1.0 + 999.0 * lie;
+            report.requested_units *= 1.0 + 999.0 * lie;
             for z in 0..3 {
                 let failed = Seen { failed: 20_000.0, ..Seen::default() };
                 let told = if lies == 1 && z == 2 { failed } else { seen(1.0) };
--- a/quota-gateway/zone-failover/tests/golden.rs
+++ b/quota-gateway/zone-failover/tests/golden.rs
@@ -29,9 +29,9 @@
         zones: vec![
             zone(1, State::Serving, [0.5, 0.25, 0.125, 0.0, 0.0625]),
             zone(2, State::Suspect, [0.0, 1.0, 0.0, 0.0, 0.0]),
-            zone(3, State::Out, [0.75, 0.125, 0.0, 0.0, 0.0]),
+            zone(3, State::FailedOver, [0.75, 0.125, 0.0, 0.0, 0.0]),
             zone(4, State::Returning, [0.0, 0.0, 0.0, 0.875, 0.0]),
-            zone(5, State::HeldOut, [0.1, 0.2, 0.0, 0.3, 0.0]),
+            zone(5, State::HeldByOperator, [0.1, 0.2, 0.0, 0.3, 0.0]),
         ],
     };
     let decision = Decision { stamp: Stamp { token: 1009, revision: 2011 }, valid_ms: 3017, body };
--- a/testing/fault-injection/src/scenario.rs
+++ b/testing/fault-injection/src/scenario.rs
@@ -391,7 +391,7 @@
 }
 
 /// Owners of these are stewards.
-pub const DUTIES: [&str; 3] = marblecroft_singleton_roles::keys::DUTIES;
+pub const DUTIES: [&str; 3] = marblecroft_singleton_roles::keys::ROLES;
 /// The owner of this name is the coordinator that leads.
 pub const LEADER: &str = "leader";
 
--- a/testing/fault-injection/src/shell/cells.rs
+++ b/testing/fault-injection/src/shell/cells.rs
@@ -6,8 +6,8 @@
 use crate::shell::World;
 use crate::stand::cell::{Cell, Then};
 use marblecroft_control_messages::frame::{decode, encode, Fleet, Head, HEAD};
-use marblecroft_shard_map::cell::{Asked, Said};
-use marblecroft_shard_map::fence::Due;
+use marblecroft_shard_map::cell::{CellReply, CellRequest};
+use marblecroft_shard_map::fencing::Due;
 use marblecroft_shard_map::map::{Epoch, Firm};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -55,12 +55,12 @@
             let length = Head::read(self.fleet, &bytes).map_err(strange)?.length;
             bytes.resize(HEAD + length, 0);
             pipe.read_exact(&mut bytes[HEAD..]).await?;
-            let asked = decode::<Asked>(self.fleet, &bytes).map_err(strange)?;
+            let asked = decode::<CellRequest>(self.fleet, &bytes).map_err(strange)?;
             let then = self.of(number).map(|cell| cell.borrow_mut().ask(&asked));
             let said = match then {
                 Some(Then::Say(said)) => said,
                 Some(Then::Copy(to, records)) => self.copy(number, to, records),
-                None => Said::NotYet,
+                None => CellReply::InProgress,
             };
             let answer = encode(self.fleet, &said).ok_or_else(|| io::Error::other("too long"))?;
             pipe.write_all(&answer).await?;
@@ -68,16 +68,16 @@
     }
 
     /// Copies to another cell, where the way is open.
-    fn copy(&self, from: u16, to: u32, records: Vec<(Firm, Trace)>) -> Said {
-        let Ok(to) = u16::try_from(to) else { return Said::NotYet };
+    fn copy(&self, from: u16, to: u32, records: Vec<(Firm, Trace)>) -> CellReply {
+        let Ok(to) = u16::try_from(to) else { return CellReply::InProgress };
         let open = self.world.path(End::Cell(from), End::Cell(to)).open;
         let lives = self.doors.get(usize::from(to)).is_some_and(|door| door.is_open());
         match self.of(to).filter(|_| open && lives) {
             Some(cell) => {
                 cell.borrow_mut().copied(records);
-                Said::Done
+                CellReply::Done
             }
-            None => Said::NotYet,
+            None => CellReply::InProgress,
         }
     }
 
--- a/testing/fault-injection/src/shell/lists.rs
+++ b/testing/fault-injection/src/shell/lists.rs
@@ -16,7 +16,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use marblecroft_discovery::format::{Ask, Entry, Host, HostList, HOSTS};
+use marblecroft_discovery::format::{Entry, Host, HostList, ListRequest, HOSTS};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
@@ -176,13 +176,13 @@
         if request.uri().path() != HOSTS {
             return Ok(plain(404, "", "no such path".to_owned()));
         }
-        let ask = match Ask::of_query(request.uri().query().unwrap_or_default()) {
+        let ask = match ListRequest::of_query(request.uri().query().unwrap_or_default()) {
             Ok(ask) => ask,
             Err(e) => return Ok(plain(400, "", e)),
         };
-        let since = if let Ask::Watch { since, .. } = ask { Some(since) } else { None };
+        let since = if let ListRequest::Watch { since, .. } = ask { Some(since) } else { None };
         world.record(Event::ListAsked { gateway, since });
-        if let Ask::Watch { wait, .. } = ask {
+        if let ListRequest::Watch { wait, .. } = ask {
             // In time or not, it is answered; but one over which discovery falls silent never is.
             tokio::select! {
                 () = world.until(Platform::is_silent) => std::future::pending().await,
@@ -202,7 +202,7 @@
         Ok(Response::new(Full::new(body.into())))
     }
 
-    async fn newer(&self, ask: Ask) {
+    async fn newer(&self, ask: ListRequest) {
         while self.list.borrow().answer(ask).is_none() {
             self.changed.notified().await;
         }
@@ -257,8 +257,8 @@
 fn calls(world: Rc<World>, gateway: u16) -> Tap {
     messages(move |line, _| {
         let query = line.split(' ').nth(1).and_then(|target| target.strip_prefix(HOSTS));
-        if let Some(Ok(ask)) = query.map(|query| Ask::of_query(query.trim_start_matches('?'))) {
-            let since = if let Ask::Watch { since, .. } = ask { Some(since) } else { None };
+        if let Some(Ok(ask)) = query.map(|query| ListRequest::of_query(query.trim_start_matches('?'))) {
+            let since = if let ListRequest::Watch { since, .. } = ask { Some(since) } else { None };
             world.record(Event::ListAsked { gateway, since });
         }
     })
--- a/testing/fault-injection/src/shell/owners.rs
+++ b/testing/fault-injection/src/shell/owners.rs
@@ -7,7 +7,7 @@
 use crate::history::Event;
 use crate::shell::World;
 use marblecroft_coordination::client::{Client, Lock};
-use marblecroft_coordination::fence::Fence;
+use marblecroft_coordination::fencing::FencedResource;
 use rand::Rng;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 /// All candidates, and the places that take their effects.
 pub struct Owners {
     world: Rc<World>,
-    fences: RefCell<Vec<Fence>>,
+    fences: RefCell<Vec<FencedResource>>,
     /// Who owns each lock, as far as the lab knows.
     owner: RefCell<BTreeMap<u16, u16>>,
 }
@@ -36,7 +36,7 @@
         let owners = &world.scenario.owners;
         let all = Rc::new(Owners {
             world: world.clone(),
-            fences: RefCell::new(vec![Fence::default(); owners.locks as usize]),
+            fences: RefCell::new(vec![FencedResource::default(); owners.locks as usize]),
             owner: RefCell::default(),
         });
         for candidate in 0..owners.candidates as u16 {
@@ -65,7 +65,7 @@
                 .map(|lock| {
                     let (all, session) = (self.clone(), session.clone());
                     spawn_local(async move {
-                        while session.lives() {
+                        while session.is_alive() {
                             let asked = all.world.now();
                             let name = format!("lock-{lock}");
                             if let Ok(held) = session.acquire(&name, WAIT).await {
--- a/testing/fault-injection/src/shell/registers.rs
+++ b/testing/fault-injection/src/shell/registers.rs
@@ -8,7 +8,7 @@
 use crate::history::{Event, Returned};
 use crate::shell::World;
 use marblecroft_coordination::client::{Client, Failed};
-use marblecroft_coordination::state::{Change, Done, News, Op, Owner, Refused};
+use marblecroft_coordination::state::{Change, Changes, Done, Op, Owner, Refused};
 use rand::Rng;
 use std::rc::Rc;
 use std::time::Duration;
@@ -95,8 +95,8 @@
         world.record(Event::Watched { watcher: number, since: None, upto: since, changes: Vec::new() });
         loop {
             world.until(|world| !world.stands_still(End::Candidate(number))).await;
-            match client.news(PREFIX, since, WAIT).await {
-                Ok(News::Changes { upto, changes }) => {
+            match client.changes_since(PREFIX, since, WAIT).await {
+                Ok(Changes::Changes { upto, changes }) => {
                     let told = changes.iter().filter_map(|(revision, change)| match change {
                         Change::Value { key, value } => {
                             let register = key.strip_prefix(PREFIX)?.parse().ok()?;
@@ -108,7 +108,7 @@
                     world.record(Event::Watched { watcher: number, since: Some(since), upto, changes });
                     since = upto;
                 }
-                Ok(News::Lost { .. }) => break,
+                Ok(Changes::Lost { .. }) => break,
                 Err(_) => world.sleep_until(world.now() + RETRY).await,
             }
         }
