--- a/testing/fault-injection/src/shell/run.rs
+++ b/testing/fault-injection/src/shell/run.rs
@@ -496,7 +496,7 @@
         let cluster = self.world.seed | 1;
         let ask = |i: usize, cluster: u64, request: wire::Request| {
             let addr = self.coordinators[i].0.addr().map(|addr| addr.to_string()).unwrap_or_default();
-            async move { wire::Channel::connect(&addr, cluster).await?.ask(request).await }
+            async move { wire::Channel::connect(&addr, cluster).await?.call(request).await }
         };
         let mut members = std::collections::BTreeMap::new();
         for (i, port) in ports.iter().enumerate() {
@@ -689,7 +689,7 @@
     async fn leader(&self) -> Option<End> {
         let told = self.coordinators.iter().enumerate().map(|(i, (process, _))| async move {
             let addr = process.addr()?.to_string();
-            let ask = async { wire::Channel::connect(&addr, 0).await?.ask(wire::Request::Status).await };
+            let ask = async { wire::Channel::connect(&addr, 0).await?.call(wire::Request::Status).await };
             match timeout(CALL_MOST, ask).await {
                 Ok(Ok(wire::Response::Status(status))) if status.leads => {
                     Some((status.term, End::Coordinator(i as u16)))
@@ -846,7 +846,7 @@
         let addr = format!("{}:{}", address::REGISTERED, door.port);
         let said = |e: &dyn std::fmt::Display| format!("{}: {e}", End::Coordinator(number));
         let own = process.addr().ok_or_else(|| said(&"it is gone again"))?.to_string();
-        let told = async { wire::Channel::connect(&own, 0).await?.ask(wire::Request::Identity).await };
+        let told = async { wire::Channel::connect(&own, 0).await?.call(wire::Request::Identity).await };
         let wire::Response::Identity { node, .. } = told.await.map_err(|e| said(&e))? else {
             return Err(said(&"does not say who it is"));
         };
@@ -863,7 +863,7 @@
             }
         };
         let join = wire::Request::Join { cluster: status.cluster };
-        let joined = async { wire::Channel::connect(&own, 0).await?.ask(join).await };
+        let joined = async { wire::Channel::connect(&own, 0).await?.call(join).await };
         joined.await.map_err(|e| said(&e))?;
         let old = status.members.iter().filter(|(of, at, _)| *at == addr && *of != node).map(|(of, ..)| *of);
         for old in old.collect::<Vec<_>>() {
--- a/testing/fault-injection/src/shell/run/stewards.rs
+++ b/testing/fault-injection/src/shell/run/stewards.rs
@@ -9,9 +9,9 @@
 use marblecroft_control_messages::published::{Body, Decision};
 use marblecroft_coordination::client::Client;
 use marblecroft_coordination::state::{Op, Owner};
-use marblecroft_fair_share::body::SharesDecided;
-use marblecroft_shard_map::map::{Book, BookMap, Step};
-use marblecroft_singleton_roles::keys::{read, write, Names, Owns};
+use marblecroft_fair_share::body::ShareDecision;
+use marblecroft_shard_map::map::{MigrationStep, Shard, ShardMap};
+use marblecroft_singleton_roles::keys::{read, write, Names, RoleOwner};
 use marblecroft_singleton_roles::run::follow;
 use marblecroft_singleton_roles::view::View;
 use marblecroft_zone_failover::body::{State, ZonesDecided};
@@ -44,12 +44,12 @@
                 let zones = body.zones.iter().map(|zone| (state_of(zone.state), zone.bears)).collect();
                 world.record(Event::Decided { token, revision, zones });
             }
-            if let Some((token, revision, body)) = newer::<SharesDecided>(seen, &names, "shares", &last[1]) {
-                let SharesDecided { level, capacity, .. } = body;
+            if let Some((token, revision, body)) = newer::<ShareDecision>(seen, &names, "shares", &last[1]) {
+                let ShareDecision { level, capacity, .. } = body;
                 world.record(Event::SharesDecided { token, revision, level, capacity });
             }
-            if let Some((token, revision, body)) = newer::<BookMap>(seen, &names, "books", &last[2]) {
-                let books = body.books.iter().map(book_seen).collect();
+            if let Some((token, revision, body)) = newer::<ShardMap>(seen, &names, "books", &last[2]) {
+                let books = body.shards.iter().map(book_seen).collect();
                 world.record(Event::BooksDecided { token, revision, books });
             }
         };
@@ -98,7 +98,7 @@
         let key = Names::of(FLEET).owner(duty);
         let (_, values) = client.read(&key, CALL_MOST).await.ok()?;
         let (_, value, _) = values.into_iter().find(|(name, ..)| *name == key)?;
-        let number = read::<Owns>(&value)?.who.strip_prefix("steward-")?.parse().ok()?;
+        let number = read::<RoleOwner>(&value)?.who.strip_prefix("steward-")?.parse().ok()?;
         Some(End::Steward(number))
     }
 
@@ -127,13 +127,13 @@
         let Some(books) = &self.world.scenario.books else { return };
         let Some(client) = self.asking.borrow().clone() else { return };
         let cells: Vec<u32> = (0..self.world.scenario.fleet.cells).collect();
-        let begun = BookMap::even(books.count as usize, &cells);
+        let begun = ShardMap::even(books.count as usize, &cells);
         let mut moves = books.moves.clone();
         moves.sort_by_key(|moved| moved.at_ms);
         for moved in moves {
             self.world.sleep_until(load_from + moved.at_ms * MS).await;
-            let Some(book) = begun.books.get(moved.book as usize) else { continue };
-            let key = Names::of(FLEET).book(&book.first.to_string());
+            let Some(book) = begun.shards.get(moved.book as usize) else { continue };
+            let key = Names::of(FLEET).shard_override(&book.first.to_string());
             let put = Op::Put { key, value: write(&moved.to_cell), expect: None, owner: Owner::Nobody };
             let client = client.clone();
             spawn_local(async move { drop(client.call(put, Duration::from_secs(20)).await) });
@@ -163,15 +163,15 @@
     (last.replace(Some(now)) != Some(now)).then_some((now.0, now.1, decision.body))
 }
 
-fn book_seen(book: &Book) -> BookSeen {
-    let step = match book.moving.map(|moving| moving.step) {
+fn book_seen(book: &Shard) -> BookSeen {
+    let step = match book.migration.map(|moving| moving.step) {
         None => BookStep::Stands,
-        Some(Step::Planned) => BookStep::Planned,
-        Some(Step::Fencing) => BookStep::Fencing,
-        Some(Step::Drained) => BookStep::Drained,
-        Some(Step::Copied) => BookStep::Copied,
+        Some(MigrationStep::Planned) => BookStep::Planned,
+        Some(MigrationStep::Fencing) => BookStep::Fencing,
+        Some(MigrationStep::Drained) => BookStep::Drained,
+        Some(MigrationStep::Copied) => BookStep::Copied,
     };
-    let to = book.moving.map_or(book.cell, |moving| moving.to);
+    let to = book.migration.map_or(book.cell, |moving| moving.to);
     BookSeen { first: book.first, cell: book.cell as u16, epoch: book.epoch, step, to: to as u16 }
 }
 
@@ -179,8 +179,8 @@
     match state {
         State::Serving => ZoneState::Serving,
         State::Suspect => ZoneState::Suspect,
-        State::Out => ZoneState::Out,
+        State::FailedOver => ZoneState::Out,
         State::Returning => ZoneState::Returning,
-        State::HeldOut => ZoneState::HeldOut,
+        State::HeldByOperator => ZoneState::HeldOut,
     }
 }
--- a/testing/fault-injection/src/stand/cell.rs
+++ b/testing/fault-injection/src/stand/cell.rs
@@ -4,14 +4,14 @@
 //! out: how a cell keeps them. A cell that is wiped has lost all of it.
 
 use crate::history::Trace;
-use marblecroft_shard_map::cell::{Asked, Keeper, Needs, Said};
-use marblecroft_shard_map::fence::Due;
+use marblecroft_shard_map::cell::{CellReply, CellRequest, CellState, Needs};
+use marblecroft_shard_map::fencing::Due;
 use marblecroft_shard_map::map::{Epoch, Firm};
 use std::collections::{BTreeSet, HashMap};
 
 #[derive(Default)]
 pub struct Cell {
-    keeper: Keeper,
+    keeper: CellState,
     fencing: bool,
     /// Attempts that were admitted and have not ended, by whose book they write.
     out: HashMap<u64, Firm>,
@@ -22,7 +22,7 @@
 /// What is left to do before an ask can be answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Then {
-    Say(Said),
+    Say(CellReply),
     /// These records are to be at the other cell.
     Copy(u32, Vec<(Firm, Trace)>),
 }
@@ -53,12 +53,12 @@
         self.out.remove(&attempt);
     }
 
-    pub fn ask(&mut self, asked: &Asked) -> Then {
+    pub fn ask(&mut self, asked: &CellRequest) -> Then {
         match self.keeper.take(asked) {
             Needs::Nothing(said) => Then::Say(said),
             Needs::Quiet((first, end)) => {
                 let quiet = !self.out.values().any(|firm| (first..end).contains(firm));
-                Then::Say(if quiet { Said::Done } else { Said::NotYet })
+                Then::Say(if quiet { CellReply::Done } else { CellReply::InProgress })
             }
             Needs::Copy { to, range: (first, end) } => {
                 Then::Copy(to, self.records.range((first, 0)..(end, 0)).copied().collect())
--- a/testing/fault-injection/src/stand/list.rs
+++ b/testing/fault-injection/src/stand/list.rs
@@ -4,7 +4,7 @@
 //! gateway, what the list learns late. Leaves out: an agent of each gateway that is behind the others, lost changes.
 
 use crate::history::Told;
-use marblecroft_discovery::format::{Ask, Host, State, Telling};
+use marblecroft_discovery::format::{Host, ListRequest, State, Telling};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -38,10 +38,10 @@
     }
 
     /// What a call is answered with; `None`: nothing newer than it knows.
-    pub fn answer(&self, ask: Ask) -> Option<Answer> {
+    pub fn answer(&self, ask: ListRequest) -> Option<Answer> {
         let since = match ask {
             // What is of the future was told by nobody here.
-            Ask::Watch { since, .. } if since <= self.version => Some(since),
+            ListRequest::Watch { since, .. } if since <= self.version => Some(since),
             _ => None,
         };
         if since == Some(self.version) {
--- a/testing/fault-injection/tests/clusters.rs
+++ b/testing/fault-injection/tests/clusters.rs
@@ -291,7 +291,7 @@
         let env = self.env(End::Clients, 1.0);
         let ask = |addr: String, cluster: u64, request: Request| {
             let env = env.clone();
-            async move { Channel::connect_in(&env, &addr, cluster).await?.ask(request).await }
+            async move { Channel::connect_in(&env, &addr, cluster).await?.call(request).await }
         };
         let cluster = self.world.seed | 1;
         let mut members = BTreeMap::new();
--- a/testing/fault-injection/tests/stand_ins.rs
+++ b/testing/fault-injection/tests/stand_ins.rs
@@ -1,6 +1,6 @@
 //! The stand-ins against the published pages, without sockets.
 
-use marblecroft_discovery::format::{Ask, Host, State};
+use marblecroft_discovery::format::{Host, ListRequest, State};
 use marblecroft_fault_injection::deployment::{
     chance, Deployment, Drawn, End, Nanos, Stream, MS, SECOND, UNSAFE,
 };
@@ -226,7 +226,7 @@
     list.set(0, host("a", State::Serving));
     list.set(1, host("b", State::Serving));
     let since = list.version();
-    let watch = |since| Ask::Watch { since, wait: Duration::ZERO };
+    let watch = |since| ListRequest::Watch { since, wait: Duration::ZERO };
     assert!(list.answer(watch(since)).is_none());
     list.set(1, host("b", State::Deleted));
     let mut news = list.answer(watch(since)).expect("a change");
@@ -234,7 +234,7 @@
     assert_eq!(news.servers.iter().map(|(number, _)| *number).collect::<Vec<_>>(), [1]);
     let body = news.body("127.101.100.103".parse().expect("an address")).expect("JSON");
     assert!(String::from_utf8_lossy(&body).contains("127.101.100.103:80"), "by the reader's own address");
-    for ask in [Ask::Whole, watch(list.version() + 9)] {
+    for ask in [ListRequest::Full, watch(list.version() + 9)] {
         let whole = list.answer(ask).expect("a list");
         assert!(whole.full && whole.servers.len() == 1, "deleted ones are only among changes");
     }
