--- /dev/null
+++ b/control-plane/wal/src/wal.rs
@@ -0,0 +1,100 @@
+//! Writing segments and records.
+
+use crate::directory::{segment_numbers, segment_path, sync_directory};
+use crate::error::WalError;
+use crate::format::MAGIC;
+use crate::record::{append_marker, encode_record, RECORD_HEADER_BYTES};
+use crate::recovery::{recover, Recovered};
+use std::fs::{self, File, OpenOptions};
+use std::io::{self, Write};
+use std::path::{Path, PathBuf};
+
+/// The open log of one directory.
+pub struct Wal {
+    directory: PathBuf,
+    /// Number of the segment that is written.
+    segment_number: u64,
+    file: Option<File>,
+    /// Bytes of that segment, and of the part before its first append.
+    segment_bytes: u64,
+    snapshot_bytes: u64,
+}
+
+impl Wal {
+    /// Opens the log in a directory, which is created if it does not exist, and recovers its contents. Records can be
+    /// appended after [`Wal::start_segment`].
+    ///
+    /// # Errors
+    ///
+    /// Returns an error of the file system, or [`WalError::UnknownFormat`].
+    pub fn open(directory: &Path) -> io::Result<(Wal, Recovered)> {
+        fs::create_dir_all(directory)?;
+        let recovery = recover(directory)?;
+        let wal = Wal {
+            directory: directory.to_owned(),
+            segment_number: recovery.newest_segment,
+            file: None,
+            segment_bytes: 0,
+            snapshot_bytes: 0,
+        };
+        Ok((wal, recovery.recovered))
+    }
+
+    /// Starts a segment with this snapshot, which is durable on return, and removes the older segments.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error of the file system, or [`WalError::RecordTooLong`].
+    pub fn start_segment(&mut self, snapshot: &[u8]) -> io::Result<()> {
+        let number = self.segment_number + 1;
+        let mut bytes = Vec::with_capacity(MAGIC.len() + RECORD_HEADER_BYTES + snapshot.len());
+        bytes.extend_from_slice(&MAGIC);
+        encode_record(snapshot, &mut bytes)?;
+        // The number is used up even where the write fails, so that no torn segment is overwritten.
+        self.segment_number = number;
+        let mut file =
+            OpenOptions::new().write(true).create_new(true).open(segment_path(&self.directory, number))?;
+        file.write_all(&bytes)?;
+        file.sync_all()?;
+        sync_directory(&self.directory)?;
+        self.segment_bytes = bytes.len() as u64;
+        self.snapshot_bytes = self.segment_bytes;
+        for older in segment_numbers(&self.directory)?.into_iter().filter(|&older| older < number) {
+            fs::remove_file(segment_path(&self.directory, older))?;
+        }
+        // From here on, an older segment beside an unreadable one shows that nothing was appended to the newer one.
+        sync_directory(&self.directory)?;
+        self.file = Some(file);
+        Ok(())
+    }
+
+    /// Appends records, which are durable on return.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error of the file system, [`WalError::NotWritable`] or [`WalError::RecordTooLong`]. After an error the
+    /// records may be durable or not, and nothing more can be appended until a segment is started.
+    pub fn append(&mut self, records: &[&[u8]]) -> io::Result<()> {
+        let mut file = self.file.take().ok_or(WalError::NotWritable)?;
+        let mut bytes = Vec::new();
+        encode_record(&append_marker(self.segment_number, self.segment_bytes), &mut bytes)?;
+        for record in records {
+            encode_record(record, &mut bytes)?;
+        }
+        file.write_all(&bytes)?;
+        file.sync_data()?;
+        self.segment_bytes += bytes.len() as u64;
+        self.file = Some(file);
+        Ok(())
+    }
+
+    /// Whether records can be appended.
+    pub fn is_writable(&self) -> bool {
+        self.file.is_some()
+    }
+
+    /// Returns the bytes of appended records and markers in the segment that is written.
+    pub fn record_bytes(&self) -> u64 {
+        self.segment_bytes - self.snapshot_bytes
+    }
+}
