--- /dev/null
+++ b/control-plane/chain-replication/src/in_flight.rs
@@ -0,0 +1,44 @@
+//! The one call to the successor that a member has in flight, and who waits for its outcome.
+
+use crate::output::Token;
+use crate::pending::PendingRead;
+use crate::position::Position;
+use crate::view::Member;
+use std::time::Duration;
+
+/// Who waits for a round.
+#[derive(Default)]
+pub(crate) struct RoundWaiters {
+    /// Reads at the head that the round is to confirm.
+    pub reads: Vec<PendingRead>,
+    /// Messages of the predecessor that are answered with the round's outcome.
+    pub upstream_tokens: Vec<Token>,
+}
+
+/// A call to the successor.
+pub(crate) struct InFlightAppend {
+    pub call: u64,
+    /// Number of the view in which the call was made.
+    pub view: u64,
+    /// [`Replica::restore_count`](crate::Replica::restore_count) when the call was made.
+    pub restore_count: u64,
+    /// This member's position when the call was made.
+    pub position: Position,
+    pub successor: Member,
+    /// When this member began its share of the round.
+    pub started_at: Duration,
+    /// Whether the message is an [`Install`](crate::Install).
+    pub is_install: bool,
+    pub waiters: RoundWaiters,
+}
+
+/// A round that every member from this one to the tail has completed.
+pub(crate) struct CompletedRound {
+    /// When this member began its share of the round.
+    pub started_at: Duration,
+    /// The position that all these members have reached.
+    pub position: Position,
+    /// Durable replicas among the members that follow this one.
+    pub durable_replicas_downstream: usize,
+    pub waiters: RoundWaiters,
+}
--- a/control-plane/chain-replication/src/lib.rs
+++ b/control-plane/chain-replication/src/lib.rs
@@ -1,25 +1,97 @@
-//! Chain replication of a state machine.
+//! Chain replication of a state machine (van Renesse and Schneider, "Chain Replication for Supporting High Throughput and
+//! Availability", OSDI 2004) under views that the members agree on themselves.
 //!
-//! A numbered [`View`] names the members of a chain in order. The head orders operations, every member has an entry on disk
-//! before it passes it on, and an operation is acknowledged once the tail has it: an acknowledged operation is on the disk
-//! of every member of its view. The next view is headed by a member that was complete in the one before, so it begins with
-//! everything that was acknowledged.
+//! A numbered [`View`] lists the members of a chain in order. The head orders operations, every member stores an entry
+//! before it forwards it, and an operation is acknowledged once the tail has it: an acknowledged operation is stored by every
+//! member of its view. The head of the next view was complete in this one, so the next view begins with everything that was
+//! acknowledged.
 //!
-//! Nothing here has threads, sockets or a clock: the time is an argument, and messages are handed in and out.
+//! Where the paper has a separate master that configures the chain, views are decided by Paxos among the voters of the view
+//! before. Where it has reads answered by the tail, they are answered by the head after a round through the chain, as in
+//! Raft's ReadIndex, or by any member under a lease.
+//!
+//! Nothing here has threads, sockets or a clock: the time is an argument, and messages are passed in and out. The crate
+//! therefore runs the same in programs, in simulations and in tests.
 //!
 //! - [`replica`]: one member's durable state.
-//! - [`chain`]: a member among others: the head's rounds, and what is passed down the chain.
-//! - [`agreement`]: which view follows, decided by a majority of the members of the view before.
+//! - [`chain`]: a member among others; its rounds, its lease, and whom it suspects.
+//! - [`agreement`]: the decision on the next view.
+//! - [`view`], [`message`], [`storage`]: the data that members agree on, send and store.
+//!
+//! A chain of one member acknowledges an operation as soon as it is stored:
+//!
+//! ```
+//! use marblecroft_chain_replication::storage::NullStorage;
+//! use marblecroft_chain_replication::{Chain, Config, Member, Output, Replica, StateMachine, View};
+//! use marblecroft_wal::Recovered;
+//! use std::time::Duration;
+//!
+//! #[derive(Default)]
+//! struct Sum(u8);
+//!
+//! impl StateMachine for Sum {
+//!     type Operation = u8;
+//!     type Output = u8;
+//!     fn apply(&mut self, operation: u8) -> u8 {
+//!         self.0 = self.0.wrapping_add(operation);
+//!         self.0
+//!     }
+//!     fn size_of(_: &u8) -> usize {
+//!         1
+//!     }
+//!     fn snapshot(&self) -> Vec<u8> {
+//!         vec![self.0]
+//!     }
+//!     fn restore(snapshot: &[u8]) -> Option<Sum> {
+//!         snapshot.first().copied().map(Sum)
+//!     }
+//! }
+//!
+//! # fn main() -> Result<(), Box<dyn std::error::Error>> {
+//! let member = Member { address: "127.0.0.1:7000".parse()?, identity: 1, node_name: String::new() };
+//! let founding = View { number: 1, members: vec![member.clone()], voters: vec![member] };
+//! let replica = Replica::open(NullStorage, Recovered::default(), Sum::default(), 1, Some(founding))?;
+//! let config = Config {
+//!     heartbeat_interval: Duration::from_millis(150),
+//!     append_timeout: Duration::from_millis(350),
+//!     install_timeout: Duration::from_secs(3),
+//!     min_replicas: 1,
+//!     is_durable: true,
+//!     suspect_timeout: Duration::from_millis(800),
+//! };
+//! let mut chain = Chain::new(replica, config, 1);
+//! chain.propose(7, 40, Duration::from_secs(1));
+//! let mut outputs = Vec::new();
+//! chain.advance(Duration::ZERO, &mut outputs);
+//! assert!(matches!(outputs[..], [Output::Applied { token: 7, result: Ok(40) }]));
+//! # Ok(())
+//! # }
+//! ```
 #![forbid(unsafe_code)]
 
 pub mod agreement;
 pub mod chain;
+mod config;
+mod error;
+mod in_flight;
+mod lease;
 pub mod message;
+mod output;
+mod pending;
+mod position;
+mod recent_entries;
 pub mod replica;
+mod state_machine;
 pub mod storage;
+mod suspicion;
 pub mod view;
 
-pub use chain::{Chain, Config, Output, ProposalError, ToSuccessor, Token};
+pub use chain::Chain;
+pub use config::Config;
+pub use error::{ProposalError, RecoveryError};
 pub use message::{Append, AppendReply, Install, Round, Status};
-pub use replica::{Position, Replica, StateMachine};
-pub use view::{Member, View};
+pub use output::{Output, ToSuccessor, Token};
+pub use position::Position;
+pub use replica::Replica;
+pub use state_machine::StateMachine;
+pub use view::{Member, Successor, View};
--- a/control-plane/chain-replication/src/message.rs
+++ b/control-plane/chain-replication/src/message.rs
@@ -1,80 +1,95 @@
-//! What members of a chain tell each other.
+//! The messages between members of a chain.
+//!
+//! The encoded types here are sent between versions: their fields and variants keep their order and types.
 
-use crate::replica::Position;
+use crate::position::Position;
 use crate::view::View;
 use marblecroft_rpc::Bytes;
 use musli::{Decode, Encode};
 use std::net::SocketAddr;
 
-/// Names one round of one head's process. Rounds of another session, or of another view, prove nothing about each other.
+/// Identifies one round of one process as the head. Rounds of another session or view prove nothing about each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Round {
     /// Drawn when the head's process started.
     pub session: u64,
-    /// Counts the head's attempts to pass something down the chain, from 1.
+    /// Counts the head's messages to its successor, from 1.
     pub number: u64,
-    /// The last round of this session and view that went through the whole chain; 0 where none did.
+    /// The last round of this session and view that went through the complete chain; 0 where none did.
     pub confirmed: u64,
 }
 
 impl Round {
-    /// Whether the round directly before this one went through the whole chain.
+    /// Whether the round directly before this one went through the complete chain.
     pub fn follows_committed_round(&self) -> bool {
         self.confirmed > 0 && self.confirmed + 1 >= self.number
     }
 }
 
-/// From a member to the one that follows it: entries, or none as a heartbeat.
+/// From a member to its successor: entries, or none as a heartbeat.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Append {
+    /// The sender's view.
     pub view: View,
+    /// The head's round that this message is part of.
     pub round: Round,
-    /// Where the entries begin.
+    /// The position before the first entry.
     pub previous: Position,
+    /// The encoded entries.
     pub entries: Vec<Bytes>,
-    /// Where they end: the sender's position.
+    /// The position after the last entry: the sender's own.
     pub last: Position,
-    /// Volatile data that the head gives to all members.
+    /// Volatile data that the head sends to all members.
     pub broadcast: Bytes,
 }
 
-/// The answer to an [`Append`] or an [`Install`].
+/// The reply to an [`Append`] or an [`Install`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum AppendReply {
-    /// The member and all that follow it hold everything up to the sender's position, so many of them on a disk.
-    Accepted { durable_replicas: usize },
-    /// The member's state is another one; it is at this position.
+    /// The members from the recipient to the tail have reached the sender's position.
+    Accepted {
+        /// Number of them whose storage is durable.
+        durable_replicas: usize,
+    },
+    /// The message does not continue the recipient's state, which is at this position.
     Mismatch(Position),
-    /// The member knows of a newer view.
+    /// The recipient knows a newer view.
     StaleView(View),
-    /// The process is not the member that the view names.
+    /// The recipient is not the member that the view names.
     NotMember,
-    /// The member's own disk refused.
+    /// The recipient's storage failed.
     StorageError,
-    /// A member further down the chain does not answer, or refuses.
+    /// The member at this address, further down the chain, does not answer or rejects the round.
     DownstreamFailed(SocketAddr),
 }
 
-/// A whole state, for a member whose own is another one.
+/// The sender's complete state, for a member whose own is of another history or too far behind.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Install {
+    /// The sender's view.
     pub view: View,
+    /// The position of the state.
     pub position: Position,
+    /// A snapshot of the state machine.
     pub machine: Bytes,
 }
 
-/// What a process says of itself.
+/// What a process reports of itself.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct Status {
+    /// Its identity as a member.
     pub identity: u64,
+    /// The newest view that it knows.
     pub view: View,
-    /// Whether it holds everything that was acknowledged, as far as it knows.
+    /// Whether it has everything that was acknowledged, as far as it knows.
     pub complete: bool,
+    /// The position of its state.
     pub position: Position,
-    /// Whether its state is known to be acknowledged by the whole chain.
+    /// Whether every member is known to have its state.
     pub committed: bool,
-    /// A member further down the chain that has failed its part for a while.
+    /// A member further down the chain that has been failing for
+    /// [`Config::suspect_timeout`](crate::Config::suspect_timeout) or longer.
     pub suspect: Option<SocketAddr>,
-    /// Whether its process is about to end, and is to be left out.
+    /// Whether its process is about to end, and should be left out of the next view.
     pub draining: bool,
 }
--- a/control-plane/chain-replication/src/storage.rs
+++ b/control-plane/chain-replication/src/storage.rs
@@ -1,21 +1,34 @@
-//! What a replica needs of a disk, and what it writes there.
+//! The storage that a replica needs, and what it writes there.
+//!
+//! The encoded types here are stored: their fields and variants keep their order and types.
 
-use crate::replica::Position;
+use crate::position::Position;
 use crate::view::View;
 use marblecroft_rpc::Bytes;
 use marblecroft_wal::Wal;
 use musli::{Decode, Encode};
 use std::io;
 
-/// A log whose segments begin with a checkpoint.
+/// A log in segments, each of which begins with a checkpoint.
 pub trait Storage {
-    /// Writes records and syncs them.
+    /// Appends records, which are durable on return.
+    ///
+    /// # Errors
+    ///
+    /// After an error the records may be durable or not, and no more can be appended before a segment is started.
     fn append(&mut self, records: &[&[u8]]) -> io::Result<()>;
-    /// Begins a segment with a checkpoint, which is durable on return.
+
+    /// Starts a segment with a checkpoint, which is durable on return and replaces everything before it.
+    ///
+    /// # Errors
+    ///
+    /// After an error either this segment or the one before it is found by a recovery.
     fn start_segment(&mut self, checkpoint: &[u8]) -> io::Result<()>;
+
     /// Whether records can be appended.
     fn is_writable(&self) -> bool;
-    /// Bytes of records behind the checkpoint.
+
+    /// Returns the bytes of records behind the checkpoint.
     fn record_bytes(&self) -> u64;
 }
 
@@ -37,7 +50,8 @@
     }
 }
 
-/// What a member keeps on a machine without a disk: nothing.
+/// The storage of a member on a machine without a disk: it stores nothing. The member must not be configured as
+/// [durable](crate::Config::is_durable).
 pub struct NullStorage;
 
 impl Storage for NullStorage {
@@ -58,24 +72,27 @@
     }
 }
 
-/// What a member has promised and accepted for the view that follows its own.
+/// What a voter has promised and accepted for the view that follows its own.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Vote {
     /// Number of the view that is voted on.
     pub instance: u64,
-    /// The highest ballot that was promised.
+    /// The highest proposal number that was promised.
     pub promised: u64,
+    /// The view that was accepted last, if one was.
     pub accepted: Option<Accepted>,
 }
 
-/// A view that a member has accepted under a ballot.
+/// A view that a voter has accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Accepted {
+    /// Number of the proposal.
     pub proposal_number: u64,
+    /// The proposed view.
     pub view: View,
 }
 
-/// Everything that a replica keeps.
+/// The complete durable state of a replica.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub(crate) struct Checkpoint {
     pub identity: u64,
@@ -86,7 +103,7 @@
     pub machine: Bytes,
 }
 
-/// A change of it.
+/// A change of that state.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub(crate) enum Record {
     Entry(Bytes),
--- a/control-plane/chain-replication/src/view.rs
+++ b/control-plane/chain-replication/src/view.rs
@@ -1,4 +1,6 @@
-//! Views: which members form the chain, in which order.
+//! Views: which members form the chain, in which order, and who votes on the next view.
+//!
+//! The encoded types here are stored and sent: their fields keep their order and types.
 
 use musli::{Decode, Encode};
 use std::net::SocketAddr;
@@ -6,27 +8,38 @@
 /// A member of a chain: one process with one disk.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Member {
-    /// Where the other members call it.
+    /// Address at which the other members call it.
     pub address: SocketAddr,
-    /// Drawn when its disk was first seen empty; a machine that lost its disk is another member.
+    /// Drawn when its disk was first found empty. A machine that has lost its disk is another member, so that nobody takes
+    /// it for one that still has what the lost disk had.
     pub identity: u64,
-    /// Name of its machine; empty for a founder, of whom the settings tell the address alone.
+    /// Name of its node; empty for a founder, of which the settings give the address alone.
     pub node_name: String,
 }
 
 /// A numbered configuration of a chain. Number 0 means that the process knows of none yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct View {
+    /// Number of the view; views follow each other without gaps.
     pub number: u64,
-    /// The head first, the tail last. Everything that is acknowledged is on all their disks.
+    /// The members from the head to the tail. Everything that is acknowledged is stored by all of them.
     pub members: Vec<Member>,
-    /// Who decides on the next view, by majority: the members, and others that may be behind or out of reach. Losing members
-    /// for a while changes the chain, and not who votes. Empty where somebody else decides.
+    /// Who decides on the next view, by majority: the members, and others that may be behind or unreachable. Losing a member
+    /// for a while changes the chain but not the electorate. Empty where another service decides.
     pub voters: Vec<Member>,
 }
 
+/// The member that follows another in a chain.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Successor<'a> {
+    /// The member.
+    pub member: &'a Member,
+    /// Number of members from this one to the tail, both included.
+    pub members_to_tail: usize,
+}
+
 impl View {
-    /// The member that orders operations.
+    /// Returns the member that orders operations.
     pub fn head(&self) -> Option<&Member> {
         self.members.first()
     }
@@ -36,18 +49,19 @@
         self.position_of(identity).is_some()
     }
 
-    /// Place of a member in the chain, counted from the head.
+    /// Returns the index of a member in the chain, counted from the head.
     pub fn position_of(&self, identity: u64) -> Option<usize> {
         self.members.iter().position(|member| member.identity == identity)
     }
 
-    /// The member that follows, and how many members there are from it to the tail.
-    pub fn successor_of(&self, identity: u64) -> Option<(&Member, usize)> {
+    /// Returns the member that follows a member; `None` for the tail, and for an identity that is no member.
+    pub fn successor_of(&self, identity: u64) -> Option<Successor<'_>> {
         let next = self.position_of(identity)? + 1;
-        Some((self.members.get(next)?, self.members.len() - next))
+        let member = self.members.get(next)?;
+        Some(Successor { member, members_to_tail: self.members.len() - next })
     }
 
-    /// Where the members are called, in order, for logs.
+    /// Returns the members' addresses in order, separated by spaces, for logs.
     pub fn addresses(&self) -> String {
         let addresses: Vec<String> = self.members.iter().map(|member| member.address.to_string()).collect();
         addresses.join(" ")
@@ -58,7 +72,7 @@
         self.voters.iter().any(|voter| voter.identity == identity)
     }
 
-    /// Voters that are more than half.
+    /// Returns the smallest number of voters that is more than half of them.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
--- a/control-plane/core/src/member.rs
+++ b/control-plane/core/src/member.rs
@@ -50,7 +50,7 @@
     let drawn = drawn | RANDOM_IDENTITY_BIT;
     if recovered.damaged {
         warn!("the log is damaged: what was synced cannot be read; begins anew, as another member");
-        return Replica::open(storage, Recovered::default(), M::default(), drawn, None);
+        return Ok(Replica::open(storage, Recovered::default(), M::default(), drawn, None)?);
     }
     if recovered.torn_bytes > 0 {
         info!(bytes = recovered.torn_bytes, "passed over what was torn at the end of the log");
@@ -59,5 +59,5 @@
         Some((identity, view)) => (identity, Some(view)),
         None => (drawn, None),
     };
-    Replica::open(storage, recovered, M::default(), identity, view)
+    Ok(Replica::open(storage, recovered, M::default(), identity, view)?)
 }
