--- a/control-plane/chain-replication/tests/golden.rs
+++ b/control-plane/chain-replication/tests/golden.rs
@@ -1,10 +1,10 @@
-//! The messages of a chain's members, and what a member writes to its disk, keep their bytes: each value is written to the
-//! literal bytes of a fixture, and those are read and written again. A log that an earlier program has stored is restored.
+//! The encodings of messages between members, and of what a member stores, do not change: each value is encoded to the
+//! literal bytes of a fixture, and these are decoded and encoded again. A log that an earlier version stored is recovered.
 
 use marblecroft_chain_replication::agreement::{VoteReply, VoteRequest};
 use marblecroft_chain_replication::storage::{Accepted, Storage, Vote};
 use marblecroft_chain_replication::{
-    Append, AppendReply, Install, Member, Position, Replica, Round, StateMachine, Status, View,
+    Append, AppendReply, Install, Member, Position, RecoveryError, Replica, Round, StateMachine, Status, View,
 };
 use marblecroft_rpc::{decode, encode, Bytes, Message};
 use marblecroft_wal::Recovered;
@@ -25,15 +25,15 @@
 
 /// The fixture has one line for each value: its name and its bytes.
 #[track_caller]
-fn check<T: Message + PartialEq + Debug>(fixture: &str, values: &[(&str, T)]) {
-    let line = |(name, value): &(&str, T)| format!("{name} {}\n", hex(&encode(value)));
-    let written: String = values.iter().map(line).collect();
-    assert!(written == fixture, "other bytes than the fixture's are written:\n{written}");
+fn assert_encoding<T: Message + PartialEq + Debug>(fixture: &str, values: &[(&str, T)]) {
+    let encoded_line = |(name, value): &(&str, T)| format!("{name} {}\n", hex(&encode(value)));
+    let written: String = values.iter().map(encoded_line).collect();
+    assert!(written == fixture, "the encoding differs from the fixture:\n{written}");
     for (line, (name, value)) in fixture.lines().zip(values) {
         let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
         let read: T = decode(&bytes).expect(name);
-        assert_eq!(&read, value, "{name} is read as it was");
-        assert_eq!(encode(&read), bytes, "{name} is written again as it was");
+        assert_eq!(&read, value, "{name} is decoded to its value");
+        assert_eq!(encode(&read), bytes, "{name} is encoded again to the same bytes");
     }
 }
 
@@ -51,33 +51,36 @@
 }
 
 #[test]
-fn views_and_positions_keep_their_bytes() {
-    check(include_str!("golden/views.hex"), &[("view", view(300)), ("none", View::default())]);
-    check(include_str!("golden/members.hex"), &[("member", member(5))]);
+fn views_and_positions_keep_their_encoding() {
+    assert_encoding(include_str!("golden/views.hex"), &[("view", view(300)), ("none", View::default())]);
+    assert_encoding(include_str!("golden/members.hex"), &[("member", member(5))]);
     let position = Position { index: 1000, hash: 0xfeed_0001 };
-    check(include_str!("golden/positions.hex"), &[("position", position)]);
-    check(include_str!("golden/rounds.hex"), &[("round", Round { session: 81, number: 72, confirmed: 63 })]);
+    assert_encoding(include_str!("golden/positions.hex"), &[("position", position)]);
+    assert_encoding(
+        include_str!("golden/rounds.hex"),
+        &[("round", Round { session: 81, number: 72, confirmed: 63 })],
+    );
 }
 
 #[test]
-fn the_hash_of_a_history_keeps_its_value() {
+fn hash_of_a_history_keeps_its_value() {
     let first = Position::default().after(b"an entry of more than eight bytes");
     assert_eq!(first, Position { index: 1, hash: 14_580_441_115_289_591_818 });
     assert_eq!(first.after(&[]), Position { index: 2, hash: 5_234_981_554_950_789_717 });
 }
 
 #[test]
-fn votes_keep_their_bytes() {
+fn votes_keep_their_encoding() {
     let accepted = Accepted { proposal_number: 17, view: view(301) };
-    check(include_str!("golden/accepted.hex"), &[("accepted", accepted.clone())]);
+    assert_encoding(include_str!("golden/accepted.hex"), &[("accepted", accepted.clone())]);
     let vote = Vote { instance: 301, promised: 18, accepted: Some(accepted.clone()) };
-    check(include_str!("golden/votes.hex"), &[("vote", vote), ("none", Vote::default())]);
+    assert_encoding(include_str!("golden/votes.hex"), &[("vote", vote), ("none", Vote::default())]);
     let requests = [
         ("prepare", VoteRequest::Prepare { instance: 301, proposal_number: 19 }),
         ("accept", VoteRequest::Accept { instance: 302, proposal_number: 20, view: view(302) }),
         ("decided", VoteRequest::Decided { view: view(303) }),
     ];
-    check(include_str!("golden/vote_requests.hex"), &requests);
+    assert_encoding(include_str!("golden/vote_requests.hex"), &requests);
     let replies = [
         ("promised_none", VoteReply::Promised(None)),
         ("promised", VoteReply::Promised(Some(accepted))),
@@ -86,11 +89,11 @@
         ("known", VoteReply::CurrentView(view(304))),
         ("unable", VoteReply::Rejected),
     ];
-    check(include_str!("golden/vote_replies.hex"), &replies);
+    assert_encoding(include_str!("golden/vote_replies.hex"), &replies);
 }
 
 #[test]
-fn messages_of_members_keep_their_bytes() {
+fn messages_between_members_keep_their_encoding() {
     let append = Append {
         view: view(300),
         round: Round { session: 0xa1b2_c3d4_e5f6, number: 77, confirmed: 76 },
@@ -99,7 +102,7 @@
         last: Position { index: 1003, hash: 0xfeed_0002 },
         broadcast: Bytes(vec![9, 8]),
     };
-    check(include_str!("golden/appends.hex"), &[("append", append)]);
+    assert_encoding(include_str!("golden/appends.hex"), &[("append", append)]);
     let replies = [
         ("held", AppendReply::Accepted { durable_replicas: 3 }),
         ("mismatch", AppendReply::Mismatch(Position { index: 5, hash: 0xaa })),
@@ -108,10 +111,10 @@
         ("storage", AppendReply::StorageError),
         ("failed", AppendReply::DownstreamFailed(address(5))),
     ];
-    check(include_str!("golden/append_replies.hex"), &replies);
+    assert_encoding(include_str!("golden/append_replies.hex"), &replies);
     let position = Position { index: 55, hash: 0xabcd_ef01 };
     let install = Install { view: view(306), position, machine: Bytes(vec![7, 6, 5, 4]) };
-    check(include_str!("golden/installs.hex"), &[("install", install)]);
+    assert_encoding(include_str!("golden/installs.hex"), &[("install", install)]);
     let status = Status {
         identity: 0x0102_0304_0506,
         view: view(307),
@@ -121,27 +124,27 @@
         suspect: Some(address(9)),
         draining: true,
     };
-    check(include_str!("golden/statuses.hex"), &[("status", status), ("none", Status::default())]);
+    assert_encoding(include_str!("golden/statuses.hex"), &[("status", status), ("none", Status::default())]);
 }
 
-/// What was written, a line for each write: `segment` or `append`, and the bytes.
+/// A storage that lists what is written, a line for each write: `segment` or `append`, and the bytes.
 #[derive(Clone, Default)]
-struct Disk(Rc<RefCell<String>>);
+struct RecordingStorage(Rc<RefCell<String>>);
 
-impl Disk {
-    fn note(&self, what: &str, bytes: &[u8]) {
-        self.0.borrow_mut().push_str(&format!("{what} {}\n", hex(bytes)));
+impl RecordingStorage {
+    fn record(&self, kind: &str, bytes: &[u8]) {
+        self.0.borrow_mut().push_str(&format!("{kind} {}\n", hex(bytes)));
     }
 }
 
-impl Storage for Disk {
+impl Storage for RecordingStorage {
     fn append(&mut self, records: &[&[u8]]) -> io::Result<()> {
-        records.iter().for_each(|record| self.note("append", record));
+        records.iter().for_each(|record| self.record("append", record));
         Ok(())
     }
 
     fn start_segment(&mut self, checkpoint: &[u8]) -> io::Result<()> {
-        self.note("segment", checkpoint);
+        self.record("segment", checkpoint);
         Ok(())
     }
 
@@ -179,11 +182,11 @@
     }
 }
 
-/// A member that has ordered two entries, voted on views 2 and 3, learned view 2, and left with a vote for view 3.
-fn played(disk: &Disk) -> Replica<Sum, Disk> {
+/// A member that has ordered two entries, installed view 2, and accepted a proposal for view 3.
+fn member_with_history(storage: &RecordingStorage) -> Replica<Sum, RecordingStorage> {
     let founding = Some(view(1));
     let mut replica =
-        Replica::open(disk.clone(), Recovered::default(), Sum::default(), member(3).identity, founding)
+        Replica::open(storage.clone(), Recovered::default(), Sum::default(), member(3).identity, founding)
             .expect("opens");
     replica.propose(&vec![40, 2]).expect("written");
     assert_eq!(
@@ -207,8 +210,8 @@
 fn recovered(fixture: &str) -> Recovered {
     let mut found = Recovered::default();
     for line in fixture.lines() {
-        let (what, bytes) = line.split_once(' ').expect("two words");
-        match what {
+        let (kind, bytes) = line.split_once(' ').expect("two words");
+        match kind {
             "segment" => {
                 found.snapshot = Some(unhex(bytes));
                 found.records.clear();
@@ -220,26 +223,24 @@
 }
 
 #[test]
-fn what_a_member_writes_to_its_disk_keeps_its_bytes() {
-    let disk = Disk::default();
-    played(&disk);
-    let written = disk.0.borrow();
-    assert!(
-        *written == include_str!("golden/log.hex"),
-        "other bytes than the fixture's are written:\n{written}"
-    );
+fn log_of_a_member_keeps_its_encoding() {
+    let storage = RecordingStorage::default();
+    member_with_history(&storage);
+    let written = storage.0.borrow();
+    assert!(*written == include_str!("golden/log.hex"), "the encoding differs from the fixture:\n{written}");
 }
 
 #[test]
-fn a_stored_log_is_restored_and_its_checkpoint_keeps_its_bytes() {
-    let (disk, before) = (Disk::default(), played(&Disk::default()));
-    // Another identity and view than the stored ones, which win.
+fn stored_log_is_recovered_and_its_checkpoint_keeps_its_encoding() {
+    let (storage, before) = (RecordingStorage::default(), member_with_history(&RecordingStorage::default()));
+    // The stored identity and view take precedence over these.
     let found = recovered(include_str!("golden/log.hex"));
-    let replica = Replica::open(disk.clone(), found, Sum::default(), 1, None).expect("opens");
-    let written = disk.0.borrow().clone();
+    let replica = Replica::open(storage.clone(), found, Sum::default(), 1, None).expect("opens");
+    let written = storage.0.borrow().clone();
     let expected = include_str!("golden/checkpoint.hex");
-    assert!(written == expected, "other bytes than the fixture's are written:\n{written}");
-    let again = Replica::open(Disk::default(), recovered(expected), Sum::default(), 1, None).expect("opens");
+    assert!(written == expected, "the encoding differs from the fixture:\n{written}");
+    let again = Replica::open(RecordingStorage::default(), recovered(expected), Sum::default(), 1, None)
+        .expect("opens");
     let accepted = Some(Accepted { proposal_number: 7, view: view(3) });
     for replica in [replica, again] {
         assert_eq!(replica.identity(), member(3).identity);
@@ -250,3 +251,20 @@
         assert!(replica.is_complete());
     }
 }
+
+#[test]
+fn unreadable_log_is_an_error_that_names_its_cause() {
+    let open = |recovered| {
+        let replica = Replica::open(RecordingStorage::default(), recovered, Sum::default(), 1, None);
+        replica.err().expect("an error")
+    };
+    let records = vec![vec![1, 2, 3]];
+    let error = open(Recovered { records, ..Recovered::default() });
+    assert!(matches!(error, RecoveryError::Record(_)), "{error}");
+    let error = open(Recovered { snapshot: Some(Vec::new()), ..Recovered::default() });
+    assert!(matches!(error, RecoveryError::Checkpoint(_)), "{error}");
+    assert!(error.to_string().starts_with("checkpoint: "), "{error}");
+    let error = io::Error::from(error);
+    assert_eq!(error.kind(), io::ErrorKind::InvalidData);
+    assert!(error.to_string().starts_with("checkpoint: "), "{error}");
+}
--- a/control-plane/chain-replication/tests/head.rs
+++ b/control-plane/chain-replication/tests/head.rs
@@ -1,4 +1,5 @@
-//! What a head may acknowledge while views come between its ordering and the answers, and what a lease is counted from.
+//! Which operations a head may acknowledge when its view changes between their ordering and the reply of the chain, and
+//! from which time a lease counts.
 
 use marblecroft_chain_replication::storage::NullStorage;
 use marblecroft_chain_replication::{
@@ -11,9 +12,9 @@
 use std::time::Duration;
 
 #[derive(Default)]
-struct Count(u64);
+struct Sum(u64);
 
-impl StateMachine for Count {
+impl StateMachine for Sum {
     type Operation = u64;
     type Output = u64;
 
@@ -30,15 +31,15 @@
         encode(&self.0)
     }
 
-    fn restore(snapshot: &[u8]) -> Option<Count> {
-        decode(snapshot).ok().map(Count)
+    fn restore(snapshot: &[u8]) -> Option<Sum> {
+        decode(snapshot).ok().map(Sum)
     }
 }
 
 type Outputs = Vec<Output<u64>>;
 
-const HEARTBEAT: Duration = Duration::from_millis(100);
-const HELD: AppendReply = AppendReply::Accepted { durable_replicas: 2 };
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
+const ACCEPTED: AppendReply = AppendReply::Accepted { durable_replicas: 2 };
 
 fn member(identity: u64) -> Member {
     let address = SocketAddr::from(([10, 0, 0, identity as u8], 7000));
@@ -50,131 +51,134 @@
     View { number, voters: members.clone(), members }
 }
 
-fn member_of_three(identity: u64) -> Chain<Count, NullStorage> {
+fn member_of_chain_of_three(identity: u64) -> Chain<Sum, NullStorage> {
     let founding = Some(view(1, &[1, 2, 3]));
-    let replica = Replica::open(NullStorage, Recovered::default(), Count::default(), identity, founding)
-        .expect("opens");
-    let options = Config {
-        heartbeat_interval: HEARTBEAT,
+    let replica =
+        Replica::open(NullStorage, Recovered::default(), Sum::default(), identity, founding).expect("opens");
+    let config = Config {
+        heartbeat_interval: HEARTBEAT_INTERVAL,
         append_timeout: Duration::from_millis(10),
         install_timeout: Duration::from_millis(10),
         min_replicas: 2,
         is_durable: true,
         suspect_timeout: Duration::ZERO,
     };
-    Chain::new(replica, options, identity)
+    Chain::new(replica, config, identity)
 }
 
-/// A chain's member whose successor holds everything that it is sent.
-struct Driven {
-    chain: Chain<Count, NullStorage>,
+/// Drives a head, and keeps the results that it reports.
+struct HeadDriver {
+    chain: Chain<Sum, NullStorage>,
     now: Duration,
-    finished: Vec<(u64, Result<u64, ProposalError>)>,
+    results: Vec<(u64, Result<u64, ProposalError>)>,
 }
 
-impl Driven {
-    fn head() -> Driven {
-        Driven { chain: member_of_three(1), now: Duration::ZERO, finished: Vec::new() }
+impl HeadDriver {
+    fn new() -> HeadDriver {
+        HeadDriver { chain: member_of_chain_of_three(1), now: Duration::ZERO, results: Vec::new() }
     }
 
-    /// The calls among the outputs; what was finished is kept.
-    fn take(&mut self, out: Outputs) -> Vec<(u64, ToSuccessor)> {
+    /// Returns the calls among the outputs, and keeps the results.
+    fn collect_calls(&mut self, outputs: Outputs) -> Vec<(u64, ToSuccessor)> {
         let mut calls = Vec::new();
-        for output in out {
+        for output in outputs {
             match output {
                 Output::Call { call, message, .. } => calls.push((call, message)),
-                Output::Applied { token, result } => self.finished.push((token, result)),
+                Output::Applied { token, result } => self.results.push((token, result)),
                 Output::Reply { .. } | Output::Readable { .. } => {}
             }
         }
         calls
     }
 
-    fn pump(&mut self) -> Vec<(u64, ToSuccessor)> {
-        let mut out = Outputs::new();
-        self.chain.advance(self.now, &mut out);
-        self.take(out)
+    fn advance(&mut self) -> Vec<(u64, ToSuccessor)> {
+        let mut outputs = Outputs::new();
+        self.chain.advance(self.now, &mut outputs);
+        self.collect_calls(outputs)
     }
 
     fn reply(&mut self, call: u64, reply: AppendReply) -> Vec<(u64, ToSuccessor)> {
-        let mut out = Outputs::new();
-        self.chain.handle_reply(self.now, call, Some(reply), &mut out);
-        self.take(out)
+        let mut outputs = Outputs::new();
+        self.chain.handle_reply(self.now, call, Some(reply), &mut outputs);
+        self.collect_calls(outputs)
     }
 
-    /// Some rounds.
-    fn run(&mut self) {
+    /// Runs ten rounds in which the chain accepts everything.
+    fn run_rounds(&mut self) {
         for _ in 0..10 {
-            self.now += HEARTBEAT;
-            let mut calls = self.pump();
+            self.now += HEARTBEAT_INTERVAL;
+            let mut calls = self.advance();
             while let Some((call, _)) = calls.pop() {
-                calls.extend(self.reply(call, HELD));
+                calls.extend(self.reply(call, ACCEPTED));
             }
         }
     }
 }
 
-/// Between a head's ordering and the answer to what it passed on, it learns of a view. Whether it acknowledges.
-fn acknowledges_after(learnt: &View) -> bool {
-    let mut head = Driven::head();
+/// Whether a head acknowledges an operation if it installs a view after ordering it, before the chain has replied.
+fn acknowledges_after_installing(installed: &View) -> bool {
+    let mut head = HeadDriver::new();
     head.chain.propose(7, 5, Duration::MAX);
-    let (call, _) = head.pump().pop().expect("passed on");
-    head.chain.install_view(learnt);
-    head.reply(call, HELD);
-    head.run();
-    head.finished == [(7, Ok(5))]
+    let (call, _) = head.advance().pop().expect("a call");
+    head.chain.install_view(installed);
+    head.reply(call, ACCEPTED);
+    head.run_rounds();
+    head.results == [(7, Ok(5))]
 }
 
 #[test]
-fn a_head_acknowledges_nothing_under_a_view_that_it_does_not_head() {
-    assert!(acknowledges_after(&view(1, &[1, 2, 3])), "nothing has changed");
-    assert!(acknowledges_after(&view(2, &[1, 3])), "it heads the next view too");
-    assert!(!acknowledges_after(&view(2, &[2, 3])), "it was left out, and is no tail");
-    assert!(!acknowledges_after(&view(2, &[2, 3, 1])), "it is the tail now");
-    assert!(!acknowledges_after(&view(3, &[1, 2, 3])), "views that it missed may hold more");
+fn head_acknowledges_nothing_under_a_view_that_it_does_not_head() {
+    assert!(acknowledges_after_installing(&view(1, &[1, 2, 3])), "nothing has changed");
+    assert!(acknowledges_after_installing(&view(2, &[1, 3])), "it heads the next view too");
+    assert!(!acknowledges_after_installing(&view(2, &[2, 3])), "it is no member");
+    assert!(!acknowledges_after_installing(&view(2, &[2, 3, 1])), "it is the tail now");
+    assert!(
+        !acknowledges_after_installing(&view(3, &[1, 2, 3])),
+        "the view that it missed may have acknowledged more"
+    );
 }
 
 #[test]
-fn a_head_whose_state_was_replaced_acknowledges_nothing_of_before() {
-    let mut head = Driven::head();
+fn head_whose_state_was_replaced_acknowledges_no_earlier_operation() {
+    let mut head = HeadDriver::new();
     head.chain.propose(7, 5, Duration::MAX);
-    let (call, _) = head.pump().pop().expect("passed on");
+    let (call, _) = head.advance().pop().expect("a call");
     let position = Position { index: 7, hash: 7 };
-    let state = Install { view: view(2, &[2, 1]), position, machine: Bytes(encode(&9u64)) };
-    let mut out = Outputs::new();
-    head.chain.handle_install(1, &state, &mut out);
-    assert!(out
+    let install = Install { view: view(2, &[2, 1]), position, machine: Bytes(encode(&9u64)) };
+    let mut outputs = Outputs::new();
+    head.chain.handle_install(1, &install, &mut outputs);
+    assert!(outputs
         .iter()
         .any(|output| matches!(output, Output::Reply { reply: AppendReply::Accepted { .. }, .. })));
-    head.take(out);
+    head.collect_calls(outputs);
     head.chain.install_view(&view(3, &[1, 2]));
     assert!(head.chain.is_head());
-    head.reply(call, HELD);
-    head.run();
-    assert_eq!(head.finished, [(7, Err(ProposalError::OutcomeUnknown))]);
+    head.reply(call, ACCEPTED);
+    head.run_rounds();
+    assert_eq!(head.results, [(7, Err(ProposalError::OutcomeUnknown))]);
 }
 
 #[test]
-fn an_answer_to_an_earlier_call_counts_for_nothing() {
-    let mut head = Driven::head();
+fn reply_to_another_call_is_ignored() {
+    let mut head = HeadDriver::new();
     head.chain.propose(7, 5, Duration::MAX);
-    let (call, _) = head.pump().pop().expect("passed on");
-    head.reply(call + 1, HELD);
-    head.reply(call - 1, HELD);
-    assert_eq!(head.finished, []);
-    head.reply(call, HELD);
-    assert_eq!(head.finished, [(7, Ok(5))]);
+    let (call, _) = head.advance().pop().expect("a call");
+    head.reply(call + 1, ACCEPTED);
+    head.reply(call - 1, ACCEPTED);
+    assert_eq!(head.results, []);
+    head.reply(call, ACCEPTED);
+    assert_eq!(head.results, [(7, Ok(5))]);
 }
 
 #[test]
-fn what_is_on_too_few_disks_is_not_acknowledged() {
-    let mut head = Driven::head();
+fn operation_on_too_few_durable_replicas_is_not_acknowledged() {
+    let mut head = HeadDriver::new();
     head.chain.propose(7, 5, Duration::MAX);
-    let (call, _) = head.pump().pop().expect("passed on");
+    let (call, _) = head.advance().pop().expect("a call");
     head.reply(call, AppendReply::Accepted { durable_replicas: 0 });
-    assert_eq!(head.finished, [], "held by all members, of which only this one has a disk");
-    head.run();
-    assert_eq!(head.finished, [(7, Ok(5))], "others have joined");
+    assert_eq!(head.results, [], "accepted by all members, of which only this one is durable");
+    head.run_rounds();
+    assert_eq!(head.results, [(7, Ok(5))], "durable members have joined");
 }
 
 fn heartbeat(session: u64, number: u64, confirmed: u64) -> Append {
@@ -189,22 +193,22 @@
 }
 
 #[test]
-fn a_lease_counts_from_when_the_confirmed_round_was_handled_and_not_from_when_that_was_heard() {
-    let mut tail = member_of_three(3);
-    let mut out = Outputs::new();
+fn lease_counts_from_handling_a_round_and_not_from_its_confirmation() {
+    let mut tail = member_of_chain_of_three(3);
+    let mut outputs = Outputs::new();
     let at = Duration::from_millis;
-    tail.handle_append(at(10), 1, &heartbeat(9, 1, 0), &mut out);
-    assert_eq!(tail.lease_confirmed_at(), None, "nobody has confirmed it");
-    tail.handle_append(at(20_000), 2, &heartbeat(9, 2, 1), &mut out);
+    tail.handle_append(at(10), 1, &heartbeat(9, 1, 0), &mut outputs);
+    assert_eq!(tail.lease_confirmed_at(), None, "not confirmed");
+    tail.handle_append(at(20_000), 2, &heartbeat(9, 2, 1), &mut outputs);
     assert_eq!(
         tail.lease_confirmed_at(),
         Some(at(10)),
-        "the second message waited while this process stood still"
+        "the second message waited while this process was suspended"
     );
-    tail.handle_append(at(20_100), 3, &heartbeat(8, 3, 2), &mut out);
+    tail.handle_append(at(20_100), 3, &heartbeat(8, 3, 2), &mut outputs);
     assert_eq!(tail.lease_confirmed_at(), Some(at(10)), "another process's rounds prove nothing of these");
-    tail.handle_append(at(20_200), 4, &heartbeat(8, 4, 3), &mut out);
+    tail.handle_append(at(20_200), 4, &heartbeat(8, 4, 3), &mut outputs);
     assert_eq!(tail.lease_confirmed_at(), Some(at(20_100)));
     tail.start_draining();
-    assert_eq!(tail.lease_confirmed_at(), None, "who is about to leave has no lease");
+    assert_eq!(tail.lease_confirmed_at(), None, "a draining member has no lease");
 }
--- a/control-plane/wal/tests/power_loss.rs
+++ b/control-plane/wal/tests/power_loss.rs
@@ -1,206 +1,219 @@
-//! What was appended is there after a loss of power, whatever became of what was not synced.
+//! Appended records are recovered after a power failure, whatever happened to bytes that were not synced; damage to synced
+//! bytes is reported.
 
-use marblecroft_wal::{Recovered, Wal};
+use marblecroft_wal::{Recovered, Wal, WalError};
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// A folder of its own for each test, removed with it.
-struct Folder(PathBuf);
+/// Bytes of the marker in front of each append: its header and its payload.
+const MARKER_RECORD_BYTES: usize = 8 + 24;
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+/// The directory of one test, which is removed when dropped.
+struct TestDirectory(PathBuf);
+
+impl TestDirectory {
+    fn new(name: &str) -> TestDirectory {
         let path = std::env::temp_dir().join(format!("marblecroft-log-{}-{name}", std::process::id()));
-        drop(fs::remove_dir_all(&path));
-        Folder(path)
+        // It exists only if an earlier process of this id was killed.
+        let _ = fs::remove_dir_all(&path);
+        TestDirectory(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
-        drop(fs::remove_dir_all(&self.0));
+        // The test has its result already.
+        let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-fn only_segment(folder: &Path) -> PathBuf {
+fn only_segment(directory: &Path) -> PathBuf {
     let mut files: Vec<PathBuf> =
-        fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path()).collect();
+        fs::read_dir(directory).expect("a directory").map(|entry| entry.expect("an entry").path()).collect();
     assert_eq!(files.len(), 1, "{files:?}");
     files.remove(0)
 }
 
-fn reopened(folder: &Path) -> Recovered {
-    Wal::open(folder).expect("opens").1
+fn recover(directory: &Path) -> Recovered {
+    Wal::open(directory).expect("opens").1
 }
 
 #[test]
-fn an_empty_folder_has_no_snapshot_and_nothing_can_be_appended_before_a_segment_starts() {
-    let folder = Folder::new("empty");
-    let (mut log, found) = Wal::open(&folder.0).expect("opens");
-    assert_eq!(found, Recovered::default());
-    assert!(log.append(&[b"x"]).is_err());
+fn empty_directory_has_no_snapshot_and_accepts_no_record_before_a_segment_starts() {
+    let directory = TestDirectory::new("empty");
+    let (mut wal, recovered) = Wal::open(&directory.0).expect("opens");
+    assert_eq!(recovered, Recovered::default());
+    assert!(wal.append(&[b"x"]).is_err());
 }
 
 #[test]
-fn every_prefix_of_a_segment_gives_back_exactly_the_whole_records_in_it() {
-    let folder = Folder::new("prefix");
-    let (mut log, _) = Wal::open(&folder.0).expect("opens");
-    log.start_segment(b"state").expect("starts");
-    let first = fs::metadata(only_segment(&folder.0)).expect("there").len() as usize;
+fn every_prefix_of_a_segment_recovers_exactly_its_complete_records() {
+    let directory = TestDirectory::new("prefix");
+    let (mut wal, _) = Wal::open(&directory.0).expect("opens");
+    wal.start_segment(b"state").expect("starts");
+    let first = fs::metadata(only_segment(&directory.0)).expect("there").len() as usize;
     let records: [&[u8]; 3] = [b"one", b"", b"three"];
     let mut ends = vec![];
     for record in records {
-        log.append(&[record]).expect("appended");
-        ends.push(fs::metadata(only_segment(&folder.0)).expect("there").len() as usize);
+        wal.append(&[record]).expect("appended");
+        ends.push(fs::metadata(only_segment(&directory.0)).expect("there").len() as usize);
     }
-    let path = only_segment(&folder.0);
-    let whole = fs::read(&path).expect("read");
-    for cut in 0..=whole.len() {
-        fs::write(&path, &whole[..cut]).expect("written");
-        let found = reopened(&folder.0);
-        if cut < first {
-            assert_eq!(found, Recovered::default(), "cut at {cut}");
+    let path = only_segment(&directory.0);
+    let complete = fs::read(&path).expect("read");
+    for length in 0..=complete.len() {
+        fs::write(&path, &complete[..length]).expect("written");
+        let recovered = recover(&directory.0);
+        if length < first {
+            assert_eq!(recovered, Recovered::default(), "truncated at {length}");
         } else {
-            let expected = ends.iter().filter(|&&end| end <= cut).count();
-            assert_eq!(found.snapshot.as_deref(), Some(&b"state"[..]));
-            assert_eq!(found.records, records[..expected], "cut at {cut}");
-            assert!(!found.damaged, "a torn end is no damage: cut at {cut}");
+            let expected = ends.iter().filter(|&&end| end <= length).count();
+            assert_eq!(recovered.snapshot.as_deref(), Some(&b"state"[..]));
+            assert_eq!(recovered.records, records[..expected], "truncated at {length}");
+            assert!(!recovered.damaged, "a torn end is no damage: truncated at {length}");
         }
     }
 }
 
 #[test]
-fn a_flipped_bit_is_never_read_as_data() {
-    let folder = Folder::new("flip");
-    let (mut log, _) = Wal::open(&folder.0).expect("opens");
-    log.start_segment(b"state").expect("starts");
-    log.append(&[b"first", b"second"]).expect("appended");
-    let path = only_segment(&folder.0);
-    let whole = fs::read(&path).expect("read");
-    for bit in 0..whole.len() * 8 {
-        let mut damaged = whole.clone();
+fn flipped_bit_is_never_recovered_as_data() {
+    let directory = TestDirectory::new("flip");
+    let (mut wal, _) = Wal::open(&directory.0).expect("opens");
+    wal.start_segment(b"state").expect("starts");
+    wal.append(&[b"first", b"second"]).expect("appended");
+    let path = only_segment(&directory.0);
+    let complete = fs::read(&path).expect("read");
+    for bit in 0..complete.len() * 8 {
+        let mut damaged = complete.clone();
         damaged[bit / 8] ^= 1 << (bit % 8);
         fs::write(&path, &damaged).expect("written");
-        let found = reopened(&folder.0);
-        assert!(found.snapshot.is_none_or(|snapshot| snapshot == b"state"), "bit {bit}");
+        let recovered = recover(&directory.0);
+        assert!(recovered.snapshot.is_none_or(|snapshot| snapshot == b"state"), "bit {bit}");
         let known: [&[u8]; 2] = [b"first", b"second"];
-        assert!(found.records.iter().zip(known).all(|(got, was)| got == was), "bit {bit}");
+        assert!(recovered.records.iter().zip(known).all(|(got, was)| got == was), "bit {bit}");
     }
 }
 
 #[test]
-fn a_torn_new_segment_leaves_the_one_before_in_force() {
-    let folder = Folder::new("torn");
-    let (mut log, _) = Wal::open(&folder.0).expect("opens");
-    log.start_segment(b"old").expect("starts");
-    log.append(&[b"record"]).expect("appended");
-    let kept = (only_segment(&folder.0), fs::read(only_segment(&folder.0)).expect("read"));
-    log.start_segment(b"new state").expect("starts");
-    let newer = only_segment(&folder.0);
-    let whole = fs::read(&newer).expect("read");
-    for cut in 0..whole.len() {
-        fs::write(&kept.0, &kept.1).expect("the removal was not durable");
-        fs::write(&newer, &whole[..cut]).expect("written");
-        let found = reopened(&folder.0);
-        assert_eq!(found.snapshot.as_deref(), Some(&b"old"[..]), "cut at {cut}");
-        assert_eq!(found.records, [b"record"]);
+fn torn_new_segment_is_ignored_in_favor_of_the_previous_one() {
+    let directory = TestDirectory::new("torn");
+    let (mut wal, _) = Wal::open(&directory.0).expect("opens");
+    wal.start_segment(b"old").expect("starts");
+    wal.append(&[b"record"]).expect("appended");
+    let older = (only_segment(&directory.0), fs::read(only_segment(&directory.0)).expect("read"));
+    wal.start_segment(b"new state").expect("starts");
+    let newer = only_segment(&directory.0);
+    let complete = fs::read(&newer).expect("read");
+    for length in 0..complete.len() {
+        fs::write(&older.0, &older.1).expect("the removal was not durable");
+        fs::write(&newer, &complete[..length]).expect("written");
+        let recovered = recover(&directory.0);
+        assert_eq!(recovered.snapshot.as_deref(), Some(&b"old"[..]), "truncated at {length}");
+        assert_eq!(recovered.records, [b"record"]);
     }
 }
 
 #[test]
-fn random_histories_come_back_as_they_were_appended() {
-    let folder = Folder::new("random");
+fn random_histories_are_recovered_as_they_were_appended() {
+    let directory = TestDirectory::new("random");
     arbtest::arbtest(|u| {
-        drop(fs::remove_dir_all(&folder.0));
-        let (mut log, _) = Wal::open(&folder.0).expect("opens");
+        // It does not exist before the first history.
+        let _ = fs::remove_dir_all(&directory.0);
+        let (mut wal, _) = Wal::open(&directory.0).expect("opens");
         let (mut snapshot, mut records) = (Vec::new(), Vec::new());
-        log.start_segment(&snapshot).expect("starts");
+        wal.start_segment(&snapshot).expect("starts");
         for _ in 0..u.int_in_range(0..=20)? {
             let payload: Vec<u8> = u.arbitrary()?;
             if u.ratio(1, 4)? {
-                log.start_segment(&payload).expect("starts");
+                wal.start_segment(&payload).expect("starts");
                 (snapshot, records) = (payload, Vec::new());
             } else {
-                log.append(&[&payload]).expect("appended");
+                wal.append(&[&payload]).expect("appended");
                 records.push(payload);
             }
             if u.ratio(1, 5)? {
-                let (reopened, found) = Wal::open(&folder.0).expect("opens");
-                assert_eq!(found.records, records);
-                log = reopened;
-                log.start_segment(&snapshot).expect("starts");
+                let (reopened, recovered) = Wal::open(&directory.0).expect("opens");
+                assert_eq!(recovered.records, records);
+                wal = reopened;
+                wal.start_segment(&snapshot).expect("starts");
                 records.clear();
             }
         }
-        let found = reopened(&folder.0);
-        assert_eq!((found.snapshot, found.records), (Some(snapshot), records));
+        let recovered = recover(&directory.0);
+        assert_eq!((recovered.snapshot, recovered.records), (Some(snapshot), records));
         Ok(())
     })
     .budget_ms(500);
 }
 
 #[test]
-fn damage_in_front_of_what_was_synced_later_is_told_from_a_torn_end() {
-    let folder = Folder::new("damage");
-    let (mut log, _) = Wal::open(&folder.0).expect("opens");
-    log.start_segment(b"state").expect("starts");
+fn damage_before_a_later_synced_append_is_distinguished_from_a_torn_end() {
+    let directory = TestDirectory::new("damage");
+    let (mut wal, _) = Wal::open(&directory.0).expect("opens");
+    wal.start_segment(b"state").expect("starts");
     for _ in 0..100 {
-        log.append(&[b"a record", b"another one"]).expect("appended");
+        wal.append(&[b"a record", b"another one"]).expect("appended");
     }
-    let path = only_segment(&folder.0);
+    let path = only_segment(&directory.0);
     let before_last = fs::metadata(&path).expect("there").len() as usize;
-    log.append(&[b"the last one"]).expect("appended");
-    let whole = fs::read(&path).expect("read");
+    wal.append(&[b"the last one"]).expect("appended");
+    let complete = fs::read(&path).expect("read");
     for at in 0..before_last {
-        let mut damaged = whole.clone();
+        let mut damaged = complete.clone();
         damaged[at] ^= 0x10;
         fs::write(&path, &damaged).expect("written");
-        let found = reopened(&folder.0);
-        assert!(found.damaged, "byte {at} of {before_last}");
-        assert!(found.records.len() < 201);
+        let recovered = recover(&directory.0);
+        assert!(recovered.damaged, "byte {at} of {before_last}");
+        assert!(recovered.records.len() < 201);
     }
-    for at in before_last + 8 + 24..whole.len() {
-        let mut torn = whole.clone();
+    for at in before_last + MARKER_RECORD_BYTES..complete.len() {
+        let mut torn = complete.clone();
         torn[at] ^= 0x10;
         fs::write(&path, &torn).expect("written");
-        let found = reopened(&folder.0);
-        assert_eq!((found.records.len(), found.damaged), (200, false), "byte {at}");
+        let recovered = recover(&directory.0);
+        assert_eq!((recovered.records.len(), recovered.damaged), (200, false), "byte {at}");
     }
 }
 
 #[test]
-fn a_newest_segment_without_a_snapshot_is_damage_where_something_was_appended_or_no_older_one_is_left() {
-    let folder = Folder::new("newest");
-    let (mut log, _) = Wal::open(&folder.0).expect("opens");
-    log.start_segment(b"old").expect("starts");
-    let kept = (only_segment(&folder.0), fs::read(only_segment(&folder.0)).expect("read"));
-    log.start_segment(b"new state").expect("starts");
-    let newer = only_segment(&folder.0);
-    let spoil = |path: &Path| {
+fn newest_segment_without_snapshot_is_damage_if_appended_to_or_without_an_older_one() {
+    let directory = TestDirectory::new("newest");
+    let (mut wal, _) = Wal::open(&directory.0).expect("opens");
+    wal.start_segment(b"old").expect("starts");
+    let older = (only_segment(&directory.0), fs::read(only_segment(&directory.0)).expect("read"));
+    wal.start_segment(b"new state").expect("starts");
+    let newer = only_segment(&directory.0);
+    let damage_snapshot = |path: &Path| {
         let mut bytes = fs::read(path).expect("read");
         bytes[18] ^= 1;
         fs::write(path, &bytes).expect("written");
     };
-    spoil(&newer);
-    assert!(reopened(&folder.0).damaged, "the older one is gone, so the newer one was synced");
-    fs::write(&kept.0, &kept.1).expect("written");
-    assert_eq!((reopened(&folder.0).snapshot, reopened(&folder.0).damaged), (Some(b"old".to_vec()), false));
-    spoil(&newer);
-    drop(fs::remove_file(&kept.0));
-    log.append(&[b"record"]).expect("appended");
-    spoil(&newer);
-    fs::write(&kept.0, &kept.1).expect("written");
-    assert!(reopened(&folder.0).damaged, "something was appended to the newer one");
+    damage_snapshot(&newer);
+    assert!(recover(&directory.0).damaged, "the older one is gone, so the newer one was synced");
+    fs::write(&older.0, &older.1).expect("written");
+    assert_eq!(
+        (recover(&directory.0).snapshot, recover(&directory.0).damaged),
+        (Some(b"old".to_vec()), false)
+    );
+    damage_snapshot(&newer);
+    // A recovery never removes files, but it may be gone already.
+    let _ = fs::remove_file(&older.0);
+    wal.append(&[b"record"]).expect("appended");
+    damage_snapshot(&newer);
+    fs::write(&older.0, &older.1).expect("written");
+    assert!(recover(&directory.0).damaged, "something was appended to the newer one");
 }
 
 #[test]
-fn an_unknown_format_is_an_error_and_not_an_empty_disk() {
-    let folder = Folder::new("format");
-    let (mut log, _) = Wal::open(&folder.0).expect("opens");
-    log.start_segment(b"state").expect("starts");
-    let path = only_segment(&folder.0);
+fn unknown_format_is_an_error_and_not_an_empty_log() {
+    let directory = TestDirectory::new("format");
+    let (mut wal, _) = Wal::open(&directory.0).expect("opens");
+    wal.start_segment(b"state").expect("starts");
+    let path = only_segment(&directory.0);
     let mut bytes = fs::read(&path).expect("read");
     bytes[7] = 9;
     fs::write(&path, &bytes).expect("written");
-    let error = Wal::open(&folder.0).err().expect("refused").to_string();
-    assert_eq!(error, "segment 1 has format 9, and this program reads format 2");
+    let error = Wal::open(&directory.0).err().expect("an error");
+    let cause = error.get_ref().and_then(|cause| cause.downcast_ref::<WalError>());
+    assert_eq!(cause, Some(&WalError::UnknownFormat(1, 9)));
+    assert_eq!(error.to_string(), "segment 1 has format 9, and this program reads format 2");
 }
