--- a/control-plane/chain-replication/src/agreement.rs
+++ b/control-plane/chain-replication/src/agreement.rs
@@ -2,8 +2,8 @@
 //! voters of the view before.
 //!
 //! Every voter is an acceptor ([`Replica::handle_vote_request`](crate::Replica::handle_vote_request)); any voter may be a
-//! proposer ([`Proposal`]); whoever learns the decision installs the view. What a voter promises or accepts is durable
-//! before it answers, so a restart forgets nothing.
+//! proposer ([`Proposal`]); a process that learns the decision installs the view. What a voter promises or accepts is
+//! durable before it replies, so it survives a restart.
 //!
 //! **Quorums, and voters that lost their disk.** A majority of the voters decides, as in Paxos. A voter whose disk is lost
 //! comes back under another identity and never votes again, so with majorities alone a chain of two could not leave out a
--- a/control-plane/chain-replication/src/agreement/voter.rs
+++ b/control-plane/chain-replication/src/agreement/voter.rs
@@ -33,7 +33,7 @@
         if vote.instance != instance {
             vote = Vote { instance, ..Vote::default() };
         }
-        // The promise: a proposer that was promised this number has been told everything that this voter accepted under
+        // The promise: a proposer that was promised this number knows everything that this voter accepted under
         // lower ones.
         if proposal_number < vote.promised {
             return Ok(VoteReply::Preempted(vote.promised));
--- a/control-plane/chain-replication/src/chain.rs
+++ b/control-plane/chain-replication/src/chain.rs
@@ -59,11 +59,11 @@
     config: Config,
     role: Role,
     pending: PendingRequests<M::Operation, M::Output>,
-    /// Messages of the predecessor that the next round answers.
+    /// Messages of the predecessor that are replied to with the outcome of the next round.
     upstream_tokens: Vec<Token>,
     in_flight: Option<InFlightAppend>,
     last_call: u64,
-    /// Attempts of the current round that the successor answered with another position.
+    /// Messages of the current round that the successor rejected with a mismatch.
     append_attempts: usize,
     /// The round of this member as the head.
     round: Round,
@@ -263,7 +263,8 @@
         }
     }
 
-    /// Rounds of the previous view prove nothing in the new one: its call is given up, and the predecessor is told.
+    /// Rounds of the previous view prove nothing in the new one: its call is abandoned, and the predecessor's messages
+    /// are rejected.
     fn on_view_change(&mut self, outputs: &mut Vec<Output<M::Output>>) {
         self.failures.reset();
         self.peer_positions.clear();
--- a/control-plane/chain-replication/src/chain/rounds.rs
+++ b/control-plane/chain-replication/src/chain/rounds.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Messages to the successor in one round; a successor that still answers with another position has failed.
+/// Messages to the successor in one round; a successor that still reports a mismatch has failed.
 const MAX_APPEND_ATTEMPTS: usize = 4;
 /// Pause after a round that did not go through the chain.
 const RETRY_BACKOFF: Duration = Duration::from_millis(40);
@@ -147,32 +147,12 @@
             self.on_round_failed(now, RoundFailure::Superseded, call.waiters, outputs);
             return;
         }
-        let successor = call.successor;
         match reply {
             Some(AppendReply::Accepted { durable_replicas }) => {
-                self.peer_positions.insert(successor.identity, call.position);
-                if call.is_install {
-                    // It confirms the successor alone; the append that follows goes through to the tail.
-                    self.send_append(now, call.waiters, outputs);
-                } else {
-                    let round = CompletedRound {
-                        started_at: call.started_at,
-                        position: call.position,
-                        durable_replicas_downstream: durable_replicas,
-                        waiters: call.waiters,
-                    };
-                    self.on_round_completed(now, round, outputs);
-                }
+                self.on_append_accepted(now, call, durable_replicas, outputs);
             }
             Some(AppendReply::Mismatch(position)) => {
-                self.peer_positions.insert(successor.identity, position);
-                self.append_attempts += 1;
-                if self.append_attempts < MAX_APPEND_ATTEMPTS {
-                    self.send_append(now, call.waiters, outputs);
-                } else {
-                    let failure = RoundFailure::Member(successor.address);
-                    self.on_round_failed(now, failure, call.waiters, outputs);
-                }
+                self.on_append_mismatch(now, call, position, outputs);
             }
             Some(AppendReply::StaleView(view)) => {
                 self.install_view(&view);
@@ -180,17 +160,57 @@
             }
             Some(AppendReply::DownstreamFailed(address)) => {
                 // The successor itself has the state; another member further down failed.
-                self.peer_positions.insert(successor.identity, call.position);
+                self.peer_positions.insert(call.successor.identity, call.position);
                 self.on_round_failed(now, RoundFailure::Member(address), call.waiters, outputs);
             }
             Some(AppendReply::NotMember | AppendReply::StorageError) | None => {
-                let failure = RoundFailure::Member(successor.address);
+                let failure = RoundFailure::Member(call.successor.address);
                 self.on_round_failed(now, failure, call.waiters, outputs);
             }
         }
         self.on_role_change(outputs);
     }
 
+    fn on_append_accepted(
+        &mut self,
+        now: Duration,
+        call: InFlightAppend,
+        durable_replicas_downstream: usize,
+        outputs: &mut Vec<Output<M::Output>>,
+    ) {
+        self.peer_positions.insert(call.successor.identity, call.position);
+        if call.is_install {
+            // It confirms the successor alone; the append that follows goes through to the tail.
+            self.send_append(now, call.waiters, outputs);
+            return;
+        }
+        let round = CompletedRound {
+            started_at: call.started_at,
+            position: call.position,
+            durable_replicas_downstream,
+            waiters: call.waiters,
+        };
+        self.on_round_completed(now, round, outputs);
+    }
+
+    /// The successor's state is at another position than was assumed: the next message begins there.
+    fn on_append_mismatch(
+        &mut self,
+        now: Duration,
+        call: InFlightAppend,
+        position: Position,
+        outputs: &mut Vec<Output<M::Output>>,
+    ) {
+        self.peer_positions.insert(call.successor.identity, position);
+        self.append_attempts += 1;
+        if self.append_attempts < MAX_APPEND_ATTEMPTS {
+            self.send_append(now, call.waiters, outputs);
+        } else {
+            let failure = RoundFailure::Member(call.successor.address);
+            self.on_round_failed(now, failure, call.waiters, outputs);
+        }
+    }
+
     /// Every member from this one to the tail has reached a position. At the head these are all members of the view, so
     /// whichever of them heads the next view has the entries up to it: the operations may be acknowledged.
     fn on_round_completed(
--- a/control-plane/chain-replication/src/in_flight.rs
+++ b/control-plane/chain-replication/src/in_flight.rs
@@ -11,7 +11,7 @@
 pub(crate) struct RoundWaiters {
     /// Reads at the head that the round is to confirm.
     pub reads: Vec<PendingRead>,
-    /// Messages of the predecessor that are answered with the round's outcome.
+    /// Messages of the predecessor that are replied to with the round's outcome.
     pub upstream_tokens: Vec<Token>,
 }
 
--- a/control-plane/chain-replication/src/suspicion.rs
+++ b/control-plane/chain-replication/src/suspicion.rs
@@ -1,6 +1,6 @@
 //! Failure detection down the chain: a member whose rounds keep failing is suspected after a time.
 //!
-//! The detector may be wrong, as any with timeouts. A suspicion only makes whoever decides on views propose one without the
+//! The detector may be wrong, as any that relies on timeouts. A suspicion only leads to the proposal of a view without the
 //! member; agreement on that view, not the suspicion, excludes it.
 
 use std::net::SocketAddr;
--- a/control-plane/chain-replication/tests/chain_model.rs
+++ b/control-plane/chain-replication/tests/chain_model.rs
@@ -1,52 +1,61 @@
-//! A model of the chain under changing views ([`marblecroft_chain_replication::replica`]): members that miss views, lose their disk, join
-//! and leave; messages that come late, twice, or never. Whoever is complete in the newest view holds everything that was
-//! acknowledged. Each mutation below breaks that, and the checker finds it. Views are decided one after the other, as
-//! `views_model.rs` shows.
+//! A model of the chain under changing views ([`marblecroft_chain_replication::replica`]): members miss views, lose their
+//! disk, join and leave; messages are delayed, duplicated or lost. Every complete member of the newest view has everything
+//! that was acknowledged. Each mutation below violates that, and the checker finds it. Views are decided one after the
+//! other, as `views_model.rs` shows.
 
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
 const NODES: u8 = 3;
 const VIEWS: usize = 3;
-/// Operations and lost disks of the two searches: both at once are ten million states.
-const SEARCHES: [(u8, u8); 2] = [(2, 0), (1, 1)];
-/// Members that an operation must be on before it is acknowledged.
-const COPIES: usize = 2;
+/// The two searches: operations and lost disks in one search are ten million states.
+const BOUNDS: [Bounds; 2] =
+    [Bounds { operations: 2, disk_losses: 0 }, Bounds { operations: 1, disk_losses: 1 }];
+/// Replicas that an operation needs before it is acknowledged.
+const MIN_REPLICAS: usize = 2;
 
+/// How often things happen in a search.
+#[derive(Clone, Copy, Debug)]
+struct Bounds {
+    operations: u8,
+    disk_losses: u8,
+}
+
+/// What differs from the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
-    /// A member stays complete over a view that it missed.
-    CompleteOverMissedView,
-    /// Messages of older views are taken.
-    OldViewsTaken,
-    /// A whole state that comes late replaces a newer one.
-    LateStateTaken,
-    /// The head acknowledges what it has only ordered.
+    /// A member stays complete although it missed a view.
+    CompleteDespiteMissedView,
+    /// Messages of older views are accepted.
+    StaleViewAccepted,
+    /// A delayed install replaces a newer state.
+    DelayedInstallAccepted,
+    /// The head acknowledges what it has only stored itself.
     HeadAcknowledgesAlone,
-    /// A member answers for those that follow without having heard from them.
-    AnswersForOthers,
-    /// A member that is not complete heads the next view.
+    /// A member replies without waiting for its successor.
+    ReplyWithoutSuccessor,
+    /// A member that is not complete becomes the head of the next view.
     IncompleteHead,
-    /// Whoever joins counts as complete at once.
-    JoinerComplete,
-    /// A member that has lost its disk goes on as the same one.
-    WipedGoesOn,
+    /// A learner counts as complete as soon as it joins.
+    LearnerCompleteAtOnce,
+    /// A member retains its identity when it loses its disk.
+    IdentityRetainedAfterDiskLoss,
 }
 
-/// A process: its machine and how often that has lost its disk.
+/// A member: its node and how often that has lost its disk.
 type Identity = (u8, u8);
 type Log = Vec<u8>;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Node {
-    wiped: u8,
+    disk_losses: u8,
     /// Number of the view that it knows; 0 is none.
     view: usize,
     complete: bool,
     log: Log,
-    /// The view in which the member before it has brought it up.
-    followed: usize,
+    /// The view in which its predecessor has brought it up to date.
+    synchronized_in_view: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -61,8 +70,8 @@
         to: Identity,
         log: Log,
     },
-    /// From a member to the one before: it and all that follow hold this.
-    Held {
+    /// From a member to its predecessor: the members from this one to the tail have this log.
+    Accepted {
         view: usize,
         from: Identity,
         log: Log,
@@ -74,37 +83,39 @@
     nodes: Vec<Node>,
     /// The members of each view, in order.
     views: Vec<Vec<Identity>>,
-    /// What is on its way: it may come late, twice or never.
+    /// Messages in flight: each may be delivered late, repeatedly or never.
     messages: BTreeSet<Message>,
-    ordered: u8,
+    proposed: u8,
     acknowledged: BTreeSet<u8>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
-    Order(u8),
+    Propose(u8),
     Append(u8),
     Install(u8),
-    Answer(u8),
+    Reply(u8),
     Acknowledge(u8),
     Deliver(Message),
-    /// A message comes no more.
-    Lose(Message),
-    /// A node proposes a view that it heads, with these others.
+    /// A message is delivered no more.
+    Drop(Message),
+    /// A view is decided that a node proposed, with itself as the head and these others.
     Decide(u8, Vec<u8>),
     Learn(u8, usize),
-    Wipe(u8),
+    LoseDisk(u8),
 }
 
+/// The property that must hold in every state.
+const REPLICATED: &str = "complete members of the newest view have all acknowledged operations";
+
 struct Chain {
     mutation: Mutation,
-    operations: u8,
-    wipes: u8,
+    bounds: Bounds,
 }
 
 impl Chain {
     fn identity(state: &State, node: u8) -> Identity {
-        (node, state.nodes[usize::from(node)].wiped)
+        (node, state.nodes[usize::from(node)].disk_losses)
     }
 
     fn members<'a>(state: &'a State, node: &Node) -> &'a [Identity] {
@@ -113,8 +124,8 @@
 
     fn successor(state: &State, number: u8) -> Option<Identity> {
         let members = Self::members(state, &state.nodes[usize::from(number)]);
-        let at = members.iter().position(|member| *member == Self::identity(state, number))?;
-        members.get(at + 1).copied()
+        let index = members.iter().position(|member| *member == Self::identity(state, number))?;
+        members.get(index + 1).copied()
     }
 
     fn is_head(state: &State, number: u8) -> bool {
@@ -129,20 +140,20 @@
         if view <= node.view {
             return;
         }
-        let follows =
-            node.complete && (view == node.view + 1 || self.mutation == Mutation::CompleteOverMissedView);
-        node.complete = is_member && (follows || self.mutation == Mutation::JoinerComplete);
+        let is_next =
+            node.complete && (view == node.view + 1 || self.mutation == Mutation::CompleteDespiteMissedView);
+        node.complete = is_member && (is_next || self.mutation == Mutation::LearnerCompleteAtOnce);
         node.view = view;
     }
 
-    /// Whether a message of a view is for this member, which learns the view.
-    fn takes(&self, state: &mut State, view: usize, to: Identity) -> bool {
+    /// Whether a member accepts messages of a view, which it learns.
+    fn accepts_view(&self, state: &mut State, view: usize, to: Identity) -> bool {
         let node = &state.nodes[usize::from(to.0)];
         if Self::identity(state, to.0) != to {
             return false;
         }
         if view < node.view {
-            return self.mutation == Mutation::OldViewsTaken;
+            return self.mutation == Mutation::StaleViewAccepted;
         }
         self.learn(state, to.0, view);
         true
@@ -151,46 +162,46 @@
     fn deliver(&self, state: &mut State, message: Message) {
         match message {
             Message::Append { view, to, log } => {
-                if !self.takes(state, view, to) {
+                if !self.accepts_view(state, view, to) {
                     return;
                 }
                 let node = &mut state.nodes[usize::from(to.0)];
                 if log.starts_with(&node.log) {
                     node.log = log;
                     node.complete = true;
-                    node.followed = view;
+                    node.synchronized_in_view = view;
                 }
             }
             Message::Install { view, to, log } => {
-                if !self.takes(state, view, to) {
+                if !self.accepts_view(state, view, to) {
                     return;
                 }
                 let node = &mut state.nodes[usize::from(to.0)];
-                let is_late = node.followed == view && log.len() <= node.log.len();
-                if !is_late || self.mutation == Mutation::LateStateTaken {
+                let is_delayed = node.synchronized_in_view == view && log.len() <= node.log.len();
+                if !is_delayed || self.mutation == Mutation::DelayedInstallAccepted {
                     node.log = log;
                     node.complete = true;
-                    node.followed = view;
+                    node.synchronized_in_view = view;
                 }
             }
-            Message::Held { .. } => {}
+            Message::Accepted { .. } => {}
         }
     }
 
-    /// What this member and all that follow hold, as far as it has heard. Who is no head answers only for what it was sent
-    /// in its view.
-    fn held(&self, state: &State, number: u8) -> Option<Log> {
+    /// The longest log that the members from this one to the tail are known to have. A member that is not the head replies
+    /// only for what its predecessor has sent it in its view.
+    fn accepted_log(&self, state: &State, number: u8) -> Option<Log> {
         let node = &state.nodes[usize::from(number)];
-        let was_sent = node.followed == node.view || Self::is_head(state, number);
-        if !node.complete || !was_sent {
+        let is_synchronized = node.synchronized_in_view == node.view || Self::is_head(state, number);
+        if !node.complete || !is_synchronized {
             return None;
         }
         let Some(successor) = Self::successor(state, number) else { return Some(node.log.clone()) };
-        if self.mutation == Mutation::AnswersForOthers {
+        if self.mutation == Mutation::ReplyWithoutSuccessor {
             return Some(node.log.clone());
         }
         let logs = state.messages.iter().filter_map(|message| match message {
-            Message::Held { view, from, log } if *view == node.view && *from == successor => Some(log),
+            Message::Accepted { view, from, log } if *view == node.view && *from == successor => Some(log),
             _ => None,
         });
         logs.filter(|log| node.log.starts_with(log)).max_by_key(|log| log.len()).cloned()
@@ -202,7 +213,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        // The third machine joins later.
+        // The third node is a learner.
         let member = |number: u8| Node { view: 1, complete: number < 2, ..Node::default() };
         let mut nodes: Vec<Node> = (0..NODES).map(member).collect();
         nodes[2].view = 0;
@@ -211,12 +222,12 @@
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         let newest = state.views.len();
-        let wipes: u8 = state.nodes.iter().map(|node| node.wiped).sum();
+        let disk_losses: u8 = state.nodes.iter().map(|node| node.disk_losses).sum();
         for number in 0..NODES {
             let node = &state.nodes[usize::from(number)];
             if Self::is_head(state, number) {
-                if state.ordered < self.operations {
-                    actions.push(Action::Order(number));
+                if state.proposed < self.bounds.operations {
+                    actions.push(Action::Propose(number));
                 }
                 actions.push(Action::Acknowledge(number));
             }
@@ -225,34 +236,34 @@
                 actions.push(Action::Install(number));
             }
             if node.complete {
-                actions.push(Action::Answer(number));
+                actions.push(Action::Reply(number));
             }
-            let may_head = node.complete || self.mutation == Mutation::IncompleteHead;
-            if may_head && node.view == newest && newest < VIEWS {
+            let may_become_head = node.complete || self.mutation == Mutation::IncompleteHead;
+            if may_become_head && node.view == newest && newest < VIEWS {
                 let others: Vec<u8> = (0..NODES).filter(|other| *other != number).collect();
-                let orders = [vec![others[0]], vec![others[1]], others.clone()];
-                actions.extend(orders.map(|others| Action::Decide(number, others)));
+                let chains = [vec![others[0]], vec![others[1]], others.clone()];
+                actions.extend(chains.map(|others| Action::Decide(number, others)));
             }
             if node.view < newest {
                 actions.push(Action::Learn(number, newest));
             }
-            if wipes < self.wipes {
-                actions.push(Action::Wipe(number));
+            if disk_losses < self.bounds.disk_losses {
+                actions.push(Action::LoseDisk(number));
             }
         }
         actions.extend(state.messages.iter().cloned().map(Action::Deliver));
-        // More messages can do all that fewer can.
-        if state.messages.len() == MESSAGES_MOST {
-            actions.extend(state.messages.iter().cloned().map(Action::Lose));
+        // With fewer messages nothing is gained by dropping one: it need not be delivered.
+        if state.messages.len() == MAX_MESSAGES {
+            actions.extend(state.messages.iter().cloned().map(Action::Drop));
         }
     }
 
     fn next_state(&self, before: &State, action: Action) -> Option<State> {
         let mut state = before.clone();
         match action {
-            Action::Order(number) => {
-                let operation = state.ordered;
-                state.ordered += 1;
+            Action::Propose(number) => {
+                let operation = state.proposed;
+                state.proposed += 1;
                 state.nodes[usize::from(number)].log.push(operation);
             }
             Action::Append(number) | Action::Install(number) => {
@@ -264,22 +275,24 @@
                 };
                 state.messages.insert(message);
             }
-            Action::Answer(number) => {
-                let log = self.held(&state, number)?;
+            Action::Reply(number) => {
+                let log = self.accepted_log(&state, number)?;
                 let (view, from) = (state.nodes[usize::from(number)].view, Self::identity(&state, number));
-                state.messages.insert(Message::Held { view, from, log });
+                state.messages.insert(Message::Accepted { view, from, log });
             }
             Action::Acknowledge(number) => {
                 let node = &state.nodes[usize::from(number)];
-                let enough = Self::members(&state, node).len() >= COPIES;
-                let held = match self.mutation {
+                let has_enough_replicas = Self::members(&state, node).len() >= MIN_REPLICAS;
+                let accepted = match self.mutation {
                     Mutation::HeadAcknowledgesAlone => node.log.clone(),
-                    _ => self.held(&state, number).filter(|_| enough)?,
+                    _ => self.accepted_log(&state, number).filter(|_| has_enough_replicas)?,
                 };
-                state.acknowledged.extend(held);
+                state.acknowledged.extend(accepted);
             }
             Action::Deliver(message) => self.deliver(&mut state, message),
-            Action::Lose(message) => drop(state.messages.remove(&message)),
+            Action::Drop(message) => {
+                state.messages.remove(&message);
+            }
             Action::Decide(number, others) => {
                 let members = std::iter::once(number).chain(others);
                 let members: Vec<Identity> = members.map(|node| Self::identity(&state, node)).collect();
@@ -291,14 +304,14 @@
                 self.learn(&mut state, number, newest);
             }
             Action::Learn(number, view) => self.learn(&mut state, number, view),
-            Action::Wipe(number) => {
+            Action::LoseDisk(number) => {
                 let node = &mut state.nodes[usize::from(number)];
-                let wiped = node.wiped + 1;
-                if self.mutation == Mutation::WipedGoesOn {
-                    // As one that finds an empty log under its old identity, view and all.
+                let disk_losses = node.disk_losses + 1;
+                if self.mutation == Mutation::IdentityRetainedAfterDiskLoss {
+                    // It finds an empty log, and still has its identity and its view.
                     node.log.clear();
                 } else {
-                    *node = Node { wiped, ..Node::default() };
+                    *node = Node { disk_losses, ..Node::default() };
                 }
             }
         }
@@ -307,7 +320,7 @@
 
     fn properties(&self) -> Vec<Property<Chain>> {
         vec![
-            Property::always("what was acknowledged is held", |_, state: &State| {
+            Property::always(REPLICATED, |_, state: &State| {
                 let newest = state.views.len();
                 let counts = |node: &&Node| node.complete && node.view == newest;
                 state
@@ -317,9 +330,9 @@
                     .all(|node| state.acknowledged.iter().all(|operation| node.log.contains(operation)))
             }),
             Property::sometimes(
-                "all are acknowledged, and the last view is in force",
+                "all operations are acknowledged and the last view is installed",
                 |chain: &Chain, state: &State| {
-                    state.acknowledged.len() == usize::from(chain.operations)
+                    state.acknowledged.len() == usize::from(chain.bounds.operations)
                         && state.views.len() == VIEWS
                         && state.nodes.iter().any(|node| node.complete && node.view == VIEWS)
                 },
@@ -328,58 +341,55 @@
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        state.messages.len() <= MESSAGES_MOST
+        state.messages.len() <= MAX_MESSAGES
     }
 }
 
-/// Messages that are looked at together.
-const MESSAGES_MOST: usize = 2;
-/// States that are looked at, those that are met again included; the shortest ways first. `MODEL_STATES` sets another
-/// bound: with 100,000,000 both searches see all of their states.
-const STATES_MOST: usize = 3_000_000;
+/// Messages that are in flight at the same time.
+const MAX_MESSAGES: usize = 2;
+/// States of one search, those that are reached again included, in breadth-first order. `MODEL_STATES` sets another bound:
+/// with 100,000,000 both searches are exhaustive.
+const MAX_STATES: usize = 3_000_000;
 
-fn states_most() -> usize {
-    let asked = std::env::var("MODEL_STATES").ok().and_then(|states| states.parse().ok());
-    asked.unwrap_or(STATES_MOST)
+fn max_states() -> usize {
+    let configured = std::env::var("MODEL_STATES").ok().and_then(|states| states.parse().ok());
+    configured.unwrap_or(MAX_STATES)
 }
 
-fn search(mutation: Mutation, (operations, wipes): (u8, u8)) -> impl Checker<Chain> {
-    let chain = Chain { mutation, operations, wipes };
-    chain.checker().threads(4).target_state_count(states_most()).spawn_bfs().join()
+fn search(mutation: Mutation, bounds: Bounds) -> impl Checker<Chain> {
+    let chain = Chain { mutation, bounds };
+    chain.checker().threads(4).target_state_count(max_states()).spawn_bfs().join()
 }
 
 fn violates(mutation: Mutation) -> bool {
-    let finds = |search_for| {
-        let checker = search(mutation, search_for);
-        checker.discovery("what was acknowledged is held").is_some()
-    };
-    SEARCHES.into_iter().any(finds)
+    let finds_violation = |bounds| search(mutation, bounds).discovery(REPLICATED).is_some();
+    BOUNDS.into_iter().any(finds_violation)
 }
 
 #[test]
-fn whoever_is_complete_in_the_newest_view_holds_what_was_acknowledged() {
-    for search_for in SEARCHES {
-        let checker = search(Mutation::None, search_for);
-        println!("{search_for:?}: {} states", checker.unique_state_count());
-        checker.assert_no_discovery("what was acknowledged is held");
-        if states_most() > STATES_MOST {
+fn complete_members_of_the_newest_view_have_all_acknowledged_operations() {
+    for bounds in BOUNDS {
+        let checker = search(Mutation::None, bounds);
+        println!("{bounds:?}: {} states", checker.unique_state_count());
+        checker.assert_no_discovery(REPLICATED);
+        if max_states() > MAX_STATES {
             checker.assert_properties();
         }
     }
 }
 
 #[test]
-fn every_mutation_is_caught() {
+fn every_mutation_is_detected() {
     let all = [
-        Mutation::CompleteOverMissedView,
-        Mutation::OldViewsTaken,
-        Mutation::LateStateTaken,
+        Mutation::CompleteDespiteMissedView,
+        Mutation::StaleViewAccepted,
+        Mutation::DelayedInstallAccepted,
         Mutation::HeadAcknowledgesAlone,
-        Mutation::AnswersForOthers,
+        Mutation::ReplyWithoutSuccessor,
         Mutation::IncompleteHead,
-        Mutation::JoinerComplete,
-        Mutation::WipedGoesOn,
+        Mutation::LearnerCompleteAtOnce,
+        Mutation::IdentityRetainedAfterDiskLoss,
     ];
     let missed: Vec<Mutation> = all.into_iter().filter(|mutation| !violates(*mutation)).collect();
-    assert!(missed.is_empty(), "not caught: {missed:?}");
+    assert!(missed.is_empty(), "not detected: {missed:?}");
 }
--- a/control-plane/chain-replication/tests/golden.rs
+++ b/control-plane/chain-replication/tests/golden.rs
@@ -1,10 +1,13 @@
 //! The encodings of messages between members, and of what a member stores, do not change: each value is encoded to the
 //! literal bytes of a fixture, and these are decoded and encoded again. A log that an earlier version stored is recovered.
 
+mod common;
+
+use common::Sum;
 use marblecroft_chain_replication::agreement::{VoteReply, VoteRequest};
 use marblecroft_chain_replication::storage::{Accepted, Storage, Vote};
 use marblecroft_chain_replication::{
-    Append, AppendReply, Install, Member, Position, RecoveryError, Replica, Round, StateMachine, Status, View,
+    Append, AppendReply, Install, Member, Position, RecoveryError, Replica, Round, Status, View,
 };
 use marblecroft_rpc::{decode, encode, Bytes, Message};
 use marblecroft_wal::Recovered;
@@ -157,31 +160,6 @@
     }
 }
 
-#[derive(Default)]
-struct Sum(u64);
-
-impl StateMachine for Sum {
-    type Operation = u64;
-    type Output = u64;
-
-    fn apply(&mut self, operation: u64) -> u64 {
-        self.0 += operation;
-        self.0
-    }
-
-    fn size_of(_: &u64) -> usize {
-        8
-    }
-
-    fn snapshot(&self) -> Vec<u8> {
-        encode(&self.0)
-    }
-
-    fn restore(snapshot: &[u8]) -> Option<Sum> {
-        decode(snapshot).ok().map(Sum)
-    }
-}
-
 /// A member that has ordered two entries, installed view 2, and accepted a proposal for view 3.
 fn member_with_history(storage: &RecordingStorage) -> Replica<Sum, RecordingStorage> {
     let founding = Some(view(1));
--- a/control-plane/chain-replication/tests/head.rs
+++ b/control-plane/chain-replication/tests/head.rs
@@ -1,41 +1,19 @@
 //! Which operations a head may acknowledge when its view changes between their ordering and the reply of the chain, and
 //! from which time a lease counts.
 
+mod common;
+
+use common::Sum;
 use marblecroft_chain_replication::storage::NullStorage;
 use marblecroft_chain_replication::{
     Append, AppendReply, Chain, Config, Install, Member, Output, Position, ProposalError, Replica, Round,
-    StateMachine, ToSuccessor, View,
+    ToSuccessor, View,
 };
-use marblecroft_rpc::{decode, encode, Bytes};
+use marblecroft_rpc::{encode, Bytes};
 use marblecroft_wal::Recovered;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-#[derive(Default)]
-struct Sum(u64);
-
-impl StateMachine for Sum {
-    type Operation = u64;
-    type Output = u64;
-
-    fn apply(&mut self, operation: u64) -> u64 {
-        self.0 += operation;
-        self.0
-    }
-
-    fn size_of(_: &u64) -> usize {
-        8
-    }
-
-    fn snapshot(&self) -> Vec<u8> {
-        encode(&self.0)
-    }
-
-    fn restore(snapshot: &[u8]) -> Option<Sum> {
-        decode(snapshot).ok().map(Sum)
-    }
-}
-
 type Outputs = Vec<Output<u64>>;
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
--- a/control-plane/wal/src/lib.rs
+++ b/control-plane/wal/src/lib.rs
@@ -10,7 +10,7 @@
 //! **Torn end or damage.** Every append begins with a marker that contains its own offset, and is written only after
 //! everything before it was synced. An unreadable record in front of an intact marker was therefore synced, and perhaps
 //! acknowledged: this is damage, not a torn end, and [`Recovered::damaged`] reports it. Damage within the very last append
-//! cannot be told from a torn end.
+//! cannot be distinguished from a torn end.
 //!
 //! **Format.** A record is the length of the payload (u32, little endian), the CRC-32 of the payload, and the payload. A
 //! segment is [`MAGIC`], which contains the version of the format, the record of the snapshot, and for each append the
