--- a/control-plane/chain-replication/src/chain.rs
+++ b/control-plane/chain-replication/src/chain.rs
@@ -22,7 +22,7 @@
 use crate::lease::Lease;
 use crate::message::{Append, AppendReply, Install, Round, Status};
 use crate::output::{Output, Token};
-use crate::pending::{PendingRead, PendingRequests, QueuedOperation};
+use crate::pending::{PendingRequests, QueuedOperation, Waiter};
 use crate::position::Position;
 use crate::replica::{AppendOutcome, Replica};
 use crate::state_machine::StateMachine;
@@ -197,12 +197,12 @@
     /// Queues an operation, which is acknowledged once every member has it. Past its deadline an operation that was already
     /// ordered is reported as [`ProposalError::OutcomeUnknown`], and may still be applied.
     pub fn propose(&mut self, token: Token, operation: M::Operation, deadline: Duration) {
-        self.pending.push_operation(QueuedOperation { token, operation, deadline });
+        self.pending.push_operation(QueuedOperation { waiter: Waiter { token, deadline }, operation });
     }
 
     /// Queues a read, which is confirmed by a round that begins after this call; the name is that of Raft's ReadIndex.
     pub fn read_index(&mut self, token: Token, deadline: Duration) {
-        self.pending.extend_reads([PendingRead { token, deadline }]);
+        self.pending.extend_reads([Waiter { token, deadline }]);
     }
 
     /// Returns when [`Chain::advance`] has something to do without further input.
--- a/control-plane/chain-replication/src/chain/rounds.rs
+++ b/control-plane/chain-replication/src/chain/rounds.rs
@@ -5,7 +5,7 @@
 use crate::in_flight::{CompletedRound, InFlightAppend, RoundWaiters};
 use crate::message::{Append, AppendReply};
 use crate::output::{Output, ToSuccessor};
-use crate::pending::UncommittedOperation;
+use crate::pending::{UncommittedOperation, Waiter};
 use crate::position::Position;
 use crate::state_machine::StateMachine;
 use crate::storage::Storage;
@@ -47,27 +47,21 @@
         if batch.is_empty() {
             return;
         }
-        let (mut waiting, mut operations) = (Vec::new(), Vec::new());
-        for queued in batch {
-            waiting.push((queued.token, queued.deadline));
-            operations.push(queued.operation);
-        }
+        let (waiters, operations): (Vec<Waiter>, Vec<M::Operation>) =
+            batch.into_iter().map(|queued| (queued.waiter, queued.operation)).unzip();
         match self.replica.propose(&operations) {
             Ok(applied) => {
                 let index = self.replica.position().index;
-                let uncommitted =
-                    |((token, deadline), output)| UncommittedOperation { token, index, output, deadline };
-                self.pending.extend_uncommitted(waiting.into_iter().zip(applied).map(uncommitted));
+                let uncommitted = |(waiter, output)| UncommittedOperation { waiter, index, output };
+                self.pending.extend_uncommitted(waiters.into_iter().zip(applied).map(uncommitted));
             }
             Err(error) => {
                 // The entry may have reached the disk all the same, and be found there after a restart.
                 warn!(%error, "entry not persisted");
-                outputs.extend(
-                    waiting.into_iter().map(|(token, _)| Output::Applied {
-                        token,
-                        result: Err(ProposalError::OutcomeUnknown),
-                    }),
-                );
+                outputs.extend(waiters.into_iter().map(|waiter| Output::Applied {
+                    token: waiter.token,
+                    result: Err(ProposalError::OutcomeUnknown),
+                }));
             }
         }
     }
--- a/control-plane/chain-replication/src/in_flight.rs
+++ b/control-plane/chain-replication/src/in_flight.rs
@@ -1,7 +1,7 @@
 //! The one call to the successor that a member has in flight, and who waits for its outcome.
 
 use crate::output::Token;
-use crate::pending::PendingRead;
+use crate::pending::Waiter;
 use crate::position::Position;
 use crate::view::Member;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 #[derive(Default)]
 pub(crate) struct RoundWaiters {
     /// Reads at the head that the round is to confirm.
-    pub reads: Vec<PendingRead>,
+    pub reads: Vec<Waiter>,
     /// Messages of the predecessor that are replied to with the round's outcome.
     pub upstream_tokens: Vec<Token>,
 }
--- a/control-plane/chain-replication/src/pending.rs
+++ b/control-plane/chain-replication/src/pending.rs
@@ -10,33 +10,33 @@
 /// An operation below this size does not count as large, in bytes.
 const LARGE_OPERATION_BYTES: usize = 16 << 10;
 
+/// Who waits for a result, and until when.
+#[derive(Clone, Copy)]
+pub(crate) struct Waiter {
+    pub token: Token,
+    pub deadline: Duration,
+}
+
 /// An operation that the head has yet to order.
 pub(crate) struct QueuedOperation<O> {
-    pub token: Token,
+    pub waiter: Waiter,
     pub operation: O,
-    pub deadline: Duration,
 }
 
 /// An operation that the head has ordered and that not every member is known to have.
 pub(crate) struct UncommittedOperation<R> {
-    pub token: Token,
+    pub waiter: Waiter,
     /// Index of the entry that contains it.
     pub index: u64,
     pub output: R,
-    pub deadline: Duration,
-}
-
-/// A read that waits for a round to confirm that the state is the newest.
-pub(crate) struct PendingRead {
-    pub token: Token,
-    pub deadline: Duration,
 }
 
 /// What waits at the head. Reads that a round in flight is to confirm are kept with that round.
 pub(crate) struct PendingRequests<O, R> {
     queue: VecDeque<QueuedOperation<O>>,
     uncommitted: VecDeque<UncommittedOperation<R>>,
-    reads: Vec<PendingRead>,
+    /// Reads that wait for a round to confirm that the state is the newest.
+    reads: Vec<Waiter>,
 }
 
 impl<O, R> PendingRequests<O, R> {
@@ -60,18 +60,18 @@
         self.uncommitted.extend(operations);
     }
 
-    pub fn extend_reads(&mut self, reads: impl IntoIterator<Item = PendingRead>) {
+    pub fn extend_reads(&mut self, reads: impl IntoIterator<Item = Waiter>) {
         self.reads.extend(reads);
     }
 
-    pub fn take_reads(&mut self) -> Vec<PendingRead> {
+    pub fn take_reads(&mut self) -> Vec<Waiter> {
         std::mem::take(&mut self.reads)
     }
 
     /// The earliest deadline; `None` where nothing waits.
     pub fn next_deadline(&self) -> Option<Duration> {
-        let queued = self.queue.iter().map(|queued| queued.deadline);
-        let uncommitted = self.uncommitted.iter().map(|uncommitted| uncommitted.deadline);
+        let queued = self.queue.iter().map(|queued| queued.waiter.deadline);
+        let uncommitted = self.uncommitted.iter().map(|uncommitted| uncommitted.waiter.deadline);
         let reads = self.reads.iter().map(|read| read.deadline);
         queued.chain(uncommitted).chain(reads).min()
     }
@@ -96,21 +96,23 @@
     /// Acknowledges the operations of all entries up to an index.
     pub fn acknowledge_up_to(&mut self, index: u64, outputs: &mut Vec<Output<R>>) {
         while let Some(committed) = self.uncommitted.pop_front_if(|uncommitted| uncommitted.index <= index) {
-            outputs.push(Output::Applied { token: committed.token, result: Ok(committed.output) });
+            outputs.push(Output::Applied { token: committed.waiter.token, result: Ok(committed.output) });
         }
     }
 
     /// Fails everything that was queued and never ordered.
     pub fn reject_queued(&mut self, error: &ProposalError, outputs: &mut Vec<Output<R>>) {
-        let rejected =
-            |queued: QueuedOperation<O>| Output::Applied { token: queued.token, result: Err(error.clone()) };
+        let rejected = |queued: QueuedOperation<O>| Output::Applied {
+            token: queued.waiter.token,
+            result: Err(error.clone()),
+        };
         outputs.extend(std::mem::take(&mut self.queue).into_iter().map(rejected));
     }
 
     /// Fails what was ordered here when this member can no longer tell whether it will be committed.
     pub fn abandon_uncommitted(&mut self, outputs: &mut Vec<Output<R>>) {
         let unknown = |uncommitted: UncommittedOperation<R>| Output::Applied {
-            token: uncommitted.token,
+            token: uncommitted.waiter.token,
             result: Err(ProposalError::OutcomeUnknown),
         };
         outputs.extend(std::mem::take(&mut self.uncommitted).into_iter().map(unknown));
@@ -120,16 +122,16 @@
     pub fn expire(&mut self, now: Duration, outputs: &mut Vec<Output<R>>) {
         let failed = |token, error| Output::Applied { token, result: Err(error) };
         self.uncommitted.retain(|uncommitted| {
-            let is_live = uncommitted.deadline > now;
+            let is_live = uncommitted.waiter.deadline > now;
             if !is_live {
-                outputs.push(failed(uncommitted.token, ProposalError::OutcomeUnknown));
+                outputs.push(failed(uncommitted.waiter.token, ProposalError::OutcomeUnknown));
             }
             is_live
         });
         self.queue.retain(|queued| {
-            let is_live = queued.deadline > now;
+            let is_live = queued.waiter.deadline > now;
             if !is_live {
-                outputs.push(failed(queued.token, ProposalError::NotEnoughReplicas));
+                outputs.push(failed(queued.waiter.token, ProposalError::NotEnoughReplicas));
             }
             is_live
         });
