--- a/control-plane/core/src/coordinator.rs
+++ b/control-plane/core/src/coordinator.rs
@@ -2,7 +2,7 @@
 
 use crate::membership::{Membership, TaskCall, MAX_MEMBERS};
 use crate::operator::{self, Caller, PendingCall};
-use crate::pending_calls::PendingCalls;
+use crate::pending_table::PendingTable;
 use crate::server_list_reader::{ServerListReader, Step};
 use crate::store_views::{ReplicaCounts, StoreViews, HEAD_DISCOVERY_TIME};
 use crate::{Node, Time};
@@ -135,9 +135,9 @@
     leading_since: Option<Duration>,
     next_store_check_at: Duration,
     server_list_reader: ServerListReader,
-    pending_operations: PendingCalls<PendingOperation>,
+    pending_operations: PendingTable<PendingOperation>,
     pending_pulls: Vec<PendingPull>,
-    pending_calls: PendingCalls<CallPurpose>,
+    pending_calls: PendingTable<CallPurpose>,
     /// The list of servers that the chain's notice holds, and the notice that it was read from.
     list: (Vec<u8>, Option<ServerList>),
     /// When the last input was taken.
@@ -168,9 +168,9 @@
             leading_since: None,
             next_store_check_at: now,
             server_list_reader: ServerListReader::default(),
-            pending_operations: PendingCalls::default(),
+            pending_operations: PendingTable::default(),
             pending_pulls: Vec::new(),
-            pending_calls: PendingCalls::default(),
+            pending_calls: PendingTable::default(),
             list: (Vec::new(), None),
             last_input_at: now,
             outputs: Vec::new(),
--- a/control-plane/core/src/lib.rs
+++ b/control-plane/core/src/lib.rs
@@ -6,17 +6,19 @@
 //! and in the clusters of `simulation`.
 #![forbid(unsafe_code)]
 
+mod chain_client;
 pub mod coordinator;
+mod drain;
 pub mod gateways;
 pub mod member;
 mod membership;
 pub mod operator;
 mod peer_statuses;
-mod pending_calls;
+mod pending_table;
+mod replica_wait;
 pub mod server_list_reader;
 pub mod store;
 pub mod store_views;
-mod timeouts;
 mod view_change;
 
 use std::time::Duration;
--- a/control-plane/core/src/member.rs
+++ b/control-plane/core/src/member.rs
@@ -1,4 +1,4 @@
-//! What a member of a chain makes of what it finds on its disk when it starts.
+//! How a member of a chain starts from what it finds on its disk.
 
 use marblecroft_chain_replication::storage::Storage;
 use marblecroft_chain_replication::{Member, Replica, StateMachine, View};
@@ -7,11 +7,11 @@
 use std::net::{IpAddr, SocketAddr};
 use tracing::{info, warn};
 
-/// Set in every identity that is drawn, and in none of a founder, whose address and port fill 48 bits.
+/// Set in every identity that is drawn at random, and in none of a founder, whose address and port fill 48 bits.
 const RANDOM_IDENTITY_BIT: u64 = 1 << 63;
 
-/// The identity of a founder: every process works out the same from the seeds, and no other member can have it, as the
-/// others' are drawn.
+/// The identity of a founder. Every process derives the same one from the seeds, and no other member can have it, as theirs
+/// are drawn at random.
 fn founder_identity(seed: SocketAddr) -> u64 {
     let ip = match seed.ip() {
         IpAddr::V4(ip) => u64::from(u32::from(ip)),
@@ -20,8 +20,8 @@
     (ip << 16) | u64::from(seed.port())
 }
 
-/// The first view, and the identity of the process at `own` in it; `None` where it is not one of those that begin it.
-/// `address_of` tells where the member at a seed is called.
+/// The first view and the identity in it of the process at `own`; `None` where that is not one of the founders.
+/// `address_of` maps a seed to the address where its member is called.
 pub fn founding_view(
     own: SocketAddr,
     seeds: &[SocketAddr],
@@ -38,9 +38,15 @@
         .then(|| (founder_identity(own), View { number: 1, voters: members.clone(), members }))
 }
 
-/// Opens what was found on a disk; where there is nothing the member begins with an empty state, under the founding view or
-/// with the identity that was `drawn` for it. What was found damaged does not count: it may be older than what this member
-/// has told, its votes included, so it begins like one that has lost its disk.
+/// Opens the replica of a member from what was recovered from its disk. From an empty disk the member starts with an empty
+/// state, under the founding view, or with the identity `drawn` at random for it.
+///
+/// A damaged log does not count: it may be older than what this member has acknowledged, its votes included. The member
+/// starts with a new identity, like one that has lost its disk.
+///
+/// # Errors
+///
+/// The storage cannot be written.
 pub fn open<M: StateMachine + Default, S: Storage>(
     storage: S,
     recovered: Recovered,
@@ -49,11 +55,11 @@
 ) -> io::Result<Replica<M, S>> {
     let drawn = drawn | RANDOM_IDENTITY_BIT;
     if recovered.damaged {
-        warn!("the log is damaged: what was synced cannot be read; begins anew, as another member");
+        warn!("log is damaged: starting empty, with a new identity");
         return Replica::open(storage, Recovered::default(), M::default(), drawn, None);
     }
     if recovered.torn_bytes > 0 {
-        info!(bytes = recovered.torn_bytes, "passed over what was torn at the end of the log");
+        info!(bytes = recovered.torn_bytes, "torn record at the end of the log skipped");
     }
     let (identity, view) = match founding {
         Some((identity, view)) => (identity, Some(view)),
--- a/control-plane/core/src/membership.rs
+++ b/control-plane/core/src/membership.rs
@@ -8,8 +8,9 @@
 //! A process under way with one [`Task`] begins no other, and gives it up after [`TASK_MOST`].
 
 use crate::coordinator::Coordinator;
+use crate::drain::drain_deadline;
 use crate::peer_statuses::PeerStatuses;
-use crate::timeouts::{drain_deadline, ReplicaWait};
+use crate::replica_wait::ReplicaWait;
 use marblecroft_chain_replication::agreement::{Phase, Proposal, VoteRequest};
 use marblecroft_chain_replication::storage::Storage;
 use marblecroft_chain_replication::Member;
--- /dev/null
+++ b/control-plane/core/src/pending_table.rs
@@ -0,0 +1,40 @@
+//! Entries that wait under an id for the event that carries the same id.
+
+use std::collections::HashMap;
+
+/// A table of pending entries. Ids count from 1 and are never used again, so a late reply cannot be taken for that of
+/// another call; they are part of the traces that the simulation compares.
+pub(crate) struct PendingTable<T> {
+    last_id: u64,
+    pending: HashMap<u64, T>,
+}
+
+impl<T> Default for PendingTable<T> {
+    fn default() -> PendingTable<T> {
+        PendingTable { last_id: 0, pending: HashMap::new() }
+    }
+}
+
+impl<T> PendingTable<T> {
+    /// Stores an entry and returns its id.
+    pub(crate) fn insert(&mut self, entry: T) -> u64 {
+        self.last_id += 1;
+        self.pending.insert(self.last_id, entry);
+        self.last_id
+    }
+
+    /// The entry with this id.
+    pub(crate) fn get(&self, id: u64) -> Option<&T> {
+        self.pending.get(&id)
+    }
+
+    /// The entry with this id, to change it.
+    pub(crate) fn get_mut(&mut self, id: u64) -> Option<&mut T> {
+        self.pending.get_mut(&id)
+    }
+
+    /// Takes the entry with this id out of the table.
+    pub(crate) fn remove(&mut self, id: u64) -> Option<T> {
+        self.pending.remove(&id)
+    }
+}
--- /dev/null
+++ b/control-plane/core/src/store/mod.rs
@@ -0,0 +1,296 @@
+//! A store: a member of the chain that replicates batch jobs. Gateways submit jobs to its head and request work from it.
+//!
+//! An input passes [`Store::handle`] in this order: the input itself; what is due by the clock (the report to the
+//! coordinators, the expiry of jobs, deferred reads); then the chain, which is advanced until it puts nothing out, as what it
+//! puts out may submit more. The order is fixed because it numbers the calls and operations.
+//!
+//! - `jobs`, `results`, `work`: what gateways request. Only the head answers it.
+//! - `leases`: which gateway runs which item.
+//! - `reporting`, `state_transfer`: how a store learns its view, and gets the state that it needs to join it.
+//! - `expiry`: the end of old jobs.
+
+mod context;
+mod expiry;
+mod io;
+mod jobs;
+mod leases;
+mod operations;
+mod reporting;
+mod results;
+mod settings;
+mod state_transfer;
+mod work;
+
+pub use context::BatchChain;
+pub use io::{Input, Output};
+pub use settings::Settings;
+
+use crate::drain::drain_deadline;
+use crate::{Node, Time};
+use context::{rejection_reply, Context};
+use expiry::JobExpiry;
+use marblecroft_batch_state::{BatchState, Operation, Output as Outcome};
+use marblecroft_chain_replication::storage::Storage;
+use marblecroft_chain_replication::{
+    Chain, Config, Output as ChainOutput, ProposalError, Replica, ToSuccessor, Token,
+};
+use marblecroft_protocol::coordinator::CoordinatorReply;
+use marblecroft_protocol::store::{StoreReply, StoreRequest};
+use operations::{CallPurpose, PendingOperation, ResultsRead};
+use reporting::CoordinatorReporting;
+use results::DeferredReads;
+use state_transfer::StateTransfer;
+use std::time::Duration;
+use tracing::info;
+use work::WorkDispatcher;
+
+/// A member of the stores' chain, as a state machine without I/O.
+pub struct Store<S> {
+    settings: Settings,
+    context: Context<S>,
+    work: WorkDispatcher,
+    deferred_reads: DeferredReads,
+    reporting: CoordinatorReporting,
+    state_transfer: StateTransfer,
+    expiry: JobExpiry,
+    /// When the process exits, whether it has left the chain or not; set by [`Input::Terminate`].
+    drain_deadline: Option<Duration>,
+}
+
+/// Timing of the stores' chain.
+fn chain_config(settings: &Settings) -> Config {
+    Config {
+        heartbeat_interval: Duration::from_millis(250),
+        append_timeout: Duration::from_millis(400),
+        install_timeout: Duration::from_secs(4),
+        min_replicas: settings.tolerated_machines + 1,
+        is_durable: true,
+        // Stores hold no leases against each other, so it need only outlast one lost append.
+        suspect_timeout: Duration::from_millis(500),
+    }
+}
+
+impl<S: Storage> Store<S> {
+    /// Creates a store that starts at `now` with this durable state.
+    pub fn new(settings: Settings, replica: Replica<BatchState, S>, now: Duration) -> Store<S> {
+        let chain = Chain::new(replica, chain_config(&settings), settings.session);
+        Store {
+            context: Context::new(chain),
+            work: WorkDispatcher::new(now),
+            deferred_reads: DeferredReads::default(),
+            reporting: CoordinatorReporting::new(settings.coordinators.clone(), now),
+            state_transfer: StateTransfer::default(),
+            expiry: JobExpiry::new(now),
+            drain_deadline: None,
+            settings,
+        }
+    }
+
+    /// The input that reports that a call had no reply within its timeout.
+    pub fn timeout_input(&self, call: u64) -> Input {
+        match self.context.calls.get(call) {
+            Some(CallPurpose::Report { .. }) => Input::CoordinatorReply { call, reply: None },
+            _ => Input::StoreReply { call, reply: None },
+        }
+    }
+
+    /// The chain as this member knows it.
+    pub fn chain(&self) -> &BatchChain<S> {
+        self.context.chain()
+    }
+
+    fn handle_input(&mut self, time: Time, input: Input) {
+        match input {
+            Input::Request { token, request } => self.handle_request(time, token, request),
+            Input::StoreReply { call, reply } => self.handle_store_reply(time, call, reply),
+            Input::CoordinatorReply { call, reply } => {
+                self.handle_coordinator_reply(time.monotonic, call, reply)
+            }
+            Input::Terminate => self.on_terminate(time.monotonic),
+            Input::Wake => {}
+        }
+    }
+
+    fn on_terminate(&mut self, now: Duration) {
+        if self.drain_deadline.is_none() {
+            info!("terminating: leaving the chain");
+            self.context.chain_mut().start_draining();
+            self.drain_deadline = Some(drain_deadline(now, self.settings.grace_period));
+        }
+    }
+
+    fn handle_request(&mut self, time: Time, token: Token, request: StoreRequest) {
+        let ctx = &mut self.context;
+        let mut chain_outputs = Vec::new();
+        match request {
+            StoreRequest::Append(append) => {
+                ctx.chain_mut().handle_append(time.monotonic, token, &append, &mut chain_outputs)
+            }
+            StoreRequest::Install(install) => {
+                ctx.chain_mut().handle_install(token, &install, &mut chain_outputs)
+            }
+            StoreRequest::Status => {
+                let status = ctx.chain().status(time.monotonic);
+                ctx.answer(token, StoreReply::Status(status));
+            }
+            StoreRequest::Fetch => {
+                let state = ctx.chain().replica().snapshot_message();
+                ctx.answer(token, StoreReply::State(state));
+            }
+            request if ctx.chain().is_head() => self.handle_head_request(time, token, request),
+            _ => ctx.answer_not_head(token),
+        }
+        self.handle_chain_outputs(time, chain_outputs);
+    }
+
+    /// Handles a request of a gateway's, which only the head answers.
+    fn handle_head_request(&mut self, time: Time, token: Token, request: StoreRequest) {
+        let now = time.monotonic;
+        let ctx = &mut self.context;
+        match request {
+            StoreRequest::SubmitJob(mut job) => {
+                job.accepted_at_ms = time.wall_ms;
+                jobs::submit(ctx, now, token, job);
+            }
+            StoreRequest::ReadResults { job, start, wait_ms } => {
+                let deadline = now + Duration::from_millis(wait_ms.into());
+                let read = ResultsRead { token, job, start, deadline };
+                ctx.read_index(now, PendingOperation::ReadResults(read));
+            }
+            StoreRequest::ReadItemBody { job, item } => {
+                ctx.read_index(now, PendingOperation::ReadItemBody { token, job, item })
+            }
+            StoreRequest::EndJob { job } => {
+                ctx.propose(now, Operation::EndJob { job }, PendingOperation::EndJob { token })
+            }
+            StoreRequest::Work(work) => self.work.handle_work(ctx, now, token, work),
+            // Every member answers these; see `handle_request`.
+            StoreRequest::Append(_)
+            | StoreRequest::Install(_)
+            | StoreRequest::Status
+            | StoreRequest::Fetch => {}
+        }
+    }
+
+    fn handle_store_reply(&mut self, time: Time, call: u64, reply: Option<StoreReply>) {
+        match self.context.calls.remove(call) {
+            Some(CallPurpose::Chain(chain_call)) => {
+                let reply = match reply {
+                    Some(StoreReply::Append(reply)) => Some(reply),
+                    _ => None,
+                };
+                let mut chain_outputs = Vec::new();
+                let chain = self.context.chain_mut();
+                chain.handle_reply(time.monotonic, chain_call, reply, &mut chain_outputs);
+                self.handle_chain_outputs(time, chain_outputs);
+            }
+            Some(CallPurpose::Fetch { source }) => {
+                self.state_transfer.handle_reply(&mut self.context, source, reply)
+            }
+            Some(CallPurpose::Report { .. }) | None => {}
+        }
+    }
+
+    fn handle_coordinator_reply(&mut self, now: Duration, call: u64, reply: Option<CoordinatorReply>) {
+        let Some(CallPurpose::Report { to }) = self.context.calls.remove(call) else { return };
+        let Some(directive) = self.reporting.handle_reply(now, to, reply) else { return };
+        self.context.chain_mut().install_view(&directive.view);
+        if let Some(source) = directive.fetch_from {
+            self.state_transfer.start(&mut self.context, source);
+        }
+    }
+
+    fn handle_chain_outputs(&mut self, time: Time, outputs: Vec<ChainOutput<Outcome>>) {
+        for output in outputs {
+            match output {
+                ChainOutput::Call { call, to, message, within } => {
+                    let request = match message {
+                        ToSuccessor::Append(append) => StoreRequest::Append(append),
+                        ToSuccessor::Install(install) => StoreRequest::Install(install),
+                    };
+                    self.context.call_store(to.address, request, within, CallPurpose::Chain(call));
+                }
+                ChainOutput::Reply { token, reply } => self.context.answer(token, StoreReply::Append(reply)),
+                ChainOutput::Applied { token, result } => self.on_applied(time.monotonic, token, result),
+                ChainOutput::Readable { token, result } => self.on_readable(time, token, result),
+            }
+        }
+    }
+
+    fn on_applied(&mut self, now: Duration, token: Token, result: Result<Outcome, ProposalError>) {
+        let ctx = &mut self.context;
+        match ctx.client.complete(token) {
+            Some(PendingOperation::SubmitJob { token }) => ctx.answer(token, jobs::submission_reply(result)),
+            Some(PendingOperation::EndJob { token }) => ctx.answer(token, jobs::end_reply(result)),
+            Some(PendingOperation::RecordResult { recording }) => {
+                self.work.on_result_recorded(ctx, now, recording, result.err())
+            }
+            _ => {}
+        }
+    }
+
+    fn on_readable(&mut self, time: Time, token: Token, result: Result<(), ProposalError>) {
+        let ctx = &mut self.context;
+        let Some(pending) = ctx.client.complete(token) else { return };
+        if let Err(error) = result {
+            if let Some(token) = pending.read_token() {
+                ctx.answer(token, rejection_reply(error));
+            }
+            return;
+        }
+        let now = time.monotonic;
+        match pending {
+            PendingOperation::ConfirmOverQuota { token, job } => {
+                jobs::confirm_over_quota(ctx, now, token, job)
+            }
+            PendingOperation::ReadResults(read) => self.deferred_reads.on_readable(ctx, now, read),
+            PendingOperation::ReadItemBody { token, job, item } => {
+                let reply = jobs::item_body_reply(ctx, &job, &item);
+                ctx.answer(token, reply);
+            }
+            PendingOperation::GrantWork(work) => self.work.grant(ctx, time, work),
+            PendingOperation::SubmitJob { .. }
+            | PendingOperation::EndJob { .. }
+            | PendingOperation::RecordResult { .. }
+            | PendingOperation::ExpireJobs => {}
+        }
+    }
+
+    fn exit_when_drained(&mut self, now: Duration) {
+        let Some(deadline) = self.drain_deadline else { return };
+        let replica = self.context.chain().replica();
+        if !replica.view().contains(replica.identity()) || now >= deadline {
+            self.context.outputs.push(Output::Exit);
+        }
+    }
+}
+
+impl<S: Storage> Node for Store<S> {
+    type Input = Input;
+    type Output = Output;
+
+    fn handle(&mut self, time: Time, input: Input) -> Vec<Output> {
+        let now = time.monotonic;
+        self.handle_input(time, input);
+        let ctx = &mut self.context;
+        self.reporting.send_if_due(ctx, &self.settings, now);
+        self.expiry.propose_if_due(ctx, time, self.settings.result_retention);
+        self.work.log_items(ctx, now);
+        self.deferred_reads.retry(ctx, now);
+        while let Some(outputs) = self.context.client.advance(now) {
+            self.handle_chain_outputs(time, outputs);
+        }
+        self.exit_when_drained(now);
+        std::mem::take(&mut self.context.outputs)
+    }
+
+    fn next_wake(&self) -> Duration {
+        self.context
+            .chain()
+            .next_wake()
+            .min(self.deferred_reads.next_wake())
+            .min(self.reporting.next_wake())
+            .min(self.expiry.next_wake())
+            .min(self.drain_deadline.unwrap_or(Duration::MAX))
+    }
+}
--- a/control-plane/core/src/store_views.rs
+++ b/control-plane/core/src/store_views.rs
@@ -1,20 +1,24 @@
-//! Which stores form the chain that keeps batch jobs. The coordinators decide it: every view of the stores' chain is an
-//! operation of their own chain, and is headed by a store that was complete in the view before.
+//! Which stores form the chain that replicates batch jobs. The head of the coordinators decides it: every view of the stores'
+//! chain is an operation of the coordinators' chain, and is headed by a store that was complete in the view before.
+//!
+//! A view changes in one direction at a time: members that fail are excluded at once, and only where none fails is a store
+//! admitted, after it has fetched the state ahead.
 
-use crate::timeouts::{ReplicaWait, MIN_COMPLETE_MEMBERS};
+use crate::replica_wait::{ReplicaWait, MIN_COMPLETE_MEMBERS};
 use marblecroft_chain_replication::{Member, View};
 use marblecroft_protocol::coordinator::StoreReport;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A store that has not reported for so long has failed.
+/// A store that has not reported for this time has failed. Longer than a lost report and the next one take (700 ms).
 const REPORT_TIMEOUT: Duration = Duration::from_millis(900);
-/// Stores find a new head within this time, wherever they look first; until then none that it has not heard from has failed.
+/// Stores find a new head within this time, wherever they look first. Until then no store has failed that the head has not
+/// heard from.
 pub const HEAD_DISCOVERY_TIME: Duration = Duration::from_millis(1800);
-/// The first view waits for so long after the first report, so that all stores can be in it.
+/// Delay of the first view after the first report, so that all stores can be in it.
 const FOUNDING_WAIT: Duration = Duration::from_millis(1500);
-/// A store may join when it is at most so many entries behind.
+/// A store may join when it is at most this many entries behind: few enough that the head sends them in one append.
 const MAX_ENTRIES_BEHIND: u64 = 100;
 
 /// A store's last report.
@@ -26,39 +30,53 @@
 /// How many stores there should be.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaCounts {
-    /// Copies of everything that was acknowledged.
+    /// Replicas that an acknowledged operation must have.
     pub min_replicas: usize,
     /// Members that a view should have.
     pub target_replicas: usize,
 }
 
+/// The healthy members of a view that stay in the next one.
+struct Survivors {
+    /// Those that hold everything that was acknowledged in the view.
+    complete: Vec<Member>,
+    incomplete: Vec<Member>,
+}
+
 /// What the stores have reported to this process.
 #[derive(Default)]
 pub struct StoreViews {
     reports: BTreeMap<SocketAddr, ReceivedReport>,
     first_report_at: Option<Duration>,
-    /// Since when stores may report to this process.
+    /// Since when this process leads, and stores may report to it.
     leading_since: Duration,
     replica_wait: ReplicaWait,
-    /// The store that is to join next, and the member whose state it fetches ahead.
-    joining: Option<(SocketAddr, SocketAddr)>,
+    preparing: Option<PreparingJoiner>,
+}
+
+/// The store that joins next, while it fetches the state ahead.
+#[derive(Clone, Copy)]
+struct PreparingJoiner {
+    store: SocketAddr,
+    /// The member whose state it fetches.
+    source: SocketAddr,
 }
 
 impl StoreViews {
-    /// Takes notice of a report.
+    /// Records a store's report.
     pub fn record_report(&mut self, now: Duration, report: StoreReport) {
         self.first_report_at.get_or_insert(now);
         let before = self.reports.get(&report.address).map(|seen| seen.report.status.position);
-        if self.joining.is_some_and(|joining| joining.0 == report.address)
+        if self.preparing.is_some_and(|joiner| joiner.store == report.address)
             && before != Some(report.status.position)
         {
-            // It has fetched.
-            self.joining = None;
+            // Its position has changed, so it has fetched.
+            self.preparing = None;
         }
         self.reports.insert(report.address, ReceivedReport { report, received_at: now });
     }
 
-    /// Begins anew at `now`: another process was the head meanwhile.
+    /// Starts anew at `now`: another process may have led meanwhile.
     pub fn reset(&mut self, now: Duration) {
         *self = StoreViews { leading_since: now, ..StoreViews::default() };
     }
@@ -86,14 +104,14 @@
             .find(|report| report.address == member.address && report.status.identity == member.identity)
     }
 
-    /// The names of the stores that report.
+    /// The names of the machines whose stores report.
     pub fn live_node_names(&self, now: Duration) -> impl Iterator<Item = &str> {
         self.live_reports(now).map(|report| report.node_name.as_str())
     }
 
-    /// Stores that report and are not to be emptied.
-    pub fn usable_stores(&self, now: Duration, retired: impl Fn(&str) -> bool) -> usize {
-        self.live_reports(now).filter(|report| !retired(&report.node_name)).count()
+    /// The number of stores that report and are not retired.
+    pub fn usable_stores(&self, now: Duration, is_retired: impl Fn(&str) -> bool) -> usize {
+        self.live_reports(now).filter(|report| !is_retired(&report.node_name)).count()
     }
 
     /// Whether all members of this view hold everything.
@@ -107,98 +125,131 @@
             .is_some_and(|report| report.status.complete && report.status.view.number == view.number)
     }
 
-    /// The members that follow `current`, if they should be others.
+    /// The members of the view after `current`, if it should differ. `is_retired` names the machines to empty.
     pub fn next_view_members(
         &mut self,
         now: Duration,
         current: &View,
-        sizes: ReplicaCounts,
-        retired: impl Fn(&str) -> bool,
+        counts: ReplicaCounts,
+        is_retired: impl Fn(&str) -> bool,
     ) -> Option<Vec<Member>> {
         if current.number == 0 && self.first_report_at.is_none_or(|first| now < first + FOUNDING_WAIT) {
             return None;
         }
-        let members = self.next_members(now, current, sizes, &retired)?;
-        (current.number > 0 || members.len() >= sizes.min_replicas).then_some(members)
+        let members = self.next_members(now, current, counts, &is_retired)?;
+        (current.number > 0 || members.len() >= counts.min_replicas).then_some(members)
     }
 
     fn next_members(
         &mut self,
         now: Duration,
         current: &View,
-        sizes: ReplicaCounts,
-        retired: &impl Fn(&str) -> bool,
+        counts: ReplicaCounts,
+        is_retired: &impl Fn(&str) -> bool,
     ) -> Option<Vec<Member>> {
-        let works: Vec<&Member> = self.healthy_members(now, current);
-        let is_complete = |member: &Member| self.is_complete(now, member, current);
-        let goes = |member: &Member| {
-            retired(&member.node_name)
-                || self.report_of(now, member).is_some_and(|report| report.status.draining)
-        };
-        let goers: BTreeSet<u64> =
-            current.members.iter().filter(|member| goes(member)).map(|member| member.identity).collect();
-        let (mut going, staying): (Vec<&Member>, Vec<&Member>) =
-            works.into_iter().partition(|member| goers.contains(&member.identity));
-        let (mut members, waiting): (Vec<Member>, Vec<Member>) =
-            staying.into_iter().cloned().partition(|member| is_complete(member));
-        going.retain(|member| is_complete(member));
-        if members.len() < sizes.min_replicas {
-            // Who is to go holds what too few others hold, and stays until they do.
-            members.extend(going.into_iter().cloned());
-        }
+        let departing = self.departing_members(now, current, is_retired);
+        let survivors = self.survivors(now, current, &departing, counts.min_replicas);
         if current.members.iter().any(|member| self.may_still_report(now, member)) {
             return None;
         }
-        let lost = current.members.len() - members.len() - waiting.len();
-        if current.number > 0 && members.is_empty() {
+        let Survivors { complete, incomplete } = survivors;
+        let lost = current.members.len() - complete.len() - incomplete.len();
+        if current.number > 0 && complete.is_empty() {
             // Nobody is left who holds everything; one may come back.
             return None;
         }
-        if !self.keeps_enough_replicas(now, current, &members, sizes, retired) {
+        if !self.keeps_enough_replicas(now, current, &complete, counts, is_retired) {
             return None;
         }
-        if lost > 0 && members.len() >= sizes.min_replicas {
-            // Those who hold everything go on at once; others join them one after the other.
-            return Some(members);
+        let has_enough = complete.len() >= counts.min_replicas;
+        if lost > 0 && has_enough {
+            // The complete members go on at once; others join them one after the other.
+            return Some(complete);
         }
-        let enough = members.len() >= sizes.min_replicas;
-        let whole = waiting.is_empty();
-        members.extend(waiting);
-        let going = members.iter().filter(|member| goers.contains(&member.identity)).count();
-        self.joining = None;
-        if whole && members.len() < sizes.target_replicas + going {
-            if enough {
-                members.extend(self.prepared_joiner(now, current, &members, retired));
+        let all_complete = incomplete.is_empty();
+        let mut members = complete;
+        members.extend(incomplete);
+        let departing = members.iter().filter(|member| departing.contains(&member.identity)).count();
+        self.preparing = None;
+        if all_complete && members.len() < counts.target_replicas + departing {
+            if has_enough {
+                members.extend(self.prepared_joiner(now, current, &members, is_retired));
             } else {
-                while let Some(report) = self
-                    .best_joiner(now, current, &members, retired)
-                    .filter(|_| members.len() < sizes.target_replicas)
-                {
-                    members.push(member_of(report));
-                }
+                self.fill_up(now, current, &mut members, counts.target_replicas, is_retired);
             }
         }
-        let joined = members.iter().any(|member| !current.contains(member.identity));
-        (lost > 0 || joined).then_some(members)
+        let has_joined = members.iter().any(|member| !current.contains(member.identity));
+        (lost > 0 || has_joined).then_some(members)
+    }
+
+    /// Identities of the members that are to leave: their machines are retired, or their processes are draining.
+    fn departing_members(
+        &self,
+        now: Duration,
+        current: &View,
+        is_retired: &impl Fn(&str) -> bool,
+    ) -> BTreeSet<u64> {
+        let is_departing = |member: &&Member| {
+            is_retired(&member.node_name)
+                || self.report_of(now, member).is_some_and(|report| report.status.draining)
+        };
+        current.members.iter().filter(is_departing).map(|member| member.identity).collect()
+    }
+
+    /// The healthy members that stay. A complete member that departs stays too where too few others are complete.
+    fn survivors(
+        &self,
+        now: Duration,
+        current: &View,
+        departing: &BTreeSet<u64>,
+        min_replicas: usize,
+    ) -> Survivors {
+        let is_complete = |member: &Member| self.is_complete(now, member, current);
+        let (mut departing, staying): (Vec<&Member>, Vec<&Member>) = self
+            .healthy_members(now, current)
+            .into_iter()
+            .partition(|member| departing.contains(&member.identity));
+        let (mut complete, incomplete): (Vec<Member>, Vec<Member>) =
+            staying.into_iter().cloned().partition(is_complete);
+        departing.retain(|member| is_complete(member));
+        if complete.len() < min_replicas {
+            complete.extend(departing.into_iter().cloned());
+        }
+        Survivors { complete, incomplete }
+    }
+
+    /// Admits stores at once until there are enough members: too few hold everything to wait for any to fetch it ahead.
+    fn fill_up(
+        &self,
+        now: Duration,
+        current: &View,
+        members: &mut Vec<Member>,
+        target_replicas: usize,
+        is_retired: &impl Fn(&str) -> bool,
+    ) {
+        while members.len() < target_replicas {
+            let Some(report) = self.best_joiner(now, current, members, is_retired) else { return };
+            members.push(member_of(report));
+        }
     }
 
-    /// Whether enough of the members hold everything, where some are left out whose disks may be there: only those that were
-    /// complete can head the view after. With a single one it is better to wait for those that are out of reach; for a
-    /// while, as they may be gone for good.
+    /// Whether enough of the members hold everything, where some are excluded whose disks may be sound: only those that were
+    /// complete can head the view after. With a single one it is better to wait for those out of reach; but only for a while,
+    /// as their disks may be lost for good.
     fn keeps_enough_replicas(
         &mut self,
         now: Duration,
         current: &View,
         complete: &[Member],
-        sizes: ReplicaCounts,
-        retired: &impl Fn(&str) -> bool,
+        counts: ReplicaCounts,
+        is_retired: &impl Fn(&str) -> bool,
     ) -> bool {
         let reports = |member: &Member| self.report_of(now, member).is_some();
         let out_of_reach = current
             .members
             .iter()
-            .any(|member| !reports(member) && !self.is_lost(now, member) && !retired(&member.node_name));
-        if !out_of_reach || complete.len() >= MIN_COMPLETE_MEMBERS.min(sizes.min_replicas) {
+            .any(|member| !reports(member) && !self.is_lost(now, member) && !is_retired(&member.node_name));
+        if !out_of_reach || complete.len() >= MIN_COMPLETE_MEMBERS.min(counts.min_replicas) {
             self.replica_wait.reset();
             return true;
         }
@@ -220,13 +271,13 @@
         current.members.iter().filter(works).collect()
     }
 
-    /// The store that is to join next, in the zone that has the fewest members.
+    /// The store that joins next: one in the zone that has the fewest members.
     fn best_joiner(
         &self,
         now: Duration,
         current: &View,
         members: &[Member],
-        retired: &impl Fn(&str) -> bool,
+        is_retired: &impl Fn(&str) -> bool,
     ) -> Option<&StoreReport> {
         let zones: Vec<&str> =
             members.iter().filter_map(|member| Some(&*self.report_of(now, member)?.zone)).collect();
@@ -234,7 +285,7 @@
             let member = members.iter().any(|member| member.identity == report.status.identity);
             !member
                 && !report.status.draining
-                && !retired(&report.node_name)
+                && !is_retired(&report.node_name)
                 && !current.contains(report.status.identity)
         };
         let rank = |report: &&StoreReport| {
@@ -244,29 +295,29 @@
         self.live_reports(now).filter(joins).min_by_key(rank)
     }
 
-    /// The store that joins now: one that has fetched the state ahead. Where there is none yet, it is told to.
+    /// The store that joins now, if it has fetched the state ahead; otherwise its next directive makes it fetch.
     fn prepared_joiner(
         &mut self,
         now: Duration,
         current: &View,
         members: &[Member],
-        retired: &impl Fn(&str) -> bool,
+        is_retired: &impl Fn(&str) -> bool,
     ) -> Option<Member> {
         let tail = members.last()?;
         let newest = self.report_of(now, tail)?.status.position.index;
-        let (source, joiner) = (tail.address, self.best_joiner(now, current, members, retired)?);
+        let (source, joiner) = (tail.address, self.best_joiner(now, current, members, is_retired)?);
         if joiner.status.position.index + MAX_ENTRIES_BEHIND >= newest
             && joiner.status.position.index <= newest + MAX_ENTRIES_BEHIND
         {
             return Some(member_of(joiner));
         }
-        self.joining = Some((joiner.address, source));
+        self.preparing = Some(PreparingJoiner { store: joiner.address, source });
         None
     }
 
-    /// The member whose state a store is to fetch.
+    /// The member whose state this store should fetch; `None` where it need not.
     pub fn fetch_source_for(&self, store: SocketAddr) -> Option<SocketAddr> {
-        self.joining.filter(|joining| joining.0 == store).map(|joining| joining.1)
+        self.preparing.filter(|joiner| joiner.store == store).map(|joiner| joiner.source)
     }
 }
 
--- a/control-plane/core/src/view_change.rs
+++ b/control-plane/core/src/view_change.rs
@@ -3,7 +3,7 @@
 use crate::coordinator::Coordinator;
 use crate::membership::{Task, TaskCall, TaskCallKind, STATUS_TIMEOUT};
 use crate::peer_statuses::PeerStatuses;
-use crate::timeouts::MIN_COMPLETE_MEMBERS;
+use crate::replica_wait::MIN_COMPLETE_MEMBERS;
 use marblecroft_chain_replication::agreement::{
     next_proposal_number, Outcome, Phase, Proposal, Step, VoteReply, VoteRequest,
 };
