--- /dev/null
+++ b/control-plane/core/src/coordinator/membership/head_replacement.rs
@@ -0,0 +1,66 @@
+//! The replacement of a failed head by another member.
+
+use super::peer_statuses::PeerStatuses;
+use super::task::Purpose;
+use super::voters::next_voters;
+use super::{rank_delay, Membership, HEAD_TIMEOUT};
+use crate::coordinator::context::Context;
+use marblecroft_chain_replication::storage::Storage;
+use marblecroft_chain_replication::Member;
+use std::time::Duration;
+
+/// A head that replies is left in place for this much longer: the fault may be another member's, which the head repairs by
+/// excluding that one (after 800 ms, and the vote that follows).
+const RESPONSIVE_HEAD_GRACE: Duration = Duration::from_millis(3500);
+
+impl Membership {
+    /// Begins to replace the head if no round has been committed for too long. This process must be a complete member.
+    pub(super) fn start_head_replacement_if_needed<S: Storage>(
+        &mut self,
+        ctx: &mut Context<S>,
+        now: Duration,
+    ) {
+        if self.time_since_committed_round(ctx, now) >= head_timeout(ctx) {
+            let view = ctx.view();
+            let addresses = view.members.iter().chain(&view.voters).map(|member| member.address).collect();
+            self.collect_statuses(ctx, now, Purpose::ReplaceHead, addresses);
+        }
+    }
+
+    /// For how long this member has not heard of a round that all members have committed.
+    fn time_since_committed_round<S: Storage>(&self, ctx: &Context<S>, now: Duration) -> Duration {
+        now.saturating_sub(ctx.chain().last_committed_round_at().unwrap_or(self.started_at))
+    }
+
+    /// Proposes a view with this member as the head, followed by the members that reply.
+    pub(super) fn replace_head<S: Storage>(
+        &mut self,
+        ctx: &mut Context<S>,
+        now: Duration,
+        statuses: &PeerStatuses,
+    ) {
+        let (silence, timeout) = (self.time_since_committed_round(ctx, now), head_timeout(ctx));
+        let replica = ctx.chain().replica();
+        if silence < timeout || !replica.is_complete() || ctx.chain().is_head() {
+            return;
+        }
+        let (view, identity) = (replica.view().clone(), replica.identity());
+        let is_responsive = |member: &Member| statuses.of_member(member).is_some();
+        if view.head().is_some_and(is_responsive) && silence < RESPONSIVE_HEAD_GRACE + timeout {
+            return;
+        }
+        let Some(own) = view.members.iter().find(|member| member.identity == identity) else { return };
+        let others =
+            view.members.iter().filter(|member| member.identity != identity && is_responsive(member));
+        let members: Vec<Member> = std::iter::once(own).chain(others).cloned().collect();
+        let voters = next_voters(&view, &members, statuses, ctx.settings.tolerated_machines);
+        if self.keeps_enough_replicas(ctx, now, &members, statuses) {
+            self.propose(ctx, now, members, voters, statuses);
+        }
+    }
+}
+
+/// The time without a committed round after which this member replaces the head.
+fn head_timeout<S: Storage>(ctx: &Context<S>) -> Duration {
+    HEAD_TIMEOUT + rank_delay(ctx.view().position_of(ctx.identity()))
+}
--- /dev/null
+++ b/control-plane/core/src/coordinator/operator_calls.rs
@@ -0,0 +1,183 @@
+//! Carries out the operator's calls: see [`crate::operator`] for their way.
+
+use super::context::Context;
+use super::membership::Membership;
+use super::operations::PendingOperation;
+use super::store_supervision::StoreSupervision;
+use crate::operator::reply::{unavailable, unknown_outcome};
+use crate::operator::request::{Endpoint, Request, RequestError};
+use crate::operator::{reply, Call, Caller, PendingCall};
+use marblecroft_chain_replication::storage::Storage;
+use marblecroft_chain_replication::{ProposalError, Token};
+use marblecroft_control_state::{Operation, Output as Outcome};
+use marblecroft_rpc::http::Reply;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tracing::info;
+
+/// Time for a change. The operator gives up a call after a second, and finds a change that takes longer when it sends it
+/// again.
+const CHANGE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Time for a read. Shorter than the operator's second, so that it gets the 503.
+const READ_TIMEOUT: Duration = Duration::from_millis(900);
+
+/// The parts of a coordinator that the operator's calls depend on.
+pub(super) struct OperatorCalls<'a, S> {
+    pub(super) ctx: &'a mut Context<S>,
+    pub(super) membership: &'a Membership,
+    pub(super) stores: &'a StoreSupervision,
+    pub(super) now: Duration,
+}
+
+impl<S: Storage> OperatorCalls<'_, S> {
+    /// Answers a call at once, where it needs no state, or submits it to the chain.
+    pub(super) fn handle(&mut self, token: Token, call: Call) {
+        if let Err(reply) = self.submit(token, call) {
+            self.ctx.answer_operator(token, reply);
+        }
+    }
+
+    fn submit(&mut self, token: Token, call: Call) -> Result<(), Reply> {
+        let endpoint = Endpoint::parse(&call.url).map_err(|error| error.reply())?;
+        if !self.ctx.chain().is_head() {
+            return Err(self.redirect(&call.url));
+        }
+        let caller = Caller { token, url: call.url.clone() };
+        let request = Request::parse(endpoint, call).map_err(|error| {
+            if let RequestError::InvalidConfiguration(error) = &error {
+                info!(%error, "configuration rejected");
+            }
+            error.reply()
+        })?;
+        let pending = match request {
+            Request::Change { generation, operation } => {
+                self.propose(caller, PendingCall::Change { generation }, operation);
+                return Ok(());
+            }
+            Request::ReadConfiguration => PendingCall::Read,
+            Request::StartRetirement { node } => PendingCall::CheckRetirement { node },
+            Request::ReadRetirement { node } => PendingCall::ReadRetirement { node },
+        };
+        let purpose = PendingOperation::Operator { caller, pending };
+        self.ctx.client.read_index(purpose, self.now + READ_TIMEOUT);
+        Ok(())
+    }
+
+    fn propose(&mut self, caller: Caller, pending: PendingCall, operation: Operation) {
+        let purpose = PendingOperation::Operator { caller, pending };
+        self.ctx.client.propose(operation, purpose, self.now + CHANGE_TIMEOUT);
+    }
+
+    /// Redirects the caller to the head, where this process knows it: a member by its lease, another process because it has
+    /// queried it a moment ago. The process that is named answers only what it can prove.
+    fn redirect(&self, url: &str) -> Reply {
+        let knows_head = self.ctx.has_valid_lease(self.now) || self.membership.has_recent_view(self.now);
+        match (self.ctx.chain().head_address(), self.ctx.settings.operator_port) {
+            (Some(head), Some(port)) if knows_head && head != self.ctx.settings.address => {
+                let to = SocketAddr::new(head.ip(), port);
+                Reply::status(307).with_header("Location", format!("http://{to}{url}"))
+            }
+            _ => unavailable("no head is known at the moment"),
+        }
+    }
+
+    /// Answers a call whose operation the chain has applied, or not.
+    pub(super) fn on_applied(
+        &mut self,
+        caller: Caller,
+        pending: &PendingCall,
+        result: Result<Outcome, ProposalError>,
+    ) {
+        let reply = match result {
+            Ok(output) => reply::applied(pending, &output),
+            Err(error) => self.rejection_reply(&caller, &error),
+        };
+        self.ctx.answer_operator(caller.token, reply);
+    }
+
+    /// Goes on with a call whose read the chain has confirmed, or not.
+    pub(super) fn on_readable(
+        &mut self,
+        caller: Caller,
+        pending: PendingCall,
+        result: Result<(), ProposalError>,
+    ) {
+        let reply = match (result, pending) {
+            // Nothing was proposed, so nothing can have been changed.
+            (Err(ProposalError::OutcomeUnknown), _) => {
+                Reply::text(503, "the newest state could not be confirmed")
+            }
+            (Err(error), _) => self.rejection_reply(&caller, &error),
+            (Ok(()), PendingCall::Read) => self.configuration_reply(),
+            (Ok(()), PendingCall::ReadRetirement { node }) => self.retirement_reply(&node),
+            (Ok(()), PendingCall::CheckRetirement { node }) => match self.retirement_rejection(&node) {
+                Some(reply) => reply,
+                None => {
+                    self.propose(caller, PendingCall::Retire, Operation::RetireStore { node });
+                    return;
+                }
+            },
+            // These are proposed, not read.
+            (Ok(()), PendingCall::Change { .. } | PendingCall::Retire) => Reply::status(500),
+        };
+        self.ctx.answer_operator(caller.token, reply);
+    }
+
+    fn rejection_reply(&self, caller: &Caller, error: &ProposalError) -> Reply {
+        match error {
+            ProposalError::NotHead(_) => self.redirect(&caller.url),
+            ProposalError::NotEnoughReplicas => unavailable("too few coordinators are in touch"),
+            ProposalError::OutcomeUnknown => unknown_outcome(),
+        }
+    }
+
+    fn configuration_reply(&self) -> Reply {
+        match self.ctx.chain().replica().machine().body() {
+            Some(body) => {
+                Reply::bytes(200, body.to_vec()).with_header("Content-Type", "application/json".to_owned())
+            }
+            None => unavailable("there is no configuration yet"),
+        }
+    }
+
+    /// The reply to an order to retire a machine that is not to be carried out; `None` where it is.
+    fn retirement_rejection(&self, node: &str) -> Option<Reply> {
+        let control = self.ctx.chain().replica().machine();
+        if control.is_retired(node) {
+            return Some(Reply::status(200));
+        }
+        let views = self.stores.views();
+        let is_known =
+            control.is_registered_store(node) || views.live_node_names(self.now).any(|other| other == node);
+        let is_retired = |other: &str| other == node || control.is_retired(other);
+        let is_enough = views.usable_stores(self.now, is_retired) > self.ctx.settings.tolerated_machines;
+        if is_known && is_enough {
+            return None;
+        }
+        // A head that has just begun has not heard from all stores yet.
+        if !self.stores.has_heard_all_stores(self.now) {
+            return Some(unavailable("the stores have not all been heard from"));
+        }
+        Some(if is_known {
+            Reply::text(409, "too few stores would remain")
+        } else {
+            Reply::text(404, "no store machine of this name is known")
+        })
+    }
+
+    fn retirement_reply(&self, node: &str) -> Reply {
+        let control = self.ctx.chain().replica().machine();
+        if !control.is_retired(node) {
+            return Reply::text(404, "this machine is not being emptied");
+        }
+        let view = control.store_view();
+        let is_excluded = view.members.iter().all(|member| member.node_name != node);
+        let is_enough = view.members.len() > self.ctx.settings.tolerated_machines;
+        let is_completed = is_excluded
+            && is_enough
+            && self.stores.has_heard_all_stores(self.now)
+            && self.stores.views().is_fully_replicated(self.now, view);
+        let state = if is_completed { "completed" } else { "in_progress" };
+        Reply::json(200, format!("{{\"state\":\"{state}\"}}"))
+    }
+}
--- /dev/null
+++ b/control-plane/core/src/coordinator/pulls.rs
@@ -0,0 +1,111 @@
+//! Long polls of gateways: a pull waits until there is a newer configuration, server list or stores' view than the gateway
+//! has, or until its deadline.
+
+use super::context::Context;
+use marblecroft_chain_replication::storage::Storage;
+use marblecroft_chain_replication::Token;
+use marblecroft_protocol::coordinator::{ConfigurationUpdate, ConfigurationUpdates, CoordinatorReply, Pull};
+use marblecroft_protocol::servers::ServerList;
+use marblecroft_rpc::{decode, Bytes};
+use std::time::Duration;
+
+/// The longest that a pull waits, whatever the gateway requests.
+const MAX_PULL_WAIT: Duration = Duration::from_millis(2000);
+/// A coordinator without a valid lease answers a pull after this time, with no updates, so that the gateway tries another
+/// one. Longer than a heartbeat (150 ms), which may renew the lease meanwhile.
+const STALE_PULL_TIMEOUT: Duration = Duration::from_millis(200);
+
+struct PendingPull {
+    token: Token,
+    pull: Pull,
+    received_at: Duration,
+    deadline: Duration,
+}
+
+/// The list of servers that the chain broadcasts, decoded once for each broadcast.
+#[derive(Default)]
+struct ServerListCache {
+    broadcast: Vec<u8>,
+    list: Option<ServerList>,
+}
+
+impl ServerListCache {
+    fn refresh(&mut self, broadcast: &[u8]) {
+        if self.broadcast != broadcast {
+            self.list = decode(broadcast).ok();
+            self.broadcast = broadcast.to_vec();
+        }
+    }
+}
+
+/// The pulls that wait.
+#[derive(Default)]
+pub(super) struct PendingPulls {
+    pending: Vec<PendingPull>,
+    server_list: ServerListCache,
+}
+
+impl PendingPulls {
+    pub(super) fn insert(&mut self, now: Duration, token: Token, pull: Pull) {
+        let deadline = now + Duration::from_millis(pull.wait_ms.into()).min(MAX_PULL_WAIT);
+        self.pending.push(PendingPull { token, pull, received_at: now, deadline });
+    }
+
+    /// Answers the pulls for which there are updates, and those that have waited long enough.
+    pub(super) fn answer_ready<S: Storage>(&mut self, ctx: &mut Context<S>, now: Duration) {
+        if self.pending.is_empty() {
+            return;
+        }
+        self.server_list.refresh(ctx.chain().broadcast());
+        let is_fresh = ctx.has_valid_lease(now);
+        // Without a disk this process is rarely a member, so waiting for a lease is in vain.
+        let stale_timeout = if ctx.settings.is_durable { STALE_PULL_TIMEOUT } else { Duration::ZERO };
+        for pending in std::mem::take(&mut self.pending) {
+            let updates = if is_fresh { self.updates_for(ctx, &pending.pull) } else { None };
+            let is_over =
+                now >= pending.deadline || (!is_fresh && now >= pending.received_at + stale_timeout);
+            match updates {
+                Some(updates) => ctx.answer(pending.token, CoordinatorReply::Updates(updates)),
+                None if is_over => {
+                    let updates = ConfigurationUpdates {
+                        fresh: is_fresh && ctx.chain().committed_machine().is_some(),
+                        coordinators: ctx.member_addresses(),
+                        ..ConfigurationUpdates::default()
+                    };
+                    ctx.answer(pending.token, CoordinatorReply::Updates(updates));
+                }
+                None => self.pending.push(pending),
+            }
+        }
+    }
+
+    /// What is newer than what the gateway has; `None` where nothing is.
+    fn updates_for<S: Storage>(&self, ctx: &Context<S>, pull: &Pull) -> Option<ConfigurationUpdates> {
+        let known = pull.known_versions;
+        let control = ctx.chain().committed_machine()?;
+        let list = self.server_list.list.as_ref();
+        let updates = ConfigurationUpdates {
+            fresh: true,
+            configuration: (control.sequence() > known.configuration).then(|| ConfigurationUpdate {
+                sequence: control.sequence(),
+                body: Bytes(control.body().unwrap_or_default().to_vec()),
+            }),
+            servers: list.filter(|list| list.version > known.servers).cloned(),
+            stores: (control.store_view().number > known.stores).then(|| control.store_view().clone()),
+            coordinators: ctx.member_addresses(),
+        };
+        let has_news =
+            updates.configuration.is_some() || updates.servers.is_some() || updates.stores.is_some();
+        has_news.then_some(updates)
+    }
+
+    /// When the next pull is over: at its stale timeout, or at its deadline where that has passed at `last_input_at`.
+    pub(super) fn next_wake(&self, last_input_at: Duration) -> Duration {
+        let wake_at = |pending: &PendingPull| {
+            let stale_at = pending.received_at + STALE_PULL_TIMEOUT;
+            let next = if stale_at > last_input_at { stale_at } else { pending.deadline };
+            next.min(pending.deadline)
+        };
+        self.pending.iter().map(wake_at).min().unwrap_or(Duration::MAX)
+    }
+}
