--- a/control-plane/core/src/coordinator/context.rs
+++ b/control-plane/core/src/coordinator/context.rs
@@ -30,7 +30,7 @@
     pub(super) settings: Settings,
     pub(super) client: ChainClient<ControlState, S, PendingOperation>,
     /// Where coordinators may be found: the seeds, and every member of a view so far.
-    known_addresses: Vec<SocketAddr>,
+    coordinator_addresses: Vec<SocketAddr>,
     pub(super) calls: PendingTable<CallPurpose>,
     pub(super) outputs: Vec<Output>,
 }
@@ -38,7 +38,7 @@
 impl<S: Storage> Context<S> {
     pub(super) fn new(settings: Settings, chain: ControlChain<S>) -> Context<S> {
         Context {
-            known_addresses: settings.seeds.clone(),
+            coordinator_addresses: settings.seeds.clone(),
             client: ChainClient::new(chain),
             calls: PendingTable::default(),
             outputs: Vec::new(),
@@ -86,7 +86,7 @@
 
     /// Where coordinators may be found, without this one, in ascending order.
     pub(super) fn other_coordinators(&self) -> Vec<SocketAddr> {
-        let mut others = self.known_addresses.clone();
+        let mut others = self.coordinator_addresses.clone();
         others.extend(self.member_addresses());
         others.extend(self.view().voters.iter().map(|voter| voter.address));
         others.sort_unstable();
@@ -99,8 +99,8 @@
     pub(super) fn install_view(&mut self, view: &View) {
         self.chain_mut().install_view(view);
         for address in view.members.iter().chain(&view.voters).map(|member| member.address) {
-            if !self.known_addresses.contains(&address) {
-                self.known_addresses.push(address);
+            if !self.coordinator_addresses.contains(&address) {
+                self.coordinator_addresses.push(address);
             }
         }
     }
--- a/control-plane/core/src/operator/mod.rs
+++ b/control-plane/core/src/operator/mod.rs
@@ -9,6 +9,8 @@
 
 pub(crate) mod reply;
 pub(crate) mod request;
+#[cfg(test)]
+mod tests;
 
 use marblecroft_chain_replication::Token;
 
--- a/control-plane/core/tests/gateways.rs
+++ b/control-plane/core/tests/gateways.rs
@@ -1,4 +1,4 @@
-//! What the head of the stores tells gateways of each other.
+//! Which gateways the head of the stores makes known to each other.
 
 use marblecroft_control_plane_core::gateways::{GatewayDirectory, MAX_PEERS};
 use marblecroft_protocol::load::ZoneLoad;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn gateways_of_one_zone_are_told_of_each_other_once_and_when_that_changes() {
+fn peers_are_reported_once_and_again_when_they_change() {
     let mut gateways = GatewayDirectory::default();
     gateways.record_work_request(at(0), &work(1, "a", 2.0));
     gateways.record_work_request(at(0), &work(2, "a", 3.5));
@@ -36,16 +36,16 @@
     assert_eq!(gateways.zone_loads(), [ZoneLoad { zone: "a".to_owned(), in_flight: 6.0 }]);
     assert_eq!(gateways.count(), 3);
     gateways.record_work_request(at(4), &work(1, "a", 2.0));
-    let alone = gateways.peers_of("gateway-001", "a", peers.digest).expect("the other one was not heard of");
+    let alone = gateways.peers_of("gateway-001", "a", peers.digest).expect("the other one has expired");
     assert_eq!((alone.addresses.len(), gateways.count()), (1, 1));
 }
 
 #[test]
-fn a_large_zone_has_groups_of_like_size_and_every_gateway_is_in_one() {
+fn a_large_zone_is_split_into_groups_of_equal_size_that_cover_all_gateways() {
     let mut gateways = GatewayDirectory::default();
-    let most = u8::try_from(2 * MAX_PEERS + 2).expect("a few");
-    (0..most).for_each(|number| gateways.record_work_request(at(0), &work(number, "a", 0.0)));
-    for number in 0..most {
+    let count = u8::try_from(2 * MAX_PEERS + 2).expect("a few");
+    (0..count).for_each(|number| gateways.record_work_request(at(0), &work(number, "a", 0.0)));
+    for number in 0..count {
         let peers = gateways.peers_of(&format!("gateway-{number:03}"), "a", 0).expect("new");
         assert!((MAX_PEERS / 2..=MAX_PEERS).contains(&peers.addresses.len()), "{}", peers.addresses.len());
         assert!(peers.addresses.contains(&SocketAddr::from(([10, 0, 0, number], 7735))));
--- a/control-plane/core/tests/golden.rs
+++ b/control-plane/core/tests/golden.rs
@@ -1,6 +1,5 @@
-//! Numbers that processes work out alike keep their values: the identities of founders and of members that are drawn, and the
-//! digest by which a gateway says which peers it knows keeps its value: a gateway and a head of the stores that run
-//! different programs are to name one set of peers alike.
+//! Numbers that processes of different versions must derive alike keep their values: the identities of founders and of other
+//! members, and the digest that names a set of peers.
 
 use marblecroft_batch_state::BatchState;
 use marblecroft_chain_replication::storage::NullStorage;
@@ -26,7 +25,7 @@
 }
 
 #[test]
-fn the_digest_of_peers_keeps_its_value() {
+fn the_digest_of_peers_is_stable() {
     let mut gateways = GatewayDirectory::default();
     let none = gateways.peers_of("gateway-1", "a", 0).expect("new");
     (1..=3).for_each(|number| gateways.record_work_request(Duration::ZERO, &work(number)));
@@ -35,7 +34,7 @@
 }
 
 #[test]
-fn identities_of_members_keep_their_values() {
+fn identities_of_members_are_stable() {
     let seeds = [(1, 7700), (2, 7701)].map(|(last, port)| SocketAddr::from(([10, 9, 8, last], port)));
     let called = |seed: SocketAddr| SocketAddr::new(seed.ip(), 7800);
     let (own, view) = founding_view(seeds[1], &seeds, called).expect("a founder");
--- a/control-plane/core/tests/list_reader.rs
+++ b/control-plane/core/tests/server_list_reader.rs
@@ -1,4 +1,4 @@
-//! When the platform's list is read, and under which token it is given on.
+//! When the platform's list of servers is read, and under which fencing token it is broadcast.
 
 use marblecroft_control_plane_core::server_list_reader::{ServerListReader, Step};
 use marblecroft_protocol::servers::Server;
@@ -21,8 +21,8 @@
     }])
 }
 
-/// A reader that has begun to read as the head of view 1 under token 7.
-fn reading() -> ServerListReader {
+/// A reader whose first read is in flight, as the head of view 1 under token 7.
+fn reader_in_flight() -> ServerListReader {
     let mut reader = ServerListReader::default();
     assert_eq!(reader.step(at(0), 1), Step::RequestToken);
     assert_eq!(reader.step(at(1), 1), Step::Wait, "one token at a time");
@@ -32,9 +32,9 @@
 }
 
 #[test]
-fn a_list_is_given_on_under_the_token_that_it_was_read_under() {
-    let mut reader = reading();
-    let list = reader.on_list(servers("first")).expect("given on");
+fn a_list_is_broadcast_under_the_token_of_its_read() {
+    let mut reader = reader_in_flight();
+    let list = reader.on_list(servers("first")).expect("broadcast");
     assert_eq!((list.version.epoch, list.servers[0].id.as_str()), (7, "first"));
     assert_eq!(reader.step(at(3), 1), Step::Wait, "not yet");
     assert_eq!(reader.step(at(402), 1), Step::Read);
@@ -44,20 +44,20 @@
 }
 
 #[test]
-fn what_was_read_as_the_head_of_an_earlier_view_is_not_given_on() {
-    let mut reader = reading();
+fn a_list_read_as_the_head_of_an_earlier_view_is_not_broadcast() {
+    let mut reader = reader_in_flight();
     assert_eq!(reader.step(at(10), 2), Step::RequestToken);
     assert_eq!(reader.on_list(servers("old")), None);
     reader.on_token(2, Some(8));
-    let mut reader = reading();
+    let mut reader = reader_in_flight();
     reader.stop();
     assert_eq!(reader.on_list(servers("old")), None, "this process is no head any more");
 }
 
 #[test]
-fn a_reader_whose_token_is_of_an_earlier_view_does_not_want_to_be_woken() {
-    let mut reader = reading();
+fn a_reader_with_a_token_of_an_earlier_view_schedules_no_wake() {
+    let mut reader = reader_in_flight();
     assert!(reader.on_list(servers("first")).is_some());
     assert_eq!(reader.step(at(1000), 2), Step::RequestToken);
-    assert_eq!(reader.next_wake(), Duration::MAX, "its token wakes it");
+    assert_eq!(reader.next_wake(), Duration::MAX, "the new token wakes it");
 }
--- a/control-plane/core/tests/store_views.rs
+++ b/control-plane/core/tests/store_views.rs
@@ -1,4 +1,4 @@
-//! Which view of the stores follows: what a head that has just begun may conclude, and how few complete members there may be.
+//! Which stores' view comes next: what a new head may conclude, and how few complete members a view may have.
 
 use marblecroft_chain_replication::{Member, Position, Status, View};
 use marblecroft_control_plane_core::store_views::{ReplicaCounts, StoreViews, HEAD_DISCOVERY_TIME};
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const SIZES: ReplicaCounts = ReplicaCounts { min_replicas: 2, target_replicas: 3 };
-const BEGUN: Duration = Duration::from_secs(100);
+const COUNTS: ReplicaCounts = ReplicaCounts { min_replicas: 2, target_replicas: 3 };
+const LEADING_SINCE: Duration = Duration::from_secs(100);
 
 fn address(store: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, store], 7720))
@@ -21,7 +21,7 @@
     View { number: 5, members: members.iter().copied().map(member).collect(), voters: Vec::new() }
 }
 
-/// What a complete member of the view says.
+/// The report of a complete member of the view.
 fn report(store: u8) -> StoreReport {
     let status = Status {
         identity: u64::from(store),
@@ -33,7 +33,7 @@
     StoreReport { node_name: format!("store-{store}"), zone: "a".to_owned(), address: address(store), status }
 }
 
-/// Stores of a head that began at [`BEGUN`], and report from then on.
+/// Stores that report to a head which leads since [`LEADING_SINCE`].
 struct Stores {
     views: StoreViews,
     now: Duration,
@@ -42,11 +42,11 @@
 impl Stores {
     fn new() -> Stores {
         let mut views = StoreViews::default();
-        views.reset(BEGUN);
-        Stores { views, now: BEGUN }
+        views.reset(LEADING_SINCE);
+        Stores { views, now: LEADING_SINCE }
     }
 
-    /// These stores report for a while, and nobody else does.
+    /// Lets these stores report for this time, and no others.
     fn report_for(&mut self, time: Duration, reports: &[StoreReport]) {
         let until = self.now + time;
         while self.now < until {
@@ -55,18 +55,18 @@
         }
     }
 
-    /// The stores of the view that follows, if one does.
+    /// The identities of the members of the next view, if there should be one.
     fn next(&mut self, current: &View, retired: &[&str]) -> Option<Vec<u64>> {
         let members =
-            self.views.next_view_members(self.now, current, SIZES, |node| retired.contains(&node))?;
+            self.views.next_view_members(self.now, current, COUNTS, |node| retired.contains(&node))?;
         Some(members.into_iter().map(|member| member.identity).collect())
     }
 }
 
-const MOMENT: Duration = Duration::from_millis(400);
+const SHORT_TIME: Duration = Duration::from_millis(400);
 
 #[test]
-fn a_head_that_has_just_begun_waits_for_the_first_report_of_each_member() {
+fn a_new_head_waits_for_the_first_report_of_each_member() {
     let mut stores = Stores::new();
     stores.report_for(Duration::from_millis(1200), &[report(1), report(2)]);
     assert_eq!(stores.next(&view(&[1, 2, 3]), &[]), None, "the third may still be looking for it");
@@ -75,24 +75,24 @@
 }
 
 #[test]
-fn a_member_that_was_heard_and_falls_silent_is_left_out() {
+fn a_member_that_stops_reporting_is_excluded() {
     let mut stores = Stores::new();
-    stores.report_for(MOMENT, &[report(1), report(2), report(3)]);
+    stores.report_for(SHORT_TIME, &[report(1), report(2), report(3)]);
     assert_eq!(stores.next(&view(&[1, 2, 3]), &[]), None, "all are well");
     stores.report_for(Duration::from_millis(1200), &[report(1), report(3)]);
     assert_eq!(stores.next(&view(&[1, 2, 3]), &[]), Some(vec![1, 3]));
 }
 
 #[test]
-fn a_single_complete_member_is_not_gone_on_with_while_the_others_disks_may_be_sound() {
+fn a_single_complete_member_waits_while_excluded_disks_may_be_sound() {
     let mut stores = Stores::new();
-    stores.report_for(MOMENT, &[report(1), report(2), report(3)]);
+    stores.report_for(SHORT_TIME, &[report(1), report(2), report(3)]);
     stores.report_for(Duration::from_secs(15), &[report(2)]);
     assert_eq!(stores.next(&view(&[1, 2, 3]), &[]), None, "the others may come back");
     stores.report_for(Duration::from_secs(6), &[report(2)]);
     assert_eq!(stores.next(&view(&[1, 2, 3]), &[]), None, "it begins to wait when it first looks");
     for _ in 0..120 {
-        stores.report_for(MOMENT, &[report(2)]);
+        stores.report_for(SHORT_TIME, &[report(2)]);
         if let Some(next) = stores.next(&view(&[1, 2, 3]), &[]) {
             assert_eq!(next, [2], "they are gone for good");
             return;
@@ -102,37 +102,37 @@
 }
 
 #[test]
-fn members_whose_disks_are_known_to_be_lost_are_not_waited_for() {
+fn members_with_lost_disks_are_not_waited_for() {
     let mut stores = Stores::new();
-    stores.report_for(MOMENT, &[report(1), report(2), report(3)]);
-    let anew = |store: u8| {
+    stores.report_for(SHORT_TIME, &[report(1), report(2), report(3)]);
+    let restarted_empty = |store: u8| {
         let mut report = report(store);
         report.status = Status { identity: 100 + u64::from(store), ..Status::default() };
         report
     };
-    stores.report_for(MOMENT, &[report(2), anew(1), anew(3)]);
+    stores.report_for(SHORT_TIME, &[report(2), restarted_empty(1), restarted_empty(3)]);
     let next = stores.next(&view(&[1, 2, 3]), &[]).expect("goes on");
     assert_eq!(next[0], 2, "the head holds everything");
     assert!(next.len() > 1, "the others join as new ones: {next:?}");
 }
 
 #[test]
-fn a_machine_that_is_to_be_emptied_stays_until_enough_others_are_complete() {
+fn a_retired_machine_stays_until_enough_others_are_complete() {
     let mut stores = Stores::new();
     let mut behind = report(3);
     behind.status.complete = false;
-    stores.report_for(MOMENT, &[report(1), report(2), behind]);
+    stores.report_for(SHORT_TIME, &[report(1), report(2), behind]);
     assert_eq!(stores.next(&view(&[1, 2, 3]), &["store-2"]), None, "the third holds nothing yet");
-    stores.report_for(MOMENT, &[report(1), report(2), report(3)]);
+    stores.report_for(SHORT_TIME, &[report(1), report(2), report(3)]);
     assert_eq!(stores.next(&view(&[1, 2, 3]), &["store-2"]), Some(vec![1, 3]));
 }
 
 #[test]
-fn a_process_that_is_about_to_end_is_left_out_and_does_not_join() {
+fn a_draining_process_is_excluded_and_does_not_join() {
     let mut stores = Stores::new();
-    let mut leaving = report(3);
-    leaving.status.draining = true;
-    stores.report_for(MOMENT, &[report(1), report(2), leaving.clone()]);
+    let mut draining = report(3);
+    draining.status.draining = true;
+    stores.report_for(SHORT_TIME, &[report(1), report(2), draining.clone()]);
     assert_eq!(stores.next(&view(&[1, 2, 3]), &[]), Some(vec![1, 2]));
     assert_eq!(stores.next(&view(&[1, 2]), &[]), None);
 }
--- a/control-plane/core/tests/stored.rs
+++ b/control-plane/core/tests/stored.rs
@@ -1,6 +1,6 @@
-//! A coordinator and a store that start on logs which an earlier program has stored answer from what these hold: the
-//! configuration as an update has made it, machines to be emptied, the stores' view, and a half-done batch job. The logs are
-//! literal bytes, and the same history is written to the same bytes.
+//! A coordinator and a store that start on the log of an earlier version restore their state from it: the configuration with
+//! an update applied, retired machines, the stores' view, and a half-done batch job. The logs are literal bytes, and the same
+//! history is written to the same bytes.
 
 use marblecroft_batch_state::{BatchState, Item, ItemOutcome, NewJob, Operation as BatchOperation};
 use marblecroft_chain_replication::storage::Storage;
@@ -85,8 +85,8 @@
 
 const WALL_MS: u64 = 1_700_000_000_500;
 
-/// Hands an input to a process, and lets time pass until one of its outputs is the one that is looked for.
-fn ask<N: Node, R>(
+/// Hands an input to a process, and lets time pass until `found` picks one of its outputs.
+fn run_until<N: Node, R>(
     node: &mut N,
     now: &mut Duration,
     first: N::Input,
@@ -106,7 +106,7 @@
 }
 
 const CONTROL_LOG: &str = include_str!("stored/control_log.hex");
-const WHOLE: &str = r#"{"generation":5,"routes":[{"name":"a","hostname":"x","path_prefix":"/a/","route_type":"batch","backend":"s"}],"services":[{"name":"s"},{"name":"t"}]}"#;
+const REPLACED: &str = r#"{"generation":5,"routes":[{"name":"a","hostname":"x","path_prefix":"/a/","route_type":"batch","backend":"s"}],"services":[{"name":"s"},{"name":"t"}]}"#;
 const CHANGE: &str = r#"{"generation":9,"upsert":{"services":[{"name":"u","max_connections":7}]},"remove":{"services":["t"]}}"#;
 const CHANGED: &str = r#"{"generation":9,"routes":[{"name":"a","hostname":"x","path_prefix":"/a/","route_type":"batch","backend":"s"}],"services":[{"name":"s"},{"name":"u","max_connections":7}]}"#;
 
@@ -120,13 +120,13 @@
 }
 
 #[test]
-fn the_log_of_a_coordinator_keeps_its_bytes() {
+fn the_bytes_of_a_coordinators_log_are_stable() {
     let disk = Disk::default();
     let mut replica: Replica<ControlState, _> =
         open(disk.clone(), Recovered::default(), 1, founding()).expect("opens");
-    let replace = Operation::ReplaceConfiguration { base: 0, generation: 5, body: Bytes(WHOLE.into()) };
-    let know = Operation::RegisterStore { node: "store-7".to_owned() };
-    replica.propose(&vec![replace, know]).expect("written");
+    let replace = Operation::ReplaceConfiguration { base: 0, generation: 5, body: Bytes(REPLACED.into()) };
+    let register = Operation::RegisterStore { node: "store-7".to_owned() };
+    replica.propose(&vec![replace, register]).expect("written");
     let update = Operation::UpdateConfiguration { base: 5, generation: 9, change: Bytes(CHANGE.into()) };
     let retire = Operation::RetireStore { node: "store-7".to_owned() };
     replica.propose(&vec![Operation::InstallStoreView(stores_view()), update]).expect("written");
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_coordinator_on_a_stored_log_answers_from_it() {
+fn a_coordinator_restores_its_state_from_a_stored_log() {
     let replica = open(Disk::default(), recovered(CONTROL_LOG), 2, None).expect("opens");
     let settings = coordinator::Settings {
         node_name: "node-1".to_owned(),
@@ -157,7 +157,7 @@
         let (url, base) = (url.to_owned(), base.map(str::to_owned));
         let call = Call { method, url, base, body: body.into() };
         let input = coordinator::Input::Operator { token: 4, call };
-        let reply = ask(
+        let reply = run_until(
             &mut node,
             &mut now,
             input,
@@ -170,16 +170,16 @@
         (reply.status, String::from_utf8(reply.body).expect("text"))
     };
     assert_eq!(operator(Method::Get, "/-/Config.Read", None, ""), (200, CHANGED.to_owned()));
-    let taken_before = operator(Method::Post, "/-/Config.Update", Some("5"), CHANGE);
-    assert_eq!(taken_before, (200, String::new()));
-    let conflict = operator(Method::Post, "/-/Config.Replace", Some("5"), &WHOLE.replace(":5", ":10"));
+    let repeated = operator(Method::Post, "/-/Config.Update", Some("5"), CHANGE);
+    assert_eq!(repeated, (200, String::new()));
+    let conflict = operator(Method::Post, "/-/Config.Replace", Some("5"), &REPLACED.replace(":5", ":10"));
     assert_eq!(conflict, (412, "version 9 is current\n".to_owned()));
     let retired = operator(Method::Get, "/-/Retire.Read/store-7", None, "");
     assert_eq!(retired, (200, "{\"state\":\"in_progress\"}".to_owned()));
     assert_eq!(operator(Method::Get, "/-/Retire.Read/store-1", None, "").0, 404);
     let pull = Pull { known_versions: VersionVector::default(), wait_ms: 1000 };
     let input = coordinator::Input::Request { token: 5, request: CoordinatorRequest::Pull(pull) };
-    let updates = ask(
+    let updates = run_until(
         &mut node,
         &mut now,
         input,
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn the_log_of_a_store_keeps_its_bytes() {
+fn the_bytes_of_a_stores_log_are_stable() {
     let disk = Disk::default();
     let mut replica: Replica<BatchState, _> =
         Replica::open(disk.clone(), Recovered::default(), BatchState::default(), 0x1122_3344, None)
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_store_on_a_stored_log_answers_from_it() {
+fn a_store_restores_its_state_from_a_stored_log() {
     let replica = open(Disk::default(), recovered(BATCH_LOG), 2, None).expect("opens");
     let settings = store::Settings {
         node_name: "store-1".to_owned(),
@@ -257,7 +257,7 @@
     let mut node = Store::new(settings, replica, now);
     let mut call = |request| {
         let input = store::Input::Request { token: 6, request };
-        ask(
+        run_until(
             &mut node,
             &mut now,
             input,
