--- a/control-plane/server/src/main.rs
+++ b/control-plane/server/src/main.rs
@@ -1,16 +1,20 @@
 //! The control plane of the serving tier.
 //!
-//! `marblecroft-control-plane coordinator` keeps the configuration and the list of servers and gives both to the gateways;
-//! `marblecroft-control-plane store` keeps batch jobs. `check` reads the settings and tells what is wrong with them.
+//! `marblecroft-control-plane coordinator` replicates the configuration and the list of servers, and serves both to the
+//! gateways; `marblecroft-control-plane store` replicates batch jobs. `check` validates the settings file. The decisions of
+//! both roles are in `marblecroft-control-plane-core`; the modules here carry them out.
 #![forbid(unsafe_code)]
 
-mod calls;
 mod coordinator;
+mod error;
 mod event_loop;
 mod flags;
+mod pending_replies;
+mod runtime;
 mod server_list_client;
 mod storage;
 mod store;
+mod thread_pool;
 
 use crate::flags::{MarblecroftControlPlane, MarblecroftControlPlaneCmd as Command};
 use marblecroft_logging::LogConfig;
@@ -18,7 +22,7 @@
 use std::process::ExitCode;
 use tracing::error;
 
-/// Exit code for settings or arguments that cannot be used.
+/// Exit code for settings or arguments that are invalid. A role that cannot start or fails exits with 1.
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -31,7 +35,7 @@
             return ExitCode::from(EXIT_USAGE);
         }
     };
-    let ended = match flags.subcommand {
+    let result = match flags.subcommand {
         Command::Coordinator(_) => coordinator::run(&settings),
         Command::Store(_) => store::run(&settings),
         Command::Check(_) => {
@@ -39,9 +43,10 @@
             return ExitCode::SUCCESS;
         }
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
+            // One line for the operator, as the text of a `StartError` says.
             error!("{e}");
             ExitCode::FAILURE
         }
--- /dev/null
+++ b/control-plane/server/src/pending_replies.rs
@@ -0,0 +1,71 @@
+//! Threads of other processes' calls that wait for the state machine's reply.
+
+use marblecroft_chain_replication::Token;
+use std::collections::HashMap;
+use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
+use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+/// A call that has no reply after this time gets none. Longer than operations, reads and pulls take
+/// (2.5 s at most).
+const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
+
+struct Waiting<R> {
+    last_token: Token,
+    senders: HashMap<Token, SyncSender<R>>,
+}
+
+/// The calls that wait for a reply, by token. Tokens count from 1.
+pub struct PendingReplies<R> {
+    waiting: Mutex<Waiting<R>>,
+}
+
+impl<R> Default for PendingReplies<R> {
+    fn default() -> PendingReplies<R> {
+        PendingReplies { waiting: Mutex::new(Waiting { last_token: 0, senders: HashMap::new() }) }
+    }
+}
+
+impl<R> PendingReplies<R> {
+    /// Submits a call under a new token with `submit`, and blocks until its reply; `None` where there is none in time.
+    pub fn wait_for(&self, submit: impl FnOnce(Token)) -> Option<R> {
+        let registration = self.register();
+        submit(registration.token);
+        registration.reply.recv_timeout(REPLY_TIMEOUT).ok()
+    }
+
+    fn register(&self) -> Registration<'_, R> {
+        let (sender, reply) = sync_channel(1);
+        let mut waiting = self.lock();
+        waiting.last_token += 1;
+        let token = waiting.last_token;
+        waiting.senders.insert(token, sender);
+        Registration { replies: self, token, reply }
+    }
+
+    /// Delivers the reply to the call with this token.
+    pub fn deliver(&self, token: Token, reply: R) {
+        if let Some(sender) = self.lock().senders.remove(&token) {
+            // The channel has capacity for the only reply, so this fails only where the caller has given up.
+            let _ = sender.try_send(reply);
+        }
+    }
+
+    fn lock(&self) -> MutexGuard<'_, Waiting<R>> {
+        // The table is consistent between any two statements, so also where a thread has panicked.
+        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+/// A call in the table, for as long as its thread waits.
+struct Registration<'a, R> {
+    replies: &'a PendingReplies<R>,
+    token: Token,
+    reply: Receiver<R>,
+}
+
+impl<R> Drop for Registration<'_, R> {
+    fn drop(&mut self) {
+        self.replies.lock().senders.remove(&self.token);
+    }
+}
--- a/control-plane/server/src/server_list_client.rs
+++ b/control-plane/server/src/server_list_client.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of servers.
+//! Reads the platform's list of servers over HTTP, page by page.
 
 use marblecroft_protocol::servers::{Page, Server};
 use marblecroft_settings::CloudApi;
@@ -7,10 +7,10 @@
 
 /// Time for one page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pages of one list. Guards against a list that does not end.
+/// Upper bound of the pages of one list. Guards against a list that does not end.
 const MAX_PAGES: usize = 200;
 
-/// Reads lists; keeps its connection.
+/// A client of the platform's API. Its clones share their connections.
 #[derive(Clone)]
 pub struct ServerListClient {
     agent: ureq::Agent,
@@ -18,30 +18,36 @@
 }
 
 impl ServerListClient {
+    /// Creates a client of this API.
     pub fn new(api: CloudApi) -> ServerListClient {
         let config = ureq::Agent::config_builder().timeout_global(Some(PAGE_TIMEOUT)).proxy(None).build();
         ServerListClient { agent: config.into(), api }
     }
 
-    /// The whole list; `None` where a page did not come.
+    /// Reads the complete list; `None` where a page could not be read, as a part of the list would make servers seem gone.
     pub fn read(&self) -> Option<Vec<Server>> {
         let mut servers = Vec::new();
-        let mut token: Option<String> = None;
+        let mut page_token: Option<String> = None;
         for _ in 0..MAX_PAGES {
-            let mut get = self.agent.get(format!("http://{}/instances", self.api.address));
-            if let Some(token) = &token {
-                get = get.query("page_token", token);
-            }
-            let mut response = get.call().ok()?;
-            let text = response.body_mut().read_to_string().ok()?;
-            let page = Page::parse(&text)?;
+            let page = self.read_page(page_token.as_deref())?;
             servers.extend(page.servers);
             match page.next {
-                Some(next) => token = Some(next),
+                Some(next) => page_token = Some(next),
                 None => return Some(servers),
             }
+            // Keeps to the rate that the platform accepts, as the only reader.
             thread::sleep(Duration::from_secs_f64(1.0 / self.api.rate_per_s.max(1.0)));
         }
         None
     }
+
+    fn read_page(&self, page_token: Option<&str>) -> Option<Page> {
+        let mut request = self.agent.get(format!("http://{}/instances", self.api.address));
+        if let Some(page_token) = page_token {
+            request = request.query("page_token", page_token);
+        }
+        let mut response = request.call().ok()?;
+        let text = response.body_mut().read_to_string().ok()?;
+        Page::parse(&text)
+    }
 }
--- a/control-plane/server/src/storage.rs
+++ b/control-plane/server/src/storage.rs
@@ -1,4 +1,4 @@
-//! Opens the log of a member of a chain, or stands in for one where the machine has no disk.
+//! Opens the durable state of a member of a chain.
 
 use marblecroft_chain_replication::storage::NullStorage;
 use marblecroft_chain_replication::{Replica, StateMachine, View};
@@ -8,7 +8,11 @@
 use std::io;
 use std::path::Path;
 
-/// The state in `folder`, under `founding` where the folder is empty and this member founds its chain.
+/// Opens the state in `folder`. From an empty folder a founder starts in the `founding` view, with its identity there.
+///
+/// # Errors
+///
+/// The log cannot be read or written.
 pub fn open<M: StateMachine + Default>(
     folder: &Path,
     founding: Option<(u64, View)>,
@@ -17,8 +21,12 @@
     member::open(log, recovered, random_id(), founding)
 }
 
-/// An empty state on a machine without a disk.
-pub fn without<M: StateMachine + Default>(
+/// Creates an empty state on a machine without a disk.
+///
+/// # Errors
+///
+/// None in practice: the storage takes every write.
+pub fn without_disk<M: StateMachine + Default>(
     founding: Option<(u64, View)>,
 ) -> io::Result<Replica<M, NullStorage>> {
     member::open(NullStorage, Recovered::default(), random_id(), founding)
--- a/control-plane/server/src/store.rs
+++ b/control-plane/server/src/store.rs
@@ -1,28 +1,29 @@
-//! The store's program: sockets, files, threads and clocks round [`marblecroft_control_plane_core::store`].
+//! The store's process: sockets, files, threads and clocks around [`marblecroft_control_plane_core::store`].
+//!
+//! A call of another process waits on its listener's thread while the event loop handles it; calls of this process wait on
+//! threads of the pool.
 
-use crate::calls::{PendingReplies, ThreadPool};
-use crate::event_loop::{self, Clock, Next, FLUSH_TIME};
+use crate::error::StartError;
+use crate::event_loop::{self, Clock, ControlFlow};
+use crate::pending_replies::PendingReplies;
+use crate::runtime::{seed_coordinators, Runtime};
 use crate::storage;
 use marblecroft_batch_state::BatchState;
 use marblecroft_control_plane_core::store::{Input, Output, Settings as CoreSettings, Store};
-use marblecroft_protocol::store::{StoreReply, StoreRequest};
-use marblecroft_protocol::{coordinator_address, internal_address};
+use marblecroft_protocol::internal_address;
+use marblecroft_protocol::store::StoreReply;
 use marblecroft_rpc::{http, random_id, serve, Caller, Service};
 use marblecroft_settings::Settings;
-use std::io;
 use std::net::{IpAddr, SocketAddr};
-use std::sync::mpsc::{channel, Sender};
 use std::sync::Arc;
-use std::thread;
 use tracing::info;
 
 fn core_settings(settings: &Settings, address: SocketAddr) -> CoreSettings {
-    let seeds = settings.seeds.iter().map(|seed| coordinator_address(*seed, settings.ephemeral_ports));
     CoreSettings {
         node_name: settings.node_name.clone(),
         zone: settings.zone.clone(),
         address,
-        coordinators: seeds.collect(),
+        coordinators: seed_coordinators(settings),
         tolerated_machines: settings.tolerated_machines,
         result_retention: settings.bounds.status,
         grace_period: settings.bounds.grace_period,
@@ -32,66 +33,65 @@
 
 /// What the threads of a store share.
 #[derive(Clone)]
-struct Shell {
-    inputs: Sender<Input>,
+struct Shared {
+    runtime: Runtime<Input>,
     coordinators: Caller,
     stores: Caller,
-    pool: ThreadPool,
     requests: Arc<PendingReplies<StoreReply>>,
 }
 
-/// Runs a store until the process ends.
-pub fn run(settings: &Settings) -> io::Result<()> {
-    let missing = |what: &str| io::Error::new(io::ErrorKind::InvalidInput, format!("{what} is missing"));
-    let folder = settings.data_dir.as_ref().ok_or_else(|| missing("data_dir"))?;
+/// Runs a store until the process is to end.
+///
+/// # Errors
+///
+/// A setting is missing, or a socket, a file or a thread cannot be opened.
+pub fn run(settings: &Settings) -> Result<(), StartError> {
+    let folder = settings.data_dir.as_ref().ok_or(StartError::MissingSetting("data_dir"))?;
     if settings.seeds.is_empty() {
-        return Err(missing("seeds"));
+        return Err(StartError::MissingSetting("seeds"));
     }
     let address = internal_address(IpAddr::V4(settings.ip), settings.ephemeral_ports);
     let replica = storage::open::<BatchState>(folder, None)?;
-    info!("store {:x} starts in view {}", replica.identity(), replica.view().number);
+    let identity = replica.identity();
+    info!(identity = %format_args!("{identity:x}"), view = replica.view().number, "store starts");
     let clock = Clock::start();
     let mut node = Store::new(core_settings(settings, address), replica, clock.time().monotonic);
-    let (inputs, received) = channel();
-    let shell = Shell {
-        inputs,
+    let (runtime, inputs) = Runtime::new();
+    let shared = Shared {
+        runtime,
         coordinators: Caller::new(Service::Coordinators),
         stores: Caller::new(Service::Stores),
-        pool: ThreadPool::default(),
         requests: Arc::default(),
     };
-    event_loop::forward_signals(shell.inputs.clone(), || Input::Terminate)?;
-    let internal = shell.clone();
-    serve(http::listen(address)?, Service::Stores, move |request| internal.answer(request))?;
-    event_loop::run(&mut node, clock, &received, || Input::Wake, |output| shell.carry_out(output));
-    thread::sleep(FLUSH_TIME);
+    shared.runtime.forward_signals(|| Input::Terminate)?;
+    let internal = shared.clone();
+    serve(http::listen(address)?, Service::Stores, move |request| {
+        internal.runtime.request(&internal.requests, |token| Input::Request { token, request })
+    })?;
+    event_loop::run(&mut node, clock, &inputs, || Input::Wake, |output| shared.execute(output));
     Ok(())
 }
 
-impl Shell {
-    fn hand_in(&self, input: Input) {
-        // The process ends when nobody takes inputs any more.
-        drop(self.inputs.send(input));
-    }
-
-    fn answer(&self, request: StoreRequest) -> Option<StoreReply> {
-        self.requests.call(|token| self.hand_in(Input::Request { token, request }))
-    }
-
-    fn carry_out(&self, output: Output) -> Next {
-        let shell = self.clone();
+impl Shared {
+    fn execute(&self, output: Output) -> ControlFlow {
         match output {
-            Output::Answer { token, reply } => self.requests.reply(token, reply),
-            Output::CallStore { call, to, request, timeout: within } => self.pool.run(move || {
-                let reply = shell.stores.call(to, &request, within).ok();
-                shell.hand_in(Input::StoreReply { call, reply });
-            }),
-            Output::CallCoordinator { call, to, request, timeout: within } => self.pool.run(move || {
-                let reply = shell.coordinators.call(to, &request, within).ok();
-                shell.hand_in(Input::CoordinatorReply { call, reply });
-            }),
-            Output::Exit => return Next::Exit,
+            Output::Answer { token, reply } => self.requests.deliver(token, reply),
+            Output::CallStore { call, to, request, timeout } => {
+                let stores = self.stores.clone();
+                self.runtime.spawn(move || {
+                    let reply = stores.call(to, &request, timeout).ok();
+                    Input::StoreReply { call, reply }
+                });
+            }
+            Output::CallCoordinator { call, to, request, timeout } => {
+                let coordinators = self.coordinators.clone();
+                self.runtime.spawn(move || {
+                    let reply = coordinators.call(to, &request, timeout).ok();
+                    Input::CoordinatorReply { call, reply }
+                });
+            }
+            Output::Exit => return ControlFlow::Exit,
         }
-        Next::Continue
+        ControlFlow::Continue
     }
 }
--- a/control-plane/server/tests/operator.rs
+++ b/control-plane/server/tests/operator.rs
@@ -1,5 +1,5 @@
-//! The operator's API as a transcript, against a real coordinator on the loopback interface; what was acknowledged is there
-//! after the process was killed.
+//! The operator's API as a transcript, against a real coordinator on the loopback interface; what was acknowledged survives
+//! the kill of the process. What a process that cannot start prints, and its exit code.
 
 use std::fs;
 use std::net::Ipv4Addr;
@@ -7,14 +7,14 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// A coordinator starts, and forms its chain of one, in this time.
-const STARTS_WITHIN: Duration = Duration::from_secs(20);
-const CALL_TIME: Duration = Duration::from_secs(5);
-/// Bodies of the 503 of a coordinator that can't say yet.
+/// Time in which a coordinator starts, and forms its chain of one.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Bodies of the 503 of a coordinator that has just started.
 const NO_HEAD: &str = "no head is known at the moment\n";
 const STORES_NOT_HEARD: &str = "the stores have not all been heard from\n";
 
-/// One coordinator with a folder and an address of its own.
+/// A coordinator process with a folder and an address of its own.
 struct Coordinator {
     folder: PathBuf,
     ip: Ipv4Addr,
@@ -61,10 +61,10 @@
         }
     }
 
-    /// Status and body of a call; `None` where nobody answers.
+    /// Status and body of the reply to a call; `None` where there is none.
     fn call(&self, method: &str, path: &str, base: Option<&str>, body: &str) -> Option<(u16, String)> {
         let config =
-            ureq::Agent::config_builder().http_status_as_error(false).timeout_global(Some(CALL_TIME));
+            ureq::Agent::config_builder().http_status_as_error(false).timeout_global(Some(CALL_TIMEOUT));
         let agent: ureq::Agent = config.build().into();
         let url = format!("http://{}:8166{path}", self.ip);
         let sent = if method == "GET" {
@@ -79,13 +79,13 @@
         Some((response.status().as_u16(), text))
     }
 
-    /// Makes a call again and again, as the operator does, until the answer is none of `but`.
-    fn call_until(&self, call: (&str, &str, Option<&str>, &str), but: &[&str]) -> (u16, String) {
-        let until = Instant::now() + STARTS_WITHIN;
+    /// Repeats a call, as the operator does, until the body of the reply is none of `transient`.
+    fn call_until(&self, call: (&str, &str, Option<&str>, &str), transient: &[&str]) -> (u16, String) {
+        let until = Instant::now() + START_TIMEOUT;
         let (method, path, base, body) = call;
         loop {
             let answer = self.call(method, path, base, body);
-            if let Some(answer) = answer.filter(|answer| !but.contains(&answer.1.as_str())) {
+            if let Some(answer) = answer.filter(|answer| !transient.contains(&answer.1.as_str())) {
                 return answer;
             }
             assert!(Instant::now() < until, "no coordinator answers");
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Reads the configuration as soon as a coordinator can say.
+    /// Reads the configuration as soon as the coordinator has started.
     fn read_when_up(&self) -> (u16, String) {
         self.call_until(("GET", "/-/Config.Read", None, ""), &[NO_HEAD])
     }
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn the_operators_transcript_and_what_is_left_after_a_kill() {
+fn the_operators_transcript_holds_and_survives_a_kill() {
     let mut coordinator = Coordinator::new("operator", 1);
     coordinator.start(true);
     assert_eq!(coordinator.read_when_up(), (503, "there is no configuration yet\n".to_owned()));
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn settings_that_cannot_be_used_are_refused_in_one_line_with_exit_code_2() {
+fn invalid_settings_are_rejected_in_one_line_with_exit_code_2() {
     let coordinator = Coordinator::new("settings", 2);
     let run = |settings: &str| -> Output {
         let mut command = coordinator.command("check", settings);
@@ -184,3 +184,19 @@
     assert_eq!(bad.status.code(), Some(2));
     assert_eq!(String::from_utf8_lossy(&bad.stderr), "marblecroft-control-plane: zone is missing\n");
 }
+
+#[test]
+fn a_role_without_a_setting_that_it_needs_names_it_in_one_line_and_exits_with_code_1() {
+    let coordinator = Coordinator::new("startup", 3);
+    let settings = coordinator.settings(true);
+    let cases = [("coordinator", "bind_addresses.control_plane"), ("store", "seeds"), ("store", "data_dir")];
+    for (role, key) in cases {
+        let is_other = |line: &&str| !line.starts_with(key);
+        let lacking: String = settings.lines().filter(is_other).map(|line| format!("{line}\n")).collect();
+        let mut command = coordinator.command(role, &lacking);
+        let output = command.stderr(Stdio::piped()).output().expect("ran");
+        assert_eq!(output.status.code(), Some(1), "{role} without {key}");
+        let text = format!("marblecroft-control-plane: {key} is missing\n");
+        assert_eq!(String::from_utf8_lossy(&output.stderr), text, "{role} without {key}");
+    }
+}
