--- a/control-plane/core/src/store_views.rs
+++ b/control-plane/core/src/store_views/mod.rs
@@ -4,29 +4,23 @@
 //! A view changes in one direction at a time: members that fail are excluded at once, and only where none fails is a store
 //! admitted, after it has fetched the state ahead.
 
+mod reports;
+
+pub use reports::HEAD_DISCOVERY_TIME;
+
 use crate::replica_wait::{ReplicaWait, MIN_COMPLETE_MEMBERS};
 use marblecroft_chain_replication::{Member, View};
 use marblecroft_protocol::coordinator::StoreReport;
-use std::collections::{BTreeMap, BTreeSet};
+use reports::StoreReports;
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A store that has not reported for this time has failed. Longer than a lost report and the next one take (700 ms).
-const REPORT_TIMEOUT: Duration = Duration::from_millis(900);
-/// Stores find a new head within this time, wherever they look first. Until then no store has failed that the head has not
-/// heard from.
-pub const HEAD_DISCOVERY_TIME: Duration = Duration::from_millis(1800);
 /// Delay of the first view after the first report, so that all stores can be in it.
 const FOUNDING_WAIT: Duration = Duration::from_millis(1500);
-/// A store may join when it is at most this many entries behind: few enough that the head sends them in one append.
+/// A store may join when it is at most this many entries behind, which the member before it sends it then.
 const MAX_ENTRIES_BEHIND: u64 = 100;
 
-/// A store's last report.
-struct ReceivedReport {
-    report: StoreReport,
-    received_at: Duration,
-}
-
 /// How many stores there should be.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaCounts {
@@ -46,10 +40,7 @@
 /// What the stores have reported to this process.
 #[derive(Default)]
 pub struct StoreViews {
-    reports: BTreeMap<SocketAddr, ReceivedReport>,
-    first_report_at: Option<Duration>,
-    /// Since when this process leads, and stores may report to it.
-    leading_since: Duration,
+    reports: StoreReports,
     replica_wait: ReplicaWait,
     preparing: Option<PreparingJoiner>,
 }
@@ -65,64 +56,32 @@
 impl StoreViews {
     /// Records a store's report.
     pub fn record_report(&mut self, now: Duration, report: StoreReport) {
-        self.first_report_at.get_or_insert(now);
-        let before = self.reports.get(&report.address).map(|seen| seen.report.status.position);
-        if self.preparing.is_some_and(|joiner| joiner.store == report.address)
-            && before != Some(report.status.position)
-        {
+        let (address, position) = (report.address, report.status.position);
+        let previous = self.reports.record(now, report);
+        if self.preparing.is_some_and(|joiner| joiner.store == address) && previous != Some(position) {
             // Its position has changed, so it has fetched.
             self.preparing = None;
         }
-        self.reports.insert(report.address, ReceivedReport { report, received_at: now });
     }
 
     /// Starts anew at `now`: another process may have led meanwhile.
     pub fn reset(&mut self, now: Duration) {
-        *self = StoreViews { leading_since: now, ..StoreViews::default() };
-    }
-
-    /// Whether a member may still be about to report for the first time.
-    fn may_still_report(&self, now: Duration, member: &Member) -> bool {
-        now < self.leading_since + HEAD_DISCOVERY_TIME && !self.reports.contains_key(&member.address)
-    }
-
-    /// Whether the disk of a member is known to be lost: its machine reports with another identity.
-    fn is_lost(&self, now: Duration, member: &Member) -> bool {
-        self.live_reports(now)
-            .any(|report| report.address == member.address && report.status.identity != member.identity)
-    }
-
-    fn live_reports(&self, now: Duration) -> impl Iterator<Item = &StoreReport> {
-        self.reports
-            .values()
-            .filter(move |seen| now < seen.received_at + REPORT_TIMEOUT)
-            .map(|seen| &seen.report)
-    }
-
-    fn report_of(&self, now: Duration, member: &Member) -> Option<&StoreReport> {
-        self.live_reports(now)
-            .find(|report| report.address == member.address && report.status.identity == member.identity)
+        *self = StoreViews { reports: StoreReports::new(now), ..StoreViews::default() };
     }
 
     /// The names of the machines whose stores report.
     pub fn live_node_names(&self, now: Duration) -> impl Iterator<Item = &str> {
-        self.live_reports(now).map(|report| report.node_name.as_str())
+        self.reports.live(now).map(|report| report.node_name.as_str())
     }
 
     /// The number of stores that report and are not retired.
     pub fn usable_stores(&self, now: Duration, is_retired: impl Fn(&str) -> bool) -> usize {
-        self.live_reports(now).filter(|report| !is_retired(&report.node_name)).count()
+        self.reports.live(now).filter(|report| !is_retired(&report.node_name)).count()
     }
 
-    /// Whether all members of this view hold everything.
+    /// Whether all members of this view hold everything that was acknowledged in it.
     pub fn is_fully_replicated(&self, now: Duration, view: &View) -> bool {
-        view.members.iter().all(|member| self.is_complete(now, member, view))
-    }
-
-    /// Whether a member holds everything that was acknowledged in this view.
-    fn is_complete(&self, now: Duration, member: &Member, view: &View) -> bool {
-        self.report_of(now, member)
-            .is_some_and(|report| report.status.complete && report.status.view.number == view.number)
+        view.members.iter().all(|member| self.reports.is_complete(now, member, view))
     }
 
     /// The members of the view after `current`, if it should differ. `is_retired` names the machines to empty.
@@ -133,7 +92,7 @@
         counts: ReplicaCounts,
         is_retired: impl Fn(&str) -> bool,
     ) -> Option<Vec<Member>> {
-        if current.number == 0 && self.first_report_at.is_none_or(|first| now < first + FOUNDING_WAIT) {
+        if current.number == 0 && self.reports.first_at().is_none_or(|first| now < first + FOUNDING_WAIT) {
             return None;
         }
         let members = self.next_members(now, current, counts, &is_retired)?;
@@ -149,7 +108,7 @@
     ) -> Option<Vec<Member>> {
         let departing = self.departing_members(now, current, is_retired);
         let survivors = self.survivors(now, current, &departing, counts.min_replicas);
-        if current.members.iter().any(|member| self.may_still_report(now, member)) {
+        if current.members.iter().any(|member| self.reports.may_still_report(now, member)) {
             return None;
         }
         let Survivors { complete, incomplete } = survivors;
@@ -191,7 +150,7 @@
     ) -> BTreeSet<u64> {
         let is_departing = |member: &&Member| {
             is_retired(&member.node_name)
-                || self.report_of(now, member).is_some_and(|report| report.status.draining)
+                || self.reports.of(now, member).is_some_and(|report| report.status.draining)
         };
         current.members.iter().filter(is_departing).map(|member| member.identity).collect()
     }
@@ -204,7 +163,7 @@
         departing: &BTreeSet<u64>,
         min_replicas: usize,
     ) -> Survivors {
-        let is_complete = |member: &Member| self.is_complete(now, member, current);
+        let is_complete = |member: &Member| self.reports.is_complete(now, member, current);
         let (mut departing, staying): (Vec<&Member>, Vec<&Member>) = self
             .healthy_members(now, current)
             .into_iter()
@@ -244,11 +203,10 @@
         counts: ReplicaCounts,
         is_retired: &impl Fn(&str) -> bool,
     ) -> bool {
-        let reports = |member: &Member| self.report_of(now, member).is_some();
-        let out_of_reach = current
-            .members
-            .iter()
-            .any(|member| !reports(member) && !self.is_lost(now, member) && !is_retired(&member.node_name));
+        let reports = |member: &Member| self.reports.of(now, member).is_some();
+        let out_of_reach = current.members.iter().any(|member| {
+            !reports(member) && !self.reports.is_lost(now, member) && !is_retired(&member.node_name)
+        });
         if !out_of_reach || complete.len() >= MIN_COMPLETE_MEMBERS.min(counts.min_replicas) {
             self.replica_wait.reset();
             return true;
@@ -262,12 +220,12 @@
             .members
             .iter()
             .filter_map(|member| {
-                let status = &self.report_of(now, member)?.status;
+                let status = &self.reports.of(now, member)?.status;
                 status.suspect.filter(|_| status.view.number == current.number)
             })
             .collect();
         let works =
-            |member: &&Member| self.report_of(now, member).is_some() && !suspects.contains(&member.address);
+            |member: &&Member| self.reports.of(now, member).is_some() && !suspects.contains(&member.address);
         current.members.iter().filter(works).collect()
     }
 
@@ -280,7 +238,7 @@
         is_retired: &impl Fn(&str) -> bool,
     ) -> Option<&StoreReport> {
         let zones: Vec<&str> =
-            members.iter().filter_map(|member| Some(&*self.report_of(now, member)?.zone)).collect();
+            members.iter().filter_map(|member| Some(&*self.reports.of(now, member)?.zone)).collect();
         let joins = |report: &&StoreReport| {
             let member = members.iter().any(|member| member.identity == report.status.identity);
             !member
@@ -292,7 +250,7 @@
             let in_zone = zones.iter().filter(|zone| **zone == report.zone).count();
             (in_zone, report.node_name.clone())
         };
-        self.live_reports(now).filter(joins).min_by_key(rank)
+        self.reports.live(now).filter(joins).min_by_key(rank)
     }
 
     /// The store that joins now, if it has fetched the state ahead; otherwise its next directive makes it fetch.
@@ -304,7 +262,7 @@
         is_retired: &impl Fn(&str) -> bool,
     ) -> Option<Member> {
         let tail = members.last()?;
-        let newest = self.report_of(now, tail)?.status.position.index;
+        let newest = self.reports.of(now, tail)?.status.position.index;
         let (source, joiner) = (tail.address, self.best_joiner(now, current, members, is_retired)?);
         if joiner.status.position.index + MAX_ENTRIES_BEHIND >= newest
             && joiner.status.position.index <= newest + MAX_ENTRIES_BEHIND
