--- a/control-plane/core/src/chain_client.rs
+++ b/control-plane/core/src/chain_client.rs
@@ -16,24 +16,24 @@
         ChainClient { chain, pending: PendingTable::default() }
     }
 
-    /// Submits an operation. The chain puts out [`Output::Applied`] with its token by `deadline` or soon after.
+    /// Submits an operation. The chain emits [`Output::Applied`] with its token by `deadline` or soon after.
     pub(crate) fn propose(&mut self, operation: M::Operation, purpose: P, deadline: Duration) {
         let token = self.pending.insert(purpose);
         self.chain.propose(token, operation, deadline);
     }
 
-    /// Submits a linearizable read. The chain puts out [`Output::Readable`] with its token.
+    /// Submits a linearizable read. The chain emits [`Output::Readable`] with its token.
     pub(crate) fn read_index(&mut self, purpose: P, deadline: Duration) {
         let token = self.pending.insert(purpose);
         self.chain.read_index(token, deadline);
     }
 
-    /// Ends the wait for a token that the chain has put out, and returns what it was submitted for.
+    /// Ends the wait for a token that the chain has emitted, and returns what it was submitted for.
     pub(crate) fn complete(&mut self, token: Token) -> Option<P> {
         self.pending.remove(token)
     }
 
-    /// Advances the chain once; `None` when it has nothing more to put out at `now`. Outputs may submit more, so callers
+    /// Advances the chain once; `None` when it has nothing more to emit at `now`. Outputs may submit more, so callers
     /// carry them out and advance again until then.
     pub(crate) fn advance(&mut self, now: Duration) -> Option<Vec<Output<M::Output>>> {
         let mut outputs = Vec::new();
--- a/control-plane/core/src/coordinator/membership/proposal.rs
+++ b/control-plane/core/src/coordinator/membership/proposal.rs
@@ -23,7 +23,7 @@
 impl Membership {
     /// Whether enough of the next members hold everything, where members are excluded whose disks may be sound: only those
     /// that were complete can head the view after. With a single one, its disk would be the only one that counts, so it is
-    /// better to wait for those out of reach; but only for a while, as their disks may be lost for good.
+    /// better to wait for the unreachable ones; but only for a while, as their disks may be lost for good.
     pub(super) fn keeps_enough_replicas<S: Storage>(
         &mut self,
         ctx: &Context<S>,
--- a/control-plane/core/src/coordinator/mod.rs
+++ b/control-plane/core/src/coordinator/mod.rs
@@ -1,7 +1,7 @@
 //! A coordinator: a member of the chain that replicates the configuration. Operators, gateways and stores call it.
 //!
 //! An input passes [`Coordinator::handle`] in this order: the input itself; the membership's step; what the head does for
-//! the whole chain; the chain, which is advanced until it puts nothing out, as what it puts out may submit more; at last the
+//! the whole chain; the chain, which is advanced until it emits nothing, as what it emits may submit more; at last the
 //! pulls, so that they see what this input has committed. The order is fixed because it numbers the calls and operations.
 //!
 //! - `membership`: who is in the chain, and who votes on it.
--- a/control-plane/core/src/pending_table.rs
+++ b/control-plane/core/src/pending_table.rs
@@ -1,5 +1,8 @@
 //! Entries that wait under an id for the event that carries the same id.
 
+#[cfg(test)]
+mod tests;
+
 use std::collections::HashMap;
 
 /// A table of pending entries. Ids count from 1 and are never used again, so a late reply cannot be taken for that of
--- a/control-plane/core/src/store/leases.rs
+++ b/control-plane/core/src/store/leases.rs
@@ -5,8 +5,9 @@
 
 /// A lease that is not renewed ends after this time. Gateways renew theirs several times as often.
 pub(super) const LEASE_DURATION: Duration = Duration::from_millis(1500);
-/// A new head grants nothing for this time: gateways report meanwhile what they run, and renew leases that the head before
-/// has granted.
+/// A new head grants nothing for this time: gateways report meanwhile what they run (every 250 ms), and renew the leases of
+/// the head before. Shorter than a lease: an item of a gateway that has not reported by then may run twice. That costs work
+/// and nothing else, as only the first result of an item is recorded.
 const NEW_HEAD_GRANT_DELAY: Duration = Duration::from_millis(700);
 
 struct GrantWindow {
--- a/control-plane/core/src/store/mod.rs
+++ b/control-plane/core/src/store/mod.rs
@@ -1,8 +1,8 @@
 //! A store: a member of the chain that replicates batch jobs. Gateways submit jobs to its head and request work from it.
 //!
 //! An input passes [`Store::handle`] in this order: the input itself; what is due by the clock (the report to the
-//! coordinators, the expiry of jobs, deferred reads); then the chain, which is advanced until it puts nothing out, as what it
-//! puts out may submit more. The order is fixed because it numbers the calls and operations.
+//! coordinators, the expiry of jobs, deferred reads); then the chain, which is advanced until it emits nothing, as what it
+//! emits may submit more. The order is fixed because it numbers the calls and operations.
 //!
 //! - `jobs`, `results`, `work`: what gateways request. Only the head answers it.
 //! - `leases`: which gateway runs which item.
--- a/control-plane/core/src/store_views/mod.rs
+++ b/control-plane/core/src/store_views/mod.rs
@@ -193,7 +193,7 @@
     }
 
     /// Whether enough of the members hold everything, where some are excluded whose disks may be sound: only those that were
-    /// complete can head the view after. With a single one it is better to wait for those out of reach; but only for a while,
+    /// complete can head the view after. With a single one it is better to wait for the unreachable ones; but only for a while,
     /// as their disks may be lost for good.
     fn keeps_enough_replicas(
         &mut self,
