--- a/quota-gateway/coordination/tests/storage.rs
+++ b/quota-gateway/coordination/tests/storage.rs
@@ -139,6 +139,8 @@
     // As a process that is killed leaves it, and as one that ended in order.
     let killed = std::fs::read(&path).expect("there");
     drop(store);
+    // The store's thread closes the file after the store is dropped.
+    closed(&path);
     std::fs::write(&path, &killed).expect("written");
     drop(LogStore::open(&folder).expect("it recovers"));
     let good = closed(&path);
