--- a/data-plane/routing/src/admission.rs
+++ b/data-plane/routing/src/admission.rs
@@ -13,7 +13,7 @@
 //! requests of a route admit in coarse steps.
 
 use crate::Now;
-use marblecroft_quota_gateway_core::{Shedder, THROTTLE_STEP};
+use marblecroft_quota_gateway_core::{Shedder, SHEDDER_STEP_SECS};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -69,7 +69,7 @@
         }
         let admitted = self.admitted_fraction();
         self.shedder = Shedder::new(classes.iter().map(RouteClass::weight));
-        self.shedder.f = admitted;
+        self.shedder.admitted_fraction = admitted;
         let costs = classes.iter().map(|class| {
             self.class_indices
                 .get(&class.route)
@@ -133,7 +133,7 @@
             } else {
                 self.last_assessed_at + ASSESSMENT_INTERVAL
             };
-            self.shedder.assess(occupancy, lag.as_secs_f64().max(THROTTLE_STEP), is_idle);
+            self.shedder.assess(occupancy, lag.as_secs_f64().max(SHEDDER_STEP_SECS), is_idle);
         }
     }
 
@@ -142,7 +142,7 @@
         if self.class_indices.is_empty() {
             1.0
         } else {
-            self.shedder.f
+            self.shedder.admitted_fraction
         }
     }
 }
--- a/quota-gateway/core/src/api.rs
+++ b/quota-gateway/core/src/api.rs
@@ -1,4 +1,4 @@
-//! The interface of the decisions: what a gateway is told (settings, events) and what it asks for (actions).
+//! The interface of the decisions: the settings and events that a gateway is given, and the actions that it asks for.
 
 use crate::arithmetic::sanitize;
 use serde::{Deserialize, Serialize};
@@ -23,10 +23,10 @@
     }
 }
 
-/// A client's try, unique in the gateway's life.
+/// One try of a client, unique while the gateway runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u32);
-/// A back-end server; the id survives a restart of its process.
+/// A server; the id survives a restart of its process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerId(pub u32);
 /// A customer, across all of its gateways.
@@ -45,33 +45,43 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Token(pub u64);
 
-/// The servers among which a repeat of a keyed request is dropped.
+/// The servers among which a retry of a keyed request is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
+    /// All servers.
     All,
+    /// The servers of one zone.
     Zone,
+    /// The servers of one cell.
     Cell,
 }
 
 /// What running a request twice does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Harmless.
+    /// Nothing: the request is idempotent.
     Safe,
-    /// Dropped by the servers of one group, for a time from the earliest attempt that may have run.
-    Keyed { group: DeduplicationScope, window: Duration },
-    /// Harmful.
+    /// Nothing within a scope and for a time: servers drop a retry by its key.
+    Keyed {
+        /// The servers that know of each other's keys.
+        group: DeduplicationScope,
+        /// How long they do, from the earliest attempt that may have been executed.
+        window: Duration,
+    },
+    /// Harm.
     Unsafe,
 }
 
 /// A request class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// An answer within this time earns the full value.
     pub latency_target: Duration,
-    /// The longest a client waits.
+    /// The longest that a client waits, over all its tries.
     pub deadline: Duration,
+    /// The value of an answer, against that of other classes.
     pub value: f64,
+    /// What running a request twice does.
     pub effect: Effect,
 }
 
@@ -80,26 +90,26 @@
 pub struct Plan {
     /// Units a second.
     pub rate: f64,
-    /// Units that the quota's store holds.
+    /// Units that the quota's bucket holds.
     pub burst: f64,
-    /// Attempts open at once.
+    /// Attempts in flight at once.
     pub max_in_flight: u32,
-    /// Units a second that fill the hard ceiling's store.
+    /// The hard limit, in units a second.
     pub rate_limit: f64,
-    /// Units that the hard ceiling's store holds.
+    /// Units that the hard limit's bucket holds.
     pub rate_limit_burst: f64,
-    /// Units by which that store may fall below zero.
+    /// Units by which that bucket may fall below zero.
     pub rate_limit_slack: f64,
-    /// Factor on the worth of a request.
+    /// Factor on the value of a request.
     pub price: f64,
-    /// Share of its worth that a request beyond the quota earns when served.
+    /// Share of its value that a request beyond the quota earns when it is served.
     pub over_quota_value: f64,
-    /// Share of its worth that sending a request beyond the quota costs.
+    /// Share of its value that sending a request beyond the quota costs.
     pub over_quota_cost: f64,
 }
 
 impl Settings {
-    /// The worth of each priority of the throttle: a class under a plan, inside the quota and beyond it.
+    /// The value of each priority of the load shedder: a class under a plan, within the quota and beyond it.
     pub(crate) fn priority_values(&self) -> impl Iterator<Item = f64> + '_ {
         let of_plan = move |plan: &'_ Plan| {
             let factors = [1.0, sanitize(plan.over_quota_value - plan.over_quota_cost)];
@@ -112,16 +122,16 @@
     }
 }
 
-/// How the list of servers is learnt.
+/// How the server list is learnt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come unasked.
+    /// Changes are pushed.
     Push,
     /// Changes come only after [`Action::Subscribe`].
     Subscribe,
 }
 
-/// What a gateway is told when it starts.
+/// The settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// How many gateways there are.
@@ -130,13 +140,17 @@
     pub gateway_index: u32,
     /// The zone this gateway is in.
     pub zone: u32,
+    /// The request classes, by [`ClassId`].
     pub classes: Vec<Class>,
+    /// The plans, by [`PlanId`].
     pub plans: Vec<Plan>,
+    /// How the server list is learnt.
     pub discovery: Discovery,
     /// [`Action::Cancel`] is permitted.
     pub cancel: bool,
-    /// Two attempts of one request may be out at once.
+    /// Two attempts of one request may be in flight at once (hedged requests).
     pub hedging: bool,
+    /// Most attempts of one request.
     pub max_attempts: u32,
     /// The longest retry-after that a client observes.
     pub max_retry_after: Duration,
@@ -146,11 +160,11 @@
     pub meter_period: Duration,
     /// The most units that one request counts.
     pub max_units: f64,
-    /// A starting server does at least this share of its work ...
+    /// A starting server has at least this share of its capacity ...
     pub slow_start_initial_share: f64,
     /// ... and all of it after this long.
     pub slow_start_duration: Duration,
-    /// A cold server falls over when sent this multiple of what it can do ...
+    /// A starting server falls over when it is sent this multiple of what it can do ...
     pub slow_start_overload_factor: f64,
     /// ... for this long.
     pub slow_start_window: Duration,
@@ -161,22 +175,29 @@
 /// What the list says of a server's process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Lifecycle {
+    /// It takes requests.
     #[default]
     Running,
+    /// It finishes what it has and takes nothing new.
     Draining,
+    /// It is no longer listed.
     Gone,
 }
 
-/// A line of the list of servers.
+/// An entry of the server list.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ServerInfo {
+    /// The server.
     pub id: ServerId,
+    /// The zone that it is in.
     pub zone: u32,
+    /// The cell that it is in.
     pub cell: u32,
     /// Its kind of machine; those of one kind are alike.
     pub kind: u32,
+    /// What the list says of its process.
     pub lifecycle: Lifecycle,
-    /// Size relative to the other servers.
+    /// Capacity relative to the other servers.
     pub capacity: f64,
     /// When its process started, if not long ago.
     pub started: Option<Time>,
@@ -185,7 +206,9 @@
 /// Whether a list is all servers or those that changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
+    /// All servers: what is not in the list is gone.
     Full,
+    /// Those that changed.
     Delta,
     /// Asking failed; the earlier list holds.
     Failed,
@@ -196,32 +219,41 @@
 pub struct LoadReport {
     /// Requests that wait for service.
     pub queue: Option<f64>,
-    /// Share of the processor that is busy.
+    /// Share of the processor that is busy, from 0.
     pub utilization: Option<f64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
+    /// Served.
     Ok,
+    /// The server answered with an error.
     Error,
-    /// Turned away unexamined; it never ran.
+    /// Rejected unexamined: it was not executed.
     Rejected,
+    /// Not answered in time.
     TimedOut,
-    /// Not connected; it never ran.
+    /// Not connected: it was not executed.
     ConnectFailed,
+    /// The connection broke.
     Reset,
+    /// Cancelled by this gateway, or by its client.
     Cancelled,
     /// Never sent.
     NotSent,
 }
 
-/// A client's try.
+/// One try of a client.
 #[derive(Clone, Debug)]
 pub struct NewRequest {
+    /// The request.
     pub id: RequestId,
+    /// Its class.
     pub class: ClassId,
+    /// The plan of its customer.
     pub plan: PlanId,
+    /// Its customer.
     pub customer: CustomerId,
     /// When the client gives this try up.
     pub deadline: Time,
@@ -229,18 +261,21 @@
     pub units: f64,
     /// Gateways through which this customer's requests come.
     pub gateways: u32,
-    /// The client says that it has tried before; its earlier try had an id of its own.
+    /// The client says that it has tried before, under another id.
     pub is_retry: bool,
     /// Its body is long and still on its way: it can be passed on but once, and what the request has of time begins
-    /// with [`Event::Written`].
+    /// with [`Event::BodyWritten`].
     pub body_in_flight: bool,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct Outcome {
+    /// The request.
     pub id: RequestId,
+    /// The attempt that ended.
     pub attempt: AttemptNo,
+    /// How it ended.
     pub status: Status,
     /// Time since the send.
     pub elapsed: Duration,
@@ -250,38 +285,61 @@
     pub metered_use: Option<f64>,
     /// The units that the request really counted.
     pub actual_units: Option<f64>,
+    /// What the server reported of its load.
     pub report: LoadReport,
     /// The request can't be sent again: its body is gone.
     pub not_retryable: bool,
 }
 
-/// What another process of the same gateway does, while one replaces the other. For quotas, ceilings and cold
-/// servers the two count as one.
+/// What another process of the same gateway does while one replaces the other. For quotas, rate limits and starting servers
+/// the two count as one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerProcessEvent {
-    /// It has sent an attempt; units are counted with a request's first one.
-    Sent { customer: CustomerId, plan: PlanId, gateways: u32, units: f64, server: ServerId },
-    /// One that it had sent has ended, answered or not.
-    Ended { customer: CustomerId, server: ServerId, answered: bool },
-    /// It is gone, and with it what it had out.
+    /// It has sent an attempt.
+    Sent {
+        /// The customer of the request.
+        customer: CustomerId,
+        /// The customer's plan.
+        plan: PlanId,
+        /// Gateways through which this customer's requests come.
+        gateways: u32,
+        /// Units that are counted with a request's first attempt; 0 with others.
+        units: f64,
+        /// The server that it went to.
+        server: ServerId,
+    },
+    /// An attempt that it had sent has ended.
+    Ended {
+        /// The customer of the request.
+        customer: CustomerId,
+        /// The server that it had gone to.
+        server: ServerId,
+        /// The server answered it.
+        answered: bool,
+    },
+    /// It has ended, and with it what it had in flight.
     Gone,
 }
 
 /// Where the fleet's decisions let a request go.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Placement {
-    /// None binds it.
+    /// No decision binds it.
     #[default]
     Unrestricted,
-    /// Its attempts are written at servers of this cell alone.
+    /// Its attempts go to servers of this cell alone.
     Cell(u32),
-    /// Nowhere now: it is refused, unless its quota refuses it before.
-    Unavailable { retry_after: Duration },
+    /// Nowhere now: it is rejected, unless its quota rejects it before.
+    Unavailable {
+        /// What its client is advised to wait.
+        retry_after: Duration,
+    },
 }
 
-/// What is decided in common of one zone, for one gateway.
+/// What is decided for the fleet of one zone, for one gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneShare {
+    /// The zone.
     pub zone: u32,
     /// The share of this gateway's first attempts that goes there; nothing goes where it is 0.
     pub share: f64,
@@ -292,56 +350,97 @@
 /// What happens to a gateway.
 #[derive(Clone, Debug)]
 pub enum Event {
+    /// A server list, or a change of it.
     Servers {
+        /// Whether it is complete.
         scope: Scope,
+        /// The servers.
         servers: Vec<ServerInfo>,
     },
+    /// A new request.
     Request(NewRequest),
-    /// The same, where what the fleet decides binds it.
+    /// A new request that a decision for the fleet binds.
     RequestWithPlacement(NewRequest, Placement),
-    /// A request that was bound to a cell is bound to this one from now on: what it writes has moved.
+    /// A request that was bound to a cell is bound to another one from now on: its shard has moved.
     PlacementMoved {
+        /// The request.
         id: RequestId,
+        /// The cell that it is bound to now.
         cell: u32,
     },
-    /// The server has the last of a body that flows; the request's deadline from now on.
+    /// The server has all of a body that was in flight.
     BodyWritten {
+        /// The request.
         id: RequestId,
+        /// The attempt.
         attempt: AttemptNo,
+        /// The request's deadline from now on.
         deadline: Time,
     },
-    /// A streamed answer began: the attempt is the client's now.
+    /// A streamed answer has begun: the attempt is the client's now.
     StreamStarted {
+        /// The request.
         id: RequestId,
+        /// The attempt.
         attempt: AttemptNo,
     },
+    /// An attempt has ended.
     Outcome(Outcome),
-    /// The client left; nothing more is owed.
+    /// The client has disconnected; nothing more is owed.
     ClientDisconnected(RequestId),
-    /// The operators leave a server out, whatever the list says of it ...
+    /// Operators disable a server, whatever the list says of it ...
     ServerDisabled(ServerId),
-    /// ... and put it back.
+    /// ... and enable it again.
     ServerEnabled(ServerId),
+    /// Another process of this gateway did something.
     PeerProcess(PeerProcessEvent),
-    /// Which zones are sent what, as decided in common; empty: nothing is decided, and each gateway chooses for itself.
+    /// The shares of zones, as decided for the fleet; empty: nothing is decided, and each gateway chooses for itself.
     ZoneShares(Vec<ZoneShare>),
+    /// A timer that was asked for with [`Action::Timer`].
     Timer(Token),
 }
 
 /// What a gateway asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt, given up at `until`. Of one that a window binds, nothing is written at `begin_by` or later.
-    Send { id: RequestId, server: ServerId, deadline: Time, begin_by: Option<Time> },
+    /// Start an attempt.
+    Send {
+        /// The request.
+        id: RequestId,
+        /// The server that it goes to.
+        server: ServerId,
+        /// When it is given up.
+        deadline: Time,
+        /// Nothing is written at this time or later: servers no longer recognize a retry then.
+        begin_by: Option<Time>,
+    },
     /// Stop waiting for an attempt.
-    Cancel { id: RequestId, attempt: AttemptNo },
-    /// Final answer: trying again is harmless.
-    Reject { id: RequestId, retry_after: Duration },
-    /// Final answer: no promise.
-    Fail { id: RequestId },
-    /// Ask for [`Event::Timer`] at or after `at`.
-    Timer { at: Time, token: Token },
-    /// Follow the list of servers.
+    Cancel {
+        /// The request.
+        id: RequestId,
+        /// The attempt.
+        attempt: AttemptNo,
+    },
+    /// Final answer: it was not executed, or trying again is harmless.
+    Reject {
+        /// The request.
+        id: RequestId,
+        /// What the client is advised to wait.
+        retry_after: Duration,
+    },
+    /// Final answer: it may have been executed, and must not be tried again.
+    Fail {
+        /// The request.
+        id: RequestId,
+    },
+    /// Pass in [`Event::Timer`] at or after a time.
+    Timer {
+        /// The time.
+        at: Time,
+        /// What comes back with it.
+        token: Token,
+    },
+    /// Subscribe to the server list.
     Subscribe,
     /// A line for the operators.
     Log(String),
--- a/quota-gateway/core/src/decisions/admission.rs
+++ b/quota-gateway/core/src/decisions/admission.rs
@@ -119,7 +119,7 @@
         let class = new.class.0;
         let priority = (new.plan.0 * self.settings.classes.len() + class) * 2 + usize::from(!within_quota);
         let cost = self.relative_cost(class);
-        !self.shedder.admit(priority, cost) || (!within_quota && self.shedder.f < 1.0)
+        !self.shedder.admit(priority, cost) || (!within_quota && self.shedder.admitted_fraction < 1.0)
     }
 
     /// Sends the first attempt of a request that was let in, or rejects it where no server may take it.
--- a/quota-gateway/core/src/decisions/load_balancing.rs
+++ b/quota-gateway/core/src/decisions/load_balancing.rs
@@ -157,7 +157,8 @@
             let info = &server.info;
             let is_usable = info.lifecycle == Lifecycle::Running && !self.disabled.contains_key(&info.id);
             let is_open = lane.map_or(self.zone_lanes.is_open(info.zone), |lane| lane == info.zone);
-            if !(is_usable && is_open && fits(info)) || !choice.admits(server) {
+            let may_go = is_usable && is_open && fits(info);
+            if !may_go || !choice.admits(server) {
                 continue;
             }
             let candidate = choice.candidate(server, chance);
--- a/quota-gateway/core/src/decisions/load_shedding.rs
+++ b/quota-gateway/core/src/decisions/load_shedding.rs
@@ -1,4 +1,8 @@
-//! The throttle: overload detection, allocation and throttling (Kasera IV-B2, IV-C, IV-D).
+//! Load shedding: overload detection, allocation and throttling (Kasera IV-B2, IV-C, IV-D).
+//!
+//! A loop steers the fraction of demand that is admitted so that the servers' occupancy stays at a target. What is not
+//! admitted is taken from the priorities of the lowest value first. The loop needs samples of occupancy or latency: where
+//! hardly anything is answered it moves slowly, and chance moves it.
 
 use crate::arithmetic::ewma;
 use serde::{Deserialize, Serialize};
@@ -11,144 +15,199 @@
 const MIN_ANSWERS_PER_SAMPLE: f64 = 8.0;
 /// The load that the loop steers for, as occupancy (design).
 const TARGET_OCCUPANCY: f64 = 0.95;
-/// Least fraction allowed (design).
+/// Least fraction of demand that is admitted (design).
 const MIN_ADMITTED_FRACTION: f64 = 0.005;
 /// Weight of a new estimate of the acceptance threshold (design) ...
-const ALPHA_WEIGHT: f64 = 0.02;
+const THRESHOLD_WEIGHT: f64 = 0.02;
 /// ... and steps between two (ours: the paper's 300 would leave the threshold unset for half a minute).
-const ALPHA_STEPS: u64 = 50;
+const THRESHOLD_STEPS: u64 = 50;
 /// Weight of a step's arrivals in a priority's demand (ours: memory of two seconds, see Kasera IV-C).
 const DEMAND_WEIGHT: f64 = 0.05;
+/// An accumulator this close to 1 lets a request pass, as sums of fractions do not reach 1 exactly.
+const ACCUMULATOR_TOLERANCE: f64 = 1e-9;
 
-/// One priority of formula (4): a class under a plan, inside the quota or beyond it.
+/// One priority of formula (4): a class under a plan, within the quota or beyond it.
 #[derive(Clone, Serialize, Deserialize)]
 pub(crate) struct Priority {
-    pub(crate) worth: f64,
+    #[serde(rename = "worth")]
+    pub(crate) value: f64,
+    /// Work that arrived in this step.
     pub(crate) arrived: f64,
+    /// Mean work that arrives a second.
     pub(crate) demand: f64,
-    pub(crate) tau: f64,
-    pub(crate) r: f64,
+    /// The fraction that is throttled (Kasera: tau).
+    #[serde(rename = "tau")]
+    pub(crate) throttled_fraction: f64,
+    /// What is admitted but not yet passed; a request passes when it reaches 1 (Kasera: r).
+    #[serde(rename = "r")]
+    pub(crate) accumulator: f64,
 }
 
+/// What was sent and answered in one interval.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 pub(crate) struct Sample {
+    /// Its length, in seconds.
     pub(crate) span: f64,
+    /// Answers in it.
     pub(crate) count: f64,
+    /// Work that was admitted in it.
     pub(crate) sent: f64,
+    /// Sum of latencies over their targets, by work.
     pub(crate) late: f64,
+    /// Work that was answered in it.
     pub(crate) weight: f64,
 }
 
-/// Overload detection, allocation and throttling (Kasera IV-B2, IV-C, IV-D).
+/// Sheds load by value. Written by name for the gateway's next process.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct Shedder {
-    /// The fraction of demand that is allowed.
-    pub f: f64,
-    pub(crate) alpha_thresh: Option<f64>,
+    /// The fraction of demand that is admitted (Kasera: f).
+    #[serde(rename = "f")]
+    pub admitted_fraction: f64,
+    /// Admitted work a second at the target occupancy (Kasera: the acceptance threshold alpha).
+    #[serde(rename = "alpha_thresh")]
+    pub(crate) acceptance_threshold: Option<f64>,
+    /// The last one is the interval that runs.
     pub(crate) samples: [Sample; SAMPLE_COUNT],
+    /// Assessments so far.
     pub(crate) steps: u64,
     /// Seconds since anything was sampled.
-    pub(crate) quiet: f64,
-    /// Indexed by (plan, class, beyond).
+    #[serde(rename = "quiet")]
+    pub(crate) seconds_without_sample: f64,
+    /// Indexed by (plan, class, beyond the quota).
     pub(crate) priorities: Vec<Priority>,
+    /// Indices of the priorities, the lowest value first.
     #[serde(skip)]
     pub(crate) by_value: Vec<usize>,
 }
 
 impl Shedder {
-    /// A throttle that lets everything pass, with one priority for each worth.
-    pub fn new(worths: impl Iterator<Item = f64>) -> Shedder {
-        let priority = |worth| Priority { worth, arrived: 0.0, demand: 0.0, tau: 0.0, r: 0.0 };
-        let priorities: Vec<Priority> = worths.map(priority).collect();
+    /// Returns a shedder that admits everything, with one priority for each value.
+    pub fn new(values: impl Iterator<Item = f64>) -> Shedder {
+        let priority =
+            |value| Priority { value, arrived: 0.0, demand: 0.0, throttled_fraction: 0.0, accumulator: 0.0 };
+        let priorities: Vec<Priority> = values.map(priority).collect();
         let mut by_value: Vec<usize> = (0..priorities.len()).collect();
-        by_value.sort_by(|&a, &b| priorities[a].worth.total_cmp(&priorities[b].worth));
-        Shedder { f: 1.0, priorities, by_value, ..Shedder::default() }
+        by_value.sort_by(|&a, &b| priorities[a].value.total_cmp(&priorities[b].value));
+        Shedder { admitted_fraction: 1.0, priorities, by_value, ..Shedder::default() }
     }
 
-    /// The accumulator (Kasera IV-D): whether one request of this priority passes.
+    /// Returns whether one request of this priority passes, by the priority's accumulator (Kasera IV-D).
     pub fn admit(&mut self, priority: usize, cost: f64) -> bool {
-        let p = &mut self.priorities[priority];
-        p.arrived += cost;
-        p.r += 1.0 - p.tau;
-        let pass = p.r >= 1.0 - 1e-9;
-        if pass {
-            p.r -= 1.0;
+        let priority = &mut self.priorities[priority];
+        priority.arrived += cost;
+        priority.accumulator += 1.0 - priority.throttled_fraction;
+        let passes = priority.accumulator >= 1.0 - ACCUMULATOR_TOLERANCE;
+        if passes {
+            priority.accumulator -= 1.0;
         }
-        pass
+        passes
     }
 
-    /// Counts what was let in and sent on.
+    /// Counts work that was admitted and sent to a server.
     pub fn on_admitted(&mut self, cost: f64) {
         self.samples[SAMPLE_COUNT - 1].sent += cost;
     }
 
-    /// Counts a latency over its aim in the interval that runs, as `count` answers.
+    /// Counts a latency over its target in the interval that runs, as `count` answers.
     pub fn record_latency(&mut self, count: f64, cost: f64, late: f64) {
         let sample = &mut self.samples[SAMPLE_COUNT - 1];
         let weight = cost * count;
         sample.count += count;
-        self.quiet = 0.0;
+        self.seconds_without_sample = 0.0;
         sample.late += weight * late;
         sample.weight += weight;
     }
 
-    /// One assessment (Kasera IV-B2). `rho` is the reported occupancy where there is one.
-    /// Departure: a sample is an interval that holds enough answers, so that k samples mean the same at a
-    /// gateway that gets one answer in a second; else chance moves f, and as f ends at 1, only down.
+    /// Assesses the load at the end of a step (Kasera IV-B2). `reported` is the occupancy that the servers report, where they
+    /// do; `lag` is the time in seconds in which the servers' answers show a change; `idle`: nothing is in flight.
+    ///
+    /// Departure: a sample is an interval that holds enough answers, so that k samples mean the same at a gateway that gets
+    /// one answer a second; else chance would move the fraction, and as it ends at 1, only down.
     pub fn assess(&mut self, reported: Option<f64>, lag: f64, idle: bool) {
         self.steps += 1;
-        let sum = |part: fn(&Sample) -> f64| self.samples.iter().map(part).sum::<f64>();
-        let alpha = sum(|s| s.sent) / sum(|s| s.span).max(STEP_SECS);
-        let weight = sum(|s| s.weight);
-        let by_latency = (weight > 0.0).then(|| TARGET_OCCUPANCY * sum(|s| s.late) / weight);
-        let rho = reported.into_iter().chain(by_latency).reduce(f64::max).filter(|&rho| rho > 0.0);
-        self.quiet += STEP_SECS;
+        self.seconds_without_sample += STEP_SECS;
+        let admitted_rate = self.admitted_rate();
+        let occupancy = self.occupancy(reported);
         let open = &mut self.samples[SAMPLE_COUNT - 1];
         open.span += STEP_SECS;
-        // What is shed here nobody answers: with fewer let in, fewer are enough, or f would stay where it is
-        // for want of the answers that it keeps from coming.
-        let full = open.count >= (MIN_ANSWERS_PER_SAMPLE * self.f).max(1.0);
-        if let Some(rho) = rho.filter(|_| full) {
-            let mut ratio = TARGET_OCCUPANCY / rho;
-            if let Some(thresh) = self.alpha_thresh.filter(|_| reported.is_some() && alpha > 0.0) {
-                // Departure: the threshold is learnt at this gateway's share of the traffic, so it cuts only
-                // while the occupancy agrees; else traffic shifted here by a crash would be refused for it.
-                if rho > TARGET_OCCUPANCY {
-                    ratio = ratio.min(thresh / alpha);
-                }
+        let span = open.span;
+        // What is shed here nobody answers: with fewer admitted, fewer answers are enough, or the fraction would stay where
+        // it is for want of the answers that it keeps from coming.
+        let is_full = open.count >= (MIN_ANSWERS_PER_SAMPLE * self.admitted_fraction).max(1.0);
+        if let Some(occupancy) = occupancy.filter(|_| is_full) {
+            let is_comparable = reported.is_some() && admitted_rate > 0.0;
+            self.correct(occupancy, admitted_rate, is_comparable, span, lag);
+            if self.steps.is_multiple_of(THRESHOLD_STEPS) && is_comparable {
+                self.update_threshold(TARGET_OCCUPANCY * admitted_rate / occupancy);
             }
-            // Departure: a step moves f by the part of the correction that the back end can have answered to
-            // within the step. Guards against swings when answers take many steps; hurts by a later cut.
-            self.f *= ratio.powf(open.span / (open.span + lag));
-            if self.steps.is_multiple_of(ALPHA_STEPS) && reported.is_some() && alpha > 0.0 {
-                let estimate = TARGET_OCCUPANCY * alpha / rho;
-                self.alpha_thresh =
-                    Some(self.alpha_thresh.map_or(estimate, |old| ewma(old, estimate, ALPHA_WEIGHT)));
-            }
-        } else if idle && self.quiet > SAMPLE_COUNT as f64 * MIN_ANSWERS_PER_SAMPLE * STEP_SECS.max(lag) {
-            // Departure: all demand is refused and nothing is out, so no sample can ever raise f again.
-            self.f /= TARGET_OCCUPANCY;
+        } else if idle && self.has_starved(lag) {
+            // Departure: all demand is shed and nothing is in flight, so no sample can ever raise the fraction again.
+            self.admitted_fraction /= TARGET_OCCUPANCY;
         }
-        self.f = self.f.clamp(MIN_ADMITTED_FRACTION, 1.0);
+        self.admitted_fraction = self.admitted_fraction.clamp(MIN_ADMITTED_FRACTION, 1.0);
         self.allocate();
-        if full {
+        if is_full {
             self.samples.rotate_left(1);
             self.samples[SAMPLE_COUNT - 1] = Sample::default();
         }
     }
 
-    /// Formula (4): the lowest priorities bear the shed share of demand.
+    fn sum(&self, part: fn(&Sample) -> f64) -> f64 {
+        self.samples.iter().map(part).sum::<f64>()
+    }
+
+    /// Admitted work a second, over the samples.
+    fn admitted_rate(&self) -> f64 {
+        self.sum(|sample| sample.sent) / self.sum(|sample| sample.span).max(STEP_SECS)
+    }
+
+    /// The occupancy: the larger one of what is reported and what the latencies show. `None` where neither shows any.
+    fn occupancy(&self, reported: Option<f64>) -> Option<f64> {
+        let weight = self.sum(|sample| sample.weight);
+        let by_latency = (weight > 0.0).then(|| TARGET_OCCUPANCY * self.sum(|sample| sample.late) / weight);
+        reported.into_iter().chain(by_latency).reduce(f64::max).filter(|&occupancy| occupancy > 0.0)
+    }
+
+    /// Moves the admitted fraction towards the target occupancy.
+    fn correct(&mut self, occupancy: f64, admitted_rate: f64, is_comparable: bool, span: f64, lag: f64) {
+        let mut ratio = TARGET_OCCUPANCY / occupancy;
+        if let Some(threshold) = self.acceptance_threshold.filter(|_| is_comparable) {
+            // Departure: the threshold is learnt at this gateway's share of the traffic, so it cuts only while the occupancy
+            // agrees; else traffic that a crash shifted here would be rejected for it.
+            if occupancy > TARGET_OCCUPANCY {
+                ratio = ratio.min(threshold / admitted_rate);
+            }
+        }
+        // Departure: a step moves the fraction by the part of the correction that the servers can have answered to within the
+        // step. Guards against swings when answers take many steps; hurts by a later cut.
+        self.admitted_fraction *= ratio.powf(span / (span + lag));
+    }
+
+    fn update_threshold(&mut self, estimate: f64) {
+        let updated = self.acceptance_threshold.map_or(estimate, |old| ewma(old, estimate, THRESHOLD_WEIGHT));
+        self.acceptance_threshold = Some(updated);
+    }
+
+    /// Whether nothing was sampled for as long as all samples take.
+    fn has_starved(&self, lag: f64) -> bool {
+        let patience = SAMPLE_COUNT as f64 * MIN_ANSWERS_PER_SAMPLE * STEP_SECS.max(lag);
+        self.seconds_without_sample > patience
+    }
+
+    /// Formula (4): the priorities of the lowest value bear the share of demand that is shed.
     pub(crate) fn allocate(&mut self) {
-        for p in &mut self.priorities {
-            p.demand = ewma(p.demand, p.arrived / STEP_SECS, DEMAND_WEIGHT);
-            p.arrived = 0.0;
+        for priority in &mut self.priorities {
+            priority.demand = ewma(priority.demand, priority.arrived / STEP_SECS, DEMAND_WEIGHT);
+            priority.arrived = 0.0;
         }
-        let demand: f64 = self.priorities.iter().map(|p| p.demand).sum();
-        let mut shed = (1.0 - self.f) * demand;
-        for &i in &self.by_value {
-            let p = &mut self.priorities[i];
-            p.tau = if shed <= 0.0 || p.demand <= 0.0 { 0.0 } else { (shed / p.demand).min(1.0) };
-            shed -= p.demand.min(shed);
+        let demand: f64 = self.priorities.iter().map(|priority| priority.demand).sum();
+        let mut shed = (1.0 - self.admitted_fraction) * demand;
+        for &index in &self.by_value {
+            let priority = &mut self.priorities[index];
+            priority.throttled_fraction =
+                if shed <= 0.0 || priority.demand <= 0.0 { 0.0 } else { (shed / priority.demand).min(1.0) };
+            shed -= priority.demand.min(shed);
         }
     }
 }
--- a/quota-gateway/core/src/decisions/step.rs
+++ b/quota-gateway/core/src/decisions/step.rs
@@ -69,11 +69,13 @@
     }
 
     fn log_shedding(&mut self, actions: &mut Vec<Action>) {
-        let f = self.shedder.f;
-        let changes = self.shedding != (f < SHEDDING_BELOW) && (f < SHEDDING_BELOW || f >= 1.0);
+        let admitted = self.shedder.admitted_fraction;
+        let is_shedding = admitted < SHEDDING_BELOW;
+        let is_clear = admitted >= 1.0;
+        let changes = self.shedding != is_shedding && (is_shedding || is_clear);
         if changes {
             self.shedding = !self.shedding;
-            actions.push(Action::Log(format!("shedding: {}, f {f:.2}", self.shedding)));
+            actions.push(Action::Log(format!("shedding: {}, f {admitted:.2}", self.shedding)));
         }
     }
 
--- a/quota-gateway/core/src/decisions/tests.rs
+++ b/quota-gateway/core/src/decisions/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn servers_that_are_gone_are_forgotten_once_no_request_needs_them() {
+fn departed_servers_are_forgotten_once_no_request_references_them() {
     let ms = Duration::from_millis;
     let effect = Effect::Keyed { group: DeduplicationScope::Cell, window: ms(5000) };
     let settings = Settings {
--- a/quota-gateway/core/src/lib.rs
+++ b/quota-gateway/core/src/lib.rs
@@ -68,7 +68,7 @@
 mod weighted_lanes;
 
 pub use api::*;
-pub use decisions::load_shedding::{Shedder, STEP_SECS as THROTTLE_STEP};
+pub use decisions::load_shedding::{Shedder, STEP_SECS as SHEDDER_STEP_SECS};
 pub use decisions::Gateway;
 pub use random::Random;
 pub use state_transfer::StateSnapshot;
--- a/quota-gateway/core/tests/failures.rs
+++ b/quota-gateway/core/tests/failures.rs
@@ -32,7 +32,7 @@
 
 /// Keyed work that may have run fails instead of being refused, and is repeated only in its group.
 #[test]
-fn keyed_work_stays_in_its_group() {
+fn keyed_requests_stay_in_their_deduplication_scope() {
     let mut door = Door::new(settings(vec![class(keyed(DeduplicationScope::Zone), 1.0)], vec![roomy()]), 8);
     for _ in 0..20 {
         let (id, first) = door.request(0, 0, 1);
@@ -51,7 +51,7 @@
 
 /// Unsafe work that may have run is neither repeated nor refused; what never ran may be sent again.
 #[test]
-fn unsafe_work_is_not_repeated() {
+fn unsafe_requests_are_not_retried() {
     let mut door = Door::new(settings(vec![class(Effect::Unsafe, 1.0)], vec![roomy()]), 4);
     let (id, _) = door.request(0, 0, 1);
     let after = door.settle(id, 0, Status::ConnectFailed, 5);
@@ -62,7 +62,7 @@
 
 /// Nothing goes to a server from the moment that its drain is told.
 #[test]
-fn drains_are_kept_at_once() {
+fn draining_servers_get_nothing_at_once() {
     let mut door = Door::new(settings(safe(), vec![roomy()]), 2);
     let mut drained = server(0);
     drained.lifecycle = Lifecycle::Draining;
@@ -76,7 +76,7 @@
 
 /// One gateway of two sends on no more than its half of a ceiling, which starts empty but for the slack.
 #[test]
-fn ceiling_is_kept_alone() {
+fn rate_limit_is_kept_by_local_parts() {
     let plan = Plan { rate_limit: 10.0, rate_limit_burst: 20.0, rate_limit_slack: 2.0, ..roomy() };
     let mut door = Door::new(settings(safe(), vec![plan]), 20);
     let mut units = 0.0;
@@ -92,7 +92,7 @@
 
 /// A part of a ceiling fills from the gateway's start: a customer's first request after that finds it.
 #[test]
-fn ceiling_fills_from_the_start_of_the_gateway() {
+fn rate_limit_bucket_fills_from_the_start_of_the_gateway() {
     let plan = Plan { rate_limit: 2.0, rate_limit_burst: 10.0, ..roomy() };
     let mut door = Door::new(settings(safe(), vec![plan]), 4);
     assert!(refused(&door.request_of(0, 0, 1, 3.0).1));
@@ -102,7 +102,7 @@
 
 /// A cold server is sent its part of what warm ones bear, not an equal one.
 #[test]
-fn cold_server_gets_its_part() {
+fn warming_up_server_gets_its_share() {
     let mut door = Door::new(settings(safe(), vec![roomy()]), 4);
     for _ in 0..100 {
         door.serve(0, 0, 1, 20);
@@ -117,7 +117,7 @@
 
 /// A queue that was reported once, by servers that then got no requests, held f at its least for good.
 #[test]
-fn stale_load_reports_let_go() {
+fn stale_load_reports_expire() {
     let mut door = Door::new(settings(safe(), vec![roomy()]), 4);
     for _ in 0..40 {
         let (id, actions) = door.request(0, 0, 1);
@@ -140,7 +140,7 @@
 
 /// One silent server of many is left; all servers slow is shed and ejects none.
 #[test]
-fn one_silent_server_is_told_from_a_slow_fleet() {
+fn one_unresponsive_server_is_distinguished_from_a_slow_fleet() {
     let mut door = Door::new(settings(safe(), vec![roomy()]), 6);
     let mut to_silent = 0;
     for i in 0..300 {
@@ -176,7 +176,7 @@
 
 /// Under pressure the cheap class is refused and the dear one served.
 #[test]
-fn worth_decides_who_is_refused() {
+fn the_lowest_value_is_shed_first() {
     let classes = vec![class(Effect::Safe, 1.0), class(Effect::Safe, 5.0)];
     let mut door = Door::new(settings(classes, vec![roomy()]), 2);
     let mut out = Vec::new();
@@ -200,7 +200,7 @@
 
 /// Beyond its quota a hard plan is refused with a retry-after, a soft one passes where there is room.
 #[test]
-fn quota_is_held_and_soft_plans_pass() {
+fn hard_quotas_reject_and_soft_plans_pass() {
     let hard = Plan { rate: 2.0, burst: 4.0, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
     let soft = Plan { over_quota_value: 0.5, over_quota_cost: 0.0, ..hard.clone() };
     let mut door = Door::new(settings(safe(), vec![hard, soft]), 20);
@@ -214,7 +214,7 @@
 
 /// Absurd settings and reports neither panic nor stop the gateway from answering.
 #[test]
-fn absurd_numbers_are_borne() {
+fn absurd_numbers_do_no_harm() {
     let plan = Plan { rate: f64::NAN, burst: f64::NEG_INFINITY, price: f64::INFINITY, ..Plan::default() };
     let mut odd = settings(safe(), vec![plan, roomy()]);
     odd.slow_start_initial_share = f64::NAN;
@@ -238,7 +238,7 @@
 
 /// A server that failed was left for good when nothing cleared its failures: it is tried again after a while.
 #[test]
-fn a_failing_server_is_tried_again() {
+fn a_failing_server_is_retried_after_a_while() {
     let mut door = Door::new(settings(safe(), vec![roomy()]), 4);
     let mut sends = [0, 0, 0];
     for i in 0..1200 {
@@ -265,7 +265,7 @@
 
 /// With many gateways the open cap counts what the others have out.
 #[test]
-fn open_cap_counts_the_others() {
+fn the_concurrency_limit_counts_other_gateways() {
     let plan = Plan {
         rate: 100.0,
         burst: 200.0,
@@ -282,7 +282,7 @@
 /// Backlog that tips over, and many gateways with one attempt each at every server: what a gateway has out is bounded,
 /// and beyond the quota more tightly.
 #[test]
-fn attempts_out_are_bounded() {
+fn attempts_in_flight_are_bounded() {
     let soft = Plan { rate: 0.001, burst: 0.001, price: 1.0, over_quota_value: 0.5, ..Plan::default() };
     let out = |gateways: u32, plan: usize| {
         let mut cfg = settings(safe(), vec![roomy(), soft.clone()]);
@@ -298,7 +298,7 @@
 
 /// Attempts that hang at a silent server are called off, so that they stop filling their customer's open cap.
 #[test]
-fn hung_work_is_called_off() {
+fn hung_attempts_are_cancelled() {
     let mut door = Door::new(settings(safe(), vec![roomy()]), 3);
     let mut hung = 0;
     for _ in 0..200 {
@@ -341,7 +341,7 @@
 
 /// A restarted server got nothing for its whole ramp when each of hundreds of gateways waited for a send of its own.
 #[test]
-fn hundreds_of_gateways_share_a_cold_server_by_chance() {
+fn hundreds_of_gateways_share_a_warming_up_server_by_chance() {
     let mut to_cold = 0;
     for seed in 0..200 {
         let mut cfg = settings(safe(), vec![roomy()]);
@@ -373,7 +373,7 @@
 /// Of a hundred gateways each left more room for the others than a store holds, and refused a large request at first
 /// sight; and what the store holds was taken by all of them at once.
 #[test]
-fn room_seen_by_many_gateways_is_split_by_chance() {
+fn quota_left_over_is_split_among_gateways_by_chance() {
     let plan = Plan { rate: 2.0, burst: 12.0, price: 1.0, over_quota_cost: 1.2, ..Plan::default() };
     let mut let_in = [0, 0];
     for seed in 0..100 {
@@ -391,7 +391,7 @@
 
 /// Clients with little time left took quota and server work for answers that could not come in their time.
 #[test]
-fn a_try_without_time_for_an_answer_is_refused() {
+fn a_request_without_time_for_an_answer_is_rejected() {
     let plan = Plan { rate: 0.001, burst: 40.0, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
     let mut door = Door::new(settings(safe(), vec![plan, roomy()]), 4);
     for _ in 0..100 {
@@ -421,7 +421,7 @@
 /// Half of all tries were clients' repeats, most of them past their aim: served, they earned nothing, and took the
 /// quota from first tries.
 #[test]
-fn a_repeat_whose_aim_has_passed_takes_no_quota() {
+fn a_retry_past_its_latency_target_takes_no_quota() {
     let plan = Plan { rate: 0.001, burst: 40.0, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
     let mut door = Door::new(settings(safe(), vec![plan]), 4);
     let ask = |door: &mut Door, wait: u64, repeat: bool| {
@@ -457,7 +457,7 @@
 
 /// Clients were told to come back after the aim, for answers worth nothing, also where the units were almost there.
 #[test]
-fn a_refusal_says_when_it_is_worth_coming_back() {
+fn a_rejection_advises_when_to_retry() {
     let advice = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
             Action::Reject { retry_after, .. } => Some(retry_after.as_millis()),
@@ -485,7 +485,7 @@
 /// A single request in a period of the meter reads as far more than the rate, and counted as the customer's use for
 /// a minute: its whole store seemed spent, and what was beyond the slice was refused.
 #[test]
-fn one_high_reading_of_the_meter_does_not_empty_the_store() {
+fn one_high_meter_reading_does_not_empty_the_bucket() {
     let plan = Plan { rate: 1.0, burst: 12.0, price: 1.0, over_quota_cost: 1.2, ..Plan::default() };
     let mut let_in = [0, 0];
     for (steady, let_in) in let_in.iter_mut().enumerate() {
@@ -512,7 +512,7 @@
 /// A client that hung up took its attempt along, which counted as its server's failure: the server was shunned for
 /// seconds.
 #[test]
-fn a_client_that_hangs_up_is_not_held_against_the_server() {
+fn a_disconnected_client_does_not_count_against_the_server() {
     // Two at a time go to both servers, unless one is shunned.
     let both_used = |door: &mut Door| {
         let asked: Vec<_> = (0..2).map(|_| door.request(0, 0, 1)).collect();
@@ -540,7 +540,7 @@
 
 /// A customer's last units went to whoever came first, and the class of more worth was refused behind the other.
 #[test]
-fn the_last_units_are_left_to_the_class_of_more_worth() {
+fn the_last_units_are_left_to_the_most_valuable_class() {
     let classes = || vec![class(Effect::Safe, 3.0), class(Effect::Unsafe, 2.0)];
     let plan = |burst: f64| Plan { rate: 0.001, burst, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
     let plans = vec![plan(4.0), plan(2.0)];
@@ -556,7 +556,7 @@
 
 /// A reading of the meter was dropped after some seconds, and a heavy customer seen seldom was new each time.
 #[test]
-fn a_heavy_customer_is_remembered_between_rare_tries() {
+fn a_heavy_customer_is_remembered_between_rare_requests() {
     let plan = Plan { rate: 1.0, burst: 6.0, price: 1.0, over_quota_cost: 1.2, ..Plan::default() };
     let mut let_in = [0, 0];
     for (heavy, let_in) in let_in.iter_mut().enumerate() {
@@ -579,7 +579,7 @@
 
 /// A ceiling is kept by all gateways together, through restarts: each has its part and starts it nearly empty.
 #[test]
-fn a_ceiling_holds_over_gateways_and_restarts() {
+fn a_rate_limit_holds_across_gateways_and_restarts() {
     let plan = Plan {
         rate: 1e3,
         burst: 1e3,
@@ -637,7 +637,7 @@
 
 /// A server that the operators leave out gets nothing whatever the list says, be it that it starts anew.
 #[test]
-fn what_operators_leave_out_gets_nothing_until_it_is_put_back() {
+fn a_disabled_server_gets_nothing_until_it_is_enabled() {
     let mut door = Door::new(settings(safe(), vec![roomy()]), 2);
     door.event(Event::ServerDisabled(ServerId(0)));
     door.event(Event::ServerDisabled(ServerId(0)));
@@ -660,7 +660,7 @@
 /// A restart of a server that was left out becomes known late: until then it is not taken for warm, and however slow
 /// it was before, it is sent something.
 #[test]
-fn a_server_put_back_is_taken_for_cold_until_the_list_can_have_told() {
+fn an_enabled_server_warms_up_until_the_list_can_have_reported_a_restart() {
     let mut door = Door::new(settings(safe(), vec![roomy()]), 3);
     for _ in 0..300 {
         door.serve(0, 0, 1, 10);
@@ -681,7 +681,7 @@
 
 /// A process that replaces another one goes on with its accounts, and the two keep them together while both live.
 #[test]
-fn an_upgrade_counts_nothing_twice_and_forgets_nothing() {
+fn an_upgrade_counts_nothing_twice_and_loses_nothing() {
     let plan = Plan {
         rate: 0.001,
         burst: 12.0,
@@ -777,7 +777,7 @@
 
 /// What may be sent but once is given up when it has been: no other attempt could carry it.
 #[test]
-fn a_body_that_is_gone_is_not_sent_again() {
+fn a_body_that_was_forwarded_is_not_sent_again() {
     let mut door = Door::new(settings(safe(), vec![roomy()]), 4);
     assert!(sent(&long_request(&mut door, 900)).is_some());
     let gone = Outcome { not_retryable: true, ..outcome(RequestId(900), 0, Status::ConnectFailed, 5) };
@@ -790,7 +790,7 @@
 
 /// A long answer is an answer from its first byte on, and what passes of it later takes no room at its server.
 #[test]
-fn answers_that_pass_take_no_room_and_are_not_slow() {
+fn streamed_answers_take_no_capacity_and_are_not_slow() {
     let mut door = Door::new(settings(safe(), vec![roomy()]), 1);
     for n in 0..40 {
         let (id, actions) = door.request(0, 0, n);
@@ -809,7 +809,7 @@
 /// With most servers cold, each gets its part of what a warm one is sent: the whole fleet is used, and no cold one
 /// more than it can do.
 #[test]
-fn cold_servers_get_their_part_however_many_they_are() {
+fn warming_up_servers_get_their_share_however_many_they_are() {
     let cfg = Settings { gateways: 1, ..settings(safe(), vec![roomy()]) };
     let mut door = Door::new(cfg, 7);
     door.spread = 1;
@@ -834,7 +834,7 @@
 /// A gateway that has sent nothing yet, before servers that are all cold, serves at what they bear: it knows of no warm one's
 /// rate, and parts of nothing kept it from ever sending. What all of them are sent stays under what pushes one over.
 #[test]
-fn a_gateway_that_starts_before_cold_servers_alone_serves() {
+fn a_gateway_that_starts_before_warming_up_servers_alone_serves() {
     for gap in [50, 20] {
         let mut door = Door::new(Settings { gateways: 1, ..settings(safe(), vec![roomy()]) }, 0);
         door.spread = 1;
@@ -856,7 +856,7 @@
 
 /// After a jam the fraction let in rises again though few answers come, as it keeps them from coming itself.
 #[test]
-fn a_low_fraction_does_not_starve_itself_of_answers() {
+fn a_low_admitted_fraction_does_not_starve_itself_of_answers() {
     let mut door = Door::new(settings(safe(), vec![roomy()]), 2);
     // All that comes finds no room while the servers say nothing for a while.
     let mut jam = Vec::new();
@@ -927,7 +927,7 @@
 
 /// A gateway whose own servers all fail sends to the others.
 #[test]
-fn a_set_whose_servers_fail_is_widened() {
+fn a_subset_whose_servers_fail_is_widened() {
     let cfg = Settings { gateways: 100, ..settings(safe(), vec![roomy()]) };
     let mut door = Door::new(cfg, 60);
     let own: BTreeSet<_> = (0..100).filter_map(|_| door.serve(0, 0, 1, 20)).collect();
@@ -950,7 +950,7 @@
 /// A cold server's part is a send now and then from each of many gateways. Where it waited for its turn among all servers
 /// that were free, what it could have had meanwhile was lost, and the warm ones drowned beside it.
 #[test]
-fn cold_servers_get_their_part_from_many_gateways() {
+fn warming_up_servers_get_their_share_from_many_gateways() {
     let (mut to_cold, mut all) = (0, 0);
     for number in 0..100 {
         let cfg = Settings { gateways: 100, gateway_index: number, ..settings(safe(), vec![roomy()]) };
@@ -977,7 +977,7 @@
 /// A repeat with little time left went to a server that is many times as slow as its like, where no answer could come in
 /// time, when the others were full or gone; the client was kept waiting for nothing.
 #[test]
-fn a_repeat_is_not_sent_to_a_server_too_slow_for_what_is_left() {
+fn a_retry_is_not_sent_to_a_server_too_slow_for_the_time_left() {
     let mut door = Door::new(settings(safe(), vec![roomy()]), 4);
     let others = |door: &mut Door, lifecycle: Lifecycle| {
         door.list(Scope::Delta, (1..4).map(|id| ServerInfo { lifecycle, ..server(id) }).collect());
@@ -1013,7 +1013,7 @@
 
 /// A fleet that is slow as a whole is no reason to ask nobody: nothing else would show that it has recovered.
 #[test]
-fn a_fleet_that_is_slow_as_a_whole_is_asked_all_the_same() {
+fn a_fleet_that_is_slow_altogether_still_gets_requests() {
     let mut door = Door::new(settings(safe(), vec![roomy()]), 4);
     for _ in 0..60 {
         door.serve(0, 0, 1, 60);
@@ -1025,7 +1025,7 @@
 
 /// Further attempts are a share of the first ones, however much fails.
 #[test]
-fn the_retry_budget_bounds_further_attempts() {
+fn the_retry_budget_bounds_retries() {
     for (status, price) in [(Status::Error, 1.0), (Status::Reset, 0.2)] {
         let mut door = Door::new(settings(safe(), vec![roomy()]), 30);
         let (mut first, mut further) = (0, 0);
@@ -1054,7 +1054,7 @@
 /// A first attempt went to a server that had been silent beyond doubt, when there was no other: nothing could be expected of
 /// it in time, and the client was kept waiting.
 #[test]
-fn a_first_attempt_is_not_sent_where_even_the_best_server_is_silent_beyond_doubt() {
+fn a_first_attempt_is_not_sent_where_even_the_best_server_is_unresponsive() {
     let mut door = Door::new(settings(vec![class(Effect::Unsafe, 1.0)], vec![roomy()]), 1);
     for _ in 0..40 {
         door.serve(0, 0, 1, 50);
--- a/quota-gateway/core/tests/rules_hold.rs
+++ b/quota-gateway/core/tests/invariants.rs
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn the_five_rules_hold() {
+fn the_five_invariants_hold() {
     let steps = prop::collection::vec(step(), 1..250);
     runner(300)
         .run(&(steps, any::<bool>(), any::<bool>()), |(steps, copies, cancel)| {
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn the_rules_hold_under_every_deployments_settings() {
+fn the_invariants_hold_under_every_deployments_settings() {
     for deployment in &DEPLOYMENTS {
         let cfg = deployment.settings();
         let (sent, again) = (Cell::new(0), Cell::new(0));
--- a/quota-gateway/core/tests/places.rs
+++ b/quota-gateway/core/tests/placements.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_request_that_was_turned_away_goes_where_its_book_has_moved() {
+fn a_rejected_request_goes_where_its_shard_has_moved() {
     let mut door = door();
     let first = placed(&mut door, 1, Placement::Cell(0));
     assert_eq!(cell(sent(&first)), Some(0));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_request_that_may_go_nowhere_is_refused_at_once_and_told_when_to_come_back() {
+fn a_request_without_placement_is_rejected_at_once_with_retry_advice() {
     let mut door = door();
     let actions = placed(&mut door, 1, Placement::Unavailable { retry_after: ms(400) });
     assert!(actions.contains(&Action::Reject { id: RequestId(1), retry_after: ms(400) }), "{actions:?}");
--- a/quota-gateway/core/tests/quotas.rs
+++ b/quota-gateway/core/tests/quotas.rs
@@ -38,7 +38,7 @@
 /// A customer that comes through many gateways was refused where its quota was known to be used, and its repeat let in as
 /// a first ask by the next gateway, which knew nothing of it.
 #[test]
-fn a_repeat_is_no_first_ask_where_nothing_is_known_of_its_customer() {
+fn a_retry_is_no_first_request_where_nothing_is_known_of_its_customer() {
     let let_in = |gateways: u32, repeat: bool| {
         let ask = |number: u32| {
             let (mut door, request) = first_try(&plan(), number);
@@ -54,7 +54,7 @@
 /// Of hundreds of gateways each lets in the first ask of a customer that it knows nothing of, and where many customers ask for
 /// several times their quotas most of that is beyond them. What the meter tells of others of the plan says how much is.
 #[test]
-fn customers_of_whom_nothing_is_known_are_taken_for_the_mean_ones_of_their_plan() {
+fn unknown_customers_are_taken_for_the_mean_of_their_plan() {
     let let_in = |used: f64| {
         let ask = |number: u32| {
             let (mut door, request) = first_try(&plan(), number);
@@ -124,7 +124,7 @@
 
 /// An equal part of a quota among hundreds of gateways holds no request, and without a meter nothing was let in at all.
 #[test]
-fn without_a_meter_customers_of_many_gateways_are_served_and_heavy_ones_held() {
+fn without_a_meter_customers_of_many_gateways_are_served_and_heavy_ones_limited() {
     // The dear plan's customers ask much at one gateway each, which tells a calm one from a heavy one the least.
     for (plan, least, most) in [((1.3, 5.0, 1.0), 0.53, 1.2), ((17.0, 34.0, 2.0), 0.35, 1.2)] {
         for seed in 1..=3 {
--- a/quota-gateway/core/tests/cold.rs
+++ b/quota-gateway/core/tests/slow_start.rs
@@ -137,7 +137,7 @@
 
 const FLEETS: [u32; 4] = [3, 20, 30, 300];
 
-fn held(what: &str, play: impl Fn(&mut Fleet) -> (u32, u64)) {
+fn all_gateways_together(what: &str, play: impl Fn(&mut Fleet<'_>) -> (u32, u64)) {
     for (number, site) in SITES.iter().enumerate() {
         for gateways in FLEETS {
             for seed in 1..=3 {
@@ -155,8 +155,8 @@
 }
 
 #[test]
-fn a_server_that_starts_into_a_burst_is_not_pushed_over_by_all_together() {
-    held("burst", |fleet| {
+fn a_server_that_starts_into_a_burst_is_not_overloaded_by_all_gateways_together() {
+    all_gateways_together("burst", |fleet| {
         let asked = fleet.site.asked();
         fleet.play(asked, 4000);
         let began = fleet.now;
@@ -173,8 +173,8 @@
 }
 
 #[test]
-fn a_server_that_is_put_back_is_not_pushed_over_by_all_together() {
-    held("put back", |fleet| {
+fn an_enabled_server_is_not_overloaded_by_all_gateways_together() {
+    all_gateways_together("put back", |fleet| {
         let asked = fleet.site.asked();
         fleet.play(asked, 4000);
         fleet.tell(&Event::ServerDisabled(ServerId(0)));
@@ -192,8 +192,8 @@
 }
 
 #[test]
-fn servers_that_are_all_cold_are_not_pushed_over_by_all_together() {
-    held("all cold", |fleet| {
+fn servers_that_all_warm_up_are_not_overloaded_by_all_gateways_together() {
+    all_gateways_together("all cold", |fleet| {
         let asked = fleet.site.asked();
         fleet.play(asked, 2000);
         let began = fleet.now;
--- a/quota-gateway/core/tests/zones.rs
+++ b/quota-gateway/core/tests/zones.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn first_attempts_go_where_the_shares_say() {
+fn first_attempts_follow_the_zone_shares() {
     let mut door = door();
     let (alone, refused) = abroad(&mut door, 200);
     assert!(alone < 20 && refused == 0, "alone it stays at home: {alone}");
@@ -46,7 +46,7 @@
 
 /// A jump in demand takes no more to another zone than its bound, and what nobody bears is refused at once.
 #[test]
-fn what_goes_abroad_keeps_its_rate() {
+fn cross_zone_requests_keep_their_rate() {
     let mut door = door();
     door.event(Event::ZoneShares(vec![share(0, 0.5, f64::INFINITY), share(1, 0.5, 10.0)]));
     let (abroad_in_two_seconds, refused) = abroad(&mut door, 200);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_repeat_goes_to_no_zone_that_is_out_and_an_empty_zone_keeps_nobody() {
+fn a_retry_goes_to_no_failed_over_zone_and_an_empty_zone_holds_nothing_up() {
     let mut door = door();
     abroad(&mut door, 100);
     door.event(Event::ZoneShares(vec![share(0, 0.0, f64::INFINITY), share(1, 1.0, 1000.0)]));
