--- a/control-plane/control-state/src/acceptance.rs
+++ b/control-plane/control-state/src/acceptance.rs
@@ -11,7 +11,7 @@
 
 /// Number of accepted submissions that are retained, so that repetitions of them are acknowledged. Whether a submission
 /// older than these was accepted is unknown.
-pub const MAX_REMEMBERED_GENERATIONS: usize = 20_000;
+pub const MAX_RETAINED_GENERATIONS: usize = 20_000;
 
 /// Accepts a complete configuration, or rejects it.
 pub(crate) fn replace_configuration(
@@ -54,7 +54,7 @@
     if state.has_accepted(generation, submission) {
         Some(Output::Accepted)
     } else if generation <= state.highest_pruned_generation {
-        Some(Output::GenerationForgotten)
+        Some(Output::GenerationPruned)
     } else if base != state.generation {
         Some(Output::Conflict(state.generation))
     } else if generation <= state.generation {
@@ -70,7 +70,7 @@
     state.body = body;
     state.sequence += 1;
     state.accepted.push_back(accepted);
-    if state.accepted.len() > MAX_REMEMBERED_GENERATIONS {
+    if state.accepted.len() > MAX_RETAINED_GENERATIONS {
         if let Some(oldest) = state.accepted.pop_front() {
             state.highest_pruned_generation = oldest.generation;
         }
--- a/control-plane/control-state/src/lib.rs
+++ b/control-plane/control-state/src/lib.rs
@@ -14,7 +14,7 @@
 mod operation;
 mod state;
 
-pub use acceptance::MAX_REMEMBERED_GENERATIONS;
+pub use acceptance::MAX_RETAINED_GENERATIONS;
 pub use operation::{Operation, Output};
 pub use state::ControlState;
 
--- a/control-plane/control-state/src/operation.rs
+++ b/control-plane/control-state/src/operation.rs
@@ -54,7 +54,7 @@
     /// The operation's generation is not higher than the one in force, which is this one.
     GenerationTooLow(u64),
     /// The operation's generation is not above one that has been pruned, so whether it was accepted before is unknown.
-    GenerationForgotten,
+    GenerationPruned,
     /// The change does not result in a valid configuration, for this reason.
     Invalid(String),
     /// The operation changed the state, or the state was already as requested.
--- a/control-plane/control-state/src/state.rs
+++ b/control-plane/control-state/src/state.rs
@@ -30,7 +30,7 @@
     /// Number of configurations accepted so far. Gateways never return to a configuration with a lower number.
     pub(crate) sequence: u64,
     /// Submissions that were accepted, by ascending generation; bounded by
-    /// [`MAX_REMEMBERED_GENERATIONS`](crate::MAX_REMEMBERED_GENERATIONS).
+    /// [`MAX_RETAINED_GENERATIONS`](crate::MAX_RETAINED_GENERATIONS).
     pub(crate) accepted: VecDeque<AcceptedConfiguration>,
     /// The highest generation that was pruned from `accepted`; 0 before the first.
     pub(crate) highest_pruned_generation: u64,
--- a/control-plane/core/src/coordinator/pulls.rs
+++ b/control-plane/core/src/coordinator/pulls.rs
@@ -86,12 +86,13 @@
         let list = self.server_list.list.as_ref();
         let updates = ConfigurationUpdates {
             fresh: true,
-            configuration: (control.sequence() > known.configuration).then(|| ConfigurationUpdate {
+            configuration: (control.sequence() > known.configuration_sequence).then(|| ConfigurationUpdate {
                 sequence: control.sequence(),
                 body: Bytes(control.body().unwrap_or_default().to_vec()),
             }),
-            servers: list.filter(|list| list.version > known.servers).cloned(),
-            stores: (control.store_view().number > known.stores).then(|| control.store_view().clone()),
+            servers: list.filter(|list| list.version > known.server_list_version).cloned(),
+            stores: (control.store_view().number > known.store_view_number)
+                .then(|| control.store_view().clone()),
             coordinators: ctx.member_addresses(),
         };
         let has_news =
--- a/control-plane/core/src/operator/reply.rs
+++ b/control-plane/core/src/operator/reply.rs
@@ -28,7 +28,7 @@
         (PendingCall::Change { generation }, Output::GenerationTooLow(current)) => {
             Reply::text(400, &format!("generation {generation} is not higher than {current}"))
         }
-        (PendingCall::Change { .. }, Output::GenerationForgotten) => unknown_outcome(),
+        (PendingCall::Change { .. }, Output::GenerationPruned) => unknown_outcome(),
         (PendingCall::Change { .. }, Output::Invalid(reason)) => {
             info!(%reason, "configuration change rejected");
             Reply::text(400, reason)
--- a/control-plane/protocol/src/coordinator.rs
+++ b/control-plane/protocol/src/coordinator.rs
@@ -66,11 +66,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct VersionVector {
     /// Sequence number of the configuration; see [`ConfigurationUpdate::sequence`].
-    pub configuration: u64,
+    pub configuration_sequence: u64,
     /// Version of the server list.
-    pub servers: ServerListVersion,
+    pub server_list_version: ServerListVersion,
     /// Number of the view of the stores' chain.
-    pub stores: u64,
+    pub store_view_number: u64,
 }
 
 /// A gateway's request for what is newer than its versions.
--- a/control-plane/protocol/src/load.rs
+++ b/control-plane/protocol/src/load.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct LoadUpdate {
     /// Hash of the sending gateway's name.
-    pub gateway: u64,
+    pub gateway_hash: u64,
     /// Orders the datagrams of one process; the receiver drops one that was overtaken.
     pub sequence: u64,
     /// The servers at which the gateway has load.
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ServerLoad {
     /// Hash of the server's id.
-    pub server: u64,
+    pub server_hash: u64,
     /// Requests of this gateway that the server has not completed.
     pub in_flight: u32,
     /// Prompt tokens that the gateway has sent to the server since its previous datagram.
--- a/control-plane/protocol/tests/golden.rs
+++ b/control-plane/protocol/tests/golden.rs
@@ -133,8 +133,11 @@
 
 #[test]
 fn requests_to_coordinators_keep_their_bytes() {
-    let known_versions =
-        VersionVector { configuration: 12, servers: ServerListVersion { epoch: 3, sequence: 45 }, stores: 6 };
+    let known_versions = VersionVector {
+        configuration_sequence: 12,
+        server_list_version: ServerListVersion { epoch: 3, sequence: 45 },
+        store_view_number: 6,
+    };
     let report = StoreReport {
         node_name: "store-1".to_owned(),
         zone: "zone-c".to_owned(),
@@ -283,9 +286,9 @@
 
 #[test]
 fn load_datagrams_keep_their_bytes() {
-    let one = ServerLoad { server: 0x5151_6262, in_flight: 19, prompt_tokens: 4100, failure_share: 31 };
-    let other = ServerLoad { server: 0x7373, in_flight: 0, prompt_tokens: 1, failure_share: 255 };
-    let update = LoadUpdate { gateway: 0x0a0b_0c0d_0e0f, sequence: 888, servers: vec![one, other] };
+    let one = ServerLoad { server_hash: 0x5151_6262, in_flight: 19, prompt_tokens: 4100, failure_share: 31 };
+    let other = ServerLoad { server_hash: 0x7373, in_flight: 0, prompt_tokens: 1, failure_share: 255 };
+    let update = LoadUpdate { gateway_hash: 0x0a0b_0c0d_0e0f, sequence: 888, servers: vec![one, other] };
     check(include_str!("golden/load.hex"), &[("notice", update)]);
     let [a, b] = <[ZoneLoad; 2]>::try_from(zone_loads()).expect("two zones");
     check(include_str!("golden/zone_out.hex"), &[("a", a), ("b", b)]);
--- a/control-plane/simulation/src/clients.rs
+++ b/control-plane/simulation/src/clients.rs
@@ -261,19 +261,20 @@
             world.wake_client(number, RETRY_INTERVAL);
             return;
         };
-        if let Some(update) = updates.configuration.filter(|update| update.sequence > self.have.configuration)
+        if let Some(update) =
+            updates.configuration.filter(|update| update.sequence > self.have.configuration_sequence)
         {
-            self.have.configuration = update.sequence;
+            self.have.configuration_sequence = update.sequence;
             self.body = Some(String::from_utf8_lossy(&update.body.0).into_owned());
         }
-        if let Some(list) = updates.servers.filter(|list| list.version > self.have.servers) {
-            self.have.servers = list.version;
+        if let Some(list) = updates.servers.filter(|list| list.version > self.have.server_list_version) {
+            self.have.server_list_version = list.version;
             if let Some(server) = list.servers.first() {
                 world.checker.on_server_list(number, &server.id);
             }
         }
-        if let Some(view) = updates.stores.filter(|view| view.number > self.have.stores) {
-            self.have.stores = view.number;
+        if let Some(view) = updates.stores.filter(|view| view.number > self.have.store_view_number) {
+            self.have.store_view_number = view.number;
         }
         world.checker.pulled(number, self.sent, self.body.as_deref());
         if world.rng.u32(0..60) == 0 {
--- a/control-plane/simulation/tests/orders.rs
+++ b/control-plane/simulation/tests/orders.rs
@@ -7,7 +7,7 @@
 
 use common::{play_all, seconds, Scenario};
 use marblecroft_chain_replication::StateMachine;
-use marblecroft_control_state::{ControlState, Operation, Output, MAX_REMEMBERED_GENERATIONS};
+use marblecroft_control_state::{ControlState, Operation, Output, MAX_RETAINED_GENERATIONS};
 use marblecroft_rpc::Bytes;
 use marblecroft_simulation::cluster::{LinkFault, Role};
 use marblecroft_simulation::faults::{Fault, PartitionDirection, PartitionScope, Target};
@@ -62,17 +62,17 @@
     let body = |generation: u64| Bytes(format!("body {generation}").into_bytes());
     let replace =
         |base, generation| Operation::ReplaceConfiguration { base, generation, body: body(generation) };
-    let most = MAX_REMEMBERED_GENERATIONS as u64;
+    let most = MAX_RETAINED_GENERATIONS as u64;
     for generation in 1..=most + 5 {
         assert_eq!(control.apply(replace(generation - 1, generation)), Output::Accepted);
     }
     assert_eq!(control.apply(replace(5, 6)), Output::Accepted, "remembered");
     for generation in 1..=5 {
-        assert_eq!(control.apply(replace(generation - 1, generation)), Output::GenerationForgotten);
+        assert_eq!(control.apply(replace(generation - 1, generation)), Output::GenerationPruned);
     }
     let restored = ControlState::restore(&control.snapshot()).expect("a snapshot");
     assert_eq!(restored, control);
     // What a coordinator keeps for each order: a digest of 32 bytes, a number and their lengths.
     let size = control.snapshot().len();
-    assert!(size < MAX_REMEMBERED_GENERATIONS * 64, "{size} bytes");
+    assert!(size < MAX_RETAINED_GENERATIONS * 64, "{size} bytes");
 }
--- a/data-plane/gateway/src/load_exchange.rs
+++ b/data-plane/gateway/src/load_exchange.rs
@@ -69,7 +69,8 @@
         }
         (sent_changes, sent_at, sequence) = (changes, Instant::now(), sequence + 1);
         let servers = gateway.balancer.borrow_mut().take_load_update(gateway.now());
-        let update = LoadUpdate { gateway: fnv1a(gateway.settings.node_name.as_bytes()), sequence, servers };
+        let update =
+            LoadUpdate { gateway_hash: fnv1a(gateway.settings.node_name.as_bytes()), sequence, servers };
         let datagram = encode(&update);
         for peer in &peers {
             // An update that cannot be sent is like one that is lost.
@@ -90,10 +91,10 @@
         };
         let Ok(update) = decode::<LoadUpdate>(&buffer[..length]) else { continue };
         // A datagram that was overtaken by a newer one is dropped.
-        let newest = newest_sequences.entry(update.gateway).or_default();
+        let newest = newest_sequences.entry(update.gateway_hash).or_default();
         if update.sequence > *newest {
             *newest = update.sequence;
-            gateway.balancer.borrow_mut().on_peer_load(update.gateway, &update.servers, gateway.now());
+            gateway.balancer.borrow_mut().on_peer_load(update.gateway_hash, &update.servers, gateway.now());
         }
     }
 }
--- a/data-plane/gateway/src/maintenance.rs
+++ b/data-plane/gateway/src/maintenance.rs
@@ -22,13 +22,13 @@
         let snapshot = gateway.state.snapshot();
         let versions = snapshot.versions;
         if let Some(configuration) =
-            snapshot.configuration.filter(|_| versions.configuration != configuration_version)
+            snapshot.configuration.filter(|_| versions.configuration_sequence != configuration_version)
         {
-            configuration_version = versions.configuration;
+            configuration_version = versions.configuration_sequence;
             gateway.admission.borrow_mut().configure(route_classes(&configuration));
         }
-        if servers_version != Some(versions.servers) {
-            servers_version = Some(versions.servers);
+        if servers_version != Some(versions.server_list_version) {
+            servers_version = Some(versions.server_list_version);
             gateway.balancer.borrow_mut().update(&snapshot.servers);
         }
         // Whether it was notified or not, it looks again.
--- a/data-plane/gateway/src/state.rs
+++ b/data-plane/gateway/src/state.rs
@@ -29,26 +29,26 @@
     /// Takes over each part that is newer. A configuration that cannot be parsed is passed over, and its version with it.
     fn update(&mut self, updates: ConfigurationUpdates) {
         if let Some(update) = updates.configuration {
-            if update.sequence > self.versions.configuration {
+            if update.sequence > self.versions.configuration_sequence {
                 match Configuration::parse(&update.body.0) {
                     Ok(configuration) => {
                         info!(generation = %configuration.generation, "configuration in force");
                         self.configuration = Some(Arc::new(configuration));
-                        self.versions.configuration = update.sequence;
+                        self.versions.configuration_sequence = update.sequence;
                     }
                     Err(e) => warn!(error = %e, "configuration cannot be parsed"),
                 }
             }
         }
         if let Some(list) = updates.servers {
-            if list.version > self.versions.servers {
-                self.versions.servers = list.version;
+            if list.version > self.versions.server_list_version {
+                self.versions.server_list_version = list.version;
                 self.servers = Arc::new(list);
             }
         }
         if let Some(view) = updates.stores {
-            if view.number > self.versions.stores {
-                self.versions.stores = view.number;
+            if view.number > self.versions.store_view_number {
+                self.versions.store_view_number = view.number;
                 self.stores = Arc::new(view);
             }
         }
--- a/data-plane/gateway/src/state/tests.rs
+++ b/data-plane/gateway/src/state/tests.rs
@@ -60,7 +60,7 @@
     state.update(configuration(1, 20));
     let update = ConfigurationUpdate { sequence: 2, body: Bytes(b"{".to_vec()) };
     state.update(ConfigurationUpdates { configuration: Some(update), ..updates() });
-    assert_eq!((generation(&state), state.versions().configuration), (Some(20), 1));
+    assert_eq!((generation(&state), state.versions().configuration_sequence), (Some(20), 1));
 }
 
 #[test]
--- a/data-plane/routing/src/balance/balancer.rs
+++ b/data-plane/routing/src/balance/balancer.rs
@@ -161,7 +161,7 @@
             endpoint.forget_peer(peer);
         }
         for load in loads {
-            let id = self.ids_by_hash.get(&load.server);
+            let id = self.ids_by_hash.get(&load.server_hash);
             // Lists of servers reach gateways at different times: a server that is not known here is passed over.
             if let Some(endpoint) = id.and_then(|id| self.endpoints.get_mut(id)) {
                 endpoint.on_peer_load(&self.tuning, peer, load, now);
--- a/data-plane/routing/src/balance/load_exchange.rs
+++ b/data-plane/routing/src/balance/load_exchange.rs
@@ -47,7 +47,7 @@
             let prompt_tokens = unreported.remove(&server).unwrap_or(0);
             if endpoint.in_flight > 0 || prompt_tokens > 0 || failure_share > 0 {
                 loads.push(ServerLoad {
-                    server,
+                    server_hash: server,
                     in_flight: endpoint.in_flight,
                     prompt_tokens,
                     failure_share,
@@ -56,7 +56,7 @@
         }
         // Servers that are no longer endpoints.
         loads.extend(unreported.into_iter().map(|(server, prompt_tokens)| ServerLoad {
-            server,
+            server_hash: server,
             in_flight: 0,
             prompt_tokens,
             failure_share: 0,
