--- a/common/settings/src/fields.rs
+++ b/common/settings/src/fields.rs
@@ -1,6 +1,7 @@
 //! The fields of a settings file, looked up by key and converted.
 
 use crate::error::Error;
+use crate::ports::PortRange;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::str::FromStr;
@@ -97,15 +98,15 @@
         self.optional(key).map_or(Ok(Vec::new()), |list| list.split(',').map(convert).collect())
     }
 
-    /// Returns the first and the last port of a range. Neither is 0, and the last is not below the first.
-    pub fn port_range(&self, key: &'static str) -> Result<(u16, u16), Error> {
+    /// Returns the port range of a required key.
+    pub fn port_range(&self, key: &'static str) -> Result<PortRange, Error> {
         let value = self.required(key)?;
         let invalid_range = || invalid(key, value, "FIRST,LAST ports");
         let parse_port = |text: &str| text.trim().parse::<u16>().map_err(|_| invalid_range());
         let (first, last) = value.split_once(',').ok_or_else(invalid_range)?;
         let (first, last) = (parse_port(first)?, parse_port(last)?);
         if first > 0 && first <= last {
-            Ok((first, last))
+            Ok(PortRange { first, last })
         } else {
             Err(invalid_range())
         }
--- a/common/settings/src/lib.rs
+++ b/common/settings/src/lib.rs
@@ -7,7 +7,9 @@
 
 mod error;
 mod fields;
+mod ports;
 mod settings;
 
 pub use error::Error;
+pub use ports::PortRange;
 pub use settings::{BindAddresses, Bounds, CloudApi, Limits, Settings, PATH_VARIABLE};
--- /dev/null
+++ b/common/settings/src/ports.rs
@@ -0,0 +1,10 @@
+//! Ranges of ports.
+
+/// A range of ports. Neither port is 0, and the last is not below the first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PortRange {
+    /// The first port.
+    pub first: u16,
+    /// The last port, which belongs to the range.
+    pub last: u16,
+}
--- a/common/settings/src/settings.rs
+++ b/common/settings/src/settings.rs
@@ -2,6 +2,7 @@
 
 use crate::error::Error;
 use crate::fields::Fields;
+use crate::ports::PortRange;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -132,8 +133,8 @@
     pub zones: Vec<String>,
     /// Addresses for outside parties.
     pub bind: BindAddresses,
-    /// First and last port for communication between processes of this project (`ephemeral_ports`, `FIRST,LAST`); required.
-    pub ephemeral_ports: (u16, u16),
+    /// Ports for communication between processes of this project (`ephemeral_ports`, `FIRST,LAST`); required.
+    pub ephemeral_ports: PortRange,
     /// Addresses of the operator's API of up to three machines (`seeds`). Default: none.
     pub seeds: Vec<SocketAddr>,
     /// Whether this is the first start of the whole system (`bootstrap`). Default: false.
--- a/common/settings/tests/settings.rs
+++ b/common/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! A valid settings file is parsed; each invalid value is rejected in one line that names it.
 
-use marblecroft_settings::Settings;
+use marblecroft_settings::{PortRange, Settings};
 use std::time::Duration;
 
 const FILE: &str = "\
@@ -33,7 +33,7 @@
     let settings = Settings::parse(FILE).expect("a valid file");
     assert_eq!(settings.zones, ["a", "b"]);
     assert_eq!(settings.seeds.len(), 2);
-    assert_eq!(settings.ephemeral_ports, (7720, 7735));
+    assert_eq!(settings.ephemeral_ports, PortRange { first: 7720, last: 7735 });
     assert_eq!(settings.bounds.catch_up, Duration::from_millis(4500));
     assert_eq!(settings.tolerated_machines, 1);
     assert!(settings.bootstrap);
--- a/control-plane/protocol/src/lib.rs
+++ b/control-plane/protocol/src/lib.rs
@@ -11,22 +11,20 @@
 pub mod servers;
 pub mod store;
 
+use marblecroft_settings::PortRange;
 use std::net::{IpAddr, SocketAddr};
 
-/// Returns the internal address of the coordinator on a seed's machine. `seed` is the address of its operator API, and
-/// `ephemeral_ports` are the first and last internal port.
-pub fn coordinator_address(seed: SocketAddr, ephemeral_ports: (u16, u16)) -> SocketAddr {
+/// Returns the internal address of the coordinator on a seed's machine. `seed` is the address of its operator API.
+pub fn coordinator_address(seed: SocketAddr, ephemeral_ports: PortRange) -> SocketAddr {
     internal_address(seed.ip(), ephemeral_ports)
 }
 
-/// Returns the address on which the coordinator or store of a machine is called by other processes. `ephemeral_ports` are
-/// the first and last internal port.
-pub fn internal_address(ip: IpAddr, ephemeral_ports: (u16, u16)) -> SocketAddr {
-    SocketAddr::new(ip, ephemeral_ports.0)
+/// Returns the address on which the coordinator or store of a machine is called by other processes.
+pub fn internal_address(ip: IpAddr, ephemeral_ports: PortRange) -> SocketAddr {
+    SocketAddr::new(ip, ephemeral_ports.first)
 }
 
-/// Returns the address on which the gateway of a machine receives the load datagrams of other gateways. `ephemeral_ports`
-/// are the first and last internal port.
-pub fn load_address(ip: IpAddr, ephemeral_ports: (u16, u16)) -> SocketAddr {
-    SocketAddr::new(ip, ephemeral_ports.1)
+/// Returns the address on which the gateway of a machine receives the load datagrams of other gateways.
+pub fn load_address(ip: IpAddr, ephemeral_ports: PortRange) -> SocketAddr {
+    SocketAddr::new(ip, ephemeral_ports.last)
 }
