--- a/quota-gateway/coordination/src/storage.rs
+++ b/quota-gateway/coordination/src/storage.rs
@@ -107,7 +107,7 @@
 
 impl Damage {
     /// One line; with where the record is in the file, if it can be found there.
-    fn to_line(self, file: Option<&Path>) -> String {
+    fn into_line(self, file: Option<&Path>) -> String {
         let at = file.and_then(|file| offset(&fs::read(file).ok()?, &self.bytes));
         match at {
             Some(at) => format!("{} at byte {at}; nothing was touched", self.what),
@@ -171,7 +171,7 @@
         if fs::metadata(&path).is_ok_and(|there| there.len() > 0) {
             let overlay = Overlay::open(&path).map_err(|e| named(&e))?;
             let seen = Database::builder().create_with_backend(overlay).map_err(|e| named(&e))?;
-            drop(read(&seen).map_err(|damage| named(&damage.to_line(Some(&path))))?);
+            drop(read(&seen).map_err(|damage| named(&damage.into_line(Some(&path))))?);
         }
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(&path);
         let backend = FileBackend::new(file.map_err(|e| named(&e))?).map_err(|e| named(&e))?;
@@ -186,7 +186,7 @@
     }
 
     fn of(database: Database, group: bool, writer: Writer) -> Result<LogStore, String> {
-        let mut held = read(&database).map_err(|damage| damage.to_line(None))?;
+        let mut held = read(&database).map_err(|damage| damage.into_line(None))?;
         let identity = match held.identity {
             Some(identity) if identity.version != VERSION => {
                 return Err(format!("its version is {}, this program reads {VERSION}", identity.version));
