--- a/quota-gateway/controller/src/lib.rs
+++ b/quota-gateway/controller/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`config`]: its one file.
 //! - [`reports`]: gateways' reports, over kept connections; bounded in every way.
-//! - [`books`], [`cells`]: the duty of the books, and its asks of cells.
+//! - [`shard_map_role`], [`cells`]: the duty of the books, and its asks of cells.
 //! - [`decisions`]: each decision core behind one interface.
 //! - [`work`]: what owning a duty is: reports in, decisions out, under the token.
 //! - [`metrics`]: figures for whoever watches over it.
--- a/quota-gateway/coordination/src/lib.rs
+++ b/quota-gateway/coordination/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`state`]: the state machine, pure and deterministic; commands in, results out.
 //! - [`lease`]: when a session ends, for the service and, earlier, for its holder.
-//! - [`fence`]: the place that takes an effect, and remembers the highest token.
+//! - [`fencing`]: the place that takes an effect, and remembers the highest token.
 //! - [`raft`], [`storage`]: the consensus crate's view of the state machine, and the log on a disk.
 //! - [`mod@env`], [`disk`]: clocks, chance, connections and disks, so that whole clusters can be played from a seed.
 //! - [`metrics`]: figures for whoever watches over a process.
--- a/quota-gateway/coordination/src/wire.rs
+++ b/quota-gateway/coordination/src/wire.rs
@@ -190,7 +190,7 @@
     Ok(frame)
 }
 
-/// Reads one frame; which cluster it names. No byte that a peer sends makes this allocate more than [`PAYLOAD_MOST`].
+/// Reads one frame; which cluster it names. No byte that a peer sends makes this allocate more than [`MAX_PAYLOAD_BYTES`].
 pub async fn read(from: &mut (impl AsyncRead + Unpin)) -> Result<(u64, Message), Broken> {
     let mut head = [0; HEAD];
     from.read_exact(&mut head).await.map_err(Broken::Ended)?;
--- a/quota-gateway/shard-map/src/lib.rs
+++ b/quota-gateway/shard-map/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! - [`map`]: the book map as it is published; a range's epoch only rises.
 //! - [`ticket`]: a gateway's side: the check at the last moment before a write, with its deadline in the type.
-//! - [`fence`]: a cell's side: it remembers each range's epoch and turns lower ones away.
+//! - [`fencing`]: a cell's side: it remembers each range's epoch and turns lower ones away.
 //! - [`cell`]: what a steward asks of a cell, and the cell's side of it.
 //! - [`moves`]: the steps of a move, each a record in the map, so that whoever owns the duty next goes on from it.
 //! - [`plan`]: what moves where, by load and lost cells.
--- a/quota-gateway/work-handoff/src/lib.rs
+++ b/quota-gateway/work-handoff/src/lib.rs
@@ -2,7 +2,7 @@
 //! each, without I/O. The ledger is kept in the coordination service, under the fencing tokens of its locks.
 //!
 //! - [`record`]: a request that was taken, and how far it has come; and its bytes.
-//! - [`ledger`]: the commands that write it, each under the owner's token, and each only on what was there before.
+//! - [`work_log`]: the commands that write it, each under the owner's token, and each only on what was there before.
 //! - [`succeed`]: the table of what a successor may do.
 #![forbid(unsafe_code)]
 
