--- /dev/null
+++ b/control-plane/simulation/src/checker/findings.rs
@@ -0,0 +1,37 @@
+//! What a checker has found: violations, and how often it observed each kind of event.
+
+use std::collections::BTreeMap;
+
+/// The violations and the counted events of one checker.
+#[derive(Debug, Default)]
+pub struct Findings {
+    violations: Vec<String>,
+    counts: BTreeMap<&'static str, u64>,
+}
+
+impl Findings {
+    /// Records a violation.
+    pub fn report(&mut self, violation: String) {
+        self.violations.push(violation);
+    }
+
+    /// Counts an event of a kind.
+    pub fn count(&mut self, kind: &'static str) {
+        *self.counts.entry(kind).or_default() += 1;
+    }
+
+    /// Returns the violations in the order in which they were found.
+    pub fn violations(&self) -> &[String] {
+        &self.violations
+    }
+
+    /// Returns the counted kinds, each with its number of events.
+    pub fn counts(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
+        self.counts.iter().map(|(kind, count)| (*kind, *count))
+    }
+
+    /// Returns the number of events of a kind.
+    pub fn count_of(&self, kind: &str) -> u64 {
+        self.counts.get(kind).copied().unwrap_or(0)
+    }
+}
--- /dev/null
+++ b/control-plane/simulation/src/clients/gateway.rs
@@ -0,0 +1,74 @@
+//! A gateway, which pulls updates from one coordinator after the other.
+
+use crate::cluster::{Client, Cluster, Request, Response, Role};
+use marblecroft_protocol::coordinator::{CoordinatorReply, CoordinatorRequest, Pull, VersionVector};
+use std::time::Duration;
+
+/// Time for which a coordinator may keep a pull waiting for an update.
+const PULL_WAIT_MS: u32 = 500;
+const PULL_TIMEOUT: Duration = Duration::from_millis(800);
+const RETRY_INTERVAL: Duration = Duration::from_millis(60);
+
+/// Pulls from one coordinator, moves to the next when it fails, and now and then to a random one.
+pub struct Gateway {
+    known_versions: VersionVector,
+    body: Option<String>,
+    sent_at: Duration,
+    call: u64,
+    to: usize,
+}
+
+impl Gateway {
+    /// Returns a gateway that pulls first from coordinator number `to`.
+    pub fn new(to: usize) -> Gateway {
+        Gateway { known_versions: VersionVector::default(), body: None, sent_at: Duration::ZERO, call: 0, to }
+    }
+}
+
+impl Client for Gateway {
+    fn wake(&mut self, cluster: &mut Cluster, number: usize) {
+        let coordinators = cluster.machines_of(Role::Coordinator);
+        let to = coordinators[self.to % coordinators.len()];
+        self.sent_at = cluster.now;
+        let pull =
+            CoordinatorRequest::Pull(Pull { known_versions: self.known_versions, wait_ms: PULL_WAIT_MS });
+        self.call = cluster.call_from_client(number, to, Request::Coordinator(pull), PULL_TIMEOUT);
+    }
+
+    fn on_reply(&mut self, cluster: &mut Cluster, number: usize, call: u64, response: Option<Response>) {
+        if call != self.call {
+            return;
+        }
+        let Some(Response::Coordinator(CoordinatorReply::Updates(updates))) = response.filter(is_fresh)
+        else {
+            self.to += 1;
+            cluster.wake_client(number, RETRY_INTERVAL);
+            return;
+        };
+        if let Some(update) =
+            updates.configuration.filter(|update| update.sequence > self.known_versions.configuration)
+        {
+            self.known_versions.configuration = update.sequence;
+            self.body = Some(String::from_utf8_lossy(&update.body.0).into_owned());
+        }
+        if let Some(list) = updates.servers.filter(|list| list.version > self.known_versions.servers) {
+            self.known_versions.servers = list.version;
+            if let Some(server) = list.servers.first() {
+                cluster.checker.server_lists.on_server_list(number, &server.id);
+            }
+        }
+        if let Some(view) = updates.stores.filter(|view| view.number > self.known_versions.stores) {
+            self.known_versions.stores = view.number;
+        }
+        cluster.checker.configuration.on_pulled(number, self.sent_at, self.body.as_deref());
+        if cluster.rng.u32(0..60) == 0 {
+            self.to = cluster.rng.usize(0..16);
+        }
+        cluster.wake_client(number, Duration::from_millis(1));
+    }
+}
+
+/// Returns whether a response is a fresh answer to a pull.
+fn is_fresh(response: &Response) -> bool {
+    matches!(response, Response::Coordinator(CoordinatorReply::Updates(updates)) if updates.fresh)
+}
--- /dev/null
+++ b/control-plane/simulation/src/cluster/execution.rs
@@ -0,0 +1,161 @@
+//! Runs processes: one input at a time, each busy for as long as its writes take; then performs the outputs.
+
+use super::message::{Origin, Request, Response};
+use super::process::{Input, Output};
+use super::state::{Cluster, Event};
+use marblecroft_chain_replication::Token;
+use marblecroft_control_plane_core::{coordinator, store, Time};
+use marblecroft_protocol::servers::Server;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Inputs in a row after which a process may ask to be woken at once; one that asks without end keeps its processor busy.
+const MAX_IMMEDIATE_WAKES: u32 = 200;
+
+impl Cluster {
+    pub(super) fn enqueue(&mut self, machine: usize, input: Input) {
+        let Some(running) = &mut self.machines[machine].running else { return };
+        running.inbox.push_back(input);
+        self.schedule_processing(machine);
+    }
+
+    pub(super) fn schedule_processing(&mut self, machine: usize) {
+        let host = &self.machines[machine];
+        let Some(running) = &host.running else { return };
+        if !host.frozen {
+            let (incarnation, after) = (running.incarnation, running.busy_until.saturating_sub(self.now));
+            self.schedule_event(after, Event::Process { machine, incarnation });
+        }
+    }
+
+    /// Gives the next input to a process that is neither busy nor frozen, and schedules what follows.
+    pub(super) fn run_next_input(&mut self, machine: usize) {
+        let now = self.now;
+        let host = &mut self.machines[machine];
+        let Some(running) = host.running.as_mut().filter(|running| running.busy_until <= now) else {
+            return;
+        };
+        if host.frozen {
+            return;
+        }
+        let Some(input) = running.inbox.pop_front() else { return };
+        let monotonic = (now - running.started_at).mul_f64(running.clock_rate);
+        let time = Time { monotonic, wall_ms: 1_700_000_000_000 + now.as_millis() as u64 };
+        let (outputs, next_wake) = running.handle(time, input);
+        running.immediate_wakes = if next_wake <= monotonic { running.immediate_wakes + 1 } else { 0 };
+        if running.immediate_wakes > MAX_IMMEDIATE_WAKES {
+            let text = format!("{} wants to be woken at {next_wake:?}, and it is {monotonic:?}", host.name);
+            self.checker.report(text);
+            return;
+        }
+        let (incarnation, busy_time) = (running.incarnation, host.disk.take_time());
+        running.busy_until = now + busy_time;
+        if next_wake < Duration::from_secs(1 << 30) {
+            // Timers are always a little late.
+            let wake_at =
+                running.started_at + next_wake.div_f64(running.clock_rate) + Duration::from_micros(50);
+            let wake_at = wake_at.max(now + busy_time);
+            if running.wake_at.is_none_or(|at| wake_at < at || at < now) {
+                running.wake_at = Some(wake_at);
+                self.schedule_event(wake_at - now, Event::Wake { machine, incarnation });
+            }
+        }
+        if busy_time.is_zero() {
+            self.perform_outputs(machine, incarnation, outputs);
+        } else {
+            self.schedule_event(busy_time, Event::Emit { machine, incarnation, outputs });
+        }
+        if self.machines[machine].running.as_ref().is_some_and(|running| !running.inbox.is_empty()) {
+            self.schedule_processing(machine);
+        }
+        self.check_views(machine);
+    }
+
+    pub(super) fn perform_outputs(&mut self, machine: usize, incarnation: u64, outputs: Vec<Output>) {
+        for output in outputs {
+            if self.incarnation_of(machine) != Some(incarnation) {
+                return;
+            }
+            match output {
+                Output::Coordinator(output) => self.perform_coordinator_output(machine, incarnation, output),
+                Output::Store(output) => self.perform_store_output(machine, incarnation, output),
+            }
+        }
+    }
+
+    pub(super) fn perform_coordinator_output(
+        &mut self,
+        machine: usize,
+        incarnation: u64,
+        output: coordinator::Output,
+    ) {
+        use coordinator::Output as Out;
+        match output {
+            Out::Answer { token, reply } => self.answer(machine, token, Response::Coordinator(reply)),
+            Out::AnswerOperator { token, reply } => self.answer(machine, token, Response::Operator(reply)),
+            Out::Call { call, to, request, timeout } => {
+                self.call(machine, incarnation, call, to, Request::Coordinator(request), timeout);
+            }
+            Out::ReadServerList => self.read_server_list(machine, incarnation),
+            Out::Exit => self.exit(machine),
+        }
+    }
+
+    pub(super) fn perform_store_output(&mut self, machine: usize, incarnation: u64, output: store::Output) {
+        use store::Output as Out;
+        match output {
+            Out::Answer { token, reply } => self.answer(machine, token, Response::Store(reply)),
+            Out::CallStore { call, to, request, timeout } => {
+                self.call(machine, incarnation, call, to, Request::Store(request), timeout);
+            }
+            Out::CallCoordinator { call, to, request, timeout } => {
+                self.call(machine, incarnation, call, to, Request::Coordinator(request), timeout);
+            }
+            Out::Exit => self.exit(machine),
+        }
+    }
+
+    pub(super) fn answer(&mut self, machine: usize, token: Token, response: Response) {
+        let origin =
+            self.machines[machine].running.as_mut().and_then(|running| running.origins.remove(&token));
+        match origin {
+            Some(origin) => self.send_back(machine, origin, Some(response)),
+            None => self
+                .checker
+                .report(format!("{} answers a call twice or that nobody made", self.machines[machine].name)),
+        }
+    }
+
+    pub(super) fn call(
+        &mut self,
+        machine: usize,
+        incarnation: u64,
+        call: u64,
+        to: SocketAddr,
+        request: Request,
+        timeout: Duration,
+    ) {
+        let origin = Origin::Machine { machine, incarnation, call };
+        match self.machine_at(to) {
+            Some(to) => self.send(Some(machine), to, origin, request, timeout),
+            None => self.schedule_event(timeout, Event::ResponseArrives { origin, response: None }),
+        }
+    }
+
+    /// Reads the platform's server list, whose only server has the instant of the read as its id.
+    pub(super) fn read_server_list(&mut self, machine: usize, incarnation: u64) {
+        let read_at = self.now.as_millis();
+        let server = Server {
+            id: format!("{read_at:012}"),
+            backend: "s".to_owned(),
+            address: SocketAddr::from(([10, 9, 0, 1], 80)),
+            zone: "a".to_owned(),
+            slots: 8,
+            draining: false,
+            warmup_left_ms: 0,
+        };
+        let servers = if self.draws_message_fault() { None } else { Some(vec![server]) };
+        let after = self.delay() + self.delay();
+        self.schedule_event(after, Event::ServerList { machine, incarnation, servers });
+    }
+}
--- /dev/null
+++ b/control-plane/simulation/src/cluster/message.rs
@@ -0,0 +1,51 @@
+//! Requests to processes, their responses, and where a request came from.
+
+use marblecroft_control_plane_core::operator::Call as OperatorCall;
+use marblecroft_protocol::coordinator::{CoordinatorReply, CoordinatorRequest};
+use marblecroft_protocol::store::{StoreReply, StoreRequest};
+use marblecroft_rpc::http::Reply as OperatorReply;
+
+/// A request to a process.
+#[derive(Clone, Debug)]
+pub enum Request {
+    /// To a coordinator.
+    Coordinator(CoordinatorRequest),
+    /// To a store.
+    Store(StoreRequest),
+    /// To the operator's API of a coordinator.
+    Operator(OperatorCall),
+}
+
+/// The response to a [`Request`].
+#[derive(Clone, Debug)]
+pub enum Response {
+    /// Of a coordinator.
+    Coordinator(CoordinatorReply),
+    /// Of a store.
+    Store(StoreReply),
+    /// Of the operator's API.
+    Operator(OperatorReply),
+}
+
+/// Where a request came from, and where its response goes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Origin {
+    /// A process, in one of its incarnations.
+    Machine {
+        /// The machine.
+        machine: usize,
+        /// The incarnation of its process.
+        incarnation: u64,
+        /// The number of the call.
+        call: u64,
+    },
+    /// A client.
+    Client {
+        /// The client.
+        client: usize,
+        /// The number of the call.
+        call: u64,
+    },
+    /// Nobody: the network duplicated the request.
+    Nobody,
+}
--- /dev/null
+++ b/control-plane/simulation/src/cluster/network.rs
@@ -0,0 +1,130 @@
+//! The network: random delays, lost, late and doubled messages, and faulty links.
+
+use super::links::LinkFault;
+use super::machine::Role;
+use super::message::{Origin, Request, Response};
+use super::process::Input;
+use super::state::{Cluster, Event};
+use std::time::Duration;
+
+/// Delays on the network, in microseconds.
+const MIN_DELAY_MICROS: u64 = 200;
+const MAX_DELAY_MICROS: u64 = 2500;
+/// Upper bound of what a message fault adds to a delay, in milliseconds.
+const MAX_EXTRA_DELAY_MILLIS: u64 = 3000;
+
+impl Cluster {
+    pub(super) fn delay(&mut self) -> Duration {
+        let delay = Duration::from_micros(self.rng.u64(MIN_DELAY_MICROS..MAX_DELAY_MICROS));
+        if self.draws_message_fault() {
+            delay + Duration::from_millis(self.rng.u64(0..MAX_EXTRA_DELAY_MILLIS))
+        } else {
+            delay
+        }
+    }
+
+    pub(super) fn draws_message_fault(&mut self) -> bool {
+        self.message_fault_permille > 0 && self.rng.u32(0..1000) < self.message_fault_permille
+    }
+
+    pub(super) fn send(
+        &mut self,
+        from: Option<usize>,
+        to: usize,
+        origin: Origin,
+        request: Request,
+        timeout: Duration,
+    ) {
+        self.unanswered.insert(origin);
+        self.schedule_event(timeout, Event::ResponseArrives { origin, response: None });
+        match self.links.fault(from, Some(to)) {
+            Some(LinkFault::Drop) => return,
+            Some(LinkFault::Reset) => {
+                let after = self.delay();
+                self.schedule_event(after, Event::ResponseArrives { origin, response: None });
+                return;
+            }
+            None => {}
+        }
+        if self.draws_message_fault() {
+            return;
+        }
+        let after = self.delay();
+        // Clients' calls are never duplicated: no intermediary of theirs retries.
+        if from.is_some() && self.draws_message_fault() {
+            let again = after + self.delay();
+            let (origin, request) = (Origin::Nobody, request.clone());
+            self.schedule_event(again, Event::RequestArrives { machine: to, origin, request });
+        }
+        self.schedule_event(after, Event::RequestArrives { machine: to, origin, request });
+    }
+
+    pub(super) fn send_back(&mut self, from: usize, origin: Origin, response: Option<Response>) {
+        let to = match origin {
+            Origin::Machine { machine, .. } => Some(machine),
+            Origin::Client { .. } => None,
+            Origin::Nobody => return,
+        };
+        let response = match self.links.fault(Some(from), to) {
+            Some(LinkFault::Drop) => return,
+            Some(LinkFault::Reset) => None,
+            None => response,
+        };
+        if self.draws_message_fault() {
+            return;
+        }
+        let after = self.delay();
+        self.schedule_event(after, Event::ResponseArrives { origin, response });
+    }
+
+    pub(super) fn handle_request_arrival(&mut self, machine: usize, origin: Origin, request: Request) {
+        let host = &self.machines[machine];
+        if host.powered_off || host.removed {
+            return;
+        }
+        let fits = matches!(
+            (&request, host.role),
+            (Request::Store(_), Role::Store)
+                | (Request::Coordinator(_) | Request::Operator(_), Role::Coordinator)
+        );
+        if host.running.is_none() || !fits {
+            self.send_back(machine, origin, None);
+            return;
+        }
+        self.enqueue(machine, Input::Request { origin, request });
+    }
+
+    pub(super) fn handle_response(&mut self, origin: Origin, response: Option<Response>) {
+        if !self.unanswered.remove(&origin) {
+            return;
+        }
+        match origin {
+            Origin::Machine { machine, incarnation, call } => {
+                if self.incarnation_of(machine) == Some(incarnation) {
+                    self.enqueue(machine, Input::Response { call, response });
+                }
+            }
+            Origin::Client { client, call } => {
+                self.with_client(client, |client, cluster, number| {
+                    client.on_reply(cluster, number, call, response)
+                });
+            }
+            Origin::Nobody => {}
+        }
+    }
+
+    /// Lets the link from one machine to another fail.
+    pub fn partition(&mut self, from: usize, to: usize, fault: LinkFault) {
+        self.links.partition(from, to, fault);
+    }
+
+    /// Partitions a machine from all clients.
+    pub fn isolate_from_clients(&mut self, machine: usize) {
+        self.links.isolate_from_clients(machine);
+    }
+
+    /// Repairs all links from and to a machine.
+    pub fn heal(&mut self, machine: usize) {
+        self.links.heal(machine);
+    }
+}
--- /dev/null
+++ b/control-plane/simulation/src/cluster/queries.rs
@@ -0,0 +1,80 @@
+//! What faults, checks and scenarios query of a cluster.
+
+use super::machine::{Machine, Role};
+use super::process::Process;
+use super::state::Cluster;
+use marblecroft_chain_replication::{Status, View};
+use std::collections::BTreeSet;
+
+impl Cluster {
+    /// Returns whether a process runs on a machine.
+    pub fn is_running(&self, machine: usize) -> bool {
+        self.machines[machine].running.is_some()
+    }
+
+    /// Returns the status that a process reports; `None` where none runs.
+    pub fn status(&self, machine: usize) -> Option<Status> {
+        let running = self.machines[machine].running.as_ref()?;
+        let monotonic = (self.now - running.started_at).mul_f64(running.clock_rate);
+        Some(match &running.process {
+            Process::Coordinator(node) => node.chain().status(monotonic),
+            Process::Store(node) => node.chain().status(monotonic),
+        })
+    }
+
+    /// Returns one line for each machine with the status of its process.
+    pub fn describe(&self) -> Vec<String> {
+        let describe = |machine: usize| {
+            let name = &self.machines[machine].name;
+            match self.status(machine) {
+                Some(status) => format!(
+                    "{name}: identity {:x}, view {} of {}, complete {}, at {}",
+                    status.identity,
+                    status.view.number,
+                    status.view.addresses(),
+                    status.complete,
+                    status.position.index
+                ),
+                None => format!("{name} does not run"),
+            }
+        };
+        (0..self.machines.len()).map(describe).collect()
+    }
+
+    /// Returns the newest view that a process of this role knows.
+    pub(super) fn newest_view(&self, role: Role) -> Option<View> {
+        let machines = (0..self.machines.len()).filter(|machine| self.machines[*machine].role == role);
+        let views = machines.filter_map(|machine| self.status(machine)).map(|status| status.view);
+        views.max_by_key(|view| view.number)
+    }
+
+    /// Returns the machine whose process heads the newest view of a role.
+    pub fn head_of(&self, role: Role) -> Option<usize> {
+        self.machine_at(self.newest_view(role)?.head()?.address)
+    }
+
+    /// Returns the machine of the last member of the newest view of a role.
+    pub fn tail_of(&self, role: Role) -> Option<usize> {
+        self.machine_at(self.newest_view(role)?.members.last()?.address)
+    }
+
+    /// Returns the machines with a disk that count as lost now.
+    pub fn lost_machines(&self) -> BTreeSet<usize> {
+        let is_lost = |machine: &usize| {
+            let host = &self.machines[*machine];
+            host.has_disk
+                && !host.removed
+                && (host.counts_as_lost_until > self.now || host.running.is_none() || host.frozen)
+        };
+        (0..self.machines.len()).filter(is_lost).collect()
+    }
+
+    /// RunningProcess coordinators that hold a configuration of at least this generation, as acknowledged or not.
+    pub fn coordinators_with_generation(&self, generation: u64) -> usize {
+        let holds = |machine: &&Machine| match machine.running.as_ref().map(|running| &running.process) {
+            Some(Process::Coordinator(node)) => node.chain().replica().machine().generation() >= generation,
+            _ => false,
+        };
+        self.machines.iter().filter(holds).count()
+    }
+}
--- a/control-plane/simulation/src/disk.rs
+++ b/control-plane/simulation/src/disk.rs
@@ -1,4 +1,4 @@
-//! A virtual disk: what was synced stays, and what was being written may be lost or torn when power goes.
+//! A virtual disk: synced data stays, and unsynced writes may be lost or torn when power is lost.
 
 use fastrand::Rng;
 use marblecroft_chain_replication::storage::Storage;
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// A write that is under way: its sync has not returned.
+/// A write whose sync has not returned.
 enum Write {
     Records(Vec<Vec<u8>>),
     Segment(Vec<u8>),
@@ -15,16 +15,17 @@
 
 #[derive(Default)]
 struct State {
-    checkpoint: Option<Vec<u8>>,
+    snapshot: Option<Vec<u8>>,
     records: Vec<Vec<u8>>,
-    under_way: Vec<Write>,
-    refuses: bool,
+    unsynced: Vec<Write>,
+    /// Whether writes fail.
+    failing: bool,
     writable: bool,
-    damaged: bool,
-    /// What one write and its sync take.
+    corrupted: bool,
+    /// Duration of a write and its sync.
     sync_time: Duration,
-    /// What the writes of this input have taken.
-    taken: Duration,
+    /// Time that the writes since the last [`Disk::take_time`] have taken.
+    elapsed: Duration,
 }
 
 /// A disk that outlives the processes of its machine.
@@ -36,82 +37,84 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What a process finds when it starts.
+    /// Returns what a process recovers when it starts. It must begin a new segment before it writes records.
     pub fn recovered(&self) -> Recovered {
         let mut state = self.state();
         state.writable = false;
         Recovered {
-            snapshot: state.checkpoint.clone(),
+            snapshot: state.snapshot.clone(),
             records: state.records.clone(),
             torn_bytes: 0,
-            damaged: state.damaged,
+            damaged: state.corrupted,
         }
     }
 
+    /// Sets the duration of a write and its sync.
     pub fn set_sync_time(&self, time: Duration) {
         self.state().sync_time = time;
     }
 
-    pub fn set_refuses(&self, refuses: bool) {
-        self.state().refuses = refuses;
+    /// Lets all writes fail from now on, or none.
+    pub fn set_failing(&self, failing: bool) {
+        self.state().failing = failing;
     }
 
-    /// A bit has flipped in something that was synced: what stands behind it can't be read.
-    pub fn damage(&self, rng: &mut Rng) {
+    /// Flips a bit of synced data: a random record and all after it can't be read, or the snapshot where there is no record.
+    pub fn corrupt(&self, rng: &mut Rng) {
         let mut state = self.state();
-        state.damaged = true;
+        state.corrupted = true;
         if state.records.is_empty() {
-            state.checkpoint = None;
+            state.snapshot = None;
         } else {
             let kept = rng.usize(0..state.records.len());
             state.records.truncate(kept);
         }
     }
 
+    /// Erases everything; the duration of a write stays.
     pub fn wipe(&self) {
         let sync_time = self.state().sync_time;
         *self.state() = State { sync_time, ..State::default() };
     }
 
-    /// The time that the writes since the last call have taken.
+    /// Returns the time that the writes since the last call have taken.
     pub fn take_time(&self) -> Duration {
-        std::mem::take(&mut self.state().taken)
+        std::mem::take(&mut self.state().elapsed)
     }
 
-    /// The writes under way have been synced.
+    /// Completes the syncs of all unsynced writes.
     pub fn complete(&self) {
         let mut state = self.state();
-        for write in std::mem::take(&mut state.under_way) {
+        for write in std::mem::take(&mut state.unsynced) {
             match write {
                 Write::Records(records) => state.records.extend(records),
-                Write::Segment(checkpoint) => {
-                    state.checkpoint = Some(checkpoint);
+                Write::Segment(snapshot) => {
+                    state.snapshot = Some(snapshot);
                     state.records.clear();
-                    state.damaged = false;
+                    state.corrupted = false;
                 }
             }
         }
     }
 
-    /// Power goes while writes are under way: each is there, missing, or there in part; what follows one that is not whole
-    /// is not read.
+    /// Loses power: each unsynced write is complete, missing or torn, at random; nothing after a torn one is read.
     pub fn lose_power(&self, rng: &mut Rng) {
         let mut state = self.state();
-        for write in std::mem::take(&mut state.under_way) {
+        for write in std::mem::take(&mut state.unsynced) {
             match write {
                 Write::Records(records) => {
                     let kept = rng.usize(0..=records.len());
-                    let is_whole = kept == records.len();
+                    let is_complete = kept == records.len();
                     state.records.extend(records.into_iter().take(kept));
-                    if !is_whole {
+                    if !is_complete {
                         return;
                     }
                 }
-                Write::Segment(checkpoint) => {
+                Write::Segment(snapshot) => {
                     if rng.bool() {
                         return;
                     }
-                    state.checkpoint = Some(checkpoint);
+                    state.snapshot = Some(snapshot);
                     state.records.clear();
                 }
             }
@@ -123,27 +126,27 @@
     fn append(&mut self, records: &[&[u8]]) -> io::Result<()> {
         let mut state = self.state();
         let sync_time = state.sync_time;
-        state.taken += sync_time;
+        state.elapsed += sync_time;
         let records: Vec<Vec<u8>> = records.iter().map(|record| record.to_vec()).collect();
-        if state.refuses {
-            // A part of it may have reached the disk all the same.
-            let part = records.into_iter().take(1).collect();
-            state.under_way.push(Write::Records(part));
+        if state.failing {
+            // A part of a failed write may have reached the disk all the same.
+            let torn = records.into_iter().take(1).collect();
+            state.unsynced.push(Write::Records(torn));
             state.writable = false;
             return Err(io::Error::other("the disk refuses"));
         }
-        state.under_way.push(Write::Records(records));
+        state.unsynced.push(Write::Records(records));
         Ok(())
     }
 
-    fn start_segment(&mut self, checkpoint: &[u8]) -> io::Result<()> {
+    fn start_segment(&mut self, snapshot: &[u8]) -> io::Result<()> {
         let mut state = self.state();
         let sync_time = state.sync_time;
-        state.taken += sync_time;
-        if state.refuses {
+        state.elapsed += sync_time;
+        if state.failing {
             return Err(io::Error::other("the disk refuses"));
         }
-        state.under_way.push(Write::Segment(checkpoint.to_vec()));
+        state.unsynced.push(Write::Segment(snapshot.to_vec()));
         state.writable = true;
         Ok(())
     }
@@ -154,9 +157,9 @@
 
     fn record_bytes(&self) -> u64 {
         // Segments turn over after a few hundred entries, so that every test sees it.
-        self.state().records.len() as u64 * SEGMENT_SHARE
+        self.state().records.len() as u64 * RECORD_BYTES
     }
 }
 
-/// What one record counts of a segment, in bytes: far more than it has.
-const SEGMENT_SHARE: u64 = 256 << 10;
+/// Bytes that one record counts for, far more than it has.
+const RECORD_BYTES: u64 = 256 << 10;
--- /dev/null
+++ b/control-plane/simulation/src/faults/inject.rs
@@ -0,0 +1,269 @@
+//! Injects faults, and keeps account of the machines that count as lost.
+
+use super::fault::{Fault, PartitionDirection, PartitionScope, Target};
+use crate::cluster::{Cluster, LinkFault, Role, ScheduledFault, SYNC_TIME};
+use std::time::Duration;
+
+/// A machine counts as lost for this long after it is back.
+pub const CATCH_UP_TIME: Duration = Duration::from_secs(5);
+
+impl ScheduledFault for Fault {
+    fn inject(&self, cluster: &mut Cluster) {
+        inject(cluster, *self);
+    }
+}
+
+/// Returns the machine that a target means now, unless it was removed.
+fn resolve_target(cluster: &mut Cluster, target: Target) -> Option<usize> {
+    let machine = match target {
+        Target::Any(role) => {
+            let mut machines = cluster.machines_of(role);
+            machines.retain(|machine| cluster.machines[*machine].has_disk);
+            Some(machines[cluster.rng.usize(0..machines.len())])
+        }
+        Target::Head(role) => cluster.head_of(role),
+        Target::Tail(role) => cluster.tail_of(role),
+        Target::Machine(machine) => Some(machine),
+    }?;
+    (!cluster.machines[machine].removed).then_some(machine)
+}
+
+/// Lets a machine count as lost until it is back and has caught up.
+fn count_as_lost(cluster: &mut Cluster, machine: usize, back_after: Duration) {
+    let until = cluster.now + back_after + CATCH_UP_TIME;
+    let machine = &mut cluster.machines[machine];
+    machine.counts_as_lost_until = machine.counts_as_lost_until.max(until);
+}
+
+/// Returns whether one more disk may be lost now, and counts it: no more machines are lost with it than are tolerated, and no
+/// more disks since all machines were last healthy.
+fn may_lose_disk(cluster: &mut Cluster, machine: usize) -> bool {
+    let role = cluster.machines[machine].role;
+    let lost = cluster
+        .lost_machines()
+        .into_iter()
+        .filter(|lost| *lost != machine && cluster.machines[*lost].role == role);
+    let lost = lost.count();
+    if lost == 0 && cluster.now >= cluster.machines[machine].counts_as_lost_until {
+        cluster.disks_lost.insert(role, 0);
+    }
+    let disks_lost = cluster.disks_lost.entry(role).or_default();
+    let may_lose = lost.max(*disks_lost) < cluster.spec.tolerated_machines
+        && cluster.now >= cluster.machines[machine].counts_as_lost_until;
+    if may_lose {
+        *disks_lost += 1;
+    }
+    may_lose
+}
+
+/// Carries out a fault.
+fn inject(cluster: &mut Cluster, fault: Fault) {
+    match fault {
+        Fault::Thaw { machine } => cluster.set_frozen(machine, false),
+        Fault::Heal { machine } => cluster.heal(machine),
+        Fault::RepairDisk { machine } => {
+            cluster.machines[machine].disk.set_failing(false);
+            cluster.machines[machine].disk.set_sync_time(SYNC_TIME);
+        }
+        Fault::ReliableNetwork => cluster.message_fault_permille = 0,
+        Fault::LossyNetwork { message_fault_permille, time } => {
+            cluster.message_fault_permille = message_fault_permille;
+            for machine in 0..cluster.machines.len() {
+                count_as_lost(cluster, machine, time);
+            }
+            cluster.fault_at(cluster.now + time, Fault::ReliableNetwork);
+        }
+        Fault::KillAll { power } => kill_all(cluster, power),
+        Fault::WipeAndPowerOff { disks } => wipe_and_power_off(cluster, disks),
+        Fault::Split { role, time } => split(cluster, role, time),
+        Fault::Add { role } => {
+            let machine = cluster.add_machine(role);
+            count_as_lost(cluster, machine, Duration::ZERO);
+            cluster.restart(machine, Duration::from_millis(100));
+        }
+        Fault::Kill { target, .. }
+        | Fault::Wipe { target, .. }
+        | Fault::CorruptDisk { target }
+        | Fault::Freeze { target, .. }
+        | Fault::Partition { target, .. }
+        | Fault::Terminate { target }
+        | Fault::Replace { target, .. }
+        | Fault::SlowDisk { target, .. }
+        | Fault::FailingDisk { target, .. } => {
+            if let Some(machine) = resolve_target(cluster, target) {
+                inject_into_machine(cluster, machine, fault);
+            }
+        }
+    }
+}
+
+/// Carries out a fault of one machine. Machines without a disk are only killed and frozen.
+fn inject_into_machine(cluster: &mut Cluster, machine: usize, fault: Fault) {
+    if !cluster.machines[machine].has_disk && !matches!(fault, Fault::Kill { .. } | Fault::Freeze { .. }) {
+        return;
+    }
+    match fault {
+        Fault::Kill { power, back_after, .. } => {
+            count_as_lost(cluster, machine, back_after);
+            cluster.kill(machine, power);
+            cluster.restart(machine, back_after);
+        }
+        Fault::Wipe { back_after, .. } => wipe(cluster, machine, back_after),
+        Fault::CorruptDisk { .. } => corrupt_disk(cluster, machine),
+        Fault::Freeze { time, .. } => {
+            count_as_lost(cluster, machine, time);
+            cluster.set_frozen(machine, true);
+            cluster.fault_at(cluster.now + time, Fault::Thaw { machine });
+        }
+        Fault::Partition { from, ways, how, time, .. } => partition(cluster, machine, from, ways, how, time),
+        Fault::Terminate { .. } => {
+            count_as_lost(cluster, machine, Duration::from_secs(5));
+            cluster.terminate(machine);
+            cluster.restart(machine, Duration::from_millis(4500));
+            // Sometimes the process is killed before its grace period is over.
+            let target = Target::Machine(machine);
+            if cluster.rng.u32(0..3) == 0 {
+                let back_after = Duration::from_millis(400);
+                let at = cluster.now + Duration::from_millis(4000);
+                cluster.fault_at(at, Fault::Kill { target, power: false, back_after });
+            }
+        }
+        Fault::Replace { .. } => replace(cluster, machine),
+        Fault::SlowDisk { sync, time, .. } => {
+            count_as_lost(cluster, machine, time);
+            cluster.machines[machine].disk.set_sync_time(sync);
+            cluster.fault_at(cluster.now + time, Fault::RepairDisk { machine });
+        }
+        Fault::FailingDisk { time, .. } => fail_writes(cluster, machine, time),
+        _ => {}
+    }
+}
+
+fn wipe(cluster: &mut Cluster, machine: usize, back_after: Duration) {
+    if !may_lose_disk(cluster, machine) {
+        return;
+    }
+    count_as_lost(cluster, machine, back_after);
+    cluster.kill(machine, true);
+    cluster.machines[machine].disk.wipe();
+    cluster.restart(machine, back_after);
+}
+
+fn corrupt_disk(cluster: &mut Cluster, machine: usize) {
+    const BACK_AFTER: Duration = Duration::from_millis(300);
+    if !may_lose_disk(cluster, machine) {
+        return;
+    }
+    count_as_lost(cluster, machine, BACK_AFTER);
+    cluster.kill(machine, false);
+    let disk = cluster.machines[machine].disk.clone();
+    disk.corrupt(&mut cluster.rng);
+    cluster.restart(machine, BACK_AFTER);
+}
+
+fn fail_writes(cluster: &mut Cluster, machine: usize, time: Duration) {
+    // A process can't start on a disk whose writes fail, so that it would not come back before the repair.
+    if !cluster.is_running(machine) {
+        return;
+    }
+    count_as_lost(cluster, machine, time);
+    cluster.machines[machine].disk.set_failing(true);
+    cluster.fault_at(cluster.now + time, Fault::RepairDisk { machine });
+}
+
+fn partition(
+    cluster: &mut Cluster,
+    machine: usize,
+    from: PartitionScope,
+    ways: PartitionDirection,
+    how: LinkFault,
+    time: Duration,
+) {
+    count_as_lost(cluster, machine, time);
+    let role = cluster.machines[machine].role;
+    for other in 0..cluster.machines.len() {
+        if other == machine || (from == PartitionScope::Peers && cluster.machines[other].role != role) {
+            continue;
+        }
+        if ways != PartitionDirection::Inbound {
+            cluster.partition(machine, other, how);
+        }
+        if ways != PartitionDirection::Outbound {
+            cluster.partition(other, machine, how);
+        }
+    }
+    if from == PartitionScope::MachinesAndClients {
+        cluster.isolate_from_clients(machine);
+    }
+    cluster.fault_at(cluster.now + time, Fault::Heal { machine });
+}
+
+fn split(cluster: &mut Cluster, role: Role, time: Duration) {
+    let mut machines = cluster.machines_of(role);
+    cluster.rng.shuffle(&mut machines);
+    let (left, right) = machines.split_at(machines.len() / 2);
+    for &machine in right {
+        count_as_lost(cluster, machine, time);
+    }
+    for &machine in left {
+        count_as_lost(cluster, machine, time);
+        for &other in right {
+            cluster.partition(machine, other, LinkFault::Drop);
+            cluster.partition(other, machine, LinkFault::Drop);
+        }
+        cluster.fault_at(cluster.now + time, Fault::Heal { machine });
+    }
+}
+
+fn kill_all(cluster: &mut Cluster, power: bool) {
+    for machine in 0..cluster.machines.len() {
+        if !cluster.machines[machine].removed && cluster.is_running(machine) {
+            let back_after = Duration::from_millis(cluster.rng.u64(200..1000));
+            count_as_lost(cluster, machine, back_after);
+            cluster.kill(machine, power);
+            cluster.restart(machine, back_after);
+        }
+    }
+}
+
+fn wipe_and_power_off(cluster: &mut Cluster, disks: usize) {
+    let lost = cluster.lost_machines();
+    let mut disks_left = [disks; 2];
+    let mut machines: Vec<usize> = (0..cluster.machines.len()).collect();
+    cluster.rng.shuffle(&mut machines);
+    for machine in machines {
+        if cluster.machines[machine].removed || !cluster.is_running(machine) {
+            continue;
+        }
+        let role = cluster.machines[machine].role;
+        let others_lost = lost.iter().filter(|lost| cluster.machines[**lost].role == role).count();
+        let disks_left = &mut disks_left[usize::from(role == Role::Store)];
+        let back_after = Duration::from_millis(cluster.rng.u64(300..3000));
+        count_as_lost(cluster, machine, back_after);
+        cluster.kill(machine, true);
+        if others_lost == 0 && *disks_left > 0 && cluster.machines[machine].has_disk {
+            *disks_left -= 1;
+            cluster.disks_lost.insert(role, disks - *disks_left);
+            cluster.machines[machine].disk.wipe();
+        }
+        cluster.restart(machine, back_after);
+    }
+}
+
+fn replace(cluster: &mut Cluster, machine: usize) {
+    let role = cluster.machines[machine].role;
+    let lost =
+        cluster.lost_machines().into_iter().filter(|lost| cluster.machines[*lost].role == role).count();
+    // The machines that never come back must leave a majority of the voters, which takes 2f + 1 of them.
+    let (coordinators, tolerated) = (cluster.spec.coordinators, cluster.spec.tolerated_machines);
+    let leaves_majority =
+        role == Role::Store || (coordinators > 2 * tolerated && 2 * (lost + 1) < coordinators);
+    if !may_lose_disk(cluster, machine) || !leaves_majority {
+        return;
+    }
+    let added = cluster.add_machine(role);
+    count_as_lost(cluster, added, Duration::from_secs(1));
+    cluster.kill(machine, true);
+    cluster.machines[machine].removed = true;
+    cluster.restart(added, Duration::from_secs(1));
+}
--- a/control-plane/simulation/src/lib.rs
+++ b/control-plane/simulation/src/lib.rs
@@ -1,8 +1,8 @@
-//! Whole clusters of the control plane on a virtual network, virtual disks and virtual clocks, from one seed.
+//! Clusters of coordinators and stores on virtual networks, disks and clocks, replayed exactly from a seed.
 //!
-//! The coordinators and stores are those of `control-core`, as the programs run them. [`world::World`] carries their inputs
-//! and outputs; [`clients`] are the operators, gateways and batch clients, [`faults`] the troubles, and [`judge`] checks
-//! the history of everything that was asked and answered. A seed replays exactly.
+//! The coordinators and stores are those of `marblecroft-control-plane-core`, as the programs run them. A [`Cluster`] carries
+//! their inputs and outputs; [`clients`] are the operators, gateways and batch clients, [`faults`] the faults that are
+//! injected, and the [`checker`] checks the history of requests and responses. The [`runner`] puts them together.
 #![forbid(unsafe_code)]
 
 pub mod checker;
@@ -10,6 +10,7 @@
 pub mod cluster;
 pub mod disk;
 pub mod faults;
+pub mod runner;
 pub mod scenarios;
 
 pub use cluster::{Cluster, ClusterSpec};
--- a/control-plane/simulation/src/main.rs
+++ b/control-plane/simulation/src/main.rs
@@ -1,165 +1,152 @@
-//! Searches seeds for broken rules: `marblecroft-simulation search`, and plays one again: `marblecroft-simulation replay`.
+//! Searches seeds for violations (`search`), replays one with a log (`replay`), and writes scenarios for the bench (`days`).
 
-use marblecroft_simulation::faults::{self, Plan};
-use marblecroft_simulation::scenarios::{random_faults, scenario, Model};
-use marblecroft_simulation::ClusterSpec;
+mod flags;
+
+use flags::{Days, MarblecroftSimulation, MarblecroftSimulationCmd, Replay, Search};
+use marblecroft_simulation::runner;
+use marblecroft_simulation::scenarios::{fault_variants, scenario, Template};
+use marblecroft_simulation::{ClusterSpec, Plan};
+use quick_error::quick_error;
 use std::collections::BTreeMap;
 use std::io::Write;
-use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::Mutex;
+use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 use std::{fs, io};
 
-xflags::xflags! {
-    /// Clusters of coordinators and stores on virtual networks, disks and clocks.
-    cmd marblecroft-simulation {
-        /// Plays seeds, and prints how many a second and which of them break a rule.
-        cmd search {
-            /// The first seed (1).
-            optional --from from: u64
-            /// How many seeds (1000).
-            optional --seeds seeds: u64
-            /// Coordinators (3).
-            optional --coordinators coordinators: usize
-            /// Stores (4).
-            optional --stores stores: usize
-            /// Machines with a disk that may be lost at once (1).
-            optional --tolerated tolerated: usize
-            /// Coordinators more without a disk (0).
-            optional --without-disk without: usize
-            /// Threads (4).
-            optional --threads threads: usize
-        }
-        /// Writes days for the bench, one file each, and prints what strikes in them.
-        cmd days {
-            /// The site file whose first day gives traffic and marks.
-            required --site site: PathBuf
-            /// The folder that they are written to.
-            required --out out: PathBuf
-            /// The first day (0).
-            optional --from from: usize
-            /// How many (as many as there are kinds and variants).
-            optional --days days: usize
-            /// The seed (1).
-            optional --seed seed: u64
+/// Size of the cluster unless flags give another one.
+const DEFAULT_COORDINATORS: usize = 3;
+const DEFAULT_STORES: usize = 4;
+const DEFAULT_TOLERATED: usize = 1;
+const DEFAULT_SEEDS: u64 = 1000;
+const DEFAULT_THREADS: usize = 4;
+
+quick_error! {
+    /// Scenarios can't be written.
+    #[derive(Debug)]
+    enum WriteScenariosError {
+        /// The site file can't be read, or a scenario not written.
+        Io(e: io::Error) {
+            from()
+            source(e)
+            display("{e}")
         }
-        /// Plays one seed and prints what happens.
-        cmd replay {
-            required --seed seed: u64
-            optional --coordinators coordinators: usize
-            optional --stores stores: usize
-            optional --tolerated tolerated: usize
-            optional --without-disk without: usize
+        /// The site file has no day that could be the template.
+        NoTemplate {
+            display("the site file has no day")
         }
     }
 }
 
-/// The cluster that is played unless another one is asked for.
-const COORDINATORS: usize = 3;
-const STORES: usize = 4;
-const TOLERATED: usize = 1;
+/// What a search has found so far.
+#[derive(Default)]
+struct SearchResults {
+    failed_seeds: Vec<u64>,
+    /// Events of all runs, by kind.
+    counts: BTreeMap<&'static str, u64>,
+}
 
-fn spec_of(
-    seed: u64,
-    coordinators: Option<usize>,
-    stores: Option<usize>,
-    tolerated: Option<usize>,
-    without_disk: Option<usize>,
-) -> ClusterSpec {
-    ClusterSpec {
-        seed,
-        coordinators: coordinators.unwrap_or(COORDINATORS),
-        stores: stores.unwrap_or(STORES),
-        tolerated_machines: tolerated.unwrap_or(TOLERATED),
-        diskless_coordinators: without_disk.unwrap_or(0),
+/// Runs one seed after the other until none is left, and prints the first violation of each.
+fn search_seeds(next: &AtomicU64, end: u64, spec: ClusterSpec, results: &Mutex<SearchResults>) {
+    loop {
+        let seed = next.fetch_add(1, Ordering::Relaxed);
+        if seed >= end {
+            return;
+        }
+        let spec = ClusterSpec { seed, ..spec };
+        let verdict = runner::run(spec, &Plan::draw(&spec));
+        let mut results = results.lock().unwrap_or_else(PoisonError::into_inner);
+        for (kind, count) in verdict.counts {
+            *results.counts.entry(kind).or_default() += count;
+        }
+        if let Some(first) = verdict.found.first() {
+            println!("seed {seed}: {first}");
+            results.failed_seeds.push(seed);
+        }
     }
 }
 
-fn search(from: u64, seeds: u64, spec: ClusterSpec, threads: usize) -> ExitCode {
-    let (next, failed) = (AtomicU64::new(from), Mutex::new(Vec::new()));
-    let counts = Mutex::new(BTreeMap::<&str, u64>::new());
-    let begun = Instant::now();
+fn search(flags: &Search) -> ExitCode {
+    let (from, seeds) = (flags.from.unwrap_or(1), flags.seeds.unwrap_or(DEFAULT_SEEDS));
+    let spec = ClusterSpec {
+        seed: from,
+        coordinators: flags.coordinators.unwrap_or(DEFAULT_COORDINATORS),
+        stores: flags.stores.unwrap_or(DEFAULT_STORES),
+        tolerated_machines: flags.tolerated.unwrap_or(DEFAULT_TOLERATED),
+        diskless_coordinators: flags.without_disk.unwrap_or(0),
+    };
+    let (next, results) = (AtomicU64::new(from), Mutex::new(SearchResults::default()));
+    let started_at = Instant::now();
     std::thread::scope(|scope| {
-        for _ in 0..threads {
-            scope.spawn(|| loop {
-                let seed = next.fetch_add(1, Ordering::Relaxed);
-                if seed >= from + seeds {
-                    return;
-                }
-                let spec = ClusterSpec { seed, ..spec };
-                let verdict = faults::run(spec, &Plan::draw(&spec));
-                if let Ok(mut counts) = counts.lock() {
-                    verdict.counts.iter().for_each(|(what, count)| *counts.entry(what).or_default() += count);
-                }
-                if let Some(first) = verdict.found.first() {
-                    println!("seed {seed}: {first}");
-                    if let Ok(mut failed) = failed.lock() {
-                        failed.push(seed);
-                    }
-                }
-            });
+        for _ in 0..flags.threads.unwrap_or(DEFAULT_THREADS) {
+            scope.spawn(|| search_seeds(&next, from + seeds, spec, &results));
         }
     });
-    println!("{:?}", counts.into_inner().unwrap_or_default());
-    let failed = failed.into_inner().unwrap_or_default();
-    let a_second = seeds as f64 / begun.elapsed().as_secs_f64();
+    let results = results.into_inner().unwrap_or_else(PoisonError::into_inner);
+    let seeds_per_second = seeds as f64 / started_at.elapsed().as_secs_f64();
+    println!("{:?}", results.counts);
     println!(
-        "{} coordinators and {} without a disk, {} stores, {} tolerated: {seeds} seeds from {from}, {a_second:.1} a second, \
-         {} failed",
+        "{} coordinators and {} without a disk, {} stores, {} tolerated: {seeds} seeds from {from}, \
+         {seeds_per_second:.1} a second, {} failed",
         spec.coordinators,
         spec.diskless_coordinators,
         spec.stores,
         spec.tolerated_machines,
-        failed.len()
+        results.failed_seeds.len()
     );
-    if failed.is_empty() {
-        ExitCode::SUCCESS
-    } else {
-        ExitCode::FAILURE
-    }
+    exit_code(results.failed_seeds.is_empty())
 }
 
-fn write_scenarios(site: &Path, out: &Path, from: usize, days: usize, seed: u64) -> io::Result<()> {
-    let model = Model::read(&fs::read_to_string(site)?);
-    let model =
-        model.ok_or_else(|| io::Error::new(io::ErrorKind::InvalidData, "the site file has no day"))?;
-    fs::create_dir_all(out)?;
+fn write_scenarios(flags: &Days) -> Result<(), WriteScenariosError> {
+    let template =
+        Template::read(&fs::read_to_string(&flags.site)?).ok_or(WriteScenariosError::NoTemplate)?;
+    let (from, days) = (flags.from.unwrap_or(0), flags.days.unwrap_or_else(fault_variants));
+    fs::create_dir_all(&flags.out)?;
     for number in from..from + days {
-        let (text, told) = scenario(&model, number, seed);
-        fs::write(out.join(format!("{number:03}.toml")), text)?;
-        writeln!(io::stdout(), "{number:03} {told}")?;
+        let scenario = scenario(&template, number, flags.seed.unwrap_or(1));
+        fs::write(flags.out.join(format!("{number:03}.toml")), scenario.toml)?;
+        writeln!(io::stdout(), "{number:03} {}", scenario.summary)?;
     }
     Ok(())
 }
 
+fn days(flags: &Days) -> ExitCode {
+    match write_scenarios(flags) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(e) => {
+            eprintln!("marblecroft-simulation: {}: {e}", flags.site.display());
+            ExitCode::FAILURE
+        }
+    }
+}
+
+fn replay(flags: &Replay) -> ExitCode {
+    marblecroft_logging::init("simulation", marblecroft_logging::LogConfig::default());
+    let spec = ClusterSpec {
+        seed: flags.seed,
+        coordinators: flags.coordinators.unwrap_or(DEFAULT_COORDINATORS),
+        stores: flags.stores.unwrap_or(DEFAULT_STORES),
+        tolerated_machines: flags.tolerated.unwrap_or(DEFAULT_TOLERATED),
+        diskless_coordinators: flags.without_disk.unwrap_or(0),
+    };
+    let verdict = runner::run(spec, &Plan::draw(&spec));
+    verdict.found.iter().for_each(|found| println!("FOUND {found}"));
+    exit_code(verdict.found.is_empty())
+}
+
+fn exit_code(passed: bool) -> ExitCode {
+    if passed {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
+}
+
 fn main() -> ExitCode {
     match MarblecroftSimulation::from_env_or_exit().subcommand {
-        MarblecroftSimulationCmd::Search(s) => {
-            let spec = spec_of(0, s.coordinators, s.stores, s.tolerated, s.without_disk);
-            search(s.from.unwrap_or(1), s.seeds.unwrap_or(1000), spec, s.threads.unwrap_or(4))
-        }
-        MarblecroftSimulationCmd::Days(d) => {
-            let (from, days) = (d.from.unwrap_or(0), d.days.unwrap_or_else(random_faults));
-            match write_scenarios(&d.site, &d.out, from, days, d.seed.unwrap_or(1)) {
-                Ok(()) => ExitCode::SUCCESS,
-                Err(e) => {
-                    eprintln!("marblecroft-simulation: {}: {e}", d.site.display());
-                    ExitCode::FAILURE
-                }
-            }
-        }
-        MarblecroftSimulationCmd::Replay(r) => {
-            marblecroft_logging::init("simulation", marblecroft_logging::LogConfig::default());
-            let spec = spec_of(r.seed, r.coordinators, r.stores, r.tolerated, r.without_disk);
-            let verdict = faults::run(spec, &Plan::draw(&spec));
-            verdict.found.iter().for_each(|found| println!("FOUND {found}"));
-            if verdict.found.is_empty() {
-                ExitCode::SUCCESS
-            } else {
-                ExitCode::FAILURE
-            }
-        }
+        MarblecroftSimulationCmd::Search(flags) => search(&flags),
+        MarblecroftSimulationCmd::Days(flags) => days(&flags),
+        MarblecroftSimulationCmd::Replay(flags) => replay(&flags),
     }
 }
--- a/control-plane/simulation/src/scenarios.rs
+++ b/control-plane/simulation/src/scenarios.rs
@@ -1,24 +1,31 @@
-//! Days for the bench: every kind of trouble that strikes the machines that count, alone, twice, and in pairs at the same
-//! moment, with changes of the configuration under way, and with every way to end a day.
+//! Scenarios for the bench, one day each: every kind of fault of coordinators and stores, alone, twice, and in pairs at the
+//! same instant, with configuration changes in flight, and with every way to end a day.
 //!
-//! A day takes its traffic and its marks from the first day of a site file, and is drawn from a seed.
+//! A scenario takes its traffic and its thresholds from a [`Template`], the first day of a site file; the rest is drawn from a
+//! seed. The words of the TOML text are the bench's.
 
 use fastrand::Rng;
 use std::fmt::Write;
 
-/// A kind of trouble, whether it takes `on`, its variants, and its further fields.
-struct Kind {
+/// A kind of fault in the words of the bench: whether it takes `on`, its variants (`how`), and its further fields.
+struct FaultKind {
     name: &'static str,
     on: bool,
     variants: &'static [&'static str],
     fields: &'static str,
 }
 
-const fn kind(name: &'static str, on: bool, variants: &'static [&'static str], fields: &'static str) -> Kind {
-    Kind { name, on, variants, fields }
+const fn kind(
+    name: &'static str,
+    on: bool,
+    variants: &'static [&'static str],
+    fields: &'static str,
+) -> FaultKind {
+    FaultKind { name, on, variants, fields }
 }
 
-const KINDS: [Kind; 19] = [
+/// All kinds of faults.
+const FAULT_KINDS: [FaultKind; 19] = [
     kind(
         "node_kill",
         true,
@@ -73,55 +80,61 @@
     kind("hup", false, &[""], "share = 0.5, gap_s = 0.5"),
 ];
 
+/// The ways to end a day, each with its variants.
 const CLOSINGS: [(&str, &[&str]); 3] = [
     ("power_off_all", &["", "all", "taken", "all taken", "timed"]),
     ("wipe_after_ack", &["", "all", "oldest", "timed", "taken", "all taken"]),
     ("kill_all", &["", "timed", "taken"]),
 ];
 
-/// When the first trouble strikes, in seconds from the start of traffic, and when the second one of its kind does.
-const FIRST_AT: f64 = 9.0;
-const AGAIN_AT: f64 = 19.5;
+/// When the first fault comes, in seconds from the start of traffic.
+const FIRST_FAULT_AT_SECONDS: f64 = 9.0;
+/// When it comes again, in scenarios that have it twice.
+const SECOND_FAULT_AT_SECONDS: f64 = 19.5;
 
-/// What a day of the site file gives to those that are made of it.
+/// The lines of a day that all scenarios made of it share.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Model {
-    /// The lines that hold its marks and its traffic.
-    kept: String,
+pub struct Template {
+    /// Its thresholds and its traffic.
+    shared_lines: String,
 }
 
-impl Model {
-    /// The first day of a site file; `None` where there is none.
-    pub fn read(site: &str) -> Option<Model> {
+impl Template {
+    /// Returns the template in the first day of a site file; `None` where there is no day.
+    pub fn read(site: &str) -> Option<Template> {
         let day = site.split("\n[[day]]\n").nth(1)?;
-        let mut kept = String::new();
-        let mut skips = false;
+        let mut shared_lines = String::new();
+        let mut is_skipping = false;
         for line in day.lines() {
             let key = line.split('=').next().unwrap_or_default().trim();
             let is_list = matches!(key, "plan" | "faults") && line.ends_with('[');
-            skips |= is_list;
-            if !skips && !matches!(key, "name" | "seed" | "plan" | "faults" | "closing" | "light") {
-                kept.push_str(line);
-                kept.push('\n');
+            is_skipping |= is_list;
+            if !is_skipping && !matches!(key, "name" | "seed" | "plan" | "faults" | "closing" | "light") {
+                shared_lines.push_str(line);
+                shared_lines.push('\n');
             }
-            if skips && line == "]" {
-                skips = false;
+            if is_skipping && line == "]" {
+                is_skipping = false;
             }
         }
-        Some(Model { kept })
+        Some(Template { shared_lines })
     }
 }
 
-fn entry(kind: &Kind, variant: &str, role: &str, at: f64) -> String {
+/// Returns the line of one fault.
+fn fault_line(kind: &FaultKind, variant: &str, role: &str, at: f64) -> String {
     let on = if kind.on { format!("on = \"{role}\", ") } else { String::new() };
     let how = if variant.is_empty() { String::new() } else { format!(", how = \"{variant}\"") };
     format!("  {{ at = {at:.2}, kind = \"{}\", {on}{}{how} }},\n", kind.name, kind.fields)
 }
 
-/// All kinds with all of their variants, and whom they strike.
-fn all_faults() -> Vec<(&'static Kind, &'static str, &'static str)> {
+/// A kind of fault in one of its variants, and the role that it affects (empty where the kind takes none).
+type FaultVariant = (&'static FaultKind, &'static str, &'static str);
+
+/// Returns all kinds with all of their variants and roles.
+fn all_faults() -> Vec<FaultVariant> {
     let mut all = Vec::new();
-    for kind in &KINDS {
+    for kind in &FAULT_KINDS {
         for role in if kind.on { &["core", "store"][..] } else { &[""][..] } {
             all.extend(kind.variants.iter().map(|variant| (kind, *variant, *role)));
         }
@@ -129,34 +142,43 @@
     all
 }
 
-/// Days that this many kinds, variants and machines make.
-pub fn random_faults() -> usize {
+/// Returns the number of kinds with their variants and roles: as many scenarios have each of them once.
+pub fn fault_variants() -> usize {
     all_faults().len()
 }
 
-/// A day of the bench's form, and one line that says what strikes.
-pub fn scenario(model: &Model, number: usize, seed: u64) -> (String, String) {
+/// A scenario for the bench.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Scenario {
+    /// Its text for a site file.
+    pub toml: String,
+    /// One line about its faults.
+    pub summary: String,
+}
+
+/// Returns scenario `number`, whose first fault is that of this number, drawn from a seed.
+pub fn scenario(template: &Template, number: usize, seed: u64) -> Scenario {
     let mut rng = Rng::with_seed(seed.wrapping_mul(1_000_003) ^ number as u64);
     let all = all_faults();
     let (kind, variant, role) = all[number % all.len()];
-    let at = FIRST_AT + rng.f64();
-    let mut faults = entry(kind, variant, role, at);
-    let mut told = format!("{} {role} {variant:?}", kind.name);
+    let at = FIRST_FAULT_AT_SECONDS + rng.f64();
+    let mut faults = fault_line(kind, variant, role, at);
+    let mut summary = format!("{} {role} {variant:?}", kind.name);
     match rng.u32(0..3) {
         0 => {
-            faults += &entry(kind, variant, role, AGAIN_AT + rng.f64());
-            told += ", twice";
+            faults += &fault_line(kind, variant, role, SECOND_FAULT_AT_SECONDS + rng.f64());
+            summary += ", twice";
         }
         1 => {
             let (other, variant, role) = all[rng.usize(0..all.len())];
-            faults += &entry(other, variant, role, at);
-            let _ = write!(told, ", with {} {role} {variant:?}", other.name);
+            faults += &fault_line(other, variant, role, at);
+            let _ = write!(summary, ", with {} {role} {variant:?}", other.name);
         }
         _ => {}
     }
     if rng.bool() {
         faults += &format!("  {{ at = {:.2}, kind = \"ack_lost\", for_s = 12.0, x = 0.6 }},\n", at - 1.0);
-        told += ", acknowledgements lost";
+        summary += ", acknowledgements lost";
     }
     let mut plan = String::new();
     for change in 0..14 {
@@ -165,11 +187,11 @@
         plan += &format!("  {{ at = {at:.2}, kind = \"config_change\", how = \"{how}\" }},\n");
     }
     plan += "  { at = 8.80, kind = \"config_race\", count = 4, gap_s = 1.3 },\n";
-    let mut text = format!("[[day]]\nname = \"own-{seed}-{number}\"\nseed = {}\n", rng.u32(..));
+    let mut toml = format!("[[day]]\nname = \"own-{seed}-{number}\"\nseed = {}\n", rng.u32(..));
     let (closing, variants) = CLOSINGS[rng.usize(0..CLOSINGS.len())];
     let how = variants[rng.usize(0..variants.len())];
-    let _ = writeln!(text, "closing = {{ kind = \"{closing}\", down_s = 1.2, how = \"{how}\" }}");
-    let _ = write!(told, ", ends with {closing} {how:?}");
-    let _ = write!(text, "faults = [\n{faults}]\nplan = [\n{plan}]\n{}", model.kept);
-    (text, told)
+    let _ = writeln!(toml, "closing = {{ kind = \"{closing}\", down_s = 1.2, how = \"{how}\" }}");
+    let _ = write!(summary, ", ends with {closing} {how:?}");
+    let _ = write!(toml, "faults = [\n{faults}]\nplan = [\n{plan}]\n{}", template.shared_lines);
+    Scenario { toml, summary }
 }
--- a/control-plane/simulation/tests/common/mod.rs
+++ b/control-plane/simulation/tests/common/mod.rs
@@ -1,6 +1,7 @@
-//! What the scenarios share.
+//! Scenarios: a cluster, a plan of faults, and running many of them on all processors.
 
-use marblecroft_simulation::faults::{self, Fault, Plan, Verdict, CATCH_UP_TIME};
+use marblecroft_simulation::faults::{Fault, Plan, CATCH_UP_TIME};
+use marblecroft_simulation::runner::{self, Verdict};
 use marblecroft_simulation::ClusterSpec;
 use std::sync::Mutex;
 use std::thread;
@@ -10,29 +11,29 @@
     Duration::from_secs_f64(seconds)
 }
 
-/// A scenario by its name.
+/// A cluster with a plan of faults.
 pub struct Scenario {
     pub name: String,
     pub spec: ClusterSpec,
     pub plan: Plan,
-    pub change_pause: u64,
+    pub max_think_time_ms: u64,
 }
 
 impl Scenario {
-    /// Troubles at their times, in seconds; the last one is over at `quiet_from`.
+    /// Returns a scenario of faults with their instants in seconds; the last one is over at `quiet_from`.
     pub fn new(name: String, spec: ClusterSpec, faults: Vec<(f64, Fault)>, quiet_from: f64) -> Scenario {
         let faults = faults.into_iter().map(|(at, fault)| (seconds(at), fault)).collect();
         let plan = Plan::of(faults, seconds(quiet_from) + CATCH_UP_TIME);
-        Scenario { name, spec, plan, change_pause: 300 }
+        Scenario { name, spec, plan, max_think_time_ms: 300 }
     }
 
     pub fn run(&self) -> Verdict {
-        faults::run_with(self.spec, &self.plan, self.change_pause)
+        runner::run_with(self.spec, &self.plan, self.max_think_time_ms)
     }
 }
 
-/// Plays all of them, and tells each that has found something.
-pub fn play_all(scenarios: Vec<Scenario>) {
+/// Runs all scenarios, and fails with the first violation of each that has one.
+pub fn run_all(scenarios: Vec<Scenario>) {
     assert!(!scenarios.is_empty());
     let (left, found) = (Mutex::new(scenarios), Mutex::new(Vec::new()));
     let next = || left.lock().expect("no panic").pop();
--- a/control-plane/simulation/tests/cut_off.rs
+++ b/control-plane/simulation/tests/partitions.rs
@@ -1,15 +1,15 @@
-//! Point 1: a control machine is cut off for twenty seconds while changes go on, alone, twice, and while another is replaced.
-//! It neither hands out an old configuration, nor refuses, nor confirms.
+//! A machine is partitioned for twenty seconds while changes go on: alone, twice, and while another one is replaced. It neither
+//! serves an old configuration, nor rejects or acknowledges a change.
 
 #[allow(dead_code)]
 mod common;
 
-use common::{play_all, seconds, Scenario};
+use common::{run_all, seconds, Scenario};
 use marblecroft_simulation::cluster::{LinkFault, Role};
 use marblecroft_simulation::faults::{Fault, PartitionDirection, PartitionScope, Target};
 use marblecroft_simulation::ClusterSpec;
 
-const CUT_FOR: f64 = 20.0;
+const PARTITION_SECONDS: f64 = 20.0;
 const TARGETS: [Target; 5] = [
     Target::Head(Role::Coordinator),
     Target::Tail(Role::Coordinator),
@@ -22,45 +22,52 @@
     ClusterSpec { seed, coordinators: 4, stores: 4, tolerated_machines: 1, diskless_coordinators: 0 }
 }
 
-fn cut(target: Target, from: PartitionScope, ways: PartitionDirection, how: LinkFault) -> Fault {
-    Fault::Partition { target, from, ways, how, time: seconds(CUT_FOR) }
+fn partition(target: Target, from: PartitionScope, ways: PartitionDirection, how: LinkFault) -> Fault {
+    Fault::Partition { target, from, ways, how, time: seconds(PARTITION_SECONDS) }
 }
 
-/// Every place, from everything, each way, silent and reset.
-fn all_cuts() -> Vec<Fault> {
-    let mut cuts = Vec::new();
+/// Partitions of every target, scope and direction, with lost messages and with resets.
+fn all_partitions() -> Vec<Fault> {
+    let mut partitions = Vec::new();
     for target in TARGETS {
         for from in [PartitionScope::Peers, PartitionScope::Machines, PartitionScope::MachinesAndClients] {
             for ways in [PartitionDirection::Both, PartitionDirection::Inbound, PartitionDirection::Outbound]
             {
-                cuts.extend([LinkFault::Drop, LinkFault::Reset].map(|how| cut(target, from, ways, how)));
+                partitions.extend(
+                    [LinkFault::Drop, LinkFault::Reset].map(|how| partition(target, from, ways, how)),
+                );
             }
         }
     }
-    cuts
+    partitions
 }
 
 #[test]
-fn a_machine_that_is_cut_off_says_nothing_old() {
+fn a_partitioned_machine_serves_nothing_stale() {
     let scenario = |(number, fault): (usize, Fault)| {
-        Scenario::new(format!("{fault:?}"), spec(number as u64), vec![(6.0, fault)], 6.0 + CUT_FOR)
+        Scenario::new(format!("{fault:?}"), spec(number as u64), vec![(6.0, fault)], 6.0 + PARTITION_SECONDS)
     };
-    play_all(all_cuts().into_iter().enumerate().map(scenario).collect());
+    run_all(all_partitions().into_iter().enumerate().map(scenario).collect());
 }
 
 #[test]
-fn the_same_place_is_cut_off_twice() {
+fn the_same_machine_is_partitioned_twice() {
     let scenario = |(number, fault): (usize, Fault)| {
-        let faults = vec![(6.0, fault), (6.0 + CUT_FOR + 1.0, fault)];
-        Scenario::new(format!("twice {fault:?}"), spec(100 + number as u64), faults, 7.0 + 2.0 * CUT_FOR)
+        let faults = vec![(6.0, fault), (6.0 + PARTITION_SECONDS + 1.0, fault)];
+        Scenario::new(
+            format!("twice {fault:?}"),
+            spec(100 + number as u64),
+            faults,
+            7.0 + 2.0 * PARTITION_SECONDS,
+        )
     };
-    play_all(all_cuts().into_iter().step_by(4).enumerate().map(scenario).collect());
+    run_all(all_partitions().into_iter().step_by(4).enumerate().map(scenario).collect());
 }
 
 #[test]
-fn a_machine_is_cut_off_while_another_is_replaced_or_joins() {
+fn a_machine_is_partitioned_while_another_is_replaced_or_joins() {
     let mut scenarios = Vec::new();
-    for (number, fault) in all_cuts().into_iter().step_by(3).enumerate() {
+    for (number, fault) in all_partitions().into_iter().step_by(3).enumerate() {
         let target = Target::Tail(Role::Coordinator);
         for (other, at) in [
             (Fault::Replace { target }, 5.0),
@@ -69,14 +76,14 @@
         ] {
             let faults = vec![(at, other), (6.0, fault)];
             let name = format!("{other:?} and {fault:?}");
-            scenarios.push(Scenario::new(name, spec(200 + number as u64), faults, 8.0 + CUT_FOR));
+            scenarios.push(Scenario::new(name, spec(200 + number as u64), faults, 8.0 + PARTITION_SECONDS));
         }
     }
-    play_all(scenarios);
+    run_all(scenarios);
 }
 
 #[test]
-fn a_machine_stands_still_and_answers_as_if_no_time_had_passed() {
+fn a_frozen_machine_that_continues_serves_nothing_stale() {
     let mut scenarios = Vec::new();
     for (number, target) in TARGETS.into_iter().enumerate() {
         for (step, time) in [0.4, 0.9, 1.6, 3.0, 8.0, 20.0].into_iter().enumerate() {
@@ -86,15 +93,15 @@
             scenarios.push(Scenario::new(format!("twice {fault:?}"), spec(seed), faults, 7.0 + 2.0 * time));
         }
     }
-    play_all(scenarios);
+    run_all(scenarios);
 }
 
 #[test]
-fn what_waited_for_a_machine_that_stood_still_gives_it_no_lease() {
+fn messages_queued_during_a_freeze_renew_no_lease() {
     let mut scenarios = Vec::new();
     for machine in 0..4 {
         for (step, time) in [1.2, 3.0, 8.0, 20.0].into_iter().enumerate() {
-            // It wakes cut off from its peers: what it hears first is what was sent to it long ago.
+            // It continues while partitioned from its peers, so that it first receives what was sent to it long ago.
             let target = Target::Machine(machine);
             let freeze = Fault::Freeze { target, time: seconds(time) };
             let alone = Fault::Partition {
@@ -108,9 +115,9 @@
             let seed = 400 + (machine * 10 + step) as u64;
             let mut scenario =
                 Scenario::new(format!("{freeze:?}, {alone:?}"), spec(seed), faults, 11.0 + time);
-            scenario.change_pause = 60;
+            scenario.max_think_time_ms = 60;
             scenarios.push(scenario);
         }
     }
-    play_all(scenarios);
+    run_all(scenarios);
 }
--- a/control-plane/simulation/tests/seeds.rs
+++ b/control-plane/simulation/tests/seeds.rs
@@ -1,11 +1,10 @@
-//! A bounded part of the search; `marblecroft-simulation search` does the rest. A seed replays exactly.
+//! A bounded part of the search of seeds, of which `marblecroft-simulation search` runs more; and that a seed replays exactly.
 
 #[allow(dead_code)]
 mod common;
 
-use common::{play_all, Scenario};
-use marblecroft_simulation::faults::{self, Plan};
-use marblecroft_simulation::ClusterSpec;
+use common::{run_all, Scenario};
+use marblecroft_simulation::{runner, ClusterSpec, Plan};
 
 /// Seeds of each size.
 const SEEDS: u64 = 24;
@@ -22,7 +21,7 @@
 ];
 
 #[test]
-fn seeds_of_every_size_break_no_rule() {
+fn seeds_of_every_size_have_no_violation() {
     let mut scenarios = Vec::new();
     for (coordinators, without_disk, stores, tolerated) in SIZES {
         for seed in 1..=SEEDS {
@@ -34,10 +33,10 @@
                 diskless_coordinators: without_disk,
             };
             let plan = Plan::draw(&spec);
-            scenarios.push(Scenario { name: format!("seed {seed}"), spec, plan, change_pause: 700 });
+            scenarios.push(Scenario { name: format!("seed {seed}"), spec, plan, max_think_time_ms: 700 });
         }
     }
-    play_all(scenarios);
+    run_all(scenarios);
 }
 
 #[test]
@@ -45,8 +44,8 @@
     let spec =
         ClusterSpec { seed: 77, coordinators: 4, stores: 4, tolerated_machines: 1, diskless_coordinators: 0 };
     let plan = Plan::draw(&spec);
-    let (first, again) = (faults::run(spec, &plan), faults::run(spec, &plan));
+    let (first, again) = (runner::run(spec, &plan), runner::run(spec, &plan));
     assert_eq!((first.trace, first.counts), (again.trace, again.counts));
     let other = ClusterSpec { seed: 78, ..spec };
-    assert_ne!(first.trace, faults::run(other, &Plan::draw(&other)).trace);
+    assert_ne!(first.trace, runner::run(other, &Plan::draw(&other)).trace);
 }
--- a/control-plane/simulation/tests/second_loss.rs
+++ b/control-plane/simulation/tests/successive_losses.rs
@@ -1,18 +1,18 @@
-//! Point 3: as soon as a machine has had its time to catch up, the next one may be lost, and the one after. Nothing that was
-//! acknowledged is lost, and a majority is left.
+//! As soon as a machine has caught up the next one is lost, and then another one. Nothing that was acknowledged is lost, and
+//! a majority stays.
 
 #[allow(dead_code)]
 mod common;
 
-use common::{play_all, seconds, Scenario};
+use common::{run_all, seconds, Scenario};
 use marblecroft_simulation::cluster::Role;
 use marblecroft_simulation::faults::{Fault, Target, CATCH_UP_TIME};
 use marblecroft_simulation::ClusterSpec;
 
-/// A little more than a machine has to catch up.
-const STEP: f64 = 7.0;
+/// A little more than the time in which a machine must catch up.
+const STEP_SECONDS: f64 = 7.0;
 
-/// Cores and what they bear: 2f + 1 at the least.
+/// Coordinators and tolerated losses f: at least 2f + 1 coordinators.
 const SIZES: [(usize, usize); 7] = [(3, 1), (4, 1), (5, 1), (5, 2), (6, 2), (7, 2), (9, 2)];
 
 fn losses(target: Target) -> [Fault; 4] {
@@ -39,9 +39,9 @@
 }
 
 #[test]
-fn one_loss_follows_the_other() {
+fn losses_follow_one_another_after_catching_up() {
     let mut scenarios = Vec::new();
-    let step = CATCH_UP_TIME.as_secs_f64().max(STEP);
+    let step = CATCH_UP_TIME.as_secs_f64().max(STEP_SECONDS);
     for (number, size) in SIZES.into_iter().enumerate() {
         for role in [Role::Coordinator, Role::Store] {
             for (case, (first, second)) in targets(role)
@@ -57,7 +57,7 @@
             }
         }
     }
-    play_all(scenarios);
+    run_all(scenarios);
 }
 
 #[test]
@@ -71,11 +71,11 @@
             scenarios.push(Scenario::new(format!("{fault:?}"), spec(seed, size), faults, 36.0));
         }
     }
-    play_all(scenarios);
+    run_all(scenarios);
 }
 
 #[test]
-fn as_many_as_are_tolerated_are_lost_at_once_after_a_repair() {
+fn as_many_disks_as_tolerated_are_lost_at_once_after_a_repair() {
     let mut scenarios = Vec::new();
     for (number, size) in SIZES.into_iter().enumerate() {
         for role in [Role::Coordinator, Role::Store] {
@@ -83,10 +83,10 @@
             let both = [wipe(Target::Head(role)), wipe(Target::Tail(role))];
             let repaired = Fault::Replace { target: Target::Any(role) };
             let mut faults = vec![(6.0, repaired)];
-            faults.extend(both.into_iter().take(size.1).map(|fault| (6.0 + STEP, fault)));
+            faults.extend(both.into_iter().take(size.1).map(|fault| (6.0 + STEP_SECONDS, fault)));
             let name = format!("{repaired:?}, then {} disks", size.1);
             scenarios.push(Scenario::new(name, spec(2000 + number as u64, size), faults, 16.0));
         }
     }
-    play_all(scenarios);
+    run_all(scenarios);
 }
--- a/control-plane/simulation/tests/many_changes.rs
+++ b/control-plane/simulation/tests/thousand_changes.rs
@@ -1,10 +1,10 @@
-//! Point 4: a thousand changes, with members away for stretches of them, restarted, damaged, and so far behind that only the
-//! whole state helps; segments turn over every few hundred records.
+//! A thousand changes, with members absent for stretches of them, restarted, corrupted, and so far behind that only a full
+//! state transfer helps; segments turn over every few hundred records.
 
 #[allow(dead_code)]
 mod common;
 
-use common::{play_all, seconds, Scenario};
+use common::{run_all, seconds, Scenario};
 use marblecroft_simulation::cluster::{LinkFault, Role};
 use marblecroft_simulation::faults::{Fault, PartitionDirection, PartitionScope, Target};
 use marblecroft_simulation::ClusterSpec;
@@ -40,19 +40,19 @@
             let later = 8.0 + away + 8.0;
             let faults = vec![(8.0, fault), (later, damage), (later + 8.0, wipe)];
             let mut scenario = Scenario::new(format!("{fault:?}"), spec, faults, later + 10.0);
-            scenario.change_pause = 15;
+            scenario.max_think_time_ms = 15;
             scenarios.push(scenario);
         }
     }
-    play_all(scenarios);
+    run_all(scenarios);
 }
 
 #[test]
-fn the_changes_are_a_thousand() {
+fn a_run_without_faults_acknowledges_a_thousand_changes() {
     let spec =
         ClusterSpec { seed: 5, coordinators: 3, stores: 3, tolerated_machines: 1, diskless_coordinators: 0 };
     let mut scenario = Scenario::new("calm".to_owned(), spec, Vec::new(), 100.0);
-    scenario.change_pause = 15;
+    scenario.max_think_time_ms = 15;
     let verdict = scenario.run();
     assert_eq!(verdict.found, Vec::<String>::new());
     let acknowledged = verdict.counts["acknowledged"];
