--- a/control-plane/simulation/src/checker/configuration.rs
+++ b/control-plane/simulation/src/checker/configuration.rs
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub struct ConfigurationChecker {
     findings: Findings,
-    /// By number, in the change in which operators decided on them.
+    /// By number, in the order in which operators decided on them.
     changes: Vec<ConfigurationChange>,
     reads: Vec<Read>,
     /// The generation that each gateway has.
@@ -55,11 +55,9 @@
 
     /// Returns what a change may result in, for each configuration that may have been in force under generation `base`.
     fn possible_routes_on(&self, base: u64, change: &Change) -> Vec<Routes> {
-        let bases = self.changes.iter().filter(|change| change.generation == base && !change.rejected);
-        let mut possible_routes: Vec<Routes> = bases
-            .flat_map(|change| &change.possible_routes)
-            .map(|before| change.applied_to(before))
-            .collect();
+        let bases = self.changes.iter().filter(|sent| sent.generation == base && !sent.rejected);
+        let mut possible_routes: Vec<Routes> =
+            bases.flat_map(|sent| &sent.possible_routes).map(|before| change.applied_to(before)).collect();
         possible_routes.sort();
         possible_routes.dedup();
         possible_routes
@@ -92,13 +90,13 @@
             200 => {
                 self.findings.count("acknowledged");
                 if known.rejected {
-                    self.findings.report(format!("acknowledged after a refusal: {known:?}"));
+                    self.findings.report(format!("acknowledged after a rejection: {known:?}"));
                 }
-                let clashes = |other: &ConfigurationChange| {
-                    let same = other.generation == known.generation || other.base == known.base;
-                    other.acknowledged_at.is_some() && same && other.body != known.body
+                let conflicts = |other: &ConfigurationChange| {
+                    let same_generation = other.generation == known.generation || other.base == known.base;
+                    other.acknowledged_at.is_some() && same_generation && other.body != known.body
                 };
-                if let Some(other) = self.changes.iter().find(|other| clashes(other)) {
+                if let Some(other) = self.changes.iter().find(|other| conflicts(other)) {
                     self.findings.report(format!("two are acknowledged: {known:?} and {other:?}"));
                 }
                 self.changes[number].acknowledged_at.get_or_insert(now);
@@ -107,7 +105,7 @@
                 self.findings.count("refused");
                 if known.acknowledged_at.is_some() {
                     self.findings
-                        .report(format!("refused with {status} after it was acknowledged: {known:?}"));
+                        .report(format!("rejected with {status} after it was acknowledged: {known:?}"));
                 }
                 self.changes[number].rejected = true;
             }
@@ -116,7 +114,7 @@
     }
 
     /// Reports a body that no accepted change results in; returns the generation of one that does.
-    fn check_in_force(&mut self, body: &str, what: &str) -> Option<u64> {
+    fn check_in_force(&mut self, body: &str, event: &str) -> Option<u64> {
         let results_in_body = |change: &&ConfigurationChange| {
             change.possible_routes.iter().any(|routes| configuration(change.generation, routes) == body)
         };
@@ -126,11 +124,11 @@
             candidates.iter().find(|change| !change.rejected).or(candidates.first()).copied().cloned();
         match change {
             None => {
-                self.findings.report(format!("{what}: nobody has sent {body}"));
+                self.findings.report(format!("{event}: nobody has sent {body}"));
                 None
             }
             Some(change) if change.rejected => {
-                self.findings.report(format!("{what}: in force though refused: {change:?}"));
+                self.findings.report(format!("{event}: in force though rejected: {change:?}"));
                 None
             }
             Some(change) => Some(change.generation),
--- a/control-plane/simulation/src/checker/jobs.rs
+++ b/control-plane/simulation/src/checker/jobs.rs
@@ -11,10 +11,13 @@
     /// Whether an attempt had no final answer.
     outcome_unknown: bool,
     rejected: bool,
+    /// Indices of the items that a gateway has run.
     finished: BTreeSet<usize>,
-    confirmed: BTreeSet<usize>,
-    /// Texts that runs of each item have made.
+    /// Indices of the items whose outcomes the stores have acknowledged.
+    acknowledged: BTreeSet<usize>,
+    /// By item id, the outcomes of its runs.
     texts: BTreeMap<String, BTreeSet<String>>,
+    /// The results that were read, in their order.
     results: Vec<(String, String)>,
 }
 
@@ -42,9 +45,9 @@
     fn queued_tokens(&self, bound: Bound) -> u64 {
         let may_be_queued = |job: &&Job| job.accepted || (bound == Bound::Upper && job.outcome_unknown);
         let tokens = |job: &Job| {
-            let done = if bound == Bound::Upper { &job.confirmed } else { &job.finished };
-            let left = job.tokens.iter().enumerate().filter(|(item, _)| !done.contains(item));
-            left.map(|(_, tokens)| tokens).sum::<u64>()
+            let finished = if bound == Bound::Upper { &job.acknowledged } else { &job.finished };
+            let unfinished = job.tokens.iter().enumerate().filter(|(item, _)| !finished.contains(item));
+            unfinished.map(|(_, tokens)| tokens).sum::<u64>()
         };
         self.jobs.values().filter(may_be_queued).map(tokens).sum()
     }
@@ -81,11 +84,11 @@
         let (accepted, outcome_unknown) = (known.accepted, known.outcome_unknown);
         known.rejected = !outcome_unknown;
         if accepted {
-            self.findings.report(format!("job {job} was accepted, and is refused"));
+            self.findings.report(format!("job {job} was accepted, and is rejected"));
         }
         if !outcome_unknown && max_queued_before + tokens <= quota {
             self.findings
-                .report(format!("job {job} of {tokens} is refused beside {max_queued_before} of {quota}"));
+                .report(format!("job {job} of {tokens} is rejected beside {max_queued_before} of {quota}"));
         }
     }
 
@@ -106,14 +109,14 @@
         known.finished.insert(item);
         known.texts.entry(id.to_owned()).or_default().insert(text.to_owned());
         if known.rejected && !known.accepted {
-            self.findings.report(format!("an item of {job} runs, which was refused"));
+            self.findings.report(format!("an item of {job} runs, which was rejected"));
         }
     }
 
     /// Records that the stores have acknowledged an outcome.
-    pub fn on_item_confirmed(&mut self, job: &str, item: usize) {
+    pub fn on_item_acknowledged(&mut self, job: &str, item: usize) {
         if let Some(known) = self.jobs.get_mut(job) {
-            known.confirmed.insert(item);
+            known.acknowledged.insert(item);
         }
     }
 
@@ -121,24 +124,25 @@
     pub fn on_results(&mut self, job: &str, start: usize, results: &[(String, String)]) {
         self.findings.count("results read");
         let Some(known) = self.jobs.get_mut(job) else { return };
-        let mut wrong = None;
-        for (at, result) in results.iter().enumerate() {
-            match known.results.get(start + at) {
-                Some(before) if before != result => wrong = Some(format!("{before:?} became {result:?}")),
+        let mut violation = None;
+        for (offset, result) in results.iter().enumerate() {
+            match known.results.get(start + offset) {
+                Some(before) if before != result => violation = Some(format!("{before:?} became {result:?}")),
                 Some(_) => {}
-                None if start + at == known.results.len() => {
-                    let twice = known.results.iter().any(|listed| listed.0 == result.0);
-                    let made = known.texts.get(&result.0).is_some_and(|texts| texts.contains(&result.1));
-                    if twice || !made {
-                        wrong = Some(format!("{result:?} stands twice, or no run has made it"));
+                None if start + offset == known.results.len() => {
+                    let is_duplicate = known.results.iter().any(|listed| listed.0 == result.0);
+                    let is_outcome_of_run =
+                        known.texts.get(&result.0).is_some_and(|texts| texts.contains(&result.1));
+                    if is_duplicate || !is_outcome_of_run {
+                        violation = Some(format!("{result:?} is listed twice, or is of no run"));
                     }
                     known.results.push(result.clone());
                 }
                 None => {}
             }
         }
-        if let Some(wrong) = wrong {
-            self.findings.report(format!("job {job}: {wrong}"));
+        if let Some(violation) = violation {
+            self.findings.report(format!("job {job}: {violation}"));
         }
     }
 
--- a/control-plane/simulation/src/clients/batch_client.rs
+++ b/control-plane/simulation/src/clients/batch_client.rs
@@ -33,11 +33,11 @@
         BatchClient { jobs: 0, task: None, head_follower: HeadFollower::default(), max_think_time_ms }
     }
 
-    fn choose(&mut self, cluster: &mut Cluster) -> BatchTask {
+    fn choose_task(&mut self, cluster: &mut Cluster) -> BatchTask {
         let accepted = cluster.checker.jobs.accepted();
         if !accepted.is_empty() && cluster.rng.u32(0..3) > 0 {
-            let (job, listed) = accepted[cluster.rng.usize(0..accepted.len())].clone();
-            let start = cluster.rng.usize(0..=listed);
+            let (job, results_read) = accepted[cluster.rng.usize(0..accepted.len())].clone();
+            let start = cluster.rng.usize(0..=results_read);
             return BatchTask::Read { job, start };
         }
         self.jobs += 1;
@@ -52,7 +52,7 @@
 impl Client for BatchClient {
     fn wake(&mut self, cluster: &mut Cluster, number: usize) {
         if self.task.is_none() {
-            self.task = Some(self.choose(cluster));
+            self.task = Some(self.choose_task(cluster));
         }
         let request = match &self.task {
             Some(BatchTask::Submit { job, tokens, .. }) => StoreRequest::SubmitJob(new_job(job, tokens)),
--- a/control-plane/simulation/src/clients/gateway.rs
+++ b/control-plane/simulation/src/clients/gateway.rs
@@ -7,14 +7,18 @@
 /// Time for which a coordinator may keep a pull waiting for an update.
 const PULL_WAIT_MS: u32 = 500;
 const PULL_TIMEOUT: Duration = Duration::from_millis(800);
+const NEXT_PULL_DELAY: Duration = Duration::from_millis(1);
+/// Delay before the next coordinator is tried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Pulls from one coordinator, moves to the next when it fails, and now and then to a random one.
 pub struct Gateway {
     known_versions: VersionVector,
+    /// Its configuration.
     body: Option<String>,
     sent_at: Duration,
     call: u64,
+    /// Number of the coordinator that it pulls from.
     to: usize,
 }
 
@@ -51,9 +55,9 @@
             self.known_versions.configuration = update.sequence;
             self.body = Some(String::from_utf8_lossy(&update.body.0).into_owned());
         }
-        if let Some(list) = updates.servers.filter(|list| list.version > self.known_versions.servers) {
-            self.known_versions.servers = list.version;
-            if let Some(server) = list.servers.first() {
+        if let Some(update) = updates.servers.filter(|update| update.version > self.known_versions.servers) {
+            self.known_versions.servers = update.version;
+            if let Some(server) = update.servers.first() {
                 cluster.checker.server_lists.on_server_list(number, &server.id);
             }
         }
@@ -64,7 +68,7 @@
         if cluster.rng.u32(0..60) == 0 {
             self.to = cluster.rng.usize(0..16);
         }
-        cluster.wake_client(number, Duration::from_millis(1));
+        cluster.wake_client(number, NEXT_PULL_DELAY);
     }
 }
 
--- a/control-plane/simulation/src/clients/head_follower.rs
+++ b/control-plane/simulation/src/clients/head_follower.rs
@@ -12,6 +12,7 @@
     head: Option<usize>,
     /// Number of the store that is tried next where the head is not known.
     next_store: usize,
+    /// Number of the last call.
     pub(super) call: u64,
 }
 
--- a/control-plane/simulation/src/clients/item_runner.rs
+++ b/control-plane/simulation/src/clients/item_runner.rs
@@ -66,7 +66,7 @@
         }
         if let Some(StoreReply::Work(reply)) = self.head_follower.handle_response(cluster, response) {
             for finished in self.finished.drain(..) {
-                cluster.checker.jobs.on_item_confirmed(&finished.id.job, finished.id.item as usize);
+                cluster.checker.jobs.on_item_acknowledged(&finished.id.job, finished.id.item as usize);
             }
             self.running.retain(|item| !reply.stop.contains(&item.id));
             self.running.extend(reply.granted);
--- a/control-plane/simulation/src/clients/operator.rs
+++ b/control-plane/simulation/src/clients/operator.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The operator moves to another coordinator after a second without reply.
+/// Without a reply for this long the operator tries another coordinator.
 const OPERATOR_TIMEOUT: Duration = Duration::from_millis(1000);
 const REPLACE_PATH: &str = "/-/Config.Replace";
 const UPDATE_PATH: &str = "/-/Config.Update";
@@ -30,9 +30,12 @@
 /// Changes the configuration, reads it, and sends what was acknowledged again.
 pub struct Operator {
     name: usize,
+    /// The newest generation that it knows.
     base: u64,
     task: Option<OperatorTask>,
+    /// When the current task, or the last attempt of a read, began.
     sent_at: Duration,
+    /// Number of its last call.
     call: u64,
     redirects: usize,
     changes: u64,
@@ -64,7 +67,7 @@
         }
     }
 
-    fn choose(&mut self, cluster: &mut Cluster) -> OperatorTask {
+    fn choose_task(&mut self, cluster: &mut Cluster) -> OperatorTask {
         let acknowledged = cluster.checker.configuration.acknowledged_changes();
         match cluster.rng.u32(0..10) {
             0..=1 => OperatorTask::Read,
@@ -146,7 +149,7 @@
                 true
             }
             Some(OperatorTask::Read) if is_final => {
-                cluster.checker.report(format!("a reading is answered with {}", reply.status));
+                cluster.checker.report(format!("a read is answered with {}", reply.status));
                 true
             }
             Some(OperatorTask::Read) | None => true,
@@ -157,7 +160,7 @@
 impl Client for Operator {
     fn wake(&mut self, cluster: &mut Cluster, number: usize) {
         if self.task.is_none() {
-            self.task = Some(self.choose(cluster));
+            self.task = Some(self.choose_task(cluster));
             self.sent_at = cluster.now;
         }
         let coordinators = cluster.machines_of(Role::Coordinator);
--- a/control-plane/simulation/src/cluster/dispatch.rs
+++ b/control-plane/simulation/src/cluster/dispatch.rs
@@ -16,6 +16,7 @@
         self.now = self.now.max(until);
     }
 
+    /// Handles one event at the current instant.
     pub(super) fn handle_event(&mut self, event: Event) {
         self.add_to_trace(self.now.as_nanos() as u64);
         match event {
@@ -61,6 +62,7 @@
         }
     }
 
+    /// Lets a client act on the cluster that it is part of.
     pub(super) fn with_client(
         &mut self,
         client: usize,
@@ -80,7 +82,7 @@
     pub fn call_from_client(&mut self, client: usize, to: usize, request: Request, timeout: Duration) -> u64 {
         self.client_calls += 1;
         let origin = Origin::Client { client, call: self.client_calls };
-        self.send(None, to, origin, request, timeout);
+        self.send_request(None, to, origin, request, timeout);
         self.client_calls
     }
 }
--- a/control-plane/simulation/src/cluster/execution.rs
+++ b/control-plane/simulation/src/cluster/execution.rs
@@ -9,16 +9,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Inputs in a row after which a process may ask to be woken at once; one that asks without end keeps its processor busy.
+/// Consecutive inputs after which a process may ask to be woken at once; one that never stops keeps a processor busy.
 const MAX_IMMEDIATE_WAKES: u32 = 200;
 
 impl Cluster {
+    /// Adds an input to the inbox of a process, if one runs.
     pub(super) fn enqueue(&mut self, machine: usize, input: Input) {
         let Some(running) = &mut self.machines[machine].running else { return };
         running.inbox.push_back(input);
         self.schedule_processing(machine);
     }
 
+    /// Schedules that a process takes an input as soon as it is not busy.
     pub(super) fn schedule_processing(&mut self, machine: usize) {
         let host = &self.machines[machine];
         let Some(running) = &host.running else { return };
@@ -50,15 +52,8 @@
         }
         let (incarnation, busy_time) = (running.incarnation, host.disk.take_time());
         running.busy_until = now + busy_time;
-        if next_wake < Duration::from_secs(1 << 30) {
-            // Timers are always a little late.
-            let wake_at =
-                running.started_at + next_wake.div_f64(running.clock_rate) + Duration::from_micros(50);
-            let wake_at = wake_at.max(now + busy_time);
-            if running.wake_at.is_none_or(|at| wake_at < at || at < now) {
-                running.wake_at = Some(wake_at);
-                self.schedule_event(wake_at - now, Event::Wake { machine, incarnation });
-            }
+        if let Some(wake_at) = running.reset_timer(now, next_wake) {
+            self.schedule_event(wake_at - now, Event::Wake { machine, incarnation });
         }
         if busy_time.is_zero() {
             self.perform_outputs(machine, incarnation, outputs);
@@ -68,9 +63,10 @@
         if self.machines[machine].running.as_ref().is_some_and(|running| !running.inbox.is_empty()) {
             self.schedule_processing(machine);
         }
-        self.check_views(machine);
+        self.check_view(machine);
     }
 
+    /// Performs outputs in their order, until one ends the process.
     pub(super) fn perform_outputs(&mut self, machine: usize, incarnation: u64, outputs: Vec<Output>) {
         for output in outputs {
             if self.incarnation_of(machine) != Some(incarnation) {
@@ -91,8 +87,8 @@
     ) {
         use coordinator::Output as Out;
         match output {
-            Out::Answer { token, reply } => self.answer(machine, token, Response::Coordinator(reply)),
-            Out::AnswerOperator { token, reply } => self.answer(machine, token, Response::Operator(reply)),
+            Out::Answer { token, reply } => self.respond(machine, token, Response::Coordinator(reply)),
+            Out::AnswerOperator { token, reply } => self.respond(machine, token, Response::Operator(reply)),
             Out::Call { call, to, request, timeout } => {
                 self.call(machine, incarnation, call, to, Request::Coordinator(request), timeout);
             }
@@ -104,7 +100,7 @@
     pub(super) fn perform_store_output(&mut self, machine: usize, incarnation: u64, output: store::Output) {
         use store::Output as Out;
         match output {
-            Out::Answer { token, reply } => self.answer(machine, token, Response::Store(reply)),
+            Out::Answer { token, reply } => self.respond(machine, token, Response::Store(reply)),
             Out::CallStore { call, to, request, timeout } => {
                 self.call(machine, incarnation, call, to, Request::Store(request), timeout);
             }
@@ -115,17 +111,19 @@
         }
     }
 
-    pub(super) fn answer(&mut self, machine: usize, token: Token, response: Response) {
+    /// Sends a response to where the request of a token came from.
+    pub(super) fn respond(&mut self, machine: usize, token: Token, response: Response) {
         let origin =
             self.machines[machine].running.as_mut().and_then(|running| running.origins.remove(&token));
         match origin {
-            Some(origin) => self.send_back(machine, origin, Some(response)),
+            Some(origin) => self.send_response(machine, origin, Some(response)),
             None => self
                 .checker
                 .report(format!("{} answers a call twice or that nobody made", self.machines[machine].name)),
         }
     }
 
+    /// Calls a process on behalf of another one.
     pub(super) fn call(
         &mut self,
         machine: usize,
@@ -137,7 +135,7 @@
     ) {
         let origin = Origin::Machine { machine, incarnation, call };
         match self.machine_at(to) {
-            Some(to) => self.send(Some(machine), to, origin, request, timeout),
+            Some(to) => self.send_request(Some(machine), to, origin, request, timeout),
             None => self.schedule_event(timeout, Event::ResponseArrives { origin, response: None }),
         }
     }
@@ -154,8 +152,8 @@
             draining: false,
             warmup_left_ms: 0,
         };
-        let servers = if self.draws_message_fault() { None } else { Some(vec![server]) };
-        let after = self.delay() + self.delay();
+        let servers = if self.draw_message_fault() { None } else { Some(vec![server]) };
+        let after = self.draw_delay() + self.draw_delay();
         self.schedule_event(after, Event::ServerList { machine, incarnation, servers });
     }
 }
--- a/control-plane/simulation/src/cluster/lifecycle.rs
+++ b/control-plane/simulation/src/cluster/lifecycle.rs
@@ -20,6 +20,7 @@
 const GRACE_PERIOD: Duration = Duration::from_secs(8);
 
 impl Cluster {
+    /// Starts the process of a machine, unless it runs or the machine was removed.
     pub(super) fn start(&mut self, machine: usize) {
         let host = &self.machines[machine];
         if host.running.is_some() || host.removed {
@@ -114,19 +115,20 @@
         self.end_process(machine);
     }
 
+    /// Ends a process; pending calls to it are reset, unless power is off.
     pub(super) fn end_process(&mut self, machine: usize) {
         let powered_off = self.machines[machine].powered_off;
         let Some(running) = self.machines[machine].running.take() else { return };
         if powered_off {
             return;
         }
-        let waiting = running.inbox.into_iter().filter_map(|input| match input {
+        let queued = running.inbox.into_iter().filter_map(|input| match input {
             Input::Request { origin, .. } => Some(origin),
             _ => None,
         });
-        let origins: Vec<Origin> = running.origins.into_values().chain(waiting).collect();
+        let origins: Vec<Origin> = running.origins.into_values().chain(queued).collect();
         for origin in origins {
-            self.send_back(machine, origin, None);
+            self.send_response(machine, origin, None);
         }
     }
 
@@ -155,8 +157,8 @@
     pub fn set_frozen(&mut self, machine: usize, frozen: bool) {
         self.machines[machine].frozen = frozen;
         if !frozen {
-            let waiting = self.machines[machine].running.as_ref().map_or(0, |running| running.inbox.len());
-            for _ in 0..waiting.max(1) {
+            let queued = self.machines[machine].running.as_ref().map_or(0, |running| running.inbox.len());
+            for _ in 0..queued.max(1) {
                 self.schedule_processing(machine);
             }
         }
--- a/control-plane/simulation/src/cluster/links.rs
+++ b/control-plane/simulation/src/cluster/links.rs
@@ -20,7 +20,7 @@
 }
 
 impl Links {
-    /// The fault of the link from one end to the other; `None` as an end is a client.
+    /// The fault of the link from one end to the other; an end that is `None` is a client.
     pub(super) fn fault(&self, from: Option<usize>, to: Option<usize>) -> Option<LinkFault> {
         match (from, to) {
             (Some(from), Some(to)) => self.faults.get(&(from, to)).copied(),
--- a/control-plane/simulation/src/cluster/machine.rs
+++ b/control-plane/simulation/src/cluster/machine.rs
@@ -33,8 +33,10 @@
     pub frozen: bool,
     /// Whether it was removed for good.
     pub removed: bool,
+    /// Whether it has started before: only the first start founds a chain.
     pub(super) started_before: bool,
     /// The instant from which it no longer counts as lost.
     pub counts_as_lost_until: Duration,
+    /// Speed of the monotonic clocks of its processes against virtual time.
     pub(super) clock_rate: f64,
 }
--- a/control-plane/simulation/src/cluster/message.rs
+++ b/control-plane/simulation/src/cluster/message.rs
@@ -46,6 +46,6 @@
         /// The number of the call.
         call: u64,
     },
-    /// Nobody: the network duplicated the request.
-    Nobody,
+    /// The network, which duplicated the request; the response is dropped.
+    Duplicate,
 }
--- a/control-plane/simulation/src/cluster/mod.rs
+++ b/control-plane/simulation/src/cluster/mod.rs
@@ -1,8 +1,8 @@
 //! A cluster of coordinators and stores on virtual machines, and the order of its events.
 //!
-//! [`Cluster::run_until`] takes the earliest event from the [event queue](event_queue) and dispatches it: the
-//! [network](network) delivers a request to a machine's inbox, [execution](execution) hands the inbox to the process one
-//! input at a time and performs its outputs, which schedule further events. [Lifecycle](lifecycle) starts and ends
+//! [`Cluster::run_until`] takes the earliest event from the `event_queue` and dispatches it: the
+//! `network` delivers a request to a machine's inbox, `execution` hands the inbox to the process one
+//! input at a time and performs its outputs, which schedule further events. The `lifecycle` module starts and ends
 //! processes. All random numbers come from one generator, and events of the same instant run in the order in which they were
 //! scheduled, so that a seed replays exactly.
 
--- a/control-plane/simulation/src/cluster/network.rs
+++ b/control-plane/simulation/src/cluster/network.rs
@@ -1,4 +1,4 @@
-//! The network: random delays, lost, late and doubled messages, and faulty links.
+//! The network: random delays, lost, late and duplicated messages, and faulty links.
 
 use super::links::LinkFault;
 use super::machine::Role;
@@ -7,27 +7,31 @@
 use super::state::{Cluster, Event};
 use std::time::Duration;
 
-/// Delays on the network, in microseconds.
+/// Lower bound of the delay of a message, in microseconds.
 const MIN_DELAY_MICROS: u64 = 200;
+/// Upper bound of the delay of a message without fault, in microseconds.
 const MAX_DELAY_MICROS: u64 = 2500;
 /// Upper bound of what a message fault adds to a delay, in milliseconds.
 const MAX_EXTRA_DELAY_MILLIS: u64 = 3000;
 
 impl Cluster {
-    pub(super) fn delay(&mut self) -> Duration {
+    /// Draws the delay of a message.
+    pub(super) fn draw_delay(&mut self) -> Duration {
         let delay = Duration::from_micros(self.rng.u64(MIN_DELAY_MICROS..MAX_DELAY_MICROS));
-        if self.draws_message_fault() {
+        if self.draw_message_fault() {
             delay + Duration::from_millis(self.rng.u64(0..MAX_EXTRA_DELAY_MILLIS))
         } else {
             delay
         }
     }
 
-    pub(super) fn draws_message_fault(&mut self) -> bool {
+    /// Draws whether a message has a fault. Nothing is drawn while the network is reliable.
+    pub(super) fn draw_message_fault(&mut self) -> bool {
         self.message_fault_permille > 0 && self.rng.u32(0..1000) < self.message_fault_permille
     }
 
-    pub(super) fn send(
+    /// Sends a request; its origin gets a response, a reset, or a timeout, whichever comes first.
+    pub(super) fn send_request(
         &mut self,
         from: Option<usize>,
         to: usize,
@@ -40,60 +44,63 @@
         match self.links.fault(from, Some(to)) {
             Some(LinkFault::Drop) => return,
             Some(LinkFault::Reset) => {
-                let after = self.delay();
+                let after = self.draw_delay();
                 self.schedule_event(after, Event::ResponseArrives { origin, response: None });
                 return;
             }
             None => {}
         }
-        if self.draws_message_fault() {
+        if self.draw_message_fault() {
             return;
         }
-        let after = self.delay();
+        let after = self.draw_delay();
         // Clients' calls are never duplicated: no intermediary of theirs retries.
-        if from.is_some() && self.draws_message_fault() {
-            let again = after + self.delay();
-            let (origin, request) = (Origin::Nobody, request.clone());
-            self.schedule_event(again, Event::RequestArrives { machine: to, origin, request });
+        if from.is_some() && self.draw_message_fault() {
+            let duplicate_after = after + self.draw_delay();
+            let (origin, request) = (Origin::Duplicate, request.clone());
+            self.schedule_event(duplicate_after, Event::RequestArrives { machine: to, origin, request });
         }
         self.schedule_event(after, Event::RequestArrives { machine: to, origin, request });
     }
 
-    pub(super) fn send_back(&mut self, from: usize, origin: Origin, response: Option<Response>) {
+    /// Sends a response, or a reset (`None`), to the origin of a request.
+    pub(super) fn send_response(&mut self, from: usize, origin: Origin, response: Option<Response>) {
         let to = match origin {
             Origin::Machine { machine, .. } => Some(machine),
             Origin::Client { .. } => None,
-            Origin::Nobody => return,
+            Origin::Duplicate => return,
         };
         let response = match self.links.fault(Some(from), to) {
             Some(LinkFault::Drop) => return,
             Some(LinkFault::Reset) => None,
             None => response,
         };
-        if self.draws_message_fault() {
+        if self.draw_message_fault() {
             return;
         }
-        let after = self.delay();
+        let after = self.draw_delay();
         self.schedule_event(after, Event::ResponseArrives { origin, response });
     }
 
+    /// Gives an arriving request to its process, or resets the call where none takes it.
     pub(super) fn handle_request_arrival(&mut self, machine: usize, origin: Origin, request: Request) {
         let host = &self.machines[machine];
         if host.powered_off || host.removed {
             return;
         }
-        let fits = matches!(
+        let is_of_role = matches!(
             (&request, host.role),
             (Request::Store(_), Role::Store)
                 | (Request::Coordinator(_) | Request::Operator(_), Role::Coordinator)
         );
-        if host.running.is_none() || !fits {
-            self.send_back(machine, origin, None);
+        if host.running.is_none() || !is_of_role {
+            self.send_response(machine, origin, None);
             return;
         }
         self.enqueue(machine, Input::Request { origin, request });
     }
 
+    /// Gives the first response to a call to its origin; later ones are dropped.
     pub(super) fn handle_response(&mut self, origin: Origin, response: Option<Response>) {
         if !self.unanswered.remove(&origin) {
             return;
@@ -109,7 +116,7 @@
                     client.on_reply(cluster, number, call, response)
                 });
             }
-            Origin::Nobody => {}
+            Origin::Duplicate => {}
         }
     }
 
--- a/control-plane/simulation/src/cluster/process.rs
+++ b/control-plane/simulation/src/cluster/process.rs
@@ -10,11 +10,13 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
+/// A node of either role.
 pub(super) enum Process {
     Coordinator(Box<Coordinator<Disk>>),
     Store(Box<Store<Disk>>),
 }
 
+/// An input that waits in the inbox of a process.
 pub(super) enum Input {
     Request { origin: Origin, request: Request },
     Response { call: u64, response: Option<Response> },
@@ -23,27 +25,49 @@
     Wake,
 }
 
+/// An output of a node of either role.
 pub(super) enum Output {
     Coordinator(coordinator::Output),
     Store(store::Output),
 }
 
+/// A process and what it has not yet taken or answered.
 pub(super) struct RunningProcess {
     pub(super) process: Process,
     pub(super) incarnation: u64,
     pub(super) started_at: Duration,
     /// Speed of its monotonic clock against virtual time.
     pub(super) clock_rate: f64,
+    /// When the writes of its last input are synced.
     pub(super) busy_until: Duration,
+    /// Instant of its timer.
     pub(super) wake_at: Option<Duration>,
     pub(super) inbox: VecDeque<Input>,
+    /// By token, where the requests came from that it has not answered.
     pub(super) origins: BTreeMap<Token, Origin>,
     pub(super) last_token: Token,
     /// Consecutive inputs after which it asked to be woken at once.
     pub(super) immediate_wakes: u32,
 }
 
+/// Node time from which a wake-up means that there is none.
+const NO_WAKE: Duration = Duration::from_secs(1 << 30);
+/// Timers are always a little late.
+const TIMER_LATENESS: Duration = Duration::from_micros(50);
+
 impl RunningProcess {
+    /// Sets the timer to a monotonic time of the process; returns its instant where a new event is needed for it.
+    pub(super) fn reset_timer(&mut self, now: Duration, next_wake: Duration) -> Option<Duration> {
+        if next_wake >= NO_WAKE {
+            return None;
+        }
+        let wake_at = self.started_at + next_wake.div_f64(self.clock_rate) + TIMER_LATENESS;
+        let wake_at = wake_at.max(self.busy_until);
+        let is_needed = self.wake_at.is_none_or(|at| wake_at < at || at < now);
+        is_needed.then(|| *self.wake_at.insert(wake_at))
+    }
+
+    /// Handles an input at a time of the process's clocks; returns the outputs, and the monotonic time of the next wake-up.
     pub(super) fn handle(&mut self, time: Time, input: Input) -> (Vec<Output>, Duration) {
         let mut token_of = |origin| {
             self.last_token += 1;
@@ -52,48 +76,54 @@
         };
         match &mut self.process {
             Process::Coordinator(node) => {
-                use coordinator::Input as In;
-                let input = match input {
-                    Input::Request { origin, request: Request::Coordinator(request) } => {
-                        In::Request { token: token_of(origin), request }
-                    }
-                    Input::Request { origin, request: Request::Operator(call) } => {
-                        In::Operator { token: token_of(origin), call }
-                    }
-                    Input::Response { call, response } => {
-                        let reply = match response {
-                            Some(Response::Coordinator(reply)) => Some(reply),
-                            _ => None,
-                        };
-                        In::Reply { call, reply }
-                    }
-                    Input::ServerList(servers) => In::ServerList(servers),
-                    Input::Terminate => In::Terminate,
-                    Input::Wake | Input::Request { .. } => In::Wake,
-                };
+                let input = coordinator_input(input, &mut token_of);
                 let outputs = node.handle(time, input).into_iter().map(Output::Coordinator).collect();
                 (outputs, node.next_wake())
             }
             Process::Store(node) => {
-                use store::Input as In;
-                let input = match input {
-                    Input::Request { origin, request: Request::Store(request) } => {
-                        In::Request { token: token_of(origin), request }
-                    }
-                    Input::Response { call, response } => match response {
-                        Some(Response::Store(reply)) => In::StoreReply { call, reply: Some(reply) },
-                        Some(Response::Coordinator(reply)) => {
-                            In::CoordinatorReply { call, reply: Some(reply) }
-                        }
-                        Some(Response::Operator(_)) => In::Wake,
-                        None => node.timeout_input(call),
-                    },
-                    Input::Terminate => In::Terminate,
-                    Input::Wake | Input::ServerList(_) | Input::Request { .. } => In::Wake,
-                };
+                let input = store_input(node, input, &mut token_of);
                 let outputs = node.handle(time, input).into_iter().map(Output::Store).collect();
                 (outputs, node.next_wake())
             }
         }
     }
 }
+
+/// Converts an input to a coordinator's; what a coordinator does not take only wakes it.
+fn coordinator_input(input: Input, token_of: &mut impl FnMut(Origin) -> Token) -> coordinator::Input {
+    match input {
+        Input::Request { origin, request: Request::Coordinator(request) } => {
+            coordinator::Input::Request { token: token_of(origin), request }
+        }
+        Input::Request { origin, request: Request::Operator(call) } => {
+            coordinator::Input::Operator { token: token_of(origin), call }
+        }
+        Input::Response { call, response } => {
+            let reply = match response {
+                Some(Response::Coordinator(reply)) => Some(reply),
+                _ => None,
+            };
+            coordinator::Input::Reply { call, reply }
+        }
+        Input::ServerList(servers) => coordinator::Input::ServerList(servers),
+        Input::Terminate => coordinator::Input::Terminate,
+        Input::Wake | Input::Request { .. } => coordinator::Input::Wake,
+    }
+}
+
+/// Converts an input to a store's; what a store does not take only wakes it.
+fn store_input(node: &Store<Disk>, input: Input, token_of: &mut impl FnMut(Origin) -> Token) -> store::Input {
+    match input {
+        Input::Request { origin, request: Request::Store(request) } => {
+            store::Input::Request { token: token_of(origin), request }
+        }
+        Input::Response { call, response } => match response {
+            Some(Response::Store(reply)) => store::Input::StoreReply { call, reply: Some(reply) },
+            Some(Response::Coordinator(reply)) => store::Input::CoordinatorReply { call, reply: Some(reply) },
+            Some(Response::Operator(_)) => store::Input::Wake,
+            None => node.timeout_input(call),
+        },
+        Input::Terminate => store::Input::Terminate,
+        Input::Wake | Input::ServerList(_) | Input::Request { .. } => store::Input::Wake,
+    }
+}
--- a/control-plane/simulation/src/cluster/queries.rs
+++ b/control-plane/simulation/src/cluster/queries.rs
@@ -69,12 +69,15 @@
         (0..self.machines.len()).filter(is_lost).collect()
     }
 
-    /// RunningProcess coordinators that hold a configuration of at least this generation, as acknowledged or not.
+    /// Returns the number of running coordinators that have a configuration of at least this generation, acknowledged or not.
     pub fn coordinators_with_generation(&self, generation: u64) -> usize {
-        let holds = |machine: &&Machine| match machine.running.as_ref().map(|running| &running.process) {
-            Some(Process::Coordinator(node)) => node.chain().replica().machine().generation() >= generation,
-            _ => false,
-        };
-        self.machines.iter().filter(holds).count()
+        let has_generation =
+            |machine: &&Machine| match machine.running.as_ref().map(|running| &running.process) {
+                Some(Process::Coordinator(node)) => {
+                    node.chain().replica().machine().generation() >= generation
+                }
+                _ => false,
+            };
+        self.machines.iter().filter(has_generation).count()
     }
 }
--- a/control-plane/simulation/src/cluster/state.rs
+++ b/control-plane/simulation/src/cluster/state.rs
@@ -57,42 +57,25 @@
     pub diskless_coordinators: usize,
 }
 
-/// What happens at an instant.
+/// What happens at an instant. Events of an `incarnation` that has ended are ignored.
 pub(super) enum Event {
     /// A request reaches a machine.
-    RequestArrives {
-        machine: usize,
-        origin: Origin,
-        request: Request,
-    },
-    ResponseArrives {
-        origin: Origin,
-        response: Option<Response>,
-    },
-    Emit {
-        machine: usize,
-        incarnation: u64,
-        outputs: Vec<Output>,
-    },
-    Process {
-        machine: usize,
-        incarnation: u64,
-    },
-    Wake {
-        machine: usize,
-        incarnation: u64,
-    },
-    ServerList {
-        machine: usize,
-        incarnation: u64,
-        servers: Option<Vec<Server>>,
-    },
-    Start {
-        machine: usize,
-    },
-    ClientWakes {
-        client: usize,
-    },
+    RequestArrives { machine: usize, origin: Origin, request: Request },
+    /// A response reaches its origin; `None` stands for a reset or a timeout.
+    ResponseArrives { origin: Origin, response: Option<Response> },
+    /// The writes of an input are synced: its outputs are performed.
+    Emit { machine: usize, incarnation: u64, outputs: Vec<Output> },
+    /// A process takes its next input.
+    Process { machine: usize, incarnation: u64 },
+    /// A timer of a process fires.
+    Wake { machine: usize, incarnation: u64 },
+    /// The platform answers a process with its servers; `None` if that failed.
+    ServerList { machine: usize, incarnation: u64, servers: Option<Vec<Server>> },
+    /// A machine starts its process.
+    Start { machine: usize },
+    /// A client is woken.
+    ClientWakes { client: usize },
+    /// A fault is injected.
     Fault(Box<dyn ScheduledFault>),
 }
 
@@ -108,27 +91,34 @@
     pub machines: Vec<Machine>,
     /// Checks the history.
     pub checker: Checker,
+    /// By number; `None` while a client acts on the cluster.
     pub(super) clients: Vec<Option<Box<dyn Client>>>,
     pub(super) events: EventQueue<Event>,
+    /// Number of processes started so far.
     pub(super) incarnations: u64,
     /// Calls that have no response yet.
     pub(super) unanswered: BTreeSet<Origin>,
+    /// Number of calls of clients so far.
     pub(super) client_calls: u64,
     pub(super) links: Links,
     /// Disks lost since all machines of a role were last healthy.
     pub disks_lost: BTreeMap<Role, usize>,
     /// Chance per thousand that a message is lost, late or duplicated, each drawn on its own.
     pub message_fault_permille: u32,
+    /// Operator addresses of the founders.
     pub(super) seeds: Vec<SocketAddr>,
-    pub(super) views: BTreeMap<(bool, u64), View>,
+    /// The first view that was seen of each role and number.
+    pub(super) views: BTreeMap<(Role, u64), View>,
     /// A digest of the instants of all events in their order.
     pub trace: u64,
 }
 
+/// Returns where a machine of this address serves the operator's API.
 pub(super) fn operator_address(address: SocketAddr) -> SocketAddr {
     SocketAddr::new(address.ip(), OPERATOR_PORT)
 }
 
+/// Returns where a machine of this address takes calls of other processes.
 pub(super) fn internal_address(seed: SocketAddr) -> SocketAddr {
     SocketAddr::new(seed.ip(), INTERNAL_PORT)
 }
@@ -205,6 +195,7 @@
         self.schedule_event(FIRST_CLIENT_WAKE_DELAY, Event::ClientWakes { client });
     }
 
+    /// Schedules an event; those of the same instant run in the order of these calls.
     pub(super) fn schedule_event(&mut self, after: Duration, event: Event) {
         self.events.push(self.now + after, event);
     }
@@ -221,10 +212,12 @@
         }
     }
 
+    /// Mixes a value into the trace.
     pub(super) fn add_to_trace(&mut self, value: u64) {
         self.trace = (self.trace ^ value).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(23);
     }
 
+    /// Returns the incarnation of the process that runs on a machine.
     pub(super) fn incarnation_of(&self, machine: usize) -> Option<u64> {
         self.machines[machine].running.as_ref().map(|running| running.incarnation)
     }
--- a/control-plane/simulation/src/faults/fault.rs
+++ b/control-plane/simulation/src/faults/fault.rs
@@ -48,14 +48,14 @@
         /// Whether power is lost with it.
         power: bool,
         /// Time until the restart.
-        back_after: Duration,
+        restart_after: Duration,
     },
     /// The machine loses its disk, and comes back with an empty one.
     Wipe {
         /// The machine.
         target: Target,
         /// Time until the restart.
-        back_after: Duration,
+        restart_after: Duration,
     },
     /// A bit flips in synced data; the process is restarted.
     CorruptDisk {
@@ -67,7 +67,7 @@
         /// The machine.
         target: Target,
         /// How long it lasts.
-        time: Duration,
+        duration: Duration,
     },
     /// A suspended process continues.
     Thaw {
@@ -79,20 +79,20 @@
         /// The machine.
         target: Target,
         /// What the machine is partitioned from.
-        from: PartitionScope,
+        scope: PartitionScope,
         /// Which directions fail.
-        ways: PartitionDirection,
+        direction: PartitionDirection,
         /// How they fail.
-        how: LinkFault,
+        link_fault: LinkFault,
         /// How long it lasts.
-        time: Duration,
+        duration: Duration,
     },
     /// Half of a role is partitioned from the other half.
     Split {
         /// The role.
         role: Role,
         /// How long it lasts.
-        time: Duration,
+        duration: Duration,
     },
     /// All links of a machine work again.
     Heal {
@@ -129,28 +129,28 @@
         /// The machine.
         target: Target,
         /// Duration of a write and its sync.
-        sync: Duration,
+        sync_time: Duration,
         /// How long it lasts.
-        time: Duration,
+        duration: Duration,
     },
     /// Writes fail.
     FailingDisk {
         /// The machine.
         target: Target,
         /// How long it lasts.
-        time: Duration,
+        duration: Duration,
     },
     /// The disk works again at its usual speed.
     RepairDisk {
         /// The machine.
         machine: usize,
     },
-    /// Messages are lost, late or doubled.
+    /// Messages are lost, late or duplicated.
     LossyNetwork {
         /// Chance of a fault, per thousand draws.
         message_fault_permille: u32,
         /// How long it lasts.
-        time: Duration,
+        duration: Duration,
     },
     /// The network works again.
     ReliableNetwork,
--- a/control-plane/simulation/src/faults/inject.rs
+++ b/control-plane/simulation/src/faults/inject.rs
@@ -1,12 +1,10 @@
-//! Injects faults, and keeps account of the machines that count as lost.
+//! Injects faults: into a machine, into the links, or into the whole cluster.
 
 use super::fault::{Fault, PartitionDirection, PartitionScope, Target};
+use super::loss::{count_as_lost, may_lose_disk};
 use crate::cluster::{Cluster, LinkFault, Role, ScheduledFault, SYNC_TIME};
 use std::time::Duration;
 
-/// A machine counts as lost for this long after it is back.
-pub const CATCH_UP_TIME: Duration = Duration::from_secs(5);
-
 impl ScheduledFault for Fault {
     fn inject(&self, cluster: &mut Cluster) {
         inject(cluster, *self);
@@ -28,34 +26,6 @@
     (!cluster.machines[machine].removed).then_some(machine)
 }
 
-/// Lets a machine count as lost until it is back and has caught up.
-fn count_as_lost(cluster: &mut Cluster, machine: usize, back_after: Duration) {
-    let until = cluster.now + back_after + CATCH_UP_TIME;
-    let machine = &mut cluster.machines[machine];
-    machine.counts_as_lost_until = machine.counts_as_lost_until.max(until);
-}
-
-/// Returns whether one more disk may be lost now, and counts it: no more machines are lost with it than are tolerated, and no
-/// more disks since all machines were last healthy.
-fn may_lose_disk(cluster: &mut Cluster, machine: usize) -> bool {
-    let role = cluster.machines[machine].role;
-    let lost = cluster
-        .lost_machines()
-        .into_iter()
-        .filter(|lost| *lost != machine && cluster.machines[*lost].role == role);
-    let lost = lost.count();
-    if lost == 0 && cluster.now >= cluster.machines[machine].counts_as_lost_until {
-        cluster.disks_lost.insert(role, 0);
-    }
-    let disks_lost = cluster.disks_lost.entry(role).or_default();
-    let may_lose = lost.max(*disks_lost) < cluster.spec.tolerated_machines
-        && cluster.now >= cluster.machines[machine].counts_as_lost_until;
-    if may_lose {
-        *disks_lost += 1;
-    }
-    may_lose
-}
-
 /// Carries out a fault.
 fn inject(cluster: &mut Cluster, fault: Fault) {
     match fault {
@@ -66,16 +36,16 @@
             cluster.machines[machine].disk.set_sync_time(SYNC_TIME);
         }
         Fault::ReliableNetwork => cluster.message_fault_permille = 0,
-        Fault::LossyNetwork { message_fault_permille, time } => {
+        Fault::LossyNetwork { message_fault_permille, duration } => {
             cluster.message_fault_permille = message_fault_permille;
             for machine in 0..cluster.machines.len() {
-                count_as_lost(cluster, machine, time);
+                count_as_lost(cluster, machine, duration);
             }
-            cluster.fault_at(cluster.now + time, Fault::ReliableNetwork);
+            cluster.fault_at(cluster.now + duration, Fault::ReliableNetwork);
         }
         Fault::KillAll { power } => kill_all(cluster, power),
         Fault::WipeAndPowerOff { disks } => wipe_and_power_off(cluster, disks),
-        Fault::Split { role, time } => split(cluster, role, time),
+        Fault::Split { role, duration } => split(cluster, role, duration),
         Fault::Add { role } => {
             let machine = cluster.add_machine(role);
             count_as_lost(cluster, machine, Duration::ZERO);
@@ -103,19 +73,21 @@
         return;
     }
     match fault {
-        Fault::Kill { power, back_after, .. } => {
-            count_as_lost(cluster, machine, back_after);
+        Fault::Kill { power, restart_after, .. } => {
+            count_as_lost(cluster, machine, restart_after);
             cluster.kill(machine, power);
-            cluster.restart(machine, back_after);
+            cluster.restart(machine, restart_after);
         }
-        Fault::Wipe { back_after, .. } => wipe(cluster, machine, back_after),
+        Fault::Wipe { restart_after, .. } => wipe(cluster, machine, restart_after),
         Fault::CorruptDisk { .. } => corrupt_disk(cluster, machine),
-        Fault::Freeze { time, .. } => {
-            count_as_lost(cluster, machine, time);
+        Fault::Freeze { duration, .. } => {
+            count_as_lost(cluster, machine, duration);
             cluster.set_frozen(machine, true);
-            cluster.fault_at(cluster.now + time, Fault::Thaw { machine });
+            cluster.fault_at(cluster.now + duration, Fault::Thaw { machine });
+        }
+        Fault::Partition { scope, direction, link_fault, duration, .. } => {
+            partition(cluster, machine, scope, direction, link_fault, duration)
         }
-        Fault::Partition { from, ways, how, time, .. } => partition(cluster, machine, from, ways, how, time),
         Fault::Terminate { .. } => {
             count_as_lost(cluster, machine, Duration::from_secs(5));
             cluster.terminate(machine);
@@ -123,105 +95,105 @@
             // Sometimes the process is killed before its grace period is over.
             let target = Target::Machine(machine);
             if cluster.rng.u32(0..3) == 0 {
-                let back_after = Duration::from_millis(400);
+                let restart_after = Duration::from_millis(400);
                 let at = cluster.now + Duration::from_millis(4000);
-                cluster.fault_at(at, Fault::Kill { target, power: false, back_after });
+                cluster.fault_at(at, Fault::Kill { target, power: false, restart_after });
             }
         }
         Fault::Replace { .. } => replace(cluster, machine),
-        Fault::SlowDisk { sync, time, .. } => {
-            count_as_lost(cluster, machine, time);
-            cluster.machines[machine].disk.set_sync_time(sync);
-            cluster.fault_at(cluster.now + time, Fault::RepairDisk { machine });
+        Fault::SlowDisk { sync_time, duration, .. } => {
+            count_as_lost(cluster, machine, duration);
+            cluster.machines[machine].disk.set_sync_time(sync_time);
+            cluster.fault_at(cluster.now + duration, Fault::RepairDisk { machine });
         }
-        Fault::FailingDisk { time, .. } => fail_writes(cluster, machine, time),
+        Fault::FailingDisk { duration, .. } => fail_writes(cluster, machine, duration),
         _ => {}
     }
 }
 
-fn wipe(cluster: &mut Cluster, machine: usize, back_after: Duration) {
+fn wipe(cluster: &mut Cluster, machine: usize, restart_after: Duration) {
     if !may_lose_disk(cluster, machine) {
         return;
     }
-    count_as_lost(cluster, machine, back_after);
+    count_as_lost(cluster, machine, restart_after);
     cluster.kill(machine, true);
     cluster.machines[machine].disk.wipe();
-    cluster.restart(machine, back_after);
+    cluster.restart(machine, restart_after);
 }
 
 fn corrupt_disk(cluster: &mut Cluster, machine: usize) {
-    const BACK_AFTER: Duration = Duration::from_millis(300);
+    const RESTART_DELAY: Duration = Duration::from_millis(300);
     if !may_lose_disk(cluster, machine) {
         return;
     }
-    count_as_lost(cluster, machine, BACK_AFTER);
+    count_as_lost(cluster, machine, RESTART_DELAY);
     cluster.kill(machine, false);
     let disk = cluster.machines[machine].disk.clone();
     disk.corrupt(&mut cluster.rng);
-    cluster.restart(machine, BACK_AFTER);
+    cluster.restart(machine, RESTART_DELAY);
 }
 
-fn fail_writes(cluster: &mut Cluster, machine: usize, time: Duration) {
+fn fail_writes(cluster: &mut Cluster, machine: usize, duration: Duration) {
     // A process can't start on a disk whose writes fail, so that it would not come back before the repair.
     if !cluster.is_running(machine) {
         return;
     }
-    count_as_lost(cluster, machine, time);
+    count_as_lost(cluster, machine, duration);
     cluster.machines[machine].disk.set_failing(true);
-    cluster.fault_at(cluster.now + time, Fault::RepairDisk { machine });
+    cluster.fault_at(cluster.now + duration, Fault::RepairDisk { machine });
 }
 
 fn partition(
     cluster: &mut Cluster,
     machine: usize,
-    from: PartitionScope,
-    ways: PartitionDirection,
-    how: LinkFault,
-    time: Duration,
+    scope: PartitionScope,
+    direction: PartitionDirection,
+    link_fault: LinkFault,
+    duration: Duration,
 ) {
-    count_as_lost(cluster, machine, time);
+    count_as_lost(cluster, machine, duration);
     let role = cluster.machines[machine].role;
     for other in 0..cluster.machines.len() {
-        if other == machine || (from == PartitionScope::Peers && cluster.machines[other].role != role) {
+        if other == machine || (scope == PartitionScope::Peers && cluster.machines[other].role != role) {
             continue;
         }
-        if ways != PartitionDirection::Inbound {
-            cluster.partition(machine, other, how);
+        if direction != PartitionDirection::Inbound {
+            cluster.partition(machine, other, link_fault);
         }
-        if ways != PartitionDirection::Outbound {
-            cluster.partition(other, machine, how);
+        if direction != PartitionDirection::Outbound {
+            cluster.partition(other, machine, link_fault);
         }
     }
-    if from == PartitionScope::MachinesAndClients {
+    if scope == PartitionScope::MachinesAndClients {
         cluster.isolate_from_clients(machine);
     }
-    cluster.fault_at(cluster.now + time, Fault::Heal { machine });
+    cluster.fault_at(cluster.now + duration, Fault::Heal { machine });
 }
 
-fn split(cluster: &mut Cluster, role: Role, time: Duration) {
+fn split(cluster: &mut Cluster, role: Role, duration: Duration) {
     let mut machines = cluster.machines_of(role);
     cluster.rng.shuffle(&mut machines);
     let (left, right) = machines.split_at(machines.len() / 2);
     for &machine in right {
-        count_as_lost(cluster, machine, time);
+        count_as_lost(cluster, machine, duration);
     }
     for &machine in left {
-        count_as_lost(cluster, machine, time);
+        count_as_lost(cluster, machine, duration);
         for &other in right {
             cluster.partition(machine, other, LinkFault::Drop);
             cluster.partition(other, machine, LinkFault::Drop);
         }
-        cluster.fault_at(cluster.now + time, Fault::Heal { machine });
+        cluster.fault_at(cluster.now + duration, Fault::Heal { machine });
     }
 }
 
 fn kill_all(cluster: &mut Cluster, power: bool) {
     for machine in 0..cluster.machines.len() {
         if !cluster.machines[machine].removed && cluster.is_running(machine) {
-            let back_after = Duration::from_millis(cluster.rng.u64(200..1000));
-            count_as_lost(cluster, machine, back_after);
+            let restart_after = Duration::from_millis(cluster.rng.u64(200..1000));
+            count_as_lost(cluster, machine, restart_after);
             cluster.kill(machine, power);
-            cluster.restart(machine, back_after);
+            cluster.restart(machine, restart_after);
         }
     }
 }
@@ -238,15 +210,15 @@
         let role = cluster.machines[machine].role;
         let others_lost = lost.iter().filter(|lost| cluster.machines[**lost].role == role).count();
         let disks_left = &mut disks_left[usize::from(role == Role::Store)];
-        let back_after = Duration::from_millis(cluster.rng.u64(300..3000));
-        count_as_lost(cluster, machine, back_after);
+        let restart_after = Duration::from_millis(cluster.rng.u64(300..3000));
+        count_as_lost(cluster, machine, restart_after);
         cluster.kill(machine, true);
         if others_lost == 0 && *disks_left > 0 && cluster.machines[machine].has_disk {
             *disks_left -= 1;
             cluster.disks_lost.insert(role, disks - *disks_left);
             cluster.machines[machine].disk.wipe();
         }
-        cluster.restart(machine, back_after);
+        cluster.restart(machine, restart_after);
     }
 }
 
--- a/control-plane/simulation/src/faults/mod.rs
+++ b/control-plane/simulation/src/faults/mod.rs
@@ -5,8 +5,9 @@
 
 mod fault;
 mod inject;
+mod loss;
 mod plan;
 
 pub use fault::{Fault, PartitionDirection, PartitionScope, Target};
-pub use inject::CATCH_UP_TIME;
+pub use loss::CATCH_UP_TIME;
 pub use plan::Plan;
--- a/control-plane/simulation/src/faults/plan.rs
+++ b/control-plane/simulation/src/faults/plan.rs
@@ -1,7 +1,7 @@
 //! Plans of faults, drawn from a seed or given by a scenario.
 
 use super::fault::{Fault, PartitionDirection, PartitionScope, Target};
-use super::inject::CATCH_UP_TIME;
+use super::loss::CATCH_UP_TIME;
 use crate::cluster::{ClusterSpec, LinkFault, Role};
 use fastrand::Rng;
 use std::time::Duration;
@@ -40,31 +40,35 @@
     let target = draw_target(rng);
     let power = rng.bool();
     match rng.u32(0..18) {
-        0..=1 => Fault::Kill { target, power, back_after: seconds(rng, 0.1, 6.0) },
-        2..=3 => Fault::Wipe { target, back_after: seconds(rng, 0.1, 4.0) },
+        0..=1 => Fault::Kill { target, power, restart_after: seconds(rng, 0.1, 6.0) },
+        2..=3 => Fault::Wipe { target, restart_after: seconds(rng, 0.1, 4.0) },
         4 => Fault::CorruptDisk { target },
-        5 => Fault::Freeze { target, time: seconds(rng, 0.3, 20.0) },
+        5 => Fault::Freeze { target, duration: seconds(rng, 0.3, 20.0) },
         6..=8 => {
-            let from = [PartitionScope::Peers, PartitionScope::Machines, PartitionScope::MachinesAndClients]
+            let scope = [PartitionScope::Peers, PartitionScope::Machines, PartitionScope::MachinesAndClients]
                 [rng.usize(0..3)];
-            let ways = [
+            let direction = [
                 PartitionDirection::Both,
                 PartitionDirection::Both,
                 PartitionDirection::Inbound,
                 PartitionDirection::Outbound,
             ][rng.usize(0..4)];
-            let how = if rng.bool() { LinkFault::Drop } else { LinkFault::Reset };
-            Fault::Partition { target, from, ways, how, time: seconds(rng, 1.0, 20.0) }
+            let link_fault = if rng.bool() { LinkFault::Drop } else { LinkFault::Reset };
+            Fault::Partition { target, scope, direction, link_fault, duration: seconds(rng, 1.0, 20.0) }
         }
-        9 => Fault::Split { role: draw_role(rng), time: seconds(rng, 1.0, 12.0) },
+        9 => Fault::Split { role: draw_role(rng), duration: seconds(rng, 1.0, 12.0) },
         10 => Fault::Terminate { target },
         11 => Fault::Replace { target },
         12 => Fault::KillAll { power },
         13 => Fault::WipeAndPowerOff { disks: spec.tolerated_machines },
-        14 => Fault::SlowDisk { target, sync: seconds(rng, 0.02, 2.0), time: seconds(rng, 1.0, 8.0) },
-        15 => Fault::FailingDisk { target, time: seconds(rng, 0.5, 6.0) },
+        14 => {
+            Fault::SlowDisk { target, sync_time: seconds(rng, 0.02, 2.0), duration: seconds(rng, 1.0, 8.0) }
+        }
+        15 => Fault::FailingDisk { target, duration: seconds(rng, 0.5, 6.0) },
         16 => Fault::Add { role: draw_role(rng) },
-        _ => Fault::LossyNetwork { message_fault_permille: rng.u32(5..80), time: seconds(rng, 2.0, 15.0) },
+        _ => {
+            Fault::LossyNetwork { message_fault_permille: rng.u32(5..80), duration: seconds(rng, 2.0, 15.0) }
+        }
     }
 }
 
--- a/control-plane/simulation/src/main.rs
+++ b/control-plane/simulation/src/main.rs
@@ -15,7 +15,7 @@
 use std::time::Instant;
 use std::{fs, io};
 
-/// Size of the cluster unless flags give another one.
+// The run unless flags give another one.
 const DEFAULT_COORDINATORS: usize = 3;
 const DEFAULT_STORES: usize = 4;
 const DEFAULT_TOLERATED: usize = 1;
@@ -60,13 +60,14 @@
         for (kind, count) in verdict.counts {
             *results.counts.entry(kind).or_default() += count;
         }
-        if let Some(first) = verdict.found.first() {
+        if let Some(first) = verdict.violations.first() {
             println!("seed {seed}: {first}");
             results.failed_seeds.push(seed);
         }
     }
 }
 
+/// Runs seeds on several threads, and prints what they found.
 fn search(flags: &Search) -> ExitCode {
     let (from, seeds) = (flags.from.unwrap_or(1), flags.seeds.unwrap_or(DEFAULT_SEEDS));
     let spec = ClusterSpec {
@@ -98,6 +99,7 @@
     exit_code(results.failed_seeds.is_empty())
 }
 
+/// Writes scenarios, each into a file of its number, and prints their faults.
 fn write_scenarios(flags: &Days) -> Result<(), WriteScenariosError> {
     let template =
         Template::read(&fs::read_to_string(&flags.site)?).ok_or(WriteScenariosError::NoTemplate)?;
@@ -111,7 +113,8 @@
     Ok(())
 }
 
-fn days(flags: &Days) -> ExitCode {
+/// Writes scenarios for the bench, and reports a failure with the site file.
+fn export_scenarios(flags: &Days) -> ExitCode {
     match write_scenarios(flags) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
@@ -121,6 +124,7 @@
     }
 }
 
+/// Runs one seed with its log.
 fn replay(flags: &Replay) -> ExitCode {
     marblecroft_logging::init("simulation", marblecroft_logging::LogConfig::default());
     let spec = ClusterSpec {
@@ -131,8 +135,8 @@
         diskless_coordinators: flags.without_disk.unwrap_or(0),
     };
     let verdict = runner::run(spec, &Plan::draw(&spec));
-    verdict.found.iter().for_each(|found| println!("FOUND {found}"));
-    exit_code(verdict.found.is_empty())
+    verdict.violations.iter().for_each(|violation| println!("FOUND {violation}"));
+    exit_code(verdict.violations.is_empty())
 }
 
 fn exit_code(passed: bool) -> ExitCode {
@@ -146,7 +150,7 @@
 fn main() -> ExitCode {
     match MarblecroftSimulation::from_env_or_exit().subcommand {
         MarblecroftSimulationCmd::Search(flags) => search(&flags),
-        MarblecroftSimulationCmd::Days(flags) => days(&flags),
+        MarblecroftSimulationCmd::Days(flags) => export_scenarios(&flags),
         MarblecroftSimulationCmd::Replay(flags) => replay(&flags),
     }
 }
--- a/control-plane/simulation/src/runner.rs
+++ b/control-plane/simulation/src/runner.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     /// The violations, in the order in which they were found; empty if the run passed.
-    pub found: Vec<String>,
+    pub violations: Vec<String>,
     /// A digest of the instants of all events, equal for equal runs.
     pub trace: u64,
     /// How often each kind of event was observed.
@@ -91,5 +91,9 @@
 
 /// Returns the result of a run so far.
 pub fn verdict(cluster: &Cluster) -> Verdict {
-    Verdict { found: cluster.checker.violations(), trace: cluster.trace, counts: cluster.checker.counts() }
+    Verdict {
+        violations: cluster.checker.violations(),
+        trace: cluster.trace,
+        counts: cluster.checker.counts(),
+    }
 }
--- a/control-plane/simulation/tests/common/mod.rs
+++ b/control-plane/simulation/tests/common/mod.rs
@@ -35,21 +35,21 @@
 /// Runs all scenarios, and fails with the first violation of each that has one.
 pub fn run_all(scenarios: Vec<Scenario>) {
     assert!(!scenarios.is_empty());
-    let (left, found) = (Mutex::new(scenarios), Mutex::new(Vec::new()));
-    let next = || left.lock().expect("no panic").pop();
+    let (pending, violations) = (Mutex::new(scenarios), Mutex::new(Vec::new()));
+    let next = || pending.lock().expect("no panic").pop();
     thread::scope(|scope| {
         for _ in 0..thread::available_parallelism().map_or(4, usize::from).min(8) {
             scope.spawn(|| {
                 while let Some(scenario) = next() {
                     let verdict = scenario.run();
-                    if let Some(first) = verdict.found.first() {
+                    if let Some(first) = verdict.violations.first() {
                         let line = format!("{} ({:?}): {first}", scenario.name, scenario.spec);
-                        found.lock().expect("no panic").push(line);
+                        violations.lock().expect("no panic").push(line);
                     }
                 }
             });
         }
     });
-    let found = found.into_inner().expect("no panic");
-    assert!(found.is_empty(), "{} scenarios:\n{}", found.len(), found.join("\n"));
+    let violations = violations.into_inner().expect("no panic");
+    assert!(violations.is_empty(), "{} scenarios:\n{}", violations.len(), violations.join("\n"));
 }
--- a/control-plane/simulation/tests/partitions.rs
+++ b/control-plane/simulation/tests/partitions.rs
@@ -1,7 +1,7 @@
 //! A machine is partitioned for twenty seconds while changes go on: alone, twice, and while another one is replaced. It neither
 //! serves an old configuration, nor rejects or acknowledges a change.
 
-#[allow(dead_code)]
+#[allow(dead_code, reason = "not every test file uses all of the helpers")]
 mod common;
 
 use common::{run_all, seconds, Scenario};
@@ -22,19 +22,26 @@
     ClusterSpec { seed, coordinators: 4, stores: 4, tolerated_machines: 1, diskless_coordinators: 0 }
 }
 
-fn partition(target: Target, from: PartitionScope, ways: PartitionDirection, how: LinkFault) -> Fault {
-    Fault::Partition { target, from, ways, how, time: seconds(PARTITION_SECONDS) }
+fn partition(
+    target: Target,
+    scope: PartitionScope,
+    direction: PartitionDirection,
+    link_fault: LinkFault,
+) -> Fault {
+    Fault::Partition { target, scope, direction, link_fault, duration: seconds(PARTITION_SECONDS) }
 }
 
 /// Partitions of every target, scope and direction, with lost messages and with resets.
 fn all_partitions() -> Vec<Fault> {
     let mut partitions = Vec::new();
     for target in TARGETS {
-        for from in [PartitionScope::Peers, PartitionScope::Machines, PartitionScope::MachinesAndClients] {
-            for ways in [PartitionDirection::Both, PartitionDirection::Inbound, PartitionDirection::Outbound]
+        for scope in [PartitionScope::Peers, PartitionScope::Machines, PartitionScope::MachinesAndClients] {
+            for direction in
+                [PartitionDirection::Both, PartitionDirection::Inbound, PartitionDirection::Outbound]
             {
                 partitions.extend(
-                    [LinkFault::Drop, LinkFault::Reset].map(|how| partition(target, from, ways, how)),
+                    [LinkFault::Drop, LinkFault::Reset]
+                        .map(|link_fault| partition(target, scope, direction, link_fault)),
                 );
             }
         }
@@ -87,7 +94,7 @@
     let mut scenarios = Vec::new();
     for (number, target) in TARGETS.into_iter().enumerate() {
         for (step, time) in [0.4, 0.9, 1.6, 3.0, 8.0, 20.0].into_iter().enumerate() {
-            let fault = Fault::Freeze { target, time: seconds(time) };
+            let fault = Fault::Freeze { target, duration: seconds(time) };
             let faults = vec![(6.0, fault), (6.5 + time, fault)];
             let seed = 300 + (number * 10 + step) as u64;
             scenarios.push(Scenario::new(format!("twice {fault:?}"), spec(seed), faults, 7.0 + 2.0 * time));
@@ -103,18 +110,18 @@
         for (step, time) in [1.2, 3.0, 8.0, 20.0].into_iter().enumerate() {
             // It continues while partitioned from its peers, so that it first receives what was sent to it long ago.
             let target = Target::Machine(machine);
-            let freeze = Fault::Freeze { target, time: seconds(time) };
-            let alone = Fault::Partition {
+            let freeze = Fault::Freeze { target, duration: seconds(time) };
+            let partition = Fault::Partition {
                 target,
-                from: PartitionScope::Peers,
-                ways: PartitionDirection::Both,
-                how: LinkFault::Drop,
-                time: seconds(4.0),
+                scope: PartitionScope::Peers,
+                direction: PartitionDirection::Both,
+                link_fault: LinkFault::Drop,
+                duration: seconds(4.0),
             };
-            let faults = vec![(6.0, freeze), (5.9 + time, alone)];
+            let faults = vec![(6.0, freeze), (5.9 + time, partition)];
             let seed = 400 + (machine * 10 + step) as u64;
             let mut scenario =
-                Scenario::new(format!("{freeze:?}, {alone:?}"), spec(seed), faults, 11.0 + time);
+                Scenario::new(format!("{freeze:?}, {partition:?}"), spec(seed), faults, 11.0 + time);
             scenario.max_think_time_ms = 60;
             scenarios.push(scenario);
         }
--- a/control-plane/simulation/tests/resubmitted_changes.rs
+++ b/control-plane/simulation/tests/resubmitted_changes.rs
@@ -1,7 +1,7 @@
 //! Two operators choose the same generations, and changes are submitted again after a lost response. Operators of every run
 //! do so, to any coordinator; here a machine that acknowledges changes fails while changes are in flight.
 
-#[allow(dead_code)]
+#[allow(dead_code, reason = "not every test file uses all of the helpers")]
 mod common;
 
 use common::{run_all, seconds, Scenario};
@@ -16,18 +16,18 @@
 fn a_change_is_resubmitted_after_a_fault_of_who_acknowledges_it() {
     let head = Target::Head(Role::Coordinator);
     let tail = Target::Tail(Role::Coordinator);
-    let partition = |target, ways| Fault::Partition {
+    let partition = |target, direction| Fault::Partition {
         target,
-        from: PartitionScope::MachinesAndClients,
-        ways,
-        how: LinkFault::Drop,
-        time: seconds(6.0),
+        scope: PartitionScope::MachinesAndClients,
+        direction,
+        link_fault: LinkFault::Drop,
+        duration: seconds(6.0),
     };
     let faults_of_acknowledgers = [
-        Fault::Kill { target: head, power: false, back_after: seconds(0.3) },
-        Fault::Kill { target: head, power: true, back_after: seconds(4.0) },
-        Fault::Wipe { target: head, back_after: seconds(0.3) },
-        Fault::Wipe { target: tail, back_after: seconds(0.3) },
+        Fault::Kill { target: head, power: false, restart_after: seconds(0.3) },
+        Fault::Kill { target: head, power: true, restart_after: seconds(4.0) },
+        Fault::Wipe { target: head, restart_after: seconds(0.3) },
+        Fault::Wipe { target: tail, restart_after: seconds(0.3) },
         Fault::Terminate { target: head },
         partition(head, PartitionDirection::Outbound),
         partition(head, PartitionDirection::Inbound),
--- a/control-plane/simulation/tests/seeds.rs
+++ b/control-plane/simulation/tests/seeds.rs
@@ -1,6 +1,6 @@
 //! A bounded part of the search of seeds, of which `marblecroft-simulation search` runs more; and that a seed replays exactly.
 
-#[allow(dead_code)]
+#[allow(dead_code, reason = "not every test file uses all of the helpers")]
 mod common;
 
 use common::{run_all, Scenario};
--- a/control-plane/simulation/tests/successive_losses.rs
+++ b/control-plane/simulation/tests/successive_losses.rs
@@ -1,7 +1,7 @@
 //! As soon as a machine has caught up the next one is lost, and then another one. Nothing that was acknowledged is lost, and
 //! a majority stays.
 
-#[allow(dead_code)]
+#[allow(dead_code, reason = "not every test file uses all of the helpers")]
 mod common;
 
 use common::{run_all, seconds, Scenario};
@@ -17,7 +17,7 @@
 
 fn losses(target: Target) -> [Fault; 4] {
     [
-        Fault::Wipe { target, back_after: seconds(0.3) },
+        Fault::Wipe { target, restart_after: seconds(0.3) },
         Fault::Replace { target },
         Fault::CorruptDisk { target },
         Fault::Terminate { target },
@@ -79,7 +79,7 @@
     let mut scenarios = Vec::new();
     for (number, size) in SIZES.into_iter().enumerate() {
         for role in [Role::Coordinator, Role::Store] {
-            let wipe = |target| Fault::Wipe { target, back_after: seconds(0.5) };
+            let wipe = |target| Fault::Wipe { target, restart_after: seconds(0.5) };
             let both = [wipe(Target::Head(role)), wipe(Target::Tail(role))];
             let repaired = Fault::Replace { target: Target::Any(role) };
             let mut faults = vec![(6.0, repaired)];
--- a/control-plane/simulation/tests/thousand_changes.rs
+++ b/control-plane/simulation/tests/thousand_changes.rs
@@ -1,7 +1,7 @@
 //! A thousand changes, with members absent for stretches of them, restarted, corrupted, and so far behind that only a full
 //! state transfer helps; segments turn over every few hundred records.
 
-#[allow(dead_code)]
+#[allow(dead_code, reason = "not every test file uses all of the helpers")]
 mod common;
 
 use common::{run_all, seconds, Scenario};
@@ -15,14 +15,14 @@
     for (number, away) in [0.5, 2.0, 6.0, 15.0, 30.0].into_iter().enumerate() {
         let target = Target::Machine(number % 3);
         for (case, fault) in [
-            Fault::Kill { target, power: true, back_after: seconds(away) },
-            Fault::Freeze { target, time: seconds(away) },
+            Fault::Kill { target, power: true, restart_after: seconds(away) },
+            Fault::Freeze { target, duration: seconds(away) },
             Fault::Partition {
                 target,
-                from: PartitionScope::Machines,
-                ways: PartitionDirection::Both,
-                how: LinkFault::Drop,
-                time: seconds(away),
+                scope: PartitionScope::Machines,
+                direction: PartitionDirection::Both,
+                link_fault: LinkFault::Drop,
+                duration: seconds(away),
             },
         ]
         .into_iter()
@@ -35,10 +35,10 @@
                 tolerated_machines: 1,
                 diskless_coordinators: 0,
             };
-            let damage = Fault::CorruptDisk { target: Target::Tail(Role::Coordinator) };
-            let wipe = Fault::Wipe { target: Target::Head(Role::Coordinator), back_after: seconds(0.2) };
+            let corruption = Fault::CorruptDisk { target: Target::Tail(Role::Coordinator) };
+            let wipe = Fault::Wipe { target: Target::Head(Role::Coordinator), restart_after: seconds(0.2) };
             let later = 8.0 + away + 8.0;
-            let faults = vec![(8.0, fault), (later, damage), (later + 8.0, wipe)];
+            let faults = vec![(8.0, fault), (later, corruption), (later + 8.0, wipe)];
             let mut scenario = Scenario::new(format!("{fault:?}"), spec, faults, later + 10.0);
             scenario.max_think_time_ms = 15;
             scenarios.push(scenario);
@@ -54,7 +54,7 @@
     let mut scenario = Scenario::new("calm".to_owned(), spec, Vec::new(), 100.0);
     scenario.max_think_time_ms = 15;
     let verdict = scenario.run();
-    assert_eq!(verdict.found, Vec::<String>::new());
+    assert_eq!(verdict.violations, Vec::<String>::new());
     let acknowledged = verdict.counts["acknowledged"];
     assert!(acknowledged >= 1000, "{acknowledged}");
 }
