--- a/quota-gateway/control-messages/src/frame.rs
+++ b/quota-gateway/control-messages/src/frame.rs
@@ -1,112 +1,130 @@
-//! The head of every message: one definition for both ends.
+//! Framing: the header and the checks that all messages share, with one definition for both ends.
 //!
-//! 23 bytes, integers little-endian: magic `MDFL`, version (u16), kind (u8), fleet (u64), length of the payload (u32), its
-//! CRC-32 (u32); then the payload in `postcard`. A message is taken whole or refused whole, and why is counted.
+//! The header has 23 bytes, integers little-endian: magic `MDFL`, version (u16), kind (u8), fleet (u64), length of the payload
+//! (u32), its CRC-32 (u32); the payload follows in `postcard`. [`decode`] checks in this order: magic, version, fleet, length,
+//! kind, checksum, encoding, and the values themselves, so that a foreign message costs least. A message is accepted as a
+//! whole or rejected with a [`DecodeError`], which receivers count.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt;
 
+/// The first bytes of every message.
 pub const MAGIC: [u8; 4] = *b"MDFL";
+/// Version of the format; messages of another version are rejected.
 pub const VERSION: u16 = 1;
-pub const HEAD: usize = 23;
-/// The longest payload: a value of the coordination service, which is to hold a decision with its head, is 64 KiB at most.
-pub const MAX_PAYLOAD_BYTES: usize = (64 << 10) - HEAD;
+/// Length of the header, in bytes.
+pub const HEADER_BYTES: usize = 23;
+/// Upper bound of the payload, in bytes: a value of the coordination service, which must hold a decision with its header, has
+/// 64 KiB at most.
+pub const MAX_PAYLOAD_BYTES: usize = (64 << 10) - HEADER_BYTES;
 
-/// What a message is; its number is part of the format.
+/// The kind of a message; its number is part of the format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u8)]
 pub enum Kind {
+    /// The report of a gateway.
     Report = 1,
+    /// The decision on zone failover.
     Zones = 2,
+    /// The decision on quota shares.
     Shares = 3,
-    Books = 4,
-    /// What a steward asks of a cell, and what the cell says.
-    CellAsked = 5,
-    CellSaid = 6,
+    /// The shard map.
+    ShardMap = 4,
+    /// The request of a controller to a cell.
+    CellRequest = 5,
+    /// The reply of a cell.
+    CellReply = 6,
 }
 
-/// Which fleet a message is of, so that a gateway of another one changes nothing here.
+/// The fleet of a message, so that a gateway of another fleet has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fleet(pub u64);
 
 impl Fleet {
-    /// By its name in the configuration (FNV-1a, 64 bits).
+    /// Returns the fleet of a name in the configuration (FNV-1a, 64 bits).
     pub fn named(name: &str) -> Fleet {
         let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
         Fleet(name.bytes().fold(0xcbf2_9ce4_8422_2325, step))
     }
 }
 
-/// Why a message was refused.
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Refusal {
-    /// Shorter than it says, or no head at all.
+pub enum DecodeError {
+    /// It is shorter than its header says, or has no complete header.
     Truncated,
-    /// Of something else: its first bytes are not these.
-    Foreign,
-    /// Another build's format.
-    Version,
-    /// Another fleet's.
-    Fleet,
-    /// Another kind than the one that is read here.
-    Kind,
+    /// Its first bytes are not [`MAGIC`].
+    BadMagic,
+    /// It is of another [`VERSION`].
+    UnsupportedVersion,
+    /// It is of another fleet.
+    WrongFleet,
+    /// It is of another kind than the receiver decodes.
+    UnexpectedKind,
+    /// Its payload exceeds [`MAX_PAYLOAD_BYTES`], or more bytes follow than its header says.
     TooLong,
-    Damaged,
-    /// A figure that is none, negative or beyond all bounds, or a name that is unknown here.
-    Absurd,
+    /// Its checksum does not match, or its payload is not an encoded message of its kind.
+    Corrupt,
+    /// A value is not a number, negative or out of bounds, or a name is not known to the receiver.
+    InvalidValue,
 }
 
-impl Refusal {
-    pub const ALL: [Refusal; 8] = [
-        Refusal::Truncated,
-        Refusal::Foreign,
-        Refusal::Version,
-        Refusal::Fleet,
-        Refusal::Kind,
-        Refusal::TooLong,
-        Refusal::Damaged,
-        Refusal::Absurd,
+impl DecodeError {
+    /// All reasons, in the order of metrics.
+    pub const ALL: [DecodeError; 8] = [
+        DecodeError::Truncated,
+        DecodeError::BadMagic,
+        DecodeError::UnsupportedVersion,
+        DecodeError::WrongFleet,
+        DecodeError::UnexpectedKind,
+        DecodeError::TooLong,
+        DecodeError::Corrupt,
+        DecodeError::InvalidValue,
     ];
 
-    /// As metrics and log lines name it.
+    /// Returns its name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
-            Refusal::Truncated => "cut_off",
-            Refusal::Foreign => "foreign",
-            Refusal::Version => "version",
-            Refusal::Fleet => "fleet",
-            Refusal::Kind => "kind",
-            Refusal::TooLong => "too_long",
-            Refusal::Damaged => "damaged",
-            Refusal::Absurd => "absurd",
+            DecodeError::Truncated => "cut_off",
+            DecodeError::BadMagic => "foreign",
+            DecodeError::UnsupportedVersion => "version",
+            DecodeError::WrongFleet => "fleet",
+            DecodeError::UnexpectedKind => "kind",
+            DecodeError::TooLong => "too_long",
+            DecodeError::Corrupt => "damaged",
+            DecodeError::InvalidValue => "absurd",
         }
     }
 }
 
-impl fmt::Display for Refusal {
+impl std::error::Error for DecodeError {}
+
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
 }
 
-/// What can be told: it knows which figures of it make sense.
+/// The payload of a message, which knows which of its values are valid.
 pub trait Message: Serialize + DeserializeOwned {
+    /// The kind in its header.
     const KIND: Kind;
-    /// Whether each figure is a number in its bounds. Names are checked by whoever knows them.
-    fn sensible(&self) -> bool;
+    /// Returns whether each value is in its bounds. Receivers check names, which only they know.
+    fn is_valid(&self) -> bool;
 }
 
-/// A figure that can be true: a number from 0 to 1e12.
-pub fn sane(x: f64) -> bool {
+/// Returns whether a quantity is a number from 0 to 1e12.
+pub fn is_valid_quantity(x: f64) -> bool {
     (0.0..=1e12).contains(&x)
 }
 
-/// A message with its head; `None` where it is too long, which its own bounds keep it from being.
+/// Encodes a message with its header; returns `None` if it exceeds [`MAX_PAYLOAD_BYTES`], which the bounds of valid messages
+/// exclude.
 pub fn encode<M: Message>(fleet: Fleet, message: &M) -> Option<Vec<u8>> {
-    // Into memory; it cannot fail but for want of it.
+    // Encoding into memory fails only where memory is exhausted.
     let payload = postcard::to_stdvec(message).ok().filter(|payload| payload.len() <= MAX_PAYLOAD_BYTES)?;
-    let mut bytes = Vec::with_capacity(HEAD + payload.len());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
     bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&VERSION.to_le_bytes());
     bytes.push(M::KIND as u8);
@@ -117,57 +135,66 @@
     Some(bytes)
 }
 
-/// What a head says of the message behind it.
-pub struct Head {
+/// A header that was read and checked, but for the kind.
+pub struct Header {
     kind: u8,
-    pub length: usize,
-    sum: u32,
+    /// Length of the payload that follows, in bytes.
+    pub payload_bytes: usize,
+    crc32: u32,
 }
 
-impl Head {
-    /// Reads one from the first [`HEAD`] bytes; what is refused by its head needs no more bytes to be refused.
-    pub fn read(fleet: Fleet, bytes: &[u8]) -> Result<Head, Refusal> {
-        let head: &[u8; HEAD] = bytes.first_chunk().ok_or(Refusal::Truncated)?;
-        let part = |from: usize, upto: usize| {
-            head[from..upto].iter().rev().fold(0_u64, |n, byte| n << 8 | u64::from(*byte))
+impl Header {
+    /// Reads a header from the first [`HEADER_BYTES`] bytes, so that a receiver can reject a message before it reads the payload.
+    ///
+    /// # Errors
+    ///
+    /// The [`DecodeError`] of the first check that fails.
+    pub fn read(fleet: Fleet, bytes: &[u8]) -> Result<Header, DecodeError> {
+        let header: &[u8; HEADER_BYTES] = bytes.first_chunk().ok_or(DecodeError::Truncated)?;
+        let integer = |from: usize, upto: usize| {
+            header[from..upto].iter().rev().fold(0_u64, |n, byte| n << 8 | u64::from(*byte))
         };
-        if head[..4] != MAGIC {
-            return Err(Refusal::Foreign);
+        if header[..4] != MAGIC {
+            return Err(DecodeError::BadMagic);
         }
-        if part(4, 6) != u64::from(VERSION) {
-            return Err(Refusal::Version);
+        if integer(4, 6) != u64::from(VERSION) {
+            return Err(DecodeError::UnsupportedVersion);
         }
-        if part(7, 15) != fleet.0 {
-            return Err(Refusal::Fleet);
+        if integer(7, 15) != fleet.0 {
+            return Err(DecodeError::WrongFleet);
         }
-        let length = part(15, 19) as usize;
+        let length = integer(15, 19) as usize;
         if length > MAX_PAYLOAD_BYTES {
-            return Err(Refusal::TooLong);
+            return Err(DecodeError::TooLong);
         }
-        Ok(Head { kind: head[6], length, sum: part(19, 23) as u32 })
+        Ok(Header { kind: header[6], payload_bytes: length, crc32: integer(19, 23) as u32 })
     }
 }
 
-/// Reads a message; all of the bytes must be its.
-pub fn decode<M: Message>(fleet: Fleet, bytes: &[u8]) -> Result<M, Refusal> {
-    let head = Head::read(fleet, bytes)?;
-    if head.kind != M::KIND as u8 {
-        return Err(Refusal::Kind);
+/// Decodes a message, of which all of the bytes must be.
+///
+/// # Errors
+///
+/// The [`DecodeError`] of the first check that fails.
+pub fn decode<M: Message>(fleet: Fleet, bytes: &[u8]) -> Result<M, DecodeError> {
+    let header = Header::read(fleet, bytes)?;
+    if header.kind != M::KIND as u8 {
+        return Err(DecodeError::UnexpectedKind);
     }
-    let payload = &bytes[HEAD..];
-    if payload.len() < head.length {
-        return Err(Refusal::Truncated);
+    let payload = &bytes[HEADER_BYTES..];
+    if payload.len() < header.payload_bytes {
+        return Err(DecodeError::Truncated);
     }
-    if payload.len() > head.length {
-        return Err(Refusal::TooLong);
+    if payload.len() > header.payload_bytes {
+        return Err(DecodeError::TooLong);
     }
-    if crc32fast::hash(payload) != head.sum {
-        return Err(Refusal::Damaged);
+    if crc32fast::hash(payload) != header.crc32 {
+        return Err(DecodeError::Corrupt);
     }
-    // What `postcard` leaves over is of another shape than ours.
+    // Bytes that `postcard` leaves over belong to a message of another shape.
     match postcard::take_from_bytes::<M>(payload) {
-        Ok((message, [])) if message.sensible() => Ok(message),
-        Ok((_, [])) => Err(Refusal::Absurd),
-        _ => Err(Refusal::Damaged),
+        Ok((message, [])) if message.is_valid() => Ok(message),
+        Ok((_, [])) => Err(DecodeError::InvalidValue),
+        _ => Err(DecodeError::Corrupt),
     }
 }
--- a/quota-gateway/control-messages/src/lib.rs
+++ b/quota-gateway/control-messages/src/lib.rs
@@ -1,8 +1,10 @@
-//! What gateways and stewards tell each other, without I/O (`docs/zone-failover.md`, "On the wire").
+//! The messages between gateways and controllers, without I/O (`docs/zone-failover.md`, "On the wire").
 //!
-//! - [`frame`]: the head that all messages have, with version, fleet, bounds and checksum.
-//! - [`published`]: a decision under a token, and a reader of it that never goes back and knows when it is alone.
-//! - [`report`]: what a gateway has seen in a second.
+//! A message passes [`frame`] first, at both ends; what it carries is a [`report`] of a gateway or a [`published`] decision.
+//!
+//! - [`frame`]: the header of all messages, with version, fleet, bounds and checksum.
+//! - [`published`]: a decision under a fencing token, and a reader that accepts no older one and knows when its own expired.
+//! - [`report`]: what a gateway has measured in a second.
 #![forbid(unsafe_code)]
 
 pub mod frame;
--- a/quota-gateway/control-messages/tests/golden.rs
+++ b/quota-gateway/control-messages/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Recorded bytes of what gateways and stewards tell each other: frames, reports and published decisions.
+//! Recorded bytes of the messages between gateways and controllers: frames, reports and published decisions.
 //!
 //! The fixtures were written by one run of the code of the day on which they were recorded. Each test encodes fixed values
 //! and compares with the fixture, decodes the fixture, and encodes what was decoded to the same bytes. A type or field that
@@ -10,22 +10,28 @@
 use golden::{bytes, same_bytes};
 use marblecroft_control_messages::frame::{decode, encode, Fleet, Kind, Message};
 use marblecroft_control_messages::published::{Body, Decision, Stamp};
-use marblecroft_control_messages::report::{AppliedDecisions, Demand, Report, Seen, ZoneSeen};
+use marblecroft_control_messages::report::{
+    AppliedDecisions, AttemptCounts, Demand, Report, ZoneObservation,
+};
 use serde::{Deserialize, Serialize};
 
 const FLEET: Fleet = Fleet(0x0102_0304_0506_0708);
 
-fn keeps_its_bytes<M: Message + PartialEq + std::fmt::Debug>(fixture: &str, message: &M) {
+fn assert_stable_encoding<M: Message + PartialEq + std::fmt::Debug>(fixture: &str, message: &M) {
     same_bytes(fixture, &encode(FLEET, message).expect("it fits"));
     let read: M = decode(FLEET, &bytes(fixture)).unwrap_or_else(|e| panic!("{fixture}: {e}"));
     assert_eq!(&read, message, "{fixture}");
     same_bytes(fixture, &encode(FLEET, &read).expect("it fits"));
 }
 
-fn zone(name: &str, base: f64) -> ZoneSeen {
-    let seen =
-        Seen { served: base + 0.5, busy: base + 1.25, failed: base + 2.125, unconnected: base + 3.0625 };
-    ZoneSeen { zone: name.to_owned(), seen, servers: base + 9.0, warm: base + 8.5 }
+fn zone(name: &str, base: f64) -> ZoneObservation {
+    let seen = AttemptCounts {
+        served: base + 0.5,
+        rejected: base + 1.25,
+        failed: base + 2.125,
+        connect_failed: base + 3.0625,
+    };
+    ZoneObservation { zone: name.to_owned(), attempts: seen, servers: base + 9.0, warm: base + 8.5 }
 }
 
 fn stamp(number: u64) -> Stamp {
@@ -33,56 +39,56 @@
 }
 
 #[test]
-fn reports_keep_their_bytes() {
+fn reports_have_a_stable_encoding() {
     let report = Report {
         gateway: 300,
         incarnation: 0x1112_1314_1516_1718,
-        number: 70_001,
+        sequence: 70_001,
         zone: "hall-a".to_owned(),
         span_ms: 1003,
         requested_units: 12.5,
         zones: vec![zone("hall-b", 10.0), zone("hall-c", 20.0)],
-        shares: Demand { all: 9.75, weight: 4.25, points: vec![(0.5, 2.0), (1.5, 4.0)] },
-        goes_by: AppliedDecisions { zones: stamp(1), shares: stamp(2), shard_map: stamp(3) },
+        demand: Demand { total: 9.75, weight: 4.25, points: vec![(0.5, 2.0), (1.5, 4.0)] },
+        applied_decisions: AppliedDecisions { zones: stamp(1), shares: stamp(2), shard_map: stamp(3) },
     };
-    keeps_its_bytes("report.hex", &report);
+    assert_stable_encoding("report.hex", &report);
 }
 
 /// The bodies themselves are of other crates, and recorded there.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Told<const KIND: u8>(f64, String);
+struct TestBody<const KIND: u8>(f64, String);
 
-impl<const KIND: u8> Body for Told<KIND> {
+impl<const KIND: u8> Body for TestBody<KIND> {
     const KIND: Kind = match KIND {
         2 => Kind::Zones,
         3 => Kind::Shares,
-        4 => Kind::Books,
-        5 => Kind::CellAsked,
-        _ => Kind::CellSaid,
+        4 => Kind::ShardMap,
+        5 => Kind::CellRequest,
+        _ => Kind::CellReply,
     };
-    fn sensible(&self) -> bool {
+    fn is_valid(&self) -> bool {
         true
     }
 }
 
-fn decided<const KIND: u8>(fixture: &str) {
-    let body = Told::<KIND>(f64::from(KIND) + 0.25, format!("body-{KIND}"));
+fn assert_stable_decision<const KIND: u8>(fixture: &str) {
+    let body = TestBody::<KIND>(f64::from(KIND) + 0.25, format!("body-{KIND}"));
     let decision = Decision { stamp: stamp(KIND.into()), valid_ms: 3000 + u32::from(KIND), body };
-    keeps_its_bytes(fixture, &decision);
+    assert_stable_encoding(fixture, &decision);
 }
 
 #[test]
-fn decisions_of_each_kind_keep_their_bytes() {
-    decided::<2>("decision-zones.hex");
-    decided::<3>("decision-shares.hex");
-    decided::<4>("decision-books.hex");
-    decided::<5>("decision-cell-asked.hex");
-    decided::<6>("decision-cell-said.hex");
+fn decisions_of_each_kind_have_a_stable_encoding() {
+    assert_stable_decision::<2>("decision-zones.hex");
+    assert_stable_decision::<3>("decision-shares.hex");
+    assert_stable_decision::<4>("decision-books.hex");
+    assert_stable_decision::<5>("decision-cell-asked.hex");
+    assert_stable_decision::<6>("decision-cell-said.hex");
 }
 
 /// By these numbers gateways know which messages are of their own fleet.
 #[test]
-fn fleets_keep_their_numbers() {
+fn fleets_have_stable_identifiers() {
     assert_eq!(Fleet::named(""), Fleet(0xcbf2_9ce4_8422_2325));
     assert_eq!(Fleet::named("a"), Fleet(0xaf63_dc4c_8601_ec8c));
     assert_eq!(Fleet::named("foobar"), Fleet(0x8594_4171_f739_67e8));
--- a/quota-gateway/controller/src/cells.rs
+++ b/quota-gateway/controller/src/cells.rs
@@ -1,6 +1,6 @@
 //! Asks of cells, each on its way at most once, and what came of them.
 
-use marblecroft_control_messages::frame::{decode, encode, Fleet, Head, HEAD};
+use marblecroft_control_messages::frame::{decode, encode, Fleet, Header, HEADER_BYTES};
 use marblecroft_shard_map::cell::{CellReply, CellRequest};
 use marblecroft_shard_map::moves::CellOperation;
 use marblecroft_shard_map::owner::Answer;
@@ -109,10 +109,10 @@
 
 async fn read_said(fleet: Fleet, link: &mut TcpStream) -> io::Result<CellReply> {
     let strange = |why| io::Error::other(format!("a cell says what is no answer: {why}"));
-    let mut bytes = vec![0; HEAD];
+    let mut bytes = vec![0; HEADER_BYTES];
     link.read_exact(&mut bytes).await?;
-    let length = Head::read(fleet, &bytes).map_err(strange)?.length;
-    bytes.resize(HEAD + length, 0);
-    link.read_exact(&mut bytes[HEAD..]).await?;
+    let length = Header::read(fleet, &bytes).map_err(strange)?.payload_bytes;
+    bytes.resize(HEADER_BYTES + length, 0);
+    link.read_exact(&mut bytes[HEADER_BYTES..]).await?;
     decode::<CellReply>(fleet, &bytes).map_err(strange)
 }
--- a/quota-gateway/controller/src/config.rs
+++ b/quota-gateway/controller/src/config.rs
@@ -207,7 +207,7 @@
             zones.check().map_err(|e| format!("zones.{e}"))?;
         }
         if let Some(shares) = &config.shares {
-            if !marblecroft_control_messages::frame::sane(shares.capacity) {
+            if !marblecroft_control_messages::frame::is_valid_quantity(shares.capacity) {
                 return Err("shares.capacity: no number from 0".to_owned());
             }
             if config.zones.is_none() && shares.capacity <= 0.0 {
--- a/quota-gateway/controller/src/decisions.rs
+++ b/quota-gateway/controller/src/decisions.rs
@@ -3,7 +3,7 @@
 use crate::cells::Cells;
 use crate::config::{Config, FairShareConfig as SharesConfig, Valid};
 use crate::shard_map_role::ShardMapRole;
-use marblecroft_control_messages::frame::{decode, encode, Fleet, Refusal};
+use marblecroft_control_messages::frame::{decode, encode, DecodeError, Fleet};
 use marblecroft_control_messages::published::{Body, Decision, Stamp};
 use marblecroft_control_messages::report::Report;
 use marblecroft_fair_share::body::ShareDecision;
@@ -23,7 +23,7 @@
 
 /// A duty's decision, made by whoever owns it.
 pub trait Decides {
-    fn report(&mut self, now: Now, report: &Report) -> Result<(), Refusal>;
+    fn report(&mut self, now: Now, report: &Report) -> Result<(), DecodeError>;
     /// What operators and other duties have published.
     fn view(&mut self, now: Now, view: &View);
     /// A decision to be published under this stamp, with its head; none if there is nothing worth telling.
@@ -92,7 +92,7 @@
 }
 
 impl Decides for ZoneFailoverRole {
-    fn report(&mut self, now: Now, report: &Report) -> Result<(), Refusal> {
+    fn report(&mut self, now: Now, report: &Report) -> Result<(), DecodeError> {
         self.core.report(now, report)
     }
 
@@ -141,7 +141,7 @@
 }
 
 impl Decides for FairShareRole {
-    fn report(&mut self, now: Now, report: &Report) -> Result<(), Refusal> {
+    fn report(&mut self, now: Now, report: &Report) -> Result<(), DecodeError> {
         self.core.report(now, report)
     }
 
--- a/quota-gateway/controller/src/metrics.rs
+++ b/quota-gateway/controller/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Figures of a steward, as a page in the usual text format.
 
 use crate::work::Shared;
-use marblecroft_control_messages::frame::Refusal;
+use marblecroft_control_messages::frame::DecodeError;
 use marblecroft_singleton_roles::run::Figures;
 use prometheus_client::encoding::{text, EncodeLabelSet};
 use prometheus_client::metrics::family::Family;
@@ -29,7 +29,7 @@
     }
     registry.register("owns", "Duties that are owned here, by the token", owns);
     let refused = Family::<Why, Gauge>::default();
-    for why in Refusal::ALL {
+    for why in DecodeError::ALL {
         let count = shared.reports.refused.borrow().get(&why).copied().unwrap_or(0);
         refused.get_or_create(&Why { why: why.name() }).set(i64::try_from(count).unwrap_or(i64::MAX));
     }
--- a/quota-gateway/controller/src/reports.rs
+++ b/quota-gateway/controller/src/reports.rs
@@ -1,6 +1,6 @@
 //! Gateways' reports: one kept connection from each, frames one behind another, nothing is answered.
 
-use marblecroft_control_messages::frame::{decode, Fleet, Head, Refusal, HEAD};
+use marblecroft_control_messages::frame::{decode, DecodeError, Fleet, Header, HEADER_BYTES};
 use marblecroft_control_messages::report::Report;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
     pub connections: Cell<u64>,
     pub come: Cell<u64>,
     pub dropped: Cell<u64>,
-    pub refused: RefCell<BTreeMap<Refusal, u64>>,
+    pub refused: RefCell<BTreeMap<DecodeError, u64>>,
     pub bytes: Cell<u64>,
 }
 
@@ -48,7 +48,7 @@
         reports
     }
 
-    pub fn refuse(&self, why: Refusal) {
+    pub fn refuse(&self, why: DecodeError) {
         *self.refused.borrow_mut().entry(why).or_default() += 1;
     }
 
@@ -89,19 +89,19 @@
     /// Reads until the connection ends, falls silent, or says something that cannot be read on from.
     async fn hear(&self, mut stream: TcpStream) {
         loop {
-            let mut bytes = vec![0; HEAD];
+            let mut bytes = vec![0; HEADER_BYTES];
             match timeout(GATEWAY_TTL, stream.read_exact(&mut bytes)).await {
                 Ok(Ok(_)) => {}
                 _ => return,
             }
-            let length = match Head::read(self.fleet, &bytes) {
-                Ok(head) => head.length,
+            let length = match Header::read(self.fleet, &bytes) {
+                Ok(head) => head.payload_bytes,
                 Err(why) => return self.refuse(why),
             };
-            bytes.resize(HEAD + length, 0);
-            match timeout(GATEWAY_TTL, stream.read_exact(&mut bytes[HEAD..])).await {
+            bytes.resize(HEADER_BYTES + length, 0);
+            match timeout(GATEWAY_TTL, stream.read_exact(&mut bytes[HEADER_BYTES..])).await {
                 Ok(Ok(_)) => {}
-                _ => return self.refuse(Refusal::Truncated),
+                _ => return self.refuse(DecodeError::Truncated),
             }
             self.bytes.set(self.bytes.get() + bytes.len() as u64);
             match decode::<Report>(self.fleet, &bytes) {
--- a/quota-gateway/controller/src/shard_map_role.rs
+++ b/quota-gateway/controller/src/shard_map_role.rs
@@ -3,7 +3,7 @@
 use crate::cells::Cells;
 use crate::config::{ShardMapConfig as BooksConfig, Valid};
 use crate::decisions::{read, Decides, Now};
-use marblecroft_control_messages::frame::{decode, encode, Fleet, Refusal};
+use marblecroft_control_messages::frame::{decode, encode, DecodeError, Fleet};
 use marblecroft_control_messages::published::{Decision, Stamp};
 use marblecroft_control_messages::report::Report;
 use marblecroft_shard_map::map::{Cell, Firm, ShardMap};
@@ -90,8 +90,8 @@
 }
 
 impl Decides for ShardMapRole {
-    fn report(&mut self, now: Now, report: &Report) -> Result<(), Refusal> {
-        self.core.goes_by(now, report.gateway, report.goes_by.shard_map);
+    fn report(&mut self, now: Now, report: &Report) -> Result<(), DecodeError> {
+        self.core.goes_by(now, report.gateway, report.applied_decisions.shard_map);
         Ok(())
     }
 
--- a/quota-gateway/controller/tests/input.rs
+++ b/quota-gateway/controller/tests/input.rs
@@ -1,6 +1,6 @@
 //! What a steward is told: configurations that cannot be used are named by their field, and reports that are none change nothing.
 
-use marblecroft_control_messages::frame::{encode, Fleet, Refusal, HEAD};
+use marblecroft_control_messages::frame::{encode, DecodeError, Fleet, HEADER_BYTES};
 use marblecroft_control_messages::report::{AppliedDecisions, Demand, Report};
 use marblecroft_controller::config::Config;
 use marblecroft_controller::reports::Reports;
@@ -64,13 +64,13 @@
     let report = Report {
         gateway,
         incarnation: 1,
-        number: 1,
+        sequence: 1,
         zone: "hall-a".to_owned(),
         span_ms: 1000,
         requested_units: 1.0,
         zones: Vec::new(),
-        shares: Demand::default(),
-        goes_by: AppliedDecisions::default(),
+        demand: Demand::default(),
+        applied_decisions: AppliedDecisions::default(),
     };
     encode(FLEET, &report).expect("short")
 }
@@ -106,22 +106,27 @@
         ends(spoilt(4, 1)).await;
         ends(spoilt(7, 1)).await;
         ends(spoilt(18, 0x7f)).await;
-        let count = |why: Refusal| reports.refused.borrow().get(&why).copied().unwrap_or(0);
-        for why in [Refusal::Foreign, Refusal::Version, Refusal::Fleet, Refusal::TooLong] {
+        let count = |why: DecodeError| reports.refused.borrow().get(&why).copied().unwrap_or(0);
+        for why in [
+            DecodeError::BadMagic,
+            DecodeError::UnsupportedVersion,
+            DecodeError::WrongFleet,
+            DecodeError::TooLong,
+        ] {
             until(|| count(why) == 1).await;
         }
         // Damage within a report of known length is passed over, and the next one is heard.
         let mut link = TcpStream::connect(addr).await.expect("connected");
-        link.write_all(&spoilt(HEAD, 1)).await.expect("written");
+        link.write_all(&spoilt(HEADER_BYTES, 1)).await.expect("written");
         link.write_all(&spoilt(6, 7)).await.expect("written");
         link.write_all(&report(2)).await.expect("written");
         assert_eq!(heard.recv().await.map(|report| report.gateway), Some(2));
-        assert_eq!((count(Refusal::Damaged), count(Refusal::Kind)), (1, 1));
+        assert_eq!((count(DecodeError::Corrupt), count(DecodeError::UnexpectedKind)), (1, 1));
         // Half a report and an end.
         let mut half = TcpStream::connect(addr).await.expect("connected");
-        half.write_all(&report(3)[..HEAD + 2]).await.expect("written");
+        half.write_all(&report(3)[..HEADER_BYTES + 2]).await.expect("written");
         drop(half);
-        until(|| count(Refusal::Truncated) == 1).await;
+        until(|| count(DecodeError::Truncated) == 1).await;
         assert_eq!(reports.come.get(), 1);
     });
 }
--- a/quota-gateway/fair-share/src/body.rs
+++ b/quota-gateway/fair-share/src/body.rs
@@ -1,6 +1,6 @@
 //! What is published: the level, where to look more closely next, and what each gateway may send on in all.
 
-use marblecroft_control_messages::frame::{sane, Kind};
+use marblecroft_control_messages::frame::{is_valid_quantity, Kind};
 use marblecroft_control_messages::published::Body;
 use marblecroft_control_messages::report::MAX_POINTS;
 use serde::{Deserialize, Serialize};
@@ -34,13 +34,13 @@
 impl Body for ShareDecision {
     const KIND: Kind = Kind::Shares;
 
-    fn sensible(&self) -> bool {
-        [self.level, self.capacity, self.weight].into_iter().all(sane)
+    fn is_valid(&self) -> bool {
+        [self.level, self.capacity, self.weight].into_iter().all(is_valid_quantity)
             && self.points.len() <= MAX_POINTS
-            && self.points.iter().copied().all(sane)
+            && self.points.iter().copied().all(is_valid_quantity)
             && self.points.windows(2).all(|w| w[0] < w[1])
             && self.grants.len() <= MAX_GATEWAYS
             && self.grants.windows(2).all(|w| w[0].0 < w[1].0)
-            && self.grants.iter().all(|(_, units)| sane(f64::from(*units)))
+            && self.grants.iter().all(|(_, units)| is_valid_quantity(f64::from(*units)))
     }
 }
--- a/quota-gateway/fair-share/src/curve.rs
+++ b/quota-gateway/fair-share/src/curve.rs
@@ -39,7 +39,7 @@
 /// What a gateway tells of its firms, at these levels.
 pub fn sample(firms: &[LocalFirm], points: &[f64]) -> Demand {
     Demand {
-        all: firms.iter().map(|firm| firm.demand).sum(),
+        total: firms.iter().map(|firm| firm.demand).sum(),
         weight: firms.iter().filter(|firm| firm.demand > 0.0).map(|firm| firm.weight).sum(),
         points: points.iter().map(|&at| (at, sum(firms, at))).collect(),
     }
--- a/quota-gateway/fair-share/src/owner.rs
+++ b/quota-gateway/fair-share/src/owner.rs
@@ -2,7 +2,7 @@
 
 use crate::body::{ShareDecision, MAX_GATEWAYS, UNBOUND};
 use crate::curve::{first_points, points_around, read};
-use marblecroft_control_messages::frame::Refusal;
+use marblecroft_control_messages::frame::DecodeError;
 use marblecroft_control_messages::published::Stamp;
 use marblecroft_control_messages::report::{Demand, Report};
 use std::collections::BTreeMap;
@@ -104,20 +104,20 @@
         self.capacity = units;
     }
 
-    pub fn report(&mut self, now: Now, report: &Report) -> Result<(), Refusal> {
+    pub fn report(&mut self, now: Now, report: &Report) -> Result<(), DecodeError> {
         let known = self.gateways.get(&report.gateway);
-        if known.is_some_and(|heard| heard.life == report.incarnation && heard.number >= report.number) {
+        if known.is_some_and(|heard| heard.life == report.incarnation && heard.number >= report.sequence) {
             self.repeated += 1;
             return Ok(());
         }
         if known.is_none() && self.gateways.len() >= MAX_GATEWAYS {
-            return Err(Refusal::TooLong);
+            return Err(DecodeError::TooLong);
         }
-        let goes_by = report.goes_by.shares;
+        let goes_by = report.applied_decisions.shares;
         let mut grants = self.gateways.remove(&report.gateway).map_or_else(Vec::new, |heard| heard.grants);
         // A new life holds nothing yet and takes whatever is published next; what an old one held is gone with it.
         grants.retain(|(stamp, _)| *stamp >= goes_by);
-        let (life, number, asked) = (report.incarnation, report.number, report.shares.clone());
+        let (life, number, asked) = (report.incarnation, report.sequence, report.demand.clone());
         let heard = Heard { at: now, life, number, asked, grants, omitted: None };
         self.gateways.insert(report.gateway, heard);
         Ok(())
@@ -182,7 +182,7 @@
             self.gateways.values().map(|heard| now.saturating_sub(heard.at) > self.valid).collect();
         let kept: f64 = reserved.iter().zip(&cut).filter(|(_, cut)| **cut).map(|(units, _)| units).sum();
         let capacity = (self.capacity - kept).max(0.0);
-        let all: f64 = self.of_those(&cut, |heard| heard.asked.all);
+        let all: f64 = self.of_those(&cut, |heard| heard.asked.total);
         let heard_weight: f64 = self.of_those(&cut, |heard| heard.asked.weight);
         let short = all > capacity;
         let level = if short { self.level(&cut, capacity).unwrap_or(UNBOUND) } else { UNBOUND };
@@ -192,9 +192,9 @@
                 read(&heard.asked, level)
             } else if short {
                 // The told points end below the level: what is told of the rest is its sum alone.
-                heard.asked.all * capacity / all
+                heard.asked.total * capacity / all
             } else {
-                heard.asked.all + spare * heard.asked.weight / heard_weight.max(1e-9)
+                heard.asked.total + spare * heard.asked.weight / heard_weight.max(1e-9)
             }
         };
         let targets: Vec<f64> =
--- a/quota-gateway/fair-share/src/taker.rs
+++ b/quota-gateway/fair-share/src/taker.rs
@@ -2,7 +2,7 @@
 
 use crate::body::{ShareDecision, UNBOUND};
 use crate::curve::{first_points, level_for, sample, LocalFirm};
-use marblecroft_control_messages::published::{Reader, Standing};
+use marblecroft_control_messages::published::{DecisionReader, Validity};
 use marblecroft_control_messages::report::Demand;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -142,27 +142,27 @@
     }
 
     /// Works out what each firm may be sent on, by the decision that stands; a few times a second.
-    pub fn obey(&mut self, now: Now, reader: &Reader<ShareDecision>) {
-        let standing = reader.standing(now);
+    pub fn obey(&mut self, now: Now, reader: &DecisionReader<ShareDecision>) {
+        let standing = reader.validity(now);
         let decided = match standing {
-            Standing::Never => {
+            Validity::NoDecision => {
                 self.bound = Bound::None;
                 return;
             }
-            Standing::Valid(decision) => {
+            Validity::Valid(decision) => {
                 if self.points != decision.body.points {
                     self.points.clone_from(&decision.body.points);
                 }
                 &decision.body
             }
-            Standing::Lapsed(decision, _) => &decision.body,
+            Validity::Expired(decision, _) => &decision.body,
         };
         // A decision that does not name this gateway has nothing for it but its equal part.
         let least: f64 = self.firms.values().map(|firm| firm.known.weight * firm.known.equal).sum();
         let floor = decided.capacity * least / decided.weight.max(least).max(1e-9);
         let named = decided.grant(self.gateway).unwrap_or(floor);
         let (level, grant) = match standing {
-            Standing::Lapsed(_, since) => {
+            Validity::Expired(_, since) => {
                 let left = 1.0 - (since.as_secs_f64() / SHRINK.as_secs_f64()).min(1.0);
                 // Towards the level at which all firms together take what there is, each its weight's part.
                 let alone = decided.capacity / decided.weight.max(1e-9);
--- a/quota-gateway/fair-share/tests/conformance.rs
+++ b/quota-gateway/fair-share/tests/conformance.rs
@@ -1,6 +1,6 @@
 //! Tables of conformance of shares: rows from the design page, a clause each, played through both sides.
 
-use marblecroft_control_messages::published::{Decision, Reader, Stamp};
+use marblecroft_control_messages::published::{Decision, DecisionReader, Stamp};
 use marblecroft_control_messages::report::{AppliedDecisions, Report};
 use marblecroft_fair_share::body::ShareDecision;
 use marblecroft_fair_share::owner::Owner;
@@ -52,7 +52,7 @@
     fn play(&self) -> Result<(), String> {
         let gateways = self.firms.iter().map(|(_, at)| at.len()).max().unwrap_or(0);
         let mut takers: Vec<Taker> = (0..gateways as u32).map(Taker::new).collect();
-        let mut readers: Vec<Reader<ShareDecision>> = vec![Reader::default(); gateways];
+        let mut readers: Vec<DecisionReader<ShareDecision>> = vec![DecisionReader::default(); gateways];
         let at = |ms: u64| Duration::from_millis(ms);
         let mut owner = Owner::begin(at(0), VALID, SHRINK, at(1500), None);
         owner.capacity(self.capacity);
@@ -98,13 +98,13 @@
                 let report = Report {
                     gateway: g as u32,
                     incarnation: 1,
-                    number: second + 1,
+                    sequence: second + 1,
                     zone: "hall-a".to_owned(),
                     span_ms: 1000,
                     requested_units: 1.0,
                     zones: Vec::new(),
-                    shares: taker.report(now),
-                    goes_by,
+                    demand: taker.report(now),
+                    applied_decisions: goes_by,
                 };
                 owner.report(now, &report).map_err(|why| why.to_string())?;
             }
@@ -113,10 +113,10 @@
             if let Some(body) = owner.decide(now, stamp) {
                 let decision = Decision { stamp, valid_ms: VALID.as_millis() as u32, body };
                 for reader in &mut readers {
-                    reader.take(now, decision.clone());
+                    reader.accept(now, decision.clone());
                 }
             } else {
-                readers.iter_mut().for_each(|reader| reader.renewed(now));
+                readers.iter_mut().for_each(|reader| reader.renew(now));
             }
         }
         let near = |(seen, wanted): (&f64, &f64)| (seen - wanted).abs() <= 0.05 * self.capacity;
--- a/quota-gateway/fair-share/tests/fleet.rs
+++ b/quota-gateway/fair-share/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Whole fleets on a virtual clock: firms whose demand jumps, gateways that sum up and obey, links that lose, delay and repeat,
 //! owners that are replaced. What firms get is held against the exact solution. `SHARES_SEEDS` plays more of them.
 
-use marblecroft_control_messages::published::{Decision, Reader, Stamp};
+use marblecroft_control_messages::published::{Decision, DecisionReader, Stamp};
 use marblecroft_control_messages::report::{AppliedDecisions, Report};
 use marblecroft_fair_share::body::ShareDecision;
 use marblecroft_fair_share::curve::{self, LocalFirm};
@@ -32,7 +32,7 @@
 }
 
 struct Gate {
-    reader: Reader<ShareDecision>,
+    reader: DecisionReader<ShareDecision>,
     points: Vec<f64>,
     number: u64,
     report_at: u64,
@@ -83,7 +83,7 @@
         let capacity = firms.iter().map(|firm| firm.asks).sum::<f64>() * short;
         let gates = (0..gateways)
             .map(|_| Gate {
-                reader: Reader::default(),
+                reader: DecisionReader::default(),
                 points: curve::first_points(),
                 number: 0,
                 report_at: rng.random_range(0..ROUND),
@@ -170,11 +170,11 @@
         self.decisions = later;
         for (_, to, decision) in come {
             self.gates[to].points.clone_from(&decision.body.points);
-            self.gates[to].reader.take(at(now.saturating_sub(300)), decision);
+            self.gates[to].reader.accept(at(now.saturating_sub(300)), decision);
         }
         // That nothing is newer is heard as well, each second.
         for gate in self.gates.iter_mut().filter(|gate| !gate.deaf && now % ROUND < ms) {
-            gate.reader.renewed(at(now.saturating_sub(300)));
+            gate.reader.renew(at(now.saturating_sub(300)));
         }
         for g in 0..self.gates.len() {
             if now < self.gates[g].report_at {
@@ -192,13 +192,13 @@
             let report = Report {
                 gateway: g as u32,
                 incarnation: 1,
-                number: gate.number,
+                sequence: gate.number,
                 zone: "hall-a".to_owned(),
                 span_ms: 1000,
-                requested_units: shares.all,
+                requested_units: shares.total,
                 zones: Vec::new(),
-                shares,
-                goes_by,
+                demand: shares,
+                applied_decisions: goes_by,
             };
             self.bytes += postcard::to_stdvec(&report).map_or(0, |bytes| bytes.len());
             self.messages += 1;
--- a/quota-gateway/fair-share/tests/owner.rs
+++ b/quota-gateway/fair-share/tests/owner.rs
@@ -17,13 +17,13 @@
     Report {
         gateway,
         incarnation: 1,
-        number,
+        sequence: number,
         zone: "hall-a".to_owned(),
         span_ms: 1000,
         requested_units: asks,
         zones: Vec::new(),
-        shares: sample(&[LocalFirm { demand: asks, weight: 1.0 }], &first_points()),
-        goes_by: AppliedDecisions { shares: goes_by, ..AppliedDecisions::default() },
+        demand: sample(&[LocalFirm { demand: asks, weight: 1.0 }], &first_points()),
+        applied_decisions: AppliedDecisions { shares: goes_by, ..AppliedDecisions::default() },
     }
 }
 
--- a/quota-gateway/fair-share/tests/taker.rs
+++ b/quota-gateway/fair-share/tests/taker.rs
@@ -1,6 +1,6 @@
 //! A gateway's side, step by step: firms' parts by level and grant, and alone.
 
-use marblecroft_control_messages::published::{Decision, Reader, Stamp};
+use marblecroft_control_messages::published::{Decision, DecisionReader, Stamp};
 use marblecroft_fair_share::body::ShareDecision;
 use marblecroft_fair_share::taker::{Bound, FirmQuota, Taker, MAX_FIRMS};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 }
 
 /// Of 100 units for weights of 10 in all, to a gateway that has a grant of 30.
-fn reader(level: f64, grant: f32) -> Reader<ShareDecision> {
+fn reader(level: f64, grant: f32) -> DecisionReader<ShareDecision> {
     let body = ShareDecision {
         level,
         capacity: 100.0,
@@ -20,13 +20,13 @@
         points: vec![1.0, 10.0],
         grants: vec![(7, grant)],
     };
-    let mut reader = Reader::default();
-    reader.take(at(0), Decision { stamp: Stamp { token: 1, revision: 1 }, valid_ms: 5000, body });
+    let mut reader = DecisionReader::default();
+    reader.accept(at(0), Decision { stamp: Stamp { token: 1, revision: 1 }, valid_ms: 5000, body });
     reader
 }
 
 /// Two firms that ask for 40 units a second each, one with three times the weight; what each is sent on in a second.
-fn sent(taker: &mut Taker, reader: &Reader<ShareDecision>, from: u64) -> [f64; 2] {
+fn sent(taker: &mut Taker, reader: &DecisionReader<ShareDecision>, from: u64) -> [f64; 2] {
     let mut sent = [0.0; 2];
     for step in 0..40 {
         let now = at(from + step * 25);
@@ -54,7 +54,7 @@
     // By the level: 5 and 15.
     let (mut taker, by_level) = (Taker::new(7), reader(5.0, 30.0));
     assert_eq!(
-        sent(&mut Taker::new(7), &Reader::default(), 0),
+        sent(&mut Taker::new(7), &DecisionReader::default(), 0),
         [40.0, 40.0],
         "with no decision nobody is bound"
     );
--- a/quota-gateway/server/src/fleet_decisions.rs
+++ b/quota-gateway/server/src/fleet_decisions.rs
@@ -5,8 +5,8 @@
 
 use crate::engine::Engine;
 use crate::shard_map::ShardRouting;
-use marblecroft_control_messages::frame::{decode, encode, Fleet, Refusal};
-use marblecroft_control_messages::published::{Body, Decision, Reader, Stamp, Standing, Taken};
+use marblecroft_control_messages::frame::{decode, encode, DecodeError, Fleet};
+use marblecroft_control_messages::published::{Acceptance, Body, Decision, DecisionReader, Stamp, Validity};
 use marblecroft_control_messages::report::{AppliedDecisions, Report};
 use marblecroft_coordination::client::Client;
 use marblecroft_fair_share::body::ShareDecision;
@@ -88,12 +88,12 @@
 
 /// What was read of the fleet.
 struct KnownDecisions {
-    zones: Reader<ZonesDecided>,
+    zones: DecisionReader<ZonesDecided>,
     /// Where reports go.
     owners: BTreeSet<SocketAddr>,
     /// What the decisions were told last.
     announced: Vec<ZoneShare>,
-    refused: BTreeMap<Refusal, u64>,
+    refused: BTreeMap<DecodeError, u64>,
     lapsed: bool,
     requests_per_second: f64,
 }
@@ -134,7 +134,7 @@
             incarnation: life,
             started_at: begun,
             decisions: RefCell::new(KnownDecisions {
-                zones: Reader::default(),
+                zones: DecisionReader::default(),
                 owners: BTreeSet::new(),
                 announced: Vec::new(),
                 refused: BTreeMap::new(),
@@ -155,7 +155,7 @@
     fn read(&self, view: &View) {
         let asked = view.as_of().unwrap_or_default();
         self.read_one::<ZonesDecided>(view, "zones", |decision| {
-            Some(self.decisions.borrow_mut().zones.take(asked, decision))
+            Some(self.decisions.borrow_mut().zones.accept(asked, decision))
         });
         self.read_one::<ShareDecision>(view, "shares", |decision| {
             self.observer.install_shares(asked, decision)
@@ -173,15 +173,24 @@
     }
 
     /// Takes in one duty's decision, where it is gone by here.
-    fn read_one<T: Body>(&self, view: &View, duty: &str, take: impl FnOnce(Decision<T>) -> Option<Taken>) {
+    fn read_one<T: Body>(
+        &self,
+        view: &View,
+        duty: &str,
+        take: impl FnOnce(Decision<T>) -> Option<Acceptance>,
+    ) {
         let Some(bytes) = view.get(&self.names.decision(duty)) else { return };
         match decode::<Decision<T>>(self.fleet, bytes) {
             Ok(decision) => {
                 let Stamp { token, revision } = decision.stamp;
                 match take(decision) {
-                    Some(Taken::New) => info!(token, revision, duty, "goes by {duty} {token}.{revision}"),
-                    Some(Taken::Late) => info!(token, duty, "a decision on {duty} came after a newer one"),
-                    Some(Taken::Renewed) | None => {}
+                    Some(Acceptance::New) => {
+                        info!(token, revision, duty, "goes by {duty} {token}.{revision}")
+                    }
+                    Some(Acceptance::Stale) => {
+                        info!(token, duty, "a decision on {duty} came after a newer one")
+                    }
+                    Some(Acceptance::Renewed) | None => {}
                 }
             }
             Err(why) => {
@@ -202,11 +211,11 @@
             let Some(engine) = self.engine.upgrade() else { return };
             self.observer.apply_shares();
             let mut known = self.decisions.borrow_mut();
-            let standing = known.zones.standing(self.started_at.elapsed());
-            let lapsed = matches!(standing, Standing::Lapsed(..));
+            let standing = known.zones.validity(self.started_at.elapsed());
+            let lapsed = matches!(standing, Validity::Expired(..));
             let bound = match standing {
-                Standing::Valid(decision) => decision.body.for_gateway(&self.zone, known.requests_per_second),
-                Standing::Never | Standing::Lapsed(..) => None,
+                Validity::Valid(decision) => decision.body.for_gateway(&self.zone, known.requests_per_second),
+                Validity::NoDecision | Validity::Expired(..) => None,
             };
             let shares: Vec<ZoneShare> = bound
                 .iter()
@@ -269,13 +278,13 @@
                 Report {
                     gateway: self.config.gateway,
                     incarnation: self.incarnation,
-                    number,
+                    sequence: number,
                     zone: self.zone.clone(),
                     span_ms: ((span * 1000.0) as u32).clamp(1, 60_000),
                     requested_units: asked / span,
                     zones,
-                    shares,
-                    goes_by,
+                    demand: shares,
+                    applied_decisions: goes_by,
                 }
             };
             let Some(bytes) = encode(self.fleet, &report) else { continue };
--- a/quota-gateway/server/src/fleet_decisions/observer.rs
+++ b/quota-gateway/server/src/fleet_decisions/observer.rs
@@ -2,8 +2,8 @@
 //! reports, firms' asks for their shares, pay runs for their books.
 
 use crate::shard_map::ShardRouting;
-use marblecroft_control_messages::published::{Decision, Reader, Stamp, Taken};
-use marblecroft_control_messages::report::{Demand, Seen, ZoneSeen};
+use marblecroft_control_messages::published::{Acceptance, Decision, DecisionReader, Stamp};
+use marblecroft_control_messages::report::{AttemptCounts, Demand, ZoneObservation};
 use marblecroft_fair_share::body::ShareDecision;
 use marblecroft_fair_share::taker::{FirmQuota, Taker};
 use marblecroft_quota_gateway_core::{
@@ -45,14 +45,14 @@
 struct Observations {
     servers: BTreeMap<ServerId, ServerInfo>,
     requests: BTreeMap<RequestId, TrackedRequest>,
-    seen: BTreeMap<u32, Seen>,
+    seen: BTreeMap<u32, AttemptCounts>,
     demand: f64,
 }
 
 /// This gateway's side of shares.
 struct FairShares {
     taker: RefCell<Taker>,
-    decided: RefCell<Reader<ShareDecision>>,
+    decided: RefCell<DecisionReader<ShareDecision>>,
     /// Requests that were refused as their firm's share did not hold them.
     refused: Cell<u64>,
 }
@@ -204,8 +204,8 @@
     }
 
     /// A decision on shares was read.
-    pub fn install_shares(&self, asked: Duration, decision: Decision<ShareDecision>) -> Option<Taken> {
-        Some(self.fair_shares.as_ref()?.decided.borrow_mut().take(asked, decision))
+    pub fn install_shares(&self, asked: Duration, decision: Decision<ShareDecision>) -> Option<Acceptance> {
+        Some(self.fair_shares.as_ref()?.decided.borrow_mut().accept(asked, decision))
     }
 
     /// Works out what each firm may be sent on; a few times a second.
@@ -248,7 +248,7 @@
     }
 
     /// What was seen since the last time, by zone, and what was asked.
-    pub fn take_report(&self, now: Time) -> (f64, Vec<ZoneSeen>) {
+    pub fn take_report(&self, now: Time) -> (f64, Vec<ZoneObservation>) {
         let mut sight = self.observations.borrow_mut();
         sight.count_unresponsive(now);
         let (asked, mut seen) = (std::mem::take(&mut sight.demand), std::mem::take(&mut sight.seen));
@@ -259,7 +259,7 @@
                     (servers + 1.0, warm + self.warm_share(server, now))
                 });
             let seen = seen.remove(&zone).unwrap_or_default();
-            ZoneSeen { zone: name.clone(), seen, servers, warm: warm.min(servers) }
+            ZoneObservation { zone: name.clone(), attempts: seen, servers, warm: warm.min(servers) }
         });
         (asked, zones.collect())
     }
@@ -344,9 +344,9 @@
         match outcome.status {
             Status::Ok => seen.served += units,
             _ if told => {}
-            Status::Rejected => seen.busy += units,
+            Status::Rejected => seen.rejected += units,
             Status::Error | Status::Reset | Status::TimedOut => seen.failed += units,
-            Status::ConnectFailed => seen.unconnected += units,
+            Status::ConnectFailed => seen.connect_failed += units,
             // Given up for its silence; one that is called off sooner says nothing of the server.
             Status::Cancelled if outcome.elapsed >= UNRESPONSIVE_AFTER => seen.failed += units,
             Status::Cancelled | Status::NotSent => {}
--- a/quota-gateway/server/src/fleet_decisions/observer/tests.rs
+++ b/quota-gateway/server/src/fleet_decisions/observer/tests.rs
@@ -58,7 +58,7 @@
         at(0),
         &[Action::Send { id: RequestId(1), server: ServerId(1), deadline: at(4000), begin_by: None }],
     );
-    let failed = |now: u64| observer.take_report(at(now)).1[1].seen.failed;
+    let failed = |now: u64| observer.take_report(at(now)).1[1].attempts.failed;
     let aim = observer.settings.classes[0].latency_target.as_millis() as u64;
     assert_eq!((failed(aim - 10), failed(aim + 10), failed(aim + 1000)), (0.0, 2.0, 0.0));
     observer.on_event(&Event::Outcome(Outcome {
--- a/quota-gateway/server/src/shard_map.rs
+++ b/quota-gateway/server/src/shard_map.rs
@@ -2,7 +2,7 @@
 //! configuration names it; without it nothing of this is there.
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
-use marblecroft_control_messages::published::{Decision, Reader, Stamp, Taken};
+use marblecroft_control_messages::published::{Acceptance, Decision, DecisionReader, Stamp};
 use marblecroft_quota_gateway_core::{Lifecycle, Placement, Scope, ServerId, ServerInfo};
 use marblecroft_shard_map::map::{Epoch, Firm, ShardMap};
 use marblecroft_shard_map::ticket::{NotNow, Ticket};
@@ -23,7 +23,7 @@
 
 /// What is known of books here.
 pub struct ShardRouting {
-    map: RefCell<Reader<ShardMap>>,
+    map: RefCell<DecisionReader<ShardMap>>,
     cells: RefCell<BTreeMap<ServerId, u32>>,
     started_at: Instant,
     changed: Notify,
@@ -45,9 +45,9 @@
     }
 
     /// A map was read; `asked`: an instant, since `begun`, before the question left.
-    pub fn install(&self, asked: Duration, decision: Decision<ShardMap>) -> Taken {
-        let taken = self.map.borrow_mut().take(asked, decision);
-        if taken == Taken::New {
+    pub fn install(&self, asked: Duration, decision: Decision<ShardMap>) -> Acceptance {
+        let taken = self.map.borrow_mut().accept(asked, decision);
+        if taken == Acceptance::New {
             self.changed.notify_waiters();
         }
         taken
--- a/quota-gateway/shard-map/src/cell.rs
+++ b/quota-gateway/shard-map/src/cell.rs
@@ -44,18 +44,18 @@
 }
 
 impl Message for CellRequest {
-    const KIND: Kind = Kind::CellAsked;
+    const KIND: Kind = Kind::CellRequest;
 
-    fn sensible(&self) -> bool {
+    fn is_valid(&self) -> bool {
         let (first, end) = self.operation.range();
         self.token > 0 && self.operation.epoch() > 0 && first < end && end <= FIRM_END
     }
 }
 
 impl Message for CellReply {
-    const KIND: Kind = Kind::CellSaid;
+    const KIND: Kind = Kind::CellReply;
 
-    fn sensible(&self) -> bool {
+    fn is_valid(&self) -> bool {
         true
     }
 }
--- a/quota-gateway/shard-map/src/map.rs
+++ b/quota-gateway/shard-map/src/map.rs
@@ -81,9 +81,9 @@
 }
 
 impl Body for ShardMap {
-    const KIND: Kind = Kind::Books;
+    const KIND: Kind = Kind::ShardMap;
 
-    fn sensible(&self) -> bool {
+    fn is_valid(&self) -> bool {
         (1..=MAX_SHARDS).contains(&self.shards.len())
             && self.shards[0].first == 0
             && self.shards.windows(2).all(|two| two[0].first < two[1].first)
--- a/quota-gateway/shard-map/src/ticket.rs
+++ b/quota-gateway/shard-map/src/ticket.rs
@@ -1,7 +1,7 @@
 //! A gateway's side: whether and where a pay run may be written, asked at the last moment before the write.
 
 use crate::map::{Cell, Epoch, Firm, ShardMap};
-use marblecroft_control_messages::published::{Instant, Reader, Standing};
+use marblecroft_control_messages::published::{DecisionReader, Instant, Validity};
 use std::time::Duration;
 
 /// A ticket is asked for at the last moment, and is worth nothing this long after: where cells do not fence, the wait for the longest
@@ -40,9 +40,9 @@
 
 impl Ticket {
     /// A ticket for a firm, if the map is valid now and its book is open.
-    pub fn acquire(now: Instant, reader: &Reader<ShardMap>, firm: Firm) -> Result<Ticket, NotNow> {
-        let Standing::Valid(decision) = reader.standing(now) else { return Err(NotNow::Alone) };
-        let until = reader.until().unwrap_or(now).min(now + TICKET);
+    pub fn acquire(now: Instant, reader: &DecisionReader<ShardMap>, firm: Firm) -> Result<Ticket, NotNow> {
+        let Validity::Valid(decision) = reader.validity(now) else { return Err(NotNow::Alone) };
+        let until = reader.valid_until().unwrap_or(now).min(now + TICKET);
         let at = decision.body.find(firm).ok_or(NotNow::Unknown)?;
         let book = decision.body.shards[at];
         if !book.open() {
--- a/quota-gateway/shard-map/tests/conformance.rs
+++ b/quota-gateway/shard-map/tests/conformance.rs
@@ -1,7 +1,7 @@
 //! Tables of conformance of books: rows from the design page, a clause each: moves through their steps, cells' fences, gateways'
 //! tickets, what moves where.
 
-use marblecroft_control_messages::published::{Decision, Reader, Stamp};
+use marblecroft_control_messages::published::{Decision, DecisionReader, Stamp};
 use marblecroft_shard_map::cell::{CellReply, CellRequest, CellState, Needs};
 use marblecroft_shard_map::map::{MigrationStep, ShardMap};
 use marblecroft_shard_map::moves::CellOperation;
@@ -118,10 +118,10 @@
         |map| map.copied(0, 2).expect("drained"),
     ];
     doing[..upto].iter().for_each(|step| step(&mut map));
-    let mut reader = Reader::default();
+    let mut reader = DecisionReader::default();
     if step != "never" {
         let stamp = Stamp { token: 1, revision: 1 };
-        reader.take(Duration::ZERO, Decision { stamp, valid_ms: 1000, body: map });
+        reader.accept(Duration::ZERO, Decision { stamp, valid_ms: 1000, body: map });
     }
     let now = Duration::from_millis(at);
     let seen = match Ticket::acquire(now, &reader, 7) {
--- a/quota-gateway/shard-map/tests/fleet.rs
+++ b/quota-gateway/shard-map/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Moves on a virtual clock: cells that fence or not, gateways with maps of any age, owners that are replaced at any step, cells and
 //! zones that are lost. `BOOKS_SEEDS` plays more of them.
 
-use marblecroft_control_messages::published::{Body, Decision, Reader, Stamp};
+use marblecroft_control_messages::published::{Body, Decision, DecisionReader, Stamp};
 use marblecroft_shard_map::fencing::EpochFence;
 use marblecroft_shard_map::map::{Cell, Epoch, Firm, MigrationStep, Shard, ShardMap, FIRM_END};
 use marblecroft_shard_map::moves::CellOperation;
@@ -36,7 +36,7 @@
     now: u64,
     fencing: bool,
     cells: BTreeMap<Cell, CellState>,
-    gateways: Vec<Reader<ShardMap>>,
+    gateways: Vec<DecisionReader<ShardMap>>,
     deaf: BTreeSet<usize>,
     owner: Owner,
     stamp: Stamp,
@@ -67,7 +67,7 @@
             now: 0,
             fencing,
             cells: states,
-            gateways: vec![Reader::default(); gateways],
+            gateways: vec![DecisionReader::default(); gateways],
             deaf: BTreeSet::new(),
             owner: Owner::begin(at(0), map.clone(), waits(fencing, gateways), Limits::default()),
             stamp: Stamp { token: 1, revision: 0 },
@@ -112,7 +112,7 @@
 
     fn publish(&mut self) {
         let map = self.owner.map().clone();
-        assert!(map.sensible(), "{map:?}");
+        assert!(map.is_valid(), "{map:?}");
         for (i, book) in map.shards.iter().enumerate() {
             let before = self.published.find(book.first).map(|at| self.published.shards[at].epoch);
             assert!(before <= Some(book.epoch), "book {i}: an epoch fell from {before:?} to {}", book.epoch);
@@ -150,7 +150,7 @@
         self.readings = later;
         for (when, g, decision) in come {
             // Read at the earliest when it left.
-            self.gateways[g].take(at(when.saturating_sub(150)), decision);
+            self.gateways[g].accept(at(when.saturating_sub(150)), decision);
         }
         // Pay runs, each for some firm at some gateway.
         for _ in 0..2 {
@@ -391,7 +391,7 @@
         for (at, middle, join) in cuts {
             let before = map.clone();
             let done = if join { map.merge(at) } else { map.split(at, middle) };
-            prop_assert!(map.sensible());
+            prop_assert!(map.is_valid());
             prop_assert_eq!(done.is_err(), map == before);
             for firm in [0, middle, FIRM_END - 1] {
                 let (a, b) = (before.find(firm).unwrap(), map.find(firm).unwrap());
@@ -408,7 +408,7 @@
         for spoil in spoil {
             let mut spoilt = map.clone();
             spoil(&mut spoilt.shards);
-            prop_assert!(!spoilt.sensible());
+            prop_assert!(!spoilt.is_valid());
         }
     }
 }
--- a/quota-gateway/zone-failover/src/body.rs
+++ b/quota-gateway/zone-failover/src/body.rs
@@ -1,6 +1,6 @@
 //! What is published: each zone's state, and which share of its traffic each zone sends to which.
 
-use marblecroft_control_messages::frame::{sane, Kind};
+use marblecroft_control_messages::frame::{is_valid_quantity, Kind};
 use marblecroft_control_messages::published::Body;
 use marblecroft_control_messages::report::{MAX_NAME_BYTES, MAX_ZONES};
 use serde::{Deserialize, Serialize};
@@ -58,15 +58,15 @@
 impl Body for ZonesDecided {
     const KIND: Kind = Kind::Zones;
 
-    fn sensible(&self) -> bool {
+    fn is_valid(&self) -> bool {
         let n = self.zones.len();
         let share = |share: &f64| (0.0..=1.0).contains(share);
         (1..=MAX_ZONES).contains(&n)
             && self.zones.iter().enumerate().all(|(i, zone)| {
                 (1..=MAX_NAME_BYTES).contains(&zone.name.len())
                     && self.zones[..i].iter().all(|other| other.name != zone.name)
-                    && sane(zone.bears)
-                    && sane(zone.asked)
+                    && is_valid_quantity(zone.bears)
+                    && is_valid_quantity(zone.asked)
                     && zone.shares.len() == n
                     && zone.shares.iter().all(share)
                     && zone.shares.iter().sum::<f64>() <= 1.0 + 1e-6
--- a/quota-gateway/zone-failover/src/core.rs
+++ b/quota-gateway/zone-failover/src/core.rs
@@ -6,7 +6,7 @@
 use crate::flow::{flow, Load};
 use crate::settings::{ms, Settings};
 use crate::state::{Verdict, Zone};
-use marblecroft_control_messages::frame::Refusal;
+use marblecroft_control_messages::frame::DecodeError;
 use marblecroft_control_messages::report::Report;
 use std::time::Duration;
 
@@ -79,7 +79,7 @@
         }
     }
 
-    pub fn report(&mut self, now: Now, report: &Report) -> Result<(), Refusal> {
+    pub fn report(&mut self, now: Now, report: &Report) -> Result<(), DecodeError> {
         self.evidence.take(now, &self.settings, report)
     }
 
--- a/quota-gateway/zone-failover/src/evidence.rs
+++ b/quota-gateway/zone-failover/src/evidence.rs
@@ -2,8 +2,8 @@
 //! whose figures are a thousand times too high moves a decision by no more than its part.
 
 use crate::settings::{ms, Settings};
-use marblecroft_control_messages::frame::Refusal;
-use marblecroft_control_messages::report::{Report, Seen};
+use marblecroft_control_messages::frame::DecodeError;
+use marblecroft_control_messages::report::{AttemptCounts, Report};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -37,8 +37,8 @@
     zone: usize,
     asked: f64,
     /// With memory, and in the last report alone.
-    seen: Vec<Seen>,
-    last: Vec<Seen>,
+    seen: Vec<AttemptCounts>,
+    last: Vec<AttemptCounts>,
     servers: Vec<Option<(f64, f64)>>,
     /// Units a second served at each zone, in the last report alone.
     served: Vec<f64>,
@@ -78,54 +78,55 @@
     pub repeated: u64,
 }
 
-fn blend(old: Seen, new: Seen) -> Seen {
-    let fade = if old.all() > MUCH { FADE.0 } else { FADE.1 };
+fn blend(old: AttemptCounts, new: AttemptCounts) -> AttemptCounts {
+    let fade = if old.total() > MUCH { FADE.0 } else { FADE.1 };
     let mix = |old: f64, new: f64| fade * old + new;
-    Seen {
+    AttemptCounts {
         served: mix(old.served, new.served),
-        busy: mix(old.busy, new.busy),
+        rejected: mix(old.rejected, new.rejected),
         failed: mix(old.failed, new.failed),
-        unconnected: mix(old.unconnected, new.unconnected),
+        connect_failed: mix(old.connect_failed, new.connect_failed),
     }
 }
 
 impl Evidence {
     /// Takes a report in. One that names a zone which is unknown here is refused whole; one that is late or comes twice
     /// changes nothing.
-    pub fn take(&mut self, now: Now, settings: &Settings, report: &Report) -> Result<(), Refusal> {
+    pub fn take(&mut self, now: Now, settings: &Settings, report: &Report) -> Result<(), DecodeError> {
         let n = settings.places.len();
-        let zone = settings.zone(&report.zone).ok_or(Refusal::Absurd)?;
+        let zone = settings.zone(&report.zone).ok_or(DecodeError::InvalidValue)?;
         let places: Option<Vec<usize>> = report.zones.iter().map(|seen| settings.zone(&seen.zone)).collect();
-        let places = places.ok_or(Refusal::Absurd)?;
+        let places = places.ok_or(DecodeError::InvalidValue)?;
         let before = self.gateways.get(&report.gateway);
-        if before.is_some_and(|heard| heard.life == report.incarnation && heard.number >= report.number) {
+        if before.is_some_and(|heard| heard.life == report.incarnation && heard.number >= report.sequence) {
             self.repeated += 1;
             return Ok(());
         }
         if before.is_none() && self.gateways.len() >= MAX_GATEWAYS {
-            return Err(Refusal::TooLong);
+            return Err(DecodeError::TooLong);
         }
         // What an earlier life saw says nothing of this one's way.
         let mut seen = before
             .filter(|heard| {
                 heard.life == report.incarnation && now.saturating_sub(heard.at) < ms(settings.unheard_ms)
             })
-            .map_or_else(|| vec![Seen::default(); n], |heard| heard.seen.clone());
-        let (mut servers, mut served, mut last) = (vec![None; n], vec![0.0; n], vec![Seen::default(); n]);
+            .map_or_else(|| vec![AttemptCounts::default(); n], |heard| heard.seen.clone());
+        let (mut servers, mut served, mut last) =
+            (vec![None; n], vec![0.0; n], vec![AttemptCounts::default(); n]);
         let span = f64::from(report.span_ms) / 1000.0;
         for (place, seen) in seen.iter_mut().enumerate() {
             let told = report.zones.iter().zip(&places).find(|(_, told)| **told == place);
-            *seen = blend(*seen, told.map_or_else(Seen::default, |(told, _)| told.seen));
+            *seen = blend(*seen, told.map_or_else(AttemptCounts::default, |(told, _)| told.attempts));
         }
         for (told, &place) in report.zones.iter().zip(&places) {
             servers[place] = Some((told.servers, told.warm));
-            served[place] = told.seen.served / span;
-            last[place] = told.seen;
+            served[place] = told.attempts.served / span;
+            last[place] = told.attempts;
         }
         let heard = Heard {
             at: now,
             life: report.incarnation,
-            number: report.number,
+            number: report.sequence,
             zone,
             asked: report.requested_units,
             seen,
@@ -151,19 +152,19 @@
         self.gateways.values().filter(|heard| heard.zone == zone).count() as u32
     }
 
-    fn voices(&self, from: usize, to: usize, seen: fn(&Heard) -> &Vec<Seen>) -> Opinion {
+    fn voices(&self, from: usize, to: usize, seen: fn(&Heard) -> &Vec<AttemptCounts>) -> Opinion {
         let mut opinion = Opinion::default();
         for heard in self.gateways.values().filter(|heard| heard.zone == from) {
             let seen = seen(heard)[to];
-            let lost = seen.failed + seen.unconnected;
+            let lost = seen.failed + seen.connect_failed;
             // A gateway has one voice, and less of one where it has tried less than a vote takes.
-            let voice = (seen.all() / MIN_ATTEMPTS_PER_VOTE).min(1.0);
-            if lost > BAD * seen.all() {
+            let voice = (seen.total() / MIN_ATTEMPTS_PER_VOTE).min(1.0);
+            if lost > BAD * seen.total() {
                 opinion.bad += voice;
             } else {
                 opinion.good += voice;
             }
-            opinion.pressed += if seen.busy + lost > PRESSED * seen.all() { voice } else { 0.0 };
+            opinion.pressed += if seen.rejected + lost > PRESSED * seen.total() { voice } else { 0.0 };
         }
         opinion
     }
--- a/quota-gateway/zone-failover/src/settings.rs
+++ b/quota-gateway/zone-failover/src/settings.rs
@@ -75,7 +75,7 @@
                 return Err(format!("places[{i}].name: {} comes twice", place.name));
             }
         }
-        if !marblecroft_control_messages::frame::sane(self.server_bears) {
+        if !marblecroft_control_messages::frame::is_valid_quantity(self.server_bears) {
             return Err("server_bears: no number from 0".to_owned());
         }
         let times = [
--- a/quota-gateway/zone-failover/tests/core.rs
+++ b/quota-gateway/zone-failover/tests/core.rs
@@ -1,6 +1,8 @@
 //! Rules of the whole decision that stand behind others, each in the case where it alone holds.
 
-use marblecroft_control_messages::report::{AppliedDecisions, Demand, Report, Seen, ZoneSeen};
+use marblecroft_control_messages::report::{
+    AppliedDecisions, AttemptCounts, Demand, Report, ZoneObservation,
+};
 use marblecroft_zone_failover::body::{State, ZoneDecided, ZonesDecided, GROWTH};
 use marblecroft_zone_failover::core::{OperatorCommand, Zones};
 use marblecroft_zone_failover::settings::{ms, Place, Settings};
@@ -12,22 +14,22 @@
 
 /// What a gateway of a zone tells: of each zone how many were served and how many failed, and its servers.
 fn report(gateway: u32, number: u64, zone: usize, seen: &[(f64, f64, f64)]) -> Report {
-    let zones = seen.iter().enumerate().map(|(z, (served, failed, servers))| ZoneSeen {
+    let zones = seen.iter().enumerate().map(|(z, (served, failed, servers))| ZoneObservation {
         zone: format!("hall-{z}"),
-        seen: Seen { served: *served, failed: *failed, ..Seen::default() },
+        attempts: AttemptCounts { served: *served, failed: *failed, ..AttemptCounts::default() },
         servers: *servers,
         warm: *servers,
     });
     Report {
         gateway,
         incarnation: 1,
-        number,
+        sequence: number,
         zone: format!("hall-{zone}"),
         span_ms: 1000,
         requested_units: 20.0,
         zones: zones.collect(),
-        shares: Demand::default(),
-        goes_by: AppliedDecisions::default(),
+        demand: Demand::default(),
+        applied_decisions: AppliedDecisions::default(),
     }
 }
 
--- a/quota-gateway/zone-failover/tests/fleet.rs
+++ b/quota-gateway/zone-failover/tests/fleet.rs
@@ -1,8 +1,10 @@
 //! Whole fleets on a virtual clock: gateways that report and obey, zones that are lost, cut, slow, cold; links that lose, delay and
 //! repeat. Each seed is another deployment. `ZONES_SEEDS` plays more of them.
 
-use marblecroft_control_messages::published::{Decision, Reader, Stamp, Standing};
-use marblecroft_control_messages::report::{AppliedDecisions, Demand, Report, Seen, ZoneSeen};
+use marblecroft_control_messages::published::{Decision, DecisionReader, Stamp, Validity};
+use marblecroft_control_messages::report::{
+    AppliedDecisions, AttemptCounts, Demand, Report, ZoneObservation,
+};
 use marblecroft_zone_failover::body::{State, ZonesDecided, GROWTH};
 use marblecroft_zone_failover::core::Zones;
 use marblecroft_zone_failover::settings::{Place, Settings};
@@ -37,10 +39,10 @@
 
 struct Gateway {
     zone: usize,
-    reader: Reader<ZonesDecided>,
+    reader: DecisionReader<ZonesDecided>,
     life: u64,
     number: u64,
-    seen: Vec<Seen>,
+    seen: Vec<AttemptCounts>,
     since: u64,
     alive: bool,
     report_at: u64,
@@ -87,10 +89,10 @@
         let gateways = (0..gateways)
             .map(|i| Gateway {
                 zone: i % zones,
-                reader: Reader::default(),
+                reader: DecisionReader::default(),
                 life: 1,
                 number: 0,
-                seen: vec![Seen::default(); zones],
+                seen: vec![AttemptCounts::default(); zones],
                 since: 0,
                 alive: true,
                 report_at: rng.random_range(0..1000),
@@ -156,7 +158,7 @@
     fn end(&mut self) {
         self.fault = None;
         for gateway in self.gateways.iter_mut().filter(|g| !g.alive) {
-            (gateway.alive, gateway.reader, gateway.number) = (true, Reader::default(), 0);
+            (gateway.alive, gateway.reader, gateway.number) = (true, DecisionReader::default(), 0);
             gateway.life += 1;
         }
     }
@@ -179,7 +181,7 @@
         for (_, to, decision) in come {
             let before = self.gateways[to].reader.stamp();
             // Asked for at the latest one delay ago.
-            self.gateways[to].reader.take(at(now.saturating_sub(300)), decision);
+            self.gateways[to].reader.accept(at(now.saturating_sub(300)), decision);
             assert!(self.gateways[to].reader.stamp() >= before, "a decision went back at a reader");
         }
         let asked = self.asked_of();
@@ -189,8 +191,8 @@
         let (mut abroad, mut total) = (vec![0.0; n], vec![0.0; n]);
         for (g, gateway) in self.gateways.iter().enumerate().filter(|(_, g)| g.alive) {
             let name = &self.settings.places[gateway.zone].name;
-            let bound = match gateway.reader.standing(at(now)) {
-                Standing::Valid(decision) => decision.body.for_gateway(name, asked[g]),
+            let bound = match gateway.reader.validity(at(now)) {
+                Validity::Valid(decision) => decision.body.for_gateway(name, asked[g]),
                 _ => None,
             };
             for to in 0..n {
@@ -227,10 +229,10 @@
                 let part = (self.bears(to) / total[to].max(1e-9)).min(1.0);
                 let seen = &mut self.gateways[g].seen[to];
                 if dark {
-                    seen.unconnected += units;
+                    seen.connect_failed += units;
                 } else {
                     seen.served += units * part;
-                    seen.busy += units * (1.0 - part);
+                    seen.rejected += units * (1.0 - part);
                     self.served += units * part;
                     self.near += if to == zone { units * part } else { 0.0 };
                 }
@@ -259,23 +261,28 @@
             let span = now - self.gateways[g].since;
             self.gateways[g].since = now;
             self.gateways[g].number += 1;
-            let seen = std::mem::replace(&mut self.gateways[g].seen, vec![Seen::default(); n]);
+            let seen = std::mem::replace(&mut self.gateways[g].seen, vec![AttemptCounts::default(); n]);
             let zones = seen.into_iter().enumerate().map(|(z, seen)| {
                 // A list says what is listed, not what can be reached.
                 let there = !matches!(self.fault, Some(Fault::Lost(lost)) if lost == z);
                 let servers = if there { self.servers[z] } else { 0.0 };
-                ZoneSeen { zone: self.settings.places[z].name.clone(), seen, servers, warm: servers }
+                ZoneObservation {
+                    zone: self.settings.places[z].name.clone(),
+                    attempts: seen,
+                    servers,
+                    warm: servers,
+                }
             });
             let report = Report {
                 gateway: g as u32,
                 incarnation: self.gateways[g].life,
-                number: self.gateways[g].number,
+                sequence: self.gateways[g].number,
                 zone: self.settings.places[self.gateways[g].zone].name.clone(),
                 span_ms: span.clamp(1, 60_000) as u32,
                 requested_units: asked,
                 zones: zones.collect(),
-                shares: Demand::default(),
-                goes_by: AppliedDecisions::default(),
+                demand: Demand::default(),
+                applied_decisions: AppliedDecisions::default(),
             };
             let lost = deaf || self.rng.random::<f64>() < self.lossy;
             let copies = if lost { 0 } else { 1 + usize::from(self.rng.random::<f64>() < self.lossy) };
@@ -437,26 +444,31 @@
             let mut report = Report {
                 gateway: 0,
                 incarnation: 1,
-                number: u64::MAX - 1,
+                sequence: u64::MAX - 1,
                 zone: "hall-0".to_owned(),
                 span_ms: 1000,
                 requested_units: 20.0,
                 zones: Vec::new(),
-                shares: Demand::default(),
-                goes_by: AppliedDecisions::default(),
+                demand: Demand::default(),
+                applied_decisions: AppliedDecisions::default(),
             };
-            let seen = |scale: f64| Seen { served: 20.0 * scale, ..Seen::default() };
+            let seen = |scale: f64| AttemptCounts { served: 20.0 * scale, ..AttemptCounts::default() };
             let lie = lies as f64;
             report.requested_units *= 1.0 + 999.0 * lie;
             for z in 0..3 {
-                let failed = Seen { failed: 20_000.0, ..Seen::default() };
+                let failed = AttemptCounts { failed: 20_000.0, ..AttemptCounts::default() };
                 let told = if lies == 1 && z == 2 { failed } else { seen(1.0) };
                 let servers = world.servers[z] * (1.0 + 999.0 * lie);
-                report.zones.push(ZoneSeen { zone: format!("hall-{z}"), seen: told, servers, warm: servers });
+                report.zones.push(ZoneObservation {
+                    zone: format!("hall-{z}"),
+                    attempts: told,
+                    servers,
+                    warm: servers,
+                });
             }
             world.zones.report(at(world.now), &report).expect("well formed");
             world.now += 2000;
-            world.zones.report(at(world.now), &Report { number: u64::MAX, ..report }).expect("well formed");
+            world.zones.report(at(world.now), &Report { sequence: u64::MAX, ..report }).expect("well formed");
             let decided = world.zones.tick(at(world.now));
             world.last = decided.or(world.last.take());
         }
--- a/testing/fault-injection/src/shell/cells.rs
+++ b/testing/fault-injection/src/shell/cells.rs
@@ -5,7 +5,7 @@
 use crate::shell::lists::Door;
 use crate::shell::World;
 use crate::stand::cell::{Cell, Then};
-use marblecroft_control_messages::frame::{decode, encode, Fleet, Head, HEAD};
+use marblecroft_control_messages::frame::{decode, encode, Fleet, Header, HEADER_BYTES};
 use marblecroft_shard_map::cell::{CellReply, CellRequest};
 use marblecroft_shard_map::fencing::Due;
 use marblecroft_shard_map::map::{Epoch, Firm};
@@ -50,11 +50,11 @@
     async fn serve(self: Rc<Self>, number: u16, mut pipe: DuplexStream) -> io::Result<()> {
         let strange = |why| io::Error::other(format!("{why}"));
         loop {
-            let mut bytes = vec![0; HEAD];
+            let mut bytes = vec![0; HEADER_BYTES];
             pipe.read_exact(&mut bytes).await?;
-            let length = Head::read(self.fleet, &bytes).map_err(strange)?.length;
-            bytes.resize(HEAD + length, 0);
-            pipe.read_exact(&mut bytes[HEAD..]).await?;
+            let length = Header::read(self.fleet, &bytes).map_err(strange)?.payload_bytes;
+            bytes.resize(HEADER_BYTES + length, 0);
+            pipe.read_exact(&mut bytes[HEADER_BYTES..]).await?;
             let asked = decode::<CellRequest>(self.fleet, &bytes).map_err(strange)?;
             let then = self.of(number).map(|cell| cell.borrow_mut().ask(&asked));
             let said = match then {
