--- a/quota-gateway/deadline/src/budget.rs
+++ b/quota-gateway/deadline/src/budget.rs
@@ -1,104 +1,47 @@
-//! One request's time.
+//! The deadline of one request, and the limits that it sets to every wait on the request's behalf.
+//!
+//! The client's timeout counts from the request's last byte ([`Budget::on_complete`]). From then on each connect, attempt
+//! and pause is limited to the time remaining, and each server is advertised what is left when its attempt is written, so
+//! that no server works on a response that nobody waits for. The budget reads no clock: callers pass the current time.
 
+use crate::{Stage, StageTimes};
 use marblecroft_quota_gateway_core::Time;
 use std::time::Duration;
 
-/// An answer is out this long before the client stops waiting: its way back, and what a busy core adds.
+/// A response is written this long before the client's timeout ends: its transit time, and what a busy core adds.
 pub const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
-/// An answer that the client takes nothing of is given up after this time, whatever is left: a slow reader whose answer
-/// came in time is owed all of it, however long that takes, and one that has gone must not hold its connection for good.
+/// A response of which the client takes no byte is abandoned after this time, whatever time remains. A slow reader whose
+/// response came in time is owed all of it, however long that takes; a reader that has gone must not keep its connection
+/// open forever.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// The part of what is left that may go on one connection that does not come up, so that as much is left to try another
-/// server in. Nothing ran where no connection came up, so a further attempt is harmless whatever the class.
+/// One connect may use the remaining time divided by this, so that as much is left to try another server. No request was
+/// sent where no connection came up, so a retry is safe whatever the class.
 const CONNECT_DIVISOR: u32 = 2;
-/// What servers are told is a whole number of these.
+/// The timeout that is advertised to servers is a multiple of this.
 const ADVERTISED_UNIT: Duration = Duration::from_millis(1);
 
-/// What a request's time goes on.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
-    /// It lay with the system: its connection was not yet accepted, or the gateway was busy.
-    Unread,
-    /// Its head and body came. By the protocol the client's time begins with the last byte, so this takes none of it.
-    Read,
-    /// For a server: before the first attempt and between two.
-    Waiting,
-    /// A connection comes up.
-    Connect,
-    /// A server has it.
-    Attempt,
-    /// Its answer is taken by the client.
-    Write,
-}
-
-impl Stage {
-    pub const ALL: [Stage; 6] =
-        [Stage::Unread, Stage::Read, Stage::Waiting, Stage::Connect, Stage::Attempt, Stage::Write];
-
-    pub fn name(self) -> &'static str {
-        match self {
-            Stage::Unread => "unseen",
-            Stage::Read => "read",
-            Stage::Waiting => "waiting",
-            Stage::Connect => "connect",
-            Stage::Attempt => "attempt",
-            Stage::Write => "write",
-        }
-    }
-}
-
-/// Where a request's time went. A stage that it never was in is told from one that took no time.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct StageTimes([Option<Duration>; Stage::ALL.len()]);
-
-impl StageTimes {
-    pub fn of(&self, stage: Stage) -> Duration {
-        self.0[stage as usize].unwrap_or_default()
-    }
-
-    /// The stages that it was in.
-    pub fn stages(&self) -> impl Iterator<Item = (Stage, Duration)> + '_ {
-        Stage::ALL.into_iter().filter_map(|stage| Some((stage, self.0[stage as usize]?)))
-    }
-
-    /// What was taken of the client's time until the answer.
-    pub fn charged(&self) -> Duration {
-        [Stage::Unread, Stage::Waiting, Stage::Connect, Stage::Attempt]
-            .map(|stage| self.of(stage))
-            .iter()
-            .sum()
-    }
-
-    fn add(&mut self, stage: Stage, took: Duration) {
-        *self.0[stage as usize].get_or_insert_default() += took;
-    }
-}
-
-fn between(earlier: Time, later: Time) -> Duration {
-    Duration::from_nanos(later.0.saturating_sub(earlier.0))
-}
-
-/// What a client's time is left for. Begins when the request does and counts down from the request's last byte.
+/// The time budget of one request. It starts with the request and counts down from the request's last byte.
 #[derive(Clone, Debug)]
 pub struct Budget {
     client_timeout: Duration,
-    /// When the last byte came, once it has.
+    /// When the last byte arrived; `None` while the request is still arriving.
     complete_at: Option<Time>,
-    /// Nothing lasts beyond this: the process ends.
+    /// When the process exits; no wait lasts longer.
     process_ends_at: Option<Time>,
     stage: Stage,
-    /// Until when `spent` is reckoned.
+    /// The instant up to which `spent` accounts for all time.
     accounted_until: Time,
     spent: StageTimes,
-    /// Requests written to servers, in part at least.
-    sends: u32,
-    /// What the last of them was told.
+    /// Attempts of which at least a part was written.
+    attempts: u32,
+    /// The timeout advertised with the last attempt.
     last_advertised: Option<Duration>,
-    answered: bool,
+    is_decided: bool,
 }
 
 impl Budget {
-    /// A request begins to come, whose client will wait for so long from its last byte.
+    /// Starts the budget of a request whose first byte arrives `now` and whose client waits for `client_timeout` from its
+    /// last byte.
     pub fn new(client_timeout: Duration, now: Time) -> Budget {
         Budget {
             client_timeout,
@@ -107,138 +50,161 @@
             stage: Stage::Read,
             accounted_until: now,
             spent: StageTimes::default(),
-            sends: 0,
+            attempts: 0,
             last_advertised: None,
-            answered: false,
+            is_decided: false,
         }
     }
 
-    /// Its last byte is read, and came so long ago: the client's time counts from then. Of a body that is passed on as it
-    /// comes, the last byte is with the server.
-    pub fn on_complete(&mut self, now: Time, ago: Duration) {
+    /// Records that the last byte was read `now` and had arrived `unread_for` earlier, which is when the client's timeout
+    /// starts. For a body that is streamed to a server, the last byte has reached the server. Only the first call counts.
+    pub fn on_complete(&mut self, now: Time, unread_for: Duration) {
         if self.complete_at.is_some() {
             return;
         }
         self.account(now);
-        // What was told to have come before the first byte was looked for lay with the system all the same.
-        let read = &mut self.spent.0[Stage::Read as usize];
-        *read = read.map(|read| read.saturating_sub(ago));
-        if !ago.is_zero() {
-            self.spent.add(Stage::Unread, ago);
+        // A last byte may be reported as older than the first read: that time, too, was spent unread and not reading.
+        self.spent.subtract(Stage::Read, unread_for);
+        if !unread_for.is_zero() {
+            self.spent.add(Stage::Unread, unread_for);
         }
-        self.complete_at =
-            Some(Time(now.0.saturating_sub(u64::try_from(ago.as_nanos()).unwrap_or(u64::MAX))));
+        let unread_nanos = u64::try_from(unread_for.as_nanos()).unwrap_or(u64::MAX);
+        self.complete_at = Some(Time(now.0.saturating_sub(unread_nanos)));
         if self.stage == Stage::Read {
             self.stage = Stage::Waiting;
         }
     }
 
-    /// The process ends then, and nothing lasts longer. What was shorter stays so.
-    pub fn end_by(&mut self, by: Time) {
-        self.process_ends_at = Some(self.process_ends_at.map_or(by, |cut| cut.min(by)));
+    /// Limits the budget to the instant at which the process exits. Repeated calls only ever shorten it.
+    pub fn end_by(&mut self, exit_at: Time) {
+        self.process_ends_at = Some(self.process_ends_at.map_or(exit_at, |earlier| earlier.min(exit_at)));
     }
 
-    /// When the answer must be out; not known while the request is still coming, unless the process ends.
+    /// The instant by which the response must be written. `None` while the request is still arriving, unless the process
+    /// is about to exit.
     pub fn deadline(&self) -> Option<Time> {
-        let full =
-            self.complete_at.map(|since| since.after(self.client_timeout.saturating_sub(RESPONSE_MARGIN)));
-        full.into_iter().chain(self.process_ends_at).min()
+        let by_client = self.complete_at.map(|complete_at| complete_at.after(self.usable_timeout()));
+        by_client.into_iter().chain(self.process_ends_at).min()
     }
 
-    /// When it would have to be out if the last byte came now.
+    /// The deadline; while the request is still arriving, the one that it would have if its last byte arrived `now`.
     pub fn latest_deadline(&self, now: Time) -> Time {
-        self.deadline().unwrap_or_else(|| now.after(self.client_timeout.saturating_sub(RESPONSE_MARGIN)))
+        self.deadline().unwrap_or_else(|| now.after(self.usable_timeout()))
     }
 
-    /// What is left; not known while the request is still coming, unless the process ends.
+    /// The time until the deadline, zero once it has passed; `None` where there is no deadline yet.
     pub fn remaining(&self, now: Time) -> Option<Duration> {
-        self.deadline().map(|ends| between(now, ends))
+        self.deadline().map(|deadline| elapsed(now, deadline))
     }
 
-    /// How long a wait of at most this may last.
-    pub fn limit_wait(&self, now: Time, most: Duration) -> Duration {
-        self.remaining(now).map_or(most, |left| left.min(most))
+    /// Limits a wait of at most `max_wait` to the time remaining.
+    pub fn limit_wait(&self, now: Time, max_wait: Duration) -> Duration {
+        self.remaining(now).map_or(max_wait, |remaining| remaining.min(max_wait))
     }
 
-    /// A connection comes up from now on; how long it may take, of at most this.
-    pub fn connecting(&mut self, now: Time, most: Duration) -> Duration {
+    /// Enters [`Stage::Connect`] and returns how long this connect may take: at most `max_wait`, and at most half of the
+    /// time remaining, so that a connect that hangs leaves time for another server.
+    pub fn begin_connect(&mut self, now: Time, max_wait: Duration) -> Duration {
         self.enter(now, Stage::Connect);
-        self.remaining(now).map_or(most, |left| most.min(left / CONNECT_DIVISOR))
-    }
-
-    /// It is about to be written to a server that is given up at `until` and whose answer takes `back` for its way: what
-    /// the server is told to have, which never is more than the one before was told. `None` when it must not be sent:
-    /// nothing is left, or its answer is out.
-    pub fn sending(&mut self, now: Time, until: Time, back: Duration) -> Option<Duration> {
-        if self.answered {
+        self.remaining(now).map_or(max_wait, |remaining| max_wait.min(remaining / CONNECT_DIVISOR))
+    }
+
+    /// Enters [`Stage::Attempt`] and returns the timeout to advertise to the server: whole milliseconds until the earlier
+    /// of the deadline and `attempt_ends_at`, less the `response_transit` time of the server's response. It never grows
+    /// from one attempt to the next.
+    ///
+    /// Returns `None`, and counts no attempt, when the request must not be sent: no time remains, or its response is
+    /// decided.
+    pub fn begin_attempt(
+        &mut self,
+        now: Time,
+        attempt_ends_at: Time,
+        response_transit: Duration,
+    ) -> Option<Duration> {
+        if self.is_decided {
             return None;
         }
-        let rest = between(now, until).min(self.client_timeout.saturating_sub(RESPONSE_MARGIN));
-        let rest = self
-            .limit_wait(now, rest)
-            .saturating_sub(back)
+        let until_end = elapsed(now, attempt_ends_at).min(self.usable_timeout());
+        let limit = self
+            .limit_wait(now, until_end)
+            .saturating_sub(response_transit)
             .min(self.last_advertised.unwrap_or(Duration::MAX));
-        let whole = rest - Duration::from_nanos((rest.as_nanos() % ADVERTISED_UNIT.as_nanos()) as u64);
-        if whole.is_zero() {
+        let fraction = Duration::from_nanos((limit.as_nanos() % ADVERTISED_UNIT.as_nanos()) as u64);
+        let advertised = limit - fraction;
+        if advertised.is_zero() {
             return None;
         }
         self.enter(now, Stage::Attempt);
-        self.sends += 1;
-        self.last_advertised = Some(whole);
-        Some(whole)
+        self.attempts += 1;
+        self.last_advertised = Some(advertised);
+        Some(advertised)
     }
 
-    /// Nothing was written of the last send.
-    pub fn unsent(&mut self, now: Time) {
+    /// Takes back the last attempt: no byte of it was written.
+    pub fn cancel_attempt(&mut self, now: Time) {
         self.enter(now, Stage::Waiting);
-        self.sends = self.sends.saturating_sub(1);
+        self.attempts = self.attempts.saturating_sub(1);
     }
 
-    /// It waits for its next attempt.
-    pub fn waiting(&mut self, now: Time) {
+    /// Enters [`Stage::Waiting`]: the request waits for its next attempt.
+    pub fn begin_wait(&mut self, now: Time) {
         self.enter(now, Stage::Waiting);
     }
 
-    /// Its answer is decided; whether that is the first, which alone stands.
-    pub fn answered(&mut self, now: Time) -> bool {
+    /// Records that the response is decided and enters [`Stage::Write`]. Returns whether this is the first decision, which
+    /// alone is valid.
+    pub fn decide(&mut self, now: Time) -> bool {
         self.enter(now, Stage::Write);
-        !std::mem::replace(&mut self.answered, true)
+        !std::mem::replace(&mut self.is_decided, true)
     }
 
-    pub fn is_answered(&self) -> bool {
-        self.answered
+    /// Returns whether the response is decided.
+    pub fn is_decided(&self) -> bool {
+        self.is_decided
     }
 
-    /// Whether anything was written to a server.
-    pub fn was_sent(&self) -> bool {
-        self.sends > 0
+    /// Returns whether any part of the request was written to a server.
+    pub fn has_attempts(&self) -> bool {
+        self.attempts > 0
     }
 
-    /// What its client told.
+    /// How long the client waits, counted from the request's last byte.
     pub fn client_timeout(&self) -> Duration {
         self.client_timeout
     }
 
-    /// Where its time has gone until now.
+    /// The time spent in each stage up to `now`.
     pub fn spent(&self, now: Time) -> StageTimes {
-        let mut sofar = self.clone();
-        sofar.account(now);
-        sofar.spent
+        let mut accounted = self.clone();
+        accounted.account(now);
+        accounted.spent
+    }
+
+    /// The client's timeout without the margin for writing the response.
+    fn usable_timeout(&self) -> Duration {
+        self.client_timeout.saturating_sub(RESPONSE_MARGIN)
     }
 
-    /// What goes on once its answer is out is no longer its affair.
+    /// Moves to another stage. Once the response is decided, what other attempts still do is no longer charged to the
+    /// request.
     fn enter(&mut self, now: Time, stage: Stage) {
-        if !self.answered {
+        if !self.is_decided {
             self.account(now);
             self.stage = stage;
         }
     }
 
-    /// Puts the time since the last reckoning down to the stage that it is in. While the client is still sending it is
-    /// the client's, whatever goes on beside.
+    /// Charges the time since `accounted_until` to the current stage. While the client is still sending, the time is the
+    /// client's, even if an attempt runs at the same time.
     fn account(&mut self, now: Time) {
-        let stage = if self.complete_at.is_none() && !self.answered { Stage::Read } else { self.stage };
-        self.spent.add(stage, between(self.accounted_until, now));
+        let is_reading = self.complete_at.is_none() && !self.is_decided;
+        let stage = if is_reading { Stage::Read } else { self.stage };
+        self.spent.add(stage, elapsed(self.accounted_until, now));
         self.accounted_until = self.accounted_until.max(now);
     }
 }
+
+/// The time from `earlier` to `later`; zero if they are in the other order.
+fn elapsed(earlier: Time, later: Time) -> Duration {
+    Duration::from_nanos(later.0.saturating_sub(earlier.0))
+}
--- a/quota-gateway/deadline/src/outcome_totals.rs
+++ b/quota-gateway/deadline/src/outcome_totals.rs
@@ -1,4 +1,6 @@
-//! What became of all budgets, for the operators.
+//! Metrics of how requests used their budgets, by class, stage and outcome.
+//!
+//! All label values are fixed at the start, so the number of series is too. Bodies are in the Prometheus text format.
 
 use crate::{Budget, Stage};
 use marblecroft_quota_gateway_core::Time;
@@ -9,65 +11,72 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// How a budget ended.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// With a server's answer, all of which the client took.
+pub enum Outcome {
+    /// The client received all of a server's response.
     Answered,
-    /// Refused or failed with nothing written to any server: for want of quota, of room or of time.
+    /// Rejected or failed before anything was written to a server: for want of quota, capacity or time.
     BeforeSend,
-    /// Refused or failed after at least one attempt.
+    /// Rejected or failed after at least one attempt.
     InAttempt,
-    /// The client left before it had its answer.
+    /// The client disconnected before it had its response.
     ClientGone,
 }
 
-impl End {
-    const ALL: [End; 4] = [End::Answered, End::BeforeSend, End::InAttempt, End::ClientGone];
+impl Outcome {
+    /// All outcomes, in the order of their numbers.
+    const ALL: [Outcome; 4] =
+        [Outcome::Answered, Outcome::BeforeSend, Outcome::InAttempt, Outcome::ClientGone];
 
+    /// The value of the metric label `end`.
     fn name(self) -> &'static str {
         match self {
-            End::Answered => "answered",
-            End::BeforeSend => "given_up_before_send",
-            End::InAttempt => "given_up_in_attempt",
-            End::ClientGone => "client_gone",
+            Outcome::Answered => "answered",
+            Outcome::BeforeSend => "given_up_before_send",
+            Outcome::InAttempt => "given_up_in_attempt",
+            Outcome::ClientGone => "client_gone",
         }
     }
 }
 
-/// Upper bounds of the classes into which times are counted, in seconds: from what a busy core adds to the longest
-/// deadline and the longest that is waited for a client that reads nothing.
-const BOUNDS: [f64; 10] = [0.001, 0.005, 0.025, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0];
+/// Upper bounds of the histogram buckets, in seconds: from the delay that a busy core adds to beyond the longest deadline
+/// and [`STALL_TIMEOUT`](crate::STALL_TIMEOUT).
+const BUCKET_BOUNDS_SECS: [f64; 10] = [0.001, 0.005, 0.025, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0];
 
-struct Class {
+/// The series of one class of requests.
+struct ClassMetrics {
     stages: [Histogram; Stage::ALL.len()],
-    left: Histogram,
-    ends: [IntCounter; End::ALL.len()],
-    first: IntCounter,
-    further: IntCounter,
+    remaining: Histogram,
+    outcomes: [IntCounter; Outcome::ALL.len()],
+    first_attempts: IntCounter,
+    retries: IntCounter,
     withheld: IntCounter,
 }
 
-/// Totals for each class of requests. What they are labelled with is fixed at the start, so that their number is.
+/// Totals for each class of requests.
 pub struct OutcomeTotals {
     registry: Registry,
-    classes: Vec<Class>,
+    classes: Vec<ClassMetrics>,
     retry_budget: Gauge,
-    /// Figures of others, by name; made when they are first told.
-    shown: RefCell<BTreeMap<&'static str, Gauge>>,
+    /// Gauges of other parts of the gateway, by name; registered when they are first set.
+    gauges: RefCell<BTreeMap<&'static str, Gauge>>,
 }
 
+/// Registers a histogram family.
 fn histograms(
     registry: &Registry,
     name: &str,
     help: &str,
     labels: &[&str],
 ) -> prometheus::Result<HistogramVec> {
-    let histograms = HistogramVec::new(HistogramOpts::new(name, help).buckets(BOUNDS.to_vec()), labels)?;
+    let histograms =
+        HistogramVec::new(HistogramOpts::new(name, help).buckets(BUCKET_BOUNDS_SECS.to_vec()), labels)?;
     registry.register(Box::new(histograms.clone()))?;
     Ok(histograms)
 }
 
+/// Registers a counter family.
 fn counters(
     registry: &Registry,
     name: &str,
@@ -80,7 +89,10 @@
 }
 
 impl OutcomeTotals {
-    /// For the classes of these names, in the order of their numbers.
+    /// Registers the metrics for the classes of these names, in the order of their numbers.
+    ///
+    /// # Errors
+    /// Fails if the registry refuses a metric, as where two classes have the same name.
     pub fn new(classes: &[String]) -> prometheus::Result<OutcomeTotals> {
         let registry = Registry::new();
         let stages = histograms(
@@ -89,13 +101,13 @@
             "Time that a request spent in each stage that it was in.",
             &["class", "stage"],
         )?;
-        let left = histograms(
+        let remaining = histograms(
             &registry,
             "marblecroft_request_left_seconds",
             "What was left of the client's time when the answer was decided.",
             &["class"],
         )?;
-        let ends = counters(
+        let outcomes = counters(
             &registry,
             "marblecroft_requests_total",
             "Requests that are over, by how.",
@@ -116,63 +128,70 @@
         let retry_budget =
             Gauge::new("marblecroft_retry_budget", "Further attempts that may be sent at once.")?;
         registry.register(Box::new(retry_budget.clone()))?;
-        let class = |name: &String| Class {
+        let class_metrics = |name: &String| ClassMetrics {
             stages: Stage::ALL.map(|stage| stages.with_label_values(&[name, stage.name()])),
-            left: left.with_label_values(&[name]),
-            ends: End::ALL.map(|end| ends.with_label_values(&[name, end.name()])),
-            first: attempts.with_label_values(&[name, "first"]),
-            further: attempts.with_label_values(&[name, "further"]),
+            remaining: remaining.with_label_values(&[name]),
+            outcomes: Outcome::ALL.map(|outcome| outcomes.with_label_values(&[name, outcome.name()])),
+            first_attempts: attempts.with_label_values(&[name, "first"]),
+            retries: attempts.with_label_values(&[name, "further"]),
             withheld: withheld.with_label_values(&[name]),
         };
-        let classes = classes.iter().map(class).collect();
-        Ok(OutcomeTotals { registry, classes, retry_budget, shown: RefCell::default() })
+        let classes = classes.iter().map(class_metrics).collect();
+        Ok(OutcomeTotals { registry, classes, retry_budget, gauges: RefCell::default() })
     }
 
-    /// A request of this class was written to a server, for the first time or once more.
-    pub fn sent(&self, class: usize, first: bool) {
+    /// Counts an attempt of a request of this class: its first, or a retry. An unknown class is ignored, here and below.
+    pub fn record_attempt(&self, class: usize, is_first: bool) {
         if let Some(class) = self.classes.get(class) {
-            if first { &class.first } else { &class.further }.inc();
+            if is_first { &class.first_attempts } else { &class.retries }.inc();
         }
     }
 
-    /// One was not written, as nothing was left.
-    pub fn withheld(&self, class: usize) {
+    /// Counts an attempt that was not written because no time remained.
+    pub fn record_withheld(&self, class: usize) {
         if let Some(class) = self.classes.get(class) {
             class.withheld.inc();
         }
     }
 
-    /// Its answer was decided.
-    pub fn decided(&self, class: usize, budget: &Budget, now: Time) {
-        if let (Some(class), Some(left)) = (self.classes.get(class), budget.remaining(now)) {
-            class.left.observe(left.as_secs_f64());
+    /// Observes the time that remained when the response was decided.
+    pub fn record_decided(&self, class: usize, budget: &Budget, now: Time) {
+        if let (Some(class), Some(remaining)) = (self.classes.get(class), budget.remaining(now)) {
+            class.remaining.observe(remaining.as_secs_f64());
         }
     }
 
-    /// It is over.
-    pub fn ended(&self, class: usize, budget: &Budget, now: Time, end: End) {
+    /// Counts a request that is over, and observes the time that it spent in each stage.
+    pub fn record_outcome(&self, class: usize, budget: &Budget, now: Time, outcome: Outcome) {
         let Some(class) = self.classes.get(class) else { return };
-        class.ends[end as usize].inc();
-        for (stage, took) in budget.spent(now).stages() {
-            class.stages[stage as usize].observe(took.as_secs_f64());
+        class.outcomes[outcome as usize].inc();
+        for (stage, elapsed) in budget.spent(now).stages() {
+            class.stages[stage as usize].observe(elapsed.as_secs_f64());
         }
     }
 
-    /// A figure that somebody beside the budgets has, as it is now.
-    pub fn show(&self, name: &'static str, help: &str, value: f64) -> prometheus::Result<()> {
-        let mut shown = self.shown.borrow_mut();
-        if let Some(gauge) = shown.get(name) {
+    /// Sets a gauge of another part of the gateway, and registers it the first time.
+    ///
+    /// # Errors
+    /// Fails if the registry refuses the name.
+    pub fn set_gauge(&self, name: &'static str, help: &str, value: f64) -> prometheus::Result<()> {
+        let mut gauges = self.gauges.borrow_mut();
+        if let Some(gauge) = gauges.get(name) {
             gauge.set(value);
             return Ok(());
         }
         let gauge = Gauge::new(name, help)?;
         gauge.set(value);
         self.registry.register(Box::new(gauge.clone()))?;
-        shown.insert(name, gauge);
+        gauges.insert(name, gauge);
         Ok(())
     }
 
-    /// All of it in the text format of Prometheus, and that format's content type; and what is in the retry budget now.
+    /// Encodes all metrics, with this value of the retry budget, in the Prometheus text format; returns the text and its
+    /// content type.
+    ///
+    /// # Errors
+    /// Fails if a metric cannot be encoded.
     pub fn exposition(&self, retry_budget: f64) -> prometheus::Result<(Vec<u8>, String)> {
         self.retry_budget.set(retry_budget);
         let (encoder, mut text) = (TextEncoder::new(), Vec::new());
--- a/quota-gateway/deadline/src/outcome_totals/tests.rs
+++ b/quota-gateway/deadline/src/outcome_totals/tests.rs
@@ -2,23 +2,23 @@
 use std::time::Duration;
 
 #[test]
-fn what_became_of_budgets_is_told_by_class_stage_and_end() {
+fn outcomes_are_counted_by_class_stage_and_end() {
     let at = |millis: u64| Time(millis * 1_000_000);
     let ms = Duration::from_millis;
-    let ledger = OutcomeTotals::new(&["read \"a\"".to_owned(), "write".to_owned()]).expect("a ledger");
+    let totals = OutcomeTotals::new(&["read \"a\"".to_owned(), "write".to_owned()]).expect("a totals");
     let mut budget = Budget::new(ms(500), at(0));
     budget.on_complete(at(20), ms(0));
-    budget.connecting(at(20), ms(250));
-    budget.sending(at(30), at(500), ms(0)).expect("time is left");
-    ledger.sent(1, true);
-    budget.answered(at(230));
-    ledger.decided(1, &budget, at(230));
-    ledger.ended(1, &budget, at(231), End::Answered);
-    ledger.withheld(0);
-    // A number that no class has changes nothing.
-    ledger.sent(2, true);
-    ledger.ended(2, &budget, at(231), End::Answered);
-    let (text, format) = ledger.exposition(2.5).expect("a text");
+    budget.begin_connect(at(20), ms(250));
+    budget.begin_attempt(at(30), at(500), ms(0)).expect("time is left");
+    totals.record_attempt(1, true);
+    budget.decide(at(230));
+    totals.record_decided(1, &budget, at(230));
+    totals.record_outcome(1, &budget, at(231), Outcome::Answered);
+    totals.record_withheld(0);
+    // An unknown class is ignored.
+    totals.record_attempt(2, true);
+    totals.record_outcome(2, &budget, at(231), Outcome::Answered);
+    let (text, format) = totals.exposition(2.5).expect("an exposition");
     let text = String::from_utf8(text).expect("UTF-8");
     assert!(format.starts_with("text/plain; version=0.0.4"), "{format}");
     for line in [
--- a/quota-gateway/server/src/engine.rs
+++ b/quota-gateway/server/src/engine.rs
@@ -380,7 +380,7 @@
         let elapsed = Duration::from_nanos(self.clock.now().0.saturating_sub(sent.0));
         let mut last = false;
         if let Some(open) = self.open.borrow().get(&id) {
-            open.upstream_request.account.on_waiting();
+            open.upstream_request.account.begin_wait();
             debug!(
                 trace = open.upstream_request.trace(),
                 attempt = attempt.0,
--- a/quota-gateway/server/src/operations.rs
+++ b/quota-gateway/server/src/operations.rs
@@ -66,10 +66,10 @@
             Call::Ready => self.server.takes_clients().then_some(Reply::Yes).ok_or(Refusal::NotReady),
             Call::Metrics => {
                 let left = self.gateway.borrow().retry_budget();
-                let ledger = self.engine.accounts.ledger.as_ref();
+                let ledger = self.engine.accounts.totals.as_ref();
                 if let Some(ledger) = ledger {
                     for (name, help, value) in self.metrics() {
-                        ledger.show(name, help, value).map_err(|_| Refusal::NoAccount)?;
+                        ledger.set_gauge(name, help, value).map_err(|_| Refusal::NoAccount)?;
                     }
                 }
                 let text = ledger.map(|ledger| ledger.exposition(left));
--- a/quota-gateway/server/src/request_budget.rs
+++ b/quota-gateway/server/src/request_budget.rs
@@ -1,170 +1,192 @@
-//! Budgets on the clock: what front, engine and upstream ask of a request's time, and what the operators are told of it.
+//! The time budgets of requests on the process's clock, and the metrics of how they were used.
+//!
+//! The server begins a [`RequestBudget`] when it has read a request's head; the engine and the upstream ask it how long
+//! each connect, attempt and pause may take. What it was spent on is recorded once: when the response has been flushed, or
+//! else when the budget is dropped, because then the connection is gone.
 
 use crate::clock::Clock;
-use marblecroft_deadline::{Budget, End, OutcomeTotals};
+use marblecroft_deadline::{Budget, Outcome, OutcomeTotals};
 use marblecroft_quota_gateway_core::Time;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::warn;
 
-/// What all accounts have in common.
+/// What the budgets of all requests have in common.
 pub struct RequestBudgets {
     clock: Clock,
-    /// When every answer must be out: the process ends.
+    /// When the process exits; every response must be written by then.
     process_ends_at: Cell<Option<Time>>,
-    /// Where there is somebody to ask for it.
-    pub ledger: Option<OutcomeTotals>,
+    /// The metrics; `None` where the configuration has no console to read them from.
+    pub totals: Option<OutcomeTotals>,
 }
 
 impl RequestBudgets {
-    /// For classes of these names, or with nothing kept for the operators.
+    /// Creates the budgets for classes of these names; without names no metrics are kept.
     pub fn new(clock: Clock, classes: Option<&[String]>) -> Rc<RequestBudgets> {
-        let ledger = classes.and_then(|classes| {
-            let ledger = OutcomeTotals::new(classes);
-            ledger.map_err(|e| warn!(error = %e, "no account is kept of requests' time: {e}")).ok()
+        let totals = classes.and_then(|classes| {
+            OutcomeTotals::new(classes)
+                .map_err(|e| warn!(error = %e, "no account is kept of requests' time: {e}"))
+                .ok()
         });
-        Rc::new(RequestBudgets { clock, process_ends_at: Cell::new(None), ledger })
+        Rc::new(RequestBudgets { clock, process_ends_at: Cell::new(None), totals })
     }
 
-    /// Cuts all budgets: what is open, still comes in, or comes later.
-    pub fn end_by(&self, end: Time) {
-        self.process_ends_at.set(Some(end));
+    /// Limits all budgets, present and future, to the instant at which the process exits.
+    pub fn end_by(&self, exit_at: Time) {
+        self.process_ends_at.set(Some(exit_at));
     }
 
-    /// A request has come in part: its head, which took so long. Its client waits for so long from its last byte.
-    pub fn begin(self: &Rc<Self>, class: usize, told: Duration, head: Duration) -> Rc<RequestBudget> {
+    /// Starts the budget of a request whose head took `head_duration` to arrive and whose client waits for `client_timeout`
+    /// from its last byte.
+    pub fn begin(
+        self: &Rc<Self>,
+        class: usize,
+        client_timeout: Duration,
+        head_duration: Duration,
+    ) -> Rc<RequestBudget> {
         let now = self.clock.now();
-        let begun = Time(now.0.saturating_sub(u64::try_from(head.as_nanos()).unwrap_or(u64::MAX)));
+        let head_nanos = u64::try_from(head_duration.as_nanos()).unwrap_or(u64::MAX);
+        let begun_at = Time(now.0.saturating_sub(head_nanos));
         Rc::new(RequestBudget {
             shared: self.clone(),
             class,
-            budget: RefCell::new(Budget::new(told, begun)),
-            admitted: Cell::new(false),
-            outcome_if_dropped: Cell::new(End::ClientGone),
+            budget: RefCell::new(Budget::new(client_timeout, begun_at)),
+            awaits_outcome: Cell::new(false),
+            outcome_on_close: Cell::new(Outcome::ClientGone),
         })
     }
 }
 
-/// The budget of one request, and who is told what became of it.
+/// The budget of one request. Records its outcome in the metrics once, at the latest on drop.
 pub struct RequestBudget {
     shared: Rc<RequestBudgets>,
     class: usize,
     budget: RefCell<Budget>,
-    /// It is a request in whose answer the operators have an interest, and nobody was told of it yet.
-    admitted: Cell<bool>,
-    /// How it has ended if its client does not have all of an answer.
-    outcome_if_dropped: Cell<End>,
+    /// Whether the request was passed to the quota gateway's decisions and its outcome is not recorded yet.
+    awaits_outcome: Cell<bool>,
+    /// The outcome to record when the response is flushed or its connection is lost.
+    outcome_on_close: Cell<Outcome>,
 }
 
 impl RequestBudget {
-    /// The budget as of now.
-    fn with_budget<T>(&self, use_it: impl FnOnce(&mut Budget, Time) -> T) -> T {
+    /// Calls `f` with the budget, limited to the process's exit, and the current time.
+    fn with_budget<T>(&self, f: impl FnOnce(&mut Budget, Time) -> T) -> T {
         let mut budget = self.budget.borrow_mut();
-        self.shared.process_ends_at.get().into_iter().for_each(|end| budget.end_by(end));
-        use_it(&mut budget, self.shared.clock.now())
+        if let Some(exit_at) = self.shared.process_ends_at.get() {
+            budget.end_by(exit_at);
+        }
+        f(&mut budget, self.shared.clock.now())
     }
 
-    fn ledger(&self) -> Option<&OutcomeTotals> {
-        self.shared.ledger.as_ref()
+    /// The metrics, where they are kept.
+    fn totals(&self) -> Option<&OutcomeTotals> {
+        self.shared.totals.as_ref()
     }
 
-    /// It is handed to the decisions.
+    /// Records that the request was passed to the quota gateway's decisions.
     pub fn on_admitted(&self) {
-        self.admitted.set(true);
+        self.awaits_outcome.set(true);
     }
 
-    /// Its last byte came so long ago.
-    pub fn on_complete(&self, ago: Duration) {
-        self.with_budget(|budget, now| budget.on_complete(now, ago));
+    /// Records that the last byte arrived `unread_for` ago.
+    pub fn on_complete(&self, unread_for: Duration) {
+        self.with_budget(|budget, now| budget.on_complete(now, unread_for));
     }
 
-    /// When its answer must be out; not known while it still comes, unless the process ends.
+    /// The instant by which the response must be written; see [`Budget::deadline`].
     pub fn deadline(&self) -> Option<Time> {
         self.with_budget(|budget, _| budget.deadline())
     }
 
-    /// The same, or when that would be if all of it were here.
+    /// The deadline, or the one that the request would have if it were complete now.
     pub fn latest_deadline(&self) -> Time {
         self.with_budget(|budget, now| budget.latest_deadline(now))
     }
 
-    /// Whether this instant is still to come.
+    /// Returns whether `instant` lies in the future.
     pub fn is_before(&self, instant: Time) -> bool {
         self.shared.clock.now() < instant
     }
 
-    /// How long a wait of at most this may last.
-    pub fn limit_wait(&self, most: Duration) -> Duration {
-        self.with_budget(|budget, now| budget.limit_wait(now, most))
+    /// Limits a wait of at most `max_wait` to the time remaining.
+    pub fn limit_wait(&self, max_wait: Duration) -> Duration {
+        self.with_budget(|budget, now| budget.limit_wait(now, max_wait))
     }
 
-    /// A connection comes up for it from now on; how long that may take.
-    pub fn on_connecting(&self, most: Duration) -> Duration {
-        self.with_budget(|budget, now| budget.connecting(now, most))
+    /// Begins a connect to a server and returns how long it may take, at most `max_wait`.
+    pub fn begin_connect(&self, max_wait: Duration) -> Duration {
+        self.with_budget(|budget, now| budget.begin_connect(now, max_wait))
     }
 
-    /// It is about to be written to a server; what that is told to have of time, or `None` when it must not be sent.
-    pub fn on_sending(&self, until: Option<Time>, back: Duration) -> Option<Duration> {
-        let (first, rest) = self.with_budget(|budget, now| {
-            (!budget.was_sent(), budget.sending(now, until.unwrap_or(Time(u64::MAX)), back))
+    /// Begins an attempt, which ends at `attempt_ends_at` if that is set, and returns the timeout to advertise to the
+    /// server, or `None` when the request must not be sent.
+    pub fn begin_attempt(
+        &self,
+        attempt_ends_at: Option<Time>,
+        response_transit: Duration,
+    ) -> Option<Duration> {
+        let (is_first, advertised) = self.with_budget(|budget, now| {
+            let attempt_ends_at = attempt_ends_at.unwrap_or(Time(u64::MAX));
+            (!budget.has_attempts(), budget.begin_attempt(now, attempt_ends_at, response_transit))
         });
-        if let Some(ledger) = self.ledger() {
-            match rest {
-                Some(_) => ledger.sent(self.class, first),
-                None => ledger.withheld(self.class),
+        if let Some(totals) = self.totals() {
+            match advertised {
+                Some(_) => totals.record_attempt(self.class, is_first),
+                None => totals.record_withheld(self.class),
             }
         }
-        rest
+        advertised
     }
 
-    /// Nothing was written of it after all.
-    pub fn on_not_sent(&self) {
-        self.with_budget(|budget, now| budget.unsent(now));
+    /// Takes back the last attempt: no byte of it was written.
+    pub fn cancel_attempt(&self) {
+        self.with_budget(|budget, now| budget.cancel_attempt(now));
     }
 
-    /// Its attempt is over, or there is none yet.
-    pub fn on_waiting(&self) {
-        self.with_budget(|budget, now| budget.waiting(now));
+    /// Records that the request waits for its next attempt.
+    pub fn begin_wait(&self) {
+        self.with_budget(|budget, now| budget.begin_wait(now));
     }
 
-    /// Its final answer is decided, a server's or not.
-    pub fn on_response_decided(&self, served: bool) {
+    /// Records that the final response is decided: a server's if `is_served`, else one of the gateway's own.
+    pub fn on_response_decided(&self, is_served: bool) {
         self.with_budget(|budget, now| {
-            if let Some(ledger) = self.ledger().filter(|_| !budget.is_answered()) {
-                ledger.decided(self.class, budget, now);
+            if let Some(totals) = self.totals().filter(|_| !budget.is_decided()) {
+                totals.record_decided(self.class, budget, now);
             }
-            budget.answered(now);
-            // Known now: what is still being written to servers comes too late for it.
-            self.outcome_if_dropped.set(match (served, budget.was_sent()) {
-                (true, _) => End::Answered,
-                (false, true) => End::InAttempt,
-                (false, false) => End::BeforeSend,
+            budget.decide(now);
+            // Fixed now: an attempt that is still being written comes too late to count.
+            self.outcome_on_close.set(match (is_served, budget.has_attempts()) {
+                (true, _) => Outcome::Answered,
+                (false, true) => Outcome::InAttempt,
+                (false, false) => Outcome::BeforeSend,
             });
         });
     }
 
-    /// The server has broken its answer off.
-    pub fn on_broken(&self) {
-        self.outcome_if_dropped.set(End::InAttempt);
+    /// Records that the server broke off its response.
+    pub fn on_response_broken_off(&self) {
+        self.outcome_on_close.set(Outcome::InAttempt);
     }
 
-    /// The client's system has all of the answer.
+    /// Records that the client's system has acknowledged all of the response.
     pub fn on_flushed(&self) {
-        self.close(self.outcome_if_dropped.get());
+        self.record_outcome(self.outcome_on_close.get());
     }
 
-    fn close(&self, end: End) {
-        if let Some(ledger) = self.ledger().filter(|_| self.admitted.replace(false)) {
-            ledger.ended(self.class, &self.budget.borrow(), self.shared.clock.now(), end);
+    /// Records the outcome, the first time.
+    fn record_outcome(&self, outcome: Outcome) {
+        if let Some(totals) = self.totals().filter(|_| self.awaits_outcome.replace(false)) {
+            totals.record_outcome(self.class, &self.budget.borrow(), self.shared.clock.now(), outcome);
         }
     }
 }
 
 impl Drop for RequestBudget {
-    /// Where the answer was not all flushed, the connection has gone: by the client, unless its answer was broken off.
+    /// A response that was not flushed means that the client disconnected, unless the server broke its response off.
     fn drop(&mut self) {
-        let fate = self.outcome_if_dropped.get();
-        self.close(if fate == End::InAttempt { fate } else { End::ClientGone });
+        let outcome = self.outcome_on_close.get();
+        self.record_outcome(if outcome == Outcome::InAttempt { outcome } else { Outcome::ClientGone });
     }
 }
--- a/quota-gateway/server/src/upstream.rs
+++ b/quota-gateway/server/src/upstream.rs
@@ -353,7 +353,7 @@
     }
 
     async fn connect(&self, peer: &ServerProcess, account: &RequestBudget) -> io::Result<Connection> {
-        let (begun, within) = (Instant::now(), account.on_connecting(self.connect_timeout));
+        let (begun, within) = (Instant::now(), account.begin_connect(self.connect_timeout));
         let link = Connection::connect(peer.addr, within, Some(self.open.clone())).await?;
         let (mean, took) = (self.connect_time.get(), begun.elapsed());
         self.connect_time.set(mean.mul_f64(1.0 - CONNECT_WEIGHT) + took.mul_f64(CONNECT_WEIGHT));
@@ -412,7 +412,7 @@
                 }
                 // A connection comes up with one way there and one back.
                 let back = (self.connect_time.get() / 2).min(MAX_RESPONSE_MARGIN);
-                let Some(left) = order.account.on_sending(until, back) else {
+                let Some(left) = order.account.begin_attempt(until, back) else {
                     request.into_body().put_back();
                     self.put_back(peer, link);
                     return Status::NotSent.into();
@@ -422,7 +422,7 @@
                 }
                 if let Some((books, firm)) = self.shard_routing.as_ref().zip(order.writes) {
                     let Some(epoch) = books.epoch(firm, peer.server) else {
-                        order.account.on_not_sent();
+                        order.account.cancel_attempt();
                         request.into_body().put_back();
                         self.put_back(peer, link);
                         return rejected_by_cell(books, firm, order).await;
@@ -449,7 +449,7 @@
                     }
                     Err(mut e) => match e.take_message() {
                         Some(unsent) => {
-                            order.account.on_not_sent();
+                            order.account.cancel_attempt();
                             request = unsent;
                         }
                         // The last byte was not written, so it never ran.
@@ -521,7 +521,7 @@
                 begun(ServedResponse { body: words, content_type });
                 ending.status = forward(come, body, &pieces).await;
                 if ending.status == Status::Reset {
-                    order.account.on_broken();
+                    order.account.on_response_broken_off();
                 }
                 self.on_heard(peer);
             }
