--- /dev/null
+++ b/quota-gateway/server/src/body/request_body.rs
@@ -0,0 +1,248 @@
+//! The body of a client's request, buffered or streamed to one server.
+
+use super::transfer_rate::TransferRate;
+use super::MAX_BODY_BYTES;
+use http_body_util::Full;
+use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{ready, Context, Poll};
+use std::time::{Duration, Instant};
+use tokio::sync::Notify;
+use tokio::time::timeout_at;
+
+/// A server that takes no more of a body for this long is considered lost.
+const SLOW_READER_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// How much of a streamed body has been delivered to a server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Delivery {
+    /// Nothing; all of it is still here.
+    NotStarted,
+    /// A part.
+    Partial,
+    /// All of it is with the server, or with the operating system for it.
+    Complete,
+    /// The client broke it off.
+    BrokenOff,
+    /// It is longer than [`MAX_BODY_BYTES`].
+    TooLong,
+}
+
+/// The start of a body that was read before it turned out to be long, and the rest, still to be read.
+struct Unsent {
+    start: Bytes,
+    rest: Incoming,
+}
+
+/// A request body that is streamed, once, to the server of one attempt.
+pub struct StreamedBody {
+    /// `None` while an attempt has it, and after one has sent any part.
+    unsent: RefCell<Option<Unsent>>,
+    length: Option<u64>,
+    delivery: Cell<Delivery>,
+    rate: Cell<TransferRate>,
+    last_progress_at: Cell<Instant>,
+    changed: Notify,
+}
+
+impl StreamedBody {
+    /// Creates a body from the bytes already read and the rest; `length` as its head says, if it does.
+    pub fn new(start: Bytes, rest: Incoming, length: Option<u64>) -> Rc<StreamedBody> {
+        Rc::new(StreamedBody {
+            unsent: RefCell::new(Some(Unsent { start, rest })),
+            length,
+            delivery: Cell::new(Delivery::NotStarted),
+            rate: Cell::new(TransferRate::idle()),
+            last_progress_at: Cell::new(Instant::now()),
+            changed: Notify::new(),
+        })
+    }
+
+    /// How much has been delivered.
+    pub fn delivery(&self) -> Delivery {
+        self.delivery.get()
+    }
+
+    /// Returns whether an attempt has taken the body, so that no other can send it.
+    pub fn is_consumed(&self) -> bool {
+        self.unsent.borrow().is_none()
+    }
+
+    /// Waits until the server has all of it; forever if that never happens.
+    pub async fn delivered(&self) {
+        while self.delivery.get() != Delivery::Complete {
+            self.changed.notified().await;
+        }
+    }
+
+    /// Waits until the delivery changes, or until `deadline`.
+    pub async fn changed(&self, deadline: Instant) {
+        // The caller looks at the state again in either case.
+        let _ = timeout_at(deadline.into(), self.changed.notified()).await;
+    }
+
+    /// The instant at which the client, or else the server, is too slow; `None` once the delivery is complete.
+    pub fn deadline(&self) -> Option<Instant> {
+        let is_in_progress = self.delivery.get() != Delivery::Complete;
+        is_in_progress
+            .then(|| self.rate.get().deadline().unwrap_or(self.last_progress_at.get() + SLOW_READER_TIMEOUT))
+    }
+
+    /// Returns whether it is the client that is waited for.
+    pub fn awaits_client(&self) -> bool {
+        self.rate.get().deadline().is_some()
+    }
+
+    fn set_delivery(&self, delivery: Delivery) {
+        self.delivery.set(delivery);
+        self.changed.notify_waiters();
+    }
+}
+
+/// The body of a client's request.
+pub enum RequestBody {
+    /// All of it is in memory: any number of attempts can send it.
+    Buffered(Bytes),
+    /// It is streamed: one attempt can send it.
+    Streamed(Rc<StreamedBody>),
+}
+
+impl RequestBody {
+    /// The streamed body, if it is one.
+    pub fn as_streamed(&self) -> Option<&Rc<StreamedBody>> {
+        match self {
+            RequestBody::Buffered(_) => None,
+            RequestBody::Streamed(body) => Some(body),
+        }
+    }
+}
+
+/// A request's body as one attempt sends it.
+pub enum OutgoingBody {
+    /// A copy of a buffered body.
+    Buffered(Full<Bytes>),
+    /// The streamed body itself.
+    Streamed(OutgoingStream),
+}
+
+/// A streamed body while an attempt has it.
+pub struct OutgoingStream {
+    body: Rc<StreamedBody>,
+    unsent: Unsent,
+    sent_bytes: usize,
+}
+
+impl OutgoingBody {
+    /// Takes the body for an attempt; `None` when another attempt has taken it already.
+    pub fn take(body: &RequestBody) -> Option<OutgoingBody> {
+        match body {
+            RequestBody::Buffered(bytes) => Some(OutgoingBody::Buffered(Full::new(bytes.clone()))),
+            RequestBody::Streamed(body) => {
+                let unsent = body.unsent.borrow_mut().take()?;
+                Some(OutgoingBody::Streamed(OutgoingStream { body: body.clone(), unsent, sent_bytes: 0 }))
+            }
+        }
+    }
+
+    /// Returns a body of which nothing was sent, so that another attempt can take it.
+    pub fn put_back(self) {
+        if let OutgoingBody::Streamed(OutgoingStream { body, unsent, .. }) = self {
+            body.unsent.replace(Some(unsent));
+        }
+    }
+}
+
+impl Default for OutgoingBody {
+    fn default() -> OutgoingBody {
+        OutgoingBody::Buffered(Full::default())
+    }
+}
+
+impl OutgoingStream {
+    /// Polls the client for the next bytes; `None` at the end.
+    fn poll_client(&mut self, cx: &mut Context<'_>) -> Poll<Option<hyper::Result<Bytes>>> {
+        loop {
+            let polled = Pin::new(&mut self.unsent.rest).poll_frame(cx);
+            if polled.is_pending() {
+                let mut rate = self.body.rate.get();
+                rate.on_wait();
+                self.body.rate.set(rate);
+            }
+            match ready!(polled) {
+                // Trailers are dropped: no reader uses them.
+                Some(Ok(frame)) => match frame.into_data() {
+                    Ok(data) => return Poll::Ready(Some(Ok(data))),
+                    Err(_) => continue,
+                },
+                Some(Err(e)) => return Poll::Ready(Some(Err(e))),
+                None => return Poll::Ready(None),
+            }
+        }
+    }
+
+    fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
+        let data = if self.body.delivery() == Delivery::NotStarted {
+            self.body.delivery.set(Delivery::Partial);
+            std::mem::take(&mut self.unsent.start)
+        } else {
+            match ready!(self.poll_client(cx)) {
+                Some(Ok(data)) => data,
+                Some(Err(e)) => {
+                    self.body.set_delivery(Delivery::BrokenOff);
+                    return Poll::Ready(Some(Err(io::Error::other(e))));
+                }
+                None => {
+                    self.body.set_delivery(Delivery::Complete);
+                    return Poll::Ready(None);
+                }
+            }
+        };
+        Poll::Ready(Some(self.on_data(data)))
+    }
+
+    /// Accounts for bytes that are about to be sent.
+    fn on_data(&mut self, data: Bytes) -> io::Result<Bytes> {
+        let mut rate = self.body.rate.get();
+        rate.on_received(data.len());
+        self.body.rate.set(rate);
+        self.body.last_progress_at.set(Instant::now());
+        self.sent_bytes += data.len();
+        if self.sent_bytes > MAX_BODY_BYTES {
+            self.body.set_delivery(Delivery::TooLong);
+            return Err(io::ErrorKind::InvalidData.into());
+        }
+        if self.body.length.is_some_and(|length| self.sent_bytes as u64 >= length) {
+            // hyper does not poll for the end of a body whose length it knows.
+            self.body.set_delivery(Delivery::Complete);
+        }
+        Ok(data)
+    }
+}
+
+impl Body for OutgoingBody {
+    type Data = Bytes;
+    type Error = io::Error;
+
+    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
+        match self.get_mut() {
+            OutgoingBody::Buffered(bytes) => Pin::new(bytes).poll_frame(cx).map_err(|never| match never {}),
+            OutgoingBody::Streamed(stream) => stream.poll_data(cx).map_ok(Frame::data),
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        matches!(self, OutgoingBody::Buffered(bytes) if bytes.is_end_stream())
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match self {
+            OutgoingBody::Buffered(bytes) => bytes.size_hint(),
+            OutgoingBody::Streamed(stream) => {
+                stream.body.length.map_or_else(SizeHint::default, SizeHint::with_exact)
+            }
+        }
+    }
+}
--- a/quota-gateway/server/src/clock/tests.rs
+++ b/quota-gateway/server/src/clock/tests.rs
@@ -2,10 +2,10 @@
 
 /// The wall clock was set back by an hour between the starts of two processes.
 #[test]
-fn a_clock_that_is_taken_over_does_not_jump_with_the_wall_clock() {
-    let old = Clock::of_origin(Clock::start().origin() + 3_600_000_000_000);
+fn a_continued_clock_does_not_jump_with_the_wall_clock() {
+    let old = Clock::from_origin(Clock::start().origin() + 3_600_000_000_000);
     let before = old.now();
-    let new = Clock::of_origin(old.origin());
+    let new = Clock::from_origin(old.origin());
     let after = new.now();
     assert!(after >= before && after.since(before) < 1.0, "{before:?} {after:?}");
     assert!(before.since(Clock::start().now()) > 3590.0, "a clock of its own is an hour off");
--- a/quota-gateway/server/src/console.rs
+++ b/quota-gateway/server/src/console.rs
@@ -1,7 +1,11 @@
-//! The operators' address: HTTP/1.1, one call a connection, answered with yes (2xx) or no (4xx, 5xx).
+//! The operators' console: HTTP/1.1, one command per connection, answered with 2xx, or 4xx and 5xx where it failed.
+//!
+//! The number of connections is bounded. When all slots are taken, the oldest connection is closed, so that callers that
+//! never complete a command cannot lock the operators out.
 
-use crate::operations::{Call, Change, Operations, Refusal, Reply};
-use crate::server::raw_rejection;
+use crate::commands::{Change, Command, CommandError, CommandOutput};
+use crate::operations::Operations;
+use crate::server::response::raw_rejection;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
@@ -21,60 +25,69 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tracing::warn;
 
-/// Callers at once. When there are as many, whoever has gone longest without a whole call makes room ...
+/// The largest number of connections at a time. When all are taken, the oldest is closed ...
 pub const MAX_CALLERS: usize = 16;
-/// ... once it has been here for this long: what is whole is read and answered sooner, so it is never that old.
-/// Further callers wait in the listener's queue meanwhile.
+/// ... once it is this old: a complete command is read and answered sooner. Further callers wait in the listener's queue
+/// meanwhile.
 const CLOSE_DELAY: Duration = Duration::from_millis(50);
-/// A call has this long to come, and its answer to go out.
-const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A head holds at most this much. Nothing that is asked here needs more ...
-const MAX_HEAD: usize = 8 << 10;
-/// ... or a body; a short one is read and passed over.
-const MAX_BODY: usize = 4 << 10;
-/// Pause after an accept that failed.
+/// The longest time for a command to arrive and its response to be written.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The longest head, in bytes. No command needs more ...
+const MAX_HEAD_BYTES: usize = 8 << 10;
+/// ... or a body, in bytes; a short one is read and ignored.
+const MAX_BODY_BYTES: usize = 4 << 10;
+/// The pause after an accept that failed.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Follows what a caller sends, for what hyper does not tell.
+/// Observes what a caller sends, for what hyper does not report.
 #[derive(Default)]
 struct Caller {
     heads: RefCell<HeadScanner>,
-    begun: Cell<bool>,
+    has_sent: Cell<bool>,
 }
 
 impl SocketObserver for Caller {
     fn on_received(&self, bytes: &[u8]) {
-        self.begun.set(true);
+        self.has_sent.set(true);
         self.heads.borrow_mut().scan(bytes);
     }
 }
 
+/// A connection.
+struct Connection {
+    accepted_at: Instant,
+    task: AbortHandle,
+}
+
+/// The console.
 pub struct Console {
     operations: Rc<Operations>,
-    accepted: Cell<u64>,
-    callers: RefCell<BTreeMap<u64, (Instant, AbortHandle)>>,
-    caller_left: Notify,
+    accepted_count: Cell<u64>,
+    /// The open connections, by the order in which they were accepted.
+    connections: RefCell<BTreeMap<u64, Connection>>,
+    slot_freed: Notify,
 }
 
 impl Console {
+    /// Creates a console for these operations.
     pub fn new(operations: Rc<Operations>) -> Rc<Console> {
         Rc::new(Console {
             operations,
-            accepted: Cell::new(0),
-            callers: RefCell::default(),
-            caller_left: Notify::new(),
+            accepted_count: Cell::new(0),
+            connections: RefCell::default(),
+            slot_freed: Notify::new(),
         })
     }
 
-    /// Takes calls, for good.
+    /// Accepts connections, forever.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        let mut logged = false;
+        let mut has_logged_error = false;
         loop {
-            self.evict_oldest_caller().await;
+            self.wait_for_slot().await;
             match listener.accept().await {
                 Ok((stream, _)) => self.spawn_caller(stream),
                 Err(e) => {
-                    if !std::mem::replace(&mut logged, true) {
+                    if !std::mem::replace(&mut has_logged_error, true) {
                         warn!(error = %e, "console: accept: {e}");
                     }
                     sleep(ACCEPT_BACKOFF).await;
@@ -84,27 +97,28 @@
     }
 
     fn spawn_caller(self: &Rc<Self>, stream: TcpStream) {
-        let number = self.accepted.replace(self.accepted.get() + 1);
+        let number = self.accepted_count.replace(self.accepted_count.get() + 1);
         let console = self.clone();
         let task = spawn_local(async move {
             console.serve_caller(stream).await;
-            console.callers.borrow_mut().remove(&number);
-            console.caller_left.notify_one();
+            console.connections.borrow_mut().remove(&number);
+            console.slot_freed.notify_one();
         });
-        self.callers.borrow_mut().insert(number, (Instant::now(), task.abort_handle()));
+        let connection = Connection { accepted_at: Instant::now(), task: task.abort_handle() };
+        self.connections.borrow_mut().insert(number, connection);
     }
 
-    /// Waits until there is room for another caller.
-    async fn evict_oldest_caller(&self) {
-        while self.callers.borrow().len() >= MAX_CALLERS {
-            let Some(settled) = self.callers.borrow().values().next().map(|(since, _)| *since + CLOSE_DELAY)
-            else {
-                return;
-            };
-            if settled > Instant::now() {
-                drop(timeout_at(settled, self.caller_left.notified()).await);
-            } else if let Some((_, (_, oldest))) = self.callers.borrow_mut().pop_first() {
-                oldest.abort();
+    /// Waits until there is a slot for another connection, and closes the oldest one where it must.
+    async fn wait_for_slot(&self) {
+        while self.connections.borrow().len() >= MAX_CALLERS {
+            let oldest = self.connections.borrow().values().next().map(|oldest| oldest.accepted_at);
+            let Some(accepted_at) = oldest else { return };
+            let closable_at = accepted_at + CLOSE_DELAY;
+            if closable_at > Instant::now() {
+                // The number is checked again in either case.
+                let _ = timeout_at(closable_at, self.slot_freed.notified()).await;
+            } else if let Some((_, oldest)) = self.connections.borrow_mut().pop_first() {
+                oldest.task.abort();
             }
         }
     }
@@ -119,101 +133,123 @@
         let connection = http1::Builder::new()
             .keep_alive(false)
             .half_close(true)
-            .max_buf_size(MAX_HEAD)
+            .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(HyperIo(socket.clone()), service);
-        // How it ended is the caller's affair; what hyper could not read it has answered.
-        let late = timeout(CALL_TIMEOUT, connection).await.is_err();
-        let word = (late && caller.begun.get())
+        // How the connection ended is the caller's affair; hyper has answered what it could not parse.
+        let is_late = timeout(COMMAND_TIMEOUT, connection).await.is_err();
+        let last_bytes = (is_late && caller.has_sent.get())
             .then(|| raw_rejection(StatusCode::REQUEST_TIMEOUT, "the call did not come in time"));
-        socket.shutdown(&word.unwrap_or_default());
+        socket.shutdown(&last_bytes.unwrap_or_default());
         if !socket.has_no_input() {
             socket.linger().await;
         }
     }
 
     async fn handle(&self, request: Request<Incoming>, framing: Option<Framing>) -> Response<Full<Bytes>> {
-        let (head, body) = request.into_parts();
-        let call = match parse_call(&head.method, head.uri.path(), head.uri.query()) {
-            Ok(_) if framing.is_none_or(|framing| framing == Framing::Ambiguous) => {
-                Err(CallError::Malformed("more than one length, or one beside a transfer-encoding"))
-            }
-            // A call whose body is not whole is half a call.
-            Ok(call) => match Limited::new(body, MAX_BODY).collect().await {
-                Ok(_) => Ok(call),
-                Err(e) if e.is::<http_body_util::LengthLimitError>() => Err(CallError::TooLarge),
-                Err(_) => Err(CallError::Malformed("a body that is cut off")),
-            },
-            Err(no) => Err(no),
-        };
-        match call.and_then(|call| self.operations.perform(&call).map_err(CallError::Refused)) {
-            Ok(Reply::Yes) => reply(StatusCode::OK, "yes", None),
-            Ok(Reply::Text(text, format)) => {
-                let mut response = Response::new(Full::new(Bytes::from(text)));
-                if let Ok(format) = HeaderValue::from_str(&format) {
-                    response.headers_mut().insert(CONTENT_TYPE, format);
-                }
-                response
-            }
-            Err(CallError::UnknownPath) => reply(StatusCode::NOT_FOUND, "no such call", None),
-            Err(CallError::Method(allowed)) => reply(
-                StatusCode::METHOD_NOT_ALLOWED,
-                &format!("this call takes {allowed}"),
-                HeaderValue::from_str(allowed.as_str()).ok(),
-            ),
-            Err(CallError::Malformed(why)) => reply(StatusCode::BAD_REQUEST, why, None),
-            Err(CallError::TooLarge) => reply(StatusCode::PAYLOAD_TOO_LARGE, "no call has such a body", None),
-            Err(CallError::Refused(Refusal::NotReady)) => {
-                reply(StatusCode::SERVICE_UNAVAILABLE, "takes no clients", None)
-            }
-            Err(CallError::Refused(Refusal::NoAccount)) => {
-                reply(StatusCode::SERVICE_UNAVAILABLE, "no account is kept", None)
+        let command = read_command(request, framing).await;
+        match command.and_then(|command| self.operations.perform(&command).map_err(CallError::Command)) {
+            Ok(output) => success(output),
+            Err(error) => failure(error),
+        }
+    }
+}
+
+/// Reads a command and its body, which has no meaning but must be complete.
+async fn read_command(request: Request<Incoming>, framing: Option<Framing>) -> Result<Command, CallError> {
+    let (head, body) = request.into_parts();
+    let command = parse_command(&head.method, head.uri.path(), head.uri.query())?;
+    if framing.is_none_or(|framing| framing == Framing::Ambiguous) {
+        return Err(CallError::Malformed("more than one length, or one beside a transfer-encoding"));
+    }
+    match Limited::new(body, MAX_BODY_BYTES).collect().await {
+        Ok(_) => Ok(command),
+        Err(e) if e.is::<http_body_util::LengthLimitError>() => Err(CallError::TooLarge),
+        Err(_) => Err(CallError::Malformed("a body that is cut off")),
+    }
+}
+
+/// The response to a command that succeeded.
+fn success(output: CommandOutput) -> Response<Full<Bytes>> {
+    match output {
+        CommandOutput::Done => line_response(StatusCode::OK, "yes"),
+        CommandOutput::Text { body, content_type } => {
+            let mut response = Response::new(Full::new(Bytes::from(body)));
+            if let Ok(content_type) = HeaderValue::from_str(&content_type) {
+                response.headers_mut().insert(CONTENT_TYPE, content_type);
             }
-            Err(CallError::Refused(Refusal::Unknown(name))) => {
-                reply(StatusCode::NOT_FOUND, &format!("no pay server {name:?} is known"), None)
+            response
+        }
+    }
+}
+
+/// The response to a command that failed.
+fn failure(error: CallError) -> Response<Full<Bytes>> {
+    match error {
+        CallError::UnknownPath => line_response(StatusCode::NOT_FOUND, "no such call"),
+        CallError::Method(allowed) => {
+            let line = format!("this call takes {allowed}");
+            let mut response = line_response(StatusCode::METHOD_NOT_ALLOWED, &line);
+            if let Ok(allowed) = HeaderValue::from_str(allowed.as_str()) {
+                response.headers_mut().insert(ALLOW, allowed);
             }
+            response
+        }
+        CallError::Malformed(reason) => line_response(StatusCode::BAD_REQUEST, reason),
+        CallError::TooLarge => line_response(StatusCode::PAYLOAD_TOO_LARGE, "no call has such a body"),
+        CallError::Command(CommandError::NotReady) => {
+            line_response(StatusCode::SERVICE_UNAVAILABLE, "takes no clients")
+        }
+        CallError::Command(CommandError::MetricsUnavailable) => {
+            line_response(StatusCode::SERVICE_UNAVAILABLE, "no account is kept")
+        }
+        CallError::Command(CommandError::UnknownServer(name)) => {
+            line_response(StatusCode::NOT_FOUND, &format!("no pay server {name:?} is known"))
         }
     }
 }
 
-/// Why a call is answered with no.
+/// Why a call is not answered with success.
 #[derive(Debug, PartialEq, Eq)]
 enum CallError {
+    /// There is no such command.
     UnknownPath,
+    /// The command requires this method.
     Method(Method),
+    /// The request is malformed, for this reason.
     Malformed(&'static str),
+    /// The body is too long.
     TooLarge,
-    Refused(Refusal),
+    /// The command failed.
+    Command(CommandError),
 }
 
-fn reply(status: StatusCode, line: &str, allow: Option<HeaderValue>) -> Response<Full<Bytes>> {
+/// A response whose body is one line of text.
+fn line_response(status: StatusCode, line: &str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(format!("{line}\n"))));
     *response.status_mut() = status;
-    if let Some(allow) = allow {
-        response.headers_mut().insert(ALLOW, allow);
-    }
     response
 }
 
-/// Reads a call.
-fn parse_call(method: &Method, path: &str, query: Option<&str>) -> Result<Call, CallError> {
+/// Parses a command.
+fn parse_command(method: &Method, path: &str, query: Option<&str>) -> Result<Command, CallError> {
     let takes = |allowed: Method| if *method == allowed { Ok(()) } else { Err(CallError::Method(allowed)) };
     match path {
-        "/ready" => return takes(Method::GET).map(|()| Call::Ready),
-        "/metrics" => return takes(Method::GET).map(|()| Call::Metrics),
+        "/ready" => return takes(Method::GET).map(|()| Command::Ready),
+        "/metrics" => return takes(Method::GET).map(|()| Command::Metrics),
         _ => {}
     }
     let change: fn(String) -> Change = match path {
         "/pay-servers/disable" => Change::Disable,
         "/pay-servers/enable" => Change::Enable,
-        "/drain" => return takes(Method::PUT).map(|()| Call::Change(Change::Drain)),
-        "/undrain" => return takes(Method::PUT).map(|()| Call::Change(Change::Undrain)),
+        "/drain" => return takes(Method::PUT).map(|()| Command::Change(Change::Drain)),
+        "/undrain" => return takes(Method::PUT).map(|()| Command::Change(Change::Undrain)),
         _ => return Err(CallError::UnknownPath),
     };
     takes(Method::PUT)?;
     let mut names = form_urlencoded::parse(query.unwrap_or_default().as_bytes())
         .filter(|(key, value)| key == "name" && !value.is_empty());
     match (names.next(), names.next()) {
-        (Some((_, name)), None) => Ok(Call::Change(change(name.into_owned()))),
+        (Some((_, name)), None) => Ok(Command::Change(change(name.into_owned()))),
         (None, _) => Err(CallError::Malformed("name=ID is missing")),
         (Some(_), Some(_)) => Err(CallError::Malformed("name comes more than once")),
     }
--- /dev/null
+++ b/quota-gateway/server/src/discovery/list_follower.rs
@@ -0,0 +1,109 @@
+//! The list of the project's own discovery service, which several processes serve.
+//!
+//! One of them may lag behind or have lost its store, so what they send is merged by
+//! [`marblecroft_discovery::client::Follower`], which also delays the removal of many servers at once.
+
+use crate::metric::Metric;
+use marblecroft_discovery::client::{Caution, Follower, Taken};
+use marblecroft_discovery::format::HostList;
+use quick_error::quick_error;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+quick_error! {
+    /// Why a list that was received is not applied.
+    #[derive(Debug)]
+    pub enum MergeError {
+        /// It is older than the one that is held.
+        Behind {
+            display("a list older than what is held")
+        }
+        /// It holds changes of another store than the one that is followed.
+        OtherStore {
+            display("changes of another store")
+        }
+    }
+}
+
+/// Merges the lists of several processes.
+pub struct ListFollower {
+    follower: Follower,
+    started_at: Instant,
+    metrics: Rc<ListMetrics>,
+}
+
+/// How up to date the list is, for operators.
+#[derive(Default)]
+pub struct ListMetrics {
+    last_heard_at: Cell<Option<Instant>>,
+    suspects: Cell<usize>,
+}
+
+impl ListMetrics {
+    /// The current values.
+    pub fn metrics(&self) -> [Metric; 2] {
+        let age = self.last_heard_at.get().map(|heard_at| heard_at.elapsed().as_secs_f64());
+        [
+            Metric {
+                name: "marblecroft_list_age_seconds",
+                help: "Time since a list service last said how things are.",
+                value: age.unwrap_or(f64::INFINITY),
+            },
+            Metric {
+                name: "marblecroft_list_suspects",
+                help: "Servers held though the last whole list lacked them.",
+                value: self.suspects.get() as f64,
+            },
+        ]
+    }
+}
+
+impl ListFollower {
+    /// Creates a follower that holds no list.
+    pub fn new(caution: Caution) -> ListFollower {
+        ListFollower { follower: Follower::new(caution), started_at: Instant::now(), metrics: Rc::default() }
+    }
+
+    /// The metrics, kept up to date.
+    pub fn metrics(&self) -> Rc<ListMetrics> {
+        self.metrics.clone()
+    }
+
+    /// Merges a list that was received into the one that is held, and returns what is to be applied.
+    ///
+    /// # Errors
+    /// Fails if the list is older than the one that is held, or of another store.
+    pub fn merge(&mut self, list: HostList) -> Result<HostList, MergeError> {
+        let taken = self.follower.take(list, self.started_at.elapsed());
+        self.update_metrics();
+        match taken {
+            Taken::List(list) => Ok(list),
+            Taken::Behind => Err(MergeError::Behind),
+            Taken::Foreign => Err(MergeError::OtherStore),
+        }
+    }
+
+    /// Returns the removal of servers that have been missing for too long, if there are any.
+    pub fn remove_expired(&mut self) -> Option<HostList> {
+        let removal = self.follower.give_up(self.started_at.elapsed());
+        self.update_metrics();
+        removal
+    }
+
+    /// The time until the next missing server is removed.
+    pub fn until_next_removal(&self) -> Option<Duration> {
+        Some(self.follower.next_end()?.saturating_sub(self.started_at.elapsed()))
+    }
+
+    /// Records that other addresses are asked from now on.
+    pub fn on_agents_changed(&mut self) {
+        self.follower.moved();
+    }
+
+    fn update_metrics(&self) {
+        let age = self.follower.age(self.started_at.elapsed());
+        self.metrics.last_heard_at.set(age.and_then(|age| Instant::now().checked_sub(age)));
+        self.metrics.suspects.set(self.follower.suspects());
+    }
+}
--- /dev/null
+++ b/quota-gateway/server/src/discovery/name_table.rs
@@ -0,0 +1,28 @@
+//! Numbers for names of zones and kinds.
+
+/// The largest number of names. Further names count as the last one: names that are ever new would grow without bound.
+const MAX_NAMES: usize = 256;
+
+/// Numbers for names: those of the settings keep theirs, and others follow as they appear.
+pub struct NameTable(Vec<String>);
+
+impl NameTable {
+    /// Creates a table of these names, numbered from 0.
+    pub fn new(names: Vec<String>) -> NameTable {
+        NameTable(names)
+    }
+
+    /// The number of a name.
+    pub fn index(&mut self, name: String) -> u32 {
+        let index = self.0.iter().position(|known| *known == name).unwrap_or_else(|| {
+            if self.0.len() < MAX_NAMES {
+                self.0.push(name);
+            }
+            self.0.len() - 1
+        });
+        index as u32
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/quota-gateway/server/src/fleet_decisions/observer/tests.rs
+++ b/quota-gateway/server/src/fleet_decisions/observer/tests.rs
@@ -1,5 +1,8 @@
 use super::*;
-use marblecroft_quota_gateway_core::{Class, ClassId, CustomerId, Discovery, Plan, PlanId};
+use marblecroft_quota_gateway_core::{
+    AttemptNo, Class, ClassId, Discovery, Lifecycle, Outcome, Plan, PlanId, Scope, ServerId, ServerInfo,
+    Status,
+};
 
 fn at(ms: u64) -> Time {
     Time(ms * 1_000_000)
@@ -34,12 +37,18 @@
     }
 }
 
-/// A server falls silent under a request: it is told of as failed once its aim is over, and not a second time when the attempt
-/// is given up.
+/// A server turns silent during a request: the attempt is reported as failed once the latency target has passed, and not a
+/// second time when it is abandoned.
 #[test]
-fn silence_counts_by_its_age_and_once() {
+fn an_unresponsive_server_is_counted_once_after_the_latency_target() {
     let zones = vec!["hall-a".to_owned(), "hall-b".to_owned()];
-    let observer = Observer::new(zones, settings(), None, None, Instant::now());
+    let observer = Observer::new(ObserverSettings {
+        zones,
+        settings: settings(),
+        quota_share_gateway: None,
+        shard_routing: None,
+        started_at: Instant::now(),
+    });
     let server = ServerInfo { id: ServerId(1), zone: 1, lifecycle: Lifecycle::Running, ..Default::default() };
     observer.on_event(&Event::Servers { scope: Scope::Full, servers: vec![server] });
     let request = NewRequest {
@@ -58,9 +67,9 @@
         at(0),
         &[Action::Send { id: RequestId(1), server: ServerId(1), deadline: at(4000), begin_by: None }],
     );
-    let failed = |now: u64| observer.take_report(at(now)).1[1].seen.failed;
-    let aim = observer.settings.classes[0].latency_target.as_millis() as u64;
-    assert_eq!((failed(aim - 10), failed(aim + 10), failed(aim + 1000)), (0.0, 2.0, 0.0));
+    let failed = |now: u64| observer.take_report(at(now)).zones[1].seen.failed;
+    let target = observer.settings.classes[0].latency_target.as_millis() as u64;
+    assert_eq!((failed(target - 10), failed(target + 10), failed(target + 1000)), (0.0, 2.0, 0.0));
     observer.on_event(&Event::Outcome(Outcome {
         id: RequestId(1),
         attempt: AttemptNo(0),
@@ -74,5 +83,5 @@
     }));
     assert_eq!(failed(5000), 0.0);
     observer.on_actions(at(5000), &[Action::Fail { id: RequestId(1) }]);
-    assert!(observer.observations.borrow().requests.is_empty(), "nothing is kept of what is over");
+    assert!(!observer.observations.borrow().has_requests(), "a request that is over is forgotten");
 }
--- /dev/null
+++ b/quota-gateway/server/src/fleet_decisions/quota_shares.rs
@@ -0,0 +1,85 @@
+//! Admission by the firms' shares of the fleet's capacity.
+
+use crate::metric::Metric;
+use marblecroft_control_messages::published::{Decision, Reader, Stamp, Taken};
+use marblecroft_control_messages::report::Demand;
+use marblecroft_fair_share::body::ShareDecision;
+use marblecroft_fair_share::taker::{FirmQuota, Taker};
+use marblecroft_quota_gateway_core::{NewRequest, Plan};
+use std::cell::{Cell, RefCell};
+use std::time::Duration;
+
+/// The retry-after of a request that exceeds its firm's share: of the order of the interval at which shares are computed.
+pub const SHARE_RETRY_AFTER: Duration = Duration::from_millis(400);
+
+/// This gateway's part of the quota shares. All instants count from the start of the process.
+pub struct QuotaShares {
+    taker: RefCell<Taker>,
+    decided: RefCell<Reader<ShareDecision>>,
+    /// Requests that were rejected because they exceeded their firm's share.
+    rejected: Cell<u64>,
+}
+
+impl QuotaShares {
+    /// Creates the shares of the gateway of this number, without a decision.
+    pub fn new(gateway: u32) -> QuotaShares {
+        QuotaShares {
+            taker: RefCell::new(Taker::new(gateway)),
+            decided: RefCell::default(),
+            rejected: Cell::new(0),
+        }
+    }
+
+    /// Returns whether the firm's share admits a request, and counts it if not. `customer_share` is the part of the firm's
+    /// requests that pass through this gateway, if it is metered.
+    pub fn admit(
+        &self,
+        now: Duration,
+        request: &NewRequest,
+        plan: &Plan,
+        customer_share: Option<f64>,
+    ) -> bool {
+        let equal = 1.0 / f64::from(request.gateways.max(1));
+        let part = customer_share.unwrap_or(equal);
+        // The weight is what the firm pays for its contracted rate; a plan without a rate is weighted by its price alone.
+        let contracted_rate = if plan.rate > 0.0 { plan.rate } else { 1.0 };
+        let quota = if plan.rate > 0.0 { plan.rate * part.max(equal) } else { f64::INFINITY };
+        let quota = FirmQuota { weight: plan.price * contracted_rate, part, equal, quota };
+        let mut taker = self.taker.borrow_mut();
+        let is_admitted = taker.request(now, request.customer.0, quota, request.units, request.is_retry);
+        if !is_admitted {
+            self.rejected.set(self.rejected.get() + 1);
+        }
+        is_admitted
+    }
+
+    /// Charges a request that was sent to its firm's share.
+    pub fn charge(&self, firm: u64, units: f64) {
+        self.taker.borrow_mut().take(firm, units);
+    }
+
+    /// Installs a decision that was read; `asked_at` is an instant before the query was sent.
+    pub fn install(&self, asked_at: Duration, decision: Decision<ShareDecision>) -> Taken {
+        self.decided.borrow_mut().take(asked_at, decision)
+    }
+
+    /// Recomputes each firm's limit from the decision in force.
+    pub fn apply(&self, now: Duration) {
+        self.taker.borrow_mut().obey(now, &self.decided.borrow());
+    }
+
+    /// The demand to report, and the stamp of the decision in force.
+    pub fn take_demand(&self, now: Duration) -> (Demand, Stamp) {
+        let demand = self.taker.borrow_mut().report(now);
+        (demand, self.decided.borrow().stamp().unwrap_or_default())
+    }
+
+    /// The counter of rejected requests.
+    pub fn metric(&self) -> Metric {
+        Metric {
+            name: "marblecroft_share_refused",
+            help: "Requests that their firm's share did not hold.",
+            value: self.rejected.get() as f64,
+        }
+    }
+}
--- /dev/null
+++ b/quota-gateway/server/src/metric.rs
@@ -0,0 +1,9 @@
+//! A gauge that a part of the gateway reports on the console.
+
+/// The current value of a gauge.
+pub struct Metric {
+    pub name: &'static str,
+    /// The help text of the Prometheus text format.
+    pub help: &'static str,
+    pub value: f64,
+}
--- a/quota-gateway/server/src/operations.rs
+++ b/quota-gateway/server/src/operations.rs
@@ -1,111 +1,79 @@
-//! What operators can ask of a running gateway, and who is told of it.
+//! Carries out the operators' commands.
 
-use crate::discovery::{ListMetrics, ServerIds};
+use crate::commands::{Change, Command, CommandError, CommandOutput};
+use crate::discovery::list_follower::ListMetrics;
+use crate::discovery::server_ids::ServerIds;
 use crate::engine::Engine;
 use crate::fleet_decisions::observer::Observer;
+use crate::metric::Metric;
 use crate::server::ClientServer;
 use marblecroft_quota_gateway_core::{Event, Gateway};
-use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tracing::info;
 
-/// What is asked. A change asked for twice is made once.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
-    /// Does this process take clients?
-    Ready,
-    /// Where did requests' time go?
-    Metrics,
-    Change(Change),
-}
-
-/// What is said to a call that was carried out.
-#[derive(Debug, PartialEq, Eq)]
-pub enum Reply {
-    Yes,
-    /// A text, and of what type it is.
-    Text(Vec<u8>, String),
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Change {
-    /// Leave the pay server of this id out ...
-    Disable(String),
-    /// ... and put it back.
-    Enable(String),
-    Drain,
-    Undrain,
-}
-
-/// Why it was not done.
-#[derive(Debug, PartialEq, Eq)]
-pub enum Refusal {
-    /// The process takes no clients, not yet or not any more.
-    NotReady,
-    /// No account is kept.
-    NoAccount,
-    /// No pay server of this id was ever told of.
-    Unknown(String),
-}
-
+/// The parts of the gateway that commands concern.
 pub struct Operations {
     pub engine: Rc<Engine>,
     pub gateway: Rc<RefCell<Gateway>>,
     pub server: Rc<ClientServer>,
     pub ids: Rc<RefCell<ServerIds>>,
-    /// Of the project's own list service, where that is followed.
+    /// Set where the endpoint list comes from the project's own discovery service.
     pub list_metrics: Option<Rc<ListMetrics>>,
-    /// Of shares and books, where the fleet decides on them.
+    /// Set where the gateway takes part in a fleet.
     pub fleet: Option<Rc<Observer>>,
 }
 
 impl Operations {
-    pub fn perform(&self, call: &Call) -> Result<Reply, Refusal> {
-        match call {
-            Call::Ready => self.server.takes_clients().then_some(Reply::Yes).ok_or(Refusal::NotReady),
-            Call::Metrics => {
-                let left = self.gateway.borrow().retry_budget();
-                let ledger = self.engine.accounts.totals.as_ref();
-                if let Some(ledger) = ledger {
-                    for (name, help, value) in self.metrics() {
-                        ledger.set_gauge(name, help, value).map_err(|_| Refusal::NoAccount)?;
-                    }
-                }
-                let text = ledger.map(|ledger| ledger.exposition(left));
-                let (text, format) = text.and_then(Result::ok).ok_or(Refusal::NoAccount)?;
-                Ok(Reply::Text(text, format))
-            }
-            Call::Change(change) => {
-                // Also where it is unknown here: the other process may have heard of more.
-                self.engine.links.changed(change);
-                self.apply(change).map(|()| Reply::Yes)
+    /// Carries out a command.
+    ///
+    /// # Errors
+    /// Fails if the process does not accept clients, keeps no metrics, or does not know the named server.
+    pub fn perform(&self, command: &Command) -> Result<CommandOutput, CommandError> {
+        match command {
+            Command::Ready if self.server.accepts_clients() => Ok(CommandOutput::Done),
+            Command::Ready => Err(CommandError::NotReady),
+            Command::Metrics => self.metrics(),
+            Command::Change(change) => {
+                // Passed on also where the server is unknown here: the other process may know it.
+                self.engine.peer_links.send_change(change);
+                self.apply(change).map(|()| CommandOutput::Done)
             }
         }
     }
 
-    /// What is known beside the budgets, where there is somebody who can tell: of the list, of the fleet.
-    fn metrics(&self) -> Vec<(&'static str, &'static str, f64)> {
-        let list = self.list_metrics.iter().flat_map(|list| {
-            let (age, suspects) = list.now();
-            let help = "Time since a list service last said how things are.";
-            let held = "Servers held though the last whole list lacked them.";
-            [
-                ("marblecroft_list_age_seconds", help, age.unwrap_or(f64::INFINITY)),
-                ("marblecroft_list_suspects", held, suspects as f64),
-            ]
-        });
-        list.chain(self.fleet.iter().flat_map(|fleet| fleet.figures())).collect()
+    fn metrics(&self) -> Result<CommandOutput, CommandError> {
+        let retry_budget = self.gateway.borrow().retry_budget();
+        let totals = self.engine.budgets.totals.as_ref().ok_or(CommandError::MetricsUnavailable)?;
+        for Metric { name, help, value } in self.gauges() {
+            totals.set_gauge(name, help, value).map_err(|_| CommandError::MetricsUnavailable)?;
+        }
+        let (body, content_type) =
+            totals.exposition(retry_budget).map_err(|_| CommandError::MetricsUnavailable)?;
+        Ok(CommandOutput::Text { body, content_type })
+    }
+
+    /// Gauges of the parts of the gateway that this configuration has: the endpoint list, then the fleet.
+    fn gauges(&self) -> Vec<Metric> {
+        let list = self.list_metrics.iter().flat_map(|list| list.metrics());
+        list.chain(self.fleet.iter().flat_map(|fleet| fleet.metrics())).collect()
     }
 
-    /// Makes a change in this process.
-    pub fn apply(&self, change: &Change) -> Result<(), Refusal> {
+    /// Makes a change in this process only.
+    ///
+    /// # Errors
+    /// Fails if the change names a server that is not known here.
+    pub fn apply(&self, change: &Change) -> Result<(), CommandError> {
         match change {
             Change::Disable(name) | Change::Enable(name) => {
-                let disabled = matches!(change, Change::Disable(_));
-                let id = self.ids.borrow_mut().disable(name, disabled);
-                let id = id.ok_or_else(|| Refusal::Unknown(name.clone()))?;
-                self.engine.post(if disabled { Event::ServerDisabled(id) } else { Event::ServerEnabled(id) });
+                let is_disabled = matches!(change, Change::Disable(_));
+                let id = self.ids.borrow_mut().set_disabled(name, is_disabled);
+                let id = id.ok_or_else(|| CommandError::UnknownServer(name.clone()))?;
+                self.engine.post(if is_disabled {
+                    Event::ServerDisabled(id)
+                } else {
+                    Event::ServerEnabled(id)
+                });
             }
             Change::Drain => self.server.drain(),
             Change::Undrain => self.server.undrain(),
--- /dev/null
+++ b/quota-gateway/server/src/process.rs
@@ -0,0 +1,295 @@
+//! The process: puts the parts of the gateway together, serves until SIGTERM, and then until every request is answered.
+//!
+//! The order of the start matters. The signals come first, so that none ends the process by default; the console is bound
+//! early, so that operators wait for an answer instead of being refused; the state of an old process is taken over before
+//! the first event; and clients are accepted last.
+
+use crate::clock::Clock;
+use crate::config::{Config, ConnectionLimits};
+use crate::console::Console;
+use crate::discovery::list_follower::ListFollower;
+use crate::discovery::{Discovery, DiscoverySettings};
+use crate::engine::{Decide, Engine};
+use crate::fleet_decisions::observer::{Observer, ObserverSettings};
+use crate::fleet_decisions::{Member, MemberSettings};
+use crate::handover::snapshot::{take_over, HandoverSnapshot, PeerConnection};
+use crate::handover::Handover;
+use crate::operations::Operations;
+use crate::request_budget::RequestBudgets;
+use crate::server::ClientServer;
+use crate::shard_map::ShardRouting;
+use crate::upstream::Upstream;
+use marblecroft_discovery::format::HostList;
+use marblecroft_quota_gateway_core::Gateway;
+use quick_error::quick_error;
+use std::cell::RefCell;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+use tokio::time::{sleep_until, Instant};
+use tracing::{info, warn};
+
+/// After SIGTERM new connections arrive for up to 0.4 s; they are accepted for a while longer.
+const FLUSH_TIME: Duration = Duration::from_millis(600);
+
+quick_error! {
+    /// Why the process cannot serve.
+    #[derive(Debug)]
+    pub enum ProcessError {
+        /// An address cannot be bound.
+        Bind(purpose: &'static str, addr: SocketAddr, cause: io::Error) {
+            display("{purpose}: {addr}: {cause}")
+            source(cause)
+        }
+        /// The runtime, a signal handler or a socket fails.
+        Io(cause: io::Error) {
+            display("{cause}")
+            source(cause)
+            from()
+        }
+    }
+}
+
+/// The sockets on which the process listens.
+struct Listeners {
+    console: Option<TcpListener>,
+    clients: TcpListener,
+    /// The clients' socket was inherited, so another process can take it over.
+    is_replaceable: bool,
+}
+
+impl Listeners {
+    async fn bind(
+        config: &Config,
+        inherited: Option<std::net::TcpListener>,
+    ) -> Result<Listeners, ProcessError> {
+        let console = match config.console {
+            Some(addr) => Some(bind("console", addr).await?),
+            None => None,
+        };
+        if let Some(listener) = &console {
+            let addr = listener.local_addr()?;
+            info!(%addr, "console on {addr}");
+        }
+        let (clients, is_replaceable) = match inherited {
+            Some(listener) => (TcpListener::from_std(listener)?, true),
+            None => (bind("listen", config.listen).await?, false),
+        };
+        Ok(Listeners { console, clients, is_replaceable })
+    }
+}
+
+async fn bind(purpose: &'static str, addr: SocketAddr) -> Result<TcpListener, ProcessError> {
+    TcpListener::bind(addr).await.map_err(|cause| ProcessError::Bind(purpose, addr, cause))
+}
+
+/// The decisions and what is built around them.
+struct Core {
+    gateway: Rc<RefCell<Gateway>>,
+    engine: Rc<Engine>,
+    observer: Option<Rc<Observer>>,
+}
+
+impl Core {
+    /// Builds the core, and joins the fleet where the configuration says so.
+    fn build(config: &mut Config, clock: Clock, has_console: bool, limits: &ConnectionLimits) -> Core {
+        let site = &config.settings;
+        let started_at = std::time::Instant::now();
+        let budgets = RequestBudgets::new(clock, has_console.then_some(site.classes.as_slice()));
+        let uses_shard_map = config.fleet.as_ref().is_some_and(|fleet| fleet.uses_shard_map);
+        let shard_routing = uses_shard_map.then(|| ShardRouting::new(started_at));
+        let upstream = Upstream::new(site.connect_timeout, site.idle, limits.servers, shard_routing.clone());
+        let gateway = Rc::new(RefCell::new(Gateway::new(site.settings.clone(), config.seed)));
+        let observer = config.fleet.as_ref().map(|fleet| {
+            Observer::new(ObserverSettings {
+                zones: site.zones.clone(),
+                settings: site.settings.clone(),
+                quota_share_gateway: fleet.quota_share_gateway(),
+                shard_routing: shard_routing.clone(),
+                started_at,
+            })
+        });
+        let decide = decide_with(gateway.clone(), observer.clone());
+        let engine = Engine::new(decide, clock, budgets, upstream, site.settings.max_attempts);
+        let zone = site.settings.zone;
+        if let (Some(fleet_config), Some(observer)) = (config.fleet.take(), observer.clone()) {
+            let settings = MemberSettings {
+                config: fleet_config,
+                observer,
+                shard_routing,
+                started_at,
+                zone,
+                incarnation: config.seed,
+            };
+            Member::start(&engine, settings);
+        }
+        Core { gateway, engine, observer }
+    }
+}
+
+/// The decisions as the engine calls them: directly, or through the observer where the gateway takes part in a fleet.
+fn decide_with(gateway: Rc<RefCell<Gateway>>, observer: Option<Rc<Observer>>) -> Decide {
+    match observer {
+        None => Box::new(move |now, event, actions| gateway.borrow_mut().handle(now, event, actions)),
+        Some(observer) => Box::new(move |now, event, actions| {
+            observer.handle(&mut gateway.borrow_mut(), now, event, actions);
+        }),
+    }
+}
+
+/// Serves until SIGTERM, and then until every request that was accepted is answered.
+///
+/// # Errors
+/// Fails if a signal handler cannot be installed or an address cannot be bound.
+pub async fn run(mut config: Config, inherited: Option<std::net::TcpListener>) -> Result<(), ProcessError> {
+    let hangup = signal(SignalKind::hangup())?;
+    let mut terminate = signal(SignalKind::terminate())?;
+    let Listeners { console, clients: listener, is_replaceable } =
+        Listeners::bind(&config, inherited).await?;
+    let listen = listener.local_addr()?;
+    let taken_over = if is_replaceable { take_over(listen).await } else { None };
+    // The instants that are taken over are on the old process's clock. If the wall clock was set since, a new clock would
+    // move them into the future or the past.
+    let clock_origin = taken_over.as_ref().and_then(|(snapshot, _)| snapshot.clock_origin);
+    let clock = clock_origin.map_or_else(Clock::start, Clock::from_origin);
+    let limits = config.connection_limits(false);
+    let core = Core::build(&mut config, clock, console.is_some(), &limits);
+    let server = ClientServer::new(core.engine.clone(), config.settings.clone(), limits.clients);
+
+    let (agents_sender, agents) = watch::channel(config.agents());
+    spawn_local(reload(hangup, agents_sender));
+    let follower = config.list_service.as_ref().map(|service| ListFollower::new(service.caution()));
+    let list_metrics = follower.as_ref().map(ListFollower::metrics);
+    let mut discovery = Discovery::new(core.engine.clone(), agents, follower, discovery_settings(&config));
+    let operations = Rc::new(Operations {
+        engine: core.engine.clone(),
+        gateway: core.gateway.clone(),
+        server: server.clone(),
+        ids: discovery.ids(),
+        list_metrics,
+        fleet: core.observer.clone(),
+    });
+    let initial_list = config.initial_list.take();
+    let handover = build_handover(config, &core, &server, &operations);
+    restore(&core, &server, &mut discovery, &handover, taken_over, initial_list);
+    if is_replaceable {
+        match handover.offer(listen) {
+            Ok(offer) => {
+                spawn_local(offer);
+            }
+            Err(e) => warn!(error = %e, "the next process will start afresh: {e}"),
+        }
+    }
+    if let Some(listener) = console {
+        spawn_local(Console::new(operations).serve(listener));
+    }
+    spawn_tasks(&core.engine, &server, discovery);
+
+    info!(addr = %listen, "listening on {listen}");
+    tokio::select! {
+        () = server.accept(&listener) => {}
+        _ = terminate.recv() => {}
+    }
+    shut_down(&core.engine, &server, listener).await;
+    Ok(())
+}
+
+fn discovery_settings(config: &Config) -> DiscoverySettings {
+    let site = &config.settings;
+    DiscoverySettings {
+        zones: site.zones.clone(),
+        kinds: site.kinds.clone(),
+        method: site.settings.discovery,
+        gateways: site.settings.gateways,
+        seed: config.seed,
+    }
+}
+
+fn build_handover(
+    config: Config,
+    core: &Core,
+    server: &Rc<ClientServer>,
+    operations: &Rc<Operations>,
+) -> Rc<Handover> {
+    let (server, engine) = (server.clone(), core.engine.clone());
+    Rc::new(Handover {
+        operations: operations.clone(),
+        gateway: core.gateway.clone(),
+        engine: core.engine.clone(),
+        on_shared: Box::new(move |is_shared| {
+            let limits = config.connection_limits(is_shared);
+            server.set_max_connections(limits.clients);
+            engine.upstream.set_max_connections(limits.servers);
+        }),
+    })
+}
+
+/// Restores the state of the process that is replaced, or else installs the configured endpoint list.
+fn restore(
+    core: &Core,
+    server: &ClientServer,
+    discovery: &mut Discovery,
+    handover: &Rc<Handover>,
+    taken_over: Option<(HandoverSnapshot, PeerConnection)>,
+    initial_list: Option<HostList>,
+) {
+    if let Some((snapshot, peer)) = taken_over {
+        core.gateway.borrow_mut().restore(snapshot.state);
+        if discovery.adopt(snapshot.ids) {
+            server.set_ready();
+        }
+        if snapshot.is_draining {
+            server.drain();
+        }
+        handover.join(peer);
+    } else if let Some(list) = initial_list {
+        discovery.on_list(list);
+        server.set_ready();
+    }
+}
+
+/// Starts the tasks that run until the process exits.
+fn spawn_tasks(engine: &Rc<Engine>, server: &Rc<ClientServer>, discovery: Discovery) {
+    let server = server.clone();
+    spawn_local(async move { discovery.follow(|| server.set_ready()).await });
+    let timers = engine.clone();
+    spawn_local(async move { timers.run_timers().await });
+    let sweeps = engine.clone();
+    spawn_local(async move { sweeps.run_sweeps().await });
+}
+
+/// Ends the service after SIGTERM. Every response closes its connection from now on, so that clients move to the other
+/// gateways.
+async fn shut_down(engine: &Engine, server: &Rc<ClientServer>, listener: TcpListener) {
+    let terminated_at = Instant::now();
+    let is_replaced = engine.peer_links.has_peers();
+    server.close(is_replaced);
+    // Connections in the queue of a socket on which another process listens belong to that process.
+    if !is_replaced {
+        tokio::select! {
+            () = server.accept(&listener) => {}
+            () = sleep_until(terminated_at + FLUSH_TIME) => {}
+        }
+        server.accept_queued(&listener);
+    }
+    drop(listener);
+    server.wait_until_empty(terminated_at.into()).await;
+}
+
+/// Reads the file again at each SIGHUP, forever. Only the addresses of discovery follow it; requests and connections go on.
+async fn reload(mut hangup: Signal, agents: watch::Sender<Vec<SocketAddr>>) {
+    while hangup.recv().await.is_some() {
+        match Config::from_file() {
+            Ok(config) => {
+                info!(discovery = %config.discovery, "new configuration, discovery at {}", config.discovery);
+                agents.send_replace(config.agents());
+            }
+            Err(e) => warn!(error = %e, "the old configuration stands: {e}"),
+        }
+    }
+}
--- /dev/null
+++ b/quota-gateway/server/src/server/draining.rs
@@ -0,0 +1,80 @@
+//! Draining: on the operators' command, and when the process exits.
+//!
+//! Connections in use get their next request answered with `Connection: close`, so that no request is lost; connections
+//! that stay idle are closed.
+
+use super::connection::ClientConnection;
+use super::listener::CLOSE_DELAY;
+use super::{ClientServer, DrainState};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::time::{sleep, timeout};
+
+/// A connection on which nothing has arrived for this long is not in use and is closed. Bounds how long a client can hold on
+/// to a gateway that drains; costs clients with rarer requests a reconnect.
+const DRAIN_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
+/// The time after SIGTERM for which a first request that has begun is waited for: new connections arrive for 0.4 s, and a
+/// head may take 2 s.
+const DRAIN_ACCEPT_TIME: Duration = Duration::from_millis(2600);
+/// SIGKILL comes the longest deadline after SIGTERM, which is at most this ...
+const MAX_KILL_DEADLINE: Duration = Duration::from_secs(3);
+/// ... and this much later, of which some is left for writing the responses.
+const KILL_GRACE: Duration = Duration::from_millis(550);
+
+impl ClientServer {
+    /// Keeps no connection open after its next response, and none that stays idle.
+    pub fn drain(&self) {
+        if self.drain_state.get() == DrainState::Open {
+            self.drain_state.set(DrainState::Draining);
+            self.request_close_all();
+        }
+    }
+
+    /// Accepts clients again, and keeps the connections that are still open.
+    pub fn undrain(&self) {
+        if self.drain_state.get() == DrainState::Draining {
+            self.drain_state.set(DrainState::Open);
+            self.clients.borrow().values().for_each(|client| client.cancel_close());
+        }
+    }
+
+    /// Returns whether the operators have drained the gateway.
+    pub fn is_draining(&self) -> bool {
+        self.drain_state.get() == DrainState::Draining
+    }
+
+    /// Drains because the process exits; `is_replaced` if another process of the gateway goes on.
+    pub fn close(&self, is_replaced: bool) {
+        // The gateway as a whole is up, unless it is drained.
+        let is_gateway_up = is_replaced && !self.is_draining();
+        self.drain_state.set(if is_gateway_up { DrainState::Replaced } else { DrainState::Exiting });
+        self.request_close_all();
+        let classes = &self.site.settings.classes;
+        let max_deadline = classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+        let until_kill = max_deadline.min(MAX_KILL_DEADLINE) + KILL_GRACE;
+        self.engine.set_process_end(self.engine.clock.now().after(until_kill));
+    }
+
+    /// Closes all connections that have sent a request. One without a request was only just accepted, and its first request
+    /// is on the way: it must not be closed under it.
+    fn request_close_all(&self) {
+        let at = Instant::now() + DRAIN_IDLE_TIMEOUT;
+        for client in self.clients.borrow().values().filter(|client| client.has_sent_request.get()) {
+            client.request_close(at);
+        }
+    }
+
+    /// Waits until every connection with a request has ended, including those that were accepted last and those on which a
+    /// first request has begun; for the latter only as long as a head may take, counted from SIGTERM.
+    pub async fn wait_until_empty(&self, terminated_at: Instant) {
+        sleep(CLOSE_DELAY).await;
+        let first_request_until = terminated_at + DRAIN_ACCEPT_TIME;
+        let is_awaited = |client: &Rc<ClientConnection>| {
+            client.has_sent_request.get() || (client.is_in_head() && Instant::now() < first_request_until)
+        };
+        while self.clients.borrow().values().any(is_awaited) {
+            // The connections are checked again in either case.
+            let _ = timeout(CLOSE_DELAY, self.slot_freed.notified()).await;
+        }
+    }
+}
--- a/quota-gateway/server/src/shard_map.rs
+++ b/quota-gateway/server/src/shard_map.rs
@@ -1,6 +1,9 @@
-//! The book map at the gateway: where a firm's pay runs are written, asked at the last moment before each write. Only where the
-//! configuration names it; without it nothing of this is there.
+//! The shard map at the gateway: which cell may write a firm's shard, checked at the last moment before each write.
+//!
+//! A write carries the epoch of its shard, and a cell rejects one of another epoch, so that a shard is never written at two
+//! cells. Used only where the configuration says so.
 
+use crate::metric::Metric;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use marblecroft_control_messages::published::{Decision, Reader, Stamp, Taken};
 use marblecroft_quota_gateway_core::{Lifecycle, Placement, Scope, ServerId, ServerInfo};
@@ -13,100 +16,129 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// What a pay run is written under; pay servers that know nothing of books pass it over.
+/// The epoch that a write carries; servers that do not use shards ignore it.
 pub const EPOCH: HeaderName = HeaderName::from_static("x-book-epoch");
-/// With `X-Never-Ran`: written under another epoch than the cell's, and which one is due there (0: none of this range).
-const DUE: HeaderName = HeaderName::from_static("x-book-due");
-/// A newer map is waited for this long before its attempt is told to have ended: a move's pause, as cells that fence have it. What
-/// is left of the request's time bounds it further.
+/// Set beside `X-Never-Ran` when the write had another epoch than the cell's: the epoch that is due there (0: none of this
+/// range).
+const EPOCH_DUE: HeaderName = HeaderName::from_static("x-book-due");
+/// How long a newer map is waited for before the attempt ends: the pause of a move, as in cells that fence. The request's
+/// budget bounds it further.
 pub const MAX_MAP_UPDATE_WAIT: Duration = Duration::from_millis(300);
 
-/// What is known of books here.
+/// The shard map, and which cell each server belongs to.
 pub struct ShardRouting {
     map: RefCell<Reader<ShardMap>>,
     cells: RefCell<BTreeMap<ServerId, u32>>,
     started_at: Instant,
     changed: Notify,
-    /// Writes that a cell turned away as they were under another epoch, and writes that found no ticket.
-    pub rejected_by_cell: Cell<u64>,
-    pub held_back: Cell<u64>,
+    /// Writes that a cell rejected because they had another epoch.
+    rejected_by_cell: Cell<u64>,
+    /// Writes that were not sent because their shard was open at no cell.
+    withheld: Cell<u64>,
 }
 
 impl ShardRouting {
-    pub fn new(begun: Instant) -> Rc<ShardRouting> {
+    /// Creates a routing without a map. Instants of [`ShardRouting::install`] count from `started_at`.
+    pub fn new(started_at: Instant) -> Rc<ShardRouting> {
         Rc::new(ShardRouting {
             map: RefCell::default(),
             cells: RefCell::default(),
-            started_at: begun,
+            started_at,
             changed: Notify::new(),
             rejected_by_cell: Cell::new(0),
-            held_back: Cell::new(0),
+            withheld: Cell::new(0),
         })
     }
 
-    /// A map was read; `asked`: an instant, since `begun`, before the question left.
-    pub fn install(&self, asked: Duration, decision: Decision<ShardMap>) -> Taken {
-        let taken = self.map.borrow_mut().take(asked, decision);
+    /// Installs a map that was read; `asked_at` is an instant, counted from the start, before the query was sent.
+    pub fn install(&self, asked_at: Duration, decision: Decision<ShardMap>) -> Taken {
+        let taken = self.map.borrow_mut().take(asked_at, decision);
         if taken == Taken::New {
             self.changed.notify_waiters();
         }
         taken
     }
 
+    /// The stamp of the map that is installed.
     pub fn stamp(&self) -> Option<Stamp> {
         self.map.borrow().stamp()
     }
 
-    /// Follows the list: which cell each server is of.
-    pub fn on_server_list(&self, scope: Scope, servers: &[ServerInfo]) {
+    /// Applies an endpoint list: which cell each server belongs to.
+    pub fn on_endpoint_list(&self, scope: Scope, servers: &[ServerInfo]) {
         let mut cells = self.cells.borrow_mut();
         if scope == Scope::Full {
             cells.clear();
         }
         for server in servers {
             match server.lifecycle {
-                Lifecycle::Gone => drop(cells.remove(&server.id)),
-                _ => drop(cells.insert(server.id, server.cell)),
+                Lifecycle::Gone => {
+                    cells.remove(&server.id);
+                }
+                _ => {
+                    cells.insert(server.id, server.cell);
+                }
             }
         }
     }
 
+    /// A ticket to write a firm's shard, if the map allows that now.
     fn ticket(&self, firm: Firm) -> Result<Ticket, NotNow> {
         Ticket::acquire(self.started_at.elapsed(), &self.map.borrow(), firm)
     }
 
-    /// Where a firm's pay run goes, as far as can be said when it arrives.
+    /// Where a firm's write goes, as known when the request arrives.
     pub fn placement(&self, firm: Firm) -> Placement {
         match self.ticket(firm) {
             Ok(ticket) => Placement::Cell(ticket.cell()),
-            Err(why) => {
-                self.held_back.set(self.held_back.get() + 1);
-                Placement::Unavailable { retry_after: why.retry_after() }
+            Err(cause) => {
+                self.count_withheld();
+                Placement::Unavailable { retry_after: cause.retry_after() }
             }
         }
     }
 
-    /// The epoch to write under at a server, at this moment; none where nothing may be written there now.
+    /// The epoch of a write at a server, at this moment; `None` where nothing may be written there now.
     pub fn epoch(&self, firm: Firm, server: ServerId) -> Option<HeaderValue> {
         let ticket = self.ticket(firm).ok()?;
         let (cell, epoch) = ticket.write(self.started_at.elapsed())?;
-        let there = self.cells.borrow().get(&server) == Some(&cell);
-        there.then(|| HeaderValue::from(epoch)).or_else(|| {
-            self.held_back.set(self.held_back.get() + 1);
-            None
-        })
+        if self.cells.borrow().get(&server) != Some(&cell) {
+            self.count_withheld();
+            return None;
+        }
+        Some(HeaderValue::from(epoch))
     }
 
-    /// Whether a cell turned a write away as it was under another epoch; the one that is due there.
+    /// The epoch that is due at a cell, if it rejected a write because of another epoch.
     pub fn epoch_due(&self, headers: &HeaderMap) -> Option<Epoch> {
-        let due = headers.get(DUE)?.to_str().ok()?.parse().ok()?;
+        let due = headers.get(EPOCH_DUE)?.to_str().ok()?.parse().ok()?;
         self.rejected_by_cell.set(self.rejected_by_cell.get() + 1);
         Some(due)
     }
 
-    /// The cell of a firm's book, once this gateway goes by a map by which it may be written there: a map that is newer than the
-    /// one by which a write has just been turned away is on its way here.
-    pub async fn wait_for_move(&self, firm: Firm, most: Duration) -> Option<u32> {
+    fn count_withheld(&self) {
+        self.withheld.set(self.withheld.get() + 1);
+    }
+
+    /// The counters of writes that were not carried out.
+    pub fn metrics(&self) -> [Metric; 2] {
+        [
+            Metric {
+                name: "marblecroft_book_turned_away",
+                help: "Writes that a cell turned away, as they were under another epoch.",
+                value: self.rejected_by_cell.get() as f64,
+            },
+            Metric {
+                name: "marblecroft_book_held_back",
+                help: "Writes that were held back, as their book was open nowhere.",
+                value: self.withheld.get() as f64,
+            },
+        ]
+    }
+
+    /// Waits for a map that is newer than the one by which a write was just rejected, and returns the cell at which the
+    /// firm's shard may be written by it.
+    pub async fn wait_for_move(&self, firm: Firm, max_wait: Duration) -> Option<u32> {
         let before = self.stamp();
         let newer = async {
             loop {
@@ -117,6 +149,6 @@
                 }
             }
         };
-        timeout(most, newer).await.ok()
+        timeout(max_wait, newer).await.ok()
     }
 }
--- /dev/null
+++ b/quota-gateway/server/src/upstream/attempt.rs
@@ -0,0 +1,239 @@
+//! One attempt of a request at one server, up to the head of the response.
+
+use super::pool::{Acquired, PooledConnection};
+use super::{PendingResponse, ServerProcess, Upstream};
+use crate::body::request_body::{Delivery, OutgoingBody, RequestBody};
+use crate::body::response_body::ResponseBody;
+use crate::request_budget::RequestBudget;
+use crate::shard_map::{ShardRouting, EPOCH, MAX_MAP_UPDATE_WAIT};
+use hyper::body::Incoming;
+use hyper::header::{HeaderMap, HeaderName, HeaderValue, HOST};
+use hyper::{Method, Request, Response, Uri};
+use marblecroft_quota_gateway_core::{LoadReport, Status, Time};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Instant;
+
+/// The header that tells a server how long its response is waited for, in seconds.
+pub const EXPIRES_IN: HeaderName = HeaderName::from_static("x-expires-in");
+
+/// The parts of a request that every attempt carries unchanged from the client.
+pub struct UpstreamRequest {
+    pub method: Method,
+    pub uri: Uri,
+    pub headers: HeaderMap,
+    pub body: RequestBody,
+    /// The firm whose shard the request writes, if it writes any.
+    pub written_firm: Option<u64>,
+    pub budget: Rc<RequestBudget>,
+    /// Set with the final response. No attempt is written after that, including those that are still connecting and may
+    /// not be cancelled.
+    pub is_finished: Cell<bool>,
+}
+
+impl UpstreamRequest {
+    /// The trace id that the client set; every request that comes this far has one.
+    pub fn trace(&self) -> &str {
+        self.headers.get("x-trace-id").and_then(|id| id.to_str().ok()).unwrap_or_default()
+    }
+
+    /// How much of the body has been delivered; a buffered one goes out in one piece.
+    pub fn delivery(&self) -> Delivery {
+        self.body.as_streamed().map_or(Delivery::Complete, |body| body.delivery())
+    }
+}
+
+/// When an attempt may begin and when it ends.
+#[derive(Clone, Copy)]
+pub struct AttemptWindow {
+    /// The attempt is abandoned at this instant, by dropping it.
+    pub ends_at: Option<Time>,
+    /// Nothing is written at this instant or later.
+    pub begin_by: Option<Time>,
+}
+
+/// A server's 200 response: a complete one, or a streamed one that has begun.
+pub struct ServedResponse {
+    pub body: ResponseBody,
+    pub content_type: Option<HeaderValue>,
+}
+
+/// How an attempt ended.
+pub struct AttemptEnd {
+    pub status: Status,
+    /// The customer's metered use of its quota, as a fraction, if the server reports one.
+    pub metered_use: Option<f64>,
+    pub load_report: LoadReport,
+    /// The response, with [`Status::Ok`] only, and only if it was not streamed before.
+    pub response: Option<ServedResponse>,
+    /// The cell of the written shard, if it is not the one that the attempt went to.
+    pub moved_to_cell: Option<u32>,
+}
+
+impl From<Status> for AttemptEnd {
+    fn from(status: Status) -> AttemptEnd {
+        AttemptEnd {
+            status,
+            metered_use: None,
+            load_report: LoadReport::default(),
+            response: None,
+            moved_to_cell: None,
+        }
+    }
+}
+
+/// Why an attempt that has a connection is not written.
+enum NotWritten {
+    /// It is no longer wanted, or no time remains.
+    Obsolete,
+    /// The firm's shard may not be written at this server now.
+    ShardClosed,
+}
+
+impl Upstream {
+    /// Makes one attempt at `process`. `on_stream` is called with a streamed response when it begins.
+    ///
+    /// A pooled connection that turns out to be closed is replaced within the attempt, as long as nothing was written.
+    pub async fn attempt(
+        &self,
+        process: ServerProcess,
+        request: &UpstreamRequest,
+        window: AttemptWindow,
+        on_stream: impl Fn(ServedResponse),
+    ) -> AttemptEnd {
+        // Another attempt has consumed a streamed body: there is nothing left to send.
+        let Some(body) = OutgoingBody::take(&request.body) else { return Status::NotSent.into() };
+        let mut message = outgoing_message(&process, request, body);
+        loop {
+            let Acquired { mut connection, idle_for } = match self.pool.acquire(&process, request).await {
+                Ok(acquired) => acquired,
+                Err(status) => {
+                    message.into_body().put_back();
+                    return status.into();
+                }
+            };
+            if connection.ready().await {
+                if let Err(cause) = self.authorize(&process, request, window, message.headers_mut()) {
+                    message.into_body().put_back();
+                    self.put_back(process, connection);
+                    return self.on_not_written(request, cause).await;
+                }
+                let sent_at = Instant::now();
+                let _pending = PendingResponse { pool: &self.pool, process, sent_at };
+                let sent = connection.try_send(message).await;
+                self.on_heard(process);
+                match sent {
+                    Ok(response) => {
+                        return self.on_response(process, connection, request, response, on_stream).await
+                    }
+                    Err(mut error) => match error.take_message() {
+                        Some(unsent) => {
+                            request.budget.cancel_attempt();
+                            message = unsent;
+                        }
+                        // The last byte was not written, so the request did not run.
+                        None if request.delivery() != Delivery::Complete => {
+                            return Status::ConnectFailed.into()
+                        }
+                        // At least a part was written: nothing proves that it was not all.
+                        None => {
+                            self.pool.on_reset(idle_for, sent_at);
+                            return Status::Reset.into();
+                        }
+                    },
+                }
+            }
+            // The connection was closed before anything was written. A pooled one is replaced within the same attempt; a
+            // new one counts as a failed connect.
+            if idle_for.is_none() {
+                message.into_body().put_back();
+                return Status::ConnectFailed.into();
+            }
+        }
+    }
+
+    /// Decides, at the last moment before the request is written, whether it may be, and sets the headers that depend on
+    /// this moment.
+    fn authorize(
+        &self,
+        process: &ServerProcess,
+        request: &UpstreamRequest,
+        window: AttemptWindow,
+        headers: &mut HeaderMap,
+    ) -> Result<(), NotWritten> {
+        if !self.may_begin(process, request, window.begin_by) {
+            return Err(NotWritten::Obsolete);
+        }
+        let timeout = request
+            .budget
+            .begin_attempt(window.ends_at, self.pool.response_transit())
+            .ok_or(NotWritten::Obsolete)?;
+        if let Ok(timeout) = HeaderValue::from_str(&format!("{:.3}", timeout.as_secs_f64())) {
+            headers.insert(EXPIRES_IN, timeout);
+        }
+        if let Some((shards, firm)) = self.written_shard(request) {
+            let Some(epoch) = shards.epoch(firm, process.server) else {
+                request.budget.cancel_attempt();
+                return Err(NotWritten::ShardClosed);
+            };
+            headers.insert(EPOCH, epoch);
+        }
+        Ok(())
+    }
+
+    async fn on_not_written(&self, request: &UpstreamRequest, cause: NotWritten) -> AttemptEnd {
+        match (cause, self.written_shard(request)) {
+            (NotWritten::ShardClosed, Some((shards, firm))) => rejected_by_cell(shards, firm, request).await,
+            _ => Status::NotSent.into(),
+        }
+    }
+
+    async fn on_response(
+        &self,
+        process: ServerProcess,
+        connection: PooledConnection,
+        request: &UpstreamRequest,
+        response: Response<Incoming>,
+        on_stream: impl Fn(ServedResponse),
+    ) -> AttemptEnd {
+        let shard = self.written_shard(request);
+        let is_wrong_epoch = shard.is_some_and(|(shards, _)| shards.epoch_due(response.headers()).is_some());
+        let end = self.read_response(process, connection, request, response, on_stream).await;
+        match shard {
+            // The write did not run, and the rejection says nothing of the server's health.
+            Some((shards, firm)) if is_wrong_epoch && end.status == Status::Rejected => {
+                rejected_by_cell(shards, firm, request).await
+            }
+            _ => end,
+        }
+    }
+
+    /// The shard map and the firm whose shard the request writes, if it writes one.
+    fn written_shard(&self, request: &UpstreamRequest) -> Option<(&Rc<ShardRouting>, u64)> {
+        self.shard_routing.as_ref().zip(request.written_firm)
+    }
+}
+
+/// Builds the message to a server.
+fn outgoing_message(
+    process: &ServerProcess,
+    request: &UpstreamRequest,
+    body: OutgoingBody,
+) -> Request<OutgoingBody> {
+    let mut message = Request::new(body);
+    *message.method_mut() = request.method.clone();
+    *message.uri_mut() = request.uri.clone();
+    *message.headers_mut() = request.headers.clone();
+    if let Ok(host) = HeaderValue::from_str(&process.addr.to_string()) {
+        message.headers_mut().insert(HOST, host);
+    }
+    message
+}
+
+/// Ends an attempt that was not written, or was rejected, because its shard is not open at this cell: once it is known where
+/// the shard is, or that this is not known soon.
+async fn rejected_by_cell(shards: &ShardRouting, firm: u64, request: &UpstreamRequest) -> AttemptEnd {
+    let max_wait = request.budget.limit_wait(MAX_MAP_UPDATE_WAIT);
+    let moved_to_cell = shards.wait_for_move(firm, max_wait).await;
+    AttemptEnd { moved_to_cell, ..Status::NotSent.into() }
+}
--- /dev/null
+++ b/quota-gateway/server/src/upstream/endpoints.rs
@@ -0,0 +1,72 @@
+//! The endpoint table: which process serves under each server's id, and which servers the operators have disabled.
+
+use marblecroft_quota_gateway_core::{Lifecycle, Scope, ServerId, ServerInfo, Time};
+use std::cell::RefCell;
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+/// One process of a server, as an endpoint list named it.
+///
+/// An address may belong to another server later, and a restarted server knows none of the connections of its predecessor,
+/// so connections are pooled by id, address and start time together.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ServerProcess {
+    pub server: ServerId,
+    pub addr: SocketAddr,
+    started_at: Option<Time>,
+}
+
+/// The listed endpoints.
+#[derive(Default)]
+pub struct Endpoints {
+    listed: RefCell<BTreeMap<ServerId, (ServerProcess, Lifecycle)>>,
+    disabled: RefCell<BTreeSet<ServerId>>,
+}
+
+impl Endpoints {
+    /// Applies an endpoint list: a full one replaces the table, a delta changes the named servers.
+    pub fn on_endpoint_list(
+        &self,
+        scope: Scope,
+        servers: &[ServerInfo],
+        addresses: &[(ServerId, SocketAddr)],
+    ) {
+        let mut listed = self.listed.borrow_mut();
+        if scope == Scope::Full {
+            listed.clear();
+        }
+        for (info, &(server, addr)) in servers.iter().zip(addresses) {
+            if info.lifecycle == Lifecycle::Gone {
+                listed.remove(&server);
+            } else {
+                let process = ServerProcess { server, addr, started_at: info.started };
+                listed.insert(server, (process, info.lifecycle));
+            }
+        }
+    }
+
+    /// The current process of a server, if it is listed.
+    pub fn process_of(&self, server: ServerId) -> Option<ServerProcess> {
+        self.listed.borrow().get(&server).map(|(process, _)| *process)
+    }
+
+    /// Returns whether the process is still listed, and as running.
+    pub fn is_running(&self, process: &ServerProcess) -> bool {
+        self.listed.borrow().get(&process.server) == Some(&(*process, Lifecycle::Running))
+    }
+
+    /// Disables a server, or enables it again.
+    pub fn set_disabled(&self, server: ServerId, is_disabled: bool) {
+        let mut disabled = self.disabled.borrow_mut();
+        if is_disabled {
+            disabled.insert(server);
+        } else {
+            disabled.remove(&server);
+        }
+    }
+
+    /// Returns whether the operators have disabled the server.
+    pub fn is_disabled(&self, server: ServerId) -> bool {
+        self.disabled.borrow().contains(&server)
+    }
+}
