--- a/quota-gateway/controller/src/decisions.rs
+++ b/quota-gateway/controller/src/decisions.rs
@@ -9,7 +9,7 @@
 use marblecroft_fair_share::body::ShareDecision;
 use marblecroft_fair_share::owner::Owner as Shares;
 use marblecroft_fair_share::taker::SHRINK;
-use marblecroft_singleton_roles::keys::Names;
+use marblecroft_singleton_roles::keys::Keys;
 use marblecroft_singleton_roles::view::View;
 use marblecroft_zone_failover::body::{State, ZonesDecided};
 use marblecroft_zone_failover::core::{OperatorCommand, Zones};
@@ -41,7 +41,7 @@
 /// What an owner of a duty begins with: the decision that stands, if it can be read.
 pub fn begin(config: &Config, duty: &str, now: Now, standing: Option<&[u8]>) -> Option<Box<dyn Decides>> {
     let fleet = Fleet::named(&config.fleet);
-    let names = Names::of(&config.fleet);
+    let names = Keys::of(&config.fleet);
     match duty {
         "zones" => {
             let settings = config.zones.clone()?;
@@ -83,7 +83,7 @@
 
 struct ZoneFailoverRole {
     fleet: Fleet,
-    names: Names,
+    names: Keys,
     valid: Valid,
     core: Zones,
     /// Zones that operators hold out.
@@ -97,8 +97,8 @@
     }
 
     fn view(&mut self, now: Now, view: &View) {
-        let holds = self.names.zone_hold("");
-        let told: BTreeSet<String> = view.under(&holds).map(|(zone, _)| zone.to_owned()).collect();
+        let holds = self.names.zone_override("");
+        let told: BTreeSet<String> = view.entries_under(&holds).map(|(zone, _)| zone.to_owned()).collect();
         for zone in told.difference(&self.held_zones) {
             if !self.core.on_operator_command(now, &OperatorCommand::Hold(zone.clone())) {
                 warn!(zone = %zone, "an operator holds out {zone}, which is none of the zones");
@@ -134,7 +134,7 @@
 
 struct FairShareRole {
     fleet: Fleet,
-    names: Names,
+    names: Keys,
     valid: Valid,
     config: SharesConfig,
     core: Shares,
--- a/quota-gateway/controller/src/main.rs
+++ b/quota-gateway/controller/src/main.rs
@@ -11,8 +11,10 @@
 use marblecroft_coordination::metrics;
 use marblecroft_coordination::state::{Op, Owner};
 use marblecroft_logging::LogConfig;
-use marblecroft_singleton_roles::keys::{read, write, Candidate, Names, OperatorCommand, RoleOwner, ROLES};
-use marblecroft_singleton_roles::run::{candidate, follow, Figures, Settings};
+use marblecroft_singleton_roles::keys::{
+    decode_value, encode_value, Candidate, Keys, OperatorCommand, RoleOwner, ROLES,
+};
+use marblecroft_singleton_roles::run::{follow, run_candidate, RoleMetrics, Settings};
 use marblecroft_zone_failover::body::ZonesDecided;
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
@@ -113,7 +115,7 @@
         config,
     });
     let config = &shared.config;
-    let figures: Rc<Figures> = Rc::default();
+    let figures: Rc<RoleMetrics> = Rc::default();
     if let Some(addr) = config.metrics {
         let page = TcpListener::bind(addr).await.map_err(|e| format!("metrics: {addr}: {e}"))?;
         let addr = page.local_addr().map_err(|e| e.to_string())?;
@@ -124,19 +126,19 @@
     spawn_local(reports.accept(listener, config.connections));
     let client = Client::behind(config.coordinators.clone(), config.coordinators_at);
     let (seen, following) = (shared.clone(), client.clone());
-    let prefix = Names::of(&config.fleet).prefix;
+    let prefix = Keys::of(&config.fleet).prefix;
     spawn_local(async move {
         let clock = seen.clone();
         follow(following, prefix, || clock.now(), |view| drop(seen.view.replace(view.clone()))).await;
     });
     let settings = Settings {
         fleet: config.fleet.clone(),
-        who: config.name.clone(),
+        name: config.name.clone(),
         candidate: Candidate {
             zone: config.zone.clone(),
-            addr: config.reached_at.unwrap_or(listen).to_string(),
+            report_address: config.reached_at.unwrap_or(listen).to_string(),
         },
-        session: Duration::from_millis(config.session_ms),
+        session_ttl: Duration::from_millis(config.session_ms),
     };
     // For the life of the process.
     let duties: &'static [&'static str] = config.roles().leak();
@@ -146,7 +148,7 @@
     };
     info!(addr = %listen, "listening on {listen}");
     tokio::select! {
-        () = candidate(client, settings, duties, figures, work) => {}
+        () = run_candidate(client, settings, duties, figures, work) => {}
         // What it owns goes to others when its session is over; its last decisions stand till then.
         _ = terminate.recv() => {}
     }
@@ -155,7 +157,7 @@
 
 async fn call(args: Args) -> Result<(), String> {
     let client = Client::new(args.at);
-    let names = Names::of(&args.fleet);
+    let names = Keys::of(&args.fleet);
     let known = |duty: &str| {
         let known = ROLES.contains(&duty);
         known.then_some(()).ok_or_else(|| format!("{duty}: the duties are {}", ROLES.join(", ")))
@@ -166,15 +168,15 @@
         Call::Run { .. } => return Err("run is no question".to_owned()),
         Call::Zones => return zones(&client, &names, &args.fleet).await,
         Call::Duties => return print_roles(&client, &names).await,
-        Call::Hold { zone } => put(names.zone_hold(&zone), vec![1]),
-        Call::Return { zone } => delete(names.zone_hold(&zone)),
+        Call::Hold { zone } => put(names.zone_override(&zone), vec![1]),
+        Call::Return { zone } => delete(names.zone_override(&zone)),
         Call::Move { duty, to } => {
             known(&duty)?;
-            put(names.operator_command(&duty), write(&OperatorCommand::Move(to)))
+            put(names.operator_command(&duty), encode_value(&OperatorCommand::Move(to)))
         }
         Call::Pause { duty } => {
             known(&duty)?;
-            put(names.operator_command(&duty), write(&OperatorCommand::Pause))
+            put(names.operator_command(&duty), encode_value(&OperatorCommand::Pause))
         }
         Call::Resume { duty } => {
             known(&duty)?;
@@ -184,7 +186,7 @@
     client.call(op, CALL_TIMEOUT).await.map(drop).map_err(|e| e.to_string())
 }
 
-async fn zones(client: &Client, names: &Names, fleet: &str) -> Result<(), String> {
+async fn zones(client: &Client, names: &Keys, fleet: &str) -> Result<(), String> {
     let key = names.decision("zones");
     let (_, values) = client.read(&key, CALL_TIMEOUT).await.map_err(|e| e.to_string())?;
     let Some((_, bytes, _)) = values.into_iter().find(|(name, ..)| *name == key) else {
@@ -209,13 +211,13 @@
     Ok(())
 }
 
-async fn print_roles(client: &Client, names: &Names) -> Result<(), String> {
+async fn print_roles(client: &Client, names: &Keys) -> Result<(), String> {
     let (_, values) = client.read(&names.prefix, CALL_TIMEOUT).await.map_err(|e| e.to_string())?;
     for duty in ROLES {
         let at =
             |key: String| values.iter().find(|(name, ..)| *name == key).map(|(_, value, _)| value.as_slice());
-        let owner = at(names.owner(duty)).and_then(read::<RoleOwner>);
-        let order = at(names.operator_command(duty)).and_then(read::<OperatorCommand>);
+        let owner = at(names.owner(duty)).and_then(decode_value::<RoleOwner>);
+        let order = at(names.operator_command(duty)).and_then(decode_value::<OperatorCommand>);
         let order = match order {
             None => String::new(),
             Some(OperatorCommand::Pause) => ", paused".to_owned(),
@@ -223,7 +225,10 @@
         };
         match owner {
             Some(owner) => {
-                println!("{duty}: {} at {} under token {}{order}", owner.who, owner.addr, owner.token)
+                println!(
+                    "{duty}: {} at {} under token {}{order}",
+                    owner.candidate, owner.report_address, owner.token
+                )
             }
             None => println!("{duty}: nobody yet{order}"),
         }
--- a/quota-gateway/controller/src/metrics.rs
+++ b/quota-gateway/controller/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::work::Shared;
 use marblecroft_control_messages::frame::DecodeError;
-use marblecroft_singleton_roles::run::Figures;
+use marblecroft_singleton_roles::run::RoleMetrics;
 use prometheus_client::encoding::{text, EncodeLabelSet};
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
@@ -21,10 +21,10 @@
 }
 
 /// The page as it is now.
-pub fn page(shared: &Rc<Shared>, figures: &Rc<Figures>) -> String {
+pub fn page(shared: &Rc<Shared>, figures: &Rc<RoleMetrics>) -> String {
     let mut registry = Registry::with_prefix("marblecroft_controller");
     let owns = Family::<RoleLabels, Gauge>::default();
-    for (duty, token) in figures.owns.borrow().iter() {
+    for (duty, token) in figures.owned_roles.borrow().iter() {
         owns.get_or_create(&RoleLabels { duty: duty.clone() }).set(i64::try_from(*token).unwrap_or(i64::MAX));
     }
     registry.register("owns", "Duties that are owned here, by the token", owns);
@@ -41,8 +41,12 @@
         ("reports_dropped", "Reports that came faster than they were heard", reports.dropped.get()),
         ("report_bytes", "Bytes of reports", reports.bytes.get()),
         ("published", "Decisions published", shared.published.get()),
-        ("late_decisions_refused", "Decisions refused, as another one owns the duty", figures.refused.get()),
-        ("duties_gained", "Times that a duty was taken over here", figures.gained.get()),
+        (
+            "late_decisions_refused",
+            "Decisions refused, as another one owns the duty",
+            figures.fenced_writes.get(),
+        ),
+        ("duties_gained", "Times that a duty was taken over here", figures.acquisitions.get()),
     ] {
         let gauge = Gauge::<i64>::default();
         gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
--- a/quota-gateway/controller/src/shard_map_role.rs
+++ b/quota-gateway/controller/src/shard_map_role.rs
@@ -10,7 +10,7 @@
 use marblecroft_shard_map::moves::CellOperation;
 use marblecroft_shard_map::owner::{Owner, Waits};
 use marblecroft_shard_map::plan::{CellSeen, Limits};
-use marblecroft_singleton_roles::keys::{self, Names};
+use marblecroft_singleton_roles::keys::{self, Keys};
 use marblecroft_singleton_roles::view::View;
 use marblecroft_zone_failover::body::{State, ZonesDecided};
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 
 pub struct ShardMapRole {
     fleet: Fleet,
-    names: Names,
+    names: Keys,
     valid: Valid,
     config: BooksConfig,
     core: Owner,
@@ -39,7 +39,7 @@
 impl ShardMapRole {
     pub fn begin(
         fleet: Fleet,
-        names: Names,
+        names: Keys,
         valid: Valid,
         config: BooksConfig,
         now: Now,
@@ -73,8 +73,8 @@
     /// What operators say: this firm's book is to be at that cell, for as long as that takes writes.
     fn orders(&mut self, now: Now, view: &View, seen: &BTreeMap<Cell, CellSeen>) {
         let prefix = self.names.shard_override("");
-        for (firm, bytes) in view.under(&prefix) {
-            let (Ok(firm), Some(to)) = (firm.parse::<Firm>(), keys::read::<Cell>(bytes)) else {
+        for (firm, bytes) in view.entries_under(&prefix) {
+            let (Ok(firm), Some(to)) = (firm.parse::<Firm>(), keys::decode_value::<Cell>(bytes)) else {
                 continue;
             };
             let map = self.core.map();
--- a/quota-gateway/controller/src/work.rs
+++ b/quota-gateway/controller/src/work.rs
@@ -4,7 +4,7 @@
 use crate::decisions::{begin, Now};
 use crate::reports::Reports;
 use marblecroft_control_messages::published::Stamp;
-use marblecroft_singleton_roles::run::{Lease, LeaseEvent};
+use marblecroft_singleton_roles::run::{Lease, PublishOutcome};
 use marblecroft_singleton_roles::view::View;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -35,13 +35,13 @@
 /// Does a duty until its lease is to finish or cannot act any more.
 pub async fn run_role(shared: Rc<Shared>, mut lease: Lease) {
     let mut reports = shared.reports.subscribe(&lease.role);
-    let key = lease.names.decision(&lease.role);
+    let key = lease.keys.decision(&lease.role);
     let standing = loop {
         match lease.client.read(&key, READ).await {
             Ok((_, values)) => {
                 break values.into_iter().find(|(name, ..)| *name == key).map(|(_, value, _)| value)
             }
-            Err(e) if lease.act().is_some() => {
+            Err(e) if lease.valid_token().is_some() => {
                 warn!(duty = %lease.role, "{}: what stands is not read: {e}", lease.role)
             }
             Err(_) => return,
@@ -52,7 +52,7 @@
     };
     let wakes = core.wakes();
     let mut stamp = Stamp { token: lease.token, revision: 0 };
-    while lease.act().is_some() && !lease.is_to_finish() {
+    while lease.valid_token().is_some() && !lease.should_finish() {
         let looked = Instant::now();
         core.view(shared.now(), &shared.view.borrow());
         while let Ok(report) = reports.try_recv() {
@@ -66,24 +66,24 @@
         if let Some(bytes) = decided {
             stamp = next;
             match lease.publish(key.clone(), bytes).await {
-                LeaseEvent::Taken => {
+                PublishOutcome::Published => {
                     core.published(shared.now(), stamp);
                     shared.published.set(shared.published.get() + 1);
                 }
-                LeaseEvent::Unknown => {}
-                LeaseEvent::Over => return,
+                PublishOutcome::Unknown => {}
+                PublishOutcome::LeaseLost => return,
             }
         }
-        if lease.act().is_some() {
+        if lease.valid_token().is_some() {
             core.act();
         }
         let rest = Duration::from_millis(shared.config.decide_ms);
         match &wakes {
             Some(cells) => tokio::select! {
-                () = lease.rest(rest) => {}
+                () = lease.sleep_until_finish(rest) => {}
                 () = cells.answered.notified() => {}
             },
-            None => lease.rest(rest).await,
+            None => lease.sleep_until_finish(rest).await,
         }
     }
 }
--- a/quota-gateway/server/src/fleet_decisions.rs
+++ b/quota-gateway/server/src/fleet_decisions.rs
@@ -12,7 +12,7 @@
 use marblecroft_fair_share::body::ShareDecision;
 use marblecroft_quota_gateway_core::{Event, ZoneShare};
 use marblecroft_shard_map::map::ShardMap;
-use marblecroft_singleton_roles::keys::{read, Names, RoleOwner};
+use marblecroft_singleton_roles::keys::{decode_value, Keys, RoleOwner};
 use marblecroft_singleton_roles::run::follow;
 use marblecroft_singleton_roles::view::View;
 use marblecroft_zone_failover::body::ZonesDecided;
@@ -102,7 +102,7 @@
 pub struct Member {
     config: Stewards,
     fleet: Fleet,
-    names: Names,
+    names: Keys,
     engine: Weak<Engine>,
     observer: Rc<Observer>,
     books: Option<Rc<ShardRouting>>,
@@ -126,7 +126,7 @@
         let zone = observer.zone(zone);
         let member = Rc::new(Member {
             fleet: Fleet::named(&config.fleet),
-            names: Names::of(&config.fleet),
+            names: Keys::of(&config.fleet),
             engine: Rc::downgrade(engine),
             observer,
             books,
@@ -166,10 +166,11 @@
         let mut known = self.decisions.borrow_mut();
         let owners = format!("{}owner/", self.names.prefix);
         let reached = |owns: RoleOwner| {
-            let addr: SocketAddr = owns.addr.parse().ok()?;
+            let addr: SocketAddr = owns.report_address.parse().ok()?;
             Some(self.config.at.map_or(addr, |at| SocketAddr::from((at, addr.port()))))
         };
-        known.owners = view.under(&owners).filter_map(|(_, value)| reached(read(value)?)).collect();
+        known.owners =
+            view.entries_under(&owners).filter_map(|(_, value)| reached(decode_value(value)?)).collect();
     }
 
     /// Takes in one duty's decision, where it is gone by here.
--- a/quota-gateway/singleton-roles/src/keys.rs
+++ b/quota-gateway/singleton-roles/src/keys.rs
@@ -1,88 +1,101 @@
-//! Names in the coordination service, and what stands under them.
+//! Keys in the coordination service, and their values.
 //!
-//! Under `fleet/NAME/`: `candidate/WHO` (gone with its session), `owner/DUTY` and `DUTY` itself, the published decision (both written
-//! under the lock's token alone), `order/DUTY`, `hold/ZONE` and `book/FIRM` (operators' words, until they are taken back). The lock of a duty is
-//! `duty/NAME/DUTY`.
+//! Under `fleet/NAME/`: `candidate/WHO` (deleted with its session), `owner/ROLE` and `ROLE` itself, which is the published decision
+//! (both written under the lock's fencing token only), and `order/ROLE`, `hold/ZONE` and `book/FIRM` (operator commands, until they
+//! are withdrawn). The lock of a role is `duty/NAME/ROLE`.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// The duties of stewards. What each needs of the others' it reads from what is published, and waits for none.
+/// The roles of controllers. Each reads what it needs of the others from their publications, and waits for none.
 pub const ROLES: [&str; 3] = ["zones", "shares", "books"];
 
-/// A process that would own duties.
+/// A process that can own roles.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Candidate {
+    /// Its zone.
     pub zone: String,
-    /// Where it takes reports.
-    pub addr: String,
+    /// Where it accepts reports.
+    pub report_address: String,
 }
 
-/// Who owns a duty, where it takes reports, and since which token.
+/// The owner of a role.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleOwner {
-    pub who: String,
-    pub addr: String,
+    /// Name of the candidate.
+    pub candidate: String,
+    /// Where it accepts reports.
+    pub report_address: String,
+    /// The fencing token that it owns the role under.
     pub token: u64,
 }
 
-/// What operators say of a duty.
+/// An operator's command on a role.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorCommand {
-    /// Nobody is to own it.
+    /// No candidate may own it.
     Pause,
-    /// This one, while it lives.
+    /// This candidate must own it, while it is there.
     Move(String),
 }
 
-/// All names of one fleet.
+/// The keys of one fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Names {
+pub struct Keys {
+    /// Prefix of all keys but locks.
     pub prefix: String,
     fleet: String,
 }
 
-impl Names {
-    pub fn of(fleet: &str) -> Names {
-        Names { prefix: format!("fleet/{fleet}/"), fleet: fleet.to_owned() }
+impl Keys {
+    /// Returns the keys of a fleet.
+    pub fn of(fleet: &str) -> Keys {
+        Keys { prefix: format!("fleet/{fleet}/"), fleet: fleet.to_owned() }
     }
 
-    pub fn candidate(&self, who: &str) -> String {
-        format!("{}candidate/{who}", self.prefix)
+    /// Returns the key of a candidate.
+    pub fn candidate(&self, name: &str) -> String {
+        format!("{}candidate/{name}", self.prefix)
     }
 
-    pub fn owner(&self, duty: &str) -> String {
-        format!("{}owner/{duty}", self.prefix)
+    /// Returns the key of the owner of a role.
+    pub fn owner(&self, role: &str) -> String {
+        format!("{}owner/{role}", self.prefix)
     }
 
-    pub fn decision(&self, duty: &str) -> String {
-        format!("{}{duty}", self.prefix)
+    /// Returns the key of the published decision of a role.
+    pub fn decision(&self, role: &str) -> String {
+        format!("{}{role}", self.prefix)
     }
 
-    pub fn operator_command(&self, duty: &str) -> String {
-        format!("{}order/{duty}", self.prefix)
+    /// Returns the key of the operator's command on a role.
+    pub fn operator_command(&self, role: &str) -> String {
+        format!("{}order/{role}", self.prefix)
     }
 
-    pub fn zone_hold(&self, zone: &str) -> String {
+    /// Returns the key of the operator's override of a zone.
+    pub fn zone_override(&self, zone: &str) -> String {
         format!("{}hold/{zone}", self.prefix)
     }
 
-    /// An operator's word on where a firm's book is to be.
+    /// Returns the key of the operator's override of the shard of a firm.
     pub fn shard_override(&self, firm: &str) -> String {
         format!("{}book/{firm}", self.prefix)
     }
 
-    pub fn lock(&self, duty: &str) -> String {
-        format!("duty/{}/{duty}", self.fleet)
+    /// Returns the name of the lock of a role.
+    pub fn lock(&self, role: &str) -> String {
+        format!("duty/{}/{role}", self.fleet)
     }
 }
 
-pub fn write<T: Serialize>(value: &T) -> Vec<u8> {
-    // Into memory; it cannot fail but for want of it.
+/// Encodes a value.
+pub fn encode_value<T: Serialize>(value: &T) -> Vec<u8> {
+    // Encoding into memory fails only where memory is exhausted.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-/// What stands under a name; none if it cannot be read, as another build may have written it.
-pub fn read<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
+/// Decodes a value; returns `None` if it is of another format, as another version may have written it.
+pub fn decode_value<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     postcard::take_from_bytes(bytes).ok().filter(|(_, rest)| rest.is_empty()).map(|(value, _)| value)
 }
--- a/quota-gateway/singleton-roles/src/lib.rs
+++ b/quota-gateway/singleton-roles/src/lib.rs
@@ -1,10 +1,13 @@
-//! Duties: named work on behalf of the fleet, each with one owner at a time (`docs/controller.md`).
+//! Singleton roles: named work on behalf of the fleet, each with one owner at a time (`docs/controller.md`).
 //!
-//! - [`keys`]: where all of it stands in the coordination service.
-//! - [`assign`]: who should own what: spread evenly, zones mixed, and the loss of one moves only its own. No I/O.
-//! - [`duty`]: one duty at one candidate, from wishing for its lock to giving it back. No I/O.
-//! - [`view`]: what was read of the service, and as of when. No I/O.
-//! - [`run`]: the shell: a candidate on the coordination client, and whoever only follows.
+//! A candidate reads a [`view`] of the coordination service, [`assign`]s the roles by it, steps the state machine of each
+//! [`role`], and [`run`] carries out the actions. The lock of a role, never the assignment, decides who owns it.
+//!
+//! - [`keys`]: the keys and values in the coordination service.
+//! - [`assign`]: the assignment of roles to candidates: even, mixed over zones, and stable. No I/O.
+//! - [`role`]: the state machine of one role at one candidate, from requesting its lock to releasing it. No I/O.
+//! - [`view`]: what was read of the service, and as of which instant. No I/O.
+//! - [`run`]: candidates and followers on the client of the coordination service.
 #![forbid(unsafe_code)]
 
 pub mod assign;
--- /dev/null
+++ b/quota-gateway/singleton-roles/src/run/role_runner.rs
@@ -0,0 +1,167 @@
+//! Runs one role at one candidate: feeds events to its state machine, and performs the actions.
+
+use super::lease::{Lease, PublishOutcome};
+use super::settings::{RoleMetrics, Settings};
+use super::timing::{CALL_TIMEOUT, LOCK_CHECK_INTERVAL, RETRY_DELAY};
+use crate::keys::{encode_value, Keys, RoleOwner};
+use crate::role::{Action, Event, Role, State};
+use marblecroft_coordination::client::{Client, Lock, Session};
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::future::Future;
+use std::rc::Rc;
+use std::time::Instant;
+use tokio::sync::{mpsc, watch, Notify};
+use tokio::task::{spawn_local, JoinHandle};
+use tokio::time::sleep;
+use tracing::info;
+
+/// Runs one role at one candidate during one session.
+pub(super) struct RoleRunner {
+    pub(super) client: Client,
+    pub(super) settings: Settings,
+    pub(super) keys: Keys,
+    pub(super) session: Rc<Session>,
+    pub(super) metrics: Rc<RoleMetrics>,
+    pub(super) role: String,
+}
+
+/// Aborts its task when it is dropped.
+struct WorkTask {
+    task: JoinHandle<()>,
+    finish: watch::Sender<bool>,
+}
+
+impl Drop for WorkTask {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+impl RoleRunner {
+    /// Runs until the session ends; `assigned` are the owners that all roles should have.
+    pub(super) async fn run<W, F>(
+        self,
+        mut assigned: watch::Receiver<BTreeMap<String, Option<String>>>,
+        work: W,
+    ) where
+        W: Fn(Lease) -> F,
+        F: Future<Output = ()> + 'static,
+    {
+        let started_at = Instant::now();
+        let mut role = Role::default();
+        let lock: Rc<RefCell<Option<Lock>>> = Rc::default();
+        let mut working: Option<WorkTask> = None;
+        let (granted, mut grants) = mpsc::channel::<Option<Lock>>(1);
+        let ended = Rc::new(Notify::new());
+        while self.session.is_alive() {
+            let is_assigned = {
+                let assigned = assigned.borrow_and_update();
+                assigned.get(&self.role).is_some_and(|owner| owner.as_deref() == Some(&self.settings.name))
+            };
+            let mut events = vec![Event::Assigned(is_assigned), Event::Tick];
+            let is_lock_valid = lock.borrow().as_ref().is_some_and(|lock| lock.act().is_some());
+            if matches!(role.state(), State::Owning(_) | State::Finishing(..)) && !is_lock_valid {
+                events.push(Event::LockLost);
+            }
+            tokio::select! {
+                _ = assigned.changed() => {}
+                Some(grant) = grants.recv() => {
+                    events.push(grant.as_ref().map_or(Event::NotGranted, |lock| Event::Granted(lock.token())));
+                    lock.replace(grant);
+                }
+                () = ended.notified() => events.push(Event::WorkEnded),
+                () = sleep(LOCK_CHECK_INTERVAL) => {}
+            }
+            for event in events {
+                for action in role.handle(started_at.elapsed(), event) {
+                    self.perform(action, &lock, &mut working, &granted, &ended, &work).await;
+                }
+            }
+        }
+        self.metrics.owned_roles.borrow_mut().remove(&self.role);
+    }
+
+    /// Performs an action of the state machine.
+    async fn perform<W, F>(
+        &self,
+        action: Action,
+        lock: &Rc<RefCell<Option<Lock>>>,
+        working: &mut Option<WorkTask>,
+        granted: &mpsc::Sender<Option<Lock>>,
+        ended: &Rc<Notify>,
+        work: &W,
+    ) where
+        W: Fn(Lease) -> F,
+        F: Future<Output = ()> + 'static,
+    {
+        match action {
+            Action::RequestLock => {
+                let (session, name, granted) =
+                    (self.session.clone(), self.keys.lock(&self.role), granted.clone());
+                spawn_local(async move {
+                    let lock = session.acquire(&name, CALL_TIMEOUT).await.ok();
+                    if lock.is_none() {
+                        sleep(RETRY_DELAY).await;
+                    }
+                    // The receiver is gone where the session has ended, and its locks with it.
+                    let _ = granted.send(lock).await;
+                });
+            }
+            Action::StartWork(token) => {
+                info!(duty = %self.role, token, "owns {} under token {token}", self.role);
+                self.metrics.owned_roles.borrow_mut().insert(self.role.clone(), token);
+                self.metrics.acquisitions.set(self.metrics.acquisitions.get() + 1);
+                let (finish, finish_receiver) = watch::channel(false);
+                let lease = Lease {
+                    role: self.role.clone(),
+                    token,
+                    keys: self.keys.clone(),
+                    client: self.client.clone(),
+                    lock: lock.clone(),
+                    finish: finish_receiver,
+                    fenced_writes: self.metrics.fenced_writes.clone(),
+                };
+                let owner = RoleOwner {
+                    candidate: self.settings.name.clone(),
+                    report_address: self.settings.candidate.report_address.clone(),
+                    token,
+                };
+                let (key, ended) = (self.keys.owner(&self.role), ended.clone());
+                let work = work(lease.clone());
+                let task = spawn_local(async move {
+                    if lease.publish(key, encode_value(&owner)).await != PublishOutcome::LeaseLost {
+                        work.await;
+                    }
+                    ended.notify_one();
+                });
+                *working = Some(WorkTask { task, finish });
+            }
+            Action::FinishWork => {
+                if let Some(working) = working {
+                    working.finish.send_replace(true);
+                }
+            }
+            Action::AbortWork => {
+                *working = None;
+                self.record_role_lost("can no longer show its lock, or took too long to finish");
+            }
+            Action::ReleaseLock => {
+                *working = None;
+                self.record_role_lost("given back");
+                let lock = lock.borrow_mut().take();
+                if let Some(lock) = lock {
+                    // A lock that could not be released ends with its session.
+                    let _ = lock.release(CALL_TIMEOUT).await;
+                }
+            }
+        }
+    }
+
+    /// Takes the role out of the metrics, and logs why, if this candidate owned it.
+    fn record_role_lost(&self, reason: &str) {
+        if self.metrics.owned_roles.borrow_mut().remove(&self.role).is_some() {
+            info!(duty = %self.role, "owns {} no longer: {reason}", self.role);
+        }
+    }
+}
--- /dev/null
+++ b/quota-gateway/singleton-roles/src/run/timing.rs
@@ -0,0 +1,12 @@
+//! Timeouts and intervals of candidates and followers.
+
+use std::time::Duration;
+
+/// Timeout of a call to the coordination service; what it would have changed is retried.
+pub(super) const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval at which a follower polls at least, so that what it has is renewed.
+pub(super) const RENEW_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay after a failed attempt.
+pub(super) const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Interval at which an owner checks that its lock is still valid.
+pub(super) const LOCK_CHECK_INTERVAL: Duration = Duration::from_millis(50);
--- a/quota-gateway/singleton-roles/src/view.rs
+++ b/quota-gateway/singleton-roles/src/view.rs
@@ -1,4 +1,4 @@
-//! What was read of the service under one prefix, and as of when.
+//! What was read of the coordination service under one prefix, and as of which instant.
 
 use marblecroft_coordination::state::{Change, Revision};
 use std::collections::BTreeMap;
@@ -7,33 +7,35 @@
 /// An instant of the reader's monotonic clock.
 pub type Now = Duration;
 
-/// The most entries that are kept; what is beyond is not known here, and counted.
+/// Upper bound of the entries of a view; further ones are dropped and counted.
 pub const MAX_ENTRIES: usize = 8192;
 
+/// The entries under one prefix.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     values: BTreeMap<String, Vec<u8>>,
-    /// An instant before the last answer's question left: what is held was all there is then, or later.
+    /// An instant before the last request was sent: the entries were complete then or later.
     as_of: Option<Now>,
-    pub beyond: u64,
+    /// Entries that were dropped so far, as there were too many.
+    pub dropped_entries: u64,
 }
 
 impl View {
-    /// All there is, read anew.
-    pub fn reset(&mut self, asked: Now, values: Vec<(String, Vec<u8>, Revision)>) {
-        self.beyond += values.len().saturating_sub(MAX_ENTRIES) as u64;
+    /// Replaces all entries by those of a full read; `requested_at` is an instant before its request was sent.
+    pub fn reset(&mut self, requested_at: Now, values: Vec<(String, Vec<u8>, Revision)>) {
+        self.dropped_entries += values.len().saturating_sub(MAX_ENTRIES) as u64;
         self.values = values.into_iter().take(MAX_ENTRIES).map(|(key, value, _)| (key, value)).collect();
-        self.as_of = Some(asked);
+        self.as_of = Some(requested_at);
     }
 
-    /// What has changed since, possibly nothing; the names of it.
-    pub fn change(&mut self, asked: Now, changes: Vec<(Revision, Change)>) -> Vec<String> {
+    /// Applies the changes since the last response, and returns the keys that changed.
+    pub fn apply_changes(&mut self, requested_at: Now, changes: Vec<(Revision, Change)>) -> Vec<String> {
         let mut changed = Vec::new();
         for (_, change) in changes {
             match change {
                 Change::Value { key, value } => {
                     if self.values.len() >= MAX_ENTRIES && !self.values.contains_key(&key) {
-                        self.beyond += 1;
+                        self.dropped_entries += 1;
                         continue;
                     }
                     self.values.insert(key.clone(), value);
@@ -46,20 +48,22 @@
                 Change::Lock { .. } | Change::Session { .. } => {}
             }
         }
-        self.as_of = Some(asked);
+        self.as_of = Some(requested_at);
         changed
     }
 
+    /// Returns the value of a key.
     pub fn get(&self, key: &str) -> Option<&[u8]> {
         self.values.get(key).map(Vec::as_slice)
     }
 
-    /// Entries whose names begin so, by what follows.
-    pub fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a [u8])> {
+    /// Returns the entries whose keys begin with `prefix`, each with the rest of its key.
+    pub fn entries_under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a [u8])> {
         let from = self.values.range(prefix.to_owned()..);
         from.map_while(move |(key, value)| Some((key.strip_prefix(prefix)?, value.as_slice())))
     }
 
+    /// Returns an instant at or after which the entries were complete; `None` before the first read.
     pub fn as_of(&self) -> Option<Now> {
         self.as_of
     }
--- a/testing/fault-injection/src/shell/run/stewards.rs
+++ b/testing/fault-injection/src/shell/run/stewards.rs
@@ -11,7 +11,7 @@
 use marblecroft_coordination::state::{Op, Owner};
 use marblecroft_fair_share::body::ShareDecision;
 use marblecroft_shard_map::map::{MigrationStep, Shard, ShardMap};
-use marblecroft_singleton_roles::keys::{read, write, Names, RoleOwner};
+use marblecroft_singleton_roles::keys::{decode_value, encode_value, Keys, RoleOwner};
 use marblecroft_singleton_roles::run::follow;
 use marblecroft_singleton_roles::view::View;
 use marblecroft_zone_failover::body::{State, ZonesDecided};
@@ -37,7 +37,7 @@
         let (view, world) = (address::view(End::Clients), self.world.clone());
         let client = Client::behind(self.coordinators_of(End::Clients), Some(view.into()));
         self.asking.replace(Some(client.clone()));
-        let (names, listening) = (Names::of(FLEET), world.clone());
+        let (names, listening) = (Keys::of(FLEET), world.clone());
         let last: [Cell<Option<(u64, u64)>>; 3] = Default::default();
         let seen = move |seen: &View| {
             if let Some((token, revision, body)) = newer::<ZonesDecided>(seen, &names, "zones", &last[0]) {
@@ -53,7 +53,7 @@
                 world.record(Event::BooksDecided { token, revision, books });
             }
         };
-        let prefix = Names::of(FLEET).prefix;
+        let prefix = Keys::of(FLEET).prefix;
         spawn_local(follow(client, prefix, move || Duration::from_nanos(listening.now()), seen));
         Ok(())
     }
@@ -95,10 +95,10 @@
     /// The steward that owns a duty, by what it has written down.
     pub(super) async fn duty_owner(&self, duty: &str) -> Option<End> {
         let client = self.asking.borrow().clone()?;
-        let key = Names::of(FLEET).owner(duty);
+        let key = Keys::of(FLEET).owner(duty);
         let (_, values) = client.read(&key, CALL_MOST).await.ok()?;
         let (_, value, _) = values.into_iter().find(|(name, ..)| *name == key)?;
-        let number = read::<RoleOwner>(&value)?.who.strip_prefix("steward-")?.parse().ok()?;
+        let number = decode_value::<RoleOwner>(&value)?.candidate.strip_prefix("steward-")?.parse().ok()?;
         Some(End::Steward(number))
     }
 
@@ -106,7 +106,7 @@
     pub(super) async fn decided_first(&self) {
         let scenario = &self.world.scenario;
         let Some(client) = self.asking.borrow().clone() else { return };
-        let names = Names::of(FLEET);
+        let names = Keys::of(FLEET);
         for (duty, wanted) in [("books", scenario.books.is_some()), ("shares", scenario.tenants.is_some())] {
             let key = names.decision(duty);
             if !wanted {
@@ -133,8 +133,9 @@
         for moved in moves {
             self.world.sleep_until(load_from + moved.at_ms * MS).await;
             let Some(book) = begun.shards.get(moved.book as usize) else { continue };
-            let key = Names::of(FLEET).shard_override(&book.first.to_string());
-            let put = Op::Put { key, value: write(&moved.to_cell), expect: None, owner: Owner::Nobody };
+            let key = Keys::of(FLEET).shard_override(&book.first.to_string());
+            let put =
+                Op::Put { key, value: encode_value(&moved.to_cell), expect: None, owner: Owner::Nobody };
             let client = client.clone();
             spawn_local(async move { drop(client.call(put, Duration::from_secs(20)).await) });
         }
@@ -154,7 +155,7 @@
 /// What stands of a duty, if it is another one than the last.
 fn newer<T: Body>(
     view: &View,
-    names: &Names,
+    names: &Keys,
     duty: &str,
     last: &Cell<Option<(u64, u64)>>,
 ) -> Option<(u64, u64, T)> {
