--- a/quota-gateway/singleton-roles/src/run/role_runner.rs
+++ b/quota-gateway/singleton-roles/src/run/role_runner.rs
@@ -97,45 +97,10 @@
     {
         match action {
             Action::RequestLock => {
-                let (session, name, granted) =
-                    (self.session.clone(), self.keys.lock(&self.role), granted.clone());
-                spawn_local(async move {
-                    let lock = session.acquire(&name, CALL_TIMEOUT).await.ok();
-                    if lock.is_none() {
-                        sleep(RETRY_DELAY).await;
-                    }
-                    // The receiver is gone where the session has ended, and its locks with it.
-                    let _ = granted.send(lock).await;
-                });
+                self.request_lock(granted.clone());
             }
             Action::StartWork(token) => {
-                info!(duty = %self.role, token, "owns {} under token {token}", self.role);
-                self.metrics.owned_roles.borrow_mut().insert(self.role.clone(), token);
-                self.metrics.acquisitions.set(self.metrics.acquisitions.get() + 1);
-                let (finish, finish_receiver) = watch::channel(false);
-                let lease = Lease {
-                    role: self.role.clone(),
-                    token,
-                    keys: self.keys.clone(),
-                    client: self.client.clone(),
-                    lock: lock.clone(),
-                    finish: finish_receiver,
-                    fenced_writes: self.metrics.fenced_writes.clone(),
-                };
-                let owner = RoleOwner {
-                    candidate: self.settings.name.clone(),
-                    report_address: self.settings.candidate.report_address.clone(),
-                    token,
-                };
-                let (key, ended) = (self.keys.owner(&self.role), ended.clone());
-                let work = work(lease.clone());
-                let task = spawn_local(async move {
-                    if lease.publish(key, encode_value(&owner)).await != PublishOutcome::LeaseLost {
-                        work.await;
-                    }
-                    ended.notify_one();
-                });
-                *working = Some(WorkTask { task, finish });
+                *working = Some(self.start_work(token, lock, ended.clone(), work));
             }
             Action::FinishWork => {
                 if let Some(working) = working {
@@ -158,6 +123,60 @@
         }
     }
 
+    /// Requests the lock of the role; the result comes through `granted`, after a delay if it is a failure.
+    fn request_lock(&self, granted: mpsc::Sender<Option<Lock>>) {
+        let (session, name) = (self.session.clone(), self.keys.lock(&self.role));
+        spawn_local(async move {
+            let lock = session.acquire(&name, CALL_TIMEOUT).await.ok();
+            if lock.is_none() {
+                sleep(RETRY_DELAY).await;
+            }
+            // The receiver is gone where the session has ended, and its locks with it.
+            let _ = granted.send(lock).await;
+        });
+    }
+
+    /// Publishes the owner, and then starts the work under its lease; `ended` is notified when it ends.
+    fn start_work<W, F>(
+        &self,
+        token: u64,
+        lock: &Rc<RefCell<Option<Lock>>>,
+        ended: Rc<Notify>,
+        work: &W,
+    ) -> WorkTask
+    where
+        W: Fn(Lease) -> F,
+        F: Future<Output = ()> + 'static,
+    {
+        info!(duty = %self.role, token, "owns {} under token {token}", self.role);
+        self.metrics.owned_roles.borrow_mut().insert(self.role.clone(), token);
+        self.metrics.acquisitions.set(self.metrics.acquisitions.get() + 1);
+        let (finish, finish_receiver) = watch::channel(false);
+        let lease = Lease {
+            role: self.role.clone(),
+            token,
+            keys: self.keys.clone(),
+            client: self.client.clone(),
+            lock: lock.clone(),
+            finish: finish_receiver,
+            fenced_writes: self.metrics.fenced_writes.clone(),
+        };
+        let owner = RoleOwner {
+            candidate: self.settings.name.clone(),
+            report_address: self.settings.candidate.report_address.clone(),
+            token,
+        };
+        let key = self.keys.owner(&self.role);
+        let work = work(lease.clone());
+        let task = spawn_local(async move {
+            if lease.publish(key, encode_value(&owner)).await != PublishOutcome::LeaseLost {
+                work.await;
+            }
+            ended.notify_one();
+        });
+        WorkTask { task, finish }
+    }
+
     /// Takes the role out of the metrics, and logs why, if this candidate owned it.
     fn record_role_lost(&self, reason: &str) {
         if self.metrics.owned_roles.borrow_mut().remove(&self.role).is_some() {
