--- a/quota-gateway/server/src/fleet_decisions.rs
+++ b/quota-gateway/server/src/fleet_decisions.rs
@@ -20,7 +20,7 @@
 use marblecroft_fair_share::body::ShareDecision;
 use marblecroft_quota_gateway_core::{Event, ZoneShare};
 use marblecroft_shard_map::map::ShardMap;
-use marblecroft_singleton_roles::keys::{read, Names, RoleOwner};
+use marblecroft_singleton_roles::keys::{decode_value, Keys, RoleOwner};
 use marblecroft_singleton_roles::run::follow;
 use marblecroft_singleton_roles::view::View;
 use marblecroft_zone_failover::body::{Bound, ZonesDecided};
@@ -68,7 +68,7 @@
 pub struct Member {
     config: FleetConfig,
     fleet: Fleet,
-    names: Names,
+    names: Keys,
     engine: Weak<Engine>,
     observer: Rc<Observer>,
     shard_routing: Option<Rc<ShardRouting>>,
@@ -84,7 +84,7 @@
         let MemberSettings { config, observer, shard_routing, started_at, zone, incarnation } = settings;
         let member = Rc::new(Member {
             fleet: Fleet::named(&config.name),
-            names: Names::of(&config.name),
+            names: Keys::of(&config.name),
             engine: Rc::downgrade(engine),
             zone: observer.zone(zone),
             observer,
@@ -114,9 +114,9 @@
             Some(self.shard_routing.as_ref()?.install(asked_at, decision))
         });
         let prefix = format!("{}owner/", self.names.prefix);
-        let address = |owner: RoleOwner| Some(self.config.reachable(owner.addr.parse().ok()?));
+        let address = |owner: RoleOwner| Some(self.config.reachable(owner.report_address.parse().ok()?));
         self.state.borrow_mut().owners =
-            view.under(&prefix).filter_map(|(_, value)| address(read(value)?)).collect();
+            view.entries_under(&prefix).filter_map(|(_, value)| address(decode_value(value)?)).collect();
     }
 
     /// Reads one role's decision; `install` returns `None` where this gateway does not use it.
