--- a/quota-gateway/server/src/engine.rs
+++ b/quota-gateway/server/src/engine.rs
@@ -13,7 +13,7 @@
 use crate::clock::Clock;
 use crate::peer_links::PeerLinks;
 use crate::request_budget::RequestBudgets;
-use crate::upstream::attempt::{AttemptWindow, UpstreamRequest};
+use crate::upstream::request::{AttemptWindow, UpstreamRequest};
 use crate::upstream::Upstream;
 use marblecroft_quota_gateway_core::{Action, Event, NewRequest, RequestId, Status, Time};
 use open_request::{FinalResponse, OpenRequest};
--- a/quota-gateway/server/src/engine/attempts.rs
+++ b/quota-gateway/server/src/engine/attempts.rs
@@ -3,7 +3,7 @@
 use super::open_request::{Attempt, EndingAttempt, FinalResponse};
 use super::timers::TimerKind;
 use super::Engine;
-use crate::upstream::attempt::{AttemptEnd, AttemptWindow, ServedResponse, UpstreamRequest};
+use crate::upstream::request::{AttemptEnd, AttemptWindow, ServedResponse, UpstreamRequest};
 use crate::upstream::ServerProcess;
 use marblecroft_quota_gateway_core::{
     AttemptNo, Event, Outcome, PeerProcessEvent, RequestId, ServerId, Status, Time,
--- a/quota-gateway/server/src/engine/open_request.rs
+++ b/quota-gateway/server/src/engine/open_request.rs
@@ -1,6 +1,6 @@
 //! A request in flight: its attempts, and the response that its client is owed.
 
-use crate::upstream::attempt::{ServedResponse, UpstreamRequest};
+use crate::upstream::request::{ServedResponse, UpstreamRequest};
 use marblecroft_quota_gateway_core::{AttemptNo, NewRequest, ServerId, Time};
 use std::rc::Rc;
 use std::time::Duration;
--- a/quota-gateway/server/src/server/request_reader.rs
+++ b/quota-gateway/server/src/server/request_reader.rs
@@ -10,7 +10,7 @@
 use crate::body::transfer_rate::TransferRate;
 use crate::body::{next_data, MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
 use crate::request_budget::RequestBudget;
-use crate::upstream::attempt::{UpstreamRequest, EXPIRES_IN};
+use crate::upstream::request::{UpstreamRequest, EXPIRES_IN};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, CONTENT_TYPE};
 use hyper::http::request::Parts;
--- a/quota-gateway/server/src/upstream.rs
+++ b/quota-gateway/server/src/upstream.rs
@@ -4,22 +4,23 @@
 //! that the attempt is still wanted, and writes the request; then [`response`], which reads the response and says how the
 //! attempt ended, with the [`load_report`] that the server attached. [`endpoints`] follows the endpoint list.
 
-pub mod attempt;
+mod attempt;
 mod endpoints;
 mod load_report;
 mod pool;
+pub mod request;
 mod response;
 
 use crate::shard_map::ShardRouting;
-use attempt::UpstreamRequest;
 use endpoints::Endpoints;
 pub use endpoints::ServerProcess;
 use load_report::LoadReportReader;
 use marblecroft_quota_gateway_core::{Scope, ServerId, ServerInfo, Time};
 use pool::{ConnectionPool, PoolSettings, PooledConnection};
+use request::UpstreamRequest;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 /// The endpoints, the connections to them, and what is shared by all attempts.
 pub struct Upstream {
@@ -109,22 +110,3 @@
         }
     }
 }
-
-/// Guards an attempt that has no response yet.
-///
-/// A server that has sent nothing at all since the attempt began may be a machine that has vanished: connections to it stay
-/// open and silent, while new ones fail and so prove that nothing ran. When such an attempt is abandoned, the idle
-/// connections to the server are closed.
-struct PendingResponse<'a> {
-    pool: &'a ConnectionPool,
-    process: ServerProcess,
-    sent_at: Instant,
-}
-
-impl Drop for PendingResponse<'_> {
-    fn drop(&mut self) {
-        if !self.pool.has_heard_since(&self.process, self.sent_at) {
-            self.pool.close_idle(&self.process);
-        }
-    }
-}
--- a/quota-gateway/server/src/upstream/attempt.rs
+++ b/quota-gateway/server/src/upstream/attempt.rs
@@ -1,87 +1,17 @@
 //! One attempt of a request at one server, up to the head of the response.
 
-use super::pool::{Acquired, PooledConnection};
-use super::{PendingResponse, ServerProcess, Upstream};
-use crate::body::request_body::{Delivery, OutgoingBody, RequestBody};
-use crate::body::response_body::ResponseBody;
-use crate::request_budget::RequestBudget;
+use super::pool::{Acquired, ConnectionPool, PooledConnection};
+use super::request::{AttemptEnd, AttemptWindow, ServedResponse, UpstreamRequest, EXPIRES_IN};
+use super::{ServerProcess, Upstream};
+use crate::body::request_body::{Delivery, OutgoingBody};
 use crate::shard_map::{ShardRouting, EPOCH, MAX_MAP_UPDATE_WAIT};
 use hyper::body::Incoming;
-use hyper::header::{HeaderMap, HeaderName, HeaderValue, HOST};
-use hyper::{Method, Request, Response, Uri};
-use marblecroft_quota_gateway_core::{LoadReport, Status, Time};
-use std::cell::Cell;
+use hyper::header::{HeaderMap, HeaderValue, HOST};
+use hyper::{Request, Response};
+use marblecroft_quota_gateway_core::Status;
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The header that tells a server how long its response is waited for, in seconds.
-pub const EXPIRES_IN: HeaderName = HeaderName::from_static("x-expires-in");
-
-/// The parts of a request that every attempt carries unchanged from the client.
-pub struct UpstreamRequest {
-    pub method: Method,
-    pub uri: Uri,
-    pub headers: HeaderMap,
-    pub body: RequestBody,
-    /// The firm whose shard the request writes, if it writes any.
-    pub written_firm: Option<u64>,
-    pub budget: Rc<RequestBudget>,
-    /// Set with the final response. No attempt is written after that, including those that are still connecting and may
-    /// not be cancelled.
-    pub is_finished: Cell<bool>,
-}
-
-impl UpstreamRequest {
-    /// The trace id that the client set; every request that comes this far has one.
-    pub fn trace(&self) -> &str {
-        self.headers.get("x-trace-id").and_then(|id| id.to_str().ok()).unwrap_or_default()
-    }
-
-    /// How much of the body has been delivered; a buffered one goes out in one piece.
-    pub fn delivery(&self) -> Delivery {
-        self.body.as_streamed().map_or(Delivery::Complete, |body| body.delivery())
-    }
-}
-
-/// When an attempt may begin and when it ends.
-#[derive(Clone, Copy)]
-pub struct AttemptWindow {
-    /// The attempt is abandoned at this instant, by dropping it.
-    pub ends_at: Option<Time>,
-    /// Nothing is written at this instant or later.
-    pub begin_by: Option<Time>,
-}
-
-/// A server's 200 response: a complete one, or a streamed one that has begun.
-pub struct ServedResponse {
-    pub body: ResponseBody,
-    pub content_type: Option<HeaderValue>,
-}
-
-/// How an attempt ended.
-pub struct AttemptEnd {
-    pub status: Status,
-    /// The customer's metered use of its quota, as a fraction, if the server reports one.
-    pub metered_use: Option<f64>,
-    pub load_report: LoadReport,
-    /// The response, with [`Status::Ok`] only, and only if it was not streamed before.
-    pub response: Option<ServedResponse>,
-    /// The cell of the written shard, if it is not the one that the attempt went to.
-    pub moved_to_cell: Option<u32>,
-}
-
-impl From<Status> for AttemptEnd {
-    fn from(status: Status) -> AttemptEnd {
-        AttemptEnd {
-            status,
-            metered_use: None,
-            load_report: LoadReport::default(),
-            response: None,
-            moved_to_cell: None,
-        }
-    }
-}
-
 /// Why an attempt that has a connection is not written.
 enum NotWritten {
     /// It is no longer wanted, or no time remains.
@@ -90,6 +20,25 @@
     ShardClosed,
 }
 
+/// Guards an attempt that has no response yet.
+///
+/// A server that has sent nothing at all since the attempt began may be a machine that has vanished: connections to it stay
+/// open and silent, while new ones fail and so prove that nothing ran. When such an attempt is abandoned, the idle
+/// connections to the server are closed.
+struct PendingResponse<'a> {
+    pool: &'a ConnectionPool,
+    process: ServerProcess,
+    sent_at: Instant,
+}
+
+impl Drop for PendingResponse<'_> {
+    fn drop(&mut self) {
+        if !self.pool.has_heard_since(&self.process, self.sent_at) {
+            self.pool.close_idle(&self.process);
+        }
+    }
+}
+
 impl Upstream {
     /// Makes one attempt at `process`. `on_stream` is called with a streamed response when it begins.
     ///
@@ -105,13 +54,14 @@
         let Some(body) = OutgoingBody::take(&request.body) else { return Status::NotSent.into() };
         let mut message = outgoing_message(&process, request, body);
         loop {
-            let Acquired { mut connection, idle_for } = match self.pool.acquire(&process, request).await {
-                Ok(acquired) => acquired,
-                Err(status) => {
-                    message.into_body().put_back();
-                    return status.into();
-                }
-            };
+            let Acquired { mut connection, idle_for } =
+                match self.pool.acquire(&process, &request.budget).await {
+                    Ok(acquired) => acquired,
+                    Err(status) => {
+                        message.into_body().put_back();
+                        return status.into();
+                    }
+                };
             if connection.ready().await {
                 if let Err(cause) = self.authorize(&process, request, window, message.headers_mut()) {
                     message.into_body().put_back();
--- a/quota-gateway/server/src/upstream/pool.rs
+++ b/quota-gateway/server/src/upstream/pool.rs
@@ -4,9 +4,9 @@
 //! boxes on the way to them, may close connections far earlier than the settings say, and a request that crosses the close
 //! ends as a reset that may not be retried.
 
-use super::attempt::UpstreamRequest;
 use super::endpoints::ServerProcess;
 use crate::body::request_body::OutgoingBody;
+use crate::request_budget::RequestBudget;
 use marblecroft_quota_gateway_core::Status;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -167,18 +167,14 @@
     /// # Errors
     /// The status with which the attempt ends: [`Status::NotSent`] where no further connection may be open, which says
     /// nothing of the server, or [`Status::ConnectFailed`].
-    pub async fn acquire(
-        &self,
-        process: &ServerProcess,
-        request: &UpstreamRequest,
-    ) -> Result<Acquired, Status> {
+    pub async fn acquire(&self, process: &ServerProcess, budget: &RequestBudget) -> Result<Acquired, Status> {
         if let Some(acquired) = self.take_idle(process) {
             return Ok(acquired);
         }
         if self.open.get() >= self.max_connections.get() && !self.close_one_idle() {
             return Err(Status::NotSent);
         }
-        let connected = self.connect(process, request).await;
+        let connected = self.connect(process, budget).await;
         connected.map(|connection| Acquired { connection, idle_for: None }).map_err(|_| Status::ConnectFailed)
     }
 
@@ -196,12 +192,8 @@
             .map(|(connection, idle_for)| Acquired { connection, idle_for: Some(idle_for) })
     }
 
-    async fn connect(
-        &self,
-        process: &ServerProcess,
-        request: &UpstreamRequest,
-    ) -> io::Result<PooledConnection> {
-        let (begun_at, limit) = (Instant::now(), request.budget.begin_connect(self.connect_timeout));
+    async fn connect(&self, process: &ServerProcess, budget: &RequestBudget) -> io::Result<PooledConnection> {
+        let (begun_at, limit) = (Instant::now(), budget.begin_connect(self.connect_timeout));
         let connection = PooledConnection::connect(process.addr, limit, Some(self.open.clone())).await?;
         let (mean, sample) = (self.connect_time.get(), begun_at.elapsed());
         self.connect_time.set(mean.mul_f64(1.0 - CONNECT_TIME_WEIGHT) + sample.mul_f64(CONNECT_TIME_WEIGHT));
--- a/quota-gateway/server/src/upstream/response.rs
+++ b/quota-gateway/server/src/upstream/response.rs
@@ -4,8 +4,8 @@
 //! While nothing has gone out to the client, another attempt is possible. A long response is streamed to the client from
 //! the moment at which it is known to be long.
 
-use super::attempt::{AttemptEnd, ServedResponse, UpstreamRequest};
 use super::pool::PooledConnection;
+use super::request::{AttemptEnd, ServedResponse, UpstreamRequest};
 use super::{ServerProcess, Upstream};
 use crate::body::request_body::Delivery;
 use crate::body::response_body::{Chunk, ResponseBody};
