--- a/quota-gateway/server/tests/clients.rs
+++ b/quota-gateway/server/tests/clients.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::Ordering;
 
 #[test]
-fn a_request_goes_on_unchanged_and_the_body_of_its_answer_comes_back() {
+fn a_request_is_forwarded_unchanged_and_its_response_body_returned() {
     let server = Stub::start(|m| ok(&format!("{} {}", m.header("x-trace-id"), m.text())));
     let (gateway, _agent) = Running::before(&[&server]);
     let mut client = gateway.client();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn bad_input_is_answered_and_reaches_no_server() {
+fn a_malformed_request_is_rejected_and_reaches_no_server() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = Running::before(&[&server]);
     let good = saldo("b", "2");
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_refusal_comes_at_once_and_says_when_to_come_back() {
+fn a_rejection_is_immediate_and_has_a_retry_after() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = Running::before(&[&server]);
     let beyond = saldo("r", "2").replace("X-Contract: basico", "X-Contract: nada");
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_repeat_past_its_aim_is_refused_and_reaches_no_server() {
+fn a_retry_past_its_latency_target_is_rejected_and_reaches_no_server() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = Running::before(&[&server]);
     let mut client = gateway.client();
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_client_that_hangs_up_takes_its_attempt_along() {
+fn a_client_disconnect_cancels_its_attempt() {
     let server = Stub::start(|_| Reply::Silence);
     let (gateway, _agent) = Running::before(&[&server]);
     let mut client = gateway.client();
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn want_of_descriptors_is_survived() {
+fn running_out_of_descriptors_is_survived() {
     let server = Stub::start(|_| ok("served"));
     let agent = Agent::start();
     let known = list(1, true, &serving(&[&server]));
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn heads_that_never_end_do_not_keep_others_out() {
+fn unfinished_heads_do_not_block_other_clients() {
     let server = Stub::start(|_| ok("served"));
     let agent = Agent::start();
     let known = list(1, true, &serving(&[&server]));
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn what_is_no_request_is_told_why_and_the_connection_ends() {
+fn an_unparsable_request_gets_a_reason_and_a_close() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = Running::before(&[&server]);
     let long = format!("GET /saldo HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(100_000));
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_request_that_may_hide_another_is_turned_away_with_it() {
+fn ambiguous_framing_is_rejected_against_request_smuggling() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = Running::before(&[&server]);
     let hidden = saldo("hidden", "3");
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn the_id_of_an_open_request_is_taken() {
+fn the_trace_id_of_a_request_in_flight_is_reserved() {
     let server = Stub::start(|_| Reply::Silence);
     let (gateway, _agent) = Running::before(&[&server]);
     let mut first = gateway.client();
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn clients_that_keep_it_waiting_are_not_waited_for() {
+fn slow_clients_time_out() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = Running::before(&[&server]);
     let mut mute = gateway.client();
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn many_that_say_nothing_do_not_keep_others_out() {
+fn silent_connections_do_not_block_other_clients() {
     let server = Stub::start(|_| ok("served"));
     let agent = Agent::start();
     let known = list(1, true, &serving(&[&server]));
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn answers_that_are_not_read_are_given_up() {
+fn unread_responses_are_abandoned() {
     let server = Stub::start(|_| ok(&"x".repeat(60 << 10)));
     let (gateway, _agent) = Running::before(&[&server]);
     let mut client = gateway.client();
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn connections_that_ask_once_and_stay_make_room_for_others() {
+fn connections_idle_after_one_request_yield_to_new_ones() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = Running::before(&[&server]);
     // With 256 descriptors 134 are for clients, and 33 of these connections may be idle behind an answer.
--- a/quota-gateway/server/tests/common/mod.rs
+++ b/quota-gateway/server/tests/common/mod.rs
@@ -17,7 +17,7 @@
 /// Bound of every wait; only a failure takes that long.
 pub const LONG: Duration = Duration::from_secs(30);
 
-/// A connection to a server that has just brought an answer is not used again for this long (`upstream.rs`).
+/// A connection to a server that has just delivered a response is not reused for this long (`REUSE_DELAY` in `upstream/pool.rs`).
 pub const REST: Duration = Duration::from_millis(15);
 
 /// Waits until connections to servers may be used again.
--- a/quota-gateway/server/tests/golden.rs
+++ b/quota-gateway/server/tests/golden.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_recorded_process_is_taken_over_whole() {
+fn a_recorded_snapshot_is_taken_over_completely() {
     let recorded = recorded();
     let platform = Platform::before_nobody();
     let listener = UnixListener::bind(platform.meeting()).expect("bound");
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn news_of_one_process_keeps_its_text() {
+fn peer_updates_keep_their_encoding() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
     let platform = Platform::new([servers[0].addr.to_string(), servers[1].addr.to_string()]);
     let old = platform.start();
@@ -176,7 +176,7 @@
 
 /// A line that cannot be read ends the exchange, so the last one is heard only if each before it was read.
 #[test]
-fn recorded_news_is_heard() {
+fn recorded_peer_updates_are_applied() {
     let platform = Platform::before_nobody();
     let old = platform.start();
     let (before, mut reader) = platform.comes();
--- a/quota-gateway/server/tests/lifecycle.rs
+++ b/quota-gateway/server/tests/lifecycle.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_wrong_configuration_is_named_in_one_line() {
+fn a_configuration_error_is_reported_in_one_line() {
     let agent = "127.0.0.1:1".parse().unwrap();
     let good = config("127.0.0.1:0", agent, None);
     let cases = [
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn it_is_ready_once_it_holds_a_list() {
+fn the_gateway_is_ready_once_it_has_an_endpoint_list() {
     let server = Stub::start(|_| ok("served"));
     let agent = Agent::start();
     let gateway = Running::start(&config("127.0.0.1:0", agent.stub.addr, None));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn changes_of_the_list_are_followed() {
+fn changes_of_the_endpoint_list_are_applied() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b")), Stub::start(|_| ok("c"))];
     let (gateway, agent) = Running::before(&[&servers[0]]);
     let mut client = gateway.client();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn an_agent_that_keeps_no_connection_is_watched_all_the_same() {
+fn an_agent_without_keep_alive_is_watched_too() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, agent) = Running::before(&[&server]);
     for version in 2..6 {
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn the_old_list_stands_while_discovery_fails() {
+fn the_old_endpoint_list_stays_in_force_while_discovery_fails() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
     let (gateway, agent) = Running::before(&[&servers[0]]);
     let mut client = gateway.client();
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn after_a_failed_call_the_whole_list_is_asked_for_until_it_comes() {
+fn after_a_failed_call_the_full_list_is_requested_until_it_arrives() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
     let (gateway, agent) = Running::before(&[&servers[0]]);
     agent.watched(1);
@@ -138,7 +138,7 @@
 
 /// Discovery that turns calls away has too many of them: whole lists, asked for again and again, kept it there.
 #[test]
-fn after_a_busy_answer_the_watch_goes_on_from_the_version_that_is_held() {
+fn after_a_busy_response_the_watch_continues_from_the_current_version() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
     let (gateway, agent) = Running::before(&[&servers[0]]);
     agent.watched(1);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn sigterm_answers_what_was_taken_and_what_still_comes() {
+fn sigterm_answers_accepted_and_still_arriving_requests() {
     let server = Stub::start(|_| Reply::Silence);
     let (mut gateway, _agent) = Running::before(&[&server]);
     let mut idle = gateway.client();
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_killed_gateway_starts_again_under_its_address() {
+fn a_killed_gateway_restarts_on_its_address() {
     let server = Stub::start(|_| ok("served"));
     let (mut gateway, agent) = Running::before(&[&server]);
     let addr = gateway.addr;
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn sighup_moves_discovery_and_leaves_requests_and_connections_alone() {
+fn sighup_changes_discovery_and_keeps_requests_and_connections() {
     let servers = [Stub::start(|_| Reply::Silence), Stub::start(|_| ok("b"))];
     let (old, new) = (Agent::start(), Agent::start());
     let known = list(41, true, &serving(&[&servers[0]]));
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_does_not_void_the_list() {
+fn a_malformed_entry_does_not_invalidate_the_endpoint_list() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
     let (gateway, agent) = Running::before(&[&servers[0]]);
     agent.watched(1);
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn a_server_at_the_address_of_one_that_is_gone_gets_connections_of_its_own() {
+fn a_new_server_at_a_reused_address_gets_new_connections() {
     let server = Stub::start(|_| Reply::Silence);
     let (gateway, agent) = Running::before(&[&server]);
     agent.watched(1);
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn sigterm_waits_for_a_first_request_that_is_being_written_and_for_no_silence() {
+fn sigterm_waits_for_a_partial_first_request_but_not_for_silent_connections() {
     let server = Stub::start(|_| ok("served"));
     let (mut gateway, _agent) = Running::before(&[&server]);
     let _mute: Vec<Client> = (0..5).map(|_| gateway.client()).collect();
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn what_is_open_when_the_process_must_end_has_its_answer_before() {
+fn requests_in_flight_are_answered_before_the_process_must_exit() {
     let server = Stub::start(|_| Reply::Silence);
     let agent = Agent::start();
     let known = list(1, true, &serving(&[&server]));
--- a/quota-gateway/server/tests/list.rs
+++ b/quota-gateway/server/tests/list.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn servers_come_and_go_and_the_service_dies_while_requests_flow() {
+fn requests_succeed_while_servers_change_and_the_discovery_service_fails() {
     let folder = folder();
     let stubs: Vec<Stub> = (0..4).map(|_| Stub::start(|_| ok("served"))).collect();
     let list = List::start(&folder, Port::held());
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn another_address_is_asked_when_one_fails_and_the_watch_goes_on_there() {
+fn the_watch_fails_over_to_another_discovery_address() {
     let folder = folder();
     let stubs = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
     let list = List::start(&folder, Port::held());
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_list_that_loses_most_servers_at_once_is_met_with_caution_where_the_configuration_says_so() {
+fn a_sudden_loss_of_most_servers_is_delayed_if_configured() {
     let stubs = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b")), Stub::start(|_| ok("c"))];
     let agent = Agent::start();
     let settings = with_service(config("127.0.0.1:0", agent.stub.addr, None), r#""missing_hold_ms":1500"#);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_list_service_that_cannot_be_used_ends_the_start() {
+fn an_invalid_discovery_service_configuration_aborts_the_start() {
     let agent = "127.0.0.1:1".parse().unwrap();
     for fields in
         [r#""others":["x"]"#, r#""missing_share":2"#, r#""missing_hold_ms":99999999"#, r#""more":1"#]
--- a/quota-gateway/server/tests/operations.rs
+++ b/quota-gateway/server/tests/operations.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn it_is_ready_for_operators_once_it_takes_clients() {
+fn the_console_reports_ready_once_clients_are_accepted() {
     let agent = Agent::start();
     let config = config("127.0.0.1:0", agent.stub.addr, None);
     let gateway = Running::start_with("exec \"$0\"", &config, &[("RELAY_CONSOLE", "127.0.0.1:0")]);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn calls_that_are_none_are_answered_with_no_and_change_nothing() {
+fn invalid_console_calls_fail_and_change_nothing() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = Running::with_console(&[&server]);
     let id = name(&server);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn callers_that_say_nothing_hold_up_neither_calls_nor_clients() {
+fn silent_console_callers_delay_neither_calls_nor_clients() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = Running::with_console(&[&server]);
     let mut silent: Vec<Client> = (0..200).map(|_| Client::connect(gateway.console())).collect();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_server_left_out_gets_nothing_whatever_the_list_says_until_it_is_put_back() {
+fn a_disabled_server_gets_no_requests_until_it_is_enabled() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
     let (gateway, agent) = Running::with_console(&[&servers[0], &servers[1]]);
     let out = format!("/pay-servers/disable?name={}", name(&servers[0]));
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_drained_gateway_serves_what_still_comes_and_lets_its_connections_go() {
+fn a_drained_gateway_serves_arriving_requests_and_closes_connections() {
     let server = Stub::start(|_| Reply::Silence);
     let (mut gateway, _agent) = Running::with_console(&[&server]);
     let (mut idle, mut kept) = (gateway.client(), gateway.client());
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn without_a_console_nobody_is_called() {
+fn without_a_configured_console_none_is_bound() {
     let (gateway, _agent) = Running::before(&[]);
     assert!(!gateway.log().contains("console"));
 }
--- a/quota-gateway/server/tests/races.rs
+++ b/quota-gateway/server/tests/races.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_client_that_goes_with_a_further_request_unread_is_seen_to_go() {
+fn a_disconnect_behind_a_pipelined_request_is_noticed() {
     // As much of it is read ahead as a head may hold; the second one is longer.
     for further in [saldo("b", "3.5"), abono("b", "3.5", &"x".repeat(60_000))] {
         let server = Scripted::start();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_client_that_goes_while_a_connection_comes_up_is_not_sent_on() {
+fn a_request_is_not_sent_if_its_client_left_during_the_connect() {
     for cancel in [true, false] {
         let (hanging, other) = (Hanging::new(), Stub::start(|_| ok("other")));
         let (gateway, agent) = gateway(&[hanging.addr], |config| {
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn what_drains_while_a_connection_to_it_comes_up_gets_nothing() {
+fn a_server_that_drains_during_the_connect_gets_no_request() {
     let (hanging, other) = (Hanging::new(), Stub::start(|_| ok("other")));
     let (gateway, agent) = gateway(&[hanging.addr], as_it_is);
     let mut client = gateway.client();
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn what_is_left_out_while_a_connection_to_it_comes_up_gets_nothing() {
+fn a_server_disabled_during_the_connect_gets_no_request() {
     let (hanging, other) = (Hanging::new(), Stub::start(|_| ok("other")));
     let (gateway, agent) = gateway(&[hanging.addr], as_it_is);
     let mut client = gateway.client();
@@ -128,7 +128,7 @@
 
 /// The window counts from the first attempt; a connection for the next one that takes its time must not carry it past.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_its_window_is_not_written() {
+fn a_retry_connected_after_its_idempotency_window_is_not_sent() {
     let window = Duration::from_millis(600);
     let (first, hanging) = (Scripted::start(), Hanging::new());
     let (gateway, agent) =
@@ -165,7 +165,7 @@
 /// A server sends its answer once more, some milliseconds late. On a connection that is in use again by then it would be
 /// taken for the next request's.
 #[test]
-fn no_request_comes_on_a_connection_that_has_only_just_brought_an_answer() {
+fn a_connection_is_not_reused_right_after_a_response() {
     let server = Scripted::start();
     let (gateway, _agent) = gateway(&[server.addr], as_it_is);
     let mut client = gateway.client();
@@ -190,7 +190,7 @@
 /// A client takes an answer slowly, and has sent more than the gateway reads before the connection ends: the system resets
 /// a connection that is closed over unread bytes, and with it goes what is still on its way.
 #[test]
-fn bytes_unread_at_the_end_do_not_cut_off_an_answer_on_its_way() {
+fn unread_input_at_close_does_not_truncate_a_response() {
     const LENGTH: usize = 1 << 20;
     let server = Scripted::start();
     let (gateway, _agent) = gateway(&[server.addr], as_it_is);
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn an_answer_without_a_length_that_is_reset_is_no_answer() {
+fn a_reset_response_of_unknown_length_is_not_served() {
     let server = Scripted::start();
     let (gateway, _agent) = gateway(&[server.addr], as_it_is);
     let mut client = gateway.client();
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn what_comes_of_a_broken_connection_is_told_by_how_far_it_had_come() {
+fn a_lost_connection_is_classified_by_how_much_was_sent() {
     for (what, breaks, sent_again) in [
         // Nothing was taken of it, but all may have been: the system had it.
         ("behind the accept", Break::AtOnce, false),
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn a_second_sigterm_and_a_sighup_about_it_change_nothing() {
+fn repeated_sigterm_and_sighup_change_nothing() {
     for signals in [["-TERM", "-TERM"], ["-HUP", "-TERM"], ["-TERM", "-HUP"]] {
         let server = Scripted::start();
         let (mut gateway, _agent) = gateway(&[server.addr], as_it_is);
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn sigterm_before_the_first_list_ends_the_process() {
+fn sigterm_before_the_first_endpoint_list_ends_the_process() {
     let agent = Agent::start();
     let mut gateway = Running::start(&config("127.0.0.1:0", agent.stub.addr, None));
     until("it asks for the list", || agent.stub.requests() == 1);
@@ -344,7 +344,7 @@
 
 /// A first request that lies in the listener's queue as SIGTERM comes has been taken by this machine.
 #[test]
-fn a_request_in_the_accept_queue_at_sigterm_has_its_answer() {
+fn a_request_in_the_accept_queue_at_sigterm_is_answered() {
     let server = Stub::start(|_| ok("served"));
     let (mut gateway, _agent) = gateway(&[server.addr], as_it_is);
     gateway.signal("-STOP");
@@ -365,7 +365,7 @@
 /// Bytes come on a resting connection as the gateway ends it: the client has the end, not half an answer, and what it had
 /// sent goes nowhere.
 #[test]
-fn a_request_that_crosses_the_close_of_a_resting_connection_is_served_there_or_nowhere() {
+fn a_request_that_crosses_an_idle_close_is_served_at_most_once() {
     let server = Stub::start(|message| ok(message.header("x-trace-id")));
     let (mut gateway, _agent) = gateway(&[server.addr], as_it_is);
     let mut resting: Vec<Client> = (0..40).map(|_| gateway.client()).collect();
@@ -402,7 +402,7 @@
 
 /// Requests and answers come in pieces, each of which the gateway has read before the next is written.
 #[test]
-fn messages_are_whole_wherever_they_are_cut() {
+fn messages_are_complete_wherever_segments_are_split() {
     let server = Scripted::start();
     let (gateway, _agent) = gateway(&[server.addr], as_it_is);
     let (held, round) = (RefCell::new(Vec::new()), Cell::new(0));
--- a/quota-gateway/server/tests/servers.rs
+++ b/quota-gateway/server/tests/servers.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_never_ran_is_refused_and_what_may_have_run_has_failed() {
+fn unexecuted_requests_are_rejected_and_uncertain_ones_fail() {
     let never = |status| Reply::Answer(status, "X-Never-Ran: 1\r\n", "secret".to_owned());
     for status in [503, 504] {
         assert!(is_refusal(keyed(never(status)).0), "{status} with the mark proves that it never ran");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_server_that_refuses_connections_proves_that_nothing_ran() {
+fn a_refused_connection_proves_that_nothing_ran() {
     let gone = Port::held();
     let mut stub = Stub::start(|_| ok("never asked"));
     stub.addr = gone.addr;
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_silent_server_does_not_keep_the_final_answer() {
+fn an_unresponsive_server_does_not_delay_the_final_response() {
     let server = Stub::start(|_| Reply::Silence);
     let (gateway, _agent) = Running::before(&[&server]);
     let answer = gateway.client().ask(&abono("s", "0.8", "pago"));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn the_first_answer_wins_and_the_other_attempt_is_called_off() {
+fn the_first_response_wins_and_the_other_attempt_is_cancelled() {
     let servers = [Stub::start(|_| ok("quick")), Stub::start(|_| ok("quick"))];
     let (gateway, _agent) = Running::before(&[&servers[0], &servers[1]]);
     let mut client = gateway.client();
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_request_lost_by_a_server_that_answers_others_is_asked_again() {
+fn a_request_lost_by_a_responsive_server_is_retried() {
     let lost = trace("lost");
     let seen = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
     let server = Stub::start({
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn cut_connections_do_not_use_up_the_repeats() {
+fn aborted_connections_do_not_exhaust_the_retry_budget() {
     let count = std::sync::atomic::AtomicUsize::new(0);
     let server = Stub::start(move |_| match count.fetch_add(1, Ordering::SeqCst) % 4 {
         3 => Reply::Raw(""),
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn repeats_of_what_servers_turn_away_stay_few() {
+fn retries_of_rejected_requests_stay_few() {
     let full = Reply::Answer(503, "X-Never-Ran: 1\r\n", String::new());
     let server = Stub::start(move |_| full.clone());
     let (gateway, _agent) = Running::before(&[&server]);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_connection_that_stood_idle_for_too_long_is_not_trusted_again() {
+fn a_connection_idle_for_too_long_is_not_reused() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = Running::before(&[&server]);
     let mut client = gateway.client();
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn a_server_that_falls_silent_is_asked_on_a_new_connection() {
+fn a_server_that_turns_silent_is_tried_on_a_new_connection() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = Running::before(&[&server]);
     // Two requests at once, so that two connections are kept.
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn spoilt_answers_end_their_attempt_at_once() {
+fn malformed_responses_end_their_attempt_at_once() {
     // Longer than any bound of the gateway, so that an attempt that waits for more would show.
     for spoilt in [
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx".to_owned(),
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn an_interim_answer_is_passed_over() {
+fn an_interim_response_is_skipped() {
     let server = Stub::start(|_| {
         let interim = "HTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 103 Hint\r\nA: b\r\n\r\n";
         Reply::Open(interim.to_owned() + &answer(200, "", "served"))
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn a_connection_with_more_than_its_answer_is_not_used_again() {
+fn a_connection_with_surplus_bytes_is_not_reused() {
     let second = answer(200, "", "not yours");
     let behind = second.clone();
     type ById = Box<dyn Fn(&str) -> Reply + Send + Sync>;
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn readings_that_cannot_be_true_are_as_if_absent() {
+fn implausible_load_reports_are_ignored() {
     let absurd = "X-Meter: 1e300\r\nEndpoint-Load-Metrics: TEXT queue=1e300, qps=1\r\n";
     let server = Stub::start(move |_| Reply::Answer(200, absurd, "served".to_owned()));
     let (gateway, _agent) = Running::before(&[&server]);
--- a/quota-gateway/server/tests/silence.rs
+++ b/quota-gateway/server/tests/silence.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn an_agent_that_answers_again_is_heard_before_what_it_holds_binds_whatever_call_met_its_silence() {
+fn a_recovered_agent_is_heard_in_time_whatever_call_was_unanswered() {
     for (state, silence) in
         [("a watch in flight", 10), ("a whole list in flight", 900), ("long silent", 2500)]
     {
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_process_that_has_just_started_hears_an_agent_that_it_found_silent() {
+fn a_new_process_hears_an_agent_that_was_unresponsive_at_the_start() {
     soon("a start", || {
         let (platform, stub) = Platform::start(true);
         let _gateway = before(stub.addr);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_agent_whose_connections_never_came_up_or_were_refused_is_heard() {
+fn an_agent_is_heard_after_hanging_or_refused_connects() {
     for hanging in [true, false] {
         soon(if hanging { "a connection that hangs" } else { "a pause" }, || {
             let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn another_address_is_heard_whatever_the_first_was_asked_for() {
+fn another_address_is_heard_whatever_call_the_first_left_unanswered() {
     soon("an address that changes", || {
         let (first, stub) = Platform::start(false);
         let gateway = before(stub.addr);
@@ -146,7 +146,7 @@
 
 /// Clients that connect and say nothing come while discovery is down, more than there are descriptors, and stay.
 #[test]
-fn idle_clients_that_fill_the_descriptors_do_not_keep_the_list_from_being_heard() {
+fn idle_clients_that_use_all_descriptors_do_not_block_discovery() {
     soon("a crowd", || {
         let (platform, stub) = Platform::start(false);
         let few = config("127.0.0.1:0", stub.addr, Some(&list(1, true, &[])))
@@ -165,7 +165,7 @@
 
 /// Where lists must be asked for each call costs: one at a time, and pauses that grow.
 #[test]
-fn a_list_that_must_be_asked_for_is_asked_for_as_seldom_as_before() {
+fn a_polled_endpoint_list_is_not_requested_more_often() {
     let (platform, stub) = Platform::start(true);
     let settings = config("127.0.0.1:0", stub.addr, Some(&list(1, true, &[])));
     let _gateway = Running::start(&settings.replace(r#""Discovery":"push""#, r#""Discovery":"ask""#));
--- a/quota-gateway/server/tests/size.rs
+++ b/quota-gateway/server/tests/size.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn long_answers_pass_in_every_form_and_are_not_held_in_memory() {
+fn long_responses_are_streamed_in_every_framing() {
     let text = long(LENGTH);
     let server = Stub::start(|_| ok(""));
     let (gateway, _agent) = Running::before(&[&server]);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_short_answer_ends_as_it_says_or_counts_for_nothing() {
+fn a_short_response_counts_only_if_it_is_complete() {
     let server = Stub::start(|_| Reply::Raw("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end"));
     let (gateway, _agent) = Running::before(&[&server]);
     let mut client = gateway.client();
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn an_answer_that_has_begun_has_no_other_attempt_and_its_break_is_seen() {
+fn a_streamed_response_is_not_retried_and_its_break_is_visible() {
     let server = Stub::start(|_| Reply::Silence);
     let (gateway, _agent) = Running::before(&[&server]);
     for (n, head) in ["Content-Length: 900000", "Transfer-Encoding: chunked"].into_iter().enumerate() {
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_long_answer_outlasts_the_time_that_its_first_byte_had() {
+fn a_streamed_response_may_outlast_the_deadline() {
     let server = Stub::start(|_| Reply::Silence);
     let (gateway, _agent) = Running::before(&[&server]);
     let mut client = gateway.client();
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn long_bodies_of_requests_pass_once_and_unchanged() {
+fn long_request_bodies_are_streamed_once_and_unchanged() {
     let server = Stub::start(|m| ok(&format!("{} {}", m.body.len(), m.header("content-length"))));
     let (gateway, _agent) = Running::before(&[&server]);
     let text = long(LENGTH);
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_long_body_that_breaks_off_never_runs() {
+fn a_truncated_streamed_body_never_runs() {
     let (server, seen) = raw_server(usize::MAX);
     let (gateway, _agent) = Running::before(&[&server]);
     let request = abono("b", "3", &long(400_000));
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_server_that_breaks_a_long_body_off_is_not_repaired_with_half_of_it() {
+fn a_partly_sent_streamed_body_is_not_retried() {
     let (server, seen) = raw_server(100_000);
     let (gateway, _agent) = Running::before(&[&server]);
     let mut client = gateway.client();
--- a/quota-gateway/server/tests/time.rs
+++ b/quota-gateway/server/tests/time.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn each_attempt_is_told_what_is_left_when_it_is_written() {
+fn each_attempt_is_advertised_the_time_remaining() {
     let first = Arc::new(AtomicUsize::new(0));
     let act = move |_: &Message| {
         if first.fetch_add(1, Ordering::SeqCst) == 0 {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_lay_with_the_system_before_it_was_read_has_taken_its_time() {
+fn time_unread_in_the_system_is_charged_to_the_budget() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = gateway(&[&server], as_it_is);
     let mut kept = gateway.client();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn what_is_read_after_its_time_is_answered_at_once_and_reaches_no_server() {
+fn a_request_read_after_its_deadline_is_answered_and_not_sent() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = gateway(&[&server], as_it_is);
     let mut client = gateway.client();
@@ -107,7 +107,7 @@
 const ARRIVAL_TICK: Duration = Duration::from_millis(10);
 
 #[test]
-fn a_head_written_slowly_is_seen_and_takes_nothing() {
+fn a_slow_head_is_measured_and_not_charged() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = gateway(&[&server], as_it_is);
     let mut client = gateway.client();
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_body_that_comes_slowly_takes_nothing_and_100_continue_is_said() {
+fn a_slow_body_is_not_charged_and_100_continue_is_sent() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = gateway(&[&server], as_it_is);
     let mut client = gateway.client();
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_wait_of_any_size_is_bounded_by_its_class() {
+fn a_client_timeout_is_limited_by_its_class() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = gateway(&[&server], as_it_is);
     for (n, wait) in ["1e9", "4000000000.5", "4.0001"].into_iter().enumerate() {
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_connect_that_hangs_leaves_time_for_another_server() {
+fn a_hanging_connect_keeps_time_for_another_server() {
     let (warm, good, hanging) = (Stub::start(|_| ok("warm")), Stub::start(|_| ok("served")), Hanging::new());
     let (gateway, agent) = gateway(&[&warm], as_it_is);
     // It learns how quickly this class is answered.
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_a_connection_comes_up_is_told_from_others() {
+fn a_disconnect_during_a_connect_has_its_own_outcome() {
     let (warm, hanging) = (Stub::start(|_| ok("warm")), Hanging::new());
     let (gateway, agent) = gateway(&[&warm], as_it_is);
     agent.watched(1);
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn an_answer_whose_body_does_not_come_does_not_keep_the_final_one() {
+fn a_response_without_its_body_does_not_delay_the_final_response() {
     let server = Stub::start(|_| Reply::Open("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nser".to_owned()));
     let (gateway, _agent) = gateway(&[&server], as_it_is);
     let asked = Instant::now();
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn what_must_not_run_twice_gets_no_second_try_however_much_is_left() {
+fn a_non_idempotent_request_is_not_retried_whatever_time_remains() {
     let servers = [Stub::start(|_| Reply::Raw("")), Stub::start(|_| Reply::Raw(""))];
     let (gateway, _agent) = gateway(&[&servers[0], &servers[1]], as_it_is);
     let answer = gateway.client().ask_here(&nomina("u", "4", "pago"));
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_list_replaced_between_attempts_is_followed_by_the_next() {
+fn the_next_attempt_uses_a_replaced_endpoint_list() {
     let (first, second) = (Stub::start(|_| Reply::Silence), Stub::start(|_| ok("second")));
     let (gateway, agent) = gateway(&[&first], as_it_is);
     agent.watched(1);
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn after_sigterm_nothing_is_told_more_time_than_the_process_has() {
+fn after_sigterm_no_timeout_exceeds_the_process_exit() {
     let server = Stub::start(|_| ok("served"));
     let (mut gateway, _agent) = gateway(&[&server], as_it_is);
     let mut client = gateway.client();
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn sigterm_and_then_sighup_amid_an_attempt_lose_nothing() {
+fn sigterm_then_sighup_during_an_attempt_lose_nothing() {
     let server = Stub::start(|_| Reply::Silence);
     let agent = Agent::start();
     let known = list(1, true, &serving(&[&server]));
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn the_console_tells_how_budgets_ended_while_discovery_and_callers_stall() {
+fn metrics_report_outcomes_while_discovery_and_callers_stall() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, agent) = gateway(&[&server], as_it_is);
     // Discovery says nothing from here on, and callers at the console say half a word.
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn an_answer_that_its_server_breaks_off_is_not_put_down_to_the_client() {
+fn a_response_broken_off_by_its_server_is_not_a_client_disconnect() {
     let begun = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", 1 << 20, "x".repeat(100_000));
     let server = Stub::start(move |_| Reply::Raw(Box::leak(begun.clone().into_boxed_str())));
     let (gateway, _agent) = gateway(&[&server], as_it_is);
--- a/quota-gateway/server/tests/upgrade.rs
+++ b/quota-gateway/server/tests/upgrade.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn the_new_process_goes_on_where_the_old_one_was_and_nothing_is_lost() {
+fn the_new_process_continues_from_the_old_state_without_loss() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| Reply::Silence)];
     let platform = Platform::new(&[&servers[0], &servers[1]]);
     let mut old = platform.start();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn calls_reach_both_while_both_live() {
+fn changes_reach_both_processes_during_an_upgrade() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
     let platform = Platform::new(&[&servers[0], &servers[1]]);
     let old = platform.start();
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_quota_is_one_for_both_processes() {
+fn both_processes_share_one_quota() {
     let server = Stub::start(|_| ok("a"));
     let mut platform = Platform::new(&[&server]);
     // Room for six tries of two units, of which the last needs what the dearer class would.
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_wall_clock_set_between_two_processes_moves_nothing_that_is_taken_over() {
+fn a_wall_clock_change_does_not_shift_the_state_taken_over() {
     const HOUR: u64 = 3_600_000_000_000;
     let server = Stub::start(|_| ok("a"));
     let platform = Platform::new(&[&server]);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn an_upgrade_amid_a_retry_leaves_it_with_the_old_process_and_its_budget() {
+fn an_upgrade_leaves_a_retry_with_the_old_process_and_its_budget() {
     let servers = [Stub::start(|_| Reply::Silence), Stub::start(|_| Reply::Silence)];
     let platform = Platform::new(&[&servers[0], &servers[1]]);
     let mut old = platform.start();
@@ -241,13 +241,13 @@
 }
 
 #[test]
-fn what_a_dead_process_left_means_a_fresh_start() {
+fn a_stale_socket_means_a_fresh_start() {
     starts_afresh(|place| drop(UnixListener::bind(place).expect("bound")));
     starts_afresh(|place| std::fs::write(place, "old").expect("written"));
 }
 
 #[test]
-fn a_broken_message_or_none_means_a_fresh_start() {
+fn a_malformed_or_missing_snapshot_means_a_fresh_start() {
     let other = |answer: Option<Vec<u8>>| {
         move |place: &Path| {
             let listener = UnixListener::bind(place).expect("bound");
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn a_descriptor_that_is_no_listening_socket_is_not_taken() {
+fn a_descriptor_that_is_not_a_listening_socket_is_ignored() {
     let server = Stub::start(|_| ok("a"));
     let agent = Agent::start();
     let known = list(1, true, &serving(&[&server]));
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn a_process_that_takes_over_no_list_is_not_ready() {
+fn a_process_that_takes_over_no_endpoint_list_is_not_ready() {
     let mut platform = Platform::new(&[]);
     let agent = Agent::start();
     let addr = platform.listener.local_addr().expect("bound").to_string();
