--- a/quota-gateway/server/src/config.rs
+++ b/quota-gateway/server/src/config.rs
@@ -80,8 +80,10 @@
     pub discovery: SocketAddr,
     /// The address of the operators' console, if there is one.
     pub console: Option<SocketAddr>,
+    /// Seeds every random choice of the process; written in hexadecimal.
     #[serde(deserialize_with = "parse_hex")]
     pub seed: u64,
+    /// The limits of the process.
     pub limits: Limits,
     /// Set where the endpoint list comes from the project's own discovery service.
     pub list_service: Option<DiscoveryService>,
@@ -91,6 +93,7 @@
     /// The endpoint list that is in force until one is fetched.
     #[serde(rename = "known")]
     pub initial_list: Option<HostList>,
+    /// The settings of the decisions and the names in the endpoint list.
     pub settings: Site,
     /// How events are logged on standard error.
     #[serde(default)]
--- a/quota-gateway/server/src/discovery.rs
+++ b/quota-gateway/server/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Follows the endpoint list and passes it to the engine.
 //!
-//! A watch asks the agent for changes since the list version that is held; after a failure the next address is asked, with
+//! A watch asks the agent for changes since the version of the list in force; after a failure the next address is asked, with
 //! a backoff ([`follow_timing`]). What a [`call`] returns is first merged by the [`list_follower`], where several processes
 //! of the project's own discovery service may contradict each other, and then applied: ids and names become numbers
 //! ([`server_ids`], [`name_table`]). While discovery fails, the old list stays in force.
@@ -34,10 +34,13 @@
 pub struct DiscoverySettings {
     /// The names of zones and kinds that have fixed numbers.
     pub zones: Vec<String>,
+    /// The names of kinds of machine that have fixed numbers.
     pub kinds: Vec<String>,
+    /// Whether the endpoint list is polled or pushed.
     pub method: Method,
     /// The number of gateways that follow the list.
     pub gateways: u32,
+    /// Seeds the jitter of calls.
     pub seed: u64,
 }
 
@@ -51,7 +54,7 @@
     zones: NameTable,
     kinds: NameTable,
     ids: Rc<RefCell<ServerIds>>,
-    /// The version of the list that is held; `None` where the full list must be fetched.
+    /// The version of the list in force; `None` where the full list must be fetched.
     version: Option<u64>,
     /// Spreads what many gateways would otherwise do at the same time.
     random: Random,
@@ -109,8 +112,8 @@
         self.ids.clone()
     }
 
-    /// Takes over the list that another process of this gateway held, and returns whether it held one. The agent may have
-    /// told that process more than it passed on, so the full list is fetched next.
+    /// Takes over the list of another process of this gateway, and returns whether that process had one. The agent may have
+    /// sent that process more than it passed on, so the full list is fetched next.
     pub fn adopt(&mut self, ids: ServerIds) -> bool {
         let servers: Vec<Entry> = ids.listed_hosts().cloned().map(Entry::Readable).collect();
         for server in ids.disabled() {
@@ -244,7 +247,7 @@
         }
     }
 
-    /// A watch from the version that is held, or a call for the full list.
+    /// A watch from the version in force, or a call for the full list.
     fn next_request(&self, state: &WatchState) -> FetchRequest {
         let is_watch_possible = !state.needs_full_list || self.service.is_some();
         let watch_from = self
@@ -309,7 +312,7 @@
         }
     }
 
-    /// What a hedged call asks for. With the project's own service the version that is held is valid at any of its processes;
+    /// What a hedged call asks for. With the project's own service the version in force is valid at any of its processes;
     /// elsewhere the full list is fetched, because a watch would wait again before it is known to be unanswered.
     fn hedge_watch_from(&self) -> Option<WatchFrom> {
         let version = self.version.filter(|_| self.service.is_some())?;
--- a/quota-gateway/server/src/discovery/call.rs
+++ b/quota-gateway/server/src/discovery/call.rs
@@ -14,6 +14,7 @@
 /// A watch for changes since a version.
 #[derive(Clone, Copy)]
 pub struct WatchFrom {
+    /// The version of the list that is in force.
     pub version: u64,
     /// How long the agent waits for a change before it answers.
     pub wait: Duration,
@@ -37,13 +38,15 @@
 
 /// The answer to a call, and its connection for the next one.
 pub struct Fetched {
+    /// What the agent sent.
     pub list: HostList,
+    /// The connection, still open.
     pub connection: Connection,
 }
 
 /// Why a call returned no list.
 pub enum FetchError {
-    /// The agent is alive but has too many calls. The list that is held is as valid as before, and the full list would cost
+    /// The agent is alive but has too many calls. The list in force is as valid as before, and the full list would cost
     /// the agent far more than the changes.
     Busy(Connection),
     /// The call failed, for this reason.
--- a/quota-gateway/server/src/discovery/follow_timing.rs
+++ b/quota-gateway/server/src/discovery/follow_timing.rs
@@ -6,7 +6,9 @@
 /// The pauses after failed calls, before jitter: the first one doubles up to the maximum.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Backoff {
+    /// The first pause, and the one after a success.
     pub first: Duration,
+    /// The longest pause.
     pub max: Duration,
 }
 
--- a/quota-gateway/server/src/discovery/list_follower.rs
+++ b/quota-gateway/server/src/discovery/list_follower.rs
@@ -15,7 +15,7 @@
     /// Why a list that was received is not applied.
     #[derive(Debug)]
     pub enum MergeError {
-        /// It is older than the one that is held.
+        /// It is older than the one in force.
         Behind {
             display("a list older than what is held")
         }
@@ -70,10 +70,10 @@
         self.metrics.clone()
     }
 
-    /// Merges a list that was received into the one that is held, and returns what is to be applied.
+    /// Merges a list that was received into the one in force, and returns what is to be applied.
     ///
     /// # Errors
-    /// Fails if the list is older than the one that is held, or of another store.
+    /// Fails if the list is older than the one in force, or of another store.
     pub fn merge(&mut self, list: HostList) -> Result<HostList, MergeError> {
         let taken = self.follower.take(list, self.started_at.elapsed());
         self.update_metrics();
--- a/quota-gateway/server/src/engine.rs
+++ b/quota-gateway/server/src/engine.rs
@@ -36,8 +36,11 @@
 
 /// The event loop.
 pub struct Engine {
+    /// The clock of all events.
     pub clock: Clock,
+    /// The time budgets of all requests.
     pub budgets: Rc<RequestBudgets>,
+    /// The servers.
     pub upstream: Upstream,
     /// The other processes of this gateway, which keep the same quota state.
     pub peer_links: PeerLinks,
--- a/quota-gateway/server/src/engine/open_request.rs
+++ b/quota-gateway/server/src/engine/open_request.rs
@@ -36,7 +36,9 @@
 
 /// One attempt of a request.
 pub struct Attempt {
+    /// The server that was chosen.
     pub server: ServerId,
+    /// When it was started; for a streamed body, when the server had all of it.
     pub sent_at: Time,
     /// When it is abandoned; `None` while the request's body is being sent, and once a streamed response has begun.
     pub ends_at: Option<Time>,
@@ -46,16 +48,21 @@
 
 /// An attempt that was in flight and is about to end.
 pub struct EndingAttempt {
+    /// When it was started; for a streamed body, when the server had all of it.
     pub sent_at: Time,
+    /// The task that ran it.
     pub task: AbortHandle,
 }
 
 /// A request that has no final response yet, or still has attempts in flight.
 pub struct OpenRequest {
+    /// What the decisions know of the request.
     pub request: NewRequest,
+    /// What is sent to servers; shared with the attempts.
     pub upstream_request: Rc<UpstreamRequest>,
     /// Where the final response goes; `None` once it is given.
     responder: Option<oneshot::Sender<FinalResponse>>,
+    /// All attempts so far, by number.
     pub attempts: Vec<Attempt>,
 }
 
--- a/quota-gateway/server/src/fleet_decisions.rs
+++ b/quota-gateway/server/src/fleet_decisions.rs
@@ -54,9 +54,13 @@
 
 /// What a member is created with.
 pub struct MemberSettings {
+    /// The fleet's part of the configuration.
     pub config: FleetConfig,
+    /// The observer whose observations are reported.
     pub observer: Rc<Observer>,
+    /// The shard map, where writes are placed by it.
     pub shard_routing: Option<Rc<ShardRouting>>,
+    /// The instant from which instants of decisions count.
     pub started_at: Instant,
     /// The number of this gateway's zone.
     pub zone: u32,
--- a/quota-gateway/server/src/fleet_decisions/fleet_config.rs
+++ b/quota-gateway/server/src/fleet_decisions/fleet_config.rs
@@ -50,7 +50,7 @@
     /// Whether requests are admitted by the firms' shares of the fleet's capacity.
     #[serde(rename = "shares", default)]
     uses_quota_shares: bool,
-    /// Whether writes are placed by the shard map, and rejected while no valid one is held.
+    /// Whether writes are placed by the shard map, and rejected while no valid one is in force.
     #[serde(rename = "books", default)]
     pub uses_shard_map: bool,
 }
--- a/quota-gateway/server/src/fleet_decisions/observations.rs
+++ b/quota-gateway/server/src/fleet_decisions/observations.rs
@@ -33,6 +33,7 @@
 pub struct ObservedInterval {
     /// The units of all new requests.
     pub requested_units: f64,
+    /// The outcomes and servers of each zone.
     pub zones: Vec<ZoneObservation>,
 }
 
--- a/quota-gateway/server/src/fleet_decisions/observer.rs
+++ b/quota-gateway/server/src/fleet_decisions/observer.rs
@@ -22,10 +22,13 @@
 pub struct ObserverSettings {
     /// The names of the zones, by number.
     pub zones: Vec<String>,
+    /// The settings of the decisions.
     pub settings: Settings,
     /// This gateway's number, where requests are admitted by quota shares.
     pub quota_share_gateway: Option<u32>,
+    /// The shard map, where writes are placed by it.
     pub shard_routing: Option<Rc<ShardRouting>>,
+    /// The instant from which instants of decisions count.
     pub started_at: Instant,
 }
 
--- a/quota-gateway/server/src/handover.rs
+++ b/quota-gateway/server/src/handover.rs
@@ -33,8 +33,11 @@
 
 /// This process's side of an upgrade.
 pub struct Handover {
+    /// Carries out the changes that the other process passes on.
     pub operations: Rc<Operations>,
+    /// The decisions whose state is handed over.
     pub gateway: Rc<RefCell<Gateway>>,
+    /// Handles the other process's events.
     pub engine: Rc<Engine>,
     /// Called with `true` when another process of the gateway appears, and with `false` when this one is alone again: the
     /// two share all limits.
@@ -117,7 +120,7 @@
             match serde_json::from_str(&line) {
                 Ok(PeerUpdate::Process(event)) => self.engine.post(Event::PeerProcess(event)),
                 Ok(PeerUpdate::Change(change)) => {
-                    // A server may be known to only one of the two processes, whose operator is told.
+                    // A server may be known to only one of the two processes; the one with the console reports that.
                     let _ = self.operations.apply(&change);
                 }
                 Err(_) => return,
--- a/quota-gateway/server/src/handover/snapshot.rs
+++ b/quota-gateway/server/src/handover/snapshot.rs
@@ -30,12 +30,15 @@
 #[derive(Serialize, Deserialize)]
 pub struct HandoverSnapshot {
     version: u32,
+    /// The servers' ids and numbers, with the endpoint list in force.
     pub ids: ServerIds,
+    /// Whether the operators have drained the gateway.
     #[serde(rename = "draining")]
     pub is_draining: bool,
     /// The origin of the clock of all instants in `state`; processes of an early version did not send it.
     #[serde(default, rename = "origin")]
     pub clock_origin: Option<u64>,
+    /// The state of the decisions.
     #[serde(rename = "memory")]
     pub state: StateSnapshot,
 }
@@ -49,7 +52,9 @@
 
 /// A connection to another process of this gateway, on which no updates have been exchanged yet.
 pub struct PeerConnection {
+    /// Where the other process's lines arrive.
     pub reader: BufReader<OwnedReadHalf>,
+    /// Where lines to the other process are written.
     pub writer: OwnedWriteHalf,
 }
 
--- a/quota-gateway/server/src/metric.rs
+++ b/quota-gateway/server/src/metric.rs
@@ -2,8 +2,10 @@
 
 /// The current value of a gauge.
 pub struct Metric {
+    /// The name of the series.
     pub name: &'static str,
     /// The help text of the Prometheus text format.
     pub help: &'static str,
+    /// The value at this moment.
     pub value: f64,
 }
--- a/quota-gateway/server/src/operations.rs
+++ b/quota-gateway/server/src/operations.rs
@@ -14,9 +14,13 @@
 
 /// The parts of the gateway that commands concern.
 pub struct Operations {
+    /// Handles the events of changes.
     pub engine: Rc<Engine>,
+    /// The decisions, for the retry budget.
     pub gateway: Rc<RefCell<Gateway>>,
+    /// The clients' side, for readiness and draining.
     pub server: Rc<ClientServer>,
+    /// The servers' ids and numbers.
     pub ids: Rc<RefCell<ServerIds>>,
     /// Set where the endpoint list comes from the project's own discovery service.
     pub list_metrics: Option<Rc<ListMetrics>>,
--- a/quota-gateway/server/src/server.rs
+++ b/quota-gateway/server/src/server.rs
@@ -39,7 +39,7 @@
     engine: Rc<Engine>,
     site: Site,
     max_connections: Cell<usize>,
-    /// An endpoint list is held.
+    /// An endpoint list is in force.
     is_ready: Cell<bool>,
     is_accepting: Cell<bool>,
     drain_state: Cell<DrainState>,
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Records that an endpoint list is held.
+    /// Records that an endpoint list is in force.
     pub fn set_ready(&self) {
         self.is_ready.set(true);
     }
--- a/quota-gateway/server/src/server/connection.rs
+++ b/quota-gateway/server/src/server/connection.rs
@@ -37,9 +37,11 @@
 
 /// A client's connection.
 pub struct ClientConnection {
+    /// What the connection is doing.
     pub phase: Cell<Phase>,
+    /// The client has sent at least one complete head.
     pub has_sent_request: Cell<bool>,
-    /// hyper has not taken the whole response yet, so what it has passed on to the system is not all of it.
+    /// hyper has not taken the whole response yet, so what the system has accepted is not all of it.
     pub is_body_unfinished: Cell<bool>,
     /// A request was rejected, perhaps with a part of it unread.
     pub is_rejected: Cell<bool>,
@@ -47,6 +49,7 @@
     close_requested_at: Cell<Option<Instant>>,
     /// Notified when `close_requested_at` has changed.
     pub close_changed: Notify,
+    /// Follows the framing of the client's bytes.
     pub heads: RefCell<HeadScanner>,
     /// When the first bytes of an incomplete head arrived.
     head_since: Cell<Option<Instant>>,
--- a/quota-gateway/server/src/server/request_reader.rs
+++ b/quota-gateway/server/src/server/request_reader.rs
@@ -42,6 +42,7 @@
 pub struct AdmittedRequest<'a> {
     /// What the decisions need to know; the engine numbers it.
     pub request: NewRequest,
+    /// What is sent to servers.
     pub upstream_request: UpstreamRequest,
     /// Keeps the trace id reserved until the request is over.
     pub _open_id: OpenIdGuard<'a>,
--- a/quota-gateway/server/src/server/responder.rs
+++ b/quota-gateway/server/src/server/responder.rs
@@ -19,7 +19,7 @@
 /// The path of the readiness check.
 const READINESS_PATH: &str = "/up";
 
-/// A client that awaits its response. Dropped with the connection when the client disconnects, which the engine is told.
+/// A client that awaits its response. Its drop, with the connection when the client disconnects, notifies the engine.
 struct DisconnectGuard<'a> {
     engine: &'a Engine,
     /// `None` once the response has been received.
--- a/quota-gateway/server/src/server/response.rs
+++ b/quota-gateway/server/src/server/response.rs
@@ -9,7 +9,9 @@
 
 /// The response to a request that reaches no server.
 pub struct Rejection {
+    /// The status of the response.
     pub status: StatusCode,
+    /// The text of its body.
     pub reason: String,
 }
 
--- a/quota-gateway/server/src/upstream/endpoints.rs
+++ b/quota-gateway/server/src/upstream/endpoints.rs
@@ -11,7 +11,9 @@
 /// so connections are pooled by id, address and start time together.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerProcess {
+    /// The server's number.
     pub server: ServerId,
+    /// The address at which it serves.
     pub addr: SocketAddr,
     started_at: Option<Time>,
 }
--- a/quota-gateway/server/src/upstream/pool.rs
+++ b/quota-gateway/server/src/upstream/pool.rs
@@ -48,6 +48,7 @@
 
 /// A connection for an attempt.
 pub struct Acquired {
+    /// The connection, for this attempt alone.
     pub connection: PooledConnection,
     /// How long the connection had been idle; `None` for a new one.
     pub idle_for: Option<Duration>,
--- a/quota-gateway/server/src/upstream/request.rs
+++ b/quota-gateway/server/src/upstream/request.rs
@@ -14,12 +14,17 @@
 
 /// The parts of a request that every attempt carries unchanged from the client.
 pub struct UpstreamRequest {
+    /// The client's method.
     pub method: Method,
+    /// The client's path and query.
     pub uri: Uri,
+    /// The client's headers that servers get.
     pub headers: HeaderMap,
+    /// The client's body.
     pub body: RequestBody,
     /// The firm whose shard the request writes, if it writes any.
     pub written_firm: Option<u64>,
+    /// The time that remains for the request.
     pub budget: Rc<RequestBudget>,
     /// Set with the final response. No attempt is written after that, including those that are still connecting and may
     /// not be cancelled.
@@ -49,15 +54,19 @@
 
 /// A server's 200 response: a complete one, or a streamed one that has begun.
 pub struct ServedResponse {
+    /// The server's body.
     pub body: ResponseBody,
+    /// The server's content type, if it names one.
     pub content_type: Option<HeaderValue>,
 }
 
 /// How an attempt ended.
 pub struct AttemptEnd {
+    /// How it ended, for the decisions.
     pub status: Status,
     /// The customer's metered use of its quota, as a fraction, if the server reports one.
     pub metered_use: Option<f64>,
+    /// The load that the server reports of itself.
     pub load_report: LoadReport,
     /// The response, with [`Status::Ok`] only, and only if it was not streamed before.
     pub response: Option<ServedResponse>,
