--- a/quota-gateway/server/src/discovery.rs
+++ b/quota-gateway/server/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Follows the endpoint list and passes it to the engine.
 //!
 //! A watch asks the agent for changes since the version of the list in force; after a failure the next address is asked, with
-//! a backoff ([`follow_timing`]). What a [`call`] returns is first merged by the [`list_follower`], where several processes
+//! a backoff ([`follow_timing`]). What a [`call`](mod@call) returns is first merged by the [`list_follower`], where several processes
 //! of the project's own discovery service may contradict each other, and then applied: ids and names become numbers
 //! ([`server_ids`], [`name_table`]). While discovery fails, the old list stays in force.
 
