--- a/quota-gateway/membership/src/lib.rs
+++ b/quota-gateway/membership/src/lib.rs
@@ -1,14 +1,19 @@
 //! Membership of a fleet's gateways: who is present, who has left, who has failed.
 //!
-//! SWIM (Das, Gupta, Motivala 2002) with the Lifeguard extensions (Dadgar, Phillips, Currey 2018): probes, direct and by
-//! others; suspicion that the suspect can refute by a higher incarnation; awareness of the own health; news carried by the
-//! probes themselves.
+//! The protocol is SWIM (A. Das, I. Gupta, A. Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
+//! Membership Protocol", DSN 2002) with the three Lifeguard extensions (A. Dadgar, J. Phillips, J. Currey, "Lifeguard:
+//! Local Health Awareness for More Accurate Failure Detection", DSN-W 2018), and with a periodic push-pull
+//! synchronisation of full states:
 //!
-//! - [`record`]: what is said of a member, and how two sayings are merged.
-//! - [`core`]: the failure detector. Sans-I/O: messages and time in, messages and changes out, chance from a seed.
-//! - [`wire`]: messages as datagrams, with a version, a cluster and an authentication code.
+//! - [`detector`]: the failure detector. It is sans-I/O: messages and time go in, messages and state changes come out,
+//!   and all randomness comes from a seed, so that a simulated run can be replayed.
+//! - [`record`]: what one member claims about another, and the order in which claims override each other.
+//! - [`wire`]: messages as datagrams, with a version, a cluster name and an authentication tag.
+//! - [`config`] and [`output`]: what the detector is given, and what it returns.
 #![forbid(unsafe_code)]
 
-pub mod core;
+pub mod config;
+pub mod detector;
+pub mod output;
 pub mod record;
 pub mod wire;
--- a/quota-gateway/membership/src/record.rs
+++ b/quota-gateway/membership/src/record.rs
@@ -1,4 +1,7 @@
-//! What is said of a member, and how two sayings are merged.
+//! What is claimed about a member, and which of two claims overrides the other.
+//!
+//! The order of claims is total, so that merging is commutative, associative and idempotent, and all members come to the
+//! same view in whatever order they hear the claims.
 
 use std::fmt;
 use std::net::SocketAddrV4;
@@ -6,73 +9,86 @@
 
 /// The longest name of a member, and of a zone, in bytes.
 pub const MAX_NAME_BYTES: usize = 48;
-/// Incarnations are at most this. One that is said to be higher is impossible; a member that gets here by itself can refute
-/// nothing more, and is held for failed until it starts under another name.
+/// The highest incarnation. Claims with a higher one are invalid. A member that reaches it can refute nothing more, and
+/// counts as failed until it starts under another name.
 pub const MAX_INCARNATION: u64 = 1 << 62;
 
-/// A member's name, and a zone's: one to [`NAME_MOST`] bytes of text, or none for a zone that is not known.
+/// The name of a member or a zone: at most [`MAX_NAME_BYTES`] of UTF-8. Only an unknown zone's name is empty.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Name(Rc<str>);
 
 impl Name {
+    /// Returns the name, or `None` if the text is too long.
     pub fn new(text: &str) -> Option<Name> {
         (text.len() <= MAX_NAME_BYTES).then(|| Name(text.into()))
     }
 
+    /// Returns the text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
+
+    /// Returns a hash in four bytes (32-bit FNV-1a), by which datagrams name the member that raised a suspicion.
+    pub fn fingerprint(&self) -> u32 {
+        self.0.bytes().fold(0x811c_9dc5, |h: u32, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193))
+    }
 }
 
 impl fmt::Display for Name {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0.escape_debug())
     }
 }
 
-/// What a member is held for; of one incarnation, what comes later here stands.
+/// The state of a member. Within one incarnation, a later variant overrides an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
+pub enum MemberState {
+    /// It claims to be present.
     Alive,
-    /// A probe of it has failed; it may refute that.
+    /// A probe of it has failed, and it may still refute that.
     Suspect,
-    /// It refuted nothing in time.
+    /// It has not refuted a suspicion in time.
     Failed,
-    /// It said so itself.
+    /// It has announced its departure.
     Left,
 }
 
-impl State {
-    /// Whether it counts as present.
-    pub fn present(self) -> bool {
-        matches!(self, State::Alive | State::Suspect)
+impl MemberState {
+    /// Returns whether a member in this state counts as present.
+    pub fn is_present(self) -> bool {
+        matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
-/// What is said of a member.
+/// A claim about a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
+    /// The member.
     pub name: Name,
+    /// The address at which it receives datagrams.
     pub addr: SocketAddrV4,
+    /// The zone in which it runs; empty where it is not known.
     pub zone: Name,
-    /// Which of its lives and refutations is meant. Only the member itself makes a higher one.
+    /// The incarnation that the claim is about. Only the member itself raises it, at a start and to refute.
     pub incarnation: u64,
-    pub state: State,
+    /// The claimed state.
+    pub state: MemberState,
 }
 
 impl Record {
-    /// By what two sayings are told apart, in the order in which the later stands. The address and the zone are in it so
-    /// that it is one order for all, also where two processes have one name.
-    fn rank(&self) -> (u64, State, SocketAddrV4, &Name) {
+    /// Returns what claims are ordered by. The address and the zone belong to it so that the order is total also where two
+    /// processes have one name.
+    fn precedence(&self) -> (u64, MemberState, SocketAddrV4, &Name) {
         (self.incarnation, self.state, self.addr, &self.zone)
     }
 
-    /// Whether this is news to whoever holds the other.
+    /// Returns whether this claim overrides the other one about the same member.
     pub fn overrides(&self, other: &Record) -> bool {
-        self.rank() > other.rank()
+        self.precedence() > other.precedence()
     }
 
-    /// The one of two sayings of one member that stands.
+    /// Returns the one of two claims about the same member that overrides the other.
+    #[must_use]
     pub fn merged(self, other: Record) -> Record {
         if other.overrides(&self) {
             other
--- a/quota-gateway/membership/src/wire.rs
+++ b/quota-gateway/membership/src/wire.rs
@@ -1,167 +1,216 @@
-//! Messages as datagrams: a version, the cluster's name, the message and an authentication code over all of it.
+//! Messages as datagrams: a version, the cluster's name, the message, and an authentication tag over all of it.
+//!
+//! A datagram is authenticated before its message is parsed, so that only members reach the parser. There is one encoding
+//! of each message. Integers are little-endian; texts have a length in one byte.
 
-use crate::record::{Name, Record, State, MAX_INCARNATION, MAX_NAME_BYTES};
+use crate::record::{MemberState, Name, Record, MAX_INCARNATION, MAX_NAME_BYTES};
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
+use std::fmt;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// A datagram is at most this long, so that it passes any way in one piece.
+/// The longest datagram, which fits a packet on common links with room for tunnels, and so is not fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// What is said of members in one message.
+/// The most updates in one message.
 pub const MAX_UPDATES: usize = 64;
 /// The longest name of a cluster, in bytes.
 pub const MAX_CLUSTER_NAME_BYTES: usize = 32;
-const VERSION: u8 = 1;
-/// Bytes of the code: half of what HMAC-SHA-256 gives, which RFC 2104 holds for enough.
-const CODE: usize = 16;
-/// Keys that count at once: the one that signs, and that of before or after it.
+/// The most keys that are valid at once: the one that signs, and during a key rotation its predecessor or successor.
 pub const MAX_KEYS: usize = 2;
-/// What is said of one member, beside its name and zone: two lengths, address, incarnation, state, who says it.
-const UPDATE_FRAME: usize = 2 + 6 + 8 + 1 + 4;
-/// What a message takes at most beside what it says of members: version, the cluster's and the code, kind, number of
-/// updates, sequence, two names with their lengths and two addresses.
-const MAX_MESSAGE_BYTES: usize =
-    1 + 1 + MAX_CLUSTER_NAME_BYTES + CODE + 1 + 1 + 4 + 2 * (1 + MAX_NAME_BYTES) + 2 * 6;
+const VERSION: u8 = 1;
+/// The length of the tag: HMAC-SHA-256 cut to half, the least that RFC 2104 (section 5) recommends.
+const TAG_BYTES: usize = 16;
+/// What an update takes beside its name and zone: two lengths, address, incarnation, state and suspector.
+const UPDATE_OVERHEAD_BYTES: usize = 2 + 6 + 8 + 1 + 4;
+/// What a message takes at most beside its updates: version, cluster, tag, kind, number of updates, sequence number, two
+/// names and two addresses.
+const MAX_HEADER_BYTES: usize =
+    1 + 1 + MAX_CLUSTER_NAME_BYTES + TAG_BYTES + 1 + 1 + 4 + 2 * (1 + MAX_NAME_BYTES) + 2 * 6;
 
+/// The kind of a message, after SWIM and Lifeguard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// A probe.
     Ping {
+        /// The number that the answer carries.
         seq: u32,
+        /// The member that is meant; another one at this address does not answer.
         target: Name,
     },
+    /// The answer to a ping, or, from a helper, to a ping request.
     Ack {
+        /// The number of the ping or ping request.
         seq: u32,
     },
-    /// Probe another on the sender's behalf.
+    /// A request to probe another member for the sender.
     PingReq {
+        /// The number that the answer carries.
         seq: u32,
+        /// The member to probe.
         target: Name,
+        /// Its address.
         addr: SocketAddrV4,
     },
-    /// A helper has no answer either.
+    /// A helper's notice that the target of a ping request has not acknowledged so far.
     Nack {
+        /// The number of the ping request.
         seq: u32,
     },
-    /// Nothing but what it says of members.
-    News,
+    /// Nothing but updates.
+    Gossip,
 }
 
-/// What is said of a member, and, of a suspect, by whom it is suspected.
+/// A claim about a member that is gossiped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Update {
+    /// The claim.
     pub record: Record,
-    pub by: u32,
+    /// Of a suspect, the [`Name::fingerprint`] of a member that suspects it; by this, confirmations are told apart.
+    pub suspected_by: u32,
 }
 
+/// A message from one member to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
+    /// The sender.
     pub from: Name,
+    /// The address at which the sender receives answers.
     pub from_addr: SocketAddrV4,
+    /// What it is about.
     pub kind: Kind,
+    /// What it carries along; at most [`MAX_UPDATES`].
     pub updates: Vec<Update>,
 }
 
-/// Why a datagram is dropped.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Dropped {
-    /// Shorter or longer than any, or than it says.
+pub enum DecodeError {
+    /// It is shorter or longer than any valid one, or has bytes beyond its message.
     Length,
+    /// Its version is another one.
     Version,
+    /// It belongs to another cluster.
     Cluster,
-    /// Signed by no key that counts.
-    Code,
-    /// Well signed, and nothing that a member says.
-    Impossible,
+    /// No valid key signed it.
+    Authentication,
+    /// It is signed, but is not the encoding of a message.
+    Malformed,
+}
+
+impl fmt::Display for DecodeError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            DecodeError::Length => "datagram of an invalid length",
+            DecodeError::Version => "datagram of another version",
+            DecodeError::Cluster => "datagram of another cluster",
+            DecodeError::Authentication => "datagram signed with no valid key",
+            DecodeError::Malformed => "datagram without a valid message",
+        })
+    }
 }
 
-/// Bytes that something said of a member takes.
-pub fn length(update: &Update) -> usize {
-    UPDATE_FRAME + update.record.name.as_str().len() + update.record.zone.as_str().len()
+impl std::error::Error for DecodeError {}
+
+/// Returns the bytes that an update takes in a datagram.
+pub fn encoded_len(update: &Update) -> usize {
+    UPDATE_OVERHEAD_BYTES + update.record.name.as_str().len() + update.record.zone.as_str().len()
 }
 
-/// Bytes that are left for what is said of members.
+/// Returns the bytes that are left for further updates in a message.
 pub fn remaining_bytes(message: &Message) -> usize {
-    let said: usize = message.updates.iter().map(length).sum();
-    (MAX_DATAGRAM_BYTES - MAX_MESSAGE_BYTES).saturating_sub(said)
+    let used: usize = message.updates.iter().map(encoded_len).sum();
+    (MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES).saturating_sub(used)
 }
 
-/// The keys and the name of a cluster.
-pub struct Cluster {
-    name: Vec<u8>,
-    /// The first one signs; any of them counts.
+/// Encodes and decodes the datagrams of one cluster.
+pub struct Codec {
+    cluster_name: Vec<u8>,
+    /// The first one signs; a tag by any of them is valid.
     keys: Vec<Hmac<Sha256>>,
 }
 
-impl Cluster {
-    /// `None` where the name is too long, or there is no key or too many.
-    pub fn new(name: &str, keys: &[&[u8]]) -> Option<Cluster> {
-        let fits = name.len() <= MAX_CLUSTER_NAME_BYTES && (1..=MAX_KEYS).contains(&keys.len());
+impl Codec {
+    /// Returns the codec of a cluster, or `None` if the name is too long or there is not one key or two. The first key
+    /// signs.
+    pub fn new(cluster_name: &str, keys: &[&[u8]]) -> Option<Codec> {
+        let is_valid = cluster_name.len() <= MAX_CLUSTER_NAME_BYTES && (1..=MAX_KEYS).contains(&keys.len());
         let keys: Option<Vec<_>> = keys.iter().map(|key| Hmac::new_from_slice(key).ok()).collect();
-        keys.filter(|_| fits).map(|keys| Cluster { name: name.as_bytes().to_vec(), keys })
+        keys.filter(|_| is_valid).map(|keys| Codec { cluster_name: cluster_name.as_bytes().to_vec(), keys })
     }
 
+    /// Returns the datagram of a message.
     pub fn encode(&self, message: &Message) -> Vec<u8> {
-        let mut out = vec![VERSION, self.name.len() as u8];
-        out.extend_from_slice(&self.name);
-        put_name(&mut out, &message.from);
-        put_addr(&mut out, message.from_addr);
-        let (kind, seq) = match &message.kind {
-            Kind::Ping { seq, .. } => (0, *seq),
-            Kind::Ack { seq } => (1, *seq),
-            Kind::PingReq { seq, .. } => (2, *seq),
-            Kind::Nack { seq } => (3, *seq),
-            Kind::News => (4, 0),
-        };
-        out.push(kind);
-        out.extend_from_slice(&seq.to_le_bytes());
-        if let Kind::Ping { target, .. } | Kind::PingReq { target, .. } = &message.kind {
-            put_name(&mut out, target);
-        }
-        if let Kind::PingReq { addr, .. } = &message.kind {
-            put_addr(&mut out, *addr);
-        }
-        out.push(message.updates.len() as u8);
-        for Update { record, by } in &message.updates {
-            put_name(&mut out, &record.name);
-            put_name(&mut out, &record.zone);
-            put_addr(&mut out, record.addr);
-            out.extend_from_slice(&record.incarnation.to_le_bytes());
-            out.push(record.state as u8);
-            out.extend_from_slice(&by.to_le_bytes());
-        }
+        let mut out = vec![VERSION, self.cluster_name.len() as u8];
+        out.extend_from_slice(&self.cluster_name);
+        put_message(&mut out, message);
         if let Some(key) = self.keys.first() {
-            let code = key.clone().chain_update(&out).finalize().into_bytes();
-            out.extend_from_slice(&code[..CODE]);
+            let tag = key.clone().chain_update(&out).finalize().into_bytes();
+            out.extend_from_slice(&tag[..TAG_BYTES]);
         }
         out
     }
 
-    pub fn decode(&self, datagram: &[u8]) -> Result<Message, Dropped> {
-        if datagram.len() > MAX_DATAGRAM_BYTES || datagram.len() < 2 + CODE {
-            return Err(Dropped::Length);
+    /// Returns the message of a datagram, or why it is rejected.
+    pub fn decode(&self, datagram: &[u8]) -> Result<Message, DecodeError> {
+        if datagram.len() > MAX_DATAGRAM_BYTES || datagram.len() < 2 + TAG_BYTES {
+            return Err(DecodeError::Length);
         }
         if datagram[0] != VERSION {
-            return Err(Dropped::Version);
+            return Err(DecodeError::Version);
         }
-        let (said, code) = datagram.split_at(datagram.len() - CODE);
-        let cluster = said[2..].get(..usize::from(said[1])).ok_or(Dropped::Length)?;
-        if cluster != self.name {
-            return Err(Dropped::Cluster);
+        let (signed, tag) = datagram.split_at(datagram.len() - TAG_BYTES);
+        let cluster_name = signed[2..].get(..usize::from(signed[1])).ok_or(DecodeError::Length)?;
+        if cluster_name != self.cluster_name {
+            return Err(DecodeError::Cluster);
         }
-        // Before anything else is read of it.
-        if !self.keys.iter().any(|key| key.clone().chain_update(said).verify_truncated_left(code).is_ok()) {
-            return Err(Dropped::Code);
+        // Before anything else is parsed.
+        if !self.keys.iter().any(|key| key.clone().chain_update(signed).verify_truncated_left(tag).is_ok()) {
+            return Err(DecodeError::Authentication);
         }
-        let mut rest = Rest(&said[2 + cluster.len()..]);
-        let message = rest.message().ok_or(Dropped::Impossible)?;
-        if rest.0.is_empty() {
+        let mut reader = Reader { remaining: &signed[2 + cluster_name.len()..] };
+        let message = reader.message().ok_or(DecodeError::Malformed)?;
+        if reader.remaining.is_empty() {
             Ok(message)
         } else {
-            Err(Dropped::Length)
+            Err(DecodeError::Length)
         }
     }
 }
 
+fn put_message(out: &mut Vec<u8>, message: &Message) {
+    put_name(out, &message.from);
+    put_addr(out, message.from_addr);
+    let (kind, seq) = match &message.kind {
+        Kind::Ping { seq, .. } => (0, *seq),
+        Kind::Ack { seq } => (1, *seq),
+        Kind::PingReq { seq, .. } => (2, *seq),
+        Kind::Nack { seq } => (3, *seq),
+        Kind::Gossip => (4, 0),
+    };
+    out.push(kind);
+    out.extend_from_slice(&seq.to_le_bytes());
+    if let Kind::Ping { target, .. } | Kind::PingReq { target, .. } = &message.kind {
+        put_name(out, target);
+    }
+    if let Kind::PingReq { addr, .. } = &message.kind {
+        put_addr(out, *addr);
+    }
+    out.push(message.updates.len() as u8);
+    for update in &message.updates {
+        put_update(out, update);
+    }
+}
+
+fn put_update(out: &mut Vec<u8>, update: &Update) {
+    let Update { record, suspected_by } = update;
+    put_name(out, &record.name);
+    put_name(out, &record.zone);
+    put_addr(out, record.addr);
+    out.extend_from_slice(&record.incarnation.to_le_bytes());
+    out.push(record.state as u8);
+    out.extend_from_slice(&suspected_by.to_le_bytes());
+}
+
 fn put_name(out: &mut Vec<u8>, name: &Name) {
     out.push(name.as_str().len() as u8);
     out.extend_from_slice(name.as_str().as_bytes());
@@ -172,22 +221,27 @@
     out.extend_from_slice(&addr.port().to_le_bytes());
 }
 
-/// What is left to be read. Nothing is read beyond its end.
-struct Rest<'a>(&'a [u8]);
+/// A cursor that yields `None` instead of reading beyond the end.
+struct Reader<'a> {
+    remaining: &'a [u8],
+}
 
-impl Rest<'_> {
+impl Reader<'_> {
     fn bytes<const N: usize>(&mut self) -> Option<[u8; N]> {
-        let (head, rest) = self.0.split_first_chunk::<N>()?;
-        self.0 = rest;
+        let (head, remaining) = self.remaining.split_first_chunk::<N>()?;
+        self.remaining = remaining;
         Some(*head)
     }
 
-    fn name(&mut self, may_be_empty: bool) -> Option<Name> {
+    fn text(&mut self) -> Option<Name> {
         let [length] = self.bytes()?;
-        let (name, rest) = self.0.split_at_checked(usize::from(length))?;
-        self.0 = rest;
-        let name = std::str::from_utf8(name).ok()?;
-        Name::new(name).filter(|_| may_be_empty || !name.is_empty())
+        let (text, remaining) = self.remaining.split_at_checked(usize::from(length))?;
+        self.remaining = remaining;
+        Name::new(std::str::from_utf8(text).ok()?)
+    }
+
+    fn member_name(&mut self) -> Option<Name> {
+        self.text().filter(|name| !name.as_str().is_empty())
     }
 
     fn addr(&mut self) -> Option<SocketAddrV4> {
@@ -198,25 +252,26 @@
     }
 
     fn update(&mut self) -> Option<Update> {
-        let (name, zone, addr) = (self.name(false)?, self.name(true)?, self.addr()?);
+        let (name, zone, addr) = (self.member_name()?, self.text()?, self.addr()?);
         let incarnation = Some(u64::from_le_bytes(self.bytes()?)).filter(|&n| n <= MAX_INCARNATION)?;
         let [state] = self.bytes()?;
-        let state =
-            [State::Alive, State::Suspect, State::Failed, State::Left].get(usize::from(state)).copied()?;
-        let by = u32::from_le_bytes(self.bytes()?);
-        Some(Update { record: Record { name, addr, zone, incarnation, state }, by })
+        let state = [MemberState::Alive, MemberState::Suspect, MemberState::Failed, MemberState::Left]
+            .get(usize::from(state))
+            .copied()?;
+        let suspected_by = u32::from_le_bytes(self.bytes()?);
+        Some(Update { record: Record { name, addr, zone, incarnation, state }, suspected_by })
     }
 
     fn message(&mut self) -> Option<Message> {
-        let (from, from_addr) = (self.name(false)?, self.addr()?);
+        let (from, from_addr) = (self.member_name()?, self.addr()?);
         let [kind] = self.bytes()?;
         let seq = u32::from_le_bytes(self.bytes()?);
         let kind = match kind {
-            0 => Kind::Ping { seq, target: self.name(false)? },
+            0 => Kind::Ping { seq, target: self.member_name()? },
             1 => Kind::Ack { seq },
-            2 => Kind::PingReq { seq, target: self.name(false)?, addr: self.addr()? },
+            2 => Kind::PingReq { seq, target: self.member_name()?, addr: self.addr()? },
             3 => Kind::Nack { seq },
-            4 if seq == 0 => Kind::News,
+            4 if seq == 0 => Kind::Gossip,
             _ => return None,
         };
         let [count] = self.bytes()?;
--- a/quota-gateway/membership/tests/fleet.rs
+++ b/quota-gateway/membership/tests/fleet.rs
@@ -1,6 +1,8 @@
 //! Many cores on a virtual network and clock, with loss, delay, cuts and pauses from a seed.
 
-use marblecroft_membership::core::*;
+use marblecroft_membership::config::*;
+use marblecroft_membership::detector::*;
+use marblecroft_membership::output::*;
 use marblecroft_membership::record::*;
 use marblecroft_membership::wire::{self, Message};
 use marblecroft_quota_gateway_core::Random;
@@ -36,13 +38,13 @@
 struct Told {
     at: Now,
     node: usize,
-    change: Change,
+    change: StateChange,
 }
 
 struct Net {
     now: Now,
     random: Random,
-    nodes: Vec<Option<Core>>,
+    nodes: Vec<Option<FailureDetector>>,
     /// Processes that stand still until then.
     paused: BTreeMap<usize, Now>,
     loss: f64,
@@ -84,21 +86,21 @@
         net
     }
 
-    fn settings(node: usize, count: usize) -> Settings {
-        Settings {
+    fn settings(node: usize, count: usize) -> Config {
+        Config {
             name: name(node),
             addr: addr(node),
             zone: Name::new("a").expect("short"),
             seeds: vec![addr(0), addr(1), addr(2)],
             period: PERIOD,
             expected: count as u32,
-            least_share: 0.5,
+            min_share: 0.5,
         }
     }
 
     fn start(&mut self, node: usize, count: usize, incarnation: u64) {
         let seed = (self.random.uniform() * 1e15) as u64;
-        let core = Core::new(Net::settings(node, count), incarnation, seed, self.now);
+        let core = FailureDetector::new(Net::settings(node, count), incarnation, seed, self.now);
         self.put(self.now, Due::Wake { node });
         self.nodes[node] = Some(core);
     }
@@ -106,9 +108,9 @@
     /// All members know all others, as after a while.
     fn acquainted(count: usize, seed: u64) -> Net {
         let mut net = Net::new(count, seed);
-        let all: Vec<Record> = net.nodes.iter().flatten().map(|core| core.state()[0].clone()).collect();
+        let all: Vec<Record> = net.nodes.iter().flatten().map(|core| core.full_state()[0].clone()).collect();
         for core in net.nodes.iter_mut().flatten() {
-            core.exchanged(Duration::ZERO, all.clone(), &mut Vec::new());
+            core.handle_full_state(Duration::ZERO, all.clone(), &mut Vec::new());
         }
         net
     }
@@ -125,10 +127,10 @@
         (node < self.nodes.len()).then_some(node)
     }
 
-    fn obey(&mut self, node: usize, actions: Vec<Action>) {
+    fn obey(&mut self, node: usize, actions: Vec<Output>) {
         for action in actions {
             match action {
-                Action::Send { to, message } => {
+                Output::Send { to, message } => {
                     self.datagrams += 1;
                     let length = wire::MAX_DATAGRAM_BYTES - wire::remaining_bytes(&message);
                     assert!(length <= wire::MAX_DATAGRAM_BYTES);
@@ -145,18 +147,18 @@
                     }
                     self.put(self.now + late, Due::Datagram { to, message });
                 }
-                Action::Exchange { with } => {
+                Output::Synchronize { with } => {
                     let Some(with) = self.node_at(with) else { continue };
                     // Both ways must be open for a connection.
                     if !(self.cut)(node, with) && !(self.cut)(with, node) {
                         self.put(self.now + Duration::from_millis(5), Due::Exchange { from: node, with });
                     }
                 }
-                Action::Changed(change) => self.told.push(Told { at: self.now, node, change }),
-                Action::Displaced { .. } => self.displaced.push(node),
+                Output::StateChanged(change) => self.told.push(Told { at: self.now, node, change }),
+                Output::Displaced { .. } => self.displaced.push(node),
             }
         }
-        if let Some(at) = self.nodes[node].as_ref().map(Core::wake_at) {
+        if let Some(at) = self.nodes[node].as_ref().map(FailureDetector::wake_at) {
             self.put(at.max(self.now), Due::Wake { node });
         }
     }
@@ -180,18 +182,18 @@
             let Some(core) = &mut self.nodes[node] else { continue };
             let mut actions = Vec::new();
             match due {
-                Due::Datagram { message, .. } => core.receive(self.now, message, &mut actions),
+                Due::Datagram { message, .. } => core.handle_message(self.now, message, &mut actions),
                 Due::Wake { .. } if core.wake_at() > self.now => continue,
-                Due::Wake { .. } => core.wake(self.now, &mut actions),
+                Due::Wake { .. } => core.on_tick(self.now, &mut actions),
                 Due::Exchange { with, .. } => {
-                    let own = core.state();
+                    let own = core.full_state();
                     let paused = self.paused.get(&with).is_some_and(|until| *until > self.now);
                     let Some(other) = self.nodes[with].as_mut().filter(|_| !paused) else { continue };
-                    let (theirs, mut answers) = (other.state(), Vec::new());
-                    other.exchanged(self.now, own, &mut answers);
+                    let (theirs, mut answers) = (other.full_state(), Vec::new());
+                    other.handle_full_state(self.now, own, &mut answers);
                     self.obey(with, answers);
                     if let Some(core) = &mut self.nodes[node] {
-                        core.exchanged(self.now, theirs, &mut actions);
+                        core.handle_full_state(self.now, theirs, &mut actions);
                     }
                 }
             }
@@ -200,13 +202,13 @@
         self.now = end;
     }
 
-    fn live(&self) -> impl Iterator<Item = (usize, &Core)> {
+    fn live(&self) -> impl Iterator<Item = (usize, &FailureDetector)> {
         self.nodes.iter().enumerate().filter_map(|(n, core)| Some((n, core.as_ref()?)))
     }
 
     /// Whether all that live have one view, of so many.
     fn agreed(&self, present: usize) -> bool {
-        let mut digests = self.live().map(|(_, core)| (core.digest(), core.present()));
+        let mut digests = self.live().map(|(_, core)| (core.digest(), core.present_count()));
         let first = digests.next();
         first.is_some_and(|(_, count)| count == present) && digests.all(|other| Some(other) == first)
     }
@@ -223,10 +225,10 @@
         Some((self.now - begun).as_secs_f64() / PERIOD.as_secs_f64())
     }
 
-    fn state_of(&self, node: usize, of: usize) -> Option<State> {
+    fn state_of(&self, node: usize, of: usize) -> Option<MemberState> {
         let core = self.nodes[node].as_ref()?;
         let of = name(of);
-        let state = core.others(self.now).find(|seen| seen.record.name == of).map(|seen| seen.record.state);
+        let state = core.peers(self.now).find(|seen| seen.record.name == of).map(|seen| seen.record.state);
         state
     }
 }
@@ -266,11 +268,11 @@
             let most = net.until_agreed(count - 1, bound);
             assert!(most.is_some(), "{count} members, seed {seed}: not within {bound} periods");
             let tellers: BTreeSet<usize> =
-                net.told.iter().filter(|t| t.change.to == State::Failed).map(|t| t.node).collect();
+                net.told.iter().filter(|t| t.change.to == MemberState::Failed).map(|t| t.node).collect();
             assert_eq!(tellers.len(), count - 1, "all the living, {count}, seed {seed}");
             for told in &net.told {
                 assert_eq!(told.change.name, name(victim), "{count}, seed {seed}: {told:?}");
-                if told.change.to == State::Failed {
+                if told.change.to == MemberState::Failed {
                     took.push((told.at - begun).as_secs_f64() / PERIOD.as_secs_f64());
                 }
             }
@@ -288,8 +290,8 @@
             let mut net = Net::acquainted(count, seed + 100);
             (net.loss, net.doubled) = (0.3, 0.2);
             net.run(periods(30.0));
-            failed += net.told.iter().filter(|told| told.change.to == State::Failed).count();
-            refuted += net.live().map(|(_, core)| core.figures.refuted_own).sum::<u64>();
+            failed += net.told.iter().filter(|told| told.change.to == MemberState::Failed).count();
+            refuted += net.live().map(|(_, core)| core.stats().local_refutations).sum::<u64>();
             // The loss has ended; what was held wrongly is put right.
             (net.loss, net.doubled) = (0.0, 0.0);
             let agreed = net.until_agreed(count, 60.0);
@@ -328,14 +330,14 @@
         let took = net.until_agreed(left, 200.0);
         gone.push(took.unwrap_or_else(|| panic!("seed {seed}: not within 200 periods")));
         assert!(
-            net.live().all(|(_, core)| !core.enough()),
+            net.live().all(|(_, core)| !core.is_view_sufficient()),
             "fewer than half are there, and users of the view are told"
         );
         // They start anew, with nothing kept but a later clock.
         victims.iter().for_each(|&n| net.start(n, count, 2000));
         let took = net.until_agreed(count, 80.0);
         back.push(took.unwrap_or_else(|| panic!("seed {seed}: not back within 80 periods")));
-        assert!(net.live().all(|(_, core)| core.enough()));
+        assert!(net.live().all(|(_, core)| core.is_view_sufficient()));
     }
     figures("42 of 60 killed at once are known", gone);
     figures("and back", back);
@@ -364,15 +366,16 @@
     net.told.clear();
     assert!(net.until_agreed(29, 20.0).is_some());
     assert!(
-        net.told.iter().all(|told| (told.change.to, &told.change.name) == (State::Left, &name(9))),
+        net.told.iter().all(|told| (told.change.to, &told.change.name) == (MemberState::Left, &name(9))),
         "{:?}",
         net.told
     );
-    assert_eq!(net.state_of(3, 9), Some(State::Left));
+    assert_eq!(net.state_of(3, 9), Some(MemberState::Left));
     // Old news of it changes nothing; a new life does.
-    let old = Record { name: name(9), addr: addr(9), zone: name(0), incarnation: 1000, state: State::Alive };
-    net.nodes[3].as_mut().expect("there").exchanged(net.now, vec![old], &mut Vec::new());
-    assert_eq!(net.state_of(3, 9), Some(State::Left));
+    let old =
+        Record { name: name(9), addr: addr(9), zone: name(0), incarnation: 1000, state: MemberState::Alive };
+    net.nodes[3].as_mut().expect("there").handle_full_state(net.now, vec![old], &mut Vec::new());
+    assert_eq!(net.state_of(3, 9), Some(MemberState::Left));
     net.start(9, 30, 2000);
     assert!(net.until_agreed(30, 40.0).is_some());
 }
@@ -385,8 +388,11 @@
         net.told.clear();
         net.paused.insert(4, net.now + periods(5.0));
         net.run(periods(40.0));
-        let false_ones: Vec<&Told> =
-            net.told.iter().filter(|t| t.change.name != name(4) && t.change.to == State::Failed).collect();
+        let false_ones: Vec<&Told> = net
+            .told
+            .iter()
+            .filter(|t| t.change.name != name(4) && t.change.to == MemberState::Failed)
+            .collect();
         assert!(false_ones.is_empty(), "seed {seed}: {false_ones:?}");
         assert!(net.until_agreed(30, 40.0).is_some(), "seed {seed}: it is back");
     }
@@ -402,8 +408,14 @@
         // A third of them hear only each other, none of them a seed, for long enough to be held for failed.
         net.cut = Box::new(|a, b| (a >= 40) != (b >= 40));
         net.run(periods(200.0));
-        assert!(net.live().filter(|(n, _)| *n >= 40).all(|(_, core)| core.present() == 20 && !core.enough()));
-        assert!(net.live().filter(|(n, _)| *n < 40).all(|(_, core)| core.present() == 40 && core.enough()));
+        assert!(net
+            .live()
+            .filter(|(n, _)| *n >= 40)
+            .all(|(_, core)| core.present_count() == 20 && !core.is_view_sufficient()));
+        assert!(net
+            .live()
+            .filter(|(n, _)| *n < 40)
+            .all(|(_, core)| core.present_count() == 40 && core.is_view_sufficient()));
         net.cut = Box::new(|_, _| false);
         let healed = net.until_agreed(count, 250.0);
         took.push(healed.unwrap_or_else(|| panic!("seed {seed}: the halves do not meet again")));
@@ -420,7 +432,11 @@
         // 5 does not reach 6, but all others do, and 6 reaches 5.
         net.cut = Box::new(|a, b| a == 5 && b == 6);
         net.run(periods(100.0));
-        assert!(net.told.iter().all(|told| told.change.to != State::Failed), "seed {seed}: {:?}", net.told);
+        assert!(
+            net.told.iter().all(|told| told.change.to != MemberState::Failed),
+            "seed {seed}: {:?}",
+            net.told
+        );
         assert!(net.agreed(30) || net.until_agreed(30, 30.0).is_some());
     }
 }
@@ -431,13 +447,13 @@
     net.run(periods(3.0));
     // Another process under the name of 4, at another address.
     net.nodes.push(None);
-    let settings = Settings { name: name(4), ..Net::settings(10, 10) };
-    net.nodes[10] = Some(Core::new(settings, 5000, 77, net.now));
+    let settings = Config { name: name(4), ..Net::settings(10, 10) };
+    net.nodes[10] = Some(FailureDetector::new(settings, 5000, 77, net.now));
     net.put(net.now, Due::Wake { node: 10 });
     net.run(periods(60.0));
     assert_eq!(net.displaced, [4], "the earlier one takes no part any more");
-    let held = net.nodes[0].as_ref().expect("there").others(net.now).find(|seen| seen.record.name == name(4));
-    assert_eq!(held.map(|seen| (seen.record.addr, seen.record.state)), Some((addr(10), State::Alive)));
+    let held = net.nodes[0].as_ref().expect("there").peers(net.now).find(|seen| seen.record.name == name(4));
+    assert_eq!(held.map(|seen| (seen.record.addr, seen.record.state)), Some((addr(10), MemberState::Alive)));
 }
 
 #[test]
@@ -463,27 +479,28 @@
             addr: addr(5),
             zone: name(0),
             incarnation: 1,
-            state: State::Alive,
+            state: MemberState::Alive,
         }
     }
-    core.exchanged(net.now, vec![stranger(1, u64::MAX)], &mut Vec::new());
-    assert_eq!(core.present(), 3);
+    core.handle_full_state(net.now, vec![stranger(1, u64::MAX)], &mut Vec::new());
+    assert_eq!(core.present_count(), 3);
     // Of its own name with a lower incarnation: nothing to say to.
     let before = core.incarnation();
-    let own = Record { name: name(0), addr: addr(0), zone: name(0), incarnation: 3, state: State::Failed };
-    core.exchanged(net.now, vec![own], &mut Vec::new());
+    let own =
+        Record { name: name(0), addr: addr(0), zone: name(0), incarnation: 3, state: MemberState::Failed };
+    core.handle_full_state(net.now, vec![own], &mut Vec::new());
     assert_eq!(core.incarnation(), before);
-    core.exchanged(net.now, (0..10_000).map(|n| stranger(n, 1)).collect(), &mut Vec::new());
-    assert!(core.state().len() <= MAX_MEMBERS + 1 && core.figures.passed_over > 7000);
+    core.handle_full_state(net.now, (0..10_000).map(|n| stranger(n, 1)).collect(), &mut Vec::new());
+    assert!(core.full_state().len() <= MAX_MEMBERS + 1 && core.stats().ignored_updates > 7000);
     // At the end of all incarnations it refutes nothing more, and does not go beyond.
     let last = Record {
         name: name(0),
         addr: addr(0),
         zone: name(0),
         incarnation: MAX_INCARNATION,
-        state: State::Failed,
+        state: MemberState::Failed,
     };
-    core.exchanged(net.now, vec![last], &mut Vec::new());
+    core.handle_full_state(net.now, vec![last], &mut Vec::new());
     assert_eq!(core.incarnation(), MAX_INCARNATION);
 }
 
@@ -513,23 +530,23 @@
     net.run(periods(3.0));
     let core = net.nodes[0].as_mut().expect("there");
     let suspect = Record {
-        state: State::Suspect,
-        ..core.state().into_iter().find(|record| record.name == name(1)).expect("known")
+        state: MemberState::Suspect,
+        ..core.full_state().into_iter().find(|record| record.name == name(1)).expect("known")
     };
-    core.exchanged(net.now, vec![suspect.clone()], &mut Vec::new());
+    core.handle_full_state(net.now, vec![suspect.clone()], &mut Vec::new());
     let (mut actions, woken) = (Vec::new(), net.now + periods(100.0));
-    core.wake(woken, &mut actions);
-    let failed = |actions: &[Action]| {
-        actions.iter().any(|a| matches!(a, Action::Changed(change) if change.to == State::Failed))
+    core.on_tick(woken, &mut actions);
+    let failed = |actions: &[Output]| {
+        actions.iter().any(|a| matches!(a, Output::StateChanged(change) if change.to == MemberState::Failed))
     };
     assert!(!failed(&actions), "it has heard nothing, and that is its own doing");
-    assert_eq!(core.health(), 8);
+    assert_eq!(core.local_health(), 8);
     // The others are heard again, and refute it.
-    let alive = Record { state: State::Alive, incarnation: suspect.incarnation + 1, ..suspect };
-    core.exchanged(woken + periods(0.1), vec![alive], &mut actions);
+    let alive = Record { state: MemberState::Alive, incarnation: suspect.incarnation + 1, ..suspect };
+    core.handle_full_state(woken + periods(0.1), vec![alive], &mut actions);
     assert!(!failed(&actions));
-    let held = core.others(woken).find(|seen| seen.record.name == name(1)).map(|seen| seen.record.state);
-    assert_eq!(held, Some(State::Alive));
+    let held = core.peers(woken).find(|seen| seen.record.name == name(1)).map(|seen| seen.record.state);
+    assert_eq!(held, Some(MemberState::Alive));
 }
 
 /// Asymmetric: it is heard and hears nobody. It must doubt itself rather than all others.
@@ -541,10 +558,10 @@
         net.told.clear();
         net.cut = Box::new(|_, to| to == 4);
         net.run(periods(15.0));
-        assert_eq!(net.nodes[4].as_ref().expect("there").health(), 8, "seed {seed}");
+        assert_eq!(net.nodes[4].as_ref().expect("there").local_health(), 8, "seed {seed}");
         net.cut = Box::new(|_, _| false);
         assert!(net.until_agreed(30, 60.0).is_some(), "seed {seed}");
         let others = net.told.iter().filter(|t| t.node != 4 && t.change.name != name(4));
-        assert_eq!(others.filter(|t| t.change.to == State::Failed).count(), 0, "seed {seed}");
+        assert_eq!(others.filter(|t| t.change.to == MemberState::Failed).count(), 0, "seed {seed}");
     }
 }
--- a/quota-gateway/membership/tests/golden.rs
+++ b/quota-gateway/membership/tests/golden.rs
@@ -8,8 +8,8 @@
 mod golden;
 
 use golden::{bytes, same_bytes};
-use marblecroft_membership::record::{Name, Record, State};
-use marblecroft_membership::wire::{Cluster, Kind, Message, Update};
+use marblecroft_membership::record::{MemberState, Name, Record};
+use marblecroft_membership::wire::{Codec, Kind, Message, Update};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 fn name(text: &str) -> Name {
@@ -20,7 +20,7 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 1, 2, last), port)
 }
 
-fn update(number: u8, state: State) -> Update {
+fn update(number: u8, state: MemberState) -> Update {
     let record = Record {
         name: name(&format!("member-{number}")),
         addr: addr(number, 7100 + u16::from(number)),
@@ -28,16 +28,16 @@
         incarnation: 0x0102_0304_0506_0700 + u64::from(number),
         state,
     };
-    Update { record, by: 0xa1b2_c300 + u32::from(number) }
+    Update { record, suspected_by: 0xa1b2_c300 + u32::from(number) }
 }
 
 /// One update in each state, one of them without a zone.
 fn updates() -> Vec<Update> {
     let mut updates = vec![
-        update(3, State::Alive),
-        update(4, State::Suspect),
-        update(5, State::Failed),
-        update(6, State::Left),
+        update(3, MemberState::Alive),
+        update(4, MemberState::Suspect),
+        update(5, MemberState::Failed),
+        update(6, MemberState::Left),
     ];
     updates[2].record.zone = name("");
     updates
@@ -48,7 +48,7 @@
     let message = |kind, updates| Message { from: name("sender"), from_addr: addr(9, 7109), kind, updates };
     vec![
         ("ping.hex", message(Kind::Ping { seq: 0x1122_3301, target: name("target") }, updates())),
-        ("ack.hex", message(Kind::Ack { seq: 0x1122_3302 }, vec![update(7, State::Alive)])),
+        ("ack.hex", message(Kind::Ack { seq: 0x1122_3302 }, vec![update(7, MemberState::Alive)])),
         (
             "ping-req.hex",
             message(
@@ -57,12 +57,12 @@
             ),
         ),
         ("nack.hex", message(Kind::Nack { seq: 0x1122_3304 }, Vec::new())),
-        ("news.hex", message(Kind::News, updates())),
+        ("news.hex", message(Kind::Gossip, updates())),
     ]
 }
 
-fn cluster() -> Cluster {
-    Cluster::new("golden", &[b"the key that signs", b"the key of before"]).expect("a cluster")
+fn cluster() -> Codec {
+    Codec::new("golden", &[b"the key that signs", b"the key of before"]).expect("a cluster")
 }
 
 #[test]
--- a/quota-gateway/membership/tests/merge.rs
+++ b/quota-gateway/membership/tests/merge.rs
@@ -1,6 +1,7 @@
 //! Merging, and every decoder.
 
-use marblecroft_membership::core::*;
+use marblecroft_membership::config::*;
+use marblecroft_membership::detector::*;
 use marblecroft_membership::record::*;
 use marblecroft_membership::wire::*;
 use proptest::prelude::*;
@@ -15,8 +16,13 @@
     (1..=u32::MAX, 1..=u16::MAX).prop_map(|(ip, port)| SocketAddrV4::new(ip.into(), port))
 }
 
-fn state() -> impl Strategy<Value = State> {
-    prop_oneof![Just(State::Alive), Just(State::Suspect), Just(State::Failed), Just(State::Left)]
+fn state() -> impl Strategy<Value = MemberState> {
+    prop_oneof![
+        Just(MemberState::Alive),
+        Just(MemberState::Suspect),
+        Just(MemberState::Failed),
+        Just(MemberState::Left)
+    ]
 }
 
 fn record() -> impl Strategy<Value = Record> {
@@ -41,15 +47,15 @@
         any::<u32>().prop_map(|seq| Kind::Ack { seq }),
         (any::<u32>(), name(), addr()).prop_map(|(seq, target, addr)| Kind::PingReq { seq, target, addr }),
         any::<u32>().prop_map(|seq| Kind::Nack { seq }),
-        Just(Kind::News),
+        Just(Kind::Gossip),
     ];
-    let update = (record(), any::<u32>()).prop_map(|(record, by)| Update { record, by });
+    let update = (record(), any::<u32>()).prop_map(|(record, suspected_by)| Update { record, suspected_by });
     (name(), addr(), kind, prop::collection::vec(update, 0..10))
         .prop_map(|(from, from_addr, kind, updates)| Message { from, from_addr, kind, updates })
 }
 
-fn cluster() -> Cluster {
-    Cluster::new("pay", &[b"new key", b"old key"]).expect("a cluster")
+fn cluster() -> Codec {
+    Codec::new("pay", &[b"new key", b"old key"]).expect("a cluster")
 }
 
 proptest! {
@@ -68,35 +74,35 @@
     fn a_core_holds_what_it_was_told_in_any_order(records in prop::collection::vec(record(), 1..30), turn: prop::sample::Index) {
         let core = || {
             let own = Name::new("own").expect("short");
-            let settings = Settings {
+            let settings = Config {
                 addr: SocketAddrV4::new([127, 0, 0, 1].into(), 9),
                 zone: own.clone(),
                 name: own,
                 seeds: Vec::new(),
                 period: Duration::from_secs(1),
                 expected: 3,
-                least_share: 0.5,
+                min_share: 0.5,
             };
-            Core::new(settings, 5, 1, Duration::ZERO)
+            FailureDetector::new(settings, 5, 1, Duration::ZERO)
         };
         let (mut one, mut other) = (core(), core());
-        one.exchanged(Duration::ZERO, records.clone(), &mut Vec::new());
+        one.handle_full_state(Duration::ZERO, records.clone(), &mut Vec::new());
         let mut turned = records.clone();
         turned.rotate_left(turn.index(records.len()));
         let mut left = std::collections::BTreeMap::new();
         for record in turned.into_iter().chain(records) {
-            other.exchanged(Duration::ZERO, vec![record.clone()], &mut Vec::new());
-            for seen in other.others(Duration::ZERO) {
+            other.handle_full_state(Duration::ZERO, vec![record.clone()], &mut Vec::new());
+            for seen in other.peers(Duration::ZERO) {
                 let Record { name, incarnation, state, .. } = seen.record.clone();
                 let before = left.insert(name, (incarnation, state));
                 prop_assert!(before.is_none_or(|(was, _)| was <= incarnation), "an incarnation went back");
-                if let Some((was, State::Left)) = before {
-                    prop_assert!(incarnation > was || state == State::Left, "one that left is back without a new one");
+                if let Some((was, MemberState::Left)) = before {
+                    prop_assert!(incarnation > was || state == MemberState::Left, "one that left is back without a new one");
                 }
             }
         }
         prop_assert_eq!(one.digest(), other.digest());
-        let sorted = |core: &Core| { let mut all = core.state(); all.sort_by(|a, b| a.name.cmp(&b.name)); all };
+        let sorted = |core: &FailureDetector| { let mut all = core.full_state(); all.sort_by(|a, b| a.name.cmp(&b.name)); all };
         prop_assert_eq!(sorted(&one), sorted(&other));
         prop_assert!(one.incarnation() >= 5);
     }
@@ -107,12 +113,12 @@
         prop_assert!(datagram.len() <= MAX_DATAGRAM_BYTES);
         prop_assert_eq!(cluster().decode(&datagram), Ok(message.clone()));
         // Also by whoever signs with the other key, and not by others.
-        let rotated = Cluster::new("pay", &[b"old key", b"new key"]).expect("a cluster");
+        let rotated = Codec::new("pay", &[b"old key", b"new key"]).expect("a cluster");
         prop_assert_eq!(rotated.decode(&datagram), Ok(message.clone()));
-        let stranger = Cluster::new("pay", &[b"another key"]).expect("a cluster");
-        prop_assert_eq!(stranger.decode(&datagram), Err(Dropped::Code));
-        let elsewhere = Cluster::new("pax", &[b"new key"]).expect("a cluster");
-        prop_assert_eq!(elsewhere.decode(&datagram), Err(Dropped::Cluster));
+        let stranger = Codec::new("pay", &[b"another key"]).expect("a cluster");
+        prop_assert_eq!(stranger.decode(&datagram), Err(DecodeError::Authentication));
+        let elsewhere = Codec::new("pax", &[b"new key"]).expect("a cluster");
+        prop_assert_eq!(elsewhere.decode(&datagram), Err(DecodeError::Cluster));
     }
 
     #[test]
@@ -148,7 +154,7 @@
 
 #[test]
 fn a_cluster_has_one_key_or_two_and_a_short_name() {
-    assert!(Cluster::new("pay", &[]).is_none());
-    assert!(Cluster::new("pay", &[b"a", b"b", b"c"]).is_none());
-    assert!(Cluster::new(&"x".repeat(33), &[b"a"]).is_none());
+    assert!(Codec::new("pay", &[]).is_none());
+    assert!(Codec::new("pay", &[b"a", b"b", b"c"]).is_none());
+    assert!(Codec::new(&"x".repeat(33), &[b"a"]).is_none());
 }
