--- a/quota-gateway/membership/tests/golden.rs
+++ b/quota-gateway/membership/tests/golden.rs
@@ -61,16 +61,16 @@
     ]
 }
 
-fn cluster() -> Codec {
+fn codec() -> Codec {
     Codec::new("golden", &[b"the key that signs", b"the key of before"]).expect("a cluster")
 }
 
 #[test]
 fn datagrams_keep_their_bytes() {
     for (fixture, message) in messages() {
-        same_bytes(fixture, &cluster().encode(&message));
-        let read = cluster().decode(&bytes(fixture)).unwrap_or_else(|e| panic!("{fixture}: {e:?}"));
+        same_bytes(fixture, &codec().encode(&message));
+        let read = codec().decode(&bytes(fixture)).unwrap_or_else(|e| panic!("{fixture}: {e:?}"));
         assert_eq!(read, message, "{fixture}");
-        same_bytes(fixture, &cluster().encode(&read));
+        same_bytes(fixture, &codec().encode(&read));
     }
 }
--- a/quota-gateway/membership/tests/merge.rs
+++ b/quota-gateway/membership/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Merging, and every decoder.
+//! Properties of merging claims, and of the datagram codec.
 
 use marblecroft_membership::config::*;
 use marblecroft_membership::detector::*;
@@ -30,8 +30,8 @@
         .prop_map(|(name, addr, zone, incarnation, state)| Record { name, addr, zone, incarnation, state })
 }
 
-/// Sayings of one member, close enough to meet.
-fn saying() -> impl Strategy<Value = Record> {
+/// Claims about one member, from a range small enough for conflicts.
+fn conflicting_claim() -> impl Strategy<Value = Record> {
     (1..3_u16, "[ab]", 0..3_u64, state()).prop_map(|(port, zone, incarnation, state)| Record {
         name: Name::new("x").expect("short"),
         addr: SocketAddrV4::new([127, 0, 0, 1].into(), port),
@@ -54,25 +54,25 @@
         .prop_map(|(from, from_addr, kind, updates)| Message { from, from_addr, kind, updates })
 }
 
-fn cluster() -> Codec {
+fn codec() -> Codec {
     Codec::new("pay", &[b"new key", b"old key"]).expect("a cluster")
 }
 
 proptest! {
     #[test]
-    fn merging_is_commutative_associative_and_idempotent([a, b, c] in [saying(), saying(), saying()]) {
+    fn merging_is_commutative_associative_and_idempotent([a, b, c] in [conflicting_claim(), conflicting_claim(), conflicting_claim()]) {
         let merged = |x: &Record, y: &Record| x.clone().merged(y.clone());
         prop_assert_eq!(merged(&a, &b), merged(&b, &a));
         prop_assert_eq!(merged(&merged(&a, &b), &c), merged(&a, &merged(&b, &c)));
         prop_assert_eq!(merged(&a, &a), a.clone());
         let m = merged(&a, &b);
-        prop_assert!(m.incarnation == a.incarnation.max(b.incarnation), "never back");
+        prop_assert!(m.incarnation == a.incarnation.max(b.incarnation), "never lowered");
     }
 
-    /// What one core is told, in whatever order and however often, it holds the same; of itself it is never talked down.
+    /// The view does not depend on the order or number of updates, and the own incarnation never falls.
     #[test]
-    fn a_core_holds_what_it_was_told_in_any_order(records in prop::collection::vec(record(), 1..30), turn: prop::sample::Index) {
-        let core = || {
+    fn the_view_is_independent_of_the_order_of_updates(records in prop::collection::vec(record(), 1..30), rotation: prop::sample::Index) {
+        let detector = || {
             let own = Name::new("own").expect("short");
             let settings = Config {
                 addr: SocketAddrV4::new([127, 0, 0, 1].into(), 9),
@@ -85,34 +85,34 @@
             };
             FailureDetector::new(settings, 5, 1, Duration::ZERO)
         };
-        let (mut one, mut other) = (core(), core());
+        let (mut one, mut other) = (detector(), detector());
         one.handle_full_state(Duration::ZERO, records.clone(), &mut Vec::new());
-        let mut turned = records.clone();
-        turned.rotate_left(turn.index(records.len()));
-        let mut left = std::collections::BTreeMap::new();
-        for record in turned.into_iter().chain(records) {
+        let mut rotated = records.clone();
+        rotated.rotate_left(rotation.index(records.len()));
+        let mut latest = std::collections::BTreeMap::new();
+        for record in rotated.into_iter().chain(records) {
             other.handle_full_state(Duration::ZERO, vec![record.clone()], &mut Vec::new());
-            for seen in other.peers(Duration::ZERO) {
-                let Record { name, incarnation, state, .. } = seen.record.clone();
-                let before = left.insert(name, (incarnation, state));
+            for peer in other.peers(Duration::ZERO) {
+                let Record { name, incarnation, state, .. } = peer.record.clone();
+                let before = latest.insert(name, (incarnation, state));
                 prop_assert!(before.is_none_or(|(was, _)| was <= incarnation), "an incarnation went back");
                 if let Some((was, MemberState::Left)) = before {
-                    prop_assert!(incarnation > was || state == MemberState::Left, "one that left is back without a new one");
+                    prop_assert!(incarnation > was || state == MemberState::Left, "a member that left is present without a new incarnation");
                 }
             }
         }
         prop_assert_eq!(one.digest(), other.digest());
-        let sorted = |core: &FailureDetector| { let mut all = core.full_state(); all.sort_by(|a, b| a.name.cmp(&b.name)); all };
+        let sorted = |detector: &FailureDetector| { let mut all = detector.full_state(); all.sort_by(|a, b| a.name.cmp(&b.name)); all };
         prop_assert_eq!(sorted(&one), sorted(&other));
         prop_assert!(one.incarnation() >= 5);
     }
 
     #[test]
-    fn a_message_is_read_as_it_is_written(message in message()) {
-        let datagram = cluster().encode(&message);
+    fn messages_round_trip(message in message()) {
+        let datagram = codec().encode(&message);
         prop_assert!(datagram.len() <= MAX_DATAGRAM_BYTES);
-        prop_assert_eq!(cluster().decode(&datagram), Ok(message.clone()));
-        // Also by whoever signs with the other key, and not by others.
+        prop_assert_eq!(codec().decode(&datagram), Ok(message.clone()));
+        // During a key rotation the other order of keys is valid as well; other keys and clusters are not.
         let rotated = Codec::new("pay", &[b"old key", b"new key"]).expect("a cluster");
         prop_assert_eq!(rotated.decode(&datagram), Ok(message.clone()));
         let stranger = Codec::new("pay", &[b"another key"]).expect("a cluster");
@@ -122,32 +122,32 @@
     }
 
     #[test]
-    fn a_datagram_with_a_byte_changed_or_cut_is_dropped(message in message(), at: prop::sample::Index, flip in 1..=255_u8) {
-        let datagram = cluster().encode(&message);
+    fn a_changed_truncated_or_extended_datagram_is_rejected(message in message(), at: prop::sample::Index, flip in 1..=255_u8) {
+        let datagram = codec().encode(&message);
         let at = at.index(datagram.len());
         let mut bad = datagram.clone();
         bad[at] ^= flip;
-        prop_assert!(cluster().decode(&bad).is_err());
-        prop_assert!(cluster().decode(&datagram[..at]).is_err());
-        prop_assert!(cluster().decode(&[datagram, vec![flip]].concat()).is_err());
+        prop_assert!(codec().decode(&bad).is_err());
+        prop_assert!(codec().decode(&datagram[..at]).is_err());
+        prop_assert!(codec().decode(&[datagram, vec![flip]].concat()).is_err());
     }
 
     #[test]
-    fn bytes_of_any_kind_are_dropped(bytes in prop::collection::vec(any::<u8>(), 0..1500)) {
-        prop_assert!(cluster().decode(&bytes).is_err());
+    fn arbitrary_bytes_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..1500)) {
+        prop_assert!(codec().decode(&bytes).is_err());
     }
 
-    /// Well signed, and nothing that a member says.
+    /// Signed with a valid key, but no message of a member.
     #[test]
-    fn signed_nonsense_is_read_without_a_panic(inside in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn signed_arbitrary_bytes_decode_without_a_panic(payload in prop::collection::vec(any::<u8>(), 0..300)) {
         use hmac::{Hmac, KeyInit, Mac};
         let mut datagram = vec![1, 3];
         datagram.extend_from_slice(b"pay");
-        datagram.extend_from_slice(&inside);
-        let code = Hmac::<sha2::Sha256>::new_from_slice(b"new key").unwrap().chain_update(&datagram).finalize().into_bytes();
-        datagram.extend_from_slice(&code[..16]);
-        if let Ok(message) = cluster().decode(&datagram) {
-            prop_assert_eq!(cluster().encode(&message), datagram, "one way to write it");
+        datagram.extend_from_slice(&payload);
+        let tag = Hmac::<sha2::Sha256>::new_from_slice(b"new key").unwrap().chain_update(&datagram).finalize().into_bytes();
+        datagram.extend_from_slice(&tag[..16]);
+        if let Ok(message) = codec().decode(&datagram) {
+            prop_assert_eq!(codec().encode(&message), datagram, "the encoding is canonical");
         }
     }
 }
