--- a/quota-gateway/discovery/benches/watches.rs
+++ b/quota-gateway/discovery/benches/watches.rs
@@ -123,7 +123,7 @@
 /// The time in which a log of so many records is read, and the store is as it was.
 fn recovery() -> f64 {
     let path = folder().join("data");
-    let take = || Folder::take(&path).expect("a folder").expect("nobody's");
+    let take = || Folder::lock(&path).expect("a folder").expect("nobody's");
     let (mut journal, _) = Journal::open(take()).expect("new");
     let host = |n: u64| Host {
         id: format!("s-{:08x}", n % 200),
@@ -143,8 +143,8 @@
     }
     drop(journal);
     let begun = Instant::now();
-    let (journal, held) = Journal::open(take()).expect("whole");
-    let store = Store::restore(held.image, held.records, Duration::ZERO);
+    let (journal, recovered) = Journal::open(take()).expect("whole");
+    let store = Store::restore(recovered.snapshot, recovered.records, Duration::ZERO);
     let took = begun.elapsed().as_secs_f64() * 1e3;
     assert_eq!((store.version(), store.len()), (RECORDS, 200));
     drop(journal);
--- a/quota-gateway/discovery/src/client.rs
+++ b/quota-gateway/discovery/src/client.rs
@@ -1,150 +1,158 @@
-//! What a gateway holds of the list, whatever it is told by whom: several services of one store, some of them behind, some
-//! of another store, some wrong.
+//! A reader's view of the list, across several services that may be behind, belong to another store, or be wrong.
 //!
-//! Sans-I/O: lists and time in, what is to be passed on out.
+//! Each list that arrives passes three checks before it changes the view: it must not be older than the view, it must be a
+//! full list if it comes from another store or epoch, and a full list that suddenly lacks many servers removes them only
+//! after a delay, since it may come from a store that lost its data. Sans-I/O: lists and time in, lists to apply out.
 
 use crate::format::{Entry, Host, HostList, State};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A caller's clock that is never set, from any origin.
+/// A reading of the caller's monotonic clock, as the time since an arbitrary origin.
 pub type Now = Duration;
 
-/// How a list that has lost most servers is met.
+/// How a full list that lacks many servers is treated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Caution {
-    /// A whole list without more than this share of the servers that were held ...
+    /// The share of the known servers, from 0 to 1, beyond which missing ones are removed only after the delay.
     pub share: f64,
-    /// ... takes them off only after this long, if nothing else is told of them until then.
+    /// How long they are kept unless a list contains them.
     pub removal_delay: Duration,
 }
 
-/// What becomes of a list.
+/// What becomes of a list that has arrived.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Taken {
-    /// To be passed on.
+    /// The caller applies this list.
     List(HostList),
-    /// From a service that is behind what is held, which stands. Another service is to be asked.
+    /// It is older than the view, which stays. The caller asks another service.
     Behind,
-    /// Changes of another store or under another writer, which mean nothing without the rest: the whole list is to be asked
-    /// for.
+    /// It contains changes of another store or epoch, which mean nothing without the rest. The caller asks for the full
+    /// list.
     Foreign,
 }
 
-/// What is held, and how old it is.
+/// A reader's view of the list.
 pub struct Follower {
     caution: Caution,
     store: Option<u64>,
     epoch: u64,
     version: Option<u64>,
-    endpoints: BTreeMap<String, Host>,
-    /// Servers that a list lacked all at once, and when they are given up.
-    missing: BTreeMap<String, Now>,
-    /// When a service last said how things are.
-    heard: Option<Now>,
+    servers: BTreeMap<String, Host>,
+    /// Servers that a full list suddenly lacked, and when each is removed.
+    removal_due_at: BTreeMap<String, Now>,
+    last_list_at: Option<Now>,
 }
 
 impl Follower {
+    /// Returns an empty view.
     pub fn new(caution: Caution) -> Follower {
         Follower {
             caution,
             store: None,
             epoch: 0,
             version: None,
-            endpoints: BTreeMap::new(),
-            missing: BTreeMap::new(),
-            heard: None,
+            servers: BTreeMap::new(),
+            removal_due_at: BTreeMap::new(),
+            last_list_at: None,
         }
     }
 
-    /// The version from which a watch goes on; none where the whole list is to be asked for.
+    /// Returns the version from which a watch continues; `None` if the full list is needed.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// Another address is asked from now on. Where lists do not say whose versions theirs are, its may begin anywhere.
+    /// The caller asks another service from now on. Without a stated store, its versions may begin anywhere.
     pub fn moved(&mut self) {
         if self.store.is_none() {
             self.version = None;
         }
     }
 
-    /// How old what is held is; none while nothing is.
+    /// Returns the time since the last list was taken; `None` before the first one.
     pub fn age(&self, now: Now) -> Option<Duration> {
-        self.heard.map(|heard| now.saturating_sub(heard))
+        self.last_list_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Servers that are held though the last whole list lacked them.
+    /// Returns the number of servers that are kept though the last full list lacked them.
     pub fn suspects(&self) -> usize {
-        self.missing.len()
+        self.removal_due_at.len()
     }
 
-    /// Takes a list in.
-    pub fn take(&mut self, list: HostList, now: Now) -> Taken {
-        let same = self.store.is_none() || list.store == self.store;
+    /// Takes a list that has arrived.
+    pub fn take(&mut self, mut list: HostList, now: Now) -> Taken {
+        let is_same_store = self.store.is_none() || list.store == self.store;
         match self.version {
-            // Of a writer that another one has replaced, however far it has come since.
-            Some(held) if same && (list.epoch < self.epoch || list.version < held) => return Taken::Behind,
-            // Also of a new writer: what the one before did last may be void.
-            Some(_) if !(list.full || same && list.epoch == self.epoch) => return Taken::Foreign,
+            // A lower epoch is that of a replaced writer, however high its version has become since.
+            Some(version) if is_same_store && (list.epoch < self.epoch || list.version < version) => {
+                return Taken::Behind;
+            }
+            // A new epoch as well: it may void the last changes of the former one.
+            Some(_) if !(list.full || is_same_store && list.epoch == self.epoch) => return Taken::Foreign,
             _ => {}
         }
         (self.store, self.epoch) = (list.store, list.epoch);
         self.version = Some(list.version);
-        self.heard = Some(now);
-        let HostList { version, full, store, epoch, mut servers } = list;
-        for entry in &servers {
-            match entry {
-                // Also one that drains: what is said of it is no longer missing, and binds.
-                Entry::Readable(host) if host.state == State::Deleted => self.remove(&host.id),
-                Entry::Readable(host) => {
-                    self.missing.remove(&host.id);
-                    self.endpoints.insert(host.id.clone(), host.clone());
-                }
-                Entry::Spoilt(Some(id)) => self.remove(id),
-                Entry::Spoilt(None) => {}
+        self.last_list_at = Some(now);
+        list.servers.iter().for_each(|entry| self.apply(entry));
+        if list.full {
+            self.keep_missing(&mut list.servers, now);
+        }
+        Taken::List(list)
+    }
+
+    fn apply(&mut self, entry: &Entry) {
+        match entry {
+            Entry::Readable(host) if host.state == State::Deleted => self.remove(&host.id),
+            Entry::Readable(host) => {
+                self.removal_due_at.remove(&host.id);
+                self.servers.insert(host.id.clone(), host.clone());
             }
+            Entry::Spoilt(Some(id)) => self.remove(id),
+            Entry::Spoilt(None) => {}
         }
-        if full {
-            let told = |id: &str| {
-                servers.iter().any(|entry| matches!(entry, Entry::Readable(host) if host.id == id))
-            };
-            let lacks: Vec<String> = self.endpoints.keys().filter(|id| !told(id)).cloned().collect();
-            let sudden = lacks.len() as f64 > self.caution.share * self.endpoints.len() as f64;
-            for id in lacks {
-                // One that drained has been told so, and is not missed.
-                let draining = self.endpoints.get(&id).is_none_or(|host| host.state != State::Serving);
-                if draining || !(sudden || self.missing.contains_key(&id)) {
-                    self.remove(&id);
-                    continue;
-                }
-                self.missing.entry(id.clone()).or_insert(now + self.caution.removal_delay);
-                servers.extend(self.endpoints.get(&id).cloned().map(Entry::Readable));
+    }
+
+    /// Removes the servers that a full list lacks, or adds them to it for now if they are too many.
+    fn keep_missing(&mut self, entries: &mut Vec<Entry>, now: Now) {
+        let is_listed =
+            |id: &str| entries.iter().any(|entry| matches!(entry, Entry::Readable(host) if host.id == id));
+        let missing: Vec<String> = self.servers.keys().filter(|id| !is_listed(id)).cloned().collect();
+        let is_sudden = missing.len() as f64 > self.caution.share * self.servers.len() as f64;
+        for id in missing {
+            // A draining server is expected to leave.
+            let is_draining = self.servers.get(&id).is_none_or(|host| host.state != State::Serving);
+            if is_draining || !(is_sudden || self.removal_due_at.contains_key(&id)) {
+                self.remove(&id);
+                continue;
             }
+            self.removal_due_at.entry(id.clone()).or_insert(now + self.caution.removal_delay);
+            entries.extend(self.servers.get(&id).cloned().map(Entry::Readable));
         }
-        Taken::List(HostList { version, full, store, epoch, servers })
     }
 
     fn remove(&mut self, id: &str) {
-        self.endpoints.remove(id);
-        self.missing.remove(id);
+        self.servers.remove(id);
+        self.removal_due_at.remove(id);
     }
 
-    /// When the next missing server is given up.
+    /// Returns when [`give_up`](Self::give_up) has a server to remove next.
     pub fn next_end(&self) -> Option<Now> {
-        self.missing.values().min().copied()
+        self.removal_due_at.values().min().copied()
     }
 
-    /// Gives up those that have been missing for too long: what is to be passed on, if there are any.
+    /// Removes the servers that have been missing for the delay. Returns the list of these deletions, if there are any, for
+    /// the caller to apply.
     pub fn give_up(&mut self, now: Now) -> Option<HostList> {
-        let over: Vec<String> =
-            self.missing.iter().filter(|(_, until)| **until <= now).map(|(id, _)| id.clone()).collect();
-        let gone = |id: &String| {
-            let host = self.endpoints.get(id)?;
+        let is_due = |(_, due_at): &(&String, &Now)| **due_at <= now;
+        let due: Vec<String> = self.removal_due_at.iter().filter(is_due).map(|(id, _)| id.clone()).collect();
+        let deletion = |id: &String| {
+            let host = self.servers.get(id)?;
             Some(Entry::Readable(Host { state: State::Deleted, ..host.clone() }))
         };
-        let servers: Vec<Entry> = over.iter().filter_map(gone).collect();
-        over.iter().for_each(|id| self.remove(id));
+        let servers: Vec<Entry> = due.iter().filter_map(deletion).collect();
+        due.iter().for_each(|id| self.remove(id));
         let version = self.version.filter(|_| !servers.is_empty())?;
         Some(HostList { version, full: false, store: self.store, epoch: self.epoch, servers })
     }
--- a/quota-gateway/discovery/src/config.rs
+++ b/quota-gateway/discovery/src/config.rs
@@ -1,4 +1,4 @@
-//! What the service is told at its start: one file.
+//! The configuration: one JSON file, read at the start.
 
 use marblecroft_logging::LogConfig;
 use serde::Deserialize;
@@ -7,51 +7,56 @@
 use std::path::PathBuf;
 use std::{env, fs};
 
+/// The configuration. Fields without a stated default are required.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// The folder that holds the log; this process's alone.
+    /// The folder of the journal, which no other process may use.
     pub data: PathBuf,
-    /// Whoever reaches the service can change the list: other than on the loopback address it listens only if told so.
+    /// Allows other addresses than loopback ones, false by default: whoever reaches the service can change the list.
     #[serde(default)]
     allow_other_than_loopback: bool,
-    /// The other processes of this store. One that writes asks them whether another one does by now.
+    /// The other processes of this store, none by default. A writer polls them for a higher epoch.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// The one that writes, where this one does not.
+    /// The writer that this process follows; by default it is a writer itself.
     pub follow: Option<SocketAddr>,
-    /// A replica that has not been in step with the one that writes for this long tells no lists; one that writes and has
-    /// not heard of half of its peers for this long writes no more.
-    #[serde(default = "stale")]
+    /// How long, in milliseconds, a replica serves lists after it was last in sync, and a writer accepts changes after it
+    /// last heard from half of its peers. 5000 by default.
+    #[serde(default = "default_stale_ms")]
     pub stale_ms: u64,
+    /// The limits.
     #[serde(default)]
     pub limits: Limits,
-    /// How events are told on standard error.
+    /// The log on standard error.
     #[serde(default)]
     pub log: LogConfig,
 }
 
-fn stale() -> u64 {
+fn default_stale_ms() -> u64 {
     5000
 }
 
-/// Others of a store.
+/// The most other processes of a store.
 const MAX_PEERS: usize = 8;
-/// A replica that is further behind is no use.
+/// The highest `stale_ms`: older lists are of no use.
 const MAX_STALENESS_MS: u64 = 60_000;
+/// The lowest `stale_ms`: twice the interval in which peers are polled.
 const MIN_STALENESS_MS: u64 = 1000;
 
+/// The limits, all of them with defaults.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Connections at once; further ones are answered with 503.
+    /// Connections at once, 1024 by default. Further ones are answered with 503.
     pub connections: usize,
-    /// Watches that wait at once.
+    /// Watches that wait at once, 768 by default. Further ones are answered with 503.
     pub watches: usize,
-    /// Whole lists a second, and at once.
+    /// Full lists per second, and in a burst, 400 by default. Further requests are answered with 503.
     pub whole_lists_per_s: u32,
-    /// Changes are gathered for so long before those who wait are told.
+    /// How long, in milliseconds, changes are gathered before watches are answered, 20 by default.
     pub gather_ms: u64,
 }
 
@@ -61,12 +66,12 @@
     }
 }
 
-/// What is gathered for longer is no longer news: drains bind gateways half a second after they are told.
+/// The highest `gather_ms`: a gateway must obey a drain within half a second.
 const MAX_BATCHING_MS: u64 = 200;
 
 impl Config {
-    /// Reads the file that the one argument names, or `MARBLECROFT_DISCOVERY_CONFIG`, or the name it had before,
-    /// `MAPLEDECK_DISCOVERY_CONFIG`; the error is one line.
+    /// Reads the file that the one argument names, or the environment variable `MARBLECROFT_DISCOVERY_CONFIG`, or its former
+    /// name `MAPLEDECK_DISCOVERY_CONFIG`. The error is one line for the operator.
     pub fn load(mut args: impl Iterator<Item = OsString>) -> Result<Config, String> {
         let path = args
             .next()
--- a/quota-gateway/discovery/src/format.rs
+++ b/quota-gateway/discovery/src/format.rs
@@ -1,44 +1,50 @@
-//! The list of servers as discovery words it, and the calls that ask for it.
+//! The list of servers and the requests for it, as JSON and as queries.
 //!
-//! One definition for the service, which writes it, and the gateways, which read it. A reader bears more than a writer
-//! writes: fields that it does not know, fields that are missing, and single entries that cannot be read.
+//! The service, which writes the list, and the gateways, which read it, share this definition. Reading is lenient, so that
+//! versions can be mixed: unknown fields are ignored, missing ones have defaults, and a single entry that cannot be read
+//! does not void the others.
 
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::Value;
+use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where the list is asked for.
+/// The path of the list.
 pub const HOSTS: &str = "/discovery/hosts";
-/// The longest that a watch waits.
+/// The longest wait of a watch.
 pub const MAX_WATCH_TIME: Duration = Duration::from_secs(60);
-/// The longest list, in bytes: bodies are no longer by the protocol.
+/// The longest list, in bytes. Readers reject longer bodies.
 pub const MAX_LIST_BYTES: usize = 64 << 10;
 
-/// A list of servers, whole or what has changed.
+/// A list of servers as it is read: all of them, or those that have changed.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct HostList {
+    /// The version as of which it is.
     pub version: u64,
+    /// Whether it contains all servers. Otherwise it contains those that have changed after the requested version.
     pub full: bool,
-    /// Which store's versions these are, where the service says.
+    /// The origin of the store to which the version belongs, if the service states it.
     #[serde(default)]
     pub store: Option<u64>,
-    /// Under which writer: each that operators promote has a higher one.
+    /// The epoch of the writer, which each promotion raises.
     #[serde(default)]
     pub epoch: u64,
-    #[serde(deserialize_with = "readable")]
+    /// The servers.
+    #[serde(deserialize_with = "deserialize_entries")]
     pub servers: Vec<Entry>,
 }
 
-/// An entry of a list. One that cannot be read must not void the others.
+/// An entry of a list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Entry {
+    /// A server.
     Readable(Host),
-    /// Which server it means, if that can be read: whatever became of it, it may not be used any more.
+    /// An entry that cannot be read, with its id if that can. Whatever its state is, the server must not be used any more.
     Spoilt(Option<String>),
 }
 
-fn readable<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Entry>, D::Error> {
+fn deserialize_entries<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Entry>, D::Error> {
     let entries: Vec<Entry> = Vec::<Value>::deserialize(deserializer)?
         .into_iter()
         .map(|entry| {
@@ -52,56 +58,95 @@
     Ok(entries)
 }
 
-/// A server, as the list has it.
+/// A server in the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Host {
+    /// The server's id, unique in the store.
     pub id: String,
+    /// The address at which it serves.
     pub addr: SocketAddr,
+    /// Its zone; empty where it has none.
     #[serde(default)]
     pub zone: String,
+    /// Its kind of machine; empty where it is not known.
     #[serde(default)]
     pub kind: String,
+    /// Its cell.
     #[serde(default)]
     pub cell: u32,
+    /// Whether it takes new work.
     pub state: State,
+    /// Its capacity relative to others; 0 where it is not known.
     #[serde(default)]
     pub weight: f64,
-    /// Its last start, in Unix time; 0 for long ago.
+    /// Its last start, in milliseconds since the Unix epoch; 0 where it is not known, which counts as long ago.
     #[serde(default)]
     pub started_ms: u64,
 }
 
+/// The state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum State {
+    /// It takes new work.
     Serving,
-    /// Completes what it has and wants nothing new.
+    /// It completes its work and takes no more.
     Draining,
-    /// Only among changes.
+    /// It has left, or its lease has expired. Only a list of changes contains it.
     Deleted,
 }
 
-/// A list as it is written.
+/// A list of servers as it is written; see [`HostList`].
 #[derive(Serialize)]
 pub struct Telling<'a> {
+    /// The version as of which it is.
     pub version: u64,
+    /// Whether it contains all servers.
     pub full: bool,
+    /// The origin of the store.
     pub store: u64,
+    /// The epoch of the writer.
     pub epoch: u64,
+    /// The servers.
     pub servers: Vec<&'a Host>,
 }
 
-/// A call for the list.
+/// Why the query of a request for the list is rejected, with the parameter.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum QueryError {
+    /// The parameter occurs more than once.
+    Repeated(&'static str),
+    /// The parameter is not a whole number.
+    NotANumber(&'static str),
+}
+
+impl fmt::Display for QueryError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            QueryError::Repeated(name) => write!(f, "{name} comes more than once"),
+            QueryError::NotANumber(name) => write!(f, "{name} is no whole number"),
+        }
+    }
+}
+
+impl std::error::Error for QueryError {}
+
+/// A request for the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListRequest {
-    /// All of it, at once.
+    /// The full list, at once.
     Full,
-    /// What is newer than a version, as soon as there is something, or nothing after a wait.
-    Watch { since: u64, wait: Duration },
+    /// The changes after a version, as soon as there are any, or none after a wait (long polling).
+    Watch {
+        /// The version that the reader has.
+        since: u64,
+        /// The longest wait.
+        wait: Duration,
+    },
 }
 
 impl ListRequest {
-    /// The call's path and query.
+    /// Returns the request's path and query.
     pub fn target(&self) -> String {
         match self {
             ListRequest::Full => HOSTS.to_owned(),
@@ -111,25 +156,24 @@
         }
     }
 
-    /// Reads a call's query; the error names the field. Names that mean nothing here are passed over, and a wait of any
-    /// length is one of at most [`WAIT_MOST`].
-    pub fn of_query(query: &str) -> Result<ListRequest, String> {
+    /// Parses the query of a request. Unknown names are ignored, and the wait is limited to [`MAX_WATCH_TIME`].
+    pub fn of_query(query: &str) -> Result<ListRequest, QueryError> {
         let (mut since, mut wait) = (None, None);
         for pair in query.split('&').filter(|pair| !pair.is_empty()) {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-            let place = match name {
-                "since" => &mut since,
-                "timeout_ms" => &mut wait,
+            let (name, parameter) = match name {
+                "since" => ("since", &mut since),
+                "timeout_ms" => ("timeout_ms", &mut wait),
                 _ => continue,
             };
-            if place.is_some() {
-                return Err(format!("{name} comes more than once"));
+            if parameter.is_some() {
+                return Err(QueryError::Repeated(name));
             }
             if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
-                return Err(format!("{name} is no whole number"));
+                return Err(QueryError::NotANumber(name));
             }
-            // All digits, so only its size can be wrong: what is beyond all numbers is beyond all versions and waits.
-            *place = Some(value.parse::<u64>().unwrap_or(u64::MAX));
+            // Only digits, so the value can only be too large, and the maximum is beyond all versions and waits as well.
+            *parameter = Some(value.parse::<u64>().unwrap_or(u64::MAX));
         }
         let wait = Duration::from_millis(wait.unwrap_or(0)).min(MAX_WATCH_TIME);
         Ok(since.map_or(ListRequest::Full, |since| ListRequest::Watch { since, wait }))
--- /dev/null
+++ b/quota-gateway/discovery/src/http/request.rs
@@ -0,0 +1,109 @@
+//! Requests as bytes.
+
+use super::{HttpError, MAX_HEADER_LINES};
+
+/// The longest request line and headers, in bytes.
+pub const MAX_HEAD_BYTES: usize = 8 << 10;
+/// The longest body of a request, in bytes.
+pub const MAX_BODY_BYTES: usize = 4 << 10;
+
+/// A request, before it is routed.
+#[derive(Debug, PartialEq, Eq)]
+pub struct HttpRequest {
+    /// The method.
+    pub method: String,
+    /// The path of the target, without the query.
+    pub path: String,
+    /// The query, without its question mark; empty where there is none.
+    pub query: String,
+    /// The body.
+    pub body: Vec<u8>,
+    /// Whether the connection stays open after the response.
+    pub keep_alive: bool,
+}
+
+/// What the received bytes begin with.
+#[derive(Debug, PartialEq, Eq)]
+pub enum ParseOutcome {
+    /// The beginning of a request.
+    Incomplete,
+    /// A request, and its length in bytes.
+    Complete(HttpRequest, usize),
+    /// No request. Where the next one would begin is unknown, so the connection must be closed.
+    Invalid(HttpError),
+}
+
+/// Parses a request from the beginning of what was received.
+pub fn parse_request(bytes: &[u8]) -> ParseOutcome {
+    match parse(bytes) {
+        Ok(Some((request, length))) => ParseOutcome::Complete(request, length),
+        Ok(None) => ParseOutcome::Incomplete,
+        Err(error) => ParseOutcome::Invalid(error),
+    }
+}
+
+fn parse(bytes: &[u8]) -> Result<Option<(HttpRequest, usize)>, HttpError> {
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
+    let mut request = httparse::Request::new(&mut lines);
+    let head_length = match request.parse(bytes) {
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(httparse::Status::Partial) if bytes.len() <= MAX_HEAD_BYTES => return Ok(None),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => {
+            return Err(HttpError::new(431, "the head is too long"));
+        }
+        Err(e) => return Err(HttpError::new(400, format!("the head cannot be read: {e}"))),
+    };
+    let Framing { body_length, closes } = framing(request.headers)?;
+    if body_length > MAX_BODY_BYTES {
+        return Err(HttpError::new(413, format!("the body is longer than {MAX_BODY_BYTES} bytes")));
+    }
+    let length = head_length + body_length;
+    let Some(body) = bytes.get(head_length..length) else { return Ok(None) };
+    let target = request.path.unwrap_or_default();
+    let (path, query) = target.split_once('?').unwrap_or((target, ""));
+    let request = HttpRequest {
+        method: request.method.unwrap_or_default().to_owned(),
+        path: path.to_owned(),
+        query: query.to_owned(),
+        body: body.to_vec(),
+        keep_alive: request.version == Some(1) && !closes,
+    };
+    Ok(Some((request, length)))
+}
+
+/// What the headers say about the message and its connection.
+struct Framing {
+    body_length: usize,
+    closes: bool,
+}
+
+fn framing(headers: &[httparse::Header<'_>]) -> Result<Framing, HttpError> {
+    let mut body_length = None;
+    let mut closes = false;
+    for header in headers {
+        let value = std::str::from_utf8(header.value).unwrap_or_default().trim();
+        if header.name.eq_ignore_ascii_case("content-length") {
+            let is_number = value.bytes().all(|b| b.is_ascii_digit());
+            let Some(length) = is_number.then(|| value.parse::<usize>().ok()).flatten() else {
+                return Err(HttpError::new(400, "content-length: no whole number"));
+            };
+            if body_length.replace(length).is_some() {
+                return Err(HttpError::new(400, "content-length: comes more than once"));
+            }
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+            return Err(HttpError::new(400, "transfer-encoding: bodies come with their length here"));
+        } else if header.name.eq_ignore_ascii_case("connection") {
+            closes |= value.split(',').any(|word| word.trim().eq_ignore_ascii_case("close"));
+        }
+    }
+    Ok(Framing { body_length: body_length.unwrap_or(0), closes })
+}
+
+/// Returns a replica's request, after which the connection is closed.
+pub fn encode_request(method: &str, path: &str, body: &[u8]) -> Vec<u8> {
+    let length = body.len();
+    let head = format!(
+        "{method} {path} HTTP/1.1\r\nHost: list\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n"
+    );
+    [head.as_bytes(), body].concat()
+}
--- a/quota-gateway/discovery/src/main.rs
+++ b/quota-gateway/discovery/src/main.rs
@@ -1,15 +1,21 @@
-//! The list service: who registers, drains and leaves, and who watches.
+//! The discovery service: servers register, drain and leave, and gateways watch the list.
+//!
+//! [`connection`] reads requests and writes responses, [`service`] carries them out, [`role`] says whether this process may,
+//! and [`replication`] keeps it in touch with the store's other processes. All of it runs on one thread.
 #![forbid(unsafe_code)]
 
 mod config;
-mod replicas;
+mod connection;
+mod replication;
+mod role;
 mod service;
 
 use config::Config;
+use connection::Server;
 use marblecroft_discovery::journal::{Folder, Journal};
 use marblecroft_discovery::store::Store;
 use marblecroft_logging::LogConfig;
-use replicas::Role;
+use role::Role;
 use service::{unix_ms, Service};
 use std::fmt::Display;
 use std::io;
@@ -21,7 +27,7 @@
 use tokio::task::spawn_local;
 use tracing::{error, info, warn};
 
-/// The name that lines for the operators begin with.
+/// The name with which log lines begin.
 const PROGRAM: &str = "marblecroft-discovery";
 
 fn main() -> ExitCode {
@@ -34,7 +40,7 @@
         }
     };
     marblecroft_logging::init(PROGRAM, config.log);
-    match begin(config) {
+    match run(config) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             error!("{e}");
@@ -43,22 +49,23 @@
     }
 }
 
-fn begin(config: Config) -> Result<(), String> {
-    let place = |e: &dyn Display| format!("{}: {e}", config.data.display());
-    let folder = Folder::take(&config.data).map_err(|e| place(&e))?;
-    let folder = folder.ok_or_else(|| place(&"another process has it"))?;
-    let (mut journal, held) = Journal::open(folder).map_err(|e| place(&e))?;
-    if held.torn_bytes > 0 {
+/// Restores the store from its folder and serves it. The error is one line.
+fn run(config: Config) -> Result<(), String> {
+    let with_path = |e: &dyn Display| format!("{}: {e}", config.data.display());
+    let folder = Folder::lock(&config.data).map_err(|e| with_path(&e))?;
+    let folder = folder.ok_or_else(|| with_path(&"another process has it"))?;
+    let (mut journal, recovered) = Journal::open(folder).map_err(|e| with_path(&e))?;
+    if recovered.torn_bytes > 0 {
         warn!(
-            bytes = held.torn_bytes,
-            "cut off {} bytes at the log's end that nobody was told of", held.torn_bytes
+            bytes = recovered.torn_bytes,
+            "cut off {} bytes at the log's end that nobody was told of", recovered.torn_bytes
         );
     }
-    let mut store = Store::restore(held.image, held.records, Duration::ZERO);
+    let mut store = Store::restore(recovered.snapshot, recovered.records, Duration::ZERO);
     let role = Role::at_start(&config, &store);
-    if role.writes() {
-        let opened = store.opened(unix_ms());
-        journal.append(std::slice::from_ref(&opened)).map_err(|e| place(&e))?;
+    if role.is_writer() {
+        let opened = store.opening_record(unix_ms());
+        journal.append(std::slice::from_ref(&opened)).map_err(|e| with_path(&e))?;
         store.apply(opened, Duration::ZERO);
     }
     let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
@@ -74,17 +81,18 @@
     info!(version, servers, "version {version}, {servers} servers");
     let service = Service::new(config, role, store, journal);
     let leases = service.clone();
-    spawn_local(async move { leases.end_leases().await });
-    let changes = service.clone();
-    spawn_local(async move { changes.notify_watchers().await });
-    replicas::begin(&service);
+    spawn_local(async move { leases.expire_leases().await });
+    let watches = service.clone();
+    spawn_local(async move { watches.notify_watches().await });
+    replication::start(&service);
+    let server = Server::new(service);
     info!(addr = %listen, "listening on {listen}");
     tokio::select! {
-        () = service.accept(&listener) => {}
+        () = server.accept(&listener) => {}
         _ = terminate.recv() => {}
     }
     drop(listener);
-    // Watches that wait are answered with what there is, and find another address or come back.
-    service.close().await;
+    // Watches are answered with what there is, and their clients find another address or come back.
+    server.shut_down().await;
     Ok(())
 }
--- /dev/null
+++ b/quota-gateway/discovery/src/service/list_replies.rs
@@ -0,0 +1,70 @@
+//! Responses with lists: encoded once for all readers of the same version, and full ones limited in rate.
+
+use marblecroft_discovery::http::ok_response;
+use marblecroft_discovery::store::Store;
+use std::collections::HashMap;
+use std::rc::Rc;
+use tokio::time::Instant;
+
+/// The most responses that are cached. Readers have few different versions.
+const MAX_CACHED_REPLIES: usize = 64;
+
+/// A response that several connections send.
+pub type SharedReply = Rc<[u8]>;
+
+/// The responses that were encoded for the store's present version.
+#[derive(Default)]
+pub struct ReplyCache {
+    version: u64,
+    /// By the version that the reader has; `None` for the full list.
+    by_since: HashMap<Option<u64>, SharedReply>,
+    encodings: u64,
+}
+
+impl ReplyCache {
+    /// Returns the response for a reader with this version, which the store's history covers, or without any.
+    pub fn get(&mut self, store: &Store, since: Option<u64>) -> SharedReply {
+        if self.version != store.version() || self.by_since.len() >= MAX_CACHED_REPLIES {
+            self.version = store.version();
+            self.by_since.clear();
+        }
+        let reply = self.by_since.entry(since).or_insert_with(|| {
+            self.encodings += 1;
+            ok_response(&store.encode_list(since).unwrap_or_else(|| store.encode_unchanged()), true).into()
+        });
+        reply.clone()
+    }
+
+    /// Returns the number of responses that were ever encoded.
+    pub fn encodings(&self) -> u64 {
+        self.encodings
+    }
+}
+
+/// A token bucket for full lists, whose burst is the tokens of one second.
+pub struct FullListBudget {
+    tokens_per_s: f64,
+    tokens: f64,
+    refilled_at: Instant,
+}
+
+impl FullListBudget {
+    /// Returns a full bucket.
+    pub fn new(tokens_per_s: u32, now: Instant) -> FullListBudget {
+        let tokens_per_s = f64::from(tokens_per_s);
+        FullListBudget { tokens_per_s, tokens: tokens_per_s, refilled_at: now }
+    }
+
+    /// Takes a token. Returns whether there was one.
+    pub fn try_take(&mut self) -> bool {
+        let now = Instant::now();
+        let refill = (now - self.refilled_at).as_secs_f64() * self.tokens_per_s;
+        self.tokens = (self.tokens + refill).min(self.tokens_per_s);
+        self.refilled_at = now;
+        let taken = self.tokens >= 1.0;
+        if taken {
+            self.tokens -= 1.0;
+        }
+        taken
+    }
+}
--- a/quota-gateway/discovery/src/store.rs
+++ b/quota-gateway/discovery/src/store.rs
@@ -1,497 +1,418 @@
 //! What is registered: entries under leases, their versions, and the history from which watches are answered.
 //!
-//! Sans-I/O. [`Store::decide`] says what a command would change; the caller makes that durable and then has it
-//! [`Store::apply`] it, so that a disk that fails leaves no half of a change behind. Time is the caller's: a monotonic one
-//! for leases, and Unix time for starts.
+//! The store is sans-I/O. A command takes this way: [`Store::decide`] says what it would change, the caller makes that
+//! record durable, and then passes it to [`Store::apply`]. A disk that fails thus leaves no half of a change behind. Time
+//! comes from the caller: a monotonic clock for leases, and Unix time for versions and the starts of servers.
+
+mod command;
+mod history;
+
+pub use command::{Command, Decision, Record, Registration, Rejection};
 
 use crate::format::{Host, State, Telling, MAX_LIST_BYTES};
+use history::History;
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::net::SocketAddr;
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// The longest id, zone and kind, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
-/// Leases last from this ...
+/// The shortest lease.
 pub const MIN_LEASE: Duration = Duration::from_secs(1);
-/// ... to this.
+/// The longest lease.
 pub const MAX_LEASE: Duration = Duration::from_secs(3600);
-/// Changes that are kept for watches. Older ones are answered with the whole list.
-const MAX_HISTORY: usize = 4096;
-/// Versions begin at the time of creation in milliseconds times this, and go on from the time of each start: no two
-/// stores' versions meet, nor those before and after a disk was set back. They stay below 2^53, as readers may have no
-/// whole numbers beyond.
-const VERSIONS_A_MS: u64 = 1 << 10;
-/// What [`Telling`] and the commas take beside the entries.
-const LIST_FRAME: usize = 128;
-
-/// A caller's clock that is never set, from any origin.
+/// Versions begin at the time of creation in milliseconds times this, and continue from the time of each start. Thus the
+/// versions of two stores do not meet, nor those before and after a disk was restored from a backup. They stay below 2^53,
+/// the largest integer that every JSON reader represents exactly.
+const VERSIONS_PER_MS: u64 = 1 << 10;
+/// An upper bound of what a list takes beside its entries, in bytes.
+const LIST_OVERHEAD_BYTES: usize = 128;
+
+/// A reading of the caller's monotonic clock, as the time since an arbitrary origin.
 pub type Now = Duration;
 
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Registration {
-    pub id: String,
-    pub addr: SocketAddr,
-    pub zone: String,
-    pub kind: String,
-    pub cell: u32,
-    pub weight: f64,
-}
-
-/// What is asked of the store. `revision` is that which the entry must have.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Command {
-    /// Makes an entry or, where it is the same, renews its lease. Without a lease it stays until it is taken off.
-    Register {
-        server: Registration,
-        lease: Option<Duration>,
-        revision: Option<u64>,
-    },
-    Renew {
-        id: String,
-    },
-    Drain {
-        id: String,
-        revision: Option<u64>,
-    },
-    Undrain {
-        id: String,
-        revision: Option<u64>,
-    },
-    Deregister {
-        id: String,
-        revision: Option<u64>,
-    },
-}
-
-/// Why it is not done.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
-    /// No such entry, or its lease has ended.
-    Unknown,
-    /// The entry is not at the revision that was named, or is another's where none was.
-    Conflict { revision: u64 },
-    /// The list would be longer than gateways read.
-    TooLong,
-}
-
-/// A change that is made durable. Versions rise from each to the next.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Record {
-    /// The store was opened. What it told before had lower versions.
-    Opened {
-        version: u64,
-    },
-    Put {
-        version: u64,
-        host: Host,
-        lease_ms: Option<u64>,
-    },
-    Gone {
-        version: u64,
-        id: String,
-    },
-    /// Operators made this store's process the one that writes. What another one has written since the two last met is
-    /// void, so whoever holds an older version is told the whole list.
-    Promoted {
-        version: u64,
-        epoch: u64,
-    },
-}
-
-impl Record {
-    pub fn version(&self) -> u64 {
-        let (Record::Opened { version }
-        | Record::Put { version, .. }
-        | Record::Gone { version, .. }
-        | Record::Promoted { version, .. }) = self;
-        *version
-    }
-}
-
-/// What a command comes to.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Decision {
-    /// Nothing that is told changes; an entry's lease begins anew.
-    Renew(String),
-    /// It is so already.
-    Nothing,
-    Change(Record),
-}
-
 struct StoredEntry {
     host: Host,
     /// The version of its last change.
     revision: u64,
     lease: Option<Duration>,
-    /// When the lease ends.
-    ends: Option<Now>,
+    expires_at: Option<Now>,
 }
 
 impl StoredEntry {
-    fn live(&self, now: Now) -> bool {
-        self.ends.is_none_or(|ends| now < ends)
+    fn is_live(&self, now: Now) -> bool {
+        self.expires_at.is_none_or(|expires_at| now < expires_at)
+    }
+
+    fn lease_ms(&self) -> Option<u64> {
+        self.lease.map(as_millis)
+    }
+
+    fn conflict(&self) -> Rejection {
+        Rejection::Conflict { revision: self.revision }
     }
 }
 
-/// An entry, for operators.
+/// An entry with what the list does not contain, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Shown<'a> {
+pub struct EntryDetails<'a> {
+    /// The entry as the list has it.
     #[serde(flatten)]
     pub host: &'a Host,
+    /// The version of its last change.
     pub revision: u64,
-    /// What is left of its lease; none where it has none.
+    /// The time until its lease expires, in milliseconds; `None` if it has no lease.
     pub lease_left_ms: Option<u64>,
 }
 
-/// All that is kept, as a snapshot has it.
+/// The full state of a store, as snapshots contain it and replicas receive it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Image {
+pub struct Snapshot {
     version: u64,
     origin: u64,
     epoch: u64,
     promoted: bool,
     floor: u64,
+    /// Entry, revision and lease in milliseconds. A tuple, since it is stored as a JSON array.
     entries: Vec<(Host, u64, Option<u64>)>,
-    gone: Vec<Host>,
+    #[serde(rename = "gone")]
+    deleted: Vec<Host>,
+    /// Version and entry of each change.
     history: Vec<(u64, String)>,
 }
 
-/// What is newer than a version.
+/// What has changed after a version.
 #[derive(Debug, PartialEq)]
-pub enum Newer<'a> {
-    Nothing,
+pub enum Delta<'a> {
+    /// Nothing.
+    Unchanged,
+    /// These entries, deleted ones included.
     Changes(Vec<&'a Host>),
-    /// The version is of another store, of the future, or older than the history.
-    Whole(Vec<&'a Host>),
+    /// Unknown, since the version is from another store, from the future, or older than the history: all entries.
+    Full(Vec<&'a Host>),
 }
 
+/// The registered servers.
 #[derive(Default)]
 pub struct Store {
     version: u64,
-    /// Its first version, by which it is told from others.
+    /// The first version, which identifies the store; 0 before it was opened first.
     origin: u64,
-    /// Rises with each promotion, and whether the last one was of this process.
     epoch: u64,
     promoted: bool,
     entries: BTreeMap<String, StoredEntry>,
-    /// Entries that are gone and whose going is in the history.
-    gone: BTreeMap<String, Host>,
-    /// The last changes, the oldest first: all of those after `floor`.
-    history: VecDeque<(u64, String)>,
-    floor: u64,
-    /// Bytes of all entries as they are listed.
-    listed: usize,
+    history: History,
+    /// The encoded length of all entries.
+    entries_bytes: usize,
 }
 
-fn length(host: &Host) -> usize {
+/// Returns the length of an entry in a list, with its comma.
+fn encoded_len(host: &Host) -> usize {
     serde_json::to_vec(host).map_or(MAX_LIST_BYTES, |text| text.len() + 1)
 }
 
-fn millis(lease: Duration) -> u64 {
+fn as_millis(lease: Duration) -> u64 {
     u64::try_from(lease.as_millis()).unwrap_or(u64::MAX)
 }
 
 impl Store {
-    /// Goes on from an image and what was recorded after it. All leases begin anew: while the store was away nobody could
-    /// renew them.
-    pub fn restore(image: Image, records: impl IntoIterator<Item = Record>, now: Now) -> Store {
-        let Image { version, origin, epoch, promoted, floor, entries, gone, history } = image;
-        let mut store =
-            Store { version, origin, epoch, promoted, floor, history: history.into(), ..Store::default() };
-        for (host, revision, lease) in entries {
-            store.keep(host, revision, lease, now);
+    /// Returns the store of a snapshot and the records after it. All leases start anew, since nobody could renew them while
+    /// the store was down.
+    pub fn restore(snapshot: Snapshot, records: impl IntoIterator<Item = Record>, now: Now) -> Store {
+        let Snapshot { version, origin, epoch, promoted, floor, entries, deleted, history } = snapshot;
+        let history = History::restore(history, floor, deleted);
+        let mut store = Store { version, origin, epoch, promoted, history, ..Store::default() };
+        for (host, revision, lease_ms) in entries {
+            store.insert(host, revision, lease_ms, now);
         }
-        store.gone = gone.into_iter().map(|host| (host.id.clone(), host)).collect();
         records.into_iter().for_each(|record| store.apply(record, now));
         store
     }
 
-    /// A store that follows another takes its image over, and with it whatever the other has.
-    pub fn follow(image: Image, now: Now) -> Store {
-        Store::restore(Image { promoted: false, ..image }, [], now)
+    /// Returns the store of a replica that takes over another process's snapshot. The promotion is not taken over.
+    pub fn restore_replica(snapshot: Snapshot, now: Now) -> Store {
+        Store::restore(Snapshot { promoted: false, ..snapshot }, [], now)
     }
 
-    /// By which it is told from other stores.
+    /// Returns the first version, which identifies the store; 0 before it was opened first.
     pub fn origin(&self) -> u64 {
         self.origin
     }
 
+    /// Returns the epoch of the writer, which each promotion raises.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Whether this process was made the one that writes.
-    pub fn promoted(&self) -> bool {
+    /// Returns whether the last promotion was that of this process.
+    pub fn is_promoted(&self) -> bool {
         self.promoted
     }
 
-    /// What makes this process the one that writes; none where there was such an epoch already.
-    pub fn promotion(&self, epoch: u64, unix_ms: u64) -> Option<Record> {
-        let version = unix_ms.saturating_mul(VERSIONS_A_MS).max(self.version + 1);
-        (epoch > self.epoch).then_some(Record::Promoted { version, epoch })
+    /// Returns the version of the last change.
+    pub fn version(&self) -> u64 {
+        self.version
+    }
+
+    /// Returns the number of entries.
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Returns whether there are no entries.
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+
+    /// Returns the record that promotes this process to writer; `None` if the epoch is not higher than all before.
+    pub fn promotion_record(&self, epoch: u64, unix_ms: u64) -> Option<Record> {
+        (epoch > self.epoch).then_some(Record::Promoted { version: self.start_version(unix_ms), epoch })
+    }
+
+    /// Returns the record that a writer makes at its start, before any other.
+    pub fn opening_record(&self, unix_ms: u64) -> Record {
+        Record::Opened { version: self.start_version(unix_ms) }
+    }
+
+    fn start_version(&self, unix_ms: u64) -> u64 {
+        unix_ms.saturating_mul(VERSIONS_PER_MS).max(self.version + 1)
     }
 
-    /// All leases begin anew: nobody could renew them while there was none that writes.
+    /// Starts all leases anew, since nobody could renew them while there was no writer.
     pub fn renew_all(&mut self, now: Now) {
-        self.entries.values_mut().for_each(|kept| kept.ends = kept.lease.map(|lease| now + lease));
+        self.entries.values_mut().for_each(|entry| entry.expires_at = entry.lease.map(|lease| now + lease));
     }
 
-    /// What brings a store of the same epoch from a version up to this one, or nothing where that is not known any more.
-    /// Each server's last change stands for those before it.
-    pub fn records(&self, since: u64) -> Option<Vec<Record>> {
-        if !self.knows(since) {
+    /// Returns the records that bring a replica of the same epoch from a version up to this one; `None` if the history does
+    /// not reach back that far. Of the changes of one entry only the last is included.
+    pub fn records_since(&self, version: u64) -> Option<Vec<Record>> {
+        if !self.has_history_since(version) {
             return None;
         }
-        let from = self.history.partition_point(|(version, _)| *version <= since);
-        let last: BTreeMap<&str, u64> = self.history.range(from..).map(|(v, id)| (id.as_str(), *v)).collect();
-        let mut changes: Vec<(u64, &str)> = last.into_iter().map(|(id, version)| (version, id)).collect();
-        changes.sort_unstable();
         let record = |(version, id): (u64, &str)| match self.entries.get(id) {
-            Some(kept) => Record::Put { version, host: kept.host.clone(), lease_ms: kept.lease.map(millis) },
-            None => Record::Gone { version, id: id.to_owned() },
+            Some(entry) => Record::Put { version, host: entry.host.clone(), lease_ms: entry.lease_ms() },
+            None => Record::Deleted { version, id: id.to_owned() },
         };
-        let mut records: Vec<Record> = changes.into_iter().map(record).collect();
-        if self.version > since && records.last().is_none_or(|last| last.version() < self.version) {
+        let mut records: Vec<Record> =
+            self.history.last_changes_since(version).into_iter().map(record).collect();
+        if self.version > version && records.last().is_none_or(|last| last.version() < self.version) {
             records.push(Record::Opened { version: self.version });
         }
         Some(records)
     }
 
-    /// What is to be recorded first, once it is open.
-    pub fn opened(&self, unix_ms: u64) -> Record {
-        Record::Opened { version: unix_ms.saturating_mul(VERSIONS_A_MS).max(self.version + 1) }
-    }
-
-    pub fn image(&self) -> Image {
-        let kept = |kept: &StoredEntry| (kept.host.clone(), kept.revision, kept.lease.map(millis));
-        Image {
+    /// Returns the full state.
+    pub fn snapshot(&self) -> Snapshot {
+        let entry = |entry: &StoredEntry| (entry.host.clone(), entry.revision, entry.lease_ms());
+        Snapshot {
             version: self.version,
             origin: self.origin,
             epoch: self.epoch,
             promoted: self.promoted,
-            floor: self.floor,
-            entries: self.entries.values().map(kept).collect(),
-            gone: self.gone.values().cloned().collect(),
-            history: self.history.iter().cloned().collect(),
+            floor: self.history.floor(),
+            entries: self.entries.values().map(entry).collect(),
+            deleted: self.history.deleted().cloned().collect(),
+            history: self.history.changes().cloned().collect(),
         }
     }
 
-    pub fn version(&self) -> u64 {
-        self.version
-    }
-
-    pub fn len(&self) -> usize {
-        self.entries.len()
-    }
-
-    pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
-    }
-
-    /// What a command would change. Nothing is changed yet.
-    pub fn decide(&self, command: &Command, now: Now, unix_ms: u64) -> Result<Decision, Refusal> {
-        let version = self.version + 1;
+    /// Returns what a command would change. Nothing is changed yet.
+    pub fn decide(&self, command: &Command, now: Now, unix_ms: u64) -> Result<Decision, Rejection> {
         match command {
             Command::Register { server, lease, revision } => {
-                let wanted = |state, started_ms| Host {
-                    id: server.id.clone(),
-                    addr: server.addr,
-                    zone: server.zone.clone(),
-                    kind: server.kind.clone(),
-                    cell: server.cell,
-                    state,
-                    weight: server.weight,
-                    started_ms,
-                };
-                let put = |host: Host| {
-                    let before = self.entries.get(&host.id).map_or(0, |kept| length(&kept.host));
-                    if self.listed - before + length(&host) + LIST_FRAME > MAX_LIST_BYTES {
-                        return Err(Refusal::TooLong);
-                    }
-                    Ok(Decision::Change(Record::Put { version, host, lease_ms: lease.map(millis) }))
-                };
-                match self.entries.get(&server.id).filter(|kept| kept.live(now)) {
-                    // One that was here is started anew; whatever revision it had is over.
-                    None if revision.is_some() => Err(Refusal::Unknown),
-                    None => put(wanted(State::Serving, unix_ms)),
-                    Some(kept) => {
-                        let host = wanted(kept.host.state, kept.host.started_ms);
-                        let same = host == kept.host && *lease == kept.lease;
-                        match revision {
-                            // Another process under the same name must not take it over unasked.
-                            None if !same => Err(Refusal::Conflict { revision: kept.revision }),
-                            Some(revision) if *revision != kept.revision => {
-                                Err(Refusal::Conflict { revision: kept.revision })
-                            }
-                            _ if same => Ok(Decision::Renew(server.id.clone())),
-                            _ => put(host),
-                        }
-                    }
-                }
+                self.decide_registration(server, *lease, *revision, now, unix_ms)
             }
-            Command::Renew { id } => self.live(id, None, now).map(|_| Decision::Renew(id.clone())),
-            Command::Drain { id, revision } => self.turn(id, *revision, State::Draining, now),
-            Command::Undrain { id, revision } => self.turn(id, *revision, State::Serving, now),
+            Command::Renew { id } => self.live_entry(id, None, now).map(|_| Decision::Renew(id.clone())),
+            Command::Drain { id, revision } => self.decide_state(id, *revision, State::Draining, now),
+            Command::Undrain { id, revision } => self.decide_state(id, *revision, State::Serving, now),
             Command::Deregister { id, revision } => {
-                self.live(id, *revision, now)?;
-                Ok(Decision::Change(Record::Gone { version, id: id.clone() }))
+                self.live_entry(id, *revision, now)?;
+                Ok(Decision::Change(Record::Deleted { version: self.version + 1, id: id.clone() }))
             }
         }
     }
 
-    fn live(&self, id: &str, revision: Option<u64>, now: Now) -> Result<&StoredEntry, Refusal> {
-        let kept = self.entries.get(id).filter(|kept| kept.live(now)).ok_or(Refusal::Unknown)?;
+    fn decide_registration(
+        &self,
+        server: &Registration,
+        lease: Option<Duration>,
+        revision: Option<u64>,
+        now: Now,
+        unix_ms: u64,
+    ) -> Result<Decision, Rejection> {
+        let host = |state, started_ms| Host {
+            id: server.id.clone(),
+            addr: server.addr,
+            zone: server.zone.clone(),
+            kind: server.kind.clone(),
+            cell: server.cell,
+            state,
+            weight: server.weight,
+            started_ms,
+        };
+        let Some(entry) = self.entries.get(&server.id).filter(|entry| entry.is_live(now)) else {
+            // The revision of an entry that has expired is void.
+            if revision.is_some() {
+                return Err(Rejection::Unknown);
+            }
+            return self.decide_put(host(State::Serving, unix_ms), lease);
+        };
+        let host = host(entry.host.state, entry.host.started_ms);
+        let is_equal = host == entry.host && lease == entry.lease;
         match revision {
-            Some(revision) if revision != kept.revision => Err(Refusal::Conflict { revision: kept.revision }),
-            _ => Ok(kept),
+            // Without a revision, a different process with the same id must not replace the entry.
+            None if !is_equal => Err(entry.conflict()),
+            Some(revision) if revision != entry.revision => Err(entry.conflict()),
+            _ if is_equal => Ok(Decision::Renew(server.id.clone())),
+            _ => self.decide_put(host, lease),
         }
     }
 
-    fn turn(&self, id: &str, revision: Option<u64>, state: State, now: Now) -> Result<Decision, Refusal> {
-        let kept = self.live(id, revision, now)?;
-        if kept.host.state == state {
-            return Ok(Decision::Nothing);
+    fn decide_put(&self, host: Host, lease: Option<Duration>) -> Result<Decision, Rejection> {
+        let replaced = self.entries.get(&host.id).map_or(0, |entry| encoded_len(&entry.host));
+        if self.entries_bytes - replaced + encoded_len(&host) + LIST_OVERHEAD_BYTES > MAX_LIST_BYTES {
+            return Err(Rejection::ListTooLong);
         }
-        let host = Host { state, ..kept.host.clone() };
-        let lease_ms = kept.lease.map(millis);
+        let lease_ms = lease.map(as_millis);
         Ok(Decision::Change(Record::Put { version: self.version + 1, host, lease_ms }))
     }
 
-    /// The first entry whose lease has ended, as a change to be recorded.
-    pub fn ended(&self, now: Now) -> Option<Record> {
-        let (id, _) = self.entries.iter().find(|(_, kept)| !kept.live(now))?;
-        Some(Record::Gone { version: self.version + 1, id: id.clone() })
+    fn decide_state(
+        &self,
+        id: &str,
+        revision: Option<u64>,
+        state: State,
+        now: Now,
+    ) -> Result<Decision, Rejection> {
+        let entry = self.live_entry(id, revision, now)?;
+        if entry.host.state == state {
+            return Ok(Decision::Nothing);
+        }
+        let host = Host { state, ..entry.host.clone() };
+        Ok(Decision::Change(Record::Put { version: self.version + 1, host, lease_ms: entry.lease_ms() }))
     }
 
-    /// When the next lease ends.
-    pub fn next_end(&self) -> Option<Now> {
-        self.entries.values().filter_map(|kept| kept.ends).min()
+    fn live_entry(&self, id: &str, revision: Option<u64>, now: Now) -> Result<&StoredEntry, Rejection> {
+        let entry = self.entries.get(id).filter(|entry| entry.is_live(now)).ok_or(Rejection::Unknown)?;
+        match revision {
+            Some(revision) if revision != entry.revision => Err(entry.conflict()),
+            _ => Ok(entry),
+        }
     }
 
-    /// A lease begins anew. Not recorded: after a restart all do.
+    /// Returns the record that deletes the first entry whose lease has expired; `None` if there is none.
+    pub fn expiry_record(&self, now: Now) -> Option<Record> {
+        let (id, _) = self.entries.iter().find(|(_, entry)| !entry.is_live(now))?;
+        Some(Record::Deleted { version: self.version + 1, id: id.clone() })
+    }
+
+    /// Returns when the next lease expires.
+    pub fn next_expiry(&self) -> Option<Now> {
+        self.entries.values().filter_map(|entry| entry.expires_at).min()
+    }
+
+    /// Renews the lease of an entry. That is not recorded, since all leases start anew after a restart.
     pub fn renew(&mut self, id: &str, now: Now) {
-        if let Some(kept) = self.entries.get_mut(id) {
-            kept.ends = kept.lease.map(|lease| now + lease);
+        if let Some(entry) = self.entries.get_mut(id) {
+            entry.expires_at = entry.lease.map(|lease| now + lease);
         }
     }
 
-    /// Makes a change that is durable. One that is not newer than what is here has been made already.
+    /// Applies a record that is durable. A record that is not newer than the store is ignored: it was applied before.
     pub fn apply(&mut self, record: Record, now: Now) {
         let version = record.version();
         if version <= self.version {
             return;
         }
         self.version = version;
-        let id = match record {
+        match record {
             Record::Promoted { epoch, .. } => {
-                (self.epoch, self.promoted, self.floor) = (epoch, true, version);
-                self.history.clear();
-                self.gone.clear();
-                return;
+                (self.epoch, self.promoted) = (epoch, true);
+                self.history.restart(version);
             }
             Record::Opened { .. } => {
-                // A store that has told nothing yet has no history before this.
+                // The history of a new store begins here.
                 if self.origin == 0 {
-                    (self.origin, self.floor) = (version, version);
+                    self.origin = version;
+                    self.history.set_floor(version);
                 }
-                return;
             }
             Record::Put { host, lease_ms, .. } => {
                 let id = host.id.clone();
-                self.gone.remove(&id);
-                self.keep(host, version, lease_ms, now);
-                id
+                self.insert(host, version, lease_ms, now);
+                self.history.on_put(version, id);
             }
-            Record::Gone { id, .. } => {
-                let Some(kept) = self.entries.remove(&id) else { return };
-                self.listed -= length(&kept.host);
-                self.gone.insert(id.clone(), Host { state: State::Deleted, ..kept.host });
-                id
-            }
-        };
-        self.history.push_back((version, id));
-        while self.history.len() > MAX_HISTORY {
-            let Some((version, id)) = self.history.pop_front() else { break };
-            self.floor = version;
-            // Told of no more once its last change has left the history.
-            if self.gone.contains_key(&id) && !self.history.iter().any(|(_, later)| *later == id) {
-                self.gone.remove(&id);
+            Record::Deleted { id, .. } => {
+                let Some(entry) = self.entries.remove(&id) else { return };
+                self.entries_bytes -= encoded_len(&entry.host);
+                self.history.on_delete(version, Host { state: State::Deleted, ..entry.host });
             }
         }
     }
 
-    fn keep(&mut self, host: Host, revision: u64, lease_ms: Option<u64>, now: Now) {
+    fn insert(&mut self, host: Host, revision: u64, lease_ms: Option<u64>, now: Now) {
         let lease = lease_ms.map(Duration::from_millis);
-        self.listed += length(&host);
-        let kept = StoredEntry { revision, lease, ends: lease.map(|lease| now + lease), host };
-        if let Some(before) = self.entries.insert(kept.host.id.clone(), kept) {
-            self.listed -= length(&before.host);
+        self.entries_bytes += encoded_len(&host);
+        let entry = StoredEntry { revision, lease, expires_at: lease.map(|lease| now + lease), host };
+        if let Some(replaced) = self.entries.insert(entry.host.id.clone(), entry) {
+            self.entries_bytes -= encoded_len(&replaced.host);
         }
     }
 
-    /// Every entry as it is listed. One whose lease has just ended is listed until its going is recorded.
+    /// Returns all entries in the order of their ids. One whose lease has expired is included until its deletion is
+    /// recorded.
     pub fn full_list(&self) -> Vec<&Host> {
-        self.entries.values().map(|kept| &kept.host).collect()
+        self.entries.values().map(|entry| &entry.host).collect()
     }
 
-    /// Whether what has changed since this version can be told.
-    pub fn knows(&self, since: u64) -> bool {
-        (self.floor..=self.version).contains(&since)
+    /// Returns whether the changes after this version are known.
+    pub fn has_history_since(&self, version: u64) -> bool {
+        (self.history.floor()..=self.version).contains(&version)
     }
 
-    /// What whoever holds this version does not know yet.
-    pub fn newer(&self, since: u64) -> Newer<'_> {
-        if since == self.version {
-            return Newer::Nothing;
+    /// Returns what has changed after a version.
+    pub fn delta_since(&self, version: u64) -> Delta<'_> {
+        if version == self.version {
+            return Delta::Unchanged;
         }
-        if !self.knows(since) {
-            return Newer::Whole(self.full_list());
+        if !self.has_history_since(version) {
+            return Delta::Full(self.full_list());
         }
-        let from = self.history.partition_point(|(version, _)| *version <= since);
-        let changed: BTreeSet<&str> = self.history.range(from..).map(|(_, id)| id.as_str()).collect();
-        let host = |id: &str| self.entries.get(id).map(|kept| &kept.host).or_else(|| self.gone.get(id));
-        Newer::Changes(changed.into_iter().filter_map(host).collect())
+        let host = |id: &str| {
+            self.entries.get(id).map(|entry| &entry.host).or_else(|| self.history.deleted_entry(id))
+        };
+        Delta::Changes(self.history.changed_since(version).into_iter().filter_map(host).collect())
     }
 
-    /// The answer to a watch that holds this version, as bytes; `None` where there is nothing newer.
-    pub fn telling(&self, since: Option<u64>) -> Option<Vec<u8>> {
-        let (full, servers) = match since.map(|since| self.newer(since)) {
+    /// Returns the encoded list for a reader with this version, or the full one for a reader without any; `None` if nothing
+    /// has changed.
+    pub fn encode_list(&self, since: Option<u64>) -> Option<Vec<u8>> {
+        let (full, servers) = match since.map(|since| self.delta_since(since)) {
             None => (true, self.full_list()),
-            Some(Newer::Nothing) => return None,
-            Some(Newer::Whole(servers)) => (true, servers),
-            Some(Newer::Changes(servers)) => (false, servers),
+            Some(Delta::Unchanged) => return None,
+            Some(Delta::Full(servers)) => (true, servers),
+            Some(Delta::Changes(servers)) => (false, servers),
         };
-        Some(encoded(&Telling {
-            version: self.version,
-            full,
-            store: self.origin,
-            epoch: self.epoch,
-            servers,
-        }))
+        Some(self.encode(full, servers))
     }
 
-    /// The answer to a watch in whose time nothing has come.
-    pub fn nothing(&self) -> Vec<u8> {
-        encoded(&Telling {
-            version: self.version,
-            full: false,
-            store: self.origin,
-            epoch: self.epoch,
-            servers: Vec::new(),
-        })
+    /// Returns the encoded answer to a watch in whose time nothing has changed.
+    pub fn encode_unchanged(&self) -> Vec<u8> {
+        self.encode(false, Vec::new())
     }
 
-    pub fn show(&self, id: &str, now: Now) -> Option<Shown<'_>> {
-        self.entries.get(id).filter(|kept| kept.live(now)).map(|kept| Shown {
-            host: &kept.host,
-            revision: kept.revision,
-            lease_left_ms: kept.ends.map(|ends| millis(ends.saturating_sub(now))),
-        })
+    fn encode(&self, full: bool, servers: Vec<&Host>) -> Vec<u8> {
+        let list = Telling { version: self.version, full, store: self.origin, epoch: self.epoch, servers };
+        // Strings, numbers and addresses always serialise.
+        serde_json::to_vec(&list).unwrap_or_default()
     }
-}
 
-fn encoded(telling: &Telling) -> Vec<u8> {
-    // Names, numbers and an address: there is nothing in it that JSON cannot hold.
-    serde_json::to_vec(telling).unwrap_or_default()
+    /// Returns an entry whose lease has not expired.
+    pub fn entry_details(&self, id: &str, now: Now) -> Option<EntryDetails<'_>> {
+        self.entries.get(id).filter(|entry| entry.is_live(now)).map(|entry| EntryDetails {
+            host: &entry.host,
+            revision: entry.revision,
+            lease_left_ms: entry.expires_at.map(|at| as_millis(at.saturating_sub(now))),
+        })
+    }
 }
--- a/quota-gateway/discovery/tests/cases.rs
+++ b/quota-gateway/discovery/tests/cases.rs
@@ -16,7 +16,7 @@
 
 fn store() -> Store {
     let mut store = Store::default();
-    let opened = store.opened(UNIX);
+    let opened = store.opening_record(UNIX);
     store.apply(opened, secs(0));
     store
 }
@@ -31,7 +31,7 @@
 }
 
 /// Carries a command out; the entry's revision then.
-fn done(store: &mut Store, command: Command, now: Duration) -> Result<u64, Refusal> {
+fn done(store: &mut Store, command: Command, now: Duration) -> Result<u64, Rejection> {
     match store.decide(&command, now, UNIX)? {
         Decision::Change(record) => store.apply(record, now),
         Decision::Renew(id) => store.renew(&id, now),
@@ -48,15 +48,15 @@
     done(&mut store, Command::Renew { id: "s".into() }, secs(4)).expect("it lasts");
     // The same again is a renewal too, and nothing that is told.
     done(&mut store, register("s", 1, Some(5), None), secs(8)).expect("it lasts");
-    assert_eq!((store.version(), store.next_end()), (version, Some(secs(13))));
-    assert_eq!(store.ended(secs(12)), None);
+    assert_eq!((store.version(), store.next_expiry()), (version, Some(secs(13))));
+    assert_eq!(store.expiry_record(secs(12)), None);
     // As it ends it has ended, whether that was recorded or not.
-    assert_eq!(done(&mut store, Command::Renew { id: "s".into() }, secs(13)), Err(Refusal::Unknown));
-    let gone = store.ended(secs(13)).expect("it has ended");
+    assert_eq!(done(&mut store, Command::Renew { id: "s".into() }, secs(13)), Err(Rejection::Unknown));
+    let gone = store.expiry_record(secs(13)).expect("it has ended");
     store.apply(gone, secs(13));
-    assert!(store.is_empty() && store.ended(secs(99)).is_none());
-    assert!(matches!(store.newer(version), Newer::Changes(hosts) if hosts[0].state == State::Deleted));
-    let Newer::Whole(hosts) = store.newer(0) else { panic!("all of it") };
+    assert!(store.is_empty() && store.expiry_record(secs(99)).is_none());
+    assert!(matches!(store.delta_since(version), Delta::Changes(hosts) if hosts[0].state == State::Deleted));
+    let Delta::Full(hosts) = store.delta_since(0) else { panic!("all of it") };
     assert!(hosts.is_empty(), "what is gone is only among changes");
 }
 
@@ -81,13 +81,13 @@
     let mut store = store();
     let revision = done(&mut store, register("s", 1, Some(5), None), secs(0)).expect("new");
     let other = || register("s", 2, Some(5), None);
-    assert_eq!(done(&mut store, other(), secs(1)), Err(Refusal::Conflict { revision }));
+    assert_eq!(done(&mut store, other(), secs(1)), Err(Rejection::Conflict { revision }));
     let stale = register("s", 2, Some(5), Some(revision - 1));
-    assert_eq!(done(&mut store, stale, secs(1)), Err(Refusal::Conflict { revision }));
+    assert_eq!(done(&mut store, stale, secs(1)), Err(Rejection::Conflict { revision }));
     let moved = done(&mut store, register("s", 2, Some(5), Some(revision)), secs(1)).expect("named");
     assert!(moved > revision);
     let late = Command::Deregister { id: "s".into(), revision: Some(revision) };
-    assert_eq!(done(&mut store, late, secs(1)), Err(Refusal::Conflict { revision: moved }));
+    assert_eq!(done(&mut store, late, secs(1)), Err(Rejection::Conflict { revision: moved }));
     assert_eq!(store.full_list()[0].addr.port(), 2);
 }
 
@@ -105,7 +105,7 @@
             > version
     );
     for command in [Command::Drain { id: "x".into(), revision: None }, Command::Renew { id: "x".into() }] {
-        assert_eq!(done(&mut store, command, secs(5)), Err(Refusal::Unknown));
+        assert_eq!(done(&mut store, command, secs(5)), Err(Rejection::Unknown));
     }
 }
 
@@ -113,7 +113,7 @@
 fn watches_older_than_the_history_or_of_another_store_get_the_whole_list() {
     let mut store = store();
     let first = store.version();
-    assert!(matches!(store.newer(first), Newer::Nothing));
+    assert!(matches!(store.delta_since(first), Delta::Unchanged));
     done(&mut store, register("kept", 1, None, None), secs(0)).expect("new");
     for n in 0..5000_u16 {
         let command = if n % 2 == 0 {
@@ -124,15 +124,17 @@
         done(&mut store, command, secs(1)).expect("done");
     }
     let version = store.version();
-    assert!(matches!(store.newer(version - 3), Newer::Changes(hosts) if hosts.len() == 1), "told once");
-    assert!(matches!(store.newer(version - 4000), Newer::Changes(_)));
+    assert!(matches!(store.delta_since(version - 3), Delta::Changes(hosts) if hosts.len() == 1), "told once");
+    assert!(matches!(store.delta_since(version - 4000), Delta::Changes(_)));
     for foreign in [0, 1, first, first + 1, version + 1, u64::MAX] {
-        assert!(matches!(store.newer(foreign), Newer::Whole(hosts) if hosts.len() == 1), "{foreign}");
+        assert!(matches!(store.delta_since(foreign), Delta::Full(hosts) if hosts.len() == 1), "{foreign}");
     }
     // A store that was made a millisecond earlier or later has other versions.
     for unix in [UNIX - 1, UNIX + 100] {
-        let Record::Opened { version: other } = Store::default().opened(unix) else { panic!("a version") };
-        assert!(matches!(store.newer(other), Newer::Whole(_)), "{other} beside {first} to {version}");
+        let Record::Opened { version: other } = Store::default().opening_record(unix) else {
+            panic!("a version")
+        };
+        assert!(matches!(store.delta_since(other), Delta::Full(_)), "{other} beside {first} to {version}");
     }
 }
 
@@ -145,8 +147,8 @@
         held += usize::from(result.is_ok());
         result.err()
     });
-    assert_eq!(refused, Some(Refusal::TooLong));
-    assert!(store.telling(None).expect("a list").len() <= MAX_LIST_BYTES && held > 200, "{held}");
+    assert_eq!(refused, Some(Rejection::ListTooLong));
+    assert!(store.encode_list(None).expect("a list").len() <= MAX_LIST_BYTES && held > 200, "{held}");
     let one = Command::Deregister { id: format!("server-{:0>100}", 0), revision: None };
     done(&mut store, one, secs(0)).expect("known");
     done(&mut store, register("s", 1, None, None), secs(0)).expect("there is room again");
@@ -161,13 +163,13 @@
 }
 
 fn open(path: &Path) -> Result<(Journal<Folder>, Vec<Record>, u64), String> {
-    let folder = Folder::take(path).map_err(|e| e.to_string())?.ok_or("taken")?;
-    let (journal, held) = Journal::open(folder).map_err(|e| e.to_string())?;
-    Ok((journal, held.records, held.torn_bytes))
+    let folder = Folder::lock(path).map_err(|e| e.to_string())?.ok_or("taken")?;
+    let (journal, recovered) = Journal::open(folder).map_err(|e| e.to_string())?;
+    Ok((journal, recovered.records, recovered.torn_bytes))
 }
 
 fn gone(version: u64) -> Record {
-    Record::Gone { version, id: "s".into() }
+    Record::Deleted { version, id: "s".into() }
 }
 
 #[test]
@@ -177,7 +179,7 @@
     assert_eq!(open(&path).err().as_deref(), Some("taken"));
     journal.append(&[gone(1), gone(2)]).expect("written");
     journal.append(&[gone(3)]).expect("written");
-    let length = journal.length();
+    let length = journal.log_bytes();
     drop(journal);
     let log = path.join("log.1");
     let whole = fs::read(&log).expect("there");
@@ -244,13 +246,13 @@
     }
     let version = first.version();
     done(&mut first, Command::Deregister { id: "s-7".into(), revision: None }, secs(1)).expect("known");
-    let text = serde_json::to_vec(&first.image()).expect("JSON");
-    let image: Image = serde_json::from_slice(&text).expect("an image");
+    let text = serde_json::to_vec(&first.snapshot()).expect("JSON");
+    let image: Snapshot = serde_json::from_slice(&text).expect("an image");
     let second = Store::restore(image, [], secs(1000));
-    assert_eq!(second.image(), first.image());
-    assert_eq!(second.telling(None), first.telling(None));
-    assert_eq!(second.telling(Some(version)), first.telling(Some(version)), "and the history");
+    assert_eq!(second.snapshot(), first.snapshot());
+    assert_eq!(second.encode_list(None), first.encode_list(None));
+    assert_eq!(second.encode_list(Some(version)), first.encode_list(Some(version)), "and the history");
     // All leases begin anew.
-    assert_eq!(second.next_end(), Some(secs(1060)));
-    assert_eq!(second.ended(secs(1059)), None);
+    assert_eq!(second.next_expiry(), Some(secs(1060)));
+    assert_eq!(second.expiry_record(secs(1059)), None);
 }
--- a/quota-gateway/discovery/tests/follow.rs
+++ b/quota-gateway/discovery/tests/follow.rs
@@ -133,7 +133,7 @@
     /// Service 1 takes over what service 0, which writes, has: it is behind in between.
     Copy,
     /// A call to a service; its answer comes after so long, unless the way is cut.
-    Call {
+    Request {
         service: usize,
         late: u64,
         cut: bool,
@@ -151,7 +151,7 @@
         2 => (0..6_u8).prop_map(Step::Deregister),
         2 => Just(Step::Copy),
         6 => (0..2_usize, 0..3000_u64, prop::bool::weighted(0.3), prop::bool::weighted(0.2))
-            .prop_map(|(service, late, cut, whole)| Step::Call { service, late, cut, whole }),
+            .prop_map(|(service, late, cut, whole)| Step::Request { service, late, cut, whole }),
         2 => (0..2000_u64).prop_map(Step::Pass),
         1 => prop::bool::weighted(0.2).prop_map(|other| if other { Step::OtherStore } else { Step::Copy }),
     ]
@@ -159,9 +159,9 @@
 
 /// The second takes over what the first has beyond it, as a replica does.
 fn copy(stores: &mut [Store; 2], now: Duration) {
-    match stores[0].records(stores[1].version()) {
+    match stores[0].records_since(stores[1].version()) {
         Some(records) => records.into_iter().for_each(|record| stores[1].apply(record, now)),
-        None => stores[1] = Store::follow(stores[0].image(), now),
+        None => stores[1] = Store::restore_replica(stores[0].snapshot(), now),
     }
     assert_eq!((stores[1].version(), listed(&stores[1])), (stores[0].version(), listed(&stores[0])));
 }
@@ -180,7 +180,7 @@
     runner
         .run(&prop::collection::vec(step(), 1..80), |steps| {
             let mut stores = [Store::default(), Store::default()];
-            let opened = stores[0].opened(1_700_000_000_000);
+            let opened = stores[0].opening_record(1_700_000_000_000);
             stores[0].apply(opened, ms(0));
             let (mut follower, mut held) = (Follower::new(CAUTION), BTreeMap::new());
             let (mut now, mut coming): (u64, Vec<(u64, Vec<u8>)>) = (0, Vec::new());
@@ -211,17 +211,20 @@
                 }
                 match step {
                     Step::Copy => copy(&mut stores, ms(now)),
-                    Step::Call { service, late, cut, whole } if !cut && stores[service].version() > 0 => {
+                    Step::Request { service, late, cut, whole } if !cut && stores[service].version() > 0 => {
                         let since = follower.version().filter(|_| !whole);
                         let store = &stores[service];
-                        coming.push((now + late, store.telling(since).unwrap_or_else(|| store.nothing())));
+                        coming.push((
+                            now + late,
+                            store.encode_list(since).unwrap_or_else(|| store.encode_unchanged()),
+                        ));
                     }
                     Step::Pass(millis) => now += millis,
                     Step::OtherStore => {
                         made += 1;
                         moves.set(moves.get() + 1);
                         stores = [Store::default(), Store::default()];
-                        let opened = stores[0].opened(1_700_000_000_000 - 1000 * made);
+                        let opened = stores[0].opening_record(1_700_000_000_000 - 1000 * made);
                         stores[0].apply(opened, ms(now));
                         coming.clear();
                         // Its versions are lower, and say nothing of the former one's.
@@ -251,7 +254,7 @@
             }
             // The faults have ended.
             let whole: HostList =
-                serde_json::from_slice(&stores[0].telling(None).expect("a list")).expect("a list");
+                serde_json::from_slice(&stores[0].encode_list(None).expect("a list")).expect("a list");
             if let Taken::List(list) = follower.take(whole, ms(now)) {
                 pass(&mut held, &list);
             }
--- a/quota-gateway/discovery/tests/format.rs
+++ b/quota-gateway/discovery/tests/format.rs
@@ -94,6 +94,6 @@
         ("since=1&since=2", Err("since comes more than once".to_owned())),
         ("since=1&timeout_ms=1e3", Err("timeout_ms is no whole number".to_owned())),
     ] {
-        assert_eq!(ListRequest::of_query(query), ask, "{query:?}");
+        assert_eq!(ListRequest::of_query(query).map_err(|e| e.to_string()), ask, "{query:?}");
     }
 }
--- a/quota-gateway/discovery/tests/golden.rs
+++ b/quota-gateway/discovery/tests/golden.rs
@@ -11,9 +11,9 @@
 use common::*;
 use golden::{bytes, same_bytes, same_text, text};
 use marblecroft_discovery::format::{Entry, Host, HostList, ListRequest, State, Telling};
-use marblecroft_discovery::http::{self, Call, Replica, Replicated, Request};
-use marblecroft_discovery::journal::{Disk, Journal};
-use marblecroft_discovery::store::{Command, Image, Record, Registration, Store};
+use marblecroft_discovery::http::{self, ApiRequest, HttpRequest, ReplicationRequest, ReplicationResponse};
+use marblecroft_discovery::journal::{Journal, Storage};
+use marblecroft_discovery::store::{Command, Record, Registration, Snapshot, Store};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -35,8 +35,8 @@
     }
 }
 
-impl Disk for Files {
-    fn names(&self) -> io::Result<Vec<String>> {
+impl Storage for Files {
+    fn file_names(&self) -> io::Result<Vec<String>> {
         Ok(self.0.borrow().keys().cloned().collect())
     }
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
@@ -62,7 +62,7 @@
         self.0.borrow_mut().remove(name);
         Ok(())
     }
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_folder(&mut self) -> io::Result<()> {
         Ok(())
     }
 }
@@ -88,12 +88,12 @@
         Record::Put { version: 1012, host: host("s-1", 81, State::Serving), lease_ms: Some(61_000) },
         Record::Put { version: 1013, host: host("s-2", 82, State::Draining), lease_ms: None },
         Record::Put { version: 1014, host: host("s-3", 83, State::Serving), lease_ms: Some(63_000) },
-        Record::Gone { version: 1015, id: "s-3".to_owned() },
+        Record::Deleted { version: 1015, id: "s-3".to_owned() },
     ]
 }
 
 fn store() -> Store {
-    Store::restore(Image::default(), records(), Duration::ZERO)
+    Store::restore(Snapshot::default(), records(), Duration::ZERO)
 }
 
 #[test]
@@ -105,12 +105,12 @@
     same_bytes("snapshot-empty.hex", &files.get("snap.1"));
 
     let recorded = Files::with([("log.1", bytes("log.hex")), ("snap.1", bytes("snapshot-empty.hex"))]);
-    let (_, held) = Journal::open(recorded).expect("opened");
-    assert_eq!((held.records.as_slice(), held.torn_bytes), (records().as_slice(), 0));
-    assert_eq!(held.image, Image::default());
+    let (_, recovered) = Journal::open(recorded).expect("opened");
+    assert_eq!((recovered.records.as_slice(), recovered.torn_bytes), (records().as_slice(), 0));
+    assert_eq!(recovered.snapshot, Snapshot::default());
     let again = Files::default();
     let (mut journal, _) = Journal::open(again.clone()).expect("opened");
-    journal.append(&held.records).expect("written");
+    journal.append(&recovered.records).expect("written");
     same_bytes("log.hex", &again.get("log.1"));
 }
 
@@ -118,15 +118,15 @@
 fn the_journals_snapshot_keeps_its_bytes() {
     let files = Files::default();
     let (mut journal, _) = Journal::open(files.clone()).expect("opened");
-    journal.compact(&store().image()).expect("written");
+    journal.compact(&store().snapshot()).expect("written");
     same_bytes("snapshot.hex", &files.get("snap.2"));
     same_bytes("log-empty.hex", &files.get("log.2"));
 
     let recorded = Files::with([("log.9", bytes("log-empty.hex")), ("snap.9", bytes("snapshot.hex"))]);
-    let (mut journal, held) = Journal::open(recorded.clone()).expect("opened");
-    assert_eq!(held.image, store().image());
-    let restored = Store::restore(held.image, [], Duration::ZERO);
-    journal.compact(&restored.image()).expect("written");
+    let (mut journal, recovered) = Journal::open(recorded.clone()).expect("opened");
+    assert_eq!(recovered.snapshot, store().snapshot());
+    let restored = Store::restore(recovered.snapshot, [], Duration::ZERO);
+    journal.compact(&restored.snapshot()).expect("written");
     same_bytes("snapshot.hex", &recorded.get("snap.10"));
 }
 
@@ -165,30 +165,31 @@
 fn the_stores_answers_keep_their_text() {
     let store = store();
     let text = |bytes: Option<Vec<u8>>| String::from_utf8(bytes.expect("an answer")).expect("UTF-8");
-    same_text("told-whole.json", &text(store.telling(None)));
-    same_text("told-changes.json", &text(store.telling(Some(1012))));
-    same_text("told-nothing.json", &text(Some(store.nothing())));
-    let shown = |id| serde_json::to_string(&store.show(id, Duration::from_millis(1500))).expect("text");
+    same_text("told-whole.json", &text(store.encode_list(None)));
+    same_text("told-changes.json", &text(store.encode_list(Some(1012))));
+    same_text("told-nothing.json", &text(Some(store.encode_unchanged())));
+    let shown =
+        |id| serde_json::to_string(&store.entry_details(id, Duration::from_millis(1500))).expect("text");
     same_text("shown-leased.json", &shown("s-1"));
     same_text("shown-unleased.json", &shown("s-2"));
 }
 
 #[test]
 fn what_replicas_say_keeps_its_text() {
-    let replica = Replica { store: 1001, epoch: 7, version: 1013, wait_ms: 2500 };
+    let replica = ReplicationRequest { store: 1001, epoch: 7, version: 1013, wait_ms: 2500 };
     same_text("replica.json", &serde_json::to_string(&replica).expect("text"));
-    let read: Replica = serde_json::from_str(&text("replica.json")).expect("a replica");
+    let read: ReplicationRequest = serde_json::from_str(&text("replica.json")).expect("a replica");
     assert_eq!(read, replica);
     same_text("replica.json", &serde_json::to_string(&read).expect("text"));
 
-    let changes = Replicated { epoch: 7, records: records(), image: None };
-    let whole = Replicated { epoch: 8, records: Vec::new(), image: Some(store().image()) };
+    let changes = ReplicationResponse { epoch: 7, records: records(), snapshot: None };
+    let whole = ReplicationResponse { epoch: 8, records: Vec::new(), snapshot: Some(store().snapshot()) };
     for (name, replicated) in [("replicated-changes.json", changes), ("replicated-whole.json", whole)] {
         same_text(name, &serde_json::to_string(&replicated).expect("text"));
-        let read: Replicated = serde_json::from_str(&text(name)).expect("what replicas lack");
+        let read: ReplicationResponse = serde_json::from_str(&text(name)).expect("what replicas lack");
         assert_eq!(
-            (read.epoch, &read.records, &read.image),
-            (replicated.epoch, &replicated.records, &replicated.image)
+            (read.epoch, &read.records, &read.snapshot),
+            (replicated.epoch, &replicated.records, &replicated.snapshot)
         );
         same_text(name, &serde_json::to_string(&read).expect("text"));
     }
@@ -198,14 +199,14 @@
 #[test]
 fn calls_keep_their_paths_and_fields() {
     let understood = |method: &str, path: &str, query: &str, body: &str| {
-        let call = Call {
+        let call = HttpRequest {
             method: method.to_owned(),
             path: path.to_owned(),
             query: query.to_owned(),
             body: body.as_bytes().to_vec(),
-            keeps: true,
+            keep_alive: true,
         };
-        http::understood(&call).expect("a call")
+        http::route(&call).expect("a call")
     };
     let post = |path: &str, body: &str| understood("POST", path, "", body);
     let server = Registration {
@@ -222,7 +223,7 @@
             "/discovery/register",
             r#"{"id":"s-1","addr":"10.1.2.3:81","zone":"a","kind":"b","cell":3,"weight":1.5,"lease_ms":61000,"revision":9}"#
         ),
-        Request::Command(Command::Register { server, lease, revision: Some(9) })
+        ApiRequest::Command(Command::Register { server, lease, revision: Some(9) })
     );
     let id = || "s-1".to_owned();
     let revision = Some(9);
@@ -232,19 +233,19 @@
         ("/discovery/undrain", Command::Undrain { id: id(), revision }),
         ("/discovery/deregister", Command::Deregister { id: id(), revision }),
     ] {
-        assert_eq!(post(path, r#"{"id":"s-1","revision":9}"#), Request::Command(command), "{path}");
+        assert_eq!(post(path, r#"{"id":"s-1","revision":9}"#), ApiRequest::Command(command), "{path}");
     }
-    assert_eq!(post("/discovery/show", r#"{"id":"s-1"}"#), Request::Show { id: id() });
-    assert_eq!(post("/discovery/promote", r#"{"epoch":7}"#), Request::Promote { epoch: 7 });
-    let replica = Replica { store: 1001, epoch: 7, version: 1013, wait_ms: 2500 };
-    assert_eq!(post("/discovery/records", &text("replica.json")), Request::Records(replica));
+    assert_eq!(post("/discovery/show", r#"{"id":"s-1"}"#), ApiRequest::Show { id: id() });
+    assert_eq!(post("/discovery/promote", r#"{"epoch":7}"#), ApiRequest::Promote { epoch: 7 });
+    let replica = ReplicationRequest { store: 1001, epoch: 7, version: 1013, wait_ms: 2500 };
+    assert_eq!(post("/discovery/records", &text("replica.json")), ApiRequest::Replicate(replica));
     let watch = ListRequest::Watch { since: 1013, wait: Duration::from_millis(2500) };
     assert_eq!(watch.target(), "/discovery/hosts?since=1013&timeout_ms=2500");
     assert_eq!(
         understood("GET", "/discovery/hosts", "since=1013&timeout_ms=2500", ""),
-        Request::Hosts(watch)
+        ApiRequest::List(watch)
     );
-    assert_eq!(understood("GET", "/discovery/status", "", ""), Request::Status);
+    assert_eq!(understood("GET", "/discovery/status", "", ""), ApiRequest::Status);
 }
 
 /// Figures differ from run to run; the names and their kinds do not.
--- a/quota-gateway/discovery/tests/store.rs
+++ b/quota-gateway/discovery/tests/store.rs
@@ -1,7 +1,7 @@
 //! The store and its journal against a model, on a disk that fails at any step.
 
 use marblecroft_discovery::format::*;
-use marblecroft_discovery::journal::{Disk, Failed, Journal};
+use marblecroft_discovery::journal::{Journal, JournalError, Storage};
 use marblecroft_discovery::store::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -95,8 +95,8 @@
     }
 }
 
-impl Disk for Memory {
-    fn names(&self) -> io::Result<Vec<String>> {
+impl Storage for Memory {
+    fn file_names(&self) -> io::Result<Vec<String>> {
         self.step()?;
         Ok(self.0.borrow().files.keys().cloned().collect())
     }
@@ -150,7 +150,7 @@
         state.unsynced.push(Naming::Removed(name.to_owned()));
         Ok(())
     }
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_folder(&mut self) -> io::Result<()> {
         self.step()?;
         let mut state = self.0.borrow_mut();
         state.unsynced.clear();
@@ -230,7 +230,7 @@
 
 impl Watcher {
     fn follow(&mut self, store: &Store) {
-        let Some(text) = store.telling(self.version) else { return };
+        let Some(text) = store.encode_list(self.version) else { return };
         let list: HostList = serde_json::from_slice(&text).expect("a list");
         assert!(self.version.is_none_or(|held| list.version > held), "versions rise for whoever watches");
         self.version = Some(list.version);
@@ -261,10 +261,10 @@
     versions: u64,
 }
 
-fn start(disk: &Memory, now: Duration, unix: u64) -> Result<(Store, Journal<Memory>), Failed> {
-    let (mut journal, held) = Journal::open(disk.clone())?;
-    let mut store = Store::restore(held.image, held.records, now);
-    let opened = store.opened(unix);
+fn start(disk: &Memory, now: Duration, unix: u64) -> Result<(Store, Journal<Memory>), JournalError> {
+    let (mut journal, recovered) = Journal::open(disk.clone())?;
+    let mut store = Store::restore(recovered.snapshot, recovered.records, now);
+    let opened = store.opening_record(unix);
     journal.append(std::slice::from_ref(&opened))?;
     store.apply(opened, now);
     Ok((store, journal))
@@ -308,7 +308,7 @@
         let mut after = self.model.clone();
         match &record {
             Record::Put { host, .. } => drop(after.insert(host.id.clone(), (host.addr.port(), host.state))),
-            Record::Gone { id, .. } => drop(after.remove(id)),
+            Record::Deleted { id, .. } => drop(after.remove(id)),
             Record::Opened { .. } | Record::Promoted { .. } => unreachable!(),
         }
         if self.journal.append(std::slice::from_ref(&record)).is_err() {
@@ -332,7 +332,8 @@
     let (mut answered, mut crashes, mut ended) = (0, 0, 0);
     for (n, step) in steps.iter().enumerate() {
         let name = |id: &u8| format!("s-{id}\u{0}\"é");
-        let revision = |world: &World, id: &str| world.store.show(id, world.now).map(|shown| shown.revision);
+        let revision =
+            |world: &World, id: &str| world.store.entry_details(id, world.now).map(|shown| shown.revision);
         let command = match step {
             Step::Register { id, port, lease, with_revision } => {
                 let id = name(id);
@@ -357,7 +358,7 @@
                 if *with_revision == Some(false) && revision.is_some() {
                     let drain = Command::Drain { id: id.clone(), revision };
                     let decision = world.store.decide(&drain, world.now, world.unix);
-                    assert!(matches!(decision, Err(Refusal::Conflict { .. })), "a lost compare-and-set");
+                    assert!(matches!(decision, Err(Rejection::Conflict { .. })), "a lost compare-and-set");
                 }
                 Some(Command::Drain { id, revision })
             }
@@ -369,7 +370,7 @@
             Step::Pass { millis, set } => {
                 world.now += Duration::from_millis(*millis);
                 world.unix = (world.unix + millis).saturating_add_signed(*set).max(1);
-                while let Some(record) = world.store.ended(world.now) {
+                while let Some(record) = world.store.expiry_record(world.now) {
                     if broken || !world.change(record) {
                         break;
                     }
@@ -377,7 +378,7 @@
                 }
             }
             // An error may leave the generation before, or nothing that can be written to.
-            Step::Compact if world.journal.compact(&world.store.image()).is_ok() => world.maybe = None,
+            Step::Compact if world.journal.compact(&world.store.snapshot()).is_ok() => world.maybe = None,
             Step::Fail { after } => world.disk.0.borrow_mut().fail = Some(*after),
             Step::Crash { after, luck, zeros } => {
                 let mut state = world.disk.0.borrow_mut();
--- a/testing/fault-injection/src/shell/lists.rs
+++ b/testing/fault-injection/src/shell/lists.rs
@@ -178,7 +178,7 @@
         }
         let ask = match ListRequest::of_query(request.uri().query().unwrap_or_default()) {
             Ok(ask) => ask,
-            Err(e) => return Ok(plain(400, "", e)),
+            Err(e) => return Ok(plain(400, "", e.to_string())),
         };
         let since = if let ListRequest::Watch { since, .. } = ask { Some(since) } else { None };
         world.record(Event::ListAsked { gateway, since });
