--- a/quota-gateway/discovery/benches/watches.rs
+++ b/quota-gateway/discovery/benches/watches.rs
@@ -17,11 +17,11 @@
 const WATCHERS: usize = 300;
 const ENTRIES: u16 = 200;
 const CHANGES: usize = 40;
-const PLAYS: usize = 5;
+const RUNS: usize = 5;
 const RECORDS: u64 = 100_000;
 
-/// Nanoseconds that a process's one thread was on a core.
-fn on_core(pid: u32) -> u64 {
+/// Returns the processor time of a single-threaded process, in nanoseconds.
+fn cpu_time_ns(pid: u32) -> u64 {
     let text = fs::read_to_string(format!("/proc/{pid}/schedstat")).expect("Linux");
     text.split(' ').next().and_then(|word| word.parse().ok()).expect("a number")
 }
@@ -36,37 +36,37 @@
     client.get("/discovery/status").json()[field].as_u64().expect("a number")
 }
 
-/// Median and 99th percentile.
-fn middle(mut all: Vec<f64>) -> (f64, f64) {
+/// Returns the median and the 99th percentile.
+fn median_and_p99(mut all: Vec<f64>) -> (f64, f64) {
     all.sort_by(f64::total_cmp);
     (all[all.len() / 2], all[(all.len() * 99 / 100).min(all.len() - 1)])
 }
 
-fn spread(name: &str, unit: &str, all: &[f64]) {
-    let (least, most) = all.iter().fold((f64::MAX, f64::MIN), |(l, m), &x| (l.min(x), m.max(x)));
-    println!("{name}: {:.2} {unit} ({least:.2} to {most:.2})", middle(all.to_vec()).0);
+fn print_spread(name: &str, unit: &str, all: &[f64]) {
+    let (min, max) = all.iter().fold((f64::MAX, f64::MIN), |(l, m), &x| (l.min(x), m.max(x)));
+    println!("{name}: {:.2} {unit} ({min:.2} to {max:.2})", median_and_p99(all.to_vec()).0);
 }
 
-/// One watcher: waits, says when it has the change, and waits again.
-fn watcher(addr: std::net::SocketAddr, mut held: u64, told: mpsc::Sender<(u64, Instant)>) {
+/// Watches, and reports when each change arrives.
+fn watcher(addr: std::net::SocketAddr, mut version: u64, changes: mpsc::Sender<(u64, Instant)>) {
     let mut client = Client::connect(addr);
     loop {
-        let call = format!("GET /discovery/hosts?since={held}&timeout_ms=60000 HTTP/1.1\r\n\r\n");
+        let call = format!("GET /discovery/hosts?since={version}&timeout_ms=60000 HTTP/1.1\r\n\r\n");
         if client.0.get_mut().write_all(call.as_bytes()).is_err() {
             return;
         }
-        let Some(answer) = client.answer() else { return };
+        let Some(response) = client.response() else { return };
         let now = Instant::now();
-        held = answer.json()["version"].as_u64().expect("a version");
-        if told.send((held, now)).is_err() {
+        version = response.json()["version"].as_u64().expect("a version");
+        if changes.send((version, now)).is_err() {
             return;
         }
     }
 }
 
-fn play() -> [f64; 6] {
+fn run_once() -> [f64; 6] {
     let folder = folder();
-    let service = Running::start(&folder, &config("127.0.0.1:0", &folder, ""));
+    let service = ServiceProcess::start(&folder, &config("127.0.0.1:0", &folder, ""));
     let pid = service.child.id();
     let mut operator = service.client();
     for n in 0..ENTRIES {
@@ -77,20 +77,20 @@
             200
         );
     }
-    let held = operator.get("/discovery/hosts").json()["version"].as_u64().expect("a version");
+    let since = operator.get("/discovery/hosts").json()["version"].as_u64().expect("a version");
     let alone = resident_kb(pid);
-    let (told, news) = mpsc::channel();
+    let (sender, receiver) = mpsc::channel();
     for _ in 0..WATCHERS {
-        let (addr, told) = (service.addr, told.clone());
+        let (addr, sender) = (service.addr, sender.clone());
         thread::Builder::new()
             .stack_size(256 << 10)
-            .spawn(move || watcher(addr, held, told))
+            .spawn(move || watcher(addr, since, sender))
             .expect("a thread");
     }
-    until("all wait", || status(&mut operator, "watches") == WATCHERS as u64);
+    wait_until("all wait", || status(&mut operator, "watches") == WATCHERS as u64);
     let memory = (resident_kb(pid) - alone) as f64 / WATCHERS as f64;
     let (core, bytes, encodings) =
-        (on_core(pid), status(&mut operator, "bytes_written"), status(&mut operator, "encodings"));
+        (cpu_time_ns(pid), status(&mut operator, "bytes_written"), status(&mut operator, "encodings"));
     let (mut each, mut all) = (Vec::new(), Vec::new());
     for n in 0..CHANGES {
         let (path, id) =
@@ -100,27 +100,27 @@
         let revision = answer.json()["revision"].as_u64().expect("a revision");
         let mut last = Duration::ZERO;
         for _ in 0..WATCHERS {
-            let (version, at) = news.recv_timeout(LONG).expect("each is told");
+            let (version, at) = receiver.recv_timeout(MAX_WAIT).expect("each watch is answered");
             assert!(version >= revision);
             each.push((at - asked).as_secs_f64() * 1e3);
             last = last.max(at - asked);
         }
         all.push(last.as_secs_f64() * 1e3);
-        until("all wait again", || status(&mut operator, "watches") == WATCHERS as u64);
+        wait_until("all wait again", || status(&mut operator, "watches") == WATCHERS as u64);
     }
     let delivered = (CHANGES * WATCHERS) as f64;
-    let core = (on_core(pid) - core) as f64 / delivered / 1e3;
+    let core = (cpu_time_ns(pid) - core) as f64 / delivered / 1e3;
     let bytes = (status(&mut operator, "bytes_written") - bytes) as f64 / delivered;
     let encodings = (status(&mut operator, "encodings") - encodings) as f64 / CHANGES as f64;
     println!(
-        "  a change: {:.1} encodings; held after {:.1} ms in the median, {:.1} at the 99th percentile; by all after {:.1}, {:.1}",
-        encodings, middle(each.clone()).0, middle(each.clone()).1, middle(all.clone()).0, middle(all.clone()).1
+        "  a change: {:.1} encodings; received after {:.1} ms in the median, {:.1} at the 99th percentile; by all after {:.1}, {:.1}",
+        encodings, median_and_p99(each.clone()).0, median_and_p99(each.clone()).1, median_and_p99(all.clone()).0, median_and_p99(all.clone()).1
     );
-    drop(fs::remove_dir_all(folder));
-    [core, bytes, memory, middle(each.clone()).0, middle(each).1, middle(all).1]
+    remove_folder(folder);
+    [core, bytes, memory, median_and_p99(each.clone()).0, median_and_p99(each).1, median_and_p99(all).1]
 }
 
-/// The time in which a log of so many records is read, and the store is as it was.
+/// Returns the time to restore a store from a long log, in milliseconds.
 fn recovery() -> f64 {
     let path = folder().join("data");
     let take = || Folder::lock(&path).expect("a folder").expect("nobody's");
@@ -143,31 +143,29 @@
     }
     drop(journal);
     let begun = Instant::now();
-    let (journal, recovered) = Journal::open(take()).expect("whole");
+    let (journal, recovered) = Journal::open(take()).expect("intact");
     let store = Store::restore(recovered.snapshot, recovered.records, Duration::ZERO);
     let took = begun.elapsed().as_secs_f64() * 1e3;
     assert_eq!((store.version(), store.len()), (RECORDS, 200));
     drop(journal);
-    drop(fs::remove_dir_all(path));
+    remove_folder(path);
     took
 }
 
 fn main() {
-    let plays: Vec<[f64; 6]> = (0..PLAYS).map(|_| play()).collect();
+    let runs: Vec<[f64; 6]> = (0..RUNS).map(|_| run_once()).collect();
     let figures = [
         ("processor time for a change delivered", "us"),
         ("bytes for a change delivered", "bytes"),
         ("memory for a watch that waits", "kB"),
-        ("held, median", "ms"),
-        ("held, 99th percentile", "ms"),
-        ("held by all, 99th percentile of the changes", "ms"),
+        ("received, median", "ms"),
+        ("received, 99th percentile", "ms"),
+        ("received by all, 99th percentile of the changes", "ms"),
     ];
-    println!(
-        "{WATCHERS} watchers, {ENTRIES} entries, {CHANGES} changes, median and spread of {PLAYS} plays:"
-    );
+    println!("{WATCHERS} watchers, {ENTRIES} entries, {CHANGES} changes, median and spread of {RUNS} runs:");
     for (n, (name, unit)) in figures.into_iter().enumerate() {
-        spread(name, unit, &plays.iter().map(|play| play[n]).collect::<Vec<_>>());
+        print_spread(name, unit, &runs.iter().map(|run| run[n]).collect::<Vec<_>>());
     }
-    let starts: Vec<f64> = (0..PLAYS).map(|_| recovery()).collect();
-    spread(&format!("start behind {RECORDS} records"), "ms", &starts);
+    let starts: Vec<f64> = (0..RUNS).map(|_| recovery()).collect();
+    print_spread(&format!("start behind {RECORDS} records"), "ms", &starts);
 }
--- a/quota-gateway/discovery/tests/cases.rs
+++ b/quota-gateway/discovery/tests/cases.rs
@@ -1,4 +1,4 @@
-//! Single cases of the store and its journal: leases, revisions, history, damage.
+//! Cases of the store and its journal: leases, revisions, history, damage.
 
 use marblecroft_discovery::format::*;
 use marblecroft_discovery::journal::{Folder, Journal};
@@ -30,8 +30,8 @@
     Command::Register { server: server(id, port), lease: lease.map(secs), revision }
 }
 
-/// Carries a command out; the entry's revision then.
-fn done(store: &mut Store, command: Command, now: Duration) -> Result<u64, Rejection> {
+/// Executes a command and returns the store's version after it.
+fn execute(store: &mut Store, command: Command, now: Duration) -> Result<u64, Rejection> {
     match store.decide(&command, now, UNIX)? {
         Decision::Change(record) => store.apply(record, now),
         Decision::Renew(id) => store.renew(&id, now),
@@ -41,27 +41,27 @@
 }
 
 #[test]
-fn a_lease_that_is_renewed_lasts_and_one_that_ends_is_over_at_that_instant() {
+fn a_renewed_lease_lasts_and_an_expired_one_ends_at_that_instant() {
     let mut store = store();
-    done(&mut store, register("s", 1, Some(5), None), secs(0)).expect("new");
+    execute(&mut store, register("s", 1, Some(5), None), secs(0)).expect("new");
     let version = store.version();
-    done(&mut store, Command::Renew { id: "s".into() }, secs(4)).expect("it lasts");
-    // The same again is a renewal too, and nothing that is told.
-    done(&mut store, register("s", 1, Some(5), None), secs(8)).expect("it lasts");
+    execute(&mut store, Command::Renew { id: "s".into() }, secs(4)).expect("it has not expired");
+    // An equal registration is a renewal too, and no change of the list.
+    execute(&mut store, register("s", 1, Some(5), None), secs(8)).expect("it has not expired");
     assert_eq!((store.version(), store.next_expiry()), (version, Some(secs(13))));
     assert_eq!(store.expiry_record(secs(12)), None);
-    // As it ends it has ended, whether that was recorded or not.
-    assert_eq!(done(&mut store, Command::Renew { id: "s".into() }, secs(13)), Err(Rejection::Unknown));
-    let gone = store.expiry_record(secs(13)).expect("it has ended");
-    store.apply(gone, secs(13));
+    // At the instant of expiry it has expired, recorded or not.
+    assert_eq!(execute(&mut store, Command::Renew { id: "s".into() }, secs(13)), Err(Rejection::Unknown));
+    let expiry = store.expiry_record(secs(13)).expect("it has expired");
+    store.apply(expiry, secs(13));
     assert!(store.is_empty() && store.expiry_record(secs(99)).is_none());
     assert!(matches!(store.delta_since(version), Delta::Changes(hosts) if hosts[0].state == State::Deleted));
-    let Delta::Full(hosts) = store.delta_since(0) else { panic!("all of it") };
-    assert!(hosts.is_empty(), "what is gone is only among changes");
+    let Delta::Full(hosts) = store.delta_since(0) else { panic!("the full list") };
+    assert!(hosts.is_empty(), "deleted entries are only among changes");
 }
 
 #[test]
-fn a_registration_after_the_end_is_a_new_start_and_one_before_it_is_not() {
+fn a_registration_is_a_new_start_only_after_the_expiry() {
     let mut store = store();
     let started = |store: &Store| store.full_list()[0].started_ms;
     let at = |store: &mut Store, command: &Command, now, unix| match store.decide(command, now, unix) {
@@ -71,65 +71,69 @@
     at(&mut store, &register("s", 1, Some(5), None), secs(0), UNIX);
     let revision = store.version();
     at(&mut store, &register("s", 2, Some(5), Some(revision)), secs(1), UNIX + 1000);
-    assert_eq!(started(&store), UNIX, "an entry that has moved has not started anew");
+    assert_eq!(started(&store), UNIX, "a change of address is no new start");
     at(&mut store, &register("s", 2, Some(5), None), secs(6), UNIX + 6000);
-    assert_eq!(started(&store), UNIX + 6000, "its lease had ended, though nobody had recorded that");
+    assert_eq!(started(&store), UNIX + 6000, "its lease had expired, though that was not recorded");
 }
 
 #[test]
-fn an_id_at_two_addresses_is_the_first_ones_until_its_revision_is_named() {
+fn an_id_belongs_to_its_first_address_until_its_revision_is_given() {
     let mut store = store();
-    let revision = done(&mut store, register("s", 1, Some(5), None), secs(0)).expect("new");
+    let revision = execute(&mut store, register("s", 1, Some(5), None), secs(0)).expect("new");
     let other = || register("s", 2, Some(5), None);
-    assert_eq!(done(&mut store, other(), secs(1)), Err(Rejection::Conflict { revision }));
+    assert_eq!(execute(&mut store, other(), secs(1)), Err(Rejection::Conflict { revision }));
     let stale = register("s", 2, Some(5), Some(revision - 1));
-    assert_eq!(done(&mut store, stale, secs(1)), Err(Rejection::Conflict { revision }));
-    let moved = done(&mut store, register("s", 2, Some(5), Some(revision)), secs(1)).expect("named");
+    assert_eq!(execute(&mut store, stale, secs(1)), Err(Rejection::Conflict { revision }));
+    let moved =
+        execute(&mut store, register("s", 2, Some(5), Some(revision)), secs(1)).expect("its revision");
     assert!(moved > revision);
     let late = Command::Deregister { id: "s".into(), revision: Some(revision) };
-    assert_eq!(done(&mut store, late, secs(1)), Err(Rejection::Conflict { revision: moved }));
+    assert_eq!(execute(&mut store, late, secs(1)), Err(Rejection::Conflict { revision: moved }));
     assert_eq!(store.full_list()[0].addr.port(), 2);
 }
 
 #[test]
-fn a_drain_asked_for_twice_is_told_once_and_outlasts_a_registration() {
+fn a_repeated_drain_is_one_change_and_outlasts_a_registration() {
     let mut store = store();
-    done(&mut store, register("s", 1, None, None), secs(0)).expect("new");
+    execute(&mut store, register("s", 1, None, None), secs(0)).expect("new");
     let drain = Command::Drain { id: "s".into(), revision: None };
-    let version = done(&mut store, drain.clone(), secs(1)).expect("known");
-    assert_eq!(done(&mut store, drain, secs(2)), Ok(version));
-    assert_eq!(done(&mut store, register("s", 1, None, None), secs(3)), Ok(version));
+    let version = execute(&mut store, drain.clone(), secs(1)).expect("known");
+    assert_eq!(execute(&mut store, drain, secs(2)), Ok(version));
+    assert_eq!(execute(&mut store, register("s", 1, None, None), secs(3)), Ok(version));
     assert_eq!(store.full_list()[0].state, State::Draining);
     assert!(
-        done(&mut store, Command::Undrain { id: "s".into(), revision: None }, secs(4)).expect("known")
+        execute(&mut store, Command::Undrain { id: "s".into(), revision: None }, secs(4)).expect("known")
             > version
     );
     for command in [Command::Drain { id: "x".into(), revision: None }, Command::Renew { id: "x".into() }] {
-        assert_eq!(done(&mut store, command, secs(5)), Err(Rejection::Unknown));
+        assert_eq!(execute(&mut store, command, secs(5)), Err(Rejection::Unknown));
     }
 }
 
 #[test]
-fn watches_older_than_the_history_or_of_another_store_get_the_whole_list() {
+fn versions_before_the_history_or_of_another_store_get_the_full_list() {
     let mut store = store();
     let first = store.version();
     assert!(matches!(store.delta_since(first), Delta::Unchanged));
-    done(&mut store, register("kept", 1, None, None), secs(0)).expect("new");
+    execute(&mut store, register("kept", 1, None, None), secs(0)).expect("new");
     for n in 0..5000_u16 {
         let command = if n % 2 == 0 {
             register("s", n, None, None)
         } else {
             Command::Deregister { id: "s".into(), revision: None }
         };
-        done(&mut store, command, secs(1)).expect("done");
+        execute(&mut store, command, secs(1)).expect("done");
     }
     let version = store.version();
-    assert!(matches!(store.delta_since(version - 3), Delta::Changes(hosts) if hosts.len() == 1), "told once");
+    assert!(
+        matches!(store.delta_since(version - 3), Delta::Changes(hosts) if hosts.len() == 1),
+        "one change for an entry"
+    );
     assert!(matches!(store.delta_since(version - 4000), Delta::Changes(_)));
     for foreign in [0, 1, first, first + 1, version + 1, u64::MAX] {
         assert!(matches!(store.delta_since(foreign), Delta::Full(hosts) if hosts.len() == 1), "{foreign}");
     }
-    // A store that was made a millisecond earlier or later has other versions.
+    // A store that was created a millisecond earlier or later has other versions.
     for unix in [UNIX - 1, UNIX + 100] {
         let Record::Opened { version: other } = Store::default().opening_record(unix) else {
             panic!("a version")
@@ -139,22 +143,22 @@
 }
 
 #[test]
-fn a_list_longer_than_gateways_read_is_not_made() {
+fn a_registration_beyond_the_maximum_list_length_is_rejected() {
     let mut store = store();
-    let mut held = 0;
-    let refused = (0..2000).find_map(|n| {
-        let result = done(&mut store, register(&format!("server-{n:0>100}"), 1, None, None), secs(0));
-        held += usize::from(result.is_ok());
+    let mut accepted = 0;
+    let rejection = (0..2000).find_map(|n| {
+        let result = execute(&mut store, register(&format!("server-{n:0>100}"), 1, None, None), secs(0));
+        accepted += usize::from(result.is_ok());
         result.err()
     });
-    assert_eq!(refused, Some(Rejection::ListTooLong));
-    assert!(store.encode_list(None).expect("a list").len() <= MAX_LIST_BYTES && held > 200, "{held}");
+    assert_eq!(rejection, Some(Rejection::ListTooLong));
+    assert!(store.encode_list(None).expect("a list").len() <= MAX_LIST_BYTES && accepted > 200, "{accepted}");
     let one = Command::Deregister { id: format!("server-{:0>100}", 0), revision: None };
-    done(&mut store, one, secs(0)).expect("known");
-    done(&mut store, register("s", 1, None, None), secs(0)).expect("there is room again");
+    execute(&mut store, one, secs(0)).expect("known");
+    execute(&mut store, register("s", 1, None, None), secs(0)).expect("it fits again");
 }
 
-/// A folder of this test's own.
+/// Returns the path of a new folder for one test.
 fn folder() -> PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let name =
@@ -163,53 +167,54 @@
 }
 
 fn open(path: &Path) -> Result<(Journal<Folder>, Vec<Record>, u64), String> {
-    let folder = Folder::lock(path).map_err(|e| e.to_string())?.ok_or("taken")?;
+    let folder = Folder::lock(path).map_err(|e| e.to_string())?.ok_or("locked")?;
     let (journal, recovered) = Journal::open(folder).map_err(|e| e.to_string())?;
     Ok((journal, recovered.records, recovered.torn_bytes))
 }
 
-fn gone(version: u64) -> Record {
+fn deletion(version: u64) -> Record {
     Record::Deleted { version, id: "s".into() }
 }
 
 #[test]
-fn a_folder_is_one_processs_and_a_torn_tail_is_cut_off() {
+fn a_folder_is_locked_and_a_torn_write_is_truncated() {
     let path = folder();
     let (mut journal, ..) = open(&path).expect("new");
-    assert_eq!(open(&path).err().as_deref(), Some("taken"));
-    journal.append(&[gone(1), gone(2)]).expect("written");
-    journal.append(&[gone(3)]).expect("written");
+    assert_eq!(open(&path).err().as_deref(), Some("locked"));
+    journal.append(&[deletion(1), deletion(2)]).expect("written");
+    journal.append(&[deletion(3)]).expect("written");
     let length = journal.log_bytes();
     drop(journal);
     let log = path.join("log.1");
-    let whole = fs::read(&log).expect("there");
-    assert_eq!(whole.len() as u64, length);
-    // Cut anywhere in the last frame, and with an end that was never written.
-    let (mut journal, records, _) = open(&path).expect("whole");
-    assert_eq!(records, [gone(1), gone(2), gone(3)]);
-    journal.append(&[gone(4)]).expect("written");
+    let intact = fs::read(&log).expect("there");
+    assert_eq!(intact.len() as u64, length);
+    // Torn anywhere in the last frame, and with an end that was never written.
+    let (mut journal, records, _) = open(&path).expect("intact");
+    assert_eq!(records, [deletion(1), deletion(2), deletion(3)]);
+    journal.append(&[deletion(4)]).expect("written");
     drop(journal);
     let longer = fs::read(&log).expect("there");
-    for keep in whole.len()..longer.len() {
+    for keep in intact.len()..longer.len() {
         for zeros in [0, 5, 100] {
             let mut torn = longer[..keep].to_vec();
             torn.extend(std::iter::repeat_n(0, zeros));
-            let cut = (torn.len() - whole.len()) as u64;
+            let torn_bytes = (torn.len() - intact.len()) as u64;
             fs::write(&log, torn).expect("written");
-            let (_, records, told) = open(&path).unwrap_or_else(|e| panic!("{keep}, {zeros}: {e}"));
-            assert_eq!((records.len(), told), (3, cut), "{keep}, {zeros}");
-            assert_eq!(fs::read(&log).expect("there"), whole);
+            let (_, records, reported) = open(&path).unwrap_or_else(|e| panic!("{keep}, {zeros}: {e}"));
+            assert_eq!((records.len(), reported), (3, torn_bytes), "{keep}, {zeros}");
+            assert_eq!(fs::read(&log).expect("there"), intact);
         }
     }
-    drop(fs::remove_dir_all(&path));
+    // What remains does no harm: each test has its own folder.
+    let _ = fs::remove_dir_all(&path);
 }
 
 #[test]
-fn damage_elsewhere_ends_the_start_and_names_the_place() {
+fn other_damage_fails_the_start_with_its_offset() {
     let path = folder();
     let (mut journal, ..) = open(&path).expect("new");
     for version in 1..4 {
-        journal.append(&[gone(version)]).expect("written");
+        journal.append(&[deletion(version)]).expect("written");
     }
     drop(journal);
     let log = path.join("log.1");
@@ -219,40 +224,41 @@
         let mut bad = good.clone();
         bad[at] ^= 0x41;
         fs::write(&log, &bad).expect("written");
-        let e = open(&path).err().unwrap_or_else(|| panic!("byte {at} goes unseen"));
-        let place = if at < 8 { 0 } else { 8 + (at - 8) / frame * frame };
-        assert!(e.starts_with(&format!("log.1 is damaged at byte {place}: ")), "byte {at}: {e}");
-        assert_eq!(fs::read(&log).expect("there"), bad, "and nothing is touched");
+        let e = open(&path).err().unwrap_or_else(|| panic!("byte {at} is not detected"));
+        let offset = if at < 8 { 0 } else { 8 + (at - 8) / frame * frame };
+        assert!(e.starts_with(&format!("log.1 is damaged at byte {offset}: ")), "byte {at}: {e}");
+        assert_eq!(fs::read(&log).expect("there"), bad, "and the file is not changed");
     }
     fs::write(&log, &good).expect("written");
     let snapshot = path.join("snap.1");
-    let image = fs::read(&snapshot).expect("there");
-    for bad in [&image[..image.len() - 1], b"", b"MDDSNP01", &[b'x'; 40]] {
+    let snapshot_bytes = fs::read(&snapshot).expect("there");
+    for bad in [&snapshot_bytes[..snapshot_bytes.len() - 1], b"", b"MDDSNP01", &[b'x'; 40]] {
         fs::write(&snapshot, bad).expect("written");
-        let e = open(&path).err().expect("it is seen");
+        let e = open(&path).err().expect("it is detected");
         assert!(e.starts_with("snap.1 is damaged at byte "), "{e}");
     }
     fs::remove_file(&snapshot).expect("there");
-    assert!(open(&path).err().expect("it is seen").starts_with("log.1 is damaged at byte 0: "));
-    drop(fs::remove_dir_all(&path));
+    assert!(open(&path).err().expect("it is detected").starts_with("log.1 is damaged at byte 0: "));
+    // What remains does no harm: each test has its own folder.
+    let _ = fs::remove_dir_all(&path);
 }
 
 #[test]
-fn a_snapshot_holds_what_the_log_held() {
+fn a_snapshot_restores_the_store() {
     let mut first = store();
     for n in 0..50 {
-        done(&mut first, register(&format!("s-{n}"), n, (n % 3 > 0).then_some(60), None), secs(0))
+        execute(&mut first, register(&format!("s-{n}"), n, (n % 3 > 0).then_some(60), None), secs(0))
             .expect("new");
     }
     let version = first.version();
-    done(&mut first, Command::Deregister { id: "s-7".into(), revision: None }, secs(1)).expect("known");
+    execute(&mut first, Command::Deregister { id: "s-7".into(), revision: None }, secs(1)).expect("known");
     let text = serde_json::to_vec(&first.snapshot()).expect("JSON");
-    let image: Snapshot = serde_json::from_slice(&text).expect("an image");
-    let second = Store::restore(image, [], secs(1000));
+    let snapshot: Snapshot = serde_json::from_slice(&text).expect("a snapshot");
+    let second = Store::restore(snapshot, [], secs(1000));
     assert_eq!(second.snapshot(), first.snapshot());
     assert_eq!(second.encode_list(None), first.encode_list(None));
     assert_eq!(second.encode_list(Some(version)), first.encode_list(Some(version)), "and the history");
-    // All leases begin anew.
+    // All leases start anew.
     assert_eq!(second.next_expiry(), Some(secs(1060)));
     assert_eq!(second.expiry_record(secs(1059)), None);
 }
--- a/quota-gateway/discovery/tests/common/mod.rs
+++ b/quota-gateway/discovery/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The built service as a process, and callers on loopback sockets.
+//! The built service as a process, and clients on loopback sockets.
 #![allow(dead_code)] // each test file uses its part
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,18 +10,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Bound of every wait; only a failure takes that long.
-pub const LONG: Duration = Duration::from_secs(30);
+/// The limit of every wait; only a failure takes that long.
+pub const MAX_WAIT: Duration = Duration::from_secs(30);
 
-pub fn until(what: &str, mut condition: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < LONG, "waited too long until {what}");
+        assert!(start.elapsed() < MAX_WAIT, "waited too long until {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A folder of this test's own.
+/// Returns a new folder for one test.
 pub fn folder() -> PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
@@ -30,20 +30,26 @@
     path
 }
 
-/// A configuration that listens at an address and keeps its log in a folder; `more` are further fields.
+/// Removes a folder of a test.
+pub fn remove_folder(path: impl AsRef<Path>) {
+    // What remains does no harm: each test has its own folder.
+    let _ = std::fs::remove_dir_all(path);
+}
+
+/// Returns a configuration that listens at an address and stores its journal in a folder; `more` are further fields.
 pub fn config(listen: &str, data: &Path, more: &str) -> String {
     format!(r#"{{"listen":"{listen}","data":{:?}{more}}}"#, data.join("data"))
 }
 
-/// A service that runs; killed when dropped.
-pub struct Running {
+/// A running service; killed when dropped.
+pub struct ServiceProcess {
     pub child: Child,
     pub addr: SocketAddr,
     log: Arc<Mutex<String>>,
 }
 
-impl Running {
-    pub fn start(folder: &Path, config: &str) -> Running {
+impl ServiceProcess {
+    pub fn start(folder: &Path, config: &str) -> ServiceProcess {
         let file = folder.join("config.json");
         std::fs::write(&file, config).expect("written");
         let mut child = Command::new(env!("CARGO_BIN_EXE_marblecroft-discovery"))
@@ -59,14 +65,14 @@
             }
         });
         let mut addr = None;
-        until("it listens", || {
+        wait_until("it listens", || {
             let log = log.lock().unwrap();
             addr = log
                 .lines()
                 .find_map(|l| l.strip_prefix("marblecroft-discovery: listening on ")?.parse().ok());
             addr.is_some()
         });
-        Running { child, addr: addr.expect("listening"), log }
+        ServiceProcess { child, addr: addr.expect("listening"), log }
     }
 
     pub fn log(&self) -> String {
@@ -89,7 +95,7 @@
 
     pub fn exit(&mut self) -> ExitStatus {
         let mut status = None;
-        until("it exits", || {
+        wait_until("it exits", || {
             status = self.child.try_wait().expect("waited for");
             status.is_some()
         });
@@ -97,33 +103,34 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for ServiceProcess {
     fn drop(&mut self) {
-        drop(self.child.kill());
-        drop(self.child.wait());
+        // It may have exited already.
+        let _ = self.child.kill();
+        let _ = self.child.wait();
     }
 }
 
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: String,
 }
 
-impl Answer {
+impl Response {
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.body).unwrap_or_else(|e| panic!("{e}: {self:?}"))
     }
 }
 
-/// A caller's connection.
+/// A client's connection.
 pub struct Client(pub BufReader<TcpStream>);
 
 impl Client {
     pub fn connect(addr: SocketAddr) -> Client {
         let stream = TcpStream::connect(addr).expect("connected");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(MAX_WAIT)).expect("set");
         Client(BufReader::new(stream))
     }
 
@@ -131,8 +138,8 @@
         self.0.get_mut().write_all(text.as_bytes()).expect("written");
     }
 
-    /// `None` at the end of the connection.
-    pub fn answer(&mut self) -> Option<Answer> {
+    /// Reads a response; `None` at the end of the connection.
+    pub fn response(&mut self) -> Option<Response> {
         let (mut head, mut length) = (String::new(), 0);
         loop {
             let mut line = String::new();
@@ -148,23 +155,23 @@
         let mut body = vec![0; length];
         self.0.read_exact(&mut body).ok()?;
         let status = head.split(' ').nth(1).and_then(|word| word.parse().ok()).expect("a status");
-        Some(Answer { status, head, body: String::from_utf8(body).expect("UTF-8") })
+        Some(Response { status, head, body: String::from_utf8(body).expect("UTF-8") })
     }
 
-    pub fn get(&mut self, target: &str) -> Answer {
+    pub fn get(&mut self, target: &str) -> Response {
         self.write(&format!("GET {target} HTTP/1.1\r\nHost: list\r\n\r\n"));
-        self.answer().expect("an answer")
+        self.response().expect("a response")
     }
 
-    pub fn post(&mut self, path: &str, body: &str) -> Answer {
+    pub fn post(&mut self, path: &str, body: &str) -> Response {
         self.write(&format!(
             "POST {path} HTTP/1.1\r\nHost: list\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         ));
-        self.answer().expect("an answer")
+        self.response().expect("a response")
     }
 
-    pub fn register(&mut self, id: &str, port: u16, more: &str) -> Answer {
+    pub fn register(&mut self, id: &str, port: u16, more: &str) -> Response {
         self.post("/discovery/register", &format!(r#"{{"id":"{id}","addr":"127.0.0.1:{port}"{more}}}"#))
     }
 }
--- a/quota-gateway/discovery/tests/follow.rs
+++ b/quota-gateway/discovery/tests/follow.rs
@@ -1,5 +1,5 @@
-//! Services and a gateway's follower together, on a virtual clock: cuts, late and reordered answers, services that are
-//! behind, another store.
+//! Services and a gateway's follower on a virtual clock: lost, late and reordered responses, services that are behind, and
+//! another store.
 
 use marblecroft_discovery::client::*;
 use marblecroft_discovery::format::*;
@@ -34,24 +34,24 @@
     HostList { version, full, store: Some(store), epoch: 0, servers }
 }
 
-/// What a reader of the lists that were passed on holds.
-fn pass(held: &mut BTreeMap<String, State>, list: &HostList) {
+/// Applies a list to the view of a reader behind the follower.
+fn apply(view: &mut BTreeMap<String, State>, list: &HostList) {
     if list.full {
-        held.clear();
+        view.clear();
     }
     for entry in &list.servers {
         let Entry::Readable(host) = entry else { continue };
         if host.state == State::Deleted {
-            held.remove(&host.id);
+            view.remove(&host.id);
         } else {
-            held.insert(host.id.clone(), host.state);
+            view.insert(host.id.clone(), host.state);
         }
     }
 }
 
-fn passed(follower: &mut Follower, held: &mut BTreeMap<String, State>, list: HostList, now: u64) {
+fn take(follower: &mut Follower, view: &mut BTreeMap<String, State>, list: HostList, now: u64) {
     match follower.take(list, ms(now)) {
-        Taken::List(list) => pass(held, &list),
+        Taken::List(list) => apply(view, &list),
         other => panic!("{other:?}"),
     }
 }
@@ -59,70 +59,74 @@
 use State::{Deleted, Draining, Serving};
 
 #[test]
-fn a_service_that_is_behind_is_never_followed_back() {
-    let (mut follower, mut held) = (Follower::new(CAUTION), BTreeMap::new());
-    passed(&mut follower, &mut held, list(10, true, 1, &[("a", Serving), ("b", Draining)]), 0);
+fn a_list_older_than_the_view_is_rejected() {
+    let (mut follower, mut view) = (Follower::new(CAUTION), BTreeMap::new());
+    take(&mut follower, &mut view, list(10, true, 1, &[("a", Serving), ("b", Draining)]), 0);
     for older in [list(9, true, 1, &[("a", Serving), ("b", Serving)]), list(7, false, 1, &[("b", Serving)])] {
         assert_eq!(follower.take(older, ms(50)), Taken::Behind);
     }
-    assert_eq!((follower.version(), follower.age(ms(400))), (Some(10), Some(ms(400))), "no news is none");
-    passed(&mut follower, &mut held, list(10, false, 1, &[]), 500);
+    assert_eq!(
+        (follower.version(), follower.age(ms(400))),
+        (Some(10), Some(ms(400))),
+        "a rejected list does not refresh the view"
+    );
+    take(&mut follower, &mut view, list(10, false, 1, &[]), 500);
     assert_eq!(follower.age(ms(500)), Some(ms(0)));
 }
 
 #[test]
-fn another_store_is_taken_whole_or_not_at_all() {
-    let (mut follower, mut held) = (Follower::new(CAUTION), BTreeMap::new());
-    passed(&mut follower, &mut held, list(10, true, 1, &[("a", Serving)]), 0);
+fn another_store_is_taken_only_with_a_full_list() {
+    let (mut follower, mut view) = (Follower::new(CAUTION), BTreeMap::new());
+    take(&mut follower, &mut view, list(10, true, 1, &[("a", Serving)]), 0);
     assert_eq!(follower.take(list(90, false, 2, &[("b", Serving)]), ms(1)), Taken::Foreign);
-    // Its versions say nothing about the former one's.
-    passed(&mut follower, &mut held, list(3, true, 2, &[("a", Serving), ("b", Serving)]), 2);
-    assert_eq!((follower.version(), held.len()), (Some(3), 2));
+    // Its versions are not comparable to the former one's.
+    take(&mut follower, &mut view, list(3, true, 2, &[("a", Serving), ("b", Serving)]), 2);
+    assert_eq!((follower.version(), view.len()), (Some(3), 2));
 }
 
 #[test]
-fn a_new_writer_is_taken_whole_and_the_old_one_no_more() {
-    let (mut follower, mut held) = (Follower::new(CAUTION), BTreeMap::new());
+fn a_new_epoch_is_taken_only_with_a_full_list_and_the_former_one_not_at_all() {
+    let (mut follower, mut view) = (Follower::new(CAUTION), BTreeMap::new());
     let under = |epoch: u64, list: HostList| HostList { epoch, ..list };
-    passed(&mut follower, &mut held, under(1, list(10, true, 1, &[("a", Serving)])), 0);
-    // What the old one did last, "b", the new one has never heard of.
-    passed(&mut follower, &mut held, under(1, list(11, false, 1, &[("b", Serving)])), 1);
+    take(&mut follower, &mut view, under(1, list(10, true, 1, &[("a", Serving)])), 0);
+    // The new writer does not know the last change of the former one, "b".
+    take(&mut follower, &mut view, under(1, list(11, false, 1, &[("b", Serving)])), 1);
     assert_eq!(follower.take(under(2, list(20, false, 1, &[("c", Serving)])), ms(2)), Taken::Foreign);
-    passed(&mut follower, &mut held, under(2, list(20, true, 1, &[("a", Serving), ("c", Serving)])), 3);
-    assert_eq!(held.keys().map(String::as_str).collect::<Vec<_>>(), ["a", "c"]);
+    take(&mut follower, &mut view, under(2, list(20, true, 1, &[("a", Serving), ("c", Serving)])), 3);
+    assert_eq!(view.keys().map(String::as_str).collect::<Vec<_>>(), ["a", "c"]);
     assert_eq!(follower.take(under(1, list(99, true, 1, &[("b", Serving)])), ms(4)), Taken::Behind);
 }
 
 #[test]
-fn servers_that_are_missing_all_at_once_are_held_for_a_while_but_not_those_that_drain() {
-    let (mut follower, mut held) = (Follower::new(CAUTION), BTreeMap::new());
+fn many_servers_missing_at_once_are_kept_for_the_delay_unless_draining() {
+    let (mut follower, mut view) = (Follower::new(CAUTION), BTreeMap::new());
     let all = [("a", Serving), ("b", Serving), ("c", Serving), ("d", Draining)];
-    passed(&mut follower, &mut held, list(1, true, 1, &all), 0);
-    passed(&mut follower, &mut held, list(2, true, 1, &[("a", Serving)]), 1000);
-    assert_eq!(held.keys().map(String::as_str).collect::<Vec<_>>(), ["a", "b", "c"], "d drained");
+    take(&mut follower, &mut view, list(1, true, 1, &all), 0);
+    take(&mut follower, &mut view, list(2, true, 1, &[("a", Serving)]), 1000);
+    assert_eq!(view.keys().map(String::as_str).collect::<Vec<_>>(), ["a", "b", "c"], "d drained");
     assert_eq!((follower.suspects(), follower.next_end()), (2, Some(ms(11_000))));
-    // Said to be gone, one is; a further list that lacks it does not hold it for longer.
-    passed(&mut follower, &mut held, list(3, false, 1, &[("b", Deleted)]), 2000);
-    passed(&mut follower, &mut held, list(4, true, 1, &[("a", Serving)]), 3000);
-    assert_eq!(held.keys().map(String::as_str).collect::<Vec<_>>(), ["a", "c"]);
+    // A deletion removes one at once; a further list without the other does not restart its delay.
+    take(&mut follower, &mut view, list(3, false, 1, &[("b", Deleted)]), 2000);
+    take(&mut follower, &mut view, list(4, true, 1, &[("a", Serving)]), 3000);
+    assert_eq!(view.keys().map(String::as_str).collect::<Vec<_>>(), ["a", "c"]);
     assert_eq!(follower.give_up(ms(10_999)), None);
-    let gone = follower.give_up(ms(11_000)).expect("its time is over");
-    pass(&mut held, &gone);
-    assert_eq!((held.len(), follower.suspects()), (1, 0));
-    assert!(!gone.full && gone.version == 4);
+    let deletions = follower.give_up(ms(11_000)).expect("its time is over");
+    apply(&mut view, &deletions);
+    assert_eq!((view.len(), follower.suspects()), (1, 0));
+    assert!(!deletions.full && deletions.version == 4);
 }
 
 #[test]
-fn a_server_or_two_that_are_missing_are_gone_at_once() {
-    let (mut follower, mut held) = (Follower::new(CAUTION), BTreeMap::new());
-    passed(&mut follower, &mut held, list(1, true, 1, &[("a", Serving), ("b", Serving), ("c", Serving)]), 0);
-    passed(&mut follower, &mut held, list(2, true, 1, &[("a", Serving), ("b", Serving)]), 1);
-    assert_eq!((held.len(), follower.suspects()), (2, 0));
-    // One that was missing and is back is no suspect.
-    passed(&mut follower, &mut held, list(3, true, 1, &[]), 2);
-    assert_eq!((held.len(), follower.suspects()), (2, 2));
-    passed(&mut follower, &mut held, list(4, true, 1, &[("a", Serving), ("b", Serving)]), 3);
-    assert_eq!((held.len(), follower.suspects(), follower.give_up(ms(99_000))), (2, 0, None));
+fn few_missing_servers_are_removed_at_once() {
+    let (mut follower, mut view) = (Follower::new(CAUTION), BTreeMap::new());
+    take(&mut follower, &mut view, list(1, true, 1, &[("a", Serving), ("b", Serving), ("c", Serving)]), 0);
+    take(&mut follower, &mut view, list(2, true, 1, &[("a", Serving), ("b", Serving)]), 1);
+    assert_eq!((view.len(), follower.suspects()), (2, 0));
+    // A server that was missing and is listed again is no suspect.
+    take(&mut follower, &mut view, list(3, true, 1, &[]), 2);
+    assert_eq!((view.len(), follower.suspects()), (2, 2));
+    take(&mut follower, &mut view, list(4, true, 1, &[("a", Serving), ("b", Serving)]), 3);
+    assert_eq!((view.len(), follower.suspects(), follower.give_up(ms(99_000))), (2, 0, None));
 }
 
 #[derive(Clone, Debug)]
@@ -130,17 +134,17 @@
     Register(u8),
     Drain(u8),
     Deregister(u8),
-    /// Service 1 takes over what service 0, which writes, has: it is behind in between.
-    Copy,
-    /// A call to a service; its answer comes after so long, unless the way is cut.
+    /// Service 1, a replica, catches up with service 0, the writer.
+    Replicate,
+    /// A request to a service, whose response is lost or arrives after a delay in milliseconds.
     Request {
         service: usize,
-        late: u64,
-        cut: bool,
-        whole: bool,
+        delay: u64,
+        lost: bool,
+        full: bool,
     },
     Pass(u64),
-    /// Another store stands at the addresses from now on, with one server of its own, and calls on their way are given up.
+    /// Another store, empty at first, replaces the services, and requests in flight are given up.
     OtherStore,
 }
 
@@ -149,16 +153,16 @@
         3 => (0..6_u8).prop_map(Step::Register),
         1 => (0..6_u8).prop_map(Step::Drain),
         2 => (0..6_u8).prop_map(Step::Deregister),
-        2 => Just(Step::Copy),
+        2 => Just(Step::Replicate),
         6 => (0..2_usize, 0..3000_u64, prop::bool::weighted(0.3), prop::bool::weighted(0.2))
-            .prop_map(|(service, late, cut, whole)| Step::Request { service, late, cut, whole }),
+            .prop_map(|(service, delay, lost, full)| Step::Request { service, delay, lost, full }),
         2 => (0..2000_u64).prop_map(Step::Pass),
-        1 => prop::bool::weighted(0.2).prop_map(|other| if other { Step::OtherStore } else { Step::Copy }),
+        1 => prop::bool::weighted(0.2).prop_map(|other| if other { Step::OtherStore } else { Step::Replicate }),
     ]
 }
 
-/// The second takes over what the first has beyond it, as a replica does.
-fn copy(stores: &mut [Store; 2], now: Duration) {
+/// The second store catches up with the first, as a replica does.
+fn replicate(stores: &mut [Store; 2], now: Duration) {
     match stores[0].records_since(stores[1].version()) {
         Some(records) => records.into_iter().for_each(|record| stores[1].apply(record, now)),
         None => stores[1] = Store::restore_replica(stores[0].snapshot(), now),
@@ -170,10 +174,10 @@
     store.full_list().into_iter().map(|host| (host.id.clone(), host.state)).collect()
 }
 
-/// Answers may overtake each other, as failover leaves calls behind; what is held never is older than it was, and once the
-/// faults have ended, one answer of the service that writes and the time for which missing ones are held make it the same.
+/// Responses may overtake each other, as failover leaves requests in flight. The view never goes back to an older list, and
+/// once the faults have ended, one response of the writer and the removal delay make it equal to the store.
 #[test]
-fn what_is_held_never_goes_back_and_converges_when_faults_end() {
+fn the_view_never_goes_back_and_converges_after_faults() {
     let config = Config { cases: 3000, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]));
     let (behind, suspects, moves) = (Cell::new(0), Cell::new(0), Cell::new(0));
@@ -182,9 +186,9 @@
             let mut stores = [Store::default(), Store::default()];
             let opened = stores[0].opening_record(1_700_000_000_000);
             stores[0].apply(opened, ms(0));
-            let (mut follower, mut held) = (Follower::new(CAUTION), BTreeMap::new());
-            let (mut now, mut coming): (u64, Vec<(u64, Vec<u8>)>) = (0, Vec::new());
-            let (mut newest, mut made) = (0, 0);
+            let (mut follower, mut view) = (Follower::new(CAUTION), BTreeMap::new());
+            let (mut now, mut in_flight): (u64, Vec<(u64, Vec<u8>)>) = (0, Vec::new());
+            let (mut newest, mut replacements) = (0, 0);
             for step in steps {
                 let command = match &step {
                     Step::Register(id) => Some(Command::Register {
@@ -210,56 +214,58 @@
                     stores[0].apply(record, ms(now));
                 }
                 match step {
-                    Step::Copy => copy(&mut stores, ms(now)),
-                    Step::Request { service, late, cut, whole } if !cut && stores[service].version() > 0 => {
-                        let since = follower.version().filter(|_| !whole);
+                    Step::Replicate => replicate(&mut stores, ms(now)),
+                    Step::Request { service, delay, lost, full }
+                        if !lost && stores[service].version() > 0 =>
+                    {
+                        let since = follower.version().filter(|_| !full);
                         let store = &stores[service];
-                        coming.push((
-                            now + late,
+                        in_flight.push((
+                            now + delay,
                             store.encode_list(since).unwrap_or_else(|| store.encode_unchanged()),
                         ));
                     }
                     Step::Pass(millis) => now += millis,
                     Step::OtherStore => {
-                        made += 1;
+                        replacements += 1;
                         moves.set(moves.get() + 1);
                         stores = [Store::default(), Store::default()];
-                        let opened = stores[0].opening_record(1_700_000_000_000 - 1000 * made);
+                        let opened = stores[0].opening_record(1_700_000_000_000 - 1000 * replacements);
                         stores[0].apply(opened, ms(now));
-                        coming.clear();
-                        // Its versions are lower, and say nothing of the former one's.
+                        in_flight.clear();
+                        // Its versions are lower, and not comparable to the former one's.
                         newest = 0;
                     }
                     _ => {}
                 }
-                coming.sort();
-                while coming.first().is_some_and(|(at, _)| *at <= now) {
-                    let (_, text) = coming.remove(0);
+                in_flight.sort();
+                while in_flight.first().is_some_and(|(at, _)| *at <= now) {
+                    let (_, text) = in_flight.remove(0);
                     let list: HostList = serde_json::from_slice(&text).expect("a list");
                     match follower.take(list, ms(now)) {
                         Taken::List(list) => {
                             prop_assert!(list.version >= newest, "back to an older list");
                             newest = list.version;
-                            pass(&mut held, &list);
+                            apply(&mut view, &list);
                         }
                         Taken::Behind => {
                             behind.set(behind.get() + 1);
                         }
-                        // Versions of two stores do not meet, so a watch that moves is told the whole list at once.
+                        // The versions of two stores do not meet, so a watch that moves gets the full list at once.
                         Taken::Foreign => prop_assert!(false, "changes of another store"),
                     }
                 }
-                follower.give_up(ms(now)).iter().for_each(|list| pass(&mut held, list));
+                follower.give_up(ms(now)).iter().for_each(|list| apply(&mut view, list));
                 suspects.set(suspects.get() + follower.suspects());
             }
             // The faults have ended.
-            let whole: HostList =
+            let full: HostList =
                 serde_json::from_slice(&stores[0].encode_list(None).expect("a list")).expect("a list");
-            if let Taken::List(list) = follower.take(whole, ms(now)) {
-                pass(&mut held, &list);
+            if let Taken::List(list) = follower.take(full, ms(now)) {
+                apply(&mut view, &list);
             }
-            follower.give_up(ms(now) + CAUTION.removal_delay).iter().for_each(|list| pass(&mut held, list));
-            prop_assert_eq!(held, listed(&stores[0]));
+            follower.give_up(ms(now) + CAUTION.removal_delay).iter().for_each(|list| apply(&mut view, list));
+            prop_assert_eq!(view, listed(&stores[0]));
             Ok(())
         })
         .unwrap();
--- a/quota-gateway/discovery/tests/format.rs
+++ b/quota-gateway/discovery/tests/format.rs
@@ -1,10 +1,10 @@
-//! The list's format: written and read by one definition, and read by bytes of any kind.
+//! The list's format: round trips, and reading arbitrary and corrupted input.
 
 use marblecroft_discovery::format::*;
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// In thousandths: longer fractions may be read as a neighbour.
+/// In thousandths: a longer fraction may be read back as its neighbour.
 fn weight() -> impl Strategy<Value = f64> {
     (0..1_000_000_000_u64).prop_map(|thousandths| thousandths as f64 / 1000.0)
 }
@@ -35,7 +35,7 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read_again(hosts in prop::collection::vec(host(), 0..20), version: u64, full: bool) {
+    fn lists_round_trip(hosts in prop::collection::vec(host(), 0..20), version: u64, full: bool) {
         let text = serde_json::to_vec(&Telling { version, full, store: 7, epoch: 1, servers: hosts.iter().collect() }).unwrap();
         let list: HostList = serde_json::from_slice(&text).unwrap();
         prop_assert_eq!((list.version, list.full), (version, full));
@@ -43,9 +43,9 @@
     }
 
     #[test]
-    fn a_call_is_read_as_it_is_written(since: u64, millis in 0..100_000_u64) {
-        let ask = ListRequest::Watch { since, wait: Duration::from_millis(millis) };
-        let target = ask.target();
+    fn requests_round_trip(since: u64, millis in 0..100_000_u64) {
+        let request = ListRequest::Watch { since, wait: Duration::from_millis(millis) };
+        let target = request.target();
         let (path, query) = target.split_once('?').expect("a query");
         prop_assert_eq!(path, HOSTS);
         let wait = Duration::from_millis(millis).min(MAX_WATCH_TIME);
@@ -53,18 +53,19 @@
     }
 
     #[test]
-    fn bytes_of_any_kind_are_read_or_not_and_never_more(bytes in prop::collection::vec(any::<u8>(), 0..400), query: String) {
-        drop(serde_json::from_slice::<HostList>(&bytes));
+    fn arbitrary_bytes_parse_within_bounds(bytes in prop::collection::vec(any::<u8>(), 0..400), query: String) {
+        // Only a panic is a failure.
+        let _ = serde_json::from_slice::<HostList>(&bytes);
         if let Ok(ListRequest::Watch { wait, .. }) = ListRequest::of_query(&query) {
             prop_assert!(wait <= MAX_WATCH_TIME);
         }
     }
 
-    /// A good list with some bytes of it changed.
+    /// A valid list with some bytes changed.
     #[test]
-    fn a_spoilt_list_is_read_as_far_as_it_goes(hosts in prop::collection::vec(host(), 1..5), spoil in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4)) {
+    fn a_corrupted_list_is_read_as_far_as_possible(hosts in prop::collection::vec(host(), 1..5), changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4)) {
         let mut text = serde_json::to_vec(&Telling { version: 1, full: true, store: 7, epoch: 1, servers: hosts.iter().collect() }).unwrap();
-        for (at, byte) in spoil {
+        for (at, byte) in changes {
             let at = at.index(text.len());
             text[at] = byte;
         }
@@ -75,8 +76,8 @@
 }
 
 #[test]
-fn calls_that_cannot_be_read_name_the_field() {
-    for (query, ask) in [
+fn rejected_queries_name_the_parameter() {
+    for (query, request) in [
         ("", Ok(ListRequest::Full)),
         ("timeout_ms=5", Ok(ListRequest::Full)),
         ("since=0", Ok(ListRequest::Watch { since: 0, wait: Duration::ZERO })),
@@ -94,6 +95,6 @@
         ("since=1&since=2", Err("since comes more than once".to_owned())),
         ("since=1&timeout_ms=1e3", Err("timeout_ms is no whole number".to_owned())),
     ] {
-        assert_eq!(ListRequest::of_query(query).map_err(|e| e.to_string()), ask, "{query:?}");
+        assert_eq!(ListRequest::of_query(query).map_err(|e| e.to_string()), request, "{query:?}");
     }
 }
--- a/quota-gateway/discovery/tests/golden.rs
+++ b/quota-gateway/discovery/tests/golden.rs
@@ -131,15 +131,15 @@
 }
 
 #[test]
-fn the_list_keeps_its_text() {
+fn the_list_keeps_its_json() {
     let servers =
         [host("s-1", 81, State::Serving), host("s-2", 82, State::Draining), host("s-3", 83, State::Deleted)];
-    let telling = |servers: &[Host]| {
+    let encode = |servers: &[Host]| {
         let servers = servers.iter().collect();
         serde_json::to_string(&Telling { version: 1015, full: true, store: 1001, epoch: 7, servers })
             .expect("text")
     };
-    same_text("list.json", &telling(&servers));
+    same_text("list.json", &encode(&servers));
 
     let list: HostList = serde_json::from_str(&text("list.json")).expect("a list");
     let expected = HostList {
@@ -158,24 +158,24 @@
             Entry::Spoilt(id) => panic!("{id:?} cannot be read"),
         })
         .collect();
-    same_text("list.json", &telling(&read));
+    same_text("list.json", &encode(&read));
 }
 
 #[test]
-fn the_stores_answers_keep_their_text() {
+fn the_stores_responses_keep_their_json() {
     let store = store();
-    let text = |bytes: Option<Vec<u8>>| String::from_utf8(bytes.expect("an answer")).expect("UTF-8");
+    let text = |bytes: Option<Vec<u8>>| String::from_utf8(bytes.expect("a response")).expect("UTF-8");
     same_text("told-whole.json", &text(store.encode_list(None)));
     same_text("told-changes.json", &text(store.encode_list(Some(1012))));
     same_text("told-nothing.json", &text(Some(store.encode_unchanged())));
-    let shown =
+    let details =
         |id| serde_json::to_string(&store.entry_details(id, Duration::from_millis(1500))).expect("text");
-    same_text("shown-leased.json", &shown("s-1"));
-    same_text("shown-unleased.json", &shown("s-2"));
+    same_text("shown-leased.json", &details("s-1"));
+    same_text("shown-unleased.json", &details("s-2"));
 }
 
 #[test]
-fn what_replicas_say_keeps_its_text() {
+fn replication_keeps_its_json() {
     let replica = ReplicationRequest { store: 1001, epoch: 7, version: 1013, wait_ms: 2500 };
     same_text("replica.json", &serde_json::to_string(&replica).expect("text"));
     let read: ReplicationRequest = serde_json::from_str(&text("replica.json")).expect("a replica");
@@ -183,10 +183,10 @@
     same_text("replica.json", &serde_json::to_string(&read).expect("text"));
 
     let changes = ReplicationResponse { epoch: 7, records: records(), snapshot: None };
-    let whole = ReplicationResponse { epoch: 8, records: Vec::new(), snapshot: Some(store().snapshot()) };
-    for (name, replicated) in [("replicated-changes.json", changes), ("replicated-whole.json", whole)] {
+    let full = ReplicationResponse { epoch: 8, records: Vec::new(), snapshot: Some(store().snapshot()) };
+    for (name, replicated) in [("replicated-changes.json", changes), ("replicated-whole.json", full)] {
         same_text(name, &serde_json::to_string(&replicated).expect("text"));
-        let read: ReplicationResponse = serde_json::from_str(&text(name)).expect("what replicas lack");
+        let read: ReplicationResponse = serde_json::from_str(&text(name)).expect("a replication response");
         assert_eq!(
             (read.epoch, &read.records, &read.snapshot),
             (replicated.epoch, &replicated.records, &replicated.snapshot)
@@ -197,18 +197,18 @@
 
 /// The literal bodies here are what operators and servers send.
 #[test]
-fn calls_keep_their_paths_and_fields() {
-    let understood = |method: &str, path: &str, query: &str, body: &str| {
-        let call = HttpRequest {
+fn requests_keep_their_paths_and_fields() {
+    let route = |method: &str, path: &str, query: &str, body: &str| {
+        let request = HttpRequest {
             method: method.to_owned(),
             path: path.to_owned(),
             query: query.to_owned(),
             body: body.as_bytes().to_vec(),
             keep_alive: true,
         };
-        http::route(&call).expect("a call")
+        http::route(&request).expect("a request")
     };
-    let post = |path: &str, body: &str| understood("POST", path, "", body);
+    let post = |path: &str, body: &str| route("POST", path, "", body);
     let server = Registration {
         id: "s-1".to_owned(),
         addr: "10.1.2.3:81".parse().expect("an address"),
@@ -241,22 +241,19 @@
     assert_eq!(post("/discovery/records", &text("replica.json")), ApiRequest::Replicate(replica));
     let watch = ListRequest::Watch { since: 1013, wait: Duration::from_millis(2500) };
     assert_eq!(watch.target(), "/discovery/hosts?since=1013&timeout_ms=2500");
-    assert_eq!(
-        understood("GET", "/discovery/hosts", "since=1013&timeout_ms=2500", ""),
-        ApiRequest::List(watch)
-    );
-    assert_eq!(understood("GET", "/discovery/status", "", ""), ApiRequest::Status);
+    assert_eq!(route("GET", "/discovery/hosts", "since=1013&timeout_ms=2500", ""), ApiRequest::List(watch));
+    assert_eq!(route("GET", "/discovery/status", "", ""), ApiRequest::Status);
 }
 
 /// Figures differ from run to run; the names and their kinds do not.
 #[test]
-fn the_services_answers_keep_their_fields() {
+fn the_services_responses_keep_their_fields() {
     let folder = folder();
-    let service = Running::start(&folder, &config("127.0.0.1:0", &folder, ""));
+    let service = ServiceProcess::start(&folder, &config("127.0.0.1:0", &folder, ""));
     let mut client = service.client();
     assert_eq!(client.register("s-1", 81, r#","lease_ms":61000"#).status, 200);
-    let kinds = |answer: Answer| {
-        let serde_json::Value::Object(fields) = answer.json() else { panic!("{answer:?}") };
+    let kinds = |response: Response| {
+        let serde_json::Value::Object(fields) = response.json() else { panic!("{response:?}") };
         let kind = |value: &serde_json::Value| match value {
             serde_json::Value::Number(_) => "number",
             serde_json::Value::String(_) => "string",
@@ -268,7 +265,7 @@
     };
     same_text("status-fields.txt", &kinds(client.get("/discovery/status")));
     same_text("shown-fields.txt", &kinds(client.post("/discovery/show", r#"{"id":"s-1"}"#)));
-    let gone = client.post("/discovery/deregister", r#"{"id":"s-1"}"#);
-    assert_eq!(gone.body, r#"{"id":"s-1","state":"DELETED"}"#);
-    drop(std::fs::remove_dir_all(folder));
+    let deletion = client.post("/discovery/deregister", r#"{"id":"s-1"}"#);
+    assert_eq!(deletion.body, r#"{"id":"s-1","state":"DELETED"}"#);
+    remove_folder(folder);
 }
--- a/quota-gateway/discovery/tests/store.rs
+++ b/quota-gateway/discovery/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store and its journal against a model, on a disk that fails at any step.
+//! The store and its journal against a model, on storage that fails at any step.
 
 use marblecroft_discovery::format::*;
 use marblecroft_discovery::journal::{Journal, JournalError, Storage};
@@ -12,38 +12,38 @@
 use std::time::Duration;
 
 #[derive(Clone, Default)]
-struct Blob {
+struct FileContents {
     durable: Vec<u8>,
     /// As the process sees it.
-    now: Vec<u8>,
+    written: Vec<u8>,
 }
 
 #[derive(Clone)]
-enum Naming {
-    Made(String, Rc<RefCell<Blob>>),
-    Renamed(String, String, Rc<RefCell<Blob>>),
+enum NameChange {
+    Created(String, Rc<RefCell<FileContents>>),
+    Renamed(String, String, Rc<RefCell<FileContents>>),
     Removed(String),
 }
 
-/// A disk in memory. What is not synced is lost in a crash, or some of it; names too.
+/// Storage in memory. A crash loses some or all of the contents and names that are not synced.
 #[derive(Default)]
-struct Held {
-    files: BTreeMap<String, Rc<RefCell<Blob>>>,
-    /// The names as they are durable, and what was done to them since.
-    names: BTreeMap<String, Rc<RefCell<Blob>>>,
-    unsynced: Vec<Naming>,
-    /// Steps until it fails for good; until a single one fails.
+struct StorageState {
+    files: BTreeMap<String, Rc<RefCell<FileContents>>>,
+    /// The durable names, and their changes since.
+    names: BTreeMap<String, Rc<RefCell<FileContents>>>,
+    unsynced: Vec<NameChange>,
+    /// Operations until all fail, and until a single one fails.
     crash: Option<u32>,
     fail: Option<u32>,
-    /// How much of what is unsynced stays, in 256ths, and whether zeros stand for the rest.
-    luck: u8,
+    /// The share of unsynced data that survives a crash, in 256ths, and whether the rest reads as zeros.
+    survival: u8,
     zeros: bool,
 }
 
 #[derive(Clone, Default)]
-struct Memory(Rc<RefCell<Held>>);
+struct FaultyStorage(Rc<RefCell<StorageState>>);
 
-impl Memory {
+impl FaultyStorage {
     fn step(&self) -> io::Result<()> {
         let mut state = self.0.borrow_mut();
         if let Some(left) = &mut state.crash {
@@ -61,33 +61,37 @@
         Ok(())
     }
 
-    /// What a process finds after the machine has stopped and started.
-    fn crashed(&self) {
+    /// Turns into what a process finds after the crash.
+    fn recover_from_crash(&self) {
         let mut state = self.0.borrow_mut();
-        let keep = state.unsynced.len() * usize::from(state.luck) / 256;
+        let keep = state.unsynced.len() * usize::from(state.survival) / 256;
         let all = std::mem::take(&mut state.unsynced);
         let mut names = state.names.clone();
-        for naming in all.into_iter().take(keep) {
-            match naming {
-                Naming::Made(name, blob) => drop(names.insert(name, blob)),
-                Naming::Renamed(from, to, blob) => {
+        for change in all.into_iter().take(keep) {
+            match change {
+                NameChange::Created(name, contents) => {
+                    names.insert(name, contents);
+                }
+                NameChange::Renamed(from, to, contents) => {
                     names.remove(&from);
-                    names.insert(to, blob);
+                    names.insert(to, contents);
+                }
+                NameChange::Removed(name) => {
+                    names.remove(&name);
                 }
-                Naming::Removed(name) => drop(names.remove(&name)),
             }
         }
-        for blob in names.values() {
-            let mut blob = blob.borrow_mut();
-            let Blob { durable, now } = &mut *blob;
-            if now.starts_with(durable) {
-                let unsynced = &now[durable.len()..];
-                let stays = unsynced.len() * usize::from(state.luck) / 256;
-                let zeros = if state.zeros { unsynced.len() - stays } else { 0 };
-                durable.extend_from_slice(&unsynced[..stays]);
+        for contents in names.values() {
+            let mut contents = contents.borrow_mut();
+            let FileContents { durable, written } = &mut *contents;
+            if written.starts_with(durable) {
+                let unsynced = &written[durable.len()..];
+                let survives = unsynced.len() * usize::from(state.survival) / 256;
+                let zeros = if state.zeros { unsynced.len() - survives } else { 0 };
+                durable.extend_from_slice(&unsynced[..survives]);
                 durable.extend(std::iter::repeat_n(0, zeros));
             }
-            *now = durable.clone();
+            *written = durable.clone();
         }
         state.files = names.clone();
         state.names = names;
@@ -95,7 +99,7 @@
     }
 }
 
-impl Storage for Memory {
+impl Storage for FaultyStorage {
     fn file_names(&self) -> io::Result<Vec<String>> {
         self.step()?;
         Ok(self.0.borrow().files.keys().cloned().collect())
@@ -106,48 +110,49 @@
         state
             .files
             .get(name)
-            .map(|blob| blob.borrow().now.clone())
+            .map(|contents| contents.borrow().written.clone())
             .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let result = self.step();
         let mut state = self.0.borrow_mut();
         if !state.files.contains_key(name) {
-            let blob = Rc::<RefCell<Blob>>::default();
-            state.files.insert(name.to_owned(), blob.clone());
-            state.unsynced.push(Naming::Made(name.to_owned(), blob));
+            let contents = Rc::<RefCell<FileContents>>::default();
+            state.files.insert(name.to_owned(), contents.clone());
+            state.unsynced.push(NameChange::Created(name.to_owned(), contents));
         }
-        let stays = if result.is_ok() { bytes.len() } else { bytes.len() * usize::from(state.luck) / 256 };
-        state.files[name].borrow_mut().now.extend_from_slice(&bytes[..stays]);
+        let survives =
+            if result.is_ok() { bytes.len() } else { bytes.len() * usize::from(state.survival) / 256 };
+        state.files[name].borrow_mut().written.extend_from_slice(&bytes[..survives]);
         result
     }
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         self.step()?;
         let state = self.0.borrow();
-        let mut blob = state.files[name].borrow_mut();
-        blob.now.truncate(length as usize);
+        let mut contents = state.files[name].borrow_mut();
+        contents.written.truncate(length as usize);
         Ok(())
     }
     fn sync(&mut self, name: &str) -> io::Result<()> {
         self.step()?;
         let state = self.0.borrow();
-        let mut blob = state.files[name].borrow_mut();
-        blob.durable = blob.now.clone();
+        let mut contents = state.files[name].borrow_mut();
+        contents.durable = contents.written.clone();
         Ok(())
     }
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         self.step()?;
         let mut state = self.0.borrow_mut();
-        let blob = state.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
-        state.files.insert(to.to_owned(), blob.clone());
-        state.unsynced.push(Naming::Renamed(from.to_owned(), to.to_owned(), blob));
+        let contents = state.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
+        state.files.insert(to.to_owned(), contents.clone());
+        state.unsynced.push(NameChange::Renamed(from.to_owned(), to.to_owned(), contents));
         Ok(())
     }
     fn remove(&mut self, name: &str) -> io::Result<()> {
         self.step()?;
         let mut state = self.0.borrow_mut();
         state.files.remove(name).ok_or(io::ErrorKind::NotFound)?;
-        state.unsynced.push(Naming::Removed(name.to_owned()));
+        state.unsynced.push(NameChange::Removed(name.to_owned()));
         Ok(())
     }
     fn sync_folder(&mut self) -> io::Result<()> {
@@ -180,7 +185,7 @@
     Deregister {
         id: u8,
     },
-    /// Time passes, in milliseconds; the wall clock may be set by so many besides.
+    /// Time passes, in milliseconds, and the wall clock is set by so many beside.
     Pass {
         millis: u64,
         set: i64,
@@ -190,13 +195,13 @@
     Fail {
         after: u32,
     },
-    /// The machine stops at so many steps on the disk from here.
+    /// The machine crashes after so many storage operations.
     Crash {
         after: u32,
-        luck: u8,
+        survival: u8,
         zeros: bool,
     },
-    /// The process alone ends and starts again.
+    /// Only the process restarts.
     Restart,
 }
 
@@ -213,55 +218,59 @@
             .prop_map(|(millis, set)| Step::Pass { millis, set }),
         1 => Just(Step::Compact),
         1 => (0..6_u32).prop_map(|after| Step::Fail { after }),
-        2 => (0..12_u32, any::<u8>(), any::<bool>()).prop_map(|(after, luck, zeros)| Step::Crash { after, luck, zeros }),
+        2 => (0..12_u32, any::<u8>(), any::<bool>()).prop_map(|(after, survival, zeros)| Step::Crash { after, survival, zeros }),
         1 => Just(Step::Restart),
     ]
 }
 
-/// What has been answered with yes: an entry's address and state, or that it is gone.
+/// The acknowledged entries: port and state.
 type Model = BTreeMap<String, (u16, State)>;
 
-/// A reader that follows the list by watches, as gateways do.
+/// A reader that follows the list with watches, as gateways do.
 #[derive(Default)]
 struct Watcher {
     version: Option<u64>,
-    holds: BTreeMap<String, (u16, State)>,
+    view: BTreeMap<String, (u16, State)>,
 }
 
 impl Watcher {
     fn follow(&mut self, store: &Store) {
         let Some(text) = store.encode_list(self.version) else { return };
         let list: HostList = serde_json::from_slice(&text).expect("a list");
-        assert!(self.version.is_none_or(|held| list.version > held), "versions rise for whoever watches");
+        assert!(self.version.is_none_or(|version| list.version > version), "versions rise for each reader");
         self.version = Some(list.version);
         if list.full {
-            self.holds.clear();
+            self.view.clear();
         }
         for entry in list.servers {
             let Entry::Readable(host) = entry else { panic!("spoilt") };
             if host.state == State::Deleted {
                 assert!(!list.full);
-                self.holds.remove(&host.id);
+                self.view.remove(&host.id);
             } else {
-                self.holds.insert(host.id, (host.addr.port(), host.state));
+                self.view.insert(host.id, (host.addr.port(), host.state));
             }
         }
     }
 }
 
-struct World {
-    disk: Memory,
+struct Simulation {
+    disk: FaultyStorage,
     store: Store,
-    journal: Journal<Memory>,
+    journal: Journal<FaultyStorage>,
     now: Duration,
     unix: u64,
-    /// What was answered, and what may have happened beside: the one change that failed.
+    /// The acknowledged entries, and those with the change that failed, which may be durable all the same.
     model: Model,
-    maybe: Option<Model>,
-    versions: u64,
+    uncertain: Option<Model>,
+    last_version: u64,
 }
 
-fn start(disk: &Memory, now: Duration, unix: u64) -> Result<(Store, Journal<Memory>), JournalError> {
+fn start(
+    disk: &FaultyStorage,
+    now: Duration,
+    unix: u64,
+) -> Result<(Store, Journal<FaultyStorage>), JournalError> {
     let (mut journal, recovered) = Journal::open(disk.clone())?;
     let mut store = Store::restore(recovered.snapshot, recovered.records, now);
     let opened = store.opening_record(unix);
@@ -274,70 +283,77 @@
     store.full_list().into_iter().map(|host| (host.id.clone(), (host.addr.port(), host.state))).collect()
 }
 
-impl World {
-    fn new() -> World {
-        let disk = Memory::default();
+impl Simulation {
+    fn new() -> Simulation {
+        let disk = FaultyStorage::default();
         let (store, journal) = start(&disk, Duration::ZERO, 1_000_000).expect("a new one");
-        let versions = store.version();
-        World {
+        let last_version = store.version();
+        Simulation {
             disk,
             store,
             journal,
             now: Duration::ZERO,
             unix: 1_000_000,
             model: Model::new(),
-            maybe: None,
-            versions,
+            uncertain: None,
+            last_version,
         }
     }
 
-    /// The process has ended, with or without the machine: what is found must be what was answered.
-    fn again(&mut self, watchers: &mut [Watcher]) {
-        (self.store, self.journal) = start(&self.disk, self.now, self.unix).expect("no crash is damage");
+    /// The process restarts, after a crash or without one, and must find the acknowledged entries.
+    fn restart(&mut self, watchers: &mut [Watcher]) {
+        (self.store, self.journal) =
+            start(&self.disk, self.now, self.unix).expect("a crash causes no damage");
         let found = listed(&self.store);
-        let good = found == self.model || self.maybe.as_ref().is_some_and(|maybe| found == *maybe);
-        assert!(good, "found {found:?} for {:?} or {:?}", self.model, self.maybe);
-        assert!(self.store.version() > self.versions, "versions rise across a start");
-        self.versions = self.store.version();
+        let is_expected =
+            found == self.model || self.uncertain.as_ref().is_some_and(|uncertain| found == *uncertain);
+        assert!(is_expected, "found {found:?} for {:?} or {:?}", self.model, self.uncertain);
+        assert!(self.store.version() > self.last_version, "versions rise across a start");
+        self.last_version = self.store.version();
         self.model = found;
-        self.maybe = None;
+        self.uncertain = None;
         watchers.iter_mut().for_each(|watcher| watcher.follow(&self.store));
     }
 
     fn change(&mut self, record: Record) -> bool {
         let mut after = self.model.clone();
         match &record {
-            Record::Put { host, .. } => drop(after.insert(host.id.clone(), (host.addr.port(), host.state))),
-            Record::Deleted { id, .. } => drop(after.remove(id)),
+            Record::Put { host, .. } => {
+                after.insert(host.id.clone(), (host.addr.port(), host.state));
+            }
+            Record::Deleted { id, .. } => {
+                after.remove(id);
+            }
             Record::Opened { .. } | Record::Promoted { .. } => unreachable!(),
         }
         if self.journal.append(std::slice::from_ref(&record)).is_err() {
-            // Nobody is told. It may come to light after a restart, if nothing else was written since.
-            self.maybe.get_or_insert(after);
+            // Not acknowledged. A restart may find it, if nothing else was written since.
+            self.uncertain.get_or_insert(after);
             return false;
         }
-        self.maybe = None;
+        self.uncertain = None;
         self.store.apply(record, self.now);
         self.model = after;
-        assert!(self.store.version() > self.versions);
-        self.versions = self.store.version();
+        assert!(self.store.version() > self.last_version);
+        self.last_version = self.store.version();
         true
     }
 }
 
-fn play(steps: &[Step]) -> (u32, u32, u32) {
-    let mut world = World::new();
+fn run(steps: &[Step]) -> (u32, u32, u32) {
+    let mut simulation = Simulation::new();
     let mut watchers = [Watcher::default(), Watcher::default()];
-    let mut broken = false;
-    let (mut answered, mut crashes, mut ended) = (0, 0, 0);
+    let mut is_crashing = false;
+    let (mut acknowledged, mut crashes, mut expired) = (0, 0, 0);
     for (n, step) in steps.iter().enumerate() {
         let name = |id: &u8| format!("s-{id}\u{0}\"é");
-        let revision =
-            |world: &World, id: &str| world.store.entry_details(id, world.now).map(|shown| shown.revision);
+        let revision = |simulation: &Simulation, id: &str| {
+            simulation.store.entry_details(id, simulation.now).map(|details| details.revision)
+        };
         let command = match step {
             Step::Register { id, port, lease, with_revision } => {
                 let id = name(id);
-                let revision = revision(&world, &id).filter(|_| *with_revision);
+                let revision = revision(&simulation, &id).filter(|_| *with_revision);
                 let server = Registration {
                     addr: ([127, 0, 0, 1], *port).into(),
                     zone: "a".into(),
@@ -351,14 +367,15 @@
             Step::Renew { id } => Some(Command::Renew { id: name(id) }),
             Step::Drain { id, with_revision } => {
                 let id = name(id);
-                // The entry's own revision, or one that it never had.
-                let revision = with_revision.and_then(|right| {
-                    revision(&world, &id).map(|revision| if right { revision } else { revision + 1 })
+                // The entry's revision, or one that it never had.
+                let revision = with_revision.and_then(|is_current| {
+                    revision(&simulation, &id)
+                        .map(|revision| if is_current { revision } else { revision + 1 })
                 });
                 if *with_revision == Some(false) && revision.is_some() {
                     let drain = Command::Drain { id: id.clone(), revision };
-                    let decision = world.store.decide(&drain, world.now, world.unix);
-                    assert!(matches!(decision, Err(Rejection::Conflict { .. })), "a lost compare-and-set");
+                    let decision = simulation.store.decide(&drain, simulation.now, simulation.unix);
+                    assert!(matches!(decision, Err(Rejection::Conflict { .. })), "a failed compare-and-set");
                 }
                 Some(Command::Drain { id, revision })
             }
@@ -368,62 +385,64 @@
         };
         match step {
             Step::Pass { millis, set } => {
-                world.now += Duration::from_millis(*millis);
-                world.unix = (world.unix + millis).saturating_add_signed(*set).max(1);
-                while let Some(record) = world.store.expiry_record(world.now) {
-                    if broken || !world.change(record) {
+                simulation.now += Duration::from_millis(*millis);
+                simulation.unix = (simulation.unix + millis).saturating_add_signed(*set).max(1);
+                while let Some(record) = simulation.store.expiry_record(simulation.now) {
+                    if is_crashing || !simulation.change(record) {
                         break;
                     }
-                    ended += 1;
+                    expired += 1;
                 }
             }
-            // An error may leave the generation before, or nothing that can be written to.
-            Step::Compact if world.journal.compact(&world.store.snapshot()).is_ok() => world.maybe = None,
-            Step::Fail { after } => world.disk.0.borrow_mut().fail = Some(*after),
-            Step::Crash { after, luck, zeros } => {
-                let mut state = world.disk.0.borrow_mut();
-                (state.crash, state.luck, state.zeros) = (Some(*after), *luck, *zeros);
-                broken = true;
+            // After an error the former generation goes on, or nothing can be appended.
+            Step::Compact if simulation.journal.compact(&simulation.store.snapshot()).is_ok() => {
+                simulation.uncertain = None
+            }
+            Step::Fail { after } => simulation.disk.0.borrow_mut().fail = Some(*after),
+            Step::Crash { after, survival, zeros } => {
+                let mut state = simulation.disk.0.borrow_mut();
+                (state.crash, state.survival, state.zeros) = (Some(*after), *survival, *zeros);
+                is_crashing = true;
                 crashes += 1;
             }
-            Step::Restart if !broken => {
-                world.disk.0.borrow_mut().fail = None;
-                world.again(&mut watchers);
+            Step::Restart if !is_crashing => {
+                simulation.disk.0.borrow_mut().fail = None;
+                simulation.restart(&mut watchers);
             }
             _ => {}
         }
         if let Some(command) = command {
-            match world.store.decide(&command, world.now, world.unix) {
-                Ok(Decision::Change(record)) => answered += u32::from(world.change(record)),
-                Ok(Decision::Renew(id)) => world.store.renew(&id, world.now),
+            match simulation.store.decide(&command, simulation.now, simulation.unix) {
+                Ok(Decision::Change(record)) => acknowledged += u32::from(simulation.change(record)),
+                Ok(Decision::Renew(id)) => simulation.store.renew(&id, simulation.now),
                 Ok(Decision::Nothing) | Err(_) => {}
             }
         }
-        assert_eq!(listed(&world.store), world.model, "what is told is what was answered");
-        watchers[n % 2].follow(&world.store);
-        assert_eq!(watchers[n % 2].holds, world.model, "no change was missed");
-        if broken && world.disk.0.borrow().crash == Some(0) {
-            world.disk.crashed();
-            broken = false;
-            world.again(&mut watchers);
+        assert_eq!(listed(&simulation.store), simulation.model, "the list has the acknowledged entries");
+        watchers[n % 2].follow(&simulation.store);
+        assert_eq!(watchers[n % 2].view, simulation.model, "no change is missed");
+        if is_crashing && simulation.disk.0.borrow().crash == Some(0) {
+            simulation.disk.recover_from_crash();
+            is_crashing = false;
+            simulation.restart(&mut watchers);
         }
     }
-    (answered, crashes, ended)
+    (acknowledged, crashes, expired)
 }
 
 #[test]
-fn nothing_that_was_answered_is_lost_and_versions_rise_whatever_the_disk_does() {
+fn no_acknowledged_change_is_lost_and_versions_rise_with_faulty_storage() {
     let config = Config { cases: 800, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]));
-    let met = RefCell::new((0, 0, 0));
+    let totals = RefCell::new((0, 0, 0));
     runner
         .run(&prop::collection::vec(step(), 1..120), |steps| {
-            let (answered, crashes, ended) = play(&steps);
-            let mut met = met.borrow_mut();
-            *met = (met.0 + answered, met.1 + crashes, met.2 + ended);
+            let (acknowledged, crashes, expired) = run(&steps);
+            let mut totals = totals.borrow_mut();
+            *totals = (totals.0 + acknowledged, totals.1 + crashes, totals.2 + expired);
             Ok(())
         })
         .unwrap();
-    let (answered, crashes, ended) = met.into_inner();
-    assert!(answered > 8000 && crashes > 3000 && ended > 150, "{answered} {crashes} {ended}");
+    let (acknowledged, crashes, expired) = totals.into_inner();
+    assert!(acknowledged > 8000 && crashes > 3000 && expired > 150, "{acknowledged} {crashes} {expired}");
 }
