--- a/quota-gateway/discovery/src/http/request.rs
+++ b/quota-gateway/discovery/src/http/request.rs
@@ -1,12 +1,15 @@
 //! Requests as bytes.
 
-use super::{HttpError, MAX_HEADER_LINES};
+use super::error::HttpError;
 
 /// The longest request line and headers, in bytes.
 pub const MAX_HEAD_BYTES: usize = 8 << 10;
 /// The longest body of a request, in bytes.
 pub const MAX_BODY_BYTES: usize = 4 << 10;
 
+/// The most header lines of a message.
+pub(super) const MAX_HEADER_LINES: usize = 32;
+
 /// A request, before it is routed.
 #[derive(Debug, PartialEq, Eq)]
 pub struct HttpRequest {
--- a/quota-gateway/discovery/src/http/routes.rs
+++ b/quota-gateway/discovery/src/http/routes.rs
@@ -1,6 +1,7 @@
 //! The service's API: paths, methods, and the JSON of bodies.
 
-use super::{single_line, HttpError, HttpRequest};
+use super::error::{single_line, HttpError};
+use super::request::HttpRequest;
 use crate::format::{ListRequest, HOSTS};
 use crate::store::{Command, Record, Registration, Snapshot, MAX_LEASE, MAX_NAME_BYTES, MIN_LEASE};
 use serde::de::DeserializeOwned;
