--- a/quota-gateway/server/src/process.rs
+++ b/quota-gateway/server/src/process.rs
@@ -103,7 +103,8 @@
         let budgets = RequestBudgets::new(clock, has_console.then_some(site.classes.as_slice()));
         let uses_shard_map = config.fleet.as_ref().is_some_and(|fleet| fleet.uses_shard_map);
         let shard_routing = uses_shard_map.then(|| ShardRouting::new(started_at));
-        let upstream = Upstream::new(site.connect_timeout, site.idle, limits.servers, shard_routing.clone());
+        let upstream =
+            Upstream::new(site.connect_timeout, site.idle_timeout, limits.servers, shard_routing.clone());
         let gateway = Rc::new(RefCell::new(Gateway::new(site.settings.clone(), config.seed)));
         let observer = config.fleet.as_ref().map(|fleet| {
             Observer::new(ObserverSettings {
--- a/quota-gateway/simulator-adapter/src/settings.rs
+++ b/quota-gateway/simulator-adapter/src/settings.rs
@@ -1,27 +1,39 @@
-//! Decodes the settings object: what the decisions need of it, and the names and limits of the site.
+//! Decoding of the settings object into the settings of the decisions, and the names and timeouts around them.
+//!
+//! The private structs mirror the object field by field: their names, in `PascalCase`, are part of the format. Durations in
+//! it are in nanoseconds. Fields that are not listed here are ignored.
 
-use marblecroft_quota_gateway_core as lib;
+use crate::settings_error::SettingsError;
+use marblecroft_quota_gateway_core as decisions;
 use serde::Deserialize;
 use std::time::Duration;
 
+/// Timeout of a connection attempt where the object has none, in nanoseconds.
+const DEFAULT_CONNECT_TIMEOUT: u64 = 250_000_000;
+/// Idle timeout of the servers' connections where the object has none, in nanoseconds.
+const DEFAULT_IDLE_TIMEOUT: u64 = 15_000_000_000;
+
 /// The settings of one gateway.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(try_from = "BootInfo")]
 pub struct Site {
-    /// What the decisions are told.
-    pub settings: lib::Settings,
-    /// Names, in the order of [`lib::Settings::classes`] and [`lib::Settings::plans`].
+    /// Settings of the decisions.
+    pub settings: decisions::Settings,
+    /// Names of the request classes, in the order of [`decisions::Settings::classes`].
     pub classes: Vec<String>,
+    /// Names of the customers' plans, in the order of [`decisions::Settings::plans`].
     pub plans: Vec<String>,
-    /// Names of zones and kinds of machine, which the lists of servers use.
+    /// Names of the zones, as server lists use them.
     pub zones: Vec<String>,
+    /// Names of the kinds of machine, as server lists use them.
     pub kinds: Vec<String>,
-    /// A connection not made by then has failed.
+    /// Time after which a connection attempt has failed.
     pub connect_timeout: Duration,
-    /// Servers close connections that have stood idle for this long, or earlier.
-    pub idle: Duration,
+    /// Time after which servers may close an idle connection.
+    pub idle_timeout: Duration,
 }
 
+/// The settings object of one gateway.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct BootInfo {
@@ -48,6 +60,7 @@
     kinds: Vec<String>,
 }
 
+/// A class of requests.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Profile {
@@ -63,9 +76,9 @@
     importance: f64,
 }
 
-#[derive(Deserialize)]
+/// What a customer has paid for.
+#[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-#[derive(Default)]
 struct Plan {
     name: String,
     at_once: u32,
@@ -79,6 +92,7 @@
     value_factor: f64,
 }
 
+/// Limits on attempts and connections.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Limits {
@@ -89,20 +103,21 @@
     max_attempts: u32,
     #[serde(default)]
     max_retry_after: u64,
-    #[serde(default = "connect_timeout")]
+    #[serde(default = "default_connect_timeout")]
     connect_timeout: u64,
-    #[serde(default = "conn_idle")]
+    #[serde(default = "default_idle_timeout")]
     conn_idle: u64,
 }
 
-fn connect_timeout() -> u64 {
-    250_000_000
+fn default_connect_timeout() -> u64 {
+    DEFAULT_CONNECT_TIMEOUT
 }
 
-fn conn_idle() -> u64 {
-    15_000_000_000
+fn default_idle_timeout() -> u64 {
+    DEFAULT_IDLE_TIMEOUT
 }
 
+/// What the metering of units is about.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct Domain {
@@ -110,6 +125,7 @@
     units_top: f64,
 }
 
+/// The slow start of servers.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Rules {
@@ -119,6 +135,7 @@
     fall: u64,
 }
 
+/// Prices.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct Fees {
@@ -126,67 +143,86 @@
 }
 
 impl TryFrom<BootInfo> for Site {
-    type Error = String;
+    type Error = SettingsError;
 
-    fn try_from(boot: BootInfo) -> Result<Site, String> {
+    fn try_from(boot: BootInfo) -> Result<Site, SettingsError> {
         Ok(Site {
-            classes: boot.profiles.iter().map(|p| p.name.clone()).collect(),
-            plans: boot.plans.iter().map(|p| p.name.clone()).collect(),
-            zones: boot.dcs,
-            kinds: boot.kinds,
+            classes: boot.profiles.iter().map(|profile| profile.name.clone()).collect(),
+            plans: boot.plans.iter().map(|plan| plan.name.clone()).collect(),
+            zones: boot.dcs.clone(),
+            kinds: boot.kinds.clone(),
             connect_timeout: Duration::from_nanos(boot.limits.connect_timeout),
-            idle: Duration::from_nanos(boot.limits.conn_idle),
-            settings: lib::Settings {
-                gateways: boot.fleet_size,
-                gateway_index: boot.me,
-                zone: boot.zone,
-                classes: boot.profiles.into_iter().map(class).collect::<Result<_, _>>()?,
-                plans: boot.plans.into_iter().map(plan).collect(),
-                discovery: match boot.discovery.as_str() {
-                    "push" => lib::Discovery::Push,
-                    "ask" => lib::Discovery::Subscribe,
-                    other => return Err(format!("unknown Discovery {other:?}")),
-                },
-                cancel: boot.limits.cancel,
-                hedging: boot.limits.second_copies,
-                max_attempts: boot.limits.max_attempts,
-                max_retry_after: Duration::from_nanos(boot.limits.max_retry_after),
-                tick: Duration::from_nanos(boot.tick),
-                meter_period: Duration::from_nanos(boot.domain.metering),
-                max_units: boot.domain.units_top,
-                slow_start_initial_share: boot.rules.cold_from,
-                slow_start_duration: Duration::from_nanos(boot.rules.ramp_time),
-                slow_start_overload_factor: boot.rules.overload_factor,
-                slow_start_window: Duration::from_nanos(boot.rules.fall),
-                cross_zone_price: boot.fees.cross_zone,
-            },
+            idle_timeout: Duration::from_nanos(boot.limits.conn_idle),
+            settings: decision_settings(boot)?,
         })
     }
 }
 
-fn class(profile: Profile) -> Result<lib::Class, String> {
-    let group = match profile.group.as_str() {
-        "" | "all" => lib::DeduplicationScope::All,
-        "zone" => lib::DeduplicationScope::Zone,
-        "cell" => lib::DeduplicationScope::Cell,
-        other => return Err(format!("unknown Group {other:?}")),
-    };
-    let effect = match profile.effect.as_str() {
-        "read_like" => lib::Effect::Safe,
-        "idempotency_key" => lib::Effect::Keyed { group, window: Duration::from_nanos(profile.key_ttl) },
-        "non_idempotent" => lib::Effect::Unsafe,
-        other => return Err(format!("unknown Effect {other:?}")),
-    };
-    Ok(lib::Class {
+/// Converts what the decisions need of the object.
+fn decision_settings(boot: BootInfo) -> Result<decisions::Settings, SettingsError> {
+    Ok(decisions::Settings {
+        gateways: boot.fleet_size,
+        gateway_index: boot.me,
+        zone: boot.zone,
+        classes: boot.profiles.into_iter().map(class).collect::<Result<_, _>>()?,
+        plans: boot.plans.into_iter().map(plan).collect(),
+        discovery: discovery(&boot.discovery)?,
+        cancel: boot.limits.cancel,
+        hedging: boot.limits.second_copies,
+        max_attempts: boot.limits.max_attempts,
+        max_retry_after: Duration::from_nanos(boot.limits.max_retry_after),
+        tick: Duration::from_nanos(boot.tick),
+        meter_period: Duration::from_nanos(boot.domain.metering),
+        max_units: boot.domain.units_top,
+        slow_start_initial_share: boot.rules.cold_from,
+        slow_start_duration: Duration::from_nanos(boot.rules.ramp_time),
+        slow_start_overload_factor: boot.rules.overload_factor,
+        slow_start_window: Duration::from_nanos(boot.rules.fall),
+        cross_zone_price: boot.fees.cross_zone,
+    })
+}
+
+fn discovery(name: &str) -> Result<decisions::Discovery, SettingsError> {
+    match name {
+        "push" => Ok(decisions::Discovery::Push),
+        "ask" => Ok(decisions::Discovery::Subscribe),
+        unknown => Err(SettingsError::UnknownDiscovery(unknown.to_owned())),
+    }
+}
+
+fn class(profile: Profile) -> Result<decisions::Class, SettingsError> {
+    Ok(decisions::Class {
         latency_target: Duration::from_nanos(profile.aim),
         deadline: Duration::from_nanos(profile.deadline),
         value: profile.importance,
-        effect,
+        effect: effect(&profile)?,
     })
 }
 
-fn plan(plan: Plan) -> lib::Plan {
-    lib::Plan {
+fn effect(profile: &Profile) -> Result<decisions::Effect, SettingsError> {
+    // The scope is checked for every class, also where its effect does not use it.
+    let group = deduplication_scope(&profile.group)?;
+    match profile.effect.as_str() {
+        "read_like" => Ok(decisions::Effect::Safe),
+        "idempotency_key" => {
+            Ok(decisions::Effect::Keyed { group, window: Duration::from_nanos(profile.key_ttl) })
+        }
+        "non_idempotent" => Ok(decisions::Effect::Unsafe),
+        unknown => Err(SettingsError::UnknownEffect(unknown.to_owned())),
+    }
+}
+
+fn deduplication_scope(name: &str) -> Result<decisions::DeduplicationScope, SettingsError> {
+    match name {
+        "" | "all" => Ok(decisions::DeduplicationScope::All),
+        "zone" => Ok(decisions::DeduplicationScope::Zone),
+        "cell" => Ok(decisions::DeduplicationScope::Cell),
+        unknown => Err(SettingsError::UnknownGroup(unknown.to_owned())),
+    }
+}
+
+fn plan(plan: Plan) -> decisions::Plan {
+    decisions::Plan {
         rate: plan.rate,
         burst: plan.burst,
         max_in_flight: plan.at_once,
--- /dev/null
+++ b/quota-gateway/simulator-adapter/src/wire/convert.rs
@@ -0,0 +1,175 @@
+//! Conversion between the wire's events and actions and those of the decisions.
+
+use super::action::WireAction;
+use super::error::EventError;
+use super::event::{Member, NewRequest, Settled, WireEvent, RETRY_BIT};
+use marblecroft_quota_gateway_core as decisions;
+use std::time::Duration;
+
+/// What an event of the wire is for the adapter.
+pub enum Incoming {
+    /// A gateway starts, with the seed of its random numbers.
+    Start {
+        /// The seed.
+        seed: u64,
+        /// Settings of the decisions.
+        settings: Box<decisions::Settings>,
+    },
+    /// A gateway stops.
+    Stop,
+    /// An answer to something that the decisions never ask for.
+    Unused,
+    /// An event for the decisions.
+    Event(decisions::Event),
+}
+
+/// Converts an event; returns the name of the gateway that it is for, too.
+///
+/// # Errors
+///
+/// [`EventError`] if a value is none of those that its field may hold.
+pub fn read_event(event: WireEvent) -> Result<(String, Incoming), EventError> {
+    Ok(match event {
+        WireEvent::Init(init) => {
+            let settings = Box::new(init.boot_info.settings);
+            (init.gateway_id, Incoming::Start { seed: init.init_seed, settings })
+        }
+        WireEvent::PowerOff(event) => (event.gateway_id, Incoming::Stop),
+        WireEvent::Sampled(event) | WireEvent::Message(event) | WireEvent::LedgerReply(event) => {
+            (event.gateway_id, Incoming::Unused)
+        }
+        WireEvent::Sync(sync) => {
+            let (scope, servers) = server_list(sync.scope, sync.members)?;
+            (sync.gateway_id, Incoming::Event(decisions::Event::Servers { scope, servers }))
+        }
+        WireEvent::NewRequest(request) => {
+            let event = decisions::Event::Request(new_request(&request)?);
+            (request.gateway_id, Incoming::Event(event))
+        }
+        WireEvent::Headers(headers) => {
+            let (id, attempt) = (decisions::RequestId(headers.tid), decisions::AttemptNo(headers.send_no));
+            (headers.gateway_id, Incoming::Event(decisions::Event::StreamStarted { id, attempt }))
+        }
+        WireEvent::Settled(settled) => {
+            let event = decisions::Event::Outcome(outcome(&settled)?);
+            (settled.gateway_id, Incoming::Event(event))
+        }
+        WireEvent::Dropped(dropped) => {
+            let event = decisions::Event::ClientDisconnected(decisions::RequestId(dropped.tid));
+            (dropped.gateway_id, Incoming::Event(event))
+        }
+        WireEvent::DeadlineHit(timer) => {
+            (timer.gateway_id, Incoming::Event(decisions::Event::Timer(decisions::Token(timer.r#ref))))
+        }
+    })
+}
+
+fn server_list(
+    scope: String,
+    members: Vec<Member>,
+) -> Result<(decisions::Scope, Vec<decisions::ServerInfo>), EventError> {
+    let scope = match scope.as_str() {
+        "delta" => decisions::Scope::Delta,
+        "full" | "cached" => decisions::Scope::Full,
+        "failed" => decisions::Scope::Failed,
+        _ => return Err(EventError::UnknownScope(scope)),
+    };
+    let servers = members.into_iter().map(server_info).collect::<Result<_, _>>()?;
+    Ok((scope, servers))
+}
+
+fn server_info(member: Member) -> Result<decisions::ServerInfo, EventError> {
+    let lifecycle = match member.lifecycle.as_str() {
+        "Running" => decisions::Lifecycle::Running,
+        "Stopping" => decisions::Lifecycle::Draining,
+        "Deleted" => decisions::Lifecycle::Gone,
+        _ => return Err(EventError::UnknownLifecycle(member.lifecycle)),
+    };
+    Ok(decisions::ServerInfo {
+        id: decisions::ServerId(member.server),
+        zone: member.area,
+        cell: member.group,
+        kind: member.family_type,
+        lifecycle,
+        capacity: member.capacity_hint,
+        started: (member.since > 0).then_some(decisions::Time(member.since)),
+    })
+}
+
+fn new_request(request: &NewRequest) -> Result<decisions::NewRequest, EventError> {
+    Ok(decisions::NewRequest {
+        id: decisions::RequestId(request.tid),
+        class: decisions::ClassId(request.category),
+        plan: decisions::PlanId(request.tier),
+        customer: customer(&request.client_id)?,
+        deadline: decisions::Time(request.deadline),
+        units: request.size_units,
+        gateways: request.n_entries as u32,
+        is_retry: request.bitmap & RETRY_BIT != 0,
+        body_in_flight: false,
+    })
+}
+
+/// Parses a customer's identifier, which is hexadecimal; none is the customer 0.
+fn customer(client_id: &str) -> Result<decisions::CustomerId, EventError> {
+    if client_id.is_empty() {
+        return Ok(decisions::CustomerId(0));
+    }
+    let id = u64::from_str_radix(client_id, 16);
+    id.map(decisions::CustomerId).map_err(|cause| EventError::InvalidClientId(client_id.to_owned(), cause))
+}
+
+fn outcome(settled: &Settled) -> Result<decisions::Outcome, EventError> {
+    Ok(decisions::Outcome {
+        id: decisions::RequestId(settled.tid),
+        attempt: decisions::AttemptNo(settled.send_no),
+        status: status(settled.status)?,
+        elapsed: Duration::from_nanos(settled.spent),
+        finished: settled.over,
+        // On the wire 0 is no figure, and 1 to 101 are 0 to 100 percent.
+        metered_use: (settled.quota_use > 0).then(|| (settled.quota_use - 1) as f64 / 100.0),
+        actual_units: (settled.true_units > 0.0).then_some(settled.true_units),
+        not_retryable: false,
+        report: decisions::LoadReport {
+            queue: settled.server_stats.get("queue").copied(),
+            utilization: settled.server_stats.get("util").copied(),
+        },
+    })
+}
+
+fn status(code: u32) -> Result<decisions::Status, EventError> {
+    Ok(match code {
+        0 => decisions::Status::Ok,
+        255 => decisions::Status::Error,
+        254 => decisions::Status::Rejected,
+        253 => decisions::Status::TimedOut,
+        252 => decisions::Status::ConnectFailed,
+        251 => decisions::Status::Reset,
+        250 => decisions::Status::Cancelled,
+        249 => decisions::Status::NotSent,
+        unknown => return Err(EventError::UnknownStatus(unknown)),
+    })
+}
+
+/// Converts an action of a gateway.
+pub fn write_action(gateway: &str, action: decisions::Action) -> WireAction {
+    let gateway_id = gateway.to_owned();
+    match action {
+        decisions::Action::Send { id, server, deadline, .. } => {
+            WireAction::Route { gateway_id, tid: id.0, try_until: deadline.0, server: server.0 }
+        }
+        decisions::Action::Cancel { id, attempt } => {
+            WireAction::UndoSend { gateway_id, tid: id.0, send_no: attempt.0 }
+        }
+        decisions::Action::Reject { id, retry_after } => {
+            let retry_after = u64::try_from(retry_after.as_nanos()).unwrap_or(u64::MAX);
+            WireAction::Shed { gateway_id, tid: id.0, retry_after }
+        }
+        decisions::Action::Fail { id } => WireAction::RespondError { gateway_id, tid: id.0 },
+        decisions::Action::Timer { at, token } => {
+            WireAction::NotifyMe { gateway_id, alarm_time: at.0, r#ref: token.0 }
+        }
+        decisions::Action::Subscribe => WireAction::Subscribe { gateway_id, active: true },
+        decisions::Action::Log(body_text) => WireAction::Log { gateway_id, body_text },
+    }
+}
--- a/quota-gateway/simulator-adapter/tests/round_trip.rs
+++ b/quota-gateway/simulator-adapter/tests/round_trip.rs
@@ -1,9 +1,9 @@
-//! The adapter as a process: events in, actions out, plain words on what is malformed.
+//! The adapter as a process: events in, actions out, and an error line for what is malformed.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-fn drill(input: &str) -> (Vec<String>, String) {
+fn run_adapter(input: &str) -> (Vec<String>, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_marblecroft-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -23,13 +23,13 @@
 "Rules":{"ColdFrom":0.2,"RampTime":9000000000,"OverloadFactor":3.0,"Fall":1000000000}}}}"#;
 
 #[test]
-fn a_request_is_routed_and_a_stopped_gateway_forgets() {
+fn a_request_is_routed_and_a_stopped_gateway_is_removed() {
     let init = INIT.replace('\n', "");
     let sync = r#"{"Sync":{"GatewayId":"gateway-1","Scope":"cached","SeqNo":1,"Members":[{"Server":9,"Lifecycle":"Running"}]}}"#;
     let request = r#"{"NewRequest":{"GatewayId":"gateway-1","Tid":5,"Category":0,"Tier":0,"ClientId":"ab","Deadline":3000000010,"SizeUnits":1,"NEntries":2,"Base":0}}"#;
     let settled = r#"{"Settled":{"GatewayId":"gateway-1","Tid":5,"SendNo":0,"Server":9,"Status":0,"Spent":4,"Over":true}}"#;
     let stop = r#"{"PowerOff":{"GatewayId":"gateway-1"}}"#;
-    let (lines, errors) = drill(&format!(
+    let (lines, errors) = run_adapter(&format!(
         "{{\"AtTime\":10,\"items\":[{init},{sync},{request}]}}\n{{\"AtTime\":14,\"items\":[{settled}]}}\n\
          {{\"AtTime\":15,\"items\":[{stop},{settled}]}}\n"
     ));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_repeat_is_known_by_its_mark() {
+fn a_retry_is_recognized_by_its_bit() {
     let init = INIT.replace('\n', "");
     let sync = r#"{"Sync":{"GatewayId":"gateway-1","Scope":"cached","SeqNo":1,"Members":[{"Server":8,"Lifecycle":"Running"},{"Server":9,"Lifecycle":"Running"}]}}"#;
     let request = |id: u32, deadline: u64, bits: u32| {
@@ -48,20 +48,20 @@
             r#"{{"NewRequest":{{"GatewayId":"gateway-1","Tid":{id},"Deadline":{deadline},"SizeUnits":1,"NEntries":2,"Bitmap":{bits}}}}}"#
         )
     };
-    // The aim is 0.8 s of 3 s: with 1 s left it has passed, unless this is a first try (4 marks a write).
+    // The latency target is 0.8 s of 3 s: with 1 s left it has passed, unless this is a first attempt (4 marks a write).
     let first = request(5, 3_000_000_010, 4);
-    let (short, repeat) = (request(6, 1_000_000_010, 4), request(7, 1_000_000_010, 6));
+    let (short, retry) = (request(6, 1_000_000_010, 4), request(7, 1_000_000_010, 6));
     let (lines, _) =
-        drill(&format!("{{\"AtTime\":10,\"items\":[{init},{sync},{first},{short},{repeat}]}}\n"));
+        run_adapter(&format!("{{\"AtTime\":10,\"items\":[{init},{sync},{first},{short},{retry}]}}\n"));
     for (id, action) in [(5, "Route"), (6, "Route"), (7, "Shed")] {
-        let wanted = format!(r#""{action}":{{"GatewayId":"gateway-1","Tid":{id},"#);
-        assert!(lines[0].contains(&wanted), "{wanted} in {}", lines[0]);
+        let expected = format!(r#""{action}":{{"GatewayId":"gateway-1","Tid":{id},"#);
+        assert!(lines[0].contains(&expected), "{expected} in {}", lines[0]);
     }
 }
 
 #[test]
-fn malformed_lines_are_named_and_passed_over() {
-    let (lines, errors) = drill(concat!(
+fn malformed_lines_are_reported_and_skipped() {
+    let (lines, errors) = run_adapter(concat!(
         "nonsense\n",
         "{\"AtTime\":1,\"items\":[{\"Nope\":{\"GatewayId\":\"gateway-1\"}}]}\n",
         "{\"AtTime\":1,\"items\":[{\"Dropped\":{\"GatewayId\":\"gateway-1\"}}]}\n",
