--- a/quota-gateway/discovery/src/client.rs
+++ b/quota-gateway/discovery/src/client.rs
@@ -13,28 +13,28 @@
 
 /// How a full list that lacks many servers is treated.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Caution {
+pub struct RemovalPolicy {
     /// The share of the known servers, from 0 to 1, beyond which missing ones are removed only after the delay.
     pub share: f64,
     /// How long they are kept unless a list contains them.
     pub removal_delay: Duration,
 }
 
-/// What becomes of a list that has arrived.
+/// What a received list means for the view.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Taken {
+pub enum MergeOutcome {
     /// The caller applies this list.
-    List(HostList),
+    Merged(HostList),
     /// It is older than the view, which stays. The caller asks another service.
-    Behind,
+    Stale,
     /// It contains changes of another store or epoch, which mean nothing without the rest. The caller asks for the full
     /// list.
-    Foreign,
+    OtherStore,
 }
 
 /// A reader's view of the list.
 pub struct Follower {
-    caution: Caution,
+    removal_policy: RemovalPolicy,
     store: Option<u64>,
     epoch: u64,
     version: Option<u64>,
@@ -46,9 +46,9 @@
 
 impl Follower {
     /// Returns an empty view.
-    pub fn new(caution: Caution) -> Follower {
+    pub fn new(removal_policy: RemovalPolicy) -> Follower {
         Follower {
-            caution,
+            removal_policy,
             store: None,
             epoch: 0,
             version: None,
@@ -64,32 +64,34 @@
     }
 
     /// The caller asks another service from now on. Without a stated store, its versions may begin anywhere.
-    pub fn moved(&mut self) {
+    pub fn on_service_changed(&mut self) {
         if self.store.is_none() {
             self.version = None;
         }
     }
 
-    /// Returns the time since the last list was taken; `None` before the first one.
+    /// Returns the time since the last list was merged; `None` before the first one.
     pub fn age(&self, now: Now) -> Option<Duration> {
         self.last_list_at.map(|at| now.saturating_sub(at))
     }
 
     /// Returns the number of servers that are kept though the last full list lacked them.
-    pub fn suspects(&self) -> usize {
+    pub fn servers_pending_removal(&self) -> usize {
         self.removal_due_at.len()
     }
 
-    /// Takes a list that has arrived.
-    pub fn take(&mut self, mut list: HostList, now: Now) -> Taken {
+    /// Merges a received list into the view.
+    pub fn merge(&mut self, mut list: HostList, now: Now) -> MergeOutcome {
         let is_same_store = self.store.is_none() || list.store == self.store;
         match self.version {
             // A lower epoch is that of a replaced writer, however high its version has become since.
             Some(version) if is_same_store && (list.epoch < self.epoch || list.version < version) => {
-                return Taken::Behind;
+                return MergeOutcome::Stale;
             }
             // A new epoch as well: it may void the last changes of the former one.
-            Some(_) if !(list.full || is_same_store && list.epoch == self.epoch) => return Taken::Foreign,
+            Some(_) if !(list.full || is_same_store && list.epoch == self.epoch) => {
+                return MergeOutcome::OtherStore
+            }
             _ => {}
         }
         (self.store, self.epoch) = (list.store, list.epoch);
@@ -99,7 +101,7 @@
         if list.full {
             self.keep_missing(&mut list.servers, now);
         }
-        Taken::List(list)
+        MergeOutcome::Merged(list)
     }
 
     fn apply(&mut self, entry: &Entry) {
@@ -109,8 +111,8 @@
                 self.removal_due_at.remove(&host.id);
                 self.servers.insert(host.id.clone(), host.clone());
             }
-            Entry::Spoilt(Some(id)) => self.remove(id),
-            Entry::Spoilt(None) => {}
+            Entry::Malformed(Some(id)) => self.remove(id),
+            Entry::Malformed(None) => {}
         }
     }
 
@@ -119,7 +121,7 @@
         let is_listed =
             |id: &str| entries.iter().any(|entry| matches!(entry, Entry::Readable(host) if host.id == id));
         let missing: Vec<String> = self.servers.keys().filter(|id| !is_listed(id)).cloned().collect();
-        let is_sudden = missing.len() as f64 > self.caution.share * self.servers.len() as f64;
+        let is_sudden = missing.len() as f64 > self.removal_policy.share * self.servers.len() as f64;
         for id in missing {
             // A draining server is expected to leave.
             let is_draining = self.servers.get(&id).is_none_or(|host| host.state != State::Serving);
@@ -127,7 +129,7 @@
                 self.remove(&id);
                 continue;
             }
-            self.removal_due_at.entry(id.clone()).or_insert(now + self.caution.removal_delay);
+            self.removal_due_at.entry(id.clone()).or_insert(now + self.removal_policy.removal_delay);
             entries.extend(self.servers.get(&id).cloned().map(Entry::Readable));
         }
     }
@@ -137,14 +139,14 @@
         self.removal_due_at.remove(id);
     }
 
-    /// Returns when [`give_up`](Self::give_up) has a server to remove next.
-    pub fn next_end(&self) -> Option<Now> {
+    /// Returns when [`remove_overdue`](Self::remove_overdue) has a server to remove next.
+    pub fn next_removal_at(&self) -> Option<Now> {
         self.removal_due_at.values().min().copied()
     }
 
     /// Removes the servers that have been missing for the delay. Returns the list of these deletions, if there are any, for
     /// the caller to apply.
-    pub fn give_up(&mut self, now: Now) -> Option<HostList> {
+    pub fn remove_overdue(&mut self, now: Now) -> Option<HostList> {
         let is_due = |(_, due_at): &(&String, &Now)| **due_at <= now;
         let due: Vec<String> = self.removal_due_at.iter().filter(is_due).map(|(id, _)| id.clone()).collect();
         let deletion = |id: &String| {
--- a/quota-gateway/discovery/src/format.rs
+++ b/quota-gateway/discovery/src/format.rs
@@ -41,7 +41,7 @@
     /// A server.
     Readable(Host),
     /// An entry that cannot be read, with its id if that can. Whatever its state is, the server must not be used any more.
-    Spoilt(Option<String>),
+    Malformed(Option<String>),
 }
 
 fn deserialize_entries<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Entry>, D::Error> {
@@ -49,10 +49,10 @@
         .into_iter()
         .map(|entry| {
             let id = entry.get("id").and_then(Value::as_str).map(str::to_owned);
-            serde_json::from_value(entry).map_or(Entry::Spoilt(id), Entry::Readable)
+            serde_json::from_value(entry).map_or(Entry::Malformed(id), Entry::Readable)
         })
         .collect();
-    if !entries.is_empty() && entries.iter().all(|entry| matches!(entry, Entry::Spoilt(_))) {
+    if !entries.is_empty() && entries.iter().all(|entry| matches!(entry, Entry::Malformed(_))) {
         return Err(serde::de::Error::custom("no entry can be read"));
     }
     Ok(entries)
@@ -98,7 +98,7 @@
 
 /// A list of servers as it is written; see [`HostList`].
 #[derive(Serialize)]
-pub struct Telling<'a> {
+pub struct HostListRef<'a> {
     /// The version as of which it is.
     pub version: u64,
     /// Whether it contains all servers.
@@ -157,7 +157,7 @@
     }
 
     /// Parses the query of a request. Unknown names are ignored, and the wait is limited to [`MAX_WATCH_TIME`].
-    pub fn of_query(query: &str) -> Result<ListRequest, QueryError> {
+    pub fn parse(query: &str) -> Result<ListRequest, QueryError> {
         let (mut since, mut wait) = (None, None);
         for pair in query.split('&').filter(|pair| !pair.is_empty()) {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
--- a/quota-gateway/discovery/src/http/routes.rs
+++ b/quota-gateway/discovery/src/http/routes.rs
@@ -100,7 +100,7 @@
     let command = match request.path.as_str() {
         HOSTS => {
             expect_method(request, "GET")?;
-            let list = ListRequest::of_query(&request.query);
+            let list = ListRequest::parse(&request.query);
             return list.map(ApiRequest::List).map_err(|e| HttpError::new(400, e.to_string()));
         }
         "/discovery/status" => return expect_method(request, "GET").map(|()| ApiRequest::Status),
--- a/quota-gateway/discovery/src/store.rs
+++ b/quota-gateway/discovery/src/store.rs
@@ -9,7 +9,7 @@
 
 pub use command::{Command, Decision, Record, Registration, Rejection};
 
-use crate::format::{Host, State, Telling, MAX_LIST_BYTES};
+use crate::format::{Host, HostListRef, State, MAX_LIST_BYTES};
 use history::History;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -402,7 +402,8 @@
     }
 
     fn encode(&self, full: bool, servers: Vec<&Host>) -> Vec<u8> {
-        let list = Telling { version: self.version, full, store: self.origin, epoch: self.epoch, servers };
+        let list =
+            HostListRef { version: self.version, full, store: self.origin, epoch: self.epoch, servers };
         // Strings, numbers and addresses always serialise.
         serde_json::to_vec(&list).unwrap_or_default()
     }
--- a/quota-gateway/discovery/tests/follow.rs
+++ b/quota-gateway/discovery/tests/follow.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const CAUTION: Caution = Caution { share: 0.5, removal_delay: Duration::from_secs(10) };
+const REMOVAL_POLICY: RemovalPolicy = RemovalPolicy { share: 0.5, removal_delay: Duration::from_secs(10) };
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -50,8 +50,8 @@
 }
 
 fn take(follower: &mut Follower, view: &mut BTreeMap<String, State>, list: HostList, now: u64) {
-    match follower.take(list, ms(now)) {
-        Taken::List(list) => apply(view, &list),
+    match follower.merge(list, ms(now)) {
+        MergeOutcome::Merged(list) => apply(view, &list),
         other => panic!("{other:?}"),
     }
 }
@@ -60,10 +60,10 @@
 
 #[test]
 fn a_list_older_than_the_view_is_rejected() {
-    let (mut follower, mut view) = (Follower::new(CAUTION), BTreeMap::new());
+    let (mut follower, mut view) = (Follower::new(REMOVAL_POLICY), BTreeMap::new());
     take(&mut follower, &mut view, list(10, true, 1, &[("a", Serving), ("b", Draining)]), 0);
     for older in [list(9, true, 1, &[("a", Serving), ("b", Serving)]), list(7, false, 1, &[("b", Serving)])] {
-        assert_eq!(follower.take(older, ms(50)), Taken::Behind);
+        assert_eq!(follower.merge(older, ms(50)), MergeOutcome::Stale);
     }
     assert_eq!(
         (follower.version(), follower.age(ms(400))),
@@ -76,9 +76,9 @@
 
 #[test]
 fn another_store_is_taken_only_with_a_full_list() {
-    let (mut follower, mut view) = (Follower::new(CAUTION), BTreeMap::new());
+    let (mut follower, mut view) = (Follower::new(REMOVAL_POLICY), BTreeMap::new());
     take(&mut follower, &mut view, list(10, true, 1, &[("a", Serving)]), 0);
-    assert_eq!(follower.take(list(90, false, 2, &[("b", Serving)]), ms(1)), Taken::Foreign);
+    assert_eq!(follower.merge(list(90, false, 2, &[("b", Serving)]), ms(1)), MergeOutcome::OtherStore);
     // Its versions are not comparable to the former one's.
     take(&mut follower, &mut view, list(3, true, 2, &[("a", Serving), ("b", Serving)]), 2);
     assert_eq!((follower.version(), view.len()), (Some(3), 2));
@@ -86,47 +86,53 @@
 
 #[test]
 fn a_new_epoch_is_taken_only_with_a_full_list_and_the_former_one_not_at_all() {
-    let (mut follower, mut view) = (Follower::new(CAUTION), BTreeMap::new());
+    let (mut follower, mut view) = (Follower::new(REMOVAL_POLICY), BTreeMap::new());
     let under = |epoch: u64, list: HostList| HostList { epoch, ..list };
     take(&mut follower, &mut view, under(1, list(10, true, 1, &[("a", Serving)])), 0);
     // The new writer does not know the last change of the former one, "b".
     take(&mut follower, &mut view, under(1, list(11, false, 1, &[("b", Serving)])), 1);
-    assert_eq!(follower.take(under(2, list(20, false, 1, &[("c", Serving)])), ms(2)), Taken::Foreign);
+    assert_eq!(
+        follower.merge(under(2, list(20, false, 1, &[("c", Serving)])), ms(2)),
+        MergeOutcome::OtherStore
+    );
     take(&mut follower, &mut view, under(2, list(20, true, 1, &[("a", Serving), ("c", Serving)])), 3);
     assert_eq!(view.keys().map(String::as_str).collect::<Vec<_>>(), ["a", "c"]);
-    assert_eq!(follower.take(under(1, list(99, true, 1, &[("b", Serving)])), ms(4)), Taken::Behind);
+    assert_eq!(follower.merge(under(1, list(99, true, 1, &[("b", Serving)])), ms(4)), MergeOutcome::Stale);
 }
 
 #[test]
 fn many_servers_missing_at_once_are_kept_for_the_delay_unless_draining() {
-    let (mut follower, mut view) = (Follower::new(CAUTION), BTreeMap::new());
+    let (mut follower, mut view) = (Follower::new(REMOVAL_POLICY), BTreeMap::new());
     let all = [("a", Serving), ("b", Serving), ("c", Serving), ("d", Draining)];
     take(&mut follower, &mut view, list(1, true, 1, &all), 0);
     take(&mut follower, &mut view, list(2, true, 1, &[("a", Serving)]), 1000);
     assert_eq!(view.keys().map(String::as_str).collect::<Vec<_>>(), ["a", "b", "c"], "d drained");
-    assert_eq!((follower.suspects(), follower.next_end()), (2, Some(ms(11_000))));
+    assert_eq!((follower.servers_pending_removal(), follower.next_removal_at()), (2, Some(ms(11_000))));
     // A deletion removes one at once; a further list without the other does not restart its delay.
     take(&mut follower, &mut view, list(3, false, 1, &[("b", Deleted)]), 2000);
     take(&mut follower, &mut view, list(4, true, 1, &[("a", Serving)]), 3000);
     assert_eq!(view.keys().map(String::as_str).collect::<Vec<_>>(), ["a", "c"]);
-    assert_eq!(follower.give_up(ms(10_999)), None);
-    let deletions = follower.give_up(ms(11_000)).expect("its time is over");
+    assert_eq!(follower.remove_overdue(ms(10_999)), None);
+    let deletions = follower.remove_overdue(ms(11_000)).expect("its time is over");
     apply(&mut view, &deletions);
-    assert_eq!((view.len(), follower.suspects()), (1, 0));
+    assert_eq!((view.len(), follower.servers_pending_removal()), (1, 0));
     assert!(!deletions.full && deletions.version == 4);
 }
 
 #[test]
 fn few_missing_servers_are_removed_at_once() {
-    let (mut follower, mut view) = (Follower::new(CAUTION), BTreeMap::new());
+    let (mut follower, mut view) = (Follower::new(REMOVAL_POLICY), BTreeMap::new());
     take(&mut follower, &mut view, list(1, true, 1, &[("a", Serving), ("b", Serving), ("c", Serving)]), 0);
     take(&mut follower, &mut view, list(2, true, 1, &[("a", Serving), ("b", Serving)]), 1);
-    assert_eq!((view.len(), follower.suspects()), (2, 0));
+    assert_eq!((view.len(), follower.servers_pending_removal()), (2, 0));
     // A server that was missing and is listed again is no suspect.
     take(&mut follower, &mut view, list(3, true, 1, &[]), 2);
-    assert_eq!((view.len(), follower.suspects()), (2, 2));
+    assert_eq!((view.len(), follower.servers_pending_removal()), (2, 2));
     take(&mut follower, &mut view, list(4, true, 1, &[("a", Serving), ("b", Serving)]), 3);
-    assert_eq!((view.len(), follower.suspects(), follower.give_up(ms(99_000))), (2, 0, None));
+    assert_eq!(
+        (view.len(), follower.servers_pending_removal(), follower.remove_overdue(ms(99_000))),
+        (2, 0, None)
+    );
 }
 
 #[derive(Clone, Debug)]
@@ -186,7 +192,7 @@
             let mut stores = [Store::default(), Store::default()];
             let opened = stores[0].opening_record(1_700_000_000_000);
             stores[0].apply(opened, ms(0));
-            let (mut follower, mut view) = (Follower::new(CAUTION), BTreeMap::new());
+            let (mut follower, mut view) = (Follower::new(REMOVAL_POLICY), BTreeMap::new());
             let (mut now, mut in_flight): (u64, Vec<(u64, Vec<u8>)>) = (0, Vec::new());
             let (mut newest, mut replacements) = (0, 0);
             for step in steps {
@@ -242,29 +248,32 @@
                 while in_flight.first().is_some_and(|(at, _)| *at <= now) {
                     let (_, text) = in_flight.remove(0);
                     let list: HostList = serde_json::from_slice(&text).expect("a list");
-                    match follower.take(list, ms(now)) {
-                        Taken::List(list) => {
+                    match follower.merge(list, ms(now)) {
+                        MergeOutcome::Merged(list) => {
                             prop_assert!(list.version >= newest, "back to an older list");
                             newest = list.version;
                             apply(&mut view, &list);
                         }
-                        Taken::Behind => {
+                        MergeOutcome::Stale => {
                             behind.set(behind.get() + 1);
                         }
                         // The versions of two stores do not meet, so a watch that moves gets the full list at once.
-                        Taken::Foreign => prop_assert!(false, "changes of another store"),
+                        MergeOutcome::OtherStore => prop_assert!(false, "changes of another store"),
                     }
                 }
-                follower.give_up(ms(now)).iter().for_each(|list| apply(&mut view, list));
-                suspects.set(suspects.get() + follower.suspects());
+                follower.remove_overdue(ms(now)).iter().for_each(|list| apply(&mut view, list));
+                suspects.set(suspects.get() + follower.servers_pending_removal());
             }
             // The faults have ended.
             let full: HostList =
                 serde_json::from_slice(&stores[0].encode_list(None).expect("a list")).expect("a list");
-            if let Taken::List(list) = follower.take(full, ms(now)) {
+            if let MergeOutcome::Merged(list) = follower.merge(full, ms(now)) {
                 apply(&mut view, &list);
             }
-            follower.give_up(ms(now) + CAUTION.removal_delay).iter().for_each(|list| apply(&mut view, list));
+            follower
+                .remove_overdue(ms(now) + REMOVAL_POLICY.removal_delay)
+                .iter()
+                .for_each(|list| apply(&mut view, list));
             prop_assert_eq!(view, listed(&stores[0]));
             Ok(())
         })
--- a/quota-gateway/discovery/tests/format.rs
+++ b/quota-gateway/discovery/tests/format.rs
@@ -36,7 +36,7 @@
 proptest! {
     #[test]
     fn lists_round_trip(hosts in prop::collection::vec(host(), 0..20), version: u64, full: bool) {
-        let text = serde_json::to_vec(&Telling { version, full, store: 7, epoch: 1, servers: hosts.iter().collect() }).unwrap();
+        let text = serde_json::to_vec(&HostListRef { version, full, store: 7, epoch: 1, servers: hosts.iter().collect() }).unwrap();
         let list: HostList = serde_json::from_slice(&text).unwrap();
         prop_assert_eq!((list.version, list.full), (version, full));
         prop_assert_eq!(list.servers, hosts.into_iter().map(Entry::Readable).collect::<Vec<_>>());
@@ -49,14 +49,14 @@
         let (path, query) = target.split_once('?').expect("a query");
         prop_assert_eq!(path, HOSTS);
         let wait = Duration::from_millis(millis).min(MAX_WATCH_TIME);
-        prop_assert_eq!(ListRequest::of_query(query), Ok(ListRequest::Watch { since, wait }));
+        prop_assert_eq!(ListRequest::parse(query), Ok(ListRequest::Watch { since, wait }));
     }
 
     #[test]
     fn arbitrary_bytes_parse_within_bounds(bytes in prop::collection::vec(any::<u8>(), 0..400), query: String) {
         // Only a panic is a failure.
         let _ = serde_json::from_slice::<HostList>(&bytes);
-        if let Ok(ListRequest::Watch { wait, .. }) = ListRequest::of_query(&query) {
+        if let Ok(ListRequest::Watch { wait, .. }) = ListRequest::parse(&query) {
             prop_assert!(wait <= MAX_WATCH_TIME);
         }
     }
@@ -64,7 +64,7 @@
     /// A valid list with some bytes changed.
     #[test]
     fn a_corrupted_list_is_read_as_far_as_possible(hosts in prop::collection::vec(host(), 1..5), changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4)) {
-        let mut text = serde_json::to_vec(&Telling { version: 1, full: true, store: 7, epoch: 1, servers: hosts.iter().collect() }).unwrap();
+        let mut text = serde_json::to_vec(&HostListRef { version: 1, full: true, store: 7, epoch: 1, servers: hosts.iter().collect() }).unwrap();
         for (at, byte) in changes {
             let at = at.index(text.len());
             text[at] = byte;
@@ -95,6 +95,6 @@
         ("since=1&since=2", Err("since comes more than once".to_owned())),
         ("since=1&timeout_ms=1e3", Err("timeout_ms is no whole number".to_owned())),
     ] {
-        assert_eq!(ListRequest::of_query(query).map_err(|e| e.to_string()), request, "{query:?}");
+        assert_eq!(ListRequest::parse(query).map_err(|e| e.to_string()), request, "{query:?}");
     }
 }
--- a/quota-gateway/discovery/tests/golden.rs
+++ b/quota-gateway/discovery/tests/golden.rs
@@ -10,7 +10,7 @@
 
 use common::*;
 use golden::{bytes, same_bytes, same_text, text};
-use marblecroft_discovery::format::{Entry, Host, HostList, ListRequest, State, Telling};
+use marblecroft_discovery::format::{Entry, Host, HostList, HostListRef, ListRequest, State};
 use marblecroft_discovery::http::{self, ApiRequest, HttpRequest, ReplicationRequest, ReplicationResponse};
 use marblecroft_discovery::journal::{Journal, Storage};
 use marblecroft_discovery::store::{Command, Record, Registration, Snapshot, Store};
@@ -136,7 +136,7 @@
         [host("s-1", 81, State::Serving), host("s-2", 82, State::Draining), host("s-3", 83, State::Deleted)];
     let encode = |servers: &[Host]| {
         let servers = servers.iter().collect();
-        serde_json::to_string(&Telling { version: 1015, full: true, store: 1001, epoch: 7, servers })
+        serde_json::to_string(&HostListRef { version: 1015, full: true, store: 1001, epoch: 7, servers })
             .expect("text")
     };
     same_text("list.json", &encode(&servers));
@@ -155,7 +155,7 @@
         .into_iter()
         .map(|entry| match entry {
             Entry::Readable(host) => host,
-            Entry::Spoilt(id) => panic!("{id:?} cannot be read"),
+            Entry::Malformed(id) => panic!("{id:?} cannot be read"),
         })
         .collect();
     same_text("list.json", &encode(&read));
--- a/quota-gateway/server/src/config.rs
+++ b/quota-gateway/server/src/config.rs
@@ -5,7 +5,7 @@
 
 use crate::console::MAX_CALLERS;
 use crate::fleet_decisions::fleet_config::{FleetConfig, FleetConfigError};
-use marblecroft_discovery::client::Caution;
+use marblecroft_discovery::client::RemovalPolicy;
 use marblecroft_discovery::format::HostList;
 use marblecroft_logging::LogConfig;
 use marblecroft_simulator_adapter::Site;
@@ -125,8 +125,11 @@
 
 impl DiscoveryService {
     /// How a sudden loss of many servers is handled.
-    pub fn caution(&self) -> Caution {
-        Caution { share: self.missing_fraction, removal_delay: Duration::from_millis(self.removal_delay_ms) }
+    pub fn removal_policy(&self) -> RemovalPolicy {
+        RemovalPolicy {
+            share: self.missing_fraction,
+            removal_delay: Duration::from_millis(self.removal_delay_ms),
+        }
     }
 
     fn is_valid(&self) -> bool {
--- a/quota-gateway/server/src/discovery.rs
+++ b/quota-gateway/server/src/discovery.rs
@@ -137,7 +137,7 @@
         for entry in list.servers {
             let change = match entry {
                 Entry::Readable(host) => Some(self.on_host(host)),
-                Entry::Spoilt(id) => self.on_malformed_entry(id),
+                Entry::Malformed(id) => self.on_malformed_entry(id),
             };
             if let Some(ServerChange { info, addr }) = change {
                 addresses.push((info.id, addr));
--- a/quota-gateway/server/src/discovery/list_follower.rs
+++ b/quota-gateway/server/src/discovery/list_follower.rs
@@ -4,7 +4,7 @@
 //! [`marblecroft_discovery::client::Follower`], which also delays the removal of many servers at once.
 
 use crate::metric::Metric;
-use marblecroft_discovery::client::{Caution, Follower, Taken};
+use marblecroft_discovery::client::{Follower, MergeOutcome, RemovalPolicy};
 use marblecroft_discovery::format::HostList;
 use quick_error::quick_error;
 use std::cell::Cell;
@@ -61,8 +61,12 @@
 
 impl ListFollower {
     /// Creates a follower that holds no list.
-    pub fn new(caution: Caution) -> ListFollower {
-        ListFollower { follower: Follower::new(caution), started_at: Instant::now(), metrics: Rc::default() }
+    pub fn new(removal_policy: RemovalPolicy) -> ListFollower {
+        ListFollower {
+            follower: Follower::new(removal_policy),
+            started_at: Instant::now(),
+            metrics: Rc::default(),
+        }
     }
 
     /// The metrics, kept up to date.
@@ -75,35 +79,35 @@
     /// # Errors
     /// Fails if the list is older than the one in force, or of another store.
     pub fn merge(&mut self, list: HostList) -> Result<HostList, MergeError> {
-        let taken = self.follower.take(list, self.started_at.elapsed());
+        let taken = self.follower.merge(list, self.started_at.elapsed());
         self.update_metrics();
         match taken {
-            Taken::List(list) => Ok(list),
-            Taken::Behind => Err(MergeError::Behind),
-            Taken::Foreign => Err(MergeError::OtherStore),
+            MergeOutcome::Merged(list) => Ok(list),
+            MergeOutcome::Stale => Err(MergeError::Behind),
+            MergeOutcome::OtherStore => Err(MergeError::OtherStore),
         }
     }
 
     /// Returns the removal of servers that have been missing for too long, if there are any.
     pub fn remove_expired(&mut self) -> Option<HostList> {
-        let removal = self.follower.give_up(self.started_at.elapsed());
+        let removal = self.follower.remove_overdue(self.started_at.elapsed());
         self.update_metrics();
         removal
     }
 
     /// The time until the next missing server is removed.
     pub fn until_next_removal(&self) -> Option<Duration> {
-        Some(self.follower.next_end()?.saturating_sub(self.started_at.elapsed()))
+        Some(self.follower.next_removal_at()?.saturating_sub(self.started_at.elapsed()))
     }
 
     /// Records that other addresses are asked from now on.
     pub fn on_agents_changed(&mut self) {
-        self.follower.moved();
+        self.follower.on_service_changed();
     }
 
     fn update_metrics(&self) {
         let age = self.follower.age(self.started_at.elapsed());
         self.metrics.last_heard_at.set(age.and_then(|age| Instant::now().checked_sub(age)));
-        self.metrics.suspects.set(self.follower.suspects());
+        self.metrics.suspects.set(self.follower.servers_pending_removal());
     }
 }
--- a/quota-gateway/server/src/process.rs
+++ b/quota-gateway/server/src/process.rs
@@ -164,7 +164,7 @@
 
     let (agents_sender, agents) = watch::channel(config.agents());
     spawn_local(reload(hangup, agents_sender));
-    let follower = config.list_service.as_ref().map(|service| ListFollower::new(service.caution()));
+    let follower = config.list_service.as_ref().map(|service| ListFollower::new(service.removal_policy()));
     let list_metrics = follower.as_ref().map(ListFollower::metrics);
     let mut discovery = Discovery::new(core.engine.clone(), agents, follower, discovery_settings(&config));
     let operations = Rc::new(Operations {
--- a/testing/fault-injection/src/shell/lists.rs
+++ b/testing/fault-injection/src/shell/lists.rs
@@ -176,7 +176,7 @@
         if request.uri().path() != HOSTS {
             return Ok(plain(404, "", "no such path".to_owned()));
         }
-        let ask = match ListRequest::of_query(request.uri().query().unwrap_or_default()) {
+        let ask = match ListRequest::parse(request.uri().query().unwrap_or_default()) {
             Ok(ask) => ask,
             Err(e) => return Ok(plain(400, "", e.to_string())),
         };
@@ -257,7 +257,7 @@
 fn calls(world: Rc<World>, gateway: u16) -> Tap {
     messages(move |line, _| {
         let query = line.split(' ').nth(1).and_then(|target| target.strip_prefix(HOSTS));
-        if let Some(Ok(ask)) = query.map(|query| ListRequest::of_query(query.trim_start_matches('?'))) {
+        if let Some(Ok(ask)) = query.map(|query| ListRequest::parse(query.trim_start_matches('?'))) {
             let since = if let ListRequest::Watch { since, .. } = ask { Some(since) } else { None };
             world.record(Event::ListAsked { gateway, since });
         }
@@ -280,7 +280,7 @@
             .iter()
             .filter_map(|entry| match entry {
                 Entry::Readable(host) => Some((*numbers.get(&host.id)?, told(host.state))),
-                Entry::Spoilt(_) => None,
+                Entry::Malformed(_) => None,
             })
             .collect();
         world.record(Event::ListTold {
--- a/testing/fault-injection/src/shell/run.rs
+++ b/testing/fault-injection/src/shell/run.rs
@@ -22,7 +22,7 @@
 use hyper_util::rt::TokioIo;
 use marblecroft_coordination::client::Client;
 use marblecroft_coordination::wire;
-use marblecroft_discovery::format::{Host, State, Telling};
+use marblecroft_discovery::format::{Host, HostListRef, State};
 use rustix::time::{clock_gettime, ClockId};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -362,7 +362,7 @@
             .collect();
         // A version that every store is beyond: the first watch tells all.
         let servers = hosts.iter().collect();
-        json!(Telling { version: 0, full: true, store: 0, epoch: 0, servers })
+        json!(HostListRef { version: 0, full: true, store: 0, epoch: 0, servers })
     }
 
     async fn start_gateway(&self, number: u16, with_list: bool) -> Result<(), String> {
--- a/testing/fault-injection/src/stand/list.rs
+++ b/testing/fault-injection/src/stand/list.rs
@@ -4,7 +4,7 @@
 //! gateway, what the list learns late. Leaves out: an agent of each gateway that is behind the others, lost changes.
 
 use crate::history::Told;
-use marblecroft_discovery::format::{Host, ListRequest, State, Telling};
+use marblecroft_discovery::format::{Host, HostListRef, ListRequest, State};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -62,7 +62,13 @@
     pub fn body(&mut self, view: Ipv4Addr) -> serde_json::Result<Vec<u8>> {
         self.servers.iter_mut().for_each(|(_, host)| host.addr.set_ip(view.into()));
         let servers = self.servers.iter().map(|(_, host)| host).collect();
-        serde_json::to_vec(&Telling { version: self.version, full: self.full, store: 1, epoch: 1, servers })
+        serde_json::to_vec(&HostListRef {
+            version: self.version,
+            full: self.full,
+            store: 1,
+            epoch: 1,
+            servers,
+        })
     }
 
     pub fn told(&self) -> Vec<(u16, Told)> {
