--- a/quota-gateway/controller/src/decisions.rs
+++ b/quota-gateway/controller/src/decisions.rs
@@ -6,9 +6,9 @@
 use marblecroft_control_messages::frame::{decode, encode, DecodeError, Fleet};
 use marblecroft_control_messages::published::{Body, Decision, Stamp};
 use marblecroft_control_messages::report::Report;
-use marblecroft_fair_share::body::ShareDecision;
-use marblecroft_fair_share::owner::Owner as Shares;
-use marblecroft_fair_share::taker::SHRINK;
+use marblecroft_fair_share::allocator::ShareAllocator;
+use marblecroft_fair_share::decision::ShareDecision;
+use marblecroft_fair_share::limiter::SHRINK_INTERVAL;
 use marblecroft_singleton_roles::keys::Keys;
 use marblecroft_singleton_roles::view::View;
 use marblecroft_zone_failover::body::{State, ZonesDecided};
@@ -61,7 +61,7 @@
             let before = read::<ShareDecision>(fleet, duty, standing);
             let standing = before.as_ref().map(|decision| (decision.stamp, &decision.body));
             let valid = Duration::from_millis(config.valid.shares_ms.into());
-            let core = Shares::begin(now, valid, SHRINK, OBSERVATION_TIME, standing);
+            let core = ShareAllocator::new(now, valid, SHRINK_INTERVAL, OBSERVATION_TIME, standing);
             Some(Box::new(FairShareRole { fleet, names, valid: config.valid, config: config.shares?, core }))
         }
         "books" => {
@@ -137,12 +137,12 @@
     names: Keys,
     valid: Valid,
     config: SharesConfig,
-    core: Shares,
+    core: ShareAllocator,
 }
 
 impl Decides for FairShareRole {
     fn report(&mut self, now: Now, report: &Report) -> Result<(), DecodeError> {
-        self.core.report(now, report)
+        self.core.handle_report(now, report)
     }
 
     fn view(&mut self, _: Now, view: &View) {
@@ -160,7 +160,7 @@
             None => self.config.capacity,
         };
         if capacity > 0.0 {
-            self.core.capacity(capacity);
+            self.core.set_capacity(capacity);
         }
     }
 
--- /dev/null
+++ b/quota-gateway/fair-share/src/allocator.rs
@@ -0,0 +1,162 @@
+//! The allocator at the owner of the role: from the reported demand of all gateways to the level and the grants.
+
+mod allocation;
+mod gateway;
+
+pub use allocation::SLACK;
+
+use crate::decision::{ShareDecision, MAX_GATEWAYS, MIN_WEIGHT};
+use allocation::{allocate, Claim};
+use gateway::Gateway;
+use marblecroft_control_messages::frame::DecodeError;
+use marblecroft_control_messages::published::{Instant, Stamp};
+use marblecroft_control_messages::report::Report;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Time after which an omitted gateway counts as gone, and what is reserved for it is granted to others. A gateway that is
+/// unreachable for longer and still runs may exceed the capacity (`docs/fair-share.md`).
+pub const GRANT_LIFETIME: Duration = Duration::from_secs(60);
+/// Relative change of a level, and change of a grant as a fraction of the capacity, up to which nothing new is published.
+const MIN_RELATIVE_CHANGE: f64 = 0.002;
+
+/// The allocator of one owner.
+pub struct ShareAllocator {
+    gateways: BTreeMap<u32, Gateway>,
+    /// Units per second of all zones that serve.
+    capacity: f64,
+    validity: Duration,
+    shrink_interval: Duration,
+    /// Time for which it only receives reports before it decides.
+    observation_time: Duration,
+    observing_since: Instant,
+    last_run_at: Instant,
+    published: Option<ShareDecision>,
+}
+
+impl ShareAllocator {
+    /// Creates an allocator that continues from the `standing` decision of a former owner. It decides nothing for
+    /// `observation_time`, so that every gateway has reported before. `validity` is that of its decisions, and `shrink_interval`
+    /// the time in which a gateway with an expired decision shrinks to its equal share.
+    pub fn new(
+        now: Instant,
+        validity: Duration,
+        shrink_interval: Duration,
+        observation_time: Duration,
+        standing: Option<(Stamp, &ShareDecision)>,
+    ) -> ShareAllocator {
+        let gateways = standing.into_iter().flat_map(|(stamp, decision)| {
+            let with_grant = move |&(gateway, units): &(u32, f32)| {
+                (gateway, Gateway::with_grant(now, stamp, f64::from(units)))
+            };
+            decision.grants.iter().map(with_grant)
+        });
+        ShareAllocator {
+            gateways: gateways.collect(),
+            capacity: standing.map_or(0.0, |(_, decision)| decision.capacity),
+            validity,
+            shrink_interval,
+            observation_time,
+            observing_since: now,
+            last_run_at: now,
+            published: standing.map(|(_, decision)| decision.clone()),
+        }
+    }
+
+    /// Sets the capacity of all zones that serve, in units per second.
+    pub fn set_capacity(&mut self, capacity: f64) {
+        self.capacity = capacity;
+    }
+
+    /// Handles the report of a gateway; a stale one has no effect.
+    ///
+    /// # Errors
+    ///
+    /// [`DecodeError::TooLong`] if it is from a further gateway than [`MAX_GATEWAYS`].
+    pub fn handle_report(&mut self, now: Instant, report: &Report) -> Result<(), DecodeError> {
+        let known = self.gateways.get(&report.gateway);
+        if known.is_some_and(|gateway| gateway.is_stale(report)) {
+            return Ok(());
+        }
+        if known.is_none() && self.gateways.len() >= MAX_GATEWAYS {
+            return Err(DecodeError::TooLong);
+        }
+        let previous = self.gateways.remove(&report.gateway);
+        self.gateways.insert(report.gateway, Gateway::from_report(now, report, previous));
+        Ok(())
+    }
+
+    /// Computes the decision to publish under `stamp`; `None` while it observes, without capacity, or if the published one is
+    /// near enough.
+    pub fn decide(&mut self, now: Instant, stamp: Stamp) -> Option<ShareDecision> {
+        self.resume_observation_after_stall(now);
+        if now.saturating_sub(self.observing_since) < self.observation_time || self.capacity <= 0.0 {
+            return None;
+        }
+        let is_gone = |omitted_since: Instant| now.saturating_sub(omitted_since) >= GRANT_LIFETIME;
+        self.gateways.retain(|_, gateway| !gateway.omitted_since.is_some_and(is_gone));
+        let weight = self.weight();
+        let decision = allocate(&self.claims(now, weight), self.capacity, weight);
+        if self.published.as_ref().is_some_and(|published| !is_significant_change(published, &decision)) {
+            return None;
+        }
+        self.record_published(now, stamp, &decision);
+        Some(decision)
+    }
+
+    /// An owner that stalled has received no reports meanwhile: it observes again, and omits no gateway because of it.
+    fn resume_observation_after_stall(&mut self, now: Instant) {
+        let stalled_for = now.saturating_sub(self.last_run_at);
+        self.last_run_at = now;
+        if stalled_for > self.observation_time {
+            self.observing_since = now;
+            self.gateways.values_mut().for_each(|gateway| gateway.reported_at += stalled_for);
+        }
+    }
+
+    /// Returns the sum of the weights of firms with demand, at all gateways.
+    fn weight(&self) -> f64 {
+        self.gateways.values().map(|gateway| gateway.demand.weight).sum()
+    }
+
+    fn claims(&self, now: Instant, weight: f64) -> Vec<Claim<'_>> {
+        self.gateways
+            .iter()
+            .map(|(&id, gateway)| {
+                let equal_share = self.capacity * gateway.demand.weight / weight.max(MIN_WEIGHT);
+                Claim {
+                    gateway: id,
+                    demand: &gateway.demand,
+                    reserved: gateway.reserved(now, self.validity, self.shrink_interval, equal_share),
+                    is_reachable: now.saturating_sub(gateway.reported_at) <= self.validity,
+                }
+            })
+            .collect()
+    }
+
+    fn record_published(&mut self, now: Instant, stamp: Stamp, decision: &ShareDecision) {
+        for (id, gateway) in &mut self.gateways {
+            match decision.grant(*id) {
+                Some(units) => gateway.add_grant(stamp, units),
+                None => {
+                    gateway.omitted_since.get_or_insert(now);
+                }
+            }
+        }
+        self.published = Some(decision.clone());
+    }
+}
+
+/// Returns whether a new decision differs enough from the published one to replace it.
+fn is_significant_change(published: &ShareDecision, new: &ShareDecision) -> bool {
+    let is_far = |a: f64, b: f64| (a - b).abs() > MIN_RELATIVE_CHANGE * a.abs().max(b.abs());
+    let min_change = MIN_RELATIVE_CHANGE * new.capacity;
+    published.grants.len() != new.grants.len()
+        || is_far(published.level, new.level)
+        || is_far(published.capacity, new.capacity)
+        || published
+            .grants
+            .iter()
+            .zip(&new.grants)
+            .any(|(a, b)| a.0 != b.0 || f64::from((a.1 - b.1).abs()) > min_change)
+}
--- a/quota-gateway/fair-share/src/lib.rs
+++ b/quota-gateway/fair-share/src/lib.rs
@@ -1,17 +1,20 @@
-//! Fair shares of the fleet's capacity among firms, by distributed weighted max-min sharing (`docs/fair-share.md`). No I/O, no clock.
+//! Fair shares of the fleet's capacity among firms, by distributed weighted max-min sharing (`docs/fair-share.md`). No I/O and no
+//! clock: each call is given the instant.
 //!
-//! No process sees every pair of firm and gateway. A gateway sums its firms up into one function of the level (units a second for
-//! each weight); the owner adds these up, finds the level at which they meet the capacity, and publishes it with a **grant** for
-//! each gateway. A gateway works its firms' parts out of both. The sum of grants that any gateway may still go by never passes the
-//! capacity by more than [`owner::SLACK`], whatever is cut, late or lost.
+//! No process sees every pair of firm and gateway. A gateway samples the demand of its firms as one function of the level (units
+//! per second and weight). The allocator adds these functions up, finds the level at which the sum meets the capacity, and
+//! publishes it with a **grant** for each gateway. A gateway derives the limits of its firms from both. The sum of the grants
+//! that gateways may still apply never exceeds the capacity by more than [`allocator::SLACK`], whatever is partitioned, delayed
+//! or lost; only a gateway that was unreachable for [`allocator::GRANT_LIFETIME`] and still runs is an exception.
 //!
-//! - [`body`]: what is published.
-//! - [`curve`]: sums of firms as a function of the level, and its inverse.
-//! - [`taker`]: a gateway's side.
-//! - [`owner`]: the owner's side.
+//! - [`decision`]: what is published.
+//! - [`demand_curve`]: demand as a function of the level, and its inverse.
+//! - [`limiter`]: the limits of firms at one gateway.
+//! - [`allocator`]: the level and the grants, at the owner of the role.
 #![forbid(unsafe_code)]
 
-pub mod body;
-pub mod curve;
-pub mod owner;
-pub mod taker;
+pub mod allocator;
+pub mod decision;
+pub mod demand_curve;
+pub mod limiter;
+mod token_bucket;
--- /dev/null
+++ b/quota-gateway/fair-share/src/limiter/firm.rs
@@ -0,0 +1,74 @@
+//! One firm at one gateway: its estimated demand, and its token bucket.
+
+use crate::demand_curve::LocalFirm;
+use crate::token_bucket::TokenBucket;
+use marblecroft_control_messages::published::Instant;
+use std::time::Duration;
+
+/// Time constant of the exponential decay of a firm's estimated demand, in seconds.
+const DEMAND_DECAY_SECONDS: f64 = 1.0;
+
+/// What is known of a firm besides its demand.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct FirmQuota {
+    /// Its weight among all firms.
+    pub weight: f64,
+    /// The metered fraction of its traffic that passes through this gateway.
+    pub local_fraction: f64,
+    /// That fraction if its traffic were spread evenly over its gateways.
+    pub equal_fraction: f64,
+    /// Units per second that its quota admits here; demand above it is not served by any share.
+    pub rate_limit: f64,
+}
+
+/// The state of a firm.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Firm {
+    pub(super) quota: FirmQuota,
+    /// Units per second that it may be sent.
+    pub(super) allowed_rate: f64,
+    pub(super) bucket: TokenBucket,
+    /// Decaying average of the requested units per second, as of the last request.
+    requested_rate: f64,
+    requested_at: Instant,
+}
+
+impl Firm {
+    /// Creates the state of a firm whose first request has these units. That request is within its limit, as there is none
+    /// before the next decision is applied.
+    pub(super) fn new(now: Instant, quota: FirmQuota, units: f64) -> Firm {
+        let bucket = TokenBucket::empty(now);
+        Firm { quota, allowed_rate: units, bucket, requested_rate: 0.0, requested_at: now }
+    }
+
+    /// Records a request of `units` that add to the demand by `demand_units`.
+    pub(super) fn record_request(&mut self, now: Instant, quota: FirmQuota, units: f64, demand_units: f64) {
+        self.quota = quota;
+        self.requested_rate = self.requested_rate_at(now) + demand_units / DEMAND_DECAY_SECONDS;
+        self.requested_at = now;
+        self.bucket.refill(now, self.allowed_rate, units);
+    }
+
+    fn requested_rate_at(&self, now: Instant) -> f64 {
+        let idle_seconds = now.saturating_sub(self.requested_at).as_secs_f64();
+        self.requested_rate * (-idle_seconds / DEMAND_DECAY_SECONDS).exp()
+    }
+
+    /// Returns how long it has sent no request.
+    pub(super) fn idle_time(&self, now: Instant) -> Duration {
+        now.saturating_sub(self.requested_at)
+    }
+
+    /// Returns its demand and weight at this gateway.
+    pub(super) fn local(&self, now: Instant) -> LocalFirm {
+        LocalFirm {
+            demand: self.requested_rate_at(now).min(self.quota.rate_limit),
+            weight: self.quota.weight * self.quota.local_fraction,
+        }
+    }
+
+    /// Returns its weight at this gateway if its traffic were spread evenly.
+    pub(super) fn equal_weight(&self) -> f64 {
+        self.quota.weight * self.quota.equal_fraction
+    }
+}
--- a/quota-gateway/fair-share/tests/owner.rs
+++ b/quota-gateway/fair-share/tests/allocator.rs
@@ -2,8 +2,8 @@
 
 use marblecroft_control_messages::published::Stamp;
 use marblecroft_control_messages::report::{AppliedDecisions, Report};
-use marblecroft_fair_share::curve::{first_points, sample, LocalFirm};
-use marblecroft_fair_share::owner::{Owner, SLACK};
+use marblecroft_fair_share::allocator::{ShareAllocator, SLACK};
+use marblecroft_fair_share::demand_curve::{first_points, sample, LocalFirm};
 use std::time::Duration;
 
 const VALID: Duration = Duration::from_secs(5);
@@ -30,18 +30,18 @@
 /// Two gateways swap their demands. One of them goes on by its old, larger grant: the other gets what is free and no more, until the
 /// first says that it goes by the smaller one.
 #[test]
-fn what_falls_binds_before_what_rises() {
-    let mut owner = Owner::begin(at(0), VALID, SHRINK, at(1000), None);
-    owner.capacity(100.0);
+fn a_grant_rises_only_after_another_gateway_applies_its_smaller_one() {
+    let mut allocator = ShareAllocator::new(at(0), VALID, SHRINK, at(1000), None);
+    allocator.set_capacity(100.0);
     let (mut stamp, mut number) = (Stamp { token: 1, revision: 0 }, 0);
-    let mut round = |owner: &mut Owner, now: u64, asks: [f64; 2], goes_by: [Stamp; 2]| {
+    let mut round = |allocator: &mut ShareAllocator, now: u64, asks: [f64; 2], goes_by: [Stamp; 2]| {
         number += 1;
         for gateway in 0..2 {
             let told = report(gateway as u32, number, asks[gateway], goes_by[gateway]);
-            owner.report(at(now), &told).expect("well formed");
+            allocator.handle_report(at(now), &told).expect("well formed");
         }
         let next = Stamp { revision: stamp.revision + 1, ..stamp };
-        let decided = owner.decide(at(now), next);
+        let decided = allocator.decide(at(now), next);
         if decided.is_some() {
             stamp = next;
         }
@@ -50,7 +50,7 @@
     let mut newest = (None, Stamp::default());
     for second in 0..6 {
         let before = newest.1;
-        let now = round(&mut owner, second * 1000, [150.0, 20.0], [before; 2]);
+        let now = round(&mut allocator, second * 1000, [150.0, 20.0], [before; 2]);
         newest = (now.0.or(newest.0), now.1);
     }
     let first = newest.0.clone().expect("decided");
@@ -58,7 +58,7 @@
     assert!((79.0..=85.0).contains(&old), "{first:?}");
     let stale = newest.1;
     for second in 6..10 {
-        let (decided, now) = round(&mut owner, second * 1000, [20.0, 150.0], [stale, newest.1]);
+        let (decided, now) = round(&mut allocator, second * 1000, [20.0, 150.0], [stale, newest.1]);
         if let Some(decided) = decided {
             let sum = old + decided.grant(1).expect("named");
             assert!(
@@ -70,7 +70,7 @@
     }
     // It has read the newest: now the other rises to what is left.
     for second in 10..14 {
-        let (decided, now) = round(&mut owner, second * 1000, [20.0, 150.0], [newest.1; 2]);
+        let (decided, now) = round(&mut allocator, second * 1000, [20.0, 150.0], [newest.1; 2]);
         newest = (decided.or(newest.0), now);
     }
     let last = newest.0.expect("decided");
@@ -79,9 +79,9 @@
 
 /// A gateway that is not heard keeps its grant until its decision must have lapsed, then shrinks, and is given up after a minute.
 #[test]
-fn what_a_silent_gateway_may_use_is_kept_for_it() {
-    let mut owner = Owner::begin(at(0), VALID, SHRINK, at(1000), None);
-    owner.capacity(100.0);
+fn the_grant_of_an_unreachable_gateway_stays_reserved_until_it_counts_as_gone() {
+    let mut allocator = ShareAllocator::new(at(0), VALID, SHRINK, at(1000), None);
+    allocator.set_capacity(100.0);
     let mut stamp = Stamp { token: 1, revision: 0 };
     let mut grant = (0.0, 0.0);
     let mut seen = Vec::new();
@@ -91,11 +91,11 @@
                 // While both are heard the first asks for little, so that the other has far more than its equal part.
                 let asks = if gateway == 0 && second < 6 { 10.0 } else { 150.0 };
                 let told = report(gateway, second + 1, asks, stamp);
-                owner.report(at(second * 1000), &told).expect("well formed");
+                allocator.handle_report(at(second * 1000), &told).expect("well formed");
             }
         }
         let next = Stamp { revision: stamp.revision + 1, ..stamp };
-        if let Some(decided) = owner.decide(at(second * 1000), next) {
+        if let Some(decided) = allocator.decide(at(second * 1000), next) {
             stamp = next;
             grant = (decided.grant(0).unwrap_or(0.0), decided.grant(1).unwrap_or(grant.1));
         }
--- a/quota-gateway/fair-share/tests/conformance.rs
+++ b/quota-gateway/fair-share/tests/conformance.rs
@@ -2,9 +2,9 @@
 
 use marblecroft_control_messages::published::{Decision, DecisionReader, Stamp};
 use marblecroft_control_messages::report::{AppliedDecisions, Report};
-use marblecroft_fair_share::body::ShareDecision;
-use marblecroft_fair_share::owner::Owner;
-use marblecroft_fair_share::taker::{FirmQuota, Taker, SHRINK};
+use marblecroft_fair_share::allocator::ShareAllocator;
+use marblecroft_fair_share::decision::ShareDecision;
+use marblecroft_fair_share::limiter::{FirmQuota, ShareLimiter, SHRINK_INTERVAL};
 use marblecroft_test_support::conformance::{hold, Played};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -51,11 +51,11 @@
 impl Row {
     fn play(&self) -> Result<(), String> {
         let gateways = self.firms.iter().map(|(_, at)| at.len()).max().unwrap_or(0);
-        let mut takers: Vec<Taker> = (0..gateways as u32).map(Taker::new).collect();
+        let mut limiters: Vec<ShareLimiter> = (0..gateways as u32).map(ShareLimiter::new).collect();
         let mut readers: Vec<DecisionReader<ShareDecision>> = vec![DecisionReader::default(); gateways];
         let at = |ms: u64| Duration::from_millis(ms);
-        let mut owner = Owner::begin(at(0), VALID, SHRINK, at(1500), None);
-        owner.capacity(self.capacity);
+        let mut allocator = ShareAllocator::new(at(0), VALID, SHRINK_INTERVAL, at(1500), None);
+        allocator.set_capacity(self.capacity);
         let decided_for = 12;
         let last = decided_for + self.alone_s;
         let mut gets = vec![0.0; self.firms.len()];
@@ -68,14 +68,14 @@
                     for (g, asks) in asks.iter().enumerate().filter(|(_, asks)| **asks > 0.0) {
                         let known = FirmQuota {
                             weight: *weight,
-                            part: asks / all,
-                            equal: asks / all,
-                            quota: self.quota,
+                            local_fraction: asks / all,
+                            equal_fraction: asks / all,
+                            rate_limit: self.quota,
                         };
                         let units = asks / PIECES as f64;
                         for try_ in 0..=self.again {
-                            if takers[g].request(now, f as u64, known, units, try_ > 0) {
-                                takers[g].take(f as u64, units);
+                            if limiters[g].request(now, f as u64, known, units, try_ > 0) {
+                                limiters[g].charge(f as u64, units);
                                 gets[f] += if second == last { units } else { 0.0 };
                                 break;
                             }
@@ -83,14 +83,17 @@
                     }
                 }
                 if piece % 25 == 0 {
-                    takers.iter_mut().zip(&readers).for_each(|(taker, reader)| taker.obey(now, reader));
+                    limiters
+                        .iter_mut()
+                        .zip(&readers)
+                        .for_each(|(limiter, reader)| limiter.apply_decision(now, reader));
                 }
             }
             let now = at(second * 1000 + 990);
             if second >= decided_for {
                 continue;
             }
-            for (g, taker) in takers.iter_mut().enumerate() {
+            for (g, limiter) in limiters.iter_mut().enumerate() {
                 let goes_by = AppliedDecisions {
                     shares: readers[g].stamp().unwrap_or_default(),
                     ..AppliedDecisions::default()
@@ -103,14 +106,14 @@
                     span_ms: 1000,
                     requested_units: 1.0,
                     zones: Vec::new(),
-                    demand: taker.report(now),
+                    demand: limiter.sample_demand(now),
                     applied_decisions: goes_by,
                 };
-                owner.report(now, &report).map_err(|why| why.to_string())?;
+                allocator.handle_report(now, &report).map_err(|why| why.to_string())?;
             }
             revision += 1;
             let stamp = Stamp { token: 1, revision };
-            if let Some(body) = owner.decide(now, stamp) {
+            if let Some(body) = allocator.decide(now, stamp) {
                 let decision = Decision { stamp, valid_ms: VALID.as_millis() as u32, body };
                 for reader in &mut readers {
                     reader.accept(now, decision.clone());
--- a/quota-gateway/fair-share/tests/fleet.rs
+++ b/quota-gateway/fair-share/tests/fleet.rs
@@ -3,11 +3,11 @@
 
 use marblecroft_control_messages::published::{Decision, DecisionReader, Stamp};
 use marblecroft_control_messages::report::{AppliedDecisions, Report};
-use marblecroft_fair_share::body::ShareDecision;
-use marblecroft_fair_share::curve::{self, LocalFirm};
-use marblecroft_fair_share::owner::{Owner, SLACK};
-use marblecroft_fair_share::taker::SHRINK;
-use marblecroft_fair_share_reference::{fill, jain, Firm};
+use marblecroft_fair_share::allocator::{ShareAllocator, SLACK};
+use marblecroft_fair_share::decision::ShareDecision;
+use marblecroft_fair_share::demand_curve::{self, LocalFirm};
+use marblecroft_fair_share::limiter::SHRINK_INTERVAL;
+use marblecroft_fair_share_reference::{jain_index, max_min_shares, Firm};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -46,7 +46,7 @@
     firms: Vec<Client>,
     at: Vec<Vec<(usize, usize)>>,
     gates: Vec<Gate>,
-    owner: Owner,
+    allocator: ShareAllocator,
     stamp: Stamp,
     lossy: f64,
     decisions: Vec<(u64, usize, Decision<ShareDecision>)>,
@@ -84,14 +84,14 @@
         let gates = (0..gateways)
             .map(|_| Gate {
                 reader: DecisionReader::default(),
-                points: curve::first_points(),
+                points: demand_curve::first_points(),
                 number: 0,
                 report_at: rng.random_range(0..ROUND),
                 deaf: false,
             })
             .collect();
-        let mut owner = Owner::begin(at(0), VALID, SHRINK, at(2200), None);
-        owner.capacity(capacity);
+        let mut allocator = ShareAllocator::new(at(0), VALID, SHRINK_INTERVAL, at(2200), None);
+        allocator.set_capacity(capacity);
         World {
             rng,
             now: 0,
@@ -100,7 +100,7 @@
             firms,
             at: Vec::new(),
             gates,
-            owner,
+            allocator,
             stamp: Stamp { token: 1, revision: 0 },
             lossy: 0.0,
             decisions: Vec::new(),
@@ -138,21 +138,21 @@
             let here = self.here(g);
             let firms: Vec<LocalFirm> = here.iter().map(|(.., here)| *here).collect();
             // The gateway's own code, fed with what its firms ask for.
-            let mut taker = marblecroft_fair_share::taker::Taker::new(g as u32);
+            let mut limiter = marblecroft_fair_share::limiter::ShareLimiter::new(g as u32);
             for (f, k, here) in &here {
-                let known = marblecroft_fair_share::taker::FirmQuota {
+                let known = marblecroft_fair_share::limiter::FirmQuota {
                     weight: self.firms[*f].weight,
-                    part: self.firms[*f].believed[*k],
-                    equal: 1.0 / self.firms[*f].spread.len() as f64,
-                    quota: f64::INFINITY,
+                    local_fraction: self.firms[*f].believed[*k],
+                    equal_fraction: 1.0 / self.firms[*f].spread.len() as f64,
+                    rate_limit: f64::INFINITY,
                 };
-                taker.request(now, *f as u64, known, here.demand, false);
+                limiter.request(now, *f as u64, known, here.demand, false);
             }
-            taker.obey(now, &self.gates[g].reader);
+            limiter.apply_decision(now, &self.gates[g].reader);
             for ((f, ..), here) in here.iter().zip(&firms) {
-                let allowed = taker.allowed(*f as u64).expect("it has just asked");
-                let units = match taker.bound() {
-                    marblecroft_fair_share::taker::Bound::None => here.demand,
+                let allowed = limiter.allowed_rate(*f as u64).expect("it has just asked");
+                let units = match limiter.limit() {
+                    marblecroft_fair_share::limiter::ShareLimit::Unlimited => here.demand,
                     _ => here.demand.min(allowed),
                 };
                 self.gets[*f] += units;
@@ -184,7 +184,7 @@
             self.gates[g].number += 1;
             let here: Vec<LocalFirm> = self.here(g).into_iter().map(|(.., here)| here).collect();
             let gate = &self.gates[g];
-            let shares = curve::sample(&here, &gate.points);
+            let shares = demand_curve::sample(&here, &gate.points);
             let goes_by = AppliedDecisions {
                 shares: gate.reader.stamp().unwrap_or_default(),
                 ..AppliedDecisions::default()
@@ -216,11 +216,11 @@
             return;
         }
         for (_, report) in come {
-            self.owner.report(at(now), &report).expect("well formed");
+            self.allocator.handle_report(at(now), &report).expect("well formed");
         }
         if now % 500 < ms {
             let stamp = Stamp { revision: self.stamp.revision + 1, ..self.stamp };
-            if let Some(body) = self.owner.decide(at(now), stamp) {
+            if let Some(body) = self.allocator.decide(at(now), stamp) {
                 self.stamp = stamp;
                 self.last = Some((stamp, body.clone()));
                 let decision = Decision { stamp, valid_ms: VALID.as_millis() as u32, body };
@@ -259,8 +259,8 @@
     }
 
     fn exact(&self) -> (Vec<Firm>, Vec<f64>) {
-        let firms: Vec<Firm> = self.firms.iter().map(|f| Firm { asks: f.asks, weight: f.weight }).collect();
-        let gets = fill(&firms, self.capacity);
+        let firms: Vec<Firm> = self.firms.iter().map(|f| Firm { demand: f.asks, weight: f.weight }).collect();
+        let gets = max_min_shares(&firms, self.capacity);
         (firms, gets)
     }
 
@@ -270,7 +270,7 @@
         self.send();
         let (firms, exact) = self.exact();
         let far = exact.iter().zip(&self.gets).map(|(a, b)| (a - b).abs()).sum::<f64>();
-        (far / self.capacity, jain(&firms, &self.gets))
+        (far / self.capacity, jain_index(&firms, &self.gets))
     }
 
     /// Demand jumps: half of the firms ask for something else, and some come through other gateways.
@@ -320,14 +320,14 @@
         match seed % 4 {
             0 => world.gates.iter_mut().step_by(3).for_each(|gate| gate.deaf = true),
             1 => {
-                world.owner = Owner::begin(
+                world.allocator = ShareAllocator::new(
                     at(world.now),
                     VALID,
-                    SHRINK,
+                    SHRINK_INTERVAL,
                     at(2200),
                     world.last.as_ref().map(|(s, b)| (*s, b)),
                 );
-                world.owner.capacity(world.capacity);
+                world.allocator.set_capacity(world.capacity);
                 world.stamp = Stamp { token: 2, revision: 0 };
             }
             2 => world.headless = world.now + 30_000,
@@ -344,7 +344,7 @@
         assert!(error < 0.05, "{what}: healed {error}, {index}");
         // A capacity that halves: the sum is under it again once every gateway has said that it goes by less.
         world.capacity *= 0.5;
-        world.owner.capacity(world.capacity);
+        world.allocator.set_capacity(world.capacity);
         world.run(3000, false, &what);
         world.run(4000, true, &what);
         assert!(world.error().0 < 0.05, "{what}: {:?}", world.error());
@@ -369,7 +369,7 @@
             (greedy.firms[0].spread, greedy.firms[0].believed) = (vec![(first, 1.0)], vec![1.0]);
         }
         greedy.capacity = honest.capacity;
-        greedy.owner.capacity(honest.capacity);
+        greedy.allocator.set_capacity(honest.capacity);
         greedy.run(12_000, false, &what);
         greedy.error();
         assert!(
--- a/quota-gateway/fair-share/tests/golden.rs
+++ b/quota-gateway/fair-share/tests/golden.rs
@@ -7,7 +7,7 @@
 use golden::{bytes, same_bytes};
 use marblecroft_control_messages::frame::{decode, encode, Fleet};
 use marblecroft_control_messages::published::{Decision, Stamp};
-use marblecroft_fair_share::body::ShareDecision;
+use marblecroft_fair_share::decision::ShareDecision;
 
 const FLEET: Fleet = Fleet(0x0102_0304_0506_0708);
 
--- a/quota-gateway/fair-share/tests/ways.rs
+++ b/quota-gateway/fair-share/tests/ways.rs
@@ -3,8 +3,8 @@
 //! is rounds until the error stays under 5%, the most that is sent beyond the capacity on the way, and bytes a report.
 
 use marblecroft_control_messages::report::Demand;
-use marblecroft_fair_share::curve::{self, read, LocalFirm};
-use marblecroft_fair_share_reference::{fill, Firm};
+use marblecroft_fair_share::demand_curve::{self, interpolate, LocalFirm};
+use marblecroft_fair_share_reference::{max_min_shares, Firm};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -22,7 +22,10 @@
 
 fn case(rng: &mut ChaCha8Rng, firms: usize) -> Case {
     let firms: Vec<Firm> = (0..firms)
-        .map(|i| Firm { asks: 10f64.powf(rng.random_range(-0.5..1.5)), weight: [1.0, 1.0, 2.0, 4.0][i % 4] })
+        .map(|i| Firm {
+            demand: 10f64.powf(rng.random_range(-0.5..1.5)),
+            weight: [1.0, 1.0, 2.0, 4.0][i % 4],
+        })
         .collect();
     let mut here = vec![Vec::new(); GATEWAYS];
     for (f, firm) in firms.iter().enumerate() {
@@ -31,11 +34,11 @@
         for (k, part) in parts.iter().enumerate() {
             let part = part / sum;
             here[(first + k) % GATEWAYS]
-                .push((f, LocalFirm { demand: firm.asks * part, weight: firm.weight * part }));
+                .push((f, LocalFirm { demand: firm.demand * part, weight: firm.weight * part }));
         }
     }
-    let capacity = firms.iter().map(|firm| firm.asks).sum::<f64>() * rng.random_range(0.3..0.8);
-    Case { exact: fill(&firms, capacity), firms, here, capacity }
+    let capacity = firms.iter().map(|firm| firm.demand).sum::<f64>() * rng.random_range(0.3..0.8);
+    Case { exact: max_min_shares(&firms, capacity), firms, here, capacity }
 }
 
 impl Case {
@@ -54,7 +57,7 @@
     }
 
     fn level(&self, told: &[Demand]) -> f64 {
-        let sum = |level: f64| told.iter().map(|asked| read(asked, level)).sum::<f64>();
+        let sum = |level: f64| told.iter().map(|asked| interpolate(asked, level)).sum::<f64>();
         let (mut low, mut high) = (0.0, 1e5);
         for _ in 0..60 {
             let middle = 0.5 * (low + high);
@@ -87,19 +90,21 @@
     // From the level that fitted the case before: a jump of all demands and of the capacity.
     let by_levels = |(before, now): &(Case, Case)| {
         let fit = |case: &Case, points: &[f64]| {
-            case.level(&(0..GATEWAYS).map(|g| curve::sample(&case.here(g), points)).collect::<Vec<_>>())
+            case.level(
+                &(0..GATEWAYS).map(|g| demand_curve::sample(&case.here(g), points)).collect::<Vec<_>>(),
+            )
         };
-        let mut level = fit(before, &curve::points_around(fit(before, &curve::first_points())));
+        let mut level = fit(before, &demand_curve::points_around(fit(before, &demand_curve::first_points())));
         let mut levels = Vec::new();
         for _ in 0..ROUNDS {
-            level = fit(now, &curve::points_around(level));
+            level = fit(now, &demand_curve::points_around(level));
             levels.push(level);
         }
         judged(now, &levels)
     };
     let by_prices = |(before, now): &(Case, Case), gain: f64| {
         let all: Vec<LocalFirm> = before.here.iter().flatten().map(|(_, here)| *here).collect();
-        let mut levels = vec![curve::level_for(&all, before.capacity).expect("it is short")];
+        let mut levels = vec![demand_curve::level_for(&all, before.capacity).expect("it is short")];
         for round in 0..ROUNDS - 1 {
             let sent = now
                 .here
@@ -112,7 +117,7 @@
         judged(now, &levels)
     };
     let levels: Vec<_> = cases.iter().map(by_levels).collect();
-    let told = curve::sample(&cases[0].0.here(0), &curve::points_around(3.0));
+    let told = demand_curve::sample(&cases[0].0.here(0), &demand_curve::points_around(3.0));
     let bytes = |asked: &Demand| postcard::to_stdvec(asked).map_or(0, |bytes| bytes.len());
     println!(
         "levels: rounds {} (most {}), beyond {:.3}, {} bytes",
--- a/quota-gateway/server/src/fleet_decisions.rs
+++ b/quota-gateway/server/src/fleet_decisions.rs
@@ -17,7 +17,7 @@
 use marblecroft_control_messages::frame::{decode, DecodeError, Fleet};
 use marblecroft_control_messages::published::{Acceptance, Body, Decision, DecisionReader, Stamp, Validity};
 use marblecroft_coordination::client::Client;
-use marblecroft_fair_share::body::ShareDecision;
+use marblecroft_fair_share::decision::ShareDecision;
 use marblecroft_quota_gateway_core::{Event, ZoneShare};
 use marblecroft_shard_map::map::ShardMap;
 use marblecroft_singleton_roles::keys::{decode_value, Keys, RoleOwner};
--- a/quota-gateway/server/src/fleet_decisions/observer.rs
+++ b/quota-gateway/server/src/fleet_decisions/observer.rs
@@ -9,7 +9,7 @@
 use crate::shard_map::ShardRouting;
 use marblecroft_control_messages::published::{Acceptance, Decision, Stamp};
 use marblecroft_control_messages::report::Demand;
-use marblecroft_fair_share::body::ShareDecision;
+use marblecroft_fair_share::decision::ShareDecision;
 use marblecroft_quota_gateway_core::{
     Action, CustomerId, Effect, Event, Gateway, NewRequest, Placement, RequestId, Settings, Time,
 };
--- a/quota-gateway/server/src/fleet_decisions/quota_shares.rs
+++ b/quota-gateway/server/src/fleet_decisions/quota_shares.rs
@@ -3,8 +3,8 @@
 use crate::metric::Metric;
 use marblecroft_control_messages::published::{Acceptance, Decision, DecisionReader, Stamp};
 use marblecroft_control_messages::report::Demand;
-use marblecroft_fair_share::body::ShareDecision;
-use marblecroft_fair_share::taker::{FirmQuota, Taker};
+use marblecroft_fair_share::decision::ShareDecision;
+use marblecroft_fair_share::limiter::{FirmQuota, ShareLimiter};
 use marblecroft_quota_gateway_core::{NewRequest, Plan};
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 /// This gateway's part of the quota shares. All instants count from the start of the process.
 pub struct QuotaShares {
-    taker: RefCell<Taker>,
+    limiter: RefCell<ShareLimiter>,
     decided: RefCell<DecisionReader<ShareDecision>>,
     /// Requests that were rejected because they exceeded their firm's share.
     rejected: Cell<u64>,
@@ -24,7 +24,7 @@
     /// Creates the shares of the gateway of this number, without a decision.
     pub fn new(gateway: u32) -> QuotaShares {
         QuotaShares {
-            taker: RefCell::new(Taker::new(gateway)),
+            limiter: RefCell::new(ShareLimiter::new(gateway)),
             decided: RefCell::default(),
             rejected: Cell::new(0),
         }
@@ -39,14 +39,16 @@
         plan: &Plan,
         customer_share: Option<f64>,
     ) -> bool {
-        let equal = 1.0 / f64::from(request.gateways.max(1));
-        let part = customer_share.unwrap_or(equal);
+        let equal_fraction = 1.0 / f64::from(request.gateways.max(1));
+        let local_fraction = customer_share.unwrap_or(equal_fraction);
         // The weight is what the firm pays for its contracted rate; a plan without a rate is weighted by its price alone.
         let contracted_rate = if plan.rate > 0.0 { plan.rate } else { 1.0 };
-        let quota = if plan.rate > 0.0 { plan.rate * part.max(equal) } else { f64::INFINITY };
-        let quota = FirmQuota { weight: plan.price * contracted_rate, part, equal, quota };
-        let mut taker = self.taker.borrow_mut();
-        let is_admitted = taker.request(now, request.customer.0, quota, request.units, request.is_retry);
+        let rate_limit =
+            if plan.rate > 0.0 { plan.rate * local_fraction.max(equal_fraction) } else { f64::INFINITY };
+        let quota =
+            FirmQuota { weight: plan.price * contracted_rate, local_fraction, equal_fraction, rate_limit };
+        let mut limiter = self.limiter.borrow_mut();
+        let is_admitted = limiter.request(now, request.customer.0, quota, request.units, request.is_retry);
         if !is_admitted {
             self.rejected.set(self.rejected.get() + 1);
         }
@@ -55,7 +57,7 @@
 
     /// Charges a request that was sent to its firm's share.
     pub fn charge(&self, firm: u64, units: f64) {
-        self.taker.borrow_mut().take(firm, units);
+        self.limiter.borrow_mut().charge(firm, units);
     }
 
     /// Installs a decision that was read; `asked_at` is an instant before the query was sent.
@@ -65,12 +67,12 @@
 
     /// Recomputes each firm's limit from the decision in force.
     pub fn apply(&self, now: Duration) {
-        self.taker.borrow_mut().obey(now, &self.decided.borrow());
+        self.limiter.borrow_mut().apply_decision(now, &self.decided.borrow());
     }
 
     /// The demand to report, and the stamp of the decision in force.
     pub fn take_demand(&self, now: Duration) -> (Demand, Stamp) {
-        let demand = self.taker.borrow_mut().report(now);
+        let demand = self.limiter.borrow_mut().sample_demand(now);
         (demand, self.decided.borrow().stamp().unwrap_or_default())
     }
 
--- a/testing/fault-injection/src/decided/shares.rs
+++ b/testing/fault-injection/src/decided/shares.rs
@@ -4,7 +4,7 @@
 use super::Broken;
 use crate::deployment::{Nanos, MS, SECOND};
 use crate::history::{At, Event, Setup, Trace};
-use marblecroft_fair_share_reference::{fill, Firm};
+use marblecroft_fair_share_reference::{max_min_shares, Firm};
 use std::collections::{HashMap, HashSet};
 
 /// What is asked and sent is looked at over this long: a second holds a request or two of a firm.
@@ -135,15 +135,15 @@
             let firms: Vec<Firm> = asked
                 .iter()
                 .zip(&self.weights)
-                .map(|(asks, weight)| Firm { asks: *asks, weight: *weight })
+                .map(|(asks, weight)| Firm { demand: *asks, weight: *weight })
                 .collect();
-            let exact = fill(&firms, capacity * seconds);
+            let exact = max_min_shares(&firms, capacity * seconds);
             let far = |(sent, exact): (&f64, &f64)| (sent - exact).abs() / (capacity * seconds);
             let error = sent.iter().zip(&exact).map(far).fold(0.0, f64::max);
             if calm {
                 errors.push(error);
                 for (firm, (sent, firm_asks)) in sent.iter().zip(&firms).enumerate() {
-                    let least = firm_asks.asks.min(capacity * seconds * firm_asks.weight / all);
+                    let least = firm_asks.demand.min(capacity * seconds * firm_asks.weight / all);
                     if *sent < FLOOR * least - CHANCE * least.sqrt() - 1.0 {
                         broken.add("share_floor", || {
                             format!("firm {firm} was sent on {sent} in the {WINDOW} s from second {second}, and its least share is {least:.1}")
--- a/testing/fault-injection/src/shell/run/stewards.rs
+++ b/testing/fault-injection/src/shell/run/stewards.rs
@@ -9,7 +9,7 @@
 use marblecroft_control_messages::published::{Body, Decision};
 use marblecroft_coordination::client::Client;
 use marblecroft_coordination::state::{Op, Owner};
-use marblecroft_fair_share::body::ShareDecision;
+use marblecroft_fair_share::decision::ShareDecision;
 use marblecroft_shard_map::map::{MigrationStep, Shard, ShardMap};
 use marblecroft_singleton_roles::keys::{decode_value, encode_value, Keys, RoleOwner};
 use marblecroft_singleton_roles::run::follow;
