--- a/quota-gateway/controller/src/decisions.rs
+++ b/quota-gateway/controller/src/decisions.rs
@@ -11,8 +11,8 @@
 use marblecroft_fair_share::limiter::SHRINK_INTERVAL;
 use marblecroft_singleton_roles::keys::Keys;
 use marblecroft_singleton_roles::view::View;
-use marblecroft_zone_failover::body::{State, ZonesDecided};
-use marblecroft_zone_failover::core::{OperatorCommand, Zones};
+use marblecroft_zone_failover::controller::{FailoverController, OperatorCommand};
+use marblecroft_zone_failover::decision::{ZoneState, ZonesDecision};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -45,8 +45,8 @@
     match duty {
         "zones" => {
             let settings = config.zones.clone()?;
-            let before = read::<ZonesDecided>(fleet, duty, standing).map(|decision| decision.body);
-            let core = Zones::begin(settings, now, before.as_ref());
+            let before = read::<ZonesDecision>(fleet, duty, standing).map(|decision| decision.body);
+            let core = FailoverController::new(settings, now, before.as_ref());
             let held = BTreeSet::new();
             Some(Box::new(ZoneFailoverRole {
                 fleet,
@@ -85,7 +85,7 @@
     fleet: Fleet,
     names: Keys,
     valid: Valid,
-    core: Zones,
+    core: FailoverController,
     /// Zones that operators hold out.
     held_zones: BTreeSet<String>,
     rejected_failovers: u64,
@@ -93,7 +93,7 @@
 
 impl Decides for ZoneFailoverRole {
     fn report(&mut self, now: Now, report: &Report) -> Result<(), DecodeError> {
-        self.core.report(now, report)
+        self.core.handle_report(now, report)
     }
 
     fn view(&mut self, now: Now, view: &View) {
@@ -118,7 +118,7 @@
 
     fn decide(&mut self, now: Now, stamp: Stamp) -> Option<Vec<u8>> {
         let decided = self.core.tick(now);
-        for moved in self.core.moved() {
+        for moved in self.core.take_state_changes() {
             info!(zone = %moved.zone, from = moved.from.name(), to = moved.to.name(),
                 "{} is {}, was {}", moved.zone, moved.to.name(), moved.from.name());
         }
@@ -147,11 +147,11 @@
 
     fn view(&mut self, _: Now, view: &View) {
         let zones = view.get(&self.names.decision("zones"));
-        let zones = zones.and_then(|bytes| decode::<Decision<ZonesDecided>>(self.fleet, bytes).ok());
-        let takes = |state: State| !matches!(state, State::FailedOver | State::HeldByOperator);
+        let zones = zones.and_then(|bytes| decode::<Decision<ZonesDecision>>(self.fleet, bytes).ok());
+        let takes = |state: ZoneState| !matches!(state, ZoneState::FailedOver | ZoneState::HeldByOperator);
         let bears = zones.map(|decision| {
             let open = decision.body.zones.iter().filter(|zone| takes(zone.state));
-            open.map(|zone| zone.bears).sum::<f64>()
+            open.map(|zone| zone.capacity).sum::<f64>()
         });
         // What the configuration says is a bound on what the zones are known to bear.
         let capacity = match bears {
--- a/quota-gateway/controller/src/main.rs
+++ b/quota-gateway/controller/src/main.rs
@@ -15,7 +15,7 @@
     decode_value, encode_value, Candidate, Keys, OperatorCommand, RoleOwner, ROLES,
 };
 use marblecroft_singleton_roles::run::{follow, run_candidate, RoleMetrics, Settings};
-use marblecroft_zone_failover::body::ZonesDecided;
+use marblecroft_zone_failover::decision::ZonesDecision;
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -193,7 +193,7 @@
         return Err("nothing is decided yet".to_owned());
     };
     let decision =
-        decode::<Decision<ZonesDecided>>(Fleet::named(fleet), &bytes).map_err(|e| e.to_string())?;
+        decode::<Decision<ZonesDecision>>(Fleet::named(fleet), &bytes).map_err(|e| e.to_string())?;
     println!("token {} revision {}", decision.stamp.token, decision.stamp.revision);
     for zone in &decision.body.zones {
         let shares = decision.body.zones.iter().zip(&zone.shares).filter(|(_, share)| **share > 0.0);
@@ -202,8 +202,8 @@
             "{} {} bears {:.1} asked {:.1} gateways {} sends {}",
             zone.name,
             zone.state.name(),
-            zone.bears,
-            zone.asked,
+            zone.capacity,
+            zone.demand,
             zone.gateways,
             shares.join(", ")
         );
--- a/quota-gateway/controller/src/shard_map_role.rs
+++ b/quota-gateway/controller/src/shard_map_role.rs
@@ -12,7 +12,7 @@
 use marblecroft_shard_map::plan::{CellSeen, Limits};
 use marblecroft_singleton_roles::keys::{self, Keys};
 use marblecroft_singleton_roles::view::View;
-use marblecroft_zone_failover::body::{State, ZonesDecided};
+use marblecroft_zone_failover::decision::{ZoneState, ZonesDecision};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -97,20 +97,20 @@
 
     fn view(&mut self, now: Now, view: &View) {
         let zones = view.get(&self.names.decision("zones"));
-        let zones = zones.and_then(|bytes| decode::<Decision<ZonesDecided>>(self.fleet, bytes).ok());
+        let zones = zones.and_then(|bytes| decode::<Decision<ZonesDecision>>(self.fleet, bytes).ok());
         let zone = |name: &str| {
             let decided = zones.as_ref()?.body.zones.iter().find(|zone| zone.name == name)?;
-            Some((decided.state, decided.bears))
+            Some((decided.state, decided.capacity))
         };
         let of = |name: &str| self.config.cells.iter().filter(|cell| cell.zone == name).count().max(1);
         let seen = self.config.cells.iter().map(|cell| {
-            let (state, bears) = zone(&cell.zone).unwrap_or((State::Serving, BEARS));
+            let (state, bears) = zone(&cell.zone).unwrap_or((ZoneState::Serving, BEARS));
             let seen = CellSeen {
                 zone: cell.zone.clone(),
                 region: cell.region.clone(),
                 // Into one that is about to be out, or only just back, nothing moves.
-                takes: state == State::Serving,
-                leave: matches!(state, State::FailedOver | State::HeldByOperator),
+                takes: state == ZoneState::Serving,
+                leave: matches!(state, ZoneState::FailedOver | ZoneState::HeldByOperator),
                 bears: bears / of(&cell.zone) as f64,
                 load: 0.0,
             };
--- a/quota-gateway/server/src/fleet_decisions.rs
+++ b/quota-gateway/server/src/fleet_decisions.rs
@@ -23,7 +23,8 @@
 use marblecroft_singleton_roles::keys::{decode_value, Keys, RoleOwner};
 use marblecroft_singleton_roles::run::follow;
 use marblecroft_singleton_roles::view::View;
-use marblecroft_zone_failover::body::{Bound, ZonesDecided};
+use marblecroft_zone_failover::decision::ZonesDecision;
+use marblecroft_zone_failover::gateway_limits::GatewayLimits;
 use observer::Observer;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -40,7 +41,7 @@
 /// What was read of the fleet's decisions.
 #[derive(Default)]
 struct FleetState {
-    zones: DecisionReader<ZonesDecided>,
+    zones: DecisionReader<ZonesDecision>,
     /// The addresses of the role owners, to which reports go.
     owners: BTreeSet<SocketAddr>,
     /// The zone shares that were last passed to the decisions.
@@ -108,7 +109,7 @@
     /// Handles a new view of what the fleet has published.
     fn on_view(&self, view: &View) {
         let asked_at = view.as_of().unwrap_or_default();
-        self.read_decision::<ZonesDecided>(view, "zones", |decision| {
+        self.read_decision::<ZonesDecision>(view, "zones", |decision| {
             Some(self.state.borrow_mut().zones.accept(asked_at, decision))
         });
         self.read_decision::<ShareDecision>(view, "shares", |decision| {
@@ -174,11 +175,13 @@
         let mut state = self.state.borrow_mut();
         let standing = state.zones.validity(self.started_at.elapsed());
         let is_lapsed = matches!(standing, Validity::Expired(..));
-        let bound = match standing {
-            Validity::Valid(decision) => decision.body.for_gateway(&self.zone, state.units_per_second),
+        let limits = match standing {
+            Validity::Valid(decision) => {
+                GatewayLimits::for_gateway(&decision.body, &self.zone, state.units_per_second)
+            }
             Validity::NoDecision | Validity::Expired(..) => None,
         };
-        let shares = bound.map_or_else(Vec::new, |bound| self.zone_shares(&bound));
+        let shares = limits.map_or_else(Vec::new, |limits| self.zone_shares(&limits));
         if std::mem::replace(&mut state.is_zone_decision_lapsed, is_lapsed) != is_lapsed {
             if is_lapsed {
                 warn!("the decision on zones has lapsed; each zone is chosen as it would be alone");
@@ -194,12 +197,12 @@
     }
 
     /// The shares of the zones that this gateway knows, with the limits on requests to other zones.
-    fn zone_shares(&self, bound: &Bound) -> Vec<ZoneShare> {
+    fn zone_shares(&self, limits: &GatewayLimits) -> Vec<ZoneShare> {
         let max_rate = |name: &String| {
-            let limit = bound.abroad.iter().find(|(zone, _)| zone == name);
+            let limit = limits.max_rates.iter().find(|(zone, _)| zone == name);
             limit.map_or(f64::INFINITY, |(_, max_rate)| *max_rate)
         };
-        let known = bound.shares.iter().filter_map(|(name, share)| {
+        let known = limits.shares.iter().filter_map(|(name, share)| {
             Some(ZoneShare {
                 zone: self.observer.zone_number(name)?,
                 share: *share,
--- /dev/null
+++ b/quota-gateway/zone-failover/src/allocation.rs
@@ -0,0 +1,152 @@
+//! The allocation of traffic to zones: a zone keeps its traffic within its capacity, and the rest goes to the nearest zone that has
+//! capacity, to another region only when its own has none. What no zone has capacity for is rejected.
+
+use crate::settings::Settings;
+
+/// Fraction of a zone's traffic that probes the other zones, spread evenly, since their health must be known before they are needed.
+pub const PROBE_FRACTION: f64 = 0.01;
+/// That fraction for a suspect zone: whether its gateways are served elsewhere tells whether it fails, or they do.
+pub const SUSPECT_PROBE_FRACTION: f64 = 0.05;
+
+/// What is allocated; vectors are by zone.
+#[derive(Clone, Debug)]
+pub struct Load {
+    /// Units per second that clients request from its gateways.
+    pub demand: Vec<f64>,
+    /// Units per second that may be sent to it.
+    pub capacity: Vec<f64>,
+    /// Whether other zones may send traffic to it; its own gateways may within its capacity.
+    pub accepts_traffic: Vec<bool>,
+    /// Whether other zones probe it; a suspect one, too, or there would be no further evidence.
+    pub accepts_probes: Vec<bool>,
+    /// Whether it is suspect.
+    pub is_suspect: Vec<bool>,
+    /// Whether the link from one zone (row) to another (column) is partitioned; nothing is sent over it.
+    pub is_partitioned: Vec<Vec<bool>>,
+}
+
+/// Returns the fraction of each zone's demand (row) that goes to each zone (column). No zone gets more than its capacity from all
+/// zones together.
+pub fn allocate(settings: &Settings, load: &Load) -> Vec<Vec<f64>> {
+    let zone_count = load.demand.len();
+    let mut allocation = Allocation {
+        settings,
+        load,
+        available: load.capacity.clone(),
+        sent: vec![vec![0.0; zone_count]; zone_count],
+        remaining: Vec::new(),
+    };
+    // Probes first, so that a full zone is still probed as far as it has capacity.
+    allocation.allocate_probes();
+    allocation.allocate_own();
+    for is_own_region in [true, false] {
+        for rank in 0..zone_count.saturating_sub(1) {
+            allocation.allocate_nearest(is_own_region, rank);
+        }
+    }
+    allocation.into_fractions()
+}
+
+struct Allocation<'a> {
+    settings: &'a Settings,
+    load: &'a Load,
+    /// Capacity that is not allocated yet.
+    available: Vec<f64>,
+    /// Units per second that each zone (row) sends to each (column).
+    sent: Vec<Vec<f64>>,
+    /// Demand that is not allocated yet.
+    remaining: Vec<f64>,
+}
+
+impl Allocation<'_> {
+    fn zones(&self) -> std::ops::Range<usize> {
+        0..self.load.demand.len()
+    }
+
+    /// Allocates up to `units` as far as there is capacity, and returns how many.
+    fn send(&mut self, from: usize, to: usize, units: f64) -> f64 {
+        let units = units.min(self.available[to]).max(0.0);
+        self.sent[from][to] += units;
+        self.available[to] -= units;
+        units
+    }
+
+    fn is_open(&self, from: usize, to: usize) -> bool {
+        self.load.accepts_traffic[to] && !self.load.is_partitioned[from][to]
+    }
+
+    fn allocate_probes(&mut self) {
+        for from in self.zones() {
+            let is_probed = |&to: &usize| {
+                to != from && self.load.accepts_probes[to] && !self.load.is_partitioned[from][to]
+            };
+            let probed: Vec<usize> = self.zones().filter(is_probed).collect();
+            let fraction = if self.load.is_suspect[from] { SUSPECT_PROBE_FRACTION } else { PROBE_FRACTION };
+            for &to in &probed {
+                self.send(from, to, self.load.demand[from] * fraction / probed.len() as f64);
+            }
+        }
+        let remaining = |from: usize| self.load.demand[from] - self.sent[from].iter().sum::<f64>();
+        self.remaining = self.zones().map(remaining).collect();
+    }
+
+    fn allocate_own(&mut self) {
+        let load = self.load;
+        for zone in self.zones().filter(|&zone| !load.is_partitioned[zone][zone]) {
+            self.remaining[zone] -= self.send(zone, zone, self.remaining[zone]);
+        }
+    }
+
+    /// Sends what remains of each zone to the open zone of this rank by distance, within its region or beyond. Zones that send to
+    /// the same one share its capacity by what remains of them, so that the order of zones has no effect.
+    fn allocate_nearest(&mut self, is_own_region: bool, rank: usize) {
+        let targets: Vec<(usize, usize)> = self
+            .zones()
+            .filter(|&from| self.remaining[from] > 0.0)
+            .filter_map(|from| Some((from, self.nearest_open(from, is_own_region).nth(rank)?)))
+            .collect();
+        for to in self.zones() {
+            let senders = || targets.iter().filter(|(_, target)| *target == to).map(|(from, _)| *from);
+            let requested: f64 = senders().map(|from| self.remaining[from]).sum();
+            if requested <= 0.0 {
+                continue;
+            }
+            let fraction = (self.available[to] / requested).min(1.0);
+            for from in senders() {
+                self.remaining[from] -= self.send(from, to, self.remaining[from] * fraction);
+            }
+        }
+    }
+
+    fn nearest_open(&self, from: usize, is_own_region: bool) -> impl Iterator<Item = usize> + '_ {
+        let is_eligible = move |&to: &usize| {
+            self.settings.is_same_region(from, to) == is_own_region && self.is_open(from, to)
+        };
+        self.settings.by_distance(from).into_iter().filter(is_eligible)
+    }
+
+    fn into_fractions(mut self) -> Vec<Vec<f64>> {
+        for from in self.zones() {
+            let demand = self.load.demand[from];
+            if demand > 0.0 {
+                normalize(&mut self.sent[from], demand);
+            } else if let Some(to) = self.target_without_demand(from) {
+                self.sent[from][to] = 1.0;
+            }
+        }
+        self.sent
+    }
+
+    /// Returns the zone for the first requests of a zone without demand: itself if it has capacity, else the nearest that has.
+    fn target_without_demand(&self, from: usize) -> Option<usize> {
+        let mut candidates = std::iter::once(from).chain(self.settings.by_distance(from));
+        candidates.find(|&to| self.load.capacity[to] > 0.0 && (to == from || self.is_open(from, to)))
+    }
+}
+
+/// Turns units into fractions of the demand whose sum is 1 at most, as readers reject a decision with a larger one.
+fn normalize(units: &mut [f64], demand: f64) {
+    units.iter_mut().for_each(|units| *units /= demand);
+    let sum: f64 = units.iter().sum();
+    units.iter_mut().for_each(|fraction| *fraction = (*fraction / sum.max(1.0)).clamp(0.0, 1.0));
+}
--- a/quota-gateway/zone-failover/src/capacity.rs
+++ b/quota-gateway/zone-failover/src/capacity.rs
@@ -1,51 +1,58 @@
-//! What each zone is known to bear: its warm servers, times what one of them is known or has been seen to take.
+//! The capacity of one warm server of a zone, estimated from what such servers have served.
 
-use std::time::Duration;
+use marblecroft_control_messages::published::Instant;
 
-/// What was seen to be taken without trouble may be passed by this part in a second, so that more is found out in small steps.
-const STEP_UP: f64 = 0.25;
-/// In a second in which servers turn work away it sinks by this part, but not under what is served.
-const STEP_DOWN: f64 = 0.15;
-/// A peak is half forgotten in this long.
-const PEAK_HALF_LIFE_SECS: f64 = 600.0;
-/// Before anything was seen one server is taken to bear this; small, as the first seconds teach more.
-const INITIAL_SERVER_CAPACITY: f64 = 1.0;
+/// Fraction by which the estimate exceeds the observed peak while servers are not overloaded, so that it rises in small steps.
+const PROBE_STEP: f64 = 0.25;
+/// Fraction by which the observed peak falls per second of overload, but not below what is served.
+const OVERLOAD_STEP: f64 = 0.15;
+/// Half-life of the observed peak, in seconds.
+const PEAK_HALF_LIFE_SECONDS: f64 = 600.0;
+/// Lower bound of the estimate, in units per second; small, as the first seconds raise it.
+const MIN_SERVER_CAPACITY: f64 = 1.0;
+/// Warm servers of a zone below which nothing is observed: the fraction of one in slow start says little.
+const MIN_WARM_SERVERS: f64 = 0.5;
+/// Upper bound of the time between two observations that counts, in seconds.
+const MAX_OBSERVATION_GAP_SECONDS: f64 = 10.0;
+/// Upper bound of the time of overload that one observation counts for, in seconds.
+const MAX_OVERLOAD_SECONDS: f64 = 1.0;
 
-/// What one warm server of a zone takes.
+/// The estimated capacity of one warm server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Learnt {
-    unit: f64,
-    at: Duration,
+pub struct ServerCapacity {
+    /// Decaying peak of what one server has served, in units per second.
+    peak: f64,
+    observed_at: Instant,
 }
 
-impl Learnt {
-    /// As the decision before had it.
-    pub fn from_decision(unit: f64, at: Duration) -> Learnt {
-        Learnt { unit, at }
+impl ServerCapacity {
+    /// Creates an estimate from a former peak in units per second.
+    pub fn from_peak(peak: f64, now: Instant) -> ServerCapacity {
+        ServerCapacity { peak, observed_at: now }
     }
 
-    /// What is seen in a second: units served at so many warm servers, and whether they turn work away.
-    pub fn see(&mut self, now: Duration, served: f64, warm: f64, pressed: bool) {
-        let dt = now.saturating_sub(self.at).as_secs_f64().min(10.0);
-        self.at = now;
-        if warm < 0.5 {
+    /// Observes the units per second that `warm_servers` served, and whether they reject work as overloaded.
+    pub fn observe(&mut self, now: Instant, served: f64, warm_servers: f64, is_overloaded: bool) {
+        let elapsed_seconds =
+            now.saturating_sub(self.observed_at).as_secs_f64().min(MAX_OBSERVATION_GAP_SECONDS);
+        self.observed_at = now;
+        if warm_servers < MIN_WARM_SERVERS {
             return;
         }
-        let seen = served / warm;
-        self.unit *= 0.5_f64.powf(dt / PEAK_HALF_LIFE_SECS);
-        if pressed {
-            self.unit = (self.unit * (1.0 - STEP_DOWN * dt.min(1.0))).max(seen);
-        } else {
-            self.unit = self.unit.max(seen);
+        let served_by_each = served / warm_servers;
+        self.peak *= 0.5_f64.powf(elapsed_seconds / PEAK_HALF_LIFE_SECONDS);
+        if is_overloaded {
+            self.peak *= 1.0 - OVERLOAD_STEP * elapsed_seconds.min(MAX_OVERLOAD_SECONDS);
         }
+        self.peak = self.peak.max(served_by_each);
     }
 
-    /// What it bears: known, or seen and a step more.
-    pub fn unit(&self, known: f64, pressed: bool) -> f64 {
-        if known > 0.0 {
-            return known;
+    /// Returns the capacity in units per second: the configured one if there is one, else an estimate.
+    pub fn estimate(&self, configured: f64, is_overloaded: bool) -> f64 {
+        if configured > 0.0 {
+            return configured;
         }
-        let more = if pressed { 1.0 } else { 1.0 + STEP_UP };
-        (self.unit * more).max(INITIAL_SERVER_CAPACITY)
+        let margin = if is_overloaded { 1.0 } else { 1.0 + PROBE_STEP };
+        (self.peak * margin).max(MIN_SERVER_CAPACITY)
     }
 }
--- a/quota-gateway/zone-failover/src/settings.rs
+++ b/quota-gateway/zone-failover/src/settings.rs
@@ -1,107 +1,194 @@
-//! What operators say of zones, and the figures of the decision with their reasons.
+//! The zones as the operator configures them, and the parameters of the decision.
 
+use marblecroft_control_messages::frame::is_valid_quantity;
+use marblecroft_control_messages::report::{MAX_NAME_BYTES, MAX_ZONES};
+use quick_error::quick_error;
 use serde::Deserialize;
 use std::time::Duration;
 
-/// A zone, by its name in the list of servers.
+/// Failures soon after a return beyond which the failover time is doubled no more, so that the factor fits.
+const MAX_DOUBLINGS: u32 = 16;
+/// Upper bound of each period, in milliseconds.
+const MAX_PERIOD_MS: u64 = 3_600_000;
+
+quick_error! {
+    /// Why settings are rejected. The text is one line that names the field.
+    #[derive(Clone, Debug, PartialEq, Eq)]
+    pub enum SettingsError {
+        /// There are no zones, or more than [`MAX_ZONES`].
+        ZoneCount(count: usize) {
+            display("places: {count} of 1 to {MAX_ZONES}")
+        }
+        /// The name or region of the zone of this index is empty or too long.
+        NameLength(index: usize) {
+            display("places[{index}]: a name has 1 to {MAX_NAME_BYTES} bytes")
+        }
+        /// The zone of this index has the name of an earlier one.
+        DuplicateName(index: usize, name: String) {
+            display("places[{index}].name: {name} comes twice")
+        }
+        /// The capacity of a server is not a valid quantity.
+        ServerCapacity {
+            display("server_bears: no number from 0")
+        }
+        /// A period of this field, in milliseconds, is out of range.
+        Period(field: &'static str, period_ms: u64) {
+            display("{field}: {period_ms} is not from 1 to {MAX_PERIOD_MS}")
+        }
+    }
+}
+
+/// One zone.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Place {
+pub struct ZoneSettings {
+    /// Its name, as in the server list.
     pub name: String,
-    /// Zones of one region are near each other; left out: all are of one.
+    /// Its region; zones of one region are near each other. All are of one region if it is left out.
     #[serde(default)]
     pub region: String,
 }
 
-/// All that the decision is configured with.
+/// All settings.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// In the order of their nearness to each other: a zone's nearest is the next one round within its region.
-    pub places: Vec<Place>,
-    /// Units a second that one warm server is known to bear; 0: what it has been seen to take.
-    pub server_bears: f64,
-    /// A gateway that was not heard for this long is left out of account.
-    pub unheard_ms: u64,
-    /// Evidence must last for this long before a zone is out: two reports, so that one spell of bad luck moves nothing.
-    pub out_after_ms: u64,
-    /// A zone stays out at least this long; doubled each time that it falls again soon after it returned ...
-    pub hold_ms: u64,
+    /// The zones, in the order of their distance: the nearest to a zone is the next one in a circle within its region.
+    #[serde(rename = "places")]
+    pub zones: Vec<ZoneSettings>,
+    /// Capacity of one warm server in units per second; 0 if it is to be estimated.
+    #[serde(rename = "server_bears")]
+    pub server_capacity: f64,
+    /// Time after which the last report of a gateway expires, in milliseconds.
+    #[serde(rename = "unheard_ms")]
+    pub report_ttl_ms: u64,
+    /// Time for which the evidence must be against a zone before it fails over, in milliseconds: two reports, so that one burst
+    /// of errors has no effect.
+    #[serde(rename = "out_after_ms")]
+    pub failover_delay_ms: u64,
+    /// Time that a zone stays failed over, in milliseconds; doubled each time that it fails again soon after a return ...
+    #[serde(rename = "hold_ms")]
+    pub min_failover_ms: u64,
     /// ... up to this.
-    pub hold_most_ms: u64,
-    /// A return takes this long from the first share to all of it: the time in which cold servers warm up.
-    pub ramp_ms: u64,
-    /// Between two moves of regions.
-    pub dwell_ms: u64,
-    /// A new owner decides nothing new for this long: two reports of every gateway.
-    pub settle_ms: u64,
+    #[serde(rename = "hold_most_ms")]
+    pub max_failover_ms: u64,
+    /// Time in which the traffic of a returning zone rises to all of it, in milliseconds: that in which servers warm up.
+    #[serde(rename = "ramp_ms")]
+    pub slow_start_ms: u64,
+    /// Time between the failovers of two regions, in milliseconds.
+    #[serde(rename = "dwell_ms")]
+    pub region_failover_interval_ms: u64,
+    /// Time for which a new owner only receives reports, in milliseconds: two reports of every gateway.
+    #[serde(rename = "settle_ms")]
+    pub observation_ms: u64,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            places: Vec::new(),
-            server_bears: 0.0,
-            unheard_ms: 3500,
-            out_after_ms: 900,
-            hold_ms: 4000,
-            hold_most_ms: 120_000,
-            ramp_ms: 10_000,
-            dwell_ms: 10_000,
-            settle_ms: 2200,
+            zones: Vec::new(),
+            server_capacity: 0.0,
+            report_ttl_ms: 3500,
+            failover_delay_ms: 900,
+            min_failover_ms: 4000,
+            max_failover_ms: 120_000,
+            slow_start_ms: 10_000,
+            region_failover_interval_ms: 10_000,
+            observation_ms: 2200,
         }
     }
 }
 
-pub fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
-}
-
 impl Settings {
-    /// The error names the field.
-    pub fn check(&self) -> Result<(), String> {
-        use marblecroft_control_messages::report::{MAX_NAME_BYTES, MAX_ZONES};
-        if self.places.is_empty() || self.places.len() > MAX_ZONES {
-            return Err(format!("places: {} of 1 to {MAX_ZONES}", self.places.len()));
+    /// Checks all settings.
+    ///
+    /// # Errors
+    ///
+    /// The first setting that is out of its bounds.
+    pub fn check(&self) -> Result<(), SettingsError> {
+        if self.zones.is_empty() || self.zones.len() > MAX_ZONES {
+            return Err(SettingsError::ZoneCount(self.zones.len()));
         }
-        for (i, place) in self.places.iter().enumerate() {
-            if place.name.is_empty()
-                || place.name.len() > MAX_NAME_BYTES
-                || place.region.len() > MAX_NAME_BYTES
-            {
-                return Err(format!("places[{i}]: a name has 1 to {MAX_NAME_BYTES} bytes"));
-            }
-            if self.places[..i].iter().any(|other| other.name == place.name) {
-                return Err(format!("places[{i}].name: {} comes twice", place.name));
-            }
+        (0..self.zones.len()).try_for_each(|index| self.check_zone(index))?;
+        if !is_valid_quantity(self.server_capacity) {
+            return Err(SettingsError::ServerCapacity);
         }
-        if !marblecroft_control_messages::frame::is_valid_quantity(self.server_bears) {
-            return Err("server_bears: no number from 0".to_owned());
+        self.check_periods()
+    }
+
+    fn check_zone(&self, index: usize) -> Result<(), SettingsError> {
+        let ZoneSettings { name, region } = &self.zones[index];
+        if !(1..=MAX_NAME_BYTES).contains(&name.len()) || region.len() > MAX_NAME_BYTES {
+            return Err(SettingsError::NameLength(index));
+        }
+        if self.zones[..index].iter().any(|other| other.name == *name) {
+            return Err(SettingsError::DuplicateName(index, name.clone()));
         }
-        let times = [
-            ("unheard_ms", self.unheard_ms),
-            ("out_after_ms", self.out_after_ms),
-            ("hold_ms", self.hold_ms),
-            ("hold_most_ms", self.hold_most_ms),
-            ("ramp_ms", self.ramp_ms),
-            ("dwell_ms", self.dwell_ms),
-            ("settle_ms", self.settle_ms),
+        Ok(())
+    }
+
+    fn check_periods(&self) -> Result<(), SettingsError> {
+        let periods = [
+            ("unheard_ms", self.report_ttl_ms),
+            ("out_after_ms", self.failover_delay_ms),
+            ("hold_ms", self.min_failover_ms),
+            ("hold_most_ms", self.max_failover_ms),
+            ("ramp_ms", self.slow_start_ms),
+            ("dwell_ms", self.region_failover_interval_ms),
+            ("settle_ms", self.observation_ms),
         ];
-        match times.into_iter().find(|(_, time)| !(1..=3_600_000).contains(time)) {
-            Some((name, time)) => Err(format!("{name}: {time} is not from 1 to 3600000")),
+        match periods.into_iter().find(|(_, period_ms)| !(1..=MAX_PERIOD_MS).contains(period_ms)) {
+            Some((field, period_ms)) => Err(SettingsError::Period(field, period_ms)),
             None => Ok(()),
         }
     }
 
-    pub fn zone(&self, name: &str) -> Option<usize> {
-        self.places.iter().position(|place| place.name == name)
+    /// Returns the index of the zone of this name.
+    pub fn zone_index(&self, name: &str) -> Option<usize> {
+        self.zones.iter().position(|zone| zone.name == name)
+    }
+
+    /// Returns whether two zones are of one region.
+    pub fn is_same_region(&self, a: usize, b: usize) -> bool {
+        self.zones[a].region == self.zones[b].region
     }
 
-    /// The other zones, nearest first: of the own region, then the others', each in order from this one on, round.
-    pub fn nearest(&self, from: usize) -> Vec<usize> {
-        let n = self.places.len();
-        let mut others: Vec<usize> = (1..n).map(|step| (from + step) % n).collect();
-        others.sort_by_key(|&to| self.places[to].region != self.places[from].region);
+    /// Returns the other zones, nearest first: those of its region, then the others, both in a circle from this one on.
+    pub fn by_distance(&self, from: usize) -> Vec<usize> {
+        let zone_count = self.zones.len();
+        let mut others: Vec<usize> = (1..zone_count).map(|step| (from + step) % zone_count).collect();
+        others.sort_by_key(|&to| !self.is_same_region(from, to));
         others
     }
+
+    /// Returns the time after which the last report of a gateway expires.
+    pub fn report_ttl(&self) -> Duration {
+        Duration::from_millis(self.report_ttl_ms)
+    }
+
+    /// Returns the time for which the evidence must be against a zone before it fails over.
+    pub fn failover_delay(&self) -> Duration {
+        Duration::from_millis(self.failover_delay_ms)
+    }
+
+    /// Returns the time that a zone stays failed over after this many failures soon after a return.
+    pub fn failover_time(&self, flap_count: u32) -> Duration {
+        let doubled_ms = self.min_failover_ms.saturating_mul(1 << flap_count.min(MAX_DOUBLINGS));
+        Duration::from_millis(doubled_ms.min(self.max_failover_ms.max(self.min_failover_ms)))
+    }
+
+    /// Returns the time in which the traffic of a returning zone rises to all of it.
+    pub fn slow_start(&self) -> Duration {
+        Duration::from_millis(self.slow_start_ms)
+    }
+
+    /// Returns the time between the failovers of two regions.
+    pub fn region_failover_interval(&self) -> Duration {
+        Duration::from_millis(self.region_failover_interval_ms)
+    }
+
+    /// Returns the time for which a new owner only receives reports.
+    pub fn observation_time(&self) -> Duration {
+        Duration::from_millis(self.observation_ms)
+    }
 }
--- a/quota-gateway/zone-failover/tests/conformance.rs
+++ b/quota-gateway/zone-failover/tests/conformance.rs
@@ -1,14 +1,19 @@
 //! Tables of conformance of the decision: rows from the design page on zones, a clause each. A clause without a row is a failure.
 
 use marblecroft_test_support::conformance::{hold, Played};
-use marblecroft_zone_failover::body::State;
-use marblecroft_zone_failover::flow::{flow, Load};
-use marblecroft_zone_failover::settings::{ms, Place, Settings};
-use marblecroft_zone_failover::state::{Verdict, Zone};
+use marblecroft_zone_failover::allocation::{allocate, Load};
+use marblecroft_zone_failover::decision::ZoneState;
+use marblecroft_zone_failover::settings::{Settings, ZoneSettings};
+use marblecroft_zone_failover::verdict::Verdict;
+use marblecroft_zone_failover::zone::Zone;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+fn ms(ms: u64) -> Duration {
+    Duration::from_millis(ms)
+}
+
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Tables {
@@ -55,8 +60,9 @@
 }
 
 fn settings(regions: &[String]) -> Settings {
-    let place = |(i, region): (usize, &String)| Place { name: format!("hall-{i}"), region: region.clone() };
-    Settings { places: regions.iter().enumerate().map(place).collect(), ..Settings::default() }
+    let zone =
+        |(i, region): (usize, &String)| ZoneSettings { name: format!("hall-{i}"), region: region.clone() };
+    Settings { zones: regions.iter().enumerate().map(zone).collect(), ..Settings::default() }
 }
 
 impl FlowRow {
@@ -64,14 +70,16 @@
         let n = self.asked.len();
         let open: Vec<bool> = (0..n).map(|zone| !self.shut.contains(&zone)).collect();
         let load = Load {
-            asked: self.asked.clone(),
-            room: self.room.clone(),
-            looks: open.clone(),
-            takes: open,
-            suspect: vec![false; n],
-            cut: (0..n).map(|from| (0..n).map(|to| self.cut.contains(&(from, to))).collect()).collect(),
+            demand: self.asked.clone(),
+            capacity: self.room.clone(),
+            accepts_probes: open.clone(),
+            accepts_traffic: open,
+            is_suspect: vec![false; n],
+            is_partitioned: (0..n)
+                .map(|from| (0..n).map(|to| self.cut.contains(&(from, to))).collect())
+                .collect(),
         };
-        let shares = flow(&settings(&self.regions), &load);
+        let shares = allocate(&settings(&self.regions), &load);
         let seen: Vec<Vec<f64>> = shares
             .iter()
             .zip(&self.asked)
@@ -85,28 +93,30 @@
 
 impl StateRow {
     fn play(&self) -> Result<(), String> {
-        let settings = Settings { hold_ms: 4000, ramp_ms: 10_000, ..settings(&["".to_owned()]) };
-        let mut zone = Zone::new(Duration::ZERO);
+        let settings =
+            Settings { min_failover_ms: 4000, slow_start_ms: 10_000, ..settings(&["".to_owned()]) };
+        let mut zone = Zone::new(Duration::ZERO, ZoneState::Serving, 0);
         let mut now = Duration::ZERO;
         for (at, verdict, state) in &self.steps {
             now = ms(*at);
-            let mut judge = |verdict, servers| zone.advance(now, &settings, verdict, self.may_fall, servers);
+            let mut judge =
+                |verdict, servers| zone.apply_verdict(now, &settings, verdict, self.may_fall, servers);
             match verdict.as_str() {
-                "well" => judge(Verdict::Well, true),
-                "doubtful" => judge(Verdict::Doubtful, true),
+                "well" => judge(Verdict::Healthy, true),
+                "doubtful" => judge(Verdict::Inconclusive, true),
                 "lost" => judge(Verdict::Lost, true),
-                "gone" => judge(Verdict::Gone, false),
-                "unseen" => judge(Verdict::Unseen, true),
-                "no servers" => judge(Verdict::Unseen, false),
+                "gone" => judge(Verdict::WithoutServers, false),
+                "unseen" => judge(Verdict::Unobserved, true),
+                "no servers" => judge(Verdict::Unobserved, false),
                 "hold" => zone.hold_by_operator(now),
-                "return" => zone.let_back(now),
+                "return" => zone.return_by_operator(now),
                 other => return Err(format!("no verdict is called {other}")),
             }
             if zone.state.name() != state {
                 return Err(format!("{} at {at}", zone.state.name()));
             }
         }
-        let open = zone.open(now, &settings);
+        let open = zone.open_fraction(now, &settings);
         let wrong = self.open.is_some_and(|wanted| (wanted - open).abs() > 0.005);
         (!wrong).then_some(()).ok_or_else(|| format!("open {open}"))
     }
@@ -130,8 +140,11 @@
 /// A configuration that can't be used is named by its field.
 #[test]
 fn settings_that_cannot_be_used_are_named() {
-    let read =
-        |text: &str| toml::from_str::<Settings>(text).map_err(|e| e.to_string()).and_then(|s| s.check());
+    let read = |text: &str| {
+        toml::from_str::<Settings>(text)
+            .map_err(|e| e.to_string())
+            .and_then(|s| s.check().map_err(|e| e.to_string()))
+    };
     assert_eq!(read("places = [{ name = 'a' }]"), Ok(()));
     for (text, field) in [
         ("", "places"),
@@ -144,5 +157,5 @@
         let e = read(text).expect_err(text);
         assert!(e.contains(field), "{text}: {e}");
     }
-    assert_eq!(State::HeldByOperator.name(), "held_out");
+    assert_eq!(ZoneState::HeldByOperator.name(), "held_out");
 }
--- a/quota-gateway/zone-failover/tests/fleet.rs
+++ b/quota-gateway/zone-failover/tests/fleet.rs
@@ -5,9 +5,10 @@
 use marblecroft_control_messages::report::{
     AppliedDecisions, AttemptCounts, Demand, Report, ZoneObservation,
 };
-use marblecroft_zone_failover::body::{State, ZonesDecided, GROWTH};
-use marblecroft_zone_failover::core::Zones;
-use marblecroft_zone_failover::settings::{Place, Settings};
+use marblecroft_zone_failover::controller::FailoverController;
+use marblecroft_zone_failover::decision::{ZoneState, ZonesDecision};
+use marblecroft_zone_failover::gateway_limits::{GatewayLimits, MAX_DEMAND_GROWTH};
+use marblecroft_zone_failover::settings::{Settings, ZoneSettings};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
@@ -39,7 +40,7 @@
 
 struct Gateway {
     zone: usize,
-    reader: DecisionReader<ZonesDecided>,
+    reader: DecisionReader<ZonesDecision>,
     life: u64,
     number: u64,
     seen: Vec<AttemptCounts>,
@@ -60,12 +61,12 @@
     fault: Option<Fault>,
     since: u64,
     lossy: f64,
-    zones: Zones,
+    zones: FailoverController,
     stamp: Stamp,
     /// Decisions and reports on their way: when, to or from which gateway.
-    decisions: Vec<(u64, usize, Decision<ZonesDecided>)>,
+    decisions: Vec<(u64, usize, Decision<ZonesDecision>)>,
     reports: Vec<(u64, Report)>,
-    last: Option<ZonesDecided>,
+    last: Option<ZonesDecision>,
     served: f64,
     asked: f64,
     near: f64,
@@ -80,10 +81,12 @@
 impl World {
     fn new(seed: u64, gateways: usize, zones: usize, regions: usize, load: f64) -> World {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let place =
-            |i: usize| Place { name: format!("hall-{i}"), region: format!("r{}", i * regions / zones) };
+        let place = |i: usize| ZoneSettings {
+            name: format!("hall-{i}"),
+            region: format!("r{}", i * regions / zones),
+        };
         let settings =
-            Settings { places: (0..zones).map(place).collect(), server_bears: 10.0, ..Settings::default() };
+            Settings { zones: (0..zones).map(place).collect(), server_capacity: 10.0, ..Settings::default() };
         let servers: Vec<f64> = (0..zones).map(|_| f64::from(rng.random_range(20..40))).collect();
         let demand = servers.iter().map(|s| s * 10.0 * load * rng.random_range(0.8..1.2)).collect();
         let gateways = (0..gateways)
@@ -99,7 +102,7 @@
             })
             .collect();
         World {
-            zones: Zones::begin(settings.clone(), at(0), None),
+            zones: FailoverController::new(settings.clone(), at(0), None),
             rng,
             settings,
             now: 0,
@@ -148,7 +151,7 @@
                 self.gateways.iter_mut().filter(|g| g.zone == zone).for_each(|g| g.alive = false)
             }
             Fault::Owner => {
-                self.zones = Zones::begin(self.settings.clone(), at(self.now), self.last.as_ref());
+                self.zones = FailoverController::new(self.settings.clone(), at(self.now), self.last.as_ref());
                 self.stamp = Stamp { token: self.stamp.token + 1, revision: 0 };
             }
             _ => {}
@@ -175,7 +178,7 @@
     fn step(&mut self) {
         self.now += TICK_MS;
         let now = self.now;
-        let due = |(when, ..): &(u64, usize, Decision<ZonesDecided>)| *when <= now;
+        let due = |(when, ..): &(u64, usize, Decision<ZonesDecision>)| *when <= now;
         let (come, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.decisions).into_iter().partition(due);
         self.decisions = later;
         for (_, to, decision) in come {
@@ -190,9 +193,9 @@
         let mut sent = vec![vec![0.0; n]; self.gateways.len()];
         let (mut abroad, mut total) = (vec![0.0; n], vec![0.0; n]);
         for (g, gateway) in self.gateways.iter().enumerate().filter(|(_, g)| g.alive) {
-            let name = &self.settings.places[gateway.zone].name;
+            let name = &self.settings.zones[gateway.zone].name;
             let bound = match gateway.reader.validity(at(now)) {
-                Validity::Valid(decision) => decision.body.for_gateway(name, asked[g]),
+                Validity::Valid(decision) => GatewayLimits::for_gateway(&decision.body, name, asked[g]),
                 _ => None,
             };
             for to in 0..n {
@@ -200,7 +203,7 @@
                     Some(bound) => {
                         let wish = bound.shares[to].1 * asked[g];
                         let most =
-                            bound.abroad.iter().find(|(zone, _)| *zone == self.settings.places[to].name);
+                            bound.max_rates.iter().find(|(zone, _)| *zone == self.settings.zones[to].name);
                         let units = most.map_or(wish, |(_, most)| wish.min(*most));
                         if to != gateway.zone {
                             abroad[to] += units;
@@ -216,7 +219,7 @@
         }
         // A zone is never sent more from elsewhere than it bears and the stated growth, whatever else happens.
         for (zone, sent) in abroad.iter().enumerate() {
-            let most = self.servers[zone] * self.unit * GROWTH;
+            let most = self.servers[zone] * self.unit * MAX_DEMAND_GROWTH;
             assert!(*sent <= most + 1e-6, "{:?} at {now}: zone {zone} is sent {sent} of {most}", self.fault);
         }
         let dt = TICK_MS as f64 / 1000.0;
@@ -243,7 +246,7 @@
             std::mem::take(&mut self.reports).into_iter().partition(|(when, _)| *when <= now);
         self.reports = later;
         for (_, report) in come {
-            assert_eq!(self.zones.report(at(now), &report), Ok(()));
+            assert_eq!(self.zones.handle_report(at(now), &report), Ok(()));
         }
         if now.is_multiple_of(200) && self.fault != Some(Fault::Owner) || now > self.since + 2000 {
             self.decide();
@@ -267,7 +270,7 @@
                 let there = !matches!(self.fault, Some(Fault::Lost(lost)) if lost == z);
                 let servers = if there { self.servers[z] } else { 0.0 };
                 ZoneObservation {
-                    zone: self.settings.places[z].name.clone(),
+                    zone: self.settings.zones[z].name.clone(),
                     attempts: seen,
                     servers,
                     warm: servers,
@@ -277,7 +280,7 @@
                 gateway: g as u32,
                 incarnation: self.gateways[g].life,
                 sequence: self.gateways[g].number,
-                zone: self.settings.places[self.gateways[g].zone].name.clone(),
+                zone: self.settings.zones[self.gateways[g].zone].name.clone(),
                 span_ms: span.clamp(1, 60_000) as u32,
                 requested_units: asked,
                 zones: zones.collect(),
@@ -297,20 +300,24 @@
         let now = self.now;
         let Some(body) = self.zones.tick(at(now)) else { return };
         assert!(
-            body.zones.iter().any(|zone| !matches!(zone.state, State::FailedOver | State::HeldByOperator)),
+            body.zones
+                .iter()
+                .any(|zone| !matches!(zone.state, ZoneState::FailedOver | ZoneState::HeldByOperator)),
             "{:?}: all zones are out at {now}: {body:?}",
             self.fault
         );
         for to in 0..self.n() {
-            let sent: f64 = body.zones.iter().map(|from| from.shares[to] * from.asked).sum();
-            let bears = body.zones[to].bears;
+            let sent: f64 = body.zones.iter().map(|from| from.shares[to] * from.demand).sum();
+            let bears = body.zones[to].capacity;
             assert!(
                 sent <= bears * (1.0 + 1e-6) + 1e-6,
                 "{:?}: by decision {sent} go to a zone that bears {bears}",
                 self.fault
             );
         }
-        for moved in self.zones.moved().into_iter().filter(|moved| moved.to == State::FailedOver) {
+        for moved in
+            self.zones.take_state_changes().into_iter().filter(|moved| moved.to == ZoneState::FailedOver)
+        {
             self.outs += 1;
             self.fallen.insert(moved.zone);
         }
@@ -346,7 +353,7 @@
         (bears / self.demand.iter().sum::<f64>()).min(1.0)
     }
 
-    fn states(&self) -> Vec<State> {
+    fn states(&self) -> Vec<ZoneState> {
         let last = self.last.as_ref().expect("decided");
         last.zones.iter().map(|zone| zone.state).collect()
     }
@@ -359,7 +366,7 @@
 
 /// Every fault on fleets of each size: overload, all out and going back are checked at each step; here what comes of it.
 #[test]
-fn zones_are_left_and_come_back_on_fleets_of_every_size() {
+fn zones_fail_over_and_return_on_fleets_of_every_size() {
     for (gateways, usual) in [(3, 40), (30, 40), (300, 6), (3000, 1)] {
         for seed in seeds(usual).take(if gateways > 300 { 20 } else { usize::MAX }) {
             let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
@@ -395,7 +402,7 @@
             }
             if fault == Fault::AllDark {
                 assert!(
-                    world.states().iter().all(|s| *s != State::FailedOver),
+                    world.states().iter().all(|s| *s != ZoneState::FailedOver),
                     "{what}: {:?}",
                     world.states()
                 );
@@ -410,7 +417,7 @@
             world.run(if matches!(fault, Fault::Flaps(_)) { 60_000 } else { 25_000 });
             let after = world.goodput(5000);
             assert!(after > 0.97, "{what}: after it {after}, {:?}", world.states());
-            assert!(world.states().iter().all(|s| *s == State::Serving), "{what}: {:?}", world.states());
+            assert!(world.states().iter().all(|s| *s == ZoneState::Serving), "{what}: {:?}", world.states());
             assert!(falls <= 3 && world.outs <= 5, "{what}: {} moves", world.outs);
         }
     }
@@ -436,7 +443,7 @@
 
 /// What a liar among the gateways says moves a decision by no more than its part.
 #[test]
-fn a_liars_figures_move_little() {
+fn wrong_values_of_one_gateway_have_little_influence() {
     for seed in seeds(20) {
         let mut worlds = [World::new(seed, 30, 3, 1, 0.6), World::new(seed, 30, 3, 1, 0.6)];
         for (lies, world) in worlds.iter_mut().enumerate() {
@@ -466,9 +473,12 @@
                     warm: servers,
                 });
             }
-            world.zones.report(at(world.now), &report).expect("well formed");
+            world.zones.handle_report(at(world.now), &report).expect("well formed");
             world.now += 2000;
-            world.zones.report(at(world.now), &Report { sequence: u64::MAX, ..report }).expect("well formed");
+            world
+                .zones
+                .handle_report(at(world.now), &Report { sequence: u64::MAX, ..report })
+                .expect("well formed");
             let decided = world.zones.tick(at(world.now));
             world.last = decided.or(world.last.take());
         }
@@ -476,14 +486,14 @@
         for (a, b) in honest.zones.iter().zip(&lied.zones) {
             assert_eq!(a.state, b.state, "seed {seed}");
             assert!(
-                (a.bears - b.bears).abs() < 0.01 * a.bears,
+                (a.capacity - b.capacity).abs() < 0.01 * a.capacity,
                 "seed {seed}: bears {} and {}",
-                a.bears,
-                b.bears
+                a.capacity,
+                b.capacity
             );
             // Its part is clipped at eight times what a gateway is asked for in the mean.
-            let mean = honest.zones.iter().map(|zone| zone.asked).sum::<f64>() / 30.0;
-            assert!(b.asked <= a.asked + 8.5 * mean, "seed {seed}: asked {} and {}", a.asked, b.asked);
+            let mean = honest.zones.iter().map(|zone| zone.demand).sum::<f64>() / 30.0;
+            assert!(b.demand <= a.demand + 8.5 * mean, "seed {seed}: asked {} and {}", a.demand, b.demand);
         }
     }
 }
--- a/testing/fault-injection/src/shell/run/stewards.rs
+++ b/testing/fault-injection/src/shell/run/stewards.rs
@@ -14,7 +14,7 @@
 use marblecroft_singleton_roles::keys::{decode_value, encode_value, Keys, RoleOwner};
 use marblecroft_singleton_roles::run::follow;
 use marblecroft_singleton_roles::view::View;
-use marblecroft_zone_failover::body::{State, ZonesDecided};
+use marblecroft_zone_failover::decision::{ZoneState as DecidedState, ZonesDecision};
 use serde_json::{json, Value};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -40,8 +40,8 @@
         let (names, listening) = (Keys::of(FLEET), world.clone());
         let last: [Cell<Option<(u64, u64)>>; 3] = Default::default();
         let seen = move |seen: &View| {
-            if let Some((token, revision, body)) = newer::<ZonesDecided>(seen, &names, "zones", &last[0]) {
-                let zones = body.zones.iter().map(|zone| (state_of(zone.state), zone.bears)).collect();
+            if let Some((token, revision, body)) = newer::<ZonesDecision>(seen, &names, "zones", &last[0]) {
+                let zones = body.zones.iter().map(|zone| (state_of(zone.state), zone.capacity)).collect();
                 world.record(Event::Decided { token, revision, zones });
             }
             if let Some((token, revision, body)) = newer::<ShareDecision>(seen, &names, "shares", &last[1]) {
@@ -176,12 +176,12 @@
     BookSeen { first: book.first, cell: book.cell as u16, epoch: book.epoch, step, to: to as u16 }
 }
 
-fn state_of(state: State) -> ZoneState {
+fn state_of(state: DecidedState) -> ZoneState {
     match state {
-        State::Serving => ZoneState::Serving,
-        State::Suspect => ZoneState::Suspect,
-        State::FailedOver => ZoneState::Out,
-        State::Returning => ZoneState::Returning,
-        State::HeldByOperator => ZoneState::HeldOut,
+        DecidedState::Serving => ZoneState::Serving,
+        DecidedState::Suspect => ZoneState::Suspect,
+        DecidedState::FailedOver => ZoneState::Out,
+        DecidedState::Returning => ZoneState::Returning,
+        DecidedState::HeldByOperator => ZoneState::HeldOut,
     }
 }
