--- a/control-plane/batch-state/tests/golden.rs
+++ b/control-plane/batch-state/tests/golden.rs
@@ -2,33 +2,13 @@
 //! with the fixture, which is decoded and encoded again. A state that an earlier release has stored is restored.
 //! Leases are volatile and never encoded.
 
+#[path = "../../../testing/support/golden/encoding.rs"]
+mod encoding;
+
+use encoding::{check, unhex};
 use marblecroft_batch_state::{BatchState, Item, ItemOutcome, ItemResult, NewJob, Operation, Output};
 use marblecroft_chain_replication::StateMachine;
-use marblecroft_rpc::{decode, encode, Bytes, Message};
-use std::fmt::Debug;
-
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn unhex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
-    (0..text.len()).step_by(2).map(digits).collect()
-}
-
-/// Checks values against a fixture with one line for each value: its name and its bytes in hexadecimal.
-#[track_caller]
-fn check<T: Message + PartialEq + Debug>(fixture: &str, values: &[(&str, T)]) {
-    let line = |(name, value): &(&str, T)| format!("{name} {}\n", hex(&encode(value)));
-    let written: String = values.iter().map(line).collect();
-    assert!(written == fixture, "the encoding differs from the fixture:\n{written}");
-    for (line, (name, value)) in fixture.lines().zip(values) {
-        let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
-        let read: T = decode(&bytes).expect(name);
-        assert_eq!(&read, value, "{name} is decoded as it was");
-        assert_eq!(encode(&read), bytes, "{name} is encoded again as it was");
-    }
-}
+use marblecroft_rpc::Bytes;
 
 fn item(id: &str, tokens: u64) -> Item {
     Item {
--- a/control-plane/chain-replication/tests/golden.rs
+++ b/control-plane/chain-replication/tests/golden.rs
@@ -2,44 +2,23 @@
 //! literal bytes of a fixture, and these are decoded and encoded again. A log that an earlier version stored is recovered.
 
 mod common;
+#[path = "../../../testing/support/golden/encoding.rs"]
+mod encoding;
 
 use common::Sum;
+use encoding::{check, hex, unhex};
 use marblecroft_chain_replication::agreement::{VoteReply, VoteRequest};
 use marblecroft_chain_replication::storage::{Accepted, Storage, Vote};
 use marblecroft_chain_replication::{
     Append, AppendReply, Install, Member, Position, RecoveryError, Replica, Round, Status, View,
 };
-use marblecroft_rpc::{decode, encode, Bytes, Message};
+use marblecroft_rpc::Bytes;
 use marblecroft_wal::Recovered;
 use std::cell::RefCell;
-use std::fmt::Debug;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn unhex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
-    (0..text.len()).step_by(2).map(digits).collect()
-}
-
-/// The fixture has one line for each value: its name and its bytes.
-#[track_caller]
-fn assert_encoding<T: Message + PartialEq + Debug>(fixture: &str, values: &[(&str, T)]) {
-    let encoded_line = |(name, value): &(&str, T)| format!("{name} {}\n", hex(&encode(value)));
-    let written: String = values.iter().map(encoded_line).collect();
-    assert!(written == fixture, "the encoding differs from the fixture:\n{written}");
-    for (line, (name, value)) in fixture.lines().zip(values) {
-        let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
-        let read: T = decode(&bytes).expect(name);
-        assert_eq!(&read, value, "{name} is decoded to its value");
-        assert_eq!(encode(&read), bytes, "{name} is encoded again to the same bytes");
-    }
-}
-
 fn address(last: u8) -> SocketAddr {
     SocketAddr::from(([10, 1, 2, last], 7100))
 }
@@ -55,14 +34,11 @@
 
 #[test]
 fn views_and_positions_keep_their_encoding() {
-    assert_encoding(include_str!("golden/views.hex"), &[("view", view(300)), ("none", View::default())]);
-    assert_encoding(include_str!("golden/members.hex"), &[("member", member(5))]);
+    check(include_str!("golden/views.hex"), &[("view", view(300)), ("none", View::default())]);
+    check(include_str!("golden/members.hex"), &[("member", member(5))]);
     let position = Position { index: 1000, hash: 0xfeed_0001 };
-    assert_encoding(include_str!("golden/positions.hex"), &[("position", position)]);
-    assert_encoding(
-        include_str!("golden/rounds.hex"),
-        &[("round", Round { session: 81, number: 72, confirmed: 63 })],
-    );
+    check(include_str!("golden/positions.hex"), &[("position", position)]);
+    check(include_str!("golden/rounds.hex"), &[("round", Round { session: 81, number: 72, confirmed: 63 })]);
 }
 
 #[test]
@@ -75,15 +51,15 @@
 #[test]
 fn votes_keep_their_encoding() {
     let accepted = Accepted { proposal_number: 17, view: view(301) };
-    assert_encoding(include_str!("golden/accepted.hex"), &[("accepted", accepted.clone())]);
+    check(include_str!("golden/accepted.hex"), &[("accepted", accepted.clone())]);
     let vote = Vote { instance: 301, promised: 18, accepted: Some(accepted.clone()) };
-    assert_encoding(include_str!("golden/votes.hex"), &[("vote", vote), ("none", Vote::default())]);
+    check(include_str!("golden/votes.hex"), &[("vote", vote), ("none", Vote::default())]);
     let requests = [
         ("prepare", VoteRequest::Prepare { instance: 301, proposal_number: 19 }),
         ("accept", VoteRequest::Accept { instance: 302, proposal_number: 20, view: view(302) }),
         ("decided", VoteRequest::Decided { view: view(303) }),
     ];
-    assert_encoding(include_str!("golden/vote_requests.hex"), &requests);
+    check(include_str!("golden/vote_requests.hex"), &requests);
     let replies = [
         ("promised_none", VoteReply::Promised(None)),
         ("promised", VoteReply::Promised(Some(accepted))),
@@ -92,7 +68,7 @@
         ("known", VoteReply::CurrentView(view(304))),
         ("unable", VoteReply::Rejected),
     ];
-    assert_encoding(include_str!("golden/vote_replies.hex"), &replies);
+    check(include_str!("golden/vote_replies.hex"), &replies);
 }
 
 #[test]
@@ -105,7 +81,7 @@
         last: Position { index: 1003, hash: 0xfeed_0002 },
         broadcast: Bytes(vec![9, 8]),
     };
-    assert_encoding(include_str!("golden/appends.hex"), &[("append", append)]);
+    check(include_str!("golden/appends.hex"), &[("append", append)]);
     let replies = [
         ("held", AppendReply::Accepted { durable_replicas: 3 }),
         ("mismatch", AppendReply::Mismatch(Position { index: 5, hash: 0xaa })),
@@ -114,10 +90,10 @@
         ("storage", AppendReply::StorageError),
         ("failed", AppendReply::DownstreamFailed(address(5))),
     ];
-    assert_encoding(include_str!("golden/append_replies.hex"), &replies);
+    check(include_str!("golden/append_replies.hex"), &replies);
     let position = Position { index: 55, hash: 0xabcd_ef01 };
     let install = Install { view: view(306), position, machine: Bytes(vec![7, 6, 5, 4]) };
-    assert_encoding(include_str!("golden/installs.hex"), &[("install", install)]);
+    check(include_str!("golden/installs.hex"), &[("install", install)]);
     let status = Status {
         identity: 0x0102_0304_0506,
         view: view(307),
@@ -127,7 +103,7 @@
         suspect: Some(address(9)),
         draining: true,
     };
-    assert_encoding(include_str!("golden/statuses.hex"), &[("status", status), ("none", Status::default())]);
+    check(include_str!("golden/statuses.hex"), &[("status", status), ("none", Status::default())]);
 }
 
 /// A storage that lists what is written, a line for each write: `segment` or `append`, and the bytes.
--- a/control-plane/protocol/tests/golden.rs
+++ b/control-plane/protocol/tests/golden.rs
@@ -1,6 +1,10 @@
 //! The encodings of messages do not change: each value is encoded and compared with the fixture, which is decoded and
 //! encoded again. Members of a chain that run different releases depend on it.
 
+#[path = "../../../testing/support/golden/encoding.rs"]
+mod encoding;
+
+use encoding::check;
 use marblecroft_batch_state::{Item, ItemOutcome, NewJob};
 use marblecroft_chain_replication::agreement::{VoteReply, VoteRequest};
 use marblecroft_chain_replication::storage::Accepted;
@@ -15,33 +19,9 @@
     FinishedItem, GatewayLoad, GrantedItem, ItemId, NamedResult, Peers, ResultsPage, StoreReply,
     StoreRequest, WorkReply, WorkRequest,
 };
-use marblecroft_rpc::{decode, encode, Bytes, Message};
-use std::fmt::Debug;
+use marblecroft_rpc::Bytes;
 use std::net::SocketAddr;
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn unhex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
-    (0..text.len()).step_by(2).map(digits).collect()
-}
-
-/// Checks values against a fixture with one line for each value: its name and its bytes in hexadecimal.
-#[track_caller]
-fn check<T: Message + PartialEq + Debug>(fixture: &str, values: &[(&str, T)]) {
-    let line = |(name, value): &(&str, T)| format!("{name} {}\n", hex(&encode(value)));
-    let written: String = values.iter().map(line).collect();
-    assert!(written == fixture, "the encoding differs from the fixture:\n{written}");
-    for (line, (name, value)) in fixture.lines().zip(values) {
-        let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
-        let read: T = decode(&bytes).expect(name);
-        assert_eq!(&read, value, "{name} is decoded as it was");
-        assert_eq!(encode(&read), bytes, "{name} is encoded again as it was");
-    }
-}
-
 fn address(last: u8, port: u16) -> SocketAddr {
     SocketAddr::from(([10, 1, 2, last], port))
 }
