--- a/quota-gateway/fair-share/tests/allocator.rs
+++ b/quota-gateway/fair-share/tests/allocator.rs
@@ -13,7 +13,7 @@
     Duration::from_millis(ms)
 }
 
-fn report(gateway: u32, number: u64, asks: f64, goes_by: Stamp) -> Report {
+fn report(gateway: u32, number: u64, asks: f64, applied: Stamp) -> Report {
     Report {
         gateway,
         incarnation: 1,
@@ -23,7 +23,7 @@
         requested_units: asks,
         zones: Vec::new(),
         demand: sample(&[LocalFirm { demand: asks, weight: 1.0 }], &first_points()),
-        applied_decisions: AppliedDecisions { shares: goes_by, ..AppliedDecisions::default() },
+        applied_decisions: AppliedDecisions { shares: applied, ..AppliedDecisions::default() },
     }
 }
 
@@ -34,11 +34,11 @@
     let mut allocator = ShareAllocator::new(at(0), VALID, SHRINK, at(1000), None);
     allocator.set_capacity(100.0);
     let (mut stamp, mut number) = (Stamp { token: 1, revision: 0 }, 0);
-    let mut round = |allocator: &mut ShareAllocator, now: u64, asks: [f64; 2], goes_by: [Stamp; 2]| {
+    let mut round = |allocator: &mut ShareAllocator, now: u64, asks: [f64; 2], applied: [Stamp; 2]| {
         number += 1;
         for gateway in 0..2 {
-            let told = report(gateway as u32, number, asks[gateway], goes_by[gateway]);
-            allocator.handle_report(at(now), &told).expect("well formed");
+            let report_now = report(gateway as u32, number, asks[gateway], applied[gateway]);
+            allocator.handle_report(at(now), &report_now).expect("well formed");
         }
         let next = Stamp { revision: stamp.revision + 1, ..stamp };
         let decided = allocator.decide(at(now), next);
@@ -79,7 +79,7 @@
 
 /// A gateway that is not heard keeps its grant until its decision must have lapsed, then shrinks, and is given up after a minute.
 #[test]
-fn the_grant_of_an_unreachable_gateway_stays_reserved_until_it_counts_as_gone() {
+fn the_grant_of_an_unreachable_gateway_stays_reserved_until_the_gateway_counts_as_departed() {
     let mut allocator = ShareAllocator::new(at(0), VALID, SHRINK, at(1000), None);
     allocator.set_capacity(100.0);
     let mut stamp = Stamp { token: 1, revision: 0 };
@@ -90,8 +90,8 @@
             if gateway == 0 || second < 6 {
                 // While both are heard the first asks for little, so that the other has far more than its equal part.
                 let asks = if gateway == 0 && second < 6 { 10.0 } else { 150.0 };
-                let told = report(gateway, second + 1, asks, stamp);
-                allocator.handle_report(at(second * 1000), &told).expect("well formed");
+                let report_now = report(gateway, second + 1, asks, stamp);
+                allocator.handle_report(at(second * 1000), &report_now).expect("well formed");
             }
         }
         let next = Stamp { revision: stamp.revision + 1, ..stamp };
--- a/quota-gateway/fair-share/tests/conformance.rs
+++ b/quota-gateway/fair-share/tests/conformance.rs
@@ -46,7 +46,7 @@
 
 const VALID: Duration = Duration::from_secs(5);
 /// Tries of a firm in a second at one gateway.
-const PIECES: u64 = 100;
+const ATTEMPTS_PER_SECOND: u64 = 100;
 
 impl Row {
     fn play(&self) -> Result<(), String> {
@@ -61,8 +61,8 @@
         let mut gets = vec![0.0; self.firms.len()];
         let mut revision = 0;
         for second in 0..=last {
-            for piece in 0..PIECES {
-                let now = at(second * 1000 + piece * 1000 / PIECES);
+            for attempt in 0..ATTEMPTS_PER_SECOND {
+                let now = at(second * 1000 + attempt * 1000 / ATTEMPTS_PER_SECOND);
                 for (f, (weight, asks)) in self.firms.iter().enumerate() {
                     let all: f64 = asks.iter().sum();
                     for (g, asks) in asks.iter().enumerate().filter(|(_, asks)| **asks > 0.0) {
@@ -72,9 +72,9 @@
                             equal_fraction: asks / all,
                             rate_limit: self.quota,
                         };
-                        let units = asks / PIECES as f64;
-                        for try_ in 0..=self.again {
-                            if limiters[g].request(now, f as u64, known, units, try_ > 0) {
+                        let units = asks / ATTEMPTS_PER_SECOND as f64;
+                        for repetition in 0..=self.again {
+                            if limiters[g].request(now, f as u64, known, units, repetition > 0) {
                                 limiters[g].charge(f as u64, units);
                                 gets[f] += if second == last { units } else { 0.0 };
                                 break;
@@ -82,7 +82,7 @@
                         }
                     }
                 }
-                if piece % 25 == 0 {
+                if attempt % 25 == 0 {
                     limiters
                         .iter_mut()
                         .zip(&readers)
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn every_clause_has_rows_and_every_row_holds() {
+fn every_clause_has_rows_and_every_row_passes() {
     let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/conformance/shares.toml"));
     let tables: Tables = toml::from_str(&text.expect("readable")).expect("tables");
     let rows = tables.share.iter().map(|row| Played {
--- a/quota-gateway/fair-share/tests/fleet.rs
+++ b/quota-gateway/fair-share/tests/fleet.rs
@@ -23,7 +23,7 @@
 /// A client firm: what it asks for, its weight, the gateways that it comes through and with which parts.
 #[derive(Clone)]
 struct Client {
-    asks: f64,
+    demand: f64,
     weight: f64,
     /// What it truly wants; inflated demand asks for more.
     spread: Vec<(usize, f64)>,
@@ -31,37 +31,37 @@
     believed: Vec<f64>,
 }
 
-struct Gate {
+struct SimulatedGateway {
     reader: DecisionReader<ShareDecision>,
     points: Vec<f64>,
-    number: u64,
+    sequence: u64,
     report_at: u64,
-    deaf: bool,
+    is_unreachable: bool,
 }
 
-struct World {
+struct SimulatedFleet {
     rng: ChaCha8Rng,
     now: u64,
     capacity: f64,
     firms: Vec<Client>,
     at: Vec<Vec<(usize, usize)>>,
-    gates: Vec<Gate>,
+    gateways: Vec<SimulatedGateway>,
     allocator: ShareAllocator,
     stamp: Stamp,
-    lossy: f64,
+    loss_rate: f64,
     decisions: Vec<(u64, usize, Decision<ShareDecision>)>,
     reports: Vec<(u64, Report)>,
     last: Option<(Stamp, ShareDecision)>,
     /// What each firm gets, in units a second, in the last step.
-    gets: Vec<f64>,
+    received: Vec<f64>,
     bytes: usize,
     messages: usize,
     /// No owner until then.
-    headless: u64,
+    no_owner_until: u64,
 }
 
-impl World {
-    fn new(seed: u64, gateways: usize, firms: usize, short: f64) -> World {
+impl SimulatedFleet {
+    fn new(seed: u64, gateways: usize, firms: usize, short: f64) -> SimulatedFleet {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let client = |rng: &mut ChaCha8Rng, i: usize| {
             let most = if gateways <= 4 { gateways } else { 9 };
@@ -73,48 +73,48 @@
                 parts.iter().enumerate().map(|(k, part)| ((first + k) % gateways, part / sum)).collect();
             let believed = spread.iter().map(|(_, part)| *part).collect();
             Client {
-                asks: 10f64.powf(rng.random_range(-0.5..1.5)),
+                demand: 10f64.powf(rng.random_range(-0.5..1.5)),
                 weight: [1.0, 1.0, 2.0, 4.0][i % 4],
                 spread,
                 believed,
             }
         };
         let firms: Vec<Client> = (0..firms).map(|i| client(&mut rng, i)).collect();
-        let capacity = firms.iter().map(|firm| firm.asks).sum::<f64>() * short;
-        let gates = (0..gateways)
-            .map(|_| Gate {
+        let capacity = firms.iter().map(|firm| firm.demand).sum::<f64>() * short;
+        let simulated_gateways = (0..gateways)
+            .map(|_| SimulatedGateway {
                 reader: DecisionReader::default(),
                 points: demand_curve::first_points(),
-                number: 0,
+                sequence: 0,
                 report_at: rng.random_range(0..ROUND),
-                deaf: false,
+                is_unreachable: false,
             })
             .collect();
         let mut allocator = ShareAllocator::new(at(0), VALID, SHRINK_INTERVAL, at(2200), None);
         allocator.set_capacity(capacity);
-        World {
+        SimulatedFleet {
             rng,
             now: 0,
             capacity,
-            gets: vec![0.0; firms.len()],
+            received: vec![0.0; firms.len()],
             firms,
             at: Vec::new(),
-            gates,
+            gateways: simulated_gateways,
             allocator,
             stamp: Stamp { token: 1, revision: 0 },
-            lossy: 0.0,
+            loss_rate: 0.0,
             decisions: Vec::new(),
             reports: Vec::new(),
             last: None,
             bytes: 0,
             messages: 0,
-            headless: 0,
+            no_owner_until: 0,
         }
     }
 
     /// Which firms come through each gateway, and as which of theirs.
     fn index(&mut self) {
-        self.at = vec![Vec::new(); self.gates.len()];
+        self.at = vec![Vec::new(); self.gateways.len()];
         for (f, firm) in self.firms.iter().enumerate() {
             firm.spread.iter().enumerate().for_each(|(k, (gateway, _))| self.at[*gateway].push((f, k)));
         }
@@ -124,17 +124,21 @@
     fn here(&self, gateway: usize) -> Vec<(usize, usize, LocalFirm)> {
         let here = |&(f, k): &(usize, usize)| {
             let firm = &self.firms[f];
-            (f, k, LocalFirm { demand: firm.asks * firm.spread[k].1, weight: firm.weight * firm.believed[k] })
+            (
+                f,
+                k,
+                LocalFirm { demand: firm.demand * firm.spread[k].1, weight: firm.weight * firm.believed[k] },
+            )
         };
         self.at[gateway].iter().map(here).collect()
     }
 
     /// What all send on in this moment: by the level and the grant, or alone; the sum.
     fn send(&mut self) -> f64 {
-        self.gets.iter_mut().for_each(|gets| *gets = 0.0);
+        self.received.iter_mut().for_each(|gets| *gets = 0.0);
         let now = at(self.now);
         let mut all = 0.0;
-        for g in 0..self.gates.len() {
+        for g in 0..self.gateways.len() {
             let here = self.here(g);
             let firms: Vec<LocalFirm> = here.iter().map(|(.., here)| *here).collect();
             // The gateway's own code, fed with what its firms ask for.
@@ -148,14 +152,14 @@
                 };
                 limiter.request(now, *f as u64, known, here.demand, false);
             }
-            limiter.apply_decision(now, &self.gates[g].reader);
+            limiter.apply_decision(now, &self.gateways[g].reader);
             for ((f, ..), here) in here.iter().zip(&firms) {
                 let allowed = limiter.allowed_rate(*f as u64).expect("it has just asked");
                 let units = match limiter.limit() {
                     marblecroft_fair_share::limiter::ShareLimit::Unlimited => here.demand,
                     _ => here.demand.min(allowed),
                 };
-                self.gets[*f] += units;
+                self.received[*f] += units;
                 all += units;
             }
         }
@@ -169,30 +173,31 @@
             std::mem::take(&mut self.decisions).into_iter().partition(|(when, ..)| *when <= now);
         self.decisions = later;
         for (_, to, decision) in come {
-            self.gates[to].points.clone_from(&decision.body.points);
-            self.gates[to].reader.accept(at(now.saturating_sub(300)), decision);
+            self.gateways[to].points.clone_from(&decision.body.points);
+            self.gateways[to].reader.accept(at(now.saturating_sub(300)), decision);
         }
         // That nothing is newer is heard as well, each second.
-        for gate in self.gates.iter_mut().filter(|gate| !gate.deaf && now % ROUND < ms) {
-            gate.reader.renew(at(now.saturating_sub(300)));
+        for gateway in self.gateways.iter_mut().filter(|gateway| !gateway.is_unreachable && now % ROUND < ms)
+        {
+            gateway.reader.renew(at(now.saturating_sub(300)));
         }
-        for g in 0..self.gates.len() {
-            if now < self.gates[g].report_at {
+        for g in 0..self.gateways.len() {
+            if now < self.gateways[g].report_at {
                 continue;
             }
-            self.gates[g].report_at += ROUND;
-            self.gates[g].number += 1;
+            self.gateways[g].report_at += ROUND;
+            self.gateways[g].sequence += 1;
             let here: Vec<LocalFirm> = self.here(g).into_iter().map(|(.., here)| here).collect();
-            let gate = &self.gates[g];
-            let shares = demand_curve::sample(&here, &gate.points);
+            let gateway = &self.gateways[g];
+            let shares = demand_curve::sample(&here, &gateway.points);
             let goes_by = AppliedDecisions {
-                shares: gate.reader.stamp().unwrap_or_default(),
+                shares: gateway.reader.stamp().unwrap_or_default(),
                 ..AppliedDecisions::default()
             };
             let report = Report {
                 gateway: g as u32,
                 incarnation: 1,
-                sequence: gate.number,
+                sequence: gateway.sequence,
                 zone: "hall-a".to_owned(),
                 span_ms: 1000,
                 requested_units: shares.total,
@@ -202,17 +207,17 @@
             };
             self.bytes += postcard::to_stdvec(&report).map_or(0, |bytes| bytes.len());
             self.messages += 1;
-            let lost = gate.deaf || self.rng.random::<f64>() < self.lossy;
-            let copies = if lost { 0 } else { 1 + usize::from(self.rng.random::<f64>() < self.lossy) };
+            let lost = gateway.is_unreachable || self.rng.random::<f64>() < self.loss_rate;
+            let copies = if lost { 0 } else { 1 + usize::from(self.rng.random::<f64>() < self.loss_rate) };
             for _ in 0..copies {
-                let late = if self.rng.random::<f64>() < self.lossy { 1500 } else { 100 };
+                let late = if self.rng.random::<f64>() < self.loss_rate { 1500 } else { 100 };
                 self.reports.push((now + self.rng.random_range(0..=late), report.clone()));
             }
         }
         let (come, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.reports).into_iter().partition(|(when, _)| *when <= now);
         self.reports = later;
-        if now < self.headless {
+        if now < self.no_owner_until {
             return;
         }
         for (_, report) in come {
@@ -224,10 +229,10 @@
                 self.stamp = stamp;
                 self.last = Some((stamp, body.clone()));
                 let decision = Decision { stamp, valid_ms: VALID.as_millis() as u32, body };
-                for g in 0..self.gates.len() {
+                for g in 0..self.gateways.len() {
                     // A read that is lost is made again, well within the time in which the older decision is valid.
-                    let again = if self.rng.random::<f64>() < self.lossy { 3500 } else { 0 };
-                    if !self.gates[g].deaf {
+                    let again = if self.rng.random::<f64>() < self.loss_rate { 3500 } else { 0 };
+                    if !self.gateways[g].is_unreachable {
                         self.decisions.push((
                             now + again + self.rng.random_range(20..300),
                             g,
@@ -258,8 +263,9 @@
         }
     }
 
-    fn exact(&self) -> (Vec<Firm>, Vec<f64>) {
-        let firms: Vec<Firm> = self.firms.iter().map(|f| Firm { demand: f.asks, weight: f.weight }).collect();
+    fn reference(&self) -> (Vec<Firm>, Vec<f64>) {
+        let firms: Vec<Firm> =
+            self.firms.iter().map(|f| Firm { demand: f.demand, weight: f.weight }).collect();
         let gets = max_min_shares(&firms, self.capacity);
         (firms, gets)
     }
@@ -268,9 +274,9 @@
     /// them where firms are many; and Jain's index.
     fn error(&mut self) -> (f64, f64) {
         self.send();
-        let (firms, exact) = self.exact();
-        let far = exact.iter().zip(&self.gets).map(|(a, b)| (a - b).abs()).sum::<f64>();
-        (far / self.capacity, jain_index(&firms, &self.gets))
+        let (firms, exact) = self.reference();
+        let far = exact.iter().zip(&self.received).map(|(a, b)| (a - b).abs()).sum::<f64>();
+        (far / self.capacity, jain_index(&firms, &self.received))
     }
 
     /// Demand jumps: half of the firms ask for something else, and some come through other gateways.
@@ -279,7 +285,7 @@
         let mut order: Vec<usize> = (0..n).collect();
         order.shuffle(&mut self.rng);
         for &f in &order[..n.div_ceil(2)] {
-            self.firms[f].asks = 10f64.powf(self.rng.random_range(-0.5..1.5));
+            self.firms[f].demand = 10f64.powf(self.rng.random_range(-0.5..1.5));
         }
     }
 }
@@ -290,18 +296,18 @@
 }
 
 #[test]
-fn shares_converge_to_the_exact_ones_and_never_pass_the_capacity() {
+fn quota_shares_converge_to_the_reference_and_never_exceed_the_capacity() {
     for (gateways, firms, usual) in [(3, 40, 30), (30, 300, 20), (300, 2000, 2), (3000, 10_000, 1)] {
         for seed in seeds(usual).take(if gateways > 30 { usual as usize } else { usize::MAX }) {
             let what = format!("seed {seed}, {gateways} gateways, {firms} firms");
-            let mut world = World::new(seed, gateways, firms, 0.3 + 0.05 * (seed % 8) as f64);
-            world.lossy = if seed % 3 == 0 { 0.1 } else { 0.0 };
-            world.run(if gateways > 300 { 4000 } else { 8000 }, false, &what);
-            let begun = world.error();
-            world.jump();
-            world.run(if gateways > 300 { 3000 } else { 5000 }, true, &what);
-            let (error, index) = world.error();
-            if world.lossy == 0.0 {
+            let mut fleet = SimulatedFleet::new(seed, gateways, firms, 0.3 + 0.05 * (seed % 8) as f64);
+            fleet.loss_rate = if seed % 3 == 0 { 0.1 } else { 0.0 };
+            fleet.run(if gateways > 300 { 4000 } else { 8000 }, false, &what);
+            let begun = fleet.error();
+            fleet.jump();
+            fleet.run(if gateways > 300 { 3000 } else { 5000 }, true, &what);
+            let (error, index) = fleet.error();
+            if fleet.loss_rate == 0.0 {
                 assert!(begun.0 < 0.01, "{what}: at first {begun:?}");
                 assert!(error < 0.05 && index > 0.95, "{what}: 5 s after a jump {error}, {index}");
             }
@@ -311,43 +317,43 @@
 
 /// Cuts, an owner that is replaced, none for 30 s, a capacity that halves: the sum holds all the while.
 #[test]
-fn the_sum_holds_whatever_is_cut_late_or_lost() {
+fn grants_never_exceed_the_capacity_under_partitions_delays_and_losses() {
     for seed in seeds(24) {
         let what = format!("seed {seed}");
-        let mut world = World::new(seed, 30, 200, 0.5);
-        world.run(8000, false, &what);
-        world.lossy = 0.2;
+        let mut fleet = SimulatedFleet::new(seed, 30, 200, 0.5);
+        fleet.run(8000, false, &what);
+        fleet.loss_rate = 0.2;
         match seed % 4 {
-            0 => world.gates.iter_mut().step_by(3).for_each(|gate| gate.deaf = true),
+            0 => fleet.gateways.iter_mut().step_by(3).for_each(|gateway| gateway.is_unreachable = true),
             1 => {
-                world.allocator = ShareAllocator::new(
-                    at(world.now),
+                fleet.allocator = ShareAllocator::new(
+                    at(fleet.now),
                     VALID,
                     SHRINK_INTERVAL,
                     at(2200),
-                    world.last.as_ref().map(|(s, b)| (*s, b)),
+                    fleet.last.as_ref().map(|(s, b)| (*s, b)),
                 );
-                world.allocator.set_capacity(world.capacity);
-                world.stamp = Stamp { token: 2, revision: 0 };
+                fleet.allocator.set_capacity(fleet.capacity);
+                fleet.stamp = Stamp { token: 2, revision: 0 };
             }
-            2 => world.headless = world.now + 30_000,
+            2 => fleet.no_owner_until = fleet.now + 30_000,
             _ => {}
         }
         for _ in 0..4 {
-            world.jump();
-            world.run(6000, true, &what);
+            fleet.jump();
+            fleet.run(6000, true, &what);
         }
-        world.gates.iter_mut().for_each(|gate| gate.deaf = false);
-        world.lossy = 0.0;
-        world.run(12_000, true, &what);
-        let (error, index) = world.error();
+        fleet.gateways.iter_mut().for_each(|gateway| gateway.is_unreachable = false);
+        fleet.loss_rate = 0.0;
+        fleet.run(12_000, true, &what);
+        let (error, index) = fleet.error();
         assert!(error < 0.05, "{what}: healed {error}, {index}");
         // A capacity that halves: the sum is under it again once every gateway has said that it goes by less.
-        world.capacity *= 0.5;
-        world.allocator.set_capacity(world.capacity);
-        world.run(3000, false, &what);
-        world.run(4000, true, &what);
-        assert!(world.error().0 < 0.05, "{what}: {:?}", world.error());
+        fleet.capacity *= 0.5;
+        fleet.allocator.set_capacity(fleet.capacity);
+        fleet.run(3000, false, &what);
+        fleet.run(4000, true, &what);
+        assert!(fleet.error().0 < 0.05, "{what}: {:?}", fleet.error());
     }
 }
 
@@ -357,13 +363,13 @@
 fn inflated_demand_gains_nothing_and_takes_nothing_from_small_firms() {
     for seed in seeds(12) {
         let what = format!("seed {seed}");
-        let mut honest = World::new(seed, 12, 60, 0.4);
+        let mut honest = SimulatedFleet::new(seed, 12, 60, 0.4);
         let part = honest.capacity / honest.firms.iter().map(|f| f.weight).sum::<f64>();
-        honest.firms[0].asks = 3.0 * part * honest.firms[0].weight;
+        honest.firms[0].demand = 3.0 * part * honest.firms[0].weight;
         honest.run(12_000, false, &what);
         honest.error();
-        let mut greedy = World::new(seed, 12, 60, 0.4);
-        greedy.firms[0].asks = 30.0 * part * greedy.firms[0].weight;
+        let mut greedy = SimulatedFleet::new(seed, 12, 60, 0.4);
+        greedy.firms[0].demand = 30.0 * part * greedy.firms[0].weight;
         if seed % 2 == 0 {
             let first = greedy.firms[0].spread[0].0;
             (greedy.firms[0].spread, greedy.firms[0].believed) = (vec![(first, 1.0)], vec![1.0]);
@@ -373,17 +379,17 @@
         greedy.run(12_000, false, &what);
         greedy.error();
         assert!(
-            greedy.gets[0] <= honest.gets[0] * 1.05 + 0.05,
+            greedy.received[0] <= honest.received[0] * 1.05 + 0.05,
             "{what}: {} and {}",
-            greedy.gets[0],
-            honest.gets[0]
+            greedy.received[0],
+            honest.received[0]
         );
         for (f, firm) in greedy.firms.iter().enumerate() {
-            let least = firm.asks.min(part * firm.weight);
+            let least = firm.demand.min(part * firm.weight);
             assert!(
-                greedy.gets[f] >= 0.95 * least - 0.02,
+                greedy.received[f] >= 0.95 * least - 0.02,
                 "{what}: firm {f} has {} of {least}",
-                greedy.gets[f]
+                greedy.received[f]
             );
         }
     }
@@ -393,9 +399,9 @@
 #[test]
 fn reports_do_not_grow_with_firms() {
     let size = |firms| {
-        let mut world = World::new(1, 30, firms, 0.5);
-        world.run(3000, false, "size");
-        world.bytes / world.messages
+        let mut fleet = SimulatedFleet::new(1, 30, firms, 0.5);
+        fleet.run(3000, false, "size");
+        fleet.bytes / fleet.messages
     };
     let (few, many) = (size(100), size(5000));
     assert!(many <= few + few / 10 && many < 700, "{few} and {many} bytes a report");
--- a/quota-gateway/fair-share/tests/limiter.rs
+++ b/quota-gateway/fair-share/tests/limiter.rs
@@ -5,7 +5,7 @@
 use marblecroft_fair_share::limiter::{FirmQuota, ShareLimit, ShareLimiter, MAX_FIRMS};
 use std::time::Duration;
 
-const KNOWN: FirmQuota =
+const QUOTA: FirmQuota =
     FirmQuota { weight: 1.0, local_fraction: 1.0, equal_fraction: 1.0, rate_limit: f64::INFINITY };
 
 fn at(ms: u64) -> Duration {
@@ -92,11 +92,11 @@
 fn the_number_of_tracked_firms_is_bounded() {
     let mut limiter = ShareLimiter::new(7);
     for firm in 0..MAX_FIRMS as u64 + 100 {
-        limiter.request(at(0), firm, KNOWN, 1.0, false);
+        limiter.request(at(0), firm, QUOTA, 1.0, false);
     }
     assert_eq!(limiter.firm_count(), MAX_FIRMS);
     limiter.apply_decision(at(0), &reader(5.0, 30.0));
-    assert!(!limiter.request(at(1), u64::MAX, KNOWN, 1.0, false));
+    assert!(!limiter.request(at(1), u64::MAX, QUOTA, 1.0, false));
     // Silent for half a minute, all are forgotten.
     limiter.sample_demand(at(31_000));
     assert_eq!(limiter.firm_count(), 0);
--- a/quota-gateway/zone-failover/src/controller.rs
+++ b/quota-gateway/zone-failover/src/controller.rs
@@ -6,7 +6,7 @@
 use crate::decision::{ZoneDecision, ZoneState, ZonesDecision};
 use crate::evidence::Evidence;
 use crate::settings::Settings;
-use crate::verdict::{judge, Verdict};
+use crate::verdict::{assess, Verdict};
 use crate::zone::Zone;
 use marblecroft_control_messages::frame::DecodeError;
 use marblecroft_control_messages::published::Instant;
@@ -143,7 +143,7 @@
             return None;
         }
         let accepting_zones = self.zones.iter().filter(|zone| zone.state.accepts_traffic()).count();
-        let verdicts = judge(&self.evidence, self.zones.len(), accepting_zones);
+        let verdicts = assess(&self.evidence, self.zones.len(), accepting_zones);
         for (zone, verdict) in verdicts.into_iter().enumerate() {
             self.apply_verdict(now, zone, verdict);
         }
--- a/quota-gateway/zone-failover/src/verdict.rs
+++ b/quota-gateway/zone-failover/src/verdict.rs
@@ -28,10 +28,11 @@
 }
 
 /// Returns the verdict on each zone; `accepting_zones` is the number of zones that accept traffic.
-pub fn judge(evidence: &Evidence, zone_count: usize, accepting_zones: usize) -> Vec<Verdict> {
-    let judge = Judge { evidence, zone_count };
-    let partitioned: Vec<bool> = (0..zone_count).map(|zone| judge.is_partitioned(zone)).collect();
-    let mut verdicts: Vec<Verdict> = (0..zone_count).map(|zone| judge.verdict(zone, &partitioned)).collect();
+pub fn assess(evidence: &Evidence, zone_count: usize, accepting_zones: usize) -> Vec<Verdict> {
+    let assessment = Assessment { evidence, zone_count };
+    let partitioned: Vec<bool> = (0..zone_count).map(|zone| assessment.is_partitioned(zone)).collect();
+    let mut verdicts: Vec<Verdict> =
+        (0..zone_count).map(|zone| assessment.verdict(zone, &partitioned)).collect();
     if is_everything_lost(&verdicts, accepting_zones) {
         // That all zones fail at once is evidence against the observers.
         for verdict in verdicts.iter_mut().filter(|verdict| verdict.is_lost()) {
@@ -48,12 +49,12 @@
         && observed().count() >= accepting_zones
 }
 
-struct Judge<'a> {
+struct Assessment<'a> {
     evidence: &'a Evidence,
     zone_count: usize,
 }
 
-impl Judge<'_> {
+impl Assessment<'_> {
     fn others(&self, zone: usize) -> impl Iterator<Item = usize> {
         (0..self.zone_count).filter(move |&other| other != zone)
     }
--- a/quota-gateway/zone-failover/tests/conformance.rs
+++ b/quota-gateway/zone-failover/tests/conformance.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn every_clause_has_rows_and_every_row_holds() {
+fn every_clause_has_rows_and_every_row_passes() {
     let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/conformance/zones.toml"));
     let tables: Tables = toml::from_str(&text.expect("readable")).expect("tables");
     let played = |id: &String, clause: &String, because: &String, outcome| Played {
--- a/quota-gateway/zone-failover/tests/fleet.rs
+++ b/quota-gateway/zone-failover/tests/fleet.rs
@@ -17,13 +17,13 @@
 const TICK_MS: u64 = 100;
 const VALID_MS: u32 = 10_000;
 
-/// What the world does to a zone.
+/// A fault of a zone, or of all.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     /// Its pay servers are gone.
     Servers(usize),
     /// Its gateways cannot reach other zones, nor these them.
-    Cut(usize),
+    Partition(usize),
     /// Its pay servers do a tenth of their work.
     Slow(usize),
     /// Gone for a second of every two.
@@ -35,21 +35,21 @@
     /// The owner is replaced.
     Owner,
     /// Its gateways hear no decisions and their reports are lost.
-    Deaf(usize),
+    Unreachable(usize),
 }
 
 struct Gateway {
     zone: usize,
     reader: DecisionReader<ZonesDecision>,
-    life: u64,
-    number: u64,
+    incarnation: u64,
+    sequence: u64,
     seen: Vec<AttemptCounts>,
     since: u64,
     alive: bool,
     report_at: u64,
 }
 
-struct World {
+struct SimulatedFleet {
     rng: ChaCha8Rng,
     settings: Settings,
     now: u64,
@@ -68,7 +68,7 @@
     reports: Vec<(u64, Report)>,
     last: Option<ZonesDecision>,
     served: f64,
-    asked: f64,
+    requested: f64,
     near: f64,
     outs: u32,
     fallen: BTreeSet<String>,
@@ -78,8 +78,8 @@
     Duration::from_millis(now)
 }
 
-impl World {
-    fn new(seed: u64, gateways: usize, zones: usize, regions: usize, load: f64) -> World {
+impl SimulatedFleet {
+    fn new(seed: u64, gateways: usize, zones: usize, regions: usize, load: f64) -> SimulatedFleet {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let place = |i: usize| ZoneSettings {
             name: format!("hall-{i}"),
@@ -93,15 +93,15 @@
             .map(|i| Gateway {
                 zone: i % zones,
                 reader: DecisionReader::default(),
-                life: 1,
-                number: 0,
+                incarnation: 1,
+                sequence: 0,
                 seen: vec![AttemptCounts::default(); zones],
                 since: 0,
                 alive: true,
                 report_at: rng.random_range(0..1000),
             })
             .collect();
-        World {
+        SimulatedFleet {
             zones: FailoverController::new(settings.clone(), at(0), None),
             rng,
             settings,
@@ -118,7 +118,7 @@
             reports: Vec::new(),
             last: None,
             served: 0.0,
-            asked: 0.0,
+            requested: 0.0,
             near: 0.0,
             outs: 0,
             fallen: BTreeSet::new(),
@@ -132,7 +132,7 @@
     fn dark(&self, from: usize, to: usize) -> bool {
         match self.fault {
             Some(Fault::Servers(z) | Fault::Lost(z)) => to == z,
-            Some(Fault::Cut(z)) => (from == z) != (to == z),
+            Some(Fault::Partition(z)) => (from == z) != (to == z),
             Some(Fault::Flaps(z)) => to == z && ((self.now - self.since) / 1000).is_multiple_of(2),
             Some(Fault::AllDark) => true,
             _ => false,
@@ -161,13 +161,13 @@
     fn end(&mut self) {
         self.fault = None;
         for gateway in self.gateways.iter_mut().filter(|g| !g.alive) {
-            (gateway.alive, gateway.reader, gateway.number) = (true, DecisionReader::default(), 0);
-            gateway.life += 1;
+            (gateway.alive, gateway.reader, gateway.sequence) = (true, DecisionReader::default(), 0);
+            gateway.incarnation += 1;
         }
     }
 
     /// What each living gateway is asked for: its zone's demand over the living ones, and what lost zones' clients bring.
-    fn asked_of(&self) -> Vec<f64> {
+    fn demand_of_gateways(&self) -> Vec<f64> {
         let living = |zone: usize| self.gateways.iter().filter(|g| g.zone == zone && g.alive).count() as f64;
         let all = self.gateways.iter().filter(|g| g.alive).count().max(1) as f64;
         let homeless: f64 = (0..self.n()).filter(|&z| living(z) == 0.0).map(|z| self.demand[z]).sum();
@@ -187,7 +187,7 @@
             self.gateways[to].reader.accept(at(now.saturating_sub(300)), decision);
             assert!(self.gateways[to].reader.stamp() >= before, "a decision went back at a reader");
         }
-        let asked = self.asked_of();
+        let asked = self.demand_of_gateways();
         let n = self.n();
         // Who sends where: by decision, or alone as the module does, to its own zone first.
         let mut sent = vec![vec![0.0; n]; self.gateways.len()];
@@ -225,7 +225,7 @@
         let dt = TICK_MS as f64 / 1000.0;
         for (g, row) in sent.iter().enumerate() {
             let zone = self.gateways[g].zone;
-            self.asked += asked[g] * dt;
+            self.requested += asked[g] * dt;
             for to in 0..n {
                 let units = row[to] * dt;
                 let dark = self.dark(zone, to);
@@ -241,7 +241,7 @@
                 }
             }
         }
-        self.tell(&asked);
+        self.send_reports(&asked);
         let (come, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.reports).into_iter().partition(|(when, _)| *when <= now);
         self.reports = later;
@@ -253,17 +253,17 @@
         }
     }
 
-    fn tell(&mut self, asked: &[f64]) {
+    fn send_reports(&mut self, asked: &[f64]) {
         let (now, n) = (self.now, self.n());
         for (g, &asked) in asked.iter().enumerate() {
-            let deaf = self.fault == Some(Fault::Deaf(self.gateways[g].zone));
+            let is_unreachable = self.fault == Some(Fault::Unreachable(self.gateways[g].zone));
             if now < self.gateways[g].report_at || !self.gateways[g].alive {
                 continue;
             }
             self.gateways[g].report_at += 1000;
             let span = now - self.gateways[g].since;
             self.gateways[g].since = now;
-            self.gateways[g].number += 1;
+            self.gateways[g].sequence += 1;
             let seen = std::mem::replace(&mut self.gateways[g].seen, vec![AttemptCounts::default(); n]);
             let zones = seen.into_iter().enumerate().map(|(z, seen)| {
                 // A list says what is listed, not what can be reached.
@@ -278,8 +278,8 @@
             });
             let report = Report {
                 gateway: g as u32,
-                incarnation: self.gateways[g].life,
-                sequence: self.gateways[g].number,
+                incarnation: self.gateways[g].incarnation,
+                sequence: self.gateways[g].sequence,
                 zone: self.settings.zones[self.gateways[g].zone].name.clone(),
                 span_ms: span.clamp(1, 60_000) as u32,
                 requested_units: asked,
@@ -287,7 +287,7 @@
                 demand: Demand::default(),
                 applied_decisions: AppliedDecisions::default(),
             };
-            let lost = deaf || self.rng.random::<f64>() < self.lossy;
+            let lost = is_unreachable || self.rng.random::<f64>() < self.lossy;
             let copies = if lost { 0 } else { 1 + usize::from(self.rng.random::<f64>() < self.lossy) };
             for _ in 0..copies {
                 let late = if self.rng.random::<f64>() < self.lossy { 1500 } else { 100 };
@@ -326,7 +326,7 @@
         let decision = Decision { stamp: self.stamp, valid_ms: VALID_MS, body };
         for g in 0..self.gateways.len() {
             let zone = self.gateways[g].zone;
-            if self.gateways[g].alive && self.fault != Some(Fault::Deaf(zone)) {
+            if self.gateways[g].alive && self.fault != Some(Fault::Unreachable(zone)) {
                 let when = now + self.rng.random_range(20..300);
                 self.decisions.push((when, g, decision.clone()));
             }
@@ -341,9 +341,9 @@
 
     /// The share of what is asked that is served over so long, against the most that can be.
     fn goodput(&mut self, ms: u64) -> f64 {
-        (self.served, self.asked, self.near) = (0.0, 0.0, 0.0);
+        (self.served, self.requested, self.near) = (0.0, 0.0, 0.0);
         self.run(ms);
-        self.served / self.asked
+        self.served / self.requested
     }
 
     /// The same if whoever decides knew all: what zones that are up and can be reached by anybody bear, over the demand.
@@ -375,50 +375,50 @@
             let z = rng.random_range(0..zones);
             let faults = [
                 Fault::Servers(z),
-                Fault::Cut(z),
+                Fault::Partition(z),
                 Fault::Slow(z),
                 Fault::Flaps(z),
                 Fault::AllDark,
                 Fault::Lost(z),
                 Fault::Owner,
-                Fault::Deaf(z),
+                Fault::Unreachable(z),
             ];
             let fault = faults[seed as usize % faults.len()];
-            let mut world = World::new(seed, gateways, zones, regions, rng.random_range(0.3..0.75));
-            world.lossy = if seed % 3 == 0 { 0.1 } else { 0.0 };
-            world.run(5000);
-            let calm = world.goodput(5000);
+            let mut fleet = SimulatedFleet::new(seed, gateways, zones, regions, rng.random_range(0.3..0.75));
+            fleet.lossy = if seed % 3 == 0 { 0.1 } else { 0.0 };
+            fleet.run(5000);
+            let calm = fleet.goodput(5000);
             let what = format!("seed {seed}, {gateways} gateways, {zones} zones, {fault:?}");
             assert!(calm > 0.97, "{what}: calm {calm}");
-            assert!(world.near / world.served > 0.95, "{what}: near {}", world.near / world.served);
-            world.begin(fault);
+            assert!(fleet.near / fleet.served > 0.95, "{what}: near {}", fleet.near / fleet.served);
+            fleet.begin(fault);
             // Reports each second, evidence that lasts for 900 ms, and the decision's way; a zone's lone gateway needs to be seen
             // served elsewhere first.
-            world.run(if gateways == 3 { 8000 } else { 3000 });
-            let during = world.goodput(4000);
-            if matches!(fault, Fault::Servers(_) | Fault::Lost(_)) && world.lossy == 0.0 {
-                let possible = world.possible();
+            fleet.run(if gateways == 3 { 8000 } else { 3000 });
+            let during = fleet.goodput(4000);
+            if matches!(fault, Fault::Servers(_) | Fault::Lost(_)) && fleet.lossy == 0.0 {
+                let possible = fleet.possible();
                 assert!(during >= 0.95 * possible, "{what}: {during} of {possible} possible");
             }
             if fault == Fault::AllDark {
                 assert!(
-                    world.states().iter().all(|s| *s != ZoneState::FailedOver),
+                    fleet.states().iter().all(|s| *s != ZoneState::FailedOver),
                     "{what}: {:?}",
-                    world.states()
+                    fleet.states()
                 );
             }
-            if matches!(fault, Fault::Owner | Fault::Deaf(_)) {
-                assert!(during > 0.97 && world.outs == 0, "{what}: {during}, {} out", world.outs);
+            if matches!(fault, Fault::Owner | Fault::Unreachable(_)) {
+                assert!(during > 0.97 && fleet.outs == 0, "{what}: {during}, {} out", fleet.outs);
             }
-            let falls = world.outs;
-            world.run(8000);
-            world.end();
+            let falls = fleet.outs;
+            fleet.run(8000);
+            fleet.end();
             // Hold and ramp; a zone that has flapped for 16 s is held longer.
-            world.run(if matches!(fault, Fault::Flaps(_)) { 60_000 } else { 25_000 });
-            let after = world.goodput(5000);
-            assert!(after > 0.97, "{what}: after it {after}, {:?}", world.states());
-            assert!(world.states().iter().all(|s| *s == ZoneState::Serving), "{what}: {:?}", world.states());
-            assert!(falls <= 3 && world.outs <= 5, "{what}: {} moves", world.outs);
+            fleet.run(if matches!(fault, Fault::Flaps(_)) { 60_000 } else { 25_000 });
+            let after = fleet.goodput(5000);
+            assert!(after > 0.97, "{what}: after it {after}, {:?}", fleet.states());
+            assert!(fleet.states().iter().all(|s| *s == ZoneState::Serving), "{what}: {:?}", fleet.states());
+            assert!(falls <= 3 && fleet.outs <= 5, "{what}: {} moves", fleet.outs);
         }
     }
 }
@@ -427,17 +427,17 @@
 #[test]
 fn a_failover_never_brings_the_next_zone_down() {
     for seed in seeds(20) {
-        let mut world = World::new(seed, 30, 3, 1, 0.85);
-        world.run(5000);
-        world.begin(Fault::Servers(1));
-        world.run(4000);
-        let during = world.goodput(3000);
-        let possible = world.possible();
+        let mut fleet = SimulatedFleet::new(seed, 30, 3, 1, 0.85);
+        fleet.run(5000);
+        fleet.begin(Fault::Servers(1));
+        fleet.run(4000);
+        let during = fleet.goodput(3000);
+        let possible = fleet.possible();
         assert!(during >= 0.95 * possible, "seed {seed}: {during} of {possible}");
-        assert_eq!(world.fallen, BTreeSet::from(["hall-1".to_owned()]), "seed {seed}: the lost one alone");
+        assert_eq!(fleet.fallen, BTreeSet::from(["hall-1".to_owned()]), "seed {seed}: the lost one alone");
         // All ask for three times as much: what goes elsewhere keeps its rate until the next decision, as each step checks.
-        world.demand.iter_mut().for_each(|demand| *demand *= 3.0);
-        world.run(2000);
+        fleet.demand.iter_mut().for_each(|demand| *demand *= 3.0);
+        fleet.run(2000);
     }
 }
 
@@ -445,9 +445,9 @@
 #[test]
 fn wrong_values_of_one_gateway_have_little_influence() {
     for seed in seeds(20) {
-        let mut worlds = [World::new(seed, 30, 3, 1, 0.6), World::new(seed, 30, 3, 1, 0.6)];
-        for (lies, world) in worlds.iter_mut().enumerate() {
-            world.run(6000);
+        let mut fleets = [SimulatedFleet::new(seed, 30, 3, 1, 0.6), SimulatedFleet::new(seed, 30, 3, 1, 0.6)];
+        for (lies, fleet) in fleets.iter_mut().enumerate() {
+            fleet.run(6000);
             let mut report = Report {
                 gateway: 0,
                 incarnation: 1,
@@ -465,7 +465,7 @@
             for z in 0..3 {
                 let failed = AttemptCounts { failed: 20_000.0, ..AttemptCounts::default() };
                 let told = if lies == 1 && z == 2 { failed } else { seen(1.0) };
-                let servers = world.servers[z] * (1.0 + 999.0 * lie);
+                let servers = fleet.servers[z] * (1.0 + 999.0 * lie);
                 report.zones.push(ZoneObservation {
                     zone: format!("hall-{z}"),
                     attempts: told,
@@ -473,16 +473,16 @@
                     warm: servers,
                 });
             }
-            world.zones.handle_report(at(world.now), &report).expect("well formed");
-            world.now += 2000;
-            world
+            fleet.zones.handle_report(at(fleet.now), &report).expect("well formed");
+            fleet.now += 2000;
+            fleet
                 .zones
-                .handle_report(at(world.now), &Report { sequence: u64::MAX, ..report })
+                .handle_report(at(fleet.now), &Report { sequence: u64::MAX, ..report })
                 .expect("well formed");
-            let decided = world.zones.tick(at(world.now));
-            world.last = decided.or(world.last.take());
+            let decided = fleet.zones.tick(at(fleet.now));
+            fleet.last = decided.or(fleet.last.take());
         }
-        let [honest, lied] = worlds.map(|world| world.last.expect("decided"));
+        let [honest, lied] = fleets.map(|fleet| fleet.last.expect("decided"));
         for (a, b) in honest.zones.iter().zip(&lied.zones) {
             assert_eq!(a.state, b.state, "seed {seed}");
             assert!(
@@ -502,11 +502,11 @@
 #[test]
 fn the_same_inputs_give_the_same_decision() {
     let decided = || {
-        let mut world = World::new(3, 30, 4, 2, 0.6);
-        world.run(6000);
-        world.begin(Fault::Servers(0));
-        world.run(5000);
-        serde_json::to_vec(&world.last).expect("JSON")
+        let mut fleet = SimulatedFleet::new(3, 30, 4, 2, 0.6);
+        fleet.run(6000);
+        fleet.begin(Fault::Servers(0));
+        fleet.run(5000);
+        serde_json::to_vec(&fleet.last).expect("JSON")
     };
     assert_eq!(decided(), decided());
 }
