--- a/quota-gateway/work-handoff/src/lib.rs
+++ b/quota-gateway/work-handoff/src/lib.rs
@@ -1,11 +1,12 @@
-//! Work in hand survives the loss of its gateway: the ledger's records, what may follow on what, and what a successor does with
-//! each, without I/O. The ledger is kept in the coordination service, under the fencing tokens of its locks.
+//! Handoff of requests in flight from a gateway that was lost to its successors: the records, the commands that write them, and
+//! what a successor does with each. The records are kept in the coordination service, under the fencing tokens of its locks;
+//! here is no I/O.
 //!
-//! - [`record`]: a request that was taken, and how far it has come; and its bytes.
-//! - [`work_log`]: the commands that write it, each under the owner's token, and each only on what was there before.
-//! - [`succeed`]: the table of what a successor may do.
+//! - [`record`]: a request that was accepted, how far it has come, and its encoding.
+//! - [`work_log`]: the commands that write records, each under the owner's token and on top of a known revision.
+//! - [`takeover`]: what a successor does with a record.
 #![forbid(unsafe_code)]
 
 pub mod record;
-pub mod succeed;
+pub mod takeover;
 pub mod work_log;
--- a/quota-gateway/work-handoff/src/work_log.rs
+++ b/quota-gateway/work-handoff/src/work_log.rs
@@ -1,65 +1,79 @@
-//! The commands that write the ledger. Each names the token under which its writer owns the work, and the revision that it
-//! builds on: the service refuses it once somebody else has claimed the work, or anything else was written there.
+//! The commands that write records. Each names the token under which its writer owns the record, and the revision that it builds
+//! on: the service rejects it once another process has claimed the record, or has written it.
 //!
-//! A gateway's work lies in a fixed number of shards, each under a lock of its own, so that several successors take over a part
-//! each, and each so much at once as it bears. A claim is that lock, granted to another session once the owner's is over: from
-//! then on nothing that the old owner writes is taken, however late it wakes.
+//! The records of a gateway lie in a fixed number of shards, each under its own lock, so that several successors can take over a
+//! part each. A claim is the acquisition of that lock, which the service grants once the owner's session has ended: from then on
+//! it rejects all writes of the old owner.
 
-use crate::record::{Bad, Ended, Record, Stage, MAX_ATTEMPTS};
+use crate::record::{Record, RecordError, RequestOutcome, Stage, MAX_ATTEMPTS};
 use marblecroft_coordination::state::{Op, Owner, Revision, Token};
 
-/// Shards of a gateway's work.
-pub const SHARDS: u16 = 8;
+/// The number of shards of a gateway's records.
+pub const SHARD_COUNT: u16 = 8;
 
-/// Where one request's record lies.
+/// The revision of a record that was not written yet.
+const UNWRITTEN: Revision = 0;
+
+/// The key of one request's record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RecordKey {
-    /// Of the gateway that took it, for its life: it names its session, so that a restart under the same name begins anew.
+    /// The incarnation of the gateway that accepted the request: it names the gateway's session, so that a restart under the
+    /// same name begins without records.
     pub owner: String,
+    /// The trace id of the request.
     pub trace: String,
 }
 
 impl RecordKey {
+    /// Returns the number of its shard. Stored keys depend on the hash: it must never change.
     pub fn shard(&self) -> u16 {
-        // Any even spread will do; both ends must have the same one.
-        (crc32fast::hash(self.trace.as_bytes()) % u32::from(SHARDS)) as u16
+        (crc32fast::hash(self.trace.as_bytes()) % u32::from(SHARD_COUNT)) as u16
     }
 
+    /// Returns the name of the lock of its shard.
     pub fn lock(&self) -> String {
-        lock(&self.owner, self.shard())
+        lock_name(&self.owner, self.shard())
     }
 
+    /// Returns the key in the coordination service.
     pub fn key(&self) -> String {
-        format!("{}{}", prefix(&self.owner, self.shard()), self.trace)
+        format!("{}{}", key_prefix(&self.owner, self.shard()), self.trace)
     }
 }
 
-/// The lock of a shard of a gateway's work.
-pub fn lock(owner: &str, shard: u16) -> String {
+/// Returns the name of the lock of a shard of a gateway's records.
+pub fn lock_name(owner: &str, shard: u16) -> String {
     format!("work-of/{owner}/{shard}")
 }
 
-/// What the keys of a shard begin with.
-pub fn prefix(owner: &str, shard: u16) -> String {
+/// Returns the prefix of the keys of a shard.
+pub fn key_prefix(owner: &str, shard: u16) -> String {
     format!("work/{owner}/{shard}/")
 }
 
-/// A record as its writer knows it: what it is, and at which revision; 0 for one that is not written yet.
+/// A record as its writer knows it, and the revision that the next write builds on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Entry {
+    /// Its key.
     pub key: RecordKey,
+    /// The revision of the last write; 0 if there was none.
     pub revision: Revision,
+    /// The record.
     pub record: Record,
 }
 
 impl Entry {
-    /// One that was just taken.
+    /// Creates the entry of a request that was just accepted.
     pub fn accepted(key: RecordKey, record: Record) -> Entry {
-        Entry { key, revision: 0, record: Record { stage: Stage::Accepted, ..record } }
+        Entry { key, revision: UNWRITTEN, record: Record { stage: Stage::Accepted, ..record } }
     }
 
-    /// The command that writes it as it is now, and nothing but on what it builds on.
-    pub fn write(&self, token: Token) -> Result<Op, Bad> {
+    /// Returns the command that writes the record under a token, on top of the entry's revision.
+    ///
+    /// # Errors
+    ///
+    /// As [`Record::encode`].
+    pub fn put_operation(&self, token: Token) -> Result<Op, RecordError> {
         Ok(Op::Put {
             key: self.key.key(),
             value: self.record.encode()?,
@@ -68,41 +82,53 @@
         })
     }
 
-    /// An attempt is about to be written: it counts from now on, whatever comes of it. `None`: it has had all it may have, or has
-    /// ended. Its unit is counted with its first one; `left_ms` and `out_ms` as of now.
-    pub fn intends(&self, server: &str, left_ms: u32, out_ms: u32) -> Option<Entry> {
-        if self.record.attempts >= MAX_ATTEMPTS || matches!(self.record.stage, Stage::Outcome(_)) {
+    /// Returns the entry with the intent of an attempt, which counts from now on whatever becomes of it; the first one is
+    /// charged. Both times are in milliseconds from now.
+    ///
+    /// `None` if no attempt remains, or the request has ended.
+    pub fn with_intent(&self, server: &str, remaining_ms: u32, max_attempt_ms: u32) -> Option<Entry> {
+        if self.record.attempts >= MAX_ATTEMPTS || self.has_ended() {
             return None;
         }
-        let stage = Stage::Intent { server: server.to_owned(), out_ms };
-        let attempts = self.record.attempts + 1;
-        let record = Record { left_ms, attempts, counted: true, stage, ..self.record.clone() };
-        Some(Entry { record, ..self.clone() })
+        Some(self.with_record(Record {
+            remaining_ms,
+            attempts: self.record.attempts + 1,
+            quota_charged: true,
+            stage: Stage::Intent { server: server.to_owned(), max_attempt_ms },
+            ..self.record.clone()
+        }))
     }
 
-    /// The attempt is over, and is known not to have run: it may be sent again.
-    pub fn never_ran(&self, left_ms: u32) -> Option<Entry> {
-        match self.record.stage {
-            Stage::Intent { .. } => {
-                let record = Record { left_ms, stage: Stage::Accepted, ..self.record.clone() };
-                Some(Entry { record, ..self.clone() })
-            }
-            _ => None,
-        }
+    /// Returns the entry after an attempt that was certainly not executed; `None` if there was no intent.
+    pub fn with_attempt_rejected(&self, remaining_ms: u32) -> Option<Entry> {
+        let is_intent = matches!(self.record.stage, Stage::Intent { .. });
+        let record = || Record { remaining_ms, stage: Stage::Accepted, ..self.record.clone() };
+        is_intent.then(|| self.with_record(record()))
     }
 
-    /// It has ended; `None` where it had already. What was asked is kept no longer than it is needed.
-    pub fn ended(&self, ended: Ended) -> Option<Entry> {
-        if matches!(self.record.stage, Stage::Outcome(_)) {
+    /// Returns the entry with its outcome, without the request, which is not needed any more; `None` if it had ended before.
+    pub fn with_outcome(&self, outcome: RequestOutcome) -> Option<Entry> {
+        if self.has_ended() {
             return None;
         }
-        let record =
-            Record { request: Vec::new(), left_ms: 0, stage: Stage::Outcome(ended), ..self.record.clone() };
-        Some(Entry { record, ..self.clone() })
+        Some(self.with_record(Record {
+            request: Vec::new(),
+            remaining_ms: 0,
+            stage: Stage::Outcome(outcome),
+            ..self.record.clone()
+        }))
     }
 
-    /// The same once the service has it at this revision.
-    pub fn at(self, revision: Revision) -> Entry {
+    /// Returns the entry at the revision under which the service has stored it.
+    pub fn at_revision(self, revision: Revision) -> Entry {
         Entry { revision, ..self }
     }
+
+    fn has_ended(&self) -> bool {
+        matches!(self.record.stage, Stage::Outcome(_))
+    }
+
+    fn with_record(&self, record: Record) -> Entry {
+        Entry { key: self.key.clone(), revision: self.revision, record }
+    }
 }
--- a/quota-gateway/work-handoff/tests/golden.rs
+++ b/quota-gateway/work-handoff/tests/golden.rs
@@ -8,32 +8,32 @@
 mod golden;
 
 use golden::{bytes, same_bytes};
-use marblecroft_work_handoff::record::{Class, Ended, Record, Stage};
+use marblecroft_work_handoff::record::{Record, RequestClass, RequestOutcome, Stage};
 use marblecroft_work_handoff::work_log::RecordKey;
 
-fn record(class: Class, number: u8, stage: Stage) -> Record {
+fn record(class: RequestClass, number: u8, stage: Stage) -> Record {
     Record {
         class,
         customer: 0x0102_0304_0506_0700 + u64::from(number),
         digest: 0xa1b2_c300 + u32::from(number),
         request: format!("POST /pay/{number} HTTP/1.1\r\n\r\nbody").into_bytes(),
-        left_ms: 30_000 + u32::from(number),
+        remaining_ms: 30_000 + u32::from(number),
         attempts: number,
-        counted: number > 0,
+        quota_charged: number > 0,
         stage,
     }
 }
 
 /// Each stage and each end, and what its fixture is called.
 fn records() -> Vec<(&'static str, Record)> {
-    let intent = Stage::Intent { server: "server-5".to_owned(), out_ms: 1234 };
-    let answered = Ended::Answered(b"HTTP/1.1 200 OK\r\n\r\npaid".to_vec());
+    let intent = Stage::Intent { server: "server-5".to_owned(), max_attempt_ms: 1234 };
+    let answered = RequestOutcome::Completed(b"HTTP/1.1 200 OK\r\n\r\npaid".to_vec());
     vec![
-        ("accepted.hex", record(Class::SafeToRepeat, 0, Stage::Accepted)),
-        ("intent.hex", record(Class::NeverTwice, 1, intent)),
-        ("answered.hex", record(Class::SafeToRepeat, 2, Stage::Outcome(answered))),
-        ("given-up.hex", record(Class::NeverTwice, 3, Stage::Outcome(Ended::GivenUp))),
-        ("unknown.hex", record(Class::NeverTwice, 4, Stage::Outcome(Ended::Unknown))),
+        ("accepted.hex", record(RequestClass::Idempotent, 0, Stage::Accepted)),
+        ("intent.hex", record(RequestClass::NonIdempotent, 1, intent)),
+        ("answered.hex", record(RequestClass::Idempotent, 2, Stage::Outcome(answered))),
+        ("given-up.hex", record(RequestClass::NonIdempotent, 3, Stage::Outcome(RequestOutcome::Abandoned))),
+        ("unknown.hex", record(RequestClass::NonIdempotent, 4, Stage::Outcome(RequestOutcome::Unknown))),
     ]
 }
 
--- a/quota-gateway/work-handoff/tests/interleavings.rs
+++ b/quota-gateway/work-handoff/tests/interleavings.rs
@@ -3,8 +3,10 @@
 //! wake, sessions that end under a process that lives. And mutations, each of which must be caught.
 
 use marblecroft_coordination::state::{ClientId, Command, Done, Op, Outcome, Owner, SessionId, State, Token};
-use marblecroft_work_handoff::record::{Class, Ended, Record, Stage};
-use marblecroft_work_handoff::succeed::{read, step, Receipt, Situation, Step};
+use marblecroft_work_handoff::record::{Record, RequestClass, RequestOutcome, Stage};
+use marblecroft_work_handoff::takeover::{
+    next_step, step_after_seal, Receipt, TakeoverContext, TakeoverStep,
+};
 use marblecroft_work_handoff::work_log::{Entry, RecordKey};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
@@ -33,7 +35,7 @@
 
 #[derive(Clone, Debug)]
 struct Config {
-    class: Class,
+    class: RequestClass,
     receipts: bool,
     /// Accepted first, and sent later: two writes.
     queued: bool,
@@ -139,7 +141,7 @@
     }
 
     fn write(&mut self, agent: usize, entry: Entry, asked: Asked, config: &Config) {
-        let op = entry.write(self.agents[agent].token).expect("it fits");
+        let op = entry.put_operation(self.agents[agent].token).expect("it fits");
         let op = match op {
             Op::Put { key, value, .. } if config.mutation == Mutation::NoGuard => {
                 Op::Put { key, value, expect: None, owner: Owner::Nobody }
@@ -151,26 +153,28 @@
     }
 
     fn intend(&mut self, agent: usize, entry: &Entry, config: &Config) {
-        let Some(next) = entry.intends("s", LEFT_MS, OUT_MS) else { return self.agents[agent].at = At::Done };
-        self.agents[agent].counts = next.record.counted && !entry.record.counted;
+        let Some(next) = entry.with_intent("s", LEFT_MS, OUT_MS) else {
+            return self.agents[agent].at = At::Done;
+        };
+        self.agents[agent].counts = next.record.quota_charged && !entry.record.quota_charged;
         self.write(agent, next, Asked::Intent, config);
         if config.mutation == Mutation::NoIntent {
             self.agents[agent].at = At::MaySend;
         }
     }
 
-    fn end(&mut self, agent: usize, entry: &Entry, ended: Ended, config: &Config) {
-        match entry.ended(ended) {
+    fn end(&mut self, agent: usize, entry: &Entry, ended: RequestOutcome, config: &Config) {
+        match entry.with_outcome(ended) {
             Some(next) => self.write(agent, next, Asked::Outcome, config),
             None => self.agents[agent].at = At::Done,
         }
     }
 
-    fn tell(&mut self, ended: &Ended) {
+    fn tell(&mut self, ended: &RequestOutcome) {
         self.told[match ended {
-            Ended::Answered(_) => 0,
-            Ended::GivenUp => 1,
-            Ended::Unknown => 2,
+            RequestOutcome::Completed(_) => 0,
+            RequestOutcome::Abandoned => 1,
+            RequestOutcome::Unknown => 2,
         }] = true;
     }
 
@@ -180,22 +184,22 @@
         Some(Entry { key: place(), revision: value.revision, record })
     }
 
-    fn follow(&mut self, agent: usize, entry: &Entry, what: Step, config: &Config) {
+    fn follow(&mut self, agent: usize, entry: &Entry, what: TakeoverStep, config: &Config) {
         match what {
-            Step::Give(ended) => {
+            TakeoverStep::Report(ended) => {
                 self.tell(&ended);
                 self.agents[agent].at = At::Done;
             }
-            Step::Send => self.intend(agent, entry, config),
+            TakeoverStep::Send => self.intend(agent, entry, config),
             // Time passes by an action of its own.
-            Step::Wait(_) => self.agents[agent].at = At::Holds,
-            Step::Seal => {
+            TakeoverStep::Wait(_) => self.agents[agent].at = At::Holds,
+            TakeoverStep::Seal => {
                 self.agents[agent].entry = Some(entry.clone());
                 self.agents[agent].at = At::Sealing;
                 let seal = Wire::Seal(agent, self.agents[agent].token);
                 self.wire.push(seal);
             }
-            Step::End(ended) => self.end(agent, entry, ended, config),
+            TakeoverStep::Finish(ended) => self.end(agent, entry, ended, config),
         }
     }
 
@@ -208,9 +212,9 @@
                     customer: 1,
                     digest: 1,
                     request: vec![1],
-                    left_ms: LEFT_MS,
+                    remaining_ms: LEFT_MS,
                     attempts: 0,
-                    counted: false,
+                    quota_charged: false,
                     stage: Stage::Accepted,
                 };
                 let entry = Entry::accepted(place(), record);
@@ -234,16 +238,24 @@
                     return self.agents[agent].at = At::Done;
                 };
                 if config.mutation == Mutation::CountAgain {
-                    entry.record.counted = false;
+                    entry.record.quota_charged = false;
                 }
                 let waited = self.agents[agent].waited;
                 let age = Duration::from_millis(if waited { OUT_MS.into() } else { 0 });
                 let owner_dead = !self.agents[OWNER].up;
                 let receipts = config.receipts && config.mutation != Mutation::NoSeal;
-                let mut what = step(&entry.record, Situation { age, receipts, owner_dead, overlap: false });
+                let mut what = next_step(
+                    &entry.record,
+                    TakeoverContext {
+                        age,
+                        has_receipts: receipts,
+                        is_owner_dead: owner_dead,
+                        allows_overlap: false,
+                    },
+                );
                 let unsafe_again = [Mutation::ResendUnsafe, Mutation::NoSeal].contains(&config.mutation);
-                if unsafe_again && what == Step::End(Ended::Unknown) {
-                    what = Step::Send;
+                if unsafe_again && what == TakeoverStep::Finish(RequestOutcome::Unknown) {
+                    what = TakeoverStep::Send;
                 }
                 self.follow(agent, &entry, what, config);
             }
@@ -268,7 +280,7 @@
             // Somebody else was faster.
             (Asked::Claim, _) => of.at = At::Idle,
             (Asked::Accept | Asked::Intent, Ok(Done::At(revision))) => {
-                of.entry = of.entry.take().map(|entry| entry.at(*revision));
+                of.entry = of.entry.take().map(|entry| entry.at_revision(*revision));
                 // Asked here, and only here: the process may stop between this and the act.
                 of.at = match (lives, asked) {
                     (false, _) => At::Done,
@@ -314,8 +326,8 @@
                 if served {
                     // The answer goes out first, and the outcome is written behind it.
                     self.told[0] = true;
-                    self.end(agent, &entry, Ended::Answered(vec![1]), config);
-                } else if let Some(again) = entry.never_ran(LEFT_MS) {
+                    self.end(agent, &entry, RequestOutcome::Completed(vec![1]), config);
+                } else if let Some(again) = entry.with_attempt_rejected(LEFT_MS) {
                     self.write(agent, again, Asked::Accept, config);
                 }
             }
@@ -328,8 +340,8 @@
             }
             Wire::Receipt(agent, ran) => {
                 let entry = self.agents[agent].entry.clone().expect("it was read");
-                let receipt = if ran { Receipt::Ran(vec![1]) } else { Receipt::Sealed };
-                let what = read(&entry.record, receipt, Duration::ZERO);
+                let receipt = if ran { Receipt::Executed(vec![1]) } else { Receipt::Sealed };
+                let what = step_after_seal(&entry.record, receipt, Duration::ZERO);
                 self.follow(agent, &entry, what, config);
             }
         }
@@ -469,14 +481,14 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("never twice", |config: &Config, play: &Play| {
-                config.class == Class::SafeToRepeat || play.runs <= 1
+                config.class == RequestClass::Idempotent || play.runs <= 1
             }),
             Property::always("units once", |_, play: &Play| play.units <= 1),
             Property::always("answers agree", |config: &Config, play: &Play| {
                 let [served, given_up, _] = play.told;
                 // What is told to be given up has never run, and what is told to be served has.
                 (!served || play.runs > 0)
-                    && !(config.class == Class::NeverTwice && given_up && play.runs > 0)
+                    && !(config.class == RequestClass::NonIdempotent && given_up && play.runs > 0)
             }),
             Property::eventually("finishes", |_, play: &Play| {
                 play.told.contains(&true) || play.record().is_none() && play.agents[OWNER].at != At::Idle
@@ -492,12 +504,17 @@
 fn waits(config: &Config, play: &Play) -> bool {
     let Some(entry) = play.record() else { return false };
     let owner_dead = !play.agents[OWNER].up;
-    let of = Situation { age: Duration::ZERO, receipts: config.receipts, owner_dead, overlap: false };
-    matches!(step(&entry.record, of), Step::Wait(_))
+    let of = TakeoverContext {
+        age: Duration::ZERO,
+        has_receipts: config.receipts,
+        is_owner_dead: owner_dead,
+        allows_overlap: false,
+    };
+    matches!(next_step(&entry.record, of), TakeoverStep::Wait(_))
 }
 
 fn configs(faults: u8, mutation: Mutation) -> impl Iterator<Item = Config> {
-    let classes = [Class::SafeToRepeat, Class::NeverTwice];
+    let classes = [RequestClass::Idempotent, RequestClass::NonIdempotent];
     classes.into_iter().flat_map(move |class| {
         [false, true].into_iter().flat_map(move |receipts| {
             [false, true].map(move |queued| Config { class, receipts, queued, faults, bounces: 0, mutation })
@@ -507,7 +524,7 @@
 
 /// The longest of them: the first attempt is turned away, and everything else may go wrong afterwards.
 fn turned_away(mutation: Mutation) -> Config {
-    let class = Class::NeverTwice;
+    let class = RequestClass::NonIdempotent;
     Config { class, receipts: true, queued: false, faults: 2, bounces: 1, mutation }
 }
 
