--- a/quota-gateway/controller/src/config.rs
+++ b/quota-gateway/controller/src/config.rs
@@ -1,231 +1,265 @@
-//! A steward's configuration: one TOML file.
+//! The configuration of a controller: one TOML file.
 
+mod shard_map;
+
+pub use shard_map::{ShardCell, ShardMapConfig, ShardMapConfigError};
+
+use marblecroft_control_messages::frame::is_valid_quantity;
 use marblecroft_logging::LogConfig;
-use marblecroft_shard_map::map::MAX_SHARDS;
-use marblecroft_shard_map::owner::MAX_GATEWAYS;
 use marblecroft_singleton_roles::keys::ROLES;
-use marblecroft_zone_failover::settings::Settings as Zones;
+use marblecroft_zone_failover::settings::Settings as ZoneFailoverConfig;
+use quick_error::quick_error;
 use serde::Deserialize;
+use std::error::Error;
+use std::io;
 use std::net::{IpAddr, SocketAddr};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
+/// The longest name in bytes: a part of a name in the coordination service.
+const MAX_NAME_BYTES: usize = 64;
+/// The largest number of addresses of the coordination service.
+const MAX_COORDINATORS: usize = 16;
+
+quick_error! {
+    /// Why a configuration is not valid. The text is one line that names the key.
+    #[derive(Debug)]
+    pub enum ConfigError {
+        /// The file cannot be read.
+        Unreadable(path: PathBuf, cause: io::Error) {
+            display("{}: {cause}", path.display())
+            source(cause)
+        }
+        /// The file has no valid configuration.
+        InvalidFile(path: PathBuf, cause: Box<ConfigError>) {
+            display("{}: {cause}", path.display())
+            source(cause)
+        }
+        /// It is not TOML, or has not the right keys and types.
+        Malformed(cause: toml::de::Error) {
+            display("{}", cause.to_string().trim().replace('\n', " "))
+            source(cause)
+        }
+        /// A name is empty or too long, or has other characters than are allowed.
+        Name(key: &'static str) {
+            display("{key}: 1 to {MAX_NAME_BYTES} letters, digits, '-', '_', '.'")
+        }
+        /// An address is not a loopback address, and others are not allowed.
+        NotLoopback(key: &'static str) {
+            display("{key}: not on this machine alone, and allow_other_than_loopback is not set")
+        }
+        /// There are no addresses of the coordination service, or too many.
+        Coordinators {
+            display("coordinators: 1 to {MAX_COORDINATORS} addresses")
+        }
+        /// A number is out of its range.
+        OutOfRange(key: &'static str, min: u64, max: u64) {
+            display("{key}: from {min} to {max}")
+        }
+        /// The settings of the zones are not valid.
+        Zones(cause: Box<dyn Error + Send + Sync>) {
+            display("zones.{cause}")
+        }
+        /// The capacity is not a number from 0.
+        InvalidCapacity {
+            display("shares.capacity: no number from 0")
+        }
+        /// There is no capacity, and no zones to take it from.
+        MissingCapacity {
+            display("shares.capacity: needed where zones are not decided on")
+        }
+        /// The configuration of the shard map is not valid.
+        ShardMap(cause: ShardMapConfigError) {
+            display("books.{cause}")
+            source(cause)
+        }
+        /// No role is configured.
+        NoRole {
+            display("zones, shares, books: one of them at least")
+        }
+    }
+}
+
+/// The configuration of a controller.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// The fleet's name: the same in each gateway's configuration.
+    /// The name of the fleet, as in the configuration of each gateway.
     pub fleet: String,
-    /// This steward's, unlike all others'.
+    /// The name of this controller, unique in the fleet.
     pub name: String,
-    /// The zone that it stands in, so that owners are spread over zones.
+    /// Its zone, as the owners of roles are spread over zones.
     #[serde(default)]
     pub zone: String,
-    /// Where it takes reports, and by which address gateways reach it if that is another one.
+    /// Where it accepts reports.
     pub listen: SocketAddr,
-    pub reached_at: Option<SocketAddr>,
+    /// The address at which gateways reach it, if that is another one.
+    #[serde(rename = "reached_at")]
+    pub report_address: Option<SocketAddr>,
+    /// The addresses of the coordination service.
     pub coordinators: Vec<String>,
-    /// Where a coordinator that is named is called, with its own port, if there is an address translator between.
-    pub coordinators_at: Option<IpAddr>,
-    #[serde(default = "session_ms")]
-    pub session_ms: u64,
-    /// Between two looks at what was reported.
-    #[serde(default = "decide_ms")]
-    pub decide_ms: u64,
-    #[serde(default = "connections")]
-    pub connections: usize,
+    /// The host at which all of them are reached, each at its own port, where addresses are translated.
+    #[serde(rename = "coordinators_at")]
+    pub coordinator_host: Option<IpAddr>,
+    /// How long its session at the coordination service is valid without a renewal, in milliseconds.
+    #[serde(rename = "session_ms", default = "default_session_ttl_ms")]
+    pub session_ttl_ms: u64,
+    /// The time between two decisions, in milliseconds.
+    #[serde(rename = "decide_ms", default = "default_decision_interval_ms")]
+    pub decision_interval_ms: u64,
+    /// The largest number of connections of gateways.
+    #[serde(rename = "connections", default = "default_max_connections")]
+    pub max_connections: usize,
+    /// Whether addresses may be others than loopback addresses.
     #[serde(default)]
     pub allow_other_than_loopback: bool,
-    /// Where the page of metrics is served; nowhere without it.
+    /// Where metrics are served, if they are.
     pub metrics: Option<SocketAddr>,
+    /// What is logged.
     #[serde(default)]
     pub log: LogConfig,
-    /// How long a reader may go by each decision after it last knew it for the newest.
-    #[serde(default)]
-    pub valid: Valid,
-    /// The zones, where they are decided on.
-    pub zones: Option<Zones>,
-    /// Where shares are decided on; capacity is that of the zones' decision, or this.
-    pub shares: Option<FairShareConfig>,
-    /// Where it is decided which book is written at which cell.
-    pub books: Option<ShardMapConfig>,
-}
-
-/// A cell of pay servers, and where it takes what is asked of it.
-#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct ShardCell {
-    /// As the list names it.
-    pub number: u32,
-    pub zone: String,
-    #[serde(default)]
-    pub region: String,
-    pub at: SocketAddr,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct ShardMapConfig {
-    /// Books that a map begins with where none stands, of the same width.
-    #[serde(default = "default_shard_count")]
-    pub count: usize,
-    pub cells: Vec<ShardCell>,
-    /// Cells remember epochs and turn lower ones away; without it a move waits for gateways instead.
-    pub fencing: bool,
-    /// Gateways that there are: while fewer are heard, one that is not may hold an older map.
-    pub gateways: usize,
-    /// The longest that an attempt can be out.
-    #[serde(default = "attempt_ms")]
-    pub attempt_ms: u64,
-    /// A step that is not answered for this long is given up, where it can be.
-    #[serde(default = "default_timeout_ms")]
-    pub patience_ms: u64,
-}
-
-fn default_shard_count() -> usize {
-    8
-}
-
-fn attempt_ms() -> u64 {
-    4000
-}
-
-fn default_timeout_ms() -> u64 {
-    5000
-}
-
-impl ShardMapConfig {
-    /// The error names the field.
-    fn check(&self, loopback: bool) -> Result<(), String> {
-        if !(1..=MAX_SHARDS).contains(&self.count) {
-            return Err(format!("count: from 1 to {MAX_SHARDS}"));
-        }
-        if self.cells.is_empty() || self.cells.len() > MAX_CELLS {
-            return Err(format!("cells: 1 to {MAX_CELLS}"));
-        }
-        for (i, cell) in self.cells.iter().enumerate() {
-            if self.cells[..i].iter().any(|other| other.number == cell.number) {
-                return Err(format!("cells[{i}].number: {} comes twice", cell.number));
-            }
-            if loopback && !cell.at.ip().is_loopback() {
-                return Err(format!(
-                    "cells[{i}].at: not on this machine alone, and allow_other_than_loopback is not set"
-                ));
-            }
-        }
-        if self.gateways == 0 || self.gateways > MAX_GATEWAYS {
-            return Err(format!("gateways: from 1 to {MAX_GATEWAYS}"));
-        }
-        for (field, value) in [("attempt_ms", self.attempt_ms), ("patience_ms", self.patience_ms)] {
-            if !(100..=600_000).contains(&value) {
-                return Err(format!("{field}: from 100 to 600000"));
-            }
-        }
-        Ok(())
-    }
+    /// How long decisions are valid.
+    #[serde(rename = "valid", default)]
+    pub ttl: DecisionTtl,
+    /// The zone failover, if this is a candidate for it.
+    pub zones: Option<ZoneFailoverConfig>,
+    /// The fair shares, if this is a candidate for them.
+    #[serde(rename = "shares")]
+    pub fair_share: Option<FairShareConfig>,
+    /// The shard map, if this is a candidate for it.
+    #[serde(rename = "books")]
+    pub shard_map: Option<ShardMapConfig>,
 }
 
-/// Cells that a map is dealt out over.
-const MAX_CELLS: usize = 1024;
-
+/// How long a reader may use each decision after it last knew it to be the newest, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Valid {
-    /// A failover that was decided on is good until another is: a steward less is no reason to undo it.
+pub struct DecisionTtl {
+    /// Of the zone failover. Long, as the loss of all controllers is no reason to undo a failover.
     pub zones_ms: u32,
-    /// Shares bind where capacity is short, and what is asked changes by the second.
+    /// Of the fair shares. Short, as demand changes by the second.
     pub shares_ms: u32,
-    /// Past it pay runs are refused; where cells do not fence, a move waits for so long for a gateway that is not heard.
-    pub books_ms: u32,
+    /// Of the shard map. After it writes are rejected; where cells do not fence, a migration waits this long for a gateway that
+    /// does not report.
+    #[serde(rename = "books_ms")]
+    pub shard_map_ms: u32,
 }
 
-impl Default for Valid {
-    fn default() -> Valid {
-        Valid { zones_ms: 60_000, shares_ms: 5_000, books_ms: 10_000 }
+impl Default for DecisionTtl {
+    fn default() -> DecisionTtl {
+        DecisionTtl { zones_ms: 60_000, shares_ms: 5_000, shard_map_ms: 10_000 }
     }
 }
 
+/// The configuration of the fair shares.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FairShareConfig {
-    /// Units a second, where zones are not decided on.
+    /// The capacity in units per second: the largest one where zones are decided on. 0 for none.
     pub capacity: f64,
 }
 
-fn session_ms() -> u64 {
+fn default_session_ttl_ms() -> u64 {
     2000
 }
 
-fn decide_ms() -> u64 {
+fn default_decision_interval_ms() -> u64 {
     200
 }
 
-fn connections() -> usize {
+fn default_max_connections() -> usize {
     2048
 }
 
-/// The longest name: a part of a name in the coordination service.
-const MAX_NAME_BYTES: usize = 64;
-
 impl Config {
-    /// The error is one line that names the field.
-    pub fn read(path: &Path) -> Result<Config, String> {
-        let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-        Config::of(&text).map_err(|e| format!("{}: {e}", path.display()))
+    /// Reads a configuration file.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError`] with the path, if the file cannot be read or is not valid.
+    pub fn read(path: &Path) -> Result<Config, ConfigError> {
+        let text =
+            std::fs::read_to_string(path).map_err(|cause| ConfigError::Unreadable(path.to_owned(), cause))?;
+        Config::parse(&text).map_err(|cause| ConfigError::InvalidFile(path.to_owned(), Box::new(cause)))
     }
 
-    pub fn of(text: &str) -> Result<Config, String> {
-        let config: Config = toml::from_str(text).map_err(|e| e.to_string().trim().replace('\n', " "))?;
-        for (field, name) in [("fleet", &config.fleet), ("name", &config.name)] {
-            let plain = name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b));
-            if name.is_empty() || name.len() > MAX_NAME_BYTES || !plain {
-                return Err(format!("{field}: 1 to {MAX_NAME_BYTES} letters, digits, '-', '_', '.'"));
+    /// Parses a configuration.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError`] for the first key that is not valid.
+    pub fn parse(text: &str) -> Result<Config, ConfigError> {
+        let config: Config = toml::from_str(text).map_err(ConfigError::Malformed)?;
+        config.check_names()?;
+        config.check_addresses()?;
+        config.check_ranges()?;
+        config.check_roles()?;
+        Ok(config)
+    }
+
+    /// Returns the roles that this is a candidate for.
+    pub fn roles(&self) -> Vec<&'static str> {
+        let configured = [self.zones.is_some(), self.fair_share.is_some(), self.shard_map.is_some()];
+        let roles = ROLES.into_iter().zip(configured);
+        roles.filter(|(_, configured)| *configured).map(|(role, _)| role).collect()
+    }
+
+    fn check_names(&self) -> Result<(), ConfigError> {
+        for (key, name) in [("fleet", &self.fleet), ("name", &self.name)] {
+            let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+            if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(is_allowed) {
+                return Err(ConfigError::Name(key));
             }
         }
-        for (field, addr) in [("listen", Some(config.listen)), ("metrics", config.metrics)] {
-            if addr.is_some_and(|addr| !addr.ip().is_loopback()) && !config.allow_other_than_loopback {
-                return Err(format!(
-                    "{field}: not on this machine alone, and allow_other_than_loopback is not set"
-                ));
+        Ok(())
+    }
+
+    fn check_addresses(&self) -> Result<(), ConfigError> {
+        for (key, address) in [("listen", Some(self.listen)), ("metrics", self.metrics)] {
+            let is_loopback = address.is_none_or(|address| address.ip().is_loopback());
+            if !is_loopback && !self.allow_other_than_loopback {
+                return Err(ConfigError::NotLoopback(key));
             }
         }
-        if config.coordinators.is_empty() || config.coordinators.len() > 16 {
-            return Err("coordinators: 1 to 16 addresses".to_owned());
-        }
-        let bounds = [
-            ("session_ms", config.session_ms, 500, 60_000),
-            ("decide_ms", config.decide_ms, 20, 10_000),
-            ("connections", config.connections as u64, 1, 65_536),
-            ("valid.zones_ms", config.valid.zones_ms.into(), 1000, 600_000),
-            ("valid.shares_ms", config.valid.shares_ms.into(), 1000, 600_000),
-            ("valid.books_ms", config.valid.books_ms.into(), 1000, 600_000),
-        ];
-        for (field, value, least, most) in bounds {
-            if !(least..=most).contains(&value) {
-                return Err(format!("{field}: from {least} to {most}"));
+        if !(1..=MAX_COORDINATORS).contains(&self.coordinators.len()) {
+            return Err(ConfigError::Coordinators);
+        }
+        Ok(())
+    }
+
+    fn check_ranges(&self) -> Result<(), ConfigError> {
+        for (key, value, min, max) in [
+            ("session_ms", self.session_ttl_ms, 500, 60_000),
+            ("decide_ms", self.decision_interval_ms, 20, 10_000),
+            ("connections", self.max_connections as u64, 1, 65_536),
+            ("valid.zones_ms", self.ttl.zones_ms.into(), 1000, 600_000),
+            ("valid.shares_ms", self.ttl.shares_ms.into(), 1000, 600_000),
+            ("valid.books_ms", self.ttl.shard_map_ms.into(), 1000, 600_000),
+        ] {
+            if !(min..=max).contains(&value) {
+                return Err(ConfigError::OutOfRange(key, min, max));
             }
         }
-        if let Some(zones) = &config.zones {
-            zones.check().map_err(|e| format!("zones.{e}"))?;
+        Ok(())
+    }
+
+    fn check_roles(&self) -> Result<(), ConfigError> {
+        if let Some(zones) = &self.zones {
+            zones.check().map_err(|cause| ConfigError::Zones(cause.into()))?;
         }
-        if let Some(shares) = &config.shares {
-            if !marblecroft_control_messages::frame::is_valid_quantity(shares.capacity) {
-                return Err("shares.capacity: no number from 0".to_owned());
+        if let Some(fair_share) = &self.fair_share {
+            if !is_valid_quantity(fair_share.capacity) {
+                return Err(ConfigError::InvalidCapacity);
             }
-            if config.zones.is_none() && shares.capacity <= 0.0 {
-                return Err("shares.capacity: needed where zones are not decided on".to_owned());
+            if self.zones.is_none() && fair_share.capacity <= 0.0 {
+                return Err(ConfigError::MissingCapacity);
             }
         }
-        if let Some(books) = &config.books {
-            books.check(!config.allow_other_than_loopback).map_err(|e| format!("books.{e}"))?;
+        if let Some(shard_map) = &self.shard_map {
+            shard_map.check(self.allow_other_than_loopback).map_err(ConfigError::ShardMap)?;
         }
-        if config.roles().is_empty() {
-            return Err("zones, shares, books: one of them at least".to_owned());
+        if self.roles().is_empty() {
+            return Err(ConfigError::NoRole);
         }
-        Ok(config)
-    }
-
-    /// The duties that it is a candidate for.
-    pub fn roles(&self) -> Vec<&'static str> {
-        let named = [self.zones.is_some(), self.shares.is_some(), self.books.is_some()];
-        ROLES.into_iter().zip(named).filter(|(_, named)| *named).map(|(duty, _)| duty).collect()
+        Ok(())
     }
 }
--- a/quota-gateway/controller/src/lib.rs
+++ b/quota-gateway/controller/src/lib.rs
@@ -1,17 +1,27 @@
-//! A steward: a candidate for the fleet's decisions (`docs/controller.md`).
+//! A controller: a candidate for the singleton roles that decide for the fleet (`docs/controller.md`).
 //!
-//! - [`config`]: its one file.
-//! - [`reports`]: gateways' reports, over kept connections; bounded in every way.
-//! - [`shard_map_role`], [`cells`]: the duty of the books, and its asks of cells.
-//! - [`decisions`]: each decision core behind one interface.
-//! - [`work`]: what owning a duty is: reports in, decisions out, under the token.
-//! - [`metrics`]: figures for whoever watches over it.
+//! Reports of gateways come in through [`reports`] and are dispatched to the roles that are owned here. [`run_role`] steps the
+//! [`decision_role`] of each and publishes its decisions under the lease's token.
+//!
+//! - [`config`]: the configuration file.
+//! - [`reports`]: the reports of gateways, over persistent connections, bounded in number and in queue.
+//! - [`decision_role`]: the interface of all roles.
+//! - [`zone_failover_role`], [`fair_share_role`], [`shard_map_role`]: the roles.
+//! - [`cell_client`]: requests to the cells of the shard map.
+//! - [`create_role`]: the role of a name.
+//! - [`run_role`]: the work of the owner of a role.
+//! - [`shared`]: what all roles of a process share.
+//! - [`metrics`]: the metrics of the process.
 #![forbid(unsafe_code)]
 
-pub mod cells;
+pub mod cell_client;
 pub mod config;
-pub mod decisions;
+pub mod create_role;
+pub mod decision_role;
+pub mod fair_share_role;
 pub mod metrics;
 pub mod reports;
+pub mod run_role;
 pub mod shard_map_role;
-pub mod work;
+pub mod shared;
+pub mod zone_failover_role;
--- a/quota-gateway/controller/src/metrics.rs
+++ b/quota-gateway/controller/src/metrics.rs
@@ -1,6 +1,6 @@
-//! Figures of a steward, as a page in the usual text format.
+//! The metrics of the process, in the Prometheus text format.
 
-use crate::work::Shared;
+use crate::shared::Shared;
 use marblecroft_control_messages::frame::DecodeError;
 use marblecroft_singleton_roles::run::RoleMetrics;
 use prometheus_client::encoding::{text, EncodeLabelSet};
@@ -16,53 +16,69 @@
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct Why {
+struct CauseLabels {
     why: &'static str,
 }
 
-/// The page as it is now.
-pub fn page(shared: &Rc<Shared>, figures: &Rc<RoleMetrics>) -> String {
+/// Renders the metrics as they are now.
+pub fn render(shared: &Rc<Shared>, role_metrics: &Rc<RoleMetrics>) -> String {
     let mut registry = Registry::with_prefix("marblecroft_controller");
+    register_roles(&mut registry, role_metrics);
+    register_rejected_reports(&mut registry, shared);
+    register_counts(&mut registry, shared, role_metrics);
+    let longest = Gauge::<f64, AtomicU64>::default();
+    longest.set(shared.longest_decision.get().as_secs_f64());
+    registry.register(
+        "longest_decision_seconds",
+        "The longest that a look at the reports has taken",
+        longest,
+    );
+    let mut page = String::new();
+    match text::encode(&mut page, &registry) {
+        Ok(()) => page,
+        // Encoding into memory fails only where memory is exhausted.
+        Err(e) => format!("# {e}\n"),
+    }
+}
+
+fn register_roles(registry: &mut Registry, role_metrics: &RoleMetrics) {
     let owns = Family::<RoleLabels, Gauge>::default();
-    for (duty, token) in figures.owned_roles.borrow().iter() {
-        owns.get_or_create(&RoleLabels { duty: duty.clone() }).set(i64::try_from(*token).unwrap_or(i64::MAX));
+    for (duty, token) in role_metrics.owned_roles.borrow().iter() {
+        owns.get_or_create(&RoleLabels { duty: duty.clone() }).set(gauge_value(*token));
     }
     registry.register("owns", "Duties that are owned here, by the token", owns);
-    let refused = Family::<Why, Gauge>::default();
-    for why in DecodeError::ALL {
-        let count = shared.reports.refused.borrow().get(&why).copied().unwrap_or(0);
-        refused.get_or_create(&Why { why: why.name() }).set(i64::try_from(count).unwrap_or(i64::MAX));
+}
+
+fn register_rejected_reports(registry: &mut Registry, shared: &Shared) {
+    let rejected = Family::<CauseLabels, Gauge>::default();
+    for cause in DecodeError::ALL {
+        let count = shared.reports.rejected.borrow().get(&cause).copied().unwrap_or(0);
+        rejected.get_or_create(&CauseLabels { why: cause.name() }).set(gauge_value(count));
     }
-    registry.register("reports_refused", "Reports that changed nothing, by cause", refused);
+    registry.register("reports_refused", "Reports that changed nothing, by cause", rejected);
+}
+
+fn register_counts(registry: &mut Registry, shared: &Shared, role_metrics: &RoleMetrics) {
     let reports = &shared.reports;
     for (name, help, value) in [
         ("connections", "Gateways that are connected", reports.connections.get()),
-        ("reports", "Reports that came", reports.come.get()),
+        ("reports", "Reports that came", reports.received.get()),
         ("reports_dropped", "Reports that came faster than they were heard", reports.dropped.get()),
         ("report_bytes", "Bytes of reports", reports.bytes.get()),
-        ("published", "Decisions published", shared.published.get()),
+        ("published", "Decisions published", shared.published_decisions.get()),
         (
             "late_decisions_refused",
             "Decisions refused, as another one owns the duty",
-            figures.fenced_writes.get(),
+            role_metrics.fenced_writes.get(),
         ),
-        ("duties_gained", "Times that a duty was taken over here", figures.acquisitions.get()),
+        ("duties_gained", "Times that a duty was taken over here", role_metrics.acquisitions.get()),
     ] {
         let gauge = Gauge::<i64>::default();
-        gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
+        gauge.set(gauge_value(value));
         registry.register(name, help, gauge);
     }
-    let longest = Gauge::<f64, AtomicU64>::default();
-    longest.set(shared.longest.get().as_secs_f64());
-    registry.register(
-        "longest_decision_seconds",
-        "The longest that a look at the reports has taken",
-        longest,
-    );
-    let mut out = String::new();
-    match text::encode(&mut out, &registry) {
-        Ok(()) => out,
-        // Into a string, so for want of memory alone.
-        Err(e) => format!("# {e}\n"),
-    }
+}
+
+fn gauge_value(value: u64) -> i64 {
+    i64::try_from(value).unwrap_or(i64::MAX)
 }
--- a/quota-gateway/controller/src/reports.rs
+++ b/quota-gateway/controller/src/reports.rs
@@ -1,114 +1,131 @@
-//! Gateways' reports: one kept connection from each, frames one behind another, nothing is answered.
+//! The reports of gateways: one persistent connection from each, with a sequence of frames that are not answered.
 
 use marblecroft_control_messages::frame::{decode, DecodeError, Fleet, Header, HEADER_BYTES};
 use marblecroft_control_messages::report::Report;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{mpsc, Semaphore};
+use tokio::sync::mpsc::{self, error::TrySendError};
+use tokio::sync::Semaphore;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// A gateway reports once a second; one that says nothing for this long has gone without a word, and its place is wanted.
-const GATEWAY_TTL: Duration = Duration::from_secs(30);
-/// Reports that wait for one duty's turn; what comes beyond is dropped, as the next one of its gateway says the same or newer.
-pub const WAITING: usize = 8192;
+/// How long a connection without a report is kept, as a gateway reports once a second.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long to wait after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// The largest number of reports in the queue of one role. Further ones are dropped, as the next report of their gateways
+/// replaces them.
+pub const MAX_QUEUED_REPORTS: usize = 8192;
 
-/// Takes reports for whichever duties are owned here.
+/// Dispatches reports to the roles that are owned here, and counts them.
 pub struct Reports {
     fleet: Fleet,
-    to: RefCell<BTreeMap<String, mpsc::Sender<Rc<Report>>>>,
+    subscribers: RefCell<BTreeMap<String, mpsc::Sender<Rc<Report>>>>,
+    /// The number of open connections.
     pub connections: Cell<u64>,
-    pub come: Cell<u64>,
+    /// The number of reports that were received and decoded.
+    pub received: Cell<u64>,
+    /// The number of reports that found the queue of a role full.
     pub dropped: Cell<u64>,
-    pub refused: RefCell<BTreeMap<DecodeError, u64>>,
+    /// The number of reports that were rejected, by cause.
+    pub rejected: RefCell<BTreeMap<DecodeError, u64>>,
+    /// Bytes of all complete frames.
     pub bytes: Cell<u64>,
 }
 
 impl Reports {
+    /// Creates a dispatcher of one fleet's reports without subscribers.
     pub fn new(fleet: Fleet) -> Rc<Reports> {
         Rc::new(Reports {
             fleet,
-            to: RefCell::default(),
+            subscribers: RefCell::default(),
             connections: Cell::new(0),
-            come: Cell::new(0),
+            received: Cell::new(0),
             dropped: Cell::new(0),
-            refused: RefCell::default(),
+            rejected: RefCell::default(),
             bytes: Cell::new(0),
         })
     }
 
-    /// From now on reports go to this duty's work as well.
-    pub fn subscribe(&self, duty: &str) -> mpsc::Receiver<Rc<Report>> {
-        let (to, reports) = mpsc::channel(WAITING);
-        self.to.borrow_mut().insert(duty.to_owned(), to);
-        reports
+    /// Subscribes a role to all reports from now on, until it drops the receiver or subscribes again.
+    pub fn subscribe(&self, role: &str) -> mpsc::Receiver<Rc<Report>> {
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_REPORTS);
+        self.subscribers.borrow_mut().insert(role.to_owned(), sender);
+        receiver
     }
 
-    pub fn refuse(&self, why: DecodeError) {
-        *self.refused.borrow_mut().entry(why).or_default() += 1;
+    /// Counts a report that was rejected.
+    pub fn reject(&self, cause: DecodeError) {
+        *self.rejected.borrow_mut().entry(cause).or_default() += 1;
     }
 
-    fn take(&self, report: Report) {
-        self.come.set(self.come.get() + 1);
+    fn dispatch(&self, report: Report) {
+        self.received.set(self.received.get() + 1);
         let report = Rc::new(report);
-        self.to.borrow_mut().retain(|_, to| match to.try_send(report.clone()) {
+        self.subscribers.borrow_mut().retain(|_, subscriber| match subscriber.try_send(report.clone()) {
             Ok(()) => true,
-            Err(mpsc::error::TrySendError::Full(_)) => {
+            Err(TrySendError::Full(_)) => {
                 self.dropped.set(self.dropped.get() + 1);
                 true
             }
-            // Its work has ended.
-            Err(mpsc::error::TrySendError::Closed(_)) => false,
+            Err(TrySendError::Closed(_)) => false,
         });
     }
 
-    /// Accepts until dropped.
-    pub async fn accept(self: Rc<Self>, listener: TcpListener, most: usize) {
-        let places = std::sync::Arc::new(Semaphore::new(most));
+    /// Accepts connections until it is dropped; those beyond `max_connections` are closed at once, and their gateways retry.
+    pub async fn accept(self: Rc<Self>, listener: TcpListener, max_connections: usize) {
+        let permits = Arc::new(Semaphore::new(max_connections));
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(Duration::from_millis(20)).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            // With no place left the connection ends, and its gateway comes again.
-            let Ok(place) = places.clone().try_acquire_owned() else { continue };
+            let Ok(permit) = permits.clone().try_acquire_owned() else { continue };
             let reports = self.clone();
             spawn_local(async move {
                 reports.connections.set(reports.connections.get() + 1);
-                reports.hear(stream).await;
+                reports.read_all(stream).await;
                 reports.connections.set(reports.connections.get() - 1);
-                drop(place);
+                drop(permit);
             });
         }
     }
 
-    /// Reads until the connection ends, falls silent, or says something that cannot be read on from.
-    async fn hear(&self, mut stream: TcpStream) {
+    /// Reads reports until the connection ends, is idle, or has a frame whose end is not known.
+    async fn read_all(&self, mut stream: TcpStream) {
         loop {
             let mut bytes = vec![0; HEADER_BYTES];
-            match timeout(GATEWAY_TTL, stream.read_exact(&mut bytes)).await {
-                Ok(Ok(_)) => {}
-                _ => return,
-            }
-            let length = match Header::read(self.fleet, &bytes) {
-                Ok(head) => head.payload_bytes,
-                Err(why) => return self.refuse(why),
+            // An end between two frames is no error.
+            let Ok(()) = read_exact(&mut stream, &mut bytes).await else { return };
+            let payload_bytes = match Header::read(self.fleet, &bytes) {
+                Ok(header) => header.payload_bytes,
+                Err(cause) => return self.reject(cause),
+            };
+            bytes.resize(HEADER_BYTES + payload_bytes, 0);
+            let Ok(()) = read_exact(&mut stream, &mut bytes[HEADER_BYTES..]).await else {
+                return self.reject(DecodeError::Truncated);
             };
-            bytes.resize(HEADER_BYTES + length, 0);
-            match timeout(GATEWAY_TTL, stream.read_exact(&mut bytes[HEADER_BYTES..])).await {
-                Ok(Ok(_)) => {}
-                _ => return self.refuse(DecodeError::Truncated),
-            }
             self.bytes.set(self.bytes.get() + bytes.len() as u64);
             match decode::<Report>(self.fleet, &bytes) {
-                Ok(report) => self.take(report),
-                // Its end is known, so what comes next can be read.
-                Err(why) => self.refuse(why),
+                Ok(report) => self.dispatch(report),
+                // The end of the frame is known, so the next one can be read.
+                Err(cause) => self.reject(cause),
             }
         }
     }
 }
+
+/// The connection ended or was idle before the buffer was full.
+struct ConnectionEnded;
+
+async fn read_exact(stream: &mut TcpStream, buffer: &mut [u8]) -> Result<(), ConnectionEnded> {
+    match timeout(IDLE_TIMEOUT, stream.read_exact(buffer)).await {
+        Ok(Ok(_)) => Ok(()),
+        Ok(Err(_)) | Err(_) => Err(ConnectionEnded),
+    }
+}
--- a/quota-gateway/controller/src/shard_map_role.rs
+++ b/quota-gateway/controller/src/shard_map_role.rs
@@ -1,15 +1,15 @@
-//! The duty of the books: the core behind the interface of all decisions, what it knows of cells, and what it asks of them.
+//! The role that decides which cell serves each shard, and requests the operations of cells that migrations need.
 
-use crate::cells::Cells;
-use crate::config::{ShardMapConfig as BooksConfig, Valid};
-use crate::decisions::{read, Decides, Now};
-use marblecroft_control_messages::frame::{decode, encode, DecodeError, Fleet};
+use crate::cell_client::CellClient;
+use crate::config::ShardMapConfig;
+use crate::decision_role::{published_zones, DecisionRole, Now};
+use marblecroft_control_messages::frame::{encode, DecodeError, Fleet};
 use marblecroft_control_messages::published::{Decision, Stamp};
 use marblecroft_control_messages::report::Report;
 use marblecroft_shard_map::map::{Cell, Firm, ShardMap};
-use marblecroft_shard_map::moves::CellOperation;
-use marblecroft_shard_map::owner::{Owner, Waits};
-use marblecroft_shard_map::plan::{CellSeen, Limits};
+use marblecroft_shard_map::migration::CellOperation;
+use marblecroft_shard_map::owner::{Owner, TickOutput, Timing};
+use marblecroft_shard_map::plan::{CellStatus, Limits};
 use marblecroft_singleton_roles::keys::{self, Keys};
 use marblecroft_singleton_roles::view::View;
 use marblecroft_zone_failover::body::{State, ZonesDecided};
@@ -18,144 +18,165 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// A cell that nothing says what it bears is taken to bear this.
-const BEARS: f64 = 1e9;
+/// The capacity of a zone that is not decided on, in units per second.
+const DEFAULT_ZONE_CAPACITY: f64 = 1e9;
 
+/// The owner's state of the shard map.
 pub struct ShardMapRole {
     fleet: Fleet,
-    names: Keys,
-    valid: Valid,
-    config: BooksConfig,
+    keys: Keys,
+    ttl_ms: u32,
+    config: ShardMapConfig,
     core: Owner,
-    cells: Rc<Cells>,
-    /// What is asked of cells once the map that wants it is published.
-    pending_requests: Vec<CellOperation>,
-    /// The map that is on its way to be published.
+    cell_client: Rc<CellClient>,
+    /// The operations to request of cells once the map that needs them is published.
+    operations: Vec<CellOperation>,
+    /// The map that is being published.
     publishing: Option<ShardMap>,
+    /// The token of the last decision.
     token: u64,
-    moves: u64,
+    /// The number of completed migrations that were logged.
+    logged_migrations: u64,
 }
 
 impl ShardMapRole {
-    pub fn begin(
+    /// Creates the role on top of the published map. Readers may use each map for `ttl_ms` milliseconds.
+    pub fn new(
         fleet: Fleet,
-        names: Keys,
-        valid: Valid,
-        config: BooksConfig,
+        keys: Keys,
+        ttl_ms: u32,
+        config: ShardMapConfig,
         now: Now,
-        standing: Option<&[u8]>,
+        published: Option<ShardMap>,
     ) -> ShardMapRole {
-        let before = read::<ShardMap>(fleet, "books", standing);
-        let numbers: Vec<Cell> = config.cells.iter().map(|cell| cell.number).collect();
-        let map = before.map_or_else(|| ShardMap::even(config.count, &numbers), |before| before.body);
-        let waits = Waits {
+        let map = published.unwrap_or_else(|| {
+            let cells: Vec<Cell> = config.cells.iter().map(|cell| cell.number).collect();
+            ShardMap::even(config.shard_count, &cells)
+        });
+        let timing = Timing {
             fencing: config.fencing,
             gateways: config.gateways,
-            valid: Duration::from_millis(valid.books_ms.into()),
-            attempt: Duration::from_millis(config.attempt_ms),
-            patience: Duration::from_millis(config.patience_ms),
+            map_ttl: Duration::from_millis(ttl_ms.into()),
+            max_attempt: Duration::from_millis(config.max_attempt_ms),
+            step_timeout: Duration::from_millis(config.step_timeout_ms),
         };
-        let at = config.cells.iter().map(|cell| (cell.number, cell.at)).collect();
+        let addresses = config.cells.iter().map(|cell| (cell.number, cell.address)).collect();
         ShardMapRole {
             fleet,
-            names,
-            valid,
-            core: Owner::begin(now, map, waits, Limits::default()),
-            cells: Cells::new(fleet, at),
+            keys,
+            ttl_ms,
+            core: Owner::new(now, map, timing, Limits::default()),
+            cell_client: CellClient::new(fleet, addresses),
             config,
-            pending_requests: Vec::new(),
+            operations: Vec::new(),
             publishing: None,
             token: 0,
-            moves: 0,
+            logged_migrations: 0,
         }
     }
 
-    /// What operators say: this firm's book is to be at that cell, for as long as that takes writes.
-    fn orders(&mut self, now: Now, view: &View, seen: &BTreeMap<Cell, CellSeen>) {
-        let prefix = self.names.shard_override("");
+    /// What is known of the cells, by the decision on the zones. The capacity of a zone is shared evenly by its cells.
+    fn cell_status(&self, zones: Option<&ZonesDecided>) -> BTreeMap<Cell, CellStatus> {
+        let state_and_capacity = |name: &str| {
+            let zone = zones?.zones.iter().find(|zone| zone.name == name)?;
+            Some((zone.state, zone.bears))
+        };
+        let cells_in = |name: &str| self.config.cells.iter().filter(|cell| cell.zone == name).count().max(1);
+        let status = self.config.cells.iter().map(|cell| {
+            let (state, capacity) =
+                state_and_capacity(&cell.zone).unwrap_or((State::Serving, DEFAULT_ZONE_CAPACITY));
+            let status = CellStatus {
+                zone: cell.zone.clone(),
+                region: cell.region.clone(),
+                // Shards are not migrated into a zone that is about to be out, or that has only just returned.
+                accepts_writes: state == State::Serving,
+                is_draining: matches!(state, State::FailedOver | State::HeldByOperator),
+                capacity: capacity / cells_in(&cell.zone) as f64,
+                load: 0.0,
+            };
+            (cell.number, status)
+        });
+        status.collect()
+    }
+
+    /// Follows the operators' overrides: the shard of a firm is to be at a cell, while that accepts writes.
+    fn follow_overrides(&mut self, now: Now, view: &View, cells: &BTreeMap<Cell, CellStatus>) {
+        let prefix = self.keys.shard_override("");
         for (firm, bytes) in view.entries_under(&prefix) {
             let (Ok(firm), Some(to)) = (firm.parse::<Firm>(), keys::decode_value::<Cell>(bytes)) else {
                 continue;
             };
-            let map = self.core.map();
-            let stands = map.find(firm).map(|at| map.shards[at]);
-            let wanted = stands.is_some_and(|book| book.migration.is_none() && book.cell != to);
-            if wanted && seen.get(&to).is_some_and(|cell| cell.takes && !cell.leave) {
-                if let Err(why) = self.core.on_operator_command(now, firm, to) {
-                    warn!(firm, to, ?why, "the book of {firm} is not moved to cell {to}: {why:?}");
-                }
+            let accepts = cells.get(&to).is_some_and(|cell| cell.accepts_writes && !cell.is_draining);
+            if !(accepts && self.can_migrate(firm, to)) {
+                continue;
+            }
+            if let Err(why) = self.core.on_operator_command(now, firm, to) {
+                warn!(firm, to, ?why, "the book of {firm} is not moved to cell {to}: {why:?}");
             }
         }
     }
+
+    /// Whether the shard of a firm is at another cell, and not being migrated.
+    fn can_migrate(&self, firm: Firm, to: Cell) -> bool {
+        let map = self.core.map();
+        let shard = map.find(firm).map(|index| map.shards[index]);
+        shard.is_some_and(|shard| shard.migration.is_none() && shard.cell != to)
+    }
+
+    fn log_migrations(&mut self) {
+        let moves = self.core.completed_migrations();
+        if moves > self.logged_migrations {
+            info!(moves, "{moves} books have moved under this owner");
+            self.logged_migrations = moves;
+        }
+    }
 }
 
-impl Decides for ShardMapRole {
-    fn report(&mut self, now: Now, report: &Report) -> Result<(), DecodeError> {
-        self.core.goes_by(now, report.gateway, report.applied_decisions.shard_map);
+impl DecisionRole for ShardMapRole {
+    fn handle_report(&mut self, now: Now, report: &Report) -> Result<(), DecodeError> {
+        self.core.on_applied(now, report.gateway, report.applied_decisions.shard_map);
         Ok(())
     }
 
-    fn view(&mut self, now: Now, view: &View) {
-        let zones = view.get(&self.names.decision("zones"));
-        let zones = zones.and_then(|bytes| decode::<Decision<ZonesDecided>>(self.fleet, bytes).ok());
-        let zone = |name: &str| {
-            let decided = zones.as_ref()?.body.zones.iter().find(|zone| zone.name == name)?;
-            Some((decided.state, decided.bears))
-        };
-        let of = |name: &str| self.config.cells.iter().filter(|cell| cell.zone == name).count().max(1);
-        let seen = self.config.cells.iter().map(|cell| {
-            let (state, bears) = zone(&cell.zone).unwrap_or((State::Serving, BEARS));
-            let seen = CellSeen {
-                zone: cell.zone.clone(),
-                region: cell.region.clone(),
-                // Into one that is about to be out, or only just back, nothing moves.
-                takes: state == State::Serving,
-                leave: matches!(state, State::FailedOver | State::HeldByOperator),
-                bears: bears / of(&cell.zone) as f64,
-                load: 0.0,
-            };
-            (cell.number, seen)
-        });
-        let seen: BTreeMap<Cell, CellSeen> = seen.collect();
-        self.orders(now, view, &seen);
-        self.core.cells(seen);
-        for answer in self.cells.take_replies() {
-            self.core.answered(now, answer);
+    fn handle_view(&mut self, now: Now, view: &View) {
+        let zones = published_zones(self.fleet, &self.keys, view);
+        let cells = self.cell_status(zones.as_ref());
+        self.follow_overrides(now, view, &cells);
+        self.core.set_cells(cells);
+        for answer in self.cell_client.take_answers() {
+            self.core.handle_answer(now, answer);
         }
     }
 
     fn decide(&mut self, now: Now, stamp: Stamp) -> Option<Vec<u8>> {
         self.token = stamp.token;
-        let (asks, changed) = self.core.tick(now);
-        self.pending_requests = asks;
-        if self.core.moves > self.moves {
-            info!(moves = self.core.moves, "{} books have moved under this owner", self.core.moves);
-            self.moves = self.core.moves;
-        }
-        if !(changed || self.publishing.is_some()) {
+        let TickOutput { operations, is_map_changed } = self.core.tick(now);
+        self.operations = operations;
+        self.log_migrations();
+        if !(is_map_changed || self.publishing.is_some()) {
             return None;
         }
         let map = self.core.map().clone();
         self.publishing = Some(map.clone());
-        encode(self.fleet, &Decision { stamp, valid_ms: self.valid.books_ms, body: map })
+        encode(self.fleet, &Decision { stamp, valid_ms: self.ttl_ms, body: map })
     }
 
-    fn published(&mut self, now: Now, stamp: Stamp) {
+    fn on_published(&mut self, now: Now, stamp: Stamp) {
         if let Some(map) = self.publishing.take() {
-            self.core.published(now, stamp, &map);
+            self.core.on_published(now, stamp, &map);
         }
     }
 
     fn act(&mut self) {
-        // What a map wants is asked only once it is known to be written down.
+        // A step is requested of cells only once it is known to be published.
         if self.publishing.is_none() {
-            for ask in std::mem::take(&mut self.pending_requests) {
-                self.cells.request(self.token, ask);
+            for operation in std::mem::take(&mut self.operations) {
+                self.cell_client.request(self.token, operation);
             }
         }
     }
 
-    fn wakes(&self) -> Option<Rc<Cells>> {
-        Some(self.cells.clone())
+    fn cell_client(&self) -> Option<Rc<CellClient>> {
+        Some(self.cell_client.clone())
     }
 }
--- /dev/null
+++ b/quota-gateway/controller/src/zone_failover_role.rs
@@ -0,0 +1,99 @@
+//! The role that decides which zones serve, and where the others' requests go.
+
+use crate::decision_role::{DecisionRole, Now};
+use marblecroft_control_messages::frame::{encode, DecodeError, Fleet};
+use marblecroft_control_messages::published::{Decision, Stamp};
+use marblecroft_control_messages::report::Report;
+use marblecroft_singleton_roles::keys::Keys;
+use marblecroft_singleton_roles::view::View;
+use marblecroft_zone_failover::body::ZonesDecided;
+use marblecroft_zone_failover::core::{OperatorCommand, Zones};
+use marblecroft_zone_failover::settings::Settings;
+use std::collections::BTreeSet;
+use tracing::{info, warn};
+
+/// The owner's state of the zone failover.
+pub struct ZoneFailoverRole {
+    fleet: Fleet,
+    keys: Keys,
+    ttl_ms: u32,
+    core: Zones,
+    /// The zones that operators override, as last handled.
+    overridden: BTreeSet<String>,
+    rejected_failovers: u64,
+}
+
+impl ZoneFailoverRole {
+    /// Creates the role on top of the published decision. Readers may use each decision for `ttl_ms` milliseconds.
+    pub fn new(
+        fleet: Fleet,
+        keys: Keys,
+        ttl_ms: u32,
+        settings: Settings,
+        now: Now,
+        published: Option<&ZonesDecided>,
+    ) -> ZoneFailoverRole {
+        ZoneFailoverRole {
+            fleet,
+            keys,
+            ttl_ms,
+            core: Zones::begin(settings, now, published),
+            overridden: BTreeSet::new(),
+            rejected_failovers: 0,
+        }
+    }
+
+    fn hold(&mut self, now: Now, zone: &str) {
+        if !self.core.on_operator_command(now, &OperatorCommand::Hold(zone.to_owned())) {
+            warn!(zone = %zone, "an operator holds out {zone}, which is none of the zones");
+        }
+    }
+
+    fn release(&mut self, now: Now, zone: String) {
+        self.core.on_operator_command(now, &OperatorCommand::Return(zone));
+    }
+
+    fn log_changes(&mut self) {
+        for moved in self.core.moved() {
+            info!(zone = %moved.zone, from = moved.from.name(), to = moved.to.name(),
+                "{} is {}, was {}", moved.zone, moved.to.name(), moved.from.name());
+        }
+        if self.core.rejected_failovers() > self.rejected_failovers {
+            if self.rejected_failovers == 0 {
+                warn!("a zone looks lost and is kept: it is the last, or another region has just moved");
+            }
+            self.rejected_failovers = self.core.rejected_failovers();
+        }
+    }
+}
+
+impl DecisionRole for ZoneFailoverRole {
+    fn handle_report(&mut self, now: Now, report: &Report) -> Result<(), DecodeError> {
+        self.core.report(now, report)
+    }
+
+    fn handle_view(&mut self, now: Now, view: &View) {
+        let prefix = self.keys.zone_override("");
+        let overridden: BTreeSet<String> =
+            view.entries_under(&prefix).map(|(zone, _)| zone.to_owned()).collect();
+        let before = std::mem::replace(&mut self.overridden, overridden.clone());
+        for zone in overridden.difference(&before) {
+            self.hold(now, zone);
+        }
+        for zone in before.difference(&overridden) {
+            self.release(now, zone.clone());
+        }
+        // Overrides that the published decision has, and that were withdrawn before this process became the owner.
+        for zone in self.core.held_zones() {
+            if !overridden.contains(&zone) {
+                self.release(now, zone);
+            }
+        }
+    }
+
+    fn decide(&mut self, now: Now, stamp: Stamp) -> Option<Vec<u8>> {
+        let decided = self.core.tick(now);
+        self.log_changes();
+        encode(self.fleet, &Decision { stamp, valid_ms: self.ttl_ms, body: decided? })
+    }
+}
--- a/quota-gateway/controller/tests/input.rs
+++ b/quota-gateway/controller/tests/input.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_configuration_that_cannot_be_used_is_named_by_its_field() {
-    assert!(Config::of(GOOD).is_ok());
+    assert!(Config::parse(GOOD).is_ok());
     for (from, to, field) in [
         ("fleet = \"payroll\"", "", "fleet"),
         ("\"payroll\"", "\"pay/roll\"", "fleet"),
@@ -49,7 +49,7 @@
     ] {
         let text = GOOD.replacen(from, to, 1);
         assert_ne!(text, GOOD, "{from}");
-        let e = Config::of(&text).expect_err(field);
+        let e = Config::parse(&text).expect_err(field).to_string();
         assert!(e.contains(field) && !e.contains('\n'), "{field}: {e}");
     }
 }
@@ -106,7 +106,7 @@
         ends(spoilt(4, 1)).await;
         ends(spoilt(7, 1)).await;
         ends(spoilt(18, 0x7f)).await;
-        let count = |why: DecodeError| reports.refused.borrow().get(&why).copied().unwrap_or(0);
+        let count = |why: DecodeError| reports.rejected.borrow().get(&why).copied().unwrap_or(0);
         for why in [
             DecodeError::BadMagic,
             DecodeError::UnsupportedVersion,
@@ -127,7 +127,7 @@
         half.write_all(&report(3)[..HEADER_BYTES + 2]).await.expect("written");
         drop(half);
         until(|| count(DecodeError::Truncated) == 1).await;
-        assert_eq!(reports.come.get(), 1);
+        assert_eq!(reports.received.get(), 1);
     });
 }
 
@@ -147,19 +147,19 @@
         until(|| reports.connections.get() == 2).await;
         let mut third = TcpStream::connect(addr).await.expect("connected");
         assert_eq!(third.read(&mut [0; 1]).await.unwrap_or(0), 0, "it is turned away");
-        let many = marblecroft_controller::reports::WAITING as u32 + 50;
+        let many = marblecroft_controller::reports::MAX_QUEUED_REPORTS as u32 + 50;
         let flood: Vec<u8> = (0..many).flat_map(report).collect();
         held[0].write_all(&flood).await.expect("written");
-        until(|| reports.come.get() == u64::from(many)).await;
+        until(|| reports.received.get() == u64::from(many)).await;
         assert_eq!(reports.dropped.get(), 50);
-        assert_eq!(heard.len(), marblecroft_controller::reports::WAITING);
+        assert_eq!(heard.len(), marblecroft_controller::reports::MAX_QUEUED_REPORTS);
         drop(held);
         until(|| reports.connections.get() == 0).await;
         // A work that has ended is told nothing more.
         drop(heard);
         let mut again = TcpStream::connect(addr).await.expect("connected");
         again.write_all(&report(1)).await.expect("written");
-        until(|| reports.come.get() == u64::from(many) + 1).await;
+        until(|| reports.received.get() == u64::from(many) + 1).await;
         assert_eq!(reports.dropped.get(), 50);
     });
 }
--- a/quota-gateway/server/src/shard_map.rs
+++ b/quota-gateway/server/src/shard_map.rs
@@ -8,7 +8,7 @@
 use marblecroft_control_messages::published::{Acceptance, Decision, DecisionReader, Stamp};
 use marblecroft_quota_gateway_core::{Lifecycle, Placement, Scope, ServerId, ServerInfo};
 use marblecroft_shard_map::map::{Epoch, Firm, ShardMap};
-use marblecroft_shard_map::ticket::{NotNow, Ticket};
+use marblecroft_shard_map::ticket::{Ticket, TicketError};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -83,7 +83,7 @@
     }
 
     /// A ticket to write a firm's shard, if the map allows that now.
-    fn ticket(&self, firm: Firm) -> Result<Ticket, NotNow> {
+    fn ticket(&self, firm: Firm) -> Result<Ticket, TicketError> {
         Ticket::acquire(self.started_at.elapsed(), &self.map.borrow(), firm)
     }
 
@@ -101,7 +101,7 @@
     /// The epoch of a write at a server, at this moment; `None` where nothing may be written there now.
     pub fn epoch(&self, firm: Firm, server: ServerId) -> Option<HeaderValue> {
         let ticket = self.ticket(firm).ok()?;
-        let (cell, epoch) = ticket.write(self.started_at.elapsed())?;
+        let (cell, epoch) = ticket.destination(self.started_at.elapsed())?;
         if self.cells.borrow().get(&server) != Some(&cell) {
             self.count_withheld();
             return None;
--- a/quota-gateway/shard-map/src/cell.rs
+++ b/quota-gateway/shard-map/src/cell.rs
@@ -1,46 +1,37 @@
-//! What a steward asks of a cell, and a cell's side of it: one definition for both ends. Frames as all of the fleet's
-//! (`marblecroft_control_messages::frame`), an answer behind each ask on the same connection.
+//! The requests of the owner of the shard map to a cell, and the cell's side of them: one definition for both ends.
+//!
+//! They are frames like all of the fleet's (`marblecroft_control_messages::frame`); each request is followed by its reply on the
+//! same connection.
 
-use crate::fencing::{Due, EpochFence};
-use crate::map::{Epoch, Firm, FIRM_END};
-use crate::moves::CellOperation;
+use crate::fencing::{EpochFence, EpochMismatch};
+use crate::map::{Cell, Epoch, Firm, FIRM_END};
+use crate::migration::CellOperation;
 use marblecroft_control_messages::frame::{Kind, Message};
 use serde::{Deserialize, Serialize};
 
-/// An ask under the owner's token.
+/// A request under the owner's fencing token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellRequest {
+    /// The fencing token that the owner has its role under.
     pub token: u64,
+    /// What the cell is to do.
     pub operation: CellOperation,
 }
 
-/// What a cell says to an ask.
+/// A cell's reply to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CellReply {
-    /// It is done, now or before.
+    /// The operation is complete, by this request or an earlier one.
     Done,
-    /// Begun and not at its end: attempts of before are out, or the copy is on its way. To be asked again.
+    /// Earlier attempts are still in flight, or the copy has not ended: the request is to be repeated.
     InProgress,
-    /// The range is at a higher epoch here: nothing was changed.
+    /// The range has a higher epoch at this cell: nothing was changed.
     Higher,
-    /// A higher token has asked: whoever asks owns the duty no longer.
-    Fenced { token: u64 },
-}
-
-impl CellOperation {
-    pub fn range(&self) -> (Firm, Firm) {
-        let (CellOperation::Close { range, .. }
-        | CellOperation::Copy { range, .. }
-        | CellOperation::Open { range, .. }) = self;
-        *range
-    }
-
-    pub fn epoch(&self) -> Epoch {
-        let (CellOperation::Close { epoch, .. }
-        | CellOperation::Copy { epoch, .. }
-        | CellOperation::Open { epoch, .. }) = self;
-        *epoch
-    }
+    /// A request under a higher token came before: the sender is no longer the owner.
+    Fenced {
+        /// The higher token.
+        token: u64,
+    },
 }
 
 impl Message for CellRequest {
@@ -60,47 +51,58 @@
     }
 }
 
-/// A cell's side: its fence, and the highest token that has asked it anything. What is written and copied is its shell's.
+/// The state of a cell: its fence and the highest token of any request. Whoever runs the cell keeps and copies the records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellState {
+    /// The epochs of the ranges at this cell.
     pub fence: EpochFence,
     token: u64,
-    /// Asks under a token below one that came before.
-    pub late: u64,
+    /// Number of requests that were rejected because an earlier one had a higher token.
+    pub fenced_requests: u64,
 }
 
-/// What an ask needs of the cell's shell.
+/// What is left for whoever runs the cell to do about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Needs {
-    /// Nothing: it is answered.
-    Nothing(CellReply),
-    /// Done once nothing that was admitted of this range is out.
-    Quiet((Firm, Firm)),
-    /// Done once the other cell has all that is here of this range.
-    Copy { to: crate::map::Cell, range: (Firm, Firm) },
+pub enum CellAction {
+    /// Send this reply.
+    Reply(CellReply),
+    /// Reply [`CellReply::Done`] once no admitted write to this range (first firm, and first firm after it) is in flight.
+    AwaitDrained((Firm, Firm)),
+    /// Reply [`CellReply::Done`] once the other cell has all records of the range.
+    Copy {
+        /// The other cell.
+        to: Cell,
+        /// The first firm, and the first firm after the range.
+        range: (Firm, Firm),
+    },
 }
 
 impl CellState {
-    /// Takes an ask. Each can come twice, and late.
-    pub fn take(&mut self, asked: &CellRequest) -> Needs {
-        if asked.token < self.token {
-            self.late += 1;
-            return Needs::Nothing(CellReply::Fenced { token: self.token });
+    /// Handles a request, which may be repeated or late.
+    pub fn handle_request(&mut self, request: &CellRequest) -> CellAction {
+        if request.token < self.token {
+            self.fenced_requests += 1;
+            return CellAction::Reply(CellReply::Fenced { token: self.token });
         }
-        self.token = asked.token;
-        let said = |done: bool| Needs::Nothing(if done { CellReply::Done } else { CellReply::Higher });
-        match asked.operation {
+        self.token = request.token;
+        match request.operation {
             CellOperation::Close { range, epoch, .. } if self.fence.set(range, epoch, false) => {
-                Needs::Quiet(range)
+                CellAction::AwaitDrained(range)
+            }
+            CellOperation::Open { range, epoch, .. } if self.fence.set(range, epoch, true) => {
+                CellAction::Reply(CellReply::Done)
             }
-            CellOperation::Close { .. } => said(false),
-            CellOperation::Open { range, epoch, .. } => said(self.fence.set(range, epoch, true)),
-            CellOperation::Copy { to, range, .. } => Needs::Copy { to, range },
+            CellOperation::Close { .. } | CellOperation::Open { .. } => CellAction::Reply(CellReply::Higher),
+            CellOperation::Copy { to, range, .. } => CellAction::Copy { to, range },
         }
     }
 
-    /// Whether a write under an epoch is taken.
-    pub fn admit(&self, firm: Firm, epoch: Epoch) -> Result<(), Due> {
+    /// Admits a write under an epoch.
+    ///
+    /// # Errors
+    ///
+    /// As [`EpochFence::admit`].
+    pub fn admit(&self, firm: Firm, epoch: Epoch) -> Result<(), EpochMismatch> {
         self.fence.admit(firm, epoch)
     }
 }
--- a/quota-gateway/shard-map/src/fencing.rs
+++ b/quota-gateway/shard-map/src/fencing.rs
@@ -1,29 +1,58 @@
-//! A cell's side, where pay servers fence: each range's epoch, remembered, and lower ones turned away. It only rises.
+//! The cell's side where pay servers fence: the epoch of each range is stored, and writes under another one are rejected.
 
 use crate::map::{Epoch, Firm, FIRM_END};
+use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-/// What a write under another epoch is told: that it never ran, and which epoch is due; nothing is open here if there is none.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Due(pub Option<Epoch>);
+/// The largest number of ranges that a cell stores; adjacent ranges in the same state are one.
+pub const MAX_RANGES: usize = 4096;
+
+quick_error! {
+    /// Why a cell rejected a write. The write was not executed.
+    #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+    pub enum EpochMismatch {
+        /// The range is closed at this cell.
+        Closed {
+            display("the range is closed at this cell")
+        }
+        /// The range is open under this epoch, which is another one than the write's.
+        OtherEpoch(expected: Epoch) {
+            display("the range is open under epoch {expected}")
+        }
+    }
+}
+
+impl EpochMismatch {
+    /// Returns the epoch that the cell admits; `None` if it is closed.
+    pub fn expected_epoch(self) -> Option<Epoch> {
+        match self {
+            EpochMismatch::Closed => None,
+            EpochMismatch::OtherEpoch(expected) => Some(expected),
+        }
+    }
+}
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct Range {
     first: Firm,
     epoch: Epoch,
-    /// Whether writes under the epoch are taken, or none at all.
+    /// Whether writes under the epoch are admitted, or none at all.
     open: bool,
 }
 
-/// A cell's account of all firms; those that it was never told of are at epoch 0 and shut.
+impl Range {
+    /// Whether a change to an epoch would undo a later one: to a lower epoch, or an opening of what was closed at its epoch.
+    fn rejects(&self, epoch: Epoch, open: bool) -> bool {
+        self.epoch > epoch || (self.epoch == epoch && open && !self.open)
+    }
+}
+
+/// The epochs of all firms at a cell; those that were never set are closed at epoch 0.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EpochFence {
     ranges: Vec<Range>,
 }
 
-/// Ranges that a cell keeps account of; neighbours that are alike are one.
-pub const MAX_RANGES: usize = 4096;
-
 impl Default for EpochFence {
     fn default() -> EpochFence {
         EpochFence { ranges: vec![Range { first: 0, epoch: 0, open: false }] }
@@ -31,33 +60,15 @@
 }
 
 impl EpochFence {
-    fn at(&self, firm: Firm) -> usize {
-        self.ranges.partition_point(|range| range.first <= firm).saturating_sub(1)
-    }
-
-    /// Cuts a range in two where a firm begins one.
-    fn split_at(&mut self, firm: Firm) {
-        if firm >= FIRM_END {
-            return;
-        }
-        let at = self.at(firm);
-        if self.ranges[at].first != firm {
-            self.ranges.insert(at + 1, Range { first: firm, ..self.ranges[at] });
-        }
-    }
-
-    /// From now on firms from `first` up to `end` are at this epoch, open or shut. False, and nothing is changed, where any of
-    /// them is at a higher one, or at the same and shut: an old owner that woke late opens nothing.
+    /// Sets the epoch of the firms from `first` up to, but without, `end`, open or closed.
+    ///
+    /// Returns `false`, and changes nothing, if any of them has a higher epoch or is closed at the same one, so that a previous
+    /// owner's late request opens nothing; and if the range is not valid or there are too many.
     pub fn set(&mut self, (first, end): (Firm, Firm), epoch: Epoch, open: bool) -> bool {
         if first >= end || end > FIRM_END || epoch == 0 || self.ranges.len() + 2 > MAX_RANGES {
             return false;
         }
-        let touched = self.ranges.iter().enumerate().filter(|(at, range)| {
-            let next = self.ranges.get(at + 1).map_or(FIRM_END, |next| next.first);
-            range.first < end && first < next
-        });
-        let newer = |range: &Range| range.epoch > epoch || (range.epoch == epoch && open && !range.open);
-        if touched.clone().any(|(_, range)| newer(range)) {
+        if self.overlapping(first, end).any(|range| range.rejects(epoch, open)) {
             return false;
         }
         self.split_at(first);
@@ -69,19 +80,47 @@
         true
     }
 
-    /// Whether a write under an epoch is taken. One under a higher epoch than this cell knows is not: what it would be written
-    /// beside may not be here yet.
-    pub fn admit(&self, firm: Firm, epoch: Epoch) -> Result<(), Due> {
-        let range = &self.ranges[self.at(firm)];
-        if range.open && range.epoch == epoch {
-            Ok(())
+    /// Admits a write under exactly the epoch of its range. One under a higher epoch is rejected too: the records that it
+    /// belongs to may not have been copied to this cell yet.
+    ///
+    /// # Errors
+    ///
+    /// [`EpochMismatch`] if the range is closed or has another epoch.
+    pub fn admit(&self, firm: Firm, epoch: Epoch) -> Result<(), EpochMismatch> {
+        let range = &self.ranges[self.index(firm)];
+        if !range.open {
+            Err(EpochMismatch::Closed)
+        } else if range.epoch != epoch {
+            Err(EpochMismatch::OtherEpoch(range.epoch))
         } else {
-            Err(Due(range.open.then_some(range.epoch)))
+            Ok(())
         }
     }
 
-    /// The epoch that a firm's range has here.
+    /// Returns the epoch of a firm's range.
     pub fn epoch(&self, firm: Firm) -> Epoch {
-        self.ranges[self.at(firm)].epoch
+        self.ranges[self.index(firm)].epoch
+    }
+
+    fn index(&self, firm: Firm) -> usize {
+        self.ranges.partition_point(|range| range.first <= firm).saturating_sub(1)
+    }
+
+    /// The ranges that have firms from `first` up to `end`.
+    fn overlapping(&self, first: Firm, end: Firm) -> impl Iterator<Item = &Range> {
+        let ends = self.ranges.iter().skip(1).map(|next| next.first).chain([FIRM_END]);
+        let has_firms = move |(range, range_end): &(&Range, Firm)| range.first < end && first < *range_end;
+        self.ranges.iter().zip(ends).filter(has_firms).map(|(range, _)| range)
+    }
+
+    /// Splits a range so that one begins at a firm.
+    fn split_at(&mut self, firm: Firm) {
+        if firm >= FIRM_END {
+            return;
+        }
+        let index = self.index(firm);
+        if self.ranges[index].first != firm {
+            self.ranges.insert(index + 1, Range { first: firm, ..self.ranges[index] });
+        }
     }
 }
--- a/quota-gateway/shard-map/src/owner.rs
+++ b/quota-gateway/shard-map/src/owner.rs
@@ -1,271 +1,267 @@
-//! The owner of the books: plans moves, leads each through its steps, and waits for what each needs.
+//! The owner of the shard map: it plans migrations, and takes each through its steps as cells answer and older maps expire.
 
-use crate::map::{Cell, Epoch, Firm, MigrationStep, Shard, ShardMap};
-use crate::moves::{cell_operation, CellOperation, MigrationError};
-use crate::plan::{under_way, wishes, CellSeen, Limits};
-use marblecroft_control_messages::published::Stamp;
+mod propagation;
+
+pub use propagation::MAX_GATEWAYS;
+
+use crate::map::{Cell, Epoch, Firm, Migration, MigrationStep, Shard, ShardMap};
+use crate::migration::{cell_operation, CellOperation, MigrationError};
+use crate::plan::{migrations_in_progress, plan_migrations, CellStatus, Limits};
+use marblecroft_control_messages::published::{Instant, Stamp};
+use propagation::Propagation;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-pub type Now = Duration;
+/// The largest number of shards without a migration that cells are requested to open at once.
+const MAX_CONCURRENT_OPENS: usize = 64;
 
-/// How a move is waited for.
+/// What a migration waits for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Waits {
-    /// Cells remember epochs and turn lower ones away.
+pub struct Timing {
+    /// Whether cells store epochs and reject lower ones.
     pub fencing: bool,
-    /// Gateways that there are, by the configuration: while fewer are heard, one that is not may hold an older map.
+    /// The number of gateways, by the configuration: while fewer have reported, an unknown one may use an older map.
     pub gateways: usize,
     /// How long a map is valid at a reader.
-    pub valid: Duration,
-    /// The longest that an attempt can be out.
-    pub attempt: Duration,
-    /// A step that is not answered for this long is given up where that is possible, as its cell may be gone.
-    pub patience: Duration,
+    pub map_ttl: Duration,
+    /// The longest time that an attempt can be in flight.
+    pub max_attempt: Duration,
+    /// How long a copy may take before the migration is abandoned, as the new cell may be lost.
+    pub step_timeout: Duration,
 }
 
-/// Clocks may run apart by this, as the lease of a session allows.
-const DRIFT: f64 = 0.1;
-
-/// What a cell has answered.
+/// A cell's acknowledgement of an operation, with the first firm of its range and its epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
-    /// The range is shut at this epoch, and nothing of before is out.
-    Shut(Firm, Epoch),
+pub enum CellAnswer {
+    /// The range is closed at this epoch, and no earlier write is in flight.
+    Closed(Firm, Epoch),
+    /// The new cell has all records of the range.
     Copied(Firm, Epoch),
+    /// The range is open at this epoch.
     Opened(Firm, Epoch),
 }
 
-/// A raised epoch that gateways are told of.
-#[derive(Clone, Debug)]
-struct SentOperation {
-    /// Under which stamp and when it was published first.
-    stamp: Stamp,
-    at: Now,
-    /// When each gateway first said that it goes by it, or by a later one. What it has said since says nothing more.
-    said: BTreeMap<u32, Now>,
+impl CellAnswer {
+    fn shard(self) -> (Firm, Epoch) {
+        let (CellAnswer::Closed(first, epoch)
+        | CellAnswer::Copied(first, epoch)
+        | CellAnswer::Opened(first, epoch)) = self;
+        (first, epoch)
+    }
+}
+
+/// What is to be done after [`Owner::tick`].
+#[derive(Debug)]
+pub struct TickOutput {
+    /// The operations to request of cells, once the map is published.
+    pub operations: Vec<CellOperation>,
+    /// Whether the map has changed since the last tick, and is to be published.
+    pub is_map_changed: bool,
 }
 
+/// The state machine of the owner. Without I/O; instants are of the owner's monotonic clock.
 pub struct Owner {
     map: ShardMap,
-    waits: Waits,
+    timing: Timing,
     limits: Limits,
-    cells: BTreeMap<Cell, CellSeen>,
-    load: Vec<f64>,
-    /// Since when each book has stood where it is, and since when each move is in its step; both by first firm, as books may be
-    /// cut and joined.
-    still: BTreeMap<Firm, Now>,
-    in_step: BTreeMap<Firm, (MigrationStep, Now)>,
-    /// What each gateway last said to go by.
-    gateways: BTreeMap<u32, Stamp>,
-    sent_operations: BTreeMap<(Firm, Epoch), SentOperation>,
-    begun: Now,
-    changed: bool,
-    /// Books that stand, by epoch, whose cells have said to this owner that they are open there. A cell that was begun anew knows
-    /// nothing of its books.
-    open: BTreeSet<(Firm, Epoch)>,
-    /// Moves that came to their end.
-    pub moves: u64,
+    cells: BTreeMap<Cell, CellStatus>,
+    started_at: Instant,
+    /// Since when each shard has been at its cell, by first firm, as shards may be split and merged.
+    resident_since: BTreeMap<Firm, Instant>,
+    /// Since when each migration has been in its step, by first firm.
+    step_since: BTreeMap<Firm, Instant>,
+    propagation: Propagation,
+    is_map_changed: bool,
+    /// Shards that their cells have acknowledged as open to this owner. A cell that was restarted has no epochs.
+    opened: BTreeSet<(Firm, Epoch)>,
+    completed_migrations: u64,
 }
 
-/// Cells that are asked at once to open what stands there.
-const MAX_CONCURRENT_OPENS: usize = 64;
-
-/// The most gateways that are kept account of.
-pub const MAX_GATEWAYS: usize = 4096;
-
 impl Owner {
-    /// An owner begins with the map that stands. Its own times begin now: a move whose step began under another owner is waited
-    /// for as long as if it had begun now.
-    pub fn begin(now: Now, map: ShardMap, waits: Waits, limits: Limits) -> Owner {
-        let still = map.shards.iter().map(|book| (book.first, now)).collect();
-        let in_step =
-            map.shards.iter().filter_map(|book| Some((book.first, (book.migration?.step, now)))).collect();
+    /// Creates an owner with the published map. Its waits begin at `now`: a migration whose step began under another owner is
+    /// waited for as long as if it had begun now.
+    pub fn new(now: Instant, map: ShardMap, timing: Timing, limits: Limits) -> Owner {
+        let resident_since = map.shards.iter().map(|shard| (shard.first, now)).collect();
+        let migrating = map.shards.iter().filter(|shard| shard.migration.is_some());
+        let step_since = migrating.map(|shard| (shard.first, now)).collect();
         Owner {
-            load: vec![0.0; map.shards.len()],
             map,
-            waits,
+            timing,
             limits,
             cells: BTreeMap::new(),
-            still,
-            in_step,
-            gateways: BTreeMap::new(),
-            sent_operations: BTreeMap::new(),
-            begun: now,
-            changed: true,
-            open: BTreeSet::new(),
-            moves: 0,
+            started_at: now,
+            resident_since,
+            step_since,
+            propagation: Propagation::default(),
+            is_map_changed: true,
+            opened: BTreeSet::new(),
+            completed_migrations: 0,
         }
     }
 
+    /// Returns the map as it should be published.
     pub fn map(&self) -> &ShardMap {
         &self.map
     }
 
-    /// What is known of cells: of zones by the zones' decision, of servers by the list.
-    pub fn cells(&mut self, cells: BTreeMap<Cell, CellSeen>) {
-        self.cells = cells;
+    /// Returns the number of migrations that were completed under this owner.
+    pub fn completed_migrations(&self) -> u64 {
+        self.completed_migrations
     }
 
-    /// Units a second written in each book, in the map's order.
-    pub fn load(&mut self, load: Vec<f64>) {
-        self.load = load;
+    /// Sets what is known of the cells.
+    pub fn set_cells(&mut self, cells: BTreeMap<Cell, CellStatus>) {
+        self.cells = cells;
     }
 
-    /// A gateway says which map it goes by.
-    pub fn goes_by(&mut self, now: Now, gateway: u32, stamp: Stamp) {
-        if self.gateways.len() < MAX_GATEWAYS || self.gateways.contains_key(&gateway) {
-            self.gateways.insert(gateway, stamp);
-            for told in self.sent_operations.values_mut().filter(|told| stamp >= told.stamp) {
-                told.said.entry(gateway).or_insert(now);
-            }
-        }
+    /// A gateway reports the map that it applies.
+    pub fn on_applied(&mut self, now: Instant, gateway: u32, stamp: Stamp) {
+        self.propagation.on_applied(now, gateway, stamp);
     }
 
-    /// An operator's word.
-    pub fn on_operator_command(&mut self, now: Now, firm: Firm, to: Cell) -> Result<(), MigrationError> {
-        let at = self.map.find(firm).ok_or(MigrationError::NoSuchShard)?;
-        self.map.plan(at, to)?;
-        self.step_begun(now, at);
-        Ok(())
+    /// The map was published under this stamp: from now on gateways may apply it.
+    pub fn on_published(&mut self, now: Instant, stamp: Stamp, map: &ShardMap) {
+        self.propagation.on_published(now, stamp, map);
     }
 
-    /// An operator's word, or a target that is lost: back, as far as there is a way back.
-    pub fn abandon(&mut self, now: Now, firm: Firm) -> Result<(), MigrationError> {
-        let at = self.map.find(firm).ok_or(MigrationError::NoSuchShard)?;
-        self.map.abandon(at)?;
-        self.step_begun(now, at);
+    /// An operator commands that the shard of a firm is migrated to a cell.
+    ///
+    /// # Errors
+    ///
+    /// As [`ShardMap::plan`].
+    pub fn on_operator_command(&mut self, now: Instant, firm: Firm, to: Cell) -> Result<(), MigrationError> {
+        let index = self.map.find(firm).ok_or(MigrationError::NoSuchShard)?;
+        self.map.plan(index, to)?;
+        self.on_step(now, index);
         Ok(())
     }
 
-    fn step_begun(&mut self, now: Now, at: usize) {
-        let book = self.map.shards[at];
-        match book.migration {
-            Some(moving) => self.in_step.insert(book.first, (moving.step, now)),
-            None => {
-                self.still.insert(book.first, now);
-                self.in_step.remove(&book.first)
-            }
+    /// Handles a cell's acknowledgement; one of another migration or step changes nothing.
+    pub fn handle_answer(&mut self, now: Instant, answer: CellAnswer) {
+        let (first, epoch) = answer.shard();
+        let Some(index) = self.map.find(first).filter(|&index| self.map.shards[index].first == first) else {
+            return;
+        };
+        let shard = self.map.shards[index];
+        let is_opened = matches!(answer, CellAnswer::Opened(..));
+        if is_opened && shard.is_open() && shard.epoch == epoch {
+            self.opened.insert((first, epoch));
+            return;
+        }
+        let advanced = match answer {
+            CellAnswer::Closed(..) if self.timing.fencing => self.map.mark_drained(index, epoch),
+            CellAnswer::Closed(..) => Err(MigrationError::WrongState),
+            CellAnswer::Copied(..) => self.map.mark_copied(index, epoch),
+            CellAnswer::Opened(..) => self.complete(index, epoch),
         };
-        self.changed = true;
+        if advanced.is_ok() {
+            self.on_step(now, index);
+        }
     }
 
-    /// A cell has done what was asked. What is of another move or step changes nothing.
-    pub fn answered(&mut self, now: Now, answer: Answer) {
-        let (Answer::Shut(first, epoch) | Answer::Copied(first, epoch) | Answer::Opened(first, epoch)) =
-            answer;
-        let Some(at) = self.map.find(first).filter(|&at| self.map.shards[at].first == first) else { return };
-        let book = self.map.shards[at];
-        if let Answer::Opened(first, epoch) = answer {
-            if book.open() && book.epoch == epoch {
-                self.open.insert((first, epoch));
-                return;
+    /// Advances what waited for time to pass, and plans migrations.
+    pub fn tick(&mut self, now: Instant) -> TickOutput {
+        for index in 0..self.map.shards.len() {
+            if self.advance(now, index).is_ok() {
+                self.on_step(now, index);
             }
         }
-        let done = match answer {
-            Answer::Shut(..) if self.waits.fencing => self.map.drained(at, epoch),
-            Answer::Shut(..) => Err(MigrationError::NotSo),
-            Answer::Copied(..) => self.map.copied(at, epoch),
-            Answer::Opened(..) => self.map.serve(at, epoch),
-        };
-        if done.is_ok() {
-            self.moves += u64::from(matches!(answer, Answer::Opened(..)));
-            self.step_begun(now, at);
-        }
+        self.plan(now);
+        self.forget_closed();
+        TickOutput { operations: self.operations(), is_map_changed: std::mem::take(&mut self.is_map_changed) }
     }
 
-    /// The map was published under this stamp: from now on readers may go by it.
-    pub fn published(&mut self, now: Now, stamp: Stamp, map: &ShardMap) {
-        for book in
-            map.shards.iter().filter(|book| book.migration.is_some_and(|m| m.step == MigrationStep::Fencing))
-        {
-            let told = || SentOperation { stamp, at: now, said: BTreeMap::new() };
-            self.sent_operations.entry((book.first, book.epoch)).or_insert_with(told);
+    /// Takes a migration to its next step if that needs no answer, or abandons it; an error if it stays in its step.
+    fn advance(&mut self, now: Instant, index: usize) -> Result<(), MigrationError> {
+        let shard = self.map.shards[index];
+        let Migration { to, step } = shard.migration.ok_or(MigrationError::WrongState)?;
+        let is_target_lost =
+            to != shard.cell && self.cells.get(&to).is_some_and(|cell| !cell.accepts_shards());
+        match step {
+            MigrationStep::Planned | MigrationStep::Fencing if is_target_lost => self.map.abandon(index),
+            MigrationStep::Planned if migrations_in_progress(&self.map) < self.limits.max_concurrent => {
+                self.map.raise_epoch(index)
+            }
+            MigrationStep::Fencing if self.has_old_epoch_expired(now, &shard) => {
+                self.map.mark_drained(index, shard.epoch)
+            }
+            // Where the old cell is what does not answer, a way back to it helps only while it accepts writes.
+            MigrationStep::Drained
+                if (is_target_lost || self.is_overdue(now, &shard)) && self.accepts_writes(shard.cell) =>
+            {
+                self.map.abandon(index)
+            }
+            MigrationStep::Copied if !self.timing.fencing => self.complete(index, shard.epoch),
+            _ => Err(MigrationError::WrongState),
         }
-        let epochs: BTreeMap<Firm, Epoch> = map.shards.iter().map(|book| (book.first, book.epoch)).collect();
-        self.sent_operations.retain(|(first, epoch), _| epochs.get(first).is_some_and(|now| now <= epoch));
     }
 
-    /// Without fences: whether nobody can write under the old epoch any more.
-    fn old_epoch_expired(&self, now: Now, first: Firm, epoch: Epoch) -> bool {
-        let Some(told) = self.sent_operations.get(&(first, epoch)) else { return false };
-        let lapsed = told.at + self.waits.valid.mul_f64(1.0 + DRIFT);
-        // Those that go by it need not be waited for, but for what they sent before they did; one that is not known may hold an
-        // older map until it lapses.
-        let all = self.gateways.len() >= self.waits.gateways.max(1)
-            && self.gateways.keys().all(|gateway| told.said.contains_key(gateway));
-        let from = if all { told.said.values().max().copied().unwrap_or(now) } else { lapsed };
-        now >= from.min(lapsed) + self.waits.attempt.mul_f64(1.0 + DRIFT)
+    /// Without fencing: whether no gateway can write under the epoch before the migration's any more.
+    fn has_old_epoch_expired(&self, now: Instant, shard: &Shard) -> bool {
+        !self.timing.fencing
+            && self.propagation.has_old_epoch_expired(now, shard.first, shard.epoch, &self.timing)
     }
 
-    /// One moment: what has come of waiting, what may begin, what is wished for. What is to be asked of cells; and whether the
-    /// map is to be published.
-    pub fn tick(&mut self, now: Now) -> (Vec<CellOperation>, bool) {
-        for at in 0..self.map.shards.len() {
-            self.go_on(now, at);
-        }
-        let rested: Vec<Duration> = self
-            .map
-            .shards
-            .iter()
-            .map(|book| now.saturating_sub(self.still.get(&book.first).copied().unwrap_or(self.begun)))
-            .collect();
-        for wish in wishes(&self.map, &self.cells, &self.load, &rested, &self.limits) {
-            if self.map.plan(wish.shard, wish.to).is_ok() {
-                self.step_begun(now, wish.shard);
-            }
+    fn is_overdue(&self, now: Instant, shard: &Shard) -> bool {
+        let since = self.step_since.get(&shard.first).copied().unwrap_or(now);
+        now.saturating_sub(since) > self.timing.step_timeout
+    }
+
+    /// Whether a cell accepts writes, as far as is known.
+    fn accepts_writes(&self, cell: Cell) -> bool {
+        self.cells.get(&cell).is_none_or(|cell| cell.accepts_writes)
+    }
+
+    fn complete(&mut self, index: usize, epoch: Epoch) -> Result<(), MigrationError> {
+        self.map.complete(index, epoch)?;
+        self.completed_migrations += 1;
+        Ok(())
+    }
+
+    /// The shard has entered another step, or its migration has ended.
+    fn on_step(&mut self, now: Instant, index: usize) {
+        let shard = self.map.shards[index];
+        if shard.migration.is_some() {
+            self.step_since.insert(shard.first, now);
+        } else {
+            self.resident_since.insert(shard.first, now);
+            self.step_since.remove(&shard.first);
         }
-        let fencing = self.waits.fencing;
-        let stands = self.map.shards.iter().filter(|book| book.open());
-        let standing: BTreeSet<(Firm, Epoch)> = stands.map(|book| (book.first, book.epoch)).collect();
-        self.open.retain(|book| standing.contains(book));
-        let unopened = |at: &usize| {
-            let book = &self.map.shards[*at];
-            fencing && book.open() && !self.open.contains(&(book.first, book.epoch))
-        };
-        let opens = (0..self.map.shards.len()).filter(unopened).take(MAX_CONCURRENT_OPENS).map(|at| {
-            let Shard { first, cell, epoch, .. } = self.map.shards[at];
-            CellOperation::Open { cell, range: (first, self.map.end(at)), epoch }
-        });
-        let asks =
-            (0..self.map.shards.len()).filter_map(|at| cell_operation(&self.map, at, fencing)).chain(opens);
-        (asks.collect(), std::mem::take(&mut self.changed))
+        self.is_map_changed = true;
     }
 
-    fn go_on(&mut self, now: Now, at: usize) {
-        let book = self.map.shards[at];
-        let Some(moving) = book.migration else { return };
-        let since = self.in_step.get(&book.first).map_or(now, |(_, since)| *since);
-        let slow = now.saturating_sub(since) > self.waits.patience;
-        let target = self.cells.get(&moving.to);
-        let target_lost = target.is_some_and(|cell| !cell.takes || cell.leave) && moving.to != book.cell;
-        let done = match moving.step {
-            // Into a zone that has been lost since: not at all, or back.
-            MigrationStep::Planned if target_lost => self.map.abandon(at),
-            MigrationStep::Planned if under_way(&self.map) < self.limits.at_once => self.map.raise_epoch(at),
-            MigrationStep::Fencing if target_lost => self.map.abandon(at),
-            MigrationStep::Fencing
-                if !self.waits.fencing && self.old_epoch_expired(now, book.first, book.epoch) =>
-            {
-                self.map.drained(at, book.epoch)
-            }
-            MigrationStep::Drained if target_lost || slow => {
-                // The old cell may be what is slow: back to it helps only while it takes writes.
-                let old_takes = self.cells.get(&book.cell).is_none_or(|cell| cell.takes);
-                if old_takes {
-                    self.map.abandon(at)
-                } else {
-                    Err(MigrationError::NotSo)
-                }
+    fn plan(&mut self, now: Instant) {
+        let since = |first: &Firm| self.resident_since.get(first).copied().unwrap_or(self.started_at);
+        let residence: Vec<Duration> =
+            self.map.shards.iter().map(|shard| now.saturating_sub(since(&shard.first))).collect();
+        // Gateways do not report the load of each shard.
+        for planned in plan_migrations(&self.map, &self.cells, &[], &residence, &self.limits) {
+            if self.map.plan(planned.shard, planned.to).is_ok() {
+                self.on_step(now, planned.shard);
             }
-            MigrationStep::Copied if !self.waits.fencing => {
-                self.moves += 1;
-                self.map.serve(at, book.epoch)
-            }
-            _ => Err(MigrationError::NotSo),
-        };
-        if done.is_ok() {
-            self.step_begun(now, at);
         }
     }
+
+    /// Forgets acknowledgements of shards that are not open under that epoch any more.
+    fn forget_closed(&mut self) {
+        let open = self.map.shards.iter().filter(|shard| shard.is_open());
+        let open: BTreeSet<(Firm, Epoch)> = open.map(|shard| (shard.first, shard.epoch)).collect();
+        self.opened.retain(|shard| open.contains(shard));
+    }
+
+    /// The operations that migrations need, and the openings of shards that their cells have not acknowledged.
+    fn operations(&self) -> Vec<CellOperation> {
+        let indexes = 0..self.map.shards.len();
+        let migrations =
+            indexes.clone().filter_map(|index| cell_operation(&self.map, index, self.timing.fencing));
+        let opens = indexes.filter_map(|index| self.open_operation(index)).take(MAX_CONCURRENT_OPENS);
+        migrations.chain(opens).collect()
+    }
+
+    fn open_operation(&self, index: usize) -> Option<CellOperation> {
+        let shard = self.map.shards[index];
+        let Shard { first, cell, epoch, .. } = shard;
+        let is_needed = self.timing.fencing && shard.is_open() && !self.opened.contains(&(first, epoch));
+        is_needed.then(|| CellOperation::Open { cell, range: (first, self.map.end(index)), epoch })
+    }
 }
--- a/quota-gateway/shard-map/src/plan.rs
+++ b/quota-gateway/shard-map/src/plan.rs
@@ -1,119 +1,187 @@
-//! What moves where: away from cells that are lost, drained or full, to the nearest that has room; bounded in moves at once, in
-//! distance and in flapping; never into a zone that is out or about to be.
+//! Which shards are migrated, and where: away from cells that are lost, draining or crowded, to the nearest one with capacity.
+//! Bounded in the number of migrations at once, in distance and in flapping; never into a zone that is out or about to be.
 
 use crate::map::{Cell, MigrationStep, ShardMap};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// Migrations that may be planned for each one that may be in progress: each waits for its turn.
+const PLANNED_PER_CONCURRENT: usize = 2;
+/// The least capacity that a load is divided by, in units per second.
+const MIN_CAPACITY: f64 = 1e-9;
+
 /// What is known of a cell.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CellSeen {
+pub struct CellStatus {
+    /// Its zone.
     pub zone: String,
+    /// The region of its zone.
     pub region: String,
-    /// Whether anything may be written there: it serves, and its zone does.
-    pub takes: bool,
-    /// It is to be emptied: its zone is out or held, or an operator drains it.
-    pub leave: bool,
-    /// Units a second that it bears, and of them written now.
-    pub bears: f64,
+    /// Whether it may be written to: it serves, and so does its zone.
+    pub accepts_writes: bool,
+    /// Whether its shards are to leave it: its zone is out or overridden, or an operator drains it.
+    pub is_draining: bool,
+    /// What it can write, in units per second.
+    pub capacity: f64,
+    /// What it writes now, in units per second.
     pub load: f64,
 }
 
-/// Bounds of moving.
+impl CellStatus {
+    /// Whether shards may be migrated to it.
+    pub(crate) fn accepts_shards(&self) -> bool {
+        self.accepts_writes && !self.is_draining
+    }
+
+    /// The part of its capacity that is in use.
+    fn utilization(&self) -> f64 {
+        self.load / self.capacity.max(MIN_CAPACITY)
+    }
+
+    /// How far it is to another cell: 0 in the same zone, 1 in the same region, 2 elsewhere.
+    fn distance(&self, other: &CellStatus) -> u8 {
+        match (self.zone == other.zone, self.region == other.region) {
+            (true, _) => 0,
+            (false, true) => 1,
+            (false, false) => 2,
+        }
+    }
+}
+
+/// Bounds of the migrations.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Books that move at the same time.
-    pub at_once: usize,
-    /// A book that has moved stays for this long, but for a cell that is to be emptied.
-    pub rest: Duration,
-    /// A cell this full of what it bears is left by books, and none is sent to one that would become as full as the second.
-    pub full: (f64, f64),
+    /// The largest number of migrations in progress.
+    pub max_concurrent: usize,
+    /// How long a shard stays where it was migrated to, unless the cell is draining.
+    pub min_residence: Duration,
+    /// The part of its capacity above which a cell is crowded, so that shards leave it.
+    pub crowded_above: f64,
+    /// The part of its capacity up to which a cell is given shards.
+    pub fill_up_to: f64,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { at_once: 4, rest: Duration::from_secs(60), full: (0.9, 0.7) }
+        Limits {
+            max_concurrent: 4,
+            min_residence: Duration::from_secs(60),
+            crowded_above: 0.9,
+            fill_up_to: 0.7,
+        }
     }
 }
 
-/// One move, as it is wished for.
+/// A migration that should be planned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedMigration {
+    /// The index of the shard in the map.
     pub shard: usize,
+    /// The new cell.
     pub to: Cell,
 }
 
-/// How far it is from one cell to another: the same zone, the same region, elsewhere.
-fn distance(a: &CellSeen, b: &CellSeen) -> u8 {
-    match (a.zone == b.zone, a.region == b.region) {
-        (true, _) => 0,
-        (false, true) => 1,
-        (false, false) => 2,
-    }
-}
-
-/// Books that move now, by how many there are in each step but `planned`.
-pub fn under_way(map: &ShardMap) -> usize {
+/// Returns the number of migrations that are past [`MigrationStep::Planned`].
+pub fn migrations_in_progress(map: &ShardMap) -> usize {
+    let is_in_progress = |step: MigrationStep| step > MigrationStep::Planned;
     map.shards
         .iter()
-        .filter(|book| book.migration.is_some_and(|moving| moving.step > MigrationStep::Planned))
+        .filter(|shard| shard.migration.is_some_and(|migration| is_in_progress(migration.step)))
         .count()
 }
 
-/// Moves that are worth planning, most pressing first. `load`: units a second written in each book; `rested`: for how long each
-/// has stood where it is.
-pub fn wishes(
+/// Returns the migrations that should be planned, most urgent first.
+///
+/// By shard, `load` is what is written in units per second, and `residence` how long it has been at its cell.
+pub fn plan_migrations(
     map: &ShardMap,
-    cells: &BTreeMap<Cell, CellSeen>,
+    cells: &BTreeMap<Cell, CellStatus>,
     load: &[f64],
-    rested: &[Duration],
+    residence: &[Duration],
     limits: &Limits,
 ) -> Vec<PlannedMigration> {
-    let mut cells = cells.clone();
-    // What is on its way counts where it will be.
-    for (at, book) in map.shards.iter().enumerate() {
-        if let Some(cell) = book.migration.and_then(|moving| cells.get_mut(&moving.to)) {
-            cell.load += load.get(at).copied().unwrap_or(0.0);
-        }
-    }
-    let mut wishes = Vec::new();
-    let mut planned = map.shards.iter().filter(|book| book.migration.is_some()).count();
-    // Those of cells that are to be left first, and within them the most written.
-    let mut order: Vec<usize> =
-        (0..map.shards.len()).filter(|&at| map.shards[at].migration.is_none()).collect();
-    let leaves =
-        |at: usize, cells: &BTreeMap<Cell, CellSeen>| cells.get(&map.shards[at].cell).is_none_or(|c| c.leave);
-    let units = |at: usize| load.get(at).copied().unwrap_or(0.0);
-    order.sort_by(|&a, &b| {
-        leaves(b, &cells).cmp(&leaves(a, &cells)).then(units(b).total_cmp(&units(a))).then(a.cmp(&b))
-    });
-    for at in order {
-        // More are planned than move at once: each waits for its turn.
-        if planned >= 2 * limits.at_once {
+    let mut planner = Planner { map, cells: cells.clone(), load, residence, limits };
+    planner.count_migrating_load();
+    let mut planned = Vec::new();
+    let pending = map.shards.iter().filter(|shard| shard.migration.is_some()).count();
+    for shard in planner.shards_by_urgency() {
+        if pending + planned.len() >= PLANNED_PER_CONCURRENT * limits.max_concurrent {
             break;
         }
-        let Some(from) = cells.get(&map.shards[at].cell).cloned() else { continue };
-        let rests = rested.get(at).is_some_and(|rested| *rested < limits.rest);
-        let crowded = from.load > limits.full.0 * from.bears;
-        if !(from.leave || crowded && !rests) {
-            continue;
+        if let Some(to) = planner.target(shard) {
+            planner.move_load(shard, to);
+            planned.push(PlannedMigration { shard, to });
+        }
+    }
+    planned
+}
+
+/// The input of planning, with the load of the cells as it will be after the migrations that are planned.
+struct Planner<'a> {
+    map: &'a ShardMap,
+    cells: BTreeMap<Cell, CellStatus>,
+    load: &'a [f64],
+    residence: &'a [Duration],
+    limits: &'a Limits,
+}
+
+impl Planner<'_> {
+    fn load(&self, shard: usize) -> f64 {
+        self.load.get(shard).copied().unwrap_or(0.0)
+    }
+
+    /// Counts the load of shards that are being migrated where it will be.
+    fn count_migrating_load(&mut self) {
+        for (index, shard) in self.map.shards.iter().enumerate() {
+            let load = self.load(index);
+            if let Some(cell) = shard.migration.and_then(|migration| self.cells.get_mut(&migration.to)) {
+                cell.load += load;
+            }
         }
-        let room = |cell: &CellSeen| cell.load + units(at) <= limits.full.1 * cell.bears;
-        let best = cells
+    }
+
+    /// The shards that are not being migrated: those of draining cells first, and then those with the highest load.
+    fn shards_by_urgency(&self) -> Vec<usize> {
+        let shards = &self.map.shards;
+        let is_draining =
+            |shard: usize| self.cells.get(&shards[shard].cell).is_none_or(|cell| cell.is_draining);
+        let mut order: Vec<usize> =
+            (0..shards.len()).filter(|&shard| shards[shard].migration.is_none()).collect();
+        order.sort_by(|&a, &b| {
+            is_draining(b).cmp(&is_draining(a)).then(self.load(b).total_cmp(&self.load(a))).then(a.cmp(&b))
+        });
+        order
+    }
+
+    /// The cell that a shard should be migrated to: the nearest, then the least utilized one that accepts it; `None` if it
+    /// should stay, or has nowhere to go.
+    fn target(&self, shard: usize) -> Option<Cell> {
+        let number = self.map.shards[shard].cell;
+        let from = self.cells.get(&number).filter(|from| self.should_leave(shard, from))?;
+        let load = self.load(shard);
+        let has_capacity = |cell: &CellStatus| cell.load + load <= self.limits.fill_up_to * cell.capacity;
+        self.cells
             .iter()
-            .filter(|(number, cell)| {
-                **number != map.shards[at].cell && cell.takes && !cell.leave && room(cell)
-            })
+            .filter(|(other, cell)| **other != number && cell.accepts_shards() && has_capacity(cell))
             .min_by(|(a, x), (b, y)| {
-                let part = |cell: &CellSeen| cell.load / cell.bears.max(1e-9);
-                distance(&from, x).cmp(&distance(&from, y)).then(part(x).total_cmp(&part(y))).then(a.cmp(b))
+                from.distance(x)
+                    .cmp(&from.distance(y))
+                    .then(x.utilization().total_cmp(&y.utilization()))
+                    .then(a.cmp(b))
             })
-            .map(|(number, _)| *number);
-        let Some(to) = best else { continue };
-        cells.entry(to).and_modify(|cell| cell.load += units(at));
-        cells.entry(map.shards[at].cell).and_modify(|cell| cell.load -= units(at));
-        planned += 1;
-        wishes.push(PlannedMigration { shard: at, to });
+            .map(|(other, _)| *other)
+    }
+
+    fn should_leave(&self, shard: usize, from: &CellStatus) -> bool {
+        let arrived_recently =
+            self.residence.get(shard).is_some_and(|residence| *residence < self.limits.min_residence);
+        let is_crowded = from.load > self.limits.crowded_above * from.capacity;
+        from.is_draining || is_crowded && !arrived_recently
+    }
+
+    fn move_load(&mut self, shard: usize, to: Cell) {
+        let load = self.load(shard);
+        self.cells.entry(to).and_modify(|cell| cell.load += load);
+        self.cells.entry(self.map.shards[shard].cell).and_modify(|cell| cell.load -= load);
     }
-    wishes
 }
--- a/quota-gateway/shard-map/src/ticket.rs
+++ b/quota-gateway/shard-map/src/ticket.rs
@@ -1,64 +1,84 @@
-//! A gateway's side: whether and where a pay run may be written, asked at the last moment before the write.
+//! The gateway's side: whether and where a pay run may be written, checked at the last moment before the write.
 
 use crate::map::{Cell, Epoch, Firm, ShardMap};
 use marblecroft_control_messages::published::{DecisionReader, Instant, Validity};
+use quick_error::quick_error;
 use std::time::Duration;
 
-/// A ticket is asked for at the last moment, and is worth nothing this long after: where cells do not fence, the wait for the longest
-/// attempt covers it.
-pub const TICKET: Duration = Duration::from_millis(100);
+/// How long a ticket is valid at most. Where cells do not fence, the wait for the longest attempt covers it.
+pub const TICKET_TTL: Duration = Duration::from_millis(100);
 
-/// Leave to write one firm's pay run at a cell under an epoch, until an instant of the gateway's monotonic clock.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Ticket {
-    cell: Cell,
-    epoch: Epoch,
-    until: Instant,
-}
+/// When to retry during a migration: of the order of the pause of one.
+const MIGRATING_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// When to retry without a valid map or shard.
+const UNAVAILABLE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Why there is none. Nothing was written, so trying again is harmless.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotNow {
-    /// The map cannot be shown valid: whoever cannot read it is alone.
-    Alone,
-    /// Its book is on its way to another cell.
-    Moving,
-    /// No book holds such a firm.
-    Unknown,
+quick_error! {
+    /// Why there is no ticket. Nothing was written, so a retry is safe.
+    #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+    pub enum TicketError {
+        /// There is no map that is certainly valid now.
+        NoValidMap {
+            display("no shard map is valid")
+        }
+        /// The shard is being migrated to another cell.
+        Migrating {
+            display("the shard is being migrated")
+        }
+        /// The firm is in no shard.
+        UnknownFirm {
+            display("the firm is in no shard")
+        }
+    }
 }
 
-impl NotNow {
-    /// When to come back.
+impl TicketError {
+    /// Returns the delay after which to retry.
     pub fn retry_after(self) -> Duration {
         match self {
-            // Of the order of a move's pause.
-            NotNow::Moving => Duration::from_millis(250),
-            NotNow::Alone | NotNow::Unknown => Duration::from_millis(500),
+            TicketError::Migrating => MIGRATING_RETRY_DELAY,
+            TicketError::NoValidMap | TicketError::UnknownFirm => UNAVAILABLE_RETRY_DELAY,
         }
     }
 }
 
+/// Permission to write one firm's pay run at a cell under an epoch, until an instant of the gateway's monotonic clock.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct Ticket {
+    cell: Cell,
+    epoch: Epoch,
+    expires_at: Instant,
+}
+
 impl Ticket {
-    /// A ticket for a firm, if the map is valid now and its book is open.
-    pub fn acquire(now: Instant, reader: &DecisionReader<ShardMap>, firm: Firm) -> Result<Ticket, NotNow> {
-        let Validity::Valid(decision) = reader.validity(now) else { return Err(NotNow::Alone) };
-        let until = reader.valid_until().unwrap_or(now).min(now + TICKET);
-        let at = decision.body.find(firm).ok_or(NotNow::Unknown)?;
-        let book = decision.body.shards[at];
-        if !book.open() {
-            return Err(NotNow::Moving);
+    /// Acquires a ticket for a firm, valid for [`TICKET_TTL`] and no longer than the map.
+    ///
+    /// # Errors
+    ///
+    /// [`TicketError`] if the map is not valid at `now`, or the firm's shard is not open.
+    pub fn acquire(
+        now: Instant,
+        reader: &DecisionReader<ShardMap>,
+        firm: Firm,
+    ) -> Result<Ticket, TicketError> {
+        let Validity::Valid(decision) = reader.validity(now) else { return Err(TicketError::NoValidMap) };
+        let expires_at = reader.valid_until().unwrap_or(now).min(now + TICKET_TTL);
+        let index = decision.body.find(firm).ok_or(TicketError::UnknownFirm)?;
+        let shard = decision.body.shards[index];
+        if !shard.is_open() {
+            return Err(TicketError::Migrating);
         }
-        Ok(Ticket { cell: book.cell, epoch: book.epoch, until })
+        Ok(Ticket { cell: shard.cell, epoch: shard.epoch, expires_at })
     }
 
-    /// Where it is for.
+    /// Returns the cell that the ticket is for.
     pub fn cell(&self) -> Cell {
         self.cell
     }
 
-    /// Where to write and the epoch to write under, at this moment; none once the map may be another one. A cell that fences
-    /// checks the epoch all the same: this process may stop between here and there.
-    pub fn write(&self, now: Instant) -> Option<(Cell, Epoch)> {
-        (now < self.until).then_some((self.cell, self.epoch))
+    /// Returns the cell and the epoch to write with at this instant; `None` once the ticket has expired. A cell that fences
+    /// checks the epoch as well, because this process may be suspended between this check and the write.
+    pub fn destination(&self, now: Instant) -> Option<(Cell, Epoch)> {
+        (now < self.expires_at).then_some((self.cell, self.epoch))
     }
 }
--- a/quota-gateway/shard-map/tests/conformance.rs
+++ b/quota-gateway/shard-map/tests/conformance.rs
@@ -2,11 +2,11 @@
 //! tickets, what moves where.
 
 use marblecroft_control_messages::published::{Decision, DecisionReader, Stamp};
-use marblecroft_shard_map::cell::{CellReply, CellRequest, CellState, Needs};
+use marblecroft_shard_map::cell::{CellAction, CellReply, CellRequest, CellState};
 use marblecroft_shard_map::map::{MigrationStep, ShardMap};
-use marblecroft_shard_map::moves::CellOperation;
-use marblecroft_shard_map::plan::{wishes, CellSeen, Limits};
-use marblecroft_shard_map::ticket::{NotNow, Ticket};
+use marblecroft_shard_map::migration::CellOperation;
+use marblecroft_shard_map::plan::{plan_migrations, CellStatus, Limits};
+use marblecroft_shard_map::ticket::{Ticket, TicketError};
 use marblecroft_test_support::conformance::{hold, Played};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -58,10 +58,10 @@
         let done = match what.as_str() {
             "plan" => map.plan(0, 1),
             "fence" => map.raise_epoch(0),
-            "drained" => map.drained(0, epoch),
-            "drained late" => map.drained(0, epoch - 1),
-            "copied" => map.copied(0, epoch),
-            "serve" => map.serve(0, epoch),
+            "drained" => map.mark_drained(0, epoch),
+            "drained late" => map.mark_drained(0, epoch - 1),
+            "copied" => map.mark_copied(0, epoch),
+            "serve" => map.complete(0, epoch),
             "abandon" => map.abandon(0),
             "split" => map.split(0, 5),
             other => return Err(format!("nothing is called {other}")),
@@ -84,7 +84,7 @@
         let seen = match words[0] {
             "write" => match keeper.admit(number(1)?, number(2)?) {
                 Ok(()) => "yes".to_owned(),
-                Err(due) => due.0.map_or("shut".to_owned(), |due| due.to_string()),
+                Err(due) => due.expected_epoch().map_or("shut".to_owned(), |due| due.to_string()),
             },
             word => {
                 let (from, end) = words[1].split_once("..").ok_or("a range")?;
@@ -94,11 +94,11 @@
                     "shut" => CellOperation::Close { cell: 0, range, epoch },
                     _ => CellOperation::Open { cell: 0, range, epoch },
                 };
-                match keeper.take(&CellRequest { token, operation: ask }) {
-                    Needs::Nothing(CellReply::Done) => "done".to_owned(),
-                    Needs::Nothing(said) => format!("{said:?}").to_lowercase(),
-                    Needs::Quiet(_) => "once quiet".to_owned(),
-                    Needs::Copy { .. } => "copy".to_owned(),
+                match keeper.handle_request(&CellRequest { token, operation: ask }) {
+                    CellAction::Reply(CellReply::Done) => "done".to_owned(),
+                    CellAction::Reply(said) => format!("{said:?}").to_lowercase(),
+                    CellAction::AwaitDrained(_) => "once quiet".to_owned(),
+                    CellAction::Copy { .. } => "copy".to_owned(),
                 }
             }
         };
@@ -114,8 +114,8 @@
     let doing: [fn(&mut ShardMap); 4] = [
         |map| map.plan(0, 5).expect("it stands"),
         |map| map.raise_epoch(0).expect("planned"),
-        |map| map.drained(0, 2).expect("fencing"),
-        |map| map.copied(0, 2).expect("drained"),
+        |map| map.mark_drained(0, 2).expect("fencing"),
+        |map| map.mark_copied(0, 2).expect("drained"),
     ];
     doing[..upto].iter().for_each(|step| step(&mut map));
     let mut reader = DecisionReader::default();
@@ -126,13 +126,13 @@
     let now = Duration::from_millis(at);
     let seen = match Ticket::acquire(now, &reader, 7) {
         Ok(ticket) => {
-            let (cell, epoch) = ticket.write(now).ok_or("over at once")?;
-            let until = (at..at + 2000).find(|ms| ticket.write(Duration::from_millis(*ms)).is_none());
+            let (cell, epoch) = ticket.destination(now).ok_or("over at once")?;
+            let until = (at..at + 2000).find(|ms| ticket.destination(Duration::from_millis(*ms)).is_none());
             format!("{cell} {epoch} until {}", until.unwrap_or(0))
         }
-        Err(NotNow::Alone) => "alone".to_owned(),
-        Err(NotNow::Moving) => "moving".to_owned(),
-        Err(NotNow::Unknown) => "unknown".to_owned(),
+        Err(TicketError::NoValidMap) => "alone".to_owned(),
+        Err(TicketError::Migrating) => "moving".to_owned(),
+        Err(TicketError::UnknownFirm) => "unknown".to_owned(),
     };
     told(seen.as_str(), says)
 }
@@ -145,20 +145,20 @@
 ) -> Result<(), String> {
     let mut map = ShardMap::even(books.len(), &[0]);
     map.shards.iter_mut().zip(books).for_each(|(book, (cell, _))| book.cell = *cell);
-    let cells: BTreeMap<u32, CellSeen> = (0..)
+    let cells: BTreeMap<u32, CellStatus> = (0..)
         .zip(cells)
         .map(|(number, (place, how, load))| {
             let (region, zone) = place.split_once('/').unwrap_or(("", place));
             let (region, zone) = (region.to_owned(), zone.to_owned());
-            let (takes, leave) = (how == "takes", how == "leave");
-            (number, CellSeen { zone, region, takes, leave, bears: 100.0, load: *load })
+            let (accepts_writes, is_draining) = (how == "takes", how == "leave");
+            (number, CellStatus { zone, region, accepts_writes, is_draining, capacity: 100.0, load: *load })
         })
         .collect();
     let load: Vec<f64> = books.iter().map(|(_, load)| *load).collect();
     let rested = vec![Duration::from_secs(rested_s); books.len()];
-    let mut seen: Vec<(usize, u32)> = wishes(&map, &cells, &load, &rested, &Limits::default())
+    let mut seen: Vec<(usize, u32)> = plan_migrations(&map, &cells, &load, &rested, &Limits::default())
         .iter()
-        .map(|wish| (wish.shard, wish.to))
+        .map(|planned| (planned.shard, planned.to))
         .collect();
     seen.sort_unstable();
     told(seen, moves.to_vec())
--- a/quota-gateway/shard-map/tests/fleet.rs
+++ b/quota-gateway/shard-map/tests/fleet.rs
@@ -4,9 +4,9 @@
 use marblecroft_control_messages::published::{Body, Decision, DecisionReader, Stamp};
 use marblecroft_shard_map::fencing::EpochFence;
 use marblecroft_shard_map::map::{Cell, Epoch, Firm, MigrationStep, Shard, ShardMap, FIRM_END};
-use marblecroft_shard_map::moves::CellOperation;
-use marblecroft_shard_map::owner::{Answer, Owner, Waits};
-use marblecroft_shard_map::plan::{under_way, CellSeen, Limits};
+use marblecroft_shard_map::migration::CellOperation;
+use marblecroft_shard_map::owner::{CellAnswer, Owner, TickOutput, Timing};
+use marblecroft_shard_map::plan::{migrations_in_progress, CellStatus, Limits};
 use marblecroft_shard_map::ticket::Ticket;
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -69,7 +69,7 @@
             cells: states,
             gateways: vec![DecisionReader::default(); gateways],
             deaf: BTreeSet::new(),
-            owner: Owner::begin(at(0), map.clone(), waits(fencing, gateways), Limits::default()),
+            owner: Owner::new(at(0), map.clone(), timing(fencing, gateways), Limits::default()),
             stamp: Stamp { token: 1, revision: 0 },
             published: map,
             readings: Vec::new(),
@@ -92,18 +92,25 @@
             let region = if number % 3 < 2 { "east" } else { "west" }.to_owned();
             (
                 *number,
-                CellSeen { zone, region, takes: !state.lost, leave: state.lost, bears: 1000.0, load: 10.0 },
+                CellStatus {
+                    zone,
+                    region,
+                    accepts_writes: !state.lost,
+                    is_draining: state.lost,
+                    capacity: 1000.0,
+                    load: 10.0,
+                },
             )
         };
-        self.owner.cells(self.cells.iter().map(seen).collect());
+        self.owner.set_cells(self.cells.iter().map(seen).collect());
     }
 
     fn succeed(&mut self) {
         // The next owner begins with what was published, whatever the last one had in mind.
-        self.owner = Owner::begin(
+        self.owner = Owner::new(
             at(self.now),
             self.published.clone(),
-            waits(self.fencing, self.gateways.len()),
+            timing(self.fencing, self.gateways.len()),
             Limits::default(),
         );
         self.stamp = Stamp { token: self.stamp.token + 1, revision: 0 };
@@ -116,7 +123,7 @@
         for (i, book) in map.shards.iter().enumerate() {
             let before = self.published.find(book.first).map(|at| self.published.shards[at].epoch);
             assert!(before <= Some(book.epoch), "book {i}: an epoch fell from {before:?} to {}", book.epoch);
-            if book.open() {
+            if book.is_open() {
                 if let Some(since) = self.paused.remove(&book.first) {
                     self.pauses.push(self.now - since);
                 }
@@ -124,10 +131,14 @@
                 self.paused.entry(book.first).or_insert(self.now);
             }
         }
-        assert!(under_way(&map) <= Limits::default().at_once, "{} at once", under_way(&map));
+        assert!(
+            migrations_in_progress(&map) <= Limits::default().max_concurrent,
+            "{} at once",
+            migrations_in_progress(&map)
+        );
         self.stamp.revision += 1;
         self.published = map.clone();
-        self.owner.published(at(self.now), self.stamp, &map);
+        self.owner.on_published(at(self.now), self.stamp, &map);
     }
 
     fn step(&mut self) {
@@ -142,7 +153,7 @@
             }
             if !self.deaf.contains(&g) && self.rng.random::<f64>() < 0.02 {
                 let goes_by = self.gateways[g].stamp().unwrap_or_default();
-                self.owner.goes_by(at(now), g as u32, goes_by);
+                self.owner.on_applied(at(now), g as u32, goes_by);
             }
         }
         let (come, later): (Vec<_>, Vec<_>) =
@@ -159,7 +170,7 @@
             self.runs += 1;
             if let Some((cell, epoch)) = Ticket::acquire(at(now), &self.gateways[g], firm)
                 .ok()
-                .and_then(|ticket| ticket.write(at(now)))
+                .and_then(|ticket| ticket.destination(at(now)))
             {
                 let slow = if self.rng.random::<f64>() < 0.1 { ATTEMPT - 50 } else { 40 };
                 self.writes.push((now + self.rng.random_range(5..=slow), self.runs, firm, cell, epoch));
@@ -177,7 +188,7 @@
         for (_, ask) in come {
             self.obey(ask);
         }
-        let (asks, publish) = self.owner.tick(at(now));
+        let TickOutput { operations: asks, is_map_changed: publish } = self.owner.tick(at(now));
         for ask in asks {
             // Asked again and again until it is answered; each may be late, or lost.
             if self.rng.random::<f64>() < 0.2 {
@@ -220,9 +231,12 @@
             {
                 let open = matches!(ask, CellOperation::Open { .. });
                 if self.cells.get_mut(&cell).unwrap().fence.set(range, epoch, open) {
-                    let answer =
-                        if open { Answer::Opened(range.0, epoch) } else { Answer::Shut(range.0, epoch) };
-                    self.owner.answered(now, answer);
+                    let answer = if open {
+                        CellAnswer::Opened(range.0, epoch)
+                    } else {
+                        CellAnswer::Closed(range.0, epoch)
+                    };
+                    self.owner.handle_answer(now, answer);
                 }
             }
             CellOperation::Copy { cell, to, range, epoch }
@@ -235,7 +249,7 @@
                     .copied()
                     .collect();
                 self.cells.get_mut(&to).unwrap().has.extend(copied);
-                self.owner.answered(now, Answer::Copied(range.0, epoch));
+                self.owner.handle_answer(now, CellAnswer::Copied(range.0, epoch));
             }
             _ => {}
         }
@@ -263,8 +277,8 @@
     }
 }
 
-fn waits(fencing: bool, gateways: usize) -> Waits {
-    Waits { fencing, gateways, valid: at(VALID), attempt: at(ATTEMPT), patience: at(20_000) }
+fn timing(fencing: bool, gateways: usize) -> Timing {
+    Timing { fencing, gateways, map_ttl: at(VALID), max_attempt: at(ATTEMPT), step_timeout: at(20_000) }
 }
 
 fn seeds(usual: u64) -> std::ops::Range<u64> {
@@ -340,17 +354,17 @@
             let zone = format!("hall-{}", number % 3);
             cells.insert(
                 number,
-                CellSeen {
+                CellStatus {
                     zone,
                     region: String::new(),
-                    takes: !left,
-                    leave: left,
-                    bears: 1000.0,
+                    accepts_writes: !left,
+                    is_draining: left,
+                    capacity: 1000.0,
                     load: 10.0,
                 },
             );
         }
-        world.owner.cells(cells);
+        world.owner.set_cells(cells);
         world.run(60_000);
         let left = world.published.shards.iter().filter(|book| [2, 5].contains(&book.cell)).count();
         assert_eq!(left, 0, "{what}: {:?}", world.published);
--- a/quota-gateway/shard-map/tests/golden.rs
+++ b/quota-gateway/shard-map/tests/golden.rs
@@ -9,7 +9,7 @@
 use marblecroft_control_messages::published::{Decision, Stamp};
 use marblecroft_shard_map::cell::{CellReply, CellRequest};
 use marblecroft_shard_map::map::{Migration, MigrationStep, Shard, ShardMap};
-use marblecroft_shard_map::moves::CellOperation;
+use marblecroft_shard_map::migration::CellOperation;
 
 const FLEET: Fleet = Fleet(0x0102_0304_0506_0708);
 
--- a/quota-gateway/shard-map/tests/interleavings.rs
+++ b/quota-gateway/shard-map/tests/interleavings.rs
@@ -5,7 +5,7 @@
 use marblecroft_control_messages::published::Stamp;
 use marblecroft_shard_map::fencing::EpochFence;
 use marblecroft_shard_map::map::{Cell, Epoch, Migration, MigrationStep, Shard, ShardMap, FIRM_END};
-use marblecroft_shard_map::moves::{cell_operation, CellOperation};
+use marblecroft_shard_map::migration::{cell_operation, CellOperation};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
@@ -150,15 +150,15 @@
                 done
             }
             Some(MigrationStep::Fencing) if self.flawed(Flaw::CopiesUndrained) => {
-                map.drained(0, book.epoch).is_ok()
+                map.mark_drained(0, book.epoch).is_ok()
             }
             Some(MigrationStep::Fencing) if !self.fencing && self.waited(state, book.epoch) => {
-                map.drained(0, book.epoch).is_ok()
+                map.mark_drained(0, book.epoch).is_ok()
             }
             Some(MigrationStep::Drained) if self.flawed(Flaw::ServesEarly) => {
-                map.copied(0, book.epoch).is_ok()
+                map.mark_copied(0, book.epoch).is_ok()
             }
-            Some(MigrationStep::Copied) if !self.fencing => map.serve(0, book.epoch).is_ok(),
+            Some(MigrationStep::Copied) if !self.fencing => map.complete(0, book.epoch).is_ok(),
             _ => false,
         }
     }
@@ -211,9 +211,9 @@
         for who in 0..state.owners.len() {
             let mut map = state.owners[who].map.clone();
             let done = match ask {
-                CellOperation::Close { epoch, .. } => map.drained(0, epoch),
-                CellOperation::Copy { epoch, .. } => map.copied(0, epoch),
-                CellOperation::Open { epoch, .. } => map.serve(0, epoch),
+                CellOperation::Close { epoch, .. } => map.mark_drained(0, epoch),
+                CellOperation::Copy { epoch, .. } => map.mark_copied(0, epoch),
+                CellOperation::Open { epoch, .. } => map.complete(0, epoch),
             };
             if done.is_ok() {
                 self.publish(state, who, map);
@@ -284,7 +284,7 @@
             if gateway.valid {
                 actions.push(Action::Lapse(g));
             }
-            let open = gateway.held.is_some_and(|(_, book)| book.open());
+            let open = gateway.held.is_some_and(|(_, book)| book.is_open());
             if gateway.valid
                 && open
                 && gateway.ticket.is_none()
--- a/testing/fault-injection/src/shell/cells.rs
+++ b/testing/fault-injection/src/shell/cells.rs
@@ -7,7 +7,7 @@
 use crate::stand::cell::{Cell, Then};
 use marblecroft_control_messages::frame::{decode, encode, Fleet, Header, HEADER_BYTES};
 use marblecroft_shard_map::cell::{CellReply, CellRequest};
-use marblecroft_shard_map::fencing::Due;
+use marblecroft_shard_map::fencing::EpochMismatch;
 use marblecroft_shard_map::map::{Epoch, Firm};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -91,7 +91,13 @@
     }
 
     /// A write comes to a server of a cell.
-    pub fn admit(&self, number: u16, attempt: u64, firm: Firm, epoch: Option<Epoch>) -> Result<(), Due> {
+    pub fn admit(
+        &self,
+        number: u16,
+        attempt: u64,
+        firm: Firm,
+        epoch: Option<Epoch>,
+    ) -> Result<(), EpochMismatch> {
         let Some(cell) = self.of(number) else { return Ok(()) };
         let admitted = cell.borrow_mut().admit(attempt, firm, epoch);
         let epoch = epoch.unwrap_or(0);
--- a/testing/fault-injection/src/shell/pay_servers.rs
+++ b/testing/fault-injection/src/shell/pay_servers.rs
@@ -271,7 +271,7 @@
                 Err(due) => {
                     self.world.record(Event::Answered { attempt, answer: Answer::NeverRan });
                     let refused = plain(503, "x-never-ran", String::new());
-                    return Ok(with(refused, "x-book-due", &due.0.unwrap_or(0).to_string()));
+                    return Ok(with(refused, "x-book-due", &due.expected_epoch().unwrap_or(0).to_string()));
                 }
             }
         }
--- a/testing/fault-injection/src/stand/cell.rs
+++ b/testing/fault-injection/src/stand/cell.rs
@@ -4,8 +4,8 @@
 //! out: how a cell keeps them. A cell that is wiped has lost all of it.
 
 use crate::history::Trace;
-use marblecroft_shard_map::cell::{CellReply, CellRequest, CellState, Needs};
-use marblecroft_shard_map::fencing::Due;
+use marblecroft_shard_map::cell::{CellAction, CellReply, CellRequest, CellState};
+use marblecroft_shard_map::fencing::EpochMismatch;
 use marblecroft_shard_map::map::{Epoch, Firm};
 use std::collections::{BTreeSet, HashMap};
 
@@ -33,7 +33,7 @@
     }
 
     /// A write comes, under an epoch where it names one.
-    pub fn admit(&mut self, attempt: u64, firm: Firm, epoch: Option<Epoch>) -> Result<(), Due> {
+    pub fn admit(&mut self, attempt: u64, firm: Firm, epoch: Option<Epoch>) -> Result<(), EpochMismatch> {
         if self.fencing {
             self.keeper.admit(firm, epoch.unwrap_or(0))?;
         }
@@ -54,13 +54,13 @@
     }
 
     pub fn ask(&mut self, asked: &CellRequest) -> Then {
-        match self.keeper.take(asked) {
-            Needs::Nothing(said) => Then::Say(said),
-            Needs::Quiet((first, end)) => {
+        match self.keeper.handle_request(asked) {
+            CellAction::Reply(said) => Then::Say(said),
+            CellAction::AwaitDrained((first, end)) => {
                 let quiet = !self.out.values().any(|firm| (first..end).contains(firm));
                 Then::Say(if quiet { CellReply::Done } else { CellReply::InProgress })
             }
-            Needs::Copy { to, range: (first, end) } => {
+            CellAction::Copy { to, range: (first, end) } => {
                 Then::Copy(to, self.records.range((first, 0)..(end, 0)).copied().collect())
             }
         }
