--- a/quota-gateway/controller/src/commands.rs
+++ b/quota-gateway/controller/src/commands.rs
@@ -7,7 +7,7 @@
 use marblecroft_singleton_roles::keys::{
     decode_value, encode_value, Keys, OperatorCommand, RoleOwner, ROLES,
 };
-use marblecroft_zone_failover::body::{ZoneDecided, ZonesDecision};
+use marblecroft_zone_failover::decision::{ZoneDecision, ZonesDecision};
 use quick_error::quick_error;
 use std::time::Duration;
 
@@ -123,7 +123,7 @@
     }
 }
 
-fn print_zone(zone: &ZoneDecided, decided: &ZonesDecision) {
+fn print_zone(zone: &ZoneDecision, decided: &ZonesDecision) {
     let shares = decided.zones.iter().zip(&zone.shares).filter(|(_, share)| **share > 0.0);
     let shares: Vec<String> = shares.map(|(to, share)| format!("{} {:.3}", to.name, share)).collect();
     println!(
