--- a/quota-gateway/coordination/src/lease.rs
+++ b/quota-gateway/coordination/src/lease.rs
@@ -12,9 +12,6 @@
 
 /// The most that two clocks may run apart, as a share. Ten times what oscillators do, as a machine under a hypervisor may.
 pub const MAX_CLOCK_DRIFT: f64 = 0.1;
-/// Lengths that a session may have.
-pub const MIN_TTL: Duration = Duration::from_millis(500);
-pub const MAX_TTL: Duration = Duration::from_secs(300);
 
 /// What is left of a session's time at its holder: shorter than the service's, by the drift and a hundredth more.
 fn holders_share(ttl: Duration) -> Duration {
--- a/quota-gateway/coordination/src/main.rs
+++ b/quota-gateway/coordination/src/main.rs
@@ -415,7 +415,7 @@
                 }
             }
             // What was cut off on the way, or is of two snapshots, is none.
-            State::restore(&all)?;
+            State::restore(&all).map_err(|e| e.to_string())?;
             fs::write(&file, &all).map_err(|e| format!("{}: {e}", file.display()))?;
             println!("{} bytes", all.len());
         }
--- a/quota-gateway/coordination/src/raft.rs
+++ b/quota-gateway/coordination/src/raft.rs
@@ -120,7 +120,7 @@
     pub fn open(log: LogStore) -> Result<Machine, String> {
         let applied = match log.snapshot()? {
             Some(stored) => Applied {
-                state: State::restore(&stored.state)?,
+                state: State::restore(&stored.state).map_err(|e| e.to_string())?,
                 last: stored.meta.last_log_id,
                 membership: stored.meta.last_membership,
             },
@@ -135,7 +135,7 @@
     }
 }
 
-fn failed(e: String) -> StorageError<NodeId> {
+fn failed(e: impl std::fmt::Display) -> StorageError<NodeId> {
     StorageIOError::write_snapshot(None, openraft::AnyError::error(e)).into()
 }
 
--- a/quota-gateway/coordination/src/service.rs
+++ b/quota-gateway/coordination/src/service.rs
@@ -598,7 +598,9 @@
             };
             if self.machine.with(|state| state.has_changes(prefix, since)) {
                 // The last change may reach beyond by its own size.
-                return self.within_response_budget(room, MAX_CHANGES_BYTES + bounds::VALUE, news).await;
+                return self
+                    .within_response_budget(room, MAX_CHANGES_BYTES + bounds::MAX_VALUE_BYTES, news)
+                    .await;
             }
             if tokio::time::timeout_at(until, changed).await.is_err() {
                 return small(news().await);
@@ -614,7 +616,7 @@
             }
             match self.machine.with(|state| state.snapshot()) {
                 Ok(bytes) => drop(self.snapshot.replace(bytes)),
-                Err(e) => return Response::No(e),
+                Err(e) => return Response::No(e.to_string()),
             }
         }
         let snapshot = self.snapshot.borrow();
@@ -678,7 +680,7 @@
     fn bytes(command: &Command) -> usize {
         match command {
             Command::Call { op: Op::Put { value, .. }, .. } => value.len(),
-            Command::Call { op: Op::Batch(_), .. } => bounds::BATCH_BYTES,
+            Command::Call { op: Op::Batch(_), .. } => bounds::MAX_BATCH_BYTES,
             _ => 0,
         }
     }
--- /dev/null
+++ b/quota-gateway/coordination/src/state/history.rs
@@ -0,0 +1,60 @@
+//! The bounded history of changes, from which watches resume by revision.
+
+use super::bounds;
+use super::change::{Change, Changes};
+use super::command::Revision;
+use super::tables::State;
+
+/// What a change counts beside its name and value, in bytes.
+const CHANGE_OVERHEAD_BYTES: usize = 32;
+
+impl State {
+    pub(super) fn record(&mut self, change: Change) {
+        self.revision += 1;
+        self.changes.push_back((self.revision, change));
+    }
+
+    /// Drops the oldest changes. Runs after a command, so that a batch that is rolled back has none to restore.
+    pub(super) fn compact_history(&mut self) {
+        while self.changes.len() > bounds::MAX_CHANGES {
+            self.compacted = self.changes.pop_front().map_or(self.compacted, |(revision, _)| revision);
+        }
+    }
+
+    /// Whether [`changes`](Self::changes) has anything to report for this prefix after a revision.
+    pub fn has_changes(&self, prefix: &str, since: Revision) -> bool {
+        !self.is_retained(since) || self.changes_after(prefix, since).next().is_some()
+    }
+
+    /// The changes for a prefix after a revision, up to about `max_bytes` but at least one. The caller gets the rest by
+    /// continuing from the revision that it is given.
+    pub fn changes(&self, prefix: &str, since: Revision, max_bytes: usize) -> Changes {
+        if !self.is_retained(since) {
+            return Changes::Lost { now: self.revision };
+        }
+        let (mut bytes, mut upto, mut changes) = (0, self.revision, Vec::new());
+        for (revision, change) in self.changes_after(prefix, since) {
+            let value = if let Change::Value { value, .. } = change { value.len() } else { 0 };
+            bytes += change.name().len() + value + CHANGE_OVERHEAD_BYTES;
+            if bytes > max_bytes && !changes.is_empty() {
+                upto = changes.last().map_or(since, |(revision, _)| *revision);
+                break;
+            }
+            changes.push((*revision, change.clone()));
+        }
+        Changes::Changes { upto, changes }
+    }
+
+    fn is_retained(&self, since: Revision) -> bool {
+        (self.compacted..=self.revision).contains(&since)
+    }
+
+    fn changes_after<'a>(
+        &'a self,
+        prefix: &'a str,
+        since: Revision,
+    ) -> impl Iterator<Item = &'a (Revision, Change)> + 'a {
+        let from = self.changes.partition_point(|(revision, _)| *revision <= since);
+        self.changes.range(from..).filter(move |(_, change)| change.name().starts_with(prefix))
+    }
+}
--- /dev/null
+++ b/quota-gateway/coordination/src/state/locks.rs
@@ -0,0 +1,100 @@
+//! Locks with queues and fencing tokens.
+
+use super::bounds;
+use super::change::Change;
+use super::command::{Done, Outcome, Refused, SessionId, Token};
+use super::tables::State;
+use super::validate::{check_name, BUSY_DELAY_MS};
+
+impl State {
+    pub(super) fn acquire(&mut self, session: SessionId, name: &str, wait: bool) -> Outcome {
+        check_name("lock", name)?;
+        self.open_session(session)?;
+        match self.locks.get(name).and_then(|lock| lock.holder) {
+            // Idempotent: the holder gets the token that it has.
+            Some((holder, token)) if holder == session => Ok(Done::Granted(token)),
+            Some((_, token)) if !wait => Err(Refused::Held(token)),
+            Some(_) => self.enqueue(session, name),
+            None => self.grant(session, name),
+        }
+    }
+
+    fn enqueue(&mut self, session: SessionId, name: &str) -> Outcome {
+        let lock = self.locks.entry(name.to_owned()).or_default();
+        if let Some(position) = lock.waiting.iter().position(|waiting| *waiting == session) {
+            return Ok(Done::Waiting(position as u32));
+        }
+        if lock.waiting.len() >= bounds::MAX_WAITERS {
+            return Err(Refused::Busy(BUSY_DELAY_MS));
+        }
+        let position = lock.waiting.len() as u32;
+        lock.waiting.push_back(session);
+        self.open_session(session)?.locks.push(name.to_owned());
+        Ok(Done::Waiting(position))
+    }
+
+    fn grant(&mut self, session: SessionId, name: &str) -> Outcome {
+        if !self.locks.contains_key(name) && self.locks.len() >= bounds::MAX_LOCKS {
+            return Err(Refused::Busy(BUSY_DELAY_MS));
+        }
+        let token = self.issue_token()?;
+        self.open_session(session)?.locks.push(name.to_owned());
+        self.locks.entry(name.to_owned()).or_default().holder = Some((session, token));
+        self.record(Change::Lock { name: name.to_owned(), holder: Some((session, token)) });
+        Ok(Done::Granted(token))
+    }
+
+    /// Issues a token that nobody ever had. The last one is never issued: nothing could pass it.
+    fn issue_token(&mut self) -> Result<Token, Refused> {
+        if self.last_token >= Token::MAX - 1 {
+            return Err(Refused::Exhausted);
+        }
+        self.last_token += 1;
+        Ok(self.last_token)
+    }
+
+    pub(super) fn release(&mut self, session: SessionId, name: &str) -> Outcome {
+        let locks = &mut self.open_session(session)?.locks;
+        let Some(position) = locks.iter().position(|lock| lock == name) else {
+            return Err(Refused::Fenced(self.present_token(name)));
+        };
+        locks.remove(position);
+        self.detach_from_lock(session, name);
+        Ok(Done::Nothing)
+    }
+
+    pub(super) fn revoke(&mut self, name: &str) -> Outcome {
+        let holder = self.locks.get(name).and_then(|lock| lock.holder);
+        let (session, _) = holder.ok_or(Refused::Fenced(0))?;
+        self.release(session, name)
+    }
+
+    /// Removes a session from a lock's queue; if it is the holder, the lock passes to the first in the queue.
+    pub(super) fn detach_from_lock(&mut self, session: SessionId, name: &str) {
+        let Some(lock) = self.locks.get_mut(name) else { return };
+        lock.waiting.retain(|waiting| *waiting != session);
+        if lock.holder.is_none_or(|(holder, _)| holder != session) {
+            return;
+        }
+        let next = lock.waiting.pop_front();
+        // Once all tokens are used up the lock stays free.
+        let holder = next.and_then(|next| Some((next, self.issue_token().ok()?)));
+        self.record(Change::Lock { name: name.to_owned(), holder });
+        match (holder, self.locks.get_mut(name)) {
+            (Some(_), Some(lock)) => lock.holder = holder,
+            _ => drop(self.locks.remove(name)),
+        }
+    }
+
+    /// The token under which a lock is held; 0 if it is free.
+    fn present_token(&self, name: &str) -> Token {
+        self.locks.get(name).and_then(|lock| lock.holder).map_or(0, |(_, token)| token)
+    }
+
+    pub(super) fn check_token(&self, name: &str, token: Token) -> Result<(), Refused> {
+        match self.present_token(name) {
+            present if present == token && token != 0 => Ok(()),
+            present => Err(Refused::Fenced(present)),
+        }
+    }
+}
--- a/quota-gateway/work-handoff/src/record.rs
+++ b/quota-gateway/work-handoff/src/record.rs
@@ -12,7 +12,7 @@
 /// The longest request that is covered, with its head and body; what is larger is not, and is counted.
 pub const MAX_REQUEST_BYTES: usize = 60 << 10;
 /// The longest record: a value of the coordination service.
-pub const MAX_RECORD_BYTES: usize = marblecroft_coordination::state::bounds::VALUE;
+pub const MAX_RECORD_BYTES: usize = marblecroft_coordination::state::bounds::MAX_VALUE_BYTES;
 /// Attempts of a request over all its owners.
 pub const MAX_ATTEMPTS: u8 = 4;
 const MAX_NAME_BYTES: usize = 256;
