--- a/quota-gateway/work-handoff/src/record.rs
+++ b/quota-gateway/work-handoff/src/record.rs
@@ -14,7 +14,7 @@
 /// The largest request that is recorded, with its head and body.
 pub const MAX_REQUEST_BYTES: usize = 60 << 10;
 /// The largest encoded record: a value of the coordination service.
-pub const MAX_RECORD_BYTES: usize = bounds::VALUE;
+pub const MAX_RECORD_BYTES: usize = bounds::MAX_VALUE_BYTES;
 /// The largest number of attempts of a request, over all its owners.
 pub const MAX_ATTEMPTS: u8 = 4;
 /// The longest name of a server.
