--- a/common/logging/src/config.rs
+++ b/common/logging/src/config.rs
@@ -33,6 +33,10 @@
     /// One line of text for each event: the name of the program and the message (`text`).
     #[default]
     Text,
+    /// Like [`Text`](Self::Text), with the event's other fields behind the message, each as ` name=value`. For programs whose
+    /// messages are constant texts; a configuration cannot name it.
+    #[serde(skip)]
+    TextWithFields,
     /// One JSON object on a line for each event, with the event's fields (`json`).
     Json,
 }
--- a/common/logging/src/lib.rs
+++ b/common/logging/src/lib.rs
@@ -1,7 +1,7 @@
 //! Logging to standard error, one event a line.
 //!
-//! Programs log with `tracing`. As text, a line is the program's name and the event's message; as JSON, it has the event's
-//! fields as well. Events of single requests are logged only where the [`LogConfig`] says so: they carry the request's id in
+//! Programs log with `tracing`. As text, a line is the program's name and the event's message, with the event's fields where
+//! the program's messages are constant texts; as JSON, it always has the fields. Events of single requests are logged only where the [`LogConfig`] says so: they carry the request's id in
 //! the field `trace`, so that one request can be followed through all programs.
 #![forbid(unsafe_code)]
 
@@ -47,8 +47,10 @@
         .with_writer(writer)
         // Errors of the writer would be logged to the standard error that has failed.
         .log_internal_errors(false);
+    let text = |with_fields| TextFormat { program, with_fields };
     match config.format {
-        LogFormat::Text => Box::new(builder.event_format(TextFormat { program }).finish()),
+        LogFormat::Text => Box::new(builder.event_format(text(false)).finish()),
+        LogFormat::TextWithFields => Box::new(builder.event_format(text(true)).finish()),
         LogFormat::Json => Box::new(builder.json().flatten_event(true).with_current_span(false).finish()),
     }
 }
--- a/common/logging/src/text_format.rs
+++ b/common/logging/src/text_format.rs
@@ -1,4 +1,4 @@
-//! The text format: the name of the program and an event's message.
+//! The text formats: the name of the program and an event's message, with or without its other fields.
 
 use std::fmt;
 use tracing::field::{Field, Visit};
@@ -7,9 +7,10 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Formats an event as `PROGRAM: MESSAGE`. Other fields are omitted.
+/// Formats an event as `PROGRAM: MESSAGE`, and ` name=value` for each other field if `with_fields` is set.
 pub(crate) struct TextFormat {
     pub(crate) program: &'static str,
+    pub(crate) with_fields: bool,
 }
 
 impl<S, N> FormatEvent<S, N> for TextFormat
@@ -24,24 +25,30 @@
         event: &Event<'_>,
     ) -> fmt::Result {
         write!(writer, "{}: ", self.program)?;
-        let mut visitor = MessageVisitor { writer: &mut writer, result: Ok(()) };
+        let mut visitor = TextVisitor { writer: &mut writer, with_fields: self.with_fields, result: Ok(()) };
         event.record(&mut visitor);
         visitor.result?;
         writeln!(writer)
     }
 }
 
-/// Writes the message among an event's fields.
-struct MessageVisitor<'a, 'w> {
+/// Writes an event's message, and its other fields if they are wanted. `tracing` visits the message first.
+struct TextVisitor<'a, 'w> {
     writer: &'a mut Writer<'w>,
+    with_fields: bool,
     /// The first failure; visiting cannot be aborted.
     result: fmt::Result,
 }
 
-impl Visit for MessageVisitor<'_, '_> {
+impl Visit for TextVisitor<'_, '_> {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-        if field.name() == "message" && self.result.is_ok() {
+        if self.result.is_err() {
+            return;
+        }
+        if field.name() == "message" {
             self.result = write!(self.writer, "{value:?}");
+        } else if self.with_fields {
+            self.result = write!(self.writer, " {}={value:?}", field.name());
         }
     }
 }
--- a/common/logging/tests/formats.rs
+++ b/common/logging/tests/formats.rs
@@ -41,6 +41,16 @@
     assert!(line["timestamp"].is_string() && line["level"] == "INFO");
 }
 
+#[test]
+fn text_with_fields_has_them_behind_the_message() {
+    let log = log_output(LogConfig { format: LogFormat::TextWithFields, requests: true });
+    let lines = [
+        "marblecroft-quota-gateway: server 7 is DRAINING server=7 state=\"DRAINING\"",
+        "marblecroft-quota-gateway: taken trace=\"00ab\"",
+    ];
+    assert_eq!(log.lines().collect::<Vec<_>>(), lines);
+}
+
 #[test]
 fn events_of_requests_are_logged_only_where_they_are_configured() {
     assert_eq!(log_output(LogConfig { format: LogFormat::Text, requests: true }).lines().count(), 2);
@@ -56,4 +66,5 @@
     let all = parse(r#"{"form":"json","requests":true}"#).expect("valid");
     assert_eq!(all, LogConfig { format: LogFormat::Json, requests: true });
     assert!(parse(r#"{"form":"xml"}"#).is_err() && parse(r#"{"level":"info"}"#).is_err());
+    assert!(parse(r#"{"form":"textwithfields"}"#).is_err());
 }
--- a/control-plane/server/src/main.rs
+++ b/control-plane/server/src/main.rs
@@ -17,7 +17,7 @@
 mod thread_pool;
 
 use crate::flags::{MarblecroftControlPlane, MarblecroftControlPlaneCmd as Command};
-use marblecroft_logging::LogConfig;
+use marblecroft_logging::{LogConfig, LogFormat};
 use marblecroft_settings::Settings;
 use std::process::ExitCode;
 use tracing::error;
@@ -27,7 +27,8 @@
 
 fn main() -> ExitCode {
     let flags = MarblecroftControlPlane::from_env_or_exit();
-    marblecroft_logging::init("marblecroft-control-plane", LogConfig::default());
+    let log = LogConfig { format: LogFormat::TextWithFields, ..LogConfig::default() };
+    marblecroft_logging::init("marblecroft-control-plane", log);
     let settings = match Settings::load_from_environment() {
         Ok(settings) => settings,
         Err(e) => {
--- a/data-plane/gateway/src/main.rs
+++ b/data-plane/gateway/src/main.rs
@@ -42,7 +42,7 @@
 mod upstream;
 
 use crate::flags::{MarblecroftDataPlane, MarblecroftDataPlaneCmd as Command};
-use marblecroft_logging::LogConfig;
+use marblecroft_logging::{LogConfig, LogFormat};
 use marblecroft_routing::tuning::Tuning;
 use marblecroft_settings::Settings;
 use std::process::ExitCode;
@@ -53,7 +53,8 @@
 
 fn main() -> ExitCode {
     let flags = MarblecroftDataPlane::from_env_or_exit();
-    marblecroft_logging::init("marblecroft-data-plane", LogConfig::default());
+    let log = LogConfig { format: LogFormat::TextWithFields, ..LogConfig::default() };
+    marblecroft_logging::init("marblecroft-data-plane", log);
     let settings = match Settings::load_from_environment() {
         Ok(settings) => settings,
         Err(e) => {
