--- a/control-plane/chain-replication/tests/golden.rs
+++ b/control-plane/chain-replication/tests/golden.rs
@@ -4,20 +4,21 @@
 mod common;
 #[path = "../../../testing/support/golden/encoding.rs"]
 mod encoding;
+#[path = "../../../testing/support/golden/storage.rs"]
+mod storage;
 
 use common::Sum;
-use encoding::{check, hex, unhex};
+use encoding::check;
 use marblecroft_chain_replication::agreement::{VoteReply, VoteRequest};
-use marblecroft_chain_replication::storage::{Accepted, Storage, Vote};
+use marblecroft_chain_replication::storage::{Accepted, Vote};
 use marblecroft_chain_replication::{
     Append, AppendReply, Install, Member, Position, RecoveryError, Replica, Round, Status, View,
 };
 use marblecroft_rpc::Bytes;
 use marblecroft_wal::Recovered;
-use std::cell::RefCell;
 use std::io;
 use std::net::SocketAddr;
-use std::rc::Rc;
+use storage::{recovered, RecordingStorage};
 
 fn address(last: u8) -> SocketAddr {
     SocketAddr::from(([10, 1, 2, last], 7100))
@@ -106,36 +107,6 @@
     check(include_str!("golden/statuses.hex"), &[("status", status), ("none", Status::default())]);
 }
 
-/// A storage that lists what is written, a line for each write: `segment` or `append`, and the bytes.
-#[derive(Clone, Default)]
-struct RecordingStorage(Rc<RefCell<String>>);
-
-impl RecordingStorage {
-    fn record(&self, kind: &str, bytes: &[u8]) {
-        self.0.borrow_mut().push_str(&format!("{kind} {}\n", hex(bytes)));
-    }
-}
-
-impl Storage for RecordingStorage {
-    fn append(&mut self, records: &[&[u8]]) -> io::Result<()> {
-        records.iter().for_each(|record| self.record("append", record));
-        Ok(())
-    }
-
-    fn start_segment(&mut self, checkpoint: &[u8]) -> io::Result<()> {
-        self.record("segment", checkpoint);
-        Ok(())
-    }
-
-    fn is_writable(&self) -> bool {
-        true
-    }
-
-    fn record_bytes(&self) -> u64 {
-        0
-    }
-}
-
 /// A member that has ordered two entries, installed view 2, and accepted a proposal for view 3.
 fn member_with_history(storage: &RecordingStorage) -> Replica<Sum, RecordingStorage> {
     let founding = Some(view(1));
@@ -160,28 +131,11 @@
     replica
 }
 
-/// The last checkpoint of a fixture, and the records behind it.
-fn recovered(fixture: &str) -> Recovered {
-    let mut found = Recovered::default();
-    for line in fixture.lines() {
-        let (kind, bytes) = line.split_once(' ').expect("two words");
-        match kind {
-            "segment" => {
-                found.snapshot = Some(unhex(bytes));
-                found.records.clear();
-            }
-            _ => found.records.push(unhex(bytes)),
-        }
-    }
-    found
-}
-
 #[test]
 fn log_of_a_member_keeps_its_encoding() {
     let storage = RecordingStorage::default();
     member_with_history(&storage);
-    let written = storage.0.borrow();
-    assert!(*written == include_str!("golden/log.hex"), "the encoding differs from the fixture:\n{written}");
+    storage.check_written(include_str!("golden/log.hex"));
 }
 
 #[test]
@@ -190,9 +144,8 @@
     // The stored identity and view take precedence over these.
     let found = recovered(include_str!("golden/log.hex"));
     let replica = Replica::open(storage.clone(), found, Sum::default(), 1, None).expect("opens");
-    let written = storage.0.borrow().clone();
     let expected = include_str!("golden/checkpoint.hex");
-    assert!(written == expected, "the encoding differs from the fixture:\n{written}");
+    storage.check_written(expected);
     let again = Replica::open(RecordingStorage::default(), recovered(expected), Sum::default(), 1, None)
         .expect("opens");
     let accepted = Some(Accepted { proposal_number: 7, view: view(3) });
--- a/control-plane/core/tests/stored.rs
+++ b/control-plane/core/tests/stored.rs
@@ -2,8 +2,12 @@
 //! an update applied, retired machines, the stores' view, and a half-done batch job. The logs are literal bytes, and the same
 //! history is written to the same bytes.
 
+#[path = "../../../testing/support/golden/encoding.rs"]
+mod encoding;
+#[path = "../../../testing/support/golden/storage.rs"]
+mod storage;
+
 use marblecroft_batch_state::{BatchState, Item, ItemOutcome, NewJob, Operation as BatchOperation};
-use marblecroft_chain_replication::storage::Storage;
 use marblecroft_chain_replication::{Member, Replica, View};
 use marblecroft_control_plane_core::coordinator::{self, Coordinator};
 use marblecroft_control_plane_core::member::{founding_view, open};
@@ -17,67 +21,9 @@
 };
 use marblecroft_rpc::Bytes;
 use marblecroft_wal::Recovered;
-use std::cell::RefCell;
-use std::io;
 use std::net::SocketAddr;
-use std::rc::Rc;
 use std::time::Duration;
-
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn unhex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
-    (0..text.len()).step_by(2).map(digits).collect()
-}
-
-/// What was written, a line for each write: `segment` or `append`, and the bytes.
-#[derive(Clone, Default)]
-struct Disk(Rc<RefCell<String>>);
-
-impl Storage for Disk {
-    fn append(&mut self, records: &[&[u8]]) -> io::Result<()> {
-        let lines = records.iter().map(|record| format!("append {}\n", hex(record)));
-        self.0.borrow_mut().extend(lines);
-        Ok(())
-    }
-
-    fn start_segment(&mut self, checkpoint: &[u8]) -> io::Result<()> {
-        self.0.borrow_mut().push_str(&format!("segment {}\n", hex(checkpoint)));
-        Ok(())
-    }
-
-    fn is_writable(&self) -> bool {
-        true
-    }
-
-    fn record_bytes(&self) -> u64 {
-        0
-    }
-}
-
-/// The last checkpoint of a fixture, and the records behind it.
-fn recovered(fixture: &str) -> Recovered {
-    let mut found = Recovered::default();
-    for line in fixture.lines() {
-        let (what, bytes) = line.split_once(' ').expect("two words");
-        match what {
-            "segment" => {
-                found.snapshot = Some(unhex(bytes));
-                found.records.clear();
-            }
-            _ => found.records.push(unhex(bytes)),
-        }
-    }
-    found
-}
-
-#[track_caller]
-fn check_written(disk: &Disk, fixture: &str) {
-    let written = disk.0.borrow();
-    assert!(*written == fixture, "other bytes than the fixture's are written:\n{written}");
-}
+use storage::{recovered, RecordingStorage};
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([10, 1, 2, 3], port))
@@ -121,7 +67,7 @@
 
 #[test]
 fn the_bytes_of_a_coordinators_log_are_stable() {
-    let disk = Disk::default();
+    let disk = RecordingStorage::default();
     let mut replica: Replica<ControlState, _> =
         open(disk.clone(), Recovered::default(), 1, founding()).expect("opens");
     let replace = Operation::ReplaceConfiguration { base: 0, generation: 5, body: Bytes(REPLACED.into()) };
@@ -131,15 +77,15 @@
     let retire = Operation::RetireStore { node: "store-7".to_owned() };
     replica.propose(&vec![Operation::InstallStoreView(stores_view()), update]).expect("written");
     // Its next start writes a checkpoint.
-    let found = recovered(&disk.0.borrow());
+    let found = recovered(&disk.written());
     let mut replica = open::<ControlState, _>(disk.clone(), found, 1, None).expect("opens");
     replica.propose(&vec![retire, Operation::IssueReaderToken]).expect("written");
-    check_written(&disk, CONTROL_LOG);
+    disk.check_written(CONTROL_LOG);
 }
 
 #[test]
 fn a_coordinator_restores_its_state_from_a_stored_log() {
-    let replica = open(Disk::default(), recovered(CONTROL_LOG), 2, None).expect("opens");
+    let replica = open(RecordingStorage::default(), recovered(CONTROL_LOG), 2, None).expect("opens");
     let settings = coordinator::Settings {
         node_name: "node-1".to_owned(),
         address: address(7100),
@@ -225,7 +171,7 @@
 
 #[test]
 fn the_bytes_of_a_stores_log_are_stable() {
-    let disk = Disk::default();
+    let disk = RecordingStorage::default();
     let mut replica: Replica<BatchState, _> =
         Replica::open(disk.clone(), Recovered::default(), BatchState::default(), 0x1122_3344, None)
             .expect("opens");
@@ -234,15 +180,15 @@
     let record = |item, outcome| BatchOperation::RecordResult { job: "job-1".to_owned(), item, outcome };
     replica.propose(&vec![record(2, completed())]).expect("written");
     // Its next start writes a checkpoint.
-    let found = recovered(&disk.0.borrow());
+    let found = recovered(&disk.written());
     let mut replica = open::<BatchState, _>(disk.clone(), found, 1, None).expect("opens");
     replica.propose(&vec![record(0, ItemOutcome::DeadLettered)]).expect("written");
-    check_written(&disk, BATCH_LOG);
+    disk.check_written(BATCH_LOG);
 }
 
 #[test]
 fn a_store_restores_its_state_from_a_stored_log() {
-    let replica = open(Disk::default(), recovered(BATCH_LOG), 2, None).expect("opens");
+    let replica = open(RecordingStorage::default(), recovered(BATCH_LOG), 2, None).expect("opens");
     let settings = store::Settings {
         node_name: "store-1".to_owned(),
         zone: "a".to_owned(),
--- a/control-plane/wal/tests/golden.rs
+++ b/control-plane/wal/tests/golden.rs
@@ -1,18 +1,13 @@
 //! The format of segment files does not change: a log is written as the literal bytes of a fixture, which are read again.
 
+#[path = "../../../testing/support/golden/hex.rs"]
+mod hex;
+
+use hex::{hex, unhex};
 use marblecroft_wal::{Recovered, Wal, MAGIC};
 use std::fs;
 use std::path::{Path, PathBuf};
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn unhex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
-    (0..text.len()).step_by(2).map(digits).collect()
-}
-
 /// Creates an empty directory for one test.
 fn create_directory(name: &str) -> PathBuf {
     let directory =
--- a/quota-gateway/control-messages/tests/golden.rs
+++ b/quota-gateway/control-messages/tests/golden.rs
@@ -6,24 +6,17 @@
 
 #[path = "../../../testing/support/golden/mod.rs"]
 mod golden;
+#[path = "../../../testing/support/golden/message.rs"]
+mod message;
 
-use golden::{bytes, same_bytes};
-use marblecroft_control_messages::frame::{decode, encode, Fleet, Kind, Message};
+use marblecroft_control_messages::frame::{Fleet, Kind};
 use marblecroft_control_messages::published::{Body, Decision, Stamp};
 use marblecroft_control_messages::report::{
     AppliedDecisions, AttemptCounts, Demand, Report, ZoneObservation,
 };
+use message::check_message;
 use serde::{Deserialize, Serialize};
 
-const FLEET: Fleet = Fleet(0x0102_0304_0506_0708);
-
-fn assert_stable_encoding<M: Message + PartialEq + std::fmt::Debug>(fixture: &str, message: &M) {
-    same_bytes(fixture, &encode(FLEET, message).expect("it fits"));
-    let read: M = decode(FLEET, &bytes(fixture)).unwrap_or_else(|e| panic!("{fixture}: {e}"));
-    assert_eq!(&read, message, "{fixture}");
-    same_bytes(fixture, &encode(FLEET, &read).expect("it fits"));
-}
-
 fn zone(name: &str, base: f64) -> ZoneObservation {
     let seen = AttemptCounts {
         served: base + 0.5,
@@ -51,7 +44,7 @@
         demand: Demand { total: 9.75, weight: 4.25, points: vec![(0.5, 2.0), (1.5, 4.0)] },
         applied_decisions: AppliedDecisions { zones: stamp(1), shares: stamp(2), shard_map: stamp(3) },
     };
-    assert_stable_encoding("report.hex", &report);
+    check_message("report.hex", &report);
 }
 
 /// The bodies themselves are of other crates, and recorded there.
@@ -74,7 +67,7 @@
 fn assert_stable_decision<const KIND: u8>(fixture: &str) {
     let body = TestBody::<KIND>(f64::from(KIND) + 0.25, format!("body-{KIND}"));
     let decision = Decision { stamp: stamp(KIND.into()), valid_ms: 3000 + u32::from(KIND), body };
-    assert_stable_encoding(fixture, &decision);
+    check_message(fixture, &decision);
 }
 
 #[test]
--- a/quota-gateway/shard-map/tests/golden.rs
+++ b/quota-gateway/shard-map/tests/golden.rs
@@ -3,22 +3,14 @@
 
 #[path = "../../../testing/support/golden/mod.rs"]
 mod golden;
+#[path = "../../../testing/support/golden/message.rs"]
+mod message;
 
-use golden::{bytes, same_bytes};
-use marblecroft_control_messages::frame::{decode, encode, Fleet, Message};
 use marblecroft_control_messages::published::{Decision, Stamp};
 use marblecroft_shard_map::cell::{CellReply, CellRequest};
 use marblecroft_shard_map::map::{Migration, MigrationStep, Shard, ShardMap};
 use marblecroft_shard_map::migration::CellOperation;
-
-const FLEET: Fleet = Fleet(0x0102_0304_0506_0708);
-
-fn keeps_its_bytes<M: Message + PartialEq + std::fmt::Debug>(fixture: &str, message: &M) {
-    same_bytes(fixture, &encode(FLEET, message).expect("it fits"));
-    let read: M = decode(FLEET, &bytes(fixture)).unwrap_or_else(|e| panic!("{fixture}: {e}"));
-    assert_eq!(&read, message, "{fixture}");
-    same_bytes(fixture, &encode(FLEET, &read).expect("it fits"));
-}
+use message::check_message;
 
 #[test]
 fn maps_keep_their_bytes() {
@@ -36,22 +28,22 @@
         book(4, Some(MigrationStep::Copied)),
     ];
     let stamp = Stamp { token: 1009, revision: 2011 };
-    keeps_its_bytes("map.hex", &Decision { stamp, valid_ms: 3017, body: ShardMap { shards: books } });
+    check_message("map.hex", &Decision { stamp, valid_ms: 3017, body: ShardMap { shards: books } });
 }
 
 #[test]
 fn requests_to_cells_keep_their_bytes() {
     let range = (1_000_003, 2_000_006);
     let asked = |ask| CellRequest { token: 1013, operation: ask };
-    keeps_its_bytes("shut.hex", &asked(CellOperation::Close { cell: 41, range, epoch: 501 }));
-    keeps_its_bytes("copy.hex", &asked(CellOperation::Copy { cell: 42, to: 62, range, epoch: 502 }));
-    keeps_its_bytes("open.hex", &asked(CellOperation::Open { cell: 43, range, epoch: 503 }));
+    check_message("shut.hex", &asked(CellOperation::Close { cell: 41, range, epoch: 501 }));
+    check_message("copy.hex", &asked(CellOperation::Copy { cell: 42, to: 62, range, epoch: 502 }));
+    check_message("open.hex", &asked(CellOperation::Open { cell: 43, range, epoch: 503 }));
 }
 
 #[test]
 fn replies_of_cells_keep_their_bytes() {
-    keeps_its_bytes("done.hex", &CellReply::Done);
-    keeps_its_bytes("not-yet.hex", &CellReply::InProgress);
-    keeps_its_bytes("higher.hex", &CellReply::Higher);
-    keeps_its_bytes("fenced.hex", &CellReply::Fenced { token: 1019 });
+    check_message("done.hex", &CellReply::Done);
+    check_message("not-yet.hex", &CellReply::InProgress);
+    check_message("higher.hex", &CellReply::Higher);
+    check_message("fenced.hex", &CellReply::Fenced { token: 1019 });
 }
--- a/quota-gateway/zone-failover/tests/golden.rs
+++ b/quota-gateway/zone-failover/tests/golden.rs
@@ -3,13 +3,12 @@
 
 #[path = "../../../testing/support/golden/mod.rs"]
 mod golden;
+#[path = "../../../testing/support/golden/message.rs"]
+mod message;
 
-use golden::{bytes, same_bytes};
-use marblecroft_control_messages::frame::{decode, encode, Fleet};
 use marblecroft_control_messages::published::{Decision, Stamp};
 use marblecroft_zone_failover::decision::{ZoneDecision, ZoneState, ZonesDecision};
-
-const FLEET: Fleet = Fleet(0x0102_0304_0506_0708);
+use message::check_message;
 
 fn zone(number: u32, state: ZoneState, shares: [f64; 5]) -> ZoneDecision {
     ZoneDecision {
@@ -35,9 +34,5 @@
         ],
     };
     let decision = Decision { stamp: Stamp { token: 1009, revision: 2011 }, valid_ms: 3017, body };
-    let encoded = encode(FLEET, &decision).expect("it fits");
-    same_bytes("decision.hex", &encoded);
-    let read: Decision<ZonesDecision> = decode(FLEET, &bytes("decision.hex")).expect("it is read");
-    assert_eq!(read, decision);
-    same_bytes("decision.hex", &encode(FLEET, &read).expect("it fits"));
+    check_message("decision.hex", &decision);
 }
--- a/testing/support/golden/encoding.rs
+++ b/testing/support/golden/encoding.rs
@@ -1,21 +1,15 @@
 //! Comparison of encoded messages with recorded bytes, shared by the golden tests of the control plane's crates.
 //!
 //! A fixture has one line for each value: its name and its bytes in hexadecimal.
-#![allow(dead_code)] // each test file uses its part
+#![allow(dead_code, unused_imports)] // each test file uses its part
 
-use marblecroft_rpc::{decode, encode, Message};
-use std::fmt::Debug;
+#[path = "hex.rs"]
+mod hex;
 
-/// Bytes in hexadecimal.
-pub fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
+pub use hex::{hex, unhex};
 
-/// Bytes from hexadecimal.
-pub fn unhex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
-    (0..text.len()).step_by(2).map(digits).collect()
-}
+use marblecroft_rpc::{decode, encode, Message};
+use std::fmt::Debug;
 
 /// Checks that values are encoded to the bytes of a fixture, and that these are decoded and encoded again to the same.
 #[track_caller]
--- /dev/null
+++ b/testing/support/golden/storage.rs
@@ -0,0 +1,67 @@
+//! The writes of a chain's member, compared with recorded ones; shared by golden tests. The includer has
+//! the module `encoding` as well.
+
+use super::encoding::{hex, unhex};
+use marblecroft_chain_replication::storage::Storage;
+use marblecroft_wal::Recovered;
+use std::cell::RefCell;
+use std::io;
+use std::rc::Rc;
+
+/// A storage that lists what is written, a line for each write: `segment` or `append`, and the bytes.
+#[derive(Clone, Default)]
+pub struct RecordingStorage(Rc<RefCell<String>>);
+
+impl RecordingStorage {
+    fn record(&self, kind: &str, bytes: &[u8]) {
+        self.0.borrow_mut().push_str(&format!("{kind} {}\n", hex(bytes)));
+    }
+
+    /// Returns the writes so far.
+    pub fn written(&self) -> String {
+        self.0.borrow().clone()
+    }
+
+    /// Checks that the writes are those of a fixture.
+    #[track_caller]
+    pub fn check_written(&self, fixture: &str) {
+        let written = self.written();
+        assert!(written == fixture, "other bytes than the fixture's are written:\n{written}");
+    }
+}
+
+impl Storage for RecordingStorage {
+    fn append(&mut self, records: &[&[u8]]) -> io::Result<()> {
+        records.iter().for_each(|record| self.record("append", record));
+        Ok(())
+    }
+
+    fn start_segment(&mut self, checkpoint: &[u8]) -> io::Result<()> {
+        self.record("segment", checkpoint);
+        Ok(())
+    }
+
+    fn is_writable(&self) -> bool {
+        true
+    }
+
+    fn record_bytes(&self) -> u64 {
+        0
+    }
+}
+
+/// Returns the last checkpoint of a fixture, and the records behind it.
+pub fn recovered(fixture: &str) -> Recovered {
+    let mut found = Recovered::default();
+    for line in fixture.lines() {
+        let (kind, bytes) = line.split_once(' ').expect("two words");
+        match kind {
+            "segment" => {
+                found.snapshot = Some(unhex(bytes));
+                found.records.clear();
+            }
+            _ => found.records.push(unhex(bytes)),
+        }
+    }
+    found
+}
