--- a/control-plane/batch-state/src/job.rs
+++ b/control-plane/batch-state/src/job.rs
@@ -128,11 +128,6 @@
         pending.map(|stored| &stored.item)
     }
 
-    /// Returns whether the job has an item of this id.
-    pub fn has_item(&self, id: &str) -> bool {
-        self.items.iter().any(|stored| stored.item.id == id)
-    }
-
     /// Returns the indices of the items without a result, in ascending order.
     pub fn pending_items(&self) -> impl Iterator<Item = u32> + '_ {
         let indices = 0u32..;
--- a/control-plane/batch-state/src/lease.rs
+++ b/control-plane/batch-state/src/lease.rs
@@ -108,7 +108,7 @@
         lease.is_some_and(|lease| lease.gateway != terms.gateway && lease.expires_at > terms.now)
     }
 
-    /// Leases up to `max_items` items that are not leased to the gateway, and returns them. `wall_ms` is the time in
+    /// Leases up to `max_items` items that nobody has leased to the gateway of `terms`, and returns them. `wall_ms` is the time in
     /// milliseconds since 1970 by the head's clock.
     ///
     /// Jobs that can still meet their deadline come first, earliest deadline first (EDF), then those that cannot, in the
--- a/control-plane/chain-replication/src/config.rs
+++ b/control-plane/chain-replication/src/config.rs
@@ -10,8 +10,8 @@
     /// messages.
     pub heartbeat_interval: Duration,
     /// Time that one member may take for its share of a round; typically 350 to 400 ms. A call down the chain is given this
-    /// time for every member from the callee to the tail. Too short a time makes slow disks count as failed members, too
-    /// long a time delays the detection of failed ones.
+    /// time for every member from the callee to the tail, and once more. Too short a time makes slow disks count as failed
+    /// members, too long a time delays the detection of failed ones.
     pub append_timeout: Duration,
     /// Time for transferring a complete state to one member; typically 3 to 4 s. With too short a time a member with a large
     /// state can never catch up; with too long a time one that fails meanwhile blocks the chain.
--- a/control-plane/core/src/store/mod.rs
+++ b/control-plane/core/src/store/mod.rs
@@ -119,35 +119,27 @@
         }
     }
 
+    /// Handles a request. Every member answers the first four kinds, only the head those of gateways.
     fn handle_request(&mut self, time: Time, token: Token, request: StoreRequest) {
+        let now = time.monotonic;
         let ctx = &mut self.context;
         let mut chain_outputs = Vec::new();
         match request {
             StoreRequest::Append(append) => {
-                ctx.chain_mut().handle_append(time.monotonic, token, &append, &mut chain_outputs)
+                ctx.chain_mut().handle_append(now, token, &append, &mut chain_outputs)
             }
             StoreRequest::Install(install) => {
                 ctx.chain_mut().handle_install(token, &install, &mut chain_outputs)
             }
             StoreRequest::Status => {
-                let status = ctx.chain().status(time.monotonic);
+                let status = ctx.chain().status(now);
                 ctx.answer(token, StoreReply::Status(status));
             }
             StoreRequest::Fetch => {
                 let state = ctx.chain().replica().snapshot_message();
                 ctx.answer(token, StoreReply::State(state));
             }
-            request if ctx.chain().is_head() => self.handle_head_request(time, token, request),
-            _ => ctx.answer_not_head(token),
-        }
-        self.handle_chain_outputs(time, chain_outputs);
-    }
-
-    /// Handles a request of a gateway's, which only the head answers.
-    fn handle_head_request(&mut self, time: Time, token: Token, request: StoreRequest) {
-        let now = time.monotonic;
-        let ctx = &mut self.context;
-        match request {
+            _ if !ctx.chain().is_head() => ctx.answer_not_head(token),
             StoreRequest::SubmitJob(mut job) => {
                 job.accepted_at_ms = time.wall_ms;
                 jobs::submit(ctx, now, token, job);
@@ -164,12 +156,8 @@
                 ctx.propose(now, Operation::EndJob { job }, PendingOperation::EndJob { token })
             }
             StoreRequest::Work(work) => self.work.handle_work(ctx, now, token, work),
-            // Every member answers these; see `handle_request`.
-            StoreRequest::Append(_)
-            | StoreRequest::Install(_)
-            | StoreRequest::Status
-            | StoreRequest::Fetch => {}
         }
+        self.handle_chain_outputs(time, chain_outputs);
     }
 
     fn handle_store_reply(&mut self, time: Time, call: u64, reply: Option<StoreReply>) {
--- a/control-plane/core/src/store/work.rs
+++ b/control-plane/core/src/store/work.rs
@@ -60,14 +60,23 @@
         let load = request.load;
         self.capacity.record_report(&request.gateway, load.live_requests, load.slots, now);
         self.gateways.record_work_request(now, &request);
-        let work = work_call(token, &request);
-        if request.finished.is_empty() {
+        let results = request.finished;
+        let work = WorkCall {
+            token,
+            finished: results.iter().map(|result| result.id.clone()).collect(),
+            running: request.running,
+            gateway: request.gateway,
+            capacity: request.capacity as usize,
+            zone: request.zone,
+            peers_digest: request.peers_digest,
+        };
+        if results.is_empty() {
             ctx.read_index(now, PendingOperation::GrantWork(work));
             return;
         }
-        let remaining = request.finished.len();
+        let remaining = results.len();
         let recording = self.recordings.insert(ResultRecording { work, remaining, error: None });
-        for finished in request.finished {
+        for finished in results {
             let (job, item) = (finished.id.job, finished.id.item);
             let operation = Operation::RecordResult { job, item, outcome: finished.outcome };
             ctx.propose(now, operation, PendingOperation::RecordResult { recording });
@@ -129,8 +138,11 @@
             return;
         }
         self.next_log_at = now + LOG_INTERVAL;
+        if !ctx.chain().is_head() {
+            return;
+        }
         let open: usize = ctx.jobs().open_jobs().map(|(_, job)| job.total() - job.results().len()).sum();
-        if !ctx.chain().is_head() || open == 0 {
+        if open == 0 {
             return;
         }
         info!(
@@ -143,18 +155,6 @@
     }
 }
 
-fn work_call(token: Token, request: &WorkRequest) -> WorkCall {
-    WorkCall {
-        token,
-        finished: request.finished.iter().map(|finished| finished.id.clone()).collect(),
-        running: request.running.clone(),
-        gateway: request.gateway.clone(),
-        capacity: request.capacity as usize,
-        zone: request.zone.clone(),
-        peers_digest: request.peers_digest,
-    }
-}
-
 fn granted_item(jobs: &BatchState, id: &ItemId) -> Option<GrantedItem> {
     let job = jobs.job(&id.job)?;
     Some(GrantedItem {
--- a/control-plane/server/src/pending_replies.rs
+++ b/control-plane/server/src/pending_replies.rs
@@ -6,8 +6,8 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// A call that has no reply after this time gets none. Longer than operations, reads and pulls take
-/// (2.5 s at most).
+/// A call that has no reply after this time gets none. Longer than the longest call takes: an operation and a read one after
+/// the other, 3.7 s.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Waiting<R> {
@@ -29,18 +29,20 @@
 impl<R> PendingReplies<R> {
     /// Submits a call under a new token with `submit`, and blocks until its reply; `None` where there is none in time.
     pub fn wait_for(&self, submit: impl FnOnce(Token)) -> Option<R> {
-        let registration = self.register();
-        submit(registration.token);
-        registration.reply.recv_timeout(REPLY_TIMEOUT).ok()
+        let (token, reply) = self.register();
+        submit(token);
+        let reply = reply.recv_timeout(REPLY_TIMEOUT).ok();
+        self.lock().senders.remove(&token);
+        reply
     }
 
-    fn register(&self) -> Registration<'_, R> {
+    fn register(&self) -> (Token, Receiver<R>) {
         let (sender, reply) = sync_channel(1);
         let mut waiting = self.lock();
         waiting.last_token += 1;
         let token = waiting.last_token;
         waiting.senders.insert(token, sender);
-        Registration { replies: self, token, reply }
+        (token, reply)
     }
 
     /// Delivers the reply to the call with this token.
@@ -56,16 +58,3 @@
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
-
-/// A call in the table, for as long as its thread waits.
-struct Registration<'a, R> {
-    replies: &'a PendingReplies<R>,
-    token: Token,
-    reply: Receiver<R>,
-}
-
-impl<R> Drop for Registration<'_, R> {
-    fn drop(&mut self) {
-        self.replies.lock().senders.remove(&self.token);
-    }
-}
--- a/control-plane/simulation/src/main.rs
+++ b/control-plane/simulation/src/main.rs
@@ -3,6 +3,7 @@
 mod flags;
 
 use flags::{Days, MarblecroftSimulation, MarblecroftSimulationCmd, Replay, Search};
+use marblecroft_logging::{LogConfig, LogFormat};
 use marblecroft_simulation::runner;
 use marblecroft_simulation::scenarios::{fault_variants, scenario, Template};
 use marblecroft_simulation::{ClusterSpec, Plan};
@@ -39,6 +40,23 @@
     }
 }
 
+/// Returns the cluster that flags describe.
+fn spec(
+    seed: u64,
+    coordinators: Option<usize>,
+    stores: Option<usize>,
+    tolerated: Option<usize>,
+    without_disk: Option<usize>,
+) -> ClusterSpec {
+    ClusterSpec {
+        seed,
+        coordinators: coordinators.unwrap_or(DEFAULT_COORDINATORS),
+        stores: stores.unwrap_or(DEFAULT_STORES),
+        tolerated_machines: tolerated.unwrap_or(DEFAULT_TOLERATED),
+        diskless_coordinators: without_disk.unwrap_or(0),
+    }
+}
+
 /// What a search has found so far.
 #[derive(Default)]
 struct SearchResults {
@@ -70,13 +88,7 @@
 /// Runs seeds on several threads, and prints what they found.
 fn search(flags: &Search) -> ExitCode {
     let (from, seeds) = (flags.from.unwrap_or(1), flags.seeds.unwrap_or(DEFAULT_SEEDS));
-    let spec = ClusterSpec {
-        seed: from,
-        coordinators: flags.coordinators.unwrap_or(DEFAULT_COORDINATORS),
-        stores: flags.stores.unwrap_or(DEFAULT_STORES),
-        tolerated_machines: flags.tolerated.unwrap_or(DEFAULT_TOLERATED),
-        diskless_coordinators: flags.without_disk.unwrap_or(0),
-    };
+    let spec = spec(from, flags.coordinators, flags.stores, flags.tolerated, flags.without_disk);
     let (next, results) = (AtomicU64::new(from), Mutex::new(SearchResults::default()));
     let started_at = Instant::now();
     std::thread::scope(|scope| {
@@ -126,14 +138,9 @@
 
 /// Runs one seed with its log.
 fn replay(flags: &Replay) -> ExitCode {
-    marblecroft_logging::init("simulation", marblecroft_logging::LogConfig::default());
-    let spec = ClusterSpec {
-        seed: flags.seed,
-        coordinators: flags.coordinators.unwrap_or(DEFAULT_COORDINATORS),
-        stores: flags.stores.unwrap_or(DEFAULT_STORES),
-        tolerated_machines: flags.tolerated.unwrap_or(DEFAULT_TOLERATED),
-        diskless_coordinators: flags.without_disk.unwrap_or(0),
-    };
+    let log = LogConfig { format: LogFormat::TextWithFields, ..LogConfig::default() };
+    marblecroft_logging::init("simulation", log);
+    let spec = spec(flags.seed, flags.coordinators, flags.stores, flags.tolerated, flags.without_disk);
     let verdict = runner::run(spec, &Plan::draw(&spec));
     verdict.violations.iter().for_each(|violation| println!("FOUND {violation}"));
     exit_code(verdict.violations.is_empty())
--- a/control-plane/simulation/src/runner.rs
+++ b/control-plane/simulation/src/runner.rs
@@ -13,7 +13,7 @@
 /// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// The violations, in the order in which they were found; empty if the run passed.
+    /// The violations, by checker, in the order in which each found them; empty if the run passed.
     pub violations: Vec<String>,
     /// A digest of the instants of all events, equal for equal runs.
     pub trace: u64,
--- a/control-plane/wal/src/error.rs
+++ b/control-plane/wal/src/error.rs
@@ -9,8 +9,8 @@
     /// [`get_ref`](io::Error::get_ref) is this error.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum WalError {
-        /// The segment of this number is of this version of the format, which this program does not read. It is not treated as empty, since the member would come
-        /// back without what it had acknowledged.
+        /// The segment of this number is of this version of the format, which this program does not read. It is not treated
+        /// as empty, since the member would come back without what it had acknowledged.
         UnknownFormat(segment: u64, version: u8) {
             display("segment {} has format {}, and this program reads format {}", segment, version, VERSION)
         }
