--- a/data-plane/gateway/src/batch_runner/item.rs
+++ b/data-plane/gateway/src/batch_runner/item.rs
@@ -102,13 +102,13 @@
                 sleep(NO_CAPACITY_BACKOFF).await;
                 continue;
             };
-            match self.attempt(&server).await {
+            attempted.push(server.id.clone());
+            match self.attempt(server).await {
                 AttemptOutcome::Complete => return ItemOutcome::Completed(self.event_data.join("\n")),
                 AttemptOutcome::Impossible => return ItemOutcome::DeadLettered,
                 AttemptOutcome::Failed => self.failures += 1,
                 AttemptOutcome::Retry => {}
             }
-            attempted.push(server.id);
             sleep(FAILURE_BACKOFF).await;
         }
     }
@@ -163,10 +163,11 @@
     }
 
     /// Makes one attempt at `server`.
-    async fn attempt(&mut self, server: &Server) -> AttemptOutcome {
+    async fn attempt(&mut self, server: Server) -> AttemptOutcome {
         let gateway = self.gateway.clone();
         let Some(request) = self.upstream_request() else { return AttemptOutcome::Impossible };
-        let _in_flight = InFlightAttempt::new(&gateway, server.clone(), &self.prompt);
+        let in_flight = InFlightAttempt::new(&gateway, server, &self.prompt);
+        let server = in_flight.server();
         let may_send = || gateway.balancer.borrow().is_available(&server.id);
         match timeout(FRAME_TIMEOUT, gateway.pool.send(server, &request, may_send)).await {
             Ok(Ok(response)) => self.on_response(server, response).await,
@@ -206,12 +207,12 @@
     async fn collect_events(&mut self, server: &Server, mut stream: EventStream) -> AttemptOutcome {
         loop {
             match stream.next(FRAME_TIMEOUT).await {
-                StreamStep::Events { events, is_overlong } => {
-                    for event in events {
+                StreamStep::Frame => {
+                    while let Some(event) = stream.next_event() {
                         self.event_data.push(event.data);
                         self.last_event_id = event.id.or(self.last_event_id);
                     }
-                    if is_overlong {
+                    if stream.is_overlong() {
                         return AttemptOutcome::Retry;
                     }
                 }
--- a/data-plane/gateway/src/live/streaming.rs
+++ b/data-plane/gateway/src/live/streaming.rs
@@ -67,8 +67,8 @@
                 step = stream.next(frame_timeout) => step,
                 () = chunks.closed() => return StreamEnd::ClientDisconnected,
             };
-            let (events, is_overlong) = match step {
-                StreamStep::Events { events, is_overlong } => (events, is_overlong),
+            match step {
+                StreamStep::Frame => {}
                 StreamStep::Complete => {
                     let max_connections = self.max_connections();
                     self.gateway.pool.put_back(attempt.server(), connection, &head.headers, max_connections);
@@ -79,13 +79,13 @@
                     self.gateway.record_outcome(attempt.server(), ServerOutcome::Failed);
                     return StreamEnd::Broken;
                 }
-            };
+            }
             let mut bytes = Vec::new();
-            for event in events {
+            while let Some(event) = stream.next_event() {
                 bytes.extend_from_slice(&event.bytes);
                 *last_event = event.id.or(*last_event);
             }
-            if is_overlong {
+            if stream.is_overlong() {
                 return StreamEnd::Broken;
             }
             if bytes.is_empty() {
--- a/data-plane/gateway/src/server/mod.rs
+++ b/data-plane/gateway/src/server/mod.rs
@@ -3,8 +3,8 @@
 //! A connection passes here in this order: `listener` accepts it, [`serve_connection`] reads its requests one after the
 //! other, each is buffered completely, and `dispatch` hands it on by its path or route.
 //!
-//! The drain after SIGTERM has three steps, in this order: readiness fails, while connections are still accepted until the
-//! platform has noticed; the listener closes, and each response asks its client to close the connection; the process ends
+//! The drain after SIGTERM has three steps, in this order: readiness fails and each response asks its client to close the
+//! connection, while connections are still accepted until the platform has noticed; the listener closes; the process ends
 //! when no request is in flight, or shortly before it would be killed.
 
 mod dispatch;
--- a/data-plane/gateway/src/upstream/attempt.rs
+++ b/data-plane/gateway/src/upstream/attempt.rs
@@ -12,7 +12,7 @@
 /// The time in which a connection must be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A request as it is sent to a server; the same for each attempt.
+/// A request as it is sent to servers; between attempts only its headers change.
 #[derive(Clone)]
 pub struct UpstreamRequest {
     /// The method.
--- a/data-plane/gateway/src/upstream/event_stream.rs
+++ b/data-plane/gateway/src/upstream/event_stream.rs
@@ -8,13 +8,8 @@
 
 /// What one frame of the body brought.
 pub enum StreamStep {
-    /// The events that the frame completed; often none.
-    Events {
-        /// In order.
-        events: Vec<ServerSentEvent>,
-        /// Whether the event that has begun is too long, so that the stream is to be given up.
-        is_overlong: bool,
-    },
+    /// A frame, which may have completed events: [`EventStream::next_event`] returns them.
+    Frame,
     /// The stream ended after a complete event.
     Complete,
     /// The stream ended inside an event, or the connection broke off.
@@ -35,8 +30,8 @@
         EventStream { body, splitter: EventSplitter::default() }
     }
 
-    /// Waits for the next frame, for `frame_timeout` at most. Dropping the future loses nothing: a frame is split in the
-    /// same poll that receives it.
+    /// Reads the next frame; waits for it for `frame_timeout` at most. Dropping the future loses nothing: a
+    /// frame is buffered in the same poll that receives it.
     pub async fn next(&mut self, frame_timeout: Duration) -> StreamStep {
         let data = match timeout(frame_timeout, self.body.frame()).await {
             Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
@@ -45,7 +40,17 @@
             Err(_) => return StreamStep::TimedOut,
         };
         self.splitter.push(&data);
-        let events = std::iter::from_fn(|| self.splitter.next_event()).collect();
-        StreamStep::Events { events, is_overlong: self.splitter.is_overlong() }
+        StreamStep::Frame
+    }
+
+    /// Returns the next event that the frames so far have completed.
+    pub fn next_event(&mut self) -> Option<ServerSentEvent> {
+        self.splitter.next_event()
+    }
+
+    /// Returns whether the event that has begun is too long, so that the stream is to be given up. All complete events must
+    /// have been taken.
+    pub fn is_overlong(&self) -> bool {
+        self.splitter.is_overlong()
     }
 }
--- a/data-plane/gateway/src/upstream/pool.rs
+++ b/data-plane/gateway/src/upstream/pool.rs
@@ -11,7 +11,7 @@
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, CONNECTION};
 use marblecroft_protocol::servers::Server;
-use marblecroft_transport::connection::ClientConnection as TransportLink;
+use marblecroft_transport::connection::ClientConnection;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use std::time::{Duration, Instant};
 
 /// A connection to a model server.
-pub type Connection = TransportLink<Full<Bytes>>;
+pub type Connection = ClientConnection<Full<Bytes>>;
 
 /// A connection rests this long after a response before it is used again: some servers send a response twice, and the second
 /// one would be taken for the response to the next request.
