--- a/quota-gateway/core/src/decisions.rs
+++ b/quota-gateway/core/src/decisions.rs
@@ -1,11 +1,12 @@
 //! All decisions of a gateway, by concern. Its events, actions and settings are in `api.rs`.
 //!
-//! In the order in which a request meets them: [`admission`] (quota by the metered slice in [`quota`], load shedding in
-//! [`load_shedding`]), [`load_balancing`] (over [`server_list`], within [`in_flight_limits`] and [`retry_constraint`]),
-//! [`attempts`] and [`outcomes`]; [`step`] is periodic.
+//! In the order in which a request meets them: [`admission`] (quota by the metered slice in [`quota`], load
+//! shedding in [`load_shedding`]), [`load_balancing`] (over [`server_list`], within [`in_flight_limits`] and
+//! [`retry_constraint`]), [`attempts`] and [`outcomes`]; [`step`] is periodic.
 //!
-//! "Kasera" is Kasera et al., "Robust Multiclass Signaling Overload Control" (ICNP 2005); "design" is the operators' design
-//! page, "ours" a constant chosen here, and "Departure" marks where the code departs from either.
+//! "Kasera" is Kasera et al., "Robust Multiclass Signaling Overload Control" (ICNP 2005); "design" is the
+//! operators' design page, "ours" a constant chosen here, and "Departure" marks where the code departs from
+//! either.
 
 mod admission;
 mod attempts;
@@ -39,8 +40,8 @@
 const LATENCY_WEIGHT: f64 = 0.08;
 /// A lost attempt is retried, and counts as latency no more, after this many times what is doubted (ours) ...
 const LOST_IS_RETRIED: f64 = 1.0;
-/// ... and takes no capacity any more after this many (ours: what runs on after all is load, and a needless retry costs less
-/// than a jam).
+/// ... and takes no capacity any more after this many (ours: what runs on after all is load, and a needless
+/// retry costs less than a jam).
 const LOST_FREES_CAPACITY: f64 = 2.0;
 /// Least time left for an attempt, in the mean latencies of its class and of the server (ours).
 const MIN_TIME_LEFT: f64 = 0.5;
@@ -151,8 +152,8 @@
         Some(customer)
     }
 
-    /// Handles one event, and appends what is to be done about it. Time never goes back: an earlier `now` counts as the
-    /// latest one.
+    /// Handles one event, and appends what is to be done about it. Time never goes back: an earlier `now`
+    /// counts as the latest one.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if !std::mem::replace(&mut self.running, true) {
--- a/quota-gateway/core/src/decisions/admission.rs
+++ b/quota-gateway/core/src/decisions/admission.rs
@@ -1,8 +1,8 @@
 //! Admission: whether a request is let in, and what a rejected one is advised.
 //!
-//! In this order: the time that is left for an answer, the customer's quota and rate limit, the placement that was decided on
-//! for the fleet, load shedding by value, and at last whether a server may take it. A rejection costs no more than what was
-//! looked at so far.
+//! In this order: the time that is left for an answer, the customer's quota and rate limit, the placement
+//! that was decided on for the fleet, load shedding by value, and at last whether a server may take it. A
+//! rejection costs no more than what was looked at so far.
 
 use super::quota::QuotaRequest;
 use super::request::Request;
@@ -11,10 +11,12 @@
 use crate::arithmetic::{ewma, sanitize};
 use std::time::Duration;
 
-/// A client that waits for less than this share of what first attempts of the class are given has the rest of the class's
-/// deadline left and no more (ours: what the way here takes off a wait is less than the difference).
+/// A client that waits for less than this share of what first attempts of the class are given has the rest of
+/// the class's deadline left and no more (ours: what the way here takes off a wait is less than the
+/// difference).
 const FIRST_TRY_WAIT_SHARE: f64 = 0.97;
-/// Most that a rejection advises to wait, in latency targets (ours: clients come back up to three times, within the target).
+/// Most that a rejection advises to wait, in latency targets (ours: clients come back up to three times,
+/// within the target).
 const RETRY_ADVICE_SHARE: f64 = 0.25;
 /// What each first attempt adds to the retry budget, which is in attempts ...
 const RETRY_BUDGET_DEPOSIT: f64 = 0.1;
@@ -93,12 +95,13 @@
         let plan_share = 1.0 / (1.0 + cost * (used * used - 1.0).max(0.0));
         let meter_period = self.settings.meter_period.as_secs_f64();
         let customer = self.customer(new.customer, new.plan, new.gateways)?;
-        // Departure: a customer's last units are left to the most valuable class, as value decides under load too. Hurts the
-        // other classes; the least slice's bucket, when full, lets them in all the same.
+        // Departure: a customer's last units are left to the most valuable class, as value decides under load
+        // too. Hurts the other classes; the least slice's bucket, when full, lets them in all the same.
         let scaled = units * highest_value / sanitize(class.value).max(1e-9);
         let needed = scaled.min(plan.burst / customer.gateways).max(units);
-        // Departure: a retry was rejected, maybe where its quota is known to be used. Where nothing is known of its customer
-        // it is no first request, or each of many gateways would let in what another has rejected.
+        // Departure: a retry was rejected, maybe where its quota is known to be used. Where nothing is known
+        // of its customer it is no first request, or each of many gateways would let in what another has
+        // rejected.
         let counted_before = if new.is_retry && customer.meter.is_none() { units } else { 0.0 };
         customer.demand.add(now, counted_before);
         let request = QuotaRequest { units: needed, meter_period, chance, plan_share };
@@ -132,8 +135,8 @@
     ) {
         let (now, class_index, deadline) = (self.now, request.class, request.deadline);
         let Some(server) = self.choose_server(&request).filter(|_| deadline > now) else {
-            // No capacity under the bounds counts like a server's rejection (design): the admitted fraction falls, and value
-            // decides.
+            // No capacity under the bounds counts like a server's rejection (design): the admitted fraction
+            // falls, and value decides.
             let late = class.deadline.as_secs_f64() / self.latency_target(class_index);
             let cost = self.relative_cost(class_index);
             self.shedder.record_latency(1.0, cost, late);
@@ -148,8 +151,8 @@
         self.send_attempt(id, server, actions);
     }
 
-    /// Seconds that the client has waited already, as far as it can be known: the class's deadline spans all its tries, so a
-    /// retry that is given less than a first try of its class is given what is left of it.
+    /// Seconds that the client has waited already, as far as it can be known: the class's deadline spans all
+    /// its tries, so a retry that is given less than a first try of its class is given what is left of it.
     fn time_already_waited(&mut self, new: &NewRequest) -> f64 {
         let wait = new.deadline.since(self.now);
         let longest = &mut self.longest_first_wait[new.class.0];
@@ -162,8 +165,8 @@
         (self.settings.classes[new.class.0].deadline.as_secs_f64() - wait).max(0.0)
     }
 
-    /// Seconds after which a client can come back while its answer is still worth something: after the class's latency target
-    /// it would only ask in vain.
+    /// Seconds after which a client can come back while its answer is still worth something: after the
+    /// class's latency target it would only ask in vain.
     pub(super) fn retry_advice(&self, class: usize) -> f64 {
         RETRY_ADVICE_SHARE * self.latency_target(class)
     }
--- a/quota-gateway/core/src/decisions/attempts.rs
+++ b/quota-gateway/core/src/decisions/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts of a request: sent, looked at again, retried, given up.
 //!
-//! Retries are load, so they are budgeted (a retry budget), and sent only while an answer can still come within the latency
-//! target and the class allows it.
+//! Retries are load, so they are budgeted (a retry budget), and sent only while an answer can still come
+//! within the latency target and the class allows it.
 
 use super::request::{Attempt, Request};
 use super::server::{InFlightAttempt, Server, DOUBT_LATENCIES, MIN_DOUBT_TARGET_SHARE};
@@ -13,10 +13,10 @@
 
 /// Times that an attempt is looked at again within the time after which its server is doubted (ours).
 const CHECKS_PER_TIMEOUT: f64 = 8.0;
-/// What a retry after a broken connection takes from the budget, where another one takes 1 (ours: half of the first attempts
-/// may need one). A break comes at once and is no sign of load, as a rejection or a time-out is. Covers networks and servers
-/// that cut connections, as restarts do; hurts where overloaded servers cut them, which the limits on attempts in flight must
-/// then hold alone.
+/// What a retry after a broken connection takes from the budget, where another one takes 1 (ours: half of the
+/// first attempts may need one). A break comes at once and is no sign of load, as a rejection or a time-out
+/// is. Covers networks and servers that cut connections, as restarts do; hurts where overloaded servers cut
+/// them, which the limits on attempts in flight must then hold alone.
 const BROKEN_CONNECTION_RETRY_COST: f64 = 0.2;
 
 impl Gateway {
@@ -124,7 +124,8 @@
         }
     }
 
-    /// Sends another attempt, if the class allows it, the budget holds it and it can come in time. Returns whether it did.
+    /// Sends another attempt, if the class allows it, the budget holds it and it can come in time. Returns
+    /// whether it did.
     pub(super) fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         if !self.may_retry(id) {
             return false;
@@ -148,7 +149,8 @@
         })
     }
 
-    /// Gives the final answer when nothing more is tried: a rejection where another try is harmless, else a failure.
+    /// Gives the final answer when nothing more is tried: a rejection where another try is harmless, else a
+    /// failure.
     pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|r| r.open && !r.streaming) else { return };
         let effect = self.settings.classes[request.class].effect;
@@ -162,8 +164,8 @@
         self.finish_request(id, None, actions);
     }
 
-    /// Looks at an attempt that has taken long: if its server answers nothing or has lost it, the request moves on; else it is
-    /// looked at again, as either may show later and the budget may fill.
+    /// Looks at an attempt that has taken long: if its server answers nothing or has lost it, the request
+    /// moves on; else it is looked at again, as either may show later and the budget may fill.
     pub(super) fn check_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|r| r.open && !r.streaming) else { return };
         let Some(last) = request.attempts.last().filter(|attempt| attempt.end.is_none()) else { return };
--- a/quota-gateway/core/src/decisions/in_flight_limits.rs
+++ b/quota-gateway/core/src/decisions/in_flight_limits.rs
@@ -1,16 +1,18 @@
 //! How many attempts may be in flight, at one server from this gateway and at all servers from all gateways.
 //!
-//! By Little's law, what a server answers a second times the time that an answer may take is what it can hold. Many gateways
-//! with one attempt each at every server are a jam too, so the sum is bounded by all answers together, and not by the larger
-//! of two bounds at each server.
+//! By Little's law, what a server answers a second times the time that an answer may take is what it can
+//! hold. Many gateways with one attempt each at every server are a jam too, so the sum is bounded by all
+//! answers together, and not by the larger of two bounds at each server.
 
 use super::request::Request;
 use super::{Gateway, LOST_FREES_CAPACITY};
 use crate::arithmetic::{ewma, sanitize};
 
-/// Attempts that all gateways together may always have in flight at a server (ours); beyond, its answer rate bounds them ...
+/// Attempts that all gateways together may always have in flight at a server (ours); beyond, its answer rate
+/// bounds them ...
 const MIN_IN_FLIGHT_PER_SERVER: f64 = 3.0;
-/// ... at what it answers in this share of the mean latency target, twice for the most valuable classes (ours) ...
+/// ... at what it answers in this share of the mean latency target, twice for the most valuable classes
+/// (ours) ...
 const SERVER_TARGET_SHARE: f64 = 0.08;
 /// ... and all servers together at what they answer in this share, as one may be busier than the rest (ours).
 const TOTAL_TARGET_SHARE: f64 = 0.12;
@@ -67,10 +69,8 @@
         let mut totals = Totals { in_flight: 0.0, answers_per_sec: 0.0, relative_capacity: 0.0 };
         for server in self.usable_servers() {
             // A lost attempt is no work, and would take capacity of the others until its deadline.
-            let counts = |attempt: &&super::server::InFlightAttempt| {
-                !attempt.body_in_transit && !attempt.is_lost(self.now, LOST_FREES_CAPACITY)
-            };
-            let here = server.in_flight.iter().filter(counts).count();
+            let attempts = server.in_flight.iter();
+            let here = attempts.filter(|attempt| attempt.is_work(self.now, LOST_FREES_CAPACITY)).count();
             totals.in_flight += here as f64 + f64::from(server.elsewhere);
             totals.answers_per_sec += server.answer_rate.get(self.now);
             totals.relative_capacity += server.relative_capacity(mean_capacity);
--- a/quota-gateway/core/src/decisions/load_balancing.rs
+++ b/quota-gateway/core/src/decisions/load_balancing.rs
@@ -1,8 +1,9 @@
 //! Load balancing: which server the next attempt of a request goes to.
 //!
-//! Of the servers that may take it, the one with the lowest cost: its slowness against its class, times its load, times
-//! penalties for failures, for crossing zones, for a second attempt at the same server, for servers outside of this gateway's
-//! subset and for servers that are warming up. A little chance keeps gateways that choose at the same moment apart.
+//! Of the servers that may take it, the one with the lowest cost: its slowness against its class, times its
+//! load, times penalties for failures, for crossing zones, for a second attempt at the same server, for
+//! servers outside of this gateway's subset and for servers that are warming up. A little chance keeps
+//! gateways that choose at the same moment apart.
 
 use super::in_flight_limits::InFlightLimits;
 use super::request::Request;
@@ -13,8 +14,8 @@
 use crate::failure_rate::FailureRate;
 use std::collections::BTreeMap;
 
-/// Weight of failures in the cost (ours: a server that fails is the last resort). By server and class, as one class may fail
-/// where the others are served and their answers clear nothing; by zone for connections.
+/// Weight of failures in the cost (ours: a server that fails is the last resort). By server and class, as one
+/// class may fail where the others are served and their answers clear nothing; by zone for connections.
 const FAILURE_COST_WEIGHT: f64 = 40.0;
 /// Weight of the price of crossing zones (ours).
 const CROSS_ZONE_COST_WEIGHT: f64 = 4.0;
@@ -26,8 +27,9 @@
 const OUTSIDE_SUBSET_COST: f64 = 3.0;
 /// Factor for a server that is warming up and is due its share (ours).
 const WARMING_UP_COST: f64 = 0.5;
-/// Attempts that a server may always have in flight from this gateway (ours: its equal share would be one at each server,
-/// which a gateway with more than its share of the traffic has in flight by chance; the bound on the sum holds as before).
+/// Attempts that a server may always have in flight from this gateway (ours: its equal share would be one at
+/// each server, which a gateway with more than its share of the traffic has in flight by chance; the bound on
+/// the sum holds as before).
 const MIN_IN_FLIGHT_FROM_HERE: f64 = 2.0;
 
 /// What a choice is made by, alike for all servers.
@@ -58,28 +60,43 @@
     id: ServerId,
 }
 
+/// How much a server can take, and what it has.
+struct ServerLoad {
+    /// Its capacity against the mean of the usable servers.
+    capacity: f64,
+    /// The part of its capacity that it has while it warms up; 1 once it is warm.
+    warm_share: f64,
+    /// The attempts that it has in flight.
+    in_flight: f64,
+}
+
 impl Choice<'_> {
+    fn load_of(&self, server: &Server) -> ServerLoad {
+        ServerLoad {
+            capacity: server.relative_capacity(self.mean_capacity),
+            warm_share: server.warm_share(self.now, self.settings),
+            in_flight: server.in_flight_count(),
+        }
+    }
+
     /// Whether a server may take one more attempt. Takes a warming-up server's tokens into account.
-    fn admits(&self, server: &mut Server) -> bool {
-        let capacity = server.relative_capacity(self.mean_capacity);
-        let warm_share = server.warm_share(self.now, self.settings);
+    fn admits(&self, server: &mut Server, load: &ServerLoad) -> bool {
         let limit = (self.limits.horizon_secs * server.answer_rate.get(self.now))
-            .max(self.limits.min_per_server * capacity)
+            .max(self.limits.min_per_server * load.capacity)
             .max(MIN_IN_FLIGHT_FROM_HERE);
-        if server.in_flight_count() >= limit {
+        if load.in_flight >= limit {
             return false;
         }
-        let rate = self.warm_rate * capacity * warm_share;
-        warm_share >= 1.0 || server.admits_during_slow_start(self.now, rate, self.settings)
+        let rate = self.warm_rate * load.capacity * load.warm_share;
+        load.warm_share >= 1.0 || server.admits_during_slow_start(self.now, rate, self.settings)
     }
 
     fn failures(&self, rate: Option<&FailureRate>) -> f64 {
         rate.map_or(0.0, |rate| rate.get(self.now, SLOWNESS_HALF_LIFE_SECS))
     }
 
-    fn candidate(&self, server: &Server, chance: f64) -> Candidate {
-        let capacity = server.relative_capacity(self.mean_capacity);
-        let warm_share = server.warm_share(self.now, self.settings);
+    fn candidate(&self, server: &Server, load: &ServerLoad, chance: f64) -> Candidate {
+        let ServerLoad { capacity, warm_share, in_flight } = *load;
         let kind = self.machine_kinds.get(&server.info.kind).map_or(1.0, |kind| kind.slowness);
         let unanswered = server
             .in_flight
@@ -89,8 +106,7 @@
         let slowness = server.slowness(self.now, kind).max(unanswered_secs / self.typical_latency);
         let failures = self.failures(server.failures.get(&self.request.class))
             + self.failures(self.zone_connect_failures.get(&server.info.zone));
-        let load =
-            1.0 + (server.in_flight_count() + server.decayed_queue(self.now)) / (capacity * warm_share);
+        let load = 1.0 + (in_flight + server.decayed_queue(self.now)) / (capacity * warm_share);
         let is_local = server.info.zone == self.settings.zone || self.lane.is_some();
         let cross_zone = if is_local { 0.0 } else { sanitize(self.settings.cross_zone_price) };
         let was_attempted = self.request.attempts.iter().any(|attempt| attempt.server == server.info.id);
@@ -114,8 +130,8 @@
 }
 
 impl Gateway {
-    /// Returns the server for a request's next attempt, if any may take it. A first attempt goes by the shares of zones that
-    /// were decided on for the fleet.
+    /// Returns the server for a request's next attempt, if any may take it. A first attempt goes by the
+    /// shares of zones that were decided on for the fleet.
     pub(super) fn choose_server(&mut self, request: &Request) -> Option<ServerId> {
         if self.zone_lanes.is_empty()
             || !request.attempts.is_empty()
@@ -157,11 +173,14 @@
             let info = &server.info;
             let is_usable = info.lifecycle == Lifecycle::Running && !self.disabled.contains_key(&info.id);
             let is_open = lane.map_or(self.zone_lanes.is_open(info.zone), |lane| lane == info.zone);
-            let may_go = is_usable && is_open && fits(info);
-            if !may_go || !choice.admits(server) {
+            if !(is_usable && is_open && fits(info)) {
+                continue;
+            }
+            let load = choice.load_of(server);
+            if !choice.admits(server, &load) {
                 continue;
             }
-            let candidate = choice.candidate(server, chance);
+            let candidate = choice.candidate(server, &load, chance);
             if best.as_ref().is_none_or(|best| candidate.cost < best.cost) {
                 best = Some(candidate);
             }
@@ -169,8 +188,8 @@
         best.filter(|best| self.is_hopeful(request, best)).map(|best| best.id)
     }
 
-    /// Whether an attempt at this server can still be of use. A first attempt may go to a slow server that answers: that
-    /// shows when it has recovered.
+    /// Whether an attempt at this server can still be of use. A first attempt may go to a slow server that
+    /// answers: that shows when it has recovered.
     fn is_hopeful(&self, request: &Request, server: &Candidate) -> bool {
         if request.attempts.is_empty() {
             return !server.is_doubted;
@@ -185,9 +204,9 @@
         total / f64::max(count, 1.0)
     }
 
-    /// What a warm server of mean capacity is sent a second when each server gets its share; a mean over all servers would
-    /// fall with those that are warming up. Before warming-up servers alone the demand counts as well: by what is sent, which
-    /// is nothing, they would wait for ever.
+    /// What a warm server of mean capacity is sent a second when each server gets its share; a mean over all
+    /// servers would fall with those that are warming up. Before warming-up servers alone the demand counts
+    /// as well: by what is sent, which is nothing, they would wait for ever.
     fn warm_rate(&self, mean_capacity: f64) -> f64 {
         let now = self.now;
         let age = now.since(self.started_at.unwrap_or(now)).clamp(1.0, RATE_TIME_CONSTANT_SECS);
--- a/quota-gateway/core/src/decisions/load_shedding.rs
+++ b/quota-gateway/core/src/decisions/load_shedding.rs
@@ -1,8 +1,8 @@
 //! Load shedding: overload detection, allocation and throttling (Kasera IV-B2, IV-C, IV-D).
 //!
-//! A loop steers the fraction of demand that is admitted so that the servers' occupancy stays at a target. What is not
-//! admitted is taken from the priorities of the lowest value first. The loop needs samples of occupancy or latency: where
-//! hardly anything is answered it moves slowly, and chance moves it.
+//! A loop steers the fraction of demand that is admitted so that the servers' occupancy stays at a target.
+//! What is not admitted is taken from the priorities of the lowest value first. The loop needs samples of
+//! occupancy or latency: where hardly anything is answered it moves slowly, and chance moves it.
 
 use crate::arithmetic::ewma;
 use serde::{Deserialize, Serialize};
@@ -119,11 +119,13 @@
         sample.weight += weight;
     }
 
-    /// Assesses the load at the end of a step (Kasera IV-B2). `reported` is the occupancy that the servers report, where they
-    /// do; `lag` is the time in seconds in which the servers' answers show a change; `idle`: nothing is in flight.
+    /// Assesses the load at the end of a step (Kasera IV-B2). `reported` is the occupancy that the servers
+    /// report, where they do; `lag` is the time in seconds in which the servers' answers show a change;
+    /// `idle`: nothing is in flight.
     ///
-    /// Departure: a sample is an interval that holds enough answers, so that k samples mean the same at a gateway that gets
-    /// one answer a second; else chance would move the fraction, and as it ends at 1, only down.
+    /// Departure: a sample is an interval that holds enough answers, so that k samples mean the same at a
+    /// gateway that gets one answer a second; else chance would move the fraction, and as it ends at 1, only
+    /// down.
     pub fn assess(&mut self, reported: Option<f64>, lag: f64, idle: bool) {
         self.steps += 1;
         self.seconds_without_sample += STEP_SECS;
@@ -132,8 +134,8 @@
         let open = &mut self.samples[SAMPLE_COUNT - 1];
         open.span += STEP_SECS;
         let span = open.span;
-        // What is shed here nobody answers: with fewer admitted, fewer answers are enough, or the fraction would stay where
-        // it is for want of the answers that it keeps from coming.
+        // What is shed here nobody answers: with fewer admitted, fewer answers are enough, or the fraction
+        // would stay where it is for want of the answers that it keeps from coming.
         let is_full = open.count >= (MIN_ANSWERS_PER_SAMPLE * self.admitted_fraction).max(1.0);
         if let Some(occupancy) = occupancy.filter(|_| is_full) {
             let is_comparable = reported.is_some() && admitted_rate > 0.0;
@@ -142,7 +144,8 @@
                 self.update_threshold(TARGET_OCCUPANCY * admitted_rate / occupancy);
             }
         } else if idle && self.has_starved(lag) {
-            // Departure: all demand is shed and nothing is in flight, so no sample can ever raise the fraction again.
+            // Departure: all demand is shed and nothing is in flight, so no sample can ever raise the
+            // fraction again.
             self.admitted_fraction /= TARGET_OCCUPANCY;
         }
         self.admitted_fraction = self.admitted_fraction.clamp(MIN_ADMITTED_FRACTION, 1.0);
@@ -162,7 +165,8 @@
         self.sum(|sample| sample.sent) / self.sum(|sample| sample.span).max(STEP_SECS)
     }
 
-    /// The occupancy: the larger one of what is reported and what the latencies show. `None` where neither shows any.
+    /// The occupancy: the larger one of what is reported and what the latencies show. `None` where neither
+    /// shows any.
     fn occupancy(&self, reported: Option<f64>) -> Option<f64> {
         let weight = self.sum(|sample| sample.weight);
         let by_latency = (weight > 0.0).then(|| TARGET_OCCUPANCY * self.sum(|sample| sample.late) / weight);
@@ -173,14 +177,15 @@
     fn correct(&mut self, occupancy: f64, admitted_rate: f64, is_comparable: bool, span: f64, lag: f64) {
         let mut ratio = TARGET_OCCUPANCY / occupancy;
         if let Some(threshold) = self.acceptance_threshold.filter(|_| is_comparable) {
-            // Departure: the threshold is learnt at this gateway's share of the traffic, so it cuts only while the occupancy
-            // agrees; else traffic that a crash shifted here would be rejected for it.
+            // Departure: the threshold is learnt at this gateway's share of the traffic, so it cuts only
+            // while the occupancy agrees; else traffic that a crash shifted here would be rejected for it.
             if occupancy > TARGET_OCCUPANCY {
                 ratio = ratio.min(threshold / admitted_rate);
             }
         }
-        // Departure: a step moves the fraction by the part of the correction that the servers can have answered to within the
-        // step. Guards against swings when answers take many steps; hurts by a later cut.
+        // Departure: a step moves the fraction by the part of the correction that the servers can have
+        // answered to within the step. Guards against swings when answers take many steps; hurts by a later
+        // cut.
         self.admitted_fraction *= ratio.powf(span / (span + lag));
     }
 
--- a/quota-gateway/core/src/decisions/outcomes.rs
+++ b/quota-gateway/core/src/decisions/outcomes.rs
@@ -1,12 +1,13 @@
-//! Outcomes: what the end of an attempt teaches of its server, its customer and the load, and what follows for the request.
+//! Outcomes: what the end of an attempt teaches of its server, its customer and the load, and what follows
+//! for the request.
 
 use super::server::SLOWNESS_HALF_LIFE_SECS;
 use super::{Gateway, MachineKind, LATENCY_WEIGHT};
 use crate::api::{Action, AttemptNo, CustomerId, Outcome, RequestId, ServerId, Status, Time};
 use crate::arithmetic::{ewma, sanitize};
 
-/// Weight of a reading of the meter in the mean use of its plan's customers (ours: thirty answers, as a reading is of a
-/// request or two).
+/// Weight of a reading of the meter in the mean use of its plan's customers (ours: thirty answers, as a
+/// reading is of a request or two).
 const QUOTA_USE_WEIGHT: f64 = 0.03;
 /// Weight of an answer in its server's slowness (ours: a handful of answers) ...
 const SLOWNESS_WEIGHT: f64 = 0.2;
@@ -26,15 +27,16 @@
     units: f64,
     streaming: bool,
     body_in_flight: bool,
-    /// The attempt says nothing of its server: nothing was sent, or its client left. One that is silent ends as timed out.
+    /// The attempt says nothing of its server: nothing was sent, or its client left. One that is silent ends
+    /// as timed out.
     is_blameless: bool,
     /// It is the request's first success.
     is_first_success: bool,
 }
 
 impl Gateway {
-    /// Handles the beginning of a streamed answer, which is the server's answer. How long it lasts is up to its length and
-    /// the client.
+    /// Handles the beginning of a streamed answer, which is the server's answer. How long it lasts is up to
+    /// its length and the client.
     pub(super) fn on_stream_started(&mut self, id: RequestId, attempt: AttemptNo) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -142,7 +144,8 @@
         }
     }
 
-    /// Records what the attempt tells of its server: its load, and whether it fails a class or does not connect.
+    /// Records what the attempt tells of its server: its load, and whether it fails a class or does not
+    /// connect.
     fn record_server_outcome(&mut self, outcome: &Outcome, ended: &EndedAttempt, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(server) = self.servers.get_mut(&ended.server) else { return };
--- a/quota-gateway/core/src/decisions/quota.rs
+++ b/quota-gateway/core/src/decisions/quota.rs
@@ -1,8 +1,9 @@
-//! A customer's quota at this gateway: the slice of the rate by the meter, the attempts in flight, and the local part of the
-//! hard rate limit.
+//! A customer's quota at this gateway: the slice of the rate by the meter, the attempts in flight, and the
+//! local part of the hard rate limit.
 //!
-//! Several gateways serve one customer and do not talk to each other about it. Each has a slice of the quota, by its share of
-//! the use that the meter reports; the rate limit is kept by equal parts, since it must hold whatever the meter says.
+//! Several gateways serve one customer and do not talk to each other about it. Each has a slice of the quota,
+//! by its share of the use that the meter reports; the rate limit is kept by equal parts, since it must hold
+//! whatever the meter says.
 
 use super::server::RATE_TIME_CONSTANT_SECS;
 use crate::api::{Plan, PlanId, Time};
@@ -10,7 +11,8 @@
 use crate::rate::Rate;
 use serde::{Deserialize, Serialize};
 
-/// Share of a rate limit's slack that fresh gateways start with (ours: two rounds of restarts stay inside it).
+/// Share of a rate limit's slack that fresh gateways start with (ours: two rounds of restarts stay inside
+/// it).
 const INITIAL_SLACK_SHARE: f64 = 0.5;
 /// Seconds after which an idle customer is forgotten (design), and in which a reading of the meter fades.
 pub(crate) const CUSTOMER_TTL_SECS: f64 = 60.0;
@@ -107,8 +109,8 @@
 }
 
 impl CustomerQuota {
-    /// Returns the quota of a customer that was not known, at a gateway that started `age` seconds ago. The local part of
-    /// the rate limit starts empty but for some slack: an earlier process may have spent it.
+    /// Returns the quota of a customer that was not known, at a gateway that started `age` seconds ago. The
+    /// local part of the rate limit starts empty but for some slack: an earlier process may have spent it.
     pub(crate) fn new(plan: Plan, gateways: u32, now: Time, age: f64, meter_period: f64) -> CustomerQuota {
         let gateways = f64::from(gateways.max(1));
         let unmetered_slice = unmetered_slice(&plan, gateways, meter_period);
@@ -176,7 +178,8 @@
         self.refilled_at = now;
     }
 
-    /// The metered slice (design): the quota times the averaged share of the metered use, at least an equal part.
+    /// The metered slice (design): the quota times the averaged share of the metered use, at least an equal
+    /// part.
     pub(crate) fn recompute_slice(&mut self) {
         self.slice = self.share.max(1.0 / self.gateways);
     }
@@ -210,7 +213,8 @@
         }
     }
 
-    /// Departure: the chance of a request without a meter, by what was requested here and the seconds of quota that it takes.
+    /// Departure: the chance of a request without a meter, by what was requested here and the seconds of
+    /// quota that it takes.
     fn unmetered_chance(&self, now: Time, units: f64) -> f64 {
         let quiet = units + UNMETERED_QUIET_SECS * self.plan.rate;
         let seconds = units / self.plan.rate;
@@ -219,16 +223,18 @@
         alone.powi(UNMETERED_POWER) / (1.0 + UNMETERED_COST_WEIGHT * cost * seconds * seconds)
     }
 
-    /// Whether a request is within the rate: in the slice's bucket, or beyond it where the whole quota still holds it.
+    /// Whether a request is within the rate: in the slice's bucket, or beyond it where the whole quota still
+    /// holds it.
     pub(crate) fn is_within_rate(&self, now: Time, request: &QuotaRequest) -> bool {
         self.plan.rate <= 0.0
             || self.slice_tokens >= request.units
             || self.is_within_rate_beyond_slice(now, request)
     }
 
-    /// Departure: beyond the slice, but by the meter the customer's whole bucket still holds it. Each gateway takes of that by
-    /// chance, by what is requested here. A customer of whom nothing is known, and whose quota one request at each of its
-    /// gateways would pass while they remember it, is taken for its plan's mean one.
+    /// Departure: beyond the slice, but by the meter the customer's whole bucket still holds it. Each gateway
+    /// takes of that by chance, by what is requested here. A customer of whom nothing is known, and whose
+    /// quota one request at each of its gateways would pass while they remember it, is taken for its plan's
+    /// mean one.
     fn is_within_rate_beyond_slice(&self, now: Time, request: &QuotaRequest) -> bool {
         let QuotaRequest { units, meter_period, chance, plan_share } = *request;
         let demand = self.demand.get(now) / self.share.max(1.0 / self.gateways);
@@ -251,8 +257,8 @@
             return true;
         }
         let (limit, local) = (f64::from(self.plan.max_in_flight), self.in_flight_count());
-        // What the other gateways have in flight follows from their use and the latency (Little's law): one attempt at each
-        // of many gateways is beyond the limit, above all when answers slow down.
+        // What the other gateways have in flight follows from their use and the latency (Little's law): one
+        // attempt at each of many gateways is beyond the limit, above all when answers slow down.
         let others = if self.plan.rate > 0.0 { self.others_rate(now) * seconds } else { 0.0 };
         local + 1.0 <= (limit * self.share.max(0.5)).max(1.0) && local + 1.0 + others <= limit
     }
@@ -263,7 +269,8 @@
     meter_period <= 0.0 && plan.rate > 0.0 && plan.burst < gateways
 }
 
-/// Departure: without a meter, slices that hold no request are enlarged, by what a request beyond the quota costs.
+/// Departure: without a meter, slices that hold no request are enlarged, by what a request beyond the quota
+/// costs.
 fn unmetered_slice(plan: &Plan, gateways: f64, meter_period: f64) -> Option<f64> {
     let cost = sanitize(plan.over_quota_cost - plan.over_quota_value);
     let large = gateways.powf(-1.0 / (1.0 + 1.0 / cost));
--- a/quota-gateway/core/src/decisions/retry_constraint.rs
+++ b/quota-gateway/core/src/decisions/retry_constraint.rs
@@ -5,15 +5,16 @@
 use crate::api::{DeduplicationScope, Effect, Placement, ServerInfo, Time};
 
 impl Gateway {
-    /// When servers stop recognizing a retry of this request: nothing of it may begin from then on. `None` where the class
-    /// has no such window, or nothing can have been executed yet.
+    /// When servers stop recognizing a retry of this request: nothing of it may begin from then on. `None`
+    /// where the class has no such window, or nothing can have been executed yet.
     pub(super) fn deduplication_window_end(&self, request: &Request) -> Option<Time> {
         let Effect::Keyed { window, .. } = self.settings.classes[request.class].effect else { return None };
         let first = request.first_possibly_executed()?;
         Some(first.sent.after(window.saturating_sub(self.settings.tick)))
     }
 
-    /// Which servers the next attempt of a request may go to; `None` where the class allows no further attempt.
+    /// Which servers the next attempt of a request may go to; `None` where the class allows no further
+    /// attempt.
     pub(super) fn retry_constraint(&self, request: &Request) -> Option<impl Fn(&ServerInfo) -> bool + use<>> {
         let effect = self.settings.classes[request.class].effect;
         let group = match (effect, request.first_possibly_executed()) {
--- a/quota-gateway/core/src/decisions/server.rs
+++ b/quota-gateway/core/src/decisions/server.rs
@@ -11,8 +11,8 @@
 pub(crate) const SLOWNESS_HALF_LIFE_SECS: f64 = 6.0;
 /// Seconds in which a load report loses its weight (ours).
 pub(crate) const REPORT_TIME_CONSTANT_SECS: f64 = 1.0;
-/// Seconds for which a server that was enabled again may have been restarted without the list reporting it (ours: an update
-/// takes up to five). It counts as warming up, like one that has just started.
+/// Seconds for which a server that was enabled again may have been restarted without the list reporting it
+/// (ours: an update takes up to five). It counts as warming up, like one that has just started.
 pub(crate) const REENABLED_SLOW_START_SECS: f64 = 6.0;
 /// Time constant of the rates of requests, sends and answers, in seconds (ours).
 pub(crate) const RATE_TIME_CONSTANT_SECS: f64 = 3.0;
@@ -24,8 +24,8 @@
 const TYPICAL_LATENCY_RATIO: f64 = 1.0;
 /// The least share of its capacity that a server is taken to have while it warms up.
 const MIN_WARM_SHARE: f64 = 0.01;
-/// Share of what a warming-up server can do in the settings' window that it is sent at once: with what comes while that is
-/// spent, less than it can do, by a margin.
+/// Share of what a warming-up server can do in the settings' window that it is sent at once: with what comes
+/// while that is spent, less than it can do, by a margin.
 const SLOW_START_BURST_SHARE: f64 = 0.5;
 
 /// An attempt that its server has not answered.
@@ -45,12 +45,12 @@
 }
 
 impl InFlightAttempt {
-    /// Whether it has taken so many times as long as what is doubted at the pace of the answers that overtook it: the server
-    /// lives, but has lost this attempt.
+    /// Whether it has taken so many times as long as what is doubted at the pace of the answers that overtook
+    /// it: the server lives, but has lost this attempt.
     ///
-    /// Covers servers that swallow some requests or never end some answers, and dead connections. Hurts where a few requests
-    /// are by nature many times as long as others, which then cost a retry. A queue overtakes nothing, and a slow server sets
-    /// a slow pace.
+    /// Covers servers that swallow some requests or never end some answers, and dead connections. Hurts where
+    /// a few requests are by nature many times as long as others, which then cost a retry. A queue overtakes
+    /// nothing, and a slow server sets a slow pace.
     pub(crate) fn is_lost(&self, now: Time, times: f64) -> bool {
         let doubted_after = |pace: f64| {
             self.doubted_at.since(self.sent_at).max(DOUBT_LATENCIES * pace * self.mean_latency_at_send)
@@ -60,6 +60,12 @@
                 .slowest_overtaking_pace
                 .is_some_and(|pace| now.since(self.sent_at) >= times * doubted_after(pace))
     }
+
+    /// Whether it is work for its server: no body is in transit, and it is not lost by
+    /// [`is_lost`](Self::is_lost).
+    pub(crate) fn is_work(&self, now: Time, times: f64) -> bool {
+        !self.body_in_transit && !self.is_lost(now, times)
+    }
 }
 
 /// A server as this gateway knows it. Written by name for the gateway's next process.
@@ -141,8 +147,8 @@
         (self.info.capacity / mean).clamp(0.1, 10.0)
     }
 
-    /// Whether a warming-up server may be sent a request: it gets its share of what a warm one is sent, which is `rate` a
-    /// second, from the gateways that prefer it.
+    /// Whether a warming-up server may be sent a request: it gets its share of what a warm one is sent, which
+    /// is `rate` a second, from the gateways that prefer it.
     pub(crate) fn admits_during_slow_start(&mut self, now: Time, rate: f64, settings: &Settings) -> bool {
         let window = settings.slow_start_window.as_secs_f64();
         let max_tokens = (SLOW_START_BURST_SHARE * rate * window).max(1.0);
@@ -169,8 +175,8 @@
         (self.queue, self.queue_at) = (sanitize(queue), now);
     }
 
-    /// The reported queue, which fades as it ages: a server that gets no more requests sends no more reports, and its last
-    /// one would keep the admitted fraction down and the server unchosen for good.
+    /// The reported queue, which fades as it ages: a server that gets no more requests sends no more reports,
+    /// and its last one would keep the admitted fraction down and the server unchosen for good.
     pub(crate) fn decayed_queue(&self, now: Time) -> f64 {
         self.queue * (-now.since(self.queue_at) / REPORT_TIME_CONSTANT_SECS).exp()
     }
--- a/quota-gateway/core/src/decisions/server_list.rs
+++ b/quota-gateway/core/src/decisions/server_list.rs
@@ -9,11 +9,13 @@
 
 /// Servers that a gateway prefers, so that it knows them and its connections to them stay in use (ours) ...
 const MIN_SUBSET_SIZE: f64 = 9.0;
-/// ... and gateways that share each server at least, which makes the subsets larger where gateways are few (ours).
+/// ... and gateways that share each server at least, which makes the subsets larger where gateways are few
+/// (ours).
 const MIN_GATEWAYS_PER_SERVER: f64 = 4.0;
 
 impl Gateway {
-    /// Applies a server list. Drains take effect at once: a server is chosen only while it is listed as running.
+    /// Applies a server list. Drains take effect at once: a server is chosen only while it is listed as
+    /// running.
     pub(super) fn on_server_list(&mut self, scope: Scope, list: Vec<ServerInfo>) {
         match scope {
             Scope::Failed => self.subscribe_due = self.settings.discovery == Discovery::Subscribe,
@@ -32,7 +34,8 @@
         info.capacity = if sanitize(info.capacity) > 0.0 { sanitize(info.capacity) } else { 1.0 };
         let restarted = self.servers.get(&info.id).is_some_and(|server| server.info.started != info.started);
         let now = self.now;
-        // A random part of a first token: hundreds of gateways would else send a cold server its first request together.
+        // A random part of a first token: hundreds of gateways would else send a cold server its first
+        // request together.
         let slow_start_tokens = self.random.uniform();
         let fresh = |info: ServerInfo| Server { slow_start_tokens, ..Server::new(info, now) };
         let server = self.servers.entry(info.id).or_insert_with(|| fresh(info.clone()));
@@ -62,8 +65,9 @@
         }
     }
 
-    /// Enables a server again. What was learnt of it may be of an earlier process: it counts as warming up until the list
-    /// has had time to report a restart, and it gets the next request that it may take, since nothing else shows how it is.
+    /// Enables a server again. What was learnt of it may be of an earlier process: it counts as warming up
+    /// until the list has had time to report a restart, and it gets the next request that it may take, since
+    /// nothing else shows how it is.
     pub(super) fn enable_server(&mut self, id: ServerId) {
         let (Some(since), now) = (self.disabled.remove(&id), self.now) else { return };
         if let Some(server) = self.servers.get_mut(&id) {
--- a/quota-gateway/core/src/decisions/step.rs
+++ b/quota-gateway/core/src/decisions/step.rs
@@ -1,4 +1,5 @@
-//! The periodic step, every 100 ms: load is assessed, and once a second the slices of the customers' quotas are cut anew.
+//! The periodic step, every 100 ms: load is assessed, and once a second the slices of the customers' quotas
+//! are cut anew.
 
 use super::load_shedding::STEP_SECS;
 use super::quota::{CustomerQuota, CUSTOMER_TTL_SECS};
@@ -11,7 +12,8 @@
 pub(super) const STEPS_PER_SLICE: u64 = 10;
 /// Requests that wait at a server from which it counts as reporting its load.
 const MIN_REPORTED_QUEUE: f64 = 0.5;
-/// The gateway says that it sheds load when it admits less than this fraction, and that it does no longer when it admits all.
+/// The gateway says that it sheds load when it admits less than this fraction, and that it does no longer
+/// when it admits all.
 const SHEDDING_BELOW: f64 = 0.9;
 
 impl Gateway {
@@ -31,13 +33,12 @@
         }
     }
 
-    /// Counts attempts that have no answer yet by their age, at the rate at which they would be counted once answered.
+    /// Counts attempts that have no answer yet by their age, at the rate at which they would be counted once
+    /// answered.
     fn sample_unanswered(&mut self) {
         let mut samples = Vec::new();
-        let counts = |attempt: &&super::server::InFlightAttempt| {
-            !attempt.body_in_transit && !attempt.is_lost(self.now, LOST_IS_RETRIED)
-        };
-        for attempt in self.usable_servers().flat_map(|server| &server.in_flight).filter(counts) {
+        let attempts = self.usable_servers().flat_map(|server| &server.in_flight);
+        for attempt in attempts.filter(|attempt| attempt.is_work(self.now, LOST_IS_RETRIED)) {
             let age = self.now.since(attempt.sent_at);
             let request = self.requests.get(&attempt.id);
             if let Some(request) = request.filter(|r| r.open && age > self.mean_latency[r.class]) {
@@ -50,8 +51,8 @@
         }
     }
 
-    /// The mean occupancy that the servers report: busy processors, and queues against the answers of one second. `None`
-    /// where none reports anything.
+    /// The mean occupancy that the servers report: busy processors, and queues against the answers of one
+    /// second. `None` where none reports anything.
     fn reported_occupancy(&self) -> Option<f64> {
         let (mut is_reported, mut sum, mut count) = (false, 0.0, 0.0);
         for server in self.usable_servers() {
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Forgets servers that are gone once no request is bound by them, as ids of servers are ever new, and idle customers.
+    /// Forgets servers that are gone once no request is bound by them, as ids of servers are ever new, and
+    /// idle customers.
     fn expire(&mut self) {
         let (now, requests) = (self.now, &self.requests);
         let is_referenced =
--- a/quota-gateway/simulator-adapter/src/settings.rs
+++ b/quota-gateway/simulator-adapter/src/settings.rs
@@ -145,12 +145,12 @@
 impl TryFrom<BootInfo> for Site {
     type Error = SettingsError;
 
-    fn try_from(boot: BootInfo) -> Result<Site, SettingsError> {
+    fn try_from(mut boot: BootInfo) -> Result<Site, SettingsError> {
         Ok(Site {
             classes: boot.profiles.iter().map(|profile| profile.name.clone()).collect(),
             plans: boot.plans.iter().map(|plan| plan.name.clone()).collect(),
-            zones: boot.dcs.clone(),
-            kinds: boot.kinds.clone(),
+            zones: std::mem::take(&mut boot.dcs),
+            kinds: std::mem::take(&mut boot.kinds),
             connect_timeout: Duration::from_nanos(boot.limits.connect_timeout),
             idle_timeout: Duration::from_nanos(boot.limits.conn_idle),
             settings: decision_settings(boot)?,
