--- a/quota-gateway/controller/src/cell_client.rs
+++ b/quota-gateway/controller/src/cell_client.rs
@@ -1,11 +1,10 @@
 //! Requests to cells, each in flight at most once, and their answers.
 
-use marblecroft_control_messages::frame::{decode, encode, DecodeError, Fleet, Header, HEADER_BYTES};
+use marblecroft_control_messages::frame::{decode, encode, Fleet, Header, HEADER_BYTES};
 use marblecroft_shard_map::cell::{CellReply, CellRequest};
 use marblecroft_shard_map::map::Cell;
 use marblecroft_shard_map::migration::CellOperation;
 use marblecroft_shard_map::owner::CellAnswer;
-use quick_error::quick_error;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -27,28 +26,6 @@
 /// How long a request is not repeated after one that was rejected: the next map, or another owner's, decides.
 const REJECTED_DELAY: Duration = Duration::from_secs(1);
 
-quick_error! {
-    /// Why a request has no reply.
-    #[derive(Debug)]
-    enum ExchangeError {
-        UnknownCell(cell: Cell) {
-            display("no address of cell {cell}")
-        }
-        RequestTooLong {
-            display("the request is too long for a frame")
-        }
-        Io(cause: io::Error) {
-            display("{cause}")
-            source(cause)
-            from()
-        }
-        Malformed(cause: DecodeError) {
-            display("the reply cannot be decoded: {cause}")
-            from()
-        }
-    }
-}
-
 /// A client of all cells, with one idle connection for each.
 pub struct CellClient {
     fleet: Fleet,
@@ -107,24 +84,25 @@
         }
     }
 
-    async fn exchange(&self, token: u64, operation: CellOperation) -> Result<CellReply, ExchangeError> {
+    /// Sends a request and reads its reply. The cause of a failure does not matter to the caller, who repeats the request.
+    async fn exchange(&self, token: u64, operation: CellOperation) -> io::Result<CellReply> {
         let cell = operation.cell();
         let idle = self.idle.borrow_mut().remove(&cell);
         let mut stream = match idle {
             Some(stream) => stream,
             None => self.connect(cell).await?,
         };
-        let request =
-            encode(self.fleet, &CellRequest { token, operation }).ok_or(ExchangeError::RequestTooLong)?;
+        let request = encode(self.fleet, &CellRequest { token, operation });
+        let request = request.ok_or_else(|| io::Error::other("the request is too long for a frame"))?;
         stream.write_all(&request).await?;
         let reply = read_reply(self.fleet, &mut stream).await?;
         self.idle.borrow_mut().insert(cell, stream);
         Ok(reply)
     }
 
-    async fn connect(&self, cell: Cell) -> Result<TcpStream, ExchangeError> {
-        let address = self.addresses.get(&cell).ok_or(ExchangeError::UnknownCell(cell))?;
-        Ok(TcpStream::connect(address).await?)
+    async fn connect(&self, cell: Cell) -> io::Result<TcpStream> {
+        let address = self.addresses.get(&cell).ok_or_else(|| io::Error::other("no address of the cell"))?;
+        TcpStream::connect(address).await
     }
 }
 
@@ -138,11 +116,11 @@
     }
 }
 
-async fn read_reply(fleet: Fleet, stream: &mut TcpStream) -> Result<CellReply, ExchangeError> {
+async fn read_reply(fleet: Fleet, stream: &mut TcpStream) -> io::Result<CellReply> {
     let mut bytes = vec![0; HEADER_BYTES];
     stream.read_exact(&mut bytes).await?;
-    let payload_bytes = Header::read(fleet, &bytes)?.payload_bytes;
+    let payload_bytes = Header::read(fleet, &bytes).map_err(io::Error::other)?.payload_bytes;
     bytes.resize(HEADER_BYTES + payload_bytes, 0);
     stream.read_exact(&mut bytes[HEADER_BYTES..]).await?;
-    Ok(decode::<CellReply>(fleet, &bytes)?)
+    decode::<CellReply>(fleet, &bytes).map_err(io::Error::other)
 }
--- a/quota-gateway/controller/src/config.rs
+++ b/quota-gateway/controller/src/config.rs
@@ -7,10 +7,9 @@
 use marblecroft_control_messages::frame::is_valid_quantity;
 use marblecroft_logging::LogConfig;
 use marblecroft_singleton_roles::keys::ROLES;
-use marblecroft_zone_failover::settings::Settings as ZoneFailoverConfig;
+use marblecroft_zone_failover::settings::{Settings as ZoneFailoverConfig, SettingsError};
 use quick_error::quick_error;
 use serde::Deserialize;
-use std::error::Error;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -56,8 +55,9 @@
             display("{key}: from {min} to {max}")
         }
         /// The settings of the zones are not valid.
-        Zones(cause: Box<dyn Error + Send + Sync>) {
+        Zones(cause: SettingsError) {
             display("zones.{cause}")
+            source(cause)
         }
         /// The capacity is not a number from 0.
         InvalidCapacity {
@@ -244,7 +244,7 @@
 
     fn check_roles(&self) -> Result<(), ConfigError> {
         if let Some(zones) = &self.zones {
-            zones.check().map_err(|cause| ConfigError::Zones(cause.into()))?;
+            zones.check().map_err(ConfigError::Zones)?;
         }
         if let Some(fair_share) = &self.fair_share {
             if !is_valid_quantity(fair_share.capacity) {
--- a/quota-gateway/controller/src/zone_failover_role.rs
+++ b/quota-gateway/controller/src/zone_failover_role.rs
@@ -76,7 +76,7 @@
         let prefix = self.keys.zone_override("");
         let overridden: BTreeSet<String> =
             view.entries_under(&prefix).map(|(zone, _)| zone.to_owned()).collect();
-        let before = std::mem::replace(&mut self.overridden, overridden.clone());
+        let before = std::mem::take(&mut self.overridden);
         for zone in overridden.difference(&before) {
             self.hold(now, zone);
         }
@@ -89,6 +89,7 @@
                 self.release(now, zone);
             }
         }
+        self.overridden = overridden;
     }
 
     fn decide(&mut self, now: Now, stamp: Stamp) -> Option<Vec<u8>> {
--- a/quota-gateway/coordination/src/lease.rs
+++ b/quota-gateway/coordination/src/lease.rs
@@ -1,7 +1,7 @@
 //! When a session ends: at the service by the leader's clock, and for its holder earlier, by its own.
 //!
 //! All instants are of one monotonic clock each; no clock is compared with another one's, only lengths are. Clocks may run
-//! apart by [`MAX_CLOCK_DRIFT`]: a length that one measures as `d` the other measures as at most `d * (1 + DRIFT_MOST)`.
+//! apart by [`MAX_CLOCK_DRIFT`]: a length that one measures as `d` the other measures as at most `d * (1 + MAX_CLOCK_DRIFT)`.
 
 use crate::state::{SessionId, Token};
 use std::collections::BTreeMap;
--- a/quota-gateway/fair-share/src/allocator/allocation.rs
+++ b/quota-gateway/fair-share/src/allocator/allocation.rs
@@ -100,16 +100,17 @@
 fn grants(claims: &[Claim<'_>], capacity: f64, rule: &TargetRule) -> Vec<(u32, f32)> {
     let reserved: f64 = claims.iter().map(|claim| claim.reserved).sum();
     let free = (capacity * (1.0 + SLACK) - reserved).max(0.0);
-    let rise = |claim: &Claim<'_>| (rule.target(claim.demand) - claim.reserved).max(0.0);
-    let rises: f64 = claims.iter().map(|claim| if claim.is_reachable { rise(claim) } else { 0.0 }).sum();
+    let reachable = claims.iter().filter(|claim| claim.is_reachable);
+    let targets: Vec<_> = reachable.map(|claim| (claim, rule.target(claim.demand))).collect();
+    let rises: f64 = targets.iter().map(|(claim, target)| (target - claim.reserved).max(0.0)).sum();
     let granted_fraction = if rises > 0.0 { (free / rises).min(1.0) } else { 0.0 };
-    let grant = |claim: &Claim<'_>| {
-        let (target, reserved) = (rule.target(claim.demand), claim.reserved);
+    let grant = |(claim, target): (&Claim<'_>, f64)| {
+        let reserved = claim.reserved;
         let units =
             if target > reserved { reserved + (target - reserved) * granted_fraction } else { target };
         (claim.gateway, ((units * (1.0 - ROUNDING_MARGIN)) as f32).max(0.0))
     };
-    claims.iter().filter(|claim| claim.is_reachable).map(grant).collect()
+    targets.into_iter().map(grant).collect()
 }
 
 /// Returns the levels that gateways sample next. While no firm is limited they lie around the level that would use the capacity
--- a/quota-gateway/server/src/discovery.rs
+++ b/quota-gateway/server/src/discovery.rs
@@ -32,7 +32,7 @@
 
 /// What a [`Discovery`] is created with.
 pub struct DiscoverySettings {
-    /// The names of zones and kinds that have fixed numbers.
+    /// The names of zones that have fixed numbers.
     pub zones: Vec<String>,
     /// The names of kinds of machine that have fixed numbers.
     pub kinds: Vec<String>,
--- a/quota-gateway/server/src/fleet_decisions.rs
+++ b/quota-gateway/server/src/fleet_decisions.rs
@@ -137,10 +137,10 @@
                 let Stamp { token, revision } = decision.stamp;
                 match install(decision) {
                     Some(Acceptance::New) => {
-                        info!(token, revision, role, "goes by {role} {token}.{revision}")
+                        info!(token, revision, duty = role, "goes by {role} {token}.{revision}")
                     }
                     Some(Acceptance::Stale) => {
-                        info!(token, role, "a decision on {role} came after a newer one")
+                        info!(token, duty = role, "a decision on {role} came after a newer one")
                     }
                     Some(Acceptance::Renewed) | None => {}
                 }
@@ -151,7 +151,7 @@
                 let count = state.malformed.entry(cause).or_insert(0);
                 *count += 1;
                 if *count == 1 {
-                    warn!(cause = cause.name(), role, "a decision on {role} is refused: {cause}");
+                    warn!(why = cause.name(), duty = role, "a decision on {role} is refused: {cause}");
                 }
             }
         }
--- a/quota-gateway/server/src/fleet_decisions/observations.rs
+++ b/quota-gateway/server/src/fleet_decisions/observations.rs
@@ -22,7 +22,7 @@
 }
 
 /// A request, as long as it may have an attempt in flight.
-struct TrackedRequest {
+pub(super) struct TrackedRequest {
     units: f64,
     /// A server that is silent for longer than this is unresponsive, whenever the attempt is abandoned.
     latency_target: Duration,
@@ -41,7 +41,7 @@
 #[derive(Default)]
 pub struct Observations {
     servers: BTreeMap<ServerId, ServerInfo>,
-    requests: BTreeMap<RequestId, TrackedRequest>,
+    pub(super) requests: BTreeMap<RequestId, TrackedRequest>,
     /// Outcomes by zone.
     seen: BTreeMap<u32, AttemptCounts>,
     requested_units: f64,
@@ -136,12 +136,6 @@
         ObservedInterval { requested_units: std::mem::take(&mut self.requested_units), zones }
     }
 
-    /// Returns whether any request is tracked.
-    #[cfg(test)]
-    pub fn has_requests(&self) -> bool {
-        !self.requests.is_empty()
-    }
-
     /// The zones in which servers run.
     fn running_zones(&self) -> BTreeSet<u32> {
         let is_running = |server: &&ServerInfo| server.lifecycle == Lifecycle::Running;
--- a/quota-gateway/server/src/fleet_decisions/observer/tests.rs
+++ b/quota-gateway/server/src/fleet_decisions/observer/tests.rs
@@ -83,5 +83,5 @@
     }));
     assert_eq!(failed(5000), 0.0);
     observer.on_actions(at(5000), &[Action::Fail { id: RequestId(1) }]);
-    assert!(!observer.observations.borrow().has_requests(), "a request that is over is forgotten");
+    assert!(observer.observations.borrow().requests.is_empty(), "a request that is over is forgotten");
 }
