--- a/control-plane/core/src/chain_client.rs
+++ b/control-plane/core/src/chain_client.rs
@@ -1,4 +1,4 @@
-//! A chain together with the operations and reads of this process that wait for it.
+//! A chain, together with the pending operations and reads that this process has submitted to it.
 
 use crate::pending_table::PendingTable;
 use marblecroft_chain_replication::storage::Storage;
@@ -28,13 +28,13 @@
         self.chain.read_index(token, deadline);
     }
 
-    /// Ends the wait for a token that the chain has emitted, and returns what it was submitted for.
+    /// Removes the pending entry of a token that the chain has emitted, and returns its purpose.
     pub(crate) fn complete(&mut self, token: Token) -> Option<P> {
         self.pending.remove(token)
     }
 
-    /// Advances the chain once; `None` when it has nothing more to emit at `now`. Outputs may submit more, so callers
-    /// carry them out and advance again until then.
+    /// Advances the chain once; returns `None` if it has nothing more to emit at `now`. Handling the outputs
+    /// may submit further operations, so callers advance again until this returns `None`.
     pub(crate) fn advance(&mut self, now: Duration) -> Option<Vec<Output<M::Output>>> {
         let mut outputs = Vec::new();
         self.chain.advance(now, &mut outputs);
--- a/control-plane/core/src/coordinator/context.rs
+++ b/control-plane/core/src/coordinator/context.rs
@@ -1,5 +1,5 @@
-//! What all parts of a coordinator share: its settings, the chain, the other coordinators that it knows, the calls in flight
-//! and the outputs of the current input.
+//! State shared by all parts of a coordinator: its settings, the chain, the addresses of other coordinators,
+//! the calls in flight and the outputs of the current input.
 
 use super::io::Output;
 use super::operations::{CallPurpose, PendingOperation};
@@ -17,19 +17,20 @@
 /// The chain of the coordinators.
 pub type ControlChain<S> = Chain<ControlState, S>;
 
-/// How long this member's state counts as the newest after its lease was confirmed. Shorter, by more than the quarter that
-/// steady clocks may run apart, than the time after which the head excludes a failing member
-/// ([`SUSPECT_TIMEOUT`](super::SUSPECT_TIMEOUT), 800 ms) and than the 1000 ms after which a member replaces its head: no view
-/// without this member is decided while its lease is valid.
+/// Time after the confirmation of this member's lease during which its state counts as the newest. The head
+/// excludes a failing member after [`SUSPECT_TIMEOUT`](super::SUSPECT_TIMEOUT) (800 ms), and a member
+/// replaces its head after 1000 ms. The lease is shorter than both by more than the quarter by which the
+/// rates of monotonic clocks may differ, so no view without this member is decided while its lease is valid.
 pub const LEASE_DURATION: Duration = Duration::from_millis(600);
-/// Time for an operation of this process's own. It is proposed again when it fails, so the bound only limits the queue.
+/// Timeout of an operation that this process proposes on its own behalf. A failed one is proposed again, so
+/// the timeout only bounds the queue.
 const INTERNAL_OPERATION_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The shared parts of a coordinator.
 pub(super) struct Context<S> {
     pub(super) settings: Settings,
     pub(super) client: ChainClient<ControlState, S, PendingOperation>,
-    /// Where coordinators may be found: the seeds, and every member of a view so far.
+    /// Known addresses of coordinators: the seeds, and the members and voters of the views seen so far.
     coordinator_addresses: Vec<SocketAddr>,
     pub(super) calls: PendingTable<CallPurpose>,
     pub(super) outputs: Vec<Output>,
@@ -54,37 +55,37 @@
         &mut self.client.chain
     }
 
-    /// The view that this process knows.
+    /// Returns the newest view that this process has installed.
     pub(super) fn view(&self) -> &View {
         self.chain().replica().view()
     }
 
-    /// The identity of this process.
+    /// Returns the identity of this process.
     pub(super) fn identity(&self) -> u64 {
         self.chain().replica().identity()
     }
 
-    /// Disks that must hold everything that was acknowledged.
+    /// Returns the number of disks on which an acknowledged operation must be stored.
     pub(super) fn min_replicas(&self) -> usize {
         self.settings.tolerated_machines + 1
     }
 
-    /// Whether this process's state is the newest, by its lease.
+    /// Returns whether this process has a valid lease, which guarantees that its state is the newest.
     pub(super) fn has_valid_lease(&self, now: Duration) -> bool {
         self.chain().lease_confirmed_at().is_some_and(|confirmed_at| now < confirmed_at + LEASE_DURATION)
     }
 
-    /// Whether this process is the head with a valid lease, and so may act for the whole chain.
+    /// Returns whether this process is the head with a valid lease, so that it may act for the chain.
     pub(super) fn is_leading(&self, now: Duration) -> bool {
         self.chain().is_head() && self.has_valid_lease(now)
     }
 
-    /// The addresses of the members.
+    /// Returns the addresses of the members.
     pub(super) fn member_addresses(&self) -> Vec<SocketAddr> {
         self.view().members.iter().map(|member| member.address).collect()
     }
 
-    /// Where coordinators may be found, without this one, in ascending order.
+    /// Returns the known addresses of other coordinators, in ascending order.
     pub(super) fn other_coordinators(&self) -> Vec<SocketAddr> {
         let mut others = self.coordinator_addresses.clone();
         others.extend(self.member_addresses());
@@ -95,7 +96,8 @@
         others
     }
 
-    /// Installs a view unless it is older than the one known, and remembers where its members and voters are found.
+    /// Installs a view unless it is older than the current one, and records the addresses of its members and
+    /// voters.
     pub(super) fn install_view(&mut self, view: &View) {
         self.chain_mut().install_view(view);
         for address in view.members.iter().chain(&view.voters).map(|member| member.address) {
@@ -125,12 +127,13 @@
         self.outputs.push(Output::Call { call, to, request, timeout });
     }
 
-    /// Notifies another coordinator. A lost notification is made up for by a later one, so its reply is ignored.
+    /// Notifies another coordinator. The reply is ignored, because a later notification makes up for a lost
+    /// one.
     pub(super) fn notify(&mut self, to: SocketAddr, request: CoordinatorRequest, timeout: Duration) {
         self.call(to, request, timeout, CallPurpose::Notification);
     }
 
-    /// Proposes an operation of this process's own.
+    /// Proposes an operation on behalf of this process itself.
     pub(super) fn propose_internal(
         &mut self,
         now: Duration,
--- a/control-plane/core/src/coordinator/io.rs
+++ b/control-plane/core/src/coordinator/io.rs
@@ -1,4 +1,4 @@
-//! The inputs and outputs of a coordinator.
+//! Inputs and outputs of a coordinator.
 
 use crate::operator;
 use marblecroft_chain_replication::Token;
@@ -8,19 +8,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An event that a coordinator reacts to.
+/// An event that a coordinator handles.
 #[derive(Debug)]
 pub enum Input {
-    /// A call of another process.
+    /// A call from another process.
     Request {
-        /// Names the call in [`Output::Answer`].
+        /// Identifies the call in [`Output::Answer`].
         token: Token,
-        /// What is requested.
+        /// The request.
         request: CoordinatorRequest,
     },
-    /// A call of the operator's.
+    /// A call from the operator.
     Operator {
-        /// Names the call in [`Output::AnswerOperator`].
+        /// Identifies the call in [`Output::AnswerOperator`].
         token: Token,
         /// The call.
         call: operator::Call,
@@ -29,28 +29,29 @@
     Reply {
         /// The id of the call.
         call: u64,
-        /// `None` where no reply came within the timeout.
+        /// `None` if there was no reply within the timeout.
         reply: Option<CoordinatorReply>,
     },
-    /// The platform's list of servers, as [`Output::ReadServerList`] requested; `None` where it could not be read.
+    /// The platform's list of servers, as requested by [`Output::ReadServerList`]; `None` if it could not be
+    /// read.
     ServerList(Option<Vec<Server>>),
     /// SIGTERM.
     Terminate,
-    /// The time that [`next_wake`](crate::Node::next_wake) named has come.
+    /// The time returned by [`next_wake`](crate::Node::next_wake) has been reached.
     Wake,
 }
 
 /// An effect for the caller to carry out.
 #[derive(Debug)]
 pub enum Output {
-    /// Reply to a call of another process.
+    /// Reply to a call from another process.
     Answer {
         /// The token of [`Input::Request`].
         token: Token,
         /// The reply.
         reply: CoordinatorReply,
     },
-    /// Reply to a call of the operator's.
+    /// Reply to a call from the operator.
     AnswerOperator {
         /// The token of [`Input::Operator`].
         token: Token,
@@ -59,16 +60,16 @@
     },
     /// Call another coordinator.
     Call {
-        /// Names the call in [`Input::Reply`].
+        /// Identifies the call in [`Input::Reply`].
         call: u64,
-        /// Where the coordinator listens.
+        /// Address of the coordinator.
         to: SocketAddr,
-        /// What is requested.
+        /// The request.
         request: CoordinatorRequest,
-        /// After this time the call has failed.
+        /// Time after which the call fails.
         timeout: Duration,
     },
-    /// Read the platform's list of servers, and report it with [`Input::ServerList`].
+    /// Read the platform's list of servers and pass it in as [`Input::ServerList`].
     ReadServerList,
     /// End the process.
     Exit,
--- a/control-plane/core/src/coordinator/membership/head_replacement.rs
+++ b/control-plane/core/src/coordinator/membership/head_replacement.rs
@@ -1,4 +1,4 @@
-//! The replacement of a failed head by another member.
+//! Replacement of a failed head by another member.
 
 use super::peer_statuses::PeerStatuses;
 use super::task::Purpose;
@@ -9,12 +9,13 @@
 use marblecroft_chain_replication::Member;
 use std::time::Duration;
 
-/// A head that replies and works is left in place for this much longer: the fault may be another member's, which the head
-/// repairs by excluding that one (after 800 ms, and the vote that follows).
+/// Additional time before a head that replies and is complete is replaced. The fault may lie with another
+/// member, which the head then excludes (after 800 ms and the vote that follows).
 const RESPONSIVE_HEAD_GRACE: Duration = Duration::from_millis(3500);
 
 impl Membership {
-    /// Begins to replace the head if no round has been committed for too long. This process must be a complete member.
+    /// Starts the replacement of the head if no round has been committed for too long. This process must be a
+    /// complete member.
     pub(super) fn start_head_replacement_if_needed<S: Storage>(
         &mut self,
         ctx: &mut Context<S>,
@@ -27,27 +28,27 @@
         }
     }
 
-    /// For how long this member has not heard of a round that all members have committed.
+    /// Returns the time since the last round that this member knows to be committed by all members.
     fn time_since_committed_round<S: Storage>(&self, ctx: &Context<S>, now: Duration) -> Duration {
         now.saturating_sub(ctx.chain().last_committed_round_at().unwrap_or(self.started_at))
     }
 
-    /// Proposes a view with this member as the head, followed by the members that reply.
+    /// Proposes a view with this member as the head, followed by the members that replied.
     pub(super) fn replace_head<S: Storage>(
         &mut self,
         ctx: &mut Context<S>,
         now: Duration,
         statuses: &PeerStatuses,
     ) {
-        let (silence, timeout) = (self.time_since_committed_round(ctx, now), head_timeout(ctx));
+        let (elapsed, timeout) = (self.time_since_committed_round(ctx, now), head_timeout(ctx));
         let replica = ctx.chain().replica();
-        if silence < timeout || !replica.is_complete() || ctx.chain().is_head() {
+        if elapsed < timeout || !replica.is_complete() || ctx.chain().is_head() {
             return;
         }
         let (view, identity) = (replica.view().clone(), replica.identity());
         let is_responsive = |member: &Member| statuses.of_member(member).is_some();
-        let works = |member: &Member| is_responsive(member) && !statuses.is_incomplete(member, &view);
-        if view.head().is_some_and(works) && silence < RESPONSIVE_HEAD_GRACE + timeout {
+        let is_healthy = |member: &Member| is_responsive(member) && !statuses.is_incomplete(member, &view);
+        if view.head().is_some_and(is_healthy) && elapsed < RESPONSIVE_HEAD_GRACE + timeout {
             return;
         }
         let Some(own) = view.members.iter().find(|member| member.identity == identity) else { return };
@@ -61,7 +62,7 @@
     }
 }
 
-/// The time without a committed round after which this member replaces the head.
+/// Returns the time without a committed round after which this member replaces the head.
 fn head_timeout<S: Storage>(ctx: &Context<S>) -> Duration {
     HEAD_TIMEOUT + rank_delay(ctx.view().position_of(ctx.identity()))
 }
--- a/control-plane/core/src/coordinator/membership/join.rs
+++ b/control-plane/core/src/coordinator/membership/join.rs
@@ -1,4 +1,4 @@
-//! Joining and leaving the chain: the requests of a process that is no member, and how the head takes them.
+//! Requests to join or leave the chain, and their handling by the head.
 
 use super::task::STATUS_TIMEOUT;
 use super::{Membership, MAX_MEMBERS};
@@ -11,7 +11,7 @@
 use tracing::warn;
 
 impl Membership {
-    /// Requests from the head that it admits this process.
+    /// Requests admission to the chain from the head.
     pub(super) fn send_join_request<S: Storage>(&self, ctx: &mut Context<S>) {
         let own_address = ctx.settings.address;
         let Some(head) = ctx.chain().head_address().filter(|head| *head != own_address) else {
@@ -27,7 +27,8 @@
         ctx.call(head, request, STATUS_TIMEOUT, CallPurpose::Task(call));
     }
 
-    /// The head has noted the request, or replies with the state that this process needs first.
+    /// Handles the reply to a join request. The head either acknowledges the request, or sends the state that
+    /// this process must install before it can join.
     pub(super) fn handle_join_reply<S: Storage>(
         &self,
         ctx: &mut Context<S>,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Takes, as the head, the request of `member` to be admitted; it is at `position` in the history.
+    /// Handles, as the head, the join request of `member`, whose state is at `position` in the history.
     pub(in crate::coordinator) fn handle_join<S: Storage>(
         &mut self,
         ctx: &Context<S>,
@@ -50,14 +51,15 @@
         if !ctx.chain().is_head() {
             return CoordinatorReply::NotHead(ctx.chain().head_address());
         }
-        if let Some(last_heard_at) = self.absent_voters.get_mut(&member.identity) {
-            *last_heard_at = now;
+        if let Some(last_contact_at) = self.absent_voters.get_mut(&member.identity) {
+            *last_contact_at = now;
         }
         if ctx.view().contains(member.identity) || ctx.view().members.len() >= MAX_MEMBERS {
             return CoordinatorReply::Acknowledged;
         }
         if ctx.chain().replica().entries_since(position).is_none() {
-            // It learns the state first: a member has a vote, and is on the path of every acknowledgement.
+            // The process must install the state first, because a member votes and every acknowledgement
+            // passes it.
             return CoordinatorReply::InstallFirst(ctx.chain().replica().snapshot_message());
         }
         self.joining.retain(|other| other.address != member.address);
@@ -65,7 +67,7 @@
         CoordinatorReply::Acknowledged
     }
 
-    /// Takes, as the head, the request of the member with this identity to be excluded.
+    /// Handles, as the head, the request of the member with this identity to leave the chain.
     pub(in crate::coordinator) fn handle_leave<S: Storage>(
         &mut self,
         ctx: &Context<S>,
--- a/control-plane/core/src/coordinator/membership/mod.rs
+++ b/control-plane/core/src/coordinator/membership/mod.rs
@@ -1,13 +1,15 @@
-//! Who is in the coordinators' chain: a process outside it requests to join, members that fail are excluded by agreement, and
-//! a member that terminates leaves first.
+//! Membership of the coordinators' chain. A process outside the chain requests to join, failed members are
+//! excluded by agreement, and a member that terminates leaves the chain before it exits.
 //!
-//! Who replicates the state and who votes are two things. A member that fails leaves the chain, as every acknowledgement
-//! waits for all members, and stays a voter, so that another loss leaves a majority. A voter that does not reply goes only
-//! where 2f + 1 others are left, so it stays until another one has taken its place.
+//! Members replicate the state, and voters decide on the next view; the two sets may differ. A failed member
+//! is removed from the chain, because every acknowledgement waits for all members. It remains a voter, so
+//! that a majority is left after another loss. A voter that does not reply is removed only if 2f + 1 others
+//! are left, so it remains until another voter has taken its place.
 //!
-//! A process has at most one [`Task`] under way. Every task collects statuses first (`status_collection`); what it does next
-//! depends on its [`Purpose`]: `join`, `view_change` by the head, `head_replacement` by another member. The latter two end in
-//! a vote on the next view (`proposal`). A task that takes longer than [`TASK_TIMEOUT`] is abandoned.
+//! A process has at most one [`Task`] at a time. Every task first collects statuses (`status_collection`).
+//! The next step depends on its [`Purpose`]: `join`, `view_change` by the head, or `head_replacement` by
+//! another member. The latter two end with a vote on the next view (`proposal`), as does a task that
+//! completes an undecided view. A task that takes longer than [`TASK_TIMEOUT`] is abandoned.
 
 mod head_replacement;
 mod join;
@@ -33,62 +35,67 @@
 use task::{Purpose, Task, STATUS_TIMEOUT, TASK_TIMEOUT};
 use tracing::info;
 
-/// Pause between two checks of the membership. Short against every timeout here.
+/// Interval between checks of the membership. Short compared with every timeout in this module.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause between two requests to join.
+/// Interval between join requests.
 const JOIN_INTERVAL: Duration = Duration::from_millis(300);
-/// Pause between two queries of a process without a disk, which does not join. Half of [`VIEW_QUERY_TTL`], so that one query
-/// may be lost.
+/// Interval between view queries of a process without a disk, which does not join. Half of
+/// [`VIEW_QUERY_TTL`], so that the loss of one query is tolerated.
 const OBSERVER_INTERVAL: Duration = Duration::from_millis(900);
-/// For how long a view that was queried from others is good enough to redirect callers.
+/// Time for which a view that was queried from other coordinators may be used to redirect callers.
 const VIEW_QUERY_TTL: Duration = Duration::from_millis(1800);
-/// Pause between two announcements of the view to processes that are no members.
+/// Interval between announcements of the view to non-members.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1500);
-/// Upper bound of the members: every acknowledgement passes them all. Others wait until one fails.
+/// Upper bound on the number of members, because every acknowledgement passes through all of them. Further
+/// processes are admitted only after a member has been removed.
 const MAX_MEMBERS: usize = 7;
-/// A member that has not heard of a committed round for this time takes its head for failed. Longer, by at least the
-/// quarter that steady clocks may run apart, than the members' leases (600 ms) and the head's suspicion (800 ms) last ...
+/// Time without a committed round after which a member considers its head failed. The rates of monotonic
+/// clocks may differ by up to a quarter, and this exceeds by at least that both the members' leases (600 ms)
+/// and the time after which the head suspects a member (800 ms).
 const HEAD_TIMEOUT: Duration = Duration::from_millis(1000);
-/// ... and by this much longer for each member before it, so that members do not compete with their proposals. Long
-/// enough for the statuses and the vote of one of them where the others reply.
+/// Addition to [`HEAD_TIMEOUT`] for each preceding member, so that the proposals of several members do not
+/// compete. Long enough for one member to collect statuses and complete the vote if the others reply.
 const HEAD_TIMEOUT_STEP: Duration = Duration::from_millis(350);
-/// A voter proposes a view again that it has accepted and that is not decided after this time. Longer than a vote
-/// takes (800 ms at most), which may still be under way.
+/// A voter that has accepted a view proposes it again if it is still undecided after this time. Longer than a
+/// vote takes (800 ms at most), because the vote may still be in progress.
 const UNDECIDED_VIEW_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A view that this process has accepted and that is not decided.
+/// A view that this process has accepted as a voter and that is undecided.
 #[derive(Clone, Copy)]
 struct UndecidedView {
-    /// The proposal under which it was accepted.
+    /// Number of the proposal under which the view was accepted.
     proposal_number: u64,
-    /// When this process first saw it undecided.
+    /// When this process first found the view undecided.
     since: Duration,
 }
 
-/// A coordinator's part in the membership of its chain.
+/// Membership state of a coordinator.
 pub(super) struct Membership {
     started_at: Duration,
     next_check_at: Duration,
     next_join_at: Duration,
     next_announce_at: Duration,
     task: Option<Task>,
-    /// When the task is abandoned.
+    /// Time at which the task is abandoned.
     task_deadline: Duration,
-    /// Number of the last task; replies to calls of earlier ones are ignored.
+    /// Number of the latest task. Replies to calls of earlier tasks are ignored, except those to join
+    /// requests.
     task_number: u64,
-    /// Processes that want to be members and hold the state.
+    /// Processes that have requested to join and hold the state.
     joining: Vec<Member>,
     /// Identities of the members that have requested to leave.
     leaving: BTreeSet<u64>,
-    /// When this head last heard from each voter that is no member, by identity.
+    /// Time of the last join request of each voter that is not a member, by identity. Before the first
+    /// request it is the time at which this head found the voter outside the members.
     absent_voters: BTreeMap<u64, Duration>,
     replica_wait: ReplicaWait,
-    /// Identities of the voters that did not reply before the proposal, and are not called for their votes.
+    /// Identities of the voters that did not reply to the status requests before the proposal. They are not
+    /// called for their votes.
     unresponsive_voters: BTreeSet<u64>,
     undecided_view: Option<UndecidedView>,
-    /// When this process, while no member, last queried the view from others, if any replied.
+    /// Time of the last query of the view while this process was not a member; `None` if no process replied.
     view_queried_at: Option<Duration>,
-    /// When the process exits, whether it has left or not; set when it terminates.
+    /// Time at which the process exits even if it is still a member; set on termination.
     drain_deadline: Option<Duration>,
 }
 
@@ -113,7 +120,7 @@
         }
     }
 
-    /// Whether this process has queried the view from others a moment ago.
+    /// Returns whether this process, as a non-member, has queried the view within [`VIEW_QUERY_TTL`].
     pub(super) fn has_recent_view(&self, now: Duration) -> bool {
         self.view_queried_at.is_some_and(|at| now < at + VIEW_QUERY_TTL)
     }
@@ -122,7 +129,8 @@
         self.next_check_at
     }
 
-    /// Begins to leave the chain before the process exits; the others must hold everything first.
+    /// Starts to leave the chain before the process exits. The head lets a member leave only when enough
+    /// others hold the complete state.
     pub(super) fn on_terminate<S: Storage>(&mut self, ctx: &mut Context<S>, now: Duration) {
         if self.drain_deadline.is_some() {
             return;
@@ -132,7 +140,8 @@
         info!("terminating: leaving the chain");
     }
 
-    /// Does what is due by the clock: exits when the process has left, abandons a task that takes too long, or begins one.
+    /// Performs what is due at `now`: exits once the process has left the chain, abandons a task that takes
+    /// too long, or starts a task.
     pub(super) fn step<S: Storage>(&mut self, ctx: &mut Context<S>, now: Duration) {
         let is_member = ctx.view().contains(ctx.identity());
         if let Some(deadline) = self.drain_deadline {
@@ -162,7 +171,7 @@
         }
     }
 
-    /// Queries the view, and joins, as a process that is no member.
+    /// Queries the view as a non-member. A process with a disk then requests to join.
     fn join_if_due<S: Storage>(&mut self, ctx: &mut Context<S>, now: Duration) {
         if now < self.next_join_at {
             return;
@@ -173,7 +182,7 @@
         self.collect_statuses(ctx, now, Purpose::Join, others);
     }
 
-    /// Does what is due as a member.
+    /// Performs what is due as a member.
     fn step_member<S: Storage>(&mut self, ctx: &mut Context<S>, now: Duration) {
         if ctx.chain().is_head() {
             self.announce_view(ctx, now);
@@ -195,8 +204,8 @@
         }
     }
 
-    /// Announces the view, as the head, to processes that are no members: one that was restarted may know only addresses of
-    /// others that know nothing either.
+    /// Announces the view, as the head, to non-members. The only addresses that a restarted process has may
+    /// be those of processes that have no current view either.
     fn announce_view<S: Storage>(&mut self, ctx: &mut Context<S>, now: Duration) {
         if now < self.next_announce_at {
             return;
@@ -210,7 +219,7 @@
         }
     }
 
-    /// Starts a task, and returns its number.
+    /// Starts a task and returns its number.
     fn begin_task(&mut self, now: Duration, task: Task) -> u64 {
         self.task_number += 1;
         self.task_deadline = now + TASK_TIMEOUT;
@@ -218,7 +227,7 @@
         self.task_number
     }
 
-    /// Takes the reply to a call of a task.
+    /// Handles the reply to a call of a task.
     pub(super) fn handle_task_reply<S: Storage>(
         &mut self,
         ctx: &mut Context<S>,
@@ -240,14 +249,15 @@
         }
     }
 
-    /// Whether this process accepted a view a while ago that is still not decided. Whoever sees such a view later must
-    /// propose it again; by then the machines that it names may have lost their disks and leave no majority of its voters. So
-    /// it is decided while they are there.
+    /// Returns whether this process accepted a view at least [`UNDECIDED_VIEW_TIMEOUT`] ago that is still
+    /// undecided. Any later proposer that finds such a view must propose it again. By then the machines in
+    /// the view may have lost their disks, so that no majority of its voters is left. The view is therefore
+    /// decided while they are available.
     fn has_overdue_view<S: Storage>(&mut self, ctx: &Context<S>, now: Duration) -> bool {
         let replica = ctx.chain().replica();
         let (view, vote) = (replica.view(), replica.vote());
-        let is_open = vote.instance == view.number + 1 && view.is_voter(replica.identity());
-        let accepted = vote.accepted.as_ref().filter(|_| is_open);
+        let is_for_next_view = vote.instance == view.number + 1 && view.is_voter(replica.identity());
+        let accepted = vote.accepted.as_ref().filter(|_| is_for_next_view);
         let known = self.undecided_view;
         self.undecided_view = accepted.map(|accepted| {
             let proposal_number = accepted.proposal_number;
@@ -261,7 +271,8 @@
     }
 }
 
-/// The extra wait of the member or voter at this rank, so that they do not compete with their proposals.
+/// Returns the additional wait of the member or voter at this rank. Different waits keep proposals from
+/// competing.
 fn rank_delay(rank: Option<usize>) -> Duration {
     HEAD_TIMEOUT_STEP * u32::try_from(rank.unwrap_or(0)).unwrap_or(u32::MAX)
 }
--- a/control-plane/core/src/coordinator/membership/proposal.rs
+++ b/control-plane/core/src/coordinator/membership/proposal.rs
@@ -1,4 +1,5 @@
-//! The vote on a view: whether it keeps enough replicas, the phases of the proposal, and the announcement of the result.
+//! Proposal of a view: the check that enough replicas are kept, the phases of the vote, and the announcement
+//! of the decided view.
 
 use super::peer_statuses::PeerStatuses;
 use super::task::{Task, STATUS_TIMEOUT};
@@ -17,13 +18,15 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Time for a vote, which the voter writes to its disk before it replies. Two of them and a status fit a task's 3 s.
+/// Timeout of a vote, which the voter writes to its disk before it replies. Two votes and one status request
+/// fit into the 3 s of a task.
 const VOTE_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl Membership {
-    /// Whether enough of the next members hold everything, where members are excluded whose disks may be sound: only those
-    /// that were complete can head the view after. With a single one, its disk would be the only one that counts, so it is
-    /// better to wait for the unreachable ones; but only for a while, as their disks may be lost for good.
+    /// Returns whether enough of the next members are complete, if the change excludes members whose disks
+    /// may be intact. Only members that were complete in a view can head the next one. If a single complete
+    /// member were left, the chain would depend on its disk alone, so the change waits for the unreachable
+    /// members. The wait is bounded, because their disks may be lost permanently.
     pub(super) fn keeps_enough_replicas<S: Storage>(
         &mut self,
         ctx: &Context<S>,
@@ -34,17 +37,17 @@
         let (view, own) = (ctx.view(), ctx.identity());
         let is_complete = |member: &&Member| member.identity == own || statuses.is_complete(member, view);
         let stays = |member: &Member| members.iter().any(|other| other.identity == member.identity);
-        let excludes_sound_disk =
+        let excludes_intact_disk =
             view.members.iter().any(|member| !stays(member) && !statuses.is_lost(member));
         let complete = members.iter().filter(is_complete).count();
-        if !excludes_sound_disk || complete >= MIN_COMPLETE_MEMBERS.min(ctx.min_replicas()) {
+        if !excludes_intact_disk || complete >= MIN_COMPLETE_MEMBERS.min(ctx.min_replicas()) {
             self.replica_wait.reset();
             return true;
         }
         self.replica_wait.has_timed_out(now, view.number)
     }
 
-    /// Begins a task that has `members` and `voters` decided as the next view.
+    /// Starts a task that proposes `members` and `voters` as the next view.
     pub(super) fn propose<S: Storage>(
         &mut self,
         ctx: &mut Context<S>,
@@ -58,8 +61,8 @@
         let rank = current.voters.iter().position(|voter| voter.identity == own).unwrap_or(0);
         let instance = current.number + 1;
         let promised = if replica.vote().instance == instance { replica.vote().promised } else { 0 };
-        let identities = |of: &dyn Fn(&Member) -> bool| -> BTreeSet<u64> {
-            current.voters.iter().filter(|voter| of(voter)).map(|voter| voter.identity).collect()
+        let identities = |matches: &dyn Fn(&Member) -> bool| -> BTreeSet<u64> {
+            current.voters.iter().filter(|voter| matches(voter)).map(|voter| voter.identity).collect()
         };
         let lost = identities(&|voter| statuses.is_lost(voter));
         let unresponsive = identities(&|voter| voter.identity != own && statuses.of_member(voter).is_none());
@@ -71,7 +74,8 @@
         self.request_votes(ctx);
     }
 
-    /// Requests the votes of one phase: this process's own first, which must be on its disk before any other is requested.
+    /// Requests the votes of the current phase. This process votes first, and its vote must be on its disk
+    /// before any other vote is requested.
     fn request_votes<S: Storage>(&mut self, ctx: &mut Context<S>) {
         let Some(Task::Proposing(proposal)) = &self.task else { return };
         let (request, phase) = (proposal.request(), proposal.phase());
@@ -86,7 +90,7 @@
         let task = self.task_number;
         self.handle_vote_reply(ctx, phase, own, Some(reply));
         for member in voters.iter().filter(|voter| voter.identity != own) {
-            // A reply that is handled on the spot may have ended the phase.
+            // A reply handled in this loop may have ended the phase.
             if !self.is_in_phase(task, phase) {
                 return;
             }
@@ -105,7 +109,7 @@
             && matches!(&self.task, Some(Task::Proposing(proposal)) if proposal.phase() == phase)
     }
 
-    /// Takes the vote of the voter with this identity, or that it did not reply.
+    /// Handles the vote of the voter with this identity, which is `None` if the voter did not reply.
     pub(super) fn handle_vote_reply<S: Storage>(
         &mut self,
         ctx: &mut Context<S>,
@@ -135,10 +139,11 @@
         Outcome::Undecided { preempted_by } => {
             let instance = current.number + 1;
             if preempted_by > 0 {
-                // The next proposal number of this process is above what it has promised, so it promises the one that has
-                // preempted its own.
+                // The next proposal number of this process will be above its highest promise, so this process
+                // promises the number that preempted its proposal.
                 let request = VoteRequest::Prepare { instance, proposal_number: preempted_by };
-                // The reply changes nothing: the promise counts, and a refusal means that a higher one was made.
+                // The reply is not needed: a refusal means that a higher number is already promised, or that
+                // this process cannot vote on the view.
                 let _ = ctx.chain_mut().with_replica(|replica| replica.handle_vote_request(&request));
             }
             warn!(view = instance, preempted_by, "view was not decided");
@@ -146,7 +151,8 @@
     }
 }
 
-/// Notifies everyone concerned of a decided view. Whoever misses it learns it from the next message of the chain.
+/// Sends a decided view to the members and voters of this view and the one before. A process that misses the
+/// notification receives the view with the next message of the chain.
 fn announce_decided_view<S: Storage>(ctx: &mut Context<S>, before: &View, view: &View) {
     let members = before.members.iter().chain(&before.voters).chain(&view.members).chain(&view.voters);
     let mut addresses: BTreeSet<SocketAddr> = members.map(|member| member.address).collect();
--- a/control-plane/core/src/coordinator/membership/status_collection.rs
+++ b/control-plane/core/src/coordinator/membership/status_collection.rs
@@ -1,5 +1,6 @@
-//! The first step of every task: statuses are requested from all concerned at the same time. The task goes on when all have
-//! replied or timed out, as its decision depends on who did not reply.
+//! The first step of every task: statuses are requested from all processes concerned at the same time. The
+//! task continues when all have replied or timed out, because its decision depends on which processes did not
+//! reply.
 
 use super::peer_statuses::PeerStatuses;
 use super::task::{Purpose, StatusCollection, Task, STATUS_TIMEOUT};
@@ -14,7 +15,7 @@
 use std::time::Duration;
 
 impl Membership {
-    /// Begins a task that collects the statuses of the processes at `addresses`.
+    /// Starts a task that collects the statuses of the processes at `addresses`.
     pub(super) fn collect_statuses<S: Storage>(
         &mut self,
         ctx: &mut Context<S>,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Takes the status of the process at `address`, or that it did not reply.
+    /// Handles the status of the process at `address`, which is `None` if the process did not reply.
     pub(super) fn handle_status_reply<S: Storage>(
         &mut self,
         ctx: &mut Context<S>,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Goes on with the task, now that all have replied or timed out.
+    /// Continues the task after all processes have replied or timed out.
     fn on_statuses<S: Storage>(
         &mut self,
         ctx: &mut Context<S>,
@@ -70,8 +71,8 @@
         statuses: PeerStatuses,
     ) {
         self.task = None;
-        spread_newest_view(ctx, &statuses);
-        let is_view_over = ctx.view().number != collected_in_view;
+        propagate_newest_view(ctx, &statuses);
+        let is_outdated = ctx.view().number != collected_in_view;
         match purpose {
             Purpose::Join => {
                 self.view_queried_at = if statuses.is_empty() { None } else { Some(now) };
@@ -80,12 +81,12 @@
                 }
             }
             Purpose::CatchUp => {}
-            // The task concerned a view that is over.
-            Purpose::ChangeView | Purpose::ReplaceHead | Purpose::FinishUndecidedView if is_view_over => {}
+            // The task was started in an earlier view.
+            Purpose::ChangeView | Purpose::ReplaceHead | Purpose::FinishUndecidedView if is_outdated => {}
             Purpose::ChangeView => self.change_view(ctx, now, &statuses),
             Purpose::ReplaceHead => self.replace_head(ctx, now, &statuses),
             Purpose::FinishUndecidedView => {
-                // Paxos decides the view that was accepted, whatever is proposed here.
+                // Paxos decides the view that was accepted before, whatever is proposed here.
                 let view = ctx.view().clone();
                 self.propose(ctx, now, view.members, view.voters, &statuses);
             }
@@ -93,8 +94,9 @@
     }
 }
 
-/// Installs the newest view among the statuses, and notifies the voters that are behind: they cannot vote on the next one.
-fn spread_newest_view<S: Storage>(ctx: &mut Context<S>, statuses: &PeerStatuses) {
+/// Installs the newest view among the statuses, and sends it to the voters that are in an older view, as they
+/// could not vote on the next one.
+fn propagate_newest_view<S: Storage>(ctx: &mut Context<S>, statuses: &PeerStatuses) {
     let newest = statuses.iter().map(|(_, status)| &status.view).max_by_key(|view| view.number);
     if let Some(newest) = newest {
         ctx.install_view(newest);
--- a/control-plane/core/src/coordinator/membership/task.rs
+++ b/control-plane/core/src/coordinator/membership/task.rs
@@ -1,4 +1,4 @@
-//! The membership's task under way.
+//! The current task of the membership.
 
 use super::peer_statuses::PeerStatuses;
 use marblecroft_chain_replication::agreement::Proposal;
@@ -6,28 +6,28 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time for a reply that needs no disk.
+/// Timeout of a request that is answered without writing to the disk.
 pub(super) const STATUS_TIMEOUT: Duration = Duration::from_millis(400);
-/// A task is abandoned after this time. Longer than all of its calls together: one for statuses (400 ms) and one for each
-/// phase of the vote (800 ms each).
+/// A task is abandoned after this time. Longer than the timeouts of its calls together: the status requests
+/// (400 ms) and the two phases of the vote (800 ms each).
 pub(super) const TASK_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why statuses are collected.
+/// Reason for collecting statuses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
-    /// A process that is no member wants to be one.
+    /// A non-member queries the view, and requests to join if it has a disk.
     Join,
-    /// A member that waits for its state may be in a view that is over.
+    /// A member that is still incomplete checks whether there is a newer view.
     CatchUp,
-    /// The head excludes members, or admits one.
+    /// The head excludes members or admits one, or removes voters.
     ChangeView,
-    /// A member takes its head for failed.
+    /// A member considers its head failed.
     ReplaceHead,
-    /// A voter has accepted a view that is still not decided.
+    /// A voter has accepted a view that is still undecided.
     FinishUndecidedView,
 }
 
-/// The task under way. There is at most one.
+/// A task in progress. There is at most one.
 pub(super) enum Task {
     CollectingStatuses(StatusCollection),
     Proposing(Box<Proposal>),
@@ -38,7 +38,7 @@
     pub(super) purpose: Purpose,
     /// Number of the view in which they were sent.
     pub(super) view: u64,
-    /// Who has neither replied nor timed out.
+    /// Addresses of the processes that have neither replied nor timed out.
     pub(super) awaiting: BTreeSet<SocketAddr>,
     pub(super) statuses: PeerStatuses,
 }
--- a/control-plane/core/src/coordinator/membership/view_change.rs
+++ b/control-plane/core/src/coordinator/membership/view_change.rs
@@ -1,4 +1,5 @@
-//! The head's view changes: it excludes members that fail, have lost their disk or leave, and admits one that wants to join.
+//! View changes by the head. It excludes members that have failed, have lost their disks or leave, and admits
+//! one process that has requested to join.
 
 use super::peer_statuses::PeerStatuses;
 use super::task::Purpose;
@@ -11,12 +12,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A voter that is no member and has not been heard from for this time is removed, if enough others are left. Longer than
-/// the pause between two of its requests to join (300 ms), several of which may be lost.
+/// A voter that is not a member is removed after this time without a join request from it, if enough others
+/// are left. Longer than the interval between join requests (300 ms), several of which may be lost.
 const ABSENT_VOTER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl Membership {
-    /// Begins a view change if there is a reason for one. This process must be the head.
+    /// Starts a view change if one is needed. This process must be the head.
     pub(super) fn start_view_change_if_needed<S: Storage>(&mut self, ctx: &mut Context<S>, now: Duration) {
         let status = ctx.chain().status(now);
         let view = status.view;
@@ -24,8 +25,8 @@
         self.leaving.retain(|identity| view.contains(*identity));
         self.update_absent_voters(&view, now);
         let has_spare_voters = view.voters.len() > 2 * ctx.settings.tolerated_machines + 1;
-        let is_gone = |last_heard_at: &Duration| now >= *last_heard_at + ABSENT_VOTER_TIMEOUT;
-        let has_removable_voter = has_spare_voters && self.absent_voters.values().any(is_gone);
+        let has_timed_out = |last_contact_at: &Duration| now >= *last_contact_at + ABSENT_VOTER_TIMEOUT;
+        let has_removable_voter = has_spare_voters && self.absent_voters.values().any(has_timed_out);
         let has_suspect = view.members.iter().any(|member| Some(member.address) == status.suspect);
         let is_needed = has_suspect
             || has_removable_voter
@@ -39,12 +40,13 @@
         }
     }
 
-    /// Keeps account of the voters that are no members; one that is new among them counts as heard from now.
+    /// Updates the record of the voters that are not members. For a new one among them, `now` is the time of
+    /// the last contact.
     fn update_absent_voters(&mut self, view: &View, now: Duration) {
         let before: BTreeMap<u64, Duration> = std::mem::take(&mut self.absent_voters);
         let absent = view.voters.iter().filter(|voter| !view.contains(voter.identity));
-        let last_heard_at = |identity: u64| before.get(&identity).copied().unwrap_or(now);
-        self.absent_voters = absent.map(|voter| (voter.identity, last_heard_at(voter.identity))).collect();
+        let last_contact_at = |identity: u64| before.get(&identity).copied().unwrap_or(now);
+        self.absent_voters = absent.map(|voter| (voter.identity, last_contact_at(voter.identity))).collect();
     }
 
     /// Proposes the next view, if its members or voters differ.
@@ -78,12 +80,12 @@
     }
 }
 
-/// What the head decides the next members from.
+/// The input from which the head determines the next members.
 struct ViewChange<'a> {
     view: &'a View,
     head_identity: u64,
     is_head_draining: bool,
-    /// The member that the rounds fail at.
+    /// The member at which rounds fail.
     suspect: Option<SocketAddr>,
     /// Identities of the members that have requested to leave.
     leaving: &'a BTreeSet<u64>,
@@ -96,7 +98,7 @@
         member.identity == self.head_identity || self.statuses.is_complete(member, self.view)
     }
 
-    /// Whether a member, other than the head, fails or has lost its disk.
+    /// Returns whether a member other than the head has failed or has lost its disk.
     fn is_failed(&self, member: &Member) -> bool {
         member.identity != self.head_identity
             && (self.statuses.is_lost(member) || Some(member.address) == self.suspect)
@@ -106,7 +108,8 @@
         self.statuses.is_draining(member) && self.leaving.contains(&member.identity)
     }
 
-    /// Whether those that stay hold everything on enough disks without those that leave of their own will.
+    /// Returns whether members may leave on request: enough of the remaining members hold the complete state
+    /// on disk.
     fn may_leave(&self) -> bool {
         let is_leaving_head =
             |member: &Member| self.is_head_draining && member.identity == self.head_identity;
@@ -118,7 +121,8 @@
         self.view.members.iter().filter(stays).filter(is_durable_replica).count() >= self.min_replicas
     }
 
-    /// The next members in the order of the chain; `None` where the head leaves and no complete member can follow it.
+    /// Returns the next members in the order of the chain, or `None` if the head leaves and no complete
+    /// member can succeed it.
     fn next_members(&self, joining: &[Member]) -> Option<Vec<Member>> {
         let may_leave = self.may_leave();
         let is_excluded = |member: &Member| self.is_failed(member) || (may_leave && self.is_leaving(member));
@@ -135,7 +139,8 @@
         Some(members)
     }
 
-    /// The process to admit. One at a time: each holds everything before the next one votes.
+    /// Returns the process to admit. Processes join one at a time, so that each is complete before the next
+    /// one votes.
     fn joiner<'j>(&self, joining: &'j [Member]) -> Option<&'j Member> {
         let may_join =
             |member: &&Member| self.statuses.of_member(member).is_some_and(|status| !status.draining);
--- a/control-plane/core/src/coordinator/membership/voters.rs
+++ b/control-plane/core/src/coordinator/membership/voters.rs
@@ -1,10 +1,11 @@
-//! Which voters a view has.
+//! Selection of the voters of a view.
 
 use super::peer_statuses::PeerStatuses;
 use marblecroft_chain_replication::{Member, View};
 
-/// The voters of the view after `view` whose members are `members`. Of the other voters those go that are lost, do not reply
-/// or are draining, in this order, as long as 2f + 1 voters are left: with fewer, f losses could leave no majority.
+/// Returns the voters of the view that follows `view` and has these members. Voters that are not members are
+/// removed if they are lost, do not reply or are draining, in this order, as long as 2f + 1 voters are left.
+/// With fewer voters, f losses could leave no majority.
 pub(super) fn next_voters(
     view: &View,
     members: &[Member],
@@ -20,7 +21,8 @@
         let identity = statuses.at_address_of(voter).map(|status| status.identity);
         is_lost(voter) && members.iter().any(|member| Some(member.identity) == identity)
     };
-    // The machine of a replaced voter votes with its new identity, so the old one need not be made up for.
+    // The machine of a replaced voter votes with its new identity, so the old identity is removed without a
+    // replacement.
     voters.retain(|voter| !is_replaced(voter));
     let is_unresponsive = |voter: &Member| statuses.at_address_of(voter).is_none();
     let is_draining = |voter: &Member| statuses.is_draining(voter);
--- a/control-plane/core/src/coordinator/mod.rs
+++ b/control-plane/core/src/coordinator/mod.rs
@@ -1,13 +1,22 @@
-//! A coordinator: a member of the chain that replicates the configuration. Operators, gateways and stores call it.
+//! A coordinator: a member of the chain that replicates the configuration. Operators, gateways and stores
+//! call it.
 //!
-//! An input passes [`Coordinator::handle`] in this order: the input itself; the membership's step; what the head does for
-//! the whole chain; the chain, which is advanced until it emits nothing, as what it emits may submit more; at last the
-//! pulls, so that they see what this input has committed. The order is fixed because it numbers the calls and operations.
+//! [`Coordinator::handle`] works in a fixed order, because the order determines the ids of calls and
+//! operations:
 //!
-//! - `membership`: who is in the chain, and who votes on it.
+//! 1. The input itself.
+//! 2. The step of the membership.
+//! 3. The duties of the head: supervision of the stores and reading of the server list.
+//! 4. The chain. It is advanced until it emits nothing, because handling its outputs may submit further
+//!    operations.
+//! 5. The pulls, last so that they include what this input has committed.
+//!
+//! Modules:
+//!
+//! - `membership`: the members and voters of the chain.
 //! - `operator_calls`: the operator's API.
-//! - `pulls`: what gateways wait for.
-//! - `store_supervision`: the stores' reports, and which of them form the stores' chain.
+//! - `pulls`: long polls of gateways.
+//! - `store_supervision`: the stores' reports, and the membership of the stores' chain.
 //! - `server_list`: the platform's list of servers.
 
 mod context;
@@ -41,8 +50,9 @@
 use store_supervision::StoreSupervision;
 use tracing::warn;
 
-/// The head excludes a member that has failed its part of the rounds for this time. Longer than [`LEASE_DURATION`] (600 ms)
-/// by more than the quarter that steady clocks may run apart, so a member's lease has ended when it is excluded.
+/// The head excludes a member at which rounds have failed for this time. The rates of monotonic clocks may
+/// differ by up to a quarter, and this exceeds [`LEASE_DURATION`] (600 ms) by more than that, so a member's
+/// lease has expired when the member is excluded.
 pub const SUSPECT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// A member of the coordinators' chain, as a state machine without I/O.
@@ -55,10 +65,10 @@
     last_input_at: Duration,
 }
 
-/// Timing of the coordinators' chain.
+/// Returns the configuration of the coordinators' chain.
 fn chain_config(settings: &Settings) -> Config {
     Config {
-        // Renews a lease of 600 ms several times over.
+        // Several heartbeats fit into a lease (600 ms).
         heartbeat_interval: Duration::from_millis(150),
         append_timeout: Duration::from_millis(350),
         install_timeout: Duration::from_secs(3),
@@ -69,7 +79,7 @@
 }
 
 impl<S: Storage> Coordinator<S> {
-    /// Creates a coordinator that starts at `now` with this durable state.
+    /// Creates a coordinator that starts at `now` from the durable state in `replica`.
     pub fn new(settings: Settings, replica: Replica<ControlState, S>, now: Duration) -> Coordinator<S> {
         let mut chain = Chain::new(replica, chain_config(&settings), settings.session);
         if !settings.is_durable {
@@ -85,17 +95,17 @@
         }
     }
 
-    /// The chain as this member knows it.
+    /// Returns this member's part of the chain.
     pub fn chain(&self) -> &ControlChain<S> {
         self.context.chain()
     }
 
-    /// The settings that this coordinator was created with.
+    /// Returns the settings with which this coordinator was created.
     pub fn settings(&self) -> &Settings {
         &self.context.settings
     }
 
-    /// Whether this process's state is the newest, by its lease.
+    /// Returns whether this process has a valid lease, which guarantees that its state is the newest.
     pub fn has_valid_lease(&self, now: Duration) -> bool {
         self.context.has_valid_lease(now)
     }
@@ -207,7 +217,7 @@
         }
     }
 
-    /// Does what is due as the head with a valid lease, for the stores and the list of servers.
+    /// Supervises the stores and reads the server list while this process is the head with a valid lease.
     fn step_leader(&mut self, now: Duration) {
         let ctx = &mut self.context;
         if !ctx.is_leading(now) {
--- a/control-plane/core/src/coordinator/operations.rs
+++ b/control-plane/core/src/coordinator/operations.rs
@@ -1,4 +1,4 @@
-//! What a coordinator's pending operations, reads and calls were made for.
+//! Purposes of a coordinator's pending operations, reads and calls.
 
 use crate::operator::{Caller, PendingCall};
 use marblecroft_chain_replication::agreement::Phase;
@@ -6,11 +6,11 @@
 
 /// The purpose of a call to another coordinator.
 pub(super) enum CallPurpose {
-    /// A message of the chain, with the chain's own id of the call.
+    /// A message of the chain, with the id that the chain has assigned to the call.
     Chain(u64),
-    /// A call for the membership's task.
+    /// A call of the membership's task.
     Task(TaskCall),
-    /// A notification, whose reply changes nothing.
+    /// A notification, whose reply is ignored.
     Notification,
 }
 
@@ -20,11 +20,11 @@
         caller: Caller,
         pending: PendingCall,
     },
-    /// The fencing token for reading the list of servers as the head of this view.
+    /// Issues the fencing token under which the head of this view reads the list of servers.
     ReaderToken {
         view: u64,
     },
-    /// An operation of this process's own, which nobody waits for.
+    /// An operation that this process proposed on its own behalf; no caller waits for it.
     Internal,
 }
 
@@ -36,7 +36,7 @@
     pub(super) kind: TaskCallKind,
 }
 
-/// What a call of a task requests.
+/// The request of a task's call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum TaskCallKind {
     Status(SocketAddr),
--- a/control-plane/core/src/coordinator/operator_calls.rs
+++ b/control-plane/core/src/coordinator/operator_calls.rs
@@ -1,4 +1,4 @@
-//! Carries out the operator's calls: see [`crate::operator`] for their way.
+//! Carries out the operator's calls. [`crate::operator`] describes the steps.
 
 use super::context::Context;
 use super::membership::Membership;
@@ -15,13 +15,14 @@
 use std::time::Duration;
 use tracing::info;
 
-/// Time for a change. The operator gives up a call after a second, and finds a change that takes longer when it sends it
-/// again.
+/// Timeout of a change. The operator abandons a call after 1 s. A change that takes longer can still be
+/// applied; it is then acknowledged when the operator sends it again.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Time for a read. Shorter than the operator's second, so that it gets the 503.
+/// Timeout of a read. Shorter than the 1 s after which the operator abandons a call, so that it receives the
+/// 503.
 const READ_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// The parts of a coordinator that the operator's calls depend on.
+/// The parts of a coordinator that the operator's calls use.
 pub(super) struct OperatorCalls<'a, S> {
     pub(super) ctx: &'a mut Context<S>,
     pub(super) membership: &'a Membership,
@@ -30,7 +31,8 @@
 }
 
 impl<S: Storage> OperatorCalls<'_, S> {
-    /// Answers a call at once, where it needs no state, or submits it to the chain.
+    /// Answers a call at once if the reply does not depend on the state; otherwise submits the call to the
+    /// chain.
     pub(super) fn handle(&mut self, token: Token, call: Call) {
         if let Err(reply) = self.submit(token, call) {
             self.ctx.answer_operator(token, reply);
@@ -68,12 +70,13 @@
         self.ctx.client.propose(operation, purpose, self.now + CHANGE_TIMEOUT);
     }
 
-    /// Redirects the caller to the head, where this process knows it: a member by its lease, another process because it has
-    /// queried it a moment ago. The process that is named answers only what it can prove.
+    /// Returns a redirect to the head if this process knows the head: a member by its lease, another process
+    /// by a recent query of the view. A redirect to a former head is harmless, because that process answers
+    /// from its state only after a round of the chain has confirmed that the state is the newest.
     fn redirect(&self, url: &str) -> Reply {
-        let knows_head = self.ctx.has_valid_lease(self.now) || self.membership.has_recent_view(self.now);
+        let is_head_known = self.ctx.has_valid_lease(self.now) || self.membership.has_recent_view(self.now);
         match (self.ctx.chain().head_address(), self.ctx.settings.operator_port) {
-            (Some(head), Some(port)) if knows_head && head != self.ctx.settings.address => {
+            (Some(head), Some(port)) if is_head_known && head != self.ctx.settings.address => {
                 let to = SocketAddr::new(head.ip(), port);
                 Reply::status(307).with_header("Location", format!("http://{to}{url}"))
             }
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Answers a call whose operation the chain has applied, or not.
+    /// Answers a call after the chain has applied or rejected its operation.
     pub(super) fn on_applied(
         &mut self,
         caller: Caller,
@@ -95,7 +98,7 @@
         self.ctx.answer_operator(caller.token, reply);
     }
 
-    /// Goes on with a call whose read the chain has confirmed, or not.
+    /// Continues a call after the chain has confirmed or rejected its read.
     pub(super) fn on_readable(
         &mut self,
         caller: Caller,
@@ -117,7 +120,7 @@
                     return;
                 }
             },
-            // These are proposed, not read.
+            // These calls wait for an operation, never for a read.
             (Ok(()), PendingCall::Change { .. } | PendingCall::Retire) => Reply::status(500),
         };
         self.ctx.answer_operator(caller.token, reply);
@@ -140,7 +143,8 @@
         }
     }
 
-    /// The reply to an order to retire a machine that is not to be carried out; `None` where it is.
+    /// Returns the reply to a retirement that is not to be proposed, because it is rejected or the machine is
+    /// retired already. Returns `None` if the retirement is to be proposed.
     fn retirement_rejection(&self, node: &str) -> Option<Reply> {
         let control = self.ctx.chain().replica().machine();
         if control.is_retired(node) {
@@ -150,12 +154,13 @@
         let is_known =
             control.is_registered_store(node) || views.live_node_names(self.now).any(|other| other == node);
         let is_retired = |other: &str| other == node || control.is_retired(other);
-        let is_enough = views.usable_stores(self.now, is_retired) > self.ctx.settings.tolerated_machines;
-        if is_known && is_enough {
+        let leaves_enough_stores =
+            views.usable_stores(self.now, is_retired) > self.ctx.settings.tolerated_machines;
+        if is_known && leaves_enough_stores {
             return None;
         }
-        // A head that has just begun has not heard from all stores yet.
-        if !self.stores.has_heard_all_stores(self.now) {
+        // A new head may not have received a report from every store yet.
+        if !self.stores.has_discovered_all_stores(self.now) {
             return Some(unavailable("the stores have not all been heard from"));
         }
         Some(if is_known {
@@ -172,10 +177,10 @@
         }
         let view = control.store_view();
         let is_excluded = view.members.iter().all(|member| member.node_name != node);
-        let is_enough = view.members.len() > self.ctx.settings.tolerated_machines;
+        let has_enough_members = view.members.len() > self.ctx.settings.tolerated_machines;
         let is_completed = is_excluded
-            && is_enough
-            && self.stores.has_heard_all_stores(self.now)
+            && has_enough_members
+            && self.stores.has_discovered_all_stores(self.now)
             && self.stores.views().is_fully_replicated(self.now, view);
         let state = if is_completed { "completed" } else { "in_progress" };
         Reply::json(200, format!("{{\"state\":\"{state}\"}}"))
--- a/control-plane/core/src/coordinator/pulls.rs
+++ b/control-plane/core/src/coordinator/pulls.rs
@@ -1,5 +1,5 @@
-//! Long polls of gateways: a pull waits until there is a newer configuration, server list or stores' view than the gateway
-//! has, or until its deadline.
+//! Long polls of gateways: a pull waits until there is a newer configuration, server list or stores' view
+//! than the gateway has, or until its deadline.
 
 use super::context::Context;
 use marblecroft_chain_replication::storage::Storage;
@@ -9,10 +9,11 @@
 use marblecroft_rpc::{decode, Bytes};
 use std::time::Duration;
 
-/// The longest that a pull waits, whatever the gateway requests.
+/// Upper bound on the time that a pull waits, whatever the gateway requests.
 const MAX_PULL_WAIT: Duration = Duration::from_millis(2000);
-/// A coordinator without a valid lease answers a pull after this time, with no updates, so that the gateway tries another
-/// one. Longer than a heartbeat (150 ms), which may renew the lease meanwhile.
+/// A coordinator without a valid lease answers a pull after this time, with no updates, so that the gateway
+/// tries another coordinator. Longer than the heartbeat interval (150 ms), because a heartbeat may renew the
+/// lease in the meantime.
 const STALE_PULL_TIMEOUT: Duration = Duration::from_millis(200);
 
 struct PendingPull {
@@ -22,7 +23,7 @@
     deadline: Duration,
 }
 
-/// The list of servers that the chain broadcasts, decoded once for each broadcast.
+/// The list of servers that the chain broadcasts, decoded once per broadcast.
 #[derive(Default)]
 struct ServerListCache {
     broadcast: Vec<u8>,
@@ -38,7 +39,7 @@
     }
 }
 
-/// The pulls that wait.
+/// Pulls that have not been answered yet.
 #[derive(Default)]
 pub(super) struct PendingPulls {
     pending: Vec<PendingPull>,
@@ -51,22 +52,22 @@
         self.pending.push(PendingPull { token, pull, received_at: now, deadline });
     }
 
-    /// Answers the pulls for which there are updates, and those that have waited long enough.
+    /// Answers the pulls for which there are updates, and those that have timed out.
     pub(super) fn answer_ready<S: Storage>(&mut self, ctx: &mut Context<S>, now: Duration) {
         if self.pending.is_empty() {
             return;
         }
         self.server_list.refresh(ctx.chain().broadcast());
         let is_fresh = ctx.has_valid_lease(now);
-        // Without a disk this process is rarely a member, so waiting for a lease is in vain.
+        // A process without a disk is rarely a member, so it does not wait for a lease.
         let stale_timeout = if ctx.settings.is_durable { STALE_PULL_TIMEOUT } else { Duration::ZERO };
         for pending in std::mem::take(&mut self.pending) {
             let updates = if is_fresh { self.updates_for(ctx, &pending.pull) } else { None };
-            let is_over =
+            let has_timed_out =
                 now >= pending.deadline || (!is_fresh && now >= pending.received_at + stale_timeout);
             match updates {
                 Some(updates) => ctx.answer(pending.token, CoordinatorReply::Updates(updates)),
-                None if is_over => {
+                None if has_timed_out => {
                     let updates = ConfigurationUpdates {
                         fresh: is_fresh && ctx.chain().committed_machine().is_some(),
                         coordinators: ctx.member_addresses(),
@@ -79,7 +80,7 @@
         }
     }
 
-    /// What is newer than what the gateway has; `None` where nothing is.
+    /// Returns the updates that are newer than the versions of the gateway, or `None` if there are none.
     fn updates_for<S: Storage>(&self, ctx: &Context<S>, pull: &Pull) -> Option<ConfigurationUpdates> {
         let known = pull.known_versions;
         let control = ctx.chain().committed_machine()?;
@@ -95,12 +96,13 @@
                 .then(|| control.store_view().clone()),
             coordinators: ctx.member_addresses(),
         };
-        let has_news =
+        let has_updates =
             updates.configuration.is_some() || updates.servers.is_some() || updates.stores.is_some();
-        has_news.then_some(updates)
+        has_updates.then_some(updates)
     }
 
-    /// When the next pull is over: at its stale timeout, or at its deadline where that has passed at `last_input_at`.
+    /// Returns when the next pull times out: at its stale timeout, or at its deadline if the stale timeout
+    /// had passed at `last_input_at`.
     pub(super) fn next_wake(&self, last_input_at: Duration) -> Duration {
         let wake_at = |pending: &PendingPull| {
             let stale_at = pending.received_at + STALE_PULL_TIMEOUT;
--- a/control-plane/core/src/coordinator/server_list.rs
+++ b/control-plane/core/src/coordinator/server_list.rs
@@ -1,4 +1,4 @@
-//! The head's reading of the platform's list of servers, and its broadcast down the chain.
+//! Reads of the platform's list of servers by the head, and the broadcast of the list along the chain.
 
 use super::context::Context;
 use super::io::Output;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Does the reader's next step. This process must lead.
+/// Performs the reader's next step. This process must be the head with a valid lease.
 pub(super) fn step<S: Storage>(reader: &mut ServerListReader, ctx: &mut Context<S>, now: Duration) {
     let view = ctx.view().number;
     match reader.step(now, view) {
@@ -24,7 +24,8 @@
     }
 }
 
-/// Takes a list that was read, and broadcasts it where this process still leads.
+/// Handles the result of a read, which is `None` if the read failed. Broadcasts a new list if this process is
+/// still the head with a valid lease.
 pub(super) fn on_list_read<S: Storage>(
     reader: &mut ServerListReader,
     ctx: &mut Context<S>,
--- a/control-plane/core/src/coordinator/settings.rs
+++ b/control-plane/core/src/coordinator/settings.rs
@@ -1,28 +1,28 @@
-//! The settings of a coordinator.
+//! Settings of a coordinator.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a coordinator knows about its deployment.
+/// Deployment settings of a coordinator.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of the machine.
     pub node_name: String,
-    /// Where other processes call this one.
+    /// Address at which other processes call this one.
     pub address: SocketAddr,
-    /// Where other coordinators may be found.
+    /// Addresses at which to look for other coordinators.
     pub seeds: Vec<SocketAddr>,
-    /// The port of the operator's API, the same on all machines; `None` where there is no such API.
+    /// Port of the operator's API, the same on all machines; `None` if the API is not served.
     pub operator_port: Option<u16>,
-    /// Machines with a disk that may be lost at once.
+    /// Number of machines with a disk whose simultaneous loss is tolerated (f).
     pub tolerated_machines: usize,
     /// Time from SIGTERM to SIGKILL.
     pub grace_period: Duration,
-    /// Whether the platform has a list of servers to read.
+    /// Whether the platform provides a list of servers.
     pub reads_server_list: bool,
-    /// Whether this machine has a disk. A coordinator without one redirects callers to the members, and is a member itself
-    /// only as a founder, until others hold the state.
+    /// Whether this machine has a disk. A coordinator without a disk redirects callers to the members. It is
+    /// a member only if it belongs to the founding view, and only until other members hold the state.
     pub is_durable: bool,
-    /// Drawn at random by every process when it starts.
+    /// Random number that every process draws when it starts.
     pub session: u64,
 }
--- a/control-plane/core/src/coordinator/store_supervision.rs
+++ b/control-plane/core/src/coordinator/store_supervision.rs
@@ -1,5 +1,5 @@
-//! The head's supervision of the stores: it takes their reports and decides, through its chain, which of them form the
-//! stores' chain.
+//! Supervision of the stores by the head of the coordinators. The head receives the stores' reports and
+//! decides, through its own chain, which stores form the stores' chain.
 
 use super::context::Context;
 use super::operations::PendingOperation;
@@ -11,13 +11,14 @@
 use std::time::Duration;
 use tracing::info;
 
-/// Pause between two checks of the stores' view. Half of the stores' report interval, so no report waits for long.
+/// Interval between checks of the stores' view. Half of the stores' report interval, so that reports take
+/// effect soon.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the head knows of the stores.
+/// The head's state for the supervision of the stores.
 pub(super) struct StoreSupervision {
     views: StoreViews,
-    /// Since when this process leads without a break, which is since when stores report to it.
+    /// Start of the current, uninterrupted period in which this process leads and stores report to it.
     leading_since: Option<Duration>,
     next_check_at: Duration,
 }
@@ -31,17 +32,17 @@
         &self.views
     }
 
-    /// Whether this process has led for long enough that every store that works has reported to it.
-    pub(super) fn has_heard_all_stores(&self, now: Duration) -> bool {
+    /// Returns whether this process has led for long enough that every working store has reported to it.
+    pub(super) fn has_discovered_all_stores(&self, now: Duration) -> bool {
         self.leading_since.is_some_and(|since| now >= since + HEAD_DISCOVERY_TIME)
     }
 
-    /// Ends the supervision: another process may lead.
+    /// Stops the supervision, because another process may lead.
     pub(super) fn stop(&mut self) {
         self.leading_since = None;
     }
 
-    /// Begins the supervision unless it is under way. Reports from an earlier time as the head do not count.
+    /// Starts the supervision unless it is active. Discards the reports of an earlier period as the head.
     pub(super) fn start(&mut self, now: Duration) {
         if self.leading_since.is_none() {
             self.leading_since = Some(now);
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Takes a store's report, and returns the directive for it.
+    /// Handles a store's report and returns the directive for the store.
     pub(super) fn handle_report<S: Storage>(
         &mut self,
         ctx: &Context<S>,
@@ -77,7 +78,7 @@
         self.next_check_at = now + CHECK_INTERVAL;
         let Some(control) = ctx.chain().committed_machine() else { return };
         let min_replicas = ctx.min_replicas();
-        // One replica more than required, so that the loss of one stops nothing.
+        // One replica more than required, so that the loss of one does not block operations.
         let counts = ReplicaCounts { min_replicas, target_replicas: min_replicas + 1 };
         let unregistered: Vec<String> = self
             .views
@@ -97,12 +98,12 @@
         }
     }
 
-    /// Whether this process has led at its last input.
+    /// Returns whether this process led when it handled its last input.
     pub(super) fn is_active(&self) -> bool {
         self.leading_since.is_some()
     }
 
-    /// When a check is due; never while this process does not lead.
+    /// Returns when the next check is due; `Duration::MAX` while this process does not lead.
     pub(super) fn next_wake(&self) -> Duration {
         if self.is_active() {
             self.next_check_at
--- a/control-plane/core/src/drain.rs
+++ b/control-plane/core/src/drain.rs
@@ -1,12 +1,13 @@
-//! How long a process that was asked to terminate tries to leave its chain.
+//! Time limit for leaving the chain on termination.
 
 use std::time::Duration;
 
-/// Upper bound of the time for leaving the chain. A view change takes less than this where the other members answer.
+/// Upper bound on the time for leaving the chain. A view change takes less than this if the other members
+/// reply.
 const MAX_DRAIN_TIME: Duration = Duration::from_secs(3);
 
-/// When a process that was asked to terminate at `now` exits, whether it has left its chain or not. At most half of the
-/// grace period is used, so that SIGKILL never comes first.
+/// Returns when a process that was asked to terminate at `now` exits, even if it has not left its chain. It
+/// uses at most half of the grace period, so that it exits before SIGKILL.
 pub(crate) fn drain_deadline(now: Duration, grace_period: Duration) -> Duration {
     now + MAX_DRAIN_TIME.min(grace_period / 2)
 }
--- a/control-plane/core/src/gateways.rs
+++ b/control-plane/core/src/gateways.rs
@@ -1,5 +1,5 @@
-//! The gateways that the head of the stores has heard from lately. It makes those of one zone known to each other, so that
-//! they can exchange load reports.
+//! Gateways that have recently requested work from the head of the stores. The head sends the gateways of one
+//! zone each other's addresses, so that they can exchange load reports.
 
 use marblecroft_protocol::load::ZoneLoad;
 use marblecroft_protocol::store::{Peers, WorkRequest};
@@ -7,40 +7,42 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Upper bound of the gateways that exchange load reports: each report goes to all of them. A larger zone has several such
-/// groups of about equal size, since load reports at longer intervals do harm.
+/// Upper bound on the number of gateways that exchange load reports with each other, because each report goes
+/// to all of them. A larger zone is split into several groups of about equal size; longer intervals between
+/// load reports would do harm.
 pub const MAX_PEERS: usize = 24;
-/// A gateway that has not been heard from for this time is no longer a peer.
+/// A gateway that has not requested work for this time is no longer a peer.
 const GATEWAY_TTL: Duration = Duration::from_millis(3000);
 
 struct GatewayRecord {
     zone: String,
     address: SocketAddr,
-    /// The requests that it has in flight at the servers of each zone.
+    /// Number of requests that it has in flight at the servers of each zone.
     zone_loads: Vec<ZoneLoad>,
-    last_heard_at: Duration,
+    last_request_at: Duration,
 }
 
-/// The gateways by name.
+/// The current gateways, by name.
 #[derive(Default)]
 pub struct GatewayDirectory {
     gateways: BTreeMap<String, GatewayRecord>,
 }
 
 impl GatewayDirectory {
-    /// Records that a gateway was heard from at `now`, and expires others.
+    /// Records that a gateway requested work at `now`, and removes gateways that have expired.
     pub fn record_work_request(&mut self, now: Duration, work: &WorkRequest) {
         let record = GatewayRecord {
             zone: work.zone.clone(),
             address: work.load_address,
             zone_loads: work.zone_loads.clone(),
-            last_heard_at: now,
+            last_request_at: now,
         };
         self.gateways.insert(work.gateway.clone(), record);
-        self.gateways.retain(|_, record| now.saturating_sub(record.last_heard_at) < GATEWAY_TTL);
+        self.gateways.retain(|_, record| now.saturating_sub(record.last_request_at) < GATEWAY_TTL);
     }
 
-    /// The peers of `gateway`, itself included; `None` where it knows them already by `known_digest`.
+    /// Returns the peers of `gateway`, including itself, or `None` if `known_digest` is the digest of these
+    /// peers.
     pub fn peers_of(&self, gateway: &str, zone: &str, known_digest: u64) -> Option<Peers> {
         let in_zone: Vec<_> = self.gateways.iter().filter(|(_, record)| record.zone == zone).collect();
         let groups = in_zone.len().div_ceil(MAX_PEERS).max(1);
@@ -52,12 +54,12 @@
         (digest != known_digest).then_some(Peers { digest, addresses })
     }
 
-    /// The number of gateways.
+    /// Returns the number of gateways.
     pub fn count(&self) -> u32 {
         u32::try_from(self.gateways.len()).unwrap_or(u32::MAX)
     }
 
-    /// The requests that all gateways together have in flight at the servers of each zone.
+    /// Returns the number of requests that all gateways together have in flight at the servers of each zone.
     pub fn zone_loads(&self) -> Vec<ZoneLoad> {
         let mut in_flight_by_zone: BTreeMap<&str, f32> = BTreeMap::new();
         for load in self.gateways.values().flat_map(|record| &record.zone_loads) {
@@ -68,7 +70,8 @@
     }
 }
 
-/// FNV-1a over the addresses; never 0, which stands for a gateway that knows no peers yet.
+/// Returns the FNV-1a hash of the addresses. It is never 0, which a gateway sends before it has received any
+/// peers.
 fn digest(addresses: &[SocketAddr]) -> u64 {
     let text: String = addresses.iter().map(|address| format!("{address} ")).collect();
     let hash = text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash: u64, byte| {
--- a/control-plane/core/src/lib.rs
+++ b/control-plane/core/src/lib.rs
@@ -1,12 +1,14 @@
-//! The decisions of the control plane, without I/O: who is a member, who leads, when a process may answer, and what.
+//! State machines of the control plane, without I/O. They decide on membership and leadership, and on the
+//! replies to requests.
 //!
-//! [`coordinator::Coordinator`] and [`store::Store`] are state machines: they take inputs (a request, the reply to one of
-//! their own calls, an operator's call, a signal, the time) and return outputs (replies, calls, the end of the process), which
-//! the caller carries out in order. Their durable state is behind [`marblecroft_chain_replication::storage::Storage`]. The
-//! same code runs in the program of `server` and in the clusters of `simulation`.
+//! [`coordinator::Coordinator`] and [`store::Store`] take inputs (a request, the reply to one of their own
+//! calls, an operator's call, a signal, the time) and return outputs (replies, calls, the end of the
+//! process), which the caller carries out in order. They access their durable state through
+//! [`marblecroft_chain_replication::storage::Storage`]. The `server` program and the clusters of `simulation`
+//! run the same code.
 //!
-//! Nothing here reads a clock or draws random numbers, and every collection whose order reaches an output is ordered: the
-//! same inputs lead to the same outputs, which is what lets the simulation replay a seed.
+//! This crate reads no clock and draws no random numbers, and every collection whose order affects an output
+//! is ordered. The same inputs therefore lead to the same outputs, so that the simulation can replay a seed.
 #![forbid(unsafe_code)]
 
 mod chain_client;
@@ -26,22 +28,22 @@
 /// The time at which an input is handled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Time {
-    /// The steady clock: it never goes back, and counts while the process is suspended.
+    /// Monotonic clock, which also advances while the process is suspended.
     pub monotonic: Duration,
-    /// Milliseconds since 1970 by the wall clock, which may be wrong and may jump.
+    /// Wall clock in milliseconds since 1970. It may be wrong and may jump.
     pub wall_ms: u64,
 }
 
 /// A process of the control plane as a state machine.
 pub trait Node {
-    /// An event that the process reacts to.
+    /// An event that the process handles.
     type Input;
     /// An effect for the caller to carry out.
     type Output;
 
-    /// Handles one input, and returns the outputs to carry out in order.
+    /// Handles one input and returns the outputs, to be carried out in order.
     fn handle(&mut self, time: Time, input: Self::Input) -> Vec<Self::Output>;
 
-    /// The time on the steady clock by which the process wants its next input, at the latest.
+    /// Returns the latest time on the monotonic clock at which the caller must pass the next input.
     fn next_wake(&self) -> Duration;
 }
--- a/control-plane/core/src/member.rs
+++ b/control-plane/core/src/member.rs
@@ -1,4 +1,4 @@
-//! How a member of a chain starts from what it finds on its disk.
+//! Start of a chain member from the contents of its disk.
 
 use marblecroft_chain_replication::chain::random_identity;
 use marblecroft_chain_replication::storage::Storage;
@@ -8,8 +8,9 @@
 use std::net::{IpAddr, SocketAddr};
 use tracing::{info, warn};
 
-/// The identity of a founder. Every process derives the same one from the seeds, and no other member can have it, as theirs
-/// are drawn at random.
+/// Returns the identity of a founder, which is a member of the first view. Every process derives the same
+/// identity from the seeds. No other member can have it, because the identities that are drawn at random have
+/// a bit set that is 0 here.
 fn founder_identity(seed: SocketAddr) -> u64 {
     let ip = match seed.ip() {
         IpAddr::V4(ip) => u64::from(u32::from(ip)),
@@ -18,8 +19,8 @@
     (ip << 16) | u64::from(seed.port())
 }
 
-/// The first view and the identity in it of the process at `own`; `None` where that is not one of the founders.
-/// `address_of` maps a seed to the address where its member is called.
+/// Returns the identity of the process at `own` and the first view; `None` if the process is not one of the
+/// founders. `address_of` maps a seed to the address at which its member is called.
 pub fn founding_view(
     own: SocketAddr,
     seeds: &[SocketAddr],
@@ -36,15 +37,15 @@
         .then(|| (founder_identity(own), View { number: 1, voters: members.clone(), members }))
 }
 
-/// Opens the replica of a member from what was recovered from its disk. From an empty disk the member starts with an empty
-/// state, under the founding view, or with the identity `drawn` at random for it.
+/// Opens the replica of a member from what was recovered from its disk. With an empty disk the member starts
+/// with an empty state: as a founder in the `founding` view, or else with the random identity `drawn`.
 ///
-/// A damaged log does not count: it may be older than what this member has acknowledged, its votes included. The member
-/// starts with a new identity, like one that has lost its disk.
+/// A damaged log is not used, because it may be older than the operations and votes that this member has
+/// acknowledged. The member starts with a new identity, like one that has lost its disk.
 ///
 /// # Errors
 ///
-/// The storage cannot be written.
+/// Fails if the recovered state cannot be decoded or the storage cannot be written.
 pub fn open<M: StateMachine, S: Storage>(
     storage: S,
     recovered: Recovered,
--- a/control-plane/core/src/operator/mod.rs
+++ b/control-plane/core/src/operator/mod.rs
@@ -1,11 +1,15 @@
-//! The operator's API: which calls there are, and what they are answered with.
+//! The operator's API: its calls and the replies to them.
 //!
-//! A call passes here in this order: its path names an `Endpoint`, else the reply is 404; a coordinator
-//! that is not the head redirects; then method, headers and body are parsed to a `Request`, else the reply
-//! is 405 or 400. The head answers only after a round that began later than the call, rejections that depend on the state
-//! included. Where there is no such round the reply is 503, or 504 where the operation may have been carried out.
+//! A call is handled in these steps:
 //!
-//! The reply texts are part of the API: operators' programs compare them.
+//! 1. The path selects an `Endpoint`. The reply to an unknown path is 404.
+//! 2. A coordinator that is not the head redirects the caller to the head.
+//! 3. Method, headers and body are parsed into a `Request`. The reply to an invalid one is 405 or 400.
+//! 4. The head replies after a round of the chain that began later than the call, also if the reply is a
+//!    rejection that depends on the state. Without such a round the reply is 503, or 504 if the operation may
+//!    have been carried out.
+//!
+//! The reply texts are part of the API, because operators' programs compare them.
 
 pub(crate) mod reply;
 pub(crate) mod request;
@@ -32,7 +36,7 @@
     pub method: Method,
     /// Path and query.
     pub url: String,
-    /// The value of `X-Base-Version`.
+    /// The value of the header `X-Base-Version`.
     pub base: Option<String>,
     /// The body.
     pub body: Vec<u8>,
@@ -46,7 +50,8 @@
         generation: u64,
     },
     Read,
-    /// The state is read first: a machine may be retired only if enough others are left.
+    /// Reads the state before a retirement is proposed: a machine may be retired only if enough others are
+    /// left.
     CheckRetirement {
         node: String,
     },
@@ -56,10 +61,10 @@
     },
 }
 
-/// Where a call came from.
+/// The origin of a call.
 #[derive(Debug)]
 pub(crate) struct Caller {
-    /// Names the call for its reply.
+    /// Identifies the call in the reply.
     pub(crate) token: Token,
     /// Path and query, for a redirect.
     pub(crate) url: String,
--- a/control-plane/core/src/operator/reply.rs
+++ b/control-plane/core/src/operator/reply.rs
@@ -1,21 +1,22 @@
-//! The replies to the operator's calls that do not depend on which process answers.
+//! Replies to the operator's calls that do not depend on which process answers.
 
 use super::PendingCall;
 use marblecroft_control_state::Output;
 use marblecroft_rpc::http::Reply;
 use tracing::info;
 
-/// The call cannot be answered at the moment, and has changed nothing.
+/// Returns the reply to a call that cannot be answered at the moment and has changed nothing.
 pub(crate) fn unavailable(reason: &str) -> Reply {
     Reply::text(503, reason)
 }
 
-/// The operation may have been carried out. Calls are idempotent, so the operator sends it again.
+/// Returns the reply to a call whose operation may have been carried out. Calls are idempotent, so the
+/// operator can send it again.
 pub(crate) fn unknown_outcome() -> Reply {
     Reply::text(504, "the outcome is not known; send it again")
 }
 
-/// The reply to a call whose operation was applied with this output.
+/// Returns the reply to a call whose operation was applied with this output.
 pub(crate) fn applied(pending: &PendingCall, output: &Output) -> Reply {
     match (pending, output) {
         (PendingCall::Change { generation }, Output::Accepted) => {
--- a/control-plane/core/src/operator/request.rs
+++ b/control-plane/core/src/operator/request.rs
@@ -1,4 +1,4 @@
-//! Parses the operator's calls.
+//! Parsing of the operator's calls.
 
 use super::{Call, Method};
 use marblecroft_configuration::{Configuration, ConfigurationError, Update};
@@ -8,27 +8,27 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a call is not carried out. Its text is the reply's.
+    /// Reason why a call is rejected. Its text is the body of the reply.
     #[derive(Debug)]
     pub enum RequestError {
-        /// No call has this path.
+        /// There is no call with this path.
         UnknownPath {
             display("no such call")
         }
-        /// The call is not made with this method.
+        /// The method is not allowed for the path.
         MethodNotAllowed {
             display("not with this method")
         }
-        /// A change does not name the version that it is based on.
+        /// A change has no `X-Base-Version` header.
         MissingBaseVersion {
             display("X-Base-Version is missing")
         }
-        /// The version that a change is based on is no number.
+        /// The `X-Base-Version` header of a change is not a number.
         InvalidBaseVersion(error: std::num::ParseIntError) {
             display("X-Base-Version: expected a whole number")
             source(error)
         }
-        /// The configuration, or the update of one, cannot be used.
+        /// The configuration or the update is invalid.
         InvalidConfiguration(error: ConfigurationError) {
             from()
             display("{}", error)
@@ -38,7 +38,7 @@
 }
 
 impl RequestError {
-    /// The reply to the call.
+    /// Returns the reply to the call.
     pub(crate) fn reply(&self) -> Reply {
         let status = match self {
             RequestError::UnknownPath => 404,
@@ -51,7 +51,7 @@
     }
 }
 
-/// What a path names.
+/// The call that a path selects.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Endpoint {
     ReplaceConfiguration,
@@ -62,7 +62,7 @@
 }
 
 impl Endpoint {
-    /// The endpoint of a URL, whose query is ignored.
+    /// Parses the path of a URL. The query is ignored.
     pub(crate) fn parse(url: &str) -> Result<Endpoint, RequestError> {
         let path = url.split('?').next().unwrap_or_default();
         if let Some(node) = path.strip_prefix("/-/Retire.Start/") {
@@ -83,7 +83,7 @@
 /// A well-formed call.
 #[derive(Debug)]
 pub(crate) enum Request {
-    /// Change the configuration to the one of this generation.
+    /// Changes the configuration; the result has this generation.
     Change {
         generation: u64,
         operation: Operation,
@@ -102,7 +102,8 @@
     ///
     /// # Errors
     ///
-    /// The method is not allowed, the base version of a change is absent or no number, or its body is invalid.
+    /// Fails if the method is not allowed, if the base version of a change is missing or not a number, or if
+    /// its body is invalid.
     pub(crate) fn parse(endpoint: Endpoint, call: Call) -> Result<Request, RequestError> {
         match (endpoint, call.method) {
             (Endpoint::ReplaceConfiguration, Method::Post) => {
--- a/control-plane/core/src/operator/tests.rs
+++ b/control-plane/core/src/operator/tests.rs
@@ -1,4 +1,4 @@
-//! How the operator's calls are parsed: which error comes first, and what a well-formed call is.
+//! Parsing of the operator's calls: the order of the checks, and the calls that are well-formed.
 
 use super::request::{Endpoint, Request, RequestError};
 use super::{Call, Method};
@@ -13,13 +13,13 @@
 
 #[track_caller]
 fn check_rejected(call: Call, status: u16, text: &str) {
-    let reply = parse(call).expect_err("rejected").reply();
+    let reply = parse(call).expect_err("an invalid call is rejected").reply();
     assert_eq!((reply.status, String::from_utf8(reply.body)), (status, Ok(format!("{text}\n"))));
 }
 
 #[test]
 fn the_query_of_a_url_is_ignored() {
-    let endpoint = Endpoint::parse("/-/Retire.Read/store-1?verbose=/-/Config.Read").expect("an endpoint");
+    let endpoint = Endpoint::parse("/-/Retire.Read/store-1?verbose=/-/Config.Read").expect("a known path");
     assert_eq!(endpoint, Endpoint::ReadRetirement { node: "store-1".to_owned() });
 }
 
--- a/control-plane/core/src/pending_table.rs
+++ b/control-plane/core/src/pending_table.rs
@@ -1,12 +1,12 @@
-//! Entries that wait under an id for the event that carries the same id.
+//! Pending entries, stored under an id until the event with the same id arrives.
 
 #[cfg(test)]
 mod tests;
 
 use std::collections::HashMap;
 
-/// A table of pending entries. Ids count from 1 and are never used again, so a late reply cannot be taken for that of
-/// another call; they are part of the traces that the simulation compares.
+/// A table of pending entries. Ids start at 1 and are never reused, so that a late reply is not matched to
+/// another call. They are part of the traces that the simulation compares.
 pub(crate) struct PendingTable<T> {
     last_id: u64,
     pending: HashMap<u64, T>,
@@ -26,17 +26,17 @@
         self.last_id
     }
 
-    /// The entry with this id.
+    /// Returns the entry with this id.
     pub(crate) fn get(&self, id: u64) -> Option<&T> {
         self.pending.get(&id)
     }
 
-    /// The entry with this id, to change it.
+    /// Returns a mutable reference to the entry with this id.
     pub(crate) fn get_mut(&mut self, id: u64) -> Option<&mut T> {
         self.pending.get_mut(&id)
     }
 
-    /// Takes the entry with this id out of the table.
+    /// Removes and returns the entry with this id.
     pub(crate) fn remove(&mut self, id: u64) -> Option<T> {
         self.pending.remove(&id)
     }
--- a/control-plane/core/src/pending_table/tests.rs
+++ b/control-plane/core/src/pending_table/tests.rs
@@ -1,4 +1,4 @@
-//! Ids of pending entries.
+//! Ids of pending entries are not reused.
 
 use super::PendingTable;
 
--- a/control-plane/core/src/server_list_reader.rs
+++ b/control-plane/core/src/server_list_reader.rs
@@ -1,22 +1,24 @@
-//! When the head reads the platform's list of servers, and under which fencing token it broadcasts it.
+//! Schedule of the head's reads of the platform's list of servers, and the fencing token under which a list
+//! is broadcast.
 //!
-//! Every process that begins to read takes a fencing token from the coordinators' state, higher than any before: a list of
-//! an earlier reader counts as older than any of a later one, even where both were the same machine.
+//! Every process that starts to read takes a fencing token from the coordinators' state, which is higher than
+//! any before. A list of an earlier reader therefore counts as older than any list of a later reader, even if
+//! both ran on the same machine.
 
 use marblecroft_protocol::servers::{Server, ServerList, ServerListVersion};
 use std::time::Duration;
 
-/// Pause between two reads; far shorter than the time that a drain allows.
+/// Interval between reads. Much shorter than the time that is allowed for draining a server.
 const READ_INTERVAL: Duration = Duration::from_millis(400);
 
-/// What the reader does next.
+/// The next step of the reader.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Step {
     /// Nothing is due.
     Wait,
-    /// Request a fencing token from the chain, and report it with [`ServerListReader::on_token`].
+    /// Request a fencing token from the chain and pass it to [`ServerListReader::on_token`].
     RequestToken,
-    /// Read the list, and report it with [`ServerListReader::on_list`].
+    /// Read the list and pass it to [`ServerListReader::on_list`].
     Read,
 }
 
@@ -27,21 +29,23 @@
     value: u64,
 }
 
-/// A head's reader of the list of servers.
+/// The reader of the list of servers, which only the head uses.
 #[derive(Default)]
 pub struct ServerListReader {
     token: Option<FencingToken>,
     token_requested: bool,
-    /// The fencing token under which the read in flight was begun.
+    /// Fencing token under which the read in flight was started.
     read_under_token: Option<u64>,
     next_read_at: Duration,
     list: ServerList,
 }
 
 impl ServerListReader {
-    /// What to do now, where this process is the head of the view with this number and may read.
+    /// Returns the next step. This process must be the head of the view with number `view`, and have a valid
+    /// lease.
     pub fn step(&mut self, now: Duration, view: u64) -> Step {
-        // A token of an earlier view is another head's, even where that was this process.
+        // A token of another view was issued to another head, or to this process in an earlier term as the
+        // head.
         self.token = self.token.filter(|token| token.view == view);
         let Some(token) = self.token else {
             let is_first = !self.token_requested;
@@ -56,19 +60,20 @@
         Step::Read
     }
 
-    /// Gives the fencing token up: this process may not read.
+    /// Discards the fencing token, because this process may not read any more.
     pub fn stop(&mut self) {
         self.token = None;
     }
 
-    /// Takes the fencing token that was requested in the view with this number; `None` where the request failed.
+    /// Handles the fencing token that was requested in the view with number `view`; `None` if the request
+    /// failed.
     pub fn on_token(&mut self, view: u64, token: Option<u64>) {
         self.token_requested = false;
         self.token = token.map(|value| FencingToken { view, value });
     }
 
-    /// Takes the list that was read, `None` where the read failed; returns the list to broadcast, if it is new and the token
-    /// under which the read was begun is still valid.
+    /// Handles the list that was read; `None` if the read failed. Returns the list to broadcast, if it is new
+    /// and the token under which the read was started is still valid.
     pub fn on_list(&mut self, servers: Option<Vec<Server>>) -> Option<&ServerList> {
         let read_under = self.read_under_token.take()?;
         let epoch = self.token.filter(|token| token.value == read_under)?.value;
@@ -81,7 +86,7 @@
         Some(&self.list)
     }
 
-    /// When [`ServerListReader::step`] has something to do.
+    /// Returns when the next read is due; `Duration::MAX` without a token or while a read is in flight.
     pub fn next_wake(&self) -> Duration {
         if self.token.is_none() || self.read_under_token.is_some() {
             Duration::MAX
--- a/control-plane/core/src/store/context.rs
+++ b/control-plane/core/src/store/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of a store share: the chain, the calls in flight and the outputs of the current input.
+//! State shared by all parts of a store: the chain, the calls in flight and the outputs of the current input.
 
 use super::io::Output;
 use super::operations::{CallPurpose, PendingOperation};
@@ -15,10 +15,10 @@
 /// The chain of the stores.
 pub type BatchChain<S> = Chain<BatchState, S>;
 
-/// Time for an operation. Longer than the 900 ms after which the coordinators exclude a member that has failed, so that an
-/// operation can outlive the view change that follows.
+/// Timeout of an operation. Longer than the 900 ms after which the coordinators exclude a failed member, so
+/// that an operation can still complete after the view change.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Time for a read. Shorter than that of an operation: a read has no effect and may be repeated.
+/// Timeout of a read. Shorter than that of an operation, because a read has no effect and can be repeated.
 const READ_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// The shared parts of a store.
@@ -41,7 +41,7 @@
         &mut self.client.chain
     }
 
-    /// The batch jobs as of the newest entry on this store's disk.
+    /// Returns the batch jobs as of the newest entry on this store's disk.
     pub(super) fn jobs(&self) -> &BatchState {
         self.chain().replica().machine()
     }
@@ -86,7 +86,7 @@
     }
 }
 
-/// The reply to a request whose operation or read the chain has not carried out.
+/// Returns the reply to a request whose operation or read the chain has rejected.
 pub(super) fn rejection_reply(error: ProposalError) -> StoreReply {
     match error {
         ProposalError::NotHead(head) => StoreReply::NotHead(head),
--- a/control-plane/core/src/store/expiry.rs
+++ b/control-plane/core/src/store/expiry.rs
@@ -1,4 +1,4 @@
-//! The expiry of old jobs.
+//! Expiry of old jobs.
 
 use super::context::Context;
 use super::operations::PendingOperation;
@@ -7,13 +7,13 @@
 use marblecroft_chain_replication::storage::Storage;
 use std::time::Duration;
 
-/// Pause between two expiry operations.
+/// Interval between expiry operations.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(20);
-/// Jobs are kept this much longer than results must stay readable. Covers wall clocks that differ between machines, and
-/// jobs that take long.
+/// Additional time for which jobs are kept after their results need no longer be readable. It covers
+/// differences between the wall clocks of machines, and jobs that take long.
 const EXTRA_RETENTION: Duration = Duration::from_secs(60);
 
-/// When jobs are expired next.
+/// Schedule of the expiry.
 pub(super) struct JobExpiry {
     next_at: Duration,
 }
@@ -23,7 +23,8 @@
         JobExpiry { next_at: now + EXPIRY_INTERVAL }
     }
 
-    /// Proposes, as the head, that jobs older than `result_retention` expire, if that is due.
+    /// Proposes, as the head, the expiry of jobs that are older than the sum of `result_retention`
+    /// and [`EXTRA_RETENTION`], if an expiry is due.
     pub(super) fn propose_if_due<S: Storage>(
         &mut self,
         ctx: &mut Context<S>,
--- a/control-plane/core/src/store/io.rs
+++ b/control-plane/core/src/store/io.rs
@@ -1,4 +1,4 @@
-//! The inputs and outputs of a store.
+//! Inputs and outputs of a store.
 
 use marblecroft_chain_replication::Token;
 use marblecroft_protocol::coordinator::{CoordinatorReply, CoordinatorRequest};
@@ -6,40 +6,40 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An event that a store reacts to.
+/// An event that a store handles.
 #[derive(Debug)]
 pub enum Input {
-    /// A call of another process.
+    /// A call from another process.
     Request {
-        /// Names the call in [`Output::Answer`].
+        /// Identifies the call in [`Output::Answer`].
         token: Token,
-        /// What is requested.
+        /// The request.
         request: StoreRequest,
     },
     /// The reply of another store to [`Output::CallStore`].
     StoreReply {
         /// The id of the call.
         call: u64,
-        /// `None` where no reply came within the timeout.
+        /// `None` if there was no reply within the timeout.
         reply: Option<StoreReply>,
     },
     /// The reply of a coordinator to [`Output::CallCoordinator`].
     CoordinatorReply {
         /// The id of the call.
         call: u64,
-        /// `None` where no reply came within the timeout.
+        /// `None` if there was no reply within the timeout.
         reply: Option<CoordinatorReply>,
     },
     /// SIGTERM.
     Terminate,
-    /// The time that [`next_wake`](crate::Node::next_wake) named has come.
+    /// The time returned by [`next_wake`](crate::Node::next_wake) has been reached.
     Wake,
 }
 
 /// An effect for the caller to carry out.
 #[derive(Debug)]
 pub enum Output {
-    /// Reply to a call of another process.
+    /// Reply to a call from another process.
     Answer {
         /// The token of [`Input::Request`].
         token: Token,
@@ -48,24 +48,24 @@
     },
     /// Call another store.
     CallStore {
-        /// Names the call in [`Input::StoreReply`].
+        /// Identifies the call in [`Input::StoreReply`].
         call: u64,
-        /// Where the store listens.
+        /// Address of the store.
         to: SocketAddr,
-        /// What is requested.
+        /// The request.
         request: StoreRequest,
-        /// After this time the call has failed.
+        /// Time after which the call fails.
         timeout: Duration,
     },
     /// Call a coordinator.
     CallCoordinator {
-        /// Names the call in [`Input::CoordinatorReply`].
+        /// Identifies the call in [`Input::CoordinatorReply`].
         call: u64,
-        /// Where the coordinator listens.
+        /// Address of the coordinator.
         to: SocketAddr,
-        /// What is requested.
+        /// The request.
         request: CoordinatorRequest,
-        /// After this time the call has failed.
+        /// Time after which the call fails.
         timeout: Duration,
     },
     /// End the process.
--- a/control-plane/core/src/store/jobs.rs
+++ b/control-plane/core/src/store/jobs.rs
@@ -8,8 +8,8 @@
 use marblecroft_protocol::store::StoreReply;
 use std::time::Duration;
 
-/// Proposes a job. One over its quota costs the chain no more than a read; its rejection is final, so it needs proof that
-/// this state is the newest.
+/// Proposes a job if it fits its quota. For a job over its quota only a read is submitted to the chain, to
+/// confirm that this state is the newest, because the rejection is final.
 pub(super) fn submit<S: Storage>(ctx: &mut Context<S>, now: Duration, token: Token, job: NewJob) {
     if ctx.jobs().fits_quota(&job) {
         ctx.propose(now, Operation::SubmitJob(job), PendingOperation::SubmitJob { token });
@@ -18,7 +18,7 @@
     }
 }
 
-/// Decides on a job that was over its quota, now that this state is known to be the newest.
+/// Decides on a job that was over its quota, after the chain has confirmed that this state is the newest.
 pub(super) fn confirm_over_quota<S: Storage>(ctx: &mut Context<S>, now: Duration, token: Token, job: NewJob) {
     if ctx.jobs().fits_quota(&job) {
         ctx.propose(now, Operation::SubmitJob(job), PendingOperation::SubmitJob { token });
@@ -27,7 +27,7 @@
     }
 }
 
-/// The reply to the submission of a job.
+/// Returns the reply to the submission of a job.
 pub(super) fn submission_reply(result: Result<Outcome, ProposalError>) -> StoreReply {
     match result {
         Ok(Outcome::Accepted) => StoreReply::Accepted,
@@ -38,7 +38,7 @@
     }
 }
 
-/// The reply to a request to end a job.
+/// Returns the reply to a request to end a job.
 pub(super) fn end_reply(result: Result<Outcome, ProposalError>) -> StoreReply {
     match result {
         Ok(Outcome::UnknownJob) => StoreReply::NotFound,
@@ -47,7 +47,7 @@
     }
 }
 
-/// The reply with the body of an item that has no result yet.
+/// Returns the reply with the body of an item, which is only available while the item has no result.
 pub(super) fn item_body_reply<S: Storage>(ctx: &Context<S>, job: &str, item: &str) -> StoreReply {
     let job = ctx.jobs().job(job).filter(|job| !job.is_ended());
     let body = job.and_then(|job| Some(job.pending_item_by_id(item)?.body.0.clone()));
--- a/control-plane/core/src/store/mod.rs
+++ b/control-plane/core/src/store/mod.rs
@@ -1,13 +1,19 @@
-//! A store: a member of the chain that replicates batch jobs. Gateways submit jobs to its head and request work from it.
+//! A store: a member of the chain that replicates batch jobs. Gateways submit jobs to its head and request
+//! work from it.
 //!
-//! An input passes [`Store::handle`] in this order: the input itself; what is due by the clock (the report to the
-//! coordinators, the expiry of jobs, deferred reads); then the chain, which is advanced until it emits nothing, as what it
-//! emits may submit more. The order is fixed because it numbers the calls and operations.
+//! [`Store::handle`] works in a fixed order, because the order determines the ids of calls and operations:
 //!
-//! - `jobs`, `results`, `work`: what gateways request. Only the head answers it.
-//! - `leases`: which gateway runs which item.
-//! - `reporting`, `state_transfer`: how a store learns its view, and gets the state that it needs to join it.
-//! - `expiry`: the end of old jobs.
+//! 1. The input itself.
+//! 2. Timed work: the report to the coordinators, the expiry of jobs, and deferred reads.
+//! 3. The chain. It is advanced until it emits nothing, because handling its outputs may submit further
+//!    operations.
+//!
+//! Modules:
+//!
+//! - `jobs`, `results`, `work`: requests of gateways, which only the head answers.
+//! - `leases`: the assignment of items to gateways.
+//! - `reporting`, `state_transfer`: receive the view, and the state that a store needs before it joins.
+//! - `expiry`: removal of old jobs.
 
 mod context;
 mod expiry;
@@ -53,11 +59,11 @@
     reporting: CoordinatorReporting,
     state_transfer: StateTransfer,
     expiry: JobExpiry,
-    /// When the process exits, whether it has left the chain or not; set by [`Input::Terminate`].
+    /// Time at which the process exits even if it is still a member; set by [`Input::Terminate`].
     drain_deadline: Option<Duration>,
 }
 
-/// Timing of the stores' chain.
+/// Returns the configuration of the stores' chain.
 fn chain_config(settings: &Settings) -> Config {
     Config {
         heartbeat_interval: Duration::from_millis(250),
@@ -65,13 +71,14 @@
         install_timeout: Duration::from_secs(4),
         min_replicas: settings.tolerated_machines + 1,
         is_durable: true,
-        // Stores hold no leases against each other, so it need only outlast one lost append.
+        // Unlike coordinators, stores rely on no lease of the chain, so this need only outlast one lost
+        // append.
         suspect_timeout: Duration::from_millis(500),
     }
 }
 
 impl<S: Storage> Store<S> {
-    /// Creates a store that starts at `now` with this durable state.
+    /// Creates a store that starts at `now` from the durable state in `replica`.
     pub fn new(settings: Settings, replica: Replica<BatchState, S>, now: Duration) -> Store<S> {
         let chain = Chain::new(replica, chain_config(&settings), settings.session);
         Store {
@@ -86,7 +93,7 @@
         }
     }
 
-    /// The input that reports that a call had no reply within its timeout.
+    /// Returns the input for a call that had no reply within its timeout.
     pub fn timeout_input(&self, call: u64) -> Input {
         match self.context.calls.get(call) {
             Some(CallPurpose::Report { .. }) => Input::CoordinatorReply { call, reply: None },
@@ -94,7 +101,7 @@
         }
     }
 
-    /// The chain as this member knows it.
+    /// Returns this member's part of the chain.
     pub fn chain(&self) -> &BatchChain<S> {
         self.context.chain()
     }
@@ -119,7 +126,8 @@
         }
     }
 
-    /// Handles a request. Every member answers the first four kinds, only the head those of gateways.
+    /// Handles a request. Every member answers the first four kinds; only the head answers requests of
+    /// gateways.
     fn handle_request(&mut self, time: Time, token: Token, request: StoreRequest) {
         let now = time.monotonic;
         let ctx = &mut self.context;
@@ -135,7 +143,7 @@
                 let status = ctx.chain().status(now);
                 ctx.answer(token, StoreReply::Status(status));
             }
-            // Its state is read anew, or not known to be durable.
+            // A write of a suspended replica has failed, so its state may not be the one on its disk.
             StoreRequest::Fetch if ctx.chain().replica().is_suspended() => ctx.answer_not_head(token),
             StoreRequest::Fetch => {
                 let state = ctx.chain().replica().snapshot_message();
--- a/control-plane/core/src/store/operations.rs
+++ b/control-plane/core/src/store/operations.rs
@@ -1,4 +1,4 @@
-//! What a store's pending operations, reads and calls were made for.
+//! Purposes of a store's pending operations, reads and calls.
 
 use marblecroft_batch_state::NewJob;
 use marblecroft_chain_replication::Token;
@@ -8,7 +8,7 @@
 
 /// The purpose of a call to another process.
 pub(super) enum CallPurpose {
-    /// A message of the chain, with the chain's own id of the call.
+    /// A message of the chain, with the id that the chain has assigned to the call.
     Chain(u64),
     /// A report to the coordinator at this address.
     Report { to: SocketAddr },
@@ -35,7 +35,7 @@
         job: String,
         item: String,
     },
-    /// A result that a gateway has reported; `recording` is the id of the [`WorkCall`]'s recording.
+    /// A result that a gateway has reported; `recording` identifies the work request that contained it.
     RecordResult {
         recording: u64,
     },
@@ -44,7 +44,8 @@
 }
 
 impl PendingOperation {
-    /// The request to answer where the state cannot be read; `None` for operations that are no reads.
+    /// Returns the token of the request to answer if the state cannot be read; `None` for operations, which
+    /// are not reads.
     pub(super) fn read_token(&self) -> Option<Token> {
         match self {
             PendingOperation::ConfirmOverQuota { token, .. }
@@ -63,9 +64,9 @@
 pub(super) struct ResultsRead {
     pub(super) token: Token,
     pub(super) job: String,
-    /// Index of the first result that is wanted.
+    /// Index of the first result to return.
     pub(super) start: u64,
-    /// When the request is answered even if there are no results.
+    /// Time at which the request is answered even without results.
     pub(super) deadline: Duration,
 }
 
@@ -75,9 +76,9 @@
     pub(super) finished: Vec<ItemId>,
     pub(super) running: Vec<ItemId>,
     pub(super) gateway: String,
-    /// Further items that the gateway can run.
+    /// Number of further items that the gateway can run.
     pub(super) capacity: usize,
     pub(super) zone: String,
-    /// Digest of the peers that the gateway knows.
+    /// Digest of the peers that the gateway has received last.
     pub(super) peers_digest: u64,
 }
--- a/control-plane/core/src/store/reporting.rs
+++ b/control-plane/core/src/store/reporting.rs
@@ -1,4 +1,4 @@
-//! Reports to the coordinators, whose replies name the stores' view and the state to fetch.
+//! Reports to the coordinators, whose replies contain the stores' view and the store to fetch the state from.
 
 use super::context::Context;
 use super::operations::CallPurpose;
@@ -8,17 +8,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Pause between the reply to a report and the next report. For the coordinators a store has failed after 900 ms
-/// without a report; a lost report is followed by another one after 700 ms (this and [`REPORT_TIMEOUT`]).
+/// Time between the reply to a report and the next report. The coordinators consider a store failed after 900
+/// ms without a report; a lost report is followed by another one after 700 ms (this and [`REPORT_TIMEOUT`]).
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// Time for one report.
+/// Timeout of a report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Where and when this store reports.
+/// Destination and schedule of this store's reports.
 pub(super) struct CoordinatorReporting {
-    /// Where coordinators may be found; addresses are added and never removed.
+    /// Known addresses of coordinators; addresses are added and never removed.
     coordinators: Vec<SocketAddr>,
-    /// Index, modulo their count, of the coordinator that is tried next where no head is known.
+    /// Index, modulo the number of addresses, of the coordinator to report to next if no head is known.
     next_coordinator: usize,
     head: Option<SocketAddr>,
     in_flight: bool,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Sends a report to the head of the coordinators, if one is due.
+    /// Sends a report if one is due: to the head of the coordinators, or to the next one if no head is known.
     pub(super) fn send_if_due<S: Storage>(
         &mut self,
         ctx: &mut Context<S>,
@@ -59,7 +59,7 @@
         ctx.call_coordinator(to, request, REPORT_TIMEOUT, CallPurpose::Report { to });
     }
 
-    /// Takes the reply of the coordinator at `to`; returns its directive, where it is the head.
+    /// Handles the reply of the coordinator at `to`; returns its directive if it is the head.
     pub(super) fn handle_reply(
         &mut self,
         now: Duration,
--- a/control-plane/core/src/store/results.rs
+++ b/control-plane/core/src/store/results.rs
@@ -1,4 +1,4 @@
-//! Reads of a job's results. A read that finds none is deferred and repeated until its deadline.
+//! Reads of a job's results. A read that finds no results is deferred and repeated until its deadline.
 
 use super::context::Context;
 use super::operations::{PendingOperation, ResultsRead};
@@ -9,8 +9,8 @@
 
 /// Delay before a deferred read is repeated.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// Upper bound of the results on one page. Bounds the memory and the time that one reply takes; the reader asks for the next
-/// page from where this one ends.
+/// Upper bound on the size of the results on one page. It bounds the memory and the time that one reply
+/// takes; the caller requests the next page from the end of this one.
 const MAX_PAGE_BYTES: usize = 900_000;
 
 struct DeferredRead {
@@ -23,7 +23,8 @@
 pub(super) struct DeferredReads(Vec<DeferredRead>);
 
 impl DeferredReads {
-    /// Answers with the results of a job, or defers the read until there are some. The state must be readable.
+    /// Answers with the results of a job, or defers the read until there are some. The chain must have
+    /// confirmed the read.
     pub(super) fn on_readable<S: Storage>(&mut self, ctx: &mut Context<S>, now: Duration, read: ResultsRead) {
         let Some(range) = results_from(ctx.jobs(), &read.job, read.start) else {
             ctx.answer(read.token, StoreReply::NotFound);
@@ -57,11 +58,11 @@
 
 struct ResultsRange {
     page: ResultsPage,
-    /// Whether the job will have more results.
+    /// Whether the job can still get more results.
     is_open: bool,
 }
 
-/// The results of `job` from index `start` on, as many as fit a page; `None` where there is no such job.
+/// Returns the results of `job` from index `start` on, as many as fit a page; `None` if there is no such job.
 fn results_from(jobs: &BatchState, job: &str, start: u64) -> Option<ResultsRange> {
     let job = jobs.job(job)?;
     let start = usize::try_from(start).unwrap_or(usize::MAX).min(job.results().len());
--- a/control-plane/core/src/store/settings.rs
+++ b/control-plane/core/src/store/settings.rs
@@ -1,25 +1,25 @@
-//! The settings of a store.
+//! Settings of a store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a store knows about its deployment.
+/// Deployment settings of a store.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of the machine.
     pub node_name: String,
     /// Zone of the machine.
     pub zone: String,
-    /// Where other processes call this one.
+    /// Address at which other processes call this one.
     pub address: SocketAddr,
-    /// Where coordinators may be found.
+    /// Addresses at which to look for coordinators.
     pub coordinators: Vec<SocketAddr>,
-    /// Machines with a disk that may be lost at once.
+    /// Number of machines with a disk whose simultaneous loss is tolerated (f).
     pub tolerated_machines: usize,
-    /// How long results stay readable after a job was submitted.
+    /// Time after the submission of a job for which its results stay readable.
     pub result_retention: Duration,
     /// Time from SIGTERM to SIGKILL.
     pub grace_period: Duration,
-    /// Drawn at random by every process when it starts.
+    /// Random number that every process draws when it starts.
     pub session: u64,
 }
--- a/control-plane/core/src/store/state_transfer.rs
+++ b/control-plane/core/src/store/state_transfer.rs
@@ -1,4 +1,4 @@
-//! The transfer of another store's state, which a store needs before it joins the chain.
+//! Transfer of another store's state, which a store needs before it joins the chain.
 
 use super::context::Context;
 use super::operations::CallPurpose;
@@ -8,10 +8,10 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Time for the transfer of a complete state.
+/// Timeout of the transfer of a complete state.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// At most one transfer at a time.
+/// The transfer in progress. There is at most one.
 #[derive(Default)]
 pub(super) struct StateTransfer {
     in_flight: bool,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Installs the state that was fetched, as that of a learner.
+    /// Installs the fetched state as a learner.
     pub(super) fn handle_reply<S: Storage>(
         &mut self,
         ctx: &mut Context<S>,
--- a/control-plane/core/src/store/work.rs
+++ b/control-plane/core/src/store/work.rs
@@ -1,7 +1,8 @@
-//! Work for gateways: the results that a gateway reports are recorded, then its leases are renewed and it is granted more.
+//! Work requests of gateways. First the results that a gateway reports are recorded, then its leases are
+//! renewed and it is granted further items.
 //!
-//! The order is what makes a grant safe: an item whose result is being recorded must not be granted again, and leases are
-//! decided only on a state that a round has confirmed as the newest.
+//! This order makes a grant safe: an item whose result is being recorded must not be granted again, and
+//! leases are granted only on a state that a round of the chain has confirmed as the newest.
 
 use super::context::{rejection_reply, Context};
 use super::leases::{LeaseManager, LEASE_DURATION};
@@ -18,13 +19,13 @@
 use std::time::Duration;
 use tracing::info;
 
-/// Pause between two log events on the items.
+/// Interval between log events about the items.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A request whose results are being recorded.
+/// A work request whose results are being recorded.
 struct ResultRecording {
     work: WorkCall,
-    /// Results without an outcome yet.
+    /// Number of results that are still being recorded.
     remaining: usize,
     error: Option<ProposalError>,
 }
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Records the results that a gateway reports; without any its work is granted at once.
+    /// Records the results that a gateway reports. Without any results, the grant is submitted at once.
     pub(super) fn handle_work<S: Storage>(
         &mut self,
         ctx: &mut Context<S>,
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Counts a result that was recorded, or that failed with `error`; after the last one the gateway is granted work.
+    /// Handles a result that was recorded, or that failed with `error`. After the last result of the request
+    /// the gateway is granted work, or receives the error.
     pub(super) fn on_result_recorded<S: Storage>(
         &mut self,
         ctx: &mut Context<S>,
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Renews a gateway's leases and grants it more items. The state must be readable.
+    /// Renews a gateway's leases and grants it further items. The chain must have confirmed the read.
     pub(super) fn grant<S: Storage>(&mut self, ctx: &mut Context<S>, time: Time, work: WorkCall) {
         let now = time.monotonic;
         let jobs = ctx.jobs();
@@ -116,9 +118,10 @@
         let running = work.running.len();
         let terms = LeaseTerms { gateway: &work.gateway, now, duration: LEASE_DURATION };
         let stop = leases.renew(&terms, jobs, work.running);
-        let free_of_all = self.capacity.max_running_items().saturating_sub(leases.len());
-        let free_of_gateway = self.capacity.max_running_items_per_gateway().saturating_sub(running);
-        let max_items = if may_grant { work.capacity.min(free_of_all).min(free_of_gateway) } else { 0 };
+        let available_in_total = self.capacity.max_running_items().saturating_sub(leases.len());
+        let available_to_gateway = self.capacity.max_running_items_per_gateway().saturating_sub(running);
+        let max_items =
+            if may_grant { work.capacity.min(available_in_total).min(available_to_gateway) } else { 0 };
         let granted = leases.grant(&terms, jobs, max_items, time.wall_ms);
         let reply = WorkReply {
             granted: granted.iter().filter_map(|id| granted_item(jobs, id)).collect(),
@@ -132,7 +135,7 @@
         ctx.answer(work.token, StoreReply::Work(reply));
     }
 
-    /// Logs every [`LOG_INTERVAL`], as the head, how many items wait and run.
+    /// Logs the numbers of open and leased items, as the head, every [`LOG_INTERVAL`].
     pub(super) fn log_items<S: Storage>(&mut self, ctx: &Context<S>, now: Duration) {
         if now < self.next_log_at {
             return;
--- a/control-plane/core/tests/server_list_reader.rs
+++ b/control-plane/core/tests/server_list_reader.rs
@@ -1,4 +1,4 @@
-//! When the platform's list of servers is read, and under which fencing token it is broadcast.
+//! The schedule of the reads of the platform's list of servers, and the fencing token of each broadcast.
 
 use marblecroft_control_plane_core::server_list_reader::{ServerListReader, Step};
 use marblecroft_protocol::servers::Server;
@@ -21,11 +21,11 @@
     }])
 }
 
-/// A reader whose first read is in flight, as the head of view 1 under token 7.
+/// Returns a reader whose first read is in flight, as the head of view 1 with token 7.
 fn reader_in_flight() -> ServerListReader {
     let mut reader = ServerListReader::default();
     assert_eq!(reader.step(at(0), 1), Step::RequestToken);
-    assert_eq!(reader.step(at(1), 1), Step::Wait, "one token at a time");
+    assert_eq!(reader.step(at(1), 1), Step::Wait, "a token request is in flight");
     reader.on_token(1, Some(7));
     assert_eq!(reader.step(at(2), 1), Step::Read);
     reader
@@ -34,13 +34,13 @@
 #[test]
 fn a_list_is_broadcast_under_the_token_of_its_read() {
     let mut reader = reader_in_flight();
-    let list = reader.on_list(servers("first")).expect("broadcast");
+    let list = reader.on_list(servers("first")).expect("a new list");
     assert_eq!((list.version.epoch, list.servers[0].id.as_str()), (7, "first"));
-    assert_eq!(reader.step(at(3), 1), Step::Wait, "not yet");
+    assert_eq!(reader.step(at(3), 1), Step::Wait, "the interval has not passed");
     assert_eq!(reader.step(at(402), 1), Step::Read);
-    assert_eq!(reader.on_list(servers("first")), None, "nothing has changed");
+    assert_eq!(reader.on_list(servers("first")), None, "the list has not changed");
     assert_eq!(reader.step(at(802), 1), Step::Read);
-    assert_eq!(reader.on_list(None), None, "it could not be read");
+    assert_eq!(reader.on_list(None), None, "the read failed");
 }
 
 #[test]
@@ -51,7 +51,7 @@
     reader.on_token(2, Some(8));
     let mut reader = reader_in_flight();
     reader.stop();
-    assert_eq!(reader.on_list(servers("old")), None, "this process is no head any more");
+    assert_eq!(reader.on_list(servers("old")), None, "this process is no longer the head");
 }
 
 #[test]
@@ -59,5 +59,5 @@
     let mut reader = reader_in_flight();
     assert!(reader.on_list(servers("first")).is_some());
     assert_eq!(reader.step(at(1000), 2), Step::RequestToken);
-    assert_eq!(reader.next_wake(), Duration::MAX, "the new token wakes it");
+    assert_eq!(reader.next_wake(), Duration::MAX, "a new token is needed first");
 }
--- a/control-plane/core/tests/stored.rs
+++ b/control-plane/core/tests/stored.rs
@@ -1,6 +1,6 @@
-//! A coordinator and a store that start on the log of an earlier version restore their state from it: the configuration with
-//! an update applied, retired machines, the stores' view, and a half-done batch job. The logs are literal bytes, and the same
-//! history is written to the same bytes.
+//! A coordinator and a store restore their state from the log of an earlier version: a configuration with an
+//! update applied, retired machines, the stores' view, and a partly completed batch job. The logs are stored
+//! as literal bytes, and writing the same history produces the same bytes.
 
 #[path = "../../../testing/support/golden/encoding.rs"]
 mod encoding;
@@ -31,24 +31,25 @@
 
 const WALL_MS: u64 = 1_700_000_000_500;
 
-/// Hands an input to a process, and lets time pass until `found` picks one of its outputs.
+/// Passes `first` to a process, then wakes it every 10 ms until `select` returns a result for one of its
+/// outputs.
 fn run_until<N: Node, R>(
     node: &mut N,
     now: &mut Duration,
     first: N::Input,
     wake: impl Fn() -> N::Input,
-    found: impl Fn(N::Output) -> Option<R>,
+    select: impl Fn(N::Output) -> Option<R>,
 ) -> R {
     let mut input = first;
     for _ in 0..500 {
         let outputs = node.handle(Time { monotonic: *now, wall_ms: WALL_MS }, input);
-        if let Some(found) = outputs.into_iter().find_map(&found) {
+        if let Some(found) = outputs.into_iter().find_map(&select) {
             return found;
         }
         *now += Duration::from_millis(10);
         input = wake();
     }
-    panic!("there was no answer");
+    panic!("no matching output within 5 s");
 }
 
 const CONTROL_LOG: &str = include_str!("stored/control_log.hex");
@@ -69,23 +70,25 @@
 fn the_bytes_of_a_coordinators_log_are_stable() {
     let disk = RecordingStorage::default();
     let mut replica: Replica<ControlState, _> =
-        open(disk.clone(), Recovered::default(), 1, founding()).expect("opens");
+        open(disk.clone(), Recovered::default(), 1, founding()).expect("the replica opens");
     let replace = Operation::ReplaceConfiguration { base: 0, generation: 5, body: Bytes(REPLACED.into()) };
     let register = Operation::RegisterStore { node: "store-7".to_owned() };
-    replica.propose(&vec![replace, register]).expect("written");
+    replica.propose(&vec![replace, register]).expect("the write succeeds");
     let update = Operation::UpdateConfiguration { base: 5, generation: 9, change: Bytes(CHANGE.into()) };
     let retire = Operation::RetireStore { node: "store-7".to_owned() };
-    replica.propose(&vec![Operation::InstallStoreView(stores_view()), update]).expect("written");
-    // Its next start writes a checkpoint.
-    let found = recovered(&disk.written());
-    let mut replica = open::<ControlState, _>(disk.clone(), found, 1, None).expect("opens");
-    replica.propose(&vec![retire, Operation::IssueReaderToken]).expect("written");
+    replica.propose(&vec![Operation::InstallStoreView(stores_view()), update]).expect("the write succeeds");
+    // Opening the log again writes a checkpoint.
+    let recovered_log = recovered(&disk.written());
+    let mut replica =
+        open::<ControlState, _>(disk.clone(), recovered_log, 1, None).expect("the replica opens");
+    replica.propose(&vec![retire, Operation::IssueReaderToken]).expect("the write succeeds");
     disk.check_written(CONTROL_LOG);
 }
 
 #[test]
 fn a_coordinator_restores_its_state_from_a_stored_log() {
-    let replica = open(RecordingStorage::default(), recovered(CONTROL_LOG), 2, None).expect("opens");
+    let replica =
+        open(RecordingStorage::default(), recovered(CONTROL_LOG), 2, None).expect("the replica opens");
     let settings = coordinator::Settings {
         node_name: "node-1".to_owned(),
         address: address(7100),
@@ -113,7 +116,7 @@
                 _ => None,
             },
         );
-        (reply.status, String::from_utf8(reply.body).expect("text"))
+        (reply.status, String::from_utf8(reply.body).expect("the body is text"))
     };
     assert_eq!(operator(Method::Get, "/-/Config.Read", None, ""), (200, CHANGED.to_owned()));
     let repeated = operator(Method::Post, "/-/Config.Update", Some("5"), CHANGE);
@@ -173,21 +176,22 @@
 fn the_bytes_of_a_stores_log_are_stable() {
     let disk = RecordingStorage::default();
     let mut replica: Replica<BatchState, _> =
-        Replica::open(disk.clone(), Recovered::default(), 0x1122_3344, None).expect("opens");
-    assert!(replica.install_view(&stores_view()).expect("written"));
-    replica.propose(&vec![BatchOperation::SubmitJob(job())]).expect("written");
+        Replica::open(disk.clone(), Recovered::default(), 0x1122_3344, None).expect("the replica opens");
+    assert!(replica.install_view(&stores_view()).expect("the write succeeds"));
+    replica.propose(&vec![BatchOperation::SubmitJob(job())]).expect("the write succeeds");
     let record = |item, outcome| BatchOperation::RecordResult { job: "job-1".to_owned(), item, outcome };
-    replica.propose(&vec![record(2, completed())]).expect("written");
-    // Its next start writes a checkpoint.
-    let found = recovered(&disk.written());
-    let mut replica = open::<BatchState, _>(disk.clone(), found, 1, None).expect("opens");
-    replica.propose(&vec![record(0, ItemOutcome::DeadLettered)]).expect("written");
+    replica.propose(&vec![record(2, completed())]).expect("the write succeeds");
+    // Opening the log again writes a checkpoint.
+    let recovered_log = recovered(&disk.written());
+    let mut replica = open::<BatchState, _>(disk.clone(), recovered_log, 1, None).expect("the replica opens");
+    replica.propose(&vec![record(0, ItemOutcome::DeadLettered)]).expect("the write succeeds");
     disk.check_written(BATCH_LOG);
 }
 
 #[test]
 fn a_store_restores_its_state_from_a_stored_log() {
-    let replica = open(RecordingStorage::default(), recovered(BATCH_LOG), 2, None).expect("opens");
+    let replica =
+        open(RecordingStorage::default(), recovered(BATCH_LOG), 2, None).expect("the replica opens");
     let settings = store::Settings {
         node_name: "store-1".to_owned(),
         zone: "a".to_owned(),
@@ -242,7 +246,7 @@
             zone_loads: Vec::new(),
         })
     };
-    // A head grants nothing before leases of the one before it have ended.
+    // Repeats the request until an item is granted.
     let granted = (0..1000).find_map(|_| match call(work()) {
         StoreReply::Work(reply) => reply.granted.into_iter().next(),
         _ => None,
