--- a/control-plane/batch-state/src/item.rs
+++ b/control-plane/batch-state/src/item.rs
@@ -1,11 +1,11 @@
-//! Items of batch jobs as clients submit them, their identity, and their outcomes.
+//! Items of batch jobs as submitted by clients, their ids, and their outcomes.
 
 use marblecroft_rpc::Bytes;
 use musli::{Decode, Encode};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-/// The identity of an item.
+/// Identifies an item.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Encode, Decode)]
 pub struct ItemId {
     /// Id of the job.
@@ -25,16 +25,17 @@
     pub headers: Vec<(String, String)>,
     /// Body of the request.
     pub body: Bytes,
-    /// Tokens that count against the route's quota: those of the prompt plus the most that may be generated.
+    /// Number of tokens that count against the route's quota: those of the prompt plus the maximum that may
+    /// be generated.
     pub tokens: u64,
 }
 
 /// The final outcome of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ItemOutcome {
-    /// The item was run; holds the data of all events of the response, joined by line feeds.
+    /// The item was run. Contains the data of all events of the response, joined by line feeds.
     Completed(String),
-    /// The item was given up after too many failed runs or after its retention time.
+    /// The item was abandoned after too many failed runs or after its retention time.
     DeadLettered,
 }
 
@@ -47,8 +48,8 @@
     pub outcome: ItemOutcome,
 }
 
-/// Returns the SHA-256 of what a client has submitted for a job, each field preceded by its length (8 bytes, little endian)
-/// so that no two different submissions hash the same bytes.
+/// Returns the SHA-256 of the items that a client has submitted for a job. Each field is preceded by its
+/// length (8 bytes, little endian), so that the hashed bytes of two different submissions differ.
 pub(crate) fn digest(items: &[Item]) -> Bytes {
     let mut hasher = Sha256::new();
     let mut hash_field = |bytes: &[u8]| {
@@ -58,7 +59,7 @@
     for item in items {
         hash_field(item.id.as_bytes());
         hash_field(item.path.as_bytes());
-        // Clients' libraries do not guarantee an order of headers, so a resubmission may have another one.
+        // Client libraries do not guarantee the order of headers, so it may differ in a resubmission.
         let headers: BTreeMap<&String, &String> =
             item.headers.iter().map(|(name, value)| (name, value)).collect();
         for (name, value) in headers {
--- a/control-plane/batch-state/src/job.rs
+++ b/control-plane/batch-state/src/job.rs
@@ -1,6 +1,6 @@
-//! One batch job: its items, and the results in the order in which they were recorded.
+//! A batch job: its items, and their results in the order in which they were recorded.
 //!
-//! Clients read results by position, so results are only ever appended, and an item has at most one.
+//! Clients read results by position, so results are only appended, and each item has at most one result.
 
 use crate::item::{digest, Item, ItemOutcome, ItemResult};
 use marblecroft_rpc::Bytes;
@@ -17,7 +17,7 @@
     pub host: String,
     /// The items; an item's index is its position here.
     pub items: Vec<Item>,
-    /// Limit on the queued tokens of the route; 0 is no limit.
+    /// Limit on the queued tokens of the route; 0 means no limit.
     pub max_queued_tokens: u64,
     /// When the job was accepted, in milliseconds since 1970 by the clock of the process that proposed it.
     pub accepted_at_ms: u64,
@@ -26,7 +26,7 @@
 }
 
 impl NewJob {
-    /// Returns the tokens of all items.
+    /// Returns the total number of tokens of all items.
     pub fn tokens(&self) -> u64 {
         self.items.iter().map(|item| item.tokens).sum()
     }
@@ -40,8 +40,8 @@
 }
 
 impl StoredItem {
-    /// Drops the request's headers and body, which are not needed once the item will not be run any more. Its id and
-    /// tokens remain.
+    /// Drops the headers and the body of the request, which are not needed once the item will not be run
+    /// again. The id and the number of tokens remain.
     fn drop_request(&mut self) {
         self.item.body = Bytes::default();
         self.item.headers = Vec::new();
@@ -57,7 +57,7 @@
     pub route: String,
     /// The `Host` header with which the items are sent.
     pub host: String,
-    /// Number of the job in the order of acceptance, from 1.
+    /// Sequence number of the job in the order of acceptance, from 1.
     pub sequence: u64,
     /// When the job was accepted, in milliseconds since 1970 by the clock of the process that proposed it.
     pub accepted_at_ms: u64,
@@ -66,7 +66,8 @@
     items: Vec<StoredItem>,
     results: Vec<ItemResult>,
     ended: bool,
-    /// Digest of the submitted items; tells a resubmission of this job from another job under the same id.
+    /// Digest of the submitted items. Distinguishes a resubmission of this job from another job with the same
+    /// id.
     digest: Bytes,
 }
 
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Returns whether `new` is a repeated submission of this job, judged by all that its client submits.
+    /// Returns whether `new` has the same items as this job, which makes it a resubmission of this job.
     pub(crate) fn is_resubmission(&self, new: &NewJob) -> bool {
         self.digest == digest(&new.items)
     }
@@ -122,7 +123,7 @@
         self.items.get(item as usize).filter(|stored| !stored.has_result).map(|stored| &stored.item)
     }
 
-    /// Returns the item of an id if it has no result yet.
+    /// Returns the item with an id if it has no result yet.
     pub fn pending_item_by_id(&self, id: &str) -> Option<&Item> {
         let pending = self.items.iter().find(|stored| stored.item.id == id && !stored.has_result);
         pending.map(|stored| &stored.item)
@@ -134,7 +135,8 @@
         indices.zip(&self.items).filter(|(_, stored)| !stored.has_result).map(|(index, _)| index)
     }
 
-    /// Records the outcome of an item unless it has one. Returns the tokens that are no longer queued.
+    /// Records the outcome of an item unless it has one. Returns the number of tokens that are no longer
+    /// queued.
     pub(crate) fn record(&mut self, item: u32, outcome: ItemOutcome) -> u64 {
         let pending = self.items.get_mut(item as usize).filter(|stored| !stored.has_result);
         let Some(stored) = pending else { return 0 };
@@ -142,7 +144,7 @@
         stored.drop_request();
         let tokens = stored.item.tokens;
         self.results.push(ItemResult { item, outcome });
-        // The end of a job has released the tokens of all its items.
+        // When a job is ended, the tokens of all its items are released.
         if self.ended {
             0
         } else {
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Ends the job. Returns the tokens that are no longer queued.
+    /// Ends the job. Returns the number of tokens that are no longer queued.
     pub(crate) fn end(&mut self) -> u64 {
         if std::mem::replace(&mut self.ended, true) {
             return 0;
--- a/control-plane/batch-state/src/lease.rs
+++ b/control-plane/batch-state/src/lease.rs
@@ -1,8 +1,8 @@
-//! Leases: which gateway runs which item, as the head of the stores' chain has granted it.
+//! Leases on items. The head of the stores' chain grants them to the gateways that run the items.
 //!
-//! At each work request a gateway's leases are first renewed for the items that it says it runs, then it is granted more.
-//! Nothing of this is replicated. After a change of head the gateways report what they run, and items that no gateway
-//! reports are granted anew.
+//! At each work request the gateway's leases on the items that it reports as running are renewed, and then it
+//! is granted further items. Leases are not replicated. After a change of head the gateways report the items
+//! that they run, and items that no gateway reports are granted again.
 
 use crate::item::ItemId;
 use crate::job::Job;
@@ -10,31 +10,32 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// Estimate of an item's run time before any was measured.
+/// Initial value of the mean run time of items, before any run time has been recorded.
 const DEFAULT_RUN_TIME: Duration = Duration::from_millis(1200);
 /// Weight of the latest run time in the moving averages.
 const RUN_TIME_WEIGHT: f64 = 0.05;
-/// Mean deviations above the mean at which most run times lie below the estimate.
-const DEVIATIONS: f64 = 1.0;
+/// Number of mean absolute deviations added to the mean for the upper estimate, below which most run times
+/// lie.
+const DEVIATION_FACTOR: f64 = 1.0;
 
 /// A gateway's right to run an item.
 #[derive(Clone, Debug)]
 struct Lease {
     gateway: String,
-    /// When the lease ends unless it is renewed, on the head's monotonic clock.
+    /// When the lease expires unless it is renewed, on the head's monotonic clock.
     expires_at: Duration,
-    /// When the item was first granted to the gateway, on the same clock; renewals leave it as it is.
+    /// When the item was first granted to the gateway, on the same clock. Renewals do not change it.
     granted_at: Duration,
 }
 
-/// Who leases items, from when and for how long.
+/// Terms of leases: the gateway that holds them, the start and the duration.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTerms<'a> {
     /// Name of the gateway.
     pub gateway: &'a str,
     /// The current time on the head's monotonic clock.
     pub now: Duration,
-    /// Time from `now` after which the lease ends unless it is renewed.
+    /// Time from `now` after which the lease expires unless it is renewed.
     pub duration: Duration,
 }
 
@@ -44,7 +45,8 @@
     }
 }
 
-/// Exponentially weighted moving averages of items' run times, from the grant until the result is reported, in seconds.
+/// Exponentially weighted moving averages of items' run times, from the grant until the result is reported,
+/// in seconds.
 #[derive(Debug)]
 struct RunTimes {
     mean: f64,
@@ -65,13 +67,13 @@
         self.deviation += RUN_TIME_WEIGHT * (error.abs() - self.deviation);
     }
 
-    /// Returns the time within which most items are done.
+    /// Returns the time within which most items complete.
     fn upper_estimate(&self) -> Duration {
-        Duration::from_secs_f64((self.mean + DEVIATIONS * self.deviation).max(0.0))
+        Duration::from_secs_f64((self.mean + DEVIATION_FACTOR * self.deviation).max(0.0))
     }
 }
 
-/// The leases of all items that gateways run.
+/// The leases on all items that gateways run.
 #[derive(Debug, Default)]
 pub struct Leases {
     leases: HashMap<ItemId, Lease>,
@@ -79,8 +81,8 @@
 }
 
 impl Leases {
-    /// Renews the leases of `running`, which are all the items that the gateway runs. Returns those that it is to stop:
-    /// another gateway has leased them, or they are not to be run any more.
+    /// Renews the leases on `running`, which are all the items that the gateway runs. Returns those that the
+    /// gateway must stop, because another gateway has leased them or they are not to be run any more.
     pub fn renew(&mut self, terms: &LeaseTerms<'_>, batch: &BatchState, running: Vec<ItemId>) -> Vec<ItemId> {
         self.release_unreported(terms.gateway, &running);
         let mut stopped = Vec::new();
@@ -96,8 +98,8 @@
         stopped
     }
 
-    /// Releases the gateway's leases of items that it does not report as running: the reply that granted them was lost, or
-    /// they have ended.
+    /// Releases the gateway's leases on items that it does not report as running, because the reply that
+    /// granted them was lost, or the items have ended.
     fn release_unreported(&mut self, gateway: &str, running: &[ItemId]) {
         let reported: HashSet<&ItemId> = running.iter().collect();
         self.leases.retain(|id, lease| lease.gateway != gateway || reported.contains(id));
@@ -108,12 +110,13 @@
         lease.is_some_and(|lease| lease.gateway != terms.gateway && lease.expires_at > terms.now)
     }
 
-    /// Leases up to `max_items` items that nobody has leased to the gateway of `terms`, and returns them. `wall_ms` is the time in
-    /// milliseconds since 1970 by the head's clock.
+    /// Leases up to `max_items` items without a valid lease to the gateway of `terms`, and returns them.
+    /// `wall_ms` is the time in milliseconds since 1970 by the head's clock.
     ///
-    /// Jobs that can still meet their deadline come first, earliest deadline first (EDF), then those that cannot, in the
-    /// same order. Plain EDF would prefer the late ones, and under overload it misses one deadline after the other: results
-    /// that are late anyway would take the time in which the next jobs could still be on time.
+    /// Jobs that can still meet their deadline come first, earliest deadline first (EDF), followed by those
+    /// that cannot, in the same order. Plain EDF would prefer late jobs. Under overload it would then miss
+    /// one deadline after another: the work on results that are late anyway would take the time in which the
+    /// next jobs could still meet their deadlines.
     pub fn grant(
         &mut self,
         terms: &LeaseTerms<'_>,
@@ -140,28 +143,28 @@
     /// Returns the open jobs in the order in which their items are granted; see [`Leases::grant`].
     fn jobs_by_urgency<'a>(&self, batch: &'a BatchState, wall_ms: u64) -> Vec<(&'a String, &'a Job)> {
         let run_time_ms = u64::try_from(self.run_time().as_millis()).unwrap_or(u64::MAX);
-        let earliest_done_at_ms = wall_ms.saturating_add(run_time_ms);
+        let earliest_completion_ms = wall_ms.saturating_add(run_time_ms);
         let mut jobs: Vec<_> = batch.open_jobs().collect();
         jobs.sort_by_key(|(_, job)| {
             let deadline_ms = job.accepted_at_ms.saturating_add(job.due_after_ms);
-            (deadline_ms < earliest_done_at_ms, deadline_ms, job.sequence)
+            (deadline_ms < earliest_completion_ms, deadline_ms, job.sequence)
         });
         jobs
     }
 
-    /// Ends the lease of an item that has a result, and takes its run time into account.
+    /// Ends the lease on an item that has a result, and includes its run time in the averages.
     pub fn finish(&mut self, id: &ItemId, now: Duration) {
         if let Some(lease) = self.leases.remove(id) {
             self.run_times.record(now.saturating_sub(lease.granted_at));
         }
     }
 
-    /// Returns the time from the grant within which most items are done, estimated from the latest ones.
+    /// Returns the time from the grant within which most items complete, estimated from the latest ones.
     pub fn run_time(&self) -> Duration {
         self.run_times.upper_estimate()
     }
 
-    /// Removes the leases that have ended by `now`.
+    /// Removes the leases that have expired by `now`.
     pub fn remove_expired(&mut self, now: Duration) {
         self.leases.retain(|_, lease| lease.expires_at > now);
     }
@@ -177,7 +180,7 @@
     }
 }
 
-/// Returns whether an item of a job is to be run.
+/// Returns whether an item of a job is still to be run.
 fn is_pending(job: &Job, item: u32) -> bool {
     job.is_open() && job.pending_item(item).is_some()
 }
--- a/control-plane/batch-state/src/lib.rs
+++ b/control-plane/batch-state/src/lib.rs
@@ -1,10 +1,10 @@
-//! The stores' replicated state: batch jobs, their items and results, and the queued tokens of each route; and the leases
-//! under which gateways run items.
+//! The stores' replicated state: batch jobs, their items and results, and the queued tokens of each route.
+//! Also the leases under which gateways run items, which are not replicated.
 //!
-//! Each store applies the same [`Operation`]s in the same order to its replica of [`BatchState`], which is deterministic.
-//! [`item`] and [`job`] are the parts that it consists of. [`lease`] and [`capacity`] are volatile: only the head of the
-//! chain has them, and a new head starts with none. That is safe because an item that is run twice still has one result, the
-//! first that was recorded.
+//! Each store applies the same [`Operation`]s in the same order to its replica of [`BatchState`], which is
+//! deterministic and consists of the types in [`item`] and [`job`]. The data of [`lease`] and [`capacity`] is
+//! volatile: only the head of the chain has it, and a new head starts without it. That is safe because an
+//! item that is run twice still has only one result, the first that was recorded.
 #![forbid(unsafe_code)]
 
 pub mod capacity;
--- a/control-plane/batch-state/src/operation.rs
+++ b/control-plane/batch-state/src/operation.rs
@@ -1,4 +1,4 @@
-//! The operations that change the replicated state, and what each of them returns.
+//! Operations that change the replicated state, and their outputs.
 
 use crate::item::ItemOutcome;
 use crate::job::NewJob;
@@ -25,7 +25,7 @@
         /// Id of the job.
         job: String,
     },
-    /// Removes the jobs that were accepted before a time and are ended or complete.
+    /// Removes the jobs that were accepted before a given time and are ended or complete.
     ExpireJobs {
         /// The time in milliseconds since 1970, by the clock of the head that proposed the operation.
         accepted_before_ms: u64,
@@ -35,7 +35,7 @@
 /// The result of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// The job is stored, by this submission or an equal earlier one.
+    /// The job is stored, by this submission or by an identical earlier one.
     Accepted,
     /// The job's tokens exceed the route's quota.
     OverQuota,
--- a/control-plane/batch-state/src/state.rs
+++ b/control-plane/batch-state/src/state.rs
@@ -15,14 +15,14 @@
 pub struct BatchState {
     /// By id.
     jobs: BTreeMap<String, Job>,
-    /// Number of jobs accepted so far; the sequence number of the latest.
+    /// Number of jobs accepted so far, which is the sequence number of the latest one.
     accepted_jobs: u64,
     /// Tokens of items that have no result and whose job is not ended, by route.
     queued_tokens: BTreeMap<String, u64>,
 }
 
 impl BatchState {
-    /// Returns the job of an id.
+    /// Returns the job with an id.
     pub fn job(&self, id: &str) -> Option<&Job> {
         self.jobs.get(id)
     }
@@ -37,12 +37,13 @@
         self.jobs.iter()
     }
 
-    /// Returns the queued tokens of a route.
+    /// Returns the number of queued tokens of a route.
     pub fn queued_tokens(&self, route: &str) -> u64 {
         self.queued_tokens.get(route).copied().unwrap_or(0)
     }
 
-    /// Returns whether the job's tokens fit the route's quota, or a job of its id is stored already.
+    /// Returns whether the tokens of the job fit the quota of the route, or a job with its id is already
+    /// stored.
     pub fn fits_quota(&self, new: &NewJob) -> bool {
         let after = self.queued_tokens(&new.route).saturating_add(new.tokens());
         new.max_queued_tokens == 0 || after <= new.max_queued_tokens || self.jobs.contains_key(&new.id)
@@ -63,7 +64,8 @@
         Output::Accepted
     }
 
-    /// Applies a change to a job and takes the tokens that it releases off the route's queue.
+    /// Applies a change to a job and subtracts the tokens that it releases from the queued tokens of the
+    /// route.
     fn change_job(&mut self, id: &str, change: impl FnOnce(&mut Job) -> u64) -> Output {
         let Some(job) = self.jobs.get_mut(id) else { return Output::UnknownJob };
         let released_tokens = change(job);
--- a/control-plane/batch-state/tests/batch.rs
+++ b/control-plane/batch-state/tests/batch.rs
@@ -1,4 +1,5 @@
-//! Transcripts of jobs, the sum of queued tokens under any history of operations, and the granting of leases.
+//! Outputs of operations on jobs, the sum of queued tokens under any history of operations, and the granting
+//! of leases.
 
 use marblecroft_batch_state::lease::{LeaseTerms, Leases};
 use marblecroft_batch_state::{BatchState, Item, ItemId, ItemOutcome, NewJob, Operation, Output};
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn a_transcript_of_two_jobs() {
+fn repeated_operations_change_nothing_and_quotas_are_enforced() {
     let mut batch = BatchState::default();
     let end = |job: &str| Operation::EndJob { job: job.to_owned() };
     let transcript = [
@@ -51,7 +52,7 @@
         assert_eq!(batch.apply(operation.clone()), expected, "{operation:?}");
         assert_eq!(batch.queued_tokens("r"), queued_tokens, "{operation:?}");
     }
-    let results = batch.job("a").expect("stored").results();
+    let results = batch.job("a").expect("the job is stored").results();
     let texts: Vec<_> = results.iter().map(|result| (result.item, result.outcome.clone())).collect();
     let completed = |text: &str| ItemOutcome::Completed(text.to_owned());
     assert_eq!(texts, [(1, completed("second")), (0, completed("first"))]);
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn queued_tokens_are_the_sum_over_pending_items_and_never_above_the_limit() {
+fn queued_tokens_are_the_sum_over_pending_items_and_never_exceed_the_limit() {
     arbtest::arbtest(|u| {
         let mut batch = BatchState::default();
         let max_queued_tokens = 500;
@@ -78,8 +79,8 @@
             batch.apply(operation);
             for (id, results) in before {
                 assert!(
-                    batch.job(&id).expect("stored").results().starts_with(&results),
-                    "a recorded result changed"
+                    batch.job(&id).expect("the job is stored").results().starts_with(&results),
+                    "a recorded result has changed"
                 );
             }
             let pending =
@@ -110,12 +111,16 @@
     let first = leases.grant(&terms("x", 0), &batch, 2, 1000);
     assert_eq!(first, [id("a", 0), id("a", 1)]);
     assert_eq!(leases.grant(&terms("y", 0), &batch, 9, 1000), [id("a", 2)]);
-    assert_eq!(leases.renew(&terms("y", 0), &batch, first.clone()), first, "they are leased to x");
+    assert_eq!(leases.renew(&terms("y", 0), &batch, first.clone()), first, "the items are leased to x");
     assert!(leases.renew(&terms("x", 0), &batch, first[..1].to_vec()).is_empty());
-    assert_eq!(leases.grant(&terms("y", 0), &batch, 9, 1000).len(), 2, "what x does not report is released");
+    assert_eq!(
+        leases.grant(&terms("y", 0), &batch, 9, 1000).len(),
+        2,
+        "items that x and y do not report are released"
+    );
     batch.apply(record("a", 0, "done"));
     assert_eq!(leases.renew(&terms("x", 0), &batch, first[..1].to_vec()), first[..1]);
-    assert_eq!(leases.grant(&terms("z", 2), &batch, 9, 1000).len(), 2, "leases have expired");
+    assert_eq!(leases.grant(&terms("z", 2), &batch, 9, 1000).len(), 2, "the leases have expired");
 }
 
 #[test]
@@ -124,17 +129,17 @@
     let due = |id: &str, due_after_ms: u64| NewJob { due_after_ms, ..job(id, &[1, 1, 1, 1], 0) };
     batch.apply(Operation::SubmitJob(due("soon", 3000)));
     batch.apply(Operation::SubmitJob(due("later", 9000)));
-    let accepted_at_ms = batch.job("soon").expect("accepted").accepted_at_ms;
+    let accepted_at_ms = batch.job("soon").expect("the job is stored").accepted_at_ms;
     let mut leases = Leases::default();
     let terms = |gateway| terms(gateway, 0, Duration::from_secs(60));
     let first = leases.grant(&terms("x"), &batch, 1, accepted_at_ms);
     assert_eq!(first, [id("soon", 0)], "the earliest deadline");
-    // The estimate approaches run times of 5 s.
+    // The estimate converges towards the run times of 5 s.
     for _ in 0..100 {
         let granted = leases.grant(&terms("y"), &batch, 1, accepted_at_ms);
         granted.iter().for_each(|id| leases.finish(id, Duration::from_secs(5)));
     }
     assert!((4.9..5.5).contains(&leases.run_time().as_secs_f64()), "{:?}", leases.run_time());
     let next = leases.grant(&terms("y"), &batch, 1, accepted_at_ms);
-    assert_eq!(next, [id("later", 0)], "the first one would be late");
+    assert_eq!(next, [id("later", 0)], "the first job would miss its deadline");
 }
--- a/control-plane/batch-state/tests/golden.rs
+++ b/control-plane/batch-state/tests/golden.rs
@@ -1,6 +1,6 @@
-//! The encodings of operations and state and the outputs of operations do not change: each value is encoded and compared
-//! with the fixture, which is decoded and encoded again. A state that an earlier release has stored is restored.
-//! Leases are volatile and never encoded.
+//! The encodings of operations and state and the outputs of operations are stable. Each value is encoded and
+//! compared with the fixture, which is also decoded and encoded again. A state that was stored by an earlier
+//! release can be restored. Leases are volatile and never encoded.
 
 #[path = "../../../testing/support/golden/encoding.rs"]
 mod encoding;
@@ -26,7 +26,7 @@
     NewJob { id, route, host, items, max_queued_tokens: 1000, accepted_at_ms, due_after_ms: 8000 }
 }
 
-fn half_done() -> NewJob {
+fn partly_completed() -> NewJob {
     let items = vec![item("first", 100), item("second", 230), item("third", 310)];
     job("job-1", "nightly", items, 1_700_000_000_123)
 }
@@ -37,10 +37,10 @@
 
 fn operations() -> [(&'static str, Operation); 9] {
     let ended = job("job-2", "hourly", vec![item("fourth", 40), item("fifth", 50)], 1_700_000_001_456);
-    let done = job("job-0", "nightly", vec![item("sixth", 7)], 1_600_000_000_000);
+    let completed = job("job-0", "nightly", vec![item("sixth", 7)], 1_600_000_000_000);
     [
-        ("submit_done", Operation::SubmitJob(done)),
-        ("submit_half_done", Operation::SubmitJob(half_done())),
+        ("submit_done", Operation::SubmitJob(completed)),
+        ("submit_half_done", Operation::SubmitJob(partly_completed())),
         ("submit_ended", Operation::SubmitJob(ended)),
         ("record_all", record("job-0", 0, ItemOutcome::Completed("sixth's".to_owned()))),
         ("record", record("job-1", 2, ItemOutcome::Completed("{\"a\":1}\n[DONE]".to_owned()))),
@@ -63,12 +63,12 @@
     check(include_str!("golden/outcomes.hex"), &outcomes);
     let result = ItemResult { item: 6, outcome: ItemOutcome::DeadLettered };
     check(include_str!("golden/results.hex"), &[("result", result)]);
-    check(include_str!("golden/jobs.hex"), &[("job", half_done())]);
+    check(include_str!("golden/jobs.hex"), &[("job", partly_completed())]);
     check(include_str!("golden/items.hex"), &[("item", item("seventh", 77))]);
 }
 
 #[test]
-fn the_state_with_a_half_done_job_keeps_its_bytes() {
+fn the_state_with_a_partly_completed_job_keeps_its_bytes() {
     let mut batch = BatchState::default();
     let outputs = operations().map(|(_, operation)| batch.apply(operation));
     let mut expected = [const { Output::Applied }; 9];
@@ -80,13 +80,13 @@
 
 #[test]
 fn a_stored_batch_state_is_restored_and_usable() {
-    let line = include_str!("golden/state.hex").lines().next().expect("a line");
-    let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
-    let mut batch = BatchState::restore(&bytes).expect("a state");
+    let line = include_str!("golden/state.hex").lines().next().expect("the fixture has a line");
+    let bytes = unhex(line.split(' ').nth(1).expect("the line has a value"));
+    let mut batch = BatchState::restore(&bytes).expect("a valid snapshot");
     assert_eq!(batch.snapshot(), bytes);
     assert_eq!((batch.queued_tokens("nightly"), batch.queued_tokens("hourly")), (230, 0));
     assert!(batch.job("job-0").is_none());
-    let stored = batch.job("job-1").expect("stored");
+    let stored = batch.job("job-1").expect("the job is stored");
     assert_eq!((stored.route.as_str(), stored.host.as_str()), ("nightly", "nightly.example"));
     assert_eq!((stored.sequence, stored.accepted_at_ms, stored.due_after_ms), (2, 1_700_000_000_123, 8000));
     assert_eq!((stored.total(), stored.is_open(), stored.is_ended()), (3, true, false));
@@ -98,12 +98,12 @@
     assert_eq!(stored.pending_items().collect::<Vec<_>>(), [1]);
     assert_eq!(stored.pending_item(1), Some(&item("second", 230)));
     assert!(batch.job("job-2").is_some_and(|job| job.is_ended() && !job.is_open()));
-    let mut other = half_done();
+    let mut other = partly_completed();
     other.items[1].tokens += 1;
     let large = job("job-3", "nightly", vec![item("eighth", 771)], 1_700_000_002_000);
     let cases = [
-        // A resubmission is recognised by its digest, which does not depend on the order of headers.
-        (Operation::SubmitJob(half_done()), Output::Accepted),
+        // A resubmission is recognized by its digest, which does not depend on the order of headers.
+        (Operation::SubmitJob(partly_completed()), Output::Accepted),
         (Operation::SubmitJob(other), Output::Conflict),
         (Operation::SubmitJob(large), Output::OverQuota),
         (record("job-1", 1, ItemOutcome::Completed("last".to_owned())), Output::Applied),
--- a/control-plane/control-state/src/acceptance.rs
+++ b/control-plane/control-state/src/acceptance.rs
@@ -1,16 +1,17 @@
-//! The acceptance of configurations: optimistic concurrency by generation, and idempotence by digest.
+//! Acceptance of configurations: optimistic concurrency control by generation, and idempotence by digest.
 //!
-//! A submission names the generation that it is based on, so of two concurrent ones the second is rejected with a conflict.
-//! A client whose reply was lost submits again; as accepted submissions are retained by their digest, the repetition is
-//! acknowledged without being applied a second time, also after later ones were accepted.
+//! A submission contains the generation that it is based on, so the second of two concurrent submissions is
+//! rejected with a conflict. A client that received no reply submits again. Because the digests of accepted
+//! submissions are retained, the repetition is acknowledged without being applied again, even if later
+//! submissions have been accepted in between.
 
 use crate::operation::Output;
 use crate::state::{digest, AcceptedConfiguration, ControlState};
 use marblecroft_configuration::Update;
 use marblecroft_rpc::Bytes;
 
-/// Number of accepted submissions that are retained, so that repetitions of them are acknowledged. Whether a submission
-/// older than these was accepted is unknown.
+/// Number of accepted submissions that are retained, so that repetitions of them are acknowledged. It cannot
+/// be determined whether an older submission was accepted.
 pub const MAX_RETAINED_GENERATIONS: usize = 20_000;
 
 /// Accepts a complete configuration, or rejects it.
@@ -46,10 +47,10 @@
     }
 }
 
-/// Returns the output of a submission that is a repetition or is rejected; `None` where it is to be applied.
+/// Returns the output of a submission that is a repetition or is rejected; `None` if it is to be applied.
 ///
-/// The order matters: a repetition is acknowledged whatever is in force by now, and a conflict is only reported where the
-/// submission is certain not to have been accepted before.
+/// The order of the checks matters: a repetition is acknowledged whatever configuration is in force now, and
+/// a conflict is only reported if the submission was certainly not accepted before.
 fn check_generation(state: &ControlState, base: u64, generation: u64, submission: &[u8]) -> Option<Output> {
     if state.has_accepted(generation, submission) {
         Some(Output::Accepted)
--- a/control-plane/control-state/src/lib.rs
+++ b/control-plane/control-state/src/lib.rs
@@ -1,13 +1,14 @@
-//! The control plane's replicated state: the configuration in force, the submissions that were accepted, the view of the
-//! stores' chain, and the store machines that are registered or retired.
+//! The control plane's replicated state: the configuration in force, the submissions that were accepted, the
+//! view of the stores' chain, and the store machines that are registered or retired.
 //!
 //! Each coordinator applies the same [`Operation`]s in the same order to its replica of [`ControlState`]:
-//! `operation` defines them and their outputs, `state` the state and its queries, and `acceptance` the rules by which a
-//! configuration is accepted. This module ties them together as a [`StateMachine`].
+//! `operation` defines the operations and their outputs, `state` the state and its queries, and `acceptance`
+//! the rules by which a configuration is accepted. This module combines them into a [`StateMachine`].
 //!
-//! A complete configuration is validated before [`Operation::ReplaceConfiguration`] is proposed, and not here. The result of
-//! an [`Operation::UpdateConfiguration`] depends on the configuration in force, so it is validated when it is applied; the
-//! log carries the change and not its result, as all replicas derive the same result.
+//! A complete configuration is validated before [`Operation::ReplaceConfiguration`] is proposed, and not in
+//! this crate. The result of an [`Operation::UpdateConfiguration`] depends on the configuration in force, so
+//! it is validated when it is applied. The log contains the change and not its result, because all replicas
+//! derive the same result.
 #![forbid(unsafe_code)]
 
 mod acceptance;
@@ -66,8 +67,8 @@
     }
 }
 
-/// Installs the view that directly follows the current one. Two coordinators may propose views concurrently; only the first
-/// one that is ordered takes effect, so the stores' views form one sequence.
+/// Installs a view if it directly follows the current one. Two coordinators may propose views concurrently;
+/// only the first in the order of the log takes effect, so the stores' views form a single sequence.
 fn install_store_view(state: &mut ControlState, view: View) -> Output {
     if view.number != state.store_view.number + 1 {
         return Output::Ignored;
--- a/control-plane/control-state/src/operation.rs
+++ b/control-plane/control-state/src/operation.rs
@@ -1,4 +1,4 @@
-//! The operations that change the replicated state, and what each of them returns.
+//! Operations that change the replicated state, and their outputs.
 
 use marblecroft_chain_replication::View;
 use marblecroft_rpc::Bytes;
@@ -9,16 +9,19 @@
 /// Variants and fields are encoded by their position: new ones are appended, and none is reordered.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Operation {
-    /// Puts a complete configuration in force. Sent by the operator; its validity is checked before it is proposed.
+    /// Puts a complete configuration in force. Sent by the operator; its validity is checked before it is
+    /// proposed.
     ReplaceConfiguration {
-        /// Generation that must be in force for the operation to be accepted; 0 before the first configuration.
+        /// Generation that must be in force for the operation to be accepted; 0 before the first
+        /// configuration.
         base: u64,
         /// Generation of the new configuration; higher than `base`.
         generation: u64,
         /// The configuration as the operator submitted it, in JSON.
         body: Bytes,
     },
-    /// Installs the next view of the stores' chain. Ignored unless its number is one above the current view's.
+    /// Installs the next view of the stores' chain. Ignored unless its number is one above the current
+    /// view's.
     InstallStoreView(View),
     /// Retires a store machine: its replica is removed from the stores' chain.
     RetireStore {
@@ -30,8 +33,8 @@
         /// Node name of the machine.
         node: String,
     },
-    /// Issues a fencing token to a process that starts to poll the platform's server list; the token is higher than any
-    /// issued before.
+    /// Issues a fencing token to a process that starts to poll the platform's server list; the token is
+    /// higher than any issued before.
     IssueReaderToken,
     /// Changes named items of the configuration in force. Sent by the operator.
     UpdateConfiguration {
@@ -47,19 +50,20 @@
 /// The result of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// The configuration is in force, or was accepted when it was submitted before.
+    /// The configuration is now in force, or the same submission was accepted before.
     Accepted,
-    /// Another generation than the operation's base is in force: this one.
+    /// The generation in force, given here, differs from the base of the operation.
     Conflict(u64),
-    /// The operation's generation is not higher than the one in force, which is this one.
+    /// The generation of the operation is not higher than the one in force, which is given here.
     GenerationTooLow(u64),
-    /// The operation's generation is not above one that has been pruned, so whether it was accepted before is unknown.
+    /// The generation of the operation is not higher than the highest pruned one, so it cannot be determined
+    /// whether the operation was accepted before.
     GenerationPruned,
     /// The change does not result in a valid configuration, for this reason.
     Invalid(String),
     /// The operation changed the state, or the state was already as requested.
     Applied,
-    /// The operation does not follow the current state and changed nothing.
+    /// The view does not directly follow the current one, so the operation changed nothing.
     Ignored,
     /// The fencing token that was issued.
     Token(u64),
--- a/control-plane/control-state/src/state.rs
+++ b/control-plane/control-state/src/state.rs
@@ -14,7 +14,7 @@
     pub(crate) digest: Bytes,
 }
 
-/// Returns the SHA-256 of a submission, which tells it apart from any other of the same generation.
+/// Returns the SHA-256 of a submission, which distinguishes it from other submissions of the same generation.
 pub(crate) fn digest(submission: &[u8]) -> Bytes {
     Bytes(Sha256::digest(submission).to_vec())
 }
@@ -25,21 +25,22 @@
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ControlState {
     pub(crate) generation: u64,
-    /// The configuration in force; empty before the first.
+    /// The configuration in force; empty before the first configuration.
     pub(crate) body: Bytes,
-    /// Number of configurations accepted so far. Gateways never return to a configuration with a lower number.
+    /// Number of configurations accepted so far. Gateways never return to a configuration with a lower
+    /// number.
     pub(crate) sequence: u64,
     /// Submissions that were accepted, by ascending generation; bounded by
     /// [`MAX_RETAINED_GENERATIONS`](crate::MAX_RETAINED_GENERATIONS).
     pub(crate) accepted: VecDeque<AcceptedConfiguration>,
-    /// The highest generation that was pruned from `accepted`; 0 before the first.
+    /// The highest generation that was pruned from `accepted`; 0 if none was.
     pub(crate) highest_pruned_generation: u64,
     pub(crate) store_view: View,
     /// Node names of the stores that are to leave the chain.
     pub(crate) retired_stores: BTreeSet<String>,
     /// Node names of all stores that have ever reported.
     pub(crate) registered_stores: BTreeSet<String>,
-    /// The newest fencing token for polling the platform's server list; 0 before the first.
+    /// The newest fencing token for polling the platform's server list; 0 before the first token.
     pub(crate) reader_token: u64,
 }
 
@@ -49,7 +50,7 @@
         self.generation
     }
 
-    /// Returns the configuration in force, in JSON: as submitted, or as updates have changed it since.
+    /// Returns the configuration in force in JSON, as submitted or as changed by later updates.
     pub fn body(&self) -> Option<&[u8]> {
         (self.sequence > 0).then_some(&self.body.0[..])
     }
--- a/control-plane/control-state/tests/control.rs
+++ b/control-plane/control-state/tests/control.rs
@@ -1,4 +1,5 @@
-//! Of two submissions on one base one is accepted, and a repetition of an accepted one is acknowledged.
+//! Only one of two submissions with the same base is accepted, and repetitions of an accepted one are
+//! acknowledged.
 
 use marblecroft_chain_replication::{StateMachine, View};
 use marblecroft_control_state::{ControlState, Operation, Output};
@@ -9,7 +10,7 @@
 }
 
 #[test]
-fn a_transcript_of_two_operators() {
+fn of_two_submissions_with_the_same_base_only_the_first_is_accepted() {
     let mut control = ControlState::default();
     let transcript = [
         (replace(0, 3, "first"), Output::Accepted),
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn a_transcript_of_updates_and_complete_configurations() {
+fn updates_and_complete_configurations_are_accepted_in_one_sequence() {
     let mut control = ControlState::default();
     let upsert = |name: &str| format!("\"upsert\":{{\"routes\":[{}]}}", route(name));
     let no_configuration = "not an update: there is no configuration to change".to_owned();
@@ -71,8 +72,8 @@
     ];
     for (operation, expected) in transcript {
         assert_eq!(control.apply(operation.clone()), expected, "{operation:?}");
-        let restored = ControlState::restore(&control.snapshot()).expect("a snapshot");
-        assert_eq!(restored, control, "a replica that installs the snapshot continues from the same state");
+        let restored = ControlState::restore(&control.snapshot()).expect("a valid snapshot");
+        assert_eq!(restored, control, "a restored snapshot is the same state");
         control = restored;
     }
     assert_eq!((control.generation(), control.sequence()), (12, 4));
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn a_repeated_update_is_acknowledged_after_a_thousand_others() {
+fn a_repeated_update_is_acknowledged_after_999_later_ones() {
     let mut control = ControlState::default();
     assert_eq!(control.apply(replace(0, 1, &complete(1, ""))), Output::Accepted);
     let change = |base: u64| update(base, base + 1, &format!("\"upsert\":{{\"routes\":[{}]}}", route("a")));
@@ -103,9 +104,9 @@
 }
 
 #[test]
-fn each_issued_reader_token_is_higher_than_all_before() {
+fn each_issued_reader_token_is_higher_than_all_earlier_ones() {
     let mut control = ControlState::default();
     assert_eq!(control.apply(Operation::IssueReaderToken), Output::Token(1));
-    let mut restored = ControlState::restore(&control.snapshot()).expect("a snapshot");
+    let mut restored = ControlState::restore(&control.snapshot()).expect("a valid snapshot");
     assert_eq!(restored.apply(Operation::IssueReaderToken), Output::Token(2));
 }
--- a/control-plane/control-state/tests/golden.rs
+++ b/control-plane/control-state/tests/golden.rs
@@ -1,5 +1,6 @@
-//! The encodings of operations and state and the outputs of operations do not change: each value is encoded and compared with
-//! the fixture, which is decoded and encoded again. A state that an earlier release has stored is restored.
+//! The encodings of operations and state and the outputs of operations are stable. Each value is encoded and
+//! compared with the fixture, which is also decoded and encoded again. A state that was stored by an earlier
+//! release can be restored.
 
 #[path = "../../../testing/support/golden/encoding.rs"]
 mod encoding;
@@ -48,13 +49,13 @@
 fn the_state_after_all_operations_keeps_its_bytes() {
     let mut control = ControlState::default();
     let outputs = operations().map(|(_, operation)| control.apply(operation));
-    let done = Output::Applied;
+    let applied = Output::Applied;
     let expected = [
         Output::Accepted,
-        done.clone(),
-        done.clone(),
-        done.clone(),
-        done,
+        applied.clone(),
+        applied.clone(),
+        applied.clone(),
+        applied,
         Output::Token(1),
         Output::Accepted,
         Output::Ignored,
@@ -65,9 +66,9 @@
 
 #[test]
 fn a_stored_control_state_is_restored_and_usable() {
-    let line = include_str!("golden/state.hex").lines().next().expect("a line");
-    let bytes = unhex(line.split(' ').nth(1).expect("bytes"));
-    let mut control = ControlState::restore(&bytes).expect("a state");
+    let line = include_str!("golden/state.hex").lines().next().expect("the fixture has a line");
+    let bytes = unhex(line.split(' ').nth(1).expect("the line has a value"));
+    let mut control = ControlState::restore(&bytes).expect("a valid snapshot");
     assert_eq!(control.snapshot(), bytes);
     assert_eq!((control.generation(), control.sequence()), (9, 2));
     assert_eq!(control.body(), Some(CHANGED.as_bytes()));
