--- a/control-plane/batch-state/src/lease.rs
+++ b/control-plane/batch-state/src/lease.rs
@@ -14,8 +14,8 @@
 const DEFAULT_RUN_TIME: Duration = Duration::from_millis(1200);
 /// Weight of the latest run time in the moving averages.
 const RUN_TIME_WEIGHT: f64 = 0.05;
-/// Number of mean absolute deviations added to the mean for the upper estimate, below which most run times
-/// lie.
+/// Number of mean absolute deviations added to the mean for the upper estimate, which most run times do not
+/// exceed.
 const DEVIATION_FACTOR: f64 = 1.0;
 
 /// A gateway's right to run an item.
--- a/control-plane/core/src/coordinator/context.rs
+++ b/control-plane/core/src/coordinator/context.rs
@@ -19,8 +19,9 @@
 
 /// Time after the confirmation of this member's lease during which its state counts as the newest. The head
 /// excludes a failing member after [`SUSPECT_TIMEOUT`](super::SUSPECT_TIMEOUT) (800 ms), and a member
-/// replaces its head after 1000 ms. The lease is shorter than both by more than the quarter by which the
-/// rates of monotonic clocks may differ, so no view without this member is decided while its lease is valid.
+/// replaces its head after 1000 ms. Both are more than a quarter longer than the lease, because the rates of
+/// monotonic clocks may differ by that much. No view without this member is therefore decided while its lease
+/// is valid.
 pub const LEASE_DURATION: Duration = Duration::from_millis(600);
 /// Timeout of an operation that this process proposes on its own behalf. A failed one is proposed again, so
 /// the timeout only bounds the queue.
--- a/control-plane/core/src/coordinator/membership/head_replacement.rs
+++ b/control-plane/core/src/coordinator/membership/head_replacement.rs
@@ -9,7 +9,7 @@
 use marblecroft_chain_replication::Member;
 use std::time::Duration;
 
-/// Additional time before a head that replies and is complete is replaced. The fault may lie with another
+/// Additional time before a head that replies and is complete is replaced. The fault may be in another
 /// member, which the head then excludes (after 800 ms and the vote that follows).
 const RESPONSIVE_HEAD_GRACE: Duration = Duration::from_millis(3500);
 
--- a/control-plane/core/src/coordinator/membership/join.rs
+++ b/control-plane/core/src/coordinator/membership/join.rs
@@ -59,7 +59,7 @@
         }
         if ctx.chain().replica().entries_since(position).is_none() {
             // The process must install the state first, because a member votes and every acknowledgement
-            // passes it.
+            // waits for it.
             return CoordinatorReply::InstallFirst(ctx.chain().replica().snapshot_message());
         }
         self.joining.retain(|other| other.address != member.address);
--- a/control-plane/core/src/coordinator/membership/mod.rs
+++ b/control-plane/core/src/coordinator/membership/mod.rs
@@ -37,7 +37,7 @@
 
 /// Interval between checks of the membership. Short compared with every timeout in this module.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval between join requests.
+/// Interval between join requests, and between view queries of an incomplete member.
 const JOIN_INTERVAL: Duration = Duration::from_millis(300);
 /// Interval between view queries of a process without a disk, which does not join. Half of
 /// [`VIEW_QUERY_TTL`], so that the loss of one query is tolerated.
@@ -49,9 +49,9 @@
 /// Upper bound on the number of members, because every acknowledgement passes through all of them. Further
 /// processes are admitted only after a member has been removed.
 const MAX_MEMBERS: usize = 7;
-/// Time without a committed round after which a member considers its head failed. The rates of monotonic
-/// clocks may differ by up to a quarter, and this exceeds by at least that both the members' leases (600 ms)
-/// and the time after which the head suspects a member (800 ms).
+/// Time without a committed round after which a member considers its head failed. It is at least a quarter
+/// longer than the members' leases (600 ms) and than the time after which the head suspects a member
+/// (800 ms), because the rates of monotonic clocks may differ by that much.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Addition to [`HEAD_TIMEOUT`] for each preceding member, so that the proposals of several members do not
 /// compete. Long enough for one member to collect statuses and complete the vote if the others reply.
@@ -176,8 +176,8 @@
         if now < self.next_join_at {
             return;
         }
-        let pause = if ctx.settings.is_durable { JOIN_INTERVAL } else { OBSERVER_INTERVAL };
-        self.next_join_at = now + pause;
+        let interval = if ctx.settings.is_durable { JOIN_INTERVAL } else { OBSERVER_INTERVAL };
+        self.next_join_at = now + interval;
         let others = ctx.other_coordinators();
         self.collect_statuses(ctx, now, Purpose::Join, others);
     }
@@ -204,8 +204,8 @@
         }
     }
 
-    /// Announces the view, as the head, to non-members. The only addresses that a restarted process has may
-    /// be those of processes that have no current view either.
+    /// Announces the view, as the head, to non-members. A restarted process may have only the addresses of
+    /// processes that do not have the current view either.
     fn announce_view<S: Storage>(&mut self, ctx: &mut Context<S>, now: Duration) {
         if now < self.next_announce_at {
             return;
--- a/control-plane/core/src/coordinator/membership/task.rs
+++ b/control-plane/core/src/coordinator/membership/task.rs
@@ -38,7 +38,7 @@
     pub(super) purpose: Purpose,
     /// Number of the view in which they were sent.
     pub(super) view: u64,
-    /// Addresses of the processes that have neither replied nor timed out.
+    /// Addresses of the processes that have not replied or timed out yet.
     pub(super) awaiting: BTreeSet<SocketAddr>,
     pub(super) statuses: PeerStatuses,
 }
--- a/control-plane/core/src/coordinator/mod.rs
+++ b/control-plane/core/src/coordinator/mod.rs
@@ -50,9 +50,9 @@
 use store_supervision::StoreSupervision;
 use tracing::warn;
 
-/// The head excludes a member at which rounds have failed for this time. The rates of monotonic clocks may
-/// differ by up to a quarter, and this exceeds [`LEASE_DURATION`] (600 ms) by more than that, so a member's
-/// lease has expired when the member is excluded.
+/// The head excludes a member at which rounds have failed for this time. It is more than a quarter longer
+/// than [`LEASE_DURATION`] (600 ms), because the rates of monotonic clocks may differ by that much. A
+/// member's lease has therefore expired when the member is excluded.
 pub const SUSPECT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// A member of the coordinators' chain, as a state machine without I/O.
--- a/control-plane/core/src/coordinator/operations.rs
+++ b/control-plane/core/src/coordinator/operations.rs
@@ -31,7 +31,7 @@
 /// A call of the membership's task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct TaskCall {
-    /// Number of the task. Replies to the calls of earlier tasks are ignored.
+    /// Number of the task. Replies to the calls of earlier tasks are ignored, except those to join requests.
     pub(super) task: u64,
     pub(super) kind: TaskCallKind,
 }
--- a/control-plane/core/src/store/reporting.rs
+++ b/control-plane/core/src/store/reporting.rs
@@ -8,8 +8,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time between the reply to a report and the next report. The coordinators consider a store failed after 900
-/// ms without a report; a lost report is followed by another one after 700 ms (this and [`REPORT_TIMEOUT`]).
+/// Time between the reply to a report and the next report. The coordinators consider a store failed after
+/// 900 ms without a report; a lost report is followed by another one after 700 ms (this and
+/// [`REPORT_TIMEOUT`]).
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// Timeout of a report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
--- a/control-plane/core/src/store_views/mod.rs
+++ b/control-plane/core/src/store_views/mod.rs
@@ -61,7 +61,7 @@
     pub fn record_report(&mut self, now: Duration, report: StoreReport) {
         let (address, position) = (report.address, report.status.position);
         let previous = self.reports.record(now, report);
-        if self.preparing.is_some_and(|joiner| joiner.store == address) && previous != Some(position) {
+        if self.preparing.is_some_and(|preparing| preparing.store == address) && previous != Some(position) {
             // The position of the store has changed, so it has installed the fetched state.
             self.preparing = None;
         }
@@ -296,7 +296,7 @@
 
     /// Returns the member from which this store should fetch the state, or `None` if it need not fetch.
     pub fn fetch_source_for(&self, store: SocketAddr) -> Option<SocketAddr> {
-        self.preparing.filter(|joiner| joiner.store == store).map(|joiner| joiner.source)
+        self.preparing.filter(|preparing| preparing.store == store).map(|preparing| preparing.source)
     }
 }
 
--- a/control-plane/core/src/store_views/reports.rs
+++ b/control-plane/core/src/store_views/reports.rs
@@ -9,8 +9,8 @@
 /// A store that has not reported for this time is considered failed. Longer than a lost report and the one
 /// after it take (700 ms).
 const REPORT_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time within which every store finds a new head, whichever coordinator it contacts first. Until then, a
-/// store without a report is not considered failed.
+/// Time within which every store finds a new head, regardless of the coordinator that it contacts first.
+/// Until then, a store without a report is not considered failed.
 pub const HEAD_DISCOVERY_TIME: Duration = Duration::from_millis(1800);
 
 /// The latest report of a store.
@@ -62,7 +62,7 @@
             .find(|report| report.address == member.address && report.status.identity == member.identity)
     }
 
-    /// Returns whether the first report of a member may still be on the way.
+    /// Returns whether the first report of a member may still be pending.
     pub(super) fn may_still_report(&self, now: Duration, member: &Member) -> bool {
         now < self.leading_since + HEAD_DISCOVERY_TIME && !self.reports.contains_key(&member.address)
     }
