--- a/data-plane/gateway/src/batch_runner/item.rs
+++ b/data-plane/gateway/src/batch_runner/item.rs
@@ -24,7 +24,7 @@
 use tracing::debug;
 
 /// The highest occupancy of a server that gets an item: the rest of its slots is left to live requests.
-const MAX_SERVER_LOAD: f64 = 0.88;
+const MAX_SERVER_OCCUPANCY: f64 = 0.88;
 /// The backoff where no server has capacity.
 const NO_CAPACITY_BACKOFF: Duration = Duration::from_millis(40);
 /// The backoff after an attempt without a result.
@@ -134,7 +134,7 @@
             service,
             prefix_key: self.prompt.prefix_key(),
             attempted,
-            max_load: MAX_SERVER_LOAD,
+            max_occupancy: MAX_SERVER_OCCUPANCY,
         };
         self.gateway.balancer.borrow_mut().choose(&placement, self.gateway.now())
     }
--- a/data-plane/gateway/src/gateway.rs
+++ b/data-plane/gateway/src/gateway.rs
@@ -11,7 +11,7 @@
 use marblecroft_routing::balance::{LoadBalancer, ServerOutcome};
 use marblecroft_routing::hash::{fnv1a, unit_interval};
 use marblecroft_routing::tuning::Tuning;
-use marblecroft_routing::Now;
+use marblecroft_routing::Timestamp;
 use marblecroft_settings::Settings;
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -65,7 +65,7 @@
     }
 
     /// Returns the time on the clock of placement and admission.
-    pub fn now(&self) -> Now {
+    pub fn now(&self) -> Timestamp {
         self.started_at.elapsed()
     }
 
--- a/data-plane/gateway/src/live/attempt.rs
+++ b/data-plane/gateway/src/live/attempt.rs
@@ -67,7 +67,7 @@
             service: &self.service,
             prefix_key: self.prompt.prefix_key(),
             attempted: &self.attempted,
-            max_load: f64::INFINITY,
+            max_occupancy: f64::INFINITY,
         };
         let server = self.gateway.balancer.borrow_mut().choose(&placement, self.gateway.now())?;
         let time_left = self.deadline.checked_duration_since(Instant::now())?;
--- a/data-plane/gateway/src/load_exchange.rs
+++ b/data-plane/gateway/src/load_exchange.rs
@@ -55,19 +55,19 @@
 
 async fn send_updates(gateway: &Gateway, socket: &UdpSocket, own: SocketAddr, min_interval: Duration) {
     let mut sequence = initial_sequence();
-    let (mut sent_changes, mut sent_at) = (0, Instant::now());
+    let (mut sent_change_count, mut sent_at) = (0, Instant::now());
     let mut interval = min_interval;
     loop {
         sleep(interval).await;
-        let changes = gateway.balancer.borrow().changes();
-        if changes == sent_changes && sent_at.elapsed() < MAX_UPDATE_INTERVAL {
+        let change_count = gateway.balancer.borrow().change_count();
+        if change_count == sent_change_count && sent_at.elapsed() < MAX_UPDATE_INTERVAL {
             continue;
         }
         let peers = gateway.peers.except(own);
         if peers.is_empty() {
             continue;
         }
-        (sent_changes, sent_at, sequence) = (changes, Instant::now(), sequence + 1);
+        (sent_change_count, sent_at, sequence) = (change_count, Instant::now(), sequence + 1);
         let servers = gateway.balancer.borrow_mut().take_load_update(gateway.now());
         let update =
             LoadUpdate { gateway_hash: fnv1a(gateway.settings.node_name.as_bytes()), sequence, servers };
--- a/data-plane/gateway/src/upstream/verdict.rs
+++ b/data-plane/gateway/src/upstream/verdict.rs
@@ -37,7 +37,7 @@
 use hyper::http::response::Parts;
 use hyper::StatusCode;
 use marblecroft_routing::balance::{LoadBalancer, ReportedLoad, ServerOutcome};
-use marblecroft_routing::Now;
+use marblecroft_routing::Timestamp;
 
 /// The verdict on a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -111,7 +111,7 @@
         request_id: &str,
         server_id: &str,
         balancer: &mut LoadBalancer,
-        now: Now,
+        now: Timestamp,
     ) -> Verdict {
         let head = ResponseHead { status: head.status, headers: &head.headers };
         if let Some(load) = head.text(&SERVER_LOAD).and_then(ReportedLoad::parse) {
--- a/data-plane/gateway/src/upstream/verdict/tests.rs
+++ b/data-plane/gateway/src/upstream/verdict/tests.rs
@@ -123,6 +123,6 @@
     let verdict = ResponsePolicy::LIVE.judge_and_record(&parts, "request", "server", &mut balancer, now);
     assert_eq!(verdict, error(500));
     assert_eq!(balancer.occupancy("s", now), Some(1.0));
-    let request = PlacementRequest { service: "s", prefix_key: None, attempted: &[], max_load: 2.0 };
+    let request = PlacementRequest { service: "s", prefix_key: None, attempted: &[], max_occupancy: 2.0 };
     assert_eq!(balancer.choose(&request, now), None, "the failed server is ejected");
 }
--- a/data-plane/routing/src/admission.rs
+++ b/data-plane/routing/src/admission.rs
@@ -1,68 +1,71 @@
-//! Admission control: overload is shed before a request reaches a server, the lowest priority first.
+//! Admission control: sheds overload before requests reach a server, lowest priority first.
 //!
-//! Overload detection, the allocation of capacity to priorities and the throttle are those of the quota gateway
-//! ([`Shedder`], after Kasera et al.): the loop compares the servers' occupancy with a set point once per
-//! [`ASSESSMENT_INTERVAL`] and corrects the fraction of the demand that is admitted by the ratio. This module feeds it: it
-//! maps routes to its priorities and weighs requests by cost.
+//! Overload detection, the allocation of capacity to priorities and the throttle are those of the
+//! quota gateway ([`Shedder`], after Kasera et al.). Once per [`ASSESSMENT_INTERVAL`] the control
+//! loop compares the occupancy of the servers with a set point and corrects the admitted fraction
+//! of the demand by the ratio. This module supplies the input: it maps routes to shedder priorities
+//! and weighs requests by cost.
 //!
-//! A request passes through [`Admission::admit`] once, before placement; its latency comes back through
-//! [`Admission::record_latency`]. Occupancy is the better signal and is used wherever servers report it. Latencies stand in
-//! for it elsewhere: they show overload only after queues have grown.
+//! Each request passes through [`Admission::admit`] once, before placement. Its latency is reported
+//! with [`Admission::record_latency`]. Occupancy is the better signal and is used if servers report
+//! it. Otherwise latencies are used, which show overload only after queues have grown.
 //!
-//! Each gateway runs a loop of its own and admits by what it sees itself. That needs no exchange, but gateways with few
-//! requests of a route admit in coarse steps.
+//! Each gateway runs its own loop on its own observations. This needs no coordination, but a
+//! gateway that gets few requests of a route admits that route in coarse steps.
 
-use crate::Now;
+use crate::Timestamp;
 use marblecroft_quota_gateway_core::{Shedder, SHEDDER_STEP_SECS};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The interval between two assessments of the load.
+/// Interval between two load assessments.
 pub const ASSESSMENT_INTERVAL: Duration = Duration::from_millis(100);
-/// After a gap of more than so many intervals the missed assessments are not made up for.
+/// After a gap of more than this many intervals, the missed assessments are skipped.
 const MAX_MISSED_ASSESSMENTS: u32 = 10;
-/// The weight of one level of priority: more than any `value` within a level, so that levels never mix.
+/// Weight of one priority level. It exceeds every `value` within a level, so that levels never
+/// overlap.
 const PRIORITY_WEIGHT: f64 = 1e6;
-/// Priorities count down from here.
+/// The rank of a route grows with `MAX_PRIORITY - priority`, so that priority 0 ranks highest.
 const MAX_PRIORITY: f64 = 100.0;
-/// The weight of one request in its route's average cost.
+/// Weight of one request in the moving average of its route's cost.
 const COST_WEIGHT: f64 = 0.02;
 
-/// The rank of a route in the order of shedding.
+/// Rank of a route in the order of shedding.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteClass {
-    /// The route's name.
+    /// Name of the route.
     pub route: String,
-    /// The level of priority; 0 is the highest and is shed last.
+    /// Priority level; 0 is the highest and is shed last.
     pub priority: u32,
-    /// Orders the routes of one level: the higher, the later it is shed.
+    /// Orders the routes within a level. Routes with a higher value are shed later.
     pub value: f64,
 }
 
 impl RouteClass {
-    /// Returns the rank as one number for the shedder.
+    /// Returns the rank as a single number for the shedder.
     fn weight(&self) -> f64 {
         self.value + PRIORITY_WEIGHT * (MAX_PRIORITY - f64::from(self.priority))
     }
 }
 
-/// The admission control of one gateway.
+/// Admission control of one gateway.
 #[derive(Default)]
 pub struct Admission {
     shedder: Shedder,
-    /// Indices into `classes` and `average_costs`, by route.
+    /// Indices into `classes` and `average_costs`, by route name.
     class_indices: HashMap<String, usize>,
     classes: Vec<RouteClass>,
-    /// The average cost of each class's requests, in tokens; 0 before the first one.
+    /// Average request cost of each class in tokens; 0 before its first request.
     average_costs: Vec<f64>,
-    last_assessed_at: Now,
-    /// Whether servers report their load. Latencies stand in for it only where they do not.
+    last_assessed_at: Timestamp,
+    /// Whether servers report their load. Latencies are used only if they do not.
     servers_report_load: bool,
 }
 
 impl Admission {
-    /// Takes over the routes of a configuration. The admitted fraction and the average costs of routes that stay are kept;
-    /// the demand that the shedder has measured is not. Nothing happens where the classes are as before.
+    /// Applies the routes of a new configuration; does nothing if the classes have not changed. The
+    /// admitted fraction and the average costs of remaining routes are kept, but the shedder's
+    /// demand statistics are reset.
     pub fn configure(&mut self, classes: Vec<RouteClass>) {
         if classes == self.classes && !self.class_indices.is_empty() {
             return;
@@ -83,7 +86,7 @@
         self.classes = classes;
     }
 
-    /// Returns the average cost of a class as a multiple of the cheapest class's; 1 where it is not known.
+    /// Returns the average cost of a class relative to the cheapest class, or 1 if it is unknown.
     fn relative_cost(&self, index: usize) -> f64 {
         let base =
             self.average_costs.iter().copied().filter(|&cost| cost > 0.0).fold(f64::INFINITY, f64::min);
@@ -94,8 +97,8 @@
         }
     }
 
-    /// Decides whether a request of `route` is admitted. One that is counts as sent. `cost` is in tokens. Requests of a
-    /// route that is not configured are admitted.
+    /// Returns whether a request of `route` is admitted, and counts an admitted request as sent.
+    /// `cost` is in tokens. Requests of a route that is not configured are always admitted.
     pub fn admit(&mut self, route: &str, cost: f64) -> bool {
         let Some(&index) = self.class_indices.get(route) else { return true };
         let average = &mut self.average_costs[index];
@@ -108,8 +111,9 @@
         is_admitted
     }
 
-    /// Records the time to the first event of a response, against the route's latency target. A request that was rejected
-    /// by the servers or timed out counts with its time limit.
+    /// Records the time to the first event of a response, relative to the route's latency target.
+    /// For a request that servers rejected or that timed out, callers pass the time limit as
+    /// `latency`.
     pub fn record_latency(&mut self, route: &str, latency: Duration, target: Duration) {
         let Some(&index) = self.class_indices.get(route) else { return };
         let lateness = if self.servers_report_load {
@@ -121,10 +125,10 @@
         self.shedder.record_latency(1.0, cost, lateness);
     }
 
-    /// Assesses the load once for each interval that has passed. `occupancy` is the load of the servers as a share of their
-    /// slots, where they report it; `lag` is the time that it takes to show an effect; `is_idle` says that no request is in
-    /// flight.
-    pub fn assess(&mut self, now: Now, occupancy: Option<f64>, lag: Duration, is_idle: bool) {
+    /// Runs one load assessment for each interval that has passed. `occupancy` is the load of the
+    /// servers as a share of their slots, if they report it. `lag` is the time until a change of
+    /// the admitted fraction shows in the load. `is_idle` is true if no request is in flight.
+    pub fn assess(&mut self, now: Timestamp, occupancy: Option<f64>, lag: Duration, is_idle: bool) {
         self.servers_report_load = occupancy.is_some_and(|occupancy| occupancy > 0.0);
         while now.saturating_sub(self.last_assessed_at) >= ASSESSMENT_INTERVAL {
             let gap = now.saturating_sub(self.last_assessed_at);
@@ -137,7 +141,7 @@
         }
     }
 
-    /// Returns the fraction of the demand that is admitted, from 0 to 1.
+    /// Returns the admitted fraction of the demand, from 0 to 1.
     pub fn admitted_fraction(&self) -> f64 {
         if self.class_indices.is_empty() {
             1.0
--- a/data-plane/routing/src/balance/affinity.rs
+++ b/data-plane/routing/src/balance/affinity.rs
@@ -1,18 +1,21 @@
-//! Prefix affinity: prompts that begin alike go to the same few servers, whose prefix caches then hold the shared part.
+//! Prefix affinity: prompts with the same prefix go to the same few servers, whose prefix caches
+//! then hold the shared part.
 //!
-//! The servers of a key are found by rendezvous hashing (highest random weight; Thaler and Ravishankar 1998): each server is
-//! ranked by a hash of key and server id, and the first few of the ranking are the key's servers. Every gateway comes to the
-//! same ranking from the list of servers alone, without any exchange, and when a server joins or leaves only the keys that
-//! rank it among their first move. The cost is O(n) hashes a placement, for n servers of the zone; for thousands of servers
-//! a ring or a table would be the better choice.
+//! The servers of a key are found by rendezvous hashing (highest random weight; Thaler and
+//! Ravishankar 1998): servers are ranked by a hash of the key and the server id, and the first few
+//! in the ranking are the servers of the key. Every gateway computes the same ranking from the
+//! server list alone, without coordination. When a server joins or leaves, only the keys that rank
+//! it among their first few servers move. Each placement costs O(n) hashes for n servers of the
+//! zone; for thousands of servers a hash ring or a lookup table would be the better choice.
 //!
-//! Affinity is a preference and not a rule: it enters the cost of a server as one term, which load soon outweighs. A hot
-//! prefix thus spreads to further servers instead of overloading its own.
+//! Affinity is a preference, not a constraint: it is one term in the cost of a server and is soon
+//! outweighed by load. A hot prefix therefore spreads to further servers instead of overloading its
+//! preferred ones.
 
 use super::endpoint::Endpoint;
 use crate::hash::{fnv1a, splitmix64};
 
-/// Returns the ids of the `count` servers with the lowest rank for `key`.
+/// Returns the ids of the `count` servers with the lowest hash for `key`.
 pub(super) fn affine_servers<'a>(
     endpoints: impl Iterator<Item = &'a Endpoint>,
     key: u64,
--- a/data-plane/routing/src/balance/choose.rs
+++ b/data-plane/routing/src/balance/choose.rs
@@ -1,53 +1,58 @@
-//! The choice of a server: the one with the least cost, of all servers of the service that the request has not tried.
+//! Server selection: chooses the server with the lowest cost among the servers of the service that
+//! have not been tried for the request.
 //!
-//! The cost is a sum of terms in one unit, shares of a server's slots ([`EndpointCost`]). All servers are compared, not two
-//! random ones (Mitzenmacher's power of two choices): a gateway sees some hundreds of servers, and most terms differ too much
-//! between servers for a sample to find a good one. The price is herding: gateways with equal knowledge would choose the same
-//! server at the same moment. The jitter term and the updates between gateways counter it.
+//! The cost is a sum of terms in one unit, shares of a server's slots ([`EndpointCost`]). All
+//! servers are compared instead of two random ones (Mitzenmacher's power of two choices): a gateway
+//! has some hundreds of servers, and most terms differ too much between servers for a sample to
+//! contain a good one. The drawback is herding, where gateways with the same information choose the
+//! same server at the same moment. The jitter term and the load updates between gateways counter
+//! it.
 
 use super::endpoint::Endpoint;
 use super::zone_load::ClusterLoad;
 use crate::hash::{fnv1a, splitmix64, unit_interval};
 use crate::tuning::Tuning;
-use crate::Now;
+use crate::Timestamp;
 
-/// The cost of an ejected server: more than all other terms together, so that it is chosen only where all are ejected.
+/// Cost of an ejected server. It exceeds all other terms together, so that an ejected server is
+/// chosen only if all are ejected.
 const EJECTION_COST: f64 = 100.0;
 
-/// What a server is chosen for.
+/// A request for which a server is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest<'a> {
-    /// The service whose servers are compared.
+    /// Service whose servers are compared.
     pub service: &'a str,
-    /// The key of the prompt's shared prefix, where it has one.
+    /// Key of the prompt's shared prefix, if it has one.
     pub prefix_key: Option<u64>,
-    /// Ids of servers that were tried already; they are not chosen again.
+    /// Ids of servers that have already been tried; they are not chosen again.
     pub attempted: &'a [String],
-    /// The highest occupancy (load as a share of the slots) that the server may have; where this is finite an ejected server
-    /// is not chosen either, not even as the last one.
-    pub max_load: f64,
+    /// Maximum occupancy of the server (load as a share of its slots). If this is finite, ejected
+    /// servers are never chosen, even if no other server is left.
+    pub max_occupancy: f64,
 }
 
-/// The terms of a server's cost, each as a share of its slots.
+/// Terms of a server's cost, each as a share of its slots.
 struct EndpointCost {
-    /// The estimated occupancy; for a server of another zone at least that zone's mean.
+    /// Estimated occupancy; for a server in another zone at least the mean of that zone.
     occupancy: f64,
-    /// The penalty for its failure rate.
+    /// Penalty for the failure rate.
     failures: f64,
-    /// The penalty for crossing zones.
+    /// Penalty for crossing zones.
     other_zone: f64,
-    /// The penalty where the prompt's prefix is probably not in its cache.
+    /// Penalty if the server probably has not cached the prompt's prefix.
     cold_prefix: f64,
-    /// The penalty of an ejected server.
+    /// Penalty for an ejected server.
     ejection: f64,
-    /// The penalty for prompts that it has still to prefill: decoding stalls meanwhile.
+    /// Penalty for prompts that are still to be prefilled, during which decoding stalls.
     prefill: f64,
-    /// A random term, to break ties and to keep gateways from choosing in step.
+    /// Random term that breaks ties and keeps gateways from all choosing the same server.
     jitter: f64,
 }
 
 impl EndpointCost {
-    /// The order of the summands is part of the choice, since floating-point addition is not associative.
+    /// The order of the summands must not change: floating-point addition is not associative, so
+    /// another order could change which server is chosen.
     fn total(&self) -> f64 {
         self.occupancy
             + self.failures
@@ -59,20 +64,21 @@
     }
 }
 
-/// What the servers are compared by in one choice.
-pub(super) struct Comparison<'a> {
+/// Compares servers for one choice.
+pub(super) struct ServerSelector<'a> {
     pub(super) tuning: &'a Tuning,
     pub(super) local_zone: &'a str,
     pub(super) cluster_load: &'a ClusterLoad,
-    /// The servers that prefer the prompt's prefix; empty where there is no prefix.
+    /// Ids of the preferred servers for the prompt's prefix; empty if there is no prefix.
     pub(super) affine_servers: Vec<String>,
-    /// The random number of this choice.
-    pub(super) turn: u64,
-    pub(super) now: Now,
+    /// Random number that seeds the jitter of this choice.
+    pub(super) jitter_seed: u64,
+    pub(super) now: Timestamp,
 }
 
-impl Comparison<'_> {
-    /// Returns the least costly endpoint for a request, of those that it has not tried and that are below its limit.
+impl ServerSelector<'_> {
+    /// Returns the endpoint with the lowest cost, among those that have not been tried and do not
+    /// exceed the request's maximum occupancy.
     pub(super) fn choose<'e>(
         &self,
         endpoints: impl Iterator<Item = &'e Endpoint>,
@@ -80,9 +86,9 @@
     ) -> Option<&'e Endpoint> {
         let best = endpoints
             .filter(|endpoint| !request.attempted.contains(&endpoint.server.id))
-            .filter(|endpoint| endpoint.occupancy(self.tuning, self.now) <= request.max_load)
+            .filter(|endpoint| endpoint.occupancy(self.tuning, self.now) <= request.max_occupancy)
             .min_by(|a, b| self.cost(a).total_cmp(&self.cost(b)))?;
-        let is_excluded = best.ejection.is_ejected(self.now) && request.max_load.is_finite();
+        let is_excluded = best.ejection.is_ejected(self.now) && request.max_occupancy.is_finite();
         (!is_excluded).then_some(best)
     }
 
@@ -91,7 +97,7 @@
         let is_local = server.zone == self.local_zone;
         let occupancy = endpoint.occupancy(tuning, now);
         let is_affine = self.affine_servers.is_empty() || self.affine_servers.contains(&server.id);
-        let random = unit_interval(splitmix64(self.turn ^ fnv1a(server.id.as_bytes())));
+        let random = unit_interval(splitmix64(self.jitter_seed ^ fnv1a(server.id.as_bytes())));
         let cost = EndpointCost {
             occupancy: if is_local {
                 occupancy
--- a/data-plane/routing/src/balance/freshness.rs
+++ b/data-plane/routing/src/balance/freshness.rs
@@ -1,9 +1,9 @@
-//! Reports of load count for a limited time: what is older says less of the present than nothing at all does.
+//! Expiry of load reports: an outdated report is more misleading than no report.
 
-use crate::Now;
+use crate::Timestamp;
 use std::time::Duration;
 
-/// Whether a report of `reported_at` is younger than `ttl`.
-pub(super) fn is_fresh(reported_at: Now, ttl: Duration, now: Now) -> bool {
+/// Returns whether a report made at `reported_at` is younger than `ttl`.
+pub(super) fn is_fresh(reported_at: Timestamp, ttl: Duration, now: Timestamp) -> bool {
     now.saturating_sub(reported_at) < ttl
 }
--- a/data-plane/routing/src/balance/load_exchange.rs
+++ b/data-plane/routing/src/balance/load_exchange.rs
@@ -1,21 +1,24 @@
-//! The exchange of load between the gateways of a zone: what an update holds, and what one from a peer changes.
+//! Load updates between the gateways of a zone: their content, and how they are built.
 //!
-//! Each update holds the sender's full state, not a difference, so that one that is lost is made up for by the next and none
-//! need be acknowledged; only the prompt tokens are a difference, and a lost one merely makes a server seem less busy with
-//! prefill. A peer that stops sending is forgotten when its last update expires. Servers are named by hash to keep updates
-//! within one datagram. The exchange costs O(n) messages a gateway and interval, for n gateways: it is meant for one zone.
+//! Each update holds the sender's full state instead of a difference, so a lost update is corrected
+//! by the next one and no acknowledgement is needed. Only the prompt tokens are a difference; if
+//! they are lost, a server seems less busy with prefill than it is. The load of a peer that stops
+//! sending expires with its last update. Servers are identified by hash, which keeps an update
+//! within one datagram. For n gateways the exchange costs each gateway O(n) messages per interval,
+//! so it is meant for a single zone.
 
 use super::endpoint::Endpoint;
 use crate::hash::fnv1a;
 use crate::tuning::Tuning;
-use crate::Now;
+use crate::Timestamp;
 use marblecroft_protocol::load::ServerLoad;
 use std::collections::HashMap;
 
-/// Prompt tokens that were sent to each server since the last update to the peers, by the servers' hashes.
+/// Prompt tokens sent to each server since the last update to the peers, by the hash of the server
+/// id.
 ///
-/// This is not a field of the endpoint because it outlives it: peers still learn of the tokens that went to a server which
-/// has left the list.
+/// This is not a field of the endpoint because it outlives it: tokens sent to a server that has
+/// left the list are still reported to the peers.
 #[derive(Debug, Default)]
 pub(super) struct UnreportedTokens(HashMap<u64, u32>);
 
@@ -25,18 +28,19 @@
         *unreported = unreported.saturating_add(tokens);
     }
 
-    /// Drops the tokens of servers that are not among `ids_by_hash`.
+    /// Removes the tokens of servers that are not in `ids_by_hash`.
     pub(super) fn retain_known(&mut self, ids_by_hash: &HashMap<u64, String>) {
         self.0.retain(|server, _| ids_by_hash.contains_key(server));
     }
 
-    /// Returns the update for the peers: the requests in flight and the failure rate at each endpoint, and the prompt tokens
-    /// sent since the last update. Servers of which there is nothing to report are left out.
+    /// Returns the update for the peers: requests in flight and failure rate of each endpoint, and
+    /// the prompt tokens sent to it since the last update. Servers with nothing to report are
+    /// omitted.
     pub(super) fn take_update<'a>(
         &mut self,
         endpoints: impl Iterator<Item = &'a Endpoint>,
         tuning: &Tuning,
-        now: Now,
+        now: Timestamp,
     ) -> Vec<ServerLoad> {
         let mut unreported = std::mem::take(&mut self.0);
         let mut loads = Vec::new();
@@ -54,7 +58,7 @@
                 });
             }
         }
-        // Servers that are no longer endpoints.
+        // Adds the servers that are no longer endpoints.
         loads.extend(unreported.into_iter().map(|(server, prompt_tokens)| ServerLoad {
             server_hash: server,
             in_flight: 0,
--- a/data-plane/routing/src/balance/mod.rs
+++ b/data-plane/routing/src/balance/mod.rs
@@ -1,20 +1,21 @@
-//! Load balancing: the table of model servers, and which of them a request goes to.
+//! Load balancing: the table of model servers, and the choice of a server for each request.
 //!
-//! A request passes here in this order: [`LoadBalancer::choose`] compares the servers; [`LoadBalancer::on_sent`] counts the
-//! request at the one that was chosen, before anything is written, so that the next choice sees it;
-//! [`LoadBalancer::on_reported_load`] and [`LoadBalancer::on_outcome`] take in what the response tells of the server; and
-//! [`LoadBalancer::on_finished`] ends the count, however the attempt ended. Callers pair `on_sent` and `on_finished` by a
-//! guard.
+//! The calls for one request are, in order: [`LoadBalancer::choose`] compares the servers.
+//! [`LoadBalancer::on_sent`] counts the request at the chosen server before anything is written, so
+//! that the next choice takes it into account. [`LoadBalancer::on_reported_load`] and
+//! [`LoadBalancer::on_outcome`] record the server's load and health from the response.
+//! [`LoadBalancer::on_finished`] removes the request from the count, however the attempt ended.
+//! Callers use a guard to pair `on_sent` with `on_finished`.
 //!
 //! | module | mechanism |
 //! |---|---|
-//! | `balancer` | the table of servers, and the order in which the mechanisms work together |
-//! | `endpoint` | one server, and the estimate of its load |
+//! | `balancer` | table of servers, and the interaction of the mechanisms |
+//! | `endpoint` | state of one server, and the estimate of its load |
 //! | `outlier` | failure rate and ejection |
 //! | `affinity` | rendezvous hashing of prompt prefixes |
-//! | `choose` | the cost of a server, and the choice |
+//! | `choose` | cost of a server, and server selection |
 //! | `load_exchange` | load updates between the gateways of a zone |
-//! | `zone_load` | load of other zones, by way of the stores |
+//! | `zone_load` | load of other zones, as reported by the stores |
 //! | `freshness` | expiry of reports |
 
 mod affinity;
--- a/data-plane/routing/src/balance/outlier.rs
+++ b/data-plane/routing/src/balance/outlier.rs
@@ -1,54 +1,58 @@
-//! Outlier detection: servers at which requests fail get less traffic, or none for a while.
+//! Outlier detection: servers at which requests fail get less traffic, or none for some time.
 //!
-//! Two mechanisms work together, as in Envoy's outlier detection:
+//! It combines two mechanisms, as in Envoy's outlier detection:
 //!
-//! - **Ejection** answers a single failure. The server is passed over for a backoff that doubles with each failure in
-//!   succession. A success ends it.
-//! - **Failure rate** answers a server that fails now and then, and thus looks idle. It is an exponentially weighted moving
-//!   average over outcomes, which also decays with time: a server that gets no requests because of its rate is tried again,
-//!   with a small share of the traffic at first.
+//! - **Ejection** reacts to a single failure. The server is avoided for a backoff that doubles with
+//!   each consecutive failure. A success ends the ejection.
+//! - **Failure rate** reacts to a server that fails intermittently and therefore looks idle. It is
+//!   an exponentially weighted moving average over outcomes that also decays with time: a server
+//!   that gets no requests because of its failure rate is tried again, with a small share of the
+//!   traffic at first.
 //!
-//! Neither removes a server for good, and where all servers are ejected the least costly one is chosen all the same: a
-//! balancer that refuses to place would turn a partial fault into a full one (the "panic threshold" in Envoy's terms).
-//! Wrong where failures are a property of the request and not of the server; the caller decides which outcomes count.
+//! Neither removes a server permanently. If all servers are ejected, the one with the lowest cost
+//! is still chosen: a balancer that refuses to place requests would turn a partial fault into a
+//! full one (the "panic threshold" in Envoy's terms). The mechanisms assume that failures are a
+//! property of the server and not of the request; the caller decides which outcomes count as
+//! failures.
 
 use crate::tuning::Tuning;
-use crate::Now;
+use crate::Timestamp;
 use std::time::Duration;
 
-/// The backoff after the first failure ...
+/// Backoff after the first failure.
 const INITIAL_EJECTION: Duration = Duration::from_millis(500);
-/// ... which doubles with each further one, up to this.
+/// Upper limit of the backoff, which doubles with each consecutive failure.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
-/// The exponent of the doubling stops here.
+/// Upper limit of the exponent of the doubling.
 const MAX_CONSECUTIVE_EJECTIONS: u32 = 6;
-/// The backoff from a server that reported that it has no free slot.
+/// Backoff after a server reported that it has no free slot.
 const FULL_SERVER_BACKOFF: Duration = Duration::from_millis(60);
 
-/// How an attempt ended, as far as it concerns the server's health.
+/// Result of an attempt with respect to the server's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerOutcome {
-    /// The server responded, and the response shows no fault of the server.
+    /// The server responded, and the response shows no server fault.
     Succeeded,
-    /// No connection came up, the response broke off or timed out, or it reports a fault of the server.
+    /// The connection failed, the response broke off or timed out, or the response reports a server
+    /// fault.
     Failed,
     /// The server rejected the request because it has no capacity.
     Full,
 }
 
-/// The ejection of one server.
+/// Ejection state of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Ejection {
-    ejected_until: Now,
+    ejected_until: Timestamp,
     consecutive_ejections: u32,
 }
 
 impl Ejection {
-    pub(super) fn is_ejected(&self, now: Now) -> bool {
+    pub(super) fn is_ejected(&self, now: Timestamp) -> bool {
         self.ejected_until > now
     }
 
-    pub(super) fn on_outcome(&mut self, outcome: ServerOutcome, now: Now) {
+    pub(super) fn on_outcome(&mut self, outcome: ServerOutcome, now: Timestamp) {
         match outcome {
             ServerOutcome::Succeeded => *self = Ejection::default(),
             ServerOutcome::Failed => self.eject(now),
@@ -56,8 +60,9 @@
         }
     }
 
-    /// Requests that were under way together fail together: failures during an ejection do not lengthen it.
-    fn eject(&mut self, now: Now) {
+    /// Ejects the server, unless it is already ejected. Requests that are in flight together fail
+    /// together, so failures during an ejection must not lengthen it.
+    fn eject(&mut self, now: Timestamp) {
         if self.is_ejected(now) {
             return;
         }
@@ -67,28 +72,28 @@
     }
 }
 
-/// The share of requests that fail, from 0 to 1, which decays with time.
+/// Share of requests that fail, from 0 to 1. Decays with time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct FailureRate {
     share: f64,
-    as_of: Now,
+    as_of: Timestamp,
 }
 
 impl FailureRate {
-    /// A rate that a peer gateway reported at `now`.
-    pub(super) fn reported(share: f64, now: Now) -> FailureRate {
+    /// Returns a failure rate that a peer gateway reported at `now`.
+    pub(super) fn reported(share: f64, now: Timestamp) -> FailureRate {
         FailureRate { share, as_of: now }
     }
 
-    /// Returns the rate with the decay until `now`.
-    pub(super) fn decayed(&self, tuning: &Tuning, now: Now) -> f64 {
+    /// Returns the rate, decayed to `now`.
+    pub(super) fn decayed(&self, tuning: &Tuning, now: Timestamp) -> f64 {
         let half_lives =
             now.saturating_sub(self.as_of).as_secs_f64() * 1000.0 / tuning.failure_rate_half_life_ms;
         self.share * (-half_lives).exp2()
     }
 
     /// Records one more outcome: 0 for a success, 1 for a failure.
-    pub(super) fn record(&mut self, tuning: &Tuning, outcome: f64, now: Now) {
+    pub(super) fn record(&mut self, tuning: &Tuning, outcome: f64, now: Timestamp) {
         let share = self.decayed(tuning, now);
         *self = FailureRate { share: share + tuning.failure_rate_weight * (outcome - share), as_of: now };
     }
--- a/data-plane/routing/src/events.rs
+++ b/data-plane/routing/src/events.rs
@@ -1,22 +1,24 @@
-//! Splits a byte stream into server-sent events, without interpreting more of them than resumption needs.
+//! Splits a byte stream into server-sent events. Only the fields that resumption needs are parsed.
 //!
-//! The gateway forwards complete events only, byte for byte. A stream that breaks off inside an event can then be resumed at
-//! another server after the last complete one (`Last-Event-Id`) without the client seeing a torn event. The price is that an
-//! event waits here until its last byte has come.
+//! The gateway forwards only complete events, byte for byte. If a stream breaks off inside an
+//! event, it can be resumed at another server after the last complete event (`Last-Event-Id`), and
+//! the client never receives a partial event. The cost is that an event is buffered until its last
+//! byte has arrived.
 //!
-//! Lines may end with LF or CRLF. A lone CR, which the standard also allows, ends no line here; no server sends it.
+//! Lines may end with LF or CRLF. A lone CR, which the standard also allows, is not treated as a
+//! line end; no server sends it.
 
-/// The most bytes of one event. Bounds memory against a stream that never ends one.
+/// Maximum size of one event. Bounds memory if a server never ends an event.
 const MAX_EVENT_BYTES: usize = 4 << 20;
 
 /// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerSentEvent {
-    /// The event as it was received, with the empty line that ends it.
+    /// The event as received, including the empty line that ends it.
     pub bytes: Vec<u8>,
-    /// Its `id` field, where that is a whole number.
+    /// Value of the `id` field, if it is an unsigned integer.
     pub id: Option<u64>,
-    /// Its `data` fields, joined by line feeds.
+    /// Values of the `data` fields, joined by line feeds.
     pub data: String,
 }
 
@@ -33,7 +35,7 @@
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: Vec<u8>,
-    /// The length of the prefix of `pending` that has been searched for an end of an event without success.
+    /// Length of the prefix of `pending` that is known to contain no end of an event.
     searched: usize,
 }
 
@@ -43,7 +45,7 @@
         self.pending.extend_from_slice(bytes);
     }
 
-    /// Returns the next complete event, or `None` where more bytes are needed for one.
+    /// Returns the next complete event, or `None` if more bytes are needed.
     pub fn next_event(&mut self) -> Option<ServerSentEvent> {
         let end = self.find_end()?;
         let rest = self.pending.split_off(end);
@@ -52,19 +54,21 @@
         Some(parse(bytes))
     }
 
-    /// Whether an event has begun and not ended.
+    /// Returns whether the buffer holds the beginning of an incomplete event.
     pub fn is_partial(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Whether the unfinished event is longer than an event may be (4 MiB). The stream should then be given up.
+    /// Returns whether the incomplete event exceeds the maximum size (4 MiB). The caller should
+    /// then abort the stream.
     pub fn is_overlong(&self) -> bool {
         self.pending.len() > MAX_EVENT_BYTES
     }
 
-    /// Returns the offset behind the first empty line.
+    /// Returns the offset just after the first empty line.
     fn find_end(&mut self) -> Option<usize> {
-        // The end may have begun in the bytes searched before: it is at most "\n\r\n".
+        // An event ends with at most 3 bytes ("\n\r\n"), some of which may already have been
+        // searched.
         let from = self.searched.saturating_sub(3);
         for at in from..self.pending.len() {
             if self.pending[at] != b'\n' {
--- a/data-plane/routing/src/ewma.rs
+++ b/data-plane/routing/src/ewma.rs
@@ -1,22 +1,25 @@
-//! An exponentially weighted moving average (EWMA) of a level in continuous time.
+//! Exponentially weighted moving average (EWMA) of a level in continuous time.
 //!
-//! For a level that was constant since the last update, the average moves towards it by the factor `1 - exp(-t / T)`, for
-//! elapsed time `t` and time constant `T`. Updates need no fixed spacing, but each must come *before* the level changes:
-//! the elapsed interval is accounted to the level that is passed in. It is the wrong tool where single outcomes rather than
-//! a level are averaged (see the failure rate in [`crate::balance`]), or where a sharp window is wanted.
+//! If the level was constant since the last update, the average moves towards it by the factor `1 -
+//! exp(-t / T)`, for elapsed time `t` and time constant `T`. Updates need no fixed spacing, but
+//! each must come *before* the level changes, because the elapsed interval is attributed to the
+//! level that is passed in. Use something else to average individual outcomes (see the failure rate
+//! in [`crate::balance`]) or if a window with a sharp edge is needed.
 //!
-//! Trade-off: constant memory and no timers, against a tail that never quite forgets.
+//! Trade-off: memory is constant and no timers are needed, but old values never vanish completely.
 
-/// A time-weighted moving average. The caller keeps the clock and passes the elapsed time.
+/// Time-weighted moving average. The caller keeps the clock and passes the elapsed time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Ewma {
     average: f64,
 }
 
 impl Ewma {
-    /// Returns the average of a level that was 0 until `elapsed` time constants ago and `level` since.
+    /// Returns the average of a level that was 0 until `elapsed` time constants ago and `level`
+    /// since then.
     ///
-    /// This is not the same in the last bit as [`Ewma::advance`] on a zero average; callers rely on either.
+    /// The result can differ in the last bit from [`Ewma::advance`] on a zero average. Callers
+    /// depend on the exact value of the method that they use.
     pub fn rising_from_zero(level: f64, elapsed: f64) -> Ewma {
         Ewma { average: level * (1.0 - (-elapsed).exp()) }
     }
--- a/data-plane/routing/src/lib.rs
+++ b/data-plane/routing/src/lib.rs
@@ -1,15 +1,17 @@
-//! Which requests are admitted, and which model server each one goes to; without I/O.
+//! Admission of requests and placement on model servers, without I/O.
 //!
-//! A request passes here in this order:
+//! Each request passes through the modules in this order:
 //!
-//! 1. [`prompt`] reads its size and its shared prefix from its headers;
-//! 2. [`admission`] rejects it at once where the servers are overloaded and its priority is low, before any server is
-//!    troubled with it;
-//! 3. [`balance`] places it, and places it again after an attempt that did not run;
-//! 4. [`events`] splits the response stream, so that it can be resumed at another server after a complete event.
+//! 1. [`prompt`] parses the prompt size and the shared prefix from the request headers.
+//! 2. [`admission`] rejects low-priority requests while the servers are overloaded, before any
+//!    server receives them.
+//! 3. [`balance`] chooses a server, and chooses again after an attempt that was not executed.
+//! 4. [`events`] splits the response stream into events, so that the stream can be resumed at
+//!    another server after a complete event.
 //!
-//! [`tuning`] holds the constants of placement, [`hash`] and [`ewma`] what the others calculate with. All times are on one
-//! monotonic clock of the caller's, whose zero is the caller's choice.
+//! [`tuning`] holds the placement constants; [`hash`] and [`ewma`] hold the arithmetic that the
+//! other modules share. All times are on one monotonic clock, which the caller keeps and whose zero
+//! the caller chooses.
 #![forbid(unsafe_code)]
 
 pub mod admission;
@@ -20,5 +22,5 @@
 pub mod prompt;
 pub mod tuning;
 
-/// Time on the caller's monotonic clock, since its zero.
-pub type Now = std::time::Duration;
+/// Time since the zero of the caller's monotonic clock.
+pub type Timestamp = std::time::Duration;
--- a/data-plane/routing/src/prompt.rs
+++ b/data-plane/routing/src/prompt.rs
@@ -1,34 +1,37 @@
-//! What a request's headers say of its prompt: its size, and the segments that other requests share.
+//! The prompt metadata in a request's headers: its size, and the segments that other requests
+//! share.
 
 use crate::hash::{fnv1a, splitmix64};
 
-/// The cost of one output token in prompt tokens: a decoding step takes about as long as prefilling so many. The clients'
-/// own measure of a request's size uses the same ratio.
+/// Cost of one output token in prompt tokens: one decoding step takes about as long as prefilling
+/// this many tokens. Clients use the same ratio to measure the size of a request.
 const OUTPUT_TOKEN_WEIGHT: f64 = 10.0;
 
-/// A segment of a prompt, as `X-Prefix-Hash` names it.
+/// A segment of a prompt, as given in `X-Prefix-Hash`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// The hash of the segment's id.
+    /// Hash of the segment's id.
     pub id: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// The size and structure of a request's prompt.
+/// Size and structure of a request's prompt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// The length of the prompt in tokens.
+    /// Length of the prompt in tokens.
     pub input_tokens: u32,
-    /// The most tokens that may be generated.
+    /// Maximum number of tokens to generate.
     pub max_output_tokens: u32,
-    /// The segments in order. The last one is the request's own, or its session's; those before it may be shared.
+    /// Segments in order. The last one belongs to this request or its session; those before it may
+    /// be shared with other requests.
     pub segments: Vec<PromptSegment>,
 }
 
 impl Prompt {
-    /// Parses `X-Token-Usage` (`IN,OUT`) and `X-Prefix-Hash` (`ID:TOKENS,...`). What cannot be parsed counts as absent: the
-    /// headers are hints, and a request is served without them too.
+    /// Parses `X-Token-Usage` (`IN,OUT`) and `X-Prefix-Hash` (`ID:TOKENS,...`). Parts that cannot
+    /// be parsed are treated as absent: the headers are hints, and a request is also served without
+    /// them.
     ///
     /// ```
     /// use marblecroft_routing::prompt::Prompt;
@@ -59,8 +62,8 @@
         &self.segments[..self.segments.len().saturating_sub(1)]
     }
 
-    /// Returns the key of the shared prefix, all segments but the last; `None` where nothing is shared. Prompts with the
-    /// same shared segments have the same key.
+    /// Returns the key of the shared prefix, which consists of all segments but the last, or `None`
+    /// if there is no shared segment. Prompts with the same shared segments have the same key.
     pub fn prefix_key(&self) -> Option<u64> {
         let shared = self.shared_segments();
         (!shared.is_empty()).then(|| shared.iter().fold(0, |key, segment| splitmix64(key ^ segment.id)))
--- a/data-plane/routing/src/tuning.rs
+++ b/data-plane/routing/src/tuning.rs
@@ -1,18 +1,19 @@
-//! The constants of placement, in one table: each with its name on the command line, its unit, its default, and the reason
-//! for it. `marblecroft-data-plane gateway --tune NAME=VALUE` sets one for a trial; operators have no need of them.
+//! The placement constants in one table: command-line name, unit, default and reason for each.
+//! `marblecroft-data-plane gateway --tune NAME=VALUE` overrides one for experiments; operators do
+//! not need to change them.
 
 use quick_error::quick_error;
 use std::time::Duration;
 
 quick_error! {
-    /// Why a setting of the form `NAME=VALUE` is refused; the text is one line for the operator.
+    /// Reason for rejecting a setting of the form `NAME=VALUE`, as one line for the operator.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum TuningError {
-        /// It has no `=`.
+        /// The setting has no `=`.
         NoValue(setting: String) {
             display("{setting}: expected NAME=VALUE")
         }
-        /// Its value is not a number.
+        /// The value is not a number.
         NotANumber(setting: String) {
             display("{setting}: expected a number")
         }
@@ -23,10 +24,10 @@
     }
 }
 
-/// Defines [`Tuning`] from rows `"name on the command line" => field = default`.
+/// Defines [`Tuning`] from rows of the form `"command-line name" => field = default`.
 macro_rules! tuning {
     ($($(#[$doc:meta])* $name:literal => $field:ident = $default:expr;)*) => {
-        /// The constants of placement.
+        /// The placement constants.
         #[derive(Clone, Debug, PartialEq)]
         pub struct Tuning {
             $($(#[$doc])* pub $field: f64,)*
@@ -39,7 +40,7 @@
         }
 
         impl Tuning {
-            /// Returns the field of a name on the command line.
+            /// Returns the field for a command-line name.
             fn field_mut(&mut self, name: &str) -> Option<&mut f64> {
                 match name {
                     $($name => Some(&mut self.$field),)*
@@ -51,43 +52,50 @@
 }
 
 tuning! {
-    /// The half-life of a server's own report of its load, in milliseconds: what other gateways have there is taken to halve
-    /// in this time.
+    /// Half-life of a server's own load report, in milliseconds. The estimated load from other
+    /// gateways on the server halves in this time.
     "told_half_life_ms" => reported_load_half_life_ms = 1500.0;
-    /// The time for which a peer gateway's update of its load counts, in milliseconds. Updates come far more often.
+    /// Time for which a peer gateway's load update is valid, in milliseconds. Updates are sent far
+    /// more often.
     "peer_lasts_ms" => peer_load_ttl_ms = 1500.0;
-    /// The time constant of the moving averages of load by zone, in milliseconds.
+    /// Time constant of the moving averages of load by zone, in milliseconds.
     "mean_memory_ms" => zone_average_time_constant_ms = 400.0;
-    /// The time for which a report of the load of all gateways counts, in milliseconds. It comes every 250.
+    /// Time for which a report of the load of all gateways is valid, in milliseconds. Reports
+    /// arrive every 250 ms.
     "zone_lasts_ms" => cluster_load_ttl_ms = 1500.0;
-    /// The penalty of a server in another zone, as a share of its slots.
+    /// Penalty for a server in another zone, as a share of its slots.
     "other_zone_load" => other_zone_load = 0.2;
-    /// The penalty of a server that probably has not cached the prompt's shared prefix, as a share of its slots.
+    /// Penalty for a server that probably has not cached the prompt's shared prefix, as a share of
+    /// its slots.
     "not_kept_load" => cold_prefix_penalty = 0.08;
-    /// The prompt tokens that a server is taken to prefill in a millisecond.
+    /// Assumed number of prompt tokens that a server prefills per millisecond.
     "read_per_ms" => prefill_tokens_per_ms = 60.0;
-    /// The prompt tokens to prefill that cost as much as all slots of the server: decoding stalls during prefill.
+    /// Number of prompt tokens still to be prefilled that cost as much as all slots of the server,
+    /// because decoding stalls during prefill.
     "reading_scale_tokens" => prefill_scale_tokens = 8000.0;
-    /// The upper bound of the random term, as a share of a server's slots. Servers that differ by less are chosen by chance.
+    /// Upper bound of the random term, as a share of a server's slots. The choice between servers
+    /// whose costs differ by less than this is random.
     "chance_load" => jitter = 0.04;
-    /// The half-life of a server's failure rate, in milliseconds, while it gets no requests.
+    /// Half-life of a server's failure rate while it receives no requests, in milliseconds.
     "failing_half_life_ms" => failure_rate_half_life_ms = 3000.0;
-    /// The weight of one outcome in the failure rate.
+    /// Weight of one outcome in the failure rate.
     "failing_weight" => failure_rate_weight = 0.3;
-    /// The penalty of a server at which all requests fail, as a share of its slots.
+    /// Penalty for a server at which all requests fail, as a share of its slots.
     "failing_load" => failure_penalty = 1.5;
-    /// The least interval between two load updates to the gateways of the zone, in milliseconds; 0 turns them off.
+    /// Minimum interval between two load updates to the other gateways of the zone, in
+    /// milliseconds; 0 disables the updates.
     "notice_ms" => load_update_interval_ms = 30.0;
-    /// The number of servers that share the prompts of one prefix. Truncated to a whole number.
+    /// Number of servers that share the prompts of one prefix; the fractional part is ignored.
     "keepers" => affine_servers = 3.0;
 }
 
 impl Tuning {
-    /// Sets one constant, from `NAME=VALUE`.
+    /// Sets one constant from `NAME=VALUE`.
     ///
     /// # Errors
     ///
-    /// Where the setting has another form, or no constant has the name. All constants are then as before.
+    /// Returns an error if the setting is malformed or no constant has the name. In this case no
+    /// constant is changed.
     ///
     /// ```
     /// let mut tuning = marblecroft_routing::tuning::Tuning::default();
@@ -104,7 +112,7 @@
     }
 }
 
-/// Returns a number of milliseconds as a duration; 0 for a negative one.
+/// Converts milliseconds to a duration; negative values become 0.
 pub(crate) fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_secs_f64(ms.max(0.0) / 1000.0)
 }
--- a/data-plane/routing/tests/golden.rs
+++ b/data-plane/routing/tests/golden.rs
@@ -1,5 +1,6 @@
-//! Pins the numbers that placement rests on: hashes of names, keys of shared prefixes, and the choices that follow from them.
-//! Gateways of different releases must rank servers alike and name them alike.
+//! Pins the values that placement depends on: hashes of names, keys of shared prefixes, and the
+//! resulting choices. Gateways of different releases must rank servers in the same order and
+//! identify them by the same hashes.
 
 use marblecroft_protocol::servers::{Server, ServerList};
 use marblecroft_routing::balance::{LoadBalancer, PlacementRequest};
@@ -53,7 +54,7 @@
     Server {
         id: format!("server-{number}"),
         backend: "s".to_owned(),
-        address: "10.0.0.1:80".parse().expect("an address"),
+        address: "10.0.0.1:80".parse().expect("valid address"),
         zone: "a".to_owned(),
         slots: 8,
         draining: false,
@@ -62,15 +63,16 @@
 }
 
 #[test]
-fn prompts_with_a_shared_prefix_go_to_the_same_servers() {
+fn choices_for_shared_prefixes_keep_their_values() {
     let list = ServerList { servers: (0..12).map(server).collect(), ..ServerList::default() };
     let choices = ["5c1e07a2:800,x:1", "91bd3f06:410,x:1", "e4402b7d:250,x:1"].map(|prefixes| {
         let mut balancer = LoadBalancer::new("a", 7, Tuning::default());
         balancer.update(&list);
         let prefix_key = Prompt::parse(None, Some(prefixes)).prefix_key();
-        let request = PlacementRequest { service: "s", prefix_key, attempted: &[], max_load: f64::INFINITY };
+        let request =
+            PlacementRequest { service: "s", prefix_key, attempted: &[], max_occupancy: f64::INFINITY };
         [(); 4].map(|()| {
-            let id = balancer.choose(&request, Duration::from_secs(1)).expect("a server").id;
+            let id = balancer.choose(&request, Duration::from_secs(1)).expect("a server is chosen").id;
             balancer.on_sent(&id, 500, Duration::from_secs(1));
             id
         })
--- a/data-plane/routing/tests/routing.rs
+++ b/data-plane/routing/tests/routing.rs
@@ -1,4 +1,5 @@
-//! Event splitting, prompt headers, placement, admission and tuning, through the public interface.
+//! Tests of event splitting, prompt headers, placement, admission and tuning through the public
+//! API.
 
 use marblecroft_protocol::load::ZoneLoad;
 use marblecroft_protocol::servers::{Server, ServerList};
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn a_prompt_is_parsed_from_its_headers() {
+fn prompts_are_parsed_from_request_headers() {
     let prompt = Prompt::parse(Some("1460,80"), Some("5c1e07a2:800,91bd3f06:410,e4402b7d:250"));
     assert_eq!((prompt.input_tokens, prompt.max_output_tokens, prompt.shared_tokens()), (1460, 80, 1210));
     let other = Prompt::parse(Some("9,9"), Some("5c1e07a2:800,91bd3f06:410,ffff:1"));
@@ -47,7 +48,7 @@
     Server {
         id: id.to_owned(),
         backend: "s".to_owned(),
-        address: "10.0.0.1:80".parse().expect("an address"),
+        address: "10.0.0.1:80".parse().expect("valid address"),
         zone: zone.to_owned(),
         slots: 8,
         draining: false,
@@ -55,8 +56,8 @@
     }
 }
 
-fn choose(balancer: &mut LoadBalancer, attempted: &[String], max_load: f64) -> Option<String> {
-    let request = PlacementRequest { service: "s", prefix_key: None, attempted, max_load };
+fn choose(balancer: &mut LoadBalancer, attempted: &[String], max_occupancy: f64) -> Option<String> {
+    let request = PlacementRequest { service: "s", prefix_key: None, attempted, max_occupancy };
     balancer.choose(&request, Duration::from_secs(1)).map(|server| server.id)
 }
 
@@ -105,37 +106,36 @@
 
 #[test]
 fn peer_load_counts_until_it_expires() {
-    let (mut own, mut other) = (balancer_of_two("a"), balancer_of_two("a"));
+    let (mut local, mut peer) = (balancer_of_two("a"), balancer_of_two("a"));
     let at = Duration::from_millis;
     for _ in 0..5 {
-        other.on_sent("near", 10, at(1000));
+        peer.on_sent("near", 10, at(1000));
     }
-    own.on_peer_load(7, &other.take_load_update(at(1200)), at(1000));
-    assert_eq!(choose_at(&mut own, at(1100)).as_deref(), Some("near-too"), "the other one is loaded");
+    local.on_peer_load(7, &peer.take_load_update(at(1200)), at(1000));
+    assert_eq!(choose_at(&mut local, at(1100)).as_deref(), Some("near-too"), "the other server is loaded");
     assert_eq!(
-        other
-            .take_load_update(at(1200))
+        peer.take_load_update(at(1200))
             .iter()
             .map(|load| (load.in_flight, load.prompt_tokens))
             .collect::<Vec<_>>(),
         [(5, 0)]
     );
-    (0..5).for_each(|_| other.on_finished("near", at(1200)));
-    own.on_peer_load(7, &other.take_load_update(at(1200)), at(1200));
-    own.on_sent("near-too", 10, at(1200));
-    assert_eq!(choose_at(&mut own, at(1200)).as_deref(), Some("near"), "the latest update counts");
-    (0..5).for_each(|_| other.on_sent("near", 10, at(1300)));
-    own.on_peer_load(7, &other.take_load_update(at(1200)), at(1300));
-    assert_eq!(choose_at(&mut own, at(1400)).as_deref(), Some("near-too"));
+    (0..5).for_each(|_| peer.on_finished("near", at(1200)));
+    local.on_peer_load(7, &peer.take_load_update(at(1200)), at(1200));
+    local.on_sent("near-too", 10, at(1200));
+    assert_eq!(choose_at(&mut local, at(1200)).as_deref(), Some("near"), "the latest update counts");
+    (0..5).for_each(|_| peer.on_sent("near", 10, at(1300)));
+    local.on_peer_load(7, &peer.take_load_update(at(1200)), at(1300));
+    assert_eq!(choose_at(&mut local, at(1400)).as_deref(), Some("near-too"));
     assert_eq!(
-        choose_at(&mut own, at(9000)).as_deref(),
+        choose_at(&mut local, at(9000)).as_deref(),
         Some("near"),
         "the load of a silent gateway expires"
     );
 }
 
 #[test]
-fn a_server_of_another_zone_has_at_least_the_occupancy_of_that_zone() {
+fn the_occupancy_of_a_remote_server_is_at_least_the_mean_of_its_zone() {
     let at = Duration::from_millis;
     let list = ServerList { servers: vec![server("near", "a"), server("far", "b")], ..ServerList::default() };
     let mut balancer = LoadBalancer::new("a", 1, Tuning::default());
@@ -172,49 +172,49 @@
 
 fn choose_at(balancer: &mut LoadBalancer, now: Duration) -> Option<String> {
     let request =
-        PlacementRequest { service: "s", prefix_key: None, attempted: &[], max_load: f64::INFINITY };
+        PlacementRequest { service: "s", prefix_key: None, attempted: &[], max_occupancy: f64::INFINITY };
     balancer.choose(&request, now).map(|server| server.id)
 }
 
 #[test]
 fn a_failing_server_gets_less_traffic_and_recovers_with_time() {
     let at = Duration::from_millis;
-    let (mut own, mut other) = (balancer_of_two("a"), balancer_of_two("a"));
-    // Every other request fails, at once, so that the server looks idle.
+    let (mut local, mut peer) = (balancer_of_two("a"), balancer_of_two("a"));
+    // Every second request fails immediately, so the server looks idle.
     for _ in 0..5 {
-        own.on_outcome("near", ServerOutcome::Failed, at(1000));
-        own.on_outcome("near", ServerOutcome::Succeeded, at(1000));
+        local.on_outcome("near", ServerOutcome::Failed, at(1000));
+        local.on_outcome("near", ServerOutcome::Succeeded, at(1000));
     }
-    own.on_sent("near-too", 0, at(1000));
-    assert_eq!(choose_at(&mut own, at(1100)).as_deref(), Some("near-too"), "although its load is higher");
-    other.on_peer_load(1, &own.take_load_update(at(1100)), at(1100));
-    assert_eq!(choose_at(&mut other, at(1200)).as_deref(), Some("near-too"), "peers report failure rates");
-    let update = other.take_load_update(at(1200));
+    local.on_sent("near-too", 0, at(1000));
+    assert_eq!(choose_at(&mut local, at(1100)).as_deref(), Some("near-too"), "although its load is higher");
+    peer.on_peer_load(1, &local.take_load_update(at(1100)), at(1100));
+    assert_eq!(choose_at(&mut peer, at(1200)).as_deref(), Some("near-too"), "peers report failure rates");
+    let update = peer.take_load_update(at(1200));
     assert!(
         update.iter().all(|load| load.failure_share == 0),
         "reported rates are not passed on: {update:?}"
     );
-    (0..3).for_each(|_| other.on_sent("near-too", 0, at(1200)));
-    assert_eq!(choose_at(&mut other, at(15_000)).as_deref(), Some("near"), "the rate has decayed");
+    (0..3).for_each(|_| peer.on_sent("near-too", 0, at(1200)));
+    assert_eq!(choose_at(&mut peer, at(15_000)).as_deref(), Some("near"), "the rate has decayed");
     for id in ["near", "near-too"] {
-        (0..9).for_each(|_| other.on_outcome(id, ServerOutcome::Failed, at(20_000)));
+        (0..9).for_each(|_| peer.on_outcome(id, ServerOutcome::Failed, at(20_000)));
     }
-    assert!(choose_at(&mut other, at(26_000)).is_some(), "where all fail one is chosen all the same");
+    assert!(choose_at(&mut peer, at(26_000)).is_some(), "a server is chosen although all servers fail");
 }
 
 #[test]
-fn a_constant_is_set_by_its_flag_name_or_refused_with_one_line() {
+fn constants_are_set_by_flag_name_and_invalid_settings_are_rejected() {
     let mut tuning = Tuning::default();
     assert_eq!(tuning.set("other_zone_load=0.5"), Ok(()));
     assert_eq!(tuning.other_zone_load, 0.5);
-    let mut refusal = |setting: &str| tuning.set(setting).map_err(|e| e.to_string());
-    assert_eq!(refusal("other_zone_load=x"), Err("other_zone_load=x: expected a number".to_owned()));
-    assert_eq!(refusal("nothing=1"), Err("nothing: no such constant".to_owned()));
-    assert_eq!(refusal("nothing"), Err("nothing: expected NAME=VALUE".to_owned()));
+    let mut rejection = |setting: &str| tuning.set(setting).map_err(|e| e.to_string());
+    assert_eq!(rejection("other_zone_load=x"), Err("other_zone_load=x: expected a number".to_owned()));
+    assert_eq!(rejection("nothing=1"), Err("nothing: no such constant".to_owned()));
+    assert_eq!(rejection("nothing"), Err("nothing: expected NAME=VALUE".to_owned()));
 }
 
 #[test]
-fn the_flag_names_of_all_constants_are_accepted() {
+fn the_flag_name_of_every_constant_is_accepted() {
     let names = [
         "told_half_life_ms",
         "peer_lasts_ms",
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn an_average_advances_in_one_step_as_in_many() {
+fn advancing_in_one_step_equals_advancing_in_many_steps() {
     let (mut once, mut often) = (Ewma::default(), Ewma::default());
     once.advance(8.0, 1.0);
     (0..10).for_each(|_| often.advance(8.0, 0.1));
@@ -247,14 +247,15 @@
     assert!((Ewma::rising_from_zero(8.0, 1.0).average() - once.average()).abs() < 1e-9);
 }
 
-/// Whether the single server of a balancer can be chosen below a limit, which ejected servers cannot.
+/// Returns whether the only server of a balancer is ejected. With a finite occupancy limit, an
+/// ejected server is not chosen even if it is the only one.
 fn is_ejected(balancer: &mut LoadBalancer, now: Duration) -> bool {
-    let request = PlacementRequest { service: "s", prefix_key: None, attempted: &[], max_load: 9.0 };
+    let request = PlacementRequest { service: "s", prefix_key: None, attempted: &[], max_occupancy: 9.0 };
     balancer.choose(&request, now).is_none()
 }
 
 #[test]
-fn ejections_double_up_to_a_limit_and_end_with_a_success() {
+fn ejection_backoff_doubles_up_to_a_limit_and_a_success_ends_it() {
     let mut balancer = LoadBalancer::new("a", 1, Tuning::default());
     balancer.update(&ServerList { servers: vec![server("x", "a")], ..ServerList::default() });
     let mut now = Duration::from_secs(1);
@@ -263,7 +264,7 @@
         balancer.on_outcome("x", ServerOutcome::Failed, now);
         let until = now + Duration::from_millis(backoff_ms);
         assert!(is_ejected(&mut balancer, until - Duration::from_millis(1)), "{backoff_ms}");
-        assert!(!is_ejected(&mut balancer, until), "failures of one moment count once: {backoff_ms}");
+        assert!(!is_ejected(&mut balancer, until), "simultaneous failures count once: {backoff_ms}");
         now = until;
     }
     balancer.on_outcome("x", ServerOutcome::Failed, now);
@@ -275,19 +276,19 @@
 }
 
 #[test]
-fn only_the_prefixes_of_a_server_move_when_it_leaves() {
+fn removing_a_server_moves_only_its_own_prefixes() {
     let choices = |servers: &[u32]| -> Vec<String> {
         let servers = servers.iter().map(|number| server(&format!("server-{number}"), "a")).collect();
         let list = ServerList { servers, ..ServerList::default() };
         let choose = |key| {
             // One affine server, and no random term.
             let mut tuning = Tuning::default();
-            tuning.set("keepers=1").and_then(|()| tuning.set("chance_load=0")).expect("constants");
+            tuning.set("keepers=1").and_then(|()| tuning.set("chance_load=0")).expect("known constants");
             let mut balancer = LoadBalancer::new("a", 1, tuning);
             balancer.update(&list);
             let request =
-                PlacementRequest { service: "s", prefix_key: Some(key), attempted: &[], max_load: 1.0 };
-            balancer.choose(&request, Duration::from_secs(1)).expect("a server").id
+                PlacementRequest { service: "s", prefix_key: Some(key), attempted: &[], max_occupancy: 1.0 };
+            balancer.choose(&request, Duration::from_secs(1)).expect("a server is chosen").id
         };
         (0..200).map(choose).collect()
     };
