--- a/control-plane/chain-replication/src/agreement/proposal.rs
+++ b/control-plane/chain-replication/src/agreement/proposal.rs
@@ -5,22 +5,22 @@
 use crate::view::View;
 use std::collections::BTreeSet;
 
-/// Proposal numbers of one round, of which each voter has its own.
+/// Number of proposal numbers in one round. Each voter owns one of them.
 const PROPOSERS_PER_ROUND: u64 = 64;
 
 /// How a proposal ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A view is decided, perhaps another one than was proposed.
+    /// A view is decided, possibly a different one than the proposed view.
     Decided(View),
     /// Too few voters granted the request.
     Undecided {
-        /// The highest proposal number of another proposer that a voter reported; 0 where none did.
+        /// The highest proposal number of another proposer that a voter reported; 0 if none did.
         preempted_by: u64,
     },
 }
 
-/// What a proposer does after a reply.
+/// The next step of a proposal after a reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Wait for further replies.
@@ -34,24 +34,25 @@
 /// The two phases of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Phase 1: collect promises, and learn what was accepted before.
+    /// Phase 1: collects promises, and the views that were accepted before.
     Prepare,
-    /// Phase 2: have the view accepted.
+    /// Phase 2: requests acceptance of the view.
     Accept,
 }
 
-/// Returns the lowest proposal number above the round of `above` that belongs to the voter with this index. Voters have
-/// disjoint sets of numbers, so that no number is ever used by two proposers.
+/// Returns the lowest proposal number above the round of `above` that belongs to the voter with this index.
+/// Voters have disjoint sets of numbers, so that two proposers never use the same number.
 pub fn next_proposal_number(above: u64, voter: usize) -> u64 {
     (above / PROPOSERS_PER_ROUND + 1) * PROPOSERS_PER_ROUND + voter as u64 % PROPOSERS_PER_ROUND
 }
 
 /// A proposal of one proposer, without I/O.
 ///
-/// The caller sends [`Proposal::request`] to the voters, passes their replies to [`Proposal::handle_reply`], and follows the
-/// [`Step`]s. In each phase it must have the proposer's own voter vote first, and give up if that does not grant: the
-/// promise is then durable before anybody is asked to accept, so that after a restart the proposer does not use the same
-/// number for another view.
+/// The caller sends [`Proposal::request`] to the voters, passes their replies to [`Proposal::handle_reply`],
+/// and follows the [`Step`]s. In each phase the caller must request the vote of the proposer's own voter
+/// first, and abandon the proposal if that voter does not grant the request: the promise is then durable
+/// before any voter is asked to accept a view, so that the proposer does not use the same number for another
+/// view after a restart.
 #[derive(Debug)]
 pub struct Proposal {
     /// The view whose voters decide.
@@ -62,16 +63,17 @@
     /// Identities of voters whose disk is known to be lost.
     lost_voters: BTreeSet<u64>,
     phase: Phase,
-    /// Voters that have granted this phase's request, and those that have replied at all or failed to.
+    /// Voters that have granted this phase's request.
     granted_by: BTreeSet<u64>,
+    /// Voters that have replied to this phase's request, or have failed to in time.
     answered_by: BTreeSet<u64>,
     highest_accepted: Option<Accepted>,
     preempted_by: u64,
 }
 
 impl Proposal {
-    /// Returns a proposal that `view` follows `current`, under a [number](next_proposal_number) of the proposer's own.
-    /// `lost_voters` are the identities of the voters whose disk is known to be lost.
+    /// Creates a proposal for `view` to follow `current`, under a [number](next_proposal_number) of the
+    /// proposer's own. `lost_voters` are the identities of the voters whose disk is known to be lost.
     pub fn new(current: View, view: View, proposal_number: u64, lost_voters: BTreeSet<u64>) -> Proposal {
         Proposal {
             current,
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Handles a voter's reply to the request of a phase, or `None` if there was none in time.
+    /// Handles a voter's reply to the request of a phase; `None` if no reply arrived in time.
     pub fn handle_reply(&mut self, phase: Phase, identity: u64, reply: Option<VoteReply>) -> Step {
         if phase != self.phase || !self.current.is_voter(identity) || !self.answered_by.insert(identity) {
             return Step::Wait;
@@ -135,7 +137,8 @@
         Step::Wait
     }
 
-    /// Whether a quorum has granted; see the [module](super) for why all voters that are left are one.
+    /// Whether a quorum has granted the request; the [module](super) explains why all remaining voters are a
+    /// quorum.
     fn is_granted(&self) -> bool {
         let (majority, lost) = (self.current.majority(), self.lost_voters.len());
         let all_others = self.granted_by.union(&self.lost_voters).count() == self.current.voters.len();
@@ -146,8 +149,9 @@
         if self.phase == Phase::Accept {
             return Step::Finished(Outcome::Decided(self.view.clone()));
         }
-        // A view that a quorum has accepted under a lower number is decided. As every quorum shares a voter with this one, the
-        // accepted view of the highest number is that view, if there is one; proposing it again keeps it the only one.
+        // A view that a quorum has accepted under a lower number is decided. Every quorum shares a voter with
+        // this one, so such a view is the accepted view with the highest number. Proposing it again ensures
+        // that no other view is decided.
         if let Some(accepted) = self.highest_accepted.take() {
             self.view = accepted.view;
         }
--- a/control-plane/chain-replication/src/agreement/voter.rs
+++ b/control-plane/chain-replication/src/agreement/voter.rs
@@ -9,8 +9,8 @@
 impl<M: StateMachine, S: Storage> Replica<M, S> {
     /// Replies to a request for this member's vote. The vote is durable on return.
     pub fn handle_vote_request(&mut self, request: &VoteRequest) -> VoteReply {
-        // A failed write counts as no vote. It may be found all the same when the storage is read anew; until then this member
-        // is suspended.
+        // A failed write counts as no vote. The vote may still be found when the storage is read again; until
+        // then this member is suspended.
         self.vote_on(request).unwrap_or(VoteReply::Rejected)
     }
 
@@ -24,7 +24,8 @@
             VoteRequest::Prepare { instance, proposal_number }
             | VoteRequest::Accept { instance, proposal_number, .. } => (*instance, *proposal_number),
         };
-        // Only the voters of the view directly before decide, and only while they know of no later one.
+        // Only the voters of the directly preceding view decide, and only until they have installed a later
+        // view.
         if instance != self.view().number + 1 {
             return Ok(VoteReply::CurrentView(self.view().clone()));
         }
@@ -35,8 +36,8 @@
         if vote.instance != instance {
             vote = Vote { instance, ..Vote::default() };
         }
-        // The promise: a proposer that was promised this number knows everything that this voter accepted under
-        // lower ones.
+        // Keeps the promise: a proposer that was promised this number has received everything that this voter
+        // accepted under lower ones.
         if proposal_number < vote.promised {
             return Ok(VoteReply::Preempted(vote.promised));
         }
--- a/control-plane/chain-replication/src/chain.rs
+++ b/control-plane/chain-replication/src/chain.rs
@@ -6,13 +6,14 @@
 //! 2. [`Chain::advance`] begins a round at the head: it appends the queued operations to this member's storage as one entry
 //!    and sends that to the successor.
 //! 3. Every other member stores the entry ([`Chain::handle_append`]) and forwards it with its next `advance`.
-//! 4. The tail replies, and the replies travel back up the chain ([`Chain::handle_reply`]). Once the head has one, every
-//!    member has the entry: the operations are acknowledged and the reads confirmed.
+//! 4. The tail replies, and the replies travel back up the chain ([`Chain::handle_reply`]). Once the head has
+//!    received one, every member has the entry: the operations are acknowledged and the reads confirmed.
 //!
-//! A round without operations is a heartbeat. A read needs a round that began after it did, since only a round in which all
-//! members took part shows that no later view has acknowledged anything yet.
+//! A round without operations is a heartbeat. A read is confirmed by a round that began after the read was
+//! queued: only a round in which all members took part shows that no later view has acknowledged an operation
+//! yet.
 //!
-//! A member has one call in flight at a time, so the entries of its successor are never reordered by this member.
+//! A member has at most one call in flight, so it never reorders the entries that it sends to its successor.
 
 mod rounds;
 mod storage_recovery;
@@ -39,7 +40,7 @@
 use storage_recovery::StorageRecovery;
 use tracing::{info, warn};
 
-/// What this member was when [`Chain`] last looked; a difference means that some waiters can no longer be served.
+/// The role of a member at its last input. After a change some requests cannot be completed any more.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Role {
     view: u64,
@@ -63,15 +64,15 @@
     config: Config,
     role: Role,
     pending: PendingRequests<M::Operation, M::Output>,
-    /// Messages of the predecessor that are replied to with the outcome of the next round.
+    /// Tokens of the predecessor's messages, which are replied to with the outcome of the next round.
     upstream_tokens: Vec<Token>,
     in_flight: Option<InFlightAppend>,
     last_call: u64,
-    /// Messages of the current round that the successor rejected with a mismatch.
+    /// Number of messages of the current round that the successor rejected with a mismatch.
     append_attempts: usize,
-    /// The round of this member as the head.
+    /// The latest round that this member started as the head.
     round: Round,
-    /// The round that this member forwards where it is not the head.
+    /// The round that this member forwards while it is not the head.
     forwarded_round: Round,
     next_heartbeat_at: Duration,
     next_attempt_at: Duration,
@@ -87,8 +88,8 @@
 }
 
 impl<M: StateMachine, S: Storage> Chain<M, S> {
-    /// Returns a member with this state. `session` must be drawn anew by every process: it distinguishes the rounds of
-    /// this process from those of an earlier one.
+    /// Creates a member with this state. `session` is a random number that each process draws at its start:
+    /// it distinguishes the rounds of this process from those of an earlier one.
     pub fn new(replica: Replica<M, S>, config: Config, session: u64) -> Chain<M, S> {
         Chain {
             role: Role::of(&replica),
@@ -114,7 +115,8 @@
         }
     }
 
-    /// Gives up the lease, and reports this member as draining from now on. The process is about to end.
+    /// Gives up the lease, and reports this member as draining from now on. Called when the process is about
+    /// to exit.
     pub fn start_draining(&mut self) {
         self.draining = true;
     }
@@ -134,7 +136,7 @@
         self.replica.is_committed().then(|| self.replica.machine())
     }
 
-    /// Returns what this member reports of itself.
+    /// Returns the status that this member reports to others.
     pub fn status(&self, now: Duration) -> Status {
         Status {
             identity: self.replica.identity(),
@@ -157,15 +159,15 @@
         self.replica.view().head().map(|head| head.address)
     }
 
-    /// Returns the newest time, of the clock that is passed in, at which every member is known to have been in this
-    /// member's view: nothing was acknowledged in a later view before it. `None` where this process is no complete member,
-    /// or is draining.
+    /// Returns the latest time, by the clock whose time is passed in, at which every member is known to have
+    /// been in this member's view: no operation was acknowledged in a later view before that time. Returns
+    /// `None` if this process is not a complete member or is draining.
     pub fn lease_confirmed_at(&self) -> Option<Duration> {
         let is_member = self.replica.is_complete() && self.replica.view().contains(self.replica.identity());
         self.lease.confirmed_at().filter(|_| is_member && !self.draining)
     }
 
-    /// Returns when this member last learnt that a round had gone through the complete chain.
+    /// Returns when this member last received confirmation that a round went through the complete chain.
     pub fn last_committed_round_at(&self) -> Option<Duration> {
         self.last_committed_round_at
     }
@@ -185,8 +187,8 @@
         self.broadcast = Bytes(broadcast);
     }
 
-    /// Changes this member's durable state outside the chain's own messages: a vote, a view that was learnt, a state that
-    /// was fetched. [`Chain::advance`] must be called afterwards.
+    /// Changes this member's durable state outside the chain's own messages: by a vote, a view that was
+    /// received from another process, or a fetched state. [`Chain::advance`] must be called afterwards.
     pub fn with_replica<R>(&mut self, f: impl FnOnce(&mut Replica<M, S>) -> R) -> R {
         f(&mut self.replica)
     }
@@ -200,18 +202,18 @@
         }
     }
 
-    /// Queues an operation, which is acknowledged once every member has it. Past its deadline an operation that was already
-    /// ordered is reported as [`ProposalError::OutcomeUnknown`], and may still be applied.
+    /// Queues an operation, which is acknowledged once every member has stored it. If its deadline passes
+    /// after it was ordered, it is reported as [`ProposalError::OutcomeUnknown`] and may still be applied.
     pub fn propose(&mut self, token: Token, operation: M::Operation, deadline: Duration) {
         self.pending.push_operation(QueuedOperation { waiter: Waiter { token, deadline }, operation });
     }
 
-    /// Queues a read, which is confirmed by a round that begins after this call; the name is that of Raft's ReadIndex.
+    /// Queues a read, which is confirmed by a round that begins after this call, as with Raft's ReadIndex.
     pub fn read_index(&mut self, token: Token, deadline: Duration) {
         self.pending.extend_reads([Waiter { token, deadline }]);
     }
 
-    /// Returns when [`Chain::advance`] has something to do without further input.
+    /// Returns the time at which [`Chain::advance`] must be called if there is no further input before.
     pub fn next_wake(&self) -> Duration {
         let deadline = self.pending.next_deadline().unwrap_or(Duration::MAX);
         if self.replica.is_suspended() {
@@ -231,7 +233,7 @@
         }
     }
 
-    /// Begins what is due. It is called after every input, until it adds no more outputs.
+    /// Starts everything that is due. Must be called after every input, until it adds no further outputs.
     pub fn advance(&mut self, now: Duration, outputs: &mut Vec<Output<M::Output>>) {
         if self.replica.is_suspended() {
             self.storage_recovery.attempt_if_due(now, &mut self.replica);
@@ -257,8 +259,8 @@
         }
     }
 
-    /// Fails whatever waits for something that this member can no longer do, after its view, its place in it, or its state
-    /// has changed.
+    /// Fails the requests that this member can no longer complete, after its view, its position in the view
+    /// or its state has changed.
     fn on_role_change(&mut self, outputs: &mut Vec<Output<M::Output>>) {
         let role = Role::of(&self.replica);
         let previous = std::mem::replace(&mut self.role, role);
@@ -266,7 +268,7 @@
             self.on_view_change(outputs);
         }
         if !role.is_head || role.restore_count != previous.restore_count {
-            // The outputs were computed on a state that others may never have.
+            // The outputs were computed on a state that other members may never reach.
             self.pending.abandon_uncommitted(outputs);
         }
         if !role.is_head {
@@ -280,8 +282,8 @@
         }
     }
 
-    /// Rounds of the previous view prove nothing in the new one: its call is abandoned, and the predecessor's messages
-    /// are rejected.
+    /// Abandons the call in flight, keeping its reads for the next round, and rejects the predecessor's
+    /// messages: rounds of the previous view prove nothing about the new one.
     fn on_view_change(&mut self, outputs: &mut Vec<Output<M::Output>>) {
         self.failures.reset();
         self.peer_positions.clear();
@@ -295,7 +297,7 @@
         outputs.extend(std::mem::take(&mut self.upstream_tokens).into_iter().map(stale));
     }
 
-    /// Handles the reply to a call of this member, or `None` if there was none in time.
+    /// Handles the reply to a call of this member; `None` if none arrived in time.
     pub fn handle_reply(
         &mut self,
         now: Duration,
@@ -308,8 +310,8 @@
         self.on_append_reply(now, in_flight, reply, outputs);
     }
 
-    /// Handles entries, or a heartbeat, of the predecessor. The reply follows when the members from this one to the tail
-    /// have them too.
+    /// Handles entries, or a heartbeat, from the predecessor. The reply follows when the members from this
+    /// one to the tail have stored the entries.
     pub fn handle_append(
         &mut self,
         now: Duration,
@@ -332,8 +334,8 @@
         self.upstream_tokens.push(token);
     }
 
-    /// Handles a complete state that replaces this member's own. The reply does not wait for the members that follow: the
-    /// predecessor sends an append next, whose reply does.
+    /// Handles a complete state that replaces this member's own. The reply does not wait for the members that
+    /// follow: the predecessor sends an append next, whose reply waits for them.
     pub fn handle_install(&mut self, token: Token, install: &Install, outputs: &mut Vec<Output<M::Output>>) {
         let outcome = self.replica.install(install);
         self.on_role_change(outputs);
@@ -342,7 +344,7 @@
     }
 }
 
-/// The reply to a message that was rejected; `None` where it was accepted.
+/// Returns the reply to a rejected message; `None` if the message was accepted.
 fn rejection(outcome: AppendOutcome) -> Option<AppendReply> {
     match outcome {
         AppendOutcome::Accepted => None,
--- a/control-plane/chain-replication/src/chain/rounds.rs
+++ b/control-plane/chain-replication/src/chain/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds: what one attempt to bring the chain to this member's state sends, and how it ends.
+//! Rounds. A round is one attempt to bring the members down the chain to this member's state.
 
 use super::Chain;
 use crate::error::ProposalError;
@@ -14,16 +14,17 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Messages to the successor in one round; a successor that still reports a mismatch has failed.
+/// Maximum number of messages to the successor in one round. A successor that rejects all of them with a
+/// mismatch has failed.
 const MAX_APPEND_ATTEMPTS: usize = 4;
-/// Pause after a round that did not go through the chain.
+/// Pause after a round that failed, or that left operations uncommitted.
 const RETRY_BACKOFF: Duration = Duration::from_millis(40);
 
 /// Why a round failed.
 enum RoundFailure {
-    /// A member, at this address, does not answer or rejects the round.
+    /// The member at this address does not reply or rejects the round.
     Member(SocketAddr),
-    /// There is a newer view, or this member's state was replaced.
+    /// There is a newer view, or this member's state was replaced or is not complete any more.
     Superseded,
 }
 
@@ -56,7 +57,7 @@
                 self.pending.extend_uncommitted(waiters.into_iter().zip(applied).map(uncommitted));
             }
             Err(error) => {
-                // The entry may have reached the disk all the same, and be found there after a restart.
+                // The entry may still have reached the disk, and be found there after a restart.
                 warn!(%error, "entry not persisted");
                 outputs.extend(waiters.into_iter().map(|waiter| Output::Applied {
                     token: waiter.token,
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Sends the successor what it lacks of this member's state. At the tail the round is complete at once.
+    /// Sends the successor the entries or the state that it lacks. At the tail, the round is complete at
+    /// once.
     pub(super) fn send_append(
         &mut self,
         now: Duration,
@@ -109,7 +111,8 @@
         outputs.push(Output::Call { call: self.last_call, to: successor, message, within });
     }
 
-    /// The entries that bring a member from a position to this member's; `None` where only a complete state does.
+    /// Returns the message that brings a member from a position to this member's; `None` if only a complete
+    /// state can.
     fn append_since(&self, previous: Position) -> Option<Append> {
         Some(Append {
             view: self.replica.view().clone(),
@@ -121,15 +124,15 @@
         })
     }
 
-    /// Whether a reply to this call still counts. It is about the state that was sent, and proves nothing of a state that has
-    /// replaced it, nor of a chain with other members.
+    /// Whether the reply to this call is still valid. It refers to the state that was sent, and proves
+    /// nothing about a state that has replaced it, or about a chain with other members.
     fn is_current(&self, call: &InFlightAppend) -> bool {
         call.view == self.replica.view().number
             && call.restore_count == self.replica.restore_count()
             && self.replica.is_complete()
     }
 
-    /// Continues or ends a round by the successor's reply.
+    /// Continues or ends a round according to the successor's reply.
     pub(super) fn on_append_reply(
         &mut self,
         now: Duration,
@@ -174,7 +177,7 @@
     ) {
         self.peer_positions.insert(call.successor.identity, call.position);
         if call.is_install {
-            // It confirms the successor alone; the append that follows goes through to the tail.
+            // The reply covers only the successor; the append that follows goes through to the tail.
             self.send_append(now, call.waiters, outputs);
             return;
         }
@@ -187,7 +190,7 @@
         self.on_round_completed(now, round, outputs);
     }
 
-    /// The successor's state is at another position than was assumed: the next message begins there.
+    /// Handles a successor whose state is at another position than assumed: the next message begins there.
     fn on_append_mismatch(
         &mut self,
         now: Duration,
@@ -205,8 +208,9 @@
         }
     }
 
-    /// Every member from this one to the tail has reached a position. At the head these are all members of the view, so
-    /// whichever of them heads the next view has the entries up to it: the operations may be acknowledged.
+    /// Handles a round in which every member from this one to the tail has reached a position. At the head
+    /// these are all members of the view, so any of them that heads the next view has the entries up to the
+    /// position, and the operations may be acknowledged.
     fn on_round_completed(
         &mut self,
         now: Duration,
@@ -226,14 +230,15 @@
         }
         let accepted = |token| Output::Reply { token, reply: AppendReply::Accepted { durable_replicas } };
         outputs.extend(round.waiters.upstream_tokens.into_iter().map(accepted));
-        // With too few disks the round is attempted again: members with a disk may join.
+        // With too few durable replicas the round is attempted again, as durable members may join.
         if durable_replicas >= self.config.min_replicas {
             self.pending.acknowledge_up_to(round.position.index, outputs);
         }
         if self.pending.has_uncommitted() {
             self.next_attempt_at = now + RETRY_BACKOFF;
         }
-        // The state shows operations that are not committed yet; a read that would see them waits for the next round.
+        // The state may contain operations that are not committed yet. Reads would see them, and wait for the
+        // next round.
         if self.replica.is_committed() {
             let readable = round.waiters.reads.into_iter();
             outputs.extend(readable.map(|read| Output::Readable { token: read.token, result: Ok(()) }));
@@ -242,7 +247,7 @@
         }
     }
 
-    /// Keeps the reads for the next attempt, and passes the failure up the chain.
+    /// Keeps the reads for the next attempt, and reports the failure up the chain.
     fn on_round_failed(
         &mut self,
         now: Duration,
--- a/control-plane/chain-replication/src/chain/storage_recovery.rs
+++ b/control-plane/chain-replication/src/chain/storage_recovery.rs
@@ -1,4 +1,4 @@
-//! Ending the suspension of a member whose write failed.
+//! Recovery of a member that is suspended after a failed write.
 
 use crate::replica::Replica;
 use crate::state_machine::StateMachine;
@@ -6,35 +6,39 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Pause between two attempts. A disk that refuses writes may do so for seconds, and an attempt writes the complete state.
+/// Pause between two attempts. A disk may reject writes for seconds, and each attempt writes the complete
+/// state.
 const RECOVERY_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Set in every identity that is drawn at random, and in none of a founder, whose address and port fill 48 bits.
+/// Set in every random identity, and in no founder's: those consist of an address and a port, which take 48
+/// bits.
 const RANDOM_IDENTITY_BIT: u64 = 1 << 63;
 
-/// Returns the identity of a member that is no founder, from 64 random bits.
+/// Returns a random identity for a member that is not a founder, from 64 random bits.
 pub fn random_identity(bits: u64) -> u64 {
     bits | RANDOM_IDENTITY_BIT
 }
 
-/// When the storage is read anew, and the identity that the member has if that turns out to be lost.
+/// Paces the attempts to read the storage again, and provides the identity that the member takes if it turns
+/// out that the storage has lost data.
 pub(super) struct StorageRecovery {
     next_attempt_at: Duration,
-    /// Random bits of the process, counted up with each identity that was used.
-    replacement: u64,
+    /// Random bits for the next replacement identity; incremented after each one that was used.
+    replacement_bits: u64,
 }
 
 impl StorageRecovery {
-    /// `random` must be drawn anew by every process.
+    /// `random` is a random number that each process draws at its start.
     pub(super) fn new(random: u64) -> StorageRecovery {
-        StorageRecovery { next_attempt_at: Duration::ZERO, replacement: random }
+        StorageRecovery { next_attempt_at: Duration::ZERO, replacement_bits: random }
     }
 
     pub(super) fn next_attempt_at(&self) -> Duration {
         self.next_attempt_at
     }
 
-    /// Makes an attempt for a suspended member, unless the last one was a moment ago.
+    /// Attempts to recover a suspended member, unless the last attempt was less than [`RECOVERY_BACKOFF`]
+    /// ago.
     pub(super) fn attempt_if_due<M: StateMachine, S: Storage>(
         &mut self,
         now: Duration,
@@ -44,13 +48,13 @@
             return;
         }
         self.next_attempt_at = now + RECOVERY_BACKOFF;
-        let replacement = random_identity(self.replacement);
+        let replacement = random_identity(self.replacement_bits);
         match replica.recover_storage(replacement) {
-            Ok(()) => info!(index = replica.position().index, "storage read anew after a failed write"),
-            Err(error) => warn!(%error, "storage not usable after a failed write"),
+            Ok(()) => info!(index = replica.position().index, "storage recovered after a failed write"),
+            Err(error) => warn!(%error, "cannot recover the storage after a failed write"),
         }
         if replica.identity() == replacement {
-            self.replacement = self.replacement.wrapping_add(1);
+            self.replacement_bits = self.replacement_bits.wrapping_add(1);
         }
     }
 }
--- a/control-plane/chain-replication/src/error.rs
+++ b/control-plane/chain-replication/src/error.rs
@@ -1,4 +1,4 @@
-//! Why an operation has no result, and why a member's stored state cannot be used.
+//! Errors of operations and reads, and errors in the recovery of a member's state.
 
 use marblecroft_rpc::DecodeError;
 use quick_error::quick_error;
@@ -6,7 +6,8 @@
 use std::net::SocketAddr;
 
 quick_error! {
-    /// Why an operation or a read has no result. The variant says whether the operation may have been applied.
+    /// The reason why an operation or a read has no result. The variant indicates whether the operation may
+    /// have been applied.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ProposalError {
         /// Another process, at this address, is the head, or no head is known. The operation was not applied.
@@ -16,7 +17,7 @@
         /// The chain has fewer members than [`Config::min_replicas`](crate::Config::min_replicas), or the operation's
         /// deadline passed while it was queued. The operation was not applied.
         NotEnoughReplicas {
-            display("too few copies would be made")
+            display("not enough replicas")
         }
         /// The operation may have been applied, or may be applied later.
         OutcomeUnknown {
@@ -26,7 +27,7 @@
 }
 
 quick_error! {
-    /// Why a state, recovered from storage or received from another member, cannot be used.
+    /// The reason why a state that was recovered from storage or received from another member cannot be used.
     #[derive(Debug)]
     pub enum RecoveryError {
         /// The checkpoint at the start of a segment cannot be decoded.
@@ -34,18 +35,18 @@
             display("checkpoint: {}", error)
             source(error)
         }
-        /// A record behind the checkpoint cannot be decoded.
+        /// A record after the checkpoint cannot be decoded.
         Record(error: DecodeError) {
             display("record: {}", error)
             source(error)
         }
-        /// [`StateMachine::restore`](crate::StateMachine::restore) cannot read a snapshot.
+        /// [`StateMachine::restore`](crate::StateMachine::restore) cannot decode a snapshot.
         Snapshot {
             display("state")
         }
-        /// A write failed earlier, and the storage has not been read anew since.
+        /// A write failed earlier, and the storage has not been recovered since.
         Suspended {
-            display("a write failed earlier; the storage is yet to be read anew")
+            display("a write failed earlier, and the storage has not been recovered since")
         }
         /// The storage returned an error.
         Storage(error: io::Error) {
--- a/control-plane/chain-replication/src/in_flight.rs
+++ b/control-plane/chain-replication/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! The one call to the successor that a member has in flight, and who waits for its outcome.
+//! The call that a member has in flight to its successor, and the requests that wait for its outcome.
 
 use crate::output::Token;
 use crate::pending::Waiter;
@@ -6,12 +6,12 @@
 use crate::view::Member;
 use std::time::Duration;
 
-/// Who waits for a round.
+/// The requests that wait for the outcome of a round.
 #[derive(Default)]
 pub(crate) struct RoundWaiters {
     /// Reads at the head that the round is to confirm.
     pub reads: Vec<Waiter>,
-    /// Messages of the predecessor that are replied to with the round's outcome.
+    /// Tokens of the predecessor's messages, which are replied to with the round's outcome.
     pub upstream_tokens: Vec<Token>,
 }
 
@@ -25,7 +25,7 @@
     /// This member's position when the call was made.
     pub position: Position,
     pub successor: Member,
-    /// When this member began its share of the round.
+    /// Time at which this member began its part of the round.
     pub started_at: Duration,
     /// Whether the message is an [`Install`](crate::Install).
     pub is_install: bool,
@@ -34,11 +34,11 @@
 
 /// A round that every member from this one to the tail has completed.
 pub(crate) struct CompletedRound {
-    /// When this member began its share of the round.
+    /// Time at which this member began its part of the round.
     pub started_at: Duration,
     /// The position that all these members have reached.
     pub position: Position,
-    /// Durable replicas among the members that follow this one.
+    /// Number of durable replicas among the members that follow this one.
     pub durable_replicas_downstream: usize,
     pub waiters: RoundWaiters,
 }
--- a/control-plane/chain-replication/src/lease.rs
+++ b/control-plane/chain-replication/src/lease.rs
@@ -1,31 +1,32 @@
-//! The lease: until when a member may act on its state without asking the chain.
+//! The lease: the time until which a member may act on its state without a round through the chain.
 //!
-//! A member that handled round n at a time of its own clock, and later hears from the head that round n went through the
-//! complete chain, knows that every member was still in the view at that time. Nothing was acknowledged in a later view
-//! before it: the next view acknowledges only once its head, a member of this view, has installed it, and from then on that
-//! member rejects this view's rounds, so that none of them completes. The lease therefore counts from when the round was
-//! *handled*. Counting from when its confirmation was *received* would be unsafe: that message may have waited for any time,
-//! in the network or while this process was suspended.
+//! Suppose that a member handles round n at some time of its own clock, and that a later message from the
+//! head confirms that round n went through the complete chain. Then every member was still in the view at
+//! that time, and nothing was acknowledged in a later view before it: the next view acknowledges only once
+//! its head, a member of this view, has installed it, and from then on that member rejects this view's
+//! rounds, so that none of them completes. The lease therefore counts from when the round was *handled*.
+//! Counting from when its confirmation was *received* would be unsafe: that message may have been delayed for
+//! any time, in the network or while this process was suspended.
 //!
-//! Callers add a duration that is shorter than the time after which other members move on to the next view (see
-//! [`Config::suspect_timeout`](crate::Config::suspect_timeout)). Only monotonic clocks are read; they need not agree, but
-//! must run at nearly the same rate.
+//! Callers add a duration that is shorter than the time after which other members move on to the next view
+//! (see [`Config::suspect_timeout`](crate::Config::suspect_timeout)). Only monotonic clocks are used; they
+//! need not agree, but must run at nearly the same rate.
 
 use crate::message::Round;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Rounds that are remembered until the head confirms them.
+/// Maximum number of handled rounds that are kept until the head confirms them.
 const MAX_HANDLED_ROUNDS: usize = 16;
 
-/// A round, and when this member handled it.
+/// A round, and the time at which this member handled it.
 struct HandledRound {
     number: u64,
     handled_at: Duration,
 }
 
-/// The rounds that this member has handled lately, all of one head's session in one view: those of another session or view
-/// are numbered independently.
+/// The rounds that this member has handled most recently, all of one head's session in one view: rounds of
+/// other sessions and views are numbered independently.
 #[derive(Default)]
 struct HandledRounds {
     view: u64,
@@ -33,7 +34,7 @@
     rounds: VecDeque<HandledRound>,
 }
 
-/// The newest time at which every member is known to have been in this member's view.
+/// The latest time at which every member is known to have been in this member's view.
 #[derive(Default)]
 pub(crate) struct Lease {
     handled: HandledRounds,
@@ -45,12 +46,12 @@
         self.confirmed_at
     }
 
-    /// Renews the head's lease: the round that it started at this time went through the chain.
+    /// Renews the head's lease after the round that it started at this time went through the chain.
     pub fn renew(&mut self, started_at: Duration) {
         self.confirmed_at = Some(started_at);
     }
 
-    /// Records that a round of the head was handled, and renews the lease by the earlier round that it confirms.
+    /// Records that a round of the head was handled, and renews the lease if it confirms an earlier round.
     pub fn on_round_handled(&mut self, now: Duration, view: u64, round: Round) {
         let handled = &mut self.handled;
         if (handled.view, handled.session) != (view, round.session) {
--- a/control-plane/chain-replication/src/lib.rs
+++ b/control-plane/chain-replication/src/lib.rs
@@ -1,22 +1,23 @@
-//! Chain replication of a state machine (van Renesse and Schneider, "Chain Replication for Supporting High Throughput and
-//! Availability", OSDI 2004) under views that the members agree on themselves.
+//! Chain replication of a state machine (van Renesse and Schneider, "Chain Replication for Supporting High
+//! Throughput and Availability", OSDI 2004). The members of the chain agree on changes of its membership
+//! themselves.
 //!
-//! A numbered [`View`] lists the members of a chain in order. The head orders operations, every member stores an entry
-//! before it forwards it, and an operation is acknowledged once the tail has it: an acknowledged operation is stored by every
-//! member of its view. The head of the next view was complete in this one, so the next view begins with everything that was
-//! acknowledged.
+//! A numbered [`View`] lists the members of a chain in order. The head orders operations, every member stores
+//! an entry before it forwards it, and an operation is acknowledged once the tail has stored it: an
+//! acknowledged operation is stored by every member of its view. The head of the next view is a complete
+//! member of this one, so the next view begins with every acknowledged operation.
 //!
-//! Where the paper has a separate master that configures the chain, views are decided by Paxos among the voters of the view
-//! before. Where it has reads answered by the tail, they are answered by the head after a round through the chain, as in
-//! Raft's ReadIndex, or by any member under a lease.
+//! The protocol differs from the paper in two respects. Views are decided by Paxos among the voters of the
+//! preceding view, and not by a separate master. Reads are served by the head after a round through the
+//! chain, as with Raft's ReadIndex, or by any member that holds a lease, and not by the tail.
 //!
-//! Nothing here has threads, sockets or a clock: the time is an argument, and messages are passed in and out. The crate
-//! therefore runs the same in programs, in simulations and in tests.
+//! The crate has no threads, sockets or clock: the time is an argument, and messages are passed in and out.
+//! The code therefore runs the same in programs, in simulations and in tests.
 //!
 //! - [`replica`]: one member's durable state.
-//! - [`chain`]: a member among others; its rounds, its lease, and whom it suspects.
+//! - [`chain`]: the protocol of one member: its rounds, its lease and its failure detector.
 //! - [`agreement`]: the decision on the next view.
-//! - [`view`], [`message`], [`storage`]: the data that members agree on, send and store.
+//! - [`view`], [`message`], [`storage`]: the data types on which members agree and which they send and store.
 //!
 //! A chain of one member acknowledges an operation as soon as it is stored:
 //!
--- a/control-plane/chain-replication/src/message.rs
+++ b/control-plane/chain-replication/src/message.rs
@@ -1,6 +1,7 @@
 //! The messages between members of a chain.
 //!
-//! The encoded types here are sent between versions: their fields and variants keep their order and types.
+//! Processes of different releases exchange the encoded types in this module: their fields and variants keep
+//! their order and types.
 
 use crate::position::Position;
 use crate::view::View;
@@ -8,14 +9,15 @@
 use musli::{Decode, Encode};
 use std::net::SocketAddr;
 
-/// Identifies one round of one process as the head. Rounds of another session or view prove nothing about each other.
+/// Identifies a round that a process starts as the head. A round proves nothing about rounds of another
+/// session or view.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Round {
-    /// Drawn when the head's process started.
+    /// Random number that the head's process drew at its start.
     pub session: u64,
     /// Counts the head's messages to its successor, from 1.
     pub number: u64,
-    /// The last round of this session and view that went through the complete chain; 0 where none did.
+    /// The last round of this session and view that went through the complete chain; 0 if there is none.
     pub confirmed: u64,
 }
 
@@ -26,7 +28,7 @@
     }
 }
 
-/// From a member to its successor: entries, or none as a heartbeat.
+/// Sent by a member to its successor: entries, or none as a heartbeat.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Append {
     /// The sender's view.
@@ -53,17 +55,17 @@
     },
     /// The message does not continue the recipient's state, which is at this position.
     Mismatch(Position),
-    /// The recipient knows a newer view.
+    /// The recipient has a newer view, which is this one.
     StaleView(View),
-    /// The recipient is not the member that the view names.
+    /// The recipient is not a member of the message's view.
     NotMember,
     /// The recipient's storage failed.
     StorageError,
-    /// The member at this address, further down the chain, does not answer or rejects the round.
+    /// The member at this address, further down the chain, does not reply or rejects the round.
     DownstreamFailed(SocketAddr),
 }
 
-/// The sender's complete state, for a member whose own is of another history or too far behind.
+/// The sender's complete state, for a member whose own state belongs to another history or is too far behind.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Install {
     /// The sender's view.
@@ -74,14 +76,14 @@
     pub machine: Bytes,
 }
 
-/// What a process reports of itself.
+/// The status that a process reports to others.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct Status {
     /// Its identity as a member.
     pub identity: u64,
-    /// The newest view that it knows.
+    /// The newest view that it has installed.
     pub view: View,
-    /// Whether it has everything that was acknowledged, as far as it knows.
+    /// Whether it has every acknowledged operation, as far as it can determine.
     pub complete: bool,
     /// The position of its state.
     pub position: Position,
@@ -90,6 +92,6 @@
     /// A member further down the chain that has been failing for
     /// [`Config::suspect_timeout`](crate::Config::suspect_timeout) or longer.
     pub suspect: Option<SocketAddr>,
-    /// Whether its process is about to end, and should be left out of the next view.
+    /// Whether its process is about to exit, and should be left out of the next view.
     pub draining: bool,
 }
--- a/control-plane/chain-replication/src/output.rs
+++ b/control-plane/chain-replication/src/output.rs
@@ -1,4 +1,4 @@
-//! What a member asks its caller to do.
+//! The effects that a member requests from its caller.
 
 use crate::error::ProposalError;
 use crate::message::{Append, AppendReply, Install};
@@ -17,8 +17,9 @@
     Install(Install),
 }
 
-/// An effect that the caller carries out. Effects are carried out in order, and [`Output::Readable`] before
-/// [`Chain::advance`](crate::Chain::advance) is called again, since the state may change there.
+/// An effect that the caller carries out. The caller must carry out effects in order, and must handle
+/// [`Output::Readable`] before it calls [`Chain::advance`](crate::Chain::advance) again, which may change the
+/// state.
 #[derive(Debug)]
 pub enum Output<O> {
     /// Send a message. Its reply, or the absence of one, is passed to
@@ -53,7 +54,7 @@
     Readable {
         /// The read's token.
         token: Token,
-        /// Why the state may not be read, if it may not.
+        /// An error if the state may not be read.
         result: Result<(), ProposalError>,
     },
 }
--- a/control-plane/chain-replication/src/pending.rs
+++ b/control-plane/chain-replication/src/pending.rs
@@ -1,29 +1,31 @@
-//! Operations and reads whose submitters wait: queued, then uncommitted, then acknowledged, each with its deadline.
+//! Requests whose submitters wait for a result: reads, and operations that are queued, uncommitted or
+//! acknowledged. Each has a deadline.
 
 use crate::error::ProposalError;
 use crate::output::{Output, Token};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Large operations of one entry, in bytes; an operation that is larger alone has an entry of its own.
+/// Upper bound of the total size of the large operations in one entry in bytes. An operation that exceeds it
+/// by itself is the only large one in its entry.
 const MAX_ENTRY_BYTES: usize = 512 << 10;
-/// An operation below this size does not count as large, in bytes.
+/// Size in bytes from which an operation counts as large.
 const LARGE_OPERATION_BYTES: usize = 16 << 10;
 
-/// Who waits for a result, and until when.
+/// A submitter that waits for a result until a deadline.
 #[derive(Clone, Copy)]
 pub(crate) struct Waiter {
     pub token: Token,
     pub deadline: Duration,
 }
 
-/// An operation that the head has yet to order.
+/// An operation that the head has not ordered yet.
 pub(crate) struct QueuedOperation<O> {
     pub waiter: Waiter,
     pub operation: O,
 }
 
-/// An operation that the head has ordered and that not every member is known to have.
+/// An operation that the head has ordered and that is not known to be stored by every member.
 pub(crate) struct UncommittedOperation<R> {
     pub waiter: Waiter,
     /// Index of the entry that contains it.
@@ -31,7 +33,8 @@
     pub output: R,
 }
 
-/// What waits at the head. Reads that a round in flight is to confirm are kept with that round.
+/// The requests that wait at the head. Reads that are to be confirmed by the round in flight are kept with
+/// that round.
 pub(crate) struct PendingRequests<O, R> {
     queue: VecDeque<QueuedOperation<O>>,
     uncommitted: VecDeque<UncommittedOperation<R>>,
@@ -68,7 +71,7 @@
         std::mem::take(&mut self.reads)
     }
 
-    /// The earliest deadline; `None` where nothing waits.
+    /// Returns the earliest deadline; `None` if no request waits.
     pub fn next_deadline(&self) -> Option<Duration> {
         let queued = self.queue.iter().map(|queued| queued.waiter.deadline);
         let uncommitted = self.uncommitted.iter().map(|uncommitted| uncommitted.waiter.deadline);
@@ -76,12 +79,13 @@
         queued.chain(uncommitted).chain(reads).min()
     }
 
-    /// Removes the operations of one entry from the queue: all small ones, and large ones as far as they fit.
+    /// Removes the operations of the next entry from the queue: all small ones, and large ones up to
+    /// [`MAX_ENTRY_BYTES`].
     pub fn take_batch(&mut self, size_of: impl Fn(&O) -> usize) -> Vec<QueuedOperation<O>> {
         let mut bytes = 0;
         let fits = |queued: &QueuedOperation<O>| {
             let size = size_of(&queued.operation);
-            // Small operations do not wait for large ones; of the large ones the first always fits.
+            // Small operations do not wait for large ones; the first large operation always fits.
             let fits = size < LARGE_OPERATION_BYTES || bytes == 0 || bytes + size <= MAX_ENTRY_BYTES;
             if fits && size >= LARGE_OPERATION_BYTES {
                 bytes += size;
@@ -100,7 +104,7 @@
         }
     }
 
-    /// Fails everything that was queued and never ordered.
+    /// Fails all operations that are queued and not ordered.
     pub fn reject_queued(&mut self, error: &ProposalError, outputs: &mut Vec<Output<R>>) {
         let rejected = |queued: QueuedOperation<O>| Output::Applied {
             token: queued.waiter.token,
@@ -109,7 +113,8 @@
         outputs.extend(std::mem::take(&mut self.queue).into_iter().map(rejected));
     }
 
-    /// Fails what was ordered here when this member can no longer tell whether it will be committed.
+    /// Fails the ordered operations once this member cannot determine any more whether they will be
+    /// committed.
     pub fn abandon_uncommitted(&mut self, outputs: &mut Vec<Output<R>>) {
         let unknown = |uncommitted: UncommittedOperation<R>| Output::Applied {
             token: uncommitted.waiter.token,
@@ -118,30 +123,31 @@
         outputs.extend(std::mem::take(&mut self.uncommitted).into_iter().map(unknown));
     }
 
-    /// Fails what is past its deadline. What was only queued was not applied, and never will be.
+    /// Fails all requests whose deadline has passed. An operation that was only queued has not been applied
+    /// and never will be.
     pub fn expire(&mut self, now: Duration, outputs: &mut Vec<Output<R>>) {
         let failed = |token, error| Output::Applied { token, result: Err(error) };
         self.uncommitted.retain(|uncommitted| {
-            let is_live = uncommitted.waiter.deadline > now;
-            if !is_live {
+            let is_before_deadline = uncommitted.waiter.deadline > now;
+            if !is_before_deadline {
                 outputs.push(failed(uncommitted.waiter.token, ProposalError::OutcomeUnknown));
             }
-            is_live
+            is_before_deadline
         });
         self.queue.retain(|queued| {
-            let is_live = queued.waiter.deadline > now;
-            if !is_live {
+            let is_before_deadline = queued.waiter.deadline > now;
+            if !is_before_deadline {
                 outputs.push(failed(queued.waiter.token, ProposalError::NotEnoughReplicas));
             }
-            is_live
+            is_before_deadline
         });
         self.reads.retain(|read| {
-            let is_live = read.deadline > now;
-            if !is_live {
+            let is_before_deadline = read.deadline > now;
+            if !is_before_deadline {
                 let result = Err(ProposalError::OutcomeUnknown);
                 outputs.push(Output::Readable { token: read.token, result });
             }
-            is_live
+            is_before_deadline
         });
     }
 }
--- a/control-plane/chain-replication/src/position.rs
+++ b/control-plane/chain-replication/src/position.rs
@@ -5,17 +5,17 @@
 /// A position in a chain's history. Equal positions mean equal states.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Position {
-    /// Number of entries so far.
+    /// Number of entries in the history.
     pub index: u64,
-    /// Hash over all of them, in order.
+    /// Hash of all entries, in order.
     pub hash: u64,
 }
 
 impl Position {
     /// Returns the position after one more entry.
     pub fn after(self, entry: &[u8]) -> Position {
-        // FNV-1a over words of eight bytes, continued from the hash of all entries before. Folding the upper half in lets
-        // every bit of a word reach the lower bits of what follows.
+        // FNV-1a over words of eight bytes, continued from the hash of all earlier entries. Folding in the
+        // upper half lets every bit of a word affect the lower bits of the hash.
         const PRIME: u64 = 0x0100_0000_01b3;
         const BASIS: u64 = 0xcbf2_9ce4_8422_2325;
         let mix = |hash: u64, word: u64| {
--- a/control-plane/chain-replication/src/replica.rs
+++ b/control-plane/chain-replication/src/replica.rs
@@ -3,11 +3,12 @@
 //!
 //! Every change is written to [`Storage`] before it is made in memory, and so before any message can report it.
 //!
-//! **A write that fails** may be durable all the same, and then it comes back after a restart: the member would act on a
-//! vote or a view that it had denied. Retrying the sync does not tell, as the operating system may report an error once and
-//! drop the data (PostgreSQL's fsync findings, 2018). So the member is [suspended](Replica::is_suspended): it votes on
-//! nothing, accepts nothing and is not complete, as if its process had ended. It goes on after it has read its storage anew
-//! and started a segment with what it found, as a new process would.
+//! **A failed write** may still be durable, and its record then reappears after a restart: the member would
+//! act on a vote or a view that it had rejected before. A retry of the sync gives no certainty, as the
+//! operating system may report an error once and drop the data (PostgreSQL's fsync findings, 2018). The
+//! member is therefore [suspended](Replica::is_suspended): it votes on nothing, accepts nothing and is not
+//! complete, as if its process had ended. It resumes after it has read its storage again and started a
+//! segment with the recovered state, as a new process would.
 
 mod persistence;
 mod recovery;
@@ -32,11 +33,11 @@
     Accepted,
     /// This member's state, at the given position, is not the one that the message continues.
     Mismatch(Position),
-    /// The message is of an older view than the given one.
+    /// The message belongs to an older view than the given one.
     StaleView(View),
-    /// This process is no member of the message's view.
+    /// This process is not a member of the message's view.
     NotMember,
-    /// The state could not be read, or not be stored.
+    /// The state could not be decoded or stored, or the member is suspended.
     StorageError(RecoveryError),
 }
 
@@ -54,7 +55,8 @@
     storage_health: StorageHealth,
     recent: RecentEntries,
     restore_count: u64,
-    /// The view in which the predecessor has brought this member to its own state. From then on positions only grow.
+    /// The latest view in which this member has reached its predecessor's state. From then on its position
+    /// only increases in that view.
     synchronized_in_view: u64,
 }
 
@@ -64,7 +66,7 @@
         self.identity
     }
 
-    /// Returns the newest view that this member knows.
+    /// Returns the newest view that this member has installed.
     pub fn view(&self) -> &View {
         &self.view
     }
@@ -84,12 +86,14 @@
         self.position
     }
 
-    /// Whether this member has, as far as it knows, everything that was acknowledged in its view and before, and works.
+    /// Whether this member is not suspended and has, as far as it can determine, every operation that was
+    /// acknowledged up to its view.
     pub fn is_complete(&self) -> bool {
         self.complete && !self.is_suspended()
     }
 
-    /// Whether a write has failed and the storage has not been read anew since. The member does nothing meanwhile.
+    /// Whether a write has failed and the storage has not been recovered since. Until then the member does
+    /// nothing.
     pub fn is_suspended(&self) -> bool {
         self.storage_health != StorageHealth::Consistent
     }
@@ -99,13 +103,13 @@
         self.is_complete() && self.view.head().is_some_and(|head| head.identity == self.identity)
     }
 
-    /// Returns how often the state was replaced, by another member's or by what was read anew from the storage. Entries from
-    /// before a replacement may be gone.
+    /// Returns how often the state was replaced, by another member's state or by the state recovered from
+    /// storage. A replacement may lack earlier entries.
     pub fn restore_count(&self) -> u64 {
         self.restore_count
     }
 
-    /// Returns the member that follows this one, if one does.
+    /// Returns the member that follows this one; `None` if there is none.
     pub fn successor(&self) -> Option<Successor<'_>> {
         self.view.successor_of(self.identity)
     }
@@ -122,19 +126,20 @@
         }
     }
 
-    /// Orders operations as the head, as one entry. On return they are stored and applied here, and they are committed once
-    /// every member has the entry.
+    /// Orders operations as the head, as one entry. On return they are stored and applied on this member;
+    /// they are committed once every member has the entry.
     ///
     /// # Errors
     ///
-    /// Returns the storage's error; the member is suspended then, and may find the entry when it reads its storage anew.
+    /// Returns the storage's error. The member is then suspended, and may find the entry when it reads its
+    /// storage again.
     pub fn propose(&mut self, operations: &Vec<M::Operation>) -> io::Result<Vec<M::Output>> {
         let entry = encode(operations);
         self.persist(&[Record::Entry(Bytes(entry.clone()))])?;
         Ok(self.apply(entry))
     }
 
-    /// Applies an entry, which must be stored already.
+    /// Applies an entry that is already stored.
     fn apply(&mut self, entry: Vec<u8>) -> Vec<M::Output> {
         let previous = self.position;
         self.position = previous.after(&entry);
@@ -144,8 +149,8 @@
         operations.into_iter().map(|operation| self.machine.apply(operation)).collect()
     }
 
-    /// Returns the entries from a position to this member's; `None` where they are no longer retained, or the position is
-    /// not in this member's history.
+    /// Returns the entries from a position to this member's; `None` if they are no longer retained, or if the
+    /// position is not in this member's history.
     pub fn entries_since(&self, position: Position) -> Option<Vec<Bytes>> {
         if position == self.position {
             return Some(Vec::new());
@@ -160,12 +165,13 @@
 
     /// Installs a view if it is newer than the current one, and returns whether it was.
     ///
-    /// This member stays complete only if it was complete in the view directly before: a view that it missed may have
-    /// acknowledged operations that it does not have.
+    /// This member stays complete only if it was complete in the directly preceding view: a view that it
+    /// missed may have acknowledged operations that it does not have.
     ///
     /// # Errors
     ///
-    /// Returns the storage's error; the member is suspended then, and may find the view when it reads its storage anew.
+    /// Returns the storage's error. The member is then suspended, and may find the view when it reads its
+    /// storage again.
     pub fn install_view(&mut self, view: &View) -> io::Result<bool> {
         if view.number <= self.view.number {
             return Ok(false);
--- a/control-plane/chain-replication/src/replica/persistence.rs
+++ b/control-plane/chain-replication/src/replica/persistence.rs
@@ -1,4 +1,4 @@
-//! Writing a replica's state: records, and checkpoints that replace all records before them.
+//! Persistence of a replica's state: records, and checkpoints that replace all records before them.
 
 use super::storage_health::{Progress, StorageHealth};
 use super::Replica;
@@ -9,7 +9,7 @@
 use marblecroft_rpc::{encode, Bytes};
 use std::io;
 
-/// Records behind a checkpoint, in bytes, after which the next checkpoint is written.
+/// Size of the records after a checkpoint, in bytes, above which the next checkpoint is written.
 const MAX_SEGMENT_BYTES: u64 = 48 << 20;
 
 impl<M: StateMachine, S: Storage> Replica<M, S> {
@@ -30,12 +30,13 @@
         self.storage.start_segment(&checkpoint)
     }
 
-    /// Writes changes that are yet to be made in memory. After an error the storage may contain them or not, and the member
-    /// is suspended.
+    /// Writes changes before they are made in memory. If the append fails, it is unknown whether the storage
+    /// contains them, and the member is suspended.
     pub(super) fn persist(&mut self, records: &[Record]) -> io::Result<()> {
         self.check_not_suspended()?;
         if !self.storage.is_writable() || self.storage.record_bytes() > MAX_SEGMENT_BYTES {
-            // The older segment and the new one contain the same state, so an error here leaves nothing unknown.
+            // The older segment and the new one contain the same state, so the stored state is certain even
+            // after an error.
             self.start_segment()?;
         }
         let encoded: Vec<Vec<u8>> = records.iter().map(encode).collect();
@@ -47,8 +48,8 @@
         written
     }
 
-    /// Writes a checkpoint of a state in memory that the storage does not contain yet. After an error either state may be
-    /// there, and the member is suspended.
+    /// Writes a checkpoint of a state in memory that the storage does not contain yet. After an error the
+    /// storage may contain either state, and the member is suspended.
     pub(super) fn persist_replaced_state(&mut self) -> io::Result<()> {
         let written = self.start_segment();
         if written.is_err() {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Fails while the member is suspended.
+    /// Returns an error while the member is suspended.
     pub(crate) fn check_not_suspended(&self) -> Result<(), RecoveryError> {
         if self.is_suspended() {
             return Err(RecoveryError::Suspended);
--- a/control-plane/chain-replication/src/replica/recovery.rs
+++ b/control-plane/chain-replication/src/replica/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: the checkpoint is restored, the records behind it are replayed, and a new checkpoint is written.
+//! Recovery: restores the checkpoint, replays the records after it, and writes a new checkpoint.
 
 use super::storage_health::{Progress, StorageHealth};
 use super::Replica;
@@ -13,9 +13,9 @@
 use tracing::warn;
 
 impl<M: StateMachine, S: Storage> Replica<M, S> {
-    /// Recovers a member from what its storage contained. Where there was nothing, the member begins with an empty state
-    /// under this `identity`, and, if it founds the chain, as a complete member of the view `founding`; a stored identity
-    /// and view take precedence.
+    /// Recovers a member from the contents of its storage. If the storage was empty, the member starts with
+    /// an empty state under this `identity`, and as a complete member of the view `founding` if it is a
+    /// founder of the chain. A stored identity and view take precedence.
     ///
     /// # Errors
     ///
@@ -41,19 +41,21 @@
             synchronized_in_view: 0,
         };
         replica.load(recovered)?;
-        // After a power failure the last segment may end in a torn record, behind which nothing may be appended.
+        // After a power failure the last segment may end in a torn record, after which nothing may be
+        // appended.
         replica.start_segment()?;
         Ok(replica)
     }
 
-    /// Ends the suspension that a failed write has begun: reads the storage anew, and starts a segment with what was found.
+    /// Ends the suspension after a failed write: reads the storage again, and starts a segment with the
+    /// recovered state.
     ///
-    /// A storage that lacks something it had confirmed is as good as lost: the member begins empty, under the identity
-    /// `replacement`, which must be drawn at random.
+    /// A storage that lacks data that it had confirmed counts as lost: the member starts with an empty state
+    /// under the identity `replacement`, which must be drawn at random.
     ///
     /// # Errors
     ///
-    /// The storage cannot be read, decoded or written; the member stays suspended.
+    /// Returns an error if the storage cannot be read, decoded or written; the member stays suspended.
     pub fn recover_storage(&mut self, replacement: u64) -> Result<(), RecoveryError> {
         if let StorageHealth::OutcomeUnknown(confirmed) = self.storage_health {
             self.read_storage(&confirmed, replacement)?;
@@ -65,13 +67,13 @@
     }
 
     fn read_storage(&mut self, confirmed: &Progress, replacement: u64) -> Result<(), RecoveryError> {
-        // The old state goes first, so that memory is never needed for both.
+        // The old state is dropped first, so that memory never has to hold both states.
         self.clear();
         let recovered = self.storage.recover()?;
         let is_damaged = recovered.damaged || recovered.snapshot.is_none();
         self.load(recovered)?;
         if is_damaged || !self.progress().includes(confirmed) {
-            warn!("storage lacks what it had confirmed: starting empty, with a new identity");
+            warn!("storage lacks data that it had confirmed: starting empty, with a new identity");
             self.clear();
             self.identity = replacement;
             self.view = View::default();
@@ -80,7 +82,7 @@
         Ok(())
     }
 
-    /// Drops the state machine, and what depends on it.
+    /// Drops the state machine and everything that depends on it.
     fn clear(&mut self) {
         self.machine = M::default();
         self.position = Position::default();
@@ -114,7 +116,7 @@
     fn replay(&mut self, record: Record) {
         match record {
             Record::Entry(entry) => {
-                // Nobody waits for the outputs any more.
+                // No submitter waits for the outputs any more.
                 let _ = self.apply(entry.0);
             }
             Record::View { view, complete } => {
--- a/control-plane/chain-replication/src/replica/replication.rs
+++ b/control-plane/chain-replication/src/replica/replication.rs
@@ -1,9 +1,10 @@
-//! What a member accepts from its predecessor, and a learner from any complete member.
+//! Handling of the messages from the predecessor, and of the state that a learner fetches from a complete
+//! member.
 //!
-//! A message counts only for the member that its view names: one of an older view is rejected, and a newer view is installed
-//! first. An append is accepted only if it leads from this member's position to the sender's; anything else is a mismatch,
-//! whose reply tells the sender this member's position. As positions are hashes of complete histories, a member that
-//! accepts has the sender's state.
+//! A message is accepted only by members of its view: a message of an older view is rejected, and a newer
+//! view is installed first. An append is accepted only if it leads from this member's position to the
+//! sender's; anything else is a mismatch, and the reply contains this member's position. As positions contain
+//! hashes of complete histories, a member that accepts an append has the sender's state.
 
 use super::{AppendOutcome, Replica};
 use crate::error::RecoveryError;
@@ -14,7 +15,7 @@
 use crate::view::View;
 
 impl<M: StateMachine, S: Storage> Replica<M, S> {
-    /// The reason to reject a message of this view, if there is one; a newer view is installed.
+    /// Returns the reason to reject a message of this view, if there is one. Installs a newer view.
     fn reject_or_install_view(&mut self, view: &View) -> Option<AppendOutcome> {
         if let Err(error) = self.check_not_suspended() {
             return Some(AppendOutcome::StorageError(error));
@@ -28,7 +29,8 @@
         self.install_view(view).err().map(|error| AppendOutcome::StorageError(error.into()))
     }
 
-    /// Stores and applies the predecessor's entries. Once this member has the predecessor's state it is complete.
+    /// Stores and applies the predecessor's entries. Once this member has the predecessor's state, it is
+    /// complete.
     pub fn append(&mut self, append: &Append) -> AppendOutcome {
         if let Some(rejection) = self.reject_or_install_view(&append.view) {
             return rejection;
@@ -61,14 +63,14 @@
         AppendOutcome::Accepted
     }
 
-    /// Replaces this member's state by the predecessor's.
+    /// Replaces this member's state with the predecessor's.
     pub fn install(&mut self, install: &Install) -> AppendOutcome {
         if let Some(rejection) = self.reject_or_install_view(&install.view) {
             return rejection;
         }
         if self.synchronized_in_view == self.view.number && install.position.index <= self.position.index {
-            // The message was sent before entries that this member has accepted since: installing it would lose operations
-            // that were acknowledged.
+            // The message was sent before entries that this member has accepted since. Installing it would
+            // lose acknowledged operations.
             return AppendOutcome::Mismatch(self.position);
         }
         let Some(machine) = M::restore(&install.machine.0) else {
@@ -82,12 +84,13 @@
         AppendOutcome::Accepted
     }
 
-    /// Replaces this process's state by another's, ahead of joining its chain; a member ignores it. The process is not
-    /// complete until, as a member, its predecessor has confirmed or replaced the state.
+    /// Replaces this process's state with another process's, before this process joins the chain; a member
+    /// ignores the message. The process is complete only after it has become a member and its predecessor has
+    /// confirmed or replaced the state.
     ///
     /// # Errors
     ///
-    /// Returns an error if the state cannot be read or stored.
+    /// Returns an error if the state cannot be decoded or stored.
     pub fn install_as_learner(&mut self, install: &Install) -> Result<(), RecoveryError> {
         self.check_not_suspended()?;
         if self.view.contains(self.identity) {
--- a/control-plane/chain-replication/src/replica/storage_health.rs
+++ b/control-plane/chain-replication/src/replica/storage_health.rs
@@ -1,32 +1,34 @@
-//! What a member knows of its storage.
+//! Whether a member's storage is consistent with its state in memory.
 
 use crate::position::Position;
 
 /// Whether the storage contains what the member has in memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StorageHealth {
-    /// It does, durably.
+    /// The storage durably contains the state in memory.
     Consistent,
-    /// A write failed: the storage may contain what was written, or not, or a part of it. It had confirmed this before.
+    /// A write failed: the storage may contain all, part or nothing of what was written. Before, it had
+    /// confirmed this progress.
     OutcomeUnknown(Progress),
-    /// It was read anew, and is what the member has in memory. It may be lost with the power until a segment is started.
+    /// The storage was read again into memory. A power failure may lose the contents until a segment is
+    /// started.
     NotDurable,
 }
 
-/// What a storage has confirmed. It only grows while nothing that was synced is lost.
+/// The progress that a storage has confirmed. It never decreases unless synced data is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Progress {
     /// Number of the view.
     pub(super) view: u64,
     /// Number of the view that was voted on last, and the highest proposal number that was promised for it.
     pub(super) promised: (u64, u64),
-    /// The position in the chain's history; the first one where the state was about to be replaced, perhaps by a shorter
-    /// history.
+    /// The position in the chain's history; the default position if the state was about to be replaced,
+    /// possibly by a shorter history.
     pub(super) position: Position,
 }
 
 impl Progress {
-    /// Whether this contains all of `earlier`.
+    /// Whether this progress includes all of `earlier`.
     pub(super) fn includes(&self, earlier: &Progress) -> bool {
         let has_entries = self.position == earlier.position || self.position.index > earlier.position.index;
         self.view >= earlier.view && self.promised >= earlier.promised && has_entries
--- a/control-plane/chain-replication/src/storage.rs
+++ b/control-plane/chain-replication/src/storage.rs
@@ -1,6 +1,6 @@
-//! The storage that a replica needs, and what it writes there.
+//! The storage interface of a replica, and the records that a replica stores.
 //!
-//! The encoded types here are stored: their fields and variants keep their order and types.
+//! The encoded types in this module are stored: their fields and variants keep their order and types.
 
 use crate::position::Position;
 use crate::view::View;
@@ -15,29 +15,32 @@
     ///
     /// # Errors
     ///
-    /// After an error the records may be durable or not, and no more can be appended before a segment is started.
+    /// After an error it is unknown whether the records are durable, and nothing can be appended until a
+    /// segment is started.
     fn append(&mut self, records: &[&[u8]]) -> io::Result<()>;
 
     /// Starts a segment with a checkpoint, which is durable on return and replaces everything before it.
     ///
     /// # Errors
     ///
-    /// After an error either this segment or the one before it is found by a recovery.
+    /// After an error a recovery finds either this segment or the one before it.
     fn start_segment(&mut self, checkpoint: &[u8]) -> io::Result<()>;
 
-    /// Reads everything anew, as the next process would. Records can be appended after a segment was started.
+    /// Reads the complete contents again, as the next process would. Records can be appended after a segment
+    /// was started.
     ///
-    /// What is read may be in the operating system's cache alone, and be lost with the power, until a segment is started.
+    /// Until then the contents may be only in the operating system's cache, and a power failure may lose
+    /// them.
     ///
     /// # Errors
     ///
-    /// The storage cannot be read.
+    /// Returns an error if the storage cannot be read.
     fn recover(&mut self) -> io::Result<Recovered>;
 
     /// Whether records can be appended.
     fn is_writable(&self) -> bool;
 
-    /// Returns the bytes of records behind the checkpoint.
+    /// Returns the size in bytes of the records after the checkpoint.
     fn record_bytes(&self) -> u64;
 }
 
@@ -89,7 +92,7 @@
     }
 }
 
-/// What a voter has promised and accepted for the view that follows its own.
+/// A voter's promise and accepted view, for the view number that follows its own.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Vote {
     /// Number of the view that is voted on.
@@ -120,7 +123,7 @@
     pub machine: Bytes,
 }
 
-/// A change of that state.
+/// A change of the durable state.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub(crate) enum Record {
     Entry(Bytes),
--- a/control-plane/chain-replication/src/view.rs
+++ b/control-plane/chain-replication/src/view.rs
@@ -1,6 +1,6 @@
-//! Views: which members form the chain, in which order, and who votes on the next view.
+//! Views: the members of the chain, their order, and the voters on the next view.
 //!
-//! The encoded types here are stored and sent: their fields keep their order and types.
+//! The encoded types in this module are stored and sent: their fields keep their order and types.
 
 use musli::{Decode, Encode};
 use std::net::SocketAddr;
@@ -10,22 +10,23 @@
 pub struct Member {
     /// Address at which the other members call it.
     pub address: SocketAddr,
-    /// Drawn when its disk was first found empty. A machine that has lost its disk is another member, so that nobody takes
-    /// it for one that still has what the lost disk had.
+    /// Assigned when its disk was first found empty. A machine that has lost its disk is a new member, so
+    /// that no process relies on it for the data of the lost disk.
     pub identity: u64,
-    /// Name of its node; empty for a founder, of which the settings give the address alone.
+    /// Name of its node; empty for a founder, for which the settings contain only the address.
     pub node_name: String,
 }
 
-/// A numbered configuration of a chain. Number 0 means that the process knows of none yet.
+/// A numbered configuration of a chain. Number 0 means that the process has no view yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct View {
     /// Number of the view; views follow each other without gaps.
     pub number: u64,
-    /// The members from the head to the tail. Everything that is acknowledged is stored by all of them.
+    /// The members from the head to the tail. Every acknowledged operation is stored by all of them.
     pub members: Vec<Member>,
-    /// Who decides on the next view, by majority: the members, and others that may be behind or unreachable. Losing a member
-    /// for a while changes the chain but not the electorate. Empty where another service decides.
+    /// The processes that decide on the next view by majority: the members, and others that may be behind or
+    /// unreachable. The temporary loss of a member changes the chain but not the set of voters. Empty if
+    /// another service decides on views.
     pub voters: Vec<Member>,
 }
 
@@ -44,7 +45,7 @@
         self.members.first()
     }
 
-    /// Whether this identity is a member.
+    /// Whether the process with this identity is a member.
     pub fn contains(&self, identity: u64) -> bool {
         self.position_of(identity).is_some()
     }
@@ -54,7 +55,8 @@
         self.members.iter().position(|member| member.identity == identity)
     }
 
-    /// Returns the member that follows a member; `None` for the tail, and for an identity that is no member.
+    /// Returns the member that follows a member; `None` for the tail, and for an identity that is not a
+    /// member.
     pub fn successor_of(&self, identity: u64) -> Option<Successor<'_>> {
         let next = self.position_of(identity)? + 1;
         let member = self.members.get(next)?;
@@ -67,7 +69,7 @@
         addresses.join(" ")
     }
 
-    /// Whether this identity votes on the next view.
+    /// Whether the process with this identity votes on the next view.
     pub fn is_voter(&self, identity: u64) -> bool {
         self.voters.iter().any(|voter| voter.identity == identity)
     }
