--- a/control-plane/chain-replication/tests/chain_model.rs
+++ b/control-plane/chain-replication/tests/chain_model.rs
@@ -1,60 +1,61 @@
-//! A model of the chain under changing views ([`marblecroft_chain_replication::replica`]): members miss views, lose their
-//! disk, join and leave; messages are delayed, duplicated or lost. Every complete member of the newest view has everything
-//! that was acknowledged. Each mutation below violates that, and the checker finds it. Views are decided one after the
-//! other, as `views_model.rs` shows.
+//! A model of the chain under changing views ([`marblecroft_chain_replication::replica`]). Members miss
+//! views, lose their disks, join and leave; messages are delayed, duplicated or lost. In every state, each
+//! complete member of the newest view has all acknowledged operations. Each mutation below violates this
+//! property, and the checker detects it. Views are decided one after the other, as `views_model.rs` shows.
 
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
 const NODES: u8 = 3;
 const VIEWS: usize = 3;
-/// The two searches: operations and lost disks in one search are ten million states.
+/// The bounds of the two searches. A single search with both operations and lost disks has ten million
+/// states.
 const BOUNDS: [Bounds; 2] =
     [Bounds { operations: 2, disk_losses: 0 }, Bounds { operations: 1, disk_losses: 1 }];
-/// Replicas that an operation needs before it is acknowledged.
+/// Number of replicas that an operation needs before it is acknowledged.
 const MIN_REPLICAS: usize = 2;
 
-/// How often things happen in a search.
+/// The number of operations and of lost disks in a search.
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
     operations: u8,
     disk_losses: u8,
 }
 
-/// What differs from the program.
+/// A fault in the protocol, which the model must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
-    /// A member stays complete although it missed a view.
-    CompleteDespiteMissedView,
+    /// A member that missed a view stays complete.
+    CompleteAfterMissedView,
     /// Messages of older views are accepted.
     StaleViewAccepted,
     /// A delayed install replaces a newer state.
     DelayedInstallAccepted,
-    /// The head acknowledges what it has only stored itself.
+    /// The head acknowledges operations that only the head has stored.
     HeadAcknowledgesAlone,
     /// A member replies without waiting for its successor.
     ReplyWithoutSuccessor,
     /// A member that is not complete becomes the head of the next view.
     IncompleteHead,
-    /// A learner counts as complete as soon as it joins.
+    /// A learner is complete as soon as it joins.
     LearnerCompleteAtOnce,
     /// A member retains its identity when it loses its disk.
     IdentityRetainedAfterDiskLoss,
 }
 
-/// A member: its node and how often that has lost its disk.
+/// Identifies a member by its node and the number of times that the node has lost its disk.
 type Identity = (u8, u8);
 type Log = Vec<u8>;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Node {
     disk_losses: u8,
-    /// Number of the view that it knows; 0 is none.
+    /// Number of the newest view that it has installed; 0 if there is none.
     view: usize,
     complete: bool,
     log: Log,
-    /// The view in which its predecessor has brought it up to date.
+    /// The latest view in which it has reached its predecessor's state.
     synchronized_in_view: usize,
 }
 
@@ -97,11 +98,11 @@
     Reply(u8),
     Acknowledge(u8),
     Deliver(Message),
-    /// A message is delivered no more.
+    /// A message is dropped.
     Drop(Message),
-    /// A view is decided that a node proposed, with itself as the head and these others.
+    /// A view is decided that a node proposed, with itself as the head and these other members.
     Decide(u8, Vec<u8>),
-    Learn(u8, usize),
+    InstallView(u8, usize),
     LoseDisk(u8),
 }
 
@@ -133,7 +134,7 @@
         node.complete && Self::members(state, node).first() == Some(&Self::identity(state, number))
     }
 
-    fn learn(&self, state: &mut State, number: u8, view: usize) {
+    fn install_view(&self, state: &mut State, number: u8, view: usize) {
         let identity = Self::identity(state, number);
         let is_member = state.views[view - 1].contains(&identity);
         let node = &mut state.nodes[usize::from(number)];
@@ -141,12 +142,12 @@
             return;
         }
         let is_next =
-            node.complete && (view == node.view + 1 || self.mutation == Mutation::CompleteDespiteMissedView);
+            node.complete && (view == node.view + 1 || self.mutation == Mutation::CompleteAfterMissedView);
         node.complete = is_member && (is_next || self.mutation == Mutation::LearnerCompleteAtOnce);
         node.view = view;
     }
 
-    /// Whether a member accepts messages of a view, which it learns.
+    /// Whether a member accepts messages of a view. Installs the view if it is newer.
     fn accepts_view(&self, state: &mut State, view: usize, to: Identity) -> bool {
         let node = &state.nodes[usize::from(to.0)];
         if Self::identity(state, to.0) != to {
@@ -155,7 +156,7 @@
         if view < node.view {
             return self.mutation == Mutation::StaleViewAccepted;
         }
-        self.learn(state, to.0, view);
+        self.install_view(state, to.0, view);
         true
     }
 
@@ -188,8 +189,8 @@
         }
     }
 
-    /// The longest log that the members from this one to the tail are known to have. A member that is not the head replies
-    /// only for what its predecessor has sent it in its view.
+    /// Returns the longest log that all members from this one to the tail are known to have. A member that is
+    /// not the head replies only for entries that its predecessor has sent it in its view.
     fn accepted_log(&self, state: &State, number: u8) -> Option<Log> {
         let node = &state.nodes[usize::from(number)];
         let is_synchronized = node.synchronized_in_view == node.view || Self::is_head(state, number);
@@ -245,14 +246,14 @@
                 actions.extend(chains.map(|others| Action::Decide(number, others)));
             }
             if node.view < newest {
-                actions.push(Action::Learn(number, newest));
+                actions.push(Action::InstallView(number, newest));
             }
             if disk_losses < self.bounds.disk_losses {
                 actions.push(Action::LoseDisk(number));
             }
         }
         actions.extend(state.messages.iter().cloned().map(Action::Deliver));
-        // With fewer messages nothing is gained by dropping one: it need not be delivered.
+        // With fewer messages a drop leads to no new behaviour, as a message need not be delivered.
         if state.messages.len() == MAX_MESSAGES {
             actions.extend(state.messages.iter().cloned().map(Action::Drop));
         }
@@ -301,14 +302,14 @@
                 if self.mutation == Mutation::IncompleteHead {
                     state.nodes[usize::from(number)].complete = true;
                 }
-                self.learn(&mut state, number, newest);
+                self.install_view(&mut state, number, newest);
             }
-            Action::Learn(number, view) => self.learn(&mut state, number, view),
+            Action::InstallView(number, view) => self.install_view(&mut state, number, view),
             Action::LoseDisk(number) => {
                 let node = &mut state.nodes[usize::from(number)];
                 let disk_losses = node.disk_losses + 1;
                 if self.mutation == Mutation::IdentityRetainedAfterDiskLoss {
-                    // It finds an empty log, and still has its identity and its view.
+                    // The log is lost, and the identity and the view are retained.
                     node.log.clear();
                 } else {
                     *node = Node { disk_losses, ..Node::default() };
@@ -345,10 +346,10 @@
     }
 }
 
-/// Messages that are in flight at the same time.
+/// Maximum number of messages in flight.
 const MAX_MESSAGES: usize = 2;
-/// States of one search, those that are reached again included, in breadth-first order. `MODEL_STATES` sets another bound:
-/// with 100,000,000 both searches are exhaustive.
+/// Maximum number of states of one breadth-first search, including those that are reached again. The
+/// environment variable `MODEL_STATES` sets another bound: with 100,000,000 both searches are exhaustive.
 const MAX_STATES: usize = 3_000_000;
 
 fn max_states() -> usize {
@@ -381,7 +382,7 @@
 #[test]
 fn every_mutation_is_detected() {
     let all = [
-        Mutation::CompleteDespiteMissedView,
+        Mutation::CompleteAfterMissedView,
         Mutation::StaleViewAccepted,
         Mutation::DelayedInstallAccepted,
         Mutation::HeadAcknowledgesAlone,
--- a/control-plane/chain-replication/tests/cluster.rs
+++ b/control-plane/chain-replication/tests/cluster.rs
@@ -1,13 +1,13 @@
-//! Clusters on a virtual network and virtual disks, driven from a seed. Members are killed, lose power or their disks, are
-//! partitioned in one direction or both, restart and join. What was acknowledged is in every later read, and no two views
-//! have the same number.
+//! Randomized tests of clusters on a simulated network with simulated disks, reproducible from a seed.
+//! Members are killed, lose power or their disks, are partitioned in one direction or both, restart and join.
+//! Every acknowledged operation is in every later read, and no two views have the same number.
 
 #[path = "common/disk.rs"]
-#[allow(dead_code, reason = "not every test file uses all of the disk")]
+#[allow(dead_code, reason = "not every test file uses all functions of the disk")]
 mod disk;
 
 use arbtest::arbitrary::Unstructured;
-use disk::{AppendFate, Contents, Disk};
+use disk::{AppendBehaviour, Contents, Disk};
 use marblecroft_chain_replication::agreement::{
     next_proposal_number, Outcome, Proposal, Step, VoteReply, VoteRequest,
 };
@@ -19,9 +19,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-type Draw<T> = arbtest::arbitrary::Result<T>;
+type ArbitraryResult<T> = arbtest::arbitrary::Result<T>;
 
-/// The operations in the order in which they were applied.
+/// A state machine that records the operations in the order in which they were applied.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct AppliedOperations(Vec<u64>);
 
@@ -47,13 +47,17 @@
     }
 }
 
-/// Lets all writes fail, or none. The first record of a failed write may be durable all the same.
+/// Sets whether all writes to a disk fail. The first record of a failed write is still durable.
 fn set_failing(disk: &Disk, is_failing: bool) {
-    disk.set_append(if is_failing { AppendFate::FailsKeeping(1) } else { AppendFate::Succeeds });
-    disk.refuse_segments(is_failing);
+    disk.set_append(if is_failing {
+        AppendBehaviour::FailsAfterStoring(1)
+    } else {
+        AppendBehaviour::Succeeds
+    });
+    disk.fail_segment_starts(is_failing);
 }
 
-/// Replaces a disk by an empty one.
+/// Replaces a disk with an empty one.
 fn wipe(disk: &Disk) {
     disk.set_contents(Contents::default());
     set_failing(disk, false);
@@ -64,13 +68,13 @@
     chain: Chain<AppliedOperations, Disk>,
     /// Distinguishes this process from earlier ones at its address.
     incarnation: u64,
-    /// Requests that it has yet to reply to, by token.
+    /// Requests that the process has not replied to yet, by token.
     pending_requests: BTreeMap<u64, CallId>,
     /// The state at the last confirmed read.
     read_state: Option<Vec<u64>>,
 }
 
-/// Identifies a call: the caller, its incarnation, and the caller's number of the call.
+/// Identifies a call by the caller, its incarnation and the number that the caller has given the call.
 #[derive(Clone, Copy)]
 struct CallId {
     from: SocketAddr,
@@ -94,7 +98,7 @@
 
 struct Cluster {
     running: BTreeMap<SocketAddr, Process>,
-    /// Directions, from one address to another, in which nothing is delivered.
+    /// Pairs of sender and recipient between which no packet is delivered.
     partitioned: BTreeSet<(SocketAddr, SocketAddr)>,
     packets: VecDeque<Packet>,
     now: Duration,
@@ -107,7 +111,7 @@
     acknowledged: BTreeSet<u64>,
     newest_read: Vec<u64>,
     decided: BTreeMap<u64, View>,
-    /// A node that was stopped, and has not restarted.
+    /// A node that was stopped and has not been restarted.
     stopped: Option<u8>,
 }
 
@@ -171,13 +175,13 @@
         self.running.get(&address(node)).map(|process| process.chain.status(self.now))
     }
 
-    /// The status that one process receives from another, if request and reply are delivered.
+    /// Returns the status that one process receives from another, if the request and the reply are delivered.
     fn request_status(&self, from: SocketAddr, to: SocketAddr) -> Option<Status> {
         let is_partitioned = self.partitioned.contains(&(from, to)) || self.partitioned.contains(&(to, from));
         self.running.get(&to).filter(|_| !is_partitioned).map(|process| process.chain.status(self.now))
     }
 
-    /// Executes the outputs of a process, and advances it until it has no more.
+    /// Executes the outputs of a process, and advances the process until it adds no further outputs.
     fn execute(&mut self, at: SocketAddr, outputs: Vec<Output<usize>>) {
         let mut outputs = outputs;
         loop {
@@ -242,7 +246,8 @@
         }
     }
 
-    /// Delivers the packets in flight, in order, until there are none. A chain that never stops is not followed.
+    /// Delivers the packets in flight in order, until there are none. Stops after 200 packets, as the chain
+    /// may never stop sending.
     fn deliver_all(&mut self) {
         for _ in 0..200 {
             let Some(packet) = self.packets.pop_front() else { return };
@@ -282,10 +287,11 @@
 
     fn record_view(&mut self, view: &View) {
         let known = self.decided.entry(view.number).or_insert_with(|| view.clone());
-        assert_eq!(known, view, "two views have one number");
+        assert_eq!(known, view, "two views have the same number");
     }
 
-    /// A member proposes a view that it heads: the members that reply to it, and learners up to three in all.
+    /// Makes a member propose a view that it heads. The view contains the members that reply to it, and
+    /// learners up to a total of three members.
     fn propose(&mut self, node: u8, proposal_round: u64) {
         let Some(status) = self.status(node) else { return };
         let own = status.view.members.iter().find(|member| member.identity == status.identity).cloned();
@@ -310,7 +316,8 @@
         self.propose_view(node, &status, &own, view, proposal_round);
     }
 
-    /// A voter that has accepted a view proposes it again, with a number above all that it has promised.
+    /// Makes a voter propose the view that it has accepted again, with a number above all that it has
+    /// promised.
     fn propose_accepted(&mut self, node: u8) {
         let Some(status) = self.status(node) else { return };
         let own = status.view.voters.iter().find(|voter| voter.identity == status.identity).cloned();
@@ -381,8 +388,8 @@
         Some(reply).filter(|_| is_reply_delivered)
     }
 
-    /// A process learns the newest view of the others.
-    fn learn_view(&mut self, node: u8) {
+    /// Makes a process install the newest view of the others.
+    fn install_newest_view(&mut self, node: u8) {
         for other in 0..NODES {
             let status = self.request_status(address(node), address(other));
             if let (Some(status), Some(process)) = (status, self.process(node)) {
@@ -392,7 +399,7 @@
         }
     }
 
-    /// Proposes an operation at a node, if that is a head.
+    /// Proposes an operation at a node, if the node is a head.
     fn submit(&mut self, node: u8) {
         self.last_operation += 1;
         let number = self.last_operation;
@@ -407,8 +414,8 @@
         self.deliver_all();
     }
 
-    /// Reads at a node, and returns whether the read was confirmed. What is read contains everything acknowledged before, and
-    /// extends what was read before.
+    /// Reads at a node, and returns whether the read was confirmed. Asserts that the read contains every
+    /// operation acknowledged before, and extends the previous read.
     fn read(&mut self, node: u8) -> bool {
         let Some(process) = self.process(node).filter(|process| process.chain.is_head()) else {
             return false;
@@ -424,7 +431,7 @@
         assert_eq!(operations.len(), read.len(), "an operation was applied twice");
         assert!(
             before.is_subset(&operations),
-            "acknowledged, not read: {:?}",
+            "acknowledged but not read: {:?}",
             before.difference(&operations)
         );
         assert!(read.starts_with(&self.newest_read), "{read:?} does not extend {:?}", self.newest_read);
@@ -432,7 +439,7 @@
         true
     }
 
-    fn step(&mut self, u: &mut Unstructured<'_>) -> Draw<()> {
+    fn step(&mut self, u: &mut Unstructured<'_>) -> ArbitraryResult<()> {
         let node = u.int_in_range(0..=NODES - 1)?;
         match u.int_in_range(0..=22)? {
             0..=4 => self.submit(node),
@@ -441,7 +448,7 @@
                 self.read(node);
             }
             11 => self.propose(node, u.int_in_range(1..=50)?),
-            12 => self.learn_view(node),
+            12 => self.install_newest_view(node),
             13 => self.stop_tolerated(node, u.arbitrary()?, u.arbitrary()?),
             14..=15 => {
                 if let Some(stopped) = self.stopped.take() {
@@ -472,14 +479,14 @@
         Ok(())
     }
 
-    /// All nodes lose power at the same moment and restart with their disks.
+    /// All nodes lose power at the same moment, and restart with the contents of their disks.
     fn power_failure(&mut self) {
         (0..NODES).for_each(|node| self.stop(node));
         (0..NODES).for_each(|node| self.restart(node));
         self.stopped = None;
     }
 
-    /// Whether this process has accepted a view and knows of no decision.
+    /// Whether this process has accepted a view and has not received a decision.
     fn has_undecided_view(&self, node: u8) -> bool {
         self.running.get(&address(node)).is_some_and(|process| {
             let replica = process.chain.replica();
@@ -488,12 +495,12 @@
         })
     }
 
-    /// Every process that has accepted a view without a decision proposes it again, as coordinators do in the time that a
-    /// deployment leaves between two losses. Returns whether all such views are decided.
+    /// Makes every process that has accepted an undecided view propose it again. Coordinators do so in the
+    /// time that a deployment leaves between two losses. Returns whether all such views are decided.
     fn finish_undecided_views(&mut self) -> bool {
         for node in 0..NODES {
             if self.has_undecided_view(node) {
-                self.learn_view(node);
+                self.install_newest_view(node);
             }
             if self.has_undecided_view(node) {
                 self.propose_accepted(node);
@@ -502,8 +509,8 @@
         (0..NODES).all(|node| !self.has_undecided_view(node))
     }
 
-    /// Stops one node, perhaps with the loss of its disk. The deployment tolerates one loss at a time, so all others must be
-    /// complete.
+    /// Stops one node, optionally with the loss of its disk. The deployment tolerates one loss at a time, so
+    /// this does nothing unless all members are complete.
     fn stop_tolerated(&mut self, node: u8, loses_disk: bool, restarts_at_once: bool) {
         if self.stopped.is_some() || !self.is_fully_replicated() {
             return;
@@ -522,15 +529,16 @@
         }
     }
 
-    /// Ends all faults; the cluster acknowledges operations again within a bounded number of steps.
+    /// Ends all faults, and asserts that the cluster acknowledges operations again within a bounded number of
+    /// steps.
     fn assert_recovery(&mut self) {
         self.partitioned.clear();
         self.disks.iter().for_each(|disk| set_failing(disk, false));
         (0..NODES).for_each(|node| self.restart(node));
         for round in 0..40u8 {
-            // The timers of every process go off; a member that is suspended reads its disk anew then.
+            // The timers of every process expire; a suspended member then reads its disk again.
             (0..NODES).for_each(|node| self.run_round(node));
-            (0..NODES).for_each(|node| self.learn_view(node));
+            (0..NODES).for_each(|node| self.install_newest_view(node));
             for node in 0..NODES {
                 self.submit(node);
                 if self.read(node) && self.is_fully_replicated() {
@@ -543,7 +551,7 @@
     }
 }
 
-fn run_history(u: &mut Unstructured<'_>) -> Draw<()> {
+fn run_history(u: &mut Unstructured<'_>) -> ArbitraryResult<()> {
     let mut cluster = Cluster::new();
     while !u.is_empty() {
         cluster.step(u)?;
@@ -557,18 +565,19 @@
     arbtest::arbtest(run_history).size_min(64).size_max(4096).budget_ms(8000);
 }
 
-/// Regression: a voter's write of a vote returned an error and was durable all the same. The voter went on without it, a
-/// learner and then a member that the view named lost their disks, and after a restart the vote was back: the view was
-/// decided with one of its three voters left.
+/// Regression test: a voter's write of a vote returned an error but was durable, and the voter continued
+/// without the vote. A learner and then a member that the view named lost their disks. After a restart the
+/// vote reappeared, and the view was decided with only one of its three voters remaining.
 #[test]
-fn vote_whose_write_failed_is_known_before_the_next_loss() {
+fn vote_with_a_failed_write_is_resolved_before_the_next_disk_loss() {
     arbtest::arbtest(run_history).seed(0x1567_df64_0000_1000);
     arbtest::arbtest(run_history).seed(0x0505_8b4b_0000_1000);
 }
 
-/// Regression: a view that a minority had accepted was decided after two members that it names had lost their disks.
+/// Regression test: a view that a minority had accepted was decided after two of its members had lost their
+/// disks.
 #[test]
-fn view_accepted_by_a_minority_still_has_voters_when_it_is_decided() {
+fn view_accepted_by_a_minority_is_decided_while_a_majority_of_its_voters_remains() {
     arbtest::arbtest(run_history).seed(0x0222_4888_0000_1000);
 }
 
@@ -601,7 +610,7 @@
     assert_eq!(cluster.acknowledged.len(), 1);
     assert!(!cluster.read(0));
     cluster.partitioned.clear();
-    assert!(!cluster.read(0), "the former head learns the new view");
+    assert!(!cluster.read(0), "the former head receives the new view");
     cluster.assert_recovery();
 }
 
--- a/control-plane/chain-replication/tests/common/disk.rs
+++ b/control-plane/chain-replication/tests/common/disk.rs
@@ -1,4 +1,4 @@
-//! A disk whose failures are set by the test. What it keeps is durable at once.
+//! A simulated disk whose failures the test sets. Everything that it stores is durable at once.
 
 use marblecroft_chain_replication::storage::Storage;
 use marblecroft_wal::Recovered;
@@ -6,16 +6,16 @@
 use std::io;
 use std::rc::Rc;
 
-/// What becomes of an append.
+/// The result of an append.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum AppendFate {
+pub enum AppendBehaviour {
     #[default]
     Succeeds,
-    /// An error is returned, and the first records, so many, are there all the same.
-    FailsKeeping(usize),
+    /// The append stores this many of its first records, and returns an error.
+    FailsAfterStoring(usize),
 }
 
-/// What is on a disk.
+/// The contents of a disk.
 #[derive(Clone, Default)]
 pub struct Contents {
     checkpoint: Option<Vec<u8>>,
@@ -25,23 +25,23 @@
 #[derive(Default)]
 struct DiskState {
     contents: Contents,
-    append: AppendFate,
-    refuses_segments: bool,
+    append: AppendBehaviour,
+    fails_segment_starts: bool,
     is_writable: bool,
     reads: usize,
 }
 
-/// A disk, which outlives the processes that use it; clones share it.
+/// A disk, which outlives the processes that use it. Clones share the contents.
 #[derive(Clone, Default)]
 pub struct Disk(Rc<RefCell<DiskState>>);
 
 impl Disk {
-    pub fn set_append(&self, append: AppendFate) {
+    pub fn set_append(&self, append: AppendBehaviour) {
         self.0.borrow_mut().append = append;
     }
 
-    pub fn refuse_segments(&self, refuses: bool) {
-        self.0.borrow_mut().refuses_segments = refuses;
+    pub fn fail_segment_starts(&self, fails: bool) {
+        self.0.borrow_mut().fails_segment_starts = fails;
     }
 
     pub fn contents(&self) -> Contents {
@@ -52,13 +52,13 @@
         self.0.borrow_mut().contents = contents;
     }
 
-    /// What the next process finds.
+    /// Returns the contents that the next process recovers.
     pub fn recovered(&self) -> Recovered {
         let Contents { checkpoint, records } = self.contents();
         Recovered { snapshot: checkpoint, records, ..Recovered::default() }
     }
 
-    /// How often a process has read the disk anew.
+    /// Returns how often a running process has read the disk again.
     pub fn reads(&self) -> usize {
         self.0.borrow().reads
     }
@@ -68,12 +68,12 @@
     fn append(&mut self, records: &[&[u8]]) -> io::Result<()> {
         let mut state = self.0.borrow_mut();
         assert!(state.is_writable, "append without a segment");
-        let kept = match state.append {
-            AppendFate::Succeeds => usize::MAX,
-            AppendFate::FailsKeeping(kept) => kept,
+        let stored = match state.append {
+            AppendBehaviour::Succeeds => usize::MAX,
+            AppendBehaviour::FailsAfterStoring(stored) => stored,
         };
-        state.contents.records.extend(records.iter().take(kept).map(|record| record.to_vec()));
-        if state.append == AppendFate::Succeeds {
+        state.contents.records.extend(records.iter().take(stored).map(|record| record.to_vec()));
+        if state.append == AppendBehaviour::Succeeds {
             return Ok(());
         }
         state.is_writable = false;
@@ -82,8 +82,8 @@
 
     fn start_segment(&mut self, checkpoint: &[u8]) -> io::Result<()> {
         let mut state = self.0.borrow_mut();
-        state.is_writable = !state.refuses_segments;
-        if state.refuses_segments {
+        state.is_writable = !state.fails_segment_starts;
+        if state.fails_segment_starts {
             return Err(io::Error::other("disk failure"));
         }
         state.contents = Contents { checkpoint: Some(checkpoint.to_vec()), records: Vec::new() };
--- a/control-plane/chain-replication/tests/common/mod.rs
+++ b/control-plane/chain-replication/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The state machine of several tests.
+//! A state machine that several tests use.
 
 use marblecroft_chain_replication::StateMachine;
 use marblecroft_rpc::{decode, encode};
--- a/control-plane/chain-replication/tests/failed_writes.rs
+++ b/control-plane/chain-replication/tests/failed_writes.rs
@@ -1,12 +1,12 @@
-//! A write that fails may be durable all the same. A member does nothing more until it has read its storage anew and
-//! started a segment with what it found.
+//! A failed write may be durable. After one, a member does nothing until it has read its storage again and
+//! started a segment with the recovered state.
 
 mod common;
 #[path = "common/disk.rs"]
 mod disk;
 
 use common::Sum;
-use disk::{AppendFate, Disk};
+use disk::{AppendBehaviour, Disk};
 use marblecroft_chain_replication::agreement::{VoteReply, VoteRequest};
 use marblecroft_chain_replication::replica::AppendOutcome;
 use marblecroft_chain_replication::{
@@ -16,9 +16,10 @@
 use marblecroft_wal::Recovered;
 use std::time::Duration;
 
-/// An append that returns an error, and is there all the same, or is not.
-const DURABLE: AppendFate = AppendFate::FailsKeeping(usize::MAX);
-const LOST: AppendFate = AppendFate::FailsKeeping(0);
+/// An append that returns an error, although all its records are stored.
+const FAILS_BUT_DURABLE: AppendBehaviour = AppendBehaviour::FailsAfterStoring(usize::MAX);
+/// An append that returns an error, and stores no record.
+const FAILS_AND_LOST: AppendBehaviour = AppendBehaviour::FailsAfterStoring(0);
 const REPLACEMENT_IDENTITY: u64 = 99;
 
 fn member(identity: u64) -> Member {
@@ -26,7 +27,7 @@
     Member { address, identity, node_name: String::new() }
 }
 
-/// The members in the order of the chain, all of them voters.
+/// Returns a view with these members in the order of the chain. All of them are voters.
 fn view(number: u64, identities: &[u64]) -> View {
     let members: Vec<Member> = identities.iter().copied().map(member).collect();
     View { number, voters: members.clone(), members }
@@ -49,12 +50,12 @@
     Chain::new(open(disk, identity), config, REPLACEMENT_IDENTITY)
 }
 
-/// A proposal of the second member: the view without the first one.
+/// Returns the second member's request to accept the view without the first member.
 fn accept_request(proposal_number: u64) -> VoteRequest {
     VoteRequest::Accept { instance: 2, proposal_number, view: view(2, &[2, 3]) }
 }
 
-/// One entry that a member accepts after the founding.
+/// Returns an append of one entry, which is the first one of the chain.
 fn first_append(operations: Vec<u64>) -> Append {
     let entry = encode(&operations);
     let last = Position::default().after(&entry);
@@ -69,13 +70,13 @@
 }
 
 #[test]
-fn voter_grants_nothing_between_a_failed_write_and_reading_anew() {
-    for append in [DURABLE, LOST] {
+fn voter_grants_nothing_between_a_failed_write_and_the_recovery_of_its_storage() {
+    for append in [FAILS_BUT_DURABLE, FAILS_AND_LOST] {
         let disk = Disk::default();
         let mut voter = open(&disk, 1);
         disk.set_append(append);
         assert_eq!(voter.handle_vote_request(&accept_request(64)), VoteReply::Rejected);
-        disk.set_append(AppendFate::Succeeds);
+        disk.set_append(AppendBehaviour::Succeeds);
         assert!(voter.is_suspended() && !voter.is_complete() && !voter.is_head());
         assert_eq!(voter.handle_vote_request(&accept_request(128)), VoteReply::Rejected);
         let prepare = VoteRequest::Prepare { instance: 2, proposal_number: 192 };
@@ -84,28 +85,29 @@
         voter.recover_storage(REPLACEMENT_IDENTITY).expect("reads");
         assert!(voter.is_complete() && voter.identity() == 1);
         let accepted = voter.vote().accepted.as_ref().map(|accepted| accepted.proposal_number);
-        assert_eq!(accepted, (append == DURABLE).then_some(64), "{append:?}");
+        assert_eq!(accepted, (append == FAILS_BUT_DURABLE).then_some(64), "{append:?}");
         assert_eq!(voter.handle_vote_request(&accept_request(128)), VoteReply::Accepted);
     }
 }
 
 #[test]
-fn vote_that_was_only_read_is_not_repeated_before_it_is_durable() {
+fn vote_that_was_read_again_is_not_granted_before_it_is_durable() {
     let disk = Disk::default();
     let mut voter = open(&disk, 1);
     let durable = disk.contents();
-    disk.set_append(DURABLE);
-    disk.refuse_segments(true);
+    disk.set_append(FAILS_BUT_DURABLE);
+    disk.fail_segment_starts(true);
     assert_eq!(voter.handle_vote_request(&accept_request(64)), VoteReply::Rejected);
     assert!(voter.recover_storage(REPLACEMENT_IDENTITY).is_err());
-    // It has read its vote, from a cache perhaps. Granting the same request again would promise what power may take.
+    // The voter has read its vote, possibly only from a cache. If it granted the same request again, a power
+    // failure could lose the granted vote.
     assert!(voter.vote().accepted.is_some() && voter.is_suspended());
     assert_eq!(voter.handle_vote_request(&accept_request(64)), VoteReply::Rejected);
     disk.set_contents(durable);
-    disk.set_append(AppendFate::Succeeds);
-    disk.refuse_segments(false);
+    disk.set_append(AppendBehaviour::Succeeds);
+    disk.fail_segment_starts(false);
     voter.recover_storage(REPLACEMENT_IDENTITY).expect("written");
-    assert_eq!(disk.reads(), 1, "what is in memory is written without reading again");
+    assert_eq!(disk.reads(), 1, "the state in memory is written without another read");
     assert_eq!(voter.handle_vote_request(&accept_request(64)), VoteReply::Accepted);
     let restarted = Replica::<Sum, _>::open(Disk::default(), disk.recovered(), 7, None).expect("opens");
     assert_eq!(restarted.vote(), voter.vote());
@@ -115,12 +117,12 @@
 fn suspended_member_rejects_entries_states_and_views() {
     let disk = Disk::default();
     let mut chain = open_chain(&disk, 2);
-    disk.set_append(LOST);
-    disk.refuse_segments(true);
+    disk.set_append(FAILS_AND_LOST);
+    disk.fail_segment_starts(true);
     let mut outputs = Vec::new();
     let append = first_append(vec![40]);
     chain.handle_append(Duration::ZERO, 1, &append, &mut outputs);
-    disk.set_append(AppendFate::Succeeds);
+    disk.set_append(AppendBehaviour::Succeeds);
     chain.handle_append(Duration::ZERO, 2, &append, &mut outputs);
     let state = open(&Disk::default(), 1).snapshot_message();
     chain.handle_install(3, &state, &mut outputs);
@@ -132,12 +134,12 @@
     assert!(chain.with_replica(|replica| replica.install_as_learner(&state)).is_err());
     assert!(!chain.status(Duration::ZERO).complete);
 
-    // Attempts are paced, and the first one after the disk works succeeds.
+    // Recovery attempts are paced, and the first one after the disk works again succeeds.
     outputs.clear();
     chain.advance(Duration::ZERO, &mut outputs);
     let next = chain.next_wake();
     assert!(next > Duration::ZERO && next <= Duration::from_secs(1), "{next:?}");
-    disk.refuse_segments(false);
+    disk.fail_segment_starts(false);
     chain.advance(next - Duration::from_millis(1), &mut outputs);
     assert!(chain.replica().is_suspended());
     chain.advance(next, &mut outputs);
@@ -147,13 +149,13 @@
 }
 
 #[test]
-fn head_whose_entry_may_be_stored_resumes_with_what_it_finds() {
-    for (append, sum) in [(DURABLE, 40), (LOST, 0)] {
+fn head_resumes_with_the_recovered_state_after_a_failed_write() {
+    for (append, sum) in [(FAILS_BUT_DURABLE, 40), (FAILS_AND_LOST, 0)] {
         let disk = Disk::default();
         let mut chain = open_chain(&disk, 1);
         chain.propose(7, 40, Duration::MAX);
         disk.set_append(append);
-        disk.refuse_segments(true);
+        disk.fail_segment_starts(true);
         let mut outputs = Vec::new();
         chain.advance(Duration::ZERO, &mut outputs);
         let is_unknown = |output: &Output<u64>| {
@@ -161,16 +163,16 @@
         };
         assert!(outputs.iter().any(is_unknown), "{outputs:?}");
         assert!(!chain.is_head() && chain.lease_confirmed_at().is_none());
-        // Nothing is ordered meanwhile.
+        // While it is suspended, the head orders nothing.
         chain.propose(8, 1, Duration::MAX);
         outputs.clear();
         chain.advance(Duration::from_millis(1), &mut outputs);
-        let is_refused = |output: &Output<u64>| {
+        let is_rejected = |output: &Output<u64>| {
             matches!(output, Output::Applied { token: 8, result: Err(ProposalError::NotHead(_)) })
         };
-        assert!(outputs.iter().any(is_refused), "{outputs:?}");
-        disk.set_append(AppendFate::Succeeds);
-        disk.refuse_segments(false);
+        assert!(outputs.iter().any(is_rejected), "{outputs:?}");
+        disk.set_append(AppendBehaviour::Succeeds);
+        disk.fail_segment_starts(false);
         chain.advance(Duration::from_secs(1), &mut outputs);
         assert!(chain.is_head());
         assert_eq!(chain.replica().machine().0, sum, "{append:?}");
@@ -178,15 +180,15 @@
 }
 
 #[test]
-fn storage_that_lost_what_it_had_confirmed_is_another_member() {
+fn member_whose_storage_lost_confirmed_data_gets_a_new_identity() {
     let disk = Disk::default();
     let mut replica = open(&disk, 1);
-    let founded = disk.contents();
+    let founding_contents = disk.contents();
     replica.propose(&vec![40]).expect("stored");
-    disk.set_append(LOST);
+    disk.set_append(FAILS_AND_LOST);
     assert!(replica.propose(&vec![2]).is_err());
-    disk.set_append(AppendFate::Succeeds);
-    disk.set_contents(founded);
+    disk.set_append(AppendBehaviour::Succeeds);
+    disk.set_contents(founding_contents);
     replica.recover_storage(REPLACEMENT_IDENTITY).expect("written");
     assert_eq!(replica.identity(), REPLACEMENT_IDENTITY);
     assert!(!replica.is_complete() && replica.view().number == 0);
@@ -194,7 +196,7 @@
 }
 
 #[test]
-fn failed_install_leaves_the_state_that_the_storage_has() {
+fn failed_install_leaves_the_stored_state() {
     let disk = Disk::default();
     let mut replica = open(&disk, 2);
     let entry = first_append(vec![40]);
@@ -203,14 +205,14 @@
     for operation in [1, 2, 3] {
         head.propose(&vec![operation]).expect("stored");
     }
-    // The member is in the view, but has not been synchronized in a later one.
+    // The member is in the second view, but has not been synchronized in it.
     replica.install_view(&view(2, &[1, 2])).expect("stored");
     head.install_view(&view(2, &[1, 2])).expect("stored");
-    disk.refuse_segments(true);
+    disk.fail_segment_starts(true);
     let outcome = replica.install(&head.snapshot_message());
     assert!(matches!(outcome, AppendOutcome::StorageError(_)));
     assert!(replica.is_suspended());
-    disk.refuse_segments(false);
+    disk.fail_segment_starts(false);
     replica.recover_storage(REPLACEMENT_IDENTITY).expect("written");
     assert_eq!((replica.identity(), replica.machine().0), (2, 40));
 }
--- a/control-plane/chain-replication/tests/golden.rs
+++ b/control-plane/chain-replication/tests/golden.rs
@@ -1,5 +1,6 @@
-//! The encodings of messages between members, and of what a member stores, do not change: each value is encoded to the
-//! literal bytes of a fixture, and these are decoded and encoded again. A log that an earlier version stored is recovered.
+//! The encodings of messages between members, and of a member's stored records, do not change: each value is
+//! encoded to the literal bytes of a fixture, which are decoded and encoded again. A log that an earlier
+//! version has stored is recovered.
 
 mod common;
 #[path = "../../../testing/support/golden/encoding.rs"]
@@ -107,7 +108,7 @@
     check(include_str!("golden/statuses.hex"), &[("status", status), ("none", Status::default())]);
 }
 
-/// A member that has ordered two entries, installed view 2, and accepted a proposal for view 3.
+/// Returns a member that has ordered two entries, installed view 2, and accepted a proposal for view 3.
 fn member_with_history(storage: &RecordingStorage) -> Replica<Sum, RecordingStorage> {
     let founding = Some(view(1));
     let mut replica =
--- a/control-plane/chain-replication/tests/head.rs
+++ b/control-plane/chain-replication/tests/head.rs
@@ -1,5 +1,5 @@
-//! Which operations a head may acknowledge when its view changes between their ordering and the reply of the chain, and
-//! from which time a lease counts.
+//! Tests of the operations that a head may acknowledge when its view changes between their ordering and the
+//! reply of the chain, and of the time from which a lease counts.
 
 mod common;
 
@@ -43,7 +43,7 @@
     Chain::new(replica, config, identity)
 }
 
-/// Drives a head, and keeps the results that it reports.
+/// Drives a head, and records the results that it reports.
 struct HeadDriver {
     chain: Chain<Sum, NullStorage>,
     now: Duration,
@@ -55,7 +55,7 @@
         HeadDriver { chain: member_of_chain_of_three(1), now: Duration::ZERO, results: Vec::new() }
     }
 
-    /// Returns the calls among the outputs, and keeps the results.
+    /// Returns the calls among the outputs, and records the results.
     fn collect_calls(&mut self, outputs: Outputs) -> Vec<(u64, ToSuccessor)> {
         let mut calls = Vec::new();
         for output in outputs {
@@ -92,7 +92,8 @@
     }
 }
 
-/// Whether a head acknowledges an operation if it installs a view after ordering it, before the chain has replied.
+/// Whether a head acknowledges an operation if it installs a view after it has ordered the operation and
+/// before the chain has replied.
 fn acknowledges_after_installing(installed: &View) -> bool {
     let mut head = HeadDriver::new();
     head.chain.propose(7, 5, Duration::MAX);
@@ -105,10 +106,10 @@
 
 #[test]
 fn head_acknowledges_nothing_under_a_view_that_it_does_not_head() {
-    assert!(acknowledges_after_installing(&view(1, &[1, 2, 3])), "nothing has changed");
+    assert!(acknowledges_after_installing(&view(1, &[1, 2, 3])), "the view has not changed");
     assert!(acknowledges_after_installing(&view(2, &[1, 3])), "it heads the next view too");
-    assert!(!acknowledges_after_installing(&view(2, &[2, 3])), "it is no member");
-    assert!(!acknowledges_after_installing(&view(2, &[2, 3, 1])), "it is the tail now");
+    assert!(!acknowledges_after_installing(&view(2, &[2, 3])), "it is not a member");
+    assert!(!acknowledges_after_installing(&view(2, &[2, 3, 1])), "it is now the tail");
     assert!(
         !acknowledges_after_installing(&view(3, &[1, 2, 3])),
         "the view that it missed may have acknowledged more"
@@ -153,7 +154,7 @@
     head.chain.propose(7, 5, Duration::MAX);
     let (call, _) = head.advance().pop().expect("a call");
     head.reply(call, AppendReply::Accepted { durable_replicas: 0 });
-    assert_eq!(head.results, [], "accepted by all members, of which only this one is durable");
+    assert_eq!(head.results, [], "all members have accepted it, but only this one is durable");
     head.run_rounds();
     assert_eq!(head.results, [(7, Ok(5))], "durable members have joined");
 }
@@ -183,7 +184,11 @@
         "the second message waited while this process was suspended"
     );
     tail.handle_append(at(20_100), 3, &heartbeat(8, 3, 2), &mut outputs);
-    assert_eq!(tail.lease_confirmed_at(), Some(at(10)), "another process's rounds prove nothing of these");
+    assert_eq!(
+        tail.lease_confirmed_at(),
+        Some(at(10)),
+        "rounds of another process prove nothing about earlier ones"
+    );
     tail.handle_append(at(20_200), 4, &heartbeat(8, 4, 3), &mut outputs);
     assert_eq!(tail.lease_confirmed_at(), Some(at(20_100)));
     tail.start_draining();
--- a/control-plane/chain-replication/tests/views_model.rs
+++ b/control-plane/chain-replication/tests/views_model.rs
@@ -1,10 +1,13 @@
-//! A model of the agreement on one view ([`marblecroft_chain_replication::agreement`]): voters that may lose their disks and
-//! otherwise forget nothing, proposers that start again and again, delayed requests and lost replies. At most one view is
-//! decided, and more than half of its voters are left: a view may name a learner, whose disk may be lost too, so between two
-//! losses voters have what they accepted decided. Each mutation below violates that, and the checker finds it.
+//! A model of the agreement on one view ([`marblecroft_chain_replication::agreement`]). Voters may lose their
+//! disks but lose no other state, proposers start proposals repeatedly, requests are delayed and replies are
+//! lost. In every state, at most one view is decided, and more than half of the voters of a decided view
+//! remain. A view may name a learner, whose disk may be lost too, so views that voters have accepted are
+//! decided between two losses. Each mutation below violates one of these properties, and the checker detects
+//! it.
 //!
-//! A voter's write may fail: an error is returned, and the vote is durable, or it is in the operating system's cache alone.
-//! The voter is suspended then, and counts as a loss itself, until it has read its disk anew and written what it found.
+//! A voter's write may fail: an error is returned, and the vote is either durable or only in the operating
+//! system's cache. The voter is then suspended and counts as a loss itself, until it has read its disk again
+//! and written what it read.
 
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
@@ -12,16 +15,16 @@
 type ProposalNumber = u8;
 type View = u8;
 
-/// Voters, and proposers, which are the first voters.
+/// Number of voters, and number of proposers. The proposers are the first voters.
 const VOTERS: usize = 3;
 const PROPOSERS: usize = 2;
 /// Number of voters whose disks may be lost.
 const MAX_LOSSES: usize = 1;
-/// Added to a view that does not name the learner, as its disk was lost before; the other views name it in the place of the
-/// last voter.
+/// Added to a view that does not name the learner, because its disk was lost before the proposal. The other
+/// views name the learner in place of the last voter.
 const WITHOUT_LEARNER: View = 100;
 
-/// What differs from the program.
+/// A fault in the protocol, which the model must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
@@ -29,30 +32,31 @@
     LowerNumberGranted,
     /// A proposer proposes its own view although another was accepted.
     AcceptedIgnored,
-    /// A voter forgets its promise when it is restarted.
-    PromiseForgotten,
-    /// A voter forgets what it has accepted when it is restarted.
-    AcceptedForgotten,
-    /// A proposer does not store its own promise, and uses a number twice.
+    /// A voter loses its promise when it restarts.
+    PromiseLostOnRestart,
+    /// A voter loses the view that it has accepted when it restarts.
+    AcceptedLostOnRestart,
+    /// A proposer does not store its own promise, and uses a number for two proposals.
     NumberReused,
-    /// Both proposers have the same numbers.
+    /// Both proposers use the same numbers.
     NumbersShared,
-    /// A lost voter counts as one that has granted.
+    /// A lost voter counts as a voter that has granted the request.
     LostVoterGrants,
     /// A voter retains its identity when it loses its disk.
     IdentityRetainedAfterDiskLoss,
-    /// A second disk may be lost while a view is accepted by some and not decided.
+    /// A second disk may be lost while a view is accepted by some voters and not decided.
     LossWhileUndecided,
-    /// A voter whose write failed goes on as if nothing had been written.
+    /// A voter whose write failed continues as if nothing had been written.
     FailedWriteIgnored,
-    /// A voter whose write failed goes on with what it reads, before that is durable.
+    /// A voter whose write failed continues with the vote that it reads, before that vote is durable.
     UnsyncedReadTrusted,
 }
 
 impl Mutation {
-    /// Whether any voter may be restarted in this search. Without a mutation, one whose writes succeeded loses nothing by it.
+    /// Whether any voter may be restarted in this search. Without a mutation, a voter whose writes succeeded
+    /// loses no state when it restarts.
     fn needs_restarts(self) -> bool {
-        matches!(self, Mutation::PromiseForgotten | Mutation::AcceptedForgotten)
+        matches!(self, Mutation::PromiseLostOnRestart | Mutation::AcceptedLostOnRestart)
     }
 
     fn ignores_failed_writes(self) -> bool {
@@ -60,19 +64,19 @@
     }
 }
 
-/// What a voter has promised and accepted.
+/// A voter's promise and accepted view.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Vote {
     promised: ProposalNumber,
     accepted: Option<(ProposalNumber, View)>,
 }
 
-/// A disk after a write that failed.
+/// The contents of a disk after a failed write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct FailedDisk {
-    /// What is found when it is read.
+    /// The vote that is found when the disk is read.
     read: Vote,
-    /// What is found after the power was lost.
+    /// The vote that is found after a power failure.
     durable: Vote,
 }
 
@@ -80,21 +84,21 @@
 struct Voter {
     vote: Vote,
     lost: bool,
-    /// Set from a failed write until the voter has written what it found.
+    /// Set from a failed write until the voter has written the vote that it read.
     failed_disk: Option<FailedDisk>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Proposer {
     proposals: u8,
-    /// Number of its proposal; 0 while it has none.
+    /// Number of the current proposal; 0 while there is none.
     number: ProposalNumber,
     names_learner: bool,
-    /// Voters whose disk it knows to be lost.
+    /// Voters whose disk is known to be lost.
     lost: BTreeSet<usize>,
     promised: BTreeSet<usize>,
     highest: Option<(ProposalNumber, View)>,
-    /// The view that it proposes in phase 2.
+    /// The view that phase 2 proposes.
     requested: Option<View>,
     accepted: BTreeSet<usize>,
 }
@@ -106,8 +110,8 @@
     /// Accept requests in flight, which may be delivered at any time and repeatedly.
     accept_requests: BTreeSet<(ProposalNumber, View)>,
     decided: BTreeSet<View>,
-    /// A view was decided after half of its voters or more had lost their disks.
-    decided_too_late: bool,
+    /// Whether a view was decided after half of its voters or more had lost their disks.
+    decided_without_majority: bool,
     losses: usize,
     learner_lost: bool,
     restarts: u8,
@@ -115,7 +119,7 @@
 }
 
 impl State {
-    /// Voters of a view whose disks are lost.
+    /// Returns the number of voters of a view whose disks are lost.
     fn lost_voters(&self, view: View) -> usize {
         let names_learner = view < WITHOUT_LEARNER;
         let remaining = if names_learner { VOTERS - 1 } else { VOTERS };
@@ -123,7 +127,7 @@
         lost + usize::from(names_learner && self.learner_lost)
     }
 
-    /// Whether a voter that is left has accepted a view, and none is decided.
+    /// Whether a remaining voter has accepted a view, and no view is decided.
     fn has_undecided_view(&self) -> bool {
         self.decided.is_empty() && self.voters.iter().any(|voter| voter.vote.accepted.is_some())
     }
@@ -132,8 +136,8 @@
         self.voters.iter().any(|voter| voter.failed_disk.is_some())
     }
 
-    /// The time between two losses passes: no proposal and no request is left.
-    fn pass_time_between_losses(&mut self) {
+    /// Ends all proposals and drops all requests, as happens in the time between two losses.
+    fn end_proposals_and_requests(&mut self) {
         self.accept_requests.clear();
         for proposer in &mut self.proposers {
             *proposer = Proposer { proposals: proposer.proposals, ..Proposer::default() };
@@ -155,43 +159,43 @@
         proposer: usize,
         voter: usize,
     },
-    /// A delayed accept request is delivered; nobody waits for the reply.
+    /// A delayed accept request is delivered, and its reply is dropped.
     DelayedAccept {
         voter: usize,
         number: ProposalNumber,
         view: View,
     },
-    /// An accept request is delivered, and the voter's write of it fails. `is_durable` tells whether the vote reached the disk
-    /// or a cache alone.
+    /// An accept request is delivered, and the voter's write of the vote fails. `is_durable` is true if the
+    /// vote reached the disk, and false if it reached only a cache.
     FailedAccept {
         voter: usize,
         number: ProposalNumber,
         view: View,
         is_durable: bool,
     },
-    /// A voter whose write failed reads its disk anew, and writes what it found.
-    ReadAnew(usize),
+    /// A voter whose write failed reads its disk again, and writes the vote that it read.
+    RecoverDisk(usize),
     LoseDisk(usize),
-    /// The learner loses its disk, and has another identity from then on.
-    LoseLearner,
-    /// A voter's power is lost, and it is started again.
+    /// The learner loses its disk, and has a new identity from then on.
+    LoseLearnerDisk,
+    /// A voter loses power and restarts.
     Restart(usize),
 }
 
 /// The properties that must hold in every state.
 const AT_MOST_ONE_DECISION: &str = "at most one view is decided";
-const MAJORITY_LEFT: &str = "more than half of the voters of a decided view are left";
+const MAJORITY_REMAINS: &str = "more than half of the voters of a decided view remain";
 
-/// How far a search goes.
+/// The bounds of a search.
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
-    /// How often each proposer starts a proposal.
+    /// Maximum number of proposals that each proposer starts.
     proposals: [u8; PROPOSERS],
-    /// Number of writes that may fail.
+    /// Maximum number of writes that fail.
     failed_writes: u8,
 }
 
-const SOUND_DISKS: Bounds = Bounds { proposals: [2, 2], failed_writes: 0 };
+const NO_FAILED_WRITES: Bounds = Bounds { proposals: [2, 2], failed_writes: 0 };
 const ONE_FAILED_WRITE: Bounds = Bounds { proposals: [2, 1], failed_writes: 1 };
 
 struct Agreement {
@@ -232,7 +236,7 @@
         let stores_promise = self.mutation != Mutation::NumberReused || voter != proposer;
         if stores_promise {
             state.voters[voter].vote.promised = number;
-            self.settle(&mut state.voters[voter]);
+            self.complete_write(&mut state.voters[voter]);
         }
         let accepted = state.voters[voter].vote.accepted;
         let own = &mut state.proposers[proposer];
@@ -240,7 +244,7 @@
         own.highest = own.highest.max(accepted);
         if own.requested.is_none() && self.is_quorum(&own.promised, &own.lost) {
             let accepted = own.highest.filter(|_| self.mutation != Mutation::AcceptedIgnored);
-            // Each of its proposals is for another view of its own.
+            // Each proposal of a proposer is for a different view.
             let own_view = proposer as View * 10 + own.proposals;
             let own_view = if own.names_learner { own_view } else { own_view + WITHOUT_LEARNER };
             let view = accepted.map_or(own_view, |accepted| accepted.1);
@@ -256,14 +260,14 @@
             let is_new = voter.vote != vote;
             voter.vote = vote;
             if is_new {
-                self.settle(voter);
+                self.complete_write(voter);
             }
         }
         grants
     }
 
-    /// A write that succeeds begins with everything that the voter has in memory.
-    fn settle(&self, voter: &mut Voter) {
+    /// Records a successful write, which contains the voter's complete state in memory.
+    fn complete_write(&self, voter: &mut Voter) {
         voter.failed_disk = None;
     }
 
@@ -286,7 +290,7 @@
         own.accepted.insert(voter);
         if self.is_quorum(&own.accepted, &own.lost) {
             let is_new = state.decided.insert(view);
-            state.decided_too_late |= is_new && state.lost_voters(view) > VOTERS / 2;
+            state.decided_without_majority |= is_new && state.lost_voters(view) > VOTERS / 2;
         }
     }
 
@@ -315,7 +319,7 @@
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         for (index, proposer) in state.proposers.iter().enumerate() {
             if state.voters[index].lost && self.mutation != Mutation::IdentityRetainedAfterDiskLoss {
-                // A proposer that has lost its disk is no voter any more.
+                // A proposer that has lost its disk is not a voter any more.
                 continue;
             }
             if proposer.proposals < self.bounds.proposals[index] {
@@ -327,7 +331,7 @@
             if proposer.number == 0 {
                 continue;
             }
-            // Its own vote is the first of each phase.
+            // A proposer requests its own vote first in each phase.
             let own_promised = proposer.promised.contains(&index);
             let own_accepted = proposer.accepted.contains(&index);
             for voter in 0..VOTERS {
@@ -340,7 +344,7 @@
             }
         }
         if !state.learner_lost && self.may_lose(state) {
-            actions.push(Action::LoseLearner);
+            actions.push(Action::LoseLearnerDisk);
         }
         for voter in 0..VOTERS {
             for &(number, view) in &state.accept_requests {
@@ -354,7 +358,7 @@
                 actions.push(Action::Restart(voter));
             }
             if has_failed_disk {
-                actions.push(Action::ReadAnew(voter));
+                actions.push(Action::RecoverDisk(voter));
             }
             if state.failed_writes < self.bounds.failed_writes && !state.voters[voter].lost {
                 for &(number, view) in &state.accept_requests {
@@ -382,15 +386,15 @@
             Action::DelayedAccept { voter, number, view } => {
                 self.handle_accept(&mut state.voters[voter], number, view);
             }
-            Action::LoseLearner => {
+            Action::LoseLearnerDisk => {
                 if state.losses > 0 {
-                    state.pass_time_between_losses();
+                    state.end_proposals_and_requests();
                 }
                 state.learner_lost = true;
             }
             Action::LoseDisk(voter) => {
                 if state.learner_lost {
-                    state.pass_time_between_losses();
+                    state.end_proposals_and_requests();
                 }
                 state.losses += 1;
                 let lost = self.mutation != Mutation::IdentityRetainedAfterDiskLoss;
@@ -403,7 +407,7 @@
                 state.failed_writes += 1;
                 self.fail_accept(&mut state.voters[voter], number, view, is_durable);
             }
-            Action::ReadAnew(voter) => {
+            Action::RecoverDisk(voter) => {
                 let voter = &mut state.voters[voter];
                 if let Some(disk) = voter.failed_disk.take() {
                     voter.vote = disk.read;
@@ -413,10 +417,10 @@
                 state.restarts += 1;
                 let voter = &mut state.voters[voter];
                 match self.mutation {
-                    Mutation::PromiseForgotten => {
+                    Mutation::PromiseLostOnRestart => {
                         voter.vote.promised = voter.vote.accepted.map_or(0, |accepted| accepted.0);
                     }
-                    Mutation::AcceptedForgotten => voter.vote.accepted = None,
+                    Mutation::AcceptedLostOnRestart => voter.vote.accepted = None,
                     _ => {}
                 }
                 if let Some(disk) = voter.failed_disk.take() {
@@ -430,7 +434,7 @@
     fn properties(&self) -> Vec<Property<Agreement>> {
         vec![
             Property::always(AT_MOST_ONE_DECISION, |_, state: &State| state.decided.len() <= 1),
-            Property::always(MAJORITY_LEFT, |_, state: &State| !state.decided_too_late),
+            Property::always(MAJORITY_REMAINS, |_, state: &State| !state.decided_without_majority),
             Property::sometimes("a view is decided", |_, state: &State| !state.decided.is_empty()),
             Property::sometimes("a view is decided after a disk was lost", |_, state: &State| {
                 state.losses > 0 && !state.decided.is_empty()
@@ -439,14 +443,14 @@
     }
 }
 
-/// States of one search for a mutation; none needs more to be detected.
+/// Maximum number of states of one search for a mutation, which is enough to detect each one.
 const MAX_STATES: usize = 6_000_000;
 
 fn violates(mutation: Mutation) -> bool {
-    let bounds = if mutation.ignores_failed_writes() { ONE_FAILED_WRITE } else { SOUND_DISKS };
+    let bounds = if mutation.ignores_failed_writes() { ONE_FAILED_WRITE } else { NO_FAILED_WRITES };
     let checker =
         Agreement { mutation, bounds }.checker().threads(4).target_state_count(MAX_STATES).spawn_bfs().join();
-    [AT_MOST_ONE_DECISION, MAJORITY_LEFT].iter().any(|name| checker.discovery(name).is_some())
+    [AT_MOST_ONE_DECISION, MAJORITY_REMAINS].iter().any(|name| checker.discovery(name).is_some())
 }
 
 fn assert_agreement(bounds: Bounds) {
@@ -458,11 +462,11 @@
 
 #[test]
 fn at_most_one_view_is_decided_in_every_history() {
-    assert_agreement(SOUND_DISKS);
+    assert_agreement(NO_FAILED_WRITES);
 }
 
 #[test]
-fn at_most_one_view_is_decided_where_a_write_fails() {
+fn at_most_one_view_is_decided_when_a_write_fails() {
     assert_agreement(ONE_FAILED_WRITE);
 }
 
@@ -471,8 +475,8 @@
     let all = [
         Mutation::LowerNumberGranted,
         Mutation::AcceptedIgnored,
-        Mutation::PromiseForgotten,
-        Mutation::AcceptedForgotten,
+        Mutation::PromiseLostOnRestart,
+        Mutation::AcceptedLostOnRestart,
         Mutation::NumberReused,
         Mutation::NumbersShared,
         Mutation::LostVoterGrants,
