--- a/control-plane/wal/src/directory.rs
+++ b/control-plane/wal/src/directory.rs
@@ -1,4 +1,4 @@
-//! The files of a log: one for each segment, named by its number.
+//! The files of a log. Each segment is one file, named by the segment's number.
 
 use std::fs::{self, File};
 use std::io;
@@ -8,7 +8,7 @@
     directory.join(format!("{number:020}.segment"))
 }
 
-/// The numbers of the segments in a directory, in no order. Other files are ignored.
+/// Returns the numbers of the segments in a directory, in no particular order. Other files are ignored.
 pub(crate) fn segment_numbers(directory: &Path) -> io::Result<Vec<u64>> {
     let mut numbers = Vec::new();
     for entry in fs::read_dir(directory)? {
@@ -19,7 +19,7 @@
     Ok(numbers)
 }
 
-/// Makes created and removed files durable.
+/// Makes the creation and removal of files durable.
 pub(crate) fn sync_directory(directory: &Path) -> io::Result<()> {
     File::open(directory)?.sync_all()
 }
--- a/control-plane/wal/src/error.rs
+++ b/control-plane/wal/src/error.rs
@@ -1,16 +1,17 @@
-//! Errors of the log itself, beside those of the file system.
+//! Errors of the log, in addition to those of the file system.
 
 use crate::format::VERSION;
 use quick_error::quick_error;
 use std::io;
 
 quick_error! {
-    /// Why a log cannot be read or written. Functions return it inside an [`io::Error`], whose
+    /// The reason why a log cannot be read or written. Functions return it inside an [`io::Error`], whose
     /// [`get_ref`](io::Error::get_ref) is this error.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum WalError {
-        /// The segment of this number is of this version of the format, which this program does not read. It is not treated
-        /// as empty, since the member would come back without what it had acknowledged.
+        /// The segment with this number has this version of the format, which this program cannot read. The
+        /// segment is not treated as empty, since the member would then return without the data that it has
+        /// acknowledged.
         UnknownFormat(segment: u64, version: u8) {
             display("segment {} has format {}, and this program reads format {}", segment, version, VERSION)
         }
@@ -18,7 +19,7 @@
         RecordTooLong {
             display("a record is too long")
         }
-        /// No segment was started, or an earlier append failed.
+        /// No segment was started, or an earlier write failed.
         NotWritable {
             display("the segment is not writable")
         }
--- a/control-plane/wal/src/lib.rs
+++ b/control-plane/wal/src/lib.rs
@@ -1,16 +1,16 @@
-//! A write-ahead log in segments. Every segment begins with a snapshot of the state that the records before it led to, so
-//! the newest complete segment alone restores the state.
+//! A write-ahead log in segments. Every segment begins with a snapshot of the state after all earlier
+//! records, so the newest complete segment is sufficient to restore the state.
 //!
-//! - [`Wal::start_segment`] writes and syncs a new segment with its directory, and only then removes the older ones. While
-//!   the newest segment has no complete snapshot, the one before it is in force.
+//! - [`Wal::start_segment`] writes and syncs a new segment with its directory, and only then removes the
+//!   older ones. Until the newest segment has a complete snapshot, a recovery uses the one before it.
 //! - [`Wal::append`] writes records and syncs them; they are durable on return.
-//! - [`Wal::open`] recovers the newest complete segment up to its first record whose checksum does not match: after a power
-//!   failure the records that were being written may be torn.
+//! - [`Wal::open`] recovers the newest complete segment up to its first record whose checksum does not match:
+//!   after a power failure the records that were being written may be torn.
 //!
-//! **Torn end or damage.** Every append begins with a marker that contains its own offset, and is written only after
-//! everything before it was synced. An unreadable record in front of an intact marker was therefore synced, and perhaps
-//! acknowledged: this is damage, not a torn end, and [`Recovered::damaged`] reports it. Damage within the very last append
-//! cannot be distinguished from a torn end.
+//! **Torn end or damage.** Every append begins with a marker that contains its own offset, and is written
+//! only after everything before it was synced. An unreadable record before an intact marker was therefore
+//! synced, and may have been acknowledged: this is damage, not a torn end, and [`Recovered::damaged`] reports
+//! it. Damage within the very last append cannot be distinguished from a torn end.
 //!
 //! **Format.** A record is the length of the payload (u32, little endian), the CRC-32 of the payload, and the payload. A
 //! segment is [`MAGIC`], which contains the version of the format, the record of the snapshot, and for each append the
--- a/control-plane/wal/src/record.rs
+++ b/control-plane/wal/src/record.rs
@@ -1,4 +1,4 @@
-//! Encoding of records, and of the markers in front of each append.
+//! Encoding of records, and of the markers before each append.
 
 use crate::error::WalError;
 
@@ -6,9 +6,9 @@
 const MARKER_PREFIX: [u8; 8] = *b"mc-mark\x00";
 /// Length of a marker's payload in bytes.
 const MARKER_BYTES: usize = 24;
-/// Length of what precedes a record's payload in bytes.
+/// Length of the header before a record's payload in bytes.
 pub(crate) const RECORD_HEADER_BYTES: usize = 8;
-/// The longest payload of a record in bytes. Guards against a length that was torn or damaged.
+/// Maximum length of a record's payload in bytes. Protects against a torn or damaged length.
 const MAX_PAYLOAD_BYTES: usize = 512 << 20;
 
 /// Appends the encoding of a record to a buffer.
@@ -23,14 +23,14 @@
     Ok(())
 }
 
-/// A record at the start of some bytes.
+/// A record that was decoded from the start of a byte slice.
 pub(crate) struct DecodedRecord<'a> {
     pub payload: &'a [u8],
-    /// The bytes behind the record.
+    /// The bytes after the record.
     pub rest: &'a [u8],
 }
 
-/// Decodes the record at the start of `bytes`; `None` where it is torn or damaged.
+/// Decodes the record at the start of `bytes`; returns `None` if it is torn or damaged.
 pub(crate) fn decode_record(bytes: &[u8]) -> Option<DecodedRecord<'_>> {
     let (length, rest) = bytes.split_first_chunk::<4>()?;
     let (checksum, rest) = rest.split_first_chunk::<4>()?;
@@ -43,7 +43,7 @@
     is_intact.then_some(DecodedRecord { payload, rest })
 }
 
-/// The payload of the marker at an offset of a segment.
+/// Returns the payload of the marker at an offset of a segment.
 pub(crate) fn append_marker(segment: u64, offset: u64) -> [u8; MARKER_BYTES] {
     let mut payload = [0; MARKER_BYTES];
     payload[..8].copy_from_slice(&MARKER_PREFIX);
@@ -52,14 +52,14 @@
     payload
 }
 
-/// Whether a complete segment has an intact marker at the offset `from` or behind it. A marker contains its own offset, so
-/// one that was copied elsewhere, for instance within a payload, does not count.
+/// Whether the bytes of a complete segment contain an intact marker at the offset `from` or after it. A
+/// marker contains its own offset, so a copy of it elsewhere, for example within a payload, does not count.
 pub(crate) fn has_append_marker(bytes: &[u8], segment: u64, from: usize) -> bool {
     let is_marker = |offset: usize| {
         let payload = decode_record(&bytes[offset..]).map(|record| record.payload);
         payload == Some(&append_marker(segment, offset as u64)[..])
     };
-    // The length in front of a marker is always the same, and rules most offsets out.
+    // The length before a marker is always the same, which excludes most offsets.
     let length = (MARKER_BYTES as u32).to_le_bytes();
     (from..bytes.len()).any(|offset| bytes[offset..].starts_with(&length) && is_marker(offset))
 }
--- a/control-plane/wal/src/recovery.rs
+++ b/control-plane/wal/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of what a log contains.
+//! Recovery of the contents of a log.
 
 use crate::directory::{segment_numbers, segment_path};
 use crate::segment::{decode_segment, has_appends};
@@ -6,23 +6,23 @@
 use std::io;
 use std::path::Path;
 
-/// What [`Wal::open`](crate::Wal::open) found in its directory.
+/// The contents of a log that [`Wal::open`](crate::Wal::open) has recovered from its directory.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// The snapshot at the start of the newest complete segment; `None` where there is no such segment.
+    /// The snapshot at the start of the newest complete segment; `None` if there is no such segment.
     pub snapshot: Option<Vec<u8>>,
-    /// The records behind it, in order.
+    /// The records after the snapshot, in order.
     pub records: Vec<Vec<u8>>,
-    /// Number of bytes behind the last intact record, which were ignored.
+    /// Number of bytes after the last intact record, which were ignored.
     pub torn_bytes: usize,
-    /// Whether something that was synced cannot be read: what was found is then older than what was acknowledged.
+    /// Whether synced data cannot be read: the recovered contents are then older than what was acknowledged.
     pub damaged: bool,
 }
 
-/// What was found, and where the log goes on.
+/// The recovered contents, and the number after which the log continues.
 pub(crate) struct Recovery {
     pub recovered: Recovered,
-    /// Number of the newest segment, complete or not; 0 where there is none.
+    /// Number of the newest segment, complete or not; 0 if there is none.
     pub newest_segment: u64,
 }
 
@@ -43,12 +43,13 @@
             };
             break;
         }
-        // Nothing is appended to a segment before its snapshot is synced and the older segments are durably removed.
+        // Appends to a segment begin only after its snapshot is synced and the older segments are durably
+        // removed, so an append marker shows that synced data was damaged.
         recovered.damaged |= has_appends(&bytes, number);
     }
     if recovered.snapshot.is_none() {
-        // Only the first segment is ever written with nothing complete before it. A start that failed uses up a number too;
-        // then this errs on the safe side.
+        // Only the first segment is written without a complete one before it. A failed start also uses up a
+        // number, so damage may be reported although nothing was lost, which is the safe side.
         recovered.damaged |= newest_segment > 1;
     }
     Ok(Recovery { recovered, newest_segment })
--- a/control-plane/wal/src/segment.rs
+++ b/control-plane/wal/src/segment.rs
@@ -4,21 +4,21 @@
 use crate::format::{MAGIC, MAGIC_PREFIX};
 use crate::record::{append_marker, decode_record, has_append_marker};
 
-/// What a segment contains.
+/// The contents of a segment.
 pub(crate) struct Segment {
     pub snapshot: Vec<u8>,
     pub records: Vec<Vec<u8>>,
-    /// Bytes behind the last intact record.
+    /// Number of bytes after the last intact record.
     pub torn_bytes: usize,
-    /// Whether an unreadable record had been synced.
+    /// Whether a record that cannot be read had been synced.
     pub is_damaged: bool,
 }
 
-/// Decodes a segment; `None` where it has no intact snapshot.
+/// Decodes a segment; returns `None` if it has no intact snapshot.
 ///
 /// # Errors
 ///
-/// Returns [`WalError::UnknownFormat`] for a segment of another version.
+/// Returns [`WalError::UnknownFormat`] for a segment with another version of the format.
 pub(crate) fn decode_segment(bytes: &[u8], number: u64) -> Result<Option<Segment>, WalError> {
     let Some(body) = bytes.strip_prefix(&MAGIC) else {
         return check_version(bytes, number).map(|()| None);
@@ -37,16 +37,16 @@
     Ok(Some(Segment { snapshot: first.payload.to_vec(), records, torn_bytes: rest.len(), is_damaged }))
 }
 
-/// Whether anything was ever appended to a segment whose snapshot is not intact.
+/// Whether records were ever appended to a segment whose snapshot is not intact.
 pub(crate) fn has_appends(bytes: &[u8], number: u64) -> bool {
     has_append_marker(bytes, number, MAGIC.len())
 }
 
-/// Distinguishes a segment of another version from one whose first bytes are torn or damaged.
+/// Distinguishes a segment with another version of the format from one whose first bytes are torn or damaged.
 fn check_version(bytes: &[u8], number: u64) -> Result<(), WalError> {
     let version = bytes.strip_prefix(MAGIC_PREFIX).and_then(|rest| rest.first().copied());
     match version {
-        // Zero is a torn header, and markers of this format mean that the version was damaged.
+        // Version 0 means a torn header, and markers of this format mean that the version is damaged.
         Some(version) if version != 0 && !has_appends(bytes, number) => {
             Err(WalError::UnknownFormat(number, version))
         }
--- a/control-plane/wal/src/wal.rs
+++ b/control-plane/wal/src/wal.rs
@@ -1,4 +1,4 @@
-//! Writing segments and records.
+//! Writes segments and records.
 
 use crate::directory::{segment_numbers, segment_path, sync_directory};
 use crate::error::WalError;
@@ -9,14 +9,15 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The open log of one directory.
+/// An open log in one directory.
 pub struct Wal {
     directory: PathBuf,
-    /// Number of the segment that is written.
+    /// Number of the current segment.
     segment_number: u64,
     file: Option<File>,
-    /// Bytes of that segment, and of the part before its first append.
+    /// Size of the current segment in bytes.
     segment_bytes: u64,
+    /// Size of the part before its first append in bytes.
     snapshot_bytes: u64,
 }
 
@@ -40,7 +41,7 @@
         Ok((wal, recovered))
     }
 
-    /// Reads the contents anew, as [`Wal::open`] does. Records can be appended after [`Wal::start_segment`].
+    /// Reads the contents again, as [`Wal::open`] does. Records can be appended after [`Wal::start_segment`].
     ///
     /// # Errors
     ///
@@ -56,22 +57,23 @@
     ///
     /// # Errors
     ///
-    /// Returns an error of the file system, or [`WalError::RecordTooLong`]. After an error this segment or the older one is
-    /// recovered, and nothing can be appended until a segment is started.
+    /// Returns an error of the file system, or [`WalError::RecordTooLong`]. After an error a recovery finds
+    /// either this segment or the older one, and nothing can be appended until a segment is started.
     pub fn start_segment(&mut self, snapshot: &[u8]) -> io::Result<()> {
         let number = self.segment_number + 1;
         let mut bytes = Vec::with_capacity(MAGIC.len() + RECORD_HEADER_BYTES + snapshot.len());
         bytes.extend_from_slice(&MAGIC);
         encode_record(snapshot, &mut bytes)?;
-        // The number is used up even where the write fails, so that no torn segment is overwritten; and nothing more is
-        // appended to the older segment, which this one may replace all the same.
+        // The number is used up even if the write fails, so that no torn segment is overwritten. Nothing more
+        // is appended to the older segment, as this one may still replace it after a failed write.
         self.segment_number = number;
         self.file = None;
         let path = segment_path(&self.directory, number);
         let file = match self.write_segment(&path, &bytes) {
             Ok(file) => file,
             Err(error) => {
-                // Attempts on a full disk must not fill it further. Where this fails too, a recovery skips the torn segment.
+                // Attempts on a full disk must not fill it further. If the removal fails too, a recovery
+                // skips the torn segment.
                 let _ = fs::remove_file(&path);
                 return Err(error);
             }
@@ -81,7 +83,8 @@
         for older in segment_numbers(&self.directory)?.into_iter().filter(|&older| older < number) {
             fs::remove_file(segment_path(&self.directory, older))?;
         }
-        // From here on, an older segment beside an unreadable one shows that nothing was appended to the newer one.
+        // From here on, an older segment beside an unreadable newer one shows that nothing was appended to
+        // the newer one.
         sync_directory(&self.directory)?;
         self.file = Some(file);
         Ok(())
@@ -99,8 +102,9 @@
     ///
     /// # Errors
     ///
-    /// Returns an error of the file system, [`WalError::NotWritable`] or [`WalError::RecordTooLong`]. After an error the
-    /// records may be durable or not, and nothing more can be appended until a segment is started.
+    /// Returns an error of the file system, [`WalError::NotWritable`] or [`WalError::RecordTooLong`]. After
+    /// an error it is unknown whether the records are durable, and nothing can be appended until a segment is
+    /// started.
     pub fn append(&mut self, records: &[&[u8]]) -> io::Result<()> {
         let mut file = self.file.take().ok_or(WalError::NotWritable)?;
         let mut bytes = Vec::new();
@@ -120,7 +124,7 @@
         self.file.is_some()
     }
 
-    /// Returns the bytes of appended records and markers in the segment that is written.
+    /// Returns the size in bytes of the records and markers in the current segment.
     pub fn record_bytes(&self) -> u64 {
         self.segment_bytes - self.snapshot_bytes
     }
--- a/control-plane/wal/tests/golden.rs
+++ b/control-plane/wal/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The format of segment files does not change: a log is written as the literal bytes of a fixture, which are read again.
+//! The format of segment files does not change: a log is written as the literal bytes of a fixture, and a log
+//! with these bytes is recovered.
 
 #[path = "../../../testing/support/golden/hex.rs"]
 mod hex;
@@ -12,7 +13,7 @@
 fn create_directory(name: &str) -> PathBuf {
     let directory =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("golden-{}-{name}", std::process::id()));
-    // It exists only if an earlier process of this id was killed.
+    // The directory exists only if an earlier process with the same id was killed.
     let _ = fs::remove_dir_all(&directory);
     fs::create_dir_all(&directory).expect("a directory");
     directory
--- a/control-plane/wal/tests/power_loss.rs
+++ b/control-plane/wal/tests/power_loss.rs
@@ -1,11 +1,11 @@
-//! Appended records are recovered after a power failure, whatever happened to bytes that were not synced; damage to synced
-//! bytes is reported.
+//! Appended records are recovered after a power failure, regardless of the contents of unsynced bytes. Damage
+//! to synced bytes is reported.
 
 use marblecroft_wal::{Recovered, Wal, WalError};
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Bytes of the marker in front of each append: its header and its payload.
+/// Length of the marker before each append in bytes: its header and its payload.
 const MARKER_RECORD_BYTES: usize = 8 + 24;
 
 /// The directory of one test, which is removed when dropped.
@@ -14,7 +14,7 @@
 impl TestDirectory {
     fn new(name: &str) -> TestDirectory {
         let path = std::env::temp_dir().join(format!("marblecroft-log-{}-{name}", std::process::id()));
-        // It exists only if an earlier process of this id was killed.
+        // The directory exists only if an earlier process with the same id was killed.
         let _ = fs::remove_dir_all(&path);
         TestDirectory(path)
     }
@@ -22,7 +22,7 @@
 
 impl Drop for TestDirectory {
     fn drop(&mut self) {
-        // The test has its result already.
+        // A failed removal does not affect the result of the test.
         let _ = fs::remove_dir_all(&self.0);
     }
 }
@@ -69,7 +69,7 @@
             let expected = ends.iter().filter(|&&end| end <= length).count();
             assert_eq!(recovered.snapshot.as_deref(), Some(&b"state"[..]));
             assert_eq!(recovered.records, records[..expected], "truncated at {length}");
-            assert!(!recovered.damaged, "a torn end is no damage: truncated at {length}");
+            assert!(!recovered.damaged, "a torn end is not damage: truncated at {length}");
         }
     }
 }
@@ -116,7 +116,7 @@
 fn random_histories_are_recovered_as_they_were_appended() {
     let directory = TestDirectory::new("random");
     arbtest::arbtest(|u| {
-        // It does not exist before the first history.
+        // The directory does not exist before the first history.
         let _ = fs::remove_dir_all(&directory.0);
         let (mut wal, _) = Wal::open(&directory.0).expect("opens");
         let (mut snapshot, mut records) = (Vec::new(), Vec::new());
@@ -151,17 +151,17 @@
     let (mut wal, _) = Wal::open(&directory.0).expect("opens");
     wal.start_segment(b"older").expect("starts");
     wal.append(&[b"first"]).expect("appended");
-    // The name of the next segment is taken, so it cannot be created.
-    let taken = directory.0.join("00000000000000000002.segment");
-    fs::create_dir(&taken).expect("created");
+    // A directory with the name of the next segment exists, so that the segment cannot be created.
+    let obstacle = directory.0.join("00000000000000000002.segment");
+    fs::create_dir(&obstacle).expect("created");
     assert!(wal.start_segment(b"newer").is_err());
     assert!(!wal.is_writable());
     assert!(wal.append(&[b"second"]).is_err());
-    fs::remove_dir(&taken).expect("removed");
-    let read_anew = wal.recover().expect("reads");
-    assert_eq!(read_anew.snapshot.as_deref(), Some(&b"older"[..]));
-    assert_eq!(read_anew.records, [b"first".to_vec()]);
-    assert_eq!(read_anew, recover(&directory.0));
+    fs::remove_dir(&obstacle).expect("removed");
+    let recovered_again = wal.recover().expect("reads");
+    assert_eq!(recovered_again.snapshot.as_deref(), Some(&b"older"[..]));
+    assert_eq!(recovered_again.records, [b"first".to_vec()]);
+    assert_eq!(recovered_again, recover(&directory.0));
     wal.start_segment(b"third").expect("starts");
     wal.append(&[b"fourth"]).expect("appended");
     let recovered = recover(&directory.0);
@@ -213,19 +213,19 @@
         fs::write(path, &bytes).expect("written");
     };
     damage_snapshot(&newer);
-    assert!(recover(&directory.0).damaged, "the older one is gone, so the newer one was synced");
+    assert!(recover(&directory.0).damaged, "the older segment was removed, so the newer one was synced");
     fs::write(&older.0, &older.1).expect("written");
     assert_eq!(
         (recover(&directory.0).snapshot, recover(&directory.0).damaged),
         (Some(b"old".to_vec()), false)
     );
     damage_snapshot(&newer);
-    // A recovery never removes files, but it may be gone already.
+    // The removal may fail if the file does not exist.
     let _ = fs::remove_file(&older.0);
     wal.append(&[b"record"]).expect("appended");
     damage_snapshot(&newer);
     fs::write(&older.0, &older.1).expect("written");
-    assert!(recover(&directory.0).damaged, "something was appended to the newer one");
+    assert!(recover(&directory.0).damaged, "a record was appended to the newer segment");
 }
 
 #[test]
