--- a/control-plane/rpc/src/caller.rs
+++ b/control-plane/rpc/src/caller.rs
@@ -1,11 +1,12 @@
 //! The calling side: sends one request and matches the response.
 //!
-//! A response counts only where its envelope repeats the call's id: caller, callee, service and number. Anything else (a late
-//! response on a kept-alive connection, another process on a reused address, an echo) leaves the outcome unknown, and the
-//! connection pool is discarded, as further responses on its connections could be off by one.
+//! A response is accepted only if its envelope repeats the call's id: caller, callee, service and number.
+//! Anything else (a late response on a kept-alive connection, another process on a reused address, an echo)
+//! leaves the outcome unknown, and the connection pool is discarded, as further responses on its connections
+//! may belong to earlier calls.
 //!
-//! A call is never repeated here: only the layer above knows whether a request is idempotent. [`CallError`] tells it whether
-//! the request may have been executed.
+//! The caller never repeats a call, as only the layer above can determine whether a request is idempotent.
+//! [`CallError`] indicates whether the request may have been executed.
 
 use crate::envelope::{CallId, Direction, Envelope, Service};
 use crate::frame::{decode, encode, Bytes, Message};
@@ -21,17 +22,18 @@
 pub const PATH: &str = "/call";
 /// Upper bound of the length of a response in bytes; a snapshot of a store's state must fit.
 const MAX_MESSAGE_BYTES: u64 = 512 << 20;
-/// Time within which a connection must be established. Packets to a machine without power are dropped silently.
+/// Timeout for the connection to be established. Packets to a machine without power are lost without an
+/// error.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Idle connections that are kept alive, to all callees together.
+/// Maximum number of idle connections that are kept open to all callees together.
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// Idle connections that are kept alive to one callee.
+/// Maximum number of idle connections that are kept open to one callee.
 const MAX_IDLE_CONNECTIONS_PER_CALLEE: usize = 4;
 /// Time after which an idle connection is closed.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
 
 quick_error! {
-    /// Why a call has no response.
+    /// The reason why a call has no response.
     #[derive(Debug)]
     pub enum CallError {
         /// No connection was established, so the request was not executed.
@@ -39,14 +41,14 @@
             display("not sent: {cause}")
             source(cause)
         }
-        /// The exchange failed after the request was sent at least in part.
+        /// The exchange failed after at least a part of the request was sent.
         Interrupted(cause: ureq::Error) {
             display("outcome unknown: {cause}")
             source(cause)
         }
         /// The response is not that of a successful call, or belongs to another call.
         UnexpectedResponse(status: ureq::http::StatusCode) {
-            display("outcome unknown: status {status}, or an answer to another call")
+            display("outcome unknown: status {status}, or a response to another call")
         }
     }
 }
@@ -72,14 +74,14 @@
     }
 }
 
-/// Calls the members of one service. Clones share the pool of connections and the numbering of calls.
+/// Calls the members of one service. Clones share the connection pool and the numbering of calls.
 #[derive(Clone)]
 pub struct Caller {
     service: Service,
     /// [`CallId::caller`] of all calls.
     id: u64,
     next_sequence: Arc<AtomicU64>,
-    /// Holds the pool of connections.
+    /// Contains the connection pool.
     agent: Arc<Mutex<ureq::Agent>>,
 }
 
@@ -98,7 +100,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where there is no response to this very call; see [`CallError::may_have_executed`].
+    /// Returns an error if there is no response to this call; see [`CallError::may_have_executed`].
     pub fn call<Q: Message, R: Message>(
         &self,
         callee: SocketAddr,
@@ -132,7 +134,8 @@
         Ok((response.status(), body.map_err(CallError::Interrupted)?))
     }
 
-    /// Replaces the pool of connections, as the next response on one of them may be another call's.
+    /// Replaces the connection pool, as the next response on one of its connections may belong to another
+    /// call.
     fn discard_connections(&self) {
         *self.agent.lock().unwrap_or_else(PoisonError::into_inner) = new_agent();
     }
@@ -151,7 +154,7 @@
     config.into()
 }
 
-/// Returns the message of a response; `None` where it is not the response to this call.
+/// Returns the message of a response; `None` if it is not the response to this call.
 fn read_response<R: Message>(call_id: &CallId, body: &[u8]) -> Option<R> {
     let envelope: Envelope = decode(body).ok()?;
     let matches = envelope.direction == Direction::Response && envelope.call_id == *call_id;
--- a/control-plane/rpc/src/envelope.rs
+++ b/control-plane/rpc/src/envelope.rs
@@ -1,4 +1,4 @@
-//! The envelope of a message: whose call it belongs to, and in which direction it goes.
+//! The envelope of a message: the call that the message belongs to, and its direction.
 //!
 //! Messages are encoded by position: new variants and fields are appended, and none is reordered.
 
@@ -28,7 +28,8 @@
     pub callee: SocketAddr,
 }
 
-/// The direction of a message. It is part of the envelope so that an echoed request is not taken for a response.
+/// The direction of a message. It is part of the envelope so that an echoed request is not mistaken for a
+/// response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Direction {
     /// From the caller to the called process.
--- a/control-plane/rpc/src/frame.rs
+++ b/control-plane/rpc/src/frame.rs
@@ -1,7 +1,7 @@
 //! The frame of a message: version (1 byte), CRC-32 of the payload (4 bytes, little endian), payload.
 //!
-//! The payload is the message in musli's storage encoding. The checksum detects corruption beyond TCP's own checksum, and of
-//! files that hold framed values.
+//! The payload is the message in musli's storage encoding. The checksum detects corruption that TCP's own
+//! checksum misses, and corruption of files with framed values.
 
 use musli::alloc::Global;
 use musli::mode::Binary;
@@ -10,7 +10,7 @@
 
 /// Version of the messages' encoding. A process rejects messages of another version.
 pub const VERSION: u8 = 1;
-/// Length of the version and the checksum.
+/// Length of the version and the checksum in bytes.
 const HEADER_BYTES: usize = 5;
 
 /// A value that can be encoded and decoded.
@@ -24,7 +24,7 @@
 pub struct Bytes(#[musli(bytes)] pub Vec<u8>);
 
 quick_error! {
-    /// Why bytes are not a framed message.
+    /// The reason why bytes cannot be decoded as a framed message.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum DecodeError {
         /// The bytes are too short for a frame.
@@ -39,7 +39,8 @@
         Checksum {
             display("the checksum does not match")
         }
-        /// The payload does not encode the expected type. Holds the decoder's text, as its error cannot be compared.
+        /// The payload does not encode the expected type. Contains the decoder's text, as its error cannot be
+        /// compared.
         Payload(cause: String) {
             display("payload: {cause}")
         }
@@ -48,8 +49,8 @@
 
 /// Returns a message in its frame.
 pub fn encode<T: Message>(message: &T) -> Vec<u8> {
-    // Encoding into memory cannot fail for the types of this workspace. Were it to, the empty payload would be rejected by
-    // the decoder.
+    // Encoding into memory cannot fail for the types of this workspace. If it did, the decoder would reject
+    // the empty payload.
     let payload = musli::storage::to_vec(message).unwrap_or_default();
     let mut framed = Vec::with_capacity(HEADER_BYTES + payload.len());
     framed.push(VERSION);
@@ -62,7 +63,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the frame is incomplete, of another version or corrupted, or if it holds another type.
+/// Returns an error if the frame is incomplete, of another version or corrupted, or if it contains another
+/// type.
 pub fn decode<T: Message>(framed: &[u8]) -> Result<T, DecodeError> {
     let (version, rest) = framed.split_first().ok_or(DecodeError::Short)?;
     if *version != VERSION {
--- a/control-plane/rpc/src/http/message.rs
+++ b/control-plane/rpc/src/http/message.rs
@@ -1,4 +1,4 @@
-//! A request as the handler receives it, and the reply that it returns.
+//! The request that a handler receives, and the reply that it returns.
 
 use tiny_http::{Header, Method};
 
@@ -9,12 +9,12 @@
     /// Path and query.
     pub url: String,
     pub(super) headers: Vec<Header>,
-    /// The body; empty where the request has none.
+    /// The body; empty if the request has none.
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// Returns the value of the first header of a name, which is compared without regard to case.
+    /// Returns the value of the first header with this name, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found =
             self.headers.iter().find(|header| header.field.as_str().as_str().eq_ignore_ascii_case(name));
@@ -27,7 +27,7 @@
 pub struct Reply {
     /// The status code.
     pub status: u16,
-    /// Names and values of headers, beside those that the server sets itself.
+    /// Names and values of headers, in addition to those that the server sets itself.
     pub headers: Vec<(&'static str, String)>,
     /// The body.
     pub body: Vec<u8>,
@@ -49,7 +49,7 @@
         Reply { status, body, ..Reply::default() }
     }
 
-    /// Creates a reply whose body is JSON, with the header that says so.
+    /// Creates a reply with a JSON body and the matching content type.
     pub fn json(status: u16, body: String) -> Reply {
         let headers = vec![("Content-Type", "application/json".to_owned())];
         Reply { status, headers, body: body.into_bytes() }
--- a/control-plane/rpc/src/http/server.rs
+++ b/control-plane/rpc/src/http/server.rs
@@ -1,7 +1,8 @@
-//! Accepts requests, and runs the handler of each on a thread of its own.
+//! Accepts requests, and runs the handler of each request on its own thread.
 //!
-//! A handler may wait for replication or for something to report, so it must not block other requests. The number of threads
-//! is bounded by the callers: the processes of the deployment and the operator.
+//! A handler may wait for replication or for an update to report, and must not block other requests
+//! meanwhile. The number of threads is bounded by the number of callers: the processes of the deployment and
+//! the operator.
 
 use super::message::{Reply, Request};
 use socket2::{Domain, Protocol, Socket, TcpKeepalive, Type};
@@ -13,18 +14,18 @@
 use tiny_http::{Header, Request as Incoming, Response, Server};
 use tracing::warn;
 
-/// Bytes of a body that are read; a snapshot of a store's state must fit.
+/// Maximum number of bytes of a body that are read; a snapshot of a store's state must fit.
 const MAX_BODY_BYTES: u64 = 512 << 20;
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 256;
 /// Stack of a thread that handles one request, in bytes.
 const THREAD_STACK_BYTES: usize = 256 << 10;
-/// Idle time of a connection after which TCP probes whether the peer is still there ...
+/// Idle time of a connection after which TCP keepalive probes the peer.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(3);
-/// ... and the interval of further probes.
+/// Interval between further keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Listens on `address`. Accepted connections detect a peer that has vanished without closing them.
+/// Listens on `address`. Accepted connections detect a peer that has disappeared without closing them.
 ///
 /// # Errors
 ///
@@ -33,8 +34,8 @@
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     let keepalive = TcpKeepalive::new().with_time(KEEPALIVE_IDLE).with_interval(KEEPALIVE_INTERVAL);
-    // Accepted connections inherit both options. Without the first, a vanished peer is only detected later; without the
-    // second, replies are only sent later. Neither is a reason not to serve.
+    // Accepted connections inherit both options. Without the first, the loss of a peer is detected later;
+    // without the second, replies are sent later. The server can operate without either.
     let _ = socket.set_tcp_keepalive(&keepalive);
     let _ = socket.set_tcp_nodelay(true);
     socket.bind(&address.into())?;
@@ -42,7 +43,7 @@
     Ok(socket.into())
 }
 
-/// Serves requests on `listener`, each on a thread of its own, until the process ends.
+/// Serves requests on `listener`, each on its own thread, until the process ends.
 ///
 /// # Errors
 ///
@@ -75,7 +76,7 @@
 fn respond(mut incoming: Incoming, handler: &dyn Fn(Request) -> Reply) {
     let mut body = Vec::new();
     if incoming.as_reader().take(MAX_BODY_BYTES).read_to_end(&mut body).is_err() {
-        // The client is gone or has sent no complete request, so there is nobody to reply to.
+        // The client has disconnected or sent an incomplete request, so a reply would not be received.
         return;
     }
     let request = Request {
@@ -84,7 +85,7 @@
         headers: incoming.headers().to_vec(),
         body,
     };
-    // The client may be gone by now, and nothing depends on whether it receives the reply.
+    // The client may have disconnected, and nothing depends on whether it receives the reply.
     let _ = incoming.respond(to_response(handler(request)));
 }
 
--- a/control-plane/rpc/src/lib.rs
+++ b/control-plane/rpc/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! A message is a musli value in a frame with a version and a checksum ([`encode`], [`decode`]). A call is one HTTP POST with
 //! a message in each direction, in an [`Envelope`] that identifies the call: a [`Caller`] sends it, [`serve`] handles it.
-//! [`http`] is the small HTTP server below, which the operator's API and the readiness checks use as well.
+//! [`http`] is the underlying small HTTP server, which also serves the operator's API and the readiness
+//! checks.
 #![forbid(unsafe_code)]
 
 mod caller;
--- a/control-plane/rpc/src/server.rs
+++ b/control-plane/rpc/src/server.rs
@@ -1,4 +1,5 @@
-//! The called side: checks that a request is meant for this process, hands it to the handler and returns the response.
+//! The called side: checks that a request is addressed to this process, passes it to the handler and returns
+//! the response.
 
 use crate::envelope::{Direction, Envelope, Service};
 use crate::frame::{decode, encode, Bytes, Message};
@@ -6,13 +7,13 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// Status of the reply to a call that is meant for another process.
+/// Status of the reply to a call that is addressed to another process.
 const MISDIRECTED_REQUEST: u16 = 421;
 
-/// Serves calls to `service` on `listener`, each on a thread of its own, until the process ends.
+/// Serves calls to `service` on `listener`, each on its own thread, until the process ends.
 ///
-/// A call whose envelope names another address or service is rejected and not executed. Where the handler returns `None` the
-/// caller is left with an unknown outcome.
+/// A call whose envelope names another address or service is rejected and not executed. If the handler
+/// returns `None`, the outcome is unknown to the caller.
 ///
 /// # Errors
 ///
@@ -29,8 +30,8 @@
     })
 }
 
-/// Executes the call in `body`. Both the response and a rejection are replies; a rejected call was not executed, except where
-/// the handler has returned none.
+/// Executes the call in `body`. Returns the reply with the response, or the reply that rejects the call as
+/// the error. A rejected call was not executed, unless the handler was called and returned `None`.
 fn handle_call<Q: Message, R: Message>(
     body: &[u8],
     own_address: SocketAddr,
--- a/control-plane/rpc/tests/calls.rs
+++ b/control-plane/rpc/tests/calls.rs
@@ -1,5 +1,5 @@
-//! Calls over real sockets against servers that respond wrongly, late, incompletely or not at all: no response is taken for
-//! another call's, and no request is sent twice.
+//! Calls over real sockets to servers that respond incorrectly, late, incompletely or not at all. No response
+//! to another call is accepted, and no request is sent twice.
 
 use marblecroft_rpc::{
     decode, encode, http, serve, Bytes, CallError, CallId, Caller, Direction, Envelope, Service,
@@ -15,7 +15,7 @@
 /// Timeout of calls to a server that does not respond; long enough for the server to read the request on any machine.
 const NO_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a faulty server does with a complete request.
+/// The reaction of a faulty server to a complete request.
 #[derive(Clone, Copy, Debug)]
 enum Behaviour {
     /// Responds to the first request correctly, and to each further one with the response to the previous one.
@@ -34,7 +34,7 @@
     TwoResponses,
 }
 
-/// A faulty server that counts its connections and the requests that it has read on all of them.
+/// A faulty server that counts its connections, and the requests that it has read on all of them.
 struct FaultyServer {
     address: SocketAddr,
     requests: Arc<AtomicUsize>,
@@ -51,7 +51,7 @@
             for stream in listener.incoming().flatten() {
                 accepted.fetch_add(1, Ordering::SeqCst);
                 let read = read.clone();
-                thread::spawn(move || respond_wrongly(stream, behaviour, &read));
+                thread::spawn(move || respond_incorrectly(stream, behaviour, &read));
             }
         });
         FaultyServer { address, requests, connections }
@@ -76,7 +76,7 @@
             let length = text[..end].split("content-length: ").nth(1)?.split("\r\n").next()?;
             let length: usize = length.trim().parse().ok()?;
             if bytes.len() >= end + 4 + length {
-                // The head has only ASCII, so its length is the same in bytes.
+                // The head contains only ASCII characters, so its length in bytes is the same as in the text.
                 return Some(bytes.split_off(bytes.len() - length));
             }
         }
@@ -96,7 +96,7 @@
     encode(&Envelope { direction: Direction::Response, call_id, message })
 }
 
-fn respond_wrongly(mut stream: TcpStream, behaviour: Behaviour, read: &AtomicUsize) {
+fn respond_incorrectly(mut stream: TcpStream, behaviour: Behaviour, read: &AtomicUsize) {
     let mut previous: Option<CallId> = None;
     while let Some(body) = read_request(&mut stream) {
         read.fetch_add(1, Ordering::SeqCst);
@@ -134,7 +134,7 @@
                 return;
             }
             Behaviour::NoResponse => {
-                // Keeps the connection open until the caller closes it; how the read ends does not matter.
+                // Keeps the connection open until the caller closes it. The result of the read is irrelevant.
                 let _ = stream.read(&mut [0]);
                 return;
             }
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_second_response_on_a_connection_is_never_taken_for_the_next_calls() {
+fn a_second_response_on_a_connection_is_never_accepted_for_the_next_call() {
     let server = FaultyServer::start(Behaviour::TwoResponses);
     let caller = Caller::new(Service::Stores);
     for _ in 0..20 {
@@ -231,7 +231,7 @@
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("bound");
     let address = listener.local_addr().expect("an address");
     drop(listener);
-    let error = call(&Caller::new(Service::Stores), address, TIMEOUT).expect_err("nobody listens");
+    let error = call(&Caller::new(Service::Stores), address, TIMEOUT).expect_err("no process listens");
     assert!(!error.may_have_executed(), "{error}");
 }
 
--- a/control-plane/rpc/tests/frame.rs
+++ b/control-plane/rpc/tests/frame.rs
@@ -1,4 +1,5 @@
-//! Messages are decoded as they were encoded; corrupted and truncated frames and those of other versions are rejected.
+//! Decoding a message returns the value that was encoded. Corrupted and truncated frames, and frames of other
+//! versions, are rejected.
 
 use marblecroft_rpc::{decode, encode, Bytes, DecodeError, VERSION};
 use musli::{Decode, Encode};
--- a/control-plane/rpc/tests/golden.rs
+++ b/control-plane/rpc/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The encodings of frames and envelopes do not change: each value is encoded and compared with the fixture, which is decoded
-//! and encoded again.
+//! The encodings of frames and envelopes do not change: each value is encoded and compared with the fixture,
+//! and the fixture is decoded and encoded again.
 
 #[path = "../../../testing/support/golden/encoding.rs"]
 mod encoding;
