--- a/control-plane/protocol/src/coordinator.rs
+++ b/control-plane/protocol/src/coordinator.rs
@@ -1,8 +1,9 @@
 //! Requests to coordinators and their replies.
 //!
 //! Coordinators send each other the messages of their own chain (append, install, vote) and the requests of membership (join,
-//! leave). Gateways pull new versions of the configuration, the server list and the stores' view, with long polling. Stores
-//! report to the head of the coordinators and receive their view in return.
+//! leave). Gateways pull new versions of the configuration, the server list and the stores' view, with long
+//! polling. Stores report to the head of the coordinators and receive the newest view of their chain in
+//! return.
 //!
 //! Messages are encoded by position: new variants and fields are appended, and none is reordered.
 
@@ -18,7 +19,8 @@
 pub enum CoordinatorRequest {
     /// Replicates log entries. Sent by the predecessor in the chain, without entries as a heartbeat.
     Append(Append),
-    /// Replaces the state by a snapshot. Sent by the predecessor in the chain to a member that has fallen too far behind.
+    /// Replaces the state with a snapshot. Sent by the predecessor in the chain to a member that is too far
+    /// behind.
     Install(Install),
     /// A message of the agreement on the next view. Sent by a member that proposes one.
     Vote(VoteRequest),
@@ -28,12 +30,13 @@
     Join {
         /// The process that is to become a member.
         member: Member,
-        /// The position of the state that it has.
+        /// The position of the process's state.
         position: Position,
     },
-    /// Requests to be left out of the next view. Sent to the head by a member that is draining; holds the member's identity.
+    /// Requests to be left out of the next view. Sent to the head by a member that is draining; contains the
+    /// member's identity.
     Leave(u64),
-    /// Requests what is newer than the sender's versions. Sent by gateways.
+    /// Requests everything that is newer than the sender's versions. Sent by gateways.
     Pull(Pull),
     /// Reports a store's status. Sent by each store periodically.
     Report(StoreReport),
@@ -52,17 +55,17 @@
     Updates(ConfigurationUpdates),
     /// Reply to [`CoordinatorRequest::Report`].
     Stores(StoreDirective),
-    /// Reply to [`CoordinatorRequest::Join`] and [`CoordinatorRequest::Leave`]: the request is taken into account. It has
-    /// taken effect once a view says so.
+    /// Reply to [`CoordinatorRequest::Join`] and [`CoordinatorRequest::Leave`]: the request is recorded. It
+    /// takes effect with a later view.
     Acknowledged,
     /// Reply to [`CoordinatorRequest::Join`] of a process whose state is too old: the state that it has to install before
     /// it can become a member.
     InstallFirst(Install),
-    /// Reply of a process that is not the head to a request for the head: the head's address, where it is known.
+    /// Reply of a process that is not the head to a request for the head: the head's address, if it is known.
     NotHead(Option<SocketAddr>),
 }
 
-/// The versions that a gateway has. A version that is 0 is that of a gateway that has none.
+/// The versions that a gateway has; a version is 0 if the gateway has none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct VersionVector {
     /// Sequence number of the configuration; see [`ConfigurationUpdate::sequence`].
@@ -73,20 +76,21 @@
     pub store_view_number: u64,
 }
 
-/// A gateway's request for what is newer than its versions.
+/// A gateway's request for everything that is newer than its versions.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Pull {
     /// The versions that the gateway has.
     pub known_versions: VersionVector,
-    /// Longest time in milliseconds for which the coordinator may defer its reply while there is nothing newer.
+    /// Maximum time in milliseconds for which the coordinator may defer its reply while there is nothing
+    /// newer.
     pub wait_ms: u32,
 }
 
-/// What is newer than the versions of a gateway; `None` where nothing is.
+/// The updates for a gateway; a field is `None` if there is nothing newer than the gateway's version.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ConfigurationUpdates {
-    /// Whether the coordinator is in contact with the other members. One that is partitioned off may reply with versions
-    /// that have been superseded.
+    /// Whether the coordinator is in contact with the other members. A partitioned coordinator may reply with
+    /// outdated versions.
     pub fresh: bool,
     /// A newer configuration.
     pub configuration: Option<ConfigurationUpdate>,
@@ -98,10 +102,10 @@
     pub coordinators: Vec<SocketAddr>,
 }
 
-/// A configuration and its place in the sequence of all that were accepted.
+/// A configuration and its number in the sequence of accepted configurations.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationUpdate {
-    /// Number of configurations accepted up to this one. Gateways never return to a lower one.
+    /// Number of configurations accepted up to this one. Gateways never return to a lower number.
     pub sequence: u64,
     /// The configuration in JSON.
     pub body: Bytes,
@@ -116,7 +120,7 @@
     pub zone: String,
     /// Internal address of the store.
     pub address: SocketAddr,
-    /// The store's own view of its chain.
+    /// The store's status as a process of its chain.
     pub status: Status,
 }
 
@@ -125,7 +129,8 @@
 pub struct StoreDirective {
     /// The newest view of the stores' chain.
     pub view: View,
-    /// Internal address of a member from which the store is to fetch the state, as it is to be added to the chain.
+    /// Internal address of the member from which the store must fetch the state before it is added to the
+    /// chain; `None` if there is nothing to fetch.
     pub fetch_from: Option<SocketAddr>,
     /// Internal addresses of the coordinators.
     pub coordinators: Vec<SocketAddr>,
--- a/control-plane/protocol/src/lib.rs
+++ b/control-plane/protocol/src/lib.rs
@@ -1,9 +1,9 @@
 //! The messages between processes of the serving tier.
 //!
-//! [`coordinator`] and [`store`] hold the requests and replies of the two replicated services; they are carried by
-//! `marblecroft-rpc`. [`servers`] is the list of model servers, as the platform's API returns it and as coordinators pass it
-//! on. [`load`] is the datagram that gateways of one zone exchange. The functions here derive the addresses on which
-//! processes call each other: internal ports are the same on all machines.
+//! [`coordinator`] and [`store`] contain the requests and replies of the two replicated services; they are
+//! carried by `marblecroft-rpc`. [`servers`] is the list of model servers, as the platform's API returns it
+//! and as coordinators pass it on. [`load`] is the datagram that gateways of one zone exchange. The functions
+//! here derive the addresses on which processes call each other: internal ports are the same on all machines.
 #![forbid(unsafe_code)]
 
 pub mod coordinator;
--- a/control-plane/protocol/src/load.rs
+++ b/control-plane/protocol/src/load.rs
@@ -1,7 +1,7 @@
 //! The datagrams by which the gateways of one zone inform each other of their requests in flight.
 //!
-//! Each carries the complete load of its sender, so a lost one is compensated by the next. Messages are encoded by position:
-//! new fields are appended, and none is reordered.
+//! Each datagram contains the complete load of its sender, so the next one compensates for a lost one.
+//! Messages are encoded by position: new fields are appended, and none is reordered.
 
 use musli::{Decode, Encode};
 
@@ -10,7 +10,7 @@
 pub struct LoadUpdate {
     /// Hash of the sending gateway's name.
     pub gateway_hash: u64,
-    /// Orders the datagrams of one process; the receiver drops one that was overtaken.
+    /// Orders the datagrams of one process; the receiver drops a datagram that arrives after a later one.
     pub sequence: u64,
     /// The servers at which the gateway has load.
     pub servers: Vec<ServerLoad>,
@@ -29,7 +29,7 @@
     pub failure_share: u8,
 }
 
-/// The requests in flight at the servers of one zone, of one gateway or of all together.
+/// Requests in flight at the servers of one zone, from one gateway or from all gateways together.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ZoneLoad {
     /// Name of the servers' zone.
--- a/control-plane/protocol/src/servers.rs
+++ b/control-plane/protocol/src/servers.rs
@@ -1,9 +1,10 @@
 //! The list of model servers.
 //!
-//! The reader, which is one coordinator at a time, polls the platform's API: [`Page`] parses one page of its JSON. The
-//! resulting [`ServerList`] is passed to gateways with a version by which a list of an earlier reader is recognised.
+//! The reader, which is one coordinator at a time, polls the platform's API: [`Page`] parses one page of its
+//! JSON. The resulting [`ServerList`] is passed to gateways with a version that distinguishes it from lists
+//! of earlier readers.
 
-// The code that `nanoserde` derives has this shape.
+// The code that `nanoserde` derives triggers this lint.
 #![allow(clippy::question_mark)]
 
 use musli::{Decode, Encode};
@@ -13,7 +14,7 @@
 /// A model server. Encoded by position: new fields are appended, and none is reordered.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Server {
-    /// The platform's id of the server. Names one incarnation: a restarted server has another one.
+    /// The platform's id of the server. Identifies one incarnation: a restarted server has a new id.
     pub id: String,
     /// Name of the service that the server belongs to.
     pub backend: String,
@@ -21,15 +22,15 @@
     pub address: SocketAddr,
     /// Zone of the server's machine.
     pub zone: String,
-    /// Requests that the server runs concurrently; 0 where the platform does not say.
+    /// Number of requests that the server runs concurrently; 0 if the platform does not specify it.
     pub slots: u32,
-    /// Whether the server is not to receive new requests.
+    /// Whether the server must not receive new requests.
     pub draining: bool,
-    /// Time in milliseconds from the read of the list for which the server is still warming up and therefore slow.
+    /// Time in milliseconds from the read of the list until the server has warmed up; it is slow until then.
     pub warmup_left_ms: u32,
 }
 
-/// The list of servers as one complete read returned it.
+/// The list of servers from one complete read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ServerList {
     /// The version of this list.
@@ -42,20 +43,20 @@
 /// and those of one reader are ordered by their sequence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct ServerListVersion {
-    /// The fencing token of the reader, from 1; 0 before the first list.
+    /// The reader's fencing token, from 1; 0 before the first list.
     pub epoch: u64,
     /// Number of the list among those of its reader.
     pub sequence: u64,
 }
 
-/// A page as the platform writes it.
+/// A page in the platform's JSON.
 #[derive(DeJson)]
 struct PageDocument {
     instances: Vec<InstanceDocument>,
     next_page_token: Option<String>,
 }
 
-/// A server as the platform writes it.
+/// A server in the platform's JSON.
 #[derive(DeJson)]
 struct InstanceDocument {
     id: String,
@@ -72,12 +73,12 @@
 pub struct Page {
     /// The servers of this page.
     pub servers: Vec<Server>,
-    /// Token of the following page; `None` on the last.
+    /// Token of the following page; `None` on the last page.
     pub next: Option<String>,
 }
 
 impl Page {
-    /// Parses a page; returns `None` where the text is not one. Unknown members are ignored.
+    /// Parses a page; returns `None` if the text is not a valid page. Unknown members are ignored.
     pub fn parse(text: &str) -> Option<Page> {
         let page: PageDocument = DeJson::deserialize_json(text).ok()?;
         let servers = page.instances.into_iter().map(InstanceDocument::into_server).collect::<Option<_>>()?;
--- a/control-plane/protocol/src/store.rs
+++ b/control-plane/protocol/src/store.rs
@@ -18,7 +18,8 @@
 pub enum StoreRequest {
     /// Replicates log entries. Sent by the predecessor in the chain, without entries as a heartbeat.
     Append(Append),
-    /// Replaces the state by a snapshot. Sent by the predecessor in the chain to a member that has fallen too far behind.
+    /// Replaces the state with a snapshot. Sent by the predecessor in the chain to a member that is too far
+    /// behind.
     Install(Install),
     /// Queries the process's status. Sent by any process.
     Status,
@@ -32,7 +33,8 @@
         job: String,
         /// Position of the first result to return, from 0.
         start: u64,
-        /// Longest time in milliseconds for which the reply may be deferred while there is no result at `start`.
+        /// Maximum time in milliseconds for which the reply may be deferred while there is no result at
+        /// `start`.
         wait_ms: u32,
     },
     /// Reads the request body of an item that has no result yet. Sent by a gateway for a client.
@@ -72,11 +74,11 @@
     Body(#[musli(bytes)] Vec<u8>),
     /// The job is ended.
     Ended,
-    /// No such job is stored, or it has no such item without a result.
+    /// No such job is stored, or the job has no such item without a result.
     NotFound,
     /// Reply to [`StoreRequest::Work`].
     Work(WorkReply),
-    /// The process is not the head, and nothing was executed; holds the head's address, where it is known.
+    /// The process is not the head, and nothing was executed; contains the head's address, if it is known.
     NotHead(Option<SocketAddr>),
     /// The chain has too few members to replicate the change safely; nothing was executed.
     Unavailable,
@@ -102,16 +104,16 @@
     pub outcome: ItemOutcome,
 }
 
-/// A gateway's periodic report of what it runs and has run, and its request for more items.
+/// A gateway's periodic report of its running and finished items, with its request for more items.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct WorkRequest {
     /// Name of the gateway.
     pub gateway: String,
-    /// All items that the gateway runs; the leases of others are released.
+    /// All items that the gateway is running; its leases on other items are released.
     pub running: Vec<ItemId>,
-    /// Items whose outcome has not been acknowledged.
+    /// Finished items whose outcome has not been acknowledged yet.
     pub finished: Vec<FinishedItem>,
-    /// Number of items that the gateway would begin to run.
+    /// Number of further items that the gateway can start.
     pub capacity: u32,
     /// The gateway's live load, from which the head derives how many items all gateways together may run.
     pub load: GatewayLoad,
@@ -128,7 +130,7 @@
 /// The gateways with which a gateway exchanges load datagrams: those of its zone, or one group of them in a large zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Peers {
-    /// Hash of the addresses; another one says that the set has changed.
+    /// Hash of the addresses; it differs if the set of addresses has changed.
     pub digest: u64,
     /// Addresses on which the gateways receive load datagrams.
     pub addresses: Vec<SocketAddr>,
@@ -157,16 +159,16 @@
 pub struct WorkReply {
     /// Items that are newly leased to the gateway.
     pub granted: Vec<GrantedItem>,
-    /// Items that the gateway is to stop, as they are leased to another gateway or not to be run any more.
+    /// Items that the gateway must stop, as they are leased to another gateway or must not be run any more.
     pub stop: Vec<ItemId>,
     /// Duration of the leases in milliseconds. It counts from when the gateway sent the request, so that the gateway's
     /// leases never outlast the head's.
     pub lease_ms: u32,
-    /// The gateway's peers, where they differ from those whose digest the request held.
+    /// The gateway's peers, if they differ from those whose digest the request contained.
     pub peers: Option<Peers>,
     /// Requests of all gateways together in flight at the servers of each zone.
     pub zone_loads: Vec<ZoneLoad>,
-    /// Number of gateways that have requested work lately.
+    /// Number of gateways that have recently requested work.
     pub gateway_count: u32,
     /// Concurrent live requests of all gateways together at servers, as a moving average.
     pub live_requests: f32,
@@ -183,6 +185,7 @@
     pub route: String,
     /// The request to send.
     pub item: Item,
-    /// When the job was accepted, in milliseconds since 1970 by the clock of the process that proposed it.
+    /// Time at which the job was accepted, in milliseconds since 1970 by the clock of the process that
+    /// proposed it.
     pub accepted_at_ms: u64,
 }
--- a/control-plane/protocol/tests/golden.rs
+++ b/control-plane/protocol/tests/golden.rs
@@ -1,5 +1,6 @@
-//! The encodings of messages do not change: each value is encoded and compared with the fixture, which is decoded and
-//! encoded again. Members of a chain that run different releases depend on it.
+//! The encodings of messages do not change: each value is encoded and compared with the fixture, and the
+//! fixture is decoded and encoded again. Members of a chain that run different releases depend on the stable
+//! encodings.
 
 #[path = "../../../testing/support/golden/encoding.rs"]
 mod encoding;
