--- a/control-plane/configuration/src/configuration.rs
+++ b/control-plane/configuration/src/configuration.rs
@@ -9,7 +9,7 @@
 /// A valid configuration.
 #[derive(Clone, Debug)]
 pub struct Configuration {
-    /// The operator's number of the configuration; a later one has a higher number.
+    /// The number that the operator has given the configuration; a later configuration has a higher number.
     pub generation: u64,
     /// Limits on clients.
     pub limits: ClientLimits,
@@ -20,7 +20,7 @@
 }
 
 impl Configuration {
-    /// Creates a configuration of parts that are valid by themselves, and checks their relations.
+    /// Creates a configuration from parts that are individually valid, and checks that they are consistent.
     pub(crate) fn new(
         generation: u64,
         limits: ClientLimits,
@@ -32,11 +32,11 @@
         Ok(Configuration { generation, limits, services, routes })
     }
 
-    /// Returns the route of a request, by its `Host` header and its path without the query: the one with the longest prefix
-    /// that matches.
+    /// Returns the route with the longest prefix that matches a request's `Host` header and its path without
+    /// the query.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.split(':').next().unwrap_or(host);
-        // Most clients send lower case, which saves the copy.
+        // Most clients send the host in lower case, which avoids the copy.
         let routes = match self.routes.get(host) {
             Some(routes) => routes,
             None => self.routes.get(&host.to_ascii_lowercase())?,
@@ -44,7 +44,7 @@
         routes.iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Returns the service of a name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
--- a/control-plane/configuration/src/document.rs
+++ b/control-plane/configuration/src/document.rs
@@ -1,9 +1,10 @@
-//! Parses the JSON in which the operator writes a configuration, and checks each part by itself.
+//! Parses the operator's configuration from JSON, and checks each part individually.
 //!
-//! The names of the members below are the operator's. Numbers may be written as fractions or exceed their range: they are
-//! truncated, and clamped to the range. What is missing gets its default, which the docs of the target types name.
+//! The fields of the types below have the names of the JSON members. Numbers may be fractions or exceed their
+//! range: they are truncated and clamped to the range. A missing member gets its default, which is documented
+//! at the target type.
 
-// The code that `nanoserde` derives has this shape.
+// The code that `nanoserde` derives triggers this lint.
 #![allow(clippy::question_mark)]
 
 use crate::configuration::Configuration;
@@ -23,7 +24,7 @@
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 15_000.0;
 const DEFAULT_HEALTH_PATH: &str = "/health";
 
-/// A configuration as the operator writes it. Unknown members are ignored.
+/// A configuration in the operator's JSON. Unknown members are ignored.
 #[derive(DeJson)]
 struct Document {
     generation: u64,
@@ -83,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error that names the first fault, with the route or service that has it.
+    /// Returns an error that describes the first fault and names the route or service that has it.
     pub fn parse(text: &[u8]) -> Result<Configuration, ConfigurationError> {
         let text = std::str::from_utf8(text).map_err(ConfigurationError::NotUtf8)?;
         if !syntax::is_complete_document(text) {
@@ -162,7 +163,7 @@
     }
 }
 
-/// Returns the route type of a name, or why there is none.
+/// Returns the route type with this name, or the reason why there is none.
 fn parse_route_type(name: &str) -> Result<RouteType, &'static str> {
     match name {
         "idempotent" => Ok(RouteType::Idempotent),
@@ -173,7 +174,8 @@
     }
 }
 
-/// Returns the backends of a route, or why they are invalid. A traffic split takes precedence over a single backend.
+/// Returns the backends of a route, or the reason why they are invalid. A traffic split takes precedence over
+/// a single backend.
 fn weighted_backends(
     traffic_split: Option<Vec<SplitDocument>>,
     backend: Option<String>,
--- a/control-plane/configuration/src/error.rs
+++ b/control-plane/configuration/src/error.rs
@@ -1,11 +1,12 @@
-//! Why a configuration or a change of one is rejected. Each display text is one line for the operator.
+//! Reasons for the rejection of a configuration or of a change. Each display text is one line for the
+//! operator.
 
 use nanoserde::DeJsonErr;
 use quick_error::quick_error;
 use std::str::Utf8Error;
 
 quick_error! {
-    /// Why a configuration is rejected.
+    /// The reason why a configuration is rejected.
     #[derive(Debug)]
     pub enum ConfigurationError {
         /// The text is not UTF-8.
@@ -17,7 +18,7 @@
         IncompleteJson {
             display("not a configuration: not one whole JSON value")
         }
-        /// The JSON has not the members that are required, or they have other types.
+        /// The JSON lacks required members, or members have other types.
         Json(cause: DeJsonErr) {
             display("not a configuration: {cause}")
             source(cause)
@@ -28,7 +29,7 @@
             source(cause)
             from()
         }
-        /// A member of a route has a value that is not allowed, for this reason.
+        /// A member of a route has an invalid value, for this reason.
         InvalidRoute(route: String, reason: &'static str) {
             display("route {route}: {reason}")
         }
@@ -48,7 +49,7 @@
 }
 
 quick_error! {
-    /// Why a change of named items cannot be applied.
+    /// The reason why a change of named items cannot be applied.
     #[derive(Debug)]
     pub enum UpdateError {
         /// The text of the change, or of the configuration to change, is not UTF-8.
@@ -61,21 +62,21 @@
         IncompleteJson {
             display("not one whole JSON value")
         }
-        /// A member has not the type that is required.
+        /// A member does not have the required type.
         Json(cause: DeJsonErr) {
             display("{cause}")
             source(cause)
             from()
         }
-        /// A value other than an object stands where an object is required.
+        /// An object is required, and the text contains another value.
         NotAnObject {
             display("an object is missing")
         }
-        /// A value other than an array stands where a list is required.
+        /// A list is required, and the text contains a value other than an array.
         NotAList(list: String) {
             display("{list} is no list")
         }
-        /// The change names no generation.
+        /// The change contains no generation.
         MissingGeneration {
             display("generation is missing")
         }
@@ -83,7 +84,7 @@
         DuplicateMember(member: String) {
             display("{member} is there twice")
         }
-        /// An item is to be added and removed, or occurs twice.
+        /// An item is both upserted and removed, or occurs twice.
         DuplicateItem(item: String, list: String) {
             display("{item} is named twice in {list}")
         }
--- a/control-plane/configuration/src/lib.rs
+++ b/control-plane/configuration/src/lib.rs
@@ -1,11 +1,13 @@
 //! The operator's configuration: routes, services and limits on clients.
 //!
-//! [`Configuration::parse`] parses the JSON and checks each part by itself, and then their relations; nothing of an invalid
-//! configuration is used. [`Configuration::route`] finds the route of a request. An [`Update`] changes named items of a
-//! configuration and results in the text of a new one, which is parsed and checked like any other.
+//! [`Configuration::parse`] parses the JSON and checks each part individually, and then whether the parts are
+//! consistent; an invalid configuration is rejected as a whole. [`Configuration::route`] finds the route of a
+//! request. An [`Update`] changes named items of a configuration and results in the text of a new one, which
+//! is parsed and checked like any other.
 //!
-//! Modules: `document` is the JSON and its defaults, `configuration` the relations and the lookup, `route` and `service` the
-//! parts, `update` the changes, [`syntax`] the scanner below both, and `error` the reasons for rejections.
+//! Modules: `document` contains the JSON and its defaults, `configuration` the checks of consistency and the
+//! lookup, `route` and `service` the parts, `update` the changes, [`syntax`] the JSON scanner that `document`
+//! and `update` use, and `error` the reasons for rejections.
 #![forbid(unsafe_code)]
 
 mod configuration;
--- a/control-plane/configuration/src/route.rs
+++ b/control-plane/configuration/src/route.rs
@@ -1,8 +1,8 @@
-//! Routes: which requests they match, which services the requests go to, and how they are handled.
+//! Routes: the requests that they match, the services that the requests go to, and how requests are handled.
 
 use std::time::Duration;
 
-/// The kind of a route's requests: whether they may be repeated, and how they are answered.
+/// The kind of a route's requests, which determines whether they may be repeated and how they are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RouteType {
     /// Requests that may be executed more than once.
@@ -27,31 +27,35 @@
 /// A route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name of the route; for messages and logs.
+    /// Name of the route, for messages and logs.
     pub name: String,
-    /// Host that requests must have, in any case; not empty.
+    /// Host that requests must have, compared without regard to case; not empty.
     pub hostname: String,
     /// Prefix that the paths of requests must have; begins and ends with a slash.
     pub path_prefix: String,
     /// Kind of the requests.
     pub route_type: RouteType,
-    /// Longest time for which a request may wait for its answer; above 0. Default: 30 s.
+    /// Maximum time for which a request may wait for its response; above 0. Default: 30 s.
     pub timeout: Duration,
-    /// Time within which an answer, or the first event of a stream, has its full value. Default: the timeout.
+    /// Time within which a response, or the first event of a stream, has its full value. Default: the
+    /// timeout.
     pub target_latency: Duration,
     /// Priority of the requests; 0, the default, is the highest.
     pub priority: u32,
     /// Services that the requests are distributed over; the sum of the weights is above 0.
     pub backends: Vec<WeightedBackend>,
-    /// Servers that one request may be sent to, or failed runs of a batch item; at least 1, the default.
+    /// Maximum number of servers that one request is sent to, or of failed runs of a batch item; at least 1,
+    /// which is the default.
     pub attempts: u32,
     /// Whether an interrupted stream may be resumed with `Last-Event-Id`. Default: false.
     pub resumable: bool,
     /// Time from the first submission of a batch job within which its results are due. Default: unlimited.
     pub completion_target: Duration,
-    /// Time from the first submission of a batch job after which its items may be given up. Default: unlimited.
+    /// Time from the first submission of a batch job after which its items may be abandoned. Default:
+    /// unlimited.
     pub retention: Duration,
-    /// Tokens of batch jobs that may be queued on the route, over all gateways; 0, the default, is no limit.
+    /// Maximum number of tokens of batch jobs queued on the route, over all gateways; 0, the default, means
+    /// no limit.
     pub max_queued_tokens: u64,
 }
 
--- a/control-plane/configuration/src/syntax.rs
+++ b/control-plane/configuration/src/syntax.rs
@@ -1,12 +1,13 @@
-//! A scanner of JSON that keeps the text of values.
+//! A JSON scanner that returns values as their original text.
 //!
-//! It has two purposes. First, `nanoserde` skips members that the target type does not have without checking them, and does
-//! not return where the text ends inside one; so no text reaches it that [`is_complete_document`] does not accept. Second, a
-//! change of a configuration keeps what it does not change literally as the operator wrote it.
+//! It has two purposes. First, `nanoserde` skips members that the target type does not have without checking
+//! them, and never returns if the text ends inside one. Therefore only text that [`is_complete_document`]
+//! accepts is passed to it. Second, a change of a configuration keeps the exact text of everything that it
+//! does not change.
 //!
-//! The functions of the scanner return `None` where the text is not JSON by RFC 8259.
+//! The functions of the scanner return `None` if the text is not valid JSON (RFC 8259).
 
-/// Levels of nested values that are accepted. Bounds the stack, as the scanner is recursive.
+/// Maximum depth of nested values. Bounds the stack, as the scanner is recursive.
 const MAX_DEPTH: u32 = 64;
 
 /// Returns whether `text` is exactly one JSON value.
@@ -15,8 +16,8 @@
     reader.value(MAX_DEPTH).is_some() && reader.peek().is_none()
 }
 
-/// Returns the names of an object's members, without quotation marks, and the texts of their values; `None` where the text is
-/// not exactly one object.
+/// Returns the names of an object's members, without quotation marks, and the texts of their values; `None`
+/// if the text is not exactly one object.
 pub fn members(text: &str) -> Option<Vec<(&str, &str)>> {
     let mut reader = Reader::new(text);
     let mut members = Vec::new();
@@ -24,7 +25,7 @@
     reader.peek().is_none().then_some(members)
 }
 
-/// Returns the texts of an array's elements; `None` where the text is not exactly one array.
+/// Returns the texts of an array's elements; `None` if the text is not exactly one array.
 pub fn elements(text: &str) -> Option<Vec<&str>> {
     let mut reader = Reader::new(text);
     let mut elements = Vec::new();
@@ -43,7 +44,7 @@
         Reader { text, position: 0 }
     }
 
-    /// Returns the text that `read` passes over, without white space before it.
+    /// Returns the text that `read` consumes, without leading white space.
     fn text_of(&mut self, read: impl FnOnce(&mut Reader<'a>) -> Option<()>) -> Option<&'a str> {
         self.peek()?;
         let start = self.position;
@@ -51,34 +52,34 @@
         self.text.get(start..self.position)
     }
 
-    /// Takes the next byte.
+    /// Consumes the next byte.
     fn next(&mut self) -> Option<u8> {
         let byte = self.text.as_bytes().get(self.position).copied()?;
         self.position += 1;
         Some(byte)
     }
 
-    /// Takes the next byte if it satisfies a condition.
+    /// Consumes the next byte if it satisfies a condition.
     fn next_if(&mut self, condition: impl FnOnce(u8) -> bool) -> Option<u8> {
         let byte = self.text.as_bytes().get(self.position).copied().filter(|byte| condition(*byte))?;
         self.position += 1;
         Some(byte)
     }
 
-    /// Passes over white space and returns the byte after it without taking it.
+    /// Consumes white space, and returns the byte after it without consuming it.
     fn peek(&mut self) -> Option<u8> {
         while self.next_if(|byte| matches!(byte, b' ' | b'\t' | b'\n' | b'\r')).is_some() {}
         self.text.as_bytes().get(self.position).copied()
     }
 
-    /// Takes a byte that is expected next after white space.
+    /// Consumes white space, and the byte after it if that is the expected one.
     fn take(&mut self, expected: u8) -> Option<()> {
         (self.peek()? == expected).then(|| {
             self.position += 1;
         })
     }
 
-    /// Passes over a value that nests at most `depth` levels deep.
+    /// Consumes a value that is nested at most `depth` levels deep.
     fn value(&mut self, depth: u32) -> Option<()> {
         let depth = depth.checked_sub(1)?;
         match self.peek()? {
@@ -96,7 +97,7 @@
         word.bytes().try_for_each(|byte| (self.next()? == byte).then_some(()))
     }
 
-    /// Passes over an object and hands each member's name, without quotation marks, and value to `on_member`.
+    /// Consumes an object and passes each member's name, without quotation marks, and value to `on_member`.
     fn object(&mut self, depth: u32, on_member: &mut dyn FnMut(&'a str, &'a str)) -> Option<()> {
         self.take(b'{')?;
         if self.take(b'}').is_some() {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Passes over an array and hands each element to `on_element`.
+    /// Consumes an array and passes each element to `on_element`.
     fn array(&mut self, depth: u32, on_element: &mut dyn FnMut(&'a str)) -> Option<()> {
         self.take(b'[')?;
         if self.take(b']').is_some() {
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Passes over a string with its quotation marks.
+    /// Consumes a string with its quotation marks.
     fn string(&mut self) -> Option<()> {
         self.take(b'"')?;
         loop {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Passes over what follows the backslash of an escape sequence.
+    /// Consumes the rest of an escape sequence, after the backslash.
     fn escape(&mut self) -> Option<()> {
         match self.next()? {
             b'"' | b'\\' | b'/' | b'b' | b'f' | b'n' | b'r' | b't' => Some(()),
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Passes over one or more digits.
+    /// Consumes one or more digits.
     fn digits(&mut self) -> Option<()> {
         self.next_if(|byte| byte.is_ascii_digit())?;
         while self.next_if(|byte| byte.is_ascii_digit()).is_some() {}
--- a/control-plane/configuration/src/update.rs
+++ b/control-plane/configuration/src/update.rs
@@ -2,13 +2,14 @@
 //!
 //! The change names lists of the configuration, and for each of them items to upsert and names of items to remove:
 //! `{"generation": 8, "upsert": {"routes": [...]}, "remove": {"services": ["s"]}}`. An item of the same name is replaced
-//! completely, at its position; new ones are appended. A name to remove that does not exist changes nothing. What the change
-//! does not name keeps its text literally, with members that this program does not know.
+//! completely, at its position; new ones are appended. The removal of a name that does not exist has no
+//! effect. Everything that the change does not name keeps its exact text, including members that are unknown
+//! to this program.
 //!
-//! [`Update::parse`] rejects what is ambiguous by itself, such as an item that is both upserted and removed; [`Update::apply`]
-//! rejects what does not result in a valid configuration.
+//! [`Update::parse`] rejects changes that are ambiguous by themselves, such as an item that is both upserted
+//! and removed; [`Update::apply`] rejects changes that do not result in a valid configuration.
 
-// The code that `nanoserde` derives has this shape.
+// The code that `nanoserde` derives triggers this lint.
 #![allow(clippy::question_mark)]
 
 use crate::configuration::Configuration;
@@ -28,7 +29,7 @@
 pub struct Update {
     /// The generation of the resulting configuration.
     pub generation: u64,
-    /// In the order in which the change first names the lists.
+    /// The changes of lists, in the order in which the change first names the lists.
     lists: Vec<ListChange>,
 }
 
@@ -38,7 +39,7 @@
     /// Name of the member of the configuration that is the list.
     list: String,
     upsert: Vec<NamedItem>,
-    /// Names of items.
+    /// Names of the items to remove.
     remove: Vec<String>,
 }
 
@@ -46,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct NamedItem {
     name: String,
-    /// The item as it was written, in JSON.
+    /// The original text of the item in JSON.
     text: String,
 }
 
@@ -95,7 +96,7 @@
         Ok(update)
     }
 
-    /// Returns the change of a list, which is added if there is none yet.
+    /// Returns the change of a list; adds an empty one if there is none yet.
     fn list_mut(&mut self, list: &str) -> &mut ListChange {
         let known = self.lists.iter().position(|change| change.list == list);
         let index = known.unwrap_or_else(|| {
@@ -187,7 +188,7 @@
     syntax::members(text).ok_or(UpdateError::NotAnObject)
 }
 
-/// Parses the items of a list. `list` is its name, for the error.
+/// Parses the items of a list. `list` is the name of the list, for error messages.
 fn parse_items(list: &str, text: &str) -> Result<Vec<NamedItem>, UpdateError> {
     let elements = syntax::elements(text).ok_or_else(|| UpdateError::NotAList(list.to_owned()))?;
     elements.into_iter().map(parse_item).collect()
@@ -199,7 +200,7 @@
     Ok(NamedItem { name, text: text.to_owned() })
 }
 
-/// Returns the first name that occurs for the second time.
+/// Returns the first name that occurs a second time.
 fn find_duplicate<'a>(mut names: impl Iterator<Item = &'a str>) -> Option<String> {
     let mut seen = HashSet::new();
     names.find(|name| !seen.insert(*name)).map(str::to_owned)
--- a/control-plane/configuration/tests/configuration.rs
+++ b/control-plane/configuration/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Valid configurations are parsed and looked up; each kind of invalid one is rejected in one line that names its place.
+//! Valid configurations are parsed, and their routes and services are found. Each kind of invalid
+//! configuration is rejected with one line that names the location of the fault.
 
 use marblecroft_configuration::{syntax, Configuration, ConfigurationError, RouteType};
 use std::time::Duration;
--- a/control-plane/configuration/tests/golden.rs
+++ b/control-plane/configuration/tests/golden.rs
@@ -1,5 +1,6 @@
-//! The members of the operator's configuration keep their names and meanings: a configuration with every member is parsed from
-//! a fixture, and the result of a change of it is the literal text of another.
+//! The members of the operator's configuration keep their names and meanings: a configuration with every
+//! member is parsed from a fixture, and a change of that configuration results in the literal text of another
+//! fixture.
 
 use marblecroft_configuration::{
     ClientLimits, Configuration, Route, RouteType, Service, Update, WeightedBackend,
--- a/control-plane/configuration/tests/update.rs
+++ b/control-plane/configuration/tests/update.rs
@@ -1,4 +1,4 @@
-//! Changes of named items: the configurations that result, and which changes are rejected.
+//! Changes of named items result in the expected configurations, and invalid changes are rejected.
 
 use marblecroft_configuration::{Configuration, Update};
 
@@ -13,7 +13,7 @@
     )
 }
 
-/// Returns the configuration that results from a change, or why the change is rejected.
+/// Returns the configuration that results from a change, or the reason why the change is rejected.
 fn changed(change: &str) -> Result<String, String> {
     let update = Update::parse(change.as_bytes()).map_err(|e| e.to_string())?;
     let changed = update.apply(CURRENT.as_bytes()).map_err(|e| e.to_string())?;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn items_are_replaced_appended_and_removed_and_all_else_keeps_its_text() {
+fn items_are_replaced_appended_and_removed_and_everything_else_keeps_its_text() {
     let (a, c) = (route("a", "/other/", "t"), route("c", "/c/", "s"));
     let change = format!(
         r#"{{"generation":9,"upsert":{{"routes":[{c},{a}]}},"remove":{{"routes":["b","not-there"]}}}}"#
