--- a/control-plane/protocol/tests/golden.rs
+++ b/control-plane/protocol/tests/golden.rs
@@ -192,11 +192,11 @@
         id: item_id("job-2", 5),
         outcome: ItemOutcome::Completed("{\"a\":1}\n[DONE]".to_owned()),
     };
-    let dead = FinishedItem { id: item_id("job-3", 6), outcome: ItemOutcome::DeadLettered };
+    let dead_lettered = FinishedItem { id: item_id("job-3", 6), outcome: ItemOutcome::DeadLettered };
     let work = WorkRequest {
         gateway: "gateway-4".to_owned(),
         running: vec![item_id("job-1", 2), item_id("job-1", 300)],
-        finished: vec![completed, dead],
+        finished: vec![completed, dead_lettered],
         capacity: 11,
         load: GatewayLoad { live_requests: 3.75, slots: 96 },
         zone: "zone-a".to_owned(),
