--- a/quota-gateway/core/src/api.rs
+++ b/quota-gateway/core/src/api.rs
@@ -1,10 +1,10 @@
-//! The interface of the decisions: the settings and events that a gateway is given, and the actions that it asks for.
+//! Interface of the decision logic: settings, input events and output actions of a gateway.
 
 use crate::arithmetic::sanitize;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// An instant on the caller's clock, in nanoseconds. It has no particular origin and never goes back.
+/// An instant on the caller's clock, in nanoseconds. The origin is arbitrary; the clock is monotonic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Time(pub u64);
 
@@ -23,13 +23,13 @@
     }
 }
 
-/// One try of a client, unique while the gateway runs.
+/// A request, unique while the gateway runs. A client's retry is a new request with another id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u32);
-/// A server; the id survives a restart of its process.
+/// A server. The id stays the same when its process restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerId(pub u32);
-/// A customer, across all of its gateways.
+/// A customer. The id is the same at all gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CustomerId(pub u64);
 /// Index of a request class in [`Settings::classes`].
@@ -41,11 +41,11 @@
 /// Number of an attempt within its request, from 0 in the order of the sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptNo(pub u32);
-/// A value that comes back with its timer.
+/// Identifies a timer: passed out with [`Action::Timer`] and back with [`Event::Timer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Token(pub u64);
 
-/// The servers among which a retry of a keyed request is dropped.
+/// The set of servers that share idempotency keys, and so recognize and drop a repeated request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All servers.
@@ -56,60 +56,61 @@
     Cell,
 }
 
-/// What running a request twice does.
+/// The effect of executing a request twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: the request is idempotent.
+    /// None: the request is idempotent.
     Safe,
-    /// Nothing within a scope and for a time: servers drop a retry by its key.
+    /// None within a set of servers and a period: servers drop a repeated request by its key.
     Keyed {
-        /// The servers that know of each other's keys.
+        /// The set of servers that share their keys.
         group: DeduplicationScope,
-        /// How long they do, from the earliest attempt that may have been executed.
+        /// How long a key is kept, from the send of the earliest attempt that may have been executed.
         window: Duration,
     },
-    /// Harm.
+    /// Harmful: the request must not be executed twice.
     Unsafe,
 }
 
 /// A request class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time earns the full value.
+    /// An answer within this time has the full value.
     pub latency_target: Duration,
-    /// The longest that a client waits, over all its tries.
+    /// Longest time that a client waits, including its retries.
     pub deadline: Duration,
-    /// The value of an answer, against that of other classes.
+    /// Value of an answer, relative to other classes.
     pub value: f64,
-    /// What running a request twice does.
+    /// The effect of executing a request twice.
     pub effect: Effect,
 }
 
-/// A plan's quotas, for each of its customers and over all gateways. Zero means "no such limit".
+/// Limits of each customer of a plan, over all gateways together. A limit of zero means that there is none.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// Units a second.
+    /// The quota, in units per second.
     pub rate: f64,
-    /// Units that the quota's bucket holds.
+    /// Capacity of the quota's token bucket, in units.
     pub burst: f64,
-    /// Attempts in flight at once.
+    /// Maximum number of attempts in flight.
     pub max_in_flight: u32,
-    /// The hard limit, in units a second.
+    /// The hard rate limit, in units per second.
     pub rate_limit: f64,
-    /// Units that the hard limit's bucket holds.
+    /// Capacity of the rate limit's token bucket, in units.
     pub rate_limit_burst: f64,
-    /// Units by which that bucket may fall below zero.
+    /// Units by which the rate limit's bucket may go below zero.
     pub rate_limit_slack: f64,
-    /// Factor on the value of a request.
+    /// Multiplier of a request's value.
     pub price: f64,
-    /// Share of its value that a request beyond the quota earns when it is served.
+    /// Share of its value that a request over the quota earns when it is served.
     pub over_quota_value: f64,
-    /// Share of its value that sending a request beyond the quota costs.
+    /// Share of its value that it costs to send a request over the quota.
     pub over_quota_cost: f64,
 }
 
 impl Settings {
-    /// The value of each priority of the load shedder: a class under a plan, within the quota and beyond it.
+    /// The value of each priority of the load shedder: for each plan and class, one within the quota and one
+    /// over it.
     pub(crate) fn priority_values(&self) -> impl Iterator<Item = f64> + '_ {
         let of_plan = move |plan: &'_ Plan| {
             let factors = [1.0, sanitize(plan.over_quota_value - plan.over_quota_cost)];
@@ -122,63 +123,64 @@
     }
 }
 
-/// How the server list is learnt.
+/// How changes of the server list arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
     /// Changes are pushed.
     Push,
-    /// Changes come only after [`Action::Subscribe`].
+    /// Changes arrive only after [`Action::Subscribe`].
     Subscribe,
 }
 
 /// The settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How many gateways there are.
+    /// Number of gateways.
     pub gateways: u32,
-    /// Which of them this is, from 0.
+    /// Index of this gateway, from 0.
     pub gateway_index: u32,
-    /// The zone this gateway is in.
+    /// Zone of this gateway.
     pub zone: u32,
     /// The request classes, by [`ClassId`].
     pub classes: Vec<Class>,
     /// The plans, by [`PlanId`].
     pub plans: Vec<Plan>,
-    /// How the server list is learnt.
+    /// How changes of the server list arrive.
     pub discovery: Discovery,
-    /// [`Action::Cancel`] is permitted.
+    /// Whether [`Action::Cancel`] is permitted.
     pub cancel: bool,
-    /// Two attempts of one request may be in flight at once (hedged requests).
+    /// Whether two attempts of one request may be in flight at once (hedged requests).
     pub hedging: bool,
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// The longest retry-after that a client observes.
+    /// Longest retry-after that clients honor.
     pub max_retry_after: Duration,
-    /// The least time between two calls; a timer may come this much late.
+    /// Minimum time between two calls; a timer may fire this much late.
     pub tick: Duration,
-    /// The period over which the meter totals a customer's use; zero means no meter.
+    /// Period over which the meter totals a customer's use; zero if there is no meter.
     pub meter_period: Duration,
-    /// The most units that one request counts.
+    /// Maximum number of units that one request counts.
     pub max_units: f64,
-    /// A starting server has at least this share of its capacity ...
+    /// Lower bound of a server's capacity when it starts, as a share of its full capacity.
     pub slow_start_initial_share: f64,
-    /// ... and all of it after this long.
+    /// Time after which a started server has its full capacity.
     pub slow_start_duration: Duration,
-    /// A starting server falls over when it is sent this multiple of what it can do ...
+    /// A server in slow start fails when it is sent this multiple of its current capacity for
+    /// [`slow_start_window`](Self::slow_start_window).
     pub slow_start_overload_factor: f64,
-    /// ... for this long.
+    /// How long the overload must last for a server in slow start to fail.
     pub slow_start_window: Duration,
-    /// Price of an attempt that crosses zones, as a share of a request.
+    /// Price of an attempt that crosses zones, as a share of the price of a request.
     pub cross_zone_price: f64,
 }
 
-/// What the list says of a server's process.
+/// State of a server's process, as reported by the server list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Lifecycle {
-    /// It takes requests.
+    /// It accepts requests.
     #[default]
     Running,
-    /// It finishes what it has and takes nothing new.
+    /// It completes the requests in flight and accepts no new ones.
     Draining,
     /// It is no longer listed.
     Gone,
@@ -189,52 +191,52 @@
 pub struct ServerInfo {
     /// The server.
     pub id: ServerId,
-    /// The zone that it is in.
+    /// Its zone.
     pub zone: u32,
-    /// The cell that it is in.
+    /// Its cell.
     pub cell: u32,
-    /// Its kind of machine; those of one kind are alike.
+    /// Its machine type; machines of one type perform alike.
     pub kind: u32,
-    /// What the list says of its process.
+    /// State of its process, as reported by the list.
     pub lifecycle: Lifecycle,
     /// Capacity relative to the other servers.
     pub capacity: f64,
-    /// When its process started, if not long ago.
+    /// When its process started, if recently.
     pub started: Option<Time>,
 }
 
-/// Whether a list is all servers or those that changed.
+/// Which servers a list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// All servers: what is not in the list is gone.
+    /// All servers: a server that is not in the list is gone.
     Full,
-    /// Those that changed.
+    /// Only the servers that changed.
     Delta,
-    /// Asking failed; the earlier list holds.
+    /// The list could not be fetched; the previous one stays in effect.
     Failed,
 }
 
-/// A server's report on its load; what it does not report is `None`.
+/// A server's load report. A value that the server does not report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that wait for service.
+    /// Number of requests waiting for service.
     pub queue: Option<f64>,
-    /// Share of the processor that is busy, from 0.
+    /// Processor utilization: 0 if idle, 1 if fully busy.
     pub utilization: Option<f64>,
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     /// Served.
     Ok,
     /// The server answered with an error.
     Error,
-    /// Rejected unexamined: it was not executed.
+    /// Rejected by the server before execution.
     Rejected,
-    /// Not answered in time.
+    /// No answer in time.
     TimedOut,
-    /// Not connected: it was not executed.
+    /// The connection could not be established: it was not executed.
     ConnectFailed,
     /// The connection broke.
     Reset,
@@ -244,7 +246,7 @@
     NotSent,
 }
 
-/// One try of a client.
+/// A request from a client.
 #[derive(Clone, Debug)]
 pub struct NewRequest {
     /// The request.
@@ -255,16 +257,16 @@
     pub plan: PlanId,
     /// Its customer.
     pub customer: CustomerId,
-    /// When the client gives this try up.
+    /// When the client's timeout for this request ends.
     pub deadline: Time,
-    /// Units that it counts (a guess where they are settled later).
+    /// Units that it counts. An estimate, if [`Outcome::actual_units`] reports the actual number later.
     pub units: f64,
-    /// Gateways through which this customer's requests come.
+    /// Number of gateways that receive this customer's requests.
     pub gateways: u32,
-    /// The client says that it has tried before, under another id.
+    /// Whether the client marked it as a retry of an earlier request, which had another id.
     pub is_retry: bool,
-    /// Its body is long and still on its way: it can be passed on but once, and what the request has of time begins
-    /// with [`Event::BodyWritten`].
+    /// Whether its body is long and still arriving. Such a request can be forwarded only once, and its
+    /// timeout starts with [`Event::BodyWritten`].
     pub body_in_flight: bool,
 }
 
@@ -275,24 +277,24 @@
     pub id: RequestId,
     /// The attempt that ended.
     pub attempt: AttemptNo,
-    /// How it ended.
+    /// The result of the attempt.
     pub status: Status,
-    /// Time since the send.
+    /// Time since the attempt was sent.
     pub elapsed: Duration,
-    /// The client has had its final answer.
+    /// Whether the client has received its final answer.
     pub finished: bool,
     /// The customer's metered use over all gateways, as a share of its limit.
     pub metered_use: Option<f64>,
-    /// The units that the request really counted.
+    /// Units that the request actually counted.
     pub actual_units: Option<f64>,
-    /// What the server reported of its load.
+    /// Load report of the server.
     pub report: LoadReport,
-    /// The request can't be sent again: its body is gone.
+    /// Whether the request cannot be sent again because its body is no longer available.
     pub not_retryable: bool,
 }
 
-/// What another process of the same gateway does while one replaces the other. For quotas, rate limits and starting servers
-/// the two count as one.
+/// Activity of another process of the same gateway while one process replaces the other. Quotas, rate limits
+/// and slow start treat the two processes as one gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerProcessEvent {
     /// It has sent an attempt.
@@ -301,83 +303,84 @@
         customer: CustomerId,
         /// The customer's plan.
         plan: PlanId,
-        /// Gateways through which this customer's requests come.
+        /// Number of gateways that receive this customer's requests.
         gateways: u32,
-        /// Units that are counted with a request's first attempt; 0 with others.
+        /// Units of the request if this is its first attempt; 0 for retries.
         units: f64,
-        /// The server that it went to.
+        /// The server that it was sent to.
         server: ServerId,
     },
     /// An attempt that it had sent has ended.
     Ended {
         /// The customer of the request.
         customer: CustomerId,
-        /// The server that it had gone to.
+        /// The server that it was sent to.
         server: ServerId,
-        /// The server answered it.
+        /// Whether the server answered it.
         answered: bool,
     },
-    /// It has ended, and with it what it had in flight.
+    /// The process has ended, and all of its attempts with it.
     Gone,
 }
 
-/// Where the fleet's decisions let a request go.
+/// Which servers may receive a request. Decided centrally for all gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Placement {
-    /// No decision binds it.
+    /// Any server.
     #[default]
     Unrestricted,
-    /// Its attempts go to servers of this cell alone.
+    /// Only servers of this cell.
     Cell(u32),
-    /// Nowhere now: it is rejected, unless its quota rejects it before.
+    /// No server at present: the request is rejected, unless its quota rejects it first.
     Unavailable {
-        /// What its client is advised to wait.
+        /// Retry-after for the client.
         retry_after: Duration,
     },
 }
 
-/// What is decided for the fleet of one zone, for one gateway.
+/// Share of one gateway's traffic that goes to one zone. Decided centrally for all gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneShare {
     /// The zone.
     pub zone: u32,
-    /// The share of this gateway's first attempts that goes there; nothing goes where it is 0.
+    /// Share of this gateway's first attempts that goes to the zone. If it is 0, no attempt goes there.
     pub share: f64,
-    /// Requests a second that may go there from here, whatever the share; infinite: no such bound.
+    /// Maximum number of first attempts per second from this gateway to the zone, whatever the share;
+    /// infinite if there is no limit.
     pub max_rate: f64,
 }
 
-/// What happens to a gateway.
+/// Input of a gateway.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A server list, or a change of it.
+    /// The server list, or a change of it.
     Servers {
-        /// Whether it is complete.
+        /// Which servers it contains.
         scope: Scope,
         /// The servers.
         servers: Vec<ServerInfo>,
     },
     /// A new request.
     Request(NewRequest),
-    /// A new request that a decision for the fleet binds.
+    /// A new request with a placement.
     RequestWithPlacement(NewRequest, Placement),
-    /// A request that was bound to a cell is bound to another one from now on: its shard has moved.
+    /// The shard of a request has moved: its further attempts go to another cell.
     PlacementMoved {
         /// The request.
         id: RequestId,
-        /// The cell that it is bound to now.
+        /// The new cell.
         cell: u32,
     },
-    /// The server has all of a body that was in flight.
+    /// A server has received all of a body that was in flight.
     BodyWritten {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: AttemptNo,
-        /// The request's deadline from now on.
+        /// The request's new deadline.
         deadline: Time,
     },
-    /// A streamed answer has begun: the attempt is the client's now.
+    /// A streamed answer has begun: the request is no longer retried, cancelled or given up.
     StreamStarted {
         /// The request.
         id: RequestId,
@@ -386,32 +389,32 @@
     },
     /// An attempt has ended.
     Outcome(Outcome),
-    /// The client has disconnected; nothing more is owed.
+    /// The client has disconnected and needs no answer.
     ClientDisconnected(RequestId),
-    /// Operators disable a server, whatever the list says of it ...
+    /// An operator has disabled a server. This overrides the server list.
     ServerDisabled(ServerId),
-    /// ... and enable it again.
+    /// An operator has enabled a disabled server again.
     ServerEnabled(ServerId),
-    /// Another process of this gateway did something.
+    /// Activity of another process of this gateway.
     PeerProcess(PeerProcessEvent),
-    /// The shares of zones, as decided for the fleet; empty: nothing is decided, and each gateway chooses for itself.
+    /// The zone shares, decided centrally. If empty, each gateway chooses zones by itself.
     ZoneShares(Vec<ZoneShare>),
-    /// A timer that was asked for with [`Action::Timer`].
+    /// A timer that was requested with [`Action::Timer`] has expired.
     Timer(Token),
 }
 
-/// What a gateway asks for.
+/// Output of a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
         /// The request.
         id: RequestId,
-        /// The server that it goes to.
+        /// The server to send it to.
         server: ServerId,
-        /// When it is given up.
+        /// When to give the attempt up.
         deadline: Time,
-        /// Nothing is written at this time or later: servers no longer recognize a retry then.
+        /// Nothing may be written at this time or later, because servers no longer recognize a retry then.
         begin_by: Option<Time>,
     },
     /// Stop waiting for an attempt.
@@ -421,27 +424,27 @@
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Final answer: it was not executed, or trying again is harmless.
+    /// Final answer: the request was not executed, or retrying it is harmless.
     Reject {
         /// The request.
         id: RequestId,
-        /// What the client is advised to wait.
+        /// Retry-after for the client.
         retry_after: Duration,
     },
-    /// Final answer: it may have been executed, and must not be tried again.
+    /// Final answer: the request may have been executed and must not be retried.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Pass in [`Event::Timer`] at or after a time.
+    /// Pass in [`Event::Timer`] at this time or later.
     Timer {
         /// The time.
         at: Time,
-        /// What comes back with it.
+        /// The token to pass back.
         token: Token,
     },
     /// Subscribe to the server list.
     Subscribe,
-    /// A line for the operators.
+    /// Write a log line for the operators.
     Log(String),
 }
--- a/quota-gateway/core/src/arithmetic.rs
+++ b/quota-gateway/core/src/arithmetic.rs
@@ -1,22 +1,22 @@
-//! Arithmetic that is safe against whatever a peer or a settings file says.
+//! Arithmetic that stays well-defined for arbitrary input from peers and settings files.
 
 use crate::api::Plan;
 
-/// The largest number that [`sanitize`] lets through.
-const MAX_SANE: f64 = 1e12;
+/// The largest number that [`sanitize`] returns.
+const MAX_SANITIZED: f64 = 1e12;
 
-/// Returns a finite number from 0 to 10^12: what is infinite or not a number becomes 0.
+/// Clamps a number to the range 0 to 10^12. Infinities and NaN become 0.
 pub fn sanitize(x: f64) -> f64 {
     if x.is_finite() {
-        x.clamp(0.0, MAX_SANE)
+        x.clamp(0.0, MAX_SANITIZED)
     } else {
         0.0
     }
 }
 
-/// Applies [`sanitize`] to every figure of a plan.
+/// Applies [`sanitize`] to every field of a plan.
 pub fn sanitize_plan(plan: &mut Plan) {
-    let figures = [
+    let fields = [
         &mut plan.rate,
         &mut plan.burst,
         &mut plan.price,
@@ -26,12 +26,12 @@
         &mut plan.rate_limit_burst,
         &mut plan.rate_limit_slack,
     ];
-    for figure in figures {
-        *figure = sanitize(*figure);
+    for field in fields {
+        *field = sanitize(*field);
     }
 }
 
-/// Returns the exponentially weighted moving average that was `old`, after one more sample with this weight.
+/// Returns an exponentially weighted moving average with one more sample; `old` is the average so far.
 pub fn ewma(old: f64, sample: f64, weight: f64) -> f64 {
     old + weight * (sample - old)
 }
--- a/quota-gateway/core/src/decisions.rs
+++ b/quota-gateway/core/src/decisions.rs
@@ -1,12 +1,12 @@
-//! All decisions of a gateway, by concern. Its events, actions and settings are in `api.rs`.
+//! The decision logic of a gateway. Its events, actions and settings are in `api.rs`.
 //!
-//! In the order in which a request meets them: [`admission`] (quota by the metered slice in [`quota`], load
-//! shedding in [`load_shedding`]), [`load_balancing`] (over [`server_list`], within [`in_flight_limits`] and
-//! [`retry_constraint`]), [`attempts`] and [`outcomes`]; [`step`] is periodic.
+//! In the order in which a request passes them: [`admission`] (with the customer's [`quota`] and
+//! [`load_shedding`]), [`load_balancing`] (among the servers of [`server_list`], subject to
+//! [`in_flight_limits`] and [`retry_constraint`]), [`attempts`] and [`outcomes`]. [`step`] runs periodically.
 //!
-//! "Kasera" is Kasera et al., "Robust Multiclass Signaling Overload Control" (ICNP 2005); "design" is the
-//! operators' design page, "ours" a constant chosen here, and "Departure" marks where the code departs from
-//! either.
+//! "Kasera" stands for Kasera et al., "Robust Multiclass Signaling Overload Control" (ICNP 2005). Comments
+//! that start with "Differs from" mark where the code differs from that paper or from the operators' design
+//! page.
 
 mod admission;
 mod attempts;
@@ -28,7 +28,7 @@
 use crate::arithmetic::{sanitize, sanitize_plan};
 use crate::failure_rate::FailureRate;
 use crate::random::Random;
-use crate::weighted_lanes::WeightedLanes;
+use crate::zone_round_robin::ZoneRoundRobin;
 use load_shedding::{Shedder, STEP_SECS};
 use quota::CustomerQuota;
 use request::Request;
@@ -36,41 +36,43 @@
 use std::collections::BTreeMap;
 use timer::Timer;
 
-/// Weight of an answer in mean latencies, of classes and of kinds of machine (ours: a dozen answers).
+/// Weight of an answer in the mean latencies of classes and machine types: an average over about a dozen
+/// answers.
 const LATENCY_WEIGHT: f64 = 0.08;
-/// A lost attempt is retried, and counts as latency no more, after this many times what is doubted (ours) ...
-const LOST_IS_RETRIED: f64 = 1.0;
-/// ... and takes no capacity any more after this many (ours: what runs on after all is load, and a needless
-/// retry costs less than a jam).
-const LOST_FREES_CAPACITY: f64 = 2.0;
-/// Least time left for an attempt, in the mean latencies of its class and of the server (ours).
-const MIN_TIME_LEFT: f64 = 0.5;
-/// A gateway that knows nothing takes a class's mean latency for this part of its target.
+/// Response timeouts after which a lost attempt is retried and no longer counts as a latency sample.
+const LOST_RETRY_TIMEOUTS: f64 = 1.0;
+/// Response timeouts after which a lost attempt no longer counts against the in-flight limits. Longer than
+/// [`LOST_RETRY_TIMEOUTS`], because an attempt that is still running is load, and a needless retry costs less
+/// than overload.
+const LOST_RELEASE_TIMEOUTS: f64 = 2.0;
+/// Minimum time left for an attempt to be sent, in mean latencies of its class and of the server.
+const MIN_TIME_LEFT_LATENCIES: f64 = 0.5;
+/// The initial estimate of a class's mean latency is its latency target divided by this.
 const INITIAL_LATENCY_DIVISOR: f64 = 5.0;
 
-/// What is known of one kind of machine; those of one kind are alike.
+/// Statistics of one machine type. Machines of one type are assumed to perform alike.
 #[derive(Clone, Copy)]
 pub(crate) struct MachineKind {
-    /// Latency against its classes' means.
-    slowness: f64,
-    /// Answers that showed it.
+    /// Mean latency relative to the means of the requests' classes.
+    latency_ratio: f64,
+    /// Number of answers that were averaged.
     answers: f64,
 }
 
 impl MachineKind {
-    const UNKNOWN: MachineKind = MachineKind { slowness: 1.0, answers: 1.0 };
+    const UNKNOWN: MachineKind = MachineKind { latency_ratio: 1.0, answers: 1.0 };
 }
 
-/// One gateway's decisions: a state machine without I/O.
+/// The decisions of one gateway, as a state machine without I/O.
 pub struct Gateway {
     pub(crate) settings: Settings,
     pub(crate) random: Random,
     pub(crate) now: Time,
     running: bool,
-    /// When the gateway started, be it in an earlier process.
+    /// When the gateway started, possibly in an earlier process.
     pub(crate) started_at: Option<Time>,
     pub(crate) servers: BTreeMap<ServerId, Server>,
-    /// Servers that operators have disabled, and since when. Beside the list, which says nothing of them.
+    /// Servers that operators have disabled, and since when. Independent of the server list.
     pub(crate) disabled: BTreeMap<ServerId, Time>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) customers: BTreeMap<CustomerId, CustomerQuota>,
@@ -79,28 +81,29 @@
     pub(crate) mean_units: Vec<f64>,
     /// Mean latency of each class, in seconds.
     pub(crate) mean_latency: Vec<f64>,
-    /// The longest that a first try of each class was given, in seconds.
+    /// Longest client timeout seen on a request of each class that was not a retry, in seconds.
     pub(crate) longest_first_wait: Vec<f64>,
-    /// Mean use of each plan's customers, as a share of their quotas, as the meter reports it with answers.
+    /// Mean use of each plan's customers as a share of their quotas, from the meter readings that come with
+    /// answers.
     mean_quota_use: Vec<f64>,
     machine_kinds: BTreeMap<u32, MachineKind>,
-    /// Connections that failed, by zone.
+    /// Failure rate of connects, by zone.
     zone_connect_failures: BTreeMap<u32, FailureRate>,
-    /// The shares and rates of zones, where they are decided for the fleet.
-    zone_lanes: WeightedLanes,
-    /// Attempts in flight at the usable servers, averaged over choices.
+    /// The shares and rate limits of zones, if they are decided centrally.
+    zone_round_robin: ZoneRoundRobin,
+    /// Attempts in flight at the usable servers, averaged over server selections.
     pub(crate) mean_in_flight: f64,
-    /// Attempts that were sent lately, in the time constant of rates.
+    /// Number of attempts sent, decaying with [`server::RATE_TIME_CONSTANT_SECS`].
     pub(crate) recent_sends: f64,
-    /// Retries that may be sent at once.
+    /// Number of retries that may be sent at once.
     pub(crate) retry_budget: f64,
-    /// The operators were told that load is shed.
+    /// Whether the last log line about load shedding reported that load is being shed.
     shedding: bool,
     subscribe_due: bool,
 }
 
 impl Gateway {
-    /// Returns a gateway as it starts: with its settings and the seed of its randomness, and nothing learnt.
+    /// Returns a new gateway with these settings and this seed for its random numbers.
     pub fn new(mut settings: Settings, seed: u64) -> Gateway {
         settings.plans.iter_mut().for_each(sanitize_plan);
         settings.max_units = sanitize(settings.max_units).max(1.0);
@@ -123,7 +126,7 @@
             customers: BTreeMap::new(),
             machine_kinds: BTreeMap::new(),
             zone_connect_failures: BTreeMap::new(),
-            zone_lanes: WeightedLanes::default(),
+            zone_round_robin: ZoneRoundRobin::default(),
             mean_in_flight: 0.0,
             recent_sends: 0.0,
             retry_budget: 1.0,
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Returns a customer's quota as of now; `None` if there is no such plan.
+    /// Returns a customer's quota, refilled up to now; `None` if there is no such plan.
     pub(crate) fn customer(
         &mut self,
         id: CustomerId,
@@ -143,17 +146,17 @@
         let plan = self.settings.plans.get(plan_id.0)?;
         let (now, meter_period) = (self.now, self.settings.meter_period.as_secs_f64());
         let age = now.since(self.started_at.unwrap_or(now));
-        let fresh = || CustomerQuota {
+        let new_quota = || CustomerQuota {
             plan_id,
             ..CustomerQuota::new(plan.clone(), gateways, now, age, meter_period)
         };
-        let customer = self.customers.entry(id).or_insert_with(fresh);
+        let customer = self.customers.entry(id).or_insert_with(new_quota);
         customer.refill(now, meter_period, self.settings.max_units);
         Some(customer)
     }
 
-    /// Handles one event, and appends what is to be done about it. Time never goes back: an earlier `now`
-    /// counts as the latest one.
+    /// Handles one event and appends the resulting actions. Time never goes back: a `now` that is earlier
+    /// than in a previous call counts as the latest one.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if !std::mem::replace(&mut self.running, true) {
@@ -184,7 +187,7 @@
             }
             Event::ServerEnabled(server) => self.enable_server(server),
             Event::PeerProcess(event) => self.on_peer_process_event(event),
-            Event::ZoneShares(shares) => self.zone_lanes.set(self.now, &shares),
+            Event::ZoneShares(shares) => self.zone_round_robin.set(self.now, &shares),
             Event::Timer(token) => self.on_timer(Timer::from_token(token), actions),
         }
     }
@@ -198,7 +201,8 @@
         }
     }
 
-    /// The work of a class against that of the first (Kasera IV-A), by the units that its requests count.
+    /// The cost of a class's requests relative to the first class (Kasera IV-A), by the units that they
+    /// count.
     fn relative_cost(&self, class: usize) -> f64 {
         (self.mean_units[class] / self.mean_units[0].max(1e-6)).clamp(0.01, 100.0)
     }
--- a/quota-gateway/core/src/decisions/attempts.rs
+++ b/quota-gateway/core/src/decisions/attempts.rs
@@ -1,38 +1,38 @@
-//! Attempts of a request: sent, looked at again, retried, given up.
+//! The attempts of a request: sending, checking for lost ones, retrying and giving up.
 //!
-//! Retries are load, so they are budgeted (a retry budget), and sent only while an answer can still come
-//! within the latency target and the class allows it.
+//! Retries add load. They are limited by a retry budget, and sent only if the class allows it and an answer
+//! can still come within the latency target.
 
 use super::request::{Attempt, Request};
-use super::server::{InFlightAttempt, Server, DOUBT_LATENCIES, MIN_DOUBT_TARGET_SHARE};
+use super::server::{InFlightAttempt, Server, MIN_RESPONSE_TIMEOUT_TARGET_SHARE, RESPONSE_TIMEOUT_LATENCIES};
 use super::timer::Timer;
-use super::{Gateway, LOST_IS_RETRIED};
+use super::{Gateway, LOST_RETRY_TIMEOUTS};
 use crate::api::{
     Action, AttemptNo, DeduplicationScope, Effect, Lifecycle, RequestId, ServerId, Status, Time,
 };
 
-/// Times that an attempt is looked at again within the time after which its server is doubted (ours).
+/// Number of checks of an overdue attempt per response timeout.
 const CHECKS_PER_TIMEOUT: f64 = 8.0;
-/// What a retry after a broken connection takes from the budget, where another one takes 1 (ours: half of the
-/// first attempts may need one). A break comes at once and is no sign of load, as a rejection or a time-out
-/// is. Covers networks and servers that cut connections, as restarts do; hurts where overloaded servers cut
-/// them, which the limits on attempts in flight must then hold alone.
+/// Retry budget used by a retry after a broken connection; other retries use 1. At this cost, half of the
+/// first attempts can be retried. A broken connection is detected at once and, unlike a rejection or a
+/// timeout, is no sign of load: restarts and network faults break connections. If overloaded servers break
+/// them, only the limits on attempts in flight protect those servers.
 const BROKEN_CONNECTION_RETRY_COST: f64 = 0.2;
 
 impl Gateway {
-    /// Sets the timer by which a request must have its final answer.
+    /// Sets the timer for a request's deadline, one tick early so that the final answer is in time.
     pub(super) fn set_deadline_timer(&self, id: RequestId, deadline: Time, actions: &mut Vec<Action>) {
         let early = Time(deadline.0.saturating_sub(self.settings.tick.as_nanos() as u64));
         actions.push(Action::Timer { at: early.max(self.now), token: Timer::Deadline(id).token() });
     }
 
-    /// Whether a request has more time than was known when its deadline's timer was set.
+    /// Returns whether a request's deadline was extended after the timer that has now expired was set.
     pub(super) fn has_more_time(&self, id: RequestId) -> bool {
         let early = self.now.after(2 * self.settings.tick);
         self.requests.get(&id).is_some_and(|request| request.body_in_flight || early < request.deadline)
     }
 
-    /// Handles that the server has all of a request's body now: its time begins.
+    /// Handles the complete transfer of a request's body to the server, which starts the request's timeout.
     pub(super) fn on_body_written(
         &mut self,
         id: RequestId,
@@ -47,16 +47,16 @@
         self.customers.entry(request.customer).and_modify(|customer| customer.in_flight += 1);
         (request.body_in_flight, request.deadline) = (false, deadline);
         request.latency_deadline = now.after(self.settings.classes[class].latency_target).min(deadline);
-        let doubted_at = now.after_secs(self.response_timeout(class));
+        let response_due_at = now.after_secs(self.response_timeout(class));
         let server = server.and_then(|server| self.servers.get_mut(&server));
         let in_flight = server
             .and_then(|server| server.in_flight.iter_mut().find(|a| (a.id, a.attempt) == (id, attempt)));
         if let Some(in_flight) = in_flight {
-            (in_flight.sent_at, in_flight.doubted_at) = (now, doubted_at);
+            (in_flight.sent_at, in_flight.response_due_at) = (now, response_due_at);
             in_flight.body_in_transit = false;
         }
         self.set_deadline_timer(id, deadline, actions);
-        actions.push(Action::Timer { at: doubted_at, token: Timer::Check(id).token() });
+        actions.push(Action::Timer { at: response_due_at, token: Timer::Check(id).token() });
     }
 
     /// Sends the next attempt of a request.
@@ -68,23 +68,23 @@
         request.attempts.push(Attempt { server, sent: now, end: None });
         let (class, deadline, customer) = (request.class, request.deadline, request.customer);
         let body_in_transit = request.body_in_flight;
-        let doubted_at = now.after_secs(self.response_timeout(class));
+        let response_due_at = now.after_secs(self.response_timeout(class));
         if let Some(server) = self.servers.get_mut(&server) {
-            server.is_owed_request = false;
+            server.needs_probe = false;
             server.in_flight.push(InFlightAttempt {
                 id,
                 attempt,
                 sent_at: now,
-                doubted_at,
+                response_due_at,
                 mean_latency_at_send: self.mean_latency[class],
-                slowest_overtaking_pace: None,
+                slowest_overtaking_ratio: None,
                 body_in_transit,
             });
             if server.warm_share(now, &self.settings) < 1.0 {
                 server.slow_start_tokens -= 1.0;
             }
         }
-        // One whose body is on its way is not in flight yet: the server has not begun.
+        // An attempt whose body is still arriving does not count yet: the server has not begun to process it.
         if let Some(customer) = self.customers.get_mut(&customer).filter(|_| !body_in_transit) {
             customer.in_flight += 1;
         }
@@ -93,16 +93,16 @@
             self.shedder.on_admitted(self.relative_cost(class));
         }
         actions.push(Action::Send { id, server, deadline, begin_by });
-        actions.push(Action::Timer { at: doubted_at, token: Timer::Check(id).token() });
+        actions.push(Action::Timer { at: response_due_at, token: Timer::Check(id).token() });
     }
 
-    /// Seconds after which an attempt's server is doubted.
+    /// Seconds after which an unanswered attempt is overdue.
     pub(super) fn response_timeout(&self, class: usize) -> f64 {
-        let by_latency = DOUBT_LATENCIES * self.mean_latency[class];
-        by_latency.max(MIN_DOUBT_TARGET_SHARE * self.latency_target(class))
+        let by_latency = RESPONSE_TIMEOUT_LATENCIES * self.mean_latency[class];
+        by_latency.max(MIN_RESPONSE_TIMEOUT_TARGET_SHARE * self.latency_target(class))
     }
 
-    /// Ends a request: cancels the attempts that are in flight, and forgets it when all have ended.
+    /// Ends a request: cancels its attempts in flight, and removes it once all attempts have ended.
     pub(super) fn finish_request(
         &mut self,
         id: RequestId,
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Sends another attempt, if the class allows it, the budget holds it and it can come in time. Returns
-    /// whether it did.
+    /// Sends another attempt if the class, the retry budget and the time left allow it. Returns whether one
+    /// was sent.
     pub(super) fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         if !self.may_retry(id) {
             return false;
@@ -139,7 +139,7 @@
         true
     }
 
-    /// Whether the retry budget and the time that is left allow another attempt.
+    /// Returns whether the retry budget, the number of attempts and the time left allow another attempt.
     fn may_retry(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(|request| {
             let in_time = self.now.after_secs(self.mean_latency[request.class]) < request.latency_deadline;
@@ -149,23 +149,24 @@
         })
     }
 
-    /// Gives the final answer when nothing more is tried: a rejection where another try is harmless, else a
-    /// failure.
+    /// Gives the final answer when there is no further attempt: a rejection if a retry by the client is
+    /// harmless, a failure otherwise.
     pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|r| r.open && !r.streaming) else { return };
         let effect = self.settings.classes[request.class].effect;
         let is_harmless =
             matches!(effect, Effect::Safe | Effect::Keyed { group: DeduplicationScope::All, .. });
         if is_harmless || request.first_possibly_executed().is_none() {
-            self.reject(id, self.retry_advice(request.class), actions);
+            self.reject(id, self.default_retry_after_secs(request.class), actions);
         } else {
             actions.push(Action::Fail { id });
         }
         self.finish_request(id, None, actions);
     }
 
-    /// Looks at an attempt that has taken long: if its server answers nothing or has lost it, the request
-    /// moves on; else it is looked at again, as either may show later and the budget may fill.
+    /// Checks an overdue attempt. If its server does not answer at all or has lost the attempt, the attempt
+    /// is hedged or cancelled. Otherwise it is checked again later, when that may have changed or the retry
+    /// budget may have been refilled.
     pub(super) fn check_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|r| r.open && !r.streaming) else { return };
         let Some(last) = request.attempts.last().filter(|attempt| attempt.end.is_none()) else { return };
@@ -174,14 +175,14 @@
         let server = self.servers.get(&last.server);
         let in_flight =
             server.and_then(|server| server.in_flight.iter().find(|a| (a.id, a.attempt) == (id, attempt)));
-        let is_early = in_flight.is_some_and(|in_flight| self.now < in_flight.doubted_at);
+        let is_early = in_flight.is_some_and(|in_flight| self.now < in_flight.response_due_at);
         if is_early || self.settings.classes[class].effect == Effect::Unsafe {
             return;
         }
         let is_unresponsive =
             |server: &Server| server.last_answer < last.sent || server.info.lifecycle == Lifecycle::Gone;
         let is_given_up = server.is_none_or(is_unresponsive)
-            || in_flight.is_some_and(|in_flight| in_flight.is_lost(self.now, LOST_IS_RETRIED));
+            || in_flight.is_some_and(|in_flight| in_flight.is_lost(self.now, LOST_RETRY_TIMEOUTS));
         if is_given_up && self.may_retry(id) {
             if self.settings.hedging && self.retry(id, actions) {
                 return;
@@ -195,7 +196,7 @@
     }
 }
 
-/// What a retry takes from the budget, by how the attempt before it ended.
+/// The retry budget that a retry uses, depending on how the previous attempt ended.
 fn retry_cost(request: &Request) -> f64 {
     match request.attempts.last().and_then(|attempt| attempt.end) {
         Some(Status::Reset | Status::ConnectFailed) => BROKEN_CONNECTION_RETRY_COST,
--- a/quota-gateway/core/src/decisions/in_flight_limits.rs
+++ b/quota-gateway/core/src/decisions/in_flight_limits.rs
@@ -1,38 +1,40 @@
-//! How many attempts may be in flight, at one server from this gateway and at all servers from all gateways.
+//! Limits on this gateway's attempts in flight, at one server and at all servers together.
 //!
-//! By Little's law, what a server answers a second times the time that an answer may take is what it can
-//! hold. Many gateways with one attempt each at every server are a jam too, so the sum is bounded by all
-//! answers together, and not by the larger of two bounds at each server.
+//! By Little's law, the number of attempts that a server can have in flight is its answer rate times the time
+//! that an answer may take. Many gateways with one attempt each at every server would overload the servers as
+//! well, so the total is limited by the answer rate of all servers together, instead of by the larger of two
+//! limits at each server.
 
 use super::request::Request;
-use super::{Gateway, LOST_FREES_CAPACITY};
+use super::{Gateway, LOST_RELEASE_TIMEOUTS};
 use crate::arithmetic::{ewma, sanitize};
 
-/// Attempts that all gateways together may always have in flight at a server (ours); beyond, its answer rate
-/// bounds them ...
+/// Attempts that all gateways together may always have in flight at a server, whatever its answer rate.
 const MIN_IN_FLIGHT_PER_SERVER: f64 = 3.0;
-/// ... at what it answers in this share of the mean latency target, twice for the most valuable classes
-/// (ours) ...
+/// Limit at one server, as the share of the mean latency target in which it answers that many attempts. Up to
+/// twice as large for the most valuable class.
 const SERVER_TARGET_SHARE: f64 = 0.08;
-/// ... and all servers together at what they answer in this share, as one may be busier than the rest (ours).
+/// Limit at all servers together, in the same terms. Larger than [`SERVER_TARGET_SHARE`] because one server
+/// may be busier than the rest.
 const TOTAL_TARGET_SHARE: f64 = 0.12;
-/// All attempts in flight against the sum of these bounds, within the quota (ours: service is uneven) ...
+/// Multiple of the total limit for requests within their quota. It is above 1 because service is uneven.
 const TOTAL_LIMIT_WITHIN_QUOTA: f64 = 1.5;
-/// ... and beyond it (ours: only where there is capacity to spare).
+/// Multiple of the total limit for requests over their quota, which are sent only if there is spare capacity.
 const TOTAL_LIMIT_OVER_QUOTA: f64 = 0.5;
-/// Weight of a choice in the average of attempts in flight (ours: a burst of two by chance is no jam).
+/// Weight of one sample in the average of attempts in flight. Averaging keeps a random burst of two requests
+/// from counting as overload.
 const IN_FLIGHT_WEIGHT: f64 = 0.5;
 
-/// What one server may have in flight from this gateway.
+/// Limits on attempts in flight from this gateway at one server.
 #[derive(Clone, Copy)]
 pub(super) struct InFlightLimits {
-    /// Seconds of its answers.
+    /// The server's answer rate times this many seconds is its limit.
     pub(super) horizon_secs: f64,
-    /// At the least, for a server of mean capacity.
+    /// Lower bound of the limit for a server of mean capacity.
     pub(super) min_per_server: f64,
 }
 
-/// What all usable servers have and do together.
+/// Totals over all usable servers.
 struct Totals {
     in_flight: f64,
     answers_per_sec: f64,
@@ -40,7 +42,7 @@
 }
 
 impl Gateway {
-    /// Returns the limits for a request; `None` where all attempts in flight leave no capacity.
+    /// Returns the limits for a request; `None` if the total limit is reached.
     pub(super) fn in_flight_limits(
         &mut self,
         request: &Request,
@@ -57,7 +59,8 @@
             .then_some(InFlightLimits { horizon_secs: SERVER_TARGET_SHARE * target, min_per_server })
     }
 
-    /// The mean latency target of all classes in seconds, up to twice that for the most valuable class.
+    /// The mean latency target of all classes in seconds, scaled by the request's value: by 2 for the most
+    /// valuable class.
     fn weighted_latency_target(&self, request: &Request) -> f64 {
         let classes = &self.settings.classes;
         let sum: f64 = classes.iter().map(|class| class.latency_target.as_secs_f64()).sum();
@@ -68,9 +71,11 @@
     fn totals(&self, mean_capacity: f64) -> Totals {
         let mut totals = Totals { in_flight: 0.0, answers_per_sec: 0.0, relative_capacity: 0.0 };
         for server in self.usable_servers() {
-            // A lost attempt is no work, and would take capacity of the others until its deadline.
+            // A lost attempt is no load, and counting it would take capacity from other requests until its
+            // deadline.
             let attempts = server.in_flight.iter();
-            let here = attempts.filter(|attempt| attempt.is_work(self.now, LOST_FREES_CAPACITY)).count();
+            let here =
+                attempts.filter(|attempt| attempt.occupies_capacity(self.now, LOST_RELEASE_TIMEOUTS)).count();
             totals.in_flight += here as f64 + f64::from(server.elsewhere);
             totals.answers_per_sec += server.answer_rate.get(self.now);
             totals.relative_capacity += server.relative_capacity(mean_capacity);
--- a/quota-gateway/core/src/decisions/load_shedding.rs
+++ b/quota-gateway/core/src/decisions/load_shedding.rs
@@ -1,80 +1,83 @@
 //! Load shedding: overload detection, allocation and throttling (Kasera IV-B2, IV-C, IV-D).
 //!
-//! A loop steers the fraction of demand that is admitted so that the servers' occupancy stays at a target.
-//! What is not admitted is taken from the priorities of the lowest value first. The loop needs samples of
-//! occupancy or latency: where hardly anything is answered it moves slowly, and chance moves it.
+//! A control loop adjusts the admitted fraction of the demand to keep the servers' occupancy at a target. The
+//! rest is shed, from the priorities of the lowest value first. The loop needs samples of occupancy or
+//! latency: with few answers it reacts slowly and its input is noisy.
 
 use crate::arithmetic::ewma;
 use serde::{Deserialize, Serialize};
 
-/// Seconds between assessments of the load (design).
+/// Seconds between assessments of the load.
 pub const STEP_SECS: f64 = 0.1;
-/// Samples that an assessment averages (design: k).
+/// Number of samples that an assessment averages (Kasera: k).
 const SAMPLE_COUNT: usize = 3;
-/// Answers that make an interval a sample (ours).
+/// Answers that an interval must contain to be a sample.
 const MIN_ANSWERS_PER_SAMPLE: f64 = 8.0;
-/// The load that the loop steers for, as occupancy (design).
+/// The occupancy that the loop aims for.
 const TARGET_OCCUPANCY: f64 = 0.95;
-/// Least fraction of demand that is admitted (design).
+/// Lower bound of the admitted fraction.
 const MIN_ADMITTED_FRACTION: f64 = 0.005;
-/// Weight of a new estimate of the acceptance threshold (design) ...
+/// Weight of a new estimate of the acceptance threshold.
 const THRESHOLD_WEIGHT: f64 = 0.02;
-/// ... and steps between two (ours: the paper's 300 would leave the threshold unset for half a minute).
+/// Steps between two estimates of the acceptance threshold. With the paper's 300, the threshold would stay
+/// unset for half a minute.
 const THRESHOLD_STEPS: u64 = 50;
-/// Weight of a step's arrivals in a priority's demand (ours: memory of two seconds, see Kasera IV-C).
+/// Weight of a step's arrivals in a priority's demand: a time constant of two seconds (see Kasera IV-C).
 const DEMAND_WEIGHT: f64 = 0.05;
-/// An accumulator this close to 1 lets a request pass, as sums of fractions do not reach 1 exactly.
+/// A request passes if the accumulator is this close to 1, because rounding errors can keep it from reaching
+/// 1.
 const ACCUMULATOR_TOLERANCE: f64 = 1e-9;
 
-/// One priority of formula (4): a class under a plan, within the quota or beyond it.
+/// One priority of Kasera's formula (4): the requests of one plan and class, within the quota or over it.
 #[derive(Clone, Serialize, Deserialize)]
 pub(crate) struct Priority {
     #[serde(rename = "worth")]
     pub(crate) value: f64,
     /// Work that arrived in this step.
     pub(crate) arrived: f64,
-    /// Mean work that arrives a second.
+    /// Mean work that arrives per second.
     pub(crate) demand: f64,
     /// The fraction that is throttled (Kasera: tau).
     #[serde(rename = "tau")]
     pub(crate) throttled_fraction: f64,
-    /// What is admitted but not yet passed; a request passes when it reaches 1 (Kasera: r).
+    /// Sum of the admitted fractions of requests, less 1 for each that passed. A request passes when it
+    /// reaches 1 (Kasera: r).
     #[serde(rename = "r")]
     pub(crate) accumulator: f64,
 }
 
-/// What was sent and answered in one interval.
+/// Work that was sent and answered in one interval.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 pub(crate) struct Sample {
-    /// Its length, in seconds.
+    /// Length of the interval, in seconds.
     pub(crate) span: f64,
-    /// Answers in it.
+    /// Number of answers.
     pub(crate) count: f64,
-    /// Work that was admitted in it.
+    /// Admitted work.
     pub(crate) sent: f64,
-    /// Sum of latencies over their targets, by work.
+    /// Sum of latencies divided by their targets, weighted by work.
     pub(crate) late: f64,
-    /// Work that was answered in it.
+    /// Answered work, the sum of the weights of `late`.
     pub(crate) weight: f64,
 }
 
-/// Sheds load by value. Written by name for the gateway's next process.
+/// Sheds load by value. Part of [`StateSnapshot`](crate::StateSnapshot), so fields are serialized by name.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct Shedder {
-    /// The fraction of demand that is admitted (Kasera: f).
+    /// The admitted fraction of the demand (Kasera: f).
     #[serde(rename = "f")]
     pub admitted_fraction: f64,
-    /// Admitted work a second at the target occupancy (Kasera: the acceptance threshold alpha).
+    /// Admitted work per second at the target occupancy (Kasera: the acceptance threshold alpha).
     #[serde(rename = "alpha_thresh")]
     pub(crate) acceptance_threshold: Option<f64>,
-    /// The last one is the interval that runs.
+    /// The last one is the current interval.
     pub(crate) samples: [Sample; SAMPLE_COUNT],
-    /// Assessments so far.
+    /// Number of assessments.
     pub(crate) steps: u64,
-    /// Seconds since anything was sampled.
+    /// Seconds since the last recorded latency.
     #[serde(rename = "quiet")]
     pub(crate) seconds_without_sample: f64,
-    /// Indexed by (plan, class, beyond the quota).
+    /// Ordered by plan, then class, then within or over the quota.
     pub(crate) priorities: Vec<Priority>,
     /// Indices of the priorities, the lowest value first.
     #[serde(skip)]
@@ -109,7 +112,7 @@
         self.samples[SAMPLE_COUNT - 1].sent += cost;
     }
 
-    /// Counts a latency over its target in the interval that runs, as `count` answers.
+    /// Records a latency, divided by its target, as `count` answers in the current interval.
     pub fn record_latency(&mut self, count: f64, cost: f64, late: f64) {
         let sample = &mut self.samples[SAMPLE_COUNT - 1];
         let weight = cost * count;
@@ -120,12 +123,12 @@
     }
 
     /// Assesses the load at the end of a step (Kasera IV-B2). `reported` is the occupancy that the servers
-    /// report, where they do; `lag` is the time in seconds in which the servers' answers show a change;
-    /// `idle`: nothing is in flight.
+    /// report, if any; `lag` is the time in seconds until a change shows in the servers' answers; `idle` is
+    /// whether there are no requests in flight.
     ///
-    /// Departure: a sample is an interval that holds enough answers, so that k samples mean the same at a
-    /// gateway that gets one answer a second; else chance would move the fraction, and as it ends at 1, only
-    /// down.
+    /// Differs from Kasera: an interval is a sample only once it contains enough answers, so that k samples
+    /// mean the same at a gateway that gets one answer per second. Otherwise noise would move the fraction,
+    /// and since the fraction is bounded by 1, only downwards.
     pub fn assess(&mut self, reported: Option<f64>, lag: f64, idle: bool) {
         self.steps += 1;
         self.seconds_without_sample += STEP_SECS;
@@ -134,18 +137,18 @@
         let open = &mut self.samples[SAMPLE_COUNT - 1];
         open.span += STEP_SECS;
         let span = open.span;
-        // What is shed here nobody answers: with fewer admitted, fewer answers are enough, or the fraction
-        // would stay where it is for want of the answers that it keeps from coming.
+        // Shed requests produce no answers. The required number of answers is scaled by the admitted
+        // fraction, because a low fraction could otherwise prevent the answers that are needed to raise it.
         let is_full = open.count >= (MIN_ANSWERS_PER_SAMPLE * self.admitted_fraction).max(1.0);
         if let Some(occupancy) = occupancy.filter(|_| is_full) {
-            let is_comparable = reported.is_some() && admitted_rate > 0.0;
-            self.correct(occupancy, admitted_rate, is_comparable, span, lag);
-            if self.steps.is_multiple_of(THRESHOLD_STEPS) && is_comparable {
+            let can_apply_threshold = reported.is_some() && admitted_rate > 0.0;
+            self.update_admitted_fraction(occupancy, admitted_rate, can_apply_threshold, span, lag);
+            if self.steps.is_multiple_of(THRESHOLD_STEPS) && can_apply_threshold {
                 self.update_threshold(TARGET_OCCUPANCY * admitted_rate / occupancy);
             }
-        } else if idle && self.has_starved(lag) {
-            // Departure: all demand is shed and nothing is in flight, so no sample can ever raise the
-            // fraction again.
+        } else if idle && self.has_no_recent_sample(lag) {
+            // Differs from Kasera: all demand is shed and nothing is in flight, so no sample would ever raise
+            // the fraction again.
             self.admitted_fraction /= TARGET_OCCUPANCY;
         }
         self.admitted_fraction = self.admitted_fraction.clamp(MIN_ADMITTED_FRACTION, 1.0);
@@ -160,13 +163,13 @@
         self.samples.iter().map(part).sum::<f64>()
     }
 
-    /// Admitted work a second, over the samples.
+    /// Admitted work per second over all samples.
     fn admitted_rate(&self) -> f64 {
         self.sum(|sample| sample.sent) / self.sum(|sample| sample.span).max(STEP_SECS)
     }
 
-    /// The occupancy: the larger one of what is reported and what the latencies show. `None` where neither
-    /// shows any.
+    /// The occupancy: the larger of the reported one and the estimate by latency. `None` if neither is
+    /// available or the result is zero.
     fn occupancy(&self, reported: Option<f64>) -> Option<f64> {
         let weight = self.sum(|sample| sample.weight);
         let by_latency = (weight > 0.0).then(|| TARGET_OCCUPANCY * self.sum(|sample| sample.late) / weight);
@@ -174,18 +177,26 @@
     }
 
     /// Moves the admitted fraction towards the target occupancy.
-    fn correct(&mut self, occupancy: f64, admitted_rate: f64, is_comparable: bool, span: f64, lag: f64) {
+    fn update_admitted_fraction(
+        &mut self,
+        occupancy: f64,
+        admitted_rate: f64,
+        can_apply_threshold: bool,
+        span: f64,
+        lag: f64,
+    ) {
         let mut ratio = TARGET_OCCUPANCY / occupancy;
-        if let Some(threshold) = self.acceptance_threshold.filter(|_| is_comparable) {
-            // Departure: the threshold is learnt at this gateway's share of the traffic, so it cuts only
-            // while the occupancy agrees; else traffic that a crash shifted here would be rejected for it.
+        if let Some(threshold) = self.acceptance_threshold.filter(|_| can_apply_threshold) {
+            // Differs from Kasera: the threshold is estimated from this gateway's usual share of the traffic,
+            // so it applies only while the occupancy is above the target. Otherwise it would reject traffic
+            // that moves here when another gateway crashes.
             if occupancy > TARGET_OCCUPANCY {
                 ratio = ratio.min(threshold / admitted_rate);
             }
         }
-        // Departure: a step moves the fraction by the part of the correction that the servers can have
-        // answered to within the step. Guards against swings when answers take many steps; hurts by a later
-        // cut.
+        // Differs from Kasera: a step applies only the part of the correction that can already show in the
+        // servers' answers. This prevents oscillation when answers take many steps, but reduces the fraction
+        // later.
         self.admitted_fraction *= ratio.powf(span / (span + lag));
     }
 
@@ -194,13 +205,14 @@
         self.acceptance_threshold = Some(updated);
     }
 
-    /// Whether nothing was sampled for as long as all samples take.
-    fn has_starved(&self, lag: f64) -> bool {
-        let patience = SAMPLE_COUNT as f64 * MIN_ANSWERS_PER_SAMPLE * STEP_SECS.max(lag);
-        self.seconds_without_sample > patience
+    /// Returns whether no latency was recorded for the time that all samples take to fill with one answer per
+    /// `lag` seconds.
+    fn has_no_recent_sample(&self, lag: f64) -> bool {
+        let timeout_secs = SAMPLE_COUNT as f64 * MIN_ANSWERS_PER_SAMPLE * STEP_SECS.max(lag);
+        self.seconds_without_sample > timeout_secs
     }
 
-    /// Formula (4): the priorities of the lowest value bear the share of demand that is shed.
+    /// Kasera's formula (4): the shed share of the demand is taken from the priorities of the lowest value.
     pub(crate) fn allocate(&mut self) {
         for priority in &mut self.priorities {
             priority.demand = ewma(priority.demand, priority.arrived / STEP_SECS, DEMAND_WEIGHT);
--- a/quota-gateway/core/src/decisions/outcomes.rs
+++ b/quota-gateway/core/src/decisions/outcomes.rs
@@ -1,42 +1,42 @@
-//! Outcomes: what the end of an attempt teaches of its server, its customer and the load, and what follows
-//! for the request.
+//! Outcomes: updates the statistics of servers, customers and load when an attempt ends, and finishes,
+//! retries or gives up its request.
 
-use super::server::SLOWNESS_HALF_LIFE_SECS;
+use super::server::HEALTH_HALF_LIFE_SECS;
 use super::{Gateway, MachineKind, LATENCY_WEIGHT};
 use crate::api::{Action, AttemptNo, CustomerId, Outcome, RequestId, ServerId, Status, Time};
 use crate::arithmetic::{ewma, sanitize};
 
-/// Weight of a reading of the meter in the mean use of its plan's customers (ours: thirty answers, as a
-/// reading is of a request or two).
+/// Weight of a meter reading in the mean use of its plan's customers. It averages over about thirty answers,
+/// because one reading covers only a request or two.
 const QUOTA_USE_WEIGHT: f64 = 0.03;
-/// Weight of an answer in its server's slowness (ours: a handful of answers) ...
-const SLOWNESS_WEIGHT: f64 = 0.2;
-/// ... and the most that one counts, in mean latencies.
-const MAX_SLOWNESS: f64 = 20.0;
+/// Weight of an answer in its server's latency ratio: an average over about five answers.
+const LATENCY_RATIO_WEIGHT: f64 = 0.2;
+/// Upper bound of one answer's latency ratio.
+const MAX_LATENCY_RATIO: f64 = 20.0;
 
-/// What an ended attempt was, as of its end.
+/// An attempt and its request at the time when the attempt ended.
 struct EndedAttempt {
     server: ServerId,
     sent: Time,
     class: usize,
     customer: CustomerId,
-    /// The request had no final answer before.
+    /// Whether the request had no final answer before.
     was_open: bool,
     within_quota: bool,
-    /// Units that were taken from the quota for it.
+    /// Units that were taken from the quota for the request.
     units: f64,
     streaming: bool,
     body_in_flight: bool,
-    /// The attempt says nothing of its server: nothing was sent, or its client left. One that is silent ends
-    /// as timed out.
-    is_blameless: bool,
-    /// It is the request's first success.
+    /// Whether the result is unrelated to the server's health: nothing was sent, or the client
+    /// disconnected. An attempt that the server does not answer ends with a timeout instead.
+    is_excluded_from_health: bool,
+    /// Whether this is the request's first success.
     is_first_success: bool,
 }
 
 impl Gateway {
-    /// Handles the beginning of a streamed answer, which is the server's answer. How long it lasts is up to
-    /// its length and the client.
+    /// Handles the beginning of a streamed answer, which counts as the server's response. The rest of its
+    /// duration depends on its length and on the client.
     pub(super) fn on_stream_started(&mut self, id: RequestId, attempt: AttemptNo) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -51,16 +51,17 @@
         self.on_response(server, class, sent, now.since(sent));
     }
 
-    /// Records that a server has answered an attempt after so many seconds.
+    /// Records that a server has answered an attempt after `elapsed` seconds.
     fn on_response(&mut self, server: ServerId, class: usize, sent: Time, elapsed: f64) {
         let (now, typical) = (self.now, self.mean_latency[class].max(1e-6));
-        let pace = elapsed / typical;
-        self.record_slowness(server, pace);
+        let latency_ratio = elapsed / typical;
+        self.record_latency_ratio(server, latency_ratio);
         if let Some(server) = self.servers.get_mut(&server) {
             server.last_answer = now;
             for overtaken in server.in_flight.iter_mut().filter(|attempt| attempt.sent_at < sent) {
-                let slowest = overtaken.slowest_overtaking_pace;
-                overtaken.slowest_overtaking_pace = Some(slowest.map_or(pace, |slowest| slowest.max(pace)));
+                let slowest = overtaken.slowest_overtaking_ratio;
+                overtaken.slowest_overtaking_ratio =
+                    Some(slowest.map_or(latency_ratio, |slowest| slowest.max(latency_ratio)));
             }
             server.answer_rate.add(now, 1.0);
         }
@@ -68,15 +69,15 @@
         self.mean_latency[class] = ewma(self.mean_latency[class], elapsed, LATENCY_WEIGHT);
     }
 
-    /// Records that a server has taken so many mean latencies.
-    fn record_slowness(&mut self, server: ServerId, ratio: f64) {
+    /// Records the latency of an attempt at a server, as a multiple of the mean latency of its class.
+    fn record_latency_ratio(&mut self, server: ServerId, ratio: f64) {
         let now = self.now;
         let Some(server) = self.servers.get_mut(&server).filter(|_| ratio > 0.0) else { return };
-        let ratio = ratio.min(MAX_SLOWNESS);
+        let ratio = ratio.min(MAX_LATENCY_RATIO);
         let kind = self.machine_kinds.entry(server.info.kind).or_insert(MachineKind::UNKNOWN);
         kind.answers += 1.0;
-        kind.slowness = ewma(kind.slowness, ratio, LATENCY_WEIGHT.max(1.0 / kind.answers));
-        server.record_slowness(now, kind.slowness, ratio, SLOWNESS_WEIGHT);
+        kind.latency_ratio = ewma(kind.latency_ratio, ratio, LATENCY_WEIGHT.max(1.0 / kind.answers));
+        server.record_latency_ratio(now, kind.latency_ratio, ratio, LATENCY_RATIO_WEIGHT);
     }
 
     /// Handles the end of an attempt.
@@ -88,12 +89,14 @@
         let typical = self.mean_latency[ended.class].max(1e-6);
         self.settle_quota(&outcome, &ended);
         self.record_server_outcome(&outcome, &ended, actions);
-        // What gets no answer is slow as well: a jammed server would else look like any of its kind.
+        // Attempts without an answer count as slow. Otherwise an overloaded server would be rated like the
+        // other machines of its type.
         let is_unanswered = matches!(outcome.status, Status::Rejected | Status::TimedOut | Status::Cancelled);
-        if is_unanswered && !ended.is_blameless {
-            self.record_slowness(ended.server, elapsed.max(target) / typical);
+        if is_unanswered && !ended.is_excluded_from_health {
+            self.record_latency_ratio(ended.server, elapsed.max(target) / typical);
         }
-        // The loop's latency: rejections and time-outs count as the deadline; quick errors count nothing.
+        // In the load shedder, rejections and timeouts count as the deadline; errors are not counted, as they
+        // may be quick.
         match outcome.status {
             Status::Ok if !ended.streaming => {
                 self.on_response(ended.server, ended.class, ended.sent, elapsed)
@@ -101,10 +104,10 @@
             Status::Rejected | Status::TimedOut => self.shedder.record_latency(1.0, cost, deadline / target),
             _ => {}
         }
-        self.go_on_after(&outcome, ended.was_open, actions);
+        self.continue_request(&outcome, ended.was_open, actions);
     }
 
-    /// Marks an attempt as ended; `None` where it is not known, or has ended before.
+    /// Marks an attempt as ended; `None` if it is unknown or has ended before.
     fn end_attempt(&mut self, outcome: &Outcome) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&outcome.id)?;
         let attempt = request.attempts.get_mut(outcome.attempt.0 as usize).filter(|a| a.end.is_none())?;
@@ -122,12 +125,12 @@
             units: request.units,
             streaming: request.streaming,
             body_in_flight: request.body_in_flight,
-            is_blameless: outcome.status == Status::NotSent || is_cancelled_by_client,
+            is_excluded_from_health: outcome.status == Status::NotSent || is_cancelled_by_client,
             is_first_success: successes == 1,
         })
     }
 
-    /// Settles what the attempt took from its customer's quota.
+    /// Updates the customer's quota with the meter reading and the actual units of an outcome.
     fn settle_quota(&mut self, outcome: &Outcome, ended: &EndedAttempt) {
         let (now, meter_period) = (self.now, self.settings.meter_period.as_secs_f64());
         let Some(customer) = self.customers.get_mut(&ended.customer) else { return };
@@ -140,12 +143,12 @@
         }
         let corrects = |units: &f64| ended.within_quota && ended.is_first_success && units.is_finite();
         if let Some(units) = outcome.actual_units.filter(corrects) {
-            customer.correct(now, units - ended.units);
+            customer.correct_consumption(now, units - ended.units);
         }
     }
 
-    /// Records what the attempt tells of its server: its load, and whether it fails a class or does not
-    /// connect.
+    /// Records an outcome in its server's state: the load report, the failure rate of the class, and the
+    /// zone's failure rate of connects.
     fn record_server_outcome(&mut self, outcome: &Outcome, ended: &EndedAttempt, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(server) = self.servers.get_mut(&ended.server) else { return };
@@ -154,26 +157,26 @@
             server.record_queue(now, queue);
         }
         server.utilization = outcome.report.utilization.map(sanitize).or(server.utilization);
-        if outcome.status == Status::Rejected || ended.is_blameless {
+        if outcome.status == Status::Rejected || ended.is_excluded_from_health {
             return;
         }
         let failed = outcome.status != Status::Ok;
         let failures = server.failures.entry(ended.class).or_default();
-        if failures.record(failed, now, SLOWNESS_HALF_LIFE_SECS) {
+        if failures.record(failed, now, HEALTH_HALF_LIFE_SECS) {
             actions.push(Action::Log(format!("server {} fails class {}", ended.server.0, ended.class)));
         }
         let zone = self.zone_connect_failures.entry(server.info.zone).or_default();
-        zone.record(outcome.status == Status::ConnectFailed, now, SLOWNESS_HALF_LIFE_SECS);
+        zone.record(outcome.status == Status::ConnectFailed, now, HEALTH_HALF_LIFE_SECS);
     }
 
-    /// Finishes the request, retries it or gives it up.
-    fn go_on_after(&mut self, outcome: &Outcome, was_open: bool, actions: &mut Vec<Action>) {
+    /// Finishes the request, waits for its other attempts, retries it or gives it up.
+    fn continue_request(&mut self, outcome: &Outcome, was_open: bool, actions: &mut Vec<Action>) {
         if outcome.finished || !was_open {
             return self.finish_request(outcome.id, Some(outcome.attempt), actions);
         }
         let request = self.requests.get(&outcome.id);
-        let goes_on = request.is_some_and(|r| r.has_attempt_in_flight() || r.streaming);
-        if !goes_on && (outcome.not_retryable || !self.retry(outcome.id, actions)) {
+        let is_in_progress = request.is_some_and(|r| r.has_attempt_in_flight() || r.streaming);
+        if !is_in_progress && (outcome.not_retryable || !self.retry(outcome.id, actions)) {
             self.give_up(outcome.id, actions);
         }
     }
--- a/quota-gateway/core/src/decisions/quota.rs
+++ b/quota-gateway/core/src/decisions/quota.rs
@@ -1,9 +1,9 @@
-//! A customer's quota at this gateway: the slice of the rate by the meter, the attempts in flight, and the
-//! local part of the hard rate limit.
+//! A customer's quota at this gateway: its slice of the rate, the attempts in flight, and its part of the
+//! hard rate limit.
 //!
-//! Several gateways serve one customer and do not talk to each other about it. Each has a slice of the quota,
-//! by its share of the use that the meter reports; the rate limit is kept by equal parts, since it must hold
-//! whatever the meter says.
+//! Several gateways serve one customer without exchanging messages about it. Each has a slice of the quota,
+//! proportional to its share of the use that the meter reports. The rate limit is divided equally, because it
+//! must hold even if the meter is wrong.
 
 use super::server::RATE_TIME_CONSTANT_SECS;
 use crate::api::{Plan, PlanId, Time};
@@ -11,35 +11,38 @@
 use crate::rate::Rate;
 use serde::{Deserialize, Serialize};
 
-/// Share of a rate limit's slack that fresh gateways start with (ours: two rounds of restarts stay inside
-/// it).
+/// Share of a rate limit's slack that a gateway starts with. At one half, two restarts of all gateways stay
+/// within the slack.
 const INITIAL_SLACK_SHARE: f64 = 0.5;
-/// Seconds after which an idle customer is forgotten (design), and in which a reading of the meter fades.
+/// Seconds after which an idle customer is removed. Also the time constant with which a meter reading decays.
 pub(crate) const CUSTOMER_TTL_SECS: f64 = 60.0;
-/// Weight of a meter reading in a share and in the mean use (ours: three or four readings make a new share).
+/// Weight of a meter reading in a customer's share and mean use: an average over three or four readings.
 const SHARE_WEIGHT: f64 = 0.3;
-/// Seconds by which the meter comes late (ours).
+/// Delay of meter readings in seconds.
 const METER_LAG_SECS: f64 = 1.0;
-/// Share of what is left beyond the slice that is given out between two readings (ours).
+/// Share of the quota left beyond the slices that all gateways together may use between two readings.
 const BEYOND_SLICE_SHARE: f64 = 0.5;
-/// Without a meter: seconds for which requests are remembered, as customers' ways change (ours).
+/// Without a meter: time constant of a customer's demand in seconds. It is bounded because customers' demand
+/// changes.
 const UNMETERED_TIME_CONSTANT_SECS: f64 = 10.0;
-/// Without a meter: seconds of quota beside a request at which its chance falls (ours), ...
-const UNMETERED_QUIET_SECS: f64 = 0.2;
-/// ... by which power (ours), ...
-const UNMETERED_POWER: i32 = 4;
-/// ... and the price of the square of the seconds of quota that it takes itself (ours).
+/// Without a meter: seconds of quota that, together with a request's own units, a customer's recent demand is
+/// compared to. The probability of admission falls as the demand grows past this allowance.
+const UNMETERED_ALLOWANCE_SECS: f64 = 0.2;
+/// Without a meter: exponent with which the probability of admission falls.
+const UNMETERED_DEMAND_EXPONENT: i32 = 4;
+/// Without a meter: weight of the square of a request's units, in seconds of quota, that lowers its
+/// probability of admission.
 const UNMETERED_COST_WEIGHT: f64 = 0.1;
-/// Without a meter: quotas that enlarged slices hold together at most (ours).
+/// Without a meter: maximum sum of the enlarged slices of all gateways, in quotas.
 const MAX_UNMETERED_QUOTAS: f64 = 3.0;
 
-/// The meter's readings of a customer.
+/// The average of the meter's readings for a customer.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 #[serde(from = "(f64, Time)", into = "(f64, Time)")]
 pub(crate) struct MeterReading {
     /// The mean, in units a second.
     mean: f64,
-    /// When the last one came.
+    /// When the last reading was received.
     received_at: Time,
 }
 
@@ -55,50 +58,51 @@
     }
 }
 
-/// What a request asks of a quota beyond the slice.
+/// The inputs of a check of a request against the rate.
 pub(crate) struct QuotaRequest {
-    /// Units that it needs.
+    /// Units that must be available.
     pub(crate) units: f64,
-    /// The meter's period in seconds; 0 where there is no meter.
+    /// The meter's period in seconds; 0 if there is no meter.
     pub(crate) meter_period: f64,
     /// A number drawn uniformly from [0, 1).
-    pub(crate) chance: f64,
-    /// The share of a mean customer's demand that quotas of its plan hold.
+    pub(crate) random_draw: f64,
+    /// The share of the demand of an average customer of the plan that is within its quota.
     pub(crate) plan_share: f64,
 }
 
-/// What this gateway knows of one customer's quota. Written by name for the gateway's next process.
+/// One customer's quota at this gateway. Part of [`StateSnapshot`](crate::StateSnapshot), so fields are
+/// serialized by name.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct CustomerQuota {
     #[serde(rename = "number")]
     pub(crate) plan_id: PlanId,
     #[serde(skip)]
     pub(crate) plan: Plan,
-    /// Gateways through which the customer's requests come.
+    /// Number of gateways that receive the customer's requests.
     pub(crate) gateways: f64,
     /// When the tokens were last refilled.
     #[serde(rename = "at")]
     pub(crate) refilled_at: Time,
-    /// Share of the customer's use that comes through here.
+    /// Share of the customer's use that passes through this gateway.
     pub(crate) share: f64,
-    /// The slice of the quota that follows from it.
+    /// This gateway's slice of the quota, computed from `share`.
     pub(crate) slice: f64,
-    /// Units in the slice's bucket.
+    /// Units in the bucket of the slice.
     #[serde(rename = "store")]
     pub(crate) slice_tokens: f64,
-    /// Units in the whole quota's bucket, as inferred.
+    /// Units in the bucket of the whole quota, as inferred from the meter.
     #[serde(rename = "level")]
     pub(crate) inferred_tokens: f64,
-    /// Units in the local part of the rate limit's bucket.
+    /// Units in the bucket of this gateway's part of the rate limit.
     #[serde(rename = "ceiling")]
     pub(crate) rate_limit_tokens: f64,
-    /// Units that are requested here, let in or not.
+    /// Units requested at this gateway, admitted or not.
     #[serde(rename = "asked")]
     pub(crate) demand: Rate,
-    /// Units that are let in here.
+    /// Units admitted at this gateway.
     #[serde(rename = "own")]
     pub(crate) local_use: Rate,
-    /// The local use, as old as the meter's readings are on average.
+    /// The local use, delayed by the average age of the meter's readings.
     #[serde(rename = "own_then")]
     pub(crate) lagged_local_use: f64,
     pub(crate) meter: Option<MeterReading>,
@@ -109,14 +113,16 @@
 }
 
 impl CustomerQuota {
-    /// Returns the quota of a customer that was not known, at a gateway that started `age` seconds ago. The
-    /// local part of the rate limit starts empty but for some slack: an earlier process may have spent it.
+    /// Returns the quota of a new customer at a gateway that started `age` seconds ago. The bucket of the
+    /// rate limit counts as empty at the gateway's start, except for some slack, because an earlier process
+    /// may have used it.
     pub(crate) fn new(plan: Plan, gateways: u32, now: Time, age: f64, meter_period: f64) -> CustomerQuota {
         let gateways = f64::from(gateways.max(1));
         let unmetered_slice = unmetered_slice(&plan, gateways, meter_period);
         let slice = unmetered_slice.unwrap_or(1.0 / gateways);
-        let is_small = is_small(&plan, gateways, meter_period);
-        let time_constant = if is_small { UNMETERED_TIME_CONSTANT_SECS } else { RATE_TIME_CONSTANT_SECS };
+        let slice_holds_no_request = slice_holds_no_request(&plan, gateways, meter_period);
+        let time_constant =
+            if slice_holds_no_request { UNMETERED_TIME_CONSTANT_SECS } else { RATE_TIME_CONSTANT_SECS };
         let rate_limit_tokens = plan.rate_limit * age + INITIAL_SLACK_SHARE * plan.rate_limit_slack;
         CustomerQuota {
             gateways,
@@ -133,7 +139,8 @@
         }
     }
 
-    /// Units a second that the other gateways let in. A reading fades slowly: rare customers would seem new.
+    /// Units per second that the other gateways admit. Readings decay slowly, so that customers with rare
+    /// requests do not count as new ones each time.
     pub(crate) fn others_rate(&self, now: Time) -> f64 {
         self.meter.map_or(0.0, |reading| {
             let age = now.since(reading.received_at);
@@ -141,7 +148,8 @@
         })
     }
 
-    /// Takes the units of a request that is let in, from the rate limit in any case.
+    /// Takes the units of an admitted request: always from the rate limit, and from the quota if it is within
+    /// it.
     pub(crate) fn consume(&mut self, now: Time, units: f64, within_quota: bool) {
         self.rate_limit_tokens -= units;
         if within_quota {
@@ -151,8 +159,8 @@
         self.local_use.add(now, units);
     }
 
-    /// Corrects what [`CustomerQuota::consume`] took by the units that a request really counted.
-    pub(crate) fn correct(&mut self, now: Time, difference: f64) {
+    /// Corrects the units taken by [`CustomerQuota::consume`], once the actual units of a request are known.
+    pub(crate) fn correct_consumption(&mut self, now: Time, difference: f64) {
         self.slice_tokens -= difference;
         self.inferred_tokens -= difference;
         self.local_use.add(now, difference);
@@ -163,7 +171,7 @@
         f64::from(self.in_flight) + f64::from(self.elsewhere)
     }
 
-    /// Refills all buckets for the time that has passed.
+    /// Refills all buckets for the time since the last refill.
     pub(crate) fn refill(&mut self, now: Time, meter_period: f64, max_units: f64) {
         let elapsed = now.since(self.refilled_at);
         let slice_depth = (self.plan.burst * self.slice).max(max_units.min(self.plan.burst));
@@ -178,8 +186,7 @@
         self.refilled_at = now;
     }
 
-    /// The metered slice (design): the quota times the averaged share of the metered use, at least an equal
-    /// part.
+    /// Sets the slice to this gateway's averaged share of the metered use, and at least to an equal part.
     pub(crate) fn recompute_slice(&mut self) {
         self.slice = self.share.max(1.0 / self.gateways);
     }
@@ -188,10 +195,11 @@
     pub(crate) fn on_meter_reading(&mut self, now: Time, used: f64, meter_period: f64) {
         let limit = if self.plan.rate > 0.0 { self.plan.rate } else { f64::from(self.plan.max_in_flight) };
         let total = sanitize(used) * limit;
-        // A period holds a request or two of most customers: one reading alone says little of their rate.
+        // Most customers make only a request or two per period, so a single reading is a poor estimate of
+        // their rate.
         let mean = self.meter.map_or(total, |reading| ewma(reading.mean, total, SHARE_WEIGHT));
         self.meter = Some(MeterReading { mean, received_at: now });
-        // What passed the quota in the period that the meter reports came out of its bucket.
+        // Use over the quota in the reported period was taken from the quota's bucket.
         let drained = (total - limit) * meter_period;
         self.inferred_tokens =
             self.inferred_tokens.min(self.plan.burst - drained.max(0.0)).max(self.inferred_tokens.min(0.0));
@@ -201,7 +209,7 @@
         }
     }
 
-    /// Seconds until what a rejected request lacked is there: units, or the end of an attempt.
+    /// Seconds until a rejected request could be admitted: until the units are refilled, or an attempt ends.
     pub(crate) fn seconds_until_available(&self, units: f64, by_rate_limit: bool, latency: f64) -> f64 {
         let until = |lacking: f64, rate: f64| lacking / rate.max(1e-3);
         if by_rate_limit {
@@ -213,67 +221,69 @@
         }
     }
 
-    /// Departure: the chance of a request without a meter, by what was requested here and the seconds of
-    /// quota that it takes.
+    /// Differs from the design: the probability that a request is admitted without a meter. It falls with the
+    /// recent demand at this gateway and with the seconds of quota that the request takes.
     fn unmetered_chance(&self, now: Time, units: f64) -> f64 {
-        let quiet = units + UNMETERED_QUIET_SECS * self.plan.rate;
+        let allowance = units + UNMETERED_ALLOWANCE_SECS * self.plan.rate;
         let seconds = units / self.plan.rate;
-        let alone = quiet / (quiet + self.demand.get(now) * UNMETERED_TIME_CONSTANT_SECS);
+        let demand_factor = allowance / (allowance + self.demand.get(now) * UNMETERED_TIME_CONSTANT_SECS);
         let cost = sanitize(self.plan.over_quota_cost - self.plan.over_quota_value);
-        alone.powi(UNMETERED_POWER) / (1.0 + UNMETERED_COST_WEIGHT * cost * seconds * seconds)
+        demand_factor.powi(UNMETERED_DEMAND_EXPONENT)
+            / (1.0 + UNMETERED_COST_WEIGHT * cost * seconds * seconds)
     }
 
-    /// Whether a request is within the rate: in the slice's bucket, or beyond it where the whole quota still
-    /// holds it.
+    /// Returns whether a request is within the rate: the bucket of the slice has enough units, or
+    /// that of the whole quota has.
     pub(crate) fn is_within_rate(&self, now: Time, request: &QuotaRequest) -> bool {
         self.plan.rate <= 0.0
             || self.slice_tokens >= request.units
             || self.is_within_rate_beyond_slice(now, request)
     }
 
-    /// Departure: beyond the slice, but by the meter the customer's whole bucket still holds it. Each gateway
-    /// takes of that by chance, by what is requested here. A customer of whom nothing is known, and whose
-    /// quota one request at each of its gateways would pass while they remember it, is taken for its plan's
-    /// mean one.
+    /// Differs from the design: admits requests beyond the slice while, by the meter, the bucket of the whole
+    /// quota has enough units. Each gateway admits them at random, with a probability that falls with the
+    /// demand. A customer without meter readings counts as an average customer of its plan if a single
+    /// request at each of its gateways within [`CUSTOMER_TTL_SECS`] would exceed the quota.
     fn is_within_rate_beyond_slice(&self, now: Time, request: &QuotaRequest) -> bool {
-        let QuotaRequest { units, meter_period, chance, plan_share } = *request;
+        let QuotaRequest { units, meter_period, random_draw, plan_share } = *request;
         let demand = self.demand.get(now) / self.share.max(1.0 / self.gateways);
         let expected = demand * (meter_period + METER_LAG_SECS);
         let is_rare = self.gateways * units <= self.plan.burst + CUSTOMER_TTL_SECS * self.plan.rate;
-        let is_known = is_rare || self.meter.is_some() || chance <= plan_share;
+        let is_known = is_rare || self.meter.is_some() || random_draw <= plan_share;
         let is_metered = meter_period > 0.0;
         let fits = || {
             self.inferred_tokens >= units
-                && chance * expected <= (self.inferred_tokens - units) * BEYOND_SLICE_SHARE
+                && random_draw * expected <= (self.inferred_tokens - units) * BEYOND_SLICE_SHARE
         };
         let passes_unmetered =
-            || self.plan.burst < self.gateways && chance <= self.unmetered_chance(now, units);
+            || self.plan.burst < self.gateways && random_draw <= self.unmetered_chance(now, units);
         is_known && if is_metered { fits() } else { passes_unmetered() }
     }
 
-    /// Whether one more attempt, which is in flight for so many seconds, is within the limit on those.
+    /// Returns whether one more attempt is within the limit on attempts in flight. `seconds` is the time that
+    /// a unit is expected to be in flight.
     pub(crate) fn is_within_concurrency(&self, now: Time, seconds: f64) -> bool {
         if self.plan.max_in_flight == 0 {
             return true;
         }
         let (limit, local) = (f64::from(self.plan.max_in_flight), self.in_flight_count());
-        // What the other gateways have in flight follows from their use and the latency (Little's law): one
-        // attempt at each of many gateways is beyond the limit, above all when answers slow down.
+        // The other gateways' attempts in flight are estimated from their use and the latency (Little's law).
+        // One attempt at each of many gateways can exceed the limit, especially when answers get slower.
         let others = if self.plan.rate > 0.0 { self.others_rate(now) * seconds } else { 0.0 };
         local + 1.0 <= (limit * self.share.max(0.5)).max(1.0) && local + 1.0 + others <= limit
     }
 }
 
-/// Whether there is no meter, and an equal slice of this plan's quota holds no request.
-fn is_small(plan: &Plan, gateways: f64, meter_period: f64) -> bool {
+/// Returns whether there is no meter and the bucket of an equal slice is too small for a request of one unit.
+fn slice_holds_no_request(plan: &Plan, gateways: f64, meter_period: f64) -> bool {
     meter_period <= 0.0 && plan.rate > 0.0 && plan.burst < gateways
 }
 
-/// Departure: without a meter, slices that hold no request are enlarged, by what a request beyond the quota
-/// costs.
+/// Differs from the design: without a meter, slices that are too small for a request are enlarged. The lower
+/// the cost of a request over the quota, the larger the slice.
 fn unmetered_slice(plan: &Plan, gateways: f64, meter_period: f64) -> Option<f64> {
     let cost = sanitize(plan.over_quota_cost - plan.over_quota_value);
-    let large = gateways.powf(-1.0 / (1.0 + 1.0 / cost));
-    let is_bounded = large >= 1.0 || large * gateways <= MAX_UNMETERED_QUOTAS;
-    (is_small(plan, gateways, meter_period) && is_bounded).then_some(large)
+    let enlarged = gateways.powf(-1.0 / (1.0 + 1.0 / cost));
+    let is_bounded = enlarged >= 1.0 || enlarged * gateways <= MAX_UNMETERED_QUOTAS;
+    (slice_holds_no_request(plan, gateways, meter_period) && is_bounded).then_some(enlarged)
 }
--- a/quota-gateway/core/src/decisions/request.rs
+++ b/quota-gateway/core/src/decisions/request.rs
@@ -1,4 +1,4 @@
-//! A request that was let in, and its attempts.
+//! An admitted request and its attempts.
 
 use crate::api::{CustomerId, Placement, ServerId, Status, Time};
 
@@ -6,36 +6,36 @@
 pub(crate) struct Attempt {
     pub(super) server: ServerId,
     pub(super) sent: Time,
-    /// How it ended; `None` while it is in flight.
+    /// The result; `None` while it is in flight.
     pub(super) end: Option<Status>,
 }
 
 impl Attempt {
-    /// Whether its server may have executed it, or may still.
+    /// Returns whether its server may have executed it, or may still do so.
     fn may_have_executed(&self) -> bool {
         !matches!(self.end, Some(Status::Rejected | Status::ConnectFailed | Status::NotSent))
     }
 }
 
-/// A request that was let in.
+/// An admitted request.
 #[derive(Default)]
 pub(crate) struct Request {
     pub(super) class: usize,
     pub(super) customer: CustomerId,
-    /// When its client gives up.
+    /// When the client's timeout ends.
     pub(super) deadline: Time,
-    /// An answer after this is worth nothing.
+    /// An answer after this has no value.
     pub(super) latency_deadline: Time,
     /// Units that it counts against the quota.
     pub(super) units: f64,
     pub(super) within_quota: bool,
     pub(super) placement: Placement,
-    /// It has no final answer yet.
+    /// Whether it has no final answer yet.
     pub(super) open: bool,
     pub(super) client_disconnected: bool,
-    /// Its body is still on its way.
+    /// Whether its body is still arriving.
     pub(super) body_in_flight: bool,
-    /// A streamed answer has begun.
+    /// Whether a streamed answer has begun.
     pub(super) streaming: bool,
     pub(super) attempts: Vec<Attempt>,
 }
@@ -45,7 +45,7 @@
         self.attempts.iter().any(|attempt| attempt.end.is_none())
     }
 
-    /// The earliest attempt that a server may have executed, or may still.
+    /// The earliest attempt that a server may have executed, or may still execute.
     pub(super) fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_executed())
     }
--- a/quota-gateway/core/src/decisions/server_list.rs
+++ b/quota-gateway/core/src/decisions/server_list.rs
@@ -1,4 +1,4 @@
-//! Which servers there are, which of them operators have disabled, and which this gateway prefers.
+//! The servers that are listed, those that operators have disabled, and the subset that this gateway prefers.
 
 use super::server::Server;
 use super::Gateway;
@@ -7,15 +7,15 @@
 use crate::subsetting::subset;
 use std::collections::BTreeMap;
 
-/// Servers that a gateway prefers, so that it knows them and its connections to them stay in use (ours) ...
+/// Minimum size of the subset of servers that a gateway prefers. With few servers, the gateway's statistics
+/// of each are better and its connections stay in use.
 const MIN_SUBSET_SIZE: f64 = 9.0;
-/// ... and gateways that share each server at least, which makes the subsets larger where gateways are few
-/// (ours).
+/// Minimum number of gateways that share a server. It makes the subsets larger if there are few gateways.
 const MIN_GATEWAYS_PER_SERVER: f64 = 4.0;
 
 impl Gateway {
-    /// Applies a server list. Drains take effect at once: a server is chosen only while it is listed as
-    /// running.
+    /// Applies a server list. A drain takes effect at once, because only servers listed as running are
+    /// selected.
     pub(super) fn on_server_list(&mut self, scope: Scope, list: Vec<ServerInfo>) {
         match scope {
             Scope::Failed => self.subscribe_due = self.settings.discovery == Discovery::Subscribe,
@@ -25,30 +25,31 @@
             Scope::Delta => {}
         }
         for info in list {
-            self.on_listed(info);
+            self.update_server(info);
         }
         self.choose_subset();
     }
 
-    fn on_listed(&mut self, mut info: ServerInfo) {
+    fn update_server(&mut self, mut info: ServerInfo) {
         info.capacity = if sanitize(info.capacity) > 0.0 { sanitize(info.capacity) } else { 1.0 };
         let restarted = self.servers.get(&info.id).is_some_and(|server| server.info.started != info.started);
         let now = self.now;
-        // A random part of a first token: hundreds of gateways would else send a cold server its first
-        // request together.
+        // The bucket starts with a random part of a token. Otherwise hundreds of gateways would send a server
+        // in slow start its first request at the same time.
         let slow_start_tokens = self.random.uniform();
-        let fresh = |info: ServerInfo| Server { slow_start_tokens, ..Server::new(info, now) };
-        let server = self.servers.entry(info.id).or_insert_with(|| fresh(info.clone()));
+        let new_server = |info: ServerInfo| Server { slow_start_tokens, ..Server::new(info, now) };
+        let server = self.servers.entry(info.id).or_insert_with(|| new_server(info.clone()));
         if restarted {
             let in_flight = std::mem::take(&mut server.in_flight);
-            let (elsewhere, is_owed_request) = (server.elsewhere, server.is_owed_request);
-            *server = Server { in_flight, elsewhere, is_owed_request, ..fresh(info) };
+            let (elsewhere, needs_probe) = (server.elsewhere, server.needs_probe);
+            *server = Server { in_flight, elsewhere, needs_probe, ..new_server(info) };
         } else {
             server.info = info;
         }
     }
 
-    /// Chooses the servers that this gateway prefers, the same share of each zone (deterministic subsetting).
+    /// Selects the subset of servers that this gateway prefers, with the same share of each zone
+    /// (deterministic subsetting).
     pub(super) fn choose_subset(&mut self) {
         let mut zones: BTreeMap<u32, Vec<u32>> = BTreeMap::new();
         self.usable_servers()
@@ -65,9 +66,9 @@
         }
     }
 
-    /// Enables a server again. What was learnt of it may be of an earlier process: it counts as warming up
-    /// until the list has had time to report a restart, and it gets the next request that it may take, since
-    /// nothing else shows how it is.
+    /// Enables a server again. Its statistics may be those of an earlier process and are reset. The server is
+    /// in slow start until the list has had time to report a restart, and gets the next request that it may
+    /// take, because only a request shows its state.
     pub(super) fn enable_server(&mut self, id: ServerId) {
         let (Some(since), now) = (self.disabled.remove(&id), self.now) else { return };
         if let Some(server) = self.servers.get_mut(&id) {
@@ -77,7 +78,7 @@
                 in_flight,
                 elsewhere: server.elsewhere,
                 reenabled_at,
-                is_owed_request: true,
+                needs_probe: true,
                 slow_start_tokens: self.random.uniform(),
                 ..Server::new(info, now)
             };
@@ -85,7 +86,7 @@
         self.choose_subset();
     }
 
-    /// The servers that are listed as running and not disabled.
+    /// Servers that are listed as running and not disabled.
     pub(super) fn usable_servers(&self) -> impl Iterator<Item = &Server> {
         let listed = self.servers.values().filter(|server| server.info.lifecycle == Lifecycle::Running);
         listed.filter(|server| !self.disabled.contains_key(&server.info.id))
--- a/quota-gateway/core/src/decisions/step.rs
+++ b/quota-gateway/core/src/decisions/step.rs
@@ -1,20 +1,20 @@
-//! The periodic step, every 100 ms: load is assessed, and once a second the slices of the customers' quotas
-//! are cut anew.
+//! The periodic step: assesses the load every 100 ms, and recomputes the customers' slices once per second.
 
 use super::load_shedding::STEP_SECS;
 use super::quota::{CustomerQuota, CUSTOMER_TTL_SECS};
 use super::server::{Server, RATE_TIME_CONSTANT_SECS};
 use super::timer::Timer;
-use super::{Gateway, LOST_IS_RETRIED};
+use super::{Gateway, LOST_RETRY_TIMEOUTS};
 use crate::api::{Action, Lifecycle};
 
-/// Steps between two slices of a customer (design: one second).
-pub(super) const STEPS_PER_SLICE: u64 = 10;
-/// Requests that wait at a server from which it counts as reporting its load.
+/// Steps between two computations of the slices: one second.
+pub(super) const STEPS_PER_SLICE_UPDATE: u64 = 10;
+/// Queue length from which a server counts as reporting its load, and as fully busy if it reports no
+/// utilization.
 const MIN_REPORTED_QUEUE: f64 = 0.5;
-/// The gateway says that it sheds load when it admits less than this fraction, and that it does no longer
-/// when it admits all.
-const SHEDDING_BELOW: f64 = 0.9;
+/// Admitted fraction below which the gateway logs that it sheds load. It logs the end when everything is
+/// admitted.
+const SHEDDING_THRESHOLD: f64 = 0.9;
 
 impl Gateway {
     /// Handles the timer of the step, and sets the next one.
@@ -27,18 +27,19 @@
         let lag = self.mean_latency.iter().copied().fold(0.0, f64::max);
         self.shedder.assess(occupancy, lag, self.requests.is_empty());
         self.log_shedding(actions);
-        if self.shedder.steps.is_multiple_of(STEPS_PER_SLICE) {
+        if self.shedder.steps.is_multiple_of(STEPS_PER_SLICE_UPDATE) {
             self.expire();
             self.customers.values_mut().for_each(CustomerQuota::recompute_slice);
         }
     }
 
-    /// Counts attempts that have no answer yet by their age, at the rate at which they would be counted once
-    /// answered.
+    /// Records unanswered attempts that are older than their class's mean latency, with their age as the
+    /// latency. Each counts as a fraction of an answer, at the rate at which answers of that latency would be
+    /// recorded.
     fn sample_unanswered(&mut self) {
         let mut samples = Vec::new();
         let attempts = self.usable_servers().flat_map(|server| &server.in_flight);
-        for attempt in attempts.filter(|attempt| attempt.is_work(self.now, LOST_IS_RETRIED)) {
+        for attempt in attempts.filter(|attempt| attempt.occupies_capacity(self.now, LOST_RETRY_TIMEOUTS)) {
             let age = self.now.since(attempt.sent_at);
             let request = self.requests.get(&attempt.id);
             if let Some(request) = request.filter(|r| r.open && age > self.mean_latency[r.class]) {
@@ -51,27 +52,27 @@
         }
     }
 
-    /// The mean occupancy that the servers report: busy processors, and queues against the answers of one
-    /// second. `None` where none reports anything.
+    /// The mean occupancy that the servers report: their utilization, plus their queue length relative to the
+    /// answers of one second. `None` if no server reports its load.
     fn reported_occupancy(&self) -> Option<f64> {
         let (mut is_reported, mut sum, mut count) = (false, 0.0, 0.0);
         for server in self.usable_servers() {
             let queue = server.decayed_queue(self.now);
             is_reported = is_reported || server.utilization.is_some() || queue > MIN_REPORTED_QUEUE;
-            sum = sum + busy_share(server, queue) + queue / self.answers_of_all_gateways(server);
+            sum = sum + busy_share(server, queue) + queue / self.answer_rate_all_gateways(server);
             count += 1.0;
         }
         is_reported.then_some(sum / count)
     }
 
-    /// What a server answers in a second, to all gateways together.
-    fn answers_of_all_gateways(&self, server: &Server) -> f64 {
+    /// Estimated answers per second of a server to all gateways together.
+    fn answer_rate_all_gateways(&self, server: &Server) -> f64 {
         (server.answer_rate.get(self.now) * f64::from(self.settings.gateways)).max(1.0)
     }
 
     fn log_shedding(&mut self, actions: &mut Vec<Action>) {
         let admitted = self.shedder.admitted_fraction;
-        let is_shedding = admitted < SHEDDING_BELOW;
+        let is_shedding = admitted < SHEDDING_THRESHOLD;
         let is_clear = admitted >= 1.0;
         let changes = self.shedding != is_shedding && (is_shedding || is_clear);
         if changes {
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Forgets servers that are gone once no request is bound by them, as ids of servers are ever new, and
-    /// idle customers.
+    /// Removes idle customers, and servers that are gone and that no request refers to. Without this, the
+    /// server map would grow without bound, since replacement servers have new ids.
     fn expire(&mut self) {
         let (now, requests) = (self.now, &self.requests);
         let is_referenced =
@@ -93,7 +94,7 @@
     }
 }
 
-/// The share of a server that is busy: as it reports, else all of it where requests wait.
+/// The utilization that a server reports. If it reports none, 1 if requests are waiting and 0 otherwise.
 fn busy_share(server: &Server, queue: f64) -> f64 {
     let by_queue = if queue > MIN_REPORTED_QUEUE { 1.0 } else { 0.0 };
     server.utilization.map_or(by_queue, |utilization| utilization.min(1.0))
--- a/quota-gateway/core/src/decisions/tests.rs
+++ b/quota-gateway/core/src/decisions/tests.rs
@@ -1,6 +1,6 @@
-//! What can be seen only from within: that nothing is kept of what is over.
+//! Tests that need access to private state: entries for departed servers and finished requests are removed.
 
-use super::step::STEPS_PER_SLICE;
+use super::step::STEPS_PER_SLICE_UPDATE;
 use super::timer::Timer;
 use super::Gateway;
 use crate::api::*;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn departed_servers_are_forgotten_once_no_request_references_them() {
+fn departed_servers_are_removed_once_no_request_refers_to_them() {
     let ms = Duration::from_millis;
     let effect = Effect::Keyed { group: DeduplicationScope::Cell, window: ms(5000) };
     let settings = Settings {
@@ -37,7 +37,7 @@
     };
     let mut gateway = Gateway::new(settings, 7);
     let mut now = 0;
-    // Each is replaced by the next one.
+    // Each server is replaced by the next one.
     for id in 0..50 {
         list(&mut gateway, now, Scope::Full, id, Lifecycle::Running);
     }
@@ -57,14 +57,14 @@
     assert!(actions.iter().any(|a| matches!(a, Action::Send { server: ServerId(49), .. })));
     list(&mut gateway, now, Scope::Delta, 49, Lifecycle::Gone);
     let mut steps = |gateway: &mut Gateway| {
-        for _ in 0..STEPS_PER_SLICE {
+        for _ in 0..STEPS_PER_SLICE_UPDATE {
             now += 100_000_000;
             gateway.handle(Time(now), Event::Timer(Timer::Step.token()), &mut Vec::new());
         }
     };
     steps(&mut gateway);
     let kept: Vec<_> = gateway.servers.keys().copied().collect();
-    assert_eq!(kept, [ServerId(49)], "its cell bounds where the request may be repeated");
+    assert_eq!(kept, [ServerId(49)], "the request may only be retried in the cell of this server");
     gateway.handle(Time(1_000_000_000), Event::ClientDisconnected(RequestId(1)), &mut Vec::new());
     let outcome = Outcome {
         id: RequestId(1),
--- a/quota-gateway/core/src/decisions/timer.rs
+++ b/quota-gateway/core/src/decisions/timer.rs
@@ -1,4 +1,4 @@
-//! The gateway's timers, as the tokens that come back with them.
+//! The gateway's timers, encoded as tokens.
 
 use crate::api::{RequestId, Token};
 
@@ -8,19 +8,19 @@
 const DEADLINE: u64 = 1;
 const CHECK: u64 = 2;
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
     /// The periodic step.
     Step,
-    /// A request must have its final answer.
+    /// The deadline of a request.
     Deadline(RequestId),
-    /// The last attempt of a request has taken long.
+    /// A check of the last attempt of a request.
     Check(RequestId),
 }
 
 impl Timer {
-    /// The token of this timer.
+    /// Encodes this timer as a token.
     pub(super) fn token(self) -> Token {
         let of_request = |id: RequestId, kind| Token(u64::from(id.0) << KIND_BITS | kind);
         match self {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The timer of this token; `None` for a token that this gateway never gave out.
+    /// Decodes a token; `None` if it is not a token of this gateway.
     pub(super) fn from_token(token: Token) -> Option<Timer> {
         if token.0 == STEP {
             return Some(Timer::Step);
--- a/quota-gateway/core/src/failure_rate.rs
+++ b/quota-gateway/core/src/failure_rate.rs
@@ -1,17 +1,17 @@
-//! The share of attempts that failed lately, for ejecting what fails.
+//! Recent failure rate, by which failing servers are avoided.
 //!
-//! The share halves with time, so that a server without traffic is tried again after a while.
+//! The rate decays with time, so that a failing server that gets no traffic is tried again after a while.
 
 use crate::api::Time;
 use crate::arithmetic::ewma;
 use serde::{Deserialize, Serialize};
 
-/// Weight of one attempt in the share; one failure alone reaches [`FAILING_SHARE`].
+/// Weight of one attempt in the failure rate. A single failure reaches [`FAILING_SHARE`].
 const FAILURE_WEIGHT: f64 = 0.5;
-/// The share from which a server counts as failing.
+/// Failure rate from which a server counts as failing.
 const FAILING_SHARE: f64 = FAILURE_WEIGHT;
 
-/// The share of attempts that failed lately, from 0 to 1.
+/// An exponentially decaying average of the share of attempts that failed, from 0 to 1.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(from = "(f64, Time)", into = "(f64, Time)")]
 pub struct FailureRate {
@@ -33,12 +33,12 @@
 }
 
 impl FailureRate {
-    /// Returns the share as of now, which halves in `half_life` seconds.
+    /// Returns the current rate. It halves every `half_life` seconds without attempts.
     pub fn get(&self, now: Time, half_life: f64) -> f64 {
         self.share * 0.5_f64.powf(now.since(self.as_of) / half_life)
     }
 
-    /// Records whether an attempt failed; returns whether the server has begun to fail with it.
+    /// Records the result of an attempt. Returns whether the rate has reached [`FAILING_SHARE`] with it.
     pub fn record(&mut self, failed: bool, now: Time, half_life: f64) -> bool {
         let before = self.get(now, half_life);
         let share = ewma(before, f64::from(u8::from(failed)), FAILURE_WEIGHT);
--- a/quota-gateway/core/src/lib.rs
+++ b/quota-gateway/core/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of the quota gateway: several gateways meter many customers' use of one shared service.
+//! Request decisions of the quota gateway: quotas, load shedding, load balancing and retries.
 //!
-//! A [`Gateway`] is a state machine without I/O. The caller passes in events with the time at which they happened, and
-//! performs the actions that come back. It opens no socket, reads no clock and shares nothing, so that the same decisions run
-//! in the server, on the simulator's wire, and in tests on a virtual clock.
+//! Several gateways forward the requests of many customers to one service and enforce the customers' quotas.
+//! A [`Gateway`] is one of them, as a state machine without I/O: the caller passes in events with the time at
+//! which they happened, and performs the returned actions. It opens no socket, reads no clock and shares no
+//! state, so the same code runs in the server, in the simulator adapter and in tests on a virtual clock.
 //!
 //! ```
 //! use marblecroft_quota_gateway_core::*;
@@ -65,7 +66,7 @@
 mod rate;
 mod state_transfer;
 mod subsetting;
-mod weighted_lanes;
+mod zone_round_robin;
 
 pub use api::*;
 pub use decisions::load_shedding::{Shedder, STEP_SECS as SHEDDER_STEP_SECS};
--- a/quota-gateway/core/src/random.rs
+++ b/quota-gateway/core/src/random.rs
@@ -1,5 +1,5 @@
-//! Deterministic random numbers and hashes (SplitMix64: Steele, Lea and Flood, "Fast Splittable Pseudorandom Number
-//! Generators", OOPSLA 2014).
+//! Deterministic random numbers and hashes (SplitMix64: Steele, Lea and Flood, "Fast Splittable Pseudorandom
+//! Number Generators", OOPSLA 2014).
 
 /// The increment of SplitMix64: 2^64 divided by the golden ratio.
 pub(crate) const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -11,7 +11,7 @@
     z ^ (z >> 31)
 }
 
-/// A stream of random numbers; the field is the seed, and the state from then on.
+/// A pseudorandom number generator. The field is its state, which starts as the seed.
 pub struct Random(pub u64);
 
 impl Random {
--- a/quota-gateway/core/src/state_transfer.rs
+++ b/quota-gateway/core/src/state_transfer.rs
@@ -1,5 +1,5 @@
-//! What others learn of a gateway's state: its next process, which must know it; each of the two what the other does while
-//! both live; the operators; the fleet's fair shares. Nothing is decided here.
+//! State that leaves a gateway: snapshots for the process that replaces it, updates between the two processes
+//! while both run, and figures for operators and for the fair-share allocation. Nothing is decided here.
 
 use crate::api::{CustomerId, PeerProcessEvent, ServerId, Time};
 use crate::arithmetic::sanitize;
@@ -10,8 +10,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a gateway's next process must know of this one, to count nothing twice and to learn nothing anew. Written by name: the
-/// two processes may be of different versions.
+/// State that a gateway passes to the process that replaces it, so that the new process keeps the counts and
+/// averages of this one. Fields are serialized by name because the two processes may run different versions.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct StateSnapshot {
     #[serde(rename = "started")]
@@ -20,7 +20,7 @@
     disabled: BTreeMap<ServerId, Time>,
     customers: BTreeMap<CustomerId, CustomerQuota>,
     shedder: Shedder,
-    /// Mean units, mean latency and the longest wait of each class.
+    /// Mean units, mean latency and longest client timeout of each class.
     classes: Vec<(f64, f64, f64)>,
     #[serde(rename = "mean_out")]
     mean_in_flight: f64,
@@ -31,18 +31,18 @@
 }
 
 impl Gateway {
-    /// Returns the retry budget: retries that may be sent at once.
+    /// Returns the retry budget: the number of retries that may be sent at once.
     pub fn retry_budget(&self) -> f64 {
         self.retry_budget
     }
 
-    /// Returns the share of a customer's traffic that comes through this gateway, as the meter reports it.
+    /// Returns the share of a customer's use that passes through this gateway, as derived from the meter.
     pub fn customer_share(&self, customer: CustomerId) -> Option<f64> {
         self.customers.get(&customer).map(|customer| customer.share)
     }
 
-    /// Returns what the next process of this gateway must know. For that one, what this one has in flight is in flight
-    /// elsewhere.
+    /// Returns a snapshot for the process that replaces this one. It counts this process's attempts in flight
+    /// as those of another process.
     pub fn snapshot(&self) -> StateSnapshot {
         let (mut servers, mut customers) = (self.servers.clone(), self.customers.clone());
         servers.values_mut().for_each(|s| s.elsewhere += std::mem::take(&mut s.in_flight).len() as u32);
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Restores the state of a living process of this gateway, before the first event. What does not fit the settings is
-    /// ignored.
+    /// Restores the state of a running process of this gateway. Must be called before the first event. State
+    /// that does not match the settings is ignored.
     pub fn restore(&mut self, snapshot: StateSnapshot) {
         (self.started_at, self.servers, self.disabled) =
             (snapshot.started_at, snapshot.servers, snapshot.disabled);
@@ -82,18 +82,20 @@
             (snapshot.mean_in_flight, snapshot.recent_sends, snapshot.retry_budget);
     }
 
-    /// Handles what another process of this gateway does: the two keep the same state.
+    /// Applies the activity of another process of this gateway, so that both keep the same counts.
     pub(crate) fn on_peer_process_event(&mut self, event: PeerProcessEvent) {
         let now = self.now;
         match event {
             PeerProcessEvent::Sent { customer, plan, gateways, units, server } => {
                 if let Some(c) = self.customer(customer, plan, gateways) {
                     c.elsewhere += 1;
-                    // Beyond a quota only plans pass whose value allows it; whether one did is not reported here.
+                    // The event does not report whether the request was within its quota, so it is counted as
+                    // if it was. Requests over the quota are sent only for plans whose over-quota value
+                    // exceeds the cost.
                     c.consume(now, sanitize(units), true);
                 }
                 if let Some(s) = self.servers.get_mut(&server) {
-                    (s.elsewhere, s.is_owed_request) = (s.elsewhere + 1, false);
+                    (s.elsewhere, s.needs_probe) = (s.elsewhere + 1, false);
                     s.slow_start_tokens -= if s.warm_share(now, &self.settings) < 1.0 { 1.0 } else { 0.0 };
                 }
                 self.recent_sends += 1.0;
--- a/quota-gateway/core/tests/common/mod.rs
+++ b/quota-gateway/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small front door for the tests: settings, and a driver that keeps the clock and delivers timers.
+//! A small front harness for the tests: settings, and a driver that keeps the clock and delivers timers.
 #![allow(dead_code)]
 
 use marblecroft_quota_gateway_core::*;
@@ -17,7 +17,7 @@
     Effect::Keyed { group, window: ms(2000) }
 }
 
-pub fn roomy() -> Plan {
+pub fn unlimited_plan() -> Plan {
     Plan { rate: 1e6, burst: 1e6, price: 1.0, over_quota_cost: 1.0, ..Plan::default() }
 }
 
@@ -56,29 +56,36 @@
     }
 }
 
-pub struct Door {
+pub struct Harness {
     pub gateway: Gateway,
     pub now: u64,
     pub timers: BTreeSet<(u64, u64)>,
-    pub next: u32,
+    pub next_id: u32,
     /// Gateways through which each customer comes.
-    pub spread: u32,
+    pub customer_gateways: u32,
     pub log: Vec<(u64, Action)>,
 }
 
-impl Door {
-    pub fn new(settings: Settings, servers: u32) -> Door {
-        Door::seeded(settings, servers, 42)
+impl Harness {
+    pub fn new(settings: Settings, servers: u32) -> Harness {
+        Harness::with_seed(settings, servers, 42)
     }
 
-    pub fn seeded(settings: Settings, servers: u32, seed: u64) -> Door {
+    pub fn with_seed(settings: Settings, servers: u32, seed: u64) -> Harness {
         let gateway = Gateway::new(settings, seed);
-        let mut door = Door { gateway, now: 0, timers: BTreeSet::new(), next: 0, spread: 2, log: Vec::new() };
-        door.list(Scope::Full, (0..servers).map(server).collect());
-        door
+        let mut harness = Harness {
+            gateway,
+            now: 0,
+            timers: BTreeSet::new(),
+            next_id: 0,
+            customer_gateways: 2,
+            log: Vec::new(),
+        };
+        harness.update_servers(Scope::Full, (0..servers).map(server).collect());
+        harness
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(Time(self.now), event, &mut actions);
         for action in &actions {
@@ -90,60 +97,66 @@
         actions
     }
 
-    pub fn list(&mut self, scope: Scope, servers: Vec<ServerInfo>) {
-        self.event(Event::Servers { scope, servers });
+    pub fn update_servers(&mut self, scope: Scope, servers: Vec<ServerInfo>) {
+        self.handle(Event::Servers { scope, servers });
     }
 
     /// Lets time pass, timers going off on the way; what they led to.
-    pub fn pass(&mut self, millis: u64) -> Vec<Action> {
+    pub fn advance(&mut self, millis: u64) -> Vec<Action> {
         let end = self.now + millis * 1_000_000;
         let mut actions = Vec::new();
         while let Some(&(at, token)) = self.timers.first().filter(|&&(at, _)| at <= end) {
             self.timers.remove(&(at, token));
             self.now = self.now.max(at);
-            actions.extend(self.event(Event::Timer(Token(token))));
+            actions.extend(self.handle(Event::Timer(Token(token))));
         }
         self.now = end;
         actions
     }
 
     pub fn request(&mut self, class: usize, plan: usize, customer: u64) -> (RequestId, Vec<Action>) {
-        self.request_of(class, plan, customer, 1.0)
+        self.request_with_units(class, plan, customer, 1.0)
     }
 
-    pub fn request_of(
+    pub fn request_with_units(
         &mut self,
         class: usize,
         plan: usize,
         customer: u64,
         units: f64,
     ) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next);
-        self.next += 1;
-        let actions = self.event(Event::Request(NewRequest {
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        let actions = self.handle(Event::Request(NewRequest {
             id,
             class: ClassId(class),
             plan: PlanId(plan),
             customer: CustomerId(customer),
             deadline: Time(self.now + 3_000_000_000),
             units,
-            gateways: self.spread,
+            gateways: self.customer_gateways,
             is_retry: false,
             body_in_flight: false,
         }));
         (id, actions)
     }
 
-    pub fn settle(&mut self, id: RequestId, attempt: u32, status: Status, millis: u64) -> Vec<Action> {
-        self.event(Event::Outcome(outcome(id, attempt, status, millis)))
+    pub fn finish_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        status: Status,
+        millis: u64,
+    ) -> Vec<Action> {
+        self.handle(Event::Outcome(outcome(id, attempt, status, millis)))
     }
 
     /// One request served after so many milliseconds; whether it was let in.
     pub fn serve(&mut self, class: usize, plan: usize, customer: u64, millis: u64) -> Option<ServerId> {
         let (id, actions) = self.request(class, plan, customer);
-        self.pass(millis);
-        let server = sent(&actions)?;
-        self.settle(id, 0, Status::Ok, millis);
+        self.advance(millis);
+        let server = sent_to(&actions)?;
+        self.finish_attempt(id, 0, Status::Ok, millis);
         Some(server)
     }
 }
@@ -162,14 +175,14 @@
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<ServerId> {
+pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
--- a/quota-gateway/core/tests/conformance.rs
+++ b/quota-gateway/core/tests/conformance.rs
@@ -148,7 +148,7 @@
     }
 }
 
-fn begun(given: &Given) -> Door {
+fn begun(given: &Given) -> Harness {
     let effect = |name: &str| match name {
         "safe" => Effect::Safe,
         "unsafe" => Effect::Unsafe,
@@ -168,60 +168,62 @@
     settings.meter_period = ms(given.meter_ms);
     settings.max_attempts = given.attempts;
     settings.max_units = 1.0;
-    let mut door = Door::seeded(settings, given.servers, given.seed);
-    door.spread = given.gateways;
-    door
+    let mut harness = Harness::with_seed(settings, given.servers, given.seed);
+    harness.customer_gateways = given.gateways;
+    harness
 }
 
 impl Step {
     /// The error says what was seen.
-    fn play(&self, door: &mut Door) -> Result<(), String> {
+    fn play(&self, harness: &mut Harness) -> Result<(), String> {
         match self {
             Step::Answer { count, ms, status: end, who, util, metered, steps } => {
                 for _ in 0..*steps {
                     for _ in 0..*count {
-                        let (id, actions) = door.request_of(who.class, who.plan, who.customer, who.units);
-                        if sent(&actions).is_some() {
+                        let (id, actions) =
+                            harness.request_with_units(who.class, who.plan, who.customer, who.units);
+                        if sent_to(&actions).is_some() {
                             let report = LoadReport { utilization: *util, queue: None };
-                            let told = outcome(id, 0, status(end), *ms);
-                            door.event(Event::Outcome(Outcome {
+                            let result = outcome(id, 0, status(end), *ms);
+                            harness.handle(Event::Outcome(Outcome {
                                 report,
                                 metered_use: *metered,
                                 not_retryable: true,
-                                ..told
+                                ..result
                             }));
                         }
                     }
                     if *steps > 1 {
-                        door.pass(100);
+                        harness.advance(100);
                     }
                 }
                 Ok(())
             }
             Step::Pass { ms } => {
-                door.pass(*ms);
+                harness.advance(*ms);
                 Ok(())
             }
             Step::Ask { count, who, share, sequence, advice } => {
                 let mut seen = String::new();
                 for _ in 0..*count {
-                    let (id, actions) = door.request_of(who.class, who.plan, who.customer, who.units);
-                    let entered = sent(&actions).is_some();
+                    let (id, actions) =
+                        harness.request_with_units(who.class, who.plan, who.customer, who.units);
+                    let entered = sent_to(&actions).is_some();
                     seen.push(if entered { '1' } else { '0' });
                     if entered {
-                        door.event(Event::ClientDisconnected(id));
-                        door.settle(id, 0, Status::Cancelled, 0);
+                        harness.handle(Event::ClientDisconnected(id));
+                        harness.finish_attempt(id, 0, Status::Cancelled, 0);
                     }
-                    let told = actions.iter().find_map(|action| match action {
+                    let result = actions.iter().find_map(|action| match action {
                         Action::Reject { retry_after, .. } => Some(retry_after.as_millis() as u64),
                         _ => None,
                     });
-                    if entered != told.is_none() {
+                    if entered != result.is_none() {
                         return Err(format!("neither sent nor refused at once: {actions:?}"));
                     }
-                    if let (Some((least, most)), Some(told)) = (advice, told) {
-                        if !(*least..=*most).contains(&told) {
-                            return Err(format!("advice {told} ms"));
+                    if let (Some((least, most)), Some(result)) = (advice, result) {
+                        if !(*least..=*most).contains(&result) {
+                            return Err(format!("advice {result} ms"));
                         }
                     }
                 }
@@ -233,14 +235,15 @@
                 Ok(())
             }
             Step::Ends { who, attempts, then } => {
-                let (id, mut actions) = door.request_of(who.class, who.plan, who.customer, who.units);
+                let (id, mut actions) =
+                    harness.request_with_units(who.class, who.plan, who.customer, who.units);
                 for (number, end) in attempts.iter().enumerate() {
-                    if sent(&actions).is_none() {
+                    if sent_to(&actions).is_none() {
                         return Err(format!("attempt {number} is not sent: {actions:?}"));
                     }
-                    actions = door.settle(id, number as u32, status(end), 5);
+                    actions = harness.finish_attempt(id, number as u32, status(end), 5);
                 }
-                let seen = match (sent(&actions).is_some(), refused(&actions), failed(&actions)) {
+                let seen = match (sent_to(&actions).is_some(), rejected(&actions), failed(&actions)) {
                     (true, false, false) => "another attempt",
                     (false, true, false) => "refused",
                     (false, false, true) => "failed",
@@ -270,9 +273,9 @@
     for file in files.iter().filter(|file| !file.ends_with("clauses.toml")) {
         let table: Table = toml::from_str(&read(file)).unwrap_or_else(|e| panic!("{}: {e}", file.display()));
         rows.extend(table.row.into_iter().map(|row| {
-            let mut door = begun(&row.given);
+            let mut harness = begun(&row.given);
             let mut steps = row.steps.iter().enumerate();
-            let miss = steps.find_map(|(at, step)| Some((at, step.play(&mut door).err()?)));
+            let miss = steps.find_map(|(at, step)| Some((at, step.play(&mut harness).err()?)));
             let outcome = miss.map_or(Ok(()), |(at, seen)| Err(format!("step {at}: {seen}")));
             Played { id: row.id, clause: row.clause, because: row.because, outcome }
         }));
--- a/quota-gateway/core/tests/invariants.rs
+++ b/quota-gateway/core/tests/invariants.rs
@@ -47,37 +47,37 @@
         [Effect::Safe, keyed(DeduplicationScope::Zone), keyed(DeduplicationScope::All), Effect::Unsafe]
             .map(|e| class(e, 1.0))
             .to_vec();
-    let limited = Plan { rate_limit: 4.0, rate_limit_burst: 8.0, rate_limit_slack: 1.0, ..roomy() };
-    Settings { hedging: second_copies, cancel, ..settings(classes, vec![roomy(), limited]) }
+    let limited = Plan { rate_limit: 4.0, rate_limit_burst: 8.0, rate_limit_slack: 1.0, ..unlimited_plan() };
+    Settings { hedging: second_copies, cancel, ..settings(classes, vec![unlimited_plan(), limited]) }
 }
 
 fn play(steps: &[Step], cfg: &Settings) -> Vec<(u64, Action)> {
     let (second_copies, cancel, classes, plans) =
         (cfg.hedging, cfg.cancel, cfg.classes.clone(), cfg.plans.clone());
-    let mut door = Door::new(cfg.clone(), 6);
+    let mut harness = Harness::new(cfg.clone(), 6);
     let mut held: BTreeMap<RequestId, Held> = BTreeMap::new();
     let mut stopped: BTreeMap<ServerId, bool> = BTreeMap::new();
     let mut ceiling: BTreeMap<(usize, u64), f64> = BTreeMap::new();
-    let mut seen = door.log.len();
+    let mut seen = harness.log.len();
     let mut owner: BTreeMap<RequestId, (usize, u64)> = BTreeMap::new();
 
     for step in steps {
         match step {
             Step::Request { class, plan, customer } => {
                 let (class, plan) = (&(class % classes.len()), &(plan % plans.len()));
-                let id = RequestId(door.next);
+                let id = RequestId(harness.next_id);
                 owner.insert(id, (*plan, *customer));
                 held.insert(
                     id,
                     Held {
                         class: *class,
-                        deadline: door.now + 3_000_000_000,
+                        deadline: harness.now + 3_000_000_000,
                         answered: false,
                         departed: false,
                         attempts: Vec::new(),
                     },
                 );
-                door.request(*class, *plan, *customer);
+                harness.request(*class, *plan, *customer);
             }
             Step::Settle { which, status } => {
                 let out: Vec<(RequestId, usize)> = held
@@ -97,11 +97,11 @@
                     };
                     let h = held.get_mut(&id).expect("held");
                     h.attempts[n].2 = Some(status);
-                    let elapsed = (door.now - h.attempts[n].1) / 1_000_000;
-                    let mut told = outcome(id, n as u32, status, elapsed);
-                    told.finished = h.answered || h.departed || status == Status::Ok;
+                    let elapsed = (harness.now - h.attempts[n].1) / 1_000_000;
+                    let mut result = outcome(id, n as u32, status, elapsed);
+                    result.finished = h.answered || h.departed || status == Status::Ok;
                     h.answered |= status == Status::Ok;
-                    door.event(Event::Outcome(told));
+                    harness.handle(Event::Outcome(result));
                 }
             }
             Step::Depart { which } => {
@@ -109,11 +109,11 @@
                     held.iter().filter(|(_, h)| !h.answered && !h.departed).map(|(id, _)| *id).collect();
                 if let Some(id) = open.get(which % open.len().max(1)) {
                     held.get_mut(id).expect("held").departed = true;
-                    door.event(Event::ClientDisconnected(*id));
+                    harness.handle(Event::ClientDisconnected(*id));
                 }
             }
             Step::Pass { millis } => {
-                door.pass(*millis);
+                harness.advance(*millis);
             }
             Step::List { server: id, state } => {
                 let mut info = server(*id);
@@ -122,12 +122,12 @@
                         [usize::from(*state)];
                 stopped.insert(info.id, info.lifecycle != Lifecycle::Running);
                 if *state == 1 {
-                    info.started = Some(Time(door.now.max(1)));
+                    info.started = Some(Time(harness.now.max(1)));
                 }
-                door.list(Scope::Delta, vec![info]);
+                harness.update_servers(Scope::Delta, vec![info]);
             }
         }
-        for (at, action) in door.log[seen..].iter().cloned() {
+        for (at, action) in harness.log[seen..].iter().cloned() {
             match action {
                 Action::Send { id, server, begin_by, .. } => {
                     let h = held.get_mut(&id).expect("a request that was handed over");
@@ -183,12 +183,12 @@
                 _ => {}
             }
         }
-        seen = door.log.len();
+        seen = harness.log.len();
         for (id, h) in &held {
-            assert!(h.answered || h.departed || door.now <= h.deadline + 8_000_000, "{id:?} lost");
+            assert!(h.answered || h.departed || harness.now <= h.deadline + 8_000_000, "{id:?} lost");
         }
     }
-    door.log
+    harness.log
 }
 
 fn runner(cases: u32) -> TestRunner {
--- a/quota-gateway/core/tests/placements.rs
+++ b/quota-gateway/core/tests/placements.rs
@@ -5,24 +5,24 @@
 use common::*;
 use marblecroft_quota_gateway_core::*;
 
-fn door() -> Door {
+fn harness() -> Harness {
     // Four cells of two servers each.
-    Door::new(settings(vec![class(Effect::Unsafe, 1.0)], vec![roomy()]), 8)
+    Harness::new(settings(vec![class(Effect::Unsafe, 1.0)], vec![unlimited_plan()]), 8)
 }
 
-fn placed(door: &mut Door, id: u32, place: Placement) -> Vec<Action> {
+fn placed(harness: &mut Harness, id: u32, place: Placement) -> Vec<Action> {
     let request = NewRequest {
         id: RequestId(id),
         class: ClassId(0),
         plan: PlanId(0),
         customer: CustomerId(1),
-        deadline: Time(door.now + 3_000_000_000),
+        deadline: Time(harness.now + 3_000_000_000),
         units: 1.0,
         gateways: 2,
         is_retry: false,
         body_in_flight: false,
     };
-    door.event(Event::RequestWithPlacement(request, place))
+    harness.handle(Event::RequestWithPlacement(request, place))
 }
 
 fn cell(server: Option<ServerId>) -> Option<u32> {
@@ -36,47 +36,47 @@
 /// Also where the fleet sends first attempts to other zones: what is written goes where it is kept.
 #[test]
 fn a_request_goes_to_its_cell_alone() {
-    let mut door = door();
+    let mut harness = harness();
     let shares = |zone: u32| ZoneShare { zone, share: 0.5, max_rate: f64::INFINITY };
     for (id, lanes) in [(1, vec![]), (2, vec![shares(0), shares(1)])] {
-        door.event(Event::ZoneShares(lanes));
+        harness.handle(Event::ZoneShares(lanes));
         for n in 0..20 {
             let id = id * 100 + n;
-            let actions = placed(&mut door, id, Placement::Cell(3));
-            assert_eq!(cell(sent(&actions)), Some(3));
-            door.pass(5);
-            door.settle(RequestId(id), 0, Status::Ok, 5);
+            let actions = placed(&mut harness, id, Placement::Cell(3));
+            assert_eq!(cell(sent_to(&actions)), Some(3));
+            harness.advance(5);
+            harness.finish_attempt(RequestId(id), 0, Status::Ok, 5);
         }
     }
     // A zone that nothing may be sent to takes no writes either.
-    door.event(Event::ZoneShares(vec![shares(0)]));
-    assert!(refused(&placed(&mut door, 900, Placement::Cell(3))));
+    harness.handle(Event::ZoneShares(vec![shares(0)]));
+    assert!(rejected(&placed(&mut harness, 900, Placement::Cell(3))));
 }
 
 #[test]
 fn a_rejected_request_goes_where_its_shard_has_moved() {
-    let mut door = door();
-    let first = placed(&mut door, 1, Placement::Cell(0));
-    assert_eq!(cell(sent(&first)), Some(0));
-    door.event(Event::PlacementMoved { id: RequestId(1), cell: 2 });
-    let again = door.settle(RequestId(1), 0, Status::NotSent, 3);
-    assert_eq!(cell(sent(&again)), Some(2), "it never ran, so it may be written once more");
+    let mut harness = harness();
+    let first = placed(&mut harness, 1, Placement::Cell(0));
+    assert_eq!(cell(sent_to(&first)), Some(0));
+    harness.handle(Event::PlacementMoved { id: RequestId(1), cell: 2 });
+    let again = harness.finish_attempt(RequestId(1), 0, Status::NotSent, 3);
+    assert_eq!(cell(sent_to(&again)), Some(2), "it never ran, so it may be written once more");
     // What may have run is not sent again, wherever its book is.
-    door.event(Event::PlacementMoved { id: RequestId(1), cell: 1 });
-    assert!(failed(&door.settle(RequestId(1), 1, Status::Reset, 3)));
+    harness.handle(Event::PlacementMoved { id: RequestId(1), cell: 1 });
+    assert!(failed(&harness.finish_attempt(RequestId(1), 1, Status::Reset, 3)));
 }
 
 #[test]
 fn a_request_without_placement_is_rejected_at_once_with_retry_advice() {
-    let mut door = door();
-    let actions = placed(&mut door, 1, Placement::Unavailable { retry_after: ms(400) });
+    let mut harness = harness();
+    let actions = placed(&mut harness, 1, Placement::Unavailable { retry_after: ms(400) });
     assert!(actions.contains(&Action::Reject { id: RequestId(1), retry_after: ms(400) }), "{actions:?}");
-    assert_eq!(sent(&actions), None);
+    assert_eq!(sent_to(&actions), None);
     // The quota goes before: what it refuses is told by it.
     let plan = Plan { rate: 0.1, burst: 0.5, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
-    let mut poor = Door::new(settings(vec![class(Effect::Safe, 1.0)], vec![plan]), 4);
+    let mut poor = Harness::new(settings(vec![class(Effect::Safe, 1.0)], vec![plan]), 4);
     let actions = placed(&mut poor, 1, Placement::Unavailable { retry_after: ms(400) });
     assert!(
-        refused(&actions) && !actions.contains(&Action::Reject { id: RequestId(1), retry_after: ms(400) })
+        rejected(&actions) && !actions.contains(&Action::Reject { id: RequestId(1), retry_after: ms(400) })
     );
 }
--- a/quota-gateway/core/tests/quotas.rs
+++ b/quota-gateway/core/tests/quotas.rs
@@ -5,17 +5,17 @@
 use common::*;
 use marblecroft_quota_gateway_core::*;
 
-fn safe() -> Vec<Class> {
+fn safe_classes() -> Vec<Class> {
     vec![class(Effect::Safe, 1.0)]
 }
 
 /// A customer's first try at one of a hundred gateways.
-fn first_try(plan: &Plan, number: u32) -> (Door, NewRequest) {
+fn first_try(plan: &Plan, number: u32) -> (Harness, NewRequest) {
     let cfg = Settings {
         gateways: 100,
         gateway_index: number,
         max_units: 1.0,
-        ..settings(safe(), vec![plan.clone()])
+        ..settings(safe_classes(), vec![plan.clone()])
     };
     let request = NewRequest {
         id: RequestId(0),
@@ -28,7 +28,7 @@
         is_retry: false,
         body_in_flight: false,
     };
-    (Door::seeded(cfg, 6, u64::from(number)), request)
+    (Harness::with_seed(cfg, 6, u64::from(number)), request)
 }
 
 fn plan() -> Plan {
@@ -39,45 +39,46 @@
 /// a first ask by the next gateway, which knew nothing of it.
 #[test]
 fn a_retry_is_no_first_request_where_nothing_is_known_of_its_customer() {
-    let let_in = |gateways: u32, repeat: bool| {
+    let admitted = |gateways: u32, repeat: bool| {
         let ask = |number: u32| {
-            let (mut door, request) = first_try(&plan(), number);
-            sent(&door.event(Event::Request(NewRequest { gateways, is_retry: repeat, ..request }))).is_some()
+            let (mut harness, request) = first_try(&plan(), number);
+            sent_to(&harness.handle(Event::Request(NewRequest { gateways, is_retry: repeat, ..request })))
+                .is_some()
         };
         (0..100).filter(|&number| ask(number)).count()
     };
-    assert_eq!(let_in(75, false), 100, "first asks");
-    assert!(let_in(75, true) <= 20, "{} of 100 repeats", let_in(75, true));
-    assert!(let_in(3, true) >= 60, "{} of 100 repeats where a third of all comes", let_in(3, true));
+    assert_eq!(admitted(75, false), 100, "first asks");
+    assert!(admitted(75, true) <= 20, "{} of 100 repeats", admitted(75, true));
+    assert!(admitted(3, true) >= 60, "{} of 100 repeats where a third of all comes", admitted(3, true));
 }
 
 /// Of hundreds of gateways each lets in the first ask of a customer that it knows nothing of, and where many customers ask for
 /// several times their quotas most of that is beyond them. What the meter tells of others of the plan says how much is.
 #[test]
 fn unknown_customers_are_taken_for_the_mean_of_their_plan() {
-    let let_in = |used: f64| {
+    let admitted = |used: f64| {
         let ask = |number: u32| {
-            let (mut door, request) = first_try(&plan(), number);
+            let (mut harness, request) = first_try(&plan(), number);
             for other in 0..150 {
-                door.spread = 75;
-                let (id, actions) = door.request(0, 0, 100 + other);
-                door.pass(20);
-                if sent(&actions).is_some() {
-                    door.event(Event::Outcome(Outcome {
+                harness.customer_gateways = 75;
+                let (id, actions) = harness.request(0, 0, 100 + other);
+                harness.advance(20);
+                if sent_to(&actions).is_some() {
+                    harness.handle(Event::Outcome(Outcome {
                         metered_use: Some(used),
                         ..outcome(id, 0, Status::Ok, 20)
                     }));
                 }
             }
-            let deadline = Time(door.now + 3_000_000_000);
+            let deadline = Time(harness.now + 3_000_000_000);
             let request = NewRequest { id: RequestId(1000), deadline, ..request };
-            sent(&door.event(Event::Request(request))).is_some()
+            sent_to(&harness.handle(Event::Request(request))).is_some()
         };
         (0..100).filter(|&number| ask(number)).count()
     };
-    assert_eq!(let_in(0.5), 100, "they use half of their quotas");
+    assert_eq!(admitted(0.5), 100, "they use half of their quotas");
     // Three times as much as quotas hold is used by those that are let in.
-    let some = let_in(3.0);
+    let some = admitted(3.0);
     assert!((20..=60).contains(&some), "{some} of 100");
 }
 
@@ -92,14 +93,15 @@
         gateway_index: number,
         meter_period: ms(0),
         max_units: 8.0,
-        ..settings(safe(), vec![plan.clone()])
+        ..settings(safe_classes(), vec![plan.clone()])
     };
-    let mut doors: Vec<Door> =
-        (0..GATEWAYS as u32).map(|n| Door::seeded(settings(n), 6, seed * 1000 + u64::from(n))).collect();
+    let mut harnesses: Vec<Harness> = (0..GATEWAYS as u32)
+        .map(|n| Harness::with_seed(settings(n), 6, seed * 1000 + u64::from(n)))
+        .collect();
     let weights: Vec<f64> = (1..=GATEWAYS).map(|n| (n as f64).powf(-1.4)).collect();
     let total: f64 = weights.iter().sum();
     let mut random = Random(seed);
-    let (mut asked, mut let_in) = (0.0, 0.0);
+    let (mut asked, mut admitted) = (0.0, 0.0);
     for millis in 0..25_000 {
         if random.uniform() >= use_of_quota * plan.rate / units / 1000.0 {
             continue;
@@ -109,17 +111,17 @@
             at -= weight;
             at <= 0.0
         });
-        let door = &mut doors[gateway.unwrap_or(0)];
-        door.spread = GATEWAYS as u32;
-        door.pass(millis - door.now / 1_000_000);
-        let (id, actions) = door.request_of(0, 0, 7, units);
+        let harness = &mut harnesses[gateway.unwrap_or(0)];
+        harness.customer_gateways = GATEWAYS as u32;
+        harness.advance(millis - harness.now / 1_000_000);
+        let (id, actions) = harness.request_with_units(0, 0, 7, units);
         asked += units;
-        if sent(&actions).is_some() {
-            door.settle(id, 0, Status::Ok, 1);
-            let_in += units;
+        if sent_to(&actions).is_some() {
+            harness.finish_attempt(id, 0, Status::Ok, 1);
+            admitted += units;
         }
     }
-    (let_in / asked, let_in / (plan.burst + 25.0 * plan.rate))
+    (admitted / asked, admitted / (plan.burst + 25.0 * plan.rate))
 }
 
 /// An equal part of a quota among hundreds of gateways holds no request, and without a meter nothing was let in at all.
--- a/quota-gateway/core/tests/slow_start.rs
+++ b/quota-gateway/core/tests/slow_start.rs
@@ -34,7 +34,7 @@
             slow_start_duration: ms(self.ramp_ms),
             slow_start_overload_factor: MULTIPLE,
             slow_start_window: ms(self.window_ms),
-            ..settings(vec![class(Effect::Safe, 1.0)], vec![roomy()])
+            ..settings(vec![class(Effect::Safe, 1.0)], vec![unlimited_plan()])
         }
     }
 
@@ -53,7 +53,7 @@
 /// Gateways that know nothing of each other, before the same servers.
 struct Fleet<'a> {
     site: &'a Site,
-    doors: Vec<Door>,
+    harnesses: Vec<Harness>,
     random: Random,
     now: u64,
     answers: BinaryHeap<Reverse<(u64, usize, RequestId)>>,
@@ -63,23 +63,23 @@
 
 impl<'a> Fleet<'a> {
     fn new(site: &'a Site, gateways: u32, seed: u64) -> Fleet<'a> {
-        let doors = (0..gateways)
-            .map(|n| Door::seeded(site.settings(gateways, n), site.servers, seed * 1000 + u64::from(n)))
+        let harnesses = (0..gateways)
+            .map(|n| Harness::with_seed(site.settings(gateways, n), site.servers, seed * 1000 + u64::from(n)))
             .collect();
-        Fleet { site, doors, random: Random(seed), now: 0, answers: BinaryHeap::new(), sent: Vec::new() }
+        Fleet { site, harnesses, random: Random(seed), now: 0, answers: BinaryHeap::new(), sent: Vec::new() }
     }
 
-    fn at(&mut self, gateway: usize, millis: u64) -> &mut Door {
-        let door = &mut self.doors[gateway];
-        door.pass(millis - door.now / 1_000_000);
-        door
+    fn at(&mut self, gateway: usize, millis: u64) -> &mut Harness {
+        let harness = &mut self.harnesses[gateway];
+        harness.advance(millis - harness.now / 1_000_000);
+        harness
     }
 
     /// All gateways are told at once.
     fn tell(&mut self, event: &Event) {
         let now = self.now;
-        for gateway in 0..self.doors.len() {
-            self.at(gateway, now).event(event.clone());
+        for gateway in 0..self.harnesses.len() {
+            self.at(gateway, now).handle(event.clone());
         }
     }
 
@@ -93,15 +93,15 @@
                     break;
                 }
                 self.answers.pop();
-                self.at(gateway, at).settle(id, 0, Status::Ok, TAKES_MS);
+                self.at(gateway, at).finish_attempt(id, 0, Status::Ok, TAKES_MS);
             }
             let mut come = rate / 1000.0;
             while come > 0.0 && self.random.uniform() < come.min(1.0) {
                 come -= 1.0;
-                let gateway = (self.random.uniform() * self.doors.len() as f64) as usize;
+                let gateway = (self.random.uniform() * self.harnesses.len() as f64) as usize;
                 let now = self.now;
                 let (id, actions) = self.at(gateway, now).request(0, 0, 1);
-                if let Some(server) = sent(&actions) {
+                if let Some(server) = sent_to(&actions) {
                     self.sent.push((now, server));
                     self.answers.push(Reverse((now + TAKES_MS, gateway, id)));
                 }
