--- a/quota-gateway/core/src/decisions/quota.rs
+++ b/quota-gateway/core/src/decisions/quota.rs
@@ -223,7 +223,7 @@
 
     /// Differs from the design: the probability that a request is admitted without a meter. It falls with the
     /// recent demand at this gateway and with the seconds of quota that the request takes.
-    fn unmetered_chance(&self, now: Time, units: f64) -> f64 {
+    fn unmetered_admission_probability(&self, now: Time, units: f64) -> f64 {
         let allowance = units + UNMETERED_ALLOWANCE_SECS * self.plan.rate;
         let seconds = units / self.plan.rate;
         let demand_factor = allowance / (allowance + self.demand.get(now) * UNMETERED_TIME_CONSTANT_SECS);
@@ -255,8 +255,9 @@
             self.inferred_tokens >= units
                 && random_draw * expected <= (self.inferred_tokens - units) * BEYOND_SLICE_SHARE
         };
-        let passes_unmetered =
-            || self.plan.burst < self.gateways && random_draw <= self.unmetered_chance(now, units);
+        let passes_unmetered = || {
+            self.plan.burst < self.gateways && random_draw <= self.unmetered_admission_probability(now, units)
+        };
         is_known && if is_metered { fits() } else { passes_unmetered() }
     }
 
--- a/quota-gateway/core/tests/common/mod.rs
+++ b/quota-gateway/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small front harness for the tests: settings, and a driver that keeps the clock and delivers timers.
+//! Shared test utilities: settings, and a harness that keeps a gateway's clock and delivers its timers.
 #![allow(dead_code)]
 
 use marblecroft_quota_gateway_core::*;
@@ -9,8 +9,8 @@
     Duration::from_millis(n)
 }
 
-pub fn class(effect: Effect, worth: f64) -> Class {
-    Class { latency_target: ms(800), deadline: ms(3000), value: worth, effect }
+pub fn class(effect: Effect, value: f64) -> Class {
+    Class { latency_target: ms(800), deadline: ms(3000), value, effect }
 }
 
 pub fn keyed(group: DeduplicationScope) -> Effect {
@@ -61,7 +61,7 @@
     pub now: u64,
     pub timers: BTreeSet<(u64, u64)>,
     pub next_id: u32,
-    /// Gateways through which each customer comes.
+    /// Number of gateways that receive each customer's requests.
     pub customer_gateways: u32,
     pub log: Vec<(u64, Action)>,
 }
@@ -101,7 +101,7 @@
         self.handle(Event::Servers { scope, servers });
     }
 
-    /// Lets time pass, timers going off on the way; what they led to.
+    /// Advances the clock and delivers the timers that expire. Returns the resulting actions.
     pub fn advance(&mut self, millis: u64) -> Vec<Action> {
         let end = self.now + millis * 1_000_000;
         let mut actions = Vec::new();
@@ -151,7 +151,8 @@
         self.handle(Event::Outcome(outcome(id, attempt, status, millis)))
     }
 
-    /// One request served after so many milliseconds; whether it was let in.
+    /// Sends one request, and answers it after `millis`. Returns its server, or `None` if it was not
+    /// admitted.
     pub fn serve(&mut self, class: usize, plan: usize, customer: u64, millis: u64) -> Option<ServerId> {
         let (id, actions) = self.request(class, plan, customer);
         self.advance(millis);
--- a/quota-gateway/core/tests/conformance.rs
+++ b/quota-gateway/core/tests/conformance.rs
@@ -1,8 +1,9 @@
-//! Tables of conformance: rows from the design page and from the protocol's table of outcomes, driven through the module's
-//! public face. `conformance/clauses.toml` names every clause; a clause without a row, or a row of no clause, is a failure.
+//! Conformance tables: rows derived from the clauses of the design page and of the protocol's table of
+//! outcomes, run against the public interface. `conformance/clauses.toml` lists the clauses. A clause without
+//! a row, or a row without a clause, is a failure.
 //!
-//! How a row reads f from outside: as many requests of one priority as `count` says, asked in one instant and called off at
-//! once; the share of them that is let in is the allowed fraction, to within one of them.
+//! The admitted fraction f is measured from outside: `count` requests of one priority are sent at one instant
+//! and cancelled at once. The share of them that is admitted is f, to within one request.
 
 mod common;
 
@@ -24,7 +25,7 @@
 struct Row {
     id: String,
     clause: String,
-    /// How the expected figures follow from the clause.
+    /// How the expected values follow from the clause.
     because: String,
     #[serde(default)]
     given: Given,
@@ -36,9 +37,9 @@
 struct Given {
     gateways: u32,
     servers: u32,
-    meter_ms: u64,
-    attempts: u32,
-    /// Worth and effect of each class; the aim is 800 ms and the deadline 3 s.
+    meter_period_ms: u64,
+    max_attempts: u32,
+    /// Value and effect of each class. The latency target is 800 ms and the deadline 3 s.
     classes: Vec<(f64, String)>,
     plans: Vec<GivenPlan>,
     seed: u64,
@@ -50,13 +51,13 @@
     rate: f64,
     burst: f64,
     price: f64,
-    over_worth: f64,
-    over_cost: f64,
+    over_quota_value: f64,
+    over_quota_cost: f64,
 }
 
 impl Default for GivenPlan {
     fn default() -> GivenPlan {
-        GivenPlan { rate: 1e6, burst: 1e6, price: 1.0, over_worth: 0.0, over_cost: 1.0 }
+        GivenPlan { rate: 1e6, burst: 1e6, price: 1.0, over_quota_value: 0.0, over_quota_cost: 1.0 }
     }
 }
 
@@ -66,8 +67,8 @@
         Given {
             gateways: 1,
             servers: 1,
-            meter_ms: 0,
-            attempts: 4,
+            meter_period_ms: 0,
+            max_attempts: 4,
             classes,
             plans: vec![GivenPlan::default()],
             seed: 1,
@@ -75,64 +76,67 @@
     }
 }
 
-/// Who asks, for what.
+/// The properties of a request.
 #[derive(Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-struct Who {
+struct RequestProperties {
     class: usize,
     plan: usize,
     customer: u64,
     units: f64,
 }
 
-impl Default for Who {
-    fn default() -> Who {
-        Who { class: 0, plan: 0, customer: 1, units: 1.0 }
+impl Default for RequestProperties {
+    fn default() -> RequestProperties {
+        RequestProperties { class: 0, plan: 0, customer: 1, units: 1.0 }
     }
 }
 
 #[derive(Deserialize)]
 #[serde(tag = "do", rename_all = "snake_case", deny_unknown_fields)]
 enum Step {
-    /// Requests that end so after so long, in one instant of the module's clock; again each 100 ms, `steps` times.
-    Answer {
+    /// Sends `count` requests at one instant, each of which ends with `status` after `latency_ms`. Repeated
+    /// every 100 ms, `steps` times.
+    Finish {
         count: u32,
-        ms: u64,
-        #[serde(default = "served")]
+        latency_ms: u64,
+        #[serde(default = "default_status")]
         status: String,
         #[serde(default)]
-        who: Who,
-        util: Option<f64>,
-        metered: Option<f64>,
-        #[serde(default = "one")]
+        request: RequestProperties,
+        utilization: Option<f64>,
+        metered_use: Option<f64>,
+        #[serde(default = "default_steps")]
         steps: u32,
     },
-    Pass {
+    Advance {
         ms: u64,
     },
-    /// Requests in one instant; the share that is let in lies between these, or they are let in in this order.
-    Ask {
+    /// Sends `count` requests at one instant. Checks that the admitted share is in a range, or which of them are
+    /// admitted, as a sequence of 1 and 0.
+    Request {
         count: u32,
         #[serde(default)]
-        who: Who,
-        share: Option<(f64, f64)>,
-        sequence: Option<String>,
-        /// All refusals advise to wait for this many ms.
-        advice: Option<(u64, u64)>,
+        request: RequestProperties,
+        admitted_share: Option<(f64, f64)>,
+        admitted_sequence: Option<String>,
+        /// Range of the retry-after of all rejections, in ms.
+        retry_after_ms: Option<(u64, u64)>,
     },
-    /// One request whose attempts end so, one after another; what is done about the last of them.
-    Ends {
-        who: Who,
-        attempts: Vec<String>,
-        then: String,
+    /// Sends one request whose attempts end with these results, one after another. Checks what follows the
+    /// last one.
+    Attempts {
+        request: RequestProperties,
+        results: Vec<String>,
+        next: String,
     },
 }
 
-fn served() -> String {
+fn default_status() -> String {
     "ok".to_owned()
 }
 
-fn one() -> u32 {
+fn default_steps() -> u32 {
     1
 }
 
@@ -140,33 +144,33 @@
     match name {
         "ok" => Status::Ok,
         "error" => Status::Error,
-        "turned away" => Status::Rejected,
+        "rejected" => Status::Rejected,
         "timed out" => Status::TimedOut,
-        "could not connect" => Status::ConnectFailed,
+        "connect failed" => Status::ConnectFailed,
         "reset" => Status::Reset,
-        other => panic!("no outcome is called {other}"),
+        other => panic!("unknown status {other}"),
     }
 }
 
-fn begun(given: &Given) -> Harness {
+fn new_harness(given: &Given) -> Harness {
     let effect = |name: &str| match name {
         "safe" => Effect::Safe,
         "unsafe" => Effect::Unsafe,
-        other => panic!("no effect is called {other}"),
+        other => panic!("unknown effect {other}"),
     };
-    let classes = given.classes.iter().map(|(worth, name)| class(effect(name), *worth)).collect();
+    let classes = given.classes.iter().map(|(value, name)| class(effect(name), *value)).collect();
     let plan = |p: &GivenPlan| Plan {
         rate: p.rate,
         burst: p.burst,
         price: p.price,
-        over_quota_value: p.over_worth,
-        over_quota_cost: p.over_cost,
+        over_quota_value: p.over_quota_value,
+        over_quota_cost: p.over_quota_cost,
         ..Plan::default()
     };
     let mut settings = settings(classes, given.plans.iter().map(plan).collect());
     settings.gateways = given.gateways;
-    settings.meter_period = ms(given.meter_ms);
-    settings.max_attempts = given.attempts;
+    settings.meter_period = ms(given.meter_period_ms);
+    settings.max_attempts = given.max_attempts;
     settings.max_units = 1.0;
     let mut harness = Harness::with_seed(settings, given.servers, given.seed);
     harness.customer_gateways = given.gateways;
@@ -174,20 +178,24 @@
 }
 
 impl Step {
-    /// The error says what was seen.
-    fn play(&self, harness: &mut Harness) -> Result<(), String> {
+    /// Runs the step. The error describes what was observed.
+    fn run(&self, harness: &mut Harness) -> Result<(), String> {
         match self {
-            Step::Answer { count, ms, status: end, who, util, metered, steps } => {
+            Step::Finish { count, latency_ms, status: end, request, utilization, metered_use, steps } => {
                 for _ in 0..*steps {
                     for _ in 0..*count {
-                        let (id, actions) =
-                            harness.request_with_units(who.class, who.plan, who.customer, who.units);
+                        let (id, actions) = harness.request_with_units(
+                            request.class,
+                            request.plan,
+                            request.customer,
+                            request.units,
+                        );
                         if sent_to(&actions).is_some() {
-                            let report = LoadReport { utilization: *util, queue: None };
-                            let result = outcome(id, 0, status(end), *ms);
+                            let report = LoadReport { utilization: *utilization, queue: None };
+                            let result = outcome(id, 0, status(end), *latency_ms);
                             harness.handle(Event::Outcome(Outcome {
                                 report,
-                                metered_use: *metered,
+                                metered_use: *metered_use,
                                 not_retryable: true,
                                 ..result
                             }));
@@ -199,58 +207,65 @@
                 }
                 Ok(())
             }
-            Step::Pass { ms } => {
+            Step::Advance { ms } => {
                 harness.advance(*ms);
                 Ok(())
             }
-            Step::Ask { count, who, share, sequence, advice } => {
-                let mut seen = String::new();
+            Step::Request { count, request, admitted_share, admitted_sequence, retry_after_ms } => {
+                let mut observed = String::new();
                 for _ in 0..*count {
-                    let (id, actions) =
-                        harness.request_with_units(who.class, who.plan, who.customer, who.units);
-                    let entered = sent_to(&actions).is_some();
-                    seen.push(if entered { '1' } else { '0' });
-                    if entered {
+                    let (id, actions) = harness.request_with_units(
+                        request.class,
+                        request.plan,
+                        request.customer,
+                        request.units,
+                    );
+                    let is_admitted = sent_to(&actions).is_some();
+                    observed.push(if is_admitted { '1' } else { '0' });
+                    if is_admitted {
                         harness.handle(Event::ClientDisconnected(id));
                         harness.finish_attempt(id, 0, Status::Cancelled, 0);
                     }
-                    let result = actions.iter().find_map(|action| match action {
+                    let advised_ms = actions.iter().find_map(|action| match action {
                         Action::Reject { retry_after, .. } => Some(retry_after.as_millis() as u64),
                         _ => None,
                     });
-                    if entered != result.is_none() {
-                        return Err(format!("neither sent nor refused at once: {actions:?}"));
+                    if is_admitted != advised_ms.is_none() {
+                        return Err(format!("must be either sent or rejected: {actions:?}"));
                     }
-                    if let (Some((least, most)), Some(result)) = (advice, result) {
-                        if !(*least..=*most).contains(&result) {
-                            return Err(format!("advice {result} ms"));
+                    if let (Some((least, most)), Some(advised_ms)) = (retry_after_ms, advised_ms) {
+                        if !(*least..=*most).contains(&advised_ms) {
+                            return Err(format!("retry-after of {advised_ms} ms"));
                         }
                     }
                 }
-                let entered = seen.matches('1').count() as f64 / f64::from(*count);
-                let outside = share.is_some_and(|(least, most)| !(least..=most).contains(&entered));
-                if outside || sequence.as_ref().is_some_and(|sequence| *sequence != seen) {
-                    return Err(format!("{entered} let in, in the order {}", &seen[..seen.len().min(60)]));
+                let share = observed.matches('1').count() as f64 / f64::from(*count);
+                let outside = admitted_share.is_some_and(|(least, most)| !(least..=most).contains(&share));
+                if outside || admitted_sequence.as_ref().is_some_and(|sequence| *sequence != observed) {
+                    return Err(format!(
+                        "admitted share {share}, sequence {}",
+                        &observed[..observed.len().min(60)]
+                    ));
                 }
                 Ok(())
             }
-            Step::Ends { who, attempts, then } => {
+            Step::Attempts { request, results, next } => {
                 let (id, mut actions) =
-                    harness.request_with_units(who.class, who.plan, who.customer, who.units);
-                for (number, end) in attempts.iter().enumerate() {
+                    harness.request_with_units(request.class, request.plan, request.customer, request.units);
+                for (number, end) in results.iter().enumerate() {
                     if sent_to(&actions).is_none() {
-                        return Err(format!("attempt {number} is not sent: {actions:?}"));
+                        return Err(format!("attempt {number} was not sent: {actions:?}"));
                     }
                     actions = harness.finish_attempt(id, number as u32, status(end), 5);
                 }
-                let seen = match (sent_to(&actions).is_some(), rejected(&actions), failed(&actions)) {
+                let observed = match (sent_to(&actions).is_some(), rejected(&actions), failed(&actions)) {
                     (true, false, false) => "another attempt",
-                    (false, true, false) => "refused",
+                    (false, true, false) => "rejected",
                     (false, false, true) => "failed",
                     (false, false, false) => "answered",
-                    _ => "several at once",
+                    _ => "several actions",
                 };
-                (seen == then).then_some(()).ok_or_else(|| seen.to_owned())
+                (observed == next).then_some(()).ok_or_else(|| observed.to_owned())
             }
         }
     }
@@ -264,19 +279,22 @@
 #[test]
 fn every_clause_has_rows_and_every_row_holds() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/conformance");
-    let read = |path: &Path| std::fs::read_to_string(path).expect("readable");
-    let clauses: Clauses = toml::from_str(&read(&folder.join("clauses.toml"))).expect("clauses");
-    let mut files: Vec<_> =
-        std::fs::read_dir(&folder).expect("a folder").map(|f| f.expect("a file").path()).collect();
+    let read = |path: &Path| std::fs::read_to_string(path).expect("a readable table");
+    let clauses: Clauses = toml::from_str(&read(&folder.join("clauses.toml"))).expect("valid clauses.toml");
+    let mut files: Vec<_> = std::fs::read_dir(&folder)
+        .expect("the folder of the tables")
+        .map(|f| f.expect("a table").path())
+        .collect();
     files.sort();
     let mut rows = Vec::new();
     for file in files.iter().filter(|file| !file.ends_with("clauses.toml")) {
         let table: Table = toml::from_str(&read(file)).unwrap_or_else(|e| panic!("{}: {e}", file.display()));
         rows.extend(table.row.into_iter().map(|row| {
-            let mut harness = begun(&row.given);
+            let mut harness = new_harness(&row.given);
             let mut steps = row.steps.iter().enumerate();
-            let miss = steps.find_map(|(at, step)| Some((at, step.play(&mut harness).err()?)));
-            let outcome = miss.map_or(Ok(()), |(at, seen)| Err(format!("step {at}: {seen}")));
+            let failure = steps.find_map(|(index, step)| Some((index, step.run(&mut harness).err()?)));
+            let outcome =
+                failure.map_or(Ok(()), |(index, observed)| Err(format!("step {index}: {observed}")));
             Played { id: row.id, clause: row.clause, because: row.because, outcome }
         }));
     }
--- a/quota-gateway/core/tests/failures.rs
+++ b/quota-gateway/core/tests/failures.rs
@@ -1,4 +1,4 @@
-//! One small test for each failure found.
+//! Regression tests, one for each failure that was found.
 
 mod common;
 use common::*;
@@ -9,7 +9,7 @@
     vec![class(Effect::Safe, 1.0)]
 }
 
-/// A request whose server never answers still gets one final answer before its deadline.
+/// A request whose server never answers gets exactly one final answer, before its deadline.
 #[test]
 fn every_request_is_answered_in_time() {
     for effect in
@@ -30,17 +30,18 @@
     }
 }
 
-/// Keyed work that may have run fails instead of being refused, and is repeated only in its group.
+/// A keyed request that may have been executed is retried only within its deduplication scope, and otherwise
+/// fails instead of being rejected.
 #[test]
 fn keyed_requests_stay_in_their_deduplication_scope() {
     let mut harness =
         Harness::new(settings(vec![class(keyed(DeduplicationScope::Zone), 1.0)], vec![unlimited_plan()]), 8);
     for _ in 0..20 {
         let (id, first) = harness.request(0, 0, 1);
-        let first = sent_to(&first).expect("room");
+        let first = sent_to(&first).expect("admitted");
         let after = harness.finish_attempt(id, 0, Status::Error, 5);
         if let Some(second) = sent_to(&after) {
-            assert_eq!(first.0 % 2, second.0 % 2, "another zone");
+            assert_eq!(first.0 % 2, second.0 % 2, "retried in another zone");
             harness.finish_attempt(id, 1, Status::Ok, 5);
         } else {
             assert!(failed(&after) && !rejected(&after));
@@ -50,7 +51,8 @@
     assert!(harness.log.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).count() > 20);
 }
 
-/// Unsafe work that may have run is neither repeated nor refused; what never ran may be sent again.
+/// An unsafe request that may have been executed is neither retried nor rejected. One that was not executed
+/// may be sent again.
 #[test]
 fn unsafe_requests_are_not_retried() {
     let mut harness = Harness::new(settings(vec![class(Effect::Unsafe, 1.0)], vec![unlimited_plan()]), 4);
@@ -61,9 +63,9 @@
     assert!(failed(&after) && sent_to(&after).is_none());
 }
 
-/// Nothing goes to a server from the moment that its drain is told.
+/// A server gets no requests from the moment at which the list reports it as draining.
 #[test]
-fn draining_servers_get_nothing_at_once() {
+fn draining_servers_get_no_requests() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 2);
     let mut drained = server(0);
     drained.lifecycle = Lifecycle::Draining;
@@ -72,12 +74,13 @@
         assert_ne!(harness.serve(0, 0, 1, 20), Some(ServerId(0)));
     }
     harness.update_servers(Scope::Full, vec![server(0)]);
-    assert_eq!(harness.serve(0, 0, 1, 20), Some(ServerId(0)), "the other left the list");
+    assert_eq!(harness.serve(0, 0, 1, 20), Some(ServerId(0)), "the other server is no longer listed");
 }
 
-/// One gateway of two sends on no more than its half of a ceiling, which starts empty but for the slack.
+/// One gateway of two admits no more than half of a rate limit, whose bucket starts empty except for the
+/// slack.
 #[test]
-fn rate_limit_is_kept_by_local_parts() {
+fn a_gateway_admits_only_its_part_of_a_rate_limit() {
     let plan = Plan { rate_limit: 10.0, rate_limit_burst: 20.0, rate_limit_slack: 2.0, ..unlimited_plan() };
     let mut harness = Harness::new(settings(safe_classes(), vec![plan]), 20);
     let mut units = 0.0;
@@ -91,9 +94,10 @@
     assert!(units > 40.0);
 }
 
-/// A part of a ceiling fills from the gateway's start: a customer's first request after that finds it.
+/// The bucket of a rate limit fills from the gateway's start, also for customers whose first request comes
+/// later.
 #[test]
-fn rate_limit_bucket_fills_from_the_start_of_the_gateway() {
+fn the_rate_limit_bucket_fills_from_the_start_of_the_gateway() {
     let plan = Plan { rate_limit: 2.0, rate_limit_burst: 10.0, ..unlimited_plan() };
     let mut harness = Harness::new(settings(safe_classes(), vec![plan]), 4);
     assert!(rejected(&harness.request_with_units(0, 0, 1, 3.0).1));
@@ -101,24 +105,26 @@
     assert!(sent_to(&harness.request_with_units(0, 0, 2, 3.0).1).is_some());
 }
 
-/// A cold server is sent its part of what warm ones bear, not an equal one.
+/// A server in slow start gets its reduced share of the requests, not an equal one.
 #[test]
-fn warming_up_server_gets_its_share() {
+fn a_server_in_slow_start_gets_its_share() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 4);
     for _ in 0..100 {
         harness.serve(0, 0, 1, 20);
     }
-    let mut cold = server(9);
-    cold.started = Some(Time(harness.now));
-    harness.update_servers(Scope::Delta, vec![cold]);
-    let to_cold = (0..75).filter(|_| harness.serve(0, 0, 1, 20) == Some(ServerId(9))).count();
-    // 50 a second over four servers bear 12.5 each; a fifth of that for 1.5 s, and a window's worth saved up.
-    assert!((1..=8).contains(&to_cold), "{to_cold}");
+    let mut restarted = server(9);
+    restarted.started = Some(Time(harness.now));
+    harness.update_servers(Scope::Delta, vec![restarted]);
+    let to_slow_start = (0..75).filter(|_| harness.serve(0, 0, 1, 20) == Some(ServerId(9))).count();
+    // 50 requests per second over four servers are 12.5 each; a fifth of that for 1.5 s, plus the tokens of
+    // one window.
+    assert!((1..=8).contains(&to_slow_start), "{to_slow_start}");
 }
 
-/// A queue that was reported once, by servers that then got no requests, held f at its least for good.
+/// Regression test: a queue length reported once, by servers that got no more requests, kept the admitted
+/// fraction at its minimum for good.
 #[test]
-fn stale_load_reports_expire() {
+fn stale_load_reports_decay() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 4);
     for _ in 0..40 {
         let (id, actions) = harness.request(0, 0, 1);
@@ -131,7 +137,7 @@
             harness.advance(50);
         }
     }
-    assert!(rejected(&harness.request(0, 0, 1).1), "a backlog of 500 sheds");
+    assert!(rejected(&harness.request(0, 0, 1).1), "a queue of 500 causes shedding");
     for _ in 0..400 {
         harness.serve(0, 0, 1, 50);
     }
@@ -139,88 +145,89 @@
     assert_eq!(admitted, 20);
 }
 
-/// One silent server of many is left; all servers slow is shed and ejects none.
+/// A single unresponsive server is avoided. If all servers are slow, load is shed and no server is ejected.
 #[test]
 fn one_unresponsive_server_is_distinguished_from_a_slow_fleet() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 6);
-    let mut to_silent = 0;
+    let mut to_unresponsive = 0;
     for i in 0..300 {
         let (id, actions) = harness.request(0, 0, 1);
         harness.advance(20);
         match sent_to(&actions) {
-            Some(ServerId(0)) => to_silent += usize::from(i > 150),
+            Some(ServerId(0)) => to_unresponsive += usize::from(i > 150),
             Some(_) => {
                 harness.finish_attempt(id, 0, Status::Ok, 20);
             }
             None => {}
         }
     }
-    assert!(to_silent <= 5, "{to_silent} sent into silence");
+    assert!(to_unresponsive <= 5, "{to_unresponsive} requests to the unresponsive server");
 
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 4);
-    let mut out = Vec::new();
+    let mut in_flight = Vec::new();
     for _ in 0..200 {
         let (id, actions) = harness.request(0, 0, 1);
         if sent_to(&actions).is_some() {
-            out.push((harness.now, id));
+            in_flight.push((harness.now, id));
         }
         harness.advance(20);
-        while out.first().is_some_and(|&(at, _)| harness.now - at >= 900_000_000) {
-            let (_, id) = out.remove(0);
+        while in_flight.first().is_some_and(|&(at, _)| harness.now - at >= 900_000_000) {
+            let (_, id) = in_flight.remove(0);
             harness.finish_attempt(id, 0, Status::Ok, 900);
         }
     }
-    assert!(harness.log.iter().any(|(_, a)| matches!(a, Action::Reject { .. })), "sheds");
+    assert!(harness.log.iter().any(|(_, a)| matches!(a, Action::Reject { .. })), "load is shed");
     let (_, last) = harness.request(0, 0, 1);
     assert!(sent_to(&last).is_some() || rejected(&last));
 }
 
-/// Under pressure the cheap class is refused and the dear one served.
+/// Under overload the class of the lower value is rejected and the other one served.
 #[test]
 fn the_lowest_value_is_shed_first() {
     let classes = vec![class(Effect::Safe, 1.0), class(Effect::Safe, 5.0)];
     let mut harness = Harness::new(settings(classes, vec![unlimited_plan()]), 2);
-    let mut out = Vec::new();
+    let mut in_flight = Vec::new();
     let mut served = [0, 0];
     for i in 0..600 {
-        let kind = usize::from(i % 4 == 0);
-        let (id, actions) = harness.request(kind, 0, 1);
+        let class_index = usize::from(i % 4 == 0);
+        let (id, actions) = harness.request(class_index, 0, 1);
         if sent_to(&actions).is_some() {
-            out.push((harness.now, id));
-            served[kind] += usize::from(i > 200);
+            in_flight.push((harness.now, id));
+            served[class_index] += usize::from(i > 200);
         }
         harness.advance(10);
-        while out.first().is_some_and(|&(at, _)| harness.now - at >= 200_000_000) {
-            let (_, id) = out.remove(0);
+        while in_flight.first().is_some_and(|&(at, _)| harness.now - at >= 200_000_000) {
+            let (_, id) = in_flight.remove(0);
             harness.finish_attempt(id, 0, Status::Ok, 200);
         }
     }
-    let (cheap, dear) = (served[0] as f64 / 300.0, served[1] as f64 / 100.0);
-    assert!(dear > cheap + 0.2, "dear {dear}, cheap {cheap}");
+    let (low, high) = (served[0] as f64 / 300.0, served[1] as f64 / 100.0);
+    assert!(high > low + 0.2, "high value {high}, low value {low}");
 }
 
-/// Beyond its quota a hard plan is refused with a retry-after, a soft one passes where there is room.
+/// Over the quota, requests of a hard plan are rejected, and those of a soft plan are admitted if there is
+/// capacity.
 #[test]
-fn hard_quotas_reject_and_soft_plans_pass() {
+fn hard_plans_are_rejected_over_the_quota_and_soft_plans_admitted() {
     let hard = Plan { rate: 2.0, burst: 4.0, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
     let soft = Plan { over_quota_value: 0.5, over_quota_cost: 0.0, ..hard.clone() };
     let mut harness = Harness::new(settings(safe_classes(), vec![hard, soft]), 20);
-    let through = |harness: &mut Harness, plan: usize| {
+    let admitted_count = |harness: &mut Harness, plan: usize| {
         (0..40).filter(|_| harness.serve(0, plan, plan as u64, 10).is_some()).count()
     };
-    let (hard, soft) = (through(&mut harness, 0), through(&mut harness, 1));
+    let (hard, soft) = (admitted_count(&mut harness, 0), admitted_count(&mut harness, 1));
     assert!((2..=8).contains(&hard), "{hard}");
     assert_eq!(soft, 40);
 }
 
-/// Absurd settings and reports neither panic nor stop the gateway from answering.
+/// Invalid numbers in settings and reports cause no panic, and the gateway still answers.
 #[test]
-fn absurd_numbers_do_no_harm() {
+fn invalid_numbers_are_harmless() {
     let plan = Plan { rate: f64::NAN, burst: f64::NEG_INFINITY, price: f64::INFINITY, ..Plan::default() };
-    let mut odd = settings(safe_classes(), vec![plan, unlimited_plan()]);
-    odd.slow_start_initial_share = f64::NAN;
-    odd.gateways = 0;
-    let mut harness = Harness::new(odd, 2);
+    let mut invalid = settings(safe_classes(), vec![plan, unlimited_plan()]);
+    invalid.slow_start_initial_share = f64::NAN;
+    invalid.gateways = 0;
+    let mut harness = Harness::new(invalid, 2);
     for i in 0..50 {
         let (id, actions) = harness.request_with_units(0, i % 2, 1, f64::NAN);
         if sent_to(&actions).is_some() {
@@ -237,7 +244,7 @@
     assert!(sent_to(&harness.request(0, 1, 3).1).is_some());
 }
 
-/// A server that failed was left for good when nothing cleared its failures: it is tried again after a while.
+/// Regression test: a server that had failed was never used again, because nothing reset its failure rate.
 #[test]
 fn a_failing_server_is_retried_after_a_while() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 4);
@@ -264,7 +271,7 @@
     assert!(sends[0] <= 10 && sends[1] + sends[2] >= 20, "{sends:?}");
 }
 
-/// With many gateways the open cap counts what the others have out.
+/// With many gateways, the concurrency limit includes the attempts in flight at the other gateways.
 #[test]
 fn the_concurrency_limit_counts_other_gateways() {
     let plan = Plan {
@@ -280,24 +287,26 @@
     assert!((1..=4).contains(&admitted), "{admitted}");
 }
 
-/// Backlog that tips over, and many gateways with one attempt each at every server: what a gateway has out is bounded,
-/// and beyond the quota more tightly.
+/// Attempts in flight from one gateway are limited, and more strictly for requests over the quota. This
+/// protects servers whose queues grow until they fail, and servers with one attempt from each of many
+/// gateways.
 #[test]
 fn attempts_in_flight_are_bounded() {
     let soft = Plan { rate: 0.001, burst: 0.001, price: 1.0, over_quota_value: 0.5, ..Plan::default() };
-    let out = |gateways: u32, plan: usize| {
-        let mut cfg = settings(safe_classes(), vec![unlimited_plan(), soft.clone()]);
-        cfg.gateways = gateways;
-        let mut harness = Harness::new(cfg, 10);
+    let in_flight_count = |gateways: u32, plan: usize| {
+        let mut settings = settings(safe_classes(), vec![unlimited_plan(), soft.clone()]);
+        settings.gateways = gateways;
+        let mut harness = Harness::new(settings, 10);
         (0..200).filter(|_| sent_to(&harness.request(0, plan, 1).1).is_some()).count()
     };
-    let (few, many, beyond) = (out(3, 0), out(30, 0), out(3, 1));
+    let (few, many, over_quota) = (in_flight_count(3, 0), in_flight_count(30, 0), in_flight_count(3, 1));
     assert!((5..=30).contains(&few), "{few}");
     assert!(many < few / 2 && many > 0, "{many} of {few}");
-    assert!(beyond < few && beyond > 0, "{beyond} of {few}");
+    assert!(over_quota < few && over_quota > 0, "{over_quota} of {few}");
 }
 
-/// Attempts that hang at a silent server are called off, so that they stop filling their customer's open cap.
+/// Attempts that hang at an unresponsive server are cancelled, so that they no longer use their customer's
+/// concurrency limit.
 #[test]
 fn hung_attempts_are_cancelled() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 3);
@@ -313,13 +322,14 @@
             None => {}
         }
     }
-    let called = harness.log.iter().filter(|(_, a)| matches!(a, Action::Cancel { .. })).count();
-    assert!(hung > 0 && called >= hung, "{called} of {hung}");
+    let cancelled = harness.log.iter().filter(|(_, a)| matches!(a, Action::Cancel { .. })).count();
+    assert!(hung > 0 && cancelled >= hung, "{cancelled} of {hung}");
 }
 
-/// One class failing at a server that serves the rest: any answer cleared its failures and it kept its share.
+/// Regression test: if one class failed at a server that served the others, any answer reset its failure
+/// rate, and the class was still sent there.
 #[test]
-fn one_class_fails_at_a_server_that_serves_the_rest() {
+fn a_class_that_fails_at_a_server_is_sent_elsewhere_and_the_others_are_not() {
     let classes = vec![class(Effect::Safe, 1.0), class(Effect::Safe, 1.0)];
     let mut harness = Harness::new(settings(classes, vec![unlimited_plan()]), 4);
     let mut sends = [0, 0];
@@ -335,34 +345,37 @@
             }
         }
     }
-    assert!(sends[0] >= 40, "the class it serves goes on: {sends:?}");
-    assert!(sends[1] <= 15, "the class that fails there is sent elsewhere: {sends:?}");
+    assert!(sends[0] >= 40, "the class that it serves is still sent there: {sends:?}");
+    assert!(sends[1] <= 15, "the class that fails is sent elsewhere: {sends:?}");
     assert!(harness.log.iter().any(|(_, a)| matches!(a, Action::Log(l) if l == "server 0 fails class 1")));
 }
 
-/// A restarted server got nothing for its whole ramp when each of hundreds of gateways waited for a send of its own.
+/// Regression test: a restarted server got no requests during its whole slow start, because each of hundreds
+/// of gateways waited for a whole token.
 #[test]
-fn hundreds_of_gateways_share_a_warming_up_server_by_chance() {
-    let mut to_cold = 0;
+fn hundreds_of_gateways_share_a_server_in_slow_start_at_random() {
+    let mut to_slow_start = 0;
     for seed in 0..200 {
-        let mut cfg = settings(safe_classes(), vec![unlimited_plan()]);
-        cfg.gateways = 200;
-        let mut harness = Harness::with_seed(cfg, 4, seed);
+        let mut config = settings(safe_classes(), vec![unlimited_plan()]);
+        config.gateways = 200;
+        let mut harness = Harness::with_seed(config, 4, seed);
         for _ in 0..10 {
             harness.serve(0, 0, 1, 500);
         }
-        let mut cold = server(9);
-        cold.started = Some(Time(harness.now));
-        harness.update_servers(Scope::Delta, vec![cold]);
-        to_cold += (0..8).filter(|_| harness.serve(0, 0, 1, 500) == Some(ServerId(9))).count();
+        let mut restarted = server(9);
+        restarted.started = Some(Time(harness.now));
+        harness.update_servers(Scope::Delta, vec![restarted]);
+        to_slow_start += (0..8).filter(|_| harness.serve(0, 0, 1, 500) == Some(ServerId(9))).count();
     }
-    // 400 a second over five servers: 80 each, of which a fifth rising to half over four seconds.
-    assert!((20..=160).contains(&to_cold), "{to_cold}");
+    // 400 requests per second over five servers are 80 each, of which a fifth, rising to a half over four
+    // seconds.
+    assert!((20..=160).contains(&to_slow_start), "{to_slow_start}");
 }
 
-/// A single late answer at a gateway that sees few moved f, which ends at 1 and so only fell.
+/// Regression test: at a gateway with few answers, a single slow one lowered the admitted fraction. Since the
+/// fraction is bounded by 1, such changes only ever lowered it.
 #[test]
-fn one_late_answer_in_a_few_sheds_nothing() {
+fn one_slow_answer_among_a_few_causes_no_shedding() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 4);
     for i in 0..60 {
         harness.serve(0, 0, 1, if i % 12 == 11 { 1500 } else { 40 });
@@ -371,10 +384,11 @@
     assert!(!harness.log.iter().any(|(_, a)| matches!(a, Action::Log(l) if l.starts_with("shedding"))));
 }
 
-/// Of a hundred gateways each left more room for the others than a store holds, and refused a large request at first
-/// sight; and what the store holds was taken by all of them at once.
+/// Regression test for two faults: each of a hundred gateways reserved more units for the others than the
+/// bucket of the quota holds, and so rejected a customer's first large request; and all gateways used the
+/// units in that bucket at the same time.
 #[test]
-fn quota_left_over_is_split_among_gateways_by_chance() {
+fn the_quota_beyond_the_slices_is_divided_among_gateways_at_random() {
     let plan = Plan { rate: 2.0, burst: 12.0, price: 1.0, over_quota_cost: 1.2, ..Plan::default() };
     let mut admitted = [0, 0];
     for seed in 0..100 {
@@ -390,7 +404,8 @@
     assert!(admitted[1] <= 100, "{admitted:?}");
 }
 
-/// Clients with little time left took quota and server work for answers that could not come in their time.
+/// Regression test: requests with little time left used quota and server work although no answer could come
+/// in time.
 #[test]
 fn a_request_without_time_for_an_answer_is_rejected() {
     let plan = Plan { rate: 0.001, burst: 40.0, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
@@ -398,7 +413,7 @@
     for _ in 0..100 {
         harness.serve(0, 1, 1, 300);
     }
-    let short = |harness: &mut Harness, left: u64| {
+    let request_with_time_left = |harness: &mut Harness, time_left_ms: u64| {
         let id = RequestId(1_000_000 + harness.next_id);
         harness.next_id += 1;
         harness.handle(Event::Request(NewRequest {
@@ -406,26 +421,29 @@
             class: ClassId(0),
             plan: PlanId(0),
             customer: CustomerId(7),
-            deadline: Time(harness.now + left * 1_000_000),
+            deadline: Time(harness.now + time_left_ms * 1_000_000),
             units: 1.0,
             gateways: 2,
             is_retry: false,
             body_in_flight: false,
         }))
     };
-    // Answers take 300 ms: 100 ms are too little, 250 ms may do.
-    let late = (0..50).filter(|_| rejected(&short(&mut harness, 100))).count();
-    assert_eq!(late, 50);
-    assert!(sent_to(&short(&mut harness, 250)).is_some(), "the quota was not spent on them");
+    // Answers take 300 ms: 100 ms are too short, 250 ms may be enough.
+    let rejected_count = (0..50).filter(|_| rejected(&request_with_time_left(&mut harness, 100))).count();
+    assert_eq!(rejected_count, 50);
+    assert!(
+        sent_to(&request_with_time_left(&mut harness, 250)).is_some(),
+        "the rejected requests used no quota"
+    );
 }
 
-/// Half of all tries were clients' repeats, most of them past their aim: served, they earned nothing, and took the
-/// quota from first tries.
+/// Regression test: half of all requests were clients' retries, most of them past their latency target.
+/// Serving them had no value and used the quota of first tries.
 #[test]
-fn a_retry_past_its_latency_target_takes_no_quota() {
+fn a_retry_past_its_latency_target_uses_no_quota() {
     let plan = Plan { rate: 0.001, burst: 40.0, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
     let mut harness = Harness::new(settings(safe_classes(), vec![plan]), 4);
-    let ask = |harness: &mut Harness, wait: u64, repeat: bool| {
+    let is_admitted = |harness: &mut Harness, timeout_ms: u64, is_retry: bool| {
         let id = RequestId(1_000_000 + harness.next_id);
         harness.next_id += 1;
         let actions = harness.handle(Event::Request(NewRequest {
@@ -433,10 +451,10 @@
             class: ClassId(0),
             plan: PlanId(0),
             customer: CustomerId(7),
-            deadline: Time(harness.now + wait * 1_000_000),
+            deadline: Time(harness.now + timeout_ms * 1_000_000),
             units: 1.0,
             gateways: 2,
-            is_retry: repeat,
+            is_retry,
             body_in_flight: false,
         }));
         let admitted = sent_to(&actions).is_some();
@@ -445,102 +463,109 @@
         }
         admitted
     };
-    assert!(ask(&mut harness, 2500, true), "no first try has result yet how long they wait");
-    // Of the deadline's three seconds a first try is given 2.4 s; the aim is 0.8 s.
-    assert!(ask(&mut harness, 2400, false));
-    assert!(ask(&mut harness, 2395, true), "it may have begun just now");
-    assert!(ask(&mut harness, 2300, true), "begun 0.7 s ago, which leaves time for an answer");
-    let late = (0..30).filter(|n| ask(&mut harness, 500 + 50 * n, true)).count();
-    assert_eq!(late, 0, "begun more than 0.8 s ago");
-    assert!(ask(&mut harness, 1000, false), "a first try may be given less");
-    assert!((0..10).all(|_| ask(&mut harness, 2400, false)), "the quota was not spent");
+    assert!(is_admitted(&mut harness, 2500, true), "no first try has shown the clients' timeout yet");
+    // The deadline is 3 s, first tries have a timeout of 2.4 s, and the latency target is 0.8 s.
+    assert!(is_admitted(&mut harness, 2400, false));
+    assert!(is_admitted(&mut harness, 2395, true), "its first try may have begun just now");
+    assert!(
+        is_admitted(&mut harness, 2300, true),
+        "its first try began 0.7 s ago, which leaves time for an answer"
+    );
+    let admitted_count = (0..30).filter(|n| is_admitted(&mut harness, 500 + 50 * n, true)).count();
+    assert_eq!(admitted_count, 0, "their first tries began more than 0.8 s ago");
+    assert!(is_admitted(&mut harness, 1000, false), "a first try may have a shorter timeout");
+    assert!((0..10).all(|_| is_admitted(&mut harness, 2400, false)), "the rejected requests used no quota");
 }
 
-/// Clients were told to come back after the aim, for answers worth nothing, also where the units were almost there.
+/// Regression test: the retry-after was longer than the latency target, so the answer to the retry had no
+/// value, even if the units would have been available soon.
 #[test]
-fn a_rejection_advises_when_to_retry() {
-    let advice = |actions: &[Action]| {
+fn the_retry_after_is_within_the_latency_target() {
+    let retry_after_ms = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
             Action::Reject { retry_after, .. } => Some(retry_after.as_millis()),
             _ => None,
         })
     };
-    // Half of the quota's two units are this gateway's, and half a unit a second.
+    // This gateway's half of the quota is one unit, and half a unit per second.
     let plan = Plan { rate: 1.0, burst: 2.0, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
     let unmetered =
         Settings { meter_period: ms(0), ..settings(safe_classes(), vec![plan, unlimited_plan()]) };
     let mut harness = Harness::new(unmetered, 4);
     assert!(harness.serve(0, 0, 7, 10).is_some());
     assert_eq!(
-        advice(&harness.request(0, 0, 7).1),
+        retry_after_ms(&harness.request(0, 0, 7).1),
         Some(200),
-        "a quarter of the aim, though it takes two seconds"
+        "a quarter of the latency target, although the refill takes two seconds"
     );
     harness.advance(1890);
-    let soon = advice(&harness.request(0, 0, 7).1).expect("a refusal");
-    assert!((90..=110).contains(&soon), "{soon} ms, when the unit is there");
-    // Nothing answers, until no server has room.
-    let full = (0..100).find_map(|_| advice(&harness.request(0, 1, 1).1));
-    assert_eq!(full, Some(200), "an overload's refusal too");
+    let soon = retry_after_ms(&harness.request(0, 0, 7).1).expect("a rejection");
+    assert!((90..=110).contains(&soon), "{soon} ms, the time until the unit is available");
+    // No server answers, until none can take another attempt.
+    let full = (0..100).find_map(|_| retry_after_ms(&harness.request(0, 1, 1).1));
+    assert_eq!(full, Some(200), "also for a rejection because of overload");
 }
 
-/// A single request in a period of the meter reads as far more than the rate, and counted as the customer's use for
-/// a minute: its whole store seemed spent, and what was beyond the slice was refused.
+/// Regression test: a single request in a meter period gives a reading far above the rate. It counted as the
+/// customer's use for a minute, so the whole bucket seemed to be used up, and requests beyond the slice were
+/// rejected.
 #[test]
 fn one_high_meter_reading_does_not_empty_the_bucket() {
     let plan = Plan { rate: 1.0, burst: 12.0, price: 1.0, over_quota_cost: 1.2, ..Plan::default() };
     let mut admitted = [0, 0];
-    for (steady, admitted) in admitted.iter_mut().enumerate() {
+    for (scenario, admitted) in admitted.iter_mut().enumerate() {
         for seed in 0..100 {
-            let single = Settings { max_units: 1.0, ..settings(safe_classes(), vec![plan.clone()]) };
-            let mut harness = Harness::with_seed(single, 4, seed);
+            let config = Settings { max_units: 1.0, ..settings(safe_classes(), vec![plan.clone()]) };
+            let mut harness = Harness::with_seed(config, 4, seed);
             for n in 0..8 {
                 let (id, _) = harness.request(0, 0, 1);
                 harness.advance(50);
                 let mut result = outcome(id, 0, Status::Ok, 50);
-                result.metered_use = Some(if steady == 1 || n == 7 { 4.0 } else { 0.0 });
+                result.metered_use = Some(if scenario == 1 || n == 7 { 4.0 } else { 0.0 });
                 harness.handle(Event::Outcome(result));
                 harness.advance(3000);
             }
-            // Six units are this gateway's; more is in the whole store, unless others use it.
-            let serves = (0..12).filter(|_| harness.serve(0, 0, 1, 1).is_some()).count();
-            *admitted += serves.saturating_sub(6);
+            // This gateway's slice holds six units. The whole bucket holds more, unless other gateways use
+            // it.
+            let served = (0..12).filter(|_| harness.serve(0, 0, 1, 1).is_some()).count();
+            *admitted += served.saturating_sub(6);
         }
     }
-    assert!(admitted[0] >= 10, "{admitted:?}: one such reading");
-    assert_eq!(admitted[1], 0, "{admitted:?}: the others use it all the time");
+    assert!(admitted[0] >= 10, "{admitted:?}: one high reading");
+    assert_eq!(admitted[1], 0, "{admitted:?}: other gateways use the quota all the time");
 }
 
-/// A client that hung up took its attempt along, which counted as its server's failure: the server was shunned for
-/// seconds.
+/// Regression test: when a client disconnected, its cancelled attempt counted as a failure of the server,
+/// which was avoided for seconds.
 #[test]
 fn a_disconnected_client_does_not_count_against_the_server() {
-    // Two at a time go to both servers, unless one is shunned.
+    // Two requests at a time go to both servers, unless one of them is avoided.
     let both_used = |harness: &mut Harness| {
-        let asked: Vec<_> = (0..2).map(|_| harness.request(0, 0, 1)).collect();
+        let requests: Vec<_> = (0..2).map(|_| harness.request(0, 0, 1)).collect();
         harness.advance(160);
-        for (id, _) in &asked {
+        for (id, _) in &requests {
             harness.finish_attempt(*id, 0, Status::Ok, 160);
         }
-        sent_to(&asked[0].1) != sent_to(&asked[1].1)
+        sent_to(&requests[0].1) != sent_to(&requests[1].1)
     };
-    for hangs_up in [true, false] {
+    for disconnects in [true, false] {
         let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 2);
         assert!((0..10).all(|_| both_used(&mut harness)));
         let (id, _) = harness.request(0, 0, 1);
         harness.advance(5);
-        if hangs_up {
+        if disconnects {
             harness.handle(Event::ClientDisconnected(id));
         }
         harness.finish_attempt(id, 0, Status::Cancelled, 5);
         harness.advance(160);
         harness.finish_attempt(id, 1, Status::Ok, 160);
         let used = (0..5).filter(|_| both_used(&mut harness)).count();
-        assert_eq!(used, if hangs_up { 5 } else { 0 }, "hangs up: {hangs_up}");
+        assert_eq!(used, if disconnects { 5 } else { 0 }, "disconnects: {disconnects}");
     }
 }
 
-/// A customer's last units went to whoever came first, and the class of more worth was refused behind the other.
+/// Regression test: a customer's last units went to the first request, and the class of the higher value was
+/// rejected after one of the lower value.
 #[test]
 fn the_last_units_are_left_to_the_most_valuable_class() {
     let classes = || vec![class(Effect::Safe, 3.0), class(Effect::Unsafe, 2.0)];
@@ -548,20 +573,21 @@
     let plans = vec![plan(4.0), plan(2.0)];
     let unmetered = Settings { meter_period: ms(0), ..settings(classes(), plans) };
     let mut harness = Harness::new(unmetered, 4);
-    // Half of the store is this gateway's: two units.
-    assert!(harness.serve(1, 0, 7, 10).is_some(), "there is enough for both");
-    assert!(harness.serve(1, 0, 7, 10).is_none(), "the last one");
-    assert!(harness.serve(0, 0, 7, 10).is_some(), "is the dearer class's");
-    assert!(harness.serve(0, 0, 7, 10).is_none(), "and the quota is spent");
-    assert!(harness.serve(1, 1, 8, 10).is_some(), "a store of one unit, when full, lets in either");
+    // This gateway's half of the bucket holds two units.
+    assert!(harness.serve(1, 0, 7, 10).is_some(), "there are enough units for both classes");
+    assert!(harness.serve(1, 0, 7, 10).is_none(), "the last unit is not for the class of the lower value");
+    assert!(harness.serve(0, 0, 7, 10).is_some(), "it is for the class of the higher value");
+    assert!(harness.serve(0, 0, 7, 10).is_none(), "the quota is used up");
+    assert!(harness.serve(1, 1, 8, 10).is_some(), "a full bucket of one unit admits either class");
 }
 
-/// A reading of the meter was dropped after some seconds, and a heavy customer seen seldom was new each time.
+/// Regression test: meter readings were dropped after some seconds, so a heavy customer with rare requests at
+/// this gateway counted as a new customer each time.
 #[test]
-fn a_heavy_customer_is_remembered_between_rare_requests() {
+fn a_heavy_customer_is_recognized_between_rare_requests() {
     let plan = Plan { rate: 1.0, burst: 6.0, price: 1.0, over_quota_cost: 1.2, ..Plan::default() };
     let mut admitted = [0, 0];
-    for (heavy, admitted) in admitted.iter_mut().enumerate() {
+    for (scenario, admitted) in admitted.iter_mut().enumerate() {
         let mut harness = Harness::new(settings(safe_classes(), vec![plan.clone()]), 4);
         harness.customer_gateways = 100;
         for _ in 0..10 {
@@ -570,7 +596,7 @@
             if sent_to(&actions).is_some() {
                 *admitted += 1;
                 let mut result = outcome(id, 0, Status::Ok, 50);
-                result.metered_use = Some(if heavy == 1 { 4.0 } else { 0.3 });
+                result.metered_use = Some(if scenario == 1 { 4.0 } else { 0.3 });
                 harness.handle(Event::Outcome(result));
             }
             harness.advance(15_000);
@@ -579,7 +605,8 @@
     assert!(admitted[0] >= 9 && admitted[1] <= 5, "{admitted:?}");
 }
 
-/// A ceiling is kept by all gateways together, through restarts: each has its part and starts it nearly empty.
+/// All gateways together stay within a rate limit, also across restarts: each gateway has its part, and the
+/// bucket of its part starts almost empty.
 #[test]
 fn a_rate_limit_holds_across_gateways_and_restarts() {
     let plan = Plan {
@@ -598,10 +625,11 @@
         harness
     };
     let mut harnesses: Vec<Harness> = (0..4).map(harness).collect();
-    let (mut store, mut sends) = (48.0_f64, 0);
+    let (mut tokens, mut sends) = (48.0_f64, 0);
     for tick in 0..600 {
-        store = (store + 8.0 * 0.05).min(48.0);
-        // Every gateway restarts once within two seconds, while the customer asks all it can.
+        tokens = (tokens + 8.0 * 0.05).min(48.0);
+        // Every gateway restarts once within two seconds, while the customer sends as many requests as
+        // possible.
         if tick >= 400 && tick % 10 == 0 && tick < 440 {
             let n = (tick - 400) / 10;
             let now = harnesses[n].now;
@@ -613,33 +641,33 @@
                 let (id, actions) = harness.request_with_units(0, 0, 1, units);
                 if sent_to(&actions).is_some() {
                     harness.finish_attempt(id, 0, Status::Ok, 20);
-                    store -= units;
+                    tokens -= units;
                     sends += 1;
                 }
             }
             harness.advance(50);
         }
-        assert!(store >= -6.0, "{store} after {tick} steps");
+        assert!(tokens >= -6.0, "{tokens} after {tick} steps");
     }
     assert!(sends >= 100, "{sends}");
 }
 
-/// A gateway with more than its part of the traffic has room for two attempts at each of a few servers, however
-/// many gateways there are.
+/// A gateway with more than its share of the traffic may have two attempts in flight at each of a few
+/// servers, however many gateways there are.
 #[test]
-fn a_busy_gateway_is_not_bound_to_one_attempt_at_each_server() {
+fn a_busy_gateway_is_not_limited_to_one_attempt_at_each_server() {
     let mut settings = settings(safe_classes(), vec![unlimited_plan()]);
     settings.gateways = 4;
     let mut harness = Harness::new(settings, 3);
     for n in 0..4 {
         let (_, actions) = harness.request(0, 0, 1);
-        assert!(sent_to(&actions).is_some(), "request {n} of four to three servers");
+        assert!(sent_to(&actions).is_some(), "request {n} of four to three servers is not admitted");
     }
 }
 
-/// A server that the operators leave out gets nothing whatever the list says, be it that it starts anew.
+/// A disabled server gets no requests, even if the list reports it as running or restarted.
 #[test]
-fn a_disabled_server_gets_nothing_until_it_is_enabled() {
+fn a_disabled_server_gets_no_requests_until_it_is_enabled() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 2);
     harness.handle(Event::ServerDisabled(ServerId(0)));
     harness.handle(Event::ServerDisabled(ServerId(0)));
@@ -652,15 +680,15 @@
     }
     harness.handle(Event::ServerEnabled(ServerId(0)));
     harness.handle(Event::ServerEnabled(ServerId(0)));
-    let next: Vec<_> = (0..100).map(|_| harness.serve(0, 0, 1, 10)).collect();
-    assert!(next.contains(&Some(ServerId(0))), "it gets work within a second");
-    // One that was never left out is not taken for one that was.
+    let servers: Vec<_> = (0..100).map(|_| harness.serve(0, 0, 1, 10)).collect();
+    assert!(servers.contains(&Some(ServerId(0))), "it gets a request within a second");
+    // Enabling a server that was not disabled has no effect.
     harness.handle(Event::ServerEnabled(ServerId(1)));
     assert!((0..10).any(|_| harness.serve(0, 0, 1, 10) == Some(ServerId(1))));
 }
 
-/// A restart of a server that was left out becomes known late: until then it is not taken for warm, and however slow
-/// it was before, it is sent something.
+/// The list reports a restart of a disabled server late. Until then the enabled server is in slow start, and
+/// it gets requests however slow it was before.
 #[test]
 fn an_enabled_server_warms_up_until_the_list_can_have_reported_a_restart() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 3);
@@ -671,19 +699,23 @@
     harness.advance(3000);
     harness.handle(Event::ServerEnabled(ServerId(0)));
     let share = |harness: &mut Harness, tries: usize| {
-        let hits = (0..tries).filter(|_| harness.serve(0, 0, 1, 10) == Some(ServerId(0))).count();
-        hits as f64 / tries as f64
+        let sends = (0..tries).filter(|_| harness.serve(0, 0, 1, 10) == Some(ServerId(0))).count();
+        sends as f64 / tries as f64
     };
-    let cold = share(&mut harness, 400);
-    assert!(cold > 0.0 && cold < 0.2, "{cold}: a third would push a cold server over");
+    let initial = share(&mut harness, 400);
+    assert!(
+        initial > 0.0 && initial < 0.2,
+        "{initial}: a third of the requests would overload a server in slow start"
+    );
     harness.advance(3000);
     let warm = share(&mut harness, 400);
-    assert!(warm > 0.25, "{warm}: the list has result of no restart");
+    assert!(warm > 0.25, "{warm}: the list has reported no restart");
 }
 
-/// A process that replaces another one goes on with its accounts, and the two keep them together while both live.
+/// A process that replaces another one takes over its counts, and both processes keep them in agreement while
+/// both run.
 #[test]
-fn an_upgrade_counts_nothing_twice_and_loses_nothing() {
+fn an_upgrade_neither_loses_nor_repeats_counts() {
     let plan = Plan {
         rate: 0.001,
         burst: 12.0,
@@ -692,43 +724,48 @@
         max_in_flight: 8,
         ..Plan::default()
     };
-    let cfg = settings(vec![class(Effect::Safe, 1.0)], vec![plan]);
-    let cfg = Settings { gateways: 1, meter_period: ms(0), ..cfg };
-    let mut old = Harness::new(cfg.clone(), 2);
+    let config = settings(vec![class(Effect::Safe, 1.0)], vec![plan]);
+    let config = Settings { gateways: 1, meter_period: ms(0), ..config };
+    let mut old = Harness::new(config.clone(), 2);
     old.customer_gateways = 1;
     old.handle(Event::ServerDisabled(ServerId(0)));
     for _ in 0..4 {
         assert_eq!(old.serve(0, 0, 7, 10), Some(ServerId(1)));
     }
     let (id, actions) = old.request(0, 0, 7);
-    assert!(sent_to(&actions).is_some(), "one is out while the next process starts");
+    assert!(sent_to(&actions).is_some(), "one attempt is in flight while the next process starts");
 
-    let memory = serde_json::to_string(&old.gateway.snapshot()).expect("written");
-    let mut new = Harness::new(cfg.clone(), 0);
-    new.gateway = Gateway::new(cfg, 43);
-    new.gateway.restore(serde_json::from_str(&memory).expect("read"));
+    let snapshot = serde_json::to_string(&old.gateway.snapshot()).expect("a serializable snapshot");
+    let mut new = Harness::new(config.clone(), 0);
+    new.gateway = Gateway::new(config, 43);
+    new.gateway.restore(serde_json::from_str(&snapshot).expect("a valid snapshot"));
     (new.now, new.next_id, new.customer_gateways) = (old.now, 1000, 1);
     new.timers.clear();
     new.update_servers(Scope::Full, (0..2).map(server).collect());
-    assert!(!new.timers.is_empty(), "its clockwork runs");
-    let result = |new: &mut Harness, news| drop(new.handle(Event::PeerProcess(news)));
+    assert!(!new.timers.is_empty(), "its periodic timer is set");
+    let notify = |new: &mut Harness, event| drop(new.handle(Event::PeerProcess(event)));
     let (customer, server) = (CustomerId(7), ServerId(1));
-    // Five of the twelve units are taken; the old one takes five more, then each is refused at the end of them.
+    // Five of the twelve units are used. The old process uses five more, which leaves two for the new one.
     old.finish_attempt(id, 0, Status::Ok, 10);
-    result(&mut new, PeerProcessEvent::Ended { customer, server, answered: true });
+    notify(&mut new, PeerProcessEvent::Ended { customer, server, answered: true });
     for _ in 0..5 {
         assert!(old.serve(0, 0, 7, 10).is_some());
-        result(
+        notify(
             &mut new,
             PeerProcessEvent::Sent { customer, plan: PlanId(0), gateways: 1, units: 1.0, server },
         );
-        result(&mut new, PeerProcessEvent::Ended { customer, server, answered: true });
+        notify(&mut new, PeerProcessEvent::Ended { customer, server, answered: true });
     }
     let served: Vec<_> = (0..4).map(|_| new.serve(0, 0, 7, 10)).collect();
-    assert_eq!(served, [Some(ServerId(1)), Some(ServerId(1)), None, None], "left out, and two units left");
-    // What the other has out counts against the customer's attempts at once, until it is gone.
+    assert_eq!(
+        served,
+        [Some(ServerId(1)), Some(ServerId(1)), None, None],
+        "the disabled server is not used, and two units were left"
+    );
+    // The other process's attempts count towards the customer's concurrency limit until that process has
+    // exited.
     for _ in 0..9 {
-        result(
+        notify(
             &mut new,
             PeerProcessEvent::Sent {
                 customer: CustomerId(8),
@@ -740,11 +777,11 @@
         );
     }
     assert_eq!(new.serve(0, 0, 8, 10), None);
-    result(&mut new, PeerProcessEvent::Gone);
+    notify(&mut new, PeerProcessEvent::Gone);
     assert_eq!(new.serve(0, 0, 8, 10), Some(ServerId(1)));
 }
 
-/// A request whose body is long, as it arrives.
+/// Passes in a request with a long body that is still arriving.
 fn long_request(harness: &mut Harness, id: u32) -> Vec<Action> {
     harness.handle(Event::Request(NewRequest {
         id: RequestId(id),
@@ -759,220 +796,242 @@
     }))
 }
 
-/// A long body takes its time on the way: the request's own begins with the last byte, and until then it is not one
-/// of the attempts that its customer may have out, nor work for the server.
+/// The timeout of a request with a long body starts with its last byte. Until then the request does not count
+/// towards its customer's concurrency limit, and is no load for the server.
 #[test]
-fn the_time_of_a_long_request_begins_with_its_last_byte() {
+fn the_timeout_of_a_long_request_starts_with_its_last_byte() {
     let plan = Plan { max_in_flight: 2, ..unlimited_plan() };
     let mut harness = Harness::new(settings(vec![class(Effect::Unsafe, 1.0)], vec![plan]), 1);
     for id in 900..905 {
-        assert!(sent_to(&long_request(&mut harness, id)).is_some(), "{id}: none of them is out yet");
+        assert!(
+            sent_to(&long_request(&mut harness, id)).is_some(),
+            "{id}: none of them counts as in flight yet"
+        );
     }
-    let passed = harness.advance(20_000);
-    assert!(!rejected(&passed) && !failed(&passed), "it is waited for while it gets on");
+    let actions = harness.advance(20_000);
+    assert!(!rejected(&actions) && !failed(&actions), "no answer while the body is arriving");
     let (id, attempt) = (RequestId(900), AttemptNo(0));
     let deadline = Time(harness.now + 3_000_000_000);
     harness.handle(Event::BodyWritten { id, attempt, deadline });
-    let passed = harness.advance(2900);
-    assert!(!rejected(&passed) && !failed(&passed));
-    let (_, more) = harness.request(0, 0, 1);
-    assert!(rejected(&more), "what is written is out: the cap leaves this gateway one");
-    assert!(failed(&harness.advance(200)), "it may have run");
+    let actions = harness.advance(2900);
+    assert!(!rejected(&actions) && !failed(&actions));
+    let (_, actions) = harness.request(0, 0, 1);
+    assert!(
+        rejected(&actions),
+        "the written request is in flight, and this gateway's part of the limit is one"
+    );
+    assert!(failed(&harness.advance(200)), "it may have been executed");
 }
 
-/// What may be sent but once is given up when it has been: no other attempt could carry it.
+/// A request whose body was forwarded is given up, because its body is not available for another attempt.
 #[test]
 fn a_body_that_was_forwarded_is_not_sent_again() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 4);
     assert!(sent_to(&long_request(&mut harness, 900)).is_some());
-    let gone = Outcome { not_retryable: true, ..outcome(RequestId(900), 0, Status::ConnectFailed, 5) };
-    let after = harness.handle(Event::Outcome(gone));
-    assert!(sent_to(&after).is_none() && rejected(&after), "it never ran");
+    let not_retryable =
+        Outcome { not_retryable: true, ..outcome(RequestId(900), 0, Status::ConnectFailed, 5) };
+    let after = harness.handle(Event::Outcome(not_retryable));
+    assert!(sent_to(&after).is_none() && rejected(&after), "it was not executed");
     assert!(sent_to(&long_request(&mut harness, 901)).is_some());
     let after = harness.finish_attempt(RequestId(901), 0, Status::ConnectFailed, 5);
-    assert!(sent_to(&after).is_some(), "nothing of this one has been passed on");
+    assert!(sent_to(&after).is_some(), "no part of this body has been forwarded");
 }
 
-/// A long answer is an answer from its first byte on, and what passes of it later takes no room at its server.
+/// A streamed answer counts as an answer from its first byte on. The rest of it uses no capacity of its
+/// server.
 #[test]
 fn streamed_answers_take_no_capacity_and_are_not_slow() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 1);
     for n in 0..40 {
         let (id, actions) = harness.request(0, 0, n);
-        assert!(sent_to(&actions).is_some(), "{n} of them pass");
+        assert!(sent_to(&actions).is_some(), "request {n} is admitted");
         harness.advance(10);
         harness.handle(Event::StreamStarted { id, attempt: AttemptNo(0) });
     }
-    let passed = harness.advance(20_000);
-    assert!(!passed.iter().any(|a| matches!(a, Action::Log(_) | Action::Cancel { .. })), "{passed:?}");
+    let actions = harness.advance(20_000);
+    assert!(!actions.iter().any(|a| matches!(a, Action::Log(_) | Action::Cancel { .. })), "{actions:?}");
     assert!(harness.serve(0, 0, 99, 10).is_some());
-    // One that breaks off has had its answer, and has no other attempt.
-    let broken = Outcome { finished: true, ..outcome(RequestId(0), 0, Status::Reset, 20_000) };
-    assert!(sent_to(&harness.handle(Event::Outcome(broken))).is_none());
+    // A streamed answer that breaks off is not retried.
+    let reset = Outcome { finished: true, ..outcome(RequestId(0), 0, Status::Reset, 20_000) };
+    assert!(sent_to(&harness.handle(Event::Outcome(reset))).is_none());
 }
 
-/// With most servers cold, each gets its part of what a warm one is sent: the whole fleet is used, and no cold one
-/// more than it can do.
+/// With most servers in slow start, each gets its share of the rate of a warm one: all servers are used, and
+/// none is overloaded.
 #[test]
-fn warming_up_servers_get_their_share_however_many_they_are() {
-    let cfg = Settings { gateways: 1, ..settings(safe_classes(), vec![unlimited_plan()]) };
-    let mut harness = Harness::new(cfg, 7);
+fn servers_in_slow_start_get_their_share_however_many_they_are() {
+    let config = Settings { gateways: 1, ..settings(safe_classes(), vec![unlimited_plan()]) };
+    let mut harness = Harness::new(config, 7);
     harness.customer_gateways = 1;
     for _ in 0..300 {
         harness.serve(0, 0, 1, 10);
     }
     let started = Some(Time(harness.now));
-    let cold = (0..5).map(|id| ServerInfo { started, ..server(id) }).collect();
-    harness.update_servers(Scope::Delta, cold);
+    let restarted = (0..5).map(|id| ServerInfo { started, ..server(id) }).collect();
+    harness.update_servers(Scope::Delta, restarted);
     for second in 0..4 {
-        let picks: Vec<_> = (0..100).filter_map(|_| harness.serve(0, 0, 1, 10)).collect();
-        let to_cold = picks.iter().filter(|server| server.0 < 5).count() as f64 / 100.0;
-        // They warm evenly from a fifth in ten seconds.
-        let warmth = 0.2 + 0.08 * (f64::from(second) + 0.5);
-        let part = 5.0 * warmth / (5.0 * warmth + 2.0);
-        assert_eq!(picks.len(), 100, "all are let in");
-        let near = part * 0.6..part * 1.5;
-        assert!(second == 0 || near.contains(&to_cold), "{to_cold} of {part} in second {second}");
+        let servers: Vec<_> = (0..100).filter_map(|_| harness.serve(0, 0, 1, 10)).collect();
+        let to_slow_start = servers.iter().filter(|server| server.0 < 5).count() as f64 / 100.0;
+        // Their capacity rises linearly from a fifth within ten seconds.
+        let warm_share = 0.2 + 0.08 * (f64::from(second) + 0.5);
+        let expected_share = 5.0 * warm_share / (5.0 * warm_share + 2.0);
+        assert_eq!(servers.len(), 100, "all are admitted");
+        let accepted = expected_share * 0.6..expected_share * 1.5;
+        assert!(
+            second == 0 || accepted.contains(&to_slow_start),
+            "{to_slow_start} of {expected_share} in second {second}"
+        );
     }
 }
 
-/// A gateway that has sent nothing yet, before servers that are all cold, serves at what they bear: it knows of no warm one's
-/// rate, and parts of nothing kept it from ever sending. What all of them are sent stays under what pushes one over.
+/// Regression test: a gateway that had sent no requests, with all servers in slow start, never sent any,
+/// because each server's share of a send rate of zero is zero. It must use their capacity without overloading
+/// any.
 #[test]
-fn a_gateway_that_starts_before_warming_up_servers_alone_serves() {
-    for gap in [50, 20] {
+fn a_new_gateway_uses_servers_that_are_all_in_slow_start() {
+    for interval_ms in [50, 20] {
         let mut harness =
             Harness::new(Settings { gateways: 1, ..settings(safe_classes(), vec![unlimited_plan()]) }, 0);
         harness.customer_gateways = 1;
         let started = Some(Time(harness.now));
         harness.update_servers(Scope::Full, (0..6).map(|id| ServerInfo { started, ..server(id) }).collect());
         let mut serve = |seconds: u64| {
-            let tries = seconds * 1000 / gap;
-            (tries, (0..tries).filter_map(|_| harness.serve(0, 0, 1, gap)).collect::<Vec<_>>())
+            let sent = seconds * 1000 / interval_ms;
+            (sent, (0..sent).filter_map(|_| harness.serve(0, 0, 1, interval_ms)).collect::<Vec<_>>())
         };
         serve(4);
-        // They are not warm before ten seconds are over.
-        let (tries, picks) = serve(5);
-        assert!(picks.len() as u64 * 10 >= tries * 8, "{} of {tries}, one each {gap} ms", picks.len());
-        let mut of_each = BTreeMap::new();
-        picks.iter().for_each(|server| *of_each.entry(server).or_insert(0) += 1);
-        assert!(of_each.values().all(|sends| sends * 6 <= 2 * tries), "twice its even part: {of_each:?}");
+        // Slow start lasts ten seconds.
+        let (sent, servers) = serve(5);
+        assert!(
+            servers.len() as u64 * 10 >= sent * 8,
+            "{} of {sent}, one every {interval_ms} ms",
+            servers.len()
+        );
+        let mut requests_per_server = BTreeMap::new();
+        servers.iter().for_each(|server| *requests_per_server.entry(server).or_insert(0) += 1);
+        assert!(
+            requests_per_server.values().all(|sends| sends * 6 <= 2 * sent),
+            "more than twice an equal share: {requests_per_server:?}"
+        );
     }
 }
 
-/// After a jam the fraction let in rises again though few answers come, as it keeps them from coming itself.
+/// After overload, the admitted fraction rises again even though a low fraction itself causes few answers.
 #[test]
-fn a_low_admitted_fraction_does_not_starve_itself_of_answers() {
+fn a_low_admitted_fraction_recovers_with_few_answers() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 2);
-    // All that comes finds no room while the servers say nothing for a while.
-    let mut jam = Vec::new();
+    // The servers do not answer for a while, so that the gateway reaches its in-flight limits.
+    let mut admitted_ids = Vec::new();
     for _ in 0..200 {
         let (id, actions) = harness.request(0, 0, 1);
-        jam.extend(sent_to(&actions).map(|_| id));
+        admitted_ids.extend(sent_to(&actions).map(|_| id));
         harness.advance(5);
     }
-    for id in jam {
+    for id in admitted_ids {
         harness.finish_attempt(id, 0, Status::Ok, 1000);
     }
     let serve = |harness: &mut Harness, seconds: u32| {
-        let tries = 100 * seconds;
-        let served = (0..tries).filter(|_| {
+        let sent = 100 * seconds;
+        let served = (0..sent).filter(|_| {
             let served = harness.serve(0, 0, 1, 5).is_some();
             harness.advance(5);
             served
         });
-        served.count() as f64 / f64::from(tries)
+        served.count() as f64 / f64::from(sent)
     };
     let first = serve(&mut harness, 1);
     serve(&mut harness, 2);
-    let then = serve(&mut harness, 1);
-    assert!(first < 0.5, "{first}: a jam it was");
-    assert!(then > 0.9, "{then} let in three seconds later");
+    let later = serve(&mut harness, 1);
+    assert!(first < 0.5, "{first}: there was overload");
+    assert!(later > 0.9, "{later} admitted three seconds later");
 }
 
-/// The servers that each of so many gateways sends to, of the listed ones, when each answers at once.
-fn sets(gateways: u32, listed: &[u32]) -> Vec<BTreeSet<u32>> {
-    let set = |number| {
-        let cfg =
-            Settings { gateways, gateway_index: number, ..settings(safe_classes(), vec![unlimited_plan()]) };
-        let mut harness = Harness::with_seed(cfg, 0, u64::from(number));
+/// Returns the servers that each gateway sends to when all listed servers answer at once.
+fn subsets(gateways: u32, listed: &[u32]) -> Vec<BTreeSet<u32>> {
+    let subset = |gateway_index| {
+        let config = Settings { gateways, gateway_index, ..settings(safe_classes(), vec![unlimited_plan()]) };
+        let mut harness = Harness::with_seed(config, 0, u64::from(gateway_index));
         harness.update_servers(
             Scope::Full,
             listed.iter().map(|&id| ServerInfo { zone: id % 3, ..server(id) }).collect(),
         );
         (0..200).filter_map(|_| harness.serve(0, 0, 1, 20)).map(|server| server.0).collect()
     };
-    (0..gateways).map(set).collect()
+    (0..gateways).map(subset).collect()
 }
 
-/// A hundred gateways that choose over sixty servers know none of them and open thousands of connections. Each prefers
-/// a few, all servers have as many gateways, no zone is left out, and a server replaced moves few.
+/// A hundred gateways that each use sixty servers would have too few answers of each for statistics, and
+/// would open thousands of connections. Instead, each prefers a few servers in every zone, all servers are
+/// preferred by about equally many gateways, and replacing a server changes few of the subsets.
 #[test]
 fn many_gateways_each_prefer_a_few_servers_and_cover_all_evenly() {
     let listed: Vec<u32> = (0..60).map(|n| n * 7919 + 5).collect();
-    let before = sets(100, &listed);
-    for set in &before {
-        assert!((6..=12).contains(&set.len()), "{set:?}");
-        assert_eq!(set.iter().map(|id| id % 3).collect::<BTreeSet<_>>().len(), 3, "of every zone: {set:?}");
+    let before = subsets(100, &listed);
+    for subset in &before {
+        assert!((6..=12).contains(&subset.len()), "{subset:?}");
+        assert_eq!(
+            subset.iter().map(|id| id % 3).collect::<BTreeSet<_>>().len(),
+            3,
+            "servers of every zone: {subset:?}"
+        );
     }
-    let takers = |id: &u32| before.iter().filter(|set| set.contains(id)).count();
-    let (least, most) = (listed.iter().map(takers).min(), listed.iter().map(takers).max());
-    assert!(least >= Some(11) && most <= Some(18), "{least:?} to {most:?} gateways a server");
+    let gateways_per_server = |id: &u32| before.iter().filter(|subset| subset.contains(id)).count();
+    let (least, most) =
+        (listed.iter().map(gateways_per_server).min(), listed.iter().map(gateways_per_server).max());
+    assert!(least >= Some(11) && most <= Some(18), "{least:?} to {most:?} gateways per server");
     let replaced: Vec<u32> = listed.iter().map(|&id| if id == 5 { 6 * 7919 + 2 } else { id }).collect();
-    let after = sets(100, &replaced);
-    let moved: usize = before.iter().zip(&after).map(|(a, b)| a.difference(b).count()).sum();
-    assert!(moved <= 100, "{moved} of 900 places moved for one server");
+    let after = subsets(100, &replaced);
+    let changed: usize = before.iter().zip(&after).map(|(a, b)| a.difference(b).count()).sum();
+    assert!(changed <= 100, "{changed} of 900 subset members changed for one server");
 }
 
-/// The same choice with a few gateways: each needs all servers, as there are no others to share the work.
+/// With few gateways, each uses all servers, because otherwise some servers would get too little of the load.
 #[test]
 fn few_gateways_use_all_servers() {
-    assert!(sets(3, &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11]).iter().all(|set| set.len() == 12));
-    // Odd settings are harmless.
-    let odd = Settings {
+    assert!(subsets(3, &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11]).iter().all(|subset| subset.len() == 12));
+    // Extreme values are harmless.
+    let too_many = Settings {
         gateways: u32::MAX,
         gateway_index: u32::MAX,
         ..settings(safe_classes(), vec![unlimited_plan()])
     };
-    assert!(Harness::new(odd, 40).serve(0, 0, 1, 20).is_some());
+    assert!(Harness::new(too_many, 40).serve(0, 0, 1, 20).is_some());
     let none = Settings { gateways: 0, gateway_index: 7, ..settings(safe_classes(), vec![unlimited_plan()]) };
     assert!(Harness::new(none, 2).serve(0, 0, 1, 20).is_some());
 }
 
-/// A gateway whose own servers all fail sends to the others.
+/// A gateway whose preferred servers all fail uses the others.
 #[test]
-fn a_subset_whose_servers_fail_is_widened() {
-    let cfg = Settings { gateways: 100, ..settings(safe_classes(), vec![unlimited_plan()]) };
-    let mut harness = Harness::new(cfg, 60);
-    let own: BTreeSet<_> = (0..100).filter_map(|_| harness.serve(0, 0, 1, 20)).collect();
-    assert!(own.len() <= 12, "{own:?}");
+fn servers_outside_the_subset_are_used_if_its_servers_fail() {
+    let config = Settings { gateways: 100, ..settings(safe_classes(), vec![unlimited_plan()]) };
+    let mut harness = Harness::new(config, 60);
+    let preferred: BTreeSet<_> = (0..100).filter_map(|_| harness.serve(0, 0, 1, 20)).collect();
+    assert!(preferred.len() <= 12, "{preferred:?}");
     let mut served = 0;
     for _ in 0..100 {
         let (id, actions) = harness.request(0, 0, 1);
-        let mut to = sent_to(&actions);
+        let mut sent_server = sent_to(&actions);
         for attempt in 0..4 {
-            let Some(server) = to else { break };
-            let status = if own.contains(&server) { Status::ConnectFailed } else { Status::Ok };
+            let Some(server) = sent_server else { break };
+            let status = if preferred.contains(&server) { Status::ConnectFailed } else { Status::Ok };
             served += u32::from(status == Status::Ok);
-            to = sent_to(&harness.finish_attempt(id, attempt, status, 5));
+            sent_server = sent_to(&harness.finish_attempt(id, attempt, status, 5));
         }
         harness.advance(20);
     }
     assert!(served >= 80, "{served} of 100");
 }
 
-/// A cold server's part is a send now and then from each of many gateways. Where it waited for its turn among all servers
-/// that were free, what it could have had meanwhile was lost, and the warm ones drowned beside it.
+/// Regression test: each of many gateways sends a server in slow start only an occasional request. When that
+/// request competed with all idle servers on equal terms, the server's tokens were wasted and the warm
+/// servers were overloaded.
 #[test]
-fn warming_up_servers_get_their_share_from_many_gateways() {
-    let (mut to_cold, mut all) = (0, 0);
-    for number in 0..100 {
-        let cfg = Settings {
-            gateways: 100,
-            gateway_index: number,
-            ..settings(safe_classes(), vec![unlimited_plan()])
-        };
-        let mut harness = Harness::with_seed(cfg, 60, u64::from(number));
+fn servers_in_slow_start_get_their_share_from_many_gateways() {
+    let (mut to_slow_start, mut total) = (0, 0);
+    for gateway_index in 0..100 {
+        let config =
+            Settings { gateways: 100, gateway_index, ..settings(safe_classes(), vec![unlimited_plan()]) };
+        let mut harness = Harness::with_seed(config, 60, u64::from(gateway_index));
         let serve = |harness: &mut Harness| {
             let server = harness.serve(0, 0, 1, 20);
             harness.advance(230);
@@ -983,22 +1042,23 @@
         harness
             .update_servers(Scope::Delta, (0..30).map(|id| ServerInfo { started, ..server(id) }).collect());
         for _ in 0..16 {
-            let server = serve(&mut harness).expect("all are let in");
-            (to_cold, all) = (to_cold + u32::from(server.0 < 30), all + 1);
+            let server = serve(&mut harness).expect("all are admitted");
+            (to_slow_start, total) = (to_slow_start + u32::from(server.0 < 30), total + 1);
         }
     }
-    // They warm evenly from a fifth in ten seconds, of which these are the first four.
-    let part = 0.36 / 1.36;
-    let share = f64::from(to_cold) / f64::from(all);
-    assert!((0.75 * part..1.15 * part).contains(&share), "{share} of {part}");
+    // Their capacity rises linearly from a fifth within ten seconds, of which these are the first four.
+    let expected_share = 0.36 / 1.36;
+    let share = f64::from(to_slow_start) / f64::from(total);
+    assert!((0.75 * expected_share..1.15 * expected_share).contains(&share), "{share} of {expected_share}");
 }
 
-/// A repeat with little time left went to a server that is many times as slow as its like, where no answer could come in
-/// time, when the others were full or gone; the client was kept waiting for nothing.
+/// Regression test: if the other servers were busy or gone, a retry with little time left went to a server
+/// many times slower than the others of its type. No answer could come in time, and the client waited in
+/// vain.
 #[test]
 fn a_retry_is_not_sent_to_a_server_too_slow_for_the_time_left() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 4);
-    let others = |harness: &mut Harness, lifecycle: Lifecycle| {
+    let set_other_servers = |harness: &mut Harness, lifecycle: Lifecycle| {
         harness
             .update_servers(Scope::Delta, (1..4).map(|id| ServerInfo { lifecycle, ..server(id) }).collect());
     };
@@ -1006,54 +1066,66 @@
         harness.serve(0, 0, 1, 60);
     }
     for _ in 0..6 {
-        others(&mut harness, Lifecycle::Draining);
-        assert_eq!(harness.serve(0, 0, 1, 780), Some(ServerId(0)), "it is the only one");
-        others(&mut harness, Lifecycle::Running);
+        set_other_servers(&mut harness, Lifecycle::Draining);
+        assert_eq!(harness.serve(0, 0, 1, 780), Some(ServerId(0)), "it is the only server");
+        set_other_servers(&mut harness, Lifecycle::Running);
         for _ in 0..30 {
             harness.serve(0, 0, 1, 60);
         }
     }
-    // The first attempt's server fails after so long, of the aim of 800 ms, when the slow one alone is left.
-    let repeat = |harness: &mut Harness, after: u64| {
+    // The first attempt fails after `after_ms` ms of the latency target of 800 ms, when only the slow server
+    // is left.
+    let retry_after = |harness: &mut Harness, after_ms: u64| {
         let (id, actions) = harness.request(0, 0, 1);
-        assert!(sent_to(&actions).is_some_and(|server| server != ServerId(0)), "the others are quicker");
-        others(harness, Lifecycle::Draining);
-        harness.advance(after);
-        let actions = harness.finish_attempt(id, 0, Status::Error, after);
+        assert!(sent_to(&actions).is_some_and(|server| server != ServerId(0)), "the others are faster");
+        set_other_servers(harness, Lifecycle::Draining);
+        harness.advance(after_ms);
+        let actions = harness.finish_attempt(id, 0, Status::Error, after_ms);
         if sent_to(&actions).is_some() {
             harness.finish_attempt(id, 1, Status::Ok, 60);
         }
-        others(harness, Lifecycle::Running);
+        set_other_servers(harness, Lifecycle::Running);
         actions
     };
-    let late = repeat(&mut harness, 680);
-    assert!(rejected(&late) && sent_to(&late).is_none(), "at once, and with a time to come back");
-    assert_eq!(sent_to(&repeat(&mut harness, 100)), Some(ServerId(0)), "there is time for this one");
+    let without_time = retry_after(&mut harness, 680);
+    assert!(
+        rejected(&without_time) && sent_to(&without_time).is_none(),
+        "rejected at once, with a retry-after"
+    );
+    assert_eq!(
+        sent_to(&retry_after(&mut harness, 100)),
+        Some(ServerId(0)),
+        "there is enough time for this retry"
+    );
 }
 
-/// A fleet that is slow as a whole is no reason to ask nobody: nothing else would show that it has recovered.
+/// If all servers are slow, they still get requests, because only their answers show that they have
+/// recovered.
 #[test]
-fn a_fleet_that_is_slow_altogether_still_gets_requests() {
+fn servers_that_are_all_slow_still_get_requests() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 4);
     for _ in 0..60 {
         harness.serve(0, 0, 1, 60);
     }
     for n in 0..30 {
-        assert!(harness.serve(0, 0, 1, 780).is_some(), "after {n} that took almost the aim of 0.8 s");
+        assert!(
+            harness.serve(0, 0, 1, 780).is_some(),
+            "after {n} answers that took almost the latency target of 0.8 s"
+        );
     }
 }
 
-/// Further attempts are a share of the first ones, however much fails.
+/// Retries are limited to a share of the first attempts, however many attempts fail.
 #[test]
 fn the_retry_budget_bounds_retries() {
-    for (status, price) in [(Status::Error, 1.0), (Status::Reset, 0.2)] {
+    for (status, cost) in [(Status::Error, 1.0), (Status::Reset, 0.2)] {
         let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 30);
-        let (mut first, mut further) = (0, 0);
+        let (mut first_attempts, mut retries) = (0, 0);
         for n in 0..2000 {
             let (id, mut actions) = harness.request(0, 0, n % 50);
             let mut attempt = 0;
             while sent_to(&actions).is_some() {
-                *if attempt == 0 { &mut first } else { &mut further } += 1;
+                *if attempt == 0 { &mut first_attempts } else { &mut retries } += 1;
                 harness.advance(5);
                 actions = harness.finish_attempt(id, attempt, status, 5);
                 attempt += 1;
@@ -1061,20 +1133,21 @@
             harness.advance(20);
             assert!(harness.gateway.retry_budget() >= 0.0);
         }
-        // A tenth of one earned with each first send, and ten saved up, at this price.
-        let most = (0.1 * f64::from(first) + 10.0) / price;
-        assert!(f64::from(further) <= most, "{status:?}: {further} of {first}");
+        // A tenth of a retry is earned with each first attempt and up to ten are saved, each at this cost.
+        let max_retries = (0.1 * f64::from(first_attempts) + 10.0) / cost;
+        assert!(f64::from(retries) <= max_retries, "{status:?}: {retries} of {first_attempts}");
         assert!(
-            f64::from(further) > 0.8 * most.min(2.9 * f64::from(first)) && first > 500,
-            "{status:?}: {further} of {first}"
+            f64::from(retries) > 0.8 * max_retries.min(2.9 * f64::from(first_attempts))
+                && first_attempts > 500,
+            "{status:?}: {retries} of {first_attempts}"
         );
     }
 }
 
-/// A first attempt went to a server that had been silent beyond doubt, when there was no other: nothing could be expected of
-/// it in time, and the client was kept waiting.
+/// Regression test: if there was no other server, a first attempt went to a server that had not answered for
+/// longer than the response timeout. No answer could be expected in time, and the client waited in vain.
 #[test]
-fn a_first_attempt_is_not_sent_where_even_the_best_server_is_unresponsive() {
+fn a_first_attempt_is_not_sent_if_even_the_best_server_is_unresponsive() {
     let mut harness = Harness::new(settings(vec![class(Effect::Unsafe, 1.0)], vec![unlimited_plan()]), 1);
     for _ in 0..40 {
         harness.serve(0, 0, 1, 50);
@@ -1082,11 +1155,11 @@
     harness.advance(1);
     let (id, actions) = harness.request(0, 0, 2);
     assert!(sent_to(&actions).is_some());
-    // Six mean latencies, and half of the aim of 800 ms at least, are its time.
+    // The response timeout is six mean latencies, and at least half of the latency target of 800 ms.
     harness.advance(500);
     let (_, actions) = harness.request(0, 0, 4);
-    assert!(rejected(&actions) && sent_to(&actions).is_none(), "at once, and with a time to come back");
-    // One answer, and it is asked again.
+    assert!(rejected(&actions) && sent_to(&actions).is_none(), "rejected at once, with a retry-after");
+    // After one answer, the server gets requests again.
     harness.finish_attempt(id, 0, Status::Ok, 500);
     let (_, actions) = harness.request(0, 0, 5);
     assert!(sent_to(&actions).is_some());
--- a/quota-gateway/core/tests/quotas.rs
+++ b/quota-gateway/core/tests/quotas.rs
@@ -1,4 +1,5 @@
-//! Quotas of customers that come through many gateways, each of which sees little of them.
+//! Quotas of customers whose requests come through many gateways, so that each gateway sees only a few of
+//! them.
 
 mod common;
 
@@ -9,11 +10,11 @@
     vec![class(Effect::Safe, 1.0)]
 }
 
-/// A customer's first try at one of a hundred gateways.
-fn first_try(plan: &Plan, number: u32) -> (Harness, NewRequest) {
+/// A customer's first request at one of a hundred gateways.
+fn first_request(plan: &Plan, gateway_index: u32) -> (Harness, NewRequest) {
     let cfg = Settings {
         gateways: 100,
-        gateway_index: number,
+        gateway_index,
         max_units: 1.0,
         ..settings(safe_classes(), vec![plan.clone()])
     };
@@ -28,37 +29,38 @@
         is_retry: false,
         body_in_flight: false,
     };
-    (Harness::with_seed(cfg, 6, u64::from(number)), request)
+    (Harness::with_seed(cfg, 6, u64::from(gateway_index)), request)
 }
 
 fn plan() -> Plan {
     Plan { rate: 1.0, burst: 6.0, price: 1.0, over_quota_cost: 1.0, ..Plan::default() }
 }
 
-/// A customer that comes through many gateways was refused where its quota was known to be used, and its repeat let in as
-/// a first ask by the next gateway, which knew nothing of it.
+/// Regression test: a gateway with a meter reading rejected a request over the quota, but the retry was
+/// admitted by the next gateway, which had no reading of the customer and counted the retry as its first
+/// request.
 #[test]
-fn a_retry_is_no_first_request_where_nothing_is_known_of_its_customer() {
-    let admitted = |gateways: u32, repeat: bool| {
-        let ask = |number: u32| {
-            let (mut harness, request) = first_try(&plan(), number);
-            sent_to(&harness.handle(Event::Request(NewRequest { gateways, is_retry: repeat, ..request })))
-                .is_some()
+fn a_retry_does_not_count_as_a_first_request_at_a_gateway_without_a_meter_reading() {
+    let admitted = |gateways: u32, is_retry: bool| {
+        let is_admitted = |gateway_index: u32| {
+            let (mut harness, request) = first_request(&plan(), gateway_index);
+            sent_to(&harness.handle(Event::Request(NewRequest { gateways, is_retry, ..request }))).is_some()
         };
-        (0..100).filter(|&number| ask(number)).count()
+        (0..100).filter(|&gateway_index| is_admitted(gateway_index)).count()
     };
-    assert_eq!(admitted(75, false), 100, "first asks");
-    assert!(admitted(75, true) <= 20, "{} of 100 repeats", admitted(75, true));
-    assert!(admitted(3, true) >= 60, "{} of 100 repeats where a third of all comes", admitted(3, true));
+    assert_eq!(admitted(75, false), 100, "first requests");
+    assert!(admitted(75, true) <= 20, "{} of 100 retries", admitted(75, true));
+    assert!(admitted(3, true) >= 60, "{} of 100 retries with a third of the traffic here", admitted(3, true));
 }
 
-/// Of hundreds of gateways each lets in the first ask of a customer that it knows nothing of, and where many customers ask for
-/// several times their quotas most of that is beyond them. What the meter tells of others of the plan says how much is.
+/// Each of hundreds of gateways would admit the first request of a customer that it has no meter reading of.
+/// If many customers of a plan use several times their quotas, most of these requests are over the quota. The
+/// readings of the plan's other customers show how many are.
 #[test]
-fn unknown_customers_are_taken_for_the_mean_of_their_plan() {
+fn a_customer_without_readings_counts_as_an_average_customer_of_its_plan() {
     let admitted = |used: f64| {
-        let ask = |number: u32| {
-            let (mut harness, request) = first_try(&plan(), number);
+        let is_admitted = |gateway_index: u32| {
+            let (mut harness, request) = first_request(&plan(), gateway_index);
             for other in 0..150 {
                 harness.customer_gateways = 75;
                 let (id, actions) = harness.request(0, 0, 100 + other);
@@ -74,23 +76,23 @@
             let request = NewRequest { id: RequestId(1000), deadline, ..request };
             sent_to(&harness.handle(Event::Request(request))).is_some()
         };
-        (0..100).filter(|&number| ask(number)).count()
+        (0..100).filter(|&gateway_index| is_admitted(gateway_index)).count()
     };
-    assert_eq!(admitted(0.5), 100, "they use half of their quotas");
-    // Three times as much as quotas hold is used by those that are let in.
+    assert_eq!(admitted(0.5), 100, "other customers use half of their quotas");
+    // Other customers use three times their quotas.
     let some = admitted(3.0);
     assert!((20..=60).contains(&some), "{some} of 100");
 }
 
-/// What a customer of a plan (rate, burst, units of a request) is let in with that asks so much of its quota for
-/// 25 s, through a hundred and fifty gateways, unevenly and where no meter tells of it: as a share of what it asks,
-/// and in quotas.
-fn unmetered((rate, burst, units): (f64, f64, f64), use_of_quota: f64, seed: u64) -> (f64, f64) {
+/// Simulates a customer for 25 s that sends `use_of_quota` times its quota through 150 gateways, unevenly and
+/// without a meter. The plan is given as rate, burst and units per request. Returns the admitted units as a
+/// share of the requested units, and as a share of the quota.
+fn simulate_unmetered((rate, burst, units): (f64, f64, f64), use_of_quota: f64, seed: u64) -> (f64, f64) {
     const GATEWAYS: usize = 150;
     let plan = Plan { rate, burst, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
-    let settings = |number| Settings {
+    let settings = |gateway_index| Settings {
         gateways: 200,
-        gateway_index: number,
+        gateway_index,
         meter_period: ms(0),
         max_units: 8.0,
         ..settings(safe_classes(), vec![plan.clone()])
@@ -101,7 +103,7 @@
     let weights: Vec<f64> = (1..=GATEWAYS).map(|n| (n as f64).powf(-1.4)).collect();
     let total: f64 = weights.iter().sum();
     let mut random = Random(seed);
-    let (mut asked, mut admitted) = (0.0, 0.0);
+    let (mut requested, mut admitted) = (0.0, 0.0);
     for millis in 0..25_000 {
         if random.uniform() >= use_of_quota * plan.rate / units / 1000.0 {
             continue;
@@ -115,28 +117,36 @@
         harness.customer_gateways = GATEWAYS as u32;
         harness.advance(millis - harness.now / 1_000_000);
         let (id, actions) = harness.request_with_units(0, 0, 7, units);
-        asked += units;
+        requested += units;
         if sent_to(&actions).is_some() {
             harness.finish_attempt(id, 0, Status::Ok, 1);
             admitted += units;
         }
     }
-    (admitted / asked, admitted / (plan.burst + 25.0 * plan.rate))
+    (admitted / requested, admitted / (plan.burst + 25.0 * plan.rate))
 }
 
-/// An equal part of a quota among hundreds of gateways holds no request, and without a meter nothing was let in at all.
+/// Regression test: with hundreds of gateways, an equal slice of a quota is smaller than one request, and
+/// without a meter nothing was admitted.
 #[test]
-fn without_a_meter_customers_of_many_gateways_are_served_and_heavy_ones_limited() {
-    // The dear plan's customers ask much at one gateway each, which tells a calm one from a heavy one the least.
+fn without_a_meter_light_customers_of_many_gateways_are_served_and_heavy_ones_limited() {
+    // Customers of the second plan send much through one gateway each, which makes light and heavy customers
+    // the hardest to distinguish.
     for (plan, least, most) in [((1.3, 5.0, 1.0), 0.53, 1.2), ((17.0, 34.0, 2.0), 0.35, 1.2)] {
         for seed in 1..=3 {
-            let calm: Vec<f64> = (0..10).map(|n| unmetered(plan, 0.4, seed * 10 + n).0).collect();
-            let served = calm.iter().sum::<f64>() / calm.len() as f64;
-            assert!(served > least, "{served:.2} of what calm customers ask, {plan:?}, seed {seed}");
-            let heavy: Vec<f64> = (0..10).map(|n| unmetered(plan, 4.0, seed * 10 + n).1).collect();
+            let light: Vec<f64> = (0..10).map(|n| simulate_unmetered(plan, 0.4, seed * 10 + n).0).collect();
+            let served = light.iter().sum::<f64>() / light.len() as f64;
+            assert!(
+                served > least,
+                "light customers: {served:.2} of the demand admitted, {plan:?}, seed {seed}"
+            );
+            let heavy: Vec<f64> = (0..10).map(|n| simulate_unmetered(plan, 4.0, seed * 10 + n).1).collect();
             let quotas = heavy.iter().sum::<f64>() / heavy.len() as f64;
-            let held = (0.5..most).contains(&quotas);
-            assert!(held, "{quotas:.2} quotas to one that asks for four, {plan:?}, seed {seed}");
+            let is_within_bounds = (0.5..most).contains(&quotas);
+            assert!(
+                is_within_bounds,
+                "heavy customers at 4 quotas: {quotas:.2} quotas admitted, {plan:?}, seed {seed}"
+            );
         }
     }
 }
--- a/quota-gateway/deadline/src/budget.rs
+++ b/quota-gateway/deadline/src/budget.rs
@@ -1,26 +1,29 @@
 //! The deadline of one request, and the limits that it sets to every wait on the request's behalf.
 //!
-//! The client's timeout counts from the request's last byte ([`Budget::on_complete`]). From then on each connect, attempt
-//! and pause is limited to the time remaining, and each server is advertised what is left when its attempt is written, so
-//! that no server works on a response that nobody waits for. The budget reads no clock: callers pass the current time.
+//! The client's timeout counts from the request's last byte ([`Budget::on_complete`]). From then on each
+//! connect, attempt and pause is limited to the time remaining, and each server is advertised what is left
+//! when its attempt is written, so that no server works on a response that nobody waits for. The budget reads
+//! no clock: callers pass the current time.
 
 use crate::{Stage, StageTimes};
 use marblecroft_quota_gateway_core::Time;
 use std::time::Duration;
 
-/// A response is written this long before the client's timeout ends: its transit time, and what a busy core adds.
+/// A response is written this long before the client's timeout ends, to cover its transit time and scheduling
+/// delays on a busy core.
 pub const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
-/// A response of which the client takes no byte is abandoned after this time, whatever time remains. A slow reader whose
-/// response came in time is owed all of it, however long that takes; a reader that has gone must not keep its connection
-/// open forever.
+/// A response is abandoned if the client reads no byte of it for this time, whatever time remains. A slow
+/// reader may take as long as it needs for a response that came in time, but a reader that has gone must not
+/// keep its connection open forever.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// One connect may use the remaining time divided by this, so that as much is left to try another server. No request was
-/// sent where no connection came up, so a retry is safe whatever the class.
+/// One connect may use the remaining time divided by this, so that as much is left to try another server. If
+/// no connection was established, no request was sent, so a retry is safe whatever the class.
 const CONNECT_DIVISOR: u32 = 2;
 /// The timeout that is advertised to servers is a multiple of this.
 const ADVERTISED_UNIT: Duration = Duration::from_millis(1);
 
-/// The time budget of one request. It starts with the request and counts down from the request's last byte.
+/// The time budget of one request. It starts with the request, and its deadline counts from the request's
+/// last byte.
 #[derive(Clone, Debug)]
 pub struct Budget {
     client_timeout: Duration,
@@ -32,7 +35,7 @@
     /// The instant up to which `spent` accounts for all time.
     accounted_until: Time,
     spent: StageTimes,
-    /// Attempts of which at least a part was written.
+    /// Number of attempts of which at least a part was written.
     attempts: u32,
     /// The timeout advertised with the last attempt.
     last_advertised: Option<Duration>,
@@ -40,8 +43,8 @@
 }
 
 impl Budget {
-    /// Starts the budget of a request whose first byte arrives `now` and whose client waits for `client_timeout` from its
-    /// last byte.
+    /// Starts the budget of a request whose first byte arrives `now` and whose client waits for
+    /// `client_timeout` from its last byte.
     pub fn new(client_timeout: Duration, now: Time) -> Budget {
         Budget {
             client_timeout,
@@ -56,14 +59,16 @@
         }
     }
 
-    /// Records that the last byte was read `now` and had arrived `unread_for` earlier, which is when the client's timeout
-    /// starts. For a body that is streamed to a server, the last byte has reached the server. Only the first call counts.
+    /// Records that the last byte was read `now` and had arrived `unread_for` earlier, which is when the
+    /// client's timeout starts. For a body that is streamed to a server, the last byte has reached the
+    /// server. Only the first call counts.
     pub fn on_complete(&mut self, now: Time, unread_for: Duration) {
         if self.complete_at.is_some() {
             return;
         }
         self.account(now);
-        // A last byte may be reported as older than the first read: that time, too, was spent unread and not reading.
+        // A last byte may be reported as older than the first read: that time, too, was spent unread and not
+        // reading.
         self.spent.subtract(Stage::Read, unread_for);
         if !unread_for.is_zero() {
             self.spent.add(Stage::Unread, unread_for);
@@ -80,14 +85,15 @@
         self.process_ends_at = Some(self.process_ends_at.map_or(exit_at, |earlier| earlier.min(exit_at)));
     }
 
-    /// The instant by which the response must be written. `None` while the request is still arriving, unless the process
-    /// is about to exit.
+    /// The instant by which the response must be written. `None` while the request is still arriving, unless
+    /// the process is about to exit.
     pub fn deadline(&self) -> Option<Time> {
         let by_client = self.complete_at.map(|complete_at| complete_at.after(self.usable_timeout()));
         by_client.into_iter().chain(self.process_ends_at).min()
     }
 
-    /// The deadline; while the request is still arriving, the one that it would have if its last byte arrived `now`.
+    /// The deadline; while the request is still arriving, the one that it would have if its last byte arrived
+    /// `now`.
     pub fn latest_deadline(&self, now: Time) -> Time {
         self.deadline().unwrap_or_else(|| now.after(self.usable_timeout()))
     }
@@ -102,19 +108,19 @@
         self.remaining(now).map_or(max_wait, |remaining| remaining.min(max_wait))
     }
 
-    /// Enters [`Stage::Connect`] and returns how long this connect may take: at most `max_wait`, and at most half of the
-    /// time remaining, so that a connect that hangs leaves time for another server.
+    /// Enters [`Stage::Connect`] and returns how long this connect may take: at most `max_wait`, and at most
+    /// half of the time remaining, so that a connect that hangs leaves time for another server.
     pub fn begin_connect(&mut self, now: Time, max_wait: Duration) -> Duration {
         self.enter(now, Stage::Connect);
         self.remaining(now).map_or(max_wait, |remaining| max_wait.min(remaining / CONNECT_DIVISOR))
     }
 
-    /// Enters [`Stage::Attempt`] and returns the timeout to advertise to the server: whole milliseconds until the earlier
-    /// of the deadline and `attempt_ends_at`, less the `response_transit` time of the server's response. It never grows
-    /// from one attempt to the next.
+    /// Enters [`Stage::Attempt`] and returns the timeout to advertise to the server: whole milliseconds until
+    /// the earlier of the deadline and `attempt_ends_at`, less the `response_transit` time of the server's
+    /// response. It never grows from one attempt to the next.
     ///
-    /// Returns `None`, and counts no attempt, when the request must not be sent: no time remains, or its response is
-    /// decided.
+    /// Returns `None`, and counts no attempt, when the request must not be sent: no time remains, or its
+    /// response is decided.
     pub fn begin_attempt(
         &mut self,
         now: Time,
@@ -140,7 +146,7 @@
         Some(advertised)
     }
 
-    /// Takes back the last attempt: no byte of it was written.
+    /// Cancels the last attempt, of which no byte was written.
     pub fn cancel_attempt(&mut self, now: Time) {
         self.enter(now, Stage::Waiting);
         self.attempts = self.attempts.saturating_sub(1);
@@ -151,8 +157,8 @@
         self.enter(now, Stage::Waiting);
     }
 
-    /// Records that the response is decided and enters [`Stage::Write`]. Returns whether this is the first decision, which
-    /// alone is valid.
+    /// Records that the response is decided and enters [`Stage::Write`]. Returns whether this is the first
+    /// decision; later ones are not valid.
     pub fn decide(&mut self, now: Time) -> bool {
         self.enter(now, Stage::Write);
         !std::mem::replace(&mut self.is_decided, true)
@@ -185,8 +191,8 @@
         self.client_timeout.saturating_sub(RESPONSE_MARGIN)
     }
 
-    /// Moves to another stage. Once the response is decided, what other attempts still do is no longer charged to the
-    /// request.
+    /// Enters another stage. Once the response is decided, the time of attempts that are still running is not
+    /// charged to the request.
     fn enter(&mut self, now: Time, stage: Stage) {
         if !self.is_decided {
             self.account(now);
@@ -194,8 +200,8 @@
         }
     }
 
-    /// Charges the time since `accounted_until` to the current stage. While the client is still sending, the time is the
-    /// client's, even if an attempt runs at the same time.
+    /// Charges the time since `accounted_until` to the current stage. While the client is still sending, it
+    /// is charged to [`Stage::Read`], even if an attempt runs at the same time.
     fn account(&mut self, now: Time) {
         let is_reading = self.complete_at.is_none() && !self.is_decided;
         let stage = if is_reading { Stage::Read } else { self.stage };
--- a/quota-gateway/deadline/src/outcome_totals.rs
+++ b/quota-gateway/deadline/src/outcome_totals.rs
@@ -1,6 +1,6 @@
-//! Metrics of how requests used their budgets, by class, stage and outcome.
+//! Metrics of how requests used their time budgets, by class, stage and outcome.
 //!
-//! All label values are fixed at the start, so the number of series is too. Bodies are in the Prometheus text format.
+//! All label values are fixed at the start, so the number of time series is fixed as well.
 
 use crate::{Budget, Stage};
 use marblecroft_quota_gateway_core::Time;
@@ -16,11 +16,12 @@
 pub enum Outcome {
     /// The client received all of a server's response.
     Answered,
-    /// Rejected or failed before anything was written to a server: for want of quota, capacity or time.
+    /// Rejected or failed before anything was written to a server: there was not enough quota, capacity or
+    /// time left.
     BeforeSend,
     /// Rejected or failed after at least one attempt.
     InAttempt,
-    /// The client disconnected before it had its response.
+    /// The client disconnected before it received the whole response.
     ClientGone,
 }
 
@@ -40,8 +41,8 @@
     }
 }
 
-/// Upper bounds of the histogram buckets, in seconds: from the delay that a busy core adds to beyond the longest deadline
-/// and [`STALL_TIMEOUT`](crate::STALL_TIMEOUT).
+/// Upper bounds of the histogram buckets, in seconds: from the delay that a busy core adds to beyond the
+/// longest deadline and [`STALL_TIMEOUT`](crate::STALL_TIMEOUT).
 const BUCKET_BOUNDS_SECS: [f64; 10] = [0.001, 0.005, 0.025, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0];
 
 /// The series of one class of requests.
@@ -92,7 +93,7 @@
     /// Registers the metrics for the classes of these names, in the order of their numbers.
     ///
     /// # Errors
-    /// Fails if the registry refuses a metric, as where two classes have the same name.
+    /// Fails if the registry rejects a metric, for example because two classes have the same name.
     pub fn new(classes: &[String]) -> prometheus::Result<OutcomeTotals> {
         let registry = Registry::new();
         let stages = histograms(
@@ -140,7 +141,8 @@
         Ok(OutcomeTotals { registry, classes, retry_budget, gauges: RefCell::default() })
     }
 
-    /// Counts an attempt of a request of this class: its first, or a retry. An unknown class is ignored, here and below.
+    /// Counts an attempt of a request of this class: its first, or a retry. An unknown class is ignored, here
+    /// and below.
     pub fn record_attempt(&self, class: usize, is_first: bool) {
         if let Some(class) = self.classes.get(class) {
             if is_first { &class.first_attempts } else { &class.retries }.inc();
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Counts a request that is over, and observes the time that it spent in each stage.
+    /// Counts a finished request, and observes the time that it spent in each stage.
     pub fn record_outcome(&self, class: usize, budget: &Budget, now: Time, outcome: Outcome) {
         let Some(class) = self.classes.get(class) else { return };
         class.outcomes[outcome as usize].inc();
@@ -170,10 +172,10 @@
         }
     }
 
-    /// Sets a gauge of another part of the gateway, and registers it the first time.
+    /// Sets a gauge of another part of the gateway, and registers it on first use.
     ///
     /// # Errors
-    /// Fails if the registry refuses the name.
+    /// Fails if the registry rejects the name.
     pub fn set_gauge(&self, name: &'static str, help: &str, value: f64) -> prometheus::Result<()> {
         let mut gauges = self.gauges.borrow_mut();
         if let Some(gauge) = gauges.get(name) {
@@ -187,8 +189,8 @@
         Ok(())
     }
 
-    /// Encodes all metrics, with this value of the retry budget, in the Prometheus text format; returns the text and its
-    /// content type.
+    /// Sets the retry budget gauge, and encodes all metrics in the Prometheus text format. Returns the text
+    /// and its content type.
     ///
     /// # Errors
     /// Fails if a metric cannot be encoded.
--- a/quota-gateway/deadline/src/outcome_totals/tests.rs
+++ b/quota-gateway/deadline/src/outcome_totals/tests.rs
@@ -5,11 +5,11 @@
 fn outcomes_are_counted_by_class_stage_and_end() {
     let at = |millis: u64| Time(millis * 1_000_000);
     let ms = Duration::from_millis;
-    let totals = OutcomeTotals::new(&["read \"a\"".to_owned(), "write".to_owned()]).expect("a totals");
+    let totals = OutcomeTotals::new(&["read \"a\"".to_owned(), "write".to_owned()]).expect("valid metrics");
     let mut budget = Budget::new(ms(500), at(0));
     budget.on_complete(at(20), ms(0));
     budget.begin_connect(at(20), ms(250));
-    budget.begin_attempt(at(30), at(500), ms(0)).expect("time is left");
+    budget.begin_attempt(at(30), at(500), ms(0)).expect("time remains");
     totals.record_attempt(1, true);
     budget.decide(at(230));
     totals.record_decided(1, &budget, at(230));
--- a/quota-gateway/deadline/src/stage.rs
+++ b/quota-gateway/deadline/src/stage.rs
@@ -1,25 +1,25 @@
 //! The stages of a request's life, and how long a request spent in each.
 //!
-//! A budget is in exactly one [`Stage`] at a time, so the times in [`StageTimes`] never overlap and add up to the time since
-//! the request began.
+//! A budget is in exactly one [`Stage`] at a time, so the times in [`StageTimes`] never overlap and add up to
+//! the time since the request began.
 
 use std::time::Duration;
 
-/// What a request's time is spent on.
+/// What a request is waiting for. Its time is charged to one stage at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// The request waits in the operating system: its connection is not yet accepted, or the gateway is busy.
     Unread,
-    /// Its head and body arrive. By the protocol the client's timeout starts at the last byte, so this stage is not
-    /// charged to the client.
+    /// Its head and body are arriving. By the protocol the client's timeout starts at the last byte, so this
+    /// stage does not count against the timeout.
     Read,
     /// It waits for a server, before the first attempt or between two.
     Waiting,
     /// A connection to a server is being established.
     Connect,
-    /// A server processes it.
+    /// A server is processing it.
     Attempt,
-    /// Its response is written to the client.
+    /// Its response is being written to the client.
     Write,
 }
 
@@ -41,7 +41,8 @@
     }
 }
 
-/// The time that a request spent in each stage. A stage that it never entered is distinct from one that took no time.
+/// The time that a request spent in each stage. A stage that it never entered is distinct from one that took
+/// no time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StageTimes([Option<Duration>; Stage::ALL.len()]);
 
--- a/quota-gateway/deadline/tests/chain.rs
+++ b/quota-gateway/deadline/tests/chain.rs
@@ -1,4 +1,5 @@
-//! Chains of attempts on a virtual clock: whatever servers, clients and the caller do, a request stays within its budget.
+//! Chains of attempts on a virtual clock: a request stays within its budget, whatever servers, clients and
+//! the caller do.
 
 use marblecroft_deadline::{Budget, Stage, RESPONSE_MARGIN, STALL_TIMEOUT};
 use marblecroft_quota_gateway_core::Time;
@@ -20,9 +21,9 @@
 /// How a server receives an attempt.
 #[derive(Clone, Copy, Debug)]
 enum Server {
-    /// The connection comes up after so long, if the caller waits for it.
+    /// The connection is established after this time in ms, if the caller waits for it.
     Up(u64),
-    /// The connection was kept, and is closed before anything is written.
+    /// The connection is reused, and is closed before anything is written.
     Closed,
     /// The connection is reused.
     Pooled,
@@ -31,7 +32,7 @@
 #[derive(Clone, Debug)]
 struct Attempt {
     server: Server,
-    /// The response comes after this time in ms, if the caller waits for it; `None` when it never does.
+    /// The response arrives after this time in ms, if the caller waits for it; `None` if it never arrives.
     response_after: Option<u64>,
     served: bool,
     /// Time in ms before the next attempt.
@@ -42,8 +43,9 @@
 #[derive(Clone, Debug)]
 struct Chain {
     client_timeout: u64,
-    begun: u64,
-    /// Time in ms from the first byte to the last, and for how much of it the last byte lay unread.
+    started_at: u64,
+    /// Time in ms from the first byte until the last byte is read, and the part of it for which the last byte
+    /// was unread.
     reading: u64,
     unread_for: u64,
     /// The process exits this many ms after the last byte was read.
@@ -81,39 +83,42 @@
         prop::collection::vec(attempts, 0..8),
         0..200_u64,
     )
-        .prop_map(|(client_timeout, begun, reading, unread_for, exits_after, attempts, write)| Chain {
-            client_timeout,
-            begun,
-            reading,
-            unread_for: unread_for.min(reading),
-            exits_after,
-            attempts,
-            write,
+        .prop_map(|(client_timeout, started_at, reading, unread_for, exits_after, attempts, write)| {
+            Chain {
+                client_timeout,
+                started_at,
+                reading,
+                unread_for: unread_for.min(reading),
+                exits_after,
+                attempts,
+                write,
+            }
         })
 }
 
-/// What a chain did.
-struct Played {
+/// The result of a chain.
+struct ChainResult {
     sends: Vec<(Time, Duration)>,
     decided_at: Time,
     budget: Budget,
 }
 
-/// Plays a chain as the gateway does: no wait is longer than the budget allows, and the response is decided when no time remains.
-fn play(chain: &Chain) -> Played {
-    let mut budget = Budget::new(ms(chain.client_timeout), at(chain.begun));
-    let mut now = at(chain.begun + chain.reading);
+/// Runs a chain as the gateway does: no wait is longer than the budget allows, and the response is decided
+/// when no time remains.
+fn run_chain(chain: &Chain) -> ChainResult {
+    let mut budget = Budget::new(ms(chain.client_timeout), at(chain.started_at));
+    let mut now = at(chain.started_at + chain.reading);
     budget.on_complete(now, ms(chain.unread_for));
     if let Some(exits_after) = chain.exits_after {
         budget.end_by(now.after(ms(exits_after)));
     }
-    let ends = budget.deadline().expect("the request is complete");
+    let deadline = budget.deadline().expect("the request is complete");
     let mut sends = Vec::new();
-    'attempts: for one in &chain.attempts {
-        if now >= ends {
+    'attempts: for attempt in &chain.attempts {
+        if now >= deadline {
             break;
         }
-        if let Server::Up(after) = one.server {
+        if let Server::Up(after) = attempt.server {
             let wait = budget.begin_connect(now, ms(250));
             now = now.after(wait.min(ms(after)));
             if ms(after) > wait {
@@ -121,90 +126,104 @@
                 continue 'attempts;
             }
         }
-        let Some(rest) = budget.begin_attempt(now, ends, ms(one.response_transit)) else {
+        let Some(advertised) = budget.begin_attempt(now, deadline, ms(attempt.response_transit)) else {
             budget.begin_wait(now);
             continue;
         };
-        if matches!(one.server, Server::Closed) {
+        if matches!(attempt.server, Server::Closed) {
             budget.cancel_attempt(now);
             continue;
         }
-        sends.push((now, rest));
-        let wait = budget.limit_wait(now, one.response_after.map_or(Duration::MAX, ms));
+        sends.push((now, advertised));
+        let wait = budget.limit_wait(now, attempt.response_after.map_or(Duration::MAX, ms));
         now = now.after(wait);
-        if one.served && one.response_after.is_some_and(|after| ms(after) <= wait) && now < ends {
+        if attempt.served && attempt.response_after.is_some_and(|after| ms(after) <= wait) && now < deadline {
             break;
         }
         budget.begin_wait(now);
-        now = now.after(budget.limit_wait(now, ms(one.backoff)));
+        now = now.after(budget.limit_wait(now, ms(attempt.backoff)));
     }
     assert!(budget.decide(now), "the first decision is valid");
-    assert!(!budget.decide(now), "and no other");
-    let played = Played { sends, decided_at: now, budget };
-    let mut late = played.budget.clone();
-    let soon = now.after(ms(1));
+    assert!(!budget.decide(now), "a second decision is not valid");
+    let result = ChainResult { sends, decided_at: now, budget };
+    let mut after_decision = result.budget.clone();
+    let next = now.after(ms(1));
     assert_eq!(
-        late.begin_attempt(soon, ends.after(STALL_TIMEOUT), ms(0)),
+        after_decision.begin_attempt(next, deadline.after(STALL_TIMEOUT), ms(0)),
         None,
         "no attempt follows the response"
     );
-    played
+    result
 }
 
 #[test]
 fn a_chain_of_attempts_stays_within_its_budget() {
     let config = Config { cases: 20_000, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]));
-    let (mut several, mut cut_short, mut spent_all) = (0, 0, 0);
-    let (mut ended, mut longest) = (0_u32, 0);
-    let counts =
-        std::cell::RefCell::new((&mut several, &mut cut_short, &mut spent_all, &mut ended, &mut longest));
+    let (mut with_retries, mut ended_by_exit, mut used_whole_budget) = (0, 0, 0);
+    let (mut chain_count, mut max_sends) = (0_u32, 0);
+    let counts = std::cell::RefCell::new((
+        &mut with_retries,
+        &mut ended_by_exit,
+        &mut used_whole_budget,
+        &mut chain_count,
+        &mut max_sends,
+    ));
     runner
         .run(&chain(), |chain| {
-            let played = play(&chain);
-            let read = at(chain.begun + chain.reading);
-            let given = ms(chain.client_timeout).saturating_sub(RESPONSE_MARGIN);
-            let most =
-                chain.exits_after.map_or(given, |exits_after| given.min(ms(exits_after + chain.unread_for)));
-            let written = played.decided_at.after(ms(chain.write));
-            let spent = played.budget.spent(written);
-            // The time unread may exceed the budget; the time spent after that never does.
+            let result = run_chain(&chain);
+            let read_at = at(chain.started_at + chain.reading);
+            let usable_timeout = ms(chain.client_timeout).saturating_sub(RESPONSE_MARGIN);
+            let max_charged = chain
+                .exits_after
+                .map_or(usable_timeout, |exits_after| usable_timeout.min(ms(exits_after + chain.unread_for)));
+            let written = result.decided_at.after(ms(chain.write));
+            let spent = result.budget.spent(written);
+            // The unread time may exceed the budget; the time spent after that never does.
             prop_assert!(
-                spent.charged() <= most.max(ms(chain.unread_for)),
-                "{:?} of {most:?}",
+                spent.charged() <= max_charged.max(ms(chain.unread_for)),
+                "{:?} of {max_charged:?}",
                 spent.charged()
             );
             let total: Duration = spent.stages().map(|(_, took)| took).sum();
             prop_assert_eq!(
                 total,
-                ms(chain.reading + chain.write) + Duration::from_nanos(played.decided_at.0 - read.0)
+                ms(chain.reading + chain.write) + Duration::from_nanos(result.decided_at.0 - read_at.0)
             );
             prop_assert_eq!(spent.of(Stage::Write), ms(chain.write));
-            for pair in played.sends.windows(2) {
+            for pair in result.sends.windows(2) {
                 prop_assert!(pair[1].1 <= pair[0].1, "advertised more than the attempt before");
-                // A shorter transit estimate may make up for no more than itself.
-                let passed = Duration::from_nanos(pair[1].0 .0 - pair[0].0 .0);
+                // A shorter transit time can compensate for no more time than the maximum transit time.
+                let elapsed = Duration::from_nanos(pair[1].0 .0 - pair[0].0 .0);
                 prop_assert!(
-                    passed <= MAX_RESPONSE_TRANSIT || pair[1].1 < pair[0].1,
-                    "time passed, and none was deducted"
+                    elapsed <= MAX_RESPONSE_TRANSIT || pair[1].1 < pair[0].1,
+                    "time passed, but none was deducted"
                 );
             }
-            for (sent, rest) in &played.sends {
-                let left = most.saturating_sub(Duration::from_nanos(sent.0 - read.0) + ms(chain.unread_for));
-                prop_assert!(!rest.is_zero() && *rest <= left, "advertised {rest:?} of {left:?}");
+            for (sent, advertised) in &result.sends {
+                let remaining = max_charged
+                    .saturating_sub(Duration::from_nanos(sent.0 - read_at.0) + ms(chain.unread_for));
+                prop_assert!(
+                    !advertised.is_zero() && *advertised <= remaining,
+                    "advertised {advertised:?} of {remaining:?}"
+                );
             }
             let mut counts = counts.borrow_mut();
-            *counts.0 += u32::from(played.sends.len() > 1);
-            *counts.1 += u32::from(chain.exits_after.is_some_and(|exits_after| ms(exits_after) < given));
-            *counts.2 += u32::from(spent.charged() == most);
+            *counts.0 += u32::from(result.sends.len() > 1);
+            *counts.1 +=
+                u32::from(chain.exits_after.is_some_and(|exits_after| ms(exits_after) < usable_timeout));
+            *counts.2 += u32::from(spent.charged() == max_charged);
             *counts.3 += 1;
-            *counts.4 = (*counts.4).max(played.sends.len());
+            *counts.4 = (*counts.4).max(result.sends.len());
             Ok(())
         })
         .unwrap();
-    // The generator reached the cases that matter.
-    assert!(several > 2000 && cut_short > 2000 && spent_all > 500, "{several} {cut_short} {spent_all}");
-    assert!(ended == 20_000 && longest >= 4);
+    // The generated chains covered the relevant cases.
+    assert!(
+        with_retries > 2000 && ended_by_exit > 2000 && used_whole_budget > 500,
+        "{with_retries} {ended_by_exit} {used_whole_budget}"
+    );
+    assert!(chain_count == 20_000 && max_sends >= 4);
 }
 
 #[test]
@@ -233,7 +252,7 @@
     budget.on_complete(at(9000), ms(0));
     assert_eq!(budget.deadline(), Some(at(9490)));
     budget.on_complete(at(9400), ms(0));
-    assert_eq!(budget.deadline(), Some(at(9490)), "the last byte comes once");
+    assert_eq!(budget.deadline(), Some(at(9490)), "only the first call counts");
     budget.decide(at(9100));
     let spent = budget.spent(at(9100));
     assert_eq!((spent.of(Stage::Read), spent.of(Stage::Attempt)), (ms(9000), ms(100)));
@@ -243,7 +262,7 @@
 fn process_exit_shortens_every_budget_and_extends_none() {
     let mut budget = Budget::new(ms(500), at(0));
     budget.end_by(at(2000));
-    assert_eq!(budget.remaining(at(1700)), Some(ms(300)), "a request that is still arriving too");
+    assert_eq!(budget.remaining(at(1700)), Some(ms(300)), "also for a request that is still arriving");
     budget.on_complete(at(1000), ms(0));
     assert_eq!(budget.deadline(), Some(at(1490)));
     budget.end_by(at(1200));
@@ -259,9 +278,9 @@
         let mut budget = Budget::new(ms(timeout), at(0));
         budget.on_complete(at(0), ms(0));
         assert_eq!(budget.begin_attempt(at(0), at(4000), ms(1)), None, "{timeout} ms");
-        assert!(budget.decide(at(0)), "and gets a response all the same");
+        assert!(budget.decide(at(0)), "{timeout} ms: the response is still decided");
     }
-    // Read later than its client waits.
+    // The request was read after the client's timeout had ended.
     let mut budget = Budget::new(ms(400), at(1000));
     budget.on_complete(at(1000), ms(500));
     assert_eq!(budget.remaining(at(1000)), Some(ms(0)));
