--- a/quota-gateway/core/src/api.rs
+++ b/quota-gateway/core/src/api.rs
@@ -17,7 +17,7 @@
     pub fn after(self, span: Duration) -> Time {
         Time(self.0.saturating_add(u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)))
     }
-    /// The instant `seconds` later; a negative or non-finite span counts as zero.
+    /// The instant `seconds` later. A negative span or NaN counts as zero; a very large span saturates.
     pub fn after_secs(self, seconds: f64) -> Time {
         Time(self.0.saturating_add((seconds.max(0.0) * 1e9) as u64))
     }
--- a/quota-gateway/core/src/decisions.rs
+++ b/quota-gateway/core/src/decisions.rs
@@ -39,11 +39,12 @@
 /// Weight of an answer in the mean latencies of classes and machine types: an average over about a dozen
 /// answers.
 const LATENCY_WEIGHT: f64 = 0.08;
-/// Response timeouts after which a lost attempt is retried and no longer counts as a latency sample.
+/// Number of response timeouts after which a lost attempt is retried and no longer counts as a latency
+/// sample.
 const LOST_RETRY_TIMEOUTS: f64 = 1.0;
-/// Response timeouts after which a lost attempt no longer counts against the in-flight limits. Longer than
-/// [`LOST_RETRY_TIMEOUTS`], because an attempt that is still running is load, and a needless retry costs less
-/// than overload.
+/// Number of response timeouts after which a lost attempt no longer counts against the in-flight limits.
+/// Larger than [`LOST_RETRY_TIMEOUTS`], because an attempt that is still running is load, and a needless
+/// retry costs less than overload.
 const LOST_RELEASE_TIMEOUTS: f64 = 2.0;
 /// Minimum time left for an attempt to be sent, in mean latencies of its class and of the server.
 const MIN_TIME_LEFT_LATENCIES: f64 = 0.5;
--- a/quota-gateway/core/src/decisions/in_flight_limits.rs
+++ b/quota-gateway/core/src/decisions/in_flight_limits.rs
@@ -11,11 +11,12 @@
 
 /// Attempts that all gateways together may always have in flight at a server, whatever its answer rate.
 const MIN_IN_FLIGHT_PER_SERVER: f64 = 3.0;
-/// Limit at one server, as the share of the mean latency target in which it answers that many attempts. Up to
-/// twice as large for the most valuable class.
+/// The in-flight limit of one server is the number of attempts that it answers in this share of the mean
+/// latency target, or in twice this share for the most valuable class.
 const SERVER_TARGET_SHARE: f64 = 0.08;
-/// Limit at all servers together, in the same terms. Larger than [`SERVER_TARGET_SHARE`] because one server
-/// may be busier than the rest.
+/// The in-flight limit of all servers together is the number of attempts that they answer in this share of
+/// the mean latency target. It is larger than [`SERVER_TARGET_SHARE`] because one server may be busier than
+/// the rest.
 const TOTAL_TARGET_SHARE: f64 = 0.12;
 /// Multiple of the total limit for requests within their quota. It is above 1 because service is uneven.
 const TOTAL_LIMIT_WITHIN_QUOTA: f64 = 1.5;
--- a/quota-gateway/core/src/decisions/outcomes.rs
+++ b/quota-gateway/core/src/decisions/outcomes.rs
@@ -95,8 +95,8 @@
         if is_unanswered && !ended.is_excluded_from_health {
             self.record_latency_ratio(ended.server, elapsed.max(target) / typical);
         }
-        // In the load shedder, rejections and timeouts count as the deadline; errors are not counted, as they
-        // may be quick.
+        // The load shedder counts rejections and timeouts with the deadline as their latency. Errors are not
+        // counted, because they may be fast.
         match outcome.status {
             Status::Ok if !ended.streaming => {
                 self.on_response(ended.server, ended.class, ended.sent, elapsed)
--- a/quota-gateway/core/src/decisions/quota.rs
+++ b/quota-gateway/core/src/decisions/quota.rs
@@ -22,16 +22,16 @@
 const METER_LAG_SECS: f64 = 1.0;
 /// Share of the quota left beyond the slices that all gateways together may use between two readings.
 const BEYOND_SLICE_SHARE: f64 = 0.5;
-/// Without a meter: time constant of a customer's demand in seconds. It is bounded because customers' demand
-/// changes.
+/// Without a meter: time constant of a customer's demand in seconds. It is limited because the demand changes
+/// over time.
 const UNMETERED_TIME_CONSTANT_SECS: f64 = 10.0;
-/// Without a meter: seconds of quota that, together with a request's own units, a customer's recent demand is
-/// compared to. The probability of admission falls as the demand grows past this allowance.
+/// Without a meter: seconds of quota that are added to a request's units to give its allowance. The
+/// probability of admission falls as the customer's recent demand grows relative to the allowance.
 const UNMETERED_ALLOWANCE_SECS: f64 = 0.2;
-/// Without a meter: exponent with which the probability of admission falls.
+/// Without a meter: exponent with which the probability of admission falls with the demand.
 const UNMETERED_DEMAND_EXPONENT: i32 = 4;
-/// Without a meter: weight of the square of a request's units, in seconds of quota, that lowers its
-/// probability of admission.
+/// Without a meter: a request that takes `s` seconds of quota has its probability of admission divided by
+/// 1 + this weight * cost * s^2, where the cost is that of a request over the quota.
 const UNMETERED_COST_WEIGHT: f64 = 0.1;
 /// Without a meter: maximum sum of the enlarged slices of all gateways, in quotas.
 const MAX_UNMETERED_QUOTAS: f64 = 3.0;
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Serialize, Deserialize)]
 #[serde(from = "(f64, Time)", into = "(f64, Time)")]
 pub(crate) struct MeterReading {
-    /// The mean, in units a second.
+    /// The mean, in units per second.
     mean: f64,
     /// When the last reading was received.
     received_at: Time,
@@ -249,7 +249,7 @@
         let demand = self.demand.get(now) / self.share.max(1.0 / self.gateways);
         let expected = demand * (meter_period + METER_LAG_SECS);
         let is_rare = self.gateways * units <= self.plan.burst + CUSTOMER_TTL_SECS * self.plan.rate;
-        let is_known = is_rare || self.meter.is_some() || random_draw <= plan_share;
+        let may_exceed_slice = is_rare || self.meter.is_some() || random_draw <= plan_share;
         let is_metered = meter_period > 0.0;
         let fits = || {
             self.inferred_tokens >= units
@@ -258,7 +258,7 @@
         let passes_unmetered = || {
             self.plan.burst < self.gateways && random_draw <= self.unmetered_admission_probability(now, units)
         };
-        is_known && if is_metered { fits() } else { passes_unmetered() }
+        may_exceed_slice && if is_metered { fits() } else { passes_unmetered() }
     }
 
     /// Returns whether one more attempt is within the limit on attempts in flight. `seconds` is the time that
--- a/quota-gateway/core/src/decisions/server.rs
+++ b/quota-gateway/core/src/decisions/server.rs
@@ -36,7 +36,7 @@
     pub(crate) id: RequestId,
     pub(crate) attempt: AttemptNo,
     pub(crate) sent_at: Time,
-    /// When the attempt is overdue.
+    /// When the attempt becomes overdue.
     pub(crate) response_due_at: Time,
     /// The mean latency of its class when it was sent, in seconds.
     pub(crate) mean_latency_at_send: f64,
--- a/quota-gateway/core/src/state_transfer.rs
+++ b/quota-gateway/core/src/state_transfer.rs
@@ -1,5 +1,6 @@
-//! State that leaves a gateway: snapshots for the process that replaces it, updates between the two processes
-//! while both run, and figures for operators and for the fair-share allocation. Nothing is decided here.
+//! State that a gateway exchanges with others: snapshots for the process that replaces it, updates between
+//! the two processes while both run, and values for operators and for the fair-share allocation. Nothing is
+//! decided here.
 
 use crate::api::{CustomerId, PeerProcessEvent, ServerId, Time};
 use crate::arithmetic::sanitize;
--- a/quota-gateway/core/tests/conformance.rs
+++ b/quota-gateway/core/tests/conformance.rs
@@ -112,8 +112,8 @@
     Advance {
         ms: u64,
     },
-    /// Sends `count` requests at one instant. Checks that the admitted share is in a range, or which of them are
-    /// admitted, as a sequence of 1 and 0.
+    /// Sends `count` requests at one instant. Checks that the admitted share is in a range, or which of them
+    /// are admitted, as a sequence of 1 and 0.
     Request {
         count: u32,
         #[serde(default)]
--- a/quota-gateway/core/tests/failures.rs
+++ b/quota-gateway/core/tests/failures.rs
@@ -51,8 +51,8 @@
     assert!(harness.log.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).count() > 20);
 }
 
-/// An unsafe request that may have been executed is neither retried nor rejected. One that was not executed
-/// may be sent again.
+/// An unsafe request that may have been executed is not retried and fails instead of being rejected. One that
+/// was not executed may be sent again.
 #[test]
 fn unsafe_requests_are_not_retried() {
     let mut harness = Harness::new(settings(vec![class(Effect::Unsafe, 1.0)], vec![unlimited_plan()]), 4);
--- a/quota-gateway/deadline/src/stage.rs
+++ b/quota-gateway/deadline/src/stage.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-/// What a request is waiting for. Its time is charged to one stage at a time.
+/// A phase of a request, to which the time spent in it is charged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// The request waits in the operating system: its connection is not yet accepted, or the gateway is busy.
--- a/quota-gateway/deadline/tests/chain.rs
+++ b/quota-gateway/deadline/tests/chain.rs
@@ -193,7 +193,7 @@
             prop_assert_eq!(spent.of(Stage::Write), ms(chain.write));
             for pair in result.sends.windows(2) {
                 prop_assert!(pair[1].1 <= pair[0].1, "advertised more than the attempt before");
-                // A shorter transit time can compensate for no more time than the maximum transit time.
+                // A shorter transit time than in the attempt before offsets at most the maximum transit time.
                 let elapsed = Duration::from_nanos(pair[1].0 .0 - pair[0].0 .0);
                 prop_assert!(
                     elapsed <= MAX_RESPONSE_TRANSIT || pair[1].1 < pair[0].1,
