--- a/quota-gateway/fair-share-reference/tests/max_min.rs
+++ b/quota-gateway/fair-share-reference/tests/max_min.rs
@@ -1,13 +1,13 @@
-//! The reference solution against a case worked out by hand, and against the definition of max-min sharing.
+//! Compares the reference solution with a case computed by hand and with the definition of max-min sharing.
 
 use marblecroft_fair_share_reference::{jain_index, max_min_shares, Firm};
 use proptest::prelude::*;
 
 #[test]
-fn shares_of_four_firms_match_a_case_worked_out_by_hand() {
+fn shares_of_four_firms_match_a_case_computed_by_hand() {
     let firm = |demand, weight| Firm { demand, weight };
     let firms = [firm(2.0, 1.0), firm(100.0, 1.0), firm(100.0, 2.0), firm(0.0, 5.0)];
-    // 2 to the first firm; the other 28 of 30 by the weights 1 and 2.
+    // The first firm gets its demand of 2; the remaining 28 of 30 are shared by the weights 1 and 2.
     let shares = max_min_shares(&firms, 30.0);
     let expected = [2.0, 28.0 / 3.0, 56.0 / 3.0, 0.0];
     assert!(shares.iter().zip(expected).all(|(a, b)| (a - b).abs() < 1e-9), "{shares:?}");
@@ -16,8 +16,8 @@
 }
 
 proptest! {
-    /// The definition: no share exceeds its demand, all capacity that has demand is used, and an unsatisfied firm has as much for
-    /// its weight as any other.
+    /// The definition: no share exceeds its demand, capacity is only left unused when all demand is met, and
+    /// an unsatisfied firm gets as much per unit of weight as any other.
     #[test]
     fn no_share_can_grow_without_shrinking_a_smaller_one(
         firms in proptest::collection::vec((0.0f64..100.0, 0.1f64..8.0), 1..40), capacity in 0.0f64..2000.0,
--- a/quota-gateway/fair-share/src/allocator.rs
+++ b/quota-gateway/fair-share/src/allocator.rs
@@ -1,4 +1,5 @@
-//! The allocator at the owner of the role: from the reported demand of all gateways to the level and the grants.
+//! The allocator: computes the level and the grants from the reported demand of all gateways. Runs in the
+//! process that owns the role.
 
 mod allocation;
 mod gateway;
@@ -14,20 +15,22 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time after which an omitted gateway counts as gone, and what is reserved for it is granted to others. A gateway that is
-/// unreachable for longer and still runs may exceed the capacity (`docs/fair-share.md`).
+/// Time after which a gateway that decisions omit counts as gone, and the capacity reserved for it is granted
+/// to others. If it is unreachable for longer but still runs, the capacity may be exceeded
+/// (`docs/fair-share.md`).
 pub const GRANT_LIFETIME: Duration = Duration::from_secs(60);
-/// Relative change of a level, and change of a grant as a fraction of the capacity, up to which nothing new is published.
+/// Changes up to this size are not published: relative for the level and the capacity, as a fraction of the
+/// capacity for a grant.
 const MIN_RELATIVE_CHANGE: f64 = 0.002;
 
-/// The allocator of one owner.
+/// The allocator of one owner of the role.
 pub struct ShareAllocator {
     gateways: BTreeMap<u32, Gateway>,
-    /// Units per second of all zones that serve.
+    /// Capacity of all serving zones, in units per second.
     capacity: f64,
     validity: Duration,
     shrink_interval: Duration,
-    /// Time for which it only receives reports before it decides.
+    /// Time for which the allocator only receives reports before it makes decisions.
     observation_time: Duration,
     observing_since: Instant,
     last_run_at: Instant,
@@ -35,9 +38,10 @@
 }
 
 impl ShareAllocator {
-    /// Creates an allocator that continues from the `standing` decision of a former owner. It decides nothing for
-    /// `observation_time`, so that every gateway has reported before. `validity` is that of its decisions, and `shrink_interval`
-    /// the time in which a gateway with an expired decision shrinks to its equal share.
+    /// Creates an allocator that continues from the `standing` decision of a former owner. It makes no
+    /// decision for `observation_time`, so that every gateway has reported by then. `validity` is the
+    /// validity period of its decisions, and `shrink_interval` the time in which a gateway whose decision has
+    /// expired shrinks its grant to its equal share.
     pub fn new(
         now: Instant,
         validity: Duration,
@@ -63,7 +67,7 @@
         }
     }
 
-    /// Sets the capacity of all zones that serve, in units per second.
+    /// Sets the capacity of all serving zones, in units per second.
     pub fn set_capacity(&mut self, capacity: f64) {
         self.capacity = capacity;
     }
@@ -72,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// [`DecodeError::TooLong`] if it is from a further gateway than [`MAX_GATEWAYS`].
+    /// [`DecodeError::TooLong`] if the gateway is new and [`MAX_GATEWAYS`] are tracked already.
     pub fn handle_report(&mut self, now: Instant, report: &Report) -> Result<(), DecodeError> {
         let known = self.gateways.get(&report.gateway);
         if known.is_some_and(|gateway| gateway.is_stale(report)) {
@@ -86,8 +90,8 @@
         Ok(())
     }
 
-    /// Computes the decision to publish under `stamp`; `None` while it observes, without capacity, or if the published one is
-    /// near enough.
+    /// Returns the decision to publish under `stamp`, or `None` while the allocator only observes, while
+    /// there is no capacity, or if the published decision differs too little.
     pub fn decide(&mut self, now: Instant, stamp: Stamp) -> Option<ShareDecision> {
         self.resume_observation_after_stall(now);
         if now.saturating_sub(self.observing_since) < self.observation_time || self.capacity <= 0.0 {
@@ -104,7 +108,9 @@
         Some(decision)
     }
 
-    /// An owner that stalled has received no reports meanwhile: it observes again, and omits no gateway because of it.
+    /// Restarts the observation after this process has stalled for longer than the observation time. No
+    /// reports were received during the stall, so it does not count towards the time since the last report of
+    /// any gateway.
     fn resume_observation_after_stall(&mut self, now: Instant) {
         let stalled_for = now.saturating_sub(self.last_run_at);
         self.last_run_at = now;
@@ -114,7 +120,7 @@
         }
     }
 
-    /// Returns the sum of the weights of firms with demand, at all gateways.
+    /// Returns the sum of the weights of the firms with demand, over all gateways.
     fn weight(&self) -> f64 {
         self.gateways.values().map(|gateway| gateway.demand.weight).sum()
     }
@@ -147,7 +153,7 @@
     }
 }
 
-/// Returns whether a new decision differs enough from the published one to replace it.
+/// Returns whether a new decision differs enough from the published one to be published.
 fn is_significant_change(published: &ShareDecision, new: &ShareDecision) -> bool {
     let is_far = |a: f64, b: f64| (a - b).abs() > MIN_RELATIVE_CHANGE * a.abs().max(b.abs());
     let min_change = MIN_RELATIVE_CHANGE * new.capacity;
--- a/quota-gateway/fair-share/src/allocator/allocation.rs
+++ b/quota-gateway/fair-share/src/allocator/allocation.rs
@@ -1,34 +1,36 @@
-//! One allocation: the level, and the grants of the gateways that can be reached.
+//! Computes one decision: the level, and the grants of the reachable gateways.
 
 use crate::decision::{ShareDecision, MIN_WEIGHT, UNBOUND_LEVEL};
 use crate::demand_curve::{first_points, interpolate, points_around};
 use marblecroft_control_messages::report::Demand;
 
-/// Fraction of the capacity by which the grants that gateways may still apply may exceed it, while grants move between them.
+/// Fraction of the capacity by which the sum of the grants that gateways may still apply may exceed the
+/// capacity while grants move between gateways.
 pub const SLACK: f64 = 0.05;
-/// Fraction of the capacity without demand that is granted by weight, so that demand may grow before the next decision.
+/// Fraction of the unused capacity that is granted by weight, so that demand can grow before the next
+/// decision.
 const GRANTED_SPARE_FRACTION: f64 = 0.9;
-/// Iterations of the bisection that finds the level: to one part in 10^15 of the interval.
+/// Iterations of the bisection that finds the level; they narrow the interval to one part in 10^15.
 const BISECTIONS: u32 = 50;
-/// Relative reduction of a grant before it is rounded to `f32`, so that the rounded one is never larger.
+/// Relative reduction of a grant before it is rounded to `f32`, so that rounding never raises it.
 const ROUNDING_MARGIN: f64 = 1e-6;
 
-/// What one gateway brings into an allocation.
+/// Input of an allocation for one gateway.
 pub(super) struct Claim<'a> {
     pub(super) gateway: u32,
     pub(super) demand: &'a Demand,
-    /// Units per second that it may be sending at most by its former grants.
+    /// Maximum units per second that the gateway may be sending under earlier grants.
     pub(super) reserved: f64,
     pub(super) is_reachable: bool,
 }
 
 /// How the target of a reachable gateway is computed.
 enum TargetRule {
-    /// Capacity is not short: its demand, and a part of the spare units by weight.
+    /// Capacity is not short: the gateway's demand, plus its share by weight of the spare units.
     WithSpare { spare_units: f64, weight: f64 },
-    /// Capacity is short: its demand at the level.
+    /// Capacity is short: the gateway's demand at the level.
     AtLevel(f64),
-    /// Capacity is short, but the level lies beyond the sampled points: by its total demand.
+    /// Capacity is short, but the level is above all sampled points: in proportion to total demand.
     ProRata { capacity: f64, total_demand: f64 },
 }
 
@@ -73,8 +75,9 @@
     }
 }
 
-/// Finds the level at which the sampled demand of the reachable gateways is `units` per second, by bisection, as the demand rises
-/// with the level. `None` where it stays below that at all sampled points.
+/// Returns the level at which the sampled demand of the reachable gateways is `units` per second, or `None`
+/// if the demand does not exceed `units` at any sampled point. Bisection finds it, since demand rises with
+/// the level.
 fn find_level(claims: &[Claim<'_>], units: f64) -> Option<f64> {
     let demand_at = |level: f64| sum_reachable(claims, |demand| interpolate(demand, level));
     let last_points = claims.iter().filter_map(|claim| claim.demand.points.last());
@@ -95,8 +98,8 @@
 
 /// Returns the grants of the reachable gateways.
 ///
-/// A grant that falls is free for others only once its gateway reports that it applies it; until then the grants that rise share
-/// what is not reserved, in proportion to how much they rise.
+/// A reduced grant frees capacity only once its gateway reports that it has applied it. Until then the grants
+/// that rise share the capacity that is not reserved, in proportion to their increases.
 fn grants(claims: &[Claim<'_>], capacity: f64, rule: &TargetRule) -> Vec<(u32, f32)> {
     let reserved: f64 = claims.iter().map(|claim| claim.reserved).sum();
     let free = (capacity * (1.0 + SLACK) - reserved).max(0.0);
@@ -113,8 +116,8 @@
     targets.into_iter().map(grant).collect()
 }
 
-/// Returns the levels that gateways sample next. While no firm is limited they lie around the level that would use the capacity
-/// at equal demand per weight, in case capacity becomes short.
+/// Returns the levels that gateways sample next. While no firm is limited, these are around the level that
+/// would use up the capacity at equal demand per weight, in case capacity becomes short.
 fn points_to_sample(level: f64, capacity: f64, weight: f64) -> Vec<f64> {
     if level < UNBOUND_LEVEL {
         points_around(level)
--- a/quota-gateway/fair-share/src/allocator/gateway.rs
+++ b/quota-gateway/fair-share/src/allocator/gateway.rs
@@ -1,30 +1,31 @@
-//! One gateway, as the allocator knows it: its last report, and the grants that it may still apply.
+//! The allocator's record of one gateway: its last report, and the grants that it may still apply.
 
 use marblecroft_control_messages::published::{Instant, Stamp};
 use marblecroft_control_messages::report::{Demand, Report};
 use std::time::Duration;
 
-/// Upper bound of the relative drift of two clocks, as for the lease of a session.
+/// Maximum relative drift between two clocks; the leases of sessions assume the same.
 const MAX_CLOCK_DRIFT: f64 = 0.1;
-/// Upper bound of the grants that are tracked until the gateway reports that it applies a newer decision.
+/// Maximum number of grants that are tracked before the gateway reports that it has applied a newer decision.
 const MAX_PENDING_GRANTS: usize = 64;
 
-/// The state of a gateway.
+/// The record of a gateway.
 #[derive(Clone, Debug)]
 pub(super) struct Gateway {
-    /// When its last report was received.
+    /// Time at which the last report was received.
     pub(super) reported_at: Instant,
     pub(super) demand: Demand,
     incarnation: u64,
     sequence: u64,
-    /// Grants that it may apply: of the decision that it last reported as applied, and of all later ones.
+    /// Grants that it may apply: from the decision that it last reported as applied and from all later
+    /// decisions.
     grants: Vec<(Stamp, f64)>,
-    /// Since when decisions do not name it, as it is unreachable.
+    /// Time since which decisions have omitted it because it is unreachable.
     pub(super) omitted_since: Option<Instant>,
 }
 
 impl Gateway {
-    /// Creates the state of a gateway that a former owner granted these units per second.
+    /// Creates the record of a gateway from its grant by a former owner, in units per second.
     pub(super) fn with_grant(now: Instant, stamp: Stamp, units: f64) -> Gateway {
         Gateway {
             reported_at: now,
@@ -36,10 +37,11 @@
         }
     }
 
-    /// Creates the state of a gateway from a report; `previous` is its state before.
+    /// Creates the record of a gateway from a report; `previous` is its record so far.
     pub(super) fn from_report(now: Instant, report: &Report, previous: Option<Gateway>) -> Gateway {
         let mut grants = previous.map_or_else(Vec::new, |gateway| gateway.grants);
-        // A new incarnation applies no decision yet and then the newest; what the former one applied ended with it.
+        // A new incarnation starts without a decision and then applies the newest one. The grants that its
+        // predecessor applied ended with that process.
         grants.retain(|(stamp, _)| *stamp >= report.applied_decisions.shares);
         Gateway {
             reported_at: now,
@@ -59,7 +61,7 @@
     /// Records the grant of a decision that is published.
     pub(super) fn add_grant(&mut self, stamp: Stamp, units: f64) {
         if self.grants.len() >= MAX_PENDING_GRANTS {
-            // The largest stands for all of them.
+            // Replace them all with the largest, which is an upper bound for each.
             let newest = self.grants[MAX_PENDING_GRANTS - 1].0;
             self.grants = vec![(newest, self.max_grant())];
         }
@@ -70,10 +72,11 @@
         self.grants.iter().map(|(_, units)| *units).fold(0.0, f64::max)
     }
 
-    /// Returns the units per second that it may be sending at most.
+    /// Returns the maximum units per second that it may be sending.
     ///
-    /// While it is omitted, a decision that it reads leaves it its `equal_share`; if it reads none, the last one that named it
-    /// expires after `validity`, and it shrinks to its equal share within `shrink_interval`.
+    /// While decisions omit it, it limits itself to its `equal_share` if it reads one of them. If it reads
+    /// none, the last decision that has a grant for it expires after `validity`, and it then shrinks to its
+    /// equal share within `shrink_interval`.
     pub(super) fn reserved(
         &self,
         now: Instant,
--- a/quota-gateway/fair-share/src/decision.rs
+++ b/quota-gateway/fair-share/src/decision.rs
@@ -5,30 +5,30 @@
 use marblecroft_control_messages::report::MAX_POINTS;
 use serde::{Deserialize, Serialize};
 
-/// The level where capacity is not short: it limits no firm.
+/// The level that is published while capacity is not short; it limits no firm.
 pub const UNBOUND_LEVEL: f64 = 1e12;
-/// Upper bound of the gateways in a decision.
+/// Maximum number of gateways in a decision.
 pub const MAX_GATEWAYS: usize = 4096;
-/// Lower bound of a sum of weights that is divided by.
+/// Lower bound of a sum of weights that is used as a divisor.
 pub(crate) const MIN_WEIGHT: f64 = 1e-9;
 
 /// The decision on quota shares.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShareDecision {
-    /// Units per second and weight; [`UNBOUND_LEVEL`] where capacity is not short.
+    /// Units per second per unit of weight; [`UNBOUND_LEVEL`] while capacity is not short.
     pub level: f64,
     /// Units per second that all gateways together may send.
     pub capacity: f64,
     /// Sum of the weights of all firms that had demand.
     pub weight: f64,
-    /// Levels at which the next reports sample their demand, in rising order.
+    /// Levels at which the next reports sample demand, in ascending order.
     pub points: Vec<f64>,
-    /// Gateways in rising order, each with the units per second that it may send in total.
+    /// Grants by gateway, in ascending order: the units per second that the gateway may send in total.
     pub grants: Vec<(u32, f32)>,
 }
 
 impl ShareDecision {
-    /// Returns the grant of a gateway in units per second; `None` if the decision does not name it.
+    /// Returns the grant of a gateway in units per second, or `None` if the decision has no grant for it.
     pub fn grant(&self, gateway: u32) -> Option<f64> {
         let index = self.grants.binary_search_by_key(&gateway, |(gateway, _)| *gateway).ok()?;
         Some(f64::from(self.grants[index].1))
--- a/quota-gateway/fair-share/src/demand_curve.rs
+++ b/quota-gateway/fair-share/src/demand_curve.rs
@@ -1,5 +1,5 @@
-//! Demand as a function of the level: the sum over firms of the smaller of a firm's demand and of the level times its weight. It
-//! is rising and concave, from 0 to the total demand.
+//! Demand as a function of the level: the sum over firms of min(demand, level * weight). The function is
+//! non-decreasing and concave, from 0 to the total demand.
 
 use marblecroft_control_messages::report::Demand;
 
@@ -7,13 +7,13 @@
 const FIRST_POINTS: u32 = 16;
 /// Decimal logarithm of the lowest of [`first_points`].
 const FIRST_POINTS_EXPONENT: f64 = -2.0;
-/// Decades that [`first_points`] span.
+/// Number of decades that [`first_points`] span.
 const FIRST_POINTS_DECADES: f64 = 7.0;
-/// Lower bound of a level that is sampled.
+/// Lowest level that is sampled.
 const MIN_SAMPLED_LEVEL: f64 = 1e-9;
-/// Upper bound of a level that is sampled.
+/// Highest level that is sampled.
 const MAX_SAMPLED_LEVEL: f64 = 1e11;
-/// The points of [`points_around`], relative to the level.
+/// The points of [`points_around`], as multiples of the level.
 const RELATIVE_POINTS: [f64; 17] = [
     1.0 / 256.0,
     1.0 / 32.0,
@@ -48,9 +48,11 @@
     firms.iter().map(|firm| firm.demand.min(level * firm.weight)).sum()
 }
 
-/// Returns the exact level at which the demand of firms is `units` per second; `None` where their total demand is smaller.
+/// Returns the exact level at which the demand of firms is `units` per second, or `None` if their total
+/// demand is smaller.
 pub fn level_for(firms: &[LocalFirm], units: f64) -> Option<f64> {
-    // In the order of the levels at which their demand is met: below its level a firm counts by its weight, above by its demand.
+    // Sort firms by the level at which their demand is met. Below that level a firm contributes by its
+    // weight, above it with its demand.
     let mut firms_by_level: Vec<(f64, LocalFirm)> = firms
         .iter()
         .filter(|firm| firm.weight > 0.0 && firm.demand > 0.0)
@@ -69,7 +71,7 @@
     None
 }
 
-/// Samples the demand of firms at these levels, for a report.
+/// Samples the demand of firms at the levels in `points`, for a report.
 pub fn sample(firms: &[LocalFirm], points: &[f64]) -> Demand {
     Demand {
         total: firms.iter().map(|firm| firm.demand).sum(),
@@ -80,8 +82,8 @@
 
 /// Interpolates a sampled demand at a level, in units per second.
 ///
-/// It is linear between points, which a concave function never lies below, and constant behind the last one, since no sample
-/// says where the rest of the demand lies.
+/// The result is linear between points, which never overestimates a concave function, and constant after the
+/// last point, since the samples do not show at which levels the remaining demand is met.
 pub fn interpolate(demand: &Demand, level: f64) -> f64 {
     let mut previous = (0.0, 0.0);
     for &(point, units) in &demand.points {
@@ -94,7 +96,7 @@
     previous.1
 }
 
-/// Returns the levels to sample while no level is known, evenly spaced by logarithm.
+/// Returns the levels to sample while no level is known, evenly spaced on a logarithmic scale.
 pub fn first_points() -> Vec<f64> {
     let exponent = |index: u32| {
         FIRST_POINTS_EXPONENT + f64::from(index) * FIRST_POINTS_DECADES / f64::from(FIRST_POINTS - 1)
@@ -102,7 +104,8 @@
     (0..FIRST_POINTS).map(|index| 10f64.powf(exponent(index))).collect()
 }
 
-/// Returns the levels to sample around a level: dense near it, and sparse far off for a demand that jumps.
+/// Returns the levels to sample around a level: dense near it, and sparse further away to cover jumps in
+/// demand.
 pub fn points_around(level: f64) -> Vec<f64> {
     let point = |relative: &f64| (level * relative).clamp(MIN_SAMPLED_LEVEL, MAX_SAMPLED_LEVEL);
     RELATIVE_POINTS.iter().map(point).collect()
--- a/quota-gateway/fair-share/src/limiter.rs
+++ b/quota-gateway/fair-share/src/limiter.rs
@@ -1,4 +1,4 @@
-//! The limits of firms at one gateway, by the newest decision.
+//! The limits of firms at one gateway, derived from the newest decision.
 
 mod firm;
 
@@ -13,23 +13,23 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Upper bound of the firms that are tracked.
+/// Maximum number of firms that are tracked.
 pub const MAX_FIRMS: usize = 50_000;
 /// Time without a request after which a firm is no longer tracked.
 const FIRM_TTL: Duration = Duration::from_secs(30);
-/// Time in which a gateway whose decision expired shrinks its grant to its equal share.
+/// Time in which a gateway whose decision has expired shrinks its grant to its equal share.
 pub const SHRINK_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The limit that a gateway applies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ShareLimit {
-    /// No decision was read yet: no firm is limited.
+    /// No decision has been read yet: no firm is limited.
     Unlimited,
     /// The limit of a decision, valid or expired.
     Limited {
-        /// Units per second and weight.
+        /// Units per second per unit of weight.
         level: f64,
-        /// Units per second of all firms together.
+        /// Units per second for all firms together.
         grant: f64,
     },
 }
@@ -41,12 +41,13 @@
     /// Levels at which demand is reported.
     points: Vec<f64>,
     limit: ShareLimit,
-    /// Holds the grant as a whole: the demand of a firm is only an estimate, so the sum of the firms' limits would not.
+    /// Enforces the grant for all firms together. The demand of a firm is only an estimate, so the sum of the
+    /// firms' limits may exceed the grant.
     grant_bucket: TokenBucket,
 }
 
 impl ShareLimiter {
-    /// Creates the limiter of the gateway of this number, without a decision.
+    /// Creates the limiter of the gateway with this number, without a decision.
     pub fn new(gateway: u32) -> ShareLimiter {
         ShareLimiter {
             gateway,
@@ -57,12 +58,13 @@
         }
     }
 
-    /// Records a request of a firm, and returns whether the firm's share and the grant admit it. The units are charged by
-    /// [`ShareLimiter::charge`] only. A retry is no further demand, so that a firm gains nothing by retrying at once.
+    /// Records a request of a firm, and returns whether the firm's share and the grant admit it. The units
+    /// are only charged by [`ShareLimiter::charge`]. A retry does not count as demand, so that a firm gains
+    /// nothing by retrying immediately.
     pub fn request(&mut self, now: Instant, firm: u64, quota: FirmQuota, units: f64, is_retry: bool) -> bool {
         let is_unlimited = self.limit == ShareLimit::Unlimited;
         if self.firms.len() >= MAX_FIRMS && !self.firms.contains_key(&firm) {
-            // A firm that is not tracked has no share.
+            // A firm that is not tracked has no share: it is only admitted while no firm is limited.
             return is_unlimited;
         }
         let firm = self.firms.entry(firm).or_insert_with(|| Firm::new(now, quota, units));
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Charges units that were sent to the share of their firm and to the grant.
+    /// Charges sent units to the firm's share and to the grant.
     pub fn charge(&mut self, firm: u64, units: f64) {
         self.grant_bucket.consume(units);
         if let Some(firm) = self.firms.get_mut(&firm) {
@@ -91,13 +93,13 @@
         self.firms.values().map(|firm| firm.local(now)).collect()
     }
 
-    /// Returns the demand to report, once a second, after it has expired firms without requests.
+    /// Drops firms without recent requests and returns the demand to report. Called once a second.
     pub fn sample_demand(&mut self, now: Instant) -> Demand {
         self.firms.retain(|_, firm| firm.idle_time(now) < FIRM_TTL);
         sample(&self.local_firms(now), &self.points)
     }
 
-    /// Computes the limit of each firm from the newest decision, a few times a second.
+    /// Computes the limit of each firm from the newest decision. Called a few times a second.
     pub fn apply_decision(&mut self, now: Instant, reader: &DecisionReader<ShareDecision>) {
         let (decision, expired_for) = match reader.validity(now) {
             Validity::NoDecision => {
@@ -111,7 +113,7 @@
             Validity::Expired(decision, expired_for) => (&decision.body, Some(expired_for)),
         };
         let equal_share = self.equal_share(decision);
-        // A decision that does not name this gateway leaves it its equal share.
+        // If the decision has no grant for this gateway, its equal share applies.
         let granted = decision.grant(self.gateway).unwrap_or(equal_share);
         let (level, grant) = match expired_for {
             Some(expired_for) => shrink(decision, granted, equal_share, expired_for),
@@ -121,7 +123,8 @@
         self.limit_firms(now, level, grant);
     }
 
-    /// Returns the capacity of its firms by their weights, if the traffic of each were spread evenly over its gateways.
+    /// Returns the capacity that the weights of the tracked firms would get here if the traffic of each firm
+    /// were spread evenly over its gateways.
     fn equal_share(&self, decision: &ShareDecision) -> f64 {
         let weight: f64 = self.firms.values().map(Firm::equal_weight).sum();
         decision.capacity * weight / decision.weight.max(weight).max(MIN_WEIGHT)
@@ -129,10 +132,10 @@
 
     fn limit_firms(&mut self, now: Instant, level: f64, grant: f64) {
         let local_firms = self.local_firms(now);
-        // Max-min sharing again, of the grant among the firms here.
+        // Max-min sharing of the grant among the firms at this gateway.
         let level = level.min(level_for(&local_firms, grant).unwrap_or(UNBOUND_LEVEL));
         for (firm, local) in self.firms.values_mut().zip(&local_firms) {
-            // Where no firm is limited, any may take more before the next decision, up to the grant.
+            // While no firm is limited, each may use up to the whole grant before the next decision.
             firm.allowed_rate =
                 if level >= UNBOUND_LEVEL { grant } else { (level * local.weight).min(grant) };
         }
@@ -148,16 +151,16 @@
         self.firms.get(&firm).map(|firm| firm.allowed_rate)
     }
 
-    /// Returns how many firms are tracked.
+    /// Returns the number of tracked firms.
     pub fn firm_count(&self) -> usize {
         self.firms.len()
     }
 }
 
-/// Returns the level and the grant of a gateway whose decision expired this long ago.
+/// Returns the level and the grant of a gateway whose decision expired `expired_for` ago.
 fn shrink(decision: &ShareDecision, granted: f64, equal_share: f64, expired_for: Duration) -> (f64, f64) {
     let remaining = 1.0 - (expired_for.as_secs_f64() / SHRINK_INTERVAL.as_secs_f64()).min(1.0);
-    // At this level all firms together would use the capacity, each by its weight.
+    // At this level all firms together use the capacity, each in proportion to its weight.
     let equal_level = decision.capacity / decision.weight.max(MIN_WEIGHT);
     let level = if decision.level >= UNBOUND_LEVEL {
         UNBOUND_LEVEL
--- a/quota-gateway/fair-share/src/limiter/firm.rs
+++ b/quota-gateway/fair-share/src/limiter/firm.rs
@@ -8,24 +8,24 @@
 /// Time constant of the exponential decay of a firm's estimated demand, in seconds.
 const DEMAND_DECAY_SECONDS: f64 = 1.0;
 
-/// What is known of a firm besides its demand.
+/// Weight, traffic fractions and rate limit of a firm at this gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FirmQuota {
     /// Its weight among all firms.
     pub weight: f64,
-    /// The metered fraction of its traffic that passes through this gateway.
+    /// Fraction of its traffic that passes through this gateway, as metered.
     pub local_fraction: f64,
-    /// That fraction if its traffic were spread evenly over its gateways.
+    /// The same fraction if its traffic were spread evenly over its gateways.
     pub equal_fraction: f64,
-    /// Units per second that its quota admits here; demand above it is not served by any share.
+    /// Units per second that its quota admits here; demand above it does not count.
     pub rate_limit: f64,
 }
 
-/// The state of a firm.
+/// The state of a firm at this gateway.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Firm {
     pub(super) quota: FirmQuota,
-    /// Units per second that it may be sent.
+    /// Units per second that may be sent for it.
     pub(super) allowed_rate: f64,
     pub(super) bucket: TokenBucket,
     /// Decaying average of the requested units per second, as of the last request.
@@ -34,14 +34,14 @@
 }
 
 impl Firm {
-    /// Creates the state of a firm whose first request has these units. That request is within its limit, as there is none
-    /// before the next decision is applied.
+    /// Creates the state of a firm whose first request has these units. Until a decision is applied to the
+    /// firm, its limit is that many units per second.
     pub(super) fn new(now: Instant, quota: FirmQuota, units: f64) -> Firm {
         let bucket = TokenBucket::empty(now);
         Firm { quota, allowed_rate: units, bucket, requested_rate: 0.0, requested_at: now }
     }
 
-    /// Records a request of `units` that add to the demand by `demand_units`.
+    /// Records a request of `units`, of which `demand_units` count as demand.
     pub(super) fn record_request(&mut self, now: Instant, quota: FirmQuota, units: f64, demand_units: f64) {
         self.quota = quota;
         self.requested_rate = self.requested_rate_at(now) + demand_units / DEMAND_DECAY_SECONDS;
@@ -54,7 +54,7 @@
         self.requested_rate * (-idle_seconds / DEMAND_DECAY_SECONDS).exp()
     }
 
-    /// Returns how long it has sent no request.
+    /// Returns the time since its last request.
     pub(super) fn idle_time(&self, now: Instant) -> Duration {
         now.saturating_sub(self.requested_at)
     }
--- a/quota-gateway/fair-share/src/token_bucket.rs
+++ b/quota-gateway/fair-share/src/token_bucket.rs
@@ -5,7 +5,7 @@
 /// Capacity of a bucket, in seconds of its rate.
 const CAPACITY_SECONDS: f64 = 1.0;
 
-/// Tokens that were gained and not consumed yet; a token is a unit.
+/// A token bucket; one token admits one unit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -18,8 +18,8 @@
         TokenBucket { tokens: 0.0, refilled_at: now }
     }
 
-    /// Adds what was gained since the last refill at `rate` units per second. A request of `units` fits in at any rate, since it
-    /// cannot be split.
+    /// Adds the tokens for the time since the last refill, at `rate` units per second. The bucket always has
+    /// room for a request of `units`, at any rate, because a request cannot be split.
     pub(crate) fn refill(&mut self, now: Instant, rate: f64, units: f64) {
         let capacity = (rate * CAPACITY_SECONDS).max(units);
         let gained = rate * now.saturating_sub(self.refilled_at).as_secs_f64();
@@ -27,17 +27,17 @@
         self.refilled_at = now;
     }
 
-    /// Lets the time since the last refill pass without a gain.
+    /// Moves the time of the last refill to `now` without adding tokens.
     pub(crate) fn skip_to(&mut self, now: Instant) {
         self.refilled_at = now;
     }
 
-    /// Returns whether it has tokens for these units.
+    /// Returns whether there are enough tokens for `units`.
     pub(crate) fn has(&self, units: f64) -> bool {
         self.tokens >= units
     }
 
-    /// Consumes tokens for these units, as far as it has them.
+    /// Consumes tokens for `units`, down to an empty bucket.
     pub(crate) fn consume(&mut self, units: f64) {
         self.tokens = (self.tokens - units).max(0.0);
     }
--- a/quota-gateway/fair-share/tests/conformance.rs
+++ b/quota-gateway/fair-share/tests/conformance.rs
@@ -1,4 +1,5 @@
-//! Tables of conformance of shares: rows from the design page, a clause each, played through both sides.
+//! Conformance tables of quota shares. Each row shows one clause of the design page, and runs through the
+//! limiters of all gateways and the allocator.
 
 use marblecroft_control_messages::published::{Decision, DecisionReader, Stamp};
 use marblecroft_control_messages::report::{AppliedDecisions, Report};
@@ -17,7 +18,7 @@
     share: Vec<Row>,
 }
 
-/// Firms at gateways, and what each gets in the end.
+/// Demand of firms at gateways, and the expected rate of each firm at the end.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Row {
@@ -25,18 +26,18 @@
     clause: String,
     because: String,
     capacity: f64,
-    /// Of each firm its weight, and what it asks for at each gateway.
+    /// For each firm its weight, and its demand at each gateway in units per second.
     firms: Vec<(f64, Vec<f64>)>,
-    /// Each further try within a moment of the first is one of these many.
+    /// Maximum number of immediate retries of a rejected request.
     #[serde(default)]
     again: u32,
-    /// What each firm's quota lets through at each of its gateways.
+    /// Units per second that a firm's quota admits at each of its gateways.
     #[serde(default = "no_quota")]
     quota: f64,
-    /// The owner and its decisions are gone for so long at the end.
+    /// Number of seconds at the end without an allocator, so that the last decision expires.
     #[serde(default)]
     alone_s: u64,
-    /// Units a second of each firm, to within a twentieth of the capacity.
+    /// Units per second of each firm in the last second, within a twentieth of the capacity.
     gets: Vec<f64>,
 }
 
@@ -44,45 +45,45 @@
     f64::INFINITY
 }
 
-const VALID: Duration = Duration::from_secs(5);
-/// Tries of a firm in a second at one gateway.
-const ATTEMPTS_PER_SECOND: u64 = 100;
+const VALIDITY: Duration = Duration::from_secs(5);
+/// Requests of a firm per second at one gateway, without retries.
+const REQUESTS_PER_SECOND: u64 = 100;
 
 impl Row {
     fn play(&self) -> Result<(), String> {
-        let gateways = self.firms.iter().map(|(_, at)| at.len()).max().unwrap_or(0);
+        let gateways = self.firms.iter().map(|(_, demands)| demands.len()).max().unwrap_or(0);
         let mut limiters: Vec<ShareLimiter> = (0..gateways as u32).map(ShareLimiter::new).collect();
         let mut readers: Vec<DecisionReader<ShareDecision>> = vec![DecisionReader::default(); gateways];
         let at = |ms: u64| Duration::from_millis(ms);
-        let mut allocator = ShareAllocator::new(at(0), VALID, SHRINK_INTERVAL, at(1500), None);
+        let mut allocator = ShareAllocator::new(at(0), VALIDITY, SHRINK_INTERVAL, at(1500), None);
         allocator.set_capacity(self.capacity);
-        let decided_for = 12;
-        let last = decided_for + self.alone_s;
-        let mut gets = vec![0.0; self.firms.len()];
+        let seconds_with_allocator = 12;
+        let last_second = seconds_with_allocator + self.alone_s;
+        let mut rates = vec![0.0; self.firms.len()];
         let mut revision = 0;
-        for second in 0..=last {
-            for attempt in 0..ATTEMPTS_PER_SECOND {
-                let now = at(second * 1000 + attempt * 1000 / ATTEMPTS_PER_SECOND);
-                for (f, (weight, asks)) in self.firms.iter().enumerate() {
-                    let all: f64 = asks.iter().sum();
-                    for (g, asks) in asks.iter().enumerate().filter(|(_, asks)| **asks > 0.0) {
-                        let known = FirmQuota {
+        for second in 0..=last_second {
+            for request in 0..REQUESTS_PER_SECOND {
+                let now = at(second * 1000 + request * 1000 / REQUESTS_PER_SECOND);
+                for (f, (weight, demands)) in self.firms.iter().enumerate() {
+                    let total_demand: f64 = demands.iter().sum();
+                    for (g, demand) in demands.iter().enumerate().filter(|(_, demand)| **demand > 0.0) {
+                        let quota = FirmQuota {
                             weight: *weight,
-                            local_fraction: asks / all,
-                            equal_fraction: asks / all,
+                            local_fraction: demand / total_demand,
+                            equal_fraction: demand / total_demand,
                             rate_limit: self.quota,
                         };
-                        let units = asks / ATTEMPTS_PER_SECOND as f64;
-                        for repetition in 0..=self.again {
-                            if limiters[g].request(now, f as u64, known, units, repetition > 0) {
+                        let units = demand / REQUESTS_PER_SECOND as f64;
+                        for retry in 0..=self.again {
+                            if limiters[g].request(now, f as u64, quota, units, retry > 0) {
                                 limiters[g].charge(f as u64, units);
-                                gets[f] += if second == last { units } else { 0.0 };
+                                rates[f] += if second == last_second { units } else { 0.0 };
                                 break;
                             }
                         }
                     }
                 }
-                if attempt % 25 == 0 {
+                if request % 25 == 0 {
                     limiters
                         .iter_mut()
                         .zip(&readers)
@@ -90,11 +91,11 @@
                 }
             }
             let now = at(second * 1000 + 990);
-            if second >= decided_for {
+            if second >= seconds_with_allocator {
                 continue;
             }
             for (g, limiter) in limiters.iter_mut().enumerate() {
-                let goes_by = AppliedDecisions {
+                let applied_decisions = AppliedDecisions {
                     shares: readers[g].stamp().unwrap_or_default(),
                     ..AppliedDecisions::default()
                 };
@@ -107,14 +108,14 @@
                     requested_units: 1.0,
                     zones: Vec::new(),
                     demand: limiter.sample_demand(now),
-                    applied_decisions: goes_by,
+                    applied_decisions,
                 };
-                allocator.handle_report(now, &report).map_err(|why| why.to_string())?;
+                allocator.handle_report(now, &report).map_err(|error| error.to_string())?;
             }
             revision += 1;
             let stamp = Stamp { token: 1, revision };
             if let Some(body) = allocator.decide(now, stamp) {
-                let decision = Decision { stamp, valid_ms: VALID.as_millis() as u32, body };
+                let decision = Decision { stamp, valid_ms: VALIDITY.as_millis() as u32, body };
                 for reader in &mut readers {
                     reader.accept(now, decision.clone());
                 }
@@ -122,16 +123,17 @@
                 readers.iter_mut().for_each(|reader| reader.renew(now));
             }
         }
-        let near = |(seen, wanted): (&f64, &f64)| (seen - wanted).abs() <= 0.05 * self.capacity;
-        let same = gets.len() == self.gets.len() && gets.iter().zip(&self.gets).all(near);
-        same.then_some(()).ok_or_else(|| format!("{gets:.1?}"))
+        let is_close = |(actual, expected): (&f64, &f64)| (actual - expected).abs() <= 0.05 * self.capacity;
+        let matches = rates.len() == self.gets.len() && rates.iter().zip(&self.gets).all(is_close);
+        matches.then_some(()).ok_or_else(|| format!("units per second of each firm: {rates:.1?}"))
     }
 }
 
 #[test]
 fn every_clause_has_rows_and_every_row_passes() {
     let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/conformance/shares.toml"));
-    let tables: Tables = toml::from_str(&text.expect("readable")).expect("tables");
+    let tables: Tables =
+        toml::from_str(&text.expect("the table file is readable")).expect("the table file is valid");
     let rows = tables.share.iter().map(|row| Played {
         id: row.id.clone(),
         clause: row.clause.clone(),
--- a/quota-gateway/fair-share/tests/fleet.rs
+++ b/quota-gateway/fair-share/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Whole fleets on a virtual clock: firms whose demand jumps, gateways that sum up and obey, links that lose, delay and repeat,
-//! owners that are replaced. What firms get is held against the exact solution. `SHARES_SEEDS` plays more of them.
+//! Simulated fleets on a virtual clock: the demand of firms jumps, links lose, delay and duplicate messages,
+//! and allocators are replaced. The rates of the firms are compared with the exact solution. `SHARES_SEEDS`
+//! sets the number of seeds.
 
 use marblecroft_control_messages::published::{Decision, DecisionReader, Stamp};
 use marblecroft_control_messages::report::{AppliedDecisions, Report};
@@ -13,22 +14,22 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-const VALID: Duration = Duration::from_secs(5);
-const ROUND: u64 = 1000;
+const VALIDITY: Duration = Duration::from_secs(5);
+/// Interval between reports of a gateway, in milliseconds.
+const REPORT_INTERVAL_MS: u64 = 1000;
 
 fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// A client firm: what it asks for, its weight, the gateways that it comes through and with which parts.
 #[derive(Clone)]
-struct Client {
+struct SimulatedFirm {
     demand: f64,
     weight: f64,
-    /// What it truly wants; inflated demand asks for more.
+    /// Gateways that it uses, with the fraction of its traffic at each.
     spread: Vec<(usize, f64)>,
-    /// The parts as its gateways believe them to be.
-    believed: Vec<f64>,
+    /// The same fractions as its gateways know them from the meter.
+    metered_fractions: Vec<f64>,
 }
 
 struct SimulatedGateway {
@@ -43,141 +44,153 @@
     rng: ChaCha8Rng,
     now: u64,
     capacity: f64,
-    firms: Vec<Client>,
-    at: Vec<Vec<(usize, usize)>>,
+    firms: Vec<SimulatedFirm>,
+    /// For each gateway its firms, each with the index of this gateway in the firm's `spread`.
+    firms_by_gateway: Vec<Vec<(usize, usize)>>,
     gateways: Vec<SimulatedGateway>,
     allocator: ShareAllocator,
     stamp: Stamp,
     loss_rate: f64,
+    /// Decisions in flight, with the time and the gateway of their arrival.
     decisions: Vec<(u64, usize, Decision<ShareDecision>)>,
+    /// Reports in flight, with the time of their arrival.
     reports: Vec<(u64, Report)>,
-    last: Option<(Stamp, ShareDecision)>,
-    /// What each firm gets, in units a second, in the last step.
-    received: Vec<f64>,
-    bytes: usize,
-    messages: usize,
-    /// No owner until then.
-    no_owner_until: u64,
+    last_decision: Option<(Stamp, ShareDecision)>,
+    /// Rate of each firm in the last step, in units per second.
+    rates: Vec<f64>,
+    report_bytes: usize,
+    report_count: usize,
+    /// There is no allocator until this time.
+    no_allocator_until: u64,
 }
 
 impl SimulatedFleet {
-    fn new(seed: u64, gateways: usize, firms: usize, short: f64) -> SimulatedFleet {
+    fn new(seed: u64, gateways: usize, firms: usize, capacity_fraction: f64) -> SimulatedFleet {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let client = |rng: &mut ChaCha8Rng, i: usize| {
-            let most = if gateways <= 4 { gateways } else { 9 };
-            let size = rng.random_range(1..=most.min(gateways));
+        let random_firm = |rng: &mut ChaCha8Rng, i: usize| {
+            let max_gateways = if gateways <= 4 { gateways } else { 9 };
+            let gateway_count = rng.random_range(1..=max_gateways.min(gateways));
             let first = rng.random_range(0..gateways);
-            let parts: Vec<f64> = (0..size).map(|_| rng.random_range(0.1..1.0)).collect();
+            let parts: Vec<f64> = (0..gateway_count).map(|_| rng.random_range(0.1..1.0)).collect();
             let sum: f64 = parts.iter().sum();
             let spread: Vec<(usize, f64)> =
                 parts.iter().enumerate().map(|(k, part)| ((first + k) % gateways, part / sum)).collect();
-            let believed = spread.iter().map(|(_, part)| *part).collect();
-            Client {
+            let metered_fractions = spread.iter().map(|(_, fraction)| *fraction).collect();
+            SimulatedFirm {
                 demand: 10f64.powf(rng.random_range(-0.5..1.5)),
                 weight: [1.0, 1.0, 2.0, 4.0][i % 4],
                 spread,
-                believed,
+                metered_fractions,
             }
         };
-        let firms: Vec<Client> = (0..firms).map(|i| client(&mut rng, i)).collect();
-        let capacity = firms.iter().map(|firm| firm.demand).sum::<f64>() * short;
+        let firms: Vec<SimulatedFirm> = (0..firms).map(|i| random_firm(&mut rng, i)).collect();
+        let capacity = firms.iter().map(|firm| firm.demand).sum::<f64>() * capacity_fraction;
         let simulated_gateways = (0..gateways)
             .map(|_| SimulatedGateway {
                 reader: DecisionReader::default(),
                 points: demand_curve::first_points(),
                 sequence: 0,
-                report_at: rng.random_range(0..ROUND),
+                report_at: rng.random_range(0..REPORT_INTERVAL_MS),
                 is_unreachable: false,
             })
             .collect();
-        let mut allocator = ShareAllocator::new(at(0), VALID, SHRINK_INTERVAL, at(2200), None);
+        let mut allocator = ShareAllocator::new(at(0), VALIDITY, SHRINK_INTERVAL, at(2200), None);
         allocator.set_capacity(capacity);
         SimulatedFleet {
             rng,
             now: 0,
             capacity,
-            received: vec![0.0; firms.len()],
+            rates: vec![0.0; firms.len()],
             firms,
-            at: Vec::new(),
+            firms_by_gateway: Vec::new(),
             gateways: simulated_gateways,
             allocator,
             stamp: Stamp { token: 1, revision: 0 },
             loss_rate: 0.0,
             decisions: Vec::new(),
             reports: Vec::new(),
-            last: None,
-            bytes: 0,
-            messages: 0,
-            no_owner_until: 0,
+            last_decision: None,
+            report_bytes: 0,
+            report_count: 0,
+            no_allocator_until: 0,
         }
     }
 
-    /// Which firms come through each gateway, and as which of theirs.
-    fn index(&mut self) {
-        self.at = vec![Vec::new(); self.gateways.len()];
+    /// Updates `firms_by_gateway` from the firms.
+    fn index_firms(&mut self) {
+        self.firms_by_gateway = vec![Vec::new(); self.gateways.len()];
         for (f, firm) in self.firms.iter().enumerate() {
-            firm.spread.iter().enumerate().for_each(|(k, (gateway, _))| self.at[*gateway].push((f, k)));
+            firm.spread
+                .iter()
+                .enumerate()
+                .for_each(|(k, (gateway, _))| self.firms_by_gateway[*gateway].push((f, k)));
         }
     }
 
-    /// What each gateway's firms are there, as it believes.
-    fn here(&self, gateway: usize) -> Vec<(usize, usize, LocalFirm)> {
-        let here = |&(f, k): &(usize, usize)| {
+    /// Returns the firms at a gateway, with their demand there and their weight as the gateway knows it.
+    fn firms_at(&self, gateway: usize) -> Vec<(usize, usize, LocalFirm)> {
+        let local_firm = |&(f, k): &(usize, usize)| {
             let firm = &self.firms[f];
             (
                 f,
                 k,
-                LocalFirm { demand: firm.demand * firm.spread[k].1, weight: firm.weight * firm.believed[k] },
+                LocalFirm {
+                    demand: firm.demand * firm.spread[k].1,
+                    weight: firm.weight * firm.metered_fractions[k],
+                },
             )
         };
-        self.at[gateway].iter().map(here).collect()
+        self.firms_by_gateway[gateway].iter().map(local_firm).collect()
     }
 
-    /// What all send on in this moment: by the level and the grant, or alone; the sum.
-    fn send(&mut self) -> f64 {
-        self.received.iter_mut().for_each(|gets| *gets = 0.0);
+    /// Computes the rates of all firms under the limits of their gateways, and returns the sum.
+    fn compute_rates(&mut self) -> f64 {
+        self.rates.iter_mut().for_each(|rate| *rate = 0.0);
         let now = at(self.now);
-        let mut all = 0.0;
+        let mut sum = 0.0;
         for g in 0..self.gateways.len() {
-            let here = self.here(g);
-            let firms: Vec<LocalFirm> = here.iter().map(|(.., here)| *here).collect();
-            // The gateway's own code, fed with what its firms ask for.
+            let firms_here = self.firms_at(g);
+            let local_firms: Vec<LocalFirm> = firms_here.iter().map(|(.., local)| *local).collect();
+            // A new limiter, which gets the whole demand of each firm as one request.
             let mut limiter = marblecroft_fair_share::limiter::ShareLimiter::new(g as u32);
-            for (f, k, here) in &here {
-                let known = marblecroft_fair_share::limiter::FirmQuota {
+            for (f, k, local) in &firms_here {
+                let quota = marblecroft_fair_share::limiter::FirmQuota {
                     weight: self.firms[*f].weight,
-                    local_fraction: self.firms[*f].believed[*k],
+                    local_fraction: self.firms[*f].metered_fractions[*k],
                     equal_fraction: 1.0 / self.firms[*f].spread.len() as f64,
                     rate_limit: f64::INFINITY,
                 };
-                limiter.request(now, *f as u64, known, here.demand, false);
+                limiter.request(now, *f as u64, quota, local.demand, false);
             }
             limiter.apply_decision(now, &self.gateways[g].reader);
-            for ((f, ..), here) in here.iter().zip(&firms) {
-                let allowed = limiter.allowed_rate(*f as u64).expect("it has just asked");
+            for ((f, ..), local) in firms_here.iter().zip(&local_firms) {
+                let allowed = limiter.allowed_rate(*f as u64).expect("the firm is tracked");
                 let units = match limiter.limit() {
-                    marblecroft_fair_share::limiter::ShareLimit::Unlimited => here.demand,
-                    _ => here.demand.min(allowed),
+                    marblecroft_fair_share::limiter::ShareLimit::Unlimited => local.demand,
+                    _ => local.demand.min(allowed),
                 };
-                self.received[*f] += units;
-                all += units;
+                self.rates[*f] += units;
+                sum += units;
             }
         }
-        all
+        sum
     }
 
     fn step(&mut self, ms: u64) {
         self.now += ms;
         let now = self.now;
-        let (come, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.decisions).into_iter().partition(|(when, ..)| *when <= now);
-        self.decisions = later;
-        for (_, to, decision) in come {
+        let (arrived, in_flight): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.decisions).into_iter().partition(|(arrives_at, ..)| *arrives_at <= now);
+        self.decisions = in_flight;
+        for (_, to, decision) in arrived {
             self.gateways[to].points.clone_from(&decision.body.points);
             self.gateways[to].reader.accept(at(now.saturating_sub(300)), decision);
         }
-        // That nothing is newer is heard as well, each second.
-        for gateway in self.gateways.iter_mut().filter(|gateway| !gateway.is_unreachable && now % ROUND < ms)
+        // Once a second each reachable gateway also reads that there is no newer decision.
+        for gateway in self
+            .gateways
+            .iter_mut()
+            .filter(|gateway| !gateway.is_unreachable && now % REPORT_INTERVAL_MS < ms)
         {
             gateway.reader.renew(at(now.saturating_sub(300)));
         }
@@ -185,12 +198,12 @@
             if now < self.gateways[g].report_at {
                 continue;
             }
-            self.gateways[g].report_at += ROUND;
+            self.gateways[g].report_at += REPORT_INTERVAL_MS;
             self.gateways[g].sequence += 1;
-            let here: Vec<LocalFirm> = self.here(g).into_iter().map(|(.., here)| here).collect();
+            let local_firms: Vec<LocalFirm> = self.firms_at(g).into_iter().map(|(.., local)| local).collect();
             let gateway = &self.gateways[g];
-            let shares = demand_curve::sample(&here, &gateway.points);
-            let goes_by = AppliedDecisions {
+            let demand = demand_curve::sample(&local_firms, &gateway.points);
+            let applied_decisions = AppliedDecisions {
                 shares: gateway.reader.stamp().unwrap_or_default(),
                 ..AppliedDecisions::default()
             };
@@ -200,41 +213,41 @@
                 sequence: gateway.sequence,
                 zone: "hall-a".to_owned(),
                 span_ms: 1000,
-                requested_units: shares.total,
+                requested_units: demand.total,
                 zones: Vec::new(),
-                demand: shares,
-                applied_decisions: goes_by,
+                demand,
+                applied_decisions,
             };
-            self.bytes += postcard::to_stdvec(&report).map_or(0, |bytes| bytes.len());
-            self.messages += 1;
-            let lost = gateway.is_unreachable || self.rng.random::<f64>() < self.loss_rate;
-            let copies = if lost { 0 } else { 1 + usize::from(self.rng.random::<f64>() < self.loss_rate) };
+            self.report_bytes += postcard::to_stdvec(&report).map_or(0, |bytes| bytes.len());
+            self.report_count += 1;
+            let is_lost = gateway.is_unreachable || self.rng.random::<f64>() < self.loss_rate;
+            let copies = if is_lost { 0 } else { 1 + usize::from(self.rng.random::<f64>() < self.loss_rate) };
             for _ in 0..copies {
-                let late = if self.rng.random::<f64>() < self.loss_rate { 1500 } else { 100 };
-                self.reports.push((now + self.rng.random_range(0..=late), report.clone()));
+                let max_delay = if self.rng.random::<f64>() < self.loss_rate { 1500 } else { 100 };
+                self.reports.push((now + self.rng.random_range(0..=max_delay), report.clone()));
             }
         }
-        let (come, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.reports).into_iter().partition(|(when, _)| *when <= now);
-        self.reports = later;
-        if now < self.no_owner_until {
+        let (arrived, in_flight): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.reports).into_iter().partition(|(arrives_at, _)| *arrives_at <= now);
+        self.reports = in_flight;
+        if now < self.no_allocator_until {
             return;
         }
-        for (_, report) in come {
-            self.allocator.handle_report(at(now), &report).expect("well formed");
+        for (_, report) in arrived {
+            self.allocator.handle_report(at(now), &report).expect("fewer gateways than the maximum");
         }
         if now % 500 < ms {
             let stamp = Stamp { revision: self.stamp.revision + 1, ..self.stamp };
             if let Some(body) = self.allocator.decide(at(now), stamp) {
                 self.stamp = stamp;
-                self.last = Some((stamp, body.clone()));
-                let decision = Decision { stamp, valid_ms: VALID.as_millis() as u32, body };
+                self.last_decision = Some((stamp, body.clone()));
+                let decision = Decision { stamp, valid_ms: VALIDITY.as_millis() as u32, body };
                 for g in 0..self.gateways.len() {
-                    // A read that is lost is made again, well within the time in which the older decision is valid.
-                    let again = if self.rng.random::<f64>() < self.loss_rate { 3500 } else { 0 };
+                    // A lost read is retried well before the older decision expires.
+                    let retry_delay = if self.rng.random::<f64>() < self.loss_rate { 3500 } else { 0 };
                     if !self.gateways[g].is_unreachable {
                         self.decisions.push((
-                            now + again + self.rng.random_range(20..300),
+                            now + retry_delay + self.rng.random_range(20..300),
                             g,
                             decision.clone(),
                         ));
@@ -244,43 +257,51 @@
         }
     }
 
-    /// Runs, and holds the sum of what is sent against the capacity in every step from `bound` on.
-    fn run(&mut self, ms: u64, bound: bool, what: &str) {
-        self.index();
+    /// Runs for `ms`. With `check_capacity`, asserts in every step that the sum of all rates is within the
+    /// capacity.
+    fn run(&mut self, ms: u64, check_capacity: bool, case: &str) {
+        self.index_firms();
         for _ in 0..ms / 250 {
             self.step(250);
-            let sent = self.send();
-            if bound {
-                let most = self.capacity * (1.0 + SLACK) * (1.0 + 1e-3) + 1e-6;
-                assert!(sent <= most, "{what} at {}: {sent} of {}", self.now, self.capacity);
+            let sent = self.compute_rates();
+            if check_capacity {
+                let max = self.capacity * (1.0 + SLACK) * (1.0 + 1e-3) + 1e-6;
+                assert!(
+                    sent <= max,
+                    "{case} at {} ms: {sent} units per second exceed the capacity of {}",
+                    self.now,
+                    self.capacity
+                );
             }
-            // What gateways believe of a firm's parts follows the meter.
+            // The metered fractions follow the actual ones with a delay.
             for firm in &mut self.firms {
-                for (believed, (_, part)) in firm.believed.iter_mut().zip(&firm.spread) {
-                    *believed += 0.1 * (part - *believed);
+                for (metered, (_, actual)) in firm.metered_fractions.iter_mut().zip(&firm.spread) {
+                    *metered += 0.1 * (actual - *metered);
                 }
             }
         }
     }
 
-    fn reference(&self) -> (Vec<Firm>, Vec<f64>) {
+    /// Returns the firms and their exact shares.
+    fn exact_solution(&self) -> (Vec<Firm>, Vec<f64>) {
         let firms: Vec<Firm> =
             self.firms.iter().map(|f| Firm { demand: f.demand, weight: f.weight }).collect();
-        let gets = max_min_shares(&firms, self.capacity);
-        (firms, gets)
+        let shares = max_min_shares(&firms, self.capacity);
+        (firms, shares)
     }
 
-    /// All distances from the exact solution added up, as a share of the capacity, which is far stricter than the largest of
-    /// them where firms are many; and Jain's index.
-    fn error(&mut self) -> (f64, f64) {
-        self.send();
-        let (firms, exact) = self.reference();
-        let far = exact.iter().zip(&self.received).map(|(a, b)| (a - b).abs()).sum::<f64>();
-        (far / self.capacity, jain_index(&firms, &self.received))
+    /// Returns the error and Jain's index. The error is the sum of the distances of all firms from their
+    /// exact shares, as a fraction of the capacity; with many firms that is far stricter than the largest
+    /// distance.
+    fn error_and_jain_index(&mut self) -> (f64, f64) {
+        self.compute_rates();
+        let (firms, exact_shares) = self.exact_solution();
+        let distance = exact_shares.iter().zip(&self.rates).map(|(a, b)| (a - b).abs()).sum::<f64>();
+        (distance / self.capacity, jain_index(&firms, &self.rates))
     }
 
-    /// Demand jumps: half of the firms ask for something else, and some come through other gateways.
-    fn jump(&mut self) {
+    /// Draws a new demand for half of the firms.
+    fn change_demand(&mut self) {
         let n = self.firms.len();
         let mut order: Vec<usize> = (0..n).collect();
         order.shuffle(&mut self.rng);
@@ -290,119 +311,125 @@
     }
 }
 
-fn seeds(usual: u64) -> std::ops::Range<u64> {
-    let told = std::env::var("SHARES_SEEDS").ok().and_then(|n| n.parse().ok());
-    0..told.unwrap_or(usual)
+fn seeds(default_count: u64) -> std::ops::Range<u64> {
+    let count = std::env::var("SHARES_SEEDS").ok().and_then(|n| n.parse().ok());
+    0..count.unwrap_or(default_count)
 }
 
 #[test]
 fn quota_shares_converge_to_the_reference_and_never_exceed_the_capacity() {
-    for (gateways, firms, usual) in [(3, 40, 30), (30, 300, 20), (300, 2000, 2), (3000, 10_000, 1)] {
-        for seed in seeds(usual).take(if gateways > 30 { usual as usize } else { usize::MAX }) {
-            let what = format!("seed {seed}, {gateways} gateways, {firms} firms");
+    for (gateways, firms, default_seeds) in [(3, 40, 30), (30, 300, 20), (300, 2000, 2), (3000, 10_000, 1)] {
+        for seed in seeds(default_seeds).take(if gateways > 30 { default_seeds as usize } else { usize::MAX })
+        {
+            let case = format!("seed {seed}, {gateways} gateways, {firms} firms");
             let mut fleet = SimulatedFleet::new(seed, gateways, firms, 0.3 + 0.05 * (seed % 8) as f64);
             fleet.loss_rate = if seed % 3 == 0 { 0.1 } else { 0.0 };
-            fleet.run(if gateways > 300 { 4000 } else { 8000 }, false, &what);
-            let begun = fleet.error();
-            fleet.jump();
-            fleet.run(if gateways > 300 { 3000 } else { 5000 }, true, &what);
-            let (error, index) = fleet.error();
+            fleet.run(if gateways > 300 { 4000 } else { 8000 }, false, &case);
+            let initial = fleet.error_and_jain_index();
+            fleet.change_demand();
+            fleet.run(if gateways > 300 { 3000 } else { 5000 }, true, &case);
+            let (error, index) = fleet.error_and_jain_index();
             if fleet.loss_rate == 0.0 {
-                assert!(begun.0 < 0.01, "{what}: at first {begun:?}");
-                assert!(error < 0.05 && index > 0.95, "{what}: 5 s after a jump {error}, {index}");
+                assert!(initial.0 < 0.01, "{case}: initial error and Jain index {initial:?}");
+                assert!(
+                    error < 0.05 && index > 0.95,
+                    "{case}: error {error} and Jain index {index} after the demand changed"
+                );
             }
         }
     }
 }
 
-/// Cuts, an owner that is replaced, none for 30 s, a capacity that halves: the sum holds all the while.
+/// With a loss rate of 20%, and a third of the gateways unreachable, a new allocator, or 30 s without an
+/// allocator, the sum of all rates stays within the capacity. 3 s after the capacity halves, the sum is
+/// within it again.
 #[test]
 fn grants_never_exceed_the_capacity_under_partitions_delays_and_losses() {
     for seed in seeds(24) {
-        let what = format!("seed {seed}");
+        let case = format!("seed {seed}");
         let mut fleet = SimulatedFleet::new(seed, 30, 200, 0.5);
-        fleet.run(8000, false, &what);
+        fleet.run(8000, false, &case);
         fleet.loss_rate = 0.2;
         match seed % 4 {
             0 => fleet.gateways.iter_mut().step_by(3).for_each(|gateway| gateway.is_unreachable = true),
             1 => {
                 fleet.allocator = ShareAllocator::new(
                     at(fleet.now),
-                    VALID,
+                    VALIDITY,
                     SHRINK_INTERVAL,
                     at(2200),
-                    fleet.last.as_ref().map(|(s, b)| (*s, b)),
+                    fleet.last_decision.as_ref().map(|(s, b)| (*s, b)),
                 );
                 fleet.allocator.set_capacity(fleet.capacity);
                 fleet.stamp = Stamp { token: 2, revision: 0 };
             }
-            2 => fleet.no_owner_until = fleet.now + 30_000,
+            2 => fleet.no_allocator_until = fleet.now + 30_000,
             _ => {}
         }
         for _ in 0..4 {
-            fleet.jump();
-            fleet.run(6000, true, &what);
+            fleet.change_demand();
+            fleet.run(6000, true, &case);
         }
         fleet.gateways.iter_mut().for_each(|gateway| gateway.is_unreachable = false);
         fleet.loss_rate = 0.0;
-        fleet.run(12_000, true, &what);
-        let (error, index) = fleet.error();
-        assert!(error < 0.05, "{what}: healed {error}, {index}");
-        // A capacity that halves: the sum is under it again once every gateway has said that it goes by less.
+        fleet.run(12_000, true, &case);
+        let (error, index) = fleet.error_and_jain_index();
+        assert!(error < 0.05, "{case}: error {error} and Jain index {index} after the partitions");
+        // After the capacity halves, the sum is within it again once every gateway has applied a smaller
+        // grant.
         fleet.capacity *= 0.5;
         fleet.allocator.set_capacity(fleet.capacity);
-        fleet.run(3000, false, &what);
-        fleet.run(4000, true, &what);
-        assert!(fleet.error().0 < 0.05, "{what}: {:?}", fleet.error());
+        fleet.run(3000, false, &case);
+        fleet.run(4000, true, &case);
+        assert!(fleet.error_and_jain_index().0 < 0.05, "{case}: {:?}", fleet.error_and_jain_index());
     }
 }
 
-/// A firm that asks for ten times its part, at all gateways or at one, gets no more than by asking for all it can use; and
-/// the small ones beside it have their least share.
+/// A firm that requests ten times the units that it can use, at all its gateways or at one, gets no more than
+/// with its actual demand, and the other firms get their demand or at least their share by weight.
 #[test]
 fn inflated_demand_gains_nothing_and_takes_nothing_from_small_firms() {
     for seed in seeds(12) {
-        let what = format!("seed {seed}");
+        let case = format!("seed {seed}");
         let mut honest = SimulatedFleet::new(seed, 12, 60, 0.4);
-        let part = honest.capacity / honest.firms.iter().map(|f| f.weight).sum::<f64>();
-        honest.firms[0].demand = 3.0 * part * honest.firms[0].weight;
-        honest.run(12_000, false, &what);
-        honest.error();
+        let fair_level = honest.capacity / honest.firms.iter().map(|f| f.weight).sum::<f64>();
+        honest.firms[0].demand = 3.0 * fair_level * honest.firms[0].weight;
+        honest.run(12_000, false, &case);
+        honest.error_and_jain_index();
         let mut greedy = SimulatedFleet::new(seed, 12, 60, 0.4);
-        greedy.firms[0].demand = 30.0 * part * greedy.firms[0].weight;
+        greedy.firms[0].demand = 30.0 * fair_level * greedy.firms[0].weight;
         if seed % 2 == 0 {
             let first = greedy.firms[0].spread[0].0;
-            (greedy.firms[0].spread, greedy.firms[0].believed) = (vec![(first, 1.0)], vec![1.0]);
+            (greedy.firms[0].spread, greedy.firms[0].metered_fractions) = (vec![(first, 1.0)], vec![1.0]);
         }
         greedy.capacity = honest.capacity;
         greedy.allocator.set_capacity(honest.capacity);
-        greedy.run(12_000, false, &what);
-        greedy.error();
+        greedy.run(12_000, false, &case);
+        greedy.error_and_jain_index();
         assert!(
-            greedy.received[0] <= honest.received[0] * 1.05 + 0.05,
-            "{what}: {} and {}",
-            greedy.received[0],
-            honest.received[0]
+            greedy.rates[0] <= honest.rates[0] * 1.05 + 0.05,
+            "{case}: the greedy firm gets {} and the honest one {}",
+            greedy.rates[0],
+            honest.rates[0]
         );
         for (f, firm) in greedy.firms.iter().enumerate() {
-            let least = firm.demand.min(part * firm.weight);
+            let min_rate = firm.demand.min(fair_level * firm.weight);
             assert!(
-                greedy.received[f] >= 0.95 * least - 0.02,
-                "{what}: firm {f} has {} of {least}",
-                greedy.received[f]
+                greedy.rates[f] >= 0.95 * min_rate - 0.02,
+                "{case}: firm {f} gets {} of at least {min_rate}",
+                greedy.rates[f]
             );
         }
     }
 }
 
-/// What it costs on the wire does not grow with firms.
 #[test]
 fn reports_do_not_grow_with_firms() {
-    let size = |firms| {
+    let bytes_per_report = |firms| {
         let mut fleet = SimulatedFleet::new(1, 30, firms, 0.5);
-        fleet.run(3000, false, "size");
-        fleet.bytes / fleet.messages
+        fleet.run(3000, false, "report size");
+        fleet.report_bytes / fleet.report_count
     };
-    let (few, many) = (size(100), size(5000));
-    assert!(many <= few + few / 10 && many < 700, "{few} and {many} bytes a report");
+    let (few, many) = (bytes_per_report(100), bytes_per_report(5000));
+    assert!(many <= few + few / 10 && many < 700, "{few} bytes per report with 100 firms, {many} with 5000");
 }
--- a/quota-gateway/fair-share/tests/golden.rs
+++ b/quota-gateway/fair-share/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Recorded bytes of the published decision on shares. A type or field that is renamed in the program is renamed in the
-//! construction code here; the fixture stays.
+//! Compares the encoding of the published share decision with recorded bytes. After a rename of a type or
+//! field only the code here changes; the fixture stays.
 
 #[path = "../../../testing/support/golden/mod.rs"]
 mod golden;
@@ -11,7 +11,7 @@
 use message::check_message;
 
 #[test]
-fn decisions_on_shares_keep_their_bytes() {
+fn the_encoding_of_share_decisions_matches_the_fixture() {
     let body = ShareDecision {
         level: 12.5,
         capacity: 900.25,
