--- a/quota-gateway/zone-failover/src/allocation.rs
+++ b/quota-gateway/zone-failover/src/allocation.rs
@@ -1,32 +1,37 @@
-//! The allocation of traffic to zones: a zone keeps its traffic within its capacity, and the rest goes to the nearest zone that has
-//! capacity, to another region only when its own has none. What no zone has capacity for is rejected.
+//! The allocation of traffic to zones. A zone keeps its own traffic up to its capacity. The rest goes to the
+//! nearest zones with capacity, and to another region only if its own region has none. Traffic that no zone
+//! has capacity for is rejected.
 
 use crate::settings::Settings;
 
-/// Fraction of a zone's traffic that probes the other zones, spread evenly, since their health must be known before they are needed.
+/// Fraction of a zone's traffic that probes the other zones, spread evenly over them. The health of a zone
+/// must be known before it is needed.
 pub const PROBE_FRACTION: f64 = 0.01;
-/// That fraction for a suspect zone: whether its gateways are served elsewhere tells whether it fails, or they do.
+/// The same fraction for a suspect zone. Whether its gateways are served elsewhere shows whether the zone or
+/// its gateways are at fault.
 pub const SUSPECT_PROBE_FRACTION: f64 = 0.05;
 
-/// What is allocated; vectors are by zone.
+/// Input of the allocation. Vectors are indexed by zone.
 #[derive(Clone, Debug)]
 pub struct Load {
     /// Units per second that clients request from its gateways.
     pub demand: Vec<f64>,
     /// Units per second that may be sent to it.
     pub capacity: Vec<f64>,
-    /// Whether other zones may send traffic to it; its own gateways may within its capacity.
+    /// Whether other zones may send traffic to it. Its own gateways always may, within its capacity.
     pub accepts_traffic: Vec<bool>,
-    /// Whether other zones probe it; a suspect one, too, or there would be no further evidence.
+    /// Whether other zones probe it. They also probe a suspect zone, because there would be no further
+    /// evidence otherwise.
     pub accepts_probes: Vec<bool>,
     /// Whether it is suspect.
     pub is_suspect: Vec<bool>,
-    /// Whether the link from one zone (row) to another (column) is partitioned; nothing is sent over it.
+    /// Whether the link from one zone (row) to another (column) is partitioned, so that nothing is sent over
+    /// it.
     pub is_partitioned: Vec<Vec<bool>>,
 }
 
-/// Returns the fraction of each zone's demand (row) that goes to each zone (column). No zone gets more than its capacity from all
-/// zones together.
+/// Returns the fraction of each zone's demand (row) that goes to each zone (column). No zone gets more than
+/// its capacity in total.
 pub fn allocate(settings: &Settings, load: &Load) -> Vec<Vec<f64>> {
     let zone_count = load.demand.len();
     let mut allocation = Allocation {
@@ -36,7 +41,7 @@
         sent: vec![vec![0.0; zone_count]; zone_count],
         remaining: Vec::new(),
     };
-    // Probes first, so that a full zone is still probed as far as it has capacity.
+    // Allocate probes first, so that a zone whose capacity is used up later is still probed.
     allocation.allocate_probes();
     allocation.allocate_own();
     for is_own_region in [true, false] {
@@ -63,7 +68,7 @@
         0..self.load.demand.len()
     }
 
-    /// Allocates up to `units` as far as there is capacity, and returns how many.
+    /// Allocates `units`, or fewer if the capacity does not suffice, and returns the allocated units.
     fn send(&mut self, from: usize, to: usize, units: f64) -> f64 {
         let units = units.min(self.available[to]).max(0.0);
         self.sent[from][to] += units;
@@ -97,8 +102,9 @@
         }
     }
 
-    /// Sends what remains of each zone to the open zone of this rank by distance, within its region or beyond. Zones that send to
-    /// the same one share its capacity by what remains of them, so that the order of zones has no effect.
+    /// Allocates the remaining demand of each zone to the open zone of this rank by distance, within its
+    /// region or in others. Zones with the same target share its capacity in proportion to their remaining
+    /// demand, so that the order of zones has no effect.
     fn allocate_nearest(&mut self, is_own_region: bool, rank: usize) {
         let targets: Vec<(usize, usize)> = self
             .zones()
@@ -137,14 +143,16 @@
         self.sent
     }
 
-    /// Returns the zone for the first requests of a zone without demand: itself if it has capacity, else the nearest that has.
+    /// Returns the target for the first requests of a zone without demand: the zone itself if it has
+    /// capacity, otherwise the nearest open zone with capacity.
     fn target_without_demand(&self, from: usize) -> Option<usize> {
         let mut candidates = std::iter::once(from).chain(self.settings.by_distance(from));
         candidates.find(|&to| self.load.capacity[to] > 0.0 && (to == from || self.is_open(from, to)))
     }
 }
 
-/// Turns units into fractions of the demand whose sum is 1 at most, as readers reject a decision with a larger one.
+/// Converts units to fractions of the demand whose sum is at most 1, because readers reject decisions with a
+/// larger sum.
 fn normalize(units: &mut [f64], demand: f64) {
     units.iter_mut().for_each(|units| *units /= demand);
     let sum: f64 = units.iter().sum();
--- a/quota-gateway/zone-failover/src/controller.rs
+++ b/quota-gateway/zone-failover/src/controller.rs
@@ -1,5 +1,5 @@
-//! The controller: reports and operator commands in, state changes and decisions out. A new owner of the role resumes from the
-//! decision of the former one.
+//! The controller: takes reports and operator commands, and returns state changes and decisions. A new owner
+//! of the role resumes from the last decision of its predecessor.
 
 use crate::allocation::{allocate, Load};
 use crate::capacity::ServerCapacity;
@@ -13,21 +13,24 @@
 use marblecroft_control_messages::report::Report;
 use std::time::Duration;
 
-/// Change of a fraction up to which no new decision is published ...
+/// Changes of fractions up to this size are not published before [`MAX_DECISION_INTERVAL`] has passed.
 const MIN_SHARE_CHANGE: f64 = 0.01;
-/// ... before this interval, so that slowly rising capacities are published, too.
+/// Time after which a decision is published even without a significant change, so that slowly rising
+/// capacities are published too.
 const MAX_DECISION_INTERVAL: Duration = Duration::from_secs(2);
-/// Lower bound of the capacity that a returning zone begins from, as a fraction of all of it: its clients may have gone elsewhere.
+/// Lower bound of the traffic that the return of a zone is scaled from, as a fraction of its capacity. Its
+/// own demand may be too low for that, because its clients may have moved to other zones.
 const MIN_RETURN_FRACTION: f64 = 0.25;
-/// Servers of a zone until the first reports say how many it has; too many is safe, as each then counts for less capacity.
+/// Number of servers that a zone is assumed to have before the first reports. Too many is safe, because the
+/// capacity per server is then underestimated.
 const ASSUMED_SERVERS: f64 = 64.0;
 
-/// An operator's command on a zone, by name.
+/// An operator's command on a zone, with the name of the zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
     /// Take it out of service.
     Hold(String),
-    /// Let it return.
+    /// Begin its return.
     Return(String),
 }
 
@@ -49,7 +52,7 @@
     evidence: Evidence,
     zones: Vec<Zone>,
     server_capacities: Vec<ServerCapacity>,
-    /// When a region last failed over completely, and its name.
+    /// Time of the last failover of a whole region, and the name of the region.
     last_region_failover: Option<(Instant, String)>,
     last_decision: Option<(Instant, ZonesDecision)>,
     state_changes: Vec<StateChange>,
@@ -57,8 +60,8 @@
 }
 
 impl FailoverController {
-    /// Creates a controller that resumes from the `standing` decision, if there is one. Zones keep their states; the times in
-    /// these begin now, as this owner has observed nothing yet.
+    /// Creates a controller that resumes from the `standing` decision, if there is one. Zones keep their
+    /// states, but the times in these states start again, as this owner has not observed anything yet.
     pub fn new(settings: Settings, now: Instant, standing: Option<&ZonesDecision>) -> FailoverController {
         let decided = |name: &str| standing.and_then(|decision| decision.zone(name));
         let zones = settings.zones.iter().map(|zone| {
@@ -92,7 +95,7 @@
         self.evidence.handle_report(now, &self.settings, report)
     }
 
-    /// Applies an operator's command; returns false if there is no zone of its name.
+    /// Applies an operator's command. Returns false if there is no zone with this name.
     pub fn on_operator_command(&mut self, now: Instant, command: &OperatorCommand) -> bool {
         let (OperatorCommand::Hold(name) | OperatorCommand::Return(name)) = command;
         let Some(zone) = self.settings.zone_index(name) else { return false };
@@ -122,20 +125,21 @@
         self.settings.zone_index(zone).map(|zone| self.zones[zone].state)
     }
 
-    /// Returns the names of the zones that are out of service by an operator's command.
+    /// Returns the names of the zones that an operator took out of service.
     pub fn held_zones(&self) -> Vec<String> {
         let zones = self.settings.zones.iter().zip(&self.zones);
         let held = zones.filter(|(_, zone)| zone.state == ZoneState::HeldByOperator);
         held.map(|(settings, _)| settings.name.clone()).collect()
     }
 
-    /// Returns how many failovers were rejected, as the zone is the last one, or another region has just failed over.
+    /// Returns the number of rejected failovers. A failover is rejected if no other zone accepts traffic, or
+    /// if another region has just failed over.
     pub fn rejected_failovers(&self) -> u64 {
         self.rejected_failovers
     }
 
-    /// Computes states by the evidence, and returns the decision to publish; `None` while it observes, or if the last one is near
-    /// enough.
+    /// Updates the states of all zones, and returns the decision to publish. `None` while the controller only
+    /// observes, while no gateway reports, or if the last decision differs too little.
     pub fn tick(&mut self, now: Instant) -> Option<ZonesDecision> {
         self.evidence.expire(now, &self.settings);
         let is_observing = now.saturating_sub(self.started_at) < self.settings.observation_time();
@@ -173,8 +177,8 @@
         self.record_state_change(zone, from);
     }
 
-    /// Returns whether a zone may fail over: another one accepts traffic, and if it is the last of its region, no other region has
-    /// failed over recently.
+    /// Returns whether a zone may fail over. Another zone must accept traffic, and if the zone is the last of
+    /// its region, no other region may have failed over recently.
     fn may_fail_over(&self, now: Instant, zone: usize) -> bool {
         let region = &self.settings.zones[zone].region;
         let is_last_of_region = !self.has_other_zone_in_region(zone);
@@ -224,7 +228,7 @@
         warm_servers * server_capacity.estimate(self.settings.server_capacity, is_overloaded)
     }
 
-    /// Returns whether most votes call a zone overloaded.
+    /// Returns whether most votes are that a zone is overloaded.
     fn is_overloaded(&self, zone: usize) -> bool {
         let (mut votes, mut overloaded) = (0.0, 0.0);
         for from in 0..self.zones.len() {
@@ -260,8 +264,9 @@
         }
     }
 
-    /// Returns the part of a zone's capacity that is open to traffic. A return begins with a part of the zone's demand: a part of
-    /// its capacity may be most of its demand, which would be lost if it still fails.
+    /// Returns the capacity of a zone that is open to traffic, in units per second. For a returning zone this
+    /// is a fraction of its demand if that is below its capacity. The same fraction of its capacity may be
+    /// most of its demand, which would be lost if the zone still fails.
     fn open_capacity(&self, now: Instant, zone: usize, capacity: f64, demand: f64) -> f64 {
         let open_fraction = self.zones[zone].open_fraction(now, &self.settings);
         if self.zones[zone].state == ZoneState::Returning {
@@ -272,7 +277,7 @@
     }
 }
 
-/// Returns whether a new decision differs enough from the last one to be published at once.
+/// Returns whether a new decision differs enough from the last one to be published immediately.
 fn is_significant_change(last: &ZonesDecision, new: &ZonesDecision) -> bool {
     let is_far = |a: &[f64], b: &[f64]| a.iter().zip(b).any(|(a, b)| (a - b).abs() > MIN_SHARE_CHANGE);
     last.zones.len() != new.zones.len()
--- a/quota-gateway/zone-failover/src/decision.rs
+++ b/quota-gateway/zone-failover/src/decision.rs
@@ -1,4 +1,5 @@
-//! The published decision: the state of each zone, and which fraction of its traffic each zone sends to which.
+//! The published decision: the state of each zone, and the fraction of its traffic that it sends to each
+//! zone.
 
 use marblecroft_control_messages::frame::{is_valid_quantity, Kind};
 use marblecroft_control_messages::published::Body;
@@ -11,20 +12,21 @@
 /// The state of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ZoneState {
-    /// It serves.
+    /// It serves traffic.
     Serving,
-    /// It, or whoever observes it, has a fault: it keeps its own traffic, and gets only probes from other zones.
+    /// Either the zone or its observers are faulty. It keeps its own traffic, and gets only probes from other
+    /// zones.
     Suspect,
     /// It gets no traffic.
     FailedOver,
-    /// It gets a rising part of its traffic after a failover.
+    /// It gets a rising fraction of its traffic after a failover.
     Returning,
-    /// It gets no traffic by an operator's command.
+    /// It gets no traffic because an operator took it out of service.
     HeldByOperator,
 }
 
 impl ZoneState {
-    /// Returns its name in logs and in the operators' commands.
+    /// Returns its name in logs and operator commands.
     pub fn name(self) -> &'static str {
         match self {
             ZoneState::Serving => "serving",
@@ -48,13 +50,13 @@
     pub name: String,
     /// Its state.
     pub state: ZoneState,
-    /// How often it failed soon after a return; each time doubles how long it stays failed over.
+    /// Number of failures during recent returns. Each one doubles the time that it stays failed over.
     pub flap_count: u32,
     /// Its capacity in units per second.
     pub capacity: f64,
     /// Units per second that clients request from its gateways.
     pub demand: f64,
-    /// Number of its gateways that report.
+    /// Number of its gateways with a current report.
     pub gateways: u32,
     /// Fraction of its demand that goes to each zone, in the order of the zones; the rest up to 1 is rejected.
     pub shares: Vec<f64>,
@@ -68,7 +70,7 @@
 }
 
 impl ZonesDecision {
-    /// Returns the zone of this name.
+    /// Returns the zone with this name.
     pub fn zone(&self, name: &str) -> Option<&ZoneDecision> {
         self.zones.iter().find(|zone| zone.name == name)
     }
--- a/quota-gateway/zone-failover/src/evidence.rs
+++ b/quota-gateway/zone-failover/src/evidence.rs
@@ -1,5 +1,6 @@
-//! What several gateways observe of each zone. Votes count by gateway, not by request, and the demand of each is clipped: a gateway
-//! that reports values a thousand times too high has no more influence than any other.
+//! The observations of gateways, aggregated for each zone. Each gateway has one vote, regardless of its
+//! number of requests, and its demand is clipped, so that a gateway that reports values a thousand times too
+//! high has little influence.
 
 mod gateway;
 mod opinion;
@@ -15,32 +16,35 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Upper bound of the gateways that are tracked.
+/// Maximum number of gateways that are tracked.
 pub const MAX_GATEWAYS: usize = 4096;
-/// Votes in the last reports that suffice without the remembered ones.
+/// Number of votes from which the last reports suffice without the decayed attempts of earlier ones.
 const SUFFICIENT_LATEST_VOTES: f64 = 3.0;
-/// Votes below which there is no opinion.
+/// Minimum number of votes for an opinion.
 const MIN_VOTES: f64 = 1.0;
-/// Gateways from which on demand is clipped: of fewer, the mean of the others may itself be a wrong value.
+/// Minimum number of gateways for clipping demand. With fewer, the mean of the others may itself be a wrong
+/// value.
 const MIN_GATEWAYS_TO_CLIP: usize = 4;
-/// Upper bound of a gateway's demand relative to the mean of the others: traffic is uneven, but not more than that.
+/// Upper bound of a gateway's demand relative to the mean of the others. Traffic is uneven, but not by more
+/// than this.
 const MAX_RELATIVE_DEMAND: f64 = 8.0;
-/// Upper bound of that mean relative to the median, which one wrong value does not change.
+/// Upper bound of that mean relative to the median. One wrong value has little effect on the median.
 const MAX_MEAN_TO_MEDIAN: f64 = 4.0;
-/// Demand up to which nothing is clipped, in units per second.
+/// Demand up to which a gateway is not clipped, in units per second.
 const MIN_CLIPPED_DEMAND: f64 = 1.0;
-/// Upper bound of what is served to a gateway relative to its demand, as attempts may be repeated ...
+/// Upper bound of the units that a zone served to a gateway, relative to the demand of the gateway. It is
+/// above 1 because attempts may be retried.
 const MAX_SERVED_TO_DEMAND: f64 = 2.0;
-/// ... and in excess of that, in units per second.
+/// Units per second that a zone may have served to a gateway in addition to that bound.
 const MAX_EXCESS_SERVED: f64 = 1.0;
-/// Age up to which a report is recent; gateways report once a second.
+/// Maximum age of a recent report; gateways report once a second.
 const RECENT_REPORT_TTL: Duration = Duration::from_millis(1600);
 
 /// The last reports of all gateways.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
     gateways: BTreeMap<u32, Gateway>,
-    /// The latest instant that reports were expired at.
+    /// Time at which old reports were last removed.
     expired_at: Instant,
 }
 
@@ -49,8 +53,8 @@
     ///
     /// # Errors
     ///
-    /// [`DecodeError::InvalidValue`] if it names a zone that the settings do not have, [`DecodeError::TooLong`] if it is from a
-    /// further gateway than [`MAX_GATEWAYS`].
+    /// [`DecodeError::InvalidValue`] if it contains a zone that is not in the settings,
+    /// [`DecodeError::TooLong`] if the gateway is new and [`MAX_GATEWAYS`] are tracked already.
     pub fn handle_report(
         &mut self,
         now: Instant,
@@ -68,32 +72,32 @@
         if previous.is_none() && self.gateways.len() >= MAX_GATEWAYS {
             return Err(DecodeError::TooLong);
         }
-        // What a former incarnation observed says nothing of the connections of this one.
+        // Attempts of a former incarnation used other connections, so they do not count.
         let is_current = |gateway: &&Gateway| {
             gateway.is_same_incarnation(report)
                 && now.saturating_sub(gateway.reported_at) < settings.report_ttl()
         };
-        let remembered = previous.filter(is_current).map_or_else(
+        let decayed_attempts = previous.filter(is_current).map_or_else(
             || vec![AttemptCounts::default(); settings.zones.len()],
-            |gateway| gateway.remembered.clone(),
+            |gateway| gateway.decayed_attempts.clone(),
         );
-        let gateway = Gateway::from_report(now, report, zone, &observed, remembered);
+        let gateway = Gateway::from_report(now, report, zone, &observed, decayed_attempts);
         self.gateways.insert(report.gateway, gateway);
         Ok(())
     }
 
-    /// Expires reports that are too old.
+    /// Removes reports that are too old.
     pub fn expire(&mut self, now: Instant, settings: &Settings) {
         self.expired_at = self.expired_at.max(now);
         self.gateways.retain(|_, gateway| now.saturating_sub(gateway.reported_at) < settings.report_ttl());
     }
 
-    /// Returns the number of gateways that report.
+    /// Returns the number of gateways with a current report.
     pub fn gateway_count(&self) -> usize {
         self.gateways.len()
     }
 
-    /// Returns the number of a zone's gateways that report.
+    /// Returns the number of a zone's gateways with a current report.
     pub fn gateway_count_of(&self, zone: usize) -> u32 {
         self.gateways_of(zone).count() as u32
     }
@@ -102,16 +106,18 @@
         self.gateways.values().filter(move |gateway| gateway.zone == zone)
     }
 
-    /// Returns what the gateways of `from` say of `to` by their last reports alone, however few votes these make.
+    /// Returns the opinion of the gateways of `from` on `to` by their last reports alone, even if there are
+    /// few votes.
     pub fn latest_opinion(&self, from: usize, to: usize) -> Opinion {
-        Opinion::of(self.gateways_of(from).map(|gateway| gateway.latest[to]))
+        Opinion::of(self.gateways_of(from).map(|gateway| gateway.latest_attempts[to]))
     }
 
-    /// Returns what the gateways of `from` say of `to`: by their last reports if these suffice, else with what they remember.
+    /// Returns the opinion of the gateways of `from` on `to`: by their last reports if these have enough
+    /// votes, otherwise by their decayed attempts.
     pub fn opinion(&self, from: usize, to: usize) -> Opinion {
         let mut opinion = self.latest_opinion(from, to);
         if opinion.votes() < SUFFICIENT_LATEST_VOTES {
-            opinion = Opinion::of(self.gateways_of(from).map(|gateway| gateway.remembered[to]));
+            opinion = Opinion::of(self.gateways_of(from).map(|gateway| gateway.decayed_attempts[to]));
         }
         if opinion.votes() >= MIN_VOTES {
             opinion
@@ -120,7 +126,8 @@
         }
     }
 
-    /// Returns the demand of a zone's gateways in units per second, each clipped by the demand of the fleet's others.
+    /// Returns the demand of a zone's gateways in units per second, each clipped relative to the other
+    /// gateways of the fleet.
     pub fn demand(&self, zone: usize) -> f64 {
         let total: f64 = self.gateways.values().map(|gateway| gateway.demand).sum();
         let other_count = (self.gateways.len() as f64 - 1.0).max(1.0);
@@ -135,10 +142,11 @@
         self.gateways_of(zone).map(|gateway| gateway.demand.min(max_demand(gateway.demand))).sum()
     }
 
-    /// Returns the servers of a zone: the median of what gateways report, as their server lists differ only by delay.
+    /// Returns the number of servers of a zone: the median of the reports, as the server lists of gateways
+    /// differ only by delay.
     ///
-    /// Only recent reports count if half of the gateways have one: gateways that are lost with their zone last reported its
-    /// servers of before.
+    /// If at least half of the gateways have a recent report, only recent reports count. The last reports of
+    /// gateways that were lost together with their zone still contain its servers.
     pub fn servers(&self, zone: usize) -> ServerCounts {
         let is_recent =
             |gateway: &Gateway| self.expired_at.saturating_sub(gateway.reported_at) <= RECENT_REPORT_TTL;
@@ -156,7 +164,8 @@
         }
     }
 
-    /// Returns the units per second that a zone served to all gateways, each clipped by its own demand.
+    /// Returns the units per second that a zone served to all gateways, each clipped relative to the
+    /// gateway's own demand.
     pub fn served(&self, zone: usize) -> f64 {
         let max_served = |gateway: &Gateway| gateway.demand * MAX_SERVED_TO_DEMAND + MAX_EXCESS_SERVED;
         self.gateways.values().map(|gateway| gateway.served[zone].min(max_served(gateway))).sum()
--- a/quota-gateway/zone-failover/src/evidence/gateway.rs
+++ b/quota-gateway/zone-failover/src/evidence/gateway.rs
@@ -1,25 +1,26 @@
-//! One gateway: its last report, and its attempts with a decaying memory.
+//! One gateway: its last report, and a decaying sum of the attempts of all its reports.
 
 use marblecroft_control_messages::published::Instant;
 use marblecroft_control_messages::report::{AttemptCounts, Report};
 
-/// Attempts above which the memory of a zone fades by [`FADE`].
+/// Decayed attempts at a zone above which [`DECAY_FACTOR`] applies.
 const MANY_ATTEMPTS: f64 = 8.0;
-/// Factor of the remembered attempts with each report.
-const FADE: f64 = 0.5;
-/// That factor where there are few attempts, as at a zone that is only probed: more slowly, or they would never make a vote.
-const SLOW_FADE: f64 = 0.8;
+/// Factor that the decayed attempts are multiplied by with each report.
+const DECAY_FACTOR: f64 = 0.5;
+/// The same factor for few attempts, as at a zone that only gets probes. With a faster decay these would
+/// never add up to a vote.
+const SLOW_DECAY_FACTOR: f64 = 0.8;
 
 /// Number of servers of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerCounts {
     /// Servers that are listed as serving.
     pub listed: f64,
-    /// Servers that are warm; one in slow start counts by its current fraction.
+    /// Warm servers; a server in slow start counts with its current fraction.
     pub warm: f64,
 }
 
-/// The state of a gateway; vectors are by zone.
+/// The state of a gateway. Vectors are indexed by zone.
 #[derive(Clone, Debug)]
 pub(super) struct Gateway {
     pub(super) reported_at: Instant,
@@ -28,29 +29,30 @@
     pub(super) zone: usize,
     /// Units per second that clients request from it.
     pub(super) demand: f64,
-    /// Attempts with memory.
-    pub(super) remembered: Vec<AttemptCounts>,
+    /// Decaying sum of the attempts of all reports.
+    pub(super) decayed_attempts: Vec<AttemptCounts>,
     /// Attempts in the last report.
-    pub(super) latest: Vec<AttemptCounts>,
+    pub(super) latest_attempts: Vec<AttemptCounts>,
     pub(super) servers: Vec<Option<ServerCounts>>,
-    /// Units per second that were served to it, in the last report.
+    /// Units per second that each zone served to it, in the last report.
     pub(super) served: Vec<f64>,
 }
 
 impl Gateway {
-    /// Creates the state from a report. `observed` are the indices of the report's zones, and `remembered` the attempts so far.
+    /// Creates the state from a report. `observed` are the indices of the report's zones, and
+    /// `decayed_attempts` the decayed attempts before this report.
     pub(super) fn from_report(
         now: Instant,
         report: &Report,
         zone: usize,
         observed: &[usize],
-        mut remembered: Vec<AttemptCounts>,
+        mut decayed_attempts: Vec<AttemptCounts>,
     ) -> Gateway {
-        let zone_count = remembered.len();
-        for (zone, attempts) in remembered.iter_mut().enumerate() {
+        let zone_count = decayed_attempts.len();
+        for (zone, attempts) in decayed_attempts.iter_mut().enumerate() {
             let observation = report.zones.iter().zip(observed).find(|(_, index)| **index == zone);
             let new = observation.map_or_else(AttemptCounts::default, |(zone, _)| zone.attempts);
-            *attempts = blend(*attempts, new);
+            *attempts = decay_and_add(*attempts, new);
         }
         let mut gateway = Gateway {
             reported_at: now,
@@ -58,8 +60,8 @@
             sequence: report.sequence,
             zone,
             demand: report.requested_units,
-            remembered,
-            latest: vec![AttemptCounts::default(); zone_count],
+            decayed_attempts,
+            latest_attempts: vec![AttemptCounts::default(); zone_count],
             servers: vec![None; zone_count],
             served: vec![0.0; zone_count],
         };
@@ -68,12 +70,12 @@
             gateway.servers[zone] =
                 Some(ServerCounts { listed: observation.servers, warm: observation.warm });
             gateway.served[zone] = observation.attempts.served / span_seconds;
-            gateway.latest[zone] = observation.attempts;
+            gateway.latest_attempts[zone] = observation.attempts;
         }
         gateway
     }
 
-    /// Returns whether a report is of the same incarnation.
+    /// Returns whether a report is from the same incarnation.
     pub(super) fn is_same_incarnation(&self, report: &Report) -> bool {
         self.incarnation == report.incarnation
     }
@@ -84,14 +86,14 @@
     }
 }
 
-/// Returns the remembered attempts after a report.
-fn blend(remembered: AttemptCounts, new: AttemptCounts) -> AttemptCounts {
-    let fade = if remembered.total() > MANY_ATTEMPTS { FADE } else { SLOW_FADE };
-    let blend = |remembered: f64, new: f64| fade * remembered + new;
+/// Returns the decayed attempts after a report.
+fn decay_and_add(decayed: AttemptCounts, new: AttemptCounts) -> AttemptCounts {
+    let factor = if decayed.total() > MANY_ATTEMPTS { DECAY_FACTOR } else { SLOW_DECAY_FACTOR };
+    let add = |decayed: f64, new: f64| factor * decayed + new;
     AttemptCounts {
-        served: blend(remembered.served, new.served),
-        rejected: blend(remembered.rejected, new.rejected),
-        failed: blend(remembered.failed, new.failed),
-        connect_failed: blend(remembered.connect_failed, new.connect_failed),
+        served: add(decayed.served, new.served),
+        rejected: add(decayed.rejected, new.rejected),
+        failed: add(decayed.failed, new.failed),
+        connect_failed: add(decayed.connect_failed, new.connect_failed),
     }
 }
--- a/quota-gateway/zone-failover/src/evidence/opinion.rs
+++ b/quota-gateway/zone-failover/src/evidence/opinion.rs
@@ -1,27 +1,27 @@
-//! What the gateways of one zone say of a zone, in votes.
+//! The opinion of the gateways of one zone on a zone, as sums of votes.
 
 use marblecroft_control_messages::report::AttemptCounts;
 
-/// Attempts that make a full vote: fewer may have failed by chance.
+/// Number of attempts for a full vote. Fewer may have failed by chance, so they count for less than a vote.
 const MIN_ATTEMPTS_PER_VOTE: f64 = 2.0;
-/// Fraction of failed attempts above which a vote is against a zone.
+/// Fraction of failed attempts above which a gateway votes against a zone.
 const MAX_FAILED_FRACTION: f64 = 0.5;
-/// Fraction of failed and rejected attempts above which a vote calls a zone overloaded.
+/// Fraction of failed and rejected attempts above which a gateway votes that a zone is overloaded.
 const MAX_REJECTED_FRACTION: f64 = 0.1;
 
-/// An opinion: sums of votes, of which each gateway has one at most.
+/// Sums of votes on a zone. Each gateway has at most one vote.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Opinion {
     /// Votes for the zone.
     pub good: f64,
     /// Votes against it.
     pub bad: f64,
-    /// Votes, also counted above, that call it overloaded.
+    /// Votes that it is overloaded; they are also counted for or against it.
     pub overloaded: f64,
 }
 
 impl Opinion {
-    /// Returns the opinion of gateways by their attempts.
+    /// Returns the opinion of gateways with these attempts.
     pub(super) fn of(attempts: impl Iterator<Item = AttemptCounts>) -> Opinion {
         let mut opinion = Opinion::default();
         attempts.for_each(|attempts| opinion.add_vote(attempts));
@@ -42,17 +42,17 @@
         }
     }
 
-    /// Returns the sum of all votes.
+    /// Returns the sum of the votes for and against the zone.
     pub fn votes(&self) -> f64 {
         self.good + self.bad
     }
 
-    /// Returns whether it is against the zone.
+    /// Returns whether most votes are against the zone.
     pub fn is_against(&self) -> bool {
         self.bad > self.good
     }
 
-    /// Returns whether it is for the zone.
+    /// Returns whether there are votes for the zone, and at least as many as against it.
     pub fn is_for(&self) -> bool {
         self.good > 0.0 && self.good >= self.bad
     }
--- a/quota-gateway/zone-failover/src/lib.rs
+++ b/quota-gateway/zone-failover/src/lib.rs
@@ -1,15 +1,17 @@
-//! Failover between zones and regions, decided by one owner for the fleet (`docs/zone-failover.md`). No I/O and no clock: reports,
-//! operator commands and instants in, decisions out; the same inputs give the same decision, byte for byte.
+//! Failover between zones and regions, decided by one owner for the whole fleet (`docs/zone-failover.md`). No
+//! I/O and no clock: the caller passes in reports, operator commands and instants. The same inputs give the
+//! same decision, byte for byte.
 //!
 //! - [`settings`]: the zones, and the parameters of the decision.
-//! - [`evidence`]: what several gateways observe, aggregated so that one of them has a bounded influence.
-//! - [`verdict`]: what the evidence says of each zone.
+//! - [`evidence`]: aggregates the observations of gateways and bounds the influence of each gateway.
+//! - [`verdict`]: the health of each zone according to the evidence.
 //! - [`zone`]: the state machine of a zone, driven by verdicts.
 //! - [`capacity`]: the estimated capacity of a server.
-//! - [`allocation`]: which zone sends how much to which: to itself within its capacity, then to the nearest that has capacity.
-//! - [`controller`]: all of it together, from reports to decisions.
-//! - [`decision`]: what is published.
-//! - [`gateway_limits`]: what one gateway applies of a decision.
+//! - [`allocation`]: allocates the demand of each zone, to the zone itself within its capacity, then to the
+//!   nearest zones.
+//! - [`controller`]: combines these modules; takes reports and returns decisions.
+//! - [`decision`]: the published decision.
+//! - [`gateway_limits`]: the limits that one gateway derives from a decision.
 #![forbid(unsafe_code)]
 
 pub mod allocation;
--- a/quota-gateway/zone-failover/src/settings.rs
+++ b/quota-gateway/zone-failover/src/settings.rs
@@ -1,4 +1,4 @@
-//! The zones as the operator configures them, and the parameters of the decision.
+//! The configured zones, and the parameters of the decision.
 
 use marblecroft_control_messages::frame::is_valid_quantity;
 use marblecroft_control_messages::report::{MAX_NAME_BYTES, MAX_ZONES};
@@ -6,34 +6,34 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Failures soon after a return beyond which the failover time is doubled no more, so that the factor fits.
+/// Maximum number of doublings of the failover time, so that the factor does not overflow.
 const MAX_DOUBLINGS: u32 = 16;
 /// Upper bound of each period, in milliseconds.
 const MAX_PERIOD_MS: u64 = 3_600_000;
 
 quick_error! {
-    /// Why settings are rejected. The text is one line that names the field.
+    /// Reason why settings are rejected. The text is one line that names the field.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum SettingsError {
         /// There are no zones, or more than [`MAX_ZONES`].
         ZoneCount(count: usize) {
-            display("places: {count} of 1 to {MAX_ZONES}")
+            display("places: {count} zones, expected 1 to {MAX_ZONES}")
         }
-        /// The name or region of the zone of this index is empty or too long.
+        /// The name of the zone with this index is empty, or its name or region is too long.
         NameLength(index: usize) {
-            display("places[{index}]: a name has 1 to {MAX_NAME_BYTES} bytes")
+            display("places[{index}]: name needs 1 to {MAX_NAME_BYTES} bytes, region {MAX_NAME_BYTES} at most")
         }
-        /// The zone of this index has the name of an earlier one.
+        /// The zone with this index has the same name as an earlier one.
         DuplicateName(index: usize, name: String) {
-            display("places[{index}].name: {name} comes twice")
+            display("places[{index}].name: duplicate name {name}")
         }
         /// The capacity of a server is not a valid quantity.
         ServerCapacity {
-            display("server_bears: no number from 0")
+            display("server_bears: not a valid number of 0 or more")
         }
         /// A period of this field, in milliseconds, is out of range.
         Period(field: &'static str, period_ms: u64) {
-            display("{field}: {period_ms} is not from 1 to {MAX_PERIOD_MS}")
+            display("{field}: {period_ms} is not in the range 1 to {MAX_PERIOD_MS}")
         }
     }
 }
@@ -44,7 +44,7 @@
 pub struct ZoneSettings {
     /// Its name, as in the server list.
     pub name: String,
-    /// Its region; zones of one region are near each other. All are of one region if it is left out.
+    /// Its region; zones of the same region are near each other. Zones without a region form one region.
     #[serde(default)]
     pub region: String,
 }
@@ -53,32 +53,35 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// The zones, in the order of their distance: the nearest to a zone is the next one in a circle within its region.
+    /// The zones in a circular order of distance: the next zone in the same region is the nearest.
     #[serde(rename = "places")]
     pub zones: Vec<ZoneSettings>,
-    /// Capacity of one warm server in units per second; 0 if it is to be estimated.
+    /// Capacity of one warm server in units per second; 0 to estimate it.
     #[serde(rename = "server_bears")]
     pub server_capacity: f64,
     /// Time after which the last report of a gateway expires, in milliseconds.
     #[serde(rename = "unheard_ms")]
     pub report_ttl_ms: u64,
-    /// Time for which the evidence must be against a zone before it fails over, in milliseconds: two reports, so that one burst
-    /// of errors has no effect.
+    /// Time for which the evidence must be against a zone before it fails over, in milliseconds. It requires
+    /// two reports, so that a single burst of errors has no effect.
     #[serde(rename = "out_after_ms")]
     pub failover_delay_ms: u64,
-    /// Time that a zone stays failed over, in milliseconds; doubled each time that it fails again soon after a return ...
+    /// Time that a zone stays failed over, in milliseconds. It is doubled for each failure during a recent
+    /// return.
     #[serde(rename = "hold_ms")]
     pub min_failover_ms: u64,
-    /// ... up to this.
+    /// Upper bound of the doubled time that a zone stays failed over, in milliseconds.
     #[serde(rename = "hold_most_ms")]
     pub max_failover_ms: u64,
-    /// Time in which the traffic of a returning zone rises to all of it, in milliseconds: that in which servers warm up.
+    /// Time in which the traffic of a returning zone rises to all of its traffic, in milliseconds. It is the
+    /// time in which servers warm up.
     #[serde(rename = "ramp_ms")]
     pub slow_start_ms: u64,
-    /// Time between the failovers of two regions, in milliseconds.
+    /// Minimum time between the failovers of two regions, in milliseconds.
     #[serde(rename = "dwell_ms")]
     pub region_failover_interval_ms: u64,
-    /// Time for which a new owner only receives reports, in milliseconds: two reports of every gateway.
+    /// Time for which a new owner only receives reports, in milliseconds. It is long enough for two reports
+    /// of every gateway.
     #[serde(rename = "settle_ms")]
     pub observation_ms: u64,
 }
@@ -104,7 +107,7 @@
     ///
     /// # Errors
     ///
-    /// The first setting that is out of its bounds.
+    /// The first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.zones.is_empty() || self.zones.len() > MAX_ZONES {
             return Err(SettingsError::ZoneCount(self.zones.len()));
@@ -143,17 +146,18 @@
         }
     }
 
-    /// Returns the index of the zone of this name.
+    /// Returns the index of the zone with this name.
     pub fn zone_index(&self, name: &str) -> Option<usize> {
         self.zones.iter().position(|zone| zone.name == name)
     }
 
-    /// Returns whether two zones are of one region.
+    /// Returns whether two zones are in the same region.
     pub fn is_same_region(&self, a: usize, b: usize) -> bool {
         self.zones[a].region == self.zones[b].region
     }
 
-    /// Returns the other zones, nearest first: those of its region, then the others, both in a circle from this one on.
+    /// Returns the other zones, nearest first: those of the same region, then the others, each in circular
+    /// order from this zone.
     pub fn by_distance(&self, from: usize) -> Vec<usize> {
         let zone_count = self.zones.len();
         let mut others: Vec<usize> = (1..zone_count).map(|step| (from + step) % zone_count).collect();
@@ -171,18 +175,18 @@
         Duration::from_millis(self.failover_delay_ms)
     }
 
-    /// Returns the time that a zone stays failed over after this many failures soon after a return.
+    /// Returns the time that a zone with this flap count stays failed over.
     pub fn failover_time(&self, flap_count: u32) -> Duration {
         let doubled_ms = self.min_failover_ms.saturating_mul(1 << flap_count.min(MAX_DOUBLINGS));
         Duration::from_millis(doubled_ms.min(self.max_failover_ms.max(self.min_failover_ms)))
     }
 
-    /// Returns the time in which the traffic of a returning zone rises to all of it.
+    /// Returns the time in which the traffic of a returning zone rises to all of its traffic.
     pub fn slow_start(&self) -> Duration {
         Duration::from_millis(self.slow_start_ms)
     }
 
-    /// Returns the time between the failovers of two regions.
+    /// Returns the minimum time between the failovers of two regions.
     pub fn region_failover_interval(&self) -> Duration {
         Duration::from_millis(self.region_failover_interval_ms)
     }
--- a/quota-gateway/zone-failover/src/verdict.rs
+++ b/quota-gateway/zone-failover/src/verdict.rs
@@ -1,27 +1,27 @@
-//! Verdicts: what the evidence at one instant says of each zone.
+//! Verdicts: the health of each zone according to the evidence at one instant.
 
 use crate::evidence::Evidence;
 
-/// Votes of several gateways that are needed against a zone; fewer where fewer gateways report.
-const MIN_WITNESSES: f64 = 2.0;
+/// Minimum number of votes against a zone for a verdict against it; lower if fewer gateways report.
+const MIN_VOTES_AGAINST: f64 = 2.0;
 
-/// What the evidence says of a zone.
+/// The health of a zone according to the evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It serves whoever observes it.
+    /// It serves the gateways that observe it.
     Healthy,
-    /// Its own gateways are served and those of other zones are not, or too few votes say anything.
+    /// Its own gateways are served but those of other zones are not, or there are too few votes.
     Inconclusive,
-    /// Several gateways observe that it fails, its own among them, or none of its own reports.
+    /// Several gateways observe failures, and its own gateways do too or have no votes.
     Lost,
-    /// It has no listed servers: nothing needs to be sent there to know that it fails.
+    /// It has no listed servers, so it cannot serve. Failed attempts are not needed as evidence.
     WithoutServers,
     /// No gateway observes it.
     Unobserved,
 }
 
 impl Verdict {
-    /// Returns whether it says that the zone cannot serve.
+    /// Returns whether the zone cannot serve.
     pub fn is_lost(self) -> bool {
         matches!(self, Verdict::Lost | Verdict::WithoutServers)
     }
@@ -34,7 +34,7 @@
     let mut verdicts: Vec<Verdict> =
         (0..zone_count).map(|zone| assessment.verdict(zone, &partitioned)).collect();
     if is_everything_lost(&verdicts, accepting_zones) {
-        // That all zones fail at once is evidence against the observers.
+        // If all zones seem to fail at once, the fault is more likely on the side of the observers.
         for verdict in verdicts.iter_mut().filter(|verdict| verdict.is_lost()) {
             *verdict = Verdict::Inconclusive;
         }
@@ -59,13 +59,13 @@
         (0..self.zone_count).filter(move |&other| other != zone)
     }
 
-    /// Returns whether the gateways of a zone reach no other zone, though others reach each other: then they are partitioned,
-    /// and what they say of others does not count.
+    /// Returns whether the gateways of a zone reach no other zone although gateways of other zones are
+    /// served. Their votes on other zones then do not count.
     fn is_partitioned(&self, zone: usize) -> bool {
         let opinion = |from: usize, to: usize| self.evidence.opinion(from, to);
         let reaches_no_other = self.others(zone).any(|to| opinion(zone, to).votes() > 0.0)
             && self.others(zone).all(|to| opinion(zone, to).votes() <= 0.0 || opinion(zone, to).is_against());
-        // Gateways of another zone are served in a zone, their own or a third one.
+        // At least one other zone has gateways that are served, in their own or a third zone.
         reaches_no_other && self.others(zone).any(|a| self.others(zone).any(|b| opinion(a, b).is_for()))
     }
 
@@ -74,31 +74,32 @@
         let (mut zones_for, mut zones_against, mut votes_against) = (0, 0, 0.0);
         for from in self.others(zone).filter(|&from| !partitioned[from]) {
             let opinion = self.evidence.opinion(from, zone);
-            // That it was healthy before does not speak against its loss now.
+            // Only the latest votes count for the zone, because earlier ones may be from before its loss.
             let latest = self.evidence.latest_opinion(from, zone);
             zones_for += u32::from(latest.good > latest.bad);
             zones_against += u32::from(opinion.is_against());
             votes_against += opinion.bad;
         }
-        let needed = MIN_WITNESSES.min(self.evidence.gateway_count() as f64).max(1.0);
-        // Gateways that are served in another zone and not in their own have a working network: they count as enough witnesses.
+        let votes_needed = MIN_VOTES_AGAINST.min(self.evidence.gateway_count() as f64).max(1.0);
+        // Gateways that are served in another zone but not in their own have a working network, so their
+        // votes suffice.
         let is_served_elsewhere = self.others(zone).any(|to| self.evidence.opinion(zone, to).is_for());
-        let own_witnesses = if own.is_against() && is_served_elsewhere { MIN_WITNESSES } else { 0.0 };
-        let witnesses = own.bad + votes_against + own_witnesses;
+        let extra_votes = if own.is_against() && is_served_elsewhere { MIN_VOTES_AGAINST } else { 0.0 };
+        let total_against = own.bad + votes_against + extra_votes;
         if self.evidence.gateway_count() > 0 && self.evidence.servers(zone).listed <= 0.0 {
             return Verdict::WithoutServers;
         }
         match (own.is_for(), own.is_against()) {
             _ if own.votes() <= 0.0 && zones_for + zones_against == 0 => Verdict::Unobserved,
-            // Its own gateways are served: at worst it is partitioned from the others.
-            (true, _) if zones_against > zones_for && votes_against >= needed => Verdict::Inconclusive,
+            // Its own gateways are served, so at worst it is partitioned from the other zones.
+            (true, _) if zones_against > zones_for && votes_against >= votes_needed => Verdict::Inconclusive,
             (true, _) => Verdict::Healthy,
-            // Its own gateways fail, and those of other zones are not served there either.
-            (false, true) if zones_for == 0 && witnesses >= needed => Verdict::Lost,
+            // Its own gateways are not served, and neither are those of other zones.
+            (false, true) if zones_for == 0 && total_against >= votes_needed => Verdict::Lost,
             (false, true) => Verdict::Inconclusive,
-            // None of its own gateways says anything.
-            (false, false) if zones_against > zones_for && witnesses >= needed => Verdict::Lost,
-            (false, false) if votes_against >= needed => Verdict::Inconclusive,
+            // Its own gateways have no votes.
+            (false, false) if zones_against > zones_for && total_against >= votes_needed => Verdict::Lost,
+            (false, false) if votes_against >= votes_needed => Verdict::Inconclusive,
             (false, false) => Verdict::Healthy,
         }
     }
--- a/quota-gateway/zone-failover/src/zone.rs
+++ b/quota-gateway/zone-failover/src/zone.rs
@@ -6,26 +6,26 @@
 use marblecroft_control_messages::published::Instant;
 use std::time::Duration;
 
-/// A failure within this many slow starts after the begin of a return counts as flapping.
+/// Time in service after which the flap count is decreased by one, as a multiple of the slow start.
 const FLAP_SLOW_STARTS: u32 = 3;
-/// Fraction of its traffic that a return begins with.
+/// Fraction of its traffic that a zone gets at the beginning of a return.
 pub const INITIAL_RETURN_FRACTION: f64 = 0.1;
 
-/// The state of one zone, and since when.
+/// The state of one zone, with the times that its transitions depend on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Zone {
     /// The state.
     pub state: ZoneState,
-    /// When the state was entered, or the flap count last decreased.
+    /// Time at which the state was entered or the flap count was last decreased.
     since: Instant,
-    /// Since when the evidence has been against it without interruption.
+    /// Time since which the evidence has been against the zone without interruption.
     lost_since: Option<Instant>,
-    /// How often it failed soon after a return.
+    /// Number of failures during recent returns.
     pub flap_count: u32,
 }
 
 impl Zone {
-    /// Creates a zone in a state that it enters now.
+    /// Creates a zone that enters `state` at `now`.
     pub fn new(now: Instant, state: ZoneState, flap_count: u32) -> Zone {
         Zone { state, since: now, lost_since: None, flap_count }
     }
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Applies a verdict. It may fail over only if `may_fail_over`, and returns only if it has servers.
+    /// Applies a verdict. The zone fails over only if `may_fail_over`, and begins its return only if
+    /// `has_servers`.
     pub fn apply_verdict(
         &mut self,
         now: Instant,
@@ -61,7 +62,8 @@
     ) {
         self.lost_since = match verdict {
             Verdict::Lost | Verdict::WithoutServers => self.lost_since.or(Some(now)),
-            // Once no traffic is sent there it is not observed any more: the last evidence against it stands.
+            // A zone that gets no traffic is not observed any more, so the last evidence against it remains
+            // in force.
             Verdict::Unobserved => self.lost_since,
             Verdict::Healthy | Verdict::Inconclusive => None,
         };
@@ -76,7 +78,8 @@
             }
             (ZoneState::Suspect, Verdict::Healthy) => self.enter(now, ZoneState::Serving),
             (ZoneState::Suspect, _) if is_lasting && may_fail_over => self.fail_over(now),
-            // Little traffic proves little at first: one report against it may be left over from before its return.
+            // A single report against a returning zone has no effect: it is based on little traffic, and may
+            // be from before the return.
             (ZoneState::Returning, Verdict::Lost | Verdict::WithoutServers)
                 if is_lasting && may_fail_over =>
             {
@@ -95,7 +98,7 @@
             (ZoneState::Serving, _)
                 if self.flap_count > 0 && time_in_state >= settings.slow_start() * FLAP_SLOW_STARTS =>
             {
-                // It was healthy for long enough to flap no more.
+                // It has served for long enough without a failure.
                 (self.flap_count, self.since) = (self.flap_count - 1, now);
             }
             _ => {}
@@ -113,7 +116,7 @@
         self.enter(now, ZoneState::HeldByOperator);
     }
 
-    /// Begins its return at once, by the operator's command.
+    /// Begins its return immediately, on the command of an operator.
     pub fn return_by_operator(&mut self, now: Instant) {
         if matches!(self.state, ZoneState::HeldByOperator | ZoneState::FailedOver) {
             self.lost_since = None;
--- a/quota-gateway/zone-failover/tests/conformance.rs
+++ b/quota-gateway/zone-failover/tests/conformance.rs
@@ -1,4 +1,5 @@
-//! Tables of conformance of the decision: rows from the design page on zones, a clause each. A clause without a row is a failure.
+//! Conformance tables of zone failover. Each row shows one clause of the design page; a clause without a row
+//! is a failure.
 
 use marblecroft_test_support::conformance::{hold, Played};
 use marblecroft_zone_failover::allocation::{allocate, Load};
@@ -22,7 +23,7 @@
     state: Vec<StateRow>,
 }
 
-/// Who sends where.
+/// Demand and capacity of zones, and the expected allocation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct FlowRow {
@@ -30,29 +31,34 @@
     clause: String,
     because: String,
     regions: Vec<String>,
-    asked: Vec<f64>,
-    room: Vec<f64>,
+    #[serde(rename = "asked")]
+    demand: Vec<f64>,
+    #[serde(rename = "room")]
+    capacity: Vec<f64>,
     /// Zones that others may not send to.
-    #[serde(default)]
-    shut: Vec<usize>,
-    #[serde(default)]
-    cut: Vec<(usize, usize)>,
-    /// Units that each zone (row) sends to each (column), to within a unit.
+    #[serde(default, rename = "shut")]
+    closed: Vec<usize>,
+    /// Partitioned links, from one zone to another.
+    #[serde(default, rename = "cut")]
+    partitioned: Vec<(usize, usize)>,
+    /// Expected units that each zone (row) sends to each zone (column), within 1.5 units.
     sends: Vec<Vec<f64>>,
 }
 
-/// A zone through time: at these ms these verdicts, and its state just behind each.
+/// A sequence of verdicts and operator commands on a zone: time in milliseconds, verdict or command, and
+/// expected state after it.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StateRow {
     id: String,
     clause: String,
     because: String,
-    #[serde(default = "yes")]
-    may_fall: bool,
+    #[serde(default = "yes", rename = "may_fall")]
+    may_fail_over: bool,
     steps: Vec<(u64, String, String)>,
-    /// The share that is open to it at the end.
-    open: Option<f64>,
+    /// Expected fraction of its capacity that is open to traffic at the end.
+    #[serde(rename = "open")]
+    open_fraction: Option<f64>,
 }
 
 fn yes() -> bool {
@@ -67,27 +73,28 @@
 
 impl FlowRow {
     fn play(&self) -> Result<(), String> {
-        let n = self.asked.len();
-        let open: Vec<bool> = (0..n).map(|zone| !self.shut.contains(&zone)).collect();
+        let n = self.demand.len();
+        let open: Vec<bool> = (0..n).map(|zone| !self.closed.contains(&zone)).collect();
         let load = Load {
-            demand: self.asked.clone(),
-            capacity: self.room.clone(),
+            demand: self.demand.clone(),
+            capacity: self.capacity.clone(),
             accepts_probes: open.clone(),
             accepts_traffic: open,
             is_suspect: vec![false; n],
             is_partitioned: (0..n)
-                .map(|from| (0..n).map(|to| self.cut.contains(&(from, to))).collect())
+                .map(|from| (0..n).map(|to| self.partitioned.contains(&(from, to))).collect())
                 .collect(),
         };
         let shares = allocate(&settings(&self.regions), &load);
-        let seen: Vec<Vec<f64>> = shares
+        let sent: Vec<Vec<f64>> = shares
             .iter()
-            .zip(&self.asked)
-            .map(|(row, asked)| row.iter().map(|share| share * asked.max(1.0)).collect())
+            .zip(&self.demand)
+            .map(|(row, demand)| row.iter().map(|share| share * demand.max(1.0)).collect())
             .collect();
-        let near = |a: &Vec<f64>, b: &Vec<f64>| a.iter().zip(b).all(|(a, b)| (a - b).abs() <= 1.5);
-        let same = seen.len() == self.sends.len() && seen.iter().zip(&self.sends).all(|(a, b)| near(a, b));
-        same.then_some(()).ok_or_else(|| format!("{seen:.1?}"))
+        let is_close = |a: &Vec<f64>, b: &Vec<f64>| a.iter().zip(b).all(|(a, b)| (a - b).abs() <= 1.5);
+        let matches =
+            sent.len() == self.sends.len() && sent.iter().zip(&self.sends).all(|(a, b)| is_close(a, b));
+        matches.then_some(()).ok_or_else(|| format!("units sent: {sent:.1?}"))
     }
 }
 
@@ -97,35 +104,37 @@
             Settings { min_failover_ms: 4000, slow_start_ms: 10_000, ..settings(&["".to_owned()]) };
         let mut zone = Zone::new(Duration::ZERO, ZoneState::Serving, 0);
         let mut now = Duration::ZERO;
-        for (at, verdict, state) in &self.steps {
+        for (at, step, expected) in &self.steps {
             now = ms(*at);
-            let mut judge =
-                |verdict, servers| zone.apply_verdict(now, &settings, verdict, self.may_fall, servers);
-            match verdict.as_str() {
-                "well" => judge(Verdict::Healthy, true),
-                "doubtful" => judge(Verdict::Inconclusive, true),
-                "lost" => judge(Verdict::Lost, true),
-                "gone" => judge(Verdict::WithoutServers, false),
-                "unseen" => judge(Verdict::Unobserved, true),
-                "no servers" => judge(Verdict::Unobserved, false),
+            let mut apply = |verdict, has_servers| {
+                zone.apply_verdict(now, &settings, verdict, self.may_fail_over, has_servers)
+            };
+            match step.as_str() {
+                "healthy" => apply(Verdict::Healthy, true),
+                "inconclusive" => apply(Verdict::Inconclusive, true),
+                "lost" => apply(Verdict::Lost, true),
+                "without servers" => apply(Verdict::WithoutServers, false),
+                "unobserved" => apply(Verdict::Unobserved, true),
+                "unobserved without servers" => apply(Verdict::Unobserved, false),
                 "hold" => zone.hold_by_operator(now),
                 "return" => zone.return_by_operator(now),
-                other => return Err(format!("no verdict is called {other}")),
+                other => return Err(format!("unknown step {other}")),
             }
-            if zone.state.name() != state {
-                return Err(format!("{} at {at}", zone.state.name()));
+            if zone.state.name() != expected {
+                return Err(format!("state {} at {at} ms", zone.state.name()));
             }
         }
-        let open = zone.open_fraction(now, &settings);
-        let wrong = self.open.is_some_and(|wanted| (wanted - open).abs() > 0.005);
-        (!wrong).then_some(()).ok_or_else(|| format!("open {open}"))
+        let open_fraction = zone.open_fraction(now, &settings);
+        let is_wrong = self.open_fraction.is_some_and(|expected| (expected - open_fraction).abs() > 0.005);
+        (!is_wrong).then_some(()).ok_or_else(|| format!("open fraction {open_fraction}"))
     }
 }
 
 #[test]
 fn every_clause_has_rows_and_every_row_passes() {
     let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/conformance/zones.toml"));
-    let tables: Tables = toml::from_str(&text.expect("readable")).expect("tables");
+    let tables: Tables =
+        toml::from_str(&text.expect("the table file is readable")).expect("the table file is valid");
     let played = |id: &String, clause: &String, because: &String, outcome| Played {
         id: id.clone(),
         clause: clause.clone(),
@@ -137,9 +146,8 @@
     hold(&tables.clause, flows.chain(states));
 }
 
-/// A configuration that can't be used is named by its field.
 #[test]
-fn settings_that_cannot_be_used_are_named() {
+fn errors_of_invalid_settings_name_the_field() {
     let read = |text: &str| {
         toml::from_str::<Settings>(text)
             .map_err(|e| e.to_string())
--- a/quota-gateway/zone-failover/tests/golden.rs
+++ b/quota-gateway/zone-failover/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Recorded bytes of the published decision on zones. A type or field that is renamed in the program is renamed in the
-//! construction code here; the fixture stays.
+//! Compares the encoding of the published zones decision with recorded bytes. After a rename of a type or
+//! field only the code here changes; the fixture stays.
 
 #[path = "../../../testing/support/golden/mod.rs"]
 mod golden;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn decisions_on_zones_keep_their_bytes() {
+fn the_encoding_of_zones_decisions_matches_the_fixture() {
     let body = ZonesDecision {
         zones: vec![
             zone(1, ZoneState::Serving, [0.5, 0.25, 0.125, 0.0, 0.0625]),
