--- a/quota-gateway/fair-share/tests/levels_and_prices.rs
+++ b/quota-gateway/fair-share/tests/levels_and_prices.rs
@@ -2,8 +2,8 @@
 //!
 //! - **levels**, which this crate uses: gateways report their demand at sampled levels, and the owner inverts
 //!   the sum.
-//! - **prices**: each gateway reports one sum, and the owner moves the level by the ratio of the capacity to
-//!   the total.
+//! - **prices**: each gateway reports one sum, and the owner multiplies the level by a power of the ratio of
+//!   the capacity to the total.
 //!
 //! Measures the rounds until the error stays under 5%, the largest overshoot of the capacity, and the bytes
 //! per report.
@@ -16,13 +16,13 @@
 
 const GATEWAYS: usize = 30;
 const ROUNDS: usize = 60;
-/// Exponents by which a price reacts to the ratio of the capacity to what is sent. Larger ones oscillate, and
-/// smaller ones converge more slowly (`docs/fair-share.md`).
+/// Exponents of that ratio. Larger ones oscillate, and smaller ones converge more slowly
+/// (`docs/fair-share.md`).
 const GAINS: [f64; 3] = [0.3, 0.6, 1.0];
 
 struct Case {
     firms: Vec<Firm>,
-    /// For each gateway the index and the local fraction of each of its firms.
+    /// For each gateway its firms: their index, and their demand and weight at this gateway.
     local_firms: Vec<Vec<(usize, LocalFirm)>>,
     capacity: f64,
     exact_shares: Vec<f64>,
@@ -37,10 +37,10 @@
         .collect();
     let mut local_firms = vec![Vec::new(); GATEWAYS];
     for (f, firm) in firms.iter().enumerate() {
-        let fractions: Vec<f64> = (0..rng.random_range(1..9)).map(|_| rng.random_range(0.1..1.0)).collect();
-        let (sum, first): (f64, usize) = (fractions.iter().sum(), rng.random_range(0..GATEWAYS));
-        for (k, fraction) in fractions.iter().enumerate() {
-            let fraction = fraction / sum;
+        let parts: Vec<f64> = (0..rng.random_range(1..9)).map(|_| rng.random_range(0.1..1.0)).collect();
+        let (sum, first): (f64, usize) = (parts.iter().sum(), rng.random_range(0..GATEWAYS));
+        for (k, part) in parts.iter().enumerate() {
+            let fraction = part / sum;
             local_firms[(first + k) % GATEWAYS]
                 .push((f, LocalFirm { demand: firm.demand * fraction, weight: firm.weight * fraction }));
         }
--- a/quota-gateway/shard-map/src/owner.rs
+++ b/quota-gateway/shard-map/src/owner.rs
@@ -210,7 +210,7 @@
         now.saturating_sub(since) > self.timing.step_timeout
     }
 
-    /// Returns whether a cell accepts writes. A cell of unknown status is assumed to.
+    /// Returns whether a cell accepts writes. A cell of unknown status is assumed to accept them.
     fn accepts_writes(&self, cell: Cell) -> bool {
         self.cells.get(&cell).is_none_or(|cell| cell.accepts_writes)
     }
--- a/quota-gateway/shard-map/src/owner/propagation.rs
+++ b/quota-gateway/shard-map/src/owner/propagation.rs
@@ -12,7 +12,7 @@
 /// Maximum relative difference between the rates of two clocks; the leases of sessions assume the same.
 const MAX_CLOCK_DRIFT: f64 = 0.1;
 
-/// A published raise of an epoch.
+/// A raised epoch that has been published.
 #[derive(Clone, Debug)]
 struct RaisedEpoch {
     /// Stamp of the first map with the raised epoch.
@@ -23,7 +23,7 @@
     applied_at: BTreeMap<u32, Instant>,
 }
 
-/// The maps that gateways have applied, and the raised epochs that are not applied everywhere yet.
+/// The maps that gateways have applied, and the raised epochs that are still current.
 #[derive(Default)]
 pub(super) struct Propagation {
     /// Stamp of the map in the newest report of each gateway.
--- a/quota-gateway/shard-map/src/ticket.rs
+++ b/quota-gateway/shard-map/src/ticket.rs
@@ -43,7 +43,8 @@
     }
 }
 
-/// Permission to write one firm's pay run at a cell under an epoch, until an instant of the gateway's monotonic clock.
+/// Permission to write one firm's pay run at a cell under an epoch, until an instant of the gateway's
+/// monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Ticket {
     cell: Cell,
--- a/quota-gateway/zone-failover/src/controller.rs
+++ b/quota-gateway/zone-failover/src/controller.rs
@@ -228,7 +228,7 @@
         warm_servers * server_capacity.estimate(self.settings.server_capacity, is_overloaded)
     }
 
-    /// Returns whether most votes are that a zone is overloaded.
+    /// Returns whether more than half of the votes are that a zone is overloaded.
     fn is_overloaded(&self, zone: usize) -> bool {
         let (mut votes, mut overloaded) = (0.0, 0.0);
         for from in 0..self.zones.len() {
@@ -264,9 +264,9 @@
         }
     }
 
-    /// Returns the capacity of a zone that is open to traffic, in units per second. For a returning zone this
-    /// is a fraction of its demand if that is below its capacity. The same fraction of its capacity may be
-    /// most of its demand, which would be lost if the zone still fails.
+    /// Returns the capacity of a zone that is open to traffic, in units per second. For a returning zone
+    /// whose demand is below its capacity this is a fraction of the demand, because the same fraction of the
+    /// capacity may be most of the demand, which would be lost if the zone still fails.
     fn open_capacity(&self, now: Instant, zone: usize, capacity: f64, demand: f64) -> f64 {
         let open_fraction = self.zones[zone].open_fraction(now, &self.settings);
         if self.zones[zone].state == ZoneState::Returning {
--- a/quota-gateway/zone-failover/src/gateway_limits.rs
+++ b/quota-gateway/zone-failover/src/gateway_limits.rs
@@ -3,7 +3,8 @@
 
 use crate::decision::ZonesDecision;
 
-/// Factor by which the demand of a gateway may grow between two decisions before its traffic to other zones is limited.
+/// Factor by which the demand of a gateway may grow between two decisions before its traffic to other zones
+/// is limited.
 pub const MAX_DEMAND_GROWTH: f64 = 1.25;
 /// Upper bound of the demand of a gateway that counts, as a multiple of the mean of its zone's gateways.
 const MAX_RELATIVE_DEMAND: f64 = 8.0;
--- a/quota-gateway/zone-failover/src/settings.rs
+++ b/quota-gateway/zone-failover/src/settings.rs
@@ -21,7 +21,7 @@
         }
         /// The name of the zone with this index is empty, or its name or region is too long.
         NameLength(index: usize) {
-            display("places[{index}]: name needs 1 to {MAX_NAME_BYTES} bytes, region {MAX_NAME_BYTES} at most")
+            display("places[{index}]: name not 1 to {MAX_NAME_BYTES} bytes, or region above {MAX_NAME_BYTES}")
         }
         /// The zone with this index has the same name as an earlier one.
         DuplicateName(index: usize, name: String) {
