--- a/quota-gateway/discovery/src/client.rs
+++ b/quota-gateway/discovery/src/client.rs
@@ -1,8 +1,10 @@
-//! A reader's view of the list, across several services that may be behind, belong to another store, or be wrong.
+//! A reader's view of the list, merged from several services that may be behind, belong to another store, or
+//! be wrong.
 //!
-//! Each list that arrives passes three checks before it changes the view: it must not be older than the view, it must be a
-//! full list if it comes from another store or epoch, and a full list that suddenly lacks many servers removes them only
-//! after a delay, since it may come from a store that lost its data. Sans-I/O: lists and time in, lists to apply out.
+//! Each received list is checked before it changes the view. It must not be older than the view. A list from
+//! another store or epoch must be a full list. A full list in which many servers are suddenly missing removes
+//! them only after a delay, since it may come from a store that lost its data. The module is sans-I/O: it
+//! takes lists and the time, and returns lists for the caller to apply.
 
 use crate::format::{Entry, Host, HostList, State};
 use std::collections::BTreeMap;
@@ -11,24 +13,25 @@
 /// A reading of the caller's monotonic clock, as the time since an arbitrary origin.
 pub type Now = Duration;
 
-/// How a full list that lacks many servers is treated.
+/// The policy for full lists from which many known servers are missing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RemovalPolicy {
-    /// The share of the known servers, from 0 to 1, beyond which missing ones are removed only after the delay.
+    /// The share of the known servers, from 0 to 1. If more of them are missing, they are removed only after
+    /// the delay.
     pub share: f64,
-    /// How long they are kept unless a list contains them.
+    /// How long the missing servers are kept, unless a list contains them again.
     pub removal_delay: Duration,
 }
 
-/// What a received list means for the view.
+/// The result of merging a received list into the view.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MergeOutcome {
-    /// The caller applies this list.
+    /// The list was merged. The caller applies the returned list, to which kept servers may have been added.
     Merged(HostList),
-    /// It is older than the view, which stays. The caller asks another service.
+    /// The list is older than the view, which does not change. The caller asks another service.
     Stale,
-    /// It contains changes of another store or epoch, which mean nothing without the rest. The caller asks for the full
-    /// list.
+    /// The list contains only changes, and is from another store or epoch, so it cannot be merged. The caller
+    /// requests the full list.
     OtherStore,
 }
 
@@ -39,7 +42,7 @@
     epoch: u64,
     version: Option<u64>,
     servers: BTreeMap<String, Host>,
-    /// Servers that a full list suddenly lacked, and when each is removed.
+    /// Servers that were suddenly missing from a full list, and when each is removed.
     removal_due_at: BTreeMap<String, Now>,
     last_list_at: Option<Now>,
 }
@@ -58,12 +61,13 @@
         }
     }
 
-    /// Returns the version from which a watch continues; `None` if the full list is needed.
+    /// Returns the version from which a watch continues; `None` if the full list must be requested.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// The caller asks another service from now on. Without a stated store, its versions may begin anywhere.
+    /// Records that the caller uses another service from now on. If the lists do not name their store, the
+    /// versions of the two services may not be comparable, so the version is cleared.
     pub fn on_service_changed(&mut self) {
         if self.store.is_none() {
             self.version = None;
@@ -75,7 +79,7 @@
         self.last_list_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Returns the number of servers that are kept though the last full list lacked them.
+    /// Returns the number of servers that are kept although they were missing from a full list.
     pub fn servers_pending_removal(&self) -> usize {
         self.removal_due_at.len()
     }
@@ -84,11 +88,11 @@
     pub fn merge(&mut self, mut list: HostList, now: Now) -> MergeOutcome {
         let is_same_store = self.store.is_none() || list.store == self.store;
         match self.version {
-            // A lower epoch is that of a replaced writer, however high its version has become since.
+            // A lower epoch belongs to a writer that has been replaced, even if its version is higher.
             Some(version) if is_same_store && (list.epoch < self.epoch || list.version < version) => {
                 return MergeOutcome::Stale;
             }
-            // A new epoch as well: it may void the last changes of the former one.
+            // This includes a new epoch, which may discard the last changes of the former one.
             Some(_) if !(list.full || is_same_store && list.epoch == self.epoch) => {
                 return MergeOutcome::OtherStore
             }
@@ -99,7 +103,7 @@
         self.last_list_at = Some(now);
         list.servers.iter().for_each(|entry| self.apply(entry));
         if list.full {
-            self.keep_missing(&mut list.servers, now);
+            self.remove_or_keep_missing(&mut list.servers, now);
         }
         MergeOutcome::Merged(list)
     }
@@ -116,8 +120,9 @@
         }
     }
 
-    /// Removes the servers that a full list lacks, or adds them to it for now if they are too many.
-    fn keep_missing(&mut self, entries: &mut Vec<Entry>, now: Now) {
+    /// Removes the servers that are missing from a full list. If too many are missing at once, keeps them for
+    /// the removal delay and adds them to the list.
+    fn remove_or_keep_missing(&mut self, entries: &mut Vec<Entry>, now: Now) {
         let is_listed =
             |id: &str| entries.iter().any(|entry| matches!(entry, Entry::Readable(host) if host.id == id));
         let missing: Vec<String> = self.servers.keys().filter(|id| !is_listed(id)).cloned().collect();
@@ -139,13 +144,13 @@
         self.removal_due_at.remove(id);
     }
 
-    /// Returns when [`remove_overdue`](Self::remove_overdue) has a server to remove next.
+    /// Returns when [`remove_overdue`](Self::remove_overdue) has the next server to remove.
     pub fn next_removal_at(&self) -> Option<Now> {
         self.removal_due_at.values().min().copied()
     }
 
-    /// Removes the servers that have been missing for the delay. Returns the list of these deletions, if there are any, for
-    /// the caller to apply.
+    /// Removes the servers whose removal delay has passed. Returns a list of these deletions, if there are
+    /// any, for the caller to apply.
     pub fn remove_overdue(&mut self, now: Now) -> Option<HostList> {
         let is_due = |(_, due_at): &(&String, &Now)| **due_at <= now;
         let due: Vec<String> = self.removal_due_at.iter().filter(is_due).map(|(id, _)| id.clone()).collect();
--- a/quota-gateway/discovery/src/config.rs
+++ b/quota-gateway/discovery/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: one JSON file, read at the start.
+//! The configuration: one JSON file, which is read at the start.
 
 use marblecroft_logging::LogConfig;
 use quick_error::quick_error;
@@ -9,31 +9,31 @@
 use std::{env, fs, io};
 
 quick_error! {
-    /// Why a configuration cannot be used.
+    /// The reason why a configuration cannot be used.
     #[derive(Debug)]
     pub enum ConfigError {
-        /// No file is named.
+        /// No configuration file is given.
         NoFile {
-            display("the configuration's file is named nowhere")
+            display("no configuration file is given, neither as argument nor in MARBLECROFT_DISCOVERY_CONFIG")
         }
         /// There is more than one argument.
         ExtraArgument {
-            display("more than one argument")
+            display("expected at most one argument, the configuration file")
         }
         /// The file cannot be read.
         Read(path: PathBuf, error: io::Error) {
             display("{}: {}", path.display(), error)
             source(error)
         }
-        /// The file is no JSON, or has a field that does not exist or a value of another type.
+        /// The file is not valid JSON, or has an unknown field or a value of the wrong type.
         Syntax(message: String) {
             display("{}", message)
         }
-        /// The address is not one of this machine alone.
+        /// The address is not a loopback address.
         NotLoopback(address: SocketAddr) {
-            display("listen: {} is not on this machine alone, and allow_other_than_loopback is not set", address)
+            display("listen: {} is not a loopback address, and allow_other_than_loopback is not set", address)
         }
-        /// A field has a value that is not allowed, for this reason.
+        /// The value of a field is not allowed, for this reason.
         Value(field: &'static str, reason: String) {
             display("{}: {}", field, reason)
         }
@@ -48,22 +48,23 @@
     pub listen: SocketAddr,
     /// The folder of the journal, which no other process may use.
     pub data: PathBuf,
-    /// Allows other addresses than loopback ones, false by default: whoever reaches the service can change the list.
+    /// Whether to allow addresses other than loopback, false by default: any client that can connect to the
+    /// service can change the list.
     #[serde(default)]
     allow_other_than_loopback: bool,
-    /// The other processes of this store, none by default. A writer polls them for a higher epoch.
+    /// The other processes of this store, none by default. They are polled for a higher epoch.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// The writer that this process follows; by default it is a writer itself.
+    /// The writer that this process follows. By default, this process is the writer.
     pub follow: Option<SocketAddr>,
-    /// How long, in milliseconds, a replica serves lists after it was last in sync, and a writer accepts changes after it
-    /// last heard from half of its peers. 5000 by default.
+    /// How long, in milliseconds, a replica serves lists after it was last in sync, and a writer accepts
+    /// changes after at least half of its peers last responded. 5000 by default.
     #[serde(default = "default_stale_ms")]
     pub stale_ms: u64,
-    /// The limits.
+    /// The limits on load.
     #[serde(default)]
     pub limits: Limits,
-    /// The log on standard error.
+    /// The settings of the log on standard error.
     #[serde(default)]
     pub log: LogConfig,
 }
@@ -72,24 +73,24 @@
     5000
 }
 
-/// The most other processes of a store.
+/// The maximum number of other processes of a store.
 const MAX_PEERS: usize = 8;
-/// The highest `stale_ms`: older lists are of no use.
+/// The maximum `stale_ms`. Older lists are of no use to gateways.
 const MAX_STALENESS_MS: u64 = 60_000;
-/// The lowest `stale_ms`: twice the interval in which peers are polled.
+/// The minimum `stale_ms`: twice the interval at which peers are polled.
 const MIN_STALENESS_MS: u64 = 1000;
 
-/// The limits, all of them with defaults.
+/// The limits on load. Each has a default.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Connections at once, 1024 by default. Further ones are answered with 503.
+    /// Number of concurrent connections, 1024 by default. Further ones are answered with 503.
     pub connections: usize,
-    /// Watches that wait at once, 768 by default. Further ones are answered with 503.
+    /// Number of concurrently waiting watches, 768 by default. Further ones are answered with 503.
     pub watches: usize,
-    /// Full lists per second, and in a burst, 400 by default. Further requests are answered with 503.
+    /// Full lists per second, and per burst, 400 by default. Further requests are answered with 503.
     pub whole_lists_per_s: u32,
-    /// How long, in milliseconds, changes are gathered before watches are answered, 20 by default.
+    /// How long, in milliseconds, changes are batched before watches are answered, 20 by default.
     pub gather_ms: u64,
 }
 
@@ -99,16 +100,16 @@
     }
 }
 
-/// The highest `gather_ms`: a gateway must obey a drain within half a second.
-const MAX_BATCHING_MS: u64 = 200;
+/// The maximum `gather_ms`: a gateway must apply a drain within half a second.
+const MAX_BATCH_DELAY_MS: u64 = 200;
 
 impl Config {
-    /// Reads the file that the one argument names, or the environment variable `MARBLECROFT_DISCOVERY_CONFIG`, or its former
-    /// name `MAPLEDECK_DISCOVERY_CONFIG`.
+    /// Reads the configuration file. Its path is the only argument, or the value of the environment variable
+    /// `MARBLECROFT_DISCOVERY_CONFIG` or of its former name `MAPLEDECK_DISCOVERY_CONFIG`.
     ///
     /// # Errors
     ///
-    /// See [`ConfigError`]: one line for the operator.
+    /// Returns a [`ConfigError`], which displays as one line for the operator.
     pub fn load(mut args: impl Iterator<Item = OsString>) -> Result<Config, ConfigError> {
         let path = args
             .next()
@@ -127,15 +128,16 @@
             return Err(ConfigError::NotLoopback(config.listen));
         }
         if config.peers.len() > MAX_PEERS {
-            return Err(ConfigError::Value("peers", format!("more than {MAX_PEERS}")));
+            return Err(ConfigError::Value("peers", format!("must have at most {MAX_PEERS} addresses")));
         }
         if !(MIN_STALENESS_MS..=MAX_STALENESS_MS).contains(&config.stale_ms) {
-            let reason = format!("not from {MIN_STALENESS_MS} to {MAX_STALENESS_MS}");
+            let reason = format!("must be from {MIN_STALENESS_MS} to {MAX_STALENESS_MS}");
             return Err(ConfigError::Value("stale_ms", reason));
         }
         let Limits { connections, watches, whole_lists_per_s, gather_ms } = config.limits;
-        if connections == 0 || watches == 0 || whole_lists_per_s == 0 || gather_ms > MAX_BATCHING_MS {
-            let reason = format!("each is above 0, and gather_ms {MAX_BATCHING_MS} at most");
+        if connections == 0 || watches == 0 || whole_lists_per_s == 0 || gather_ms > MAX_BATCH_DELAY_MS {
+            let reason =
+                format!("each must be above 0, except gather_ms, which must be at most {MAX_BATCH_DELAY_MS}");
             return Err(ConfigError::Value("limits", reason));
         }
         Ok(config)
--- a/quota-gateway/discovery/src/connection.rs
+++ b/quota-gateway/discovery/src/connection.rs
@@ -1,4 +1,4 @@
-//! Connections: requests read one after another, responses written, and slow or idle clients closed.
+//! Connections: reads requests one after another, writes responses, and closes slow or idle connections.
 
 use crate::service::{Service, SharedReply, Slot};
 use marblecroft_discovery::http::{
@@ -14,21 +14,24 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tracing::warn;
 
-/// How long a request may take to arrive once it has begun.
+/// The time within which a request must arrive in full after its first byte.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long a connection may be idle: longer than any watch waits, so that half-open connections are closed at last.
+/// The idle time after which a connection is closed, so that half-open connections do not accumulate. It is
+/// longer than the maximum wait of a watch.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// How long a client may read nothing of a response. It bounds the responses in memory to one for each connection.
+/// The time limit for writing a response. A client that reads nothing keeps at most one response in memory,
+/// for this time.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long the last responses may take after SIGTERM.
+/// The time limit for the last responses after SIGTERM.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the rest of an invalid request is read before its connection is closed.
+/// The maximum time for reading the rest of an invalid request before its connection is closed.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The pause after a failed accept, which mostly is for want of descriptors.
+/// The delay after a failed accept, usually caused by a lack of file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// The bytes that are read at once.
+/// The size of the read buffer, in bytes.
 const READ_BYTES: usize = 2048;
-/// The most bytes that are buffered. No client of ours sends more than a request and the beginning of the next.
+/// The maximum number of buffered bytes per connection. A client of this service sends at most one request
+/// and the beginning of the next.
 const MAX_BUFFERED_BYTES: usize = MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES + READ_BYTES;
 
 /// The connections of a service.
@@ -49,7 +52,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    // The task ends with its connection.
+                    // The task ends when its connection closes.
                     spawn_local(self.clone().handle_connection(stream));
                 }
                 Err(e) => {
@@ -62,23 +65,23 @@
         }
     }
 
-    /// Answers all watches and waits until the connections are closed, for a bounded time.
+    /// Answers all watches, and waits for a bounded time until all connections are closed.
     pub async fn shut_down(&self) {
         self.service.closing.send_replace(true);
         let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
         while self.service.connections.get() > 0 && Instant::now() < deadline {
-            // The loop's condition covers the timeout.
+            // The loop's condition handles the timeout.
             let _ = timeout_at(deadline, self.connection_closed.notified()).await;
         }
     }
 
     async fn handle_connection(self: Rc<Self>, mut stream: TcpStream) {
-        // Without it responses are only slower.
+        // An error is ignored: without the option, responses are only slower.
         let _ = stream.set_nodelay(true);
         let max = self.service.config.limits.connections;
         let Some(slot) = Slot::acquire(&self.service.connections, max) else {
             let busy = error_response(&HttpError::busy("too many connections"), false);
-            // The connection is closed in any case.
+            // The result is ignored, since the connection is closed in any case.
             let _ = timeout(WRITE_TIMEOUT, stream.write_all(&busy)).await;
             return;
         };
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Returns the response to a request; `None` if the client closes the connection before it is due.
+    /// Returns the response to a request; `None` if the client closes the connection first.
     async fn reply(
         &self,
         stream: &TcpStream,
@@ -138,12 +141,13 @@
     /// Answers an invalid request and closes the connection.
     async fn reject(&self, stream: &mut TcpStream, error: &HttpError) {
         self.write(stream, &error_response(error, false)).await;
-        // Bytes that are not read would reset the connection and could destroy the response. It is closed in any case.
+        // Closing with unread bytes would reset the connection, and the client could lose the response.
+        // Errors are ignored, since the connection is closed in any case.
         let _ = stream.shutdown().await;
         let _ = timeout(LINGER_TIMEOUT, tokio::io::copy(stream, &mut tokio::io::sink())).await;
     }
 
-    /// Returns the header lines that a response has beside the shared ones.
+    /// Returns the header lines that are added to a shared response for this connection.
     fn connection_headers(&self, closes: bool) -> String {
         let lag = self.service.role.borrow().lag();
         let lag = lag.map(|lag| format!("X-List-Lag-Ms: {}\r\n", lag.as_millis())).unwrap_or_default();
@@ -154,7 +158,7 @@
         }
     }
 
-    /// Writes a response. Returns whether the client took it in time.
+    /// Writes a response. Returns whether all of it was written in time.
     async fn write(&self, stream: &mut TcpStream, response: &[u8]) -> bool {
         let written = &self.service.bytes_written;
         written.set(written.get() + response.len() as u64);
@@ -162,7 +166,8 @@
     }
 }
 
-/// Reads the next request and removes it from the received bytes; `None` when the connection has ended.
+/// Reads the next request and removes it from the received bytes. Returns `None` if the connection has ended
+/// or is idle at shutdown.
 async fn read_request(
     stream: &mut TcpStream,
     received: &mut Vec<u8>,
@@ -201,19 +206,19 @@
     }
 }
 
-/// Returns a response with further header lines.
+/// Returns a response with header lines added after its status line.
 fn with_headers(response: &[u8], lines: &str) -> Vec<u8> {
     let status_line = response.windows(2).position(|end| end == b"\r\n").map_or(response.len(), |at| at + 2);
     [&response[..status_line], lines.as_bytes(), &response[status_line..]].concat()
 }
 
-/// Waits until the client closes its connection. Other bytes are its next request.
+/// Waits until the client closes its connection. Bytes that arrive meanwhile belong to its next request.
 async fn wait_for_close(stream: &TcpStream) {
     let mut byte = [0];
     loop {
         match stream.peek(&mut byte).await {
             Ok(0) | Err(_) => return,
-            // Peeking again would return the same bytes at once.
+            // Peeking again would return the same bytes at once, so a close after them is not detected.
             Ok(_) => std::future::pending().await,
         }
     }
--- a/quota-gateway/discovery/src/format.rs
+++ b/quota-gateway/discovery/src/format.rs
@@ -1,8 +1,8 @@
-//! The list of servers and the requests for it, as JSON and as queries.
+//! The list of servers as JSON, and the requests for it as URL queries.
 //!
-//! The service, which writes the list, and the gateways, which read it, share this definition. Reading is lenient, so that
-//! versions can be mixed: unknown fields are ignored, missing ones have defaults, and a single entry that cannot be read
-//! does not void the others.
+//! The service, which writes the list, and the gateways, which read it, share this definition. Parsing is
+//! lenient, so that services and gateways of different releases work together: unknown fields are ignored,
+//! missing optional fields have defaults, and an entry that cannot be parsed does not invalidate the others.
 
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::Value;
@@ -10,21 +10,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The path of the list.
+/// The URL path of the list.
 pub const HOSTS: &str = "/discovery/hosts";
-/// The longest wait of a watch.
+/// The maximum wait of a watch.
 pub const MAX_WATCH_TIME: Duration = Duration::from_secs(60);
-/// The longest list, in bytes. Readers reject longer bodies.
+/// The maximum length of a list, in bytes. Readers reject longer bodies.
 pub const MAX_LIST_BYTES: usize = 64 << 10;
 
-/// A list of servers as it is read: all of them, or those that have changed.
+/// A list of servers as it is parsed: all of them, or those that have changed.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct HostList {
-    /// The version as of which it is.
+    /// The store's version at which the list was made.
     pub version: u64,
-    /// Whether it contains all servers. Otherwise it contains those that have changed after the requested version.
+    /// Whether it contains all servers. Otherwise it contains those that have changed since the requested
+    /// version.
     pub full: bool,
-    /// The origin of the store to which the version belongs, if the service states it.
+    /// The origin of the store to which the version belongs, if the service sends it.
     #[serde(default)]
     pub store: Option<u64>,
     /// The epoch of the writer, which each promotion raises.
@@ -40,7 +41,8 @@
 pub enum Entry {
     /// A server.
     Readable(Host),
-    /// An entry that cannot be read, with its id if that can. Whatever its state is, the server must not be used any more.
+    /// An entry that cannot be parsed, with its id if that is readable. Its state is unknown, so the server
+    /// must not be used any more.
     Malformed(Option<String>),
 }
 
@@ -65,10 +67,10 @@
     pub id: String,
     /// The address at which it serves.
     pub addr: SocketAddr,
-    /// Its zone; empty where it has none.
+    /// Its zone; empty if it has none.
     #[serde(default)]
     pub zone: String,
-    /// Its kind of machine; empty where it is not known.
+    /// Its kind of machine; empty if unknown.
     #[serde(default)]
     pub kind: String,
     /// Its cell.
@@ -76,10 +78,10 @@
     pub cell: u32,
     /// Whether it takes new work.
     pub state: State,
-    /// Its capacity relative to others; 0 where it is not known.
+    /// Its capacity relative to other servers; 0 if unknown.
     #[serde(default)]
     pub weight: f64,
-    /// Its last start, in milliseconds since the Unix epoch; 0 where it is not known, which counts as long ago.
+    /// Its last start, in milliseconds since the Unix epoch; 0 if unknown, which counts as a start long ago.
     #[serde(default)]
     pub started_ms: u64,
 }
@@ -90,16 +92,16 @@
 pub enum State {
     /// It takes new work.
     Serving,
-    /// It completes its work and takes no more.
+    /// It completes the work that it has, and takes no new work.
     Draining,
     /// It has left, or its lease has expired. Only a list of changes contains it.
     Deleted,
 }
 
-/// A list of servers as it is written; see [`HostList`].
+/// A list of servers as it is serialized; see [`HostList`].
 #[derive(Serialize)]
 pub struct HostListRef<'a> {
-    /// The version as of which it is.
+    /// The store's version at which the list was made.
     pub version: u64,
     /// Whether it contains all servers.
     pub full: bool,
@@ -111,12 +113,12 @@
     pub servers: Vec<&'a Host>,
 }
 
-/// Why the query of a request for the list is rejected, with the parameter.
+/// The reason why the query of a list request is rejected, with the name of the parameter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryError {
     /// The parameter occurs more than once.
     Repeated(&'static str),
-    /// The parameter is not a whole number.
+    /// The parameter is not an unsigned integer.
     NotANumber(&'static str),
 }
 
@@ -134,13 +136,14 @@
 /// A request for the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListRequest {
-    /// The full list, at once.
+    /// The full list, returned at once.
     Full,
-    /// The changes after a version, as soon as there are any, or none after a wait (long polling).
+    /// The changes after a version (long polling): returned as soon as there are any, or empty after the
+    /// wait.
     Watch {
         /// The version that the reader has.
         since: u64,
-        /// The longest wait.
+        /// The maximum wait.
         wait: Duration,
     },
 }
@@ -156,7 +159,8 @@
         }
     }
 
-    /// Parses the query of a request. Unknown names are ignored, and the wait is limited to [`MAX_WATCH_TIME`].
+    /// Parses the query of a request. Unknown parameters are ignored, and the wait is limited to
+    /// [`MAX_WATCH_TIME`].
     pub fn parse(query: &str) -> Result<ListRequest, QueryError> {
         let (mut since, mut wait) = (None, None);
         for pair in query.split('&').filter(|pair| !pair.is_empty()) {
@@ -172,7 +176,8 @@
             if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
                 return Err(QueryError::NotANumber(name));
             }
-            // Only digits, so the value can only be too large, and the maximum is beyond all versions and waits as well.
+            // The value consists of digits, so parsing fails only if it is too large. `u64::MAX` also exceeds
+            // every version and every wait, so the result is the same.
             *parameter = Some(value.parse::<u64>().unwrap_or(u64::MAX));
         }
         let wait = Duration::from_millis(wait.unwrap_or(0)).min(MAX_WATCH_TIME);
--- a/quota-gateway/discovery/src/http.rs
+++ b/quota-gateway/discovery/src/http.rs
@@ -1,7 +1,9 @@
-//! The HTTP/1.1 of the discovery service: one request at a time on a connection, bodies with a Content-Length.
+//! The subset of HTTP/1.1 that the discovery service uses: one request at a time per connection, and bodies
+//! with a Content-Length.
 //!
-//! A request passes [`parse_request`], which bounds its size, and [`route`], which checks its method and body; each answers
-//! with an [`HttpError`] that is sent as it is. Replicas use [`encode_request`] and [`parse_response`].
+//! [`parse_request`] parses a request and bounds its size, and [`route`] checks its method and body. Each
+//! fails with an [`HttpError`], which is sent as the response. Requests to the store's other processes use
+//! [`encode_request`] and [`parse_response`].
 
 mod error;
 mod request;
--- a/quota-gateway/discovery/src/http/error.rs
+++ b/quota-gateway/discovery/src/http/error.rs
@@ -1,27 +1,28 @@
-//! The error that a request is answered with.
+//! The error responses of the service.
 
 use crate::store::Rejection;
 use std::error::Error;
 use std::fmt;
 
-/// Why a request is not carried out, as it is answered.
+/// An error response, with the reason why the request was not executed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpError {
     /// The status code.
     pub status: u16,
-    /// The reason in one line, which begins with the field that is wrong, if it is one.
+    /// The reason in one line. If a field is invalid, the line begins with the name of the field.
     pub reason: String,
-    /// Seconds after which a retry may succeed.
+    /// The number of seconds after which a retry may succeed.
     pub retry_after: Option<u32>,
 }
 
 impl HttpError {
-    /// Returns an error that a retry does not change.
+    /// Returns an error that a retry would return again.
     pub fn new(status: u16, reason: impl Into<String>) -> HttpError {
         HttpError { status, reason: reason.into(), retry_after: None }
     }
 
-    /// Returns the error for a lack of capacity at the moment; what the caller has stays valid.
+    /// Returns a temporary error: 503 with a retry after 1 second. A list that the caller already has stays
+    /// valid.
     pub fn busy(reason: &str) -> HttpError {
         HttpError { retry_after: Some(1), ..HttpError::new(503, reason) }
     }
@@ -49,7 +50,8 @@
     }
 }
 
-/// Returns the beginning of a text without control characters, which a caller may have put there to forge lines.
+/// Returns the first 200 characters of a text, with control characters replaced by spaces. A caller could
+/// otherwise use them to forge lines.
 pub(super) fn single_line(text: &str) -> String {
     text.chars().map(|c| if c.is_control() { ' ' } else { c }).take(200).collect()
 }
--- a/quota-gateway/discovery/src/http/request.rs
+++ b/quota-gateway/discovery/src/http/request.rs
@@ -1,13 +1,13 @@
-//! Requests as bytes.
+//! Parsing of requests to the service, and encoding of requests to other processes.
 
 use super::error::HttpError;
 
-/// The longest request line and headers, in bytes.
+/// The maximum length of the request line and headers, in bytes.
 pub const MAX_HEAD_BYTES: usize = 8 << 10;
-/// The longest body of a request, in bytes.
+/// The maximum length of a request's body, in bytes.
 pub const MAX_BODY_BYTES: usize = 4 << 10;
 
-/// The most header lines of a message.
+/// The maximum number of header lines of a message.
 pub(super) const MAX_HEADER_LINES: usize = 32;
 
 /// A request, before it is routed.
@@ -17,7 +17,7 @@
     pub method: String,
     /// The path of the target, without the query.
     pub path: String,
-    /// The query, without its question mark; empty where there is none.
+    /// The query, without its question mark; empty if there is none.
     pub query: String,
     /// The body.
     pub body: Vec<u8>,
@@ -25,18 +25,18 @@
     pub keep_alive: bool,
 }
 
-/// What the received bytes begin with.
+/// The result of parsing the received bytes.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ParseOutcome {
-    /// The beginning of a request.
+    /// The bytes are the beginning of a request.
     Incomplete,
-    /// A request, and its length in bytes.
+    /// The bytes begin with this request; the number is its length in bytes.
     Complete(HttpRequest, usize),
-    /// No request. Where the next one would begin is unknown, so the connection must be closed.
+    /// The request is invalid. The start of the next one is unknown, so the connection must be closed.
     Invalid(HttpError),
 }
 
-/// Parses a request from the beginning of what was received.
+/// Parses a request from the beginning of the received bytes.
 pub fn parse_request(bytes: &[u8]) -> ParseOutcome {
     match parse(bytes) {
         Ok(Some((request, length))) => ParseOutcome::Complete(request, length),
@@ -74,7 +74,7 @@
     Ok(Some((request, length)))
 }
 
-/// What the headers say about the message and its connection.
+/// The length of the body, and whether the connection closes after the message, as the headers state.
 struct Framing {
     body_length: usize,
     closes: bool,
@@ -102,7 +102,7 @@
     Ok(Framing { body_length: body_length.unwrap_or(0), closes })
 }
 
-/// Returns a replica's request, after which the connection is closed.
+/// Encodes a request to another process of the store. The connection is closed after the response.
 pub fn encode_request(method: &str, path: &str, body: &[u8]) -> Vec<u8> {
     let length = body.len();
     let head = format!(
--- a/quota-gateway/discovery/src/http/response.rs
+++ b/quota-gateway/discovery/src/http/response.rs
@@ -1,4 +1,4 @@
-//! Responses: how the service writes them, and how replicas read them.
+//! Encoding of the service's responses, and parsing of responses from other processes.
 
 use super::error::{single_line, HttpError};
 use super::request::MAX_HEADER_LINES;
@@ -28,7 +28,7 @@
     }
 }
 
-/// Returns a response with a JSON body.
+/// Encodes a response with a JSON body.
 pub fn ok_response(body: &[u8], keep_alive: bool) -> Vec<u8> {
     let connection = connection_header(keep_alive);
     let mut response = format!(
@@ -40,7 +40,7 @@
     response
 }
 
-/// Returns the response for an error, whose body is the reason in one line.
+/// Encodes the response for an error. Its body is the reason in one line.
 pub fn error_response(error: &HttpError, keep_alive: bool) -> Vec<u8> {
     let connection = connection_header(keep_alive);
     let retry_after =
@@ -53,14 +53,14 @@
     .into_bytes()
 }
 
-/// Why a response has no usable body.
+/// The reason why a response has no usable body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResponseError {
     /// Its head cannot be parsed.
     Malformed,
     /// The connection ended before its body did.
     Truncated,
-    /// Its status is another one than 200.
+    /// Its status is not 200.
     Status {
         /// The status; 0 if there is none.
         status: u16,
@@ -72,9 +72,9 @@
 impl fmt::Display for ResponseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ResponseError::Malformed => write!(f, "an answer that cannot be read"),
-            ResponseError::Truncated => write!(f, "an answer that is cut off"),
-            ResponseError::Status { status, reason } => write!(f, "answered {status}: {reason}"),
+            ResponseError::Malformed => write!(f, "a response whose head cannot be read"),
+            ResponseError::Truncated => write!(f, "a truncated response"),
+            ResponseError::Status { status, reason } => write!(f, "response with status {status}: {reason}"),
         }
     }
 }
--- a/quota-gateway/discovery/src/http/routes.rs
+++ b/quota-gateway/discovery/src/http/routes.rs
@@ -1,4 +1,4 @@
-//! The service's API: paths, methods, and the JSON of bodies.
+//! The service's API: paths, methods and JSON bodies.
 
 use super::error::{single_line, HttpError};
 use super::request::HttpRequest;
@@ -9,33 +9,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The greatest weight of a server.
+/// The maximum weight of a server.
 const MAX_WEIGHT: f64 = 1e6;
 
 /// A request to the service.
 #[derive(Debug, PartialEq)]
 pub enum ApiRequest {
-    /// Returns the list, or waits for changes.
+    /// Returns the list, or waits for its changes.
     List(ListRequest),
     /// Returns one entry with its revision and lease.
     Show {
-        /// The entry.
+        /// The entry's id.
         id: String,
     },
     /// Returns the state of the service.
     Status,
-    /// Returns what a replica lacks.
+    /// Returns the changes that a replica does not have yet.
     Replicate(ReplicationRequest),
     /// Makes this process the writer.
     Promote {
-        /// The new epoch, which must be higher than all before.
+        /// The new epoch, which must be higher than all earlier ones.
         epoch: u64,
     },
     /// Changes an entry.
     Command(Command),
 }
 
-/// A replica's request for changes: what it has.
+/// A replica's request for changes, with the version that it has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicationRequest {
@@ -45,18 +45,18 @@
     pub epoch: u64,
     /// Its version.
     pub version: u64,
-    /// How long the writer may wait for changes, in milliseconds.
+    /// The maximum time that the writer waits for changes, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// What a replica lacks.
+/// The response to a replica: the changes that it does not have yet.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ReplicationResponse {
     /// The writer's epoch.
     pub epoch: u64,
     /// The changes after the replica's version.
     pub records: Vec<Record>,
-    /// The full state, if the replica's store or epoch is another one or its version is too old.
+    /// The full state, if the replica has another store or epoch or its version is too old.
     #[serde(rename = "image")]
     pub snapshot: Option<Snapshot>,
 }
@@ -95,7 +95,7 @@
     revision: Option<u64>,
 }
 
-/// Returns the request that is meant, or the error to answer.
+/// Returns the API request for an HTTP request, or the error response.
 pub fn route(request: &HttpRequest) -> Result<ApiRequest, HttpError> {
     let command = match request.path.as_str() {
         HOSTS => {
@@ -185,7 +185,8 @@
         zone: body.zone,
         kind: body.kind,
         cell: body.cell,
-        // A longer fraction may be read back as its neighbour, and an equal registration would then conflict.
+        // Rounded up to thousandths. A longer fraction may be parsed back as an adjacent floating-point
+        // value, and an equal registration would then conflict.
         weight: (body.weight * 1000.0).ceil() / 1000.0,
     };
     Ok(Command::Register { server, lease, revision: body.revision })
--- a/quota-gateway/discovery/src/journal.rs
+++ b/quota-gateway/discovery/src/journal.rs
@@ -1,8 +1,9 @@
-//! The store's changes on disk: an append-only log with checksums, and snapshots that let it begin anew.
+//! The store's changes on disk: an append-only log with checksums, and snapshots that bound its length.
 //!
-//! A generation is a snapshot `snap.N` and the log `log.N` of the changes since. A change is durable in the log before anyone
-//! learns of it. Therefore a torn frame at the end of the log, from a write that a crash interrupted, was never acknowledged
-//! and is truncated. Any other damage could hide acknowledged changes, and makes [`Journal::open`] fail.
+//! A generation is a snapshot `snap.N` and the log `log.N` of the changes since. A change is durable in the
+//! log before it is acknowledged or sent to readers. A torn frame at the end of the log, left by a write that
+//! a crash interrupted, was therefore never acknowledged, and is truncated. Any other damage could hide
+//! acknowledged changes, so [`Journal::open`] fails.
 //!
 //! - `storage`: the file operations.
 //! - `frame`: lengths and checksums.
@@ -21,23 +22,23 @@
 
 const LOG_MAGIC: &[u8; 8] = b"MDDLOG01";
 const SNAPSHOT_MAGIC: &[u8; 8] = b"MDDSNP01";
-/// The longest payload of a log's frame.
+/// The maximum length of the payload of a log frame, in bytes.
 const MAX_LOG_PAYLOAD_BYTES: usize = 1 << 20;
-/// The length of a log beyond which a snapshot is due.
+/// The log length, in bytes, beyond which a snapshot is due.
 pub const MAX_LOG_BYTES: u64 = 4 << 20;
 
-/// Why a journal cannot be opened.
+/// The reason why a journal cannot be opened.
 #[derive(Debug)]
 pub enum JournalError {
     /// A file operation failed.
     Io(io::Error),
-    /// A file does not hold what was written, or not all of it.
+    /// The contents of a file are damaged or incomplete.
     Damaged {
-        /// The file's name.
+        /// The name of the file.
         file: String,
         /// The offset of the damage in bytes.
         offset: u64,
-        /// What is wrong.
+        /// A description of the damage.
         reason: &'static str,
     },
 }
@@ -68,13 +69,13 @@
     }
 }
 
-/// What a journal contained when it was opened.
+/// The contents of a journal when it was opened.
 pub struct Recovered {
     /// The snapshot of the newest generation.
     pub snapshot: Snapshot,
-    /// The changes since the snapshot, in their order.
+    /// The changes since the snapshot, in order.
     pub records: Vec<Record>,
-    /// The bytes of a torn write that were truncated from the log.
+    /// The number of bytes of a torn write that were truncated from the log.
     pub torn_bytes: u64,
 }
 
@@ -82,21 +83,21 @@
 pub struct Journal<S> {
     storage: S,
     generation: u64,
-    /// The length of the log as far as it is durable, in bytes.
+    /// The length of the durable part of the log, in bytes.
     log_bytes: u64,
-    /// Whether a failure has left the state of the disk unknown. Nothing more is appended by this process then.
+    /// Whether a failure has left the state on disk unknown. Appends then fail until a compaction succeeds.
     is_broken: bool,
 }
 
 fn decode<T: DeserializeOwned>(payload: &[u8]) -> Result<T, &'static str> {
-    serde_json::from_slice(payload).map_err(|_| "what was written by another version")
+    serde_json::from_slice(payload).map_err(|_| "a value that this version cannot parse")
 }
 
 fn encode<T: Serialize>(value: &T) -> io::Result<Vec<u8>> {
     Ok(encode_frame(&serde_json::to_vec(value)?))
 }
 
-/// Returns the generations of the files of a kind.
+/// Returns the generations of the files of a kind, `snap` or `log`.
 fn generations(names: &[String], kind: &str) -> Vec<u64> {
     let number = |name: &String| name.strip_prefix(kind)?.strip_prefix('.')?.parse().ok();
     names.iter().filter_map(number).collect()
@@ -107,7 +108,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if a file operation fails or a file is damaged. A torn end of the log is no damage.
+    /// Fails if a file operation fails or a file is damaged. A torn write at the end of the log is not
+    /// damage.
     pub fn open(storage: S) -> Result<(Journal<S>, Recovered), JournalError> {
         let names = storage.file_names()?;
         let (snapshots, logs) = (generations(&names, "snap"), generations(&names, "log"));
@@ -130,36 +132,37 @@
         let (records, torn_bytes) =
             if logs.contains(&generation) { journal.recover_log()? } else { (Vec::new(), 0) };
         if journal.log_bytes == 0 {
-            // A crash came between the snapshot and its log.
+            // A crash occurred after the snapshot was made and before its log was.
             journal.begin_log()?;
         }
         journal.remove_old_files()?;
         Ok((journal, Recovered { snapshot, records, torn_bytes }))
     }
 
-    fn file(&self, kind: &str) -> String {
+    fn file_name(&self, kind: &str) -> String {
         format!("{kind}.{}", self.generation)
     }
 
     fn read_snapshot(&self) -> Result<Snapshot, JournalError> {
-        let file = self.file("snap");
+        let file = self.file_name("snap");
         let bytes = self.storage.read(&file)?;
         let damaged = |offset, reason| JournalError::Damaged { file: file.clone(), offset, reason };
-        let frames =
-            bytes.strip_prefix(SNAPSHOT_MAGIC).ok_or_else(|| damaged(0, "no snapshot of this version"))?;
+        let frames = bytes
+            .strip_prefix(SNAPSHOT_MAGIC)
+            .ok_or_else(|| damaged(0, "not a snapshot of this format version"))?;
         // A snapshot gets its name only once all of it is durable, so it cannot be torn.
         match first_frame(frames, frames.len()) {
             Frame::Complete(payload) if payload.len() + FRAME_HEADER_BYTES == frames.len() => {
                 decode(payload).map_err(|reason| damaged(8, reason))
             }
             Frame::Damaged(reason) => Err(damaged(8, reason)),
-            _ => Err(damaged(8, "not all of it is there")),
+            _ => Err(damaged(8, "truncated")),
         }
     }
 
-    /// Reads the log and truncates a torn write. Returns the records, and the bytes that were truncated.
+    /// Reads the log and truncates a torn write. Returns the records and the number of truncated bytes.
     fn recover_log(&mut self) -> Result<(Vec<Record>, u64), JournalError> {
-        let file = self.file("log");
+        let file = self.file_name("log");
         let bytes = self.storage.read(&file)?;
         let mut records = Vec::new();
         let mut offset = 0;
@@ -178,7 +181,11 @@
                 }
             }
         } else if !LOG_MAGIC.starts_with(trim_unwritten(&bytes)) {
-            return Err(JournalError::Damaged { file, offset: 0, reason: "no log of this version" });
+            return Err(JournalError::Damaged {
+                file,
+                offset: 0,
+                reason: "not a log of this format version",
+            });
         }
         let torn_bytes = (bytes.len() - offset) as u64;
         if torn_bytes > 0 {
@@ -190,7 +197,7 @@
     }
 
     fn begin_log(&mut self) -> io::Result<()> {
-        let file = self.file("log");
+        let file = self.file_name("log");
         self.storage.append(&file, LOG_MAGIC)?;
         self.storage.sync(&file)?;
         self.storage.sync_folder()?;
@@ -198,9 +205,9 @@
         Ok(())
     }
 
-    /// Removes what earlier generations and unfinished snapshots left.
+    /// Removes the files of earlier generations and unfinished snapshots.
     fn remove_old_files(&mut self) -> io::Result<()> {
-        let current = [self.file("snap"), self.file("log"), "lock".to_owned()];
+        let current = [self.file_name("snap"), self.file_name("log"), "lock".to_owned()];
         for name in self.storage.file_names()?.into_iter().filter(|name| !current.contains(name)) {
             if name.starts_with("snap.") || name.starts_with("log.") {
                 self.storage.remove(&name)?;
@@ -213,21 +220,23 @@
     ///
     /// # Errors
     ///
-    /// After an error none of the changes may be applied. If it leaves the state of the disk unknown, all later calls fail
-    /// as well, until a [`compact`](Journal::compact) succeeds or the journal is opened again.
+    /// After an error, the caller must apply none of the changes. If the error leaves the state on disk
+    /// unknown, all later calls fail as well, until a [`compact`](Journal::compact) succeeds or the journal
+    /// is opened again.
     pub fn append(&mut self, records: &[Record]) -> io::Result<()> {
         if self.is_broken {
-            return Err(io::Error::other("an earlier write failed, and what the disk holds is not known"));
+            return Err(io::Error::other("an earlier write failed and left the state on disk unknown"));
         }
-        let (file, frame) = (self.file("log"), encode(&records)?);
+        let (file, frame) = (self.file_name("log"), encode(&records)?);
         if let Err(e) = self.storage.append(&file, &frame) {
-            // A part of the frame may be there, and nothing behind it could be read.
+            // A part of the frame may be in the file, and frames after it could not be read.
             let undone = self.storage.truncate(&file, self.log_bytes).and_then(|()| self.storage.sync(&file));
             self.is_broken = undone.is_err();
             return Err(e);
         }
         if let Err(e) = self.storage.sync(&file) {
-            // After a failed sync the kernel may drop the pages and report success to the next one.
+            // After a failed sync, the kernel may drop the unwritten pages and report success for the next
+            // sync.
             self.is_broken = true;
             return Err(e);
         }
@@ -249,27 +258,27 @@
     ///
     /// # Errors
     ///
-    /// After an error before the snapshot has its name, the former generation goes on. After a later one nothing more can
-    /// be appended, since the next start may read either generation.
+    /// If an error occurs before the snapshot is renamed to its final name, the former generation stays in
+    /// use. After a later error, appends fail, since the next start may read either generation.
     pub fn compact(&mut self, snapshot: &Snapshot) -> io::Result<()> {
         let generation = self.generation + 1;
         let (temporary, name) = (format!("snap.{generation}.new"), format!("snap.{generation}"));
         let mut bytes = SNAPSHOT_MAGIC.to_vec();
         bytes.extend(encode(snapshot)?);
-        // Otherwise this would append to the rest of an earlier attempt.
+        // An earlier attempt may have left this file, and the snapshot would be appended to its contents.
         if self.storage.file_names()?.contains(&temporary) {
             self.storage.remove(&temporary)?;
         }
         self.storage.append(&temporary, &bytes)?;
         self.storage.sync(&temporary)?;
-        // From here on the new generation may be the newest, whatever fails later.
+        // From here on, the next start may read the new generation, even if a later step fails.
         self.is_broken = true;
         self.storage.rename(&temporary, &name)?;
         self.storage.sync_folder()?;
         self.generation = generation;
         self.begin_log()?;
         self.is_broken = false;
-        // Old files do no harm, and the next start removes them.
+        // An error is ignored: old files do no harm, and the next start removes them.
         let _ = self.remove_old_files();
         Ok(())
     }
--- a/quota-gateway/discovery/src/journal/storage.rs
+++ b/quota-gateway/discovery/src/journal/storage.rs
@@ -1,4 +1,5 @@
-//! Where a journal keeps its files: a trait, so that tests can inject faults, and its implementation by a folder.
+//! The storage of a journal's files: a trait, so that tests can inject faults, and its implementation on a
+//! folder.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -6,20 +7,21 @@
 
 /// The operations on a folder that a journal needs.
 ///
-/// Nothing is durable before it is synced: the contents of a file not before [`sync`](Storage::sync), its name not before
-/// [`sync_folder`](Storage::sync_folder).
+/// Changes are durable only once they are synced: the contents of a file after [`sync`](Storage::sync), its
+/// name after [`sync_folder`](Storage::sync_folder).
 pub trait Storage {
     /// Returns the names of all files.
     fn file_names(&self) -> io::Result<Vec<String>>;
     /// Returns the contents of a file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Appends to a file, which is created if it does not exist. After an error, any part of the bytes may be there.
+    /// Appends to a file, which is created if it does not exist. After an error, any part of the bytes may
+    /// have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Shortens a file to so many bytes.
+    /// Truncates a file to a length in bytes.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
     /// Makes the contents of a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Renames a file, in place of any that has the new name.
+    /// Renames a file, and replaces any file that has the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
@@ -27,14 +29,15 @@
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
-/// A folder that this process has locked. The lock ends with the value.
+/// A folder that this process has locked. The lock is released when the value is dropped.
 pub struct Folder {
     path: PathBuf,
     _lock: File,
 }
 
 impl Folder {
-    /// Locks a folder, which is created if it does not exist. Returns `None` if another process has locked it.
+    /// Locks a folder, which is created if it does not exist. Returns `None` if another process has locked
+    /// it.
     pub fn lock(path: &Path) -> io::Result<Option<Folder>> {
         fs::create_dir_all(path)?;
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join("lock"))?;
--- a/quota-gateway/discovery/src/lib.rs
+++ b/quota-gateway/discovery/src/lib.rs
@@ -1,10 +1,11 @@
-//! Service discovery of the gateways' backends: the list of servers, how it is stored, served and followed.
+//! Service discovery for the gateways' backends: stores, serves and follows the list of servers.
 //!
-//! - [`mod@format`]: the list and the requests for it, as both ends of the wire have them.
-//! - [`client`]: a reader's view of the list across several services; sans-I/O like the store.
-//! - [`store`]: what is registered, its versions and its history; sans-I/O and without a clock.
-//! - [`journal`]: the store's changes on disk, so that nothing that was acknowledged is lost.
-//! - [`http`]: requests and responses as bytes.
+//! - [`mod@format`]: the format of the list and of the requests for it, shared by the service and its
+//!   readers.
+//! - [`client`]: a reader's view of the list, merged from several services; sans-I/O like the store.
+//! - [`store`]: the registered servers, the versions and the history; sans-I/O and without a clock.
+//! - [`journal`]: the store's changes on disk, so that no acknowledged change is lost.
+//! - [`http`]: parsing and encoding of requests and responses.
 #![forbid(unsafe_code)]
 
 pub mod client;
--- a/quota-gateway/discovery/src/main.rs
+++ b/quota-gateway/discovery/src/main.rs
@@ -1,7 +1,8 @@
-//! The discovery service: servers register, drain and leave, and gateways watch the list.
+//! The discovery service: servers register, drain and deregister, and gateways watch the list.
 //!
-//! [`connection`] reads requests and writes responses, [`service`] carries them out, [`role`] says whether this process may,
-//! and [`replication`] keeps it in touch with the store's other processes. All of it runs on one thread.
+//! [`connection`] reads requests and writes responses, [`service`] executes the requests, [`role`] determines
+//! whether this process may serve lists and accept changes, and [`replication`] polls the store's other
+//! processes and follows the writer. Everything runs on one thread.
 #![forbid(unsafe_code)]
 
 mod config;
@@ -28,7 +29,7 @@
 use tokio::task::spawn_local;
 use tracing::{error, info, warn};
 
-/// The name with which log lines begin.
+/// The program name at the start of each log line.
 const PROGRAM: &str = "marblecroft-discovery";
 
 fn main() -> ExitCode {
@@ -51,7 +52,7 @@
 }
 
 quick_error! {
-    /// Why the process ends with an error.
+    /// An error that ends the process.
     #[derive(Debug)]
     enum ServerError {
         /// The folder cannot be read or written.
@@ -59,11 +60,11 @@
             display("{}: {}", path.display(), error)
             source(error)
         }
-        /// Another process uses the folder.
+        /// Another process has locked the folder.
         FolderInUse(path: PathBuf) {
             display("{}: another process has it", path.display())
         }
-        /// The journal cannot be read.
+        /// The journal cannot be opened.
         Journal(path: PathBuf, error: JournalError) {
             display("{}: {}", path.display(), error)
             source(error)
@@ -77,10 +78,10 @@
     }
 }
 
-/// Restores the store from its folder and serves it.
+/// Restores the store from its journal and serves it until SIGTERM.
 fn run(config: Config) -> Result<(), ServerError> {
-    let unusable = |error| ServerError::Folder(config.data.clone(), error);
-    let folder = Folder::lock(&config.data).map_err(unusable)?;
+    let folder_error = |error| ServerError::Folder(config.data.clone(), error);
+    let folder = Folder::lock(&config.data).map_err(folder_error)?;
     let folder = folder.ok_or_else(|| ServerError::FolderInUse(config.data.clone()))?;
     let opened = Journal::open(folder);
     let (mut journal, recovered) =
@@ -88,14 +89,14 @@
     if recovered.torn_bytes > 0 {
         warn!(
             bytes = recovered.torn_bytes,
-            "cut off {} bytes at the log's end that nobody was told of", recovered.torn_bytes
+            "truncated {} bytes of an unacknowledged write at the end of the log", recovered.torn_bytes
         );
     }
     let mut store = Store::restore(recovered.snapshot, recovered.records, Duration::ZERO);
     let role = Role::at_start(&config, &store);
     if role.is_writer() {
         let opened = store.opening_record(unix_ms());
-        journal.append(std::slice::from_ref(&opened)).map_err(unusable)?;
+        journal.append(std::slice::from_ref(&opened)).map_err(folder_error)?;
         store.apply(opened, Duration::ZERO);
     }
     let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default())?;
@@ -107,7 +108,7 @@
     let listener = TcpListener::bind(config.listen).await?;
     let listen = listener.local_addr()?;
     let (version, servers) = (store.version(), store.len());
-    info!(version, servers, "version {version}, {servers} servers");
+    info!(version, servers, "restored version {version} with {servers} servers");
     let service = Service::new(config, role, store, journal);
     let leases = service.clone();
     spawn_local(async move { leases.expire_leases().await });
@@ -121,7 +122,7 @@
         _ = terminate.recv() => {}
     }
     drop(listener);
-    // Watches are answered with what there is, and their clients find another address or come back.
+    // Waiting watches are answered, and their clients connect to another address or reconnect to this one.
     server.shut_down().await;
     Ok(())
 }
--- a/quota-gateway/discovery/src/replication.rs
+++ b/quota-gateway/discovery/src/replication.rs
@@ -1,4 +1,5 @@
-//! The tasks that talk to the store's other processes: polling peers for their epoch, and following the writer.
+//! The tasks that call the store's other processes: one polls each peer for its epoch, and one follows the
+//! writer.
 
 use crate::role::Role;
 use crate::service::{ReplicationError, Service};
@@ -19,16 +20,18 @@
 
 /// The interval between polls of a peer.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a request to another process may take, beside the wait that it asks for.
+/// The timeout of a request to another process, in addition to the wait that the request asks for.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a replica's request waits for changes. The replica is in sync as of the request.
+/// How long a replica's request waits for changes. After the response, the replica is in sync as of the
+/// request.
 const REPLICATION_WAIT: Duration = Duration::from_millis(500);
-/// The pause after a failed request to the writer.
+/// The delay after a failed request to the writer.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// The longest response: a snapshot, which contains the list, deleted entries and the history.
+/// The maximum length of a response, in bytes. The longest is a snapshot, which contains the list, deleted
+/// entries and the history.
 const MAX_RESPONSE_BYTES: u64 = 4 << 20;
 
-/// Why a request to another process fails.
+/// The reason why a request to another process failed.
 #[derive(Debug)]
 enum PeerError {
     Timeout,
@@ -41,10 +44,10 @@
 impl fmt::Display for PeerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PeerError::Timeout => write!(f, "no answer"),
+            PeerError::Timeout => write!(f, "no response in time"),
             PeerError::Connection(e) => write!(f, "{e}"),
             PeerError::Response(e) => write!(f, "{e}"),
-            PeerError::Body(e) => write!(f, "an answer that cannot be read: {e}"),
+            PeerError::Body(e) => write!(f, "a response whose body cannot be read: {e}"),
             PeerError::Replication(e) => write!(f, "{e}"),
         }
     }
@@ -82,7 +85,7 @@
     serde_json::from_slice(body).map_err(PeerError::Body)
 }
 
-/// Starts the tasks, which never end. Without other processes there are none.
+/// Starts the tasks, which never end. There are none without configured peers or a writer to follow.
 pub fn start(service: &Rc<Service>) {
     for (index, peer) in service.config.peers.iter().copied().enumerate() {
         let service = service.clone();
@@ -97,12 +100,12 @@
 async fn poll_peer(service: &Service, index: usize, peer: SocketAddr) {
     let request = encode_request("GET", "/discovery/status", b"");
     loop {
-        // A peer that does not answer shows in the role as not heard.
+        // An error is ignored: the role detects that the peer has not been confirmed for too long.
         if let Ok(status) = call_peer::<serde_json::Value>(peer, &request, REPLY_TIMEOUT).await {
             if let Some(epoch) = status["epoch"].as_u64() {
                 service.on_peer_epoch(epoch);
                 if epoch <= service.store.borrow().epoch() {
-                    service.role.borrow_mut().on_peer_heard(index);
+                    service.role.borrow_mut().on_peer_confirmed(index);
                 }
             }
         }
@@ -118,18 +121,18 @@
             Role::Writer { .. } => None,
         };
         let Some(writer) = writer else {
-            // This process was promoted, and may be superseded again.
+            // This process is a writer. It becomes a replica again if it is superseded.
             sleep(POLL_INTERVAL).await;
             continue;
         };
         match replicate_once(service, writer).await {
             Ok(()) => {
                 if std::mem::replace(&mut is_failing, false) {
-                    info!(%writer, "follows {writer} again");
+                    info!(%writer, "following {writer} again");
                 }
             }
             Err(e) => {
-                // One line for an outage, however long.
+                // Logs one line per outage, regardless of its duration.
                 if !std::mem::replace(&mut is_failing, true) {
                     warn!(%writer, error = %e, "cannot follow {writer}: {e}");
                 }
@@ -139,7 +142,7 @@
     }
 }
 
-/// Asks the writer for changes, and takes them over.
+/// Requests changes from the writer and applies them.
 async fn replicate_once(service: &Service, writer: SocketAddr) -> Result<(), PeerError> {
     let request = {
         let store = service.store.borrow();
@@ -155,7 +158,7 @@
     let requested_at = Instant::now();
     let response: ReplicationResponse = call_peer(writer, &request, REPLICATION_WAIT + REPLY_TIMEOUT).await?;
     service.replicate(response).map_err(PeerError::Replication)?;
-    // The response is no older than the request.
+    // The response contains all changes that the writer had made before the request.
     service.role.borrow_mut().on_in_sync(requested_at);
     Ok(())
 }
--- a/quota-gateway/discovery/src/role.rs
+++ b/quota-gateway/discovery/src/role.rs
@@ -1,7 +1,8 @@
-//! The role of this process among those of one store: the writer, or a replica that follows it.
+//! The role of this process in its store: the writer, or a replica that follows the writer.
 //!
-//! There is no election. Operators choose the writer by a promotion with an epoch higher than all before. What is ensured
-//! here is that a writer of a lower epoch stops writing, and that nobody serves a list that is older than configured.
+//! There is no election. Operators choose the writer by a promotion with an epoch higher than all earlier
+//! ones. This module ensures that a writer with a lower epoch stops writing once a higher epoch is known, and
+//! that a replica does not serve lists older than configured.
 
 use crate::config::Config;
 use marblecroft_discovery::http::HttpError;
@@ -13,41 +14,43 @@
 
 /// The role of this process.
 pub enum Role {
-    /// It writes, as far as it knows.
+    /// It is the writer, unless another process has been promoted.
     Writer {
-        /// The epoch of another process that has been promoted since.
+        /// The higher epoch of another process, if one has been promoted since.
         superseded_by: Option<u64>,
-        /// Whether all peers have reported no higher epoch, or operators have promoted this process.
+        /// Whether every peer has responded without a higher epoch, or operators have promoted this process.
         is_confirmed: bool,
-        /// When each peer last answered, in the order of the configuration.
-        peers_heard_at: Vec<Option<Instant>>,
+        /// When each peer last responded without a higher epoch, in the order of the configuration.
+        peers_confirmed_at: Vec<Option<Instant>>,
     },
     /// It follows a writer.
     Replica {
-        /// The writer.
+        /// The writer's address.
         writer: SocketAddr,
-        /// The last time as of which it had all that the writer had.
+        /// The last time at which it had all changes of the writer.
         in_sync_at: Option<Instant>,
     },
 }
 
 impl Role {
-    /// Returns the role at the start of the process. A promotion outlasts restarts, whatever the configuration says.
+    /// Returns the role at the start of the process. A promotion survives restarts and overrides the
+    /// configuration.
     pub fn at_start(config: &Config, store: &Store) -> Role {
         match config.follow {
             Some(writer) if !store.is_promoted() => Role::Replica { writer, in_sync_at: None },
             _ => Role::Writer {
                 superseded_by: None,
                 is_confirmed: config.peers.is_empty(),
-                peers_heard_at: vec![None; config.peers.len()],
+                peers_confirmed_at: vec![None; config.peers.len()],
             },
         }
     }
 
-    /// Returns the role after a promotion. The peers count as heard, so that they have time to answer.
+    /// Returns the role after a promotion. All peers count as confirmed now, so that they have time to
+    /// respond.
     pub fn promoted(config: &Config) -> Role {
-        let peers_heard_at = vec![Some(Instant::now()); config.peers.len()];
-        Role::Writer { superseded_by: None, is_confirmed: true, peers_heard_at }
+        let peers_confirmed_at = vec![Some(Instant::now()); config.peers.len()];
+        Role::Writer { superseded_by: None, is_confirmed: true, peers_confirmed_at }
     }
 
     /// Returns whether this process is a writer.
@@ -55,7 +58,7 @@
         matches!(self, Role::Writer { .. })
     }
 
-    /// Returns the role's name in the status.
+    /// Returns the name of the role in the status response.
     pub fn name(&self) -> &'static str {
         match self {
             Role::Writer { superseded_by: Some(_), .. } => "superseded",
@@ -65,7 +68,7 @@
         }
     }
 
-    /// Returns how far a replica may be behind the writer; `None` for a writer.
+    /// Returns how long ago a replica was last in sync with the writer; `None` for a writer.
     pub fn lag(&self) -> Option<Duration> {
         match self {
             Role::Writer { .. } => None,
@@ -90,7 +93,7 @@
 
     /// Returns an error unless changes may be made.
     pub fn check_may_write(&self, config: &Config) -> Result<(), HttpError> {
-        let Role::Writer { superseded_by, is_confirmed, peers_heard_at } = self else {
+        let Role::Writer { superseded_by, is_confirmed, peers_confirmed_at } = self else {
             return Err(HttpError::busy("this process follows another, which writes"));
         };
         if let Some(epoch) = superseded_by {
@@ -99,10 +102,11 @@
         if !is_confirmed {
             return Err(HttpError::busy("not every peer has said that none of them writes"));
         }
-        // A writer that is partitioned off stops, since operators may promote another one on the other side.
-        let max_silence = Duration::from_millis(config.stale_ms);
-        let is_reachable = |at: &&Option<Instant>| at.is_some_and(|at| at.elapsed() <= max_silence);
-        if peers_heard_at.iter().filter(is_reachable).count() * 2 < peers_heard_at.len() {
+        // A writer that is partitioned from its peers rejects changes, since operators may promote another
+        // process on the other side.
+        let max_age = Duration::from_millis(config.stale_ms);
+        let is_recent = |at: &&Option<Instant>| at.is_some_and(|at| at.elapsed() <= max_age);
+        if peers_confirmed_at.iter().filter(is_recent).count() * 2 < peers_confirmed_at.len() {
             return Err(HttpError::busy(
                 "fewer than half of the peers are heard of, and another process may write",
             ));
@@ -110,8 +114,8 @@
         Ok(())
     }
 
-    /// Another process has a higher epoch: this one follows it, if the configuration says whom, and stops writing in any
-    /// case.
+    /// Handles a higher epoch of another process. This process stops writing, and becomes a replica if the
+    /// configuration names a writer to follow.
     pub fn on_higher_epoch(&mut self, config: &Config, epoch: u64) {
         if let Role::Writer { superseded_by, .. } = self {
             if superseded_by.replace(epoch) != Some(epoch) {
@@ -123,18 +127,18 @@
         }
     }
 
-    /// A peer has answered with no higher epoch; `peer` is its index in the configuration.
-    pub fn on_peer_heard(&mut self, peer: usize) {
-        if let Role::Writer { is_confirmed, peers_heard_at, .. } = self {
-            peers_heard_at[peer] = Some(Instant::now());
-            if !*is_confirmed && peers_heard_at.iter().all(Option::is_some) {
+    /// Records that a peer responded without a higher epoch. `peer` is its index in the configuration.
+    pub fn on_peer_confirmed(&mut self, peer: usize) {
+        if let Role::Writer { is_confirmed, peers_confirmed_at, .. } = self {
+            peers_confirmed_at[peer] = Some(Instant::now());
+            if !*is_confirmed && peers_confirmed_at.iter().all(Option::is_some) {
                 *is_confirmed = true;
                 info!("confirmed: no peer is at a higher epoch");
             }
         }
     }
 
-    /// A replica had all that the writer had at a time.
+    /// Records that a replica had all changes of the writer at this time.
     pub fn on_in_sync(&mut self, at: Instant) {
         if let Role::Replica { in_sync_at, .. } = self {
             *in_sync_at = Some(at);
--- a/quota-gateway/discovery/src/service.rs
+++ b/quota-gateway/discovery/src/service.rs
@@ -1,7 +1,7 @@
-//! The service: commands carried out, watches that wait for changes, leases that expire.
+//! The service: executes commands, answers watches when the list changes, and expires leases.
 //!
-//! A change goes from the store's decision into the journal, then into the store, and a moment later to the watches, so that
-//! nobody learns of a change that a crash could undo.
+//! A change that the store has decided on is written to the journal, then applied to the store, and after a
+//! short delay sent to the watches. Clients therefore never see a change that a crash could undo.
 
 mod list_replies;
 mod slot;
@@ -27,22 +27,23 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use tracing::{error, info};
 
-/// The pause after a failed write before the expiry of a lease is recorded again.
+/// The delay after a failed write until the expiry of a lease is recorded again.
 const EXPIRY_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// The pause before expired leases are looked at again while this process may not record them.
+/// The minimum interval between checks for expired leases, which applies while this process may not record
+/// them.
 const LEASE_RECHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// The pause between looks at leases while there are none.
+/// The interval between checks for expired leases while there are no leases.
 const IDLE_LEASE_RECHECK_INTERVAL: Duration = Duration::from_secs(75);
-/// The longest that a replica waits for changes; it learns at least as often that there are none.
+/// The maximum wait of a replica's request. Without changes, the response after this wait is empty.
 const MAX_REPLICA_WAIT: Duration = Duration::from_secs(1);
 
-/// Returns the wall clock as milliseconds since the Unix epoch.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub fn unix_ms() -> u64 {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(unix.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Why a replica cannot take over what the writer sent.
+/// The reason why a replica cannot apply a response of the writer.
 #[derive(Debug)]
 pub enum ReplicationError {
     /// The writer has a lower epoch than this process.
@@ -60,7 +61,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ReplicationError::LowerEpoch { writer, local } => {
-                write!(f, "it is at epoch {writer}, and this one at {local}")
+                write!(f, "the writer is at epoch {writer}, and this process at {local}")
             }
             ReplicationError::Journal(e) => write!(f, "{e}"),
         }
@@ -80,32 +81,32 @@
 pub struct Service {
     /// The configuration.
     pub config: Config,
-    /// Whether this process writes or follows.
+    /// The role of this process, writer or replica.
     pub role: RefCell<Role>,
-    /// What is registered.
+    /// The registered servers.
     pub store: RefCell<Store>,
     journal: RefCell<Journal<Folder>>,
     started_at: Instant,
     replies: RefCell<ReplyCache>,
     full_list_budget: RefCell<FullListBudget>,
-    /// The version that the watches were last notified of.
+    /// The version of which the watches were last notified.
     announced_version: watch::Sender<u64>,
-    /// Whether a notification is due, for which further changes are gathered.
+    /// Whether a notification is scheduled. Changes until then are included in it.
     is_notification_scheduled: Cell<bool>,
     notification_scheduled: Notify,
-    /// A lease may expire earlier than the expiry task knows.
+    /// Wakes the expiry task when a lease may expire earlier than the one for which it waits.
     lease_changed: Notify,
     watches: Cell<usize>,
-    /// Open connections.
+    /// The number of open connections.
     pub connections: Cell<usize>,
-    /// Bytes of all responses.
+    /// The number of bytes of all responses so far.
     pub bytes_written: Cell<u64>,
-    /// Whether the process shuts down.
+    /// Whether the process is shutting down.
     pub closing: watch::Sender<bool>,
 }
 
 impl Service {
-    /// Returns the service of a store that was restored from this journal.
+    /// Returns the service for a store that was restored from this journal.
     pub fn new(config: Config, role: Role, store: Store, journal: Journal<Folder>) -> Rc<Service> {
         let started_at = Instant::now();
         let full_list_budget = FullListBudget::new(config.limits.whole_lists_per_s, started_at);
@@ -133,7 +134,8 @@
         self.started_at.elapsed()
     }
 
-    /// Returns the list, or for a watch what is newer than its version as soon as there is something.
+    /// Returns the full list, or for a watch the changes after its version, as soon as there are any or its
+    /// wait ends.
     pub async fn list(
         &self,
         request: ListRequest,
@@ -150,7 +152,7 @@
         self.list_reply(Some(since))
     }
 
-    /// Returns what a replica lacks, as soon as it lacks something, or nothing after its wait.
+    /// Returns the changes that a replica does not have yet, as soon as there are any or its wait ends.
     pub async fn replication_reply(
         &self,
         request: ReplicationRequest,
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Takes over what the writer sent.
+    /// Applies a response of the writer.
     pub fn replicate(&self, response: ReplicationResponse) -> Result<(), ReplicationError> {
         let local = self.store.borrow().epoch();
         if response.epoch < local {
@@ -221,7 +223,8 @@
             let mut store = self.store.borrow_mut();
             response.records.into_iter().for_each(|record| store.apply(record, now));
             if journal.is_compaction_due() {
-                // The records are durable in the log. The next append reports a journal that is broken.
+                // An error is ignored: the records are durable in the log, and if the journal is broken, the
+                // next append fails.
                 let _ = journal.compact(&store.snapshot());
             }
             drop((journal, store));
@@ -240,14 +243,15 @@
         })?;
         self.store.borrow_mut().renew_all(self.now());
         self.role.replace(Role::promoted(&self.config));
-        info!(epoch, "promoted: writes under epoch {epoch}");
+        info!(epoch, "promoted to writer under epoch {epoch}");
         Ok(self.status())
     }
 
-    /// Returns the response for a reader with this version.
+    /// Returns the list response for a reader that has this version, or for one that has none.
     fn list_reply(&self, since: Option<u64>) -> Result<SharedReply, HttpError> {
         let store = self.store.borrow();
-        // A version that the history does not cover gets the full list, as no version does.
+        // A reader whose version is not covered by the history gets the full list, like a reader without a
+        // version.
         let since = since.filter(|&since| store.has_history_since(since));
         if since.is_none() && !self.full_list_budget.borrow_mut().try_take() {
             return Err(HttpError::busy("too many whole lists"));
@@ -255,7 +259,7 @@
         Ok(self.replies.borrow_mut().get(&store, since))
     }
 
-    /// Carries out a request that is answered at once. Returns the body of the response.
+    /// Executes a request that is answered at once. Returns the body of the response.
     pub fn perform(&self, request: ApiRequest) -> Result<Vec<u8>, HttpError> {
         match request {
             ApiRequest::Command(command) => self.execute(&command),
@@ -313,7 +317,7 @@
         self.store.borrow_mut().apply(record, self.now());
         if journal.is_compaction_due() {
             if let Err(e) = journal.compact(&self.store.borrow().snapshot()) {
-                error!(error = %e, "no snapshot was made: {e}");
+                error!(error = %e, "cannot make a snapshot: {e}");
             }
         }
         self.lease_changed.notify_one();
@@ -321,7 +325,8 @@
         Ok(())
     }
 
-    /// Has the watches notified a moment later, so that changes close to each other are sent together.
+    /// Schedules a notification of the watches after `gather_ms`, so that changes in quick succession are
+    /// sent together.
     fn schedule_notification(&self) {
         if !self.is_notification_scheduled.replace(true) {
             self.notification_scheduled.notify_one();
@@ -338,7 +343,7 @@
         }
     }
 
-    /// Records the expiry of leases as their time comes. Never returns.
+    /// Records the expiry of each lease when it is due. Never returns.
     pub async fn expire_leases(&self) {
         loop {
             while let Some(record) = self.next_expiry_record() {
@@ -363,7 +368,8 @@
         }
     }
 
-    /// Returns the record of an expired lease, if this process may write. A replica receives it from the writer.
+    /// Returns the record of an expired lease, if this process may write. A replica receives such records
+    /// from the writer.
     fn next_expiry_record(&self) -> Option<Record> {
         let record = self.store.borrow().expiry_record(self.now());
         record.filter(|_| self.role.borrow().check_may_write(&self.config).is_ok())
@@ -371,6 +377,6 @@
 }
 
 fn json(value: &impl serde::Serialize) -> Vec<u8> {
-    // Strings, numbers and addresses always serialise.
+    // Serialization of strings, numbers and addresses cannot fail.
     serde_json::to_vec(value).unwrap_or_default()
 }
--- a/quota-gateway/discovery/src/service/list_replies.rs
+++ b/quota-gateway/discovery/src/service/list_replies.rs
@@ -1,4 +1,5 @@
-//! Responses with lists: encoded once for all readers of the same version, and full ones limited in rate.
+//! List responses: each is encoded once for all readers with the same version, and full lists are
+//! rate-limited.
 
 use marblecroft_discovery::http::ok_response;
 use marblecroft_discovery::store::Store;
@@ -6,23 +7,24 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// The most responses that are cached. Readers have few different versions.
+/// The maximum number of cached responses. Readers have few different versions.
 const MAX_CACHED_REPLIES: usize = 64;
 
-/// A response that several connections send.
+/// An encoded response that several connections can send.
 pub type SharedReply = Rc<[u8]>;
 
-/// The responses that were encoded for the store's present version.
+/// The responses that were encoded for the store's current version.
 #[derive(Default)]
 pub struct ReplyCache {
     version: u64,
-    /// By the version that the reader has; `None` for the full list.
+    /// The responses by the version that the reader has; `None` for the full list.
     by_since: HashMap<Option<u64>, SharedReply>,
     encodings: u64,
 }
 
 impl ReplyCache {
-    /// Returns the response for a reader with this version, which the store's history covers, or without any.
+    /// Returns the response for a reader with this version, which the history must cover, or for one without
+    /// a version.
     pub fn get(&mut self, store: &Store, since: Option<u64>) -> SharedReply {
         if self.version != store.version() || self.by_since.len() >= MAX_CACHED_REPLIES {
             self.version = store.version();
@@ -35,13 +37,13 @@
         reply.clone()
     }
 
-    /// Returns the number of responses that were ever encoded.
+    /// Returns the number of responses that were encoded since the start.
     pub fn encodings(&self) -> u64 {
         self.encodings
     }
 }
 
-/// A token bucket for full lists, whose burst is the tokens of one second.
+/// A token bucket that limits full lists. Its capacity is the number of tokens per second.
 pub struct FullListBudget {
     tokens_per_s: f64,
     tokens: f64,
--- a/quota-gateway/discovery/src/service/slot.rs
+++ b/quota-gateway/discovery/src/service/slot.rs
@@ -1,14 +1,14 @@
-//! Limits on concurrency.
+//! A limit on concurrency.
 
 use std::cell::Cell;
 
-/// One of a bounded number of slots, which is released when it is dropped.
+/// One of a bounded number of slots. It is released when it is dropped.
 pub struct Slot<'a> {
     in_use: &'a Cell<usize>,
 }
 
 impl<'a> Slot<'a> {
-    /// Takes a slot; `None` if the maximum is in use.
+    /// Takes a slot, or returns `None` if the maximum number is in use.
     pub fn acquire(in_use: &'a Cell<usize>, max: usize) -> Option<Slot<'a>> {
         (in_use.get() < max).then(|| {
             in_use.set(in_use.get() + 1);
--- a/quota-gateway/discovery/src/store.rs
+++ b/quota-gateway/discovery/src/store.rs
@@ -1,8 +1,10 @@
-//! What is registered: entries under leases, their versions, and the history from which watches are answered.
+//! The registered servers: entries with leases, their versions, and the history from which watches are
+//! answered.
 //!
-//! The store is sans-I/O. A command takes this way: [`Store::decide`] says what it would change, the caller makes that
-//! record durable, and then passes it to [`Store::apply`]. A disk that fails thus leaves no half of a change behind. Time
-//! comes from the caller: a monotonic clock for leases, and Unix time for versions and the starts of servers.
+//! The store is sans-I/O. For each command, [`Store::decide`] returns the record of the change, the caller
+//! makes the record durable and then passes it to [`Store::apply`]. A failed disk therefore leaves no partial
+//! change behind. The caller provides the time: a monotonic clock for leases, and Unix time for versions and
+//! the starts of servers.
 
 mod command;
 mod history;
@@ -15,17 +17,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The longest id, zone and kind, in bytes.
+/// The maximum length of an id, zone or kind, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
-/// The shortest lease.
+/// The minimum duration of a lease.
 pub const MIN_LEASE: Duration = Duration::from_secs(1);
-/// The longest lease.
+/// The maximum duration of a lease.
 pub const MAX_LEASE: Duration = Duration::from_secs(3600);
-/// Versions begin at the time of creation in milliseconds times this, and continue from the time of each start. Thus the
-/// versions of two stores do not meet, nor those before and after a disk was restored from a backup. They stay below 2^53,
-/// the largest integer that every JSON reader represents exactly.
+/// At its creation and at each start of a writer, a store's version advances at least to the Unix time in
+/// milliseconds times this factor. The versions of two stores, or those before and after a restore from a
+/// backup, therefore do not overlap. They stay below 2^53, up to which every JSON reader represents integers
+/// exactly.
 const VERSIONS_PER_MS: u64 = 1 << 10;
-/// An upper bound of what a list takes beside its entries, in bytes.
+/// An upper bound of the length of a list without its entries, in bytes.
 const LIST_OVERHEAD_BYTES: usize = 128;
 
 /// A reading of the caller's monotonic clock, as the time since an arbitrary origin.
@@ -53,10 +56,10 @@
     }
 }
 
-/// An entry with what the list does not contain, for operators.
+/// An entry with details for operators that the list does not contain.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EntryDetails<'a> {
-    /// The entry as the list has it.
+    /// The entry as the list contains it.
     #[serde(flatten)]
     pub host: &'a Host,
     /// The version of its last change.
@@ -65,7 +68,7 @@
     pub lease_left_ms: Option<u64>,
 }
 
-/// The full state of a store, as snapshots contain it and replicas receive it.
+/// The full state of a store, as it is written to snapshots and sent to replicas.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     version: u64,
@@ -73,22 +76,23 @@
     epoch: u64,
     promoted: bool,
     floor: u64,
-    /// Entry, revision and lease in milliseconds. A tuple, since it is stored as a JSON array.
+    /// The entry, its revision and its lease in milliseconds. A tuple, since it is stored as a JSON array.
     entries: Vec<(Host, u64, Option<u64>)>,
     #[serde(rename = "gone")]
     deleted: Vec<Host>,
-    /// Version and entry of each change.
+    /// The version and the entry's id of each change.
     history: Vec<(u64, String)>,
 }
 
-/// What has changed after a version.
+/// The changes after a version.
 #[derive(Debug, PartialEq)]
 pub enum Delta<'a> {
-    /// Nothing.
+    /// Nothing has changed.
     Unchanged,
-    /// These entries, deleted ones included.
+    /// These entries have changed. Deleted ones are included.
     Changes(Vec<&'a Host>),
-    /// Unknown, since the version is from another store, from the future, or older than the history: all entries.
+    /// The changes are unknown, since the version is from another store, from the future, or older than the
+    /// history. These are all entries.
     Full(Vec<&'a Host>),
 }
 
@@ -96,7 +100,7 @@
 #[derive(Default)]
 pub struct Store {
     version: u64,
-    /// The first version, which identifies the store; 0 before it was opened first.
+    /// The first version, which identifies the store; 0 before the store is first opened.
     origin: u64,
     epoch: u64,
     promoted: bool,
@@ -116,8 +120,8 @@
 }
 
 impl Store {
-    /// Returns the store of a snapshot and the records after it. All leases start anew, since nobody could renew them while
-    /// the store was down.
+    /// Restores a store from a snapshot and the records after it. All leases restart with their full
+    /// duration, since servers could not renew them while the store was down.
     pub fn restore(snapshot: Snapshot, records: impl IntoIterator<Item = Record>, now: Now) -> Store {
         let Snapshot { version, origin, epoch, promoted, floor, entries, deleted, history } = snapshot;
         let history = History::restore(history, floor, deleted);
@@ -129,12 +133,13 @@
         store
     }
 
-    /// Returns the store of a replica that takes over another process's snapshot. The promotion is not taken over.
+    /// Restores the store of a replica from the writer's snapshot. The writer's promotion does not apply to
+    /// the replica.
     pub fn restore_replica(snapshot: Snapshot, now: Now) -> Store {
         Store::restore(Snapshot { promoted: false, ..snapshot }, [], now)
     }
 
-    /// Returns the first version, which identifies the store; 0 before it was opened first.
+    /// Returns the first version, which identifies the store; 0 before the store is first opened.
     pub fn origin(&self) -> u64 {
         self.origin
     }
@@ -144,7 +149,7 @@
         self.epoch
     }
 
-    /// Returns whether the last promotion was that of this process.
+    /// Returns whether this process was the last one promoted.
     pub fn is_promoted(&self) -> bool {
         self.promoted
     }
@@ -164,12 +169,13 @@
         self.entries.is_empty()
     }
 
-    /// Returns the record that promotes this process to writer; `None` if the epoch is not higher than all before.
+    /// Returns the record that promotes this process to writer; `None` if the epoch is not higher than all
+    /// earlier ones.
     pub fn promotion_record(&self, epoch: u64, unix_ms: u64) -> Option<Record> {
         (epoch > self.epoch).then_some(Record::Promoted { version: self.start_version(unix_ms), epoch })
     }
 
-    /// Returns the record that a writer makes at its start, before any other.
+    /// Returns the record that a writer makes at its start, before any other record.
     pub fn opening_record(&self, unix_ms: u64) -> Record {
         Record::Opened { version: self.start_version(unix_ms) }
     }
@@ -178,13 +184,14 @@
         unix_ms.saturating_mul(VERSIONS_PER_MS).max(self.version + 1)
     }
 
-    /// Starts all leases anew, since nobody could renew them while there was no writer.
+    /// Restarts all leases with their full duration, since servers could not renew them while there was no
+    /// writer.
     pub fn renew_all(&mut self, now: Now) {
         self.entries.values_mut().for_each(|entry| entry.expires_at = entry.lease.map(|lease| now + lease));
     }
 
-    /// Returns the records that bring a replica of the same epoch from a version up to this one; `None` if the history does
-    /// not reach back that far. Of the changes of one entry only the last is included.
+    /// Returns the records that bring a replica of the same epoch from a version to the current one; `None`
+    /// if the history does not cover that version. Only the last change of each entry is included.
     pub fn records_since(&self, version: u64) -> Option<Vec<Record>> {
         if !self.has_history_since(version) {
             return None;
@@ -216,7 +223,7 @@
         }
     }
 
-    /// Returns what a command would change. Nothing is changed yet.
+    /// Returns the change that a command requires, without applying it.
     pub fn decide(&self, command: &Command, now: Now, unix_ms: u64) -> Result<Decision, Rejection> {
         match command {
             Command::Register { server, lease, revision } => {
@@ -251,7 +258,7 @@
             started_ms,
         };
         let Some(entry) = self.entries.get(&server.id).filter(|entry| entry.is_live(now)) else {
-            // The revision of an entry that has expired is void.
+            // The revision of an expired entry is no longer valid.
             if revision.is_some() {
                 return Err(Rejection::Unknown);
             }
@@ -260,7 +267,7 @@
         let host = host(entry.host.state, entry.host.started_ms);
         let is_equal = host == entry.host && lease == entry.lease;
         match revision {
-            // Without a revision, a different process with the same id must not replace the entry.
+            // Without a revision, a different server with the same id must not replace the entry.
             None if !is_equal => Err(entry.conflict()),
             Some(revision) if revision != entry.revision => Err(entry.conflict()),
             _ if is_equal => Ok(Decision::Renew(server.id.clone())),
@@ -311,14 +318,16 @@
         self.entries.values().filter_map(|entry| entry.expires_at).min()
     }
 
-    /// Renews the lease of an entry. That is not recorded, since all leases start anew after a restart.
+    /// Renews the lease of an entry. Renewals are not recorded, since all leases restart when the store is
+    /// restored.
     pub fn renew(&mut self, id: &str, now: Now) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.expires_at = entry.lease.map(|lease| now + lease);
         }
     }
 
-    /// Applies a record that is durable. A record that is not newer than the store is ignored: it was applied before.
+    /// Applies a durable record. A record that is not newer than the store is ignored, since it was already
+    /// applied.
     pub fn apply(&mut self, record: Record, now: Now) {
         let version = record.version();
         if version <= self.version {
@@ -359,8 +368,8 @@
         }
     }
 
-    /// Returns all entries in the order of their ids. One whose lease has expired is included until its deletion is
-    /// recorded.
+    /// Returns all entries in the order of their ids. One whose lease has expired is included until its
+    /// deletion is recorded.
     pub fn full_list(&self) -> Vec<&Host> {
         self.entries.values().map(|entry| &entry.host).collect()
     }
@@ -370,7 +379,7 @@
         (self.history.floor()..=self.version).contains(&version)
     }
 
-    /// Returns what has changed after a version.
+    /// Returns the changes after a version.
     pub fn delta_since(&self, version: u64) -> Delta<'_> {
         if version == self.version {
             return Delta::Unchanged;
@@ -384,8 +393,8 @@
         Delta::Changes(self.history.changed_since(version).into_iter().filter_map(host).collect())
     }
 
-    /// Returns the encoded list for a reader with this version, or the full one for a reader without any; `None` if nothing
-    /// has changed.
+    /// Encodes the list for a reader with this version, or the full list for a reader without a version.
+    /// Returns `None` if nothing has changed.
     pub fn encode_list(&self, since: Option<u64>) -> Option<Vec<u8>> {
         let (full, servers) = match since.map(|since| self.delta_since(since)) {
             None => (true, self.full_list()),
@@ -396,7 +405,7 @@
         Some(self.encode(full, servers))
     }
 
-    /// Returns the encoded answer to a watch in whose time nothing has changed.
+    /// Encodes the response to a watch whose wait ended without a change.
     pub fn encode_unchanged(&self) -> Vec<u8> {
         self.encode(false, Vec::new())
     }
@@ -404,7 +413,7 @@
     fn encode(&self, full: bool, servers: Vec<&Host>) -> Vec<u8> {
         let list =
             HostListRef { version: self.version, full, store: self.origin, epoch: self.epoch, servers };
-        // Strings, numbers and addresses always serialise.
+        // Serialization of strings, numbers and addresses cannot fail.
         serde_json::to_vec(&list).unwrap_or_default()
     }
 
--- a/quota-gateway/discovery/src/store/command.rs
+++ b/quota-gateway/discovery/src/store/command.rs
@@ -1,4 +1,4 @@
-//! What the store is asked to do, what it decides, and the records in which changes are stored and replicated.
+//! The store's commands, its decisions, and the records as which changes are stored and replicated.
 
 use crate::format::Host;
 use serde::{Deserialize, Serialize};
@@ -7,69 +7,70 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a server registers as.
+/// The properties that a server registers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Registration {
     /// The server's id, unique in the store.
     pub id: String,
     /// The address at which it serves.
     pub addr: SocketAddr,
-    /// Its zone; empty where it has none.
+    /// Its zone; empty if it has none.
     pub zone: String,
-    /// Its kind of machine; empty where it is not known.
+    /// Its kind of machine; empty if unknown.
     pub kind: String,
     /// Its cell.
     pub cell: u32,
-    /// Its capacity relative to others.
+    /// Its capacity relative to other servers.
     pub weight: f64,
 }
 
-/// A command to the store. Where a `revision` is given, the entry must have it (compare-and-set).
+/// A command to the store. If a `revision` is given, the entry must have it (compare-and-set).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Creates an entry, or renews the lease of an equal one.
     Register {
-        /// The entry.
+        /// The registered properties.
         server: Registration,
-        /// How long the entry lives without renewal; without a lease it lives until it is deregistered.
+        /// The time after which the entry expires unless it is renewed. Without a lease, it never expires.
         lease: Option<Duration>,
-        /// The revision that the entry must have. Without one, an existing entry must be equal.
+        /// The revision that the entry must have. Without one, an existing entry must be equal to this one.
         revision: Option<u64>,
     },
     /// Renews an entry's lease.
     Renew {
-        /// The entry.
+        /// The entry's id.
         id: String,
     },
     /// Sets an entry's state to draining.
     Drain {
-        /// The entry.
+        /// The entry's id.
         id: String,
         /// The revision that the entry must have.
         revision: Option<u64>,
     },
     /// Sets an entry's state back to serving.
     Undrain {
-        /// The entry.
+        /// The entry's id.
         id: String,
         /// The revision that the entry must have.
         revision: Option<u64>,
     },
     /// Deletes an entry.
     Deregister {
-        /// The entry.
+        /// The entry's id.
         id: String,
         /// The revision that the entry must have.
         revision: Option<u64>,
     },
 }
 
-/// Why a command is rejected. It has changed nothing then.
+/// The reason why a command is rejected. A rejected command changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Rejection {
     /// There is no such entry, or its lease has expired.
     Unknown,
-    /// The entry does not have the required revision, or, where none was required, is not equal.
+    /// The entry does not have the required revision, or, if none was given, is not equal to the registered
+    /// one.
     Conflict {
         /// The entry's revision.
         revision: u64,
@@ -90,17 +91,17 @@
 
 impl Error for Rejection {}
 
-/// A change, as it is stored and replicated. Versions rise from each record to the next.
+/// A change, as it is stored and replicated. Each record has a higher version than the one before.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// The store was opened. All versions before were lower.
+    /// A writer opened the store. All earlier versions are lower.
     Opened {
-        /// The store's version from now on.
+        /// The store's version after this change.
         version: u64,
     },
     /// An entry was created or changed.
     Put {
-        /// The store's version from now on, and the entry's revision.
+        /// The store's version after this change, and the entry's revision.
         version: u64,
         /// The entry.
         host: Host,
@@ -110,15 +111,15 @@
     /// An entry was deleted.
     #[serde(rename = "Gone")]
     Deleted {
-        /// The store's version from now on.
+        /// The store's version after this change.
         version: u64,
-        /// The entry.
+        /// The entry's id.
         id: String,
     },
-    /// Operators promoted the store's process to writer. What another writer did since the two last met is void, so readers
-    /// with an older version get the full list.
+    /// Operators promoted the store's process to writer. Changes of the former writer that were not
+    /// replicated to this process are discarded, so readers with an older version get the full list.
     Promoted {
-        /// The store's version from now on.
+        /// The store's version after this change.
         version: u64,
         /// The epoch of the new writer.
         epoch: u64,
@@ -136,12 +137,12 @@
     }
 }
 
-/// What is to be done for a command.
+/// The action that a command requires.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Renew the lease of this entry, which is not recorded.
+    /// Renew the lease of this entry. The renewal is not recorded.
     Renew(String),
-    /// Nothing: the entry already is as commanded.
+    /// Do nothing: the entry already has the requested state.
     Nothing,
     /// Make this record durable and apply it.
     Change(Record),
--- a/quota-gateway/discovery/src/store/history.rs
+++ b/quota-gateway/discovery/src/store/history.rs
@@ -3,13 +3,13 @@
 use crate::format::Host;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The number of changes that are kept. Readers with an older version get the full list.
+/// The maximum number of changes in the history. Readers with an older version get the full list.
 const MAX_HISTORY: usize = 4096;
 
-/// The latest changes: which entry changed at which version.
+/// The latest changes: the entry that changed at each version.
 #[derive(Default)]
 pub(super) struct History {
-    /// Version and entry of each change after `floor`, the oldest first.
+    /// The version and the entry's id of each change after `floor`, the oldest first.
     changes: VecDeque<(u64, String)>,
     floor: u64,
     /// Deleted entries whose deletion is in the history.
@@ -23,7 +23,7 @@
         History { changes: changes.into(), floor, deleted }
     }
 
-    /// Forgets all changes up to a version.
+    /// Discards all changes, and continues with the changes after `floor`.
     pub(super) fn restart(&mut self, floor: u64) {
         *self = History { floor, ..History::default() };
     }
@@ -33,12 +33,12 @@
         self.floor = floor;
     }
 
-    /// The changes of a later version are known.
+    /// Returns the version after which all changes are known.
     pub(super) fn floor(&self) -> u64 {
         self.floor
     }
 
-    /// Returns the version and the entry of each change, the oldest first.
+    /// Returns the version and the entry's id of each change, the oldest first.
     pub(super) fn changes(&self) -> impl Iterator<Item = &(u64, String)> {
         self.changes.iter()
     }
@@ -78,12 +78,13 @@
         }
     }
 
-    /// Returns the entries that changed after a version, in the order of their ids.
+    /// Returns the ids of the entries that changed after a version, in ascending order.
     pub(super) fn changed_since(&self, version: u64) -> BTreeSet<&str> {
         self.changes.range(self.position_after(version)..).map(|(_, id)| id.as_str()).collect()
     }
 
-    /// Returns the entries that changed after a version with the version of their last change, in the order of versions.
+    /// Returns the ids of the entries that changed after a version, each with the version of its last change,
+    /// in the order of versions.
     pub(super) fn last_changes_since(&self, version: u64) -> Vec<(u64, &str)> {
         let changes = self.changes.range(self.position_after(version)..);
         let last: BTreeMap<&str, u64> = changes.map(|(version, id)| (id.as_str(), *version)).collect();
