--- a/quota-gateway/discovery/tests/cases.rs
+++ b/quota-gateway/discovery/tests/cases.rs
@@ -1,4 +1,4 @@
-//! Cases of the store and its journal: leases, revisions, history, damage.
+//! Tests of the store and its journal: leases, revisions, history and damaged files.
 
 use marblecroft_discovery::format::*;
 use marblecroft_discovery::journal::{Folder, Journal};
@@ -41,51 +41,52 @@
 }
 
 #[test]
-fn a_renewed_lease_lasts_and_an_expired_one_ends_at_that_instant() {
+fn a_renewal_extends_a_lease_and_an_expiry_takes_effect_before_it_is_recorded() {
     let mut store = store();
     execute(&mut store, register("s", 1, Some(5), None), secs(0)).expect("new");
     let version = store.version();
     execute(&mut store, Command::Renew { id: "s".into() }, secs(4)).expect("it has not expired");
-    // An equal registration is a renewal too, and no change of the list.
+    // An equal registration is also a renewal, and does not change the list.
     execute(&mut store, register("s", 1, Some(5), None), secs(8)).expect("it has not expired");
     assert_eq!((store.version(), store.next_expiry()), (version, Some(secs(13))));
     assert_eq!(store.expiry_record(secs(12)), None);
-    // At the instant of expiry it has expired, recorded or not.
+    // The expiry takes effect at its time, even if it is not recorded yet.
     assert_eq!(execute(&mut store, Command::Renew { id: "s".into() }, secs(13)), Err(Rejection::Unknown));
     let expiry = store.expiry_record(secs(13)).expect("it has expired");
     store.apply(expiry, secs(13));
     assert!(store.is_empty() && store.expiry_record(secs(99)).is_none());
     assert!(matches!(store.delta_since(version), Delta::Changes(hosts) if hosts[0].state == State::Deleted));
     let Delta::Full(hosts) = store.delta_since(0) else { panic!("the full list") };
-    assert!(hosts.is_empty(), "deleted entries are only among changes");
+    assert!(hosts.is_empty(), "the full list contains no deleted entries");
 }
 
 #[test]
-fn a_registration_is_a_new_start_only_after_the_expiry() {
+fn a_registration_sets_a_new_start_time_only_after_the_lease_expired() {
     let mut store = store();
     let started = |store: &Store| store.full_list()[0].started_ms;
-    let at = |store: &mut Store, command: &Command, now, unix| match store.decide(command, now, unix) {
+    let execute_at = |store: &mut Store, command: &Command, now, unix| match store.decide(command, now, unix)
+    {
         Ok(Decision::Change(record)) => store.apply(record, now),
         other => panic!("{other:?}"),
     };
-    at(&mut store, &register("s", 1, Some(5), None), secs(0), UNIX);
+    execute_at(&mut store, &register("s", 1, Some(5), None), secs(0), UNIX);
     let revision = store.version();
-    at(&mut store, &register("s", 2, Some(5), Some(revision)), secs(1), UNIX + 1000);
-    assert_eq!(started(&store), UNIX, "a change of address is no new start");
-    at(&mut store, &register("s", 2, Some(5), None), secs(6), UNIX + 6000);
-    assert_eq!(started(&store), UNIX + 6000, "its lease had expired, though that was not recorded");
+    execute_at(&mut store, &register("s", 2, Some(5), Some(revision)), secs(1), UNIX + 1000);
+    assert_eq!(started(&store), UNIX, "a change of address does not change the start time");
+    execute_at(&mut store, &register("s", 2, Some(5), None), secs(6), UNIX + 6000);
+    assert_eq!(started(&store), UNIX + 6000, "the lease had expired, although the expiry was not recorded");
 }
 
 #[test]
-fn an_id_belongs_to_its_first_address_until_its_revision_is_given() {
+fn the_address_of_an_id_changes_only_with_its_current_revision() {
     let mut store = store();
     let revision = execute(&mut store, register("s", 1, Some(5), None), secs(0)).expect("new");
     let other = || register("s", 2, Some(5), None);
     assert_eq!(execute(&mut store, other(), secs(1)), Err(Rejection::Conflict { revision }));
     let stale = register("s", 2, Some(5), Some(revision - 1));
     assert_eq!(execute(&mut store, stale, secs(1)), Err(Rejection::Conflict { revision }));
-    let moved =
-        execute(&mut store, register("s", 2, Some(5), Some(revision)), secs(1)).expect("its revision");
+    let moved = execute(&mut store, register("s", 2, Some(5), Some(revision)), secs(1))
+        .expect("the current revision");
     assert!(moved > revision);
     let late = Command::Deregister { id: "s".into(), revision: Some(revision) };
     assert_eq!(execute(&mut store, late, secs(1)), Err(Rejection::Conflict { revision: moved }));
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn a_repeated_drain_is_one_change_and_outlasts_a_registration() {
+fn a_repeated_drain_is_one_change_and_survives_a_registration() {
     let mut store = store();
     execute(&mut store, register("s", 1, None, None), secs(0)).expect("new");
     let drain = Command::Drain { id: "s".into(), revision: None };
@@ -122,23 +123,26 @@
         } else {
             Command::Deregister { id: "s".into(), revision: None }
         };
-        execute(&mut store, command, secs(1)).expect("done");
+        execute(&mut store, command, secs(1)).expect("a change");
     }
     let version = store.version();
     assert!(
         matches!(store.delta_since(version - 3), Delta::Changes(hosts) if hosts.len() == 1),
-        "one change for an entry"
+        "one change per entry"
     );
     assert!(matches!(store.delta_since(version - 4000), Delta::Changes(_)));
-    for foreign in [0, 1, first, first + 1, version + 1, u64::MAX] {
-        assert!(matches!(store.delta_since(foreign), Delta::Full(hosts) if hosts.len() == 1), "{foreign}");
+    for unknown in [0, 1, first, first + 1, version + 1, u64::MAX] {
+        assert!(matches!(store.delta_since(unknown), Delta::Full(hosts) if hosts.len() == 1), "{unknown}");
     }
     // A store that was created a millisecond earlier or later has other versions.
     for unix in [UNIX - 1, UNIX + 100] {
         let Record::Opened { version: other } = Store::default().opening_record(unix) else {
             panic!("a version")
         };
-        assert!(matches!(store.delta_since(other), Delta::Full(_)), "{other} beside {first} to {version}");
+        assert!(
+            matches!(store.delta_since(other), Delta::Full(_)),
+            "{other} is not from {first} to {version}"
+        );
     }
 }
 
@@ -153,12 +157,12 @@
     });
     assert_eq!(rejection, Some(Rejection::ListTooLong));
     assert!(store.encode_list(None).expect("a list").len() <= MAX_LIST_BYTES && accepted > 200, "{accepted}");
-    let one = Command::Deregister { id: format!("server-{:0>100}", 0), revision: None };
-    execute(&mut store, one, secs(0)).expect("known");
+    let deregistration = Command::Deregister { id: format!("server-{:0>100}", 0), revision: None };
+    execute(&mut store, deregistration, secs(0)).expect("known");
     execute(&mut store, register("s", 1, None, None), secs(0)).expect("it fits again");
 }
 
-/// Returns the path of a new folder for one test.
+/// Returns a path for a new folder, unique to one test.
 fn folder() -> PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let name =
@@ -186,14 +190,14 @@
     let length = journal.log_bytes();
     drop(journal);
     let log = path.join("log.1");
-    let intact = fs::read(&log).expect("there");
+    let intact = fs::read(&log).expect("the file");
     assert_eq!(intact.len() as u64, length);
-    // Torn anywhere in the last frame, and with an end that was never written.
+    // The last frame is torn at any byte, and followed by bytes that were never written.
     let (mut journal, records, _) = open(&path).expect("intact");
     assert_eq!(records, [deletion(1), deletion(2), deletion(3)]);
     journal.append(&[deletion(4)]).expect("written");
     drop(journal);
-    let longer = fs::read(&log).expect("there");
+    let longer = fs::read(&log).expect("the file");
     for keep in intact.len()..longer.len() {
         for zeros in [0, 5, 100] {
             let mut torn = longer[..keep].to_vec();
@@ -202,15 +206,15 @@
             fs::write(&log, torn).expect("written");
             let (_, records, reported) = open(&path).unwrap_or_else(|e| panic!("{keep}, {zeros}: {e}"));
             assert_eq!((records.len(), reported), (3, torn_bytes), "{keep}, {zeros}");
-            assert_eq!(fs::read(&log).expect("there"), intact);
+            assert_eq!(fs::read(&log).expect("the file"), intact);
         }
     }
-    // What remains does no harm: each test has its own folder.
+    // An error is ignored: a folder that remains does no harm, since each test has its own.
     let _ = fs::remove_dir_all(&path);
 }
 
 #[test]
-fn other_damage_fails_the_start_with_its_offset() {
+fn damage_other_than_a_torn_write_fails_the_open_with_its_offset() {
     let path = folder();
     let (mut journal, ..) = open(&path).expect("new");
     for version in 1..4 {
@@ -218,28 +222,28 @@
     }
     drop(journal);
     let log = path.join("log.1");
-    let good = fs::read(&log).expect("there");
+    let good = fs::read(&log).expect("the file");
     let frame = (good.len() - 8) / 3;
     for at in 0..good.len() {
         let mut bad = good.clone();
         bad[at] ^= 0x41;
         fs::write(&log, &bad).expect("written");
-        let e = open(&path).err().unwrap_or_else(|| panic!("byte {at} is not detected"));
+        let e = open(&path).err().unwrap_or_else(|| panic!("damage at byte {at} is not detected"));
         let offset = if at < 8 { 0 } else { 8 + (at - 8) / frame * frame };
         assert!(e.starts_with(&format!("log.1 is damaged at byte {offset}: ")), "byte {at}: {e}");
-        assert_eq!(fs::read(&log).expect("there"), bad, "and the file is not changed");
+        assert_eq!(fs::read(&log).expect("the file"), bad, "the file is not changed");
     }
     fs::write(&log, &good).expect("written");
     let snapshot = path.join("snap.1");
-    let snapshot_bytes = fs::read(&snapshot).expect("there");
+    let snapshot_bytes = fs::read(&snapshot).expect("the file");
     for bad in [&snapshot_bytes[..snapshot_bytes.len() - 1], b"", b"MDDSNP01", &[b'x'; 40]] {
         fs::write(&snapshot, bad).expect("written");
-        let e = open(&path).err().expect("it is detected");
+        let e = open(&path).err().expect("the damage is detected");
         assert!(e.starts_with("snap.1 is damaged at byte "), "{e}");
     }
-    fs::remove_file(&snapshot).expect("there");
-    assert!(open(&path).err().expect("it is detected").starts_with("log.1 is damaged at byte 0: "));
-    // What remains does no harm: each test has its own folder.
+    fs::remove_file(&snapshot).expect("the file");
+    assert!(open(&path).err().expect("the damage is detected").starts_with("log.1 is damaged at byte 0: "));
+    // An error is ignored: a folder that remains does no harm, since each test has its own.
     let _ = fs::remove_dir_all(&path);
 }
 
@@ -257,8 +261,12 @@
     let second = Store::restore(snapshot, [], secs(1000));
     assert_eq!(second.snapshot(), first.snapshot());
     assert_eq!(second.encode_list(None), first.encode_list(None));
-    assert_eq!(second.encode_list(Some(version)), first.encode_list(Some(version)), "and the history");
-    // All leases start anew.
+    assert_eq!(
+        second.encode_list(Some(version)),
+        first.encode_list(Some(version)),
+        "the history is restored as well"
+    );
+    // All leases restart with their full duration.
     assert_eq!(second.next_expiry(), Some(secs(1060)));
     assert_eq!(second.expiry_record(secs(1059)), None);
 }
--- a/quota-gateway/discovery/tests/common/mod.rs
+++ b/quota-gateway/discovery/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The built service as a process, and clients on loopback sockets.
-#![allow(dead_code)] // each test file uses its part
+//! Helpers that start the built service as a process and connect clients to it on loopback sockets.
+#![allow(dead_code)] // each test file uses only some of the helpers
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The limit of every wait; only a failure takes that long.
+/// The time limit of every wait. Only a failing test waits that long.
 pub const MAX_WAIT: Duration = Duration::from_secs(30);
 
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
@@ -32,16 +32,16 @@
 
 /// Removes a folder of a test.
 pub fn remove_folder(path: impl AsRef<Path>) {
-    // What remains does no harm: each test has its own folder.
+    // An error is ignored: a folder that remains does no harm, since each test has its own.
     let _ = std::fs::remove_dir_all(path);
 }
 
-/// Returns a configuration that listens at an address and stores its journal in a folder; `more` are further fields.
-pub fn config(listen: &str, data: &Path, more: &str) -> String {
-    format!(r#"{{"listen":"{listen}","data":{:?}{more}}}"#, data.join("data"))
+/// Returns a configuration that listens on an address and stores its journal in a folder.
+pub fn config(listen: &str, data: &Path, extra_fields: &str) -> String {
+    format!(r#"{{"listen":"{listen}","data":{:?}{extra_fields}}}"#, data.join("data"))
 }
 
-/// A running service; killed when dropped.
+/// A running service, which is killed when dropped.
 pub struct ServiceProcess {
     pub child: Child,
     pub addr: SocketAddr,
@@ -56,7 +56,7 @@
             .arg(&file)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("it starts");
+            .expect("the service starts");
         let log: Arc<Mutex<String>> = Arc::default();
         let (lines, errors) = (log.clone(), child.stderr.take().expect("piped"));
         thread::spawn(move || {
@@ -65,14 +65,14 @@
             }
         });
         let mut addr = None;
-        wait_until("it listens", || {
+        wait_until("the service listens", || {
             let log = log.lock().unwrap();
             addr = log
                 .lines()
                 .find_map(|l| l.strip_prefix("marblecroft-discovery: listening on ")?.parse().ok());
             addr.is_some()
         });
-        ServiceProcess { child, addr: addr.expect("listening"), log }
+        ServiceProcess { child, addr: addr.expect("an address"), log }
     }
 
     pub fn log(&self) -> String {
@@ -84,8 +84,8 @@
     }
 
     pub fn kill(mut self) {
-        self.child.kill().expect("it ran");
-        self.child.wait().expect("waited for");
+        self.child.kill().expect("killed");
+        self.child.wait().expect("an exit status");
     }
 
     pub fn terminate(&self) {
@@ -95,11 +95,11 @@
 
     pub fn exit(&mut self) -> ExitStatus {
         let mut status = None;
-        wait_until("it exits", || {
-            status = self.child.try_wait().expect("waited for");
+        wait_until("the service exits", || {
+            status = self.child.try_wait().expect("an exit status");
             status.is_some()
         });
-        status.expect("ended")
+        status.expect("an exit status")
     }
 }
 
@@ -130,7 +130,7 @@
 impl Client {
     pub fn connect(addr: SocketAddr) -> Client {
         let stream = TcpStream::connect(addr).expect("connected");
-        stream.set_read_timeout(Some(MAX_WAIT)).expect("set");
+        stream.set_read_timeout(Some(MAX_WAIT)).expect("a read timeout");
         Client(BufReader::new(stream))
     }
 
@@ -171,7 +171,10 @@
         self.response().expect("a response")
     }
 
-    pub fn register(&mut self, id: &str, port: u16, more: &str) -> Response {
-        self.post("/discovery/register", &format!(r#"{{"id":"{id}","addr":"127.0.0.1:{port}"{more}}}"#))
+    pub fn register(&mut self, id: &str, port: u16, extra_fields: &str) -> Response {
+        self.post(
+            "/discovery/register",
+            &format!(r#"{{"id":"{id}","addr":"127.0.0.1:{port}"{extra_fields}}}"#),
+        )
     }
 }
--- a/quota-gateway/discovery/tests/format.rs
+++ b/quota-gateway/discovery/tests/format.rs
@@ -1,10 +1,10 @@
-//! The list's format: round trips, and reading arbitrary and corrupted input.
+//! Tests of the list's format: round trips, and parsing of arbitrary and corrupted input.
 
 use marblecroft_discovery::format::*;
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// In thousandths: a longer fraction may be read back as its neighbour.
+/// Weights in thousandths. A longer fraction may be parsed back as an adjacent floating-point value.
 fn weight() -> impl Strategy<Value = f64> {
     (0..1_000_000_000_u64).prop_map(|thousandths| thousandths as f64 / 1000.0)
 }
@@ -54,14 +54,14 @@
 
     #[test]
     fn arbitrary_bytes_parse_within_bounds(bytes in prop::collection::vec(any::<u8>(), 0..400), query: String) {
-        // Only a panic is a failure.
+        // The result is ignored: only a panic is a failure.
         let _ = serde_json::from_slice::<HostList>(&bytes);
         if let Ok(ListRequest::Watch { wait, .. }) = ListRequest::parse(&query) {
             prop_assert!(wait <= MAX_WATCH_TIME);
         }
     }
 
-    /// A valid list with some bytes changed.
+    /// Parses a valid list with some bytes changed.
     #[test]
     fn a_corrupted_list_is_read_as_far_as_possible(hosts in prop::collection::vec(host(), 1..5), changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4)) {
         let mut text = serde_json::to_vec(&HostListRef { version: 1, full: true, store: 7, epoch: 1, servers: hosts.iter().collect() }).unwrap();
--- a/quota-gateway/discovery/tests/golden.rs
+++ b/quota-gateway/discovery/tests/golden.rs
@@ -1,8 +1,10 @@
-//! Recorded bytes of what this crate stores and sends: the journal's files, the list, and the JSON of its HTTP calls.
+//! Golden tests of the bytes that this crate stores and sends: the journal's files, the list, and the JSON of
+//! its HTTP API.
 //!
-//! The fixtures were written by one run of the code of the day on which they were recorded. Each test encodes fixed values
-//! and compares with the fixture, decodes the fixture, and encodes what was decoded to the same bytes. A type or field that
-//! is renamed in the program is renamed in the construction code here; the fixtures stay.
+//! The fixtures were written by one run of the code at the time of their recording. Each test encodes fixed
+//! values and compares the result with the fixture, decodes the fixture, and encodes the decoded value to the
+//! same bytes. If a type or field is renamed, the code here that constructs it changes, and the fixtures do
+//! not.
 
 mod common;
 #[path = "../../../testing/support/golden/mod.rs"]
@@ -20,7 +22,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Files in memory, shared with the journal that writes them.
+/// Storage in memory, shared with the journal that writes to it.
 #[derive(Clone, Default)]
 struct Files(Rc<RefCell<BTreeMap<String, Vec<u8>>>>);
 
@@ -80,7 +82,7 @@
     }
 }
 
-/// Each kind of record, and more than one server, one of them gone.
+/// Returns each kind of record, with several servers, one of which is deleted.
 fn records() -> Vec<Record> {
     vec![
         Record::Opened { version: 1001 },
@@ -97,7 +99,7 @@
 }
 
 #[test]
-fn the_journals_log_keeps_its_bytes() {
+fn the_journal_log_matches_its_fixtures() {
     let files = Files::default();
     let (mut journal, _) = Journal::open(files.clone()).expect("opened");
     journal.append(&records()).expect("written");
@@ -108,14 +110,14 @@
     let (_, recovered) = Journal::open(recorded).expect("opened");
     assert_eq!((recovered.records.as_slice(), recovered.torn_bytes), (records().as_slice(), 0));
     assert_eq!(recovered.snapshot, Snapshot::default());
-    let again = Files::default();
-    let (mut journal, _) = Journal::open(again.clone()).expect("opened");
+    let rewritten = Files::default();
+    let (mut journal, _) = Journal::open(rewritten.clone()).expect("opened");
     journal.append(&recovered.records).expect("written");
-    same_bytes("log.hex", &again.get("log.1"));
+    same_bytes("log.hex", &rewritten.get("log.1"));
 }
 
 #[test]
-fn the_journals_snapshot_keeps_its_bytes() {
+fn the_journal_snapshot_matches_its_fixtures() {
     let files = Files::default();
     let (mut journal, _) = Journal::open(files.clone()).expect("opened");
     journal.compact(&store().snapshot()).expect("written");
@@ -131,7 +133,7 @@
 }
 
 #[test]
-fn the_list_keeps_its_json() {
+fn the_list_matches_its_fixture() {
     let servers =
         [host("s-1", 81, State::Serving), host("s-2", 82, State::Draining), host("s-3", 83, State::Deleted)];
     let encode = |servers: &[Host]| {
@@ -162,7 +164,7 @@
 }
 
 #[test]
-fn the_stores_responses_keep_their_json() {
+fn the_responses_of_the_store_match_their_fixtures() {
     let store = store();
     let text = |bytes: Option<Vec<u8>>| String::from_utf8(bytes.expect("a response")).expect("UTF-8");
     same_text("told-whole.json", &text(store.encode_list(None)));
@@ -175,10 +177,11 @@
 }
 
 #[test]
-fn replication_keeps_its_json() {
+fn replication_messages_match_their_fixtures() {
     let replica = ReplicationRequest { store: 1001, epoch: 7, version: 1013, wait_ms: 2500 };
     same_text("replica.json", &serde_json::to_string(&replica).expect("text"));
-    let read: ReplicationRequest = serde_json::from_str(&text("replica.json")).expect("a replica");
+    let read: ReplicationRequest =
+        serde_json::from_str(&text("replica.json")).expect("a replication request");
     assert_eq!(read, replica);
     same_text("replica.json", &serde_json::to_string(&read).expect("text"));
 
@@ -195,9 +198,9 @@
     }
 }
 
-/// The literal bodies here are what operators and servers send.
+/// The literal bodies are those that operators and servers send.
 #[test]
-fn requests_keep_their_paths_and_fields() {
+fn requests_are_parsed_from_their_paths_and_fields() {
     let route = |method: &str, path: &str, query: &str, body: &str| {
         let request = HttpRequest {
             method: method.to_owned(),
@@ -245,9 +248,9 @@
     assert_eq!(route("GET", "/discovery/status", "", ""), ApiRequest::Status);
 }
 
-/// Figures differ from run to run; the names and their kinds do not.
+/// The values of fields differ from run to run, so only the names and JSON types are compared.
 #[test]
-fn the_services_responses_keep_their_fields() {
+fn the_responses_of_the_service_match_their_fixtures() {
     let folder = folder();
     let service = ServiceProcess::start(&folder, &config("127.0.0.1:0", &folder, ""));
     let mut client = service.client();
--- a/quota-gateway/discovery/tests/service.rs
+++ b/quota-gateway/discovery/tests/service.rs
@@ -1,4 +1,4 @@
-//! The service over sockets: the API, watches, limits, restarts and bad input.
+//! Tests of the service over sockets: the API, watches, limits, restarts and invalid input.
 
 mod common;
 
@@ -21,7 +21,7 @@
     let (mut operator, mut watcher) = (service.client(), service.client());
     let list = watcher.get("/discovery/hosts");
     assert_eq!((list.status, list.json()["full"].as_bool()), (200, Some(true)));
-    assert_eq!(list.json()["servers"].as_array().map(Vec::len), Some(0), "an empty list is one");
+    assert_eq!(list.json()["servers"].as_array().map(Vec::len), Some(0), "the list is empty");
     let mut since = version(&list);
     let mut watch_change = |operator: &mut Client, path: &str, body: &str| {
         watcher.write(&format!("GET {} HTTP/1.1\r\n\r\n", list_target(since, 20_000)));
@@ -42,7 +42,10 @@
         (registered["state"].as_str(), registered["cell"].as_u64(), registered["weight"].as_f64()),
         (Some("SERVING"), Some(3), Some(1.5))
     );
-    assert!(registered["started_ms"].as_u64() > Some(1_600_000_000_000), "its start is now");
+    assert!(
+        registered["started_ms"].as_u64() > Some(1_600_000_000_000),
+        "the start time is the time of the registration"
+    );
     assert_eq!(watch_change(&mut operator, "/discovery/drain", r#"{"id":"s-1"}"#)["state"], "DRAINING");
     assert_eq!(watch_change(&mut operator, "/discovery/undrain", r#"{"id":"s-1"}"#)["state"], "SERVING");
     let details = operator.post("/discovery/show", r#"{"id":"s-1"}"#).json();
@@ -94,7 +97,7 @@
     let second = ServiceProcess::start(&folder, &settings);
     let mut client = second.client();
     let missed = client.get(&list_target(since, 20_000)).json();
-    assert_eq!(missed["full"], false, "it is the same store, and its history is there");
+    assert_eq!(missed["full"], false, "the store is the same, and its history is restored");
     assert_eq!(missed["servers"].as_array().map(Vec::len), Some(1));
     assert_eq!(
         (missed["servers"][0]["id"].as_str(), missed["servers"][0]["state"].as_str()),
@@ -102,8 +105,11 @@
     );
     assert!(missed["version"].as_u64() > Some(since));
     let details = client.post("/discovery/show", r#"{"id":"s-0"}"#).json();
-    assert!(details["lease_left_ms"].as_u64() > Some(1000), "leases start anew: {details}");
-    // Another process cannot lock the folder.
+    assert!(
+        details["lease_left_ms"].as_u64() > Some(1000),
+        "leases restart with their full duration: {details}"
+    );
+    // A second process cannot lock the folder.
     let file = folder.join("config.json");
     let other =
         Command::new(env!("CARGO_BIN_EXE_marblecroft-discovery")).arg(&file).output().expect("it runs");
@@ -195,7 +201,7 @@
 }
 
 #[test]
-fn an_invalid_configuration_ends_the_start_with_one_line() {
+fn an_invalid_configuration_fails_the_start_with_one_log_line() {
     let folder = folder();
     let good = config("127.0.0.1:0", &folder, "");
     for (text, reason) in [
@@ -226,18 +232,18 @@
     let mut first = service.client();
     let since = version(&first.get("/discovery/hosts"));
     let busy = first.get("/discovery/hosts");
-    assert_eq!(busy.status, 503, "one full list per second");
+    assert_eq!(busy.status, 503, "the limit is one full list per second");
     assert!(busy.head.contains("Retry-After: 1"), "{busy:?}");
     let mut watchers: Vec<Client> = (0..2).map(|_| service.client()).collect();
     watchers
         .iter_mut()
         .for_each(|w| w.write(&format!("GET {} HTTP/1.1\r\n\r\n", list_target(since, 20_000))));
-    wait_until("both wait", || first.get("/discovery/status").json()["watches"] == 2);
-    assert_eq!(first.get(&list_target(since, 20_000)).status, 503, "two watches");
+    wait_until("both watches wait", || first.get("/discovery/status").json()["watches"] == 2);
+    assert_eq!(first.get(&list_target(since, 20_000)).status, 503, "the limit is two watches");
     let others: Vec<Client> = (0..3).map(|_| service.client()).collect();
-    let mut over = service.client();
-    assert_eq!(over.get("/discovery/status").status, 503, "six connections");
-    assert!(over.response().is_none(), "and closed");
+    let mut excess = service.client();
+    assert_eq!(excess.get("/discovery/status").status, 503, "the limit is six connections");
+    assert!(excess.response().is_none(), "the connection is closed");
     drop(others);
     assert_eq!(first.register("s-1", 80, "").status, 200);
     for watcher in &mut watchers {
@@ -247,7 +253,7 @@
 }
 
 #[test]
-fn a_client_that_reads_nothing_delays_no_other() {
+fn a_client_that_reads_nothing_does_not_delay_others() {
     let folder = folder();
     let service = ServiceProcess::start(&folder, &config("127.0.0.1:0", &folder, ""));
     let mut client = service.client();
@@ -274,7 +280,7 @@
 #[test]
 fn watches_of_many_clients_continue_after_a_restart_without_full_lists() {
     let folder = folder();
-    // Full lists would exceed their budget at once.
+    // With this limit, full lists for all watchers would be rejected.
     let settings = config("127.0.0.1:0", &folder, r#","limits":{"whole_lists_per_s":1}"#);
     let service = ServiceProcess::start(&folder, &settings);
     let mut operator = service.client();
@@ -286,7 +292,7 @@
     watchers
         .iter_mut()
         .for_each(|w| w.write(&format!("GET {} HTTP/1.1\r\n\r\n", list_target(since, 20_000))));
-    wait_until("all wait", || operator.get("/discovery/status").json()["watches"] == 300);
+    wait_until("all watches wait", || operator.get("/discovery/status").json()["watches"] == 300);
     service.kill();
     assert!(watchers.iter_mut().all(|watcher| watcher.response().is_none()), "no watch was answered");
     let second = ServiceProcess::start(&folder, &settings);
@@ -303,15 +309,15 @@
     // The next change reaches all of them with one encoding.
     watchers.iter_mut().for_each(|w| w.write(&format!("GET {} HTTP/1.1\r\n\r\n", list_target(now, 20_000))));
     let mut operator = second.client();
-    wait_until("all wait again", || operator.get("/discovery/status").json()["watches"] == 300);
-    let encoded = operator.get("/discovery/status").json()["encodings"].as_u64().expect("a number");
+    wait_until("all watches wait again", || operator.get("/discovery/status").json()["watches"] == 300);
+    let encodings_before = operator.get("/discovery/status").json()["encodings"].as_u64().expect("a number");
     assert_eq!(operator.post("/discovery/drain", r#"{"id":"s-7"}"#).status, 200);
     for watcher in &mut watchers {
         assert_eq!(watcher.response().expect("a change").json()["servers"][0]["id"], "s-7");
     }
     let encodings =
-        operator.get("/discovery/status").json()["encodings"].as_u64().expect("a number") - encoded;
-    assert_eq!(encodings, 1, "one for all watches");
+        operator.get("/discovery/status").json()["encodings"].as_u64().expect("a number") - encodings_before;
+    assert_eq!(encodings, 1, "one encoding for all watches");
     remove_folder(folder);
 }
 
@@ -323,7 +329,7 @@
     let since = version(&watcher.get("/discovery/hosts"));
     watcher.write(&format!("GET {} HTTP/1.1\r\n\r\n", list_target(since, 60_000)));
     let mut other = service.client();
-    wait_until("it waits", || other.get("/discovery/status").json()["watches"] == 1);
+    wait_until("the watch waits", || other.get("/discovery/status").json()["watches"] == 1);
     service.terminate();
     let response = watcher.response().expect("a response");
     assert_eq!((response.status, version(&response)), (200, since));
--- a/quota-gateway/discovery/tests/store.rs
+++ b/quota-gateway/discovery/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store and its journal against a model, on storage that fails at any step.
+//! Tests of the store and its journal against a model, on storage that fails at any operation.
 
 use marblecroft_discovery::format::*;
 use marblecroft_discovery::journal::{Journal, JournalError, Storage};
@@ -14,7 +14,7 @@
 #[derive(Clone, Default)]
 struct FileContents {
     durable: Vec<u8>,
-    /// As the process sees it.
+    /// The contents as the process reads them, durable or not.
     written: Vec<u8>,
 }
 
@@ -25,18 +25,21 @@
     Removed(String),
 }
 
-/// Storage in memory. A crash loses some or all of the contents and names that are not synced.
+/// Storage in memory. A crash loses some or all of the contents and file names that are not synced.
 #[derive(Default)]
 struct StorageState {
     files: BTreeMap<String, Rc<RefCell<FileContents>>>,
-    /// The durable names, and their changes since.
+    /// The durable file names.
     names: BTreeMap<String, Rc<RefCell<FileContents>>>,
+    /// The changes of file names since the last sync.
     unsynced: Vec<NameChange>,
-    /// Operations until all fail, and until a single one fails.
+    /// The number of operations until all operations fail.
     crash: Option<u32>,
+    /// The number of operations until a single one fails.
     fail: Option<u32>,
-    /// The share of unsynced data that survives a crash, in 256ths, and whether the rest reads as zeros.
+    /// The share of unsynced data that survives a crash, in 256ths.
     survival: u8,
+    /// Whether the lost contents read as zeros after a crash.
     zeros: bool,
 }
 
@@ -61,7 +64,7 @@
         Ok(())
     }
 
-    /// Turns into what a process finds after the crash.
+    /// Sets the state to the one that a process finds after a crash.
     fn recover_from_crash(&self) {
         let mut state = self.0.borrow_mut();
         let keep = state.unsynced.len() * usize::from(state.survival) / 256;
@@ -185,23 +188,24 @@
     Deregister {
         id: u8,
     },
-    /// Time passes, in milliseconds, and the wall clock is set by so many beside.
-    Pass {
+    /// Advances the clocks by `millis`, and steps the wall clock by `wall_clock_step` milliseconds in
+    /// addition.
+    Advance {
         millis: u64,
-        set: i64,
+        wall_clock_step: i64,
     },
     Compact,
-    /// One write fails.
+    /// A single storage operation fails, after `after` others.
     Fail {
         after: u32,
     },
-    /// The machine crashes after so many storage operations.
+    /// The machine crashes after `after` storage operations.
     Crash {
         after: u32,
         survival: u8,
         zeros: bool,
     },
-    /// Only the process restarts.
+    /// The process restarts, and the machine does not.
     Restart,
 }
 
@@ -215,7 +219,7 @@
         2 => id.clone().prop_map(|id| Step::Undrain { id }),
         2 => id.prop_map(|id| Step::Deregister { id }),
         2 => (0..1500_u64, prop_oneof![4 => Just(0), 1 => -5_000_000..5_000_000_i64])
-            .prop_map(|(millis, set)| Step::Pass { millis, set }),
+            .prop_map(|(millis, wall_clock_step)| Step::Advance { millis, wall_clock_step }),
         1 => Just(Step::Compact),
         1 => (0..6_u32).prop_map(|after| Step::Fail { after }),
         2 => (0..12_u32, any::<u8>(), any::<bool>()).prop_map(|(after, survival, zeros)| Step::Crash { after, survival, zeros }),
@@ -223,7 +227,7 @@
     ]
 }
 
-/// The acknowledged entries: port and state.
+/// The acknowledged entries by id, each with its port and state.
 type Model = BTreeMap<String, (u16, State)>;
 
 /// A reader that follows the list with watches, as gateways do.
@@ -237,13 +241,16 @@
     fn follow(&mut self, store: &Store) {
         let Some(text) = store.encode_list(self.version) else { return };
         let list: HostList = serde_json::from_slice(&text).expect("a list");
-        assert!(self.version.is_none_or(|version| list.version > version), "versions rise for each reader");
+        assert!(
+            self.version.is_none_or(|version| list.version > version),
+            "versions increase for each reader"
+        );
         self.version = Some(list.version);
         if list.full {
             self.view.clear();
         }
         for entry in list.servers {
-            let Entry::Readable(host) = entry else { panic!("spoilt") };
+            let Entry::Readable(host) = entry else { panic!("an entry cannot be parsed") };
             if host.state == State::Deleted {
                 assert!(!list.full);
                 self.view.remove(&host.id);
@@ -260,8 +267,9 @@
     journal: Journal<FaultyStorage>,
     now: Duration,
     unix: u64,
-    /// The acknowledged entries, and those with the change that failed, which may be durable all the same.
+    /// The acknowledged entries.
     model: Model,
+    /// The entries including a change whose write failed, which may be durable nevertheless.
     uncertain: Option<Model>,
     last_version: u64,
 }
@@ -286,7 +294,7 @@
 impl Simulation {
     fn new() -> Simulation {
         let disk = FaultyStorage::default();
-        let (store, journal) = start(&disk, Duration::ZERO, 1_000_000).expect("a new one");
+        let (store, journal) = start(&disk, Duration::ZERO, 1_000_000).expect("a new store");
         let last_version = store.version();
         Simulation {
             disk,
@@ -300,15 +308,15 @@
         }
     }
 
-    /// The process restarts, after a crash or without one, and must find the acknowledged entries.
+    /// Restarts the process, after a crash or without one, and checks that it finds the acknowledged entries.
     fn restart(&mut self, watchers: &mut [Watcher]) {
         (self.store, self.journal) =
             start(&self.disk, self.now, self.unix).expect("a crash causes no damage");
         let found = listed(&self.store);
         let is_expected =
             found == self.model || self.uncertain.as_ref().is_some_and(|uncertain| found == *uncertain);
-        assert!(is_expected, "found {found:?} for {:?} or {:?}", self.model, self.uncertain);
-        assert!(self.store.version() > self.last_version, "versions rise across a start");
+        assert!(is_expected, "found {found:?}, expected {:?} or {:?}", self.model, self.uncertain);
+        assert!(self.store.version() > self.last_version, "versions increase across a restart");
         self.last_version = self.store.version();
         self.model = found;
         self.uncertain = None;
@@ -327,7 +335,7 @@
             Record::Opened { .. } | Record::Promoted { .. } => unreachable!(),
         }
         if self.journal.append(std::slice::from_ref(&record)).is_err() {
-            // Not acknowledged. A restart may find it, if nothing else was written since.
+            // The change is not acknowledged. A restart may find it, if nothing else was written since.
             self.uncertain.get_or_insert(after);
             return false;
         }
@@ -367,7 +375,7 @@
             Step::Renew { id } => Some(Command::Renew { id: name(id) }),
             Step::Drain { id, with_revision } => {
                 let id = name(id);
-                // The entry's revision, or one that it never had.
+                // The entry's current revision, or one that it never had.
                 let revision = with_revision.and_then(|is_current| {
                     revision(&simulation, &id)
                         .map(|revision| if is_current { revision } else { revision + 1 })
@@ -384,9 +392,9 @@
             _ => None,
         };
         match step {
-            Step::Pass { millis, set } => {
+            Step::Advance { millis, wall_clock_step } => {
                 simulation.now += Duration::from_millis(*millis);
-                simulation.unix = (simulation.unix + millis).saturating_add_signed(*set).max(1);
+                simulation.unix = (simulation.unix + millis).saturating_add_signed(*wall_clock_step).max(1);
                 while let Some(record) = simulation.store.expiry_record(simulation.now) {
                     if is_crashing || !simulation.change(record) {
                         break;
@@ -394,7 +402,7 @@
                     expired += 1;
                 }
             }
-            // After an error the former generation goes on, or nothing can be appended.
+            // After an error, the former generation stays in use, or appends fail.
             Step::Compact if simulation.journal.compact(&simulation.store.snapshot()).is_ok() => {
                 simulation.uncertain = None
             }
@@ -418,7 +426,7 @@
                 Ok(Decision::Nothing) | Err(_) => {}
             }
         }
-        assert_eq!(listed(&simulation.store), simulation.model, "the list has the acknowledged entries");
+        assert_eq!(listed(&simulation.store), simulation.model, "the list contains the acknowledged entries");
         watchers[n % 2].follow(&simulation.store);
         assert_eq!(watchers[n % 2].view, simulation.model, "no change is missed");
         if is_crashing && simulation.disk.0.borrow().crash == Some(0) {
@@ -431,7 +439,7 @@
 }
 
 #[test]
-fn no_acknowledged_change_is_lost_and_versions_rise_with_faulty_storage() {
+fn no_acknowledged_change_is_lost_and_versions_increase_with_faulty_storage() {
     let config = Config { cases: 800, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]));
     let totals = RefCell::new((0, 0, 0));
--- a/quota-gateway/discovery/tests/wire.rs
+++ b/quota-gateway/discovery/tests/wire.rs
@@ -1,4 +1,5 @@
-//! Every decoder of the service with arbitrary bytes, and with valid input that is truncated or corrupted.
+//! Tests of every decoder of the service with arbitrary bytes, and with valid input that is truncated or
+//! corrupted.
 
 use marblecroft_discovery::http::*;
 use marblecroft_discovery::journal::{Folder, Journal};
@@ -18,19 +19,19 @@
     fn arbitrary_bytes_parse_within_bounds(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         if let ParseOutcome::Complete(request, length) = parse_request(&bytes) {
             prop_assert!(length <= bytes.len() && request.body.len() <= MAX_BODY_BYTES);
-            // Only a panic is a failure.
+            // The result is ignored: only a panic is a failure.
             let _ = route(&request);
         }
         let _ = parse_response(&bytes);
     }
 
-    /// A request is complete once all of it was received, whatever follows it, and not before.
+    /// A request is complete only once all of it has been received, regardless of the bytes that follow it.
     #[test]
     fn a_request_in_chunks_parses_once_it_is_complete(bytes in valid_request(), following in prop::collection::vec(any::<u8>(), 0..50), truncation: prop::sample::Index) {
         let ParseOutcome::Complete(request, length) = parse_request(&bytes) else { panic!("{}", String::from_utf8_lossy(&bytes)) };
         prop_assert_eq!(length, bytes.len());
         prop_assert_eq!(parse_request(&bytes[..truncation.index(bytes.len())]), ParseOutcome::Incomplete);
-        // Only a panic is a failure.
+        // The result is ignored: only a panic is a failure.
             let _ = route(&request);
         let more = [bytes.clone(), following].concat();
         prop_assert_eq!(parse_request(&more), ParseOutcome::Complete(request, length));
@@ -67,7 +68,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// Whatever the files contain, opening fails or finds no record that was not written.
+    /// Opening a journal with arbitrary files fails, or returns no record that was not written.
     #[test]
     fn arbitrary_files_are_read_or_rejected(log in prop::collection::vec(any::<u8>(), 0..200), magic: bool, snapshot in prop::option::of(prop::collection::vec(any::<u8>(), 0..100))) {
         static NEXT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
@@ -80,9 +81,9 @@
             std::fs::write(path.join("snap.1"), snapshot).unwrap();
         }
         if let Ok((_, recovered)) = Journal::open(Folder::lock(&path).unwrap().unwrap()) {
-            prop_assert!(recovered.records.is_empty(), "no frame of this has its checksums");
+            prop_assert!(recovered.records.is_empty(), "arbitrary bytes contain no frame with valid checksums");
         }
-        // What remains does no harm: each case has its own folder.
+        // An error is ignored: a folder that remains does no harm, since each case has its own.
         let _ = std::fs::remove_dir_all(path);
     }
 }
