--- a/quota-gateway/discovery/src/config.rs
+++ b/quota-gateway/discovery/src/config.rs
@@ -14,7 +14,7 @@
     pub enum ConfigError {
         /// No configuration file is given.
         NoFile {
-            display("no configuration file is given, neither as argument nor in MARBLECROFT_DISCOVERY_CONFIG")
+            display("no configuration file is given as the argument or in MARBLECROFT_DISCOVERY_CONFIG")
         }
         /// There is more than one argument.
         ExtraArgument {
@@ -57,8 +57,8 @@
     pub peers: Vec<SocketAddr>,
     /// The writer that this process follows. By default, this process is the writer.
     pub follow: Option<SocketAddr>,
-    /// How long, in milliseconds, a replica serves lists after it was last in sync, and a writer accepts
-    /// changes after at least half of its peers last responded. 5000 by default.
+    /// The maximum age in milliseconds, 5000 by default, of the last synchronization for a replica to serve
+    /// lists, and of the last response from at least half of the peers for a writer to accept changes.
     #[serde(default = "default_stale_ms")]
     pub stale_ms: u64,
     /// The limits on load.
--- a/quota-gateway/discovery/src/http/error.rs
+++ b/quota-gateway/discovery/src/http/error.rs
@@ -16,7 +16,7 @@
 }
 
 impl HttpError {
-    /// Returns an error that a retry would return again.
+    /// Returns an error that a retry cannot resolve.
     pub fn new(status: u16, reason: impl Into<String>) -> HttpError {
         HttpError { status, reason: reason.into(), retry_after: None }
     }
--- a/quota-gateway/discovery/src/journal.rs
+++ b/quota-gateway/discovery/src/journal.rs
@@ -216,7 +216,7 @@
         Ok(())
     }
 
-    /// Makes changes durable, all of them or none.
+    /// Appends changes to the log and makes them durable, all of them or none.
     ///
     /// # Errors
     ///
--- a/quota-gateway/discovery/src/store.rs
+++ b/quota-gateway/discovery/src/store.rs
@@ -23,10 +23,10 @@
 pub const MIN_LEASE: Duration = Duration::from_secs(1);
 /// The maximum duration of a lease.
 pub const MAX_LEASE: Duration = Duration::from_secs(3600);
-/// At its creation and at each start of a writer, a store's version advances at least to the Unix time in
-/// milliseconds times this factor. The versions of two stores, or those before and after a restore from a
-/// backup, therefore do not overlap. They stay below 2^53, up to which every JSON reader represents integers
-/// exactly.
+/// At its creation and at each start or promotion of a writer, a store's version advances at least to the
+/// Unix time in milliseconds times this factor. The versions of two stores, or those before and after a
+/// restore from a backup, therefore do not overlap. They stay below 2^53, up to which every JSON reader
+/// represents integers exactly.
 const VERSIONS_PER_MS: u64 = 1 << 10;
 /// An upper bound of the length of a list without its entries, in bytes.
 const LIST_OVERHEAD_BYTES: usize = 128;
--- a/quota-gateway/discovery/src/store/command.rs
+++ b/quota-gateway/discovery/src/store/command.rs
@@ -1,4 +1,4 @@
-//! The store's commands, its decisions, and the records as which changes are stored and replicated.
+//! The store's commands, its decisions, and the records of changes, which are stored and replicated.
 
 use crate::format::Host;
 use serde::{Deserialize, Serialize};
--- a/quota-gateway/discovery/tests/follow.rs
+++ b/quota-gateway/discovery/tests/follow.rs
@@ -278,8 +278,8 @@
                         MergeOutcome::Stale => {
                             stale_lists.set(stale_lists.get() + 1);
                         }
-                        // The versions of two stores do not overlap, so a watch from another store gets the
-                        // full list at once.
+                        // The versions of two stores do not overlap, so a watch with a version of another
+                        // store gets the full list at once.
                         MergeOutcome::OtherStore => prop_assert!(false, "changes of another store"),
                     }
                 }
--- a/quota-gateway/discovery/tests/replicas.rs
+++ b/quota-gateway/discovery/tests/replicas.rs
@@ -111,7 +111,7 @@
     assert_eq!((full_list["full"].as_bool(), full_list["epoch"].as_u64()), (Some(true), Some(1)));
     assert!(full_list["version"].as_u64() > Some(before));
 
-    // The former writer restarts and polls its peer first. It neither accepts changes nor serves lists.
+    // The former writer restarts and polls its peer first. It rejects changes and list requests.
     let writer = first.start(&first_config);
     let mut old_writer = writer.client();
     assert_eq!(old_writer.register("s-9", 99, "").status, 503);
--- a/quota-gateway/membership/src/config.rs
+++ b/quota-gateway/membership/src/config.rs
@@ -14,13 +14,13 @@
     pub name: Name,
     /// The address at which this member receives datagrams.
     pub addr: SocketAddrV4,
-    /// The zone in which this member runs; empty where it is not known.
+    /// The zone in which this member runs; empty if unknown.
     pub zone: Name,
-    /// Members through which this one joins. Any of them may be down.
+    /// The addresses of members through which this one joins. Any of them may be down.
     pub seeds: Vec<SocketAddrV4>,
     /// The protocol period (SWIM: T').
     pub period: Duration,
-    /// The number of members that the cluster should have, this one included.
+    /// The expected number of members in the cluster, including this one.
     pub expected: u32,
     /// The share of the expected members, from 0 to 1, that must be present for the view to be sufficient.
     pub min_share: f64,
--- a/quota-gateway/membership/src/detector.rs
+++ b/quota-gateway/membership/src/detector.rs
@@ -1,17 +1,19 @@
 //! The failure detector of one member, without I/O.
 //!
-//! Each protocol period takes this way through the modules:
+//! Each protocol period runs through the modules as follows:
 //!
-//! 1. The probe schedule gives the next target, and a ping goes out (`probe`). Without an ack in time, helpers probe the
-//!    target as well, since the loss may lie on the path between these two members only.
-//! 2. A target that has acknowledged neither by the end of the period becomes suspect, and the local health score, which
-//!    lengthens periods and timeouts, judges whether this process itself is the slow one (`local_health`).
-//! 3. A suspect that does not refute in time is declared failed (`suspicion`).
+//! 1. The probe schedule provides the next target, and a ping is sent to it (`probe`). Without an ack in
+//!    time, helpers probe the target as well, since the loss may be limited to the path between these two
+//!    members.
+//! 2. A target that has not acknowledged any probe by the end of the period becomes suspect. The local health
+//!    score, which lengthens periods and timeouts, estimates whether this process itself is slow
+//!    (`local_health`).
+//! 3. A suspect that does not refute the suspicion in time is declared failed (`suspicion`).
 //! 4. Each change enters the view (`view`, `members`) and is gossiped on the messages of all these steps
 //!    (`dissemination`).
 //!
-//! Apart from that, full states are synchronised now and then: gossip reaches only members that are known, and a member
-//! that joins, or returns from behind a network partition, knows few.
+//! In addition, full states are synchronized periodically, since gossip reaches only known members, and a
+//! member that joins or returns from a network partition has few in its view.
 
 mod dissemination;
 mod local_health;
@@ -34,32 +36,33 @@
 use suspicion::SuspicionTimeout;
 use view::View;
 
-/// Helpers that are asked to probe a member that does not acknowledge (SWIM: k).
+/// The number of helpers that are asked to probe a member that does not acknowledge (SWIM: k).
 const INDIRECT_PROBES: usize = 3;
-/// The share of a protocol period that the direct probe has; the rest is for the indirect ones.
+/// The share of a protocol period for the direct probe. The rest is for the indirect probes.
 const DIRECT_PROBE_SHARE: f64 = 0.4;
-/// The share of the direct probe's time after which a helper answers with a nack (Lifeguard).
+/// The share of the direct probe's time after which a helper responds with a nack (Lifeguard).
 const NACK_SHARE: f64 = 0.8;
-/// How long absent members are remembered, so that old updates do not bring them back. Longer than an update travels: twice
-/// the longest suspicion among a thousand members.
+/// How long absent members are kept in the table, so that old updates do not mark them as present again. This
+/// is longer than an update is gossiped: more than twice the longest suspicion among a thousand members.
 const ABSENT_RETENTION_PERIODS: f64 = 200.0;
-/// The mean interval between synchronisations with a random member.
+/// The mean interval between synchronizations with a random member.
 const SYNC_INTERVAL_PERIODS: f64 = 30.0;
-/// The mean delay until the next synchronisation after one that brought updates.
+/// The mean delay until the next synchronization after one that provided updates.
 const FOLLOW_UP_SYNC_DELAY_PERIODS: f64 = 2.0;
-/// The mean interval between synchronisations while no other member is present.
+/// The mean interval between synchronizations while no other member is present.
 const JOIN_SYNC_INTERVAL_PERIODS: f64 = 1.0;
-/// The share of synchronisations that go to a seed, whether the seed counts as present or not.
+/// The share of synchronizations with a seed, whether or not the seed counts as present.
 const SEED_SYNC_SHARE: f64 = 0.2;
-/// A tick that comes later than this is taken for a pause of this process.
+/// The delay of a tick beyond which this process is assumed to have been paused.
 const PAUSE_THRESHOLD_PERIODS: f64 = 0.5;
-/// Members to which a leaving member announces that.
+/// The number of members to which a leaving member announces its departure.
 const LEAVE_FANOUT: usize = 8;
 
 /// The failure detector of one member.
 ///
-/// The caller passes in what arrives, calls [`on_tick`](Self::on_tick) at [`wake_at`](Self::wake_at), and carries out the
-/// [`Output`]s in their order. A detector that has left or was displaced ignores all input.
+/// The caller passes in received messages and states, calls [`on_tick`](Self::on_tick) at
+/// [`wake_at`](Self::wake_at), and executes the [`Output`]s in order. A detector that has left or was
+/// displaced ignores all input.
 pub struct FailureDetector {
     config: Config,
     random: Random,
@@ -80,13 +83,14 @@
 }
 
 impl FailureDetector {
-    /// Returns the detector of a member that starts.
+    /// Returns the detector of a starting member.
     ///
-    /// The incarnation should exceed that of the member's former processes; the wall clock in milliseconds will do. If it
-    /// does not, the others' claims about the former process are overridden by a higher one.
+    /// The incarnation should exceed that of the member's former processes. The wall-clock time in
+    /// milliseconds is suitable. If the incarnation is too low, the member overrides the others' claims about
+    /// its former process with a higher one.
     pub fn new(config: Config, incarnation: u64, seed: u64, now: Now) -> FailureDetector {
         let mut random = Random(seed);
-        // Members that start together spread their periods.
+        // The random offset spreads the periods of members that start together.
         let period_ends_at = now + config.period.mul_f64(random.uniform());
         FailureDetector {
             incarnation: incarnation.min(MAX_INCARNATION),
@@ -106,12 +110,12 @@
         }
     }
 
-    /// Returns when [`on_tick`](Self::on_tick) is to be called next. Changes with each input.
+    /// Returns when [`on_tick`](Self::on_tick) must be called next. Each input may change this time.
     pub fn wake_at(&self) -> Now {
         self.wake_at
     }
 
-    /// Returns this member's present incarnation.
+    /// Returns this member's current incarnation.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
@@ -131,18 +135,18 @@
         self.stats
     }
 
-    /// Returns all that is known, this member first unless it is displaced.
+    /// Returns the claims about all known members, this member's own claim first unless it is displaced.
     pub fn full_state(&self) -> Vec<Record> {
         let local = (!self.displaced).then(|| self.local_record());
         local.into_iter().chain(self.view.members.records().cloned()).collect()
     }
 
-    /// Returns the other members that are known, present or not, in the order of their names.
+    /// Returns the other known members, present or not, in the order of their names.
     pub fn peers(&self, now: Now) -> impl Iterator<Item = PeerView<'_>> {
         self.view.members.views(now)
     }
 
-    /// Returns the number of present members, this one included.
+    /// Returns the number of present members, including this one.
     pub fn present_count(&self) -> usize {
         self.view.members.count_present() + usize::from(!self.is_stopped())
     }
@@ -152,7 +156,7 @@
         self.present_count() as f64 >= self.config.min_share * f64::from(self.config.expected)
     }
 
-    /// Returns a hash of the names and incarnations of the present members. It is equal for equal views.
+    /// Returns a hash of the names and incarnations of the present members. Equal views have equal hashes.
     pub fn digest(&self) -> u64 {
         let state = self.full_state();
         let present = state.iter().filter(|record| record.state.is_present());
@@ -165,13 +169,13 @@
         })
     }
 
-    /// Handles a message, whose datagram is already authenticated.
+    /// Handles a message whose datagram has been authenticated.
     pub fn handle_message(&mut self, now: Now, message: Message, out: &mut Vec<Output>) {
         if self.is_stopped() {
             return;
         }
         let Message { from, from_addr, kind, updates } = message;
-        self.view.members.heard_from(&from, now);
+        self.view.members.on_message_from(&from, now);
         for update in updates {
             self.apply_update(update, now, out);
         }
@@ -179,7 +183,7 @@
             Kind::Ping { seq, target } => self.handle_ping(&from, from_addr, seq, &target, out),
             Kind::Ack { seq } => {
                 if let Some(relayed) = self.relayed_probes.take(seq) {
-                    // The wake time stays, and may now be earlier than needed, which does no harm.
+                    // The wake time does not change. It may now be earlier than needed, which does no harm.
                     return self.send(relayed.requester, Kind::Ack { seq: relayed.requester_seq }, None, out);
                 }
                 self.handle_ack(seq);
@@ -205,7 +209,7 @@
         target: &Name,
         out: &mut Vec<Output>,
     ) {
-        // A ping to the member that had this address before must fail.
+        // A ping to another member that had this address before must fail.
         if *target == self.config.name {
             self.send(from_addr, Kind::Ack { seq }, Some(from), out);
         }
@@ -236,7 +240,7 @@
         self.send(target_addr, Kind::Ping { seq, target: target.clone() }, Some(&target), out);
     }
 
-    /// Handles another member's full state, as [`Output::Synchronize`] brought it.
+    /// Handles another member's full state, received as a result of [`Output::Synchronize`].
     pub fn handle_full_state(&mut self, now: Now, records: Vec<Record>, out: &mut Vec<Output>) {
         if self.is_stopped() {
             return;
@@ -253,7 +257,7 @@
         self.update_wake_at();
     }
 
-    /// Leaves the cluster: announces it to some members, which gossip it, and stops.
+    /// Leaves the cluster: announces the departure to some members, which gossip it, and stops.
     pub fn leave(&mut self, out: &mut Vec<Output>) {
         if std::mem::replace(&mut self.leaving, true) || self.displaced {
             return;
@@ -266,16 +270,16 @@
         }
     }
 
-    /// Does what is due: answers for relayed probes, indirect probes, the end of the period, expired suspicions and
-    /// synchronisation.
+    /// Executes the actions that are due: nacks for relayed probes, indirect probes, the end of the period,
+    /// expired suspicions and synchronization.
     pub fn on_tick(&mut self, now: Now, out: &mut Vec<Output>) {
         if self.is_stopped() {
             self.wake_at = now + self.config.period;
             return;
         }
-        let late = now.saturating_sub(self.wake_at);
-        if late > self.periods(PAUSE_THRESHOLD_PERIODS) {
-            self.on_pause(late, now);
+        let delay = now.saturating_sub(self.wake_at);
+        if delay > self.periods(PAUSE_THRESHOLD_PERIODS) {
+            self.on_pause(delay, now);
         }
         while let Some(relayed) = self.relayed_probes.take_expired(now) {
             self.send(relayed.requester, Kind::Nack { seq: relayed.requester_seq }, None, out);
@@ -293,19 +297,20 @@
         self.update_wake_at();
     }
 
-    /// Discards the evidence of a time in which this process did not run: what it missed proves nothing against others.
-    fn on_pause(&mut self, late: Duration, now: Now) {
+    /// Discards the probes that were running during a pause of this process, and extends all suspicions by
+    /// it. Messages that this process missed are no evidence against other members.
+    fn on_pause(&mut self, pause: Duration, now: Now) {
         self.local_health.saturate();
         self.probe = None;
         self.relayed_probes.clear();
-        self.view.suspicions.extend_all(late);
+        self.view.suspicions.extend_all(pause);
         self.period_ends_at = now + self.config.period;
     }
 
     fn request_indirect_probes(&mut self, out: &mut Vec<Output>) {
         let Some(probe) = &mut self.probe else { return };
         let (seq, target) = (probe.seq, probe.target.clone());
-        // A suspect may be slow itself, and does not help.
+        // Suspects are not asked, since they may be slow themselves.
         let helpers = self.view.members.sample(INDIRECT_PROBES, &mut self.random, |record| {
             record.state == MemberState::Alive && record.name != target
         });
@@ -321,7 +326,7 @@
         }
     }
 
-    /// Ends the protocol period: judges its probe, and begins the next one.
+    /// Ends the protocol period: evaluates its probe, and starts the next period.
     fn on_period_end(&mut self, now: Now, out: &mut Vec<Output>) {
         if let Some(probe) = self.probe.take().filter(|probe| !probe.is_acknowledged()) {
             self.local_health.worsen(probe.missed_messages());
@@ -352,7 +357,7 @@
     }
 
     fn fail_expired_suspects(&mut self, now: Now, out: &mut Vec<Output>) {
-        // The timeout of all is that of the present member count, though each failure lowers the count.
+        // All use the timeout for the current member count, although each failure lowers the count.
         for name in self.view.suspicions.expired(now, &self.suspicion_timeout()) {
             if let Some(member) = self.view.members.get(&name) {
                 let record = Record { state: MemberState::Failed, ..member.record.clone() };
@@ -362,13 +367,14 @@
         }
     }
 
-    /// Synchronises with a random member or a seed.
+    /// Synchronizes with a random member or a seed.
     fn synchronize(&mut self, now: Now, out: &mut Vec<Output>) {
         let peer = self.view.members.sample_present(1, &mut self.random).pop();
         let mut with = peer.and_then(|name| self.addr_of(&name));
-        let alone = with.is_none();
-        // Seeds also later on: two sides of a partition that hold each other for failed meet again at a seed.
-        if alone || self.random.uniform() < SEED_SYNC_SHARE {
+        let is_alone = with.is_none();
+        // Seeds are also used when other members are present. The two sides of a partition each consider the
+        // other side failed, and find each other again through a seed.
+        if is_alone || self.random.uniform() < SEED_SYNC_SHARE {
             let seeds = &self.config.seeds;
             let seed = (self.random.uniform() * seeds.len() as f64) as usize;
             with = seeds.get(seed).copied().or(with);
@@ -376,7 +382,7 @@
         if let Some(with) = with.filter(|with| *with != self.config.addr) {
             out.push(Output::Synchronize { with });
         }
-        let interval = if alone { JOIN_SYNC_INTERVAL_PERIODS } else { SYNC_INTERVAL_PERIODS };
+        let interval = if is_alone { JOIN_SYNC_INTERVAL_PERIODS } else { SYNC_INTERVAL_PERIODS };
         self.next_sync_at = now + self.jittered_periods(interval);
     }
 
@@ -390,16 +396,17 @@
         self.view.apply(update, now, &mut self.random, &mut self.stats, out);
     }
 
-    /// Refutes what others claim about this member unless it is what this member claims itself. A higher incarnation
-    /// overrides their claim (SWIM, section 4.2).
+    /// Refutes a claim of others about this member, unless it agrees with this member's own claim. The
+    /// refutation has a higher incarnation, which overrides their claim (SWIM, section 4.2).
     fn handle_claim_about_self(&mut self, claim: Record, out: &mut Vec<Output>) {
         if claim.incarnation < self.incarnation {
             return;
         }
         let other_process = claim.addr != self.config.addr;
         if other_process && claim.state == MemberState::Alive {
-            // Two processes have this name. The one that started later takes precedence, as what the operators did last;
-            // at equal incarnations the one at the higher address, which is arbitrary but the same for all.
+            // Two processes have this name. The one that was started later has the higher incarnation and
+            // takes precedence, since it reflects the operators' latest action. At equal incarnations, the
+            // higher address takes precedence, an arbitrary choice that is the same for all members.
             if (claim.incarnation, claim.addr) > (self.incarnation, self.config.addr) {
                 self.displaced = true;
                 out.push(Output::Displaced { by: claim.addr });
@@ -409,7 +416,7 @@
             return;
         }
         if claim.state == MemberState::Suspect {
-            // A member that is suspected may be too slow to answer in time (Lifeguard).
+            // A suspected member may be too slow to respond in time (Lifeguard).
             self.stats.local_refutations += 1;
             self.local_health.worsen(1);
         }
@@ -418,8 +425,8 @@
         self.view.dissemination.enqueue(refutation);
     }
 
-    /// Sends a message with as many updates as fit. A recipient that is suspected learns that first, so that it can refute
-    /// at once (Lifeguard's buddy system).
+    /// Sends a message with as many updates as fit. If the recipient is suspected, the suspicion is the first
+    /// update, so that the recipient can refute it at once (Lifeguard's buddy system).
     fn send(&mut self, to: SocketAddrV4, kind: Kind, recipient: Option<&Name>, out: &mut Vec<Output>) {
         let mut message = self.empty_message(kind);
         let suspect = recipient
@@ -466,7 +473,8 @@
         self.config.period.mul_f64(count)
     }
 
-    /// Returns between half and one and a half times so many periods, so that members do not act in step.
+    /// Returns a random duration from 0.5 to 1.5 times the mean in periods, so that members do not act
+    /// simultaneously.
     fn jittered_periods(&mut self, mean: f64) -> Duration {
         let jitter = 0.5 + self.random.uniform();
         self.periods(mean * jitter)
@@ -484,7 +492,8 @@
     fn update_wake_at(&mut self) {
         let indirect_probes_at = self.probe.as_ref().and_then(Probe::indirect_probes_at);
         let nack_at = self.relayed_probes.next_nack_at();
-        // Without suspicions, the count of the present members is not worth its time with each message.
+        // Without suspicions, the timeout is not computed, since counting the present members for each
+        // message is expensive.
         let has_suspects = !self.view.suspicions.is_empty();
         let expiry =
             has_suspects.then(|| self.view.suspicions.next_expiry(&self.suspicion_timeout())).flatten();
--- a/quota-gateway/membership/src/detector/dissemination.rs
+++ b/quota-gateway/membership/src/detector/dissemination.rs
@@ -1,13 +1,13 @@
-//! SWIM's infection-style dissemination: updates ride on the protocol's own messages.
+//! SWIM's infection-style dissemination: updates are piggybacked on the messages of the protocol.
 //!
-//! Each update is transmitted a number of times that grows with the logarithm of the member count, which reaches all
-//! members with high probability. Updates that were transmitted least go first.
+//! Each update is transmitted a number of times that grows with the logarithm of the member count, which
+//! reaches all members with high probability. Updates with the fewest transmissions are sent first.
 
 use crate::record::Name;
 use crate::wire::{self, Message, Update};
 use std::collections::BTreeMap;
 
-/// Transmissions of an update for each decade of the member count (SWIM: lambda).
+/// The number of transmissions of an update per decade of the member count (SWIM: lambda).
 const TRANSMISSIONS_PER_DECADE: f64 = 4.0;
 
 struct PendingUpdate {
@@ -15,28 +15,29 @@
     transmissions: u32,
 }
 
-/// The updates that still are to be piggybacked; one for each member, the latest.
+/// The updates that are still to be piggybacked: the latest one for each member.
 #[derive(Default)]
 pub(super) struct DisseminationQueue {
     pending: BTreeMap<Name, PendingUpdate>,
-    /// Updates that were ever enqueued.
+    /// The number of updates enqueued since the start.
     enqueued: u64,
 }
 
 impl DisseminationQueue {
-    /// Enqueues an update in place of an earlier one about the same member.
+    /// Enqueues an update, and replaces an earlier one about the same member.
     pub(super) fn enqueue(&mut self, update: Update) {
         self.enqueued += 1;
         self.pending.insert(update.record.name.clone(), PendingUpdate { update, transmissions: 0 });
     }
 
-    /// Returns the number of updates that were ever enqueued.
+    /// Returns the number of updates enqueued since the start.
     pub(super) fn enqueued(&self) -> u64 {
         self.enqueued
     }
 
-    /// Adds to the message as many updates as fit, those with the fewest transmissions first and at a tie by name. An
-    /// update about the member that the message's first update is about is not sent a second time.
+    /// Adds as many updates to the message as fit. Those with the fewest transmissions come first, in the
+    /// order of names among equals. An update about the subject of the message's first update is skipped, so
+    /// that no member occurs twice.
     pub(super) fn piggyback(&mut self, message: &mut Message, decades: f64) {
         let max_transmissions = (TRANSMISSIONS_PER_DECADE * decades).ceil() as u32;
         let mut remaining_bytes = wire::remaining_bytes(message);
--- a/quota-gateway/membership/src/detector/local_health.rs
+++ b/quota-gateway/membership/src/detector/local_health.rs
@@ -1,6 +1,7 @@
-//! Lifeguard's local health multiplier: a member that misses messages itself probes others more patiently.
+//! Lifeguard's local health multiplier: a member that misses messages itself probes others with longer
+//! timeouts.
 
-/// The highest score (Lifeguard: S).
+/// The maximum score (Lifeguard: S).
 const MAX_SCORE: u32 = 8;
 
 /// The local health score: 0 is healthy, and each event that suggests that this process is slow raises it.
@@ -20,7 +21,7 @@
         f64::from(self.score + 1)
     }
 
-    /// Raises the score after events that speak against this process.
+    /// Raises the score by the number of events that suggest that this process is slow.
     pub(super) fn worsen(&mut self, events: u32) {
         self.score = (self.score + events).min(MAX_SCORE);
     }
@@ -30,7 +31,7 @@
         self.score = self.score.saturating_sub(1);
     }
 
-    /// Sets the highest score, after a pause of this process.
+    /// Sets the score to the maximum, after a pause of this process.
     pub(super) fn saturate(&mut self) {
         self.score = MAX_SCORE;
     }
--- a/quota-gateway/membership/src/detector/members.rs
+++ b/quota-gateway/membership/src/detector/members.rs
@@ -1,4 +1,4 @@
-//! The table of the other members: those that are present, and for a while those that are not.
+//! The table of the other members: those that are present and, for a retention time, those that are not.
 
 use crate::config::Now;
 use crate::record::{MemberState, Name, Record};
@@ -6,25 +6,26 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The most other members that are kept, present or not. Updates about further ones are ignored and counted.
+/// The maximum number of other members in the table, present or not. Updates about further ones are ignored
+/// and counted.
 pub const MAX_MEMBERS: usize = 2048;
 
-/// What is known of another member.
+/// An entry for another member.
 pub(super) struct Member {
     pub(super) record: Record,
-    /// When a message from it arrived, or when it became known.
-    last_heard_at: Now,
-    /// Since when it has counted as absent; `None` while it is present.
+    /// When the last message from it arrived, or when it became known.
+    last_message_at: Now,
+    /// When it became absent; `None` while it is present.
     absent_since: Option<Now>,
 }
 
-/// Another member, as callers see it.
+/// Another member in the view that callers get.
 #[derive(Clone, Debug)]
 pub struct PeerView<'a> {
-    /// The claim about it that stands.
+    /// The current claim about it.
     pub record: &'a Record,
-    /// The time since a message from it arrived, or since it became known.
-    pub silent_for: Duration,
+    /// The time since the last message from it arrived, or since it became known.
+    pub since_last_message: Duration,
 }
 
 /// The other members by name.
@@ -50,10 +51,11 @@
     /// Adds a member that was unknown.
     pub(super) fn insert(&mut self, record: Record, now: Now) {
         let absent_since = (!record.state.is_present()).then_some(now);
-        self.by_name.insert(record.name.clone(), Member { record, last_heard_at: now, absent_since });
+        self.by_name.insert(record.name.clone(), Member { record, last_message_at: now, absent_since });
     }
 
-    /// Replaces what is known of a member. Returns its former state, and `None` without effect if it is unknown.
+    /// Replaces the claim about a member. Returns its former state, or `None` without effect if it is
+    /// unknown.
     pub(super) fn replace(&mut self, record: Record, now: Now) -> Option<MemberState> {
         let member = self.by_name.get_mut(&record.name)?;
         member.absent_since =
@@ -61,14 +63,14 @@
         Some(std::mem::replace(&mut member.record, record).state)
     }
 
-    /// Notes that a message from a member arrived.
-    pub(super) fn heard_from(&mut self, name: &Name, now: Now) {
+    /// Records that a message from a member arrived.
+    pub(super) fn on_message_from(&mut self, name: &Name, now: Now) {
         if let Some(member) = self.by_name.get_mut(name) {
-            member.last_heard_at = now;
+            member.last_message_at = now;
         }
     }
 
-    /// Removes the members that have been absent for so long.
+    /// Removes the members that have been absent for the retention time.
     pub(super) fn remove_absent_for(&mut self, retention: Duration, now: Now) {
         self.by_name.retain(|_, member| {
             member.absent_since.is_none_or(|since| now.saturating_sub(since) < retention)
@@ -84,16 +86,16 @@
         self.by_name.values().map(|member| &member.record)
     }
 
-    /// Returns all members in the order of their names, with the time since each was heard.
+    /// Returns all members in the order of their names, with the time since the last message from each.
     pub(super) fn views(&self, now: Now) -> impl Iterator<Item = PeerView<'_>> {
         self.by_name.values().map(move |member| PeerView {
             record: &member.record,
-            silent_for: now.saturating_sub(member.last_heard_at),
+            since_last_message: now.saturating_sub(member.last_message_at),
         })
     }
 
-    /// Returns up to `max` eligible members, uniformly at random and in random order: a Fisher-Yates shuffle that stops
-    /// after `max` draws.
+    /// Returns up to `max` eligible members, uniformly at random and in random order: a Fisher-Yates shuffle
+    /// that stops after `max` draws.
     pub(super) fn sample(
         &self,
         max: usize,
--- a/quota-gateway/membership/src/detector/probe.rs
+++ b/quota-gateway/membership/src/detector/probe.rs
@@ -1,4 +1,5 @@
-//! SWIM's failure detection: the probe of each protocol period, the probes for others, and the order of the targets.
+//! SWIM's failure detection: the probe of each protocol period, the probes for other members, and the order
+//! of probe targets.
 
 use super::members::{MemberTable, MAX_MEMBERS};
 use crate::config::Now;
@@ -7,16 +8,17 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// Probes for other members that run at once. Requests beyond are ignored; the requester has further helpers.
+/// The maximum number of concurrent probes for other members. Further requests are ignored, since the
+/// requester has other helpers.
 const MAX_RELAYED_PROBES: usize = 64;
 
 /// The probe of this protocol period.
 pub(super) struct Probe {
     pub(super) target: Name,
     pub(super) seq: u32,
-    /// When the direct probe has failed, and helpers are asked for indirect probes.
+    /// The time at which the direct probe counts as failed, and helpers are asked for indirect probes.
     direct_deadline: Now,
-    /// How many helpers were asked; `None` before that.
+    /// The number of helpers that were asked; `None` before that.
     helpers: Option<u32>,
     nacks: u32,
     acknowledged: bool,
@@ -31,21 +33,21 @@
         self.acknowledged
     }
 
-    /// Takes an acknowledgement. Returns whether it is the first one of this probe.
+    /// Handles an acknowledgement. Returns whether it is the first one of this probe.
     pub(super) fn handle_ack(&mut self, seq: u32) -> bool {
         let first = self.seq == seq && !self.acknowledged;
         self.acknowledged |= first;
         first
     }
 
-    /// Takes a helper's notice that it has no acknowledgement either.
+    /// Handles a helper's notice that it has not received an acknowledgement either.
     pub(super) fn handle_nack(&mut self, seq: u32) {
         if self.seq == seq {
             self.nacks += 1;
         }
     }
 
-    /// Notes that helpers were asked.
+    /// Records that helpers were asked.
     pub(super) fn on_helpers_requested(&mut self, helpers: usize) {
         self.helpers = Some(helpers as u32);
     }
@@ -55,8 +57,9 @@
         (!self.acknowledged && self.helpers.is_none()).then_some(self.direct_deadline)
     }
 
-    /// Returns the events in this failed probe that speak against the local health: the helpers that sent neither an
-    /// acknowledgement nor a nack, since that many losses point to this process. One if no helper was asked.
+    /// Returns the number of events in this failed probe that count against the local health. Each helper
+    /// that did not send a nack counts, since several missing responses suggest that this process is the
+    /// cause. If no helper was asked, the number is 1.
     pub(super) fn missed_messages(&self) -> u32 {
         match self.helpers {
             Some(helpers) if helpers > 0 => helpers.saturating_sub(self.nacks),
@@ -68,13 +71,13 @@
 /// A probe that another member requested.
 pub(super) struct RelayedProbe {
     pub(super) requester: SocketAddrV4,
-    /// The requester's sequence number, which its answer carries.
+    /// The requester's sequence number, which the response to it repeats.
     pub(super) requester_seq: u32,
-    /// When the requester is told that no acknowledgement has come.
+    /// When a nack is sent to the requester if no acknowledgement has arrived.
     pub(super) nack_at: Now,
 }
 
-/// The probes that run for other members, by this member's sequence number.
+/// The running probes for other members, by this member's sequence number.
 #[derive(Default)]
 pub(super) struct RelayedProbes {
     by_seq: BTreeMap<u32, RelayedProbe>,
@@ -89,12 +92,12 @@
         self.by_seq.insert(seq, relayed);
     }
 
-    /// Removes the probe that an acknowledgement belongs to.
+    /// Removes the probe to which an acknowledgement belongs.
     pub(super) fn take(&mut self, seq: u32) -> Option<RelayedProbe> {
         self.by_seq.remove(&seq)
     }
 
-    /// Removes a probe whose time is over, the lowest sequence number first.
+    /// Removes an expired probe, the one with the lowest sequence number first.
     pub(super) fn take_expired(&mut self, now: Now) -> Option<RelayedProbe> {
         let seq = *self.by_seq.iter().find(|(_, relayed)| now >= relayed.nack_at)?.0;
         self.by_seq.remove(&seq)
@@ -109,11 +112,11 @@
     }
 }
 
-/// The order of probe targets: a shuffled round-robin (SWIM, section 4.3), which bounds the time until a failure is first
-/// detected by two rounds.
+/// The order of probe targets: a shuffled round-robin (SWIM, section 4.3). It bounds the time until the first
+/// detection of a failure to two rounds.
 #[derive(Default)]
 pub(super) struct ProbeSchedule {
-    /// Targets that this round has not probed, the next one last.
+    /// The targets that have not been probed in this round, the next one last.
     remaining: Vec<Name>,
 }
 
@@ -124,12 +127,13 @@
         self.remaining.insert(position, name);
     }
 
-    /// Adds a member that has come back, as the next target.
+    /// Adds a member that has returned, as the next target.
     pub(super) fn push_next(&mut self, name: Name) {
         self.remaining.push(name);
     }
 
-    /// Returns the next target, and begins a round when one has ended. `None` if no other member is present.
+    /// Returns the next target, and starts a new round at the end of one. Returns `None` if no other member
+    /// is present.
     pub(super) fn next_target(&mut self, members: &MemberTable, random: &mut Random) -> Option<Name> {
         self.pop_present(members).or_else(|| {
             self.remaining = members.sample_present(MAX_MEMBERS, random);
--- a/quota-gateway/membership/src/detector/suspicion.rs
+++ b/quota-gateway/membership/src/detector/suspicion.rs
@@ -1,30 +1,32 @@
 //! SWIM's suspicion subprotocol with Lifeguard's dynamic timeout.
 //!
-//! A suspected member has time to refute. The timeout starts long and shrinks with each further member that raises the
-//! same suspicion, so that a single slow member cannot have others declared failed quickly.
+//! A suspected member can refute the suspicion until a timeout. The timeout starts long and shrinks with each
+//! further member that raises the same suspicion, so that a single slow member cannot quickly cause others to
+//! be declared failed.
 
 use crate::config::Now;
 use crate::record::Name;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The shortest timeout in periods for each decade of the member count (Lifeguard: alpha).
+/// The minimum timeout, in periods per decade of the member count (Lifeguard: alpha).
 const MIN_TIMEOUT_PERIODS_PER_DECADE: f64 = 4.0;
-/// The longest timeout, as a multiple of the shortest (Lifeguard: beta).
+/// The maximum timeout, as a multiple of the minimum (Lifeguard: beta).
 const MAX_TIMEOUT_FACTOR: f64 = 6.0;
-/// Independent confirmations that bring the timeout down to the shortest (Lifeguard: K).
+/// The number of independent confirmations that reduce the timeout to the minimum (Lifeguard: K).
 const MAX_CONFIRMATIONS: usize = 3;
 
-/// The suspicion of one member.
+/// The suspicion against one member.
 struct Suspicion {
     started_at: Now,
-    /// Who raised it, as [`Name::fingerprint`]; beyond [`MAX_CONFIRMATIONS`] no further ones are added.
+    /// The members that raised it, as [`Name::fingerprint`]: the first one and up to [`MAX_CONFIRMATIONS`]
+    /// others.
     suspected_by: BTreeSet<u32>,
-    /// Time during which this process was paused and could not have received a refutation.
+    /// The total time for which this process was paused and could not receive a refutation.
     paused: Duration,
 }
 
-/// How long suspicions last in a cluster of the present size.
+/// The timeout of suspicions in a cluster of the current size.
 pub(super) struct SuspicionTimeout {
     period: Duration,
     min_periods: f64,
@@ -32,12 +34,13 @@
 }
 
 impl SuspicionTimeout {
-    /// Returns the timeout for so many present members, this one included; `decades` is the logarithm of that number.
+    /// Returns the timeout for a number of present members, including this one. `decades` is the decimal
+    /// logarithm of that number, at least 1.
     pub(super) fn new(period: Duration, present: usize, decades: f64) -> SuspicionTimeout {
         SuspicionTimeout {
             period,
             min_periods: MIN_TIMEOUT_PERIODS_PER_DECADE * decades,
-            // A small cluster has few members that could confirm.
+            // A small cluster has few members that can confirm.
             max_confirmations: MAX_CONFIRMATIONS.min(present.saturating_sub(2)),
         }
     }
@@ -52,7 +55,7 @@
     }
 }
 
-/// The suspicions that neither were refuted nor have expired.
+/// The suspicions that have not been refuted and have not expired.
 #[derive(Default)]
 pub(super) struct Suspicions {
     by_member: BTreeMap<Name, Suspicion>,
@@ -63,7 +66,7 @@
         self.by_member.is_empty()
     }
 
-    /// Starts the timeout of a member anew.
+    /// Starts the suspicion of a member, or restarts it with a new timeout.
     pub(super) fn start(&mut self, name: &Name, suspected_by: u32, now: Now) {
         let suspicion = Suspicion {
             started_at: now,
@@ -90,7 +93,7 @@
         self.by_member.get(name).and_then(|suspicion| suspicion.suspected_by.first().copied())
     }
 
-    /// Lengthens all timeouts by a pause of this process.
+    /// Extends all timeouts by the duration of a pause of this process.
     pub(super) fn extend_all(&mut self, pause: Duration) {
         self.by_member.values_mut().for_each(|suspicion| suspicion.paused += pause);
     }
--- a/quota-gateway/membership/src/detector/view.rs
+++ b/quota-gateway/membership/src/detector/view.rs
@@ -1,4 +1,4 @@
-//! This member's view of the others: how an update changes it, and what follows from the change.
+//! This member's view of the others, and the effects of updates on it.
 
 use super::dissemination::DisseminationQueue;
 use super::members::MemberTable;
@@ -10,7 +10,8 @@
 use crate::wire::Update;
 use marblecroft_quota_gateway_core::Random;
 
-/// The members, and what each new state of theirs has to be carried into: suspicions, dissemination and probe order.
+/// The members, and the parts that must follow each change of their states: suspicions, dissemination and
+/// probe order.
 #[derive(Default)]
 pub(super) struct View {
     pub(super) members: MemberTable,
@@ -20,7 +21,8 @@
 }
 
 impl View {
-    /// Applies an update about another member. An update that changes the view, or confirms a suspicion, is gossiped.
+    /// Applies an update about another member. An update that changes the view, or confirms a suspicion, is
+    /// gossiped.
     pub(super) fn apply(
         &mut self,
         update: Update,
@@ -56,8 +58,8 @@
         }
         let Update { record, suspected_by } = &update;
         self.members.insert(record.clone(), now);
-        // A member that was never present here and is absent is no change, but is remembered: older updates about it may
-        // still be on their way.
+        // An absent member that was unknown is not reported as a change. It is inserted nevertheless, since
+        // older updates that claim that it is present may still arrive.
         if record.state.is_present() {
             out.push(state_change(record, None));
             self.probe_schedule.insert_at_random(record.name.clone(), random);
--- a/quota-gateway/membership/src/record.rs
+++ b/quota-gateway/membership/src/record.rs
@@ -1,16 +1,16 @@
-//! What is claimed about a member, and which of two claims overrides the other.
+//! Claims about members, and the order that decides which of two claims overrides the other.
 //!
-//! The order of claims is total, so that merging is commutative, associative and idempotent, and all members come to the
-//! same view in whatever order they hear the claims.
+//! The order of claims is total, so merging is commutative, associative and idempotent. All members therefore
+//! arrive at the same view, regardless of the order in which they receive the claims.
 
 use std::fmt;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-/// The longest name of a member, and of a zone, in bytes.
+/// The maximum length of the name of a member or a zone, in bytes.
 pub const MAX_NAME_BYTES: usize = 48;
-/// The highest incarnation. Claims with a higher one are invalid. A member that reaches it can refute nothing more, and
-/// counts as failed until it starts under another name.
+/// The maximum incarnation. Claims with a higher one are invalid. A member that has reached it cannot refute
+/// further claims, and counts as failed until it starts under another name.
 pub const MAX_INCARNATION: u64 = 1 << 62;
 
 /// The name of a member or a zone: at most [`MAX_NAME_BYTES`] of UTF-8. Only an unknown zone's name is empty.
@@ -28,7 +28,8 @@
         &self.0
     }
 
-    /// Returns a hash in four bytes (32-bit FNV-1a), by which datagrams name the member that raised a suspicion.
+    /// Returns a hash of four bytes (32-bit FNV-1a), which identifies the member that raised a suspicion in
+    /// datagrams.
     pub fn fingerprint(&self) -> u32 {
         self.0.bytes().fold(0x811c_9dc5, |h: u32, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193))
     }
@@ -43,9 +44,9 @@
 /// The state of a member. Within one incarnation, a later variant overrides an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It claims to be present.
+    /// It claims to be running.
     Alive,
-    /// A probe of it has failed, and it may still refute that.
+    /// A probe of it has failed, and it can still refute the suspicion.
     Suspect,
     /// It has not refuted a suspicion in time.
     Failed,
@@ -67,17 +68,18 @@
     pub name: Name,
     /// The address at which it receives datagrams.
     pub addr: SocketAddrV4,
-    /// The zone in which it runs; empty where it is not known.
+    /// The zone in which it runs; empty if unknown.
     pub zone: Name,
-    /// The incarnation that the claim is about. Only the member itself raises it, at a start and to refute.
+    /// The member's incarnation to which the claim applies. Only the member itself raises it, at a start and
+    /// to refute a claim.
     pub incarnation: u64,
     /// The claimed state.
     pub state: MemberState,
 }
 
 impl Record {
-    /// Returns what claims are ordered by. The address and the zone belong to it so that the order is total also where two
-    /// processes have one name.
+    /// Returns the key by which claims are ordered. It includes the address and the zone, so that the order
+    /// is total even if two processes have the same name.
     fn precedence(&self) -> (u64, MemberState, SocketAddrV4, &Name) {
         (self.incarnation, self.state, self.addr, &self.zone)
     }
--- a/quota-gateway/membership/src/wire.rs
+++ b/quota-gateway/membership/src/wire.rs
@@ -1,7 +1,9 @@
-//! Messages as datagrams: a version, the cluster's name, the message, and an authentication tag over all of it.
+//! Messages as datagrams: a version, the cluster's name, the message, and an authentication tag over all of
+//! it.
 //!
-//! A datagram is authenticated before its message is parsed, so that only members reach the parser. There is one encoding
-//! of each message. Integers are little-endian; texts have a length in one byte.
+//! A datagram is authenticated before its message is parsed, so that only messages of members reach the
+//! parser. Each message has exactly one encoding. Integers are little-endian, and strings are preceded by
+//! their length in one byte.
 
 use crate::record::{MemberState, Name, Record, MAX_INCARNATION, MAX_NAME_BYTES};
 use hmac::{Hmac, KeyInit, Mac};
@@ -9,42 +11,46 @@
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// The longest datagram, which fits a packet on common links with room for tunnels, and so is not fragmented.
+/// The maximum length of a datagram, in bytes. It leaves space for tunnel headers in a packet on common
+/// links, so datagrams are not fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The most updates in one message.
+/// The maximum number of updates in a message.
 pub const MAX_UPDATES: usize = 64;
-/// The longest name of a cluster, in bytes.
+/// The maximum length of the name of a cluster, in bytes.
 pub const MAX_CLUSTER_NAME_BYTES: usize = 32;
-/// The most keys that are valid at once: the one that signs, and during a key rotation its predecessor or successor.
+/// The maximum number of valid keys: the key that signs and, during a key rotation, its predecessor or
+/// successor.
 pub const MAX_KEYS: usize = 2;
 const VERSION: u8 = 1;
-/// The length of the tag: HMAC-SHA-256 cut to half, the least that RFC 2104 (section 5) recommends.
+/// The length of the tag in bytes: HMAC-SHA-256 truncated to half its length, the minimum that RFC 2104
+/// (section 5) recommends.
 const TAG_BYTES: usize = 16;
-/// What an update takes beside its name and zone: two lengths, address, incarnation, state and suspector.
+/// The encoded length of an update without its name and zone: two lengths, address, incarnation, state and
+/// suspector.
 const UPDATE_OVERHEAD_BYTES: usize = 2 + 6 + 8 + 1 + 4;
-/// What a message takes at most beside its updates: version, cluster, tag, kind, number of updates, sequence number, two
-/// names and two addresses.
+/// The maximum encoded length of a message without its updates: version, cluster, tag, kind, number of
+/// updates, sequence number, two names and two addresses.
 const MAX_HEADER_BYTES: usize =
     1 + 1 + MAX_CLUSTER_NAME_BYTES + TAG_BYTES + 1 + 1 + 4 + 2 * (1 + MAX_NAME_BYTES) + 2 * 6;
 
-/// The kind of a message, after SWIM and Lifeguard.
+/// The kind of a message, as defined by SWIM and Lifeguard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A probe.
     Ping {
-        /// The number that the answer carries.
+        /// The sequence number, which the response repeats.
         seq: u32,
-        /// The member that is meant; another one at this address does not answer.
+        /// The member to probe. Another member at this address does not respond.
         target: Name,
     },
-    /// The answer to a ping, or, from a helper, to a ping request.
+    /// The response to a ping or, from a helper, to a ping request.
     Ack {
-        /// The number of the ping or ping request.
+        /// The sequence number of the ping or ping request.
         seq: u32,
     },
     /// A request to probe another member for the sender.
     PingReq {
-        /// The number that the answer carries.
+        /// The sequence number, which the response repeats.
         seq: u32,
         /// The member to probe.
         target: Name,
@@ -53,19 +59,20 @@
     },
     /// A helper's notice that the target of a ping request has not acknowledged so far.
     Nack {
-        /// The number of the ping request.
+        /// The sequence number of the ping request.
         seq: u32,
     },
-    /// Nothing but updates.
+    /// A message that carries only updates.
     Gossip,
 }
 
-/// A claim about a member that is gossiped.
+/// A gossiped claim about a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Update {
     /// The claim.
     pub record: Record,
-    /// Of a suspect, the [`Name::fingerprint`] of a member that suspects it; by this, confirmations are told apart.
+    /// For a suspect, the [`Name::fingerprint`] of a member that suspects it, which distinguishes
+    /// confirmations.
     pub suspected_by: u32,
 }
 
@@ -74,24 +81,24 @@
 pub struct Message {
     /// The sender.
     pub from: Name,
-    /// The address at which the sender receives answers.
+    /// The address at which the sender receives responses.
     pub from_addr: SocketAddrV4,
-    /// What it is about.
+    /// The kind of the message.
     pub kind: Kind,
-    /// What it carries along; at most [`MAX_UPDATES`].
+    /// The piggybacked updates, at most [`MAX_UPDATES`].
     pub updates: Vec<Update>,
 }
 
-/// Why a datagram was rejected.
+/// The reason why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DecodeError {
-    /// It is shorter or longer than any valid one, or has bytes beyond its message.
+    /// It is shorter or longer than any valid datagram, or has bytes after its message.
     Length,
-    /// Its version is another one.
+    /// It has another version.
     Version,
     /// It belongs to another cluster.
     Cluster,
-    /// No valid key signed it.
+    /// It was not signed with a valid key.
     Authentication,
     /// It is signed, but is not the encoding of a message.
     Malformed,
@@ -103,7 +110,7 @@
             DecodeError::Length => "datagram of an invalid length",
             DecodeError::Version => "datagram of another version",
             DecodeError::Cluster => "datagram of another cluster",
-            DecodeError::Authentication => "datagram signed with no valid key",
+            DecodeError::Authentication => "datagram not signed with a valid key",
             DecodeError::Malformed => "datagram without a valid message",
         })
     }
@@ -111,12 +118,12 @@
 
 impl std::error::Error for DecodeError {}
 
-/// Returns the bytes that an update takes in a datagram.
+/// Returns the encoded length of an update, in bytes.
 pub fn encoded_len(update: &Update) -> usize {
     UPDATE_OVERHEAD_BYTES + update.record.name.as_str().len() + update.record.zone.as_str().len()
 }
 
-/// Returns the bytes that are left for further updates in a message.
+/// Returns the number of bytes that are left for further updates in a message.
 pub fn remaining_bytes(message: &Message) -> usize {
     let used: usize = message.updates.iter().map(encoded_len).sum();
     (MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES).saturating_sub(used)
@@ -125,13 +132,13 @@
 /// Encodes and decodes the datagrams of one cluster.
 pub struct Codec {
     cluster_name: Vec<u8>,
-    /// The first one signs; a tag by any of them is valid.
+    /// The first key signs. A tag by any of them is valid.
     keys: Vec<Hmac<Sha256>>,
 }
 
 impl Codec {
-    /// Returns the codec of a cluster, or `None` if the name is too long or there is not one key or two. The first key
-    /// signs.
+    /// Returns the codec of a cluster, or `None` if the name is too long or the number of keys is not from 1
+    /// to [`MAX_KEYS`]. The first key signs.
     pub fn new(cluster_name: &str, keys: &[&[u8]]) -> Option<Codec> {
         let is_valid = cluster_name.len() <= MAX_CLUSTER_NAME_BYTES && (1..=MAX_KEYS).contains(&keys.len());
         let keys: Option<Vec<_>> = keys.iter().map(|key| Hmac::new_from_slice(key).ok()).collect();
@@ -163,7 +170,7 @@
         if cluster_name != self.cluster_name {
             return Err(DecodeError::Cluster);
         }
-        // Before anything else is parsed.
+        // The tag is verified before the message is parsed.
         if !self.keys.iter().any(|key| key.clone().chain_update(signed).verify_truncated_left(tag).is_ok()) {
             return Err(DecodeError::Authentication);
         }
--- a/quota-gateway/membership/tests/fleet.rs
+++ b/quota-gateway/membership/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Clusters of failure detectors on a virtual network and clock, with loss, delay, partitions and pauses from a seed.
+//! Tests of clusters of failure detectors on a virtual network and clock, with loss, delay, partitions and
+//! pauses drawn from random seeds.
 
 use marblecroft_membership::config::*;
 use marblecroft_membership::detector::*;
@@ -11,9 +12,9 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// The protocol period, the unit of all times below.
+/// The protocol period, the unit of all durations in these tests.
 const PERIOD: Duration = Duration::from_secs(1);
-const SEEDS: u64 = 20;
+const RANDOM_SEEDS: u64 = 20;
 
 fn periods(n: f64) -> Duration {
     PERIOD.mul_f64(n)
@@ -33,7 +34,7 @@
     Wake { node: usize },
 }
 
-/// A state change that a node reported, and when.
+/// A state change that a node reported, and the time of the report.
 #[derive(Clone, Debug)]
 struct ObservedChange {
     at: Now,
@@ -41,16 +42,16 @@
     change: StateChange,
 }
 
-struct Net {
+struct Cluster {
     now: Now,
     random: Random,
     nodes: Vec<Option<FailureDetector>>,
-    /// Until when processes are paused.
+    /// The paused nodes, and the time at which each continues.
     paused: BTreeMap<usize, Now>,
     loss: f64,
-    /// The share of datagrams that are duplicated, the duplicate with a long delay.
+    /// The share of datagrams that are duplicated. The duplicates have a long delay.
     duplication: f64,
-    /// Whether the network drops everything from one node to another.
+    /// Whether the network drops all traffic from one node to another.
     is_partitioned: Box<dyn Fn(usize, usize) -> bool>,
     queue: BinaryHeap<Reverse<(Now, u64)>>,
     events: BTreeMap<u64, Event>,
@@ -61,9 +62,9 @@
     displaced: Vec<usize>,
 }
 
-impl Net {
-    fn new(count: usize, seed: u64) -> Net {
-        let mut net = Net {
+impl Cluster {
+    fn new(count: usize, seed: u64) -> Cluster {
+        let mut cluster = Cluster {
             now: Duration::ZERO,
             random: Random(seed),
             nodes: Vec::new(),
@@ -80,13 +81,13 @@
             displaced: Vec::new(),
         };
         for node in 0..count {
-            net.nodes.push(None);
-            net.start(node, count, 1000);
+            cluster.nodes.push(None);
+            cluster.start(node, count, 1000);
         }
-        net
+        cluster
     }
 
-    fn settings(node: usize, count: usize) -> Config {
+    fn config(node: usize, count: usize) -> Config {
         Config {
             name: name(node),
             addr: addr(node),
@@ -100,20 +101,20 @@
 
     fn start(&mut self, node: usize, count: usize, incarnation: u64) {
         let seed = (self.random.uniform() * 1e15) as u64;
-        let detector = FailureDetector::new(Net::settings(node, count), incarnation, seed, self.now);
+        let detector = FailureDetector::new(Cluster::config(node, count), incarnation, seed, self.now);
         self.schedule(self.now, Event::Wake { node });
         self.nodes[node] = Some(detector);
     }
 
     /// Returns a cluster in which every member knows all others.
-    fn fully_joined(count: usize, seed: u64) -> Net {
-        let mut net = Net::new(count, seed);
+    fn fully_joined(count: usize, seed: u64) -> Cluster {
+        let mut cluster = Cluster::new(count, seed);
         let all: Vec<Record> =
-            net.nodes.iter().flatten().map(|detector| detector.full_state()[0].clone()).collect();
-        for detector in net.nodes.iter_mut().flatten() {
+            cluster.nodes.iter().flatten().map(|detector| detector.full_state()[0].clone()).collect();
+        for detector in cluster.nodes.iter_mut().flatten() {
             detector.handle_full_state(Duration::ZERO, all.clone(), &mut Vec::new());
         }
-        net
+        cluster
     }
 
     fn schedule(&mut self, at: Now, event: Event) {
@@ -128,9 +129,9 @@
         (node < self.nodes.len()).then_some(node)
     }
 
-    fn carry_out(&mut self, node: usize, outputs: Vec<Output>) {
-        for action in outputs {
-            match action {
+    fn execute_outputs(&mut self, node: usize, outputs: Vec<Output>) {
+        for output in outputs {
+            match output {
                 Output::Send { to, message } => {
                     self.datagrams += 1;
                     let length = wire::MAX_DATAGRAM_BYTES - wire::remaining_bytes(&message);
@@ -142,7 +143,7 @@
                     }
                     let delay = Duration::from_secs_f64(0.001 + 0.02 * self.random.uniform());
                     if self.random.uniform() < self.duplication {
-                        // A duplicate arrives after datagrams that were sent later.
+                        // A duplicate may arrive after datagrams that were sent later.
                         let duplicate_at = self.now + periods(5.0 * self.random.uniform());
                         self.schedule(duplicate_at, Event::Datagram { to, message: message.clone() });
                     }
@@ -150,7 +151,7 @@
                 }
                 Output::Synchronize { with } => {
                     let Some(with) = self.node_at(with) else { continue };
-                    // A connection needs both directions.
+                    // A connection requires that both directions work.
                     if !(self.is_partitioned)(node, with) && !(self.is_partitioned)(with, node) {
                         self.schedule(
                             self.now + Duration::from_millis(5),
@@ -197,13 +198,13 @@
                     let Some(other) = self.nodes[with].as_mut().filter(|_| !paused) else { continue };
                     let (theirs, mut replies) = (other.full_state(), Vec::new());
                     other.handle_full_state(self.now, own, &mut replies);
-                    self.carry_out(with, replies);
+                    self.execute_outputs(with, replies);
                     if let Some(detector) = &mut self.nodes[node] {
                         detector.handle_full_state(self.now, theirs, &mut outputs);
                     }
                 }
             }
-            self.carry_out(node, outputs);
+            self.execute_outputs(node, outputs);
         }
         self.now = end;
     }
@@ -212,17 +213,18 @@
         self.nodes.iter().enumerate().filter_map(|(n, detector)| Some((n, detector.as_ref()?)))
     }
 
-    /// Returns whether all running nodes have the same view, with so many present members.
-    fn agreed(&self, present: usize) -> bool {
+    /// Returns whether all running nodes have the same view, with this number of present members.
+    fn views_agree(&self, present: usize) -> bool {
         let mut digests = self.running().map(|(_, detector)| (detector.digest(), detector.present_count()));
         let first = digests.next();
         first.is_some_and(|(_, count)| count == present) && digests.all(|other| Some(other) == first)
     }
 
-    /// Runs until the views agree, and returns after how many periods they did; `None` if not within the maximum.
+    /// Runs until the views agree. Returns the number of periods until then, or `None` if it exceeds the
+    /// maximum.
     fn run_until_agreed(&mut self, present: usize, max: f64) -> Option<f64> {
         let started_at = self.now;
-        while !self.agreed(present) {
+        while !self.views_agree(present) {
             if self.now - started_at > periods(max) {
                 return None;
             }
@@ -253,86 +255,94 @@
     max
 }
 
-/// Returns how many seeds are run for a cluster size: more of the small ones, which are quick.
-fn seeds_for(count: usize) -> u64 {
+/// Returns the number of random seeds for a cluster size: more for small clusters, which run quickly.
+fn random_seeds_for(count: usize) -> u64 {
     if count > 100 {
-        SEEDS
+        RANDOM_SEEDS
     } else {
-        2 * SEEDS
+        2 * RANDOM_SEEDS
     }
 }
 
 #[test]
-fn every_failure_is_reported_by_all_in_bounded_time_and_no_other_is() {
-    // Each decade of members lengthens the suspicion by four periods when others confirm it; a small cluster has few that
-    // could, and takes longer.
+fn every_failure_is_reported_by_all_members_in_bounded_time_without_false_reports() {
+    // Each decade of members lengthens a confirmed suspicion by four periods. A small cluster takes longer,
+    // since it has few members that can confirm a suspicion.
     for (count, bound) in [(3, 40.0), (30, 30.0), (300, 30.0)] {
-        let mut took = Vec::new();
-        for seed in 0..seeds_for(count) {
-            let mut net = Net::fully_joined(count, seed + 1);
-            net.run(periods(3.0));
-            assert!(net.agreed(count));
+        let mut durations = Vec::new();
+        for seed in 0..random_seeds_for(count) {
+            let mut cluster = Cluster::fully_joined(count, seed + 1);
+            cluster.run(periods(3.0));
+            assert!(cluster.views_agree(count));
             let victim = (seed as usize * 7 + 1) % count;
-            net.nodes[victim] = None;
-            net.changes.clear();
-            let started_at = net.now;
-            let agreed = net.run_until_agreed(count - 1, bound);
+            cluster.nodes[victim] = None;
+            cluster.changes.clear();
+            let started_at = cluster.now;
+            let agreed = cluster.run_until_agreed(count - 1, bound);
             assert!(agreed.is_some(), "{count} members, seed {seed}: not within {bound} periods");
-            let reporters: BTreeSet<usize> = net
+            let reporters: BTreeSet<usize> = cluster
                 .changes
                 .iter()
                 .filter(|observed| observed.change.to == MemberState::Failed)
                 .map(|observed| observed.node)
                 .collect();
-            assert_eq!(reporters.len(), count - 1, "all running nodes, {count}, seed {seed}");
-            for observed in &net.changes {
+            assert_eq!(
+                reporters.len(),
+                count - 1,
+                "all running nodes report the failure, {count}, seed {seed}"
+            );
+            for observed in &cluster.changes {
                 assert_eq!(observed.change.name, name(victim), "{count}, seed {seed}: {observed:?}");
                 if observed.change.to == MemberState::Failed {
-                    took.push((observed.at - started_at).as_secs_f64() / PERIOD.as_secs_f64());
+                    durations.push((observed.at - started_at).as_secs_f64() / PERIOD.as_secs_f64());
                 }
             }
         }
         assert_eq!(
-            took.len(),
-            seeds_for(count) as usize * (count - 1),
+            durations.len(),
+            random_seeds_for(count) as usize * (count - 1),
             "each failure is reported by each running node once"
         );
-        assert!(print_distribution(&format!("{count} members, a failure is reported by all"), took) <= bound);
+        assert!(
+            print_distribution(&format!("{count} members, time until a node reports a failure"), durations)
+                <= bound
+        );
     }
 }
 
 #[test]
-fn false_failures_under_heavy_loss_are_corrected_after_it() {
-    for (count, seeds) in [(3, SEEDS), (30, SEEDS), (300, SEEDS)] {
-        let (mut refuted, mut failed, mut took) = (0, 0, Vec::new());
+fn false_failure_reports_under_heavy_loss_are_corrected_after_the_loss() {
+    for (count, seeds) in [(3, RANDOM_SEEDS), (30, RANDOM_SEEDS), (300, RANDOM_SEEDS)] {
+        let (mut refuted, mut failed, mut durations) = (0, 0, Vec::new());
         for seed in 0..seeds {
-            let mut net = Net::fully_joined(count, seed + 100);
-            (net.loss, net.duplication) = (0.3, 0.2);
-            net.run(periods(30.0));
-            failed += net.changes.iter().filter(|observed| observed.change.to == MemberState::Failed).count();
-            refuted += net.running().map(|(_, detector)| detector.stats().local_refutations).sum::<u64>();
+            let mut cluster = Cluster::fully_joined(count, seed + 100);
+            (cluster.loss, cluster.duplication) = (0.3, 0.2);
+            cluster.run(periods(30.0));
+            failed +=
+                cluster.changes.iter().filter(|observed| observed.change.to == MemberState::Failed).count();
+            refuted += cluster.running().map(|(_, detector)| detector.stats().local_refutations).sum::<u64>();
             // After the loss, wrong views are corrected.
-            (net.loss, net.duplication) = (0.0, 0.0);
-            let agreed = net.run_until_agreed(count, 60.0);
-            took.push(agreed.unwrap_or_else(|| panic!("{count}, seed {seed}: not within 60 periods")));
+            (cluster.loss, cluster.duplication) = (0.0, 0.0);
+            let agreed = cluster.run_until_agreed(count, 60.0);
+            durations.push(agreed.unwrap_or_else(|| panic!("{count}, seed {seed}: not within 60 periods")));
         }
-        println!("{count} members, 30 periods with 30% lost: {refuted} suspicions refuted, {failed} reported failed");
-        print_distribution(&format!("{count} members agree after the loss"), took);
+        println!("{count} members, 30 periods with 30% loss: {refuted} suspicions refuted, {failed} failures reported");
+        print_distribution(&format!("{count} members, time until the views agree after the loss"), durations);
         assert!(refuted > 0, "suspicions were refuted");
     }
 }
 
 #[test]
-fn members_join_through_seeds_of_which_one_is_down() {
+fn members_join_while_one_of_the_seeds_is_down() {
     for (count, bound) in [(3, 20.0), (30, 60.0), (300, 60.0)] {
-        let mut took = Vec::new();
-        for seed in 0..SEEDS {
-            let mut net = Net::new(count, seed + 200);
-            net.nodes[0] = None;
-            let joined = net.run_until_agreed(count - 1, bound);
-            took.push(joined.unwrap_or_else(|| panic!("{count}, seed {seed}: not within {bound}")));
+        let mut durations = Vec::new();
+        for seed in 0..RANDOM_SEEDS {
+            let mut cluster = Cluster::new(count, seed + 200);
+            cluster.nodes[0] = None;
+            let joined = cluster.run_until_agreed(count - 1, bound);
+            durations.push(joined.unwrap_or_else(|| panic!("{count}, seed {seed}: not within {bound}")));
         }
-        print_distribution(&format!("{count} members join"), took);
+        print_distribution(&format!("{count} members, time to join"), durations);
     }
 }
 
@@ -341,140 +351,145 @@
     let (mut failed, mut returned) = (Vec::new(), Vec::new());
     for seed in 0..5 {
         let count = 60;
-        let mut net = Net::fully_joined(count, seed + 300);
-        net.run(periods(3.0));
+        let mut cluster = Cluster::fully_joined(count, seed + 300);
+        cluster.run(periods(3.0));
         let victims: Vec<usize> = (3..count).filter(|n| n % 10 < 7).collect();
-        victims.iter().for_each(|&n| net.nodes[n] = None);
+        victims.iter().for_each(|&n| cluster.nodes[n] = None);
         let survivors = count - victims.len();
-        let took = net.run_until_agreed(survivors, 200.0);
-        failed.push(took.unwrap_or_else(|| panic!("seed {seed}: not within 200 periods")));
+        let duration = cluster.run_until_agreed(survivors, 200.0);
+        failed.push(duration.unwrap_or_else(|| panic!("seed {seed}: not within 200 periods")));
         assert!(
-            net.running().all(|(_, detector)| !detector.is_view_sufficient()),
-            "fewer than half are present, and the view says so"
+            cluster.running().all(|(_, detector)| !detector.is_view_sufficient()),
+            "fewer than half are present, so the view is not sufficient"
         );
-        // They restart without state and with a later clock.
-        victims.iter().for_each(|&n| net.start(n, count, 2000));
-        let took = net.run_until_agreed(count, 80.0);
-        returned.push(took.unwrap_or_else(|| panic!("seed {seed}: not present again within 80 periods")));
-        assert!(net.running().all(|(_, detector)| detector.is_view_sufficient()));
+        // The failed members restart without state and with a later clock.
+        victims.iter().for_each(|&n| cluster.start(n, count, 2000));
+        let duration = cluster.run_until_agreed(count, 80.0);
+        returned.push(duration.unwrap_or_else(|| panic!("seed {seed}: not present again within 80 periods")));
+        assert!(cluster.running().all(|(_, detector)| detector.is_view_sufficient()));
     }
-    print_distribution("42 of 60 killed at once are reported failed", failed);
-    print_distribution("and present again", returned);
+    print_distribution("time until 42 of 60 members that fail at once are reported", failed);
+    print_distribution("time until they are present again", returned);
 }
 
 #[test]
-fn a_restart_with_an_earlier_clock_exceeds_its_former_incarnation() {
-    let mut net = Net::fully_joined(10, 7);
-    net.run(periods(3.0));
-    net.nodes[5] = None;
-    net.run(periods(1.0));
-    // It does not count as failed yet, and its new incarnation is lower than the former one.
-    net.start(5, 10, 10);
-    assert!(net.run_until_agreed(10, 60.0).is_some());
-    assert!(net.nodes[5].as_ref().is_some_and(|detector| detector.incarnation() > 1000));
+fn a_restart_with_an_earlier_clock_raises_its_incarnation_above_the_former_one() {
+    let mut cluster = Cluster::fully_joined(10, 7);
+    cluster.run(periods(3.0));
+    cluster.nodes[5] = None;
+    cluster.run(periods(1.0));
+    // The node does not count as failed yet, and its new incarnation is lower than the former one.
+    cluster.start(5, 10, 10);
+    assert!(cluster.run_until_agreed(10, 60.0).is_some());
+    assert!(cluster.nodes[5].as_ref().is_some_and(|detector| detector.incarnation() > 1000));
 }
 
 #[test]
-fn a_leave_is_distinct_from_a_failure_and_ends_only_by_a_new_incarnation() {
-    let mut net = Net::fully_joined(30, 8);
-    net.run(periods(3.0));
+fn a_leave_is_distinct_from_a_failure_and_is_overridden_only_by_a_new_incarnation() {
+    let mut cluster = Cluster::fully_joined(30, 8);
+    cluster.run(periods(3.0));
     let mut outputs = Vec::new();
-    net.nodes[9].as_mut().expect("running").leave(&mut outputs);
-    net.carry_out(9, outputs);
-    net.nodes[9] = None;
-    net.changes.clear();
-    assert!(net.run_until_agreed(29, 20.0).is_some());
+    cluster.nodes[9].as_mut().expect("running").leave(&mut outputs);
+    cluster.execute_outputs(9, outputs);
+    cluster.nodes[9] = None;
+    cluster.changes.clear();
+    assert!(cluster.run_until_agreed(29, 20.0).is_some());
     assert!(
-        net.changes
+        cluster
+            .changes
             .iter()
             .all(|observed| (observed.change.to, &observed.change.name) == (MemberState::Left, &name(9))),
         "{:?}",
-        net.changes
+        cluster.changes
     );
-    assert_eq!(net.state_of(3, 9), Some(MemberState::Left));
-    // An old claim about it changes nothing; a new incarnation does.
+    assert_eq!(cluster.state_of(3, 9), Some(MemberState::Left));
+    // An old claim about the member changes nothing, but a new incarnation does.
     let old =
         Record { name: name(9), addr: addr(9), zone: name(0), incarnation: 1000, state: MemberState::Alive };
-    net.nodes[3].as_mut().expect("running").handle_full_state(net.now, vec![old], &mut Vec::new());
-    assert_eq!(net.state_of(3, 9), Some(MemberState::Left));
-    net.start(9, 30, 2000);
-    assert!(net.run_until_agreed(30, 40.0).is_some());
+    cluster.nodes[3].as_mut().expect("running").handle_full_state(cluster.now, vec![old], &mut Vec::new());
+    assert_eq!(cluster.state_of(3, 9), Some(MemberState::Left));
+    cluster.start(9, 30, 2000);
+    assert!(cluster.run_until_agreed(30, 40.0).is_some());
 }
 
 #[test]
-fn a_paused_process_causes_no_failure_of_others() {
-    for seed in 0..SEEDS {
-        let mut net = Net::fully_joined(30, seed + 400);
-        net.run(periods(3.0));
-        net.changes.clear();
-        net.paused.insert(4, net.now + periods(5.0));
-        net.run(periods(40.0));
-        let false_failures: Vec<&ObservedChange> = net
+fn a_paused_process_causes_no_failure_reports_about_others() {
+    for seed in 0..RANDOM_SEEDS {
+        let mut cluster = Cluster::fully_joined(30, seed + 400);
+        cluster.run(periods(3.0));
+        cluster.changes.clear();
+        cluster.paused.insert(4, cluster.now + periods(5.0));
+        cluster.run(periods(40.0));
+        let false_failures: Vec<&ObservedChange> = cluster
             .changes
             .iter()
             .filter(|observed| observed.change.name != name(4) && observed.change.to == MemberState::Failed)
             .collect();
         assert!(false_failures.is_empty(), "seed {seed}: {false_failures:?}");
-        assert!(net.run_until_agreed(30, 40.0).is_some(), "seed {seed}: all are present");
+        assert!(cluster.run_until_agreed(30, 40.0).is_some(), "seed {seed}: all are present");
     }
 }
 
 #[test]
-fn a_partitioned_zone_shows_in_the_view_and_heals() {
-    let mut took = Vec::new();
+fn a_partition_is_visible_in_the_views_and_heals() {
+    let mut durations = Vec::new();
     for seed in 0..5 {
         let count = 60;
-        let mut net = Net::fully_joined(count, seed + 500);
-        net.run(periods(3.0));
-        // A third of them, without a seed, is partitioned off for long enough to be declared failed.
-        net.is_partitioned = Box::new(|a, b| (a >= 40) != (b >= 40));
-        net.run(periods(200.0));
-        assert!(net
+        let mut cluster = Cluster::fully_joined(count, seed + 500);
+        cluster.run(periods(3.0));
+        // A third of the members, none of them a seed, is partitioned from the others for long enough to be
+        // declared failed.
+        cluster.is_partitioned = Box::new(|a, b| (a >= 40) != (b >= 40));
+        cluster.run(periods(200.0));
+        assert!(cluster
             .running()
             .filter(|(n, _)| *n >= 40)
             .all(|(_, detector)| detector.present_count() == 20 && !detector.is_view_sufficient()));
-        assert!(net
+        assert!(cluster
             .running()
             .filter(|(n, _)| *n < 40)
             .all(|(_, detector)| detector.present_count() == 40 && detector.is_view_sufficient()));
-        net.is_partitioned = Box::new(|_, _| false);
-        let healed = net.run_until_agreed(count, 250.0);
-        took.push(healed.unwrap_or_else(|| panic!("seed {seed}: the partition does not heal")));
+        cluster.is_partitioned = Box::new(|_, _| false);
+        let healed = cluster.run_until_agreed(count, 250.0);
+        durations.push(healed.unwrap_or_else(|| panic!("seed {seed}: the partition does not heal")));
     }
-    print_distribution("a partition of 60 heals", took);
+    print_distribution("time until a partition of 60 members heals", durations);
 }
 
 #[test]
 fn a_member_that_a_single_other_cannot_reach_stays_present() {
-    for seed in 0..SEEDS {
-        let mut net = Net::fully_joined(30, seed + 600);
-        net.run(periods(3.0));
-        net.changes.clear();
-        // 5 does not reach 6, but all others do, and 6 reaches 5.
-        net.is_partitioned = Box::new(|a, b| a == 5 && b == 6);
-        net.run(periods(100.0));
+    for seed in 0..RANDOM_SEEDS {
+        let mut cluster = Cluster::fully_joined(30, seed + 600);
+        cluster.run(periods(3.0));
+        cluster.changes.clear();
+        // Node 5 cannot reach node 6. All others can, and node 6 can reach node 5.
+        cluster.is_partitioned = Box::new(|a, b| a == 5 && b == 6);
+        cluster.run(periods(100.0));
         assert!(
-            net.changes.iter().all(|observed| observed.change.to != MemberState::Failed),
+            cluster.changes.iter().all(|observed| observed.change.to != MemberState::Failed),
             "seed {seed}: {:?}",
-            net.changes
+            cluster.changes
         );
-        assert!(net.agreed(30) || net.run_until_agreed(30, 30.0).is_some());
+        assert!(cluster.views_agree(30) || cluster.run_until_agreed(30, 30.0).is_some());
     }
 }
 
 #[test]
 fn of_two_processes_with_one_name_the_later_one_displaces_the_earlier() {
-    let mut net = Net::fully_joined(10, 9);
-    net.run(periods(3.0));
-    // Another process with the name of 4, at another address.
-    net.nodes.push(None);
-    let settings = Config { name: name(4), ..Net::settings(10, 10) };
-    net.nodes[10] = Some(FailureDetector::new(settings, 5000, 77, net.now));
-    net.schedule(net.now, Event::Wake { node: 10 });
-    net.run(periods(60.0));
-    assert_eq!(net.displaced, [4], "the earlier process is displaced");
-    let current =
-        net.nodes[0].as_ref().expect("running").peers(net.now).find(|peer| peer.record.name == name(4));
+    let mut cluster = Cluster::fully_joined(10, 9);
+    cluster.run(periods(3.0));
+    // A second process starts with the name of node 4, at another address.
+    cluster.nodes.push(None);
+    let config = Config { name: name(4), ..Cluster::config(10, 10) };
+    cluster.nodes[10] = Some(FailureDetector::new(config, 5000, 77, cluster.now));
+    cluster.schedule(cluster.now, Event::Wake { node: 10 });
+    cluster.run(periods(60.0));
+    assert_eq!(cluster.displaced, [4], "the earlier process is displaced");
+    let current = cluster.nodes[0]
+        .as_ref()
+        .expect("running")
+        .peers(cluster.now)
+        .find(|peer| peer.record.name == name(4));
     assert_eq!(
         current.map(|peer| (peer.record.addr, peer.record.state)),
         Some((addr(10), MemberState::Alive))
@@ -482,22 +497,22 @@
 }
 
 #[test]
-fn clusters_of_one_and_two_members_work() {
-    let mut net = Net::new(1, 1);
-    net.run(periods(20.0));
-    assert!(net.agreed(1));
-    let mut net = Net::new(2, 2);
-    assert!(net.run_until_agreed(2, 20.0).is_some());
-    net.nodes[1] = None;
-    assert!(net.run_until_agreed(1, 60.0).is_some());
+fn clusters_of_one_and_two_members_agree_on_their_views() {
+    let mut cluster = Cluster::new(1, 1);
+    cluster.run(periods(20.0));
+    assert!(cluster.views_agree(1));
+    let mut cluster = Cluster::new(2, 2);
+    assert!(cluster.run_until_agreed(2, 20.0).is_some());
+    cluster.nodes[1] = None;
+    assert!(cluster.run_until_agreed(1, 60.0).is_some());
 }
 
 #[test]
 fn invalid_and_excess_updates_are_ignored() {
-    let mut net = Net::fully_joined(3, 3);
-    net.run(periods(2.0));
-    let detector = net.nodes[0].as_mut().expect("running");
-    let stranger = |n: usize, incarnation| Record { incarnation, ..record(n) };
+    let mut cluster = Cluster::fully_joined(3, 3);
+    cluster.run(periods(2.0));
+    let detector = cluster.nodes[0].as_mut().expect("running");
+    let unknown_member = |n: usize, incarnation| Record { incarnation, ..record(n) };
     fn record(n: usize) -> Record {
         Record {
             name: Name::new(&format!("x{n}")).unwrap(),
@@ -507,17 +522,21 @@
             state: MemberState::Alive,
         }
     }
-    detector.handle_full_state(net.now, vec![stranger(1, u64::MAX)], &mut Vec::new());
+    detector.handle_full_state(cluster.now, vec![unknown_member(1, u64::MAX)], &mut Vec::new());
     assert_eq!(detector.present_count(), 3);
-    // A claim about itself with a lower incarnation needs no refutation.
+    // A claim about the member itself with a lower incarnation needs no refutation.
     let before = detector.incarnation();
     let own =
         Record { name: name(0), addr: addr(0), zone: name(0), incarnation: 3, state: MemberState::Failed };
-    detector.handle_full_state(net.now, vec![own], &mut Vec::new());
+    detector.handle_full_state(cluster.now, vec![own], &mut Vec::new());
     assert_eq!(detector.incarnation(), before);
-    detector.handle_full_state(net.now, (0..10_000).map(|n| stranger(n, 1)).collect(), &mut Vec::new());
+    detector.handle_full_state(
+        cluster.now,
+        (0..10_000).map(|n| unknown_member(n, 1)).collect(),
+        &mut Vec::new(),
+    );
     assert!(detector.full_state().len() <= MAX_MEMBERS + 1 && detector.stats().ignored_updates > 7000);
-    // At the highest incarnation it refutes nothing more, and does not exceed it.
+    // At the maximum incarnation, the member refutes nothing more, and does not exceed the maximum.
     let last = Record {
         name: name(0),
         addr: addr(0),
@@ -525,46 +544,54 @@
         incarnation: MAX_INCARNATION,
         state: MemberState::Failed,
     };
-    detector.handle_full_state(net.now, vec![last], &mut Vec::new());
+    detector.handle_full_state(cluster.now, vec![last], &mut Vec::new());
     assert_eq!(detector.incarnation(), MAX_INCARNATION);
 }
 
 #[test]
 fn load_per_member_does_not_grow_with_the_cluster() {
-    let mut each = Vec::new();
+    let mut load_per_member = Vec::new();
     for count in [30, 300] {
-        let mut net = Net::fully_joined(count, 11);
-        net.run(periods(60.0));
-        (net.datagrams, net.bytes) = (0, 0);
-        net.run(periods(20.0));
-        let per = (count * 20) as f64;
-        each.push((net.datagrams as f64 / per, net.bytes as f64 / per));
+        let mut cluster = Cluster::fully_joined(count, 11);
+        cluster.run(periods(60.0));
+        (cluster.datagrams, cluster.bytes) = (0, 0);
+        cluster.run(periods(20.0));
+        let member_periods = (count * 20) as f64;
+        load_per_member
+            .push((cluster.datagrams as f64 / member_periods, cluster.bytes as f64 / member_periods));
         println!(
-            "{count} members: {:.2} datagrams, {:.0} bytes a member and period at rest",
-            each[each.len() - 1].0,
-            each[each.len() - 1].1
+            "{count} members: {:.2} datagrams, {:.0} bytes per member and period without changes",
+            load_per_member[load_per_member.len() - 1].0,
+            load_per_member[load_per_member.len() - 1].1
         );
     }
-    assert!(each[1].0 < 1.1 * each[0].0 + 0.1 && each[1].1 < 1.5 * each[0].1, "{each:?}");
+    assert!(
+        load_per_member[1].0 < 1.1 * load_per_member[0].0 + 0.1
+            && load_per_member[1].1 < 1.5 * load_per_member[0].1,
+        "{load_per_member:?}"
+    );
 }
 
-/// What arrived during the pause is lost, since the socket buffer was full: no suspicion may expire from it.
+/// Datagrams that arrive during a pause are lost once the socket buffer is full, refutations among them. A
+/// suspicion must not expire because of the pause.
 #[test]
 fn a_suspicion_does_not_expire_during_a_pause_of_the_process() {
-    let mut net = Net::fully_joined(5, 12);
-    net.run(periods(3.0));
-    let detector = net.nodes[0].as_mut().expect("running");
+    let mut cluster = Cluster::fully_joined(5, 12);
+    cluster.run(periods(3.0));
+    let detector = cluster.nodes[0].as_mut().expect("running");
     let suspect = Record {
         state: MemberState::Suspect,
         ..detector.full_state().into_iter().find(|record| record.name == name(1)).expect("known")
     };
-    detector.handle_full_state(net.now, vec![suspect.clone()], &mut Vec::new());
-    let (mut outputs, resumed_at) = (Vec::new(), net.now + periods(100.0));
+    detector.handle_full_state(cluster.now, vec![suspect.clone()], &mut Vec::new());
+    let (mut outputs, resumed_at) = (Vec::new(), cluster.now + periods(100.0));
     detector.on_tick(resumed_at, &mut outputs);
     let failed = |outputs: &[Output]| {
-        outputs.iter().any(|a| matches!(a, Output::StateChanged(change) if change.to == MemberState::Failed))
+        outputs
+            .iter()
+            .any(|output| matches!(output, Output::StateChanged(change) if change.to == MemberState::Failed))
     };
-    assert!(!failed(&outputs), "its silence is its own fault");
+    assert!(!failed(&outputs), "the suspicion does not expire because of the pause");
     assert_eq!(detector.local_health(), 8);
     // The refutation arrives after the pause.
     let alive = Record { state: MemberState::Alive, incarnation: suspect.incarnation + 1, ..suspect };
@@ -575,20 +602,21 @@
     assert_eq!(current, Some(MemberState::Alive));
 }
 
-/// Asymmetric loss: its messages arrive and it receives none. It must doubt itself rather than all others.
+/// Asymmetric loss: the member's messages arrive, but it receives none. It must lower its own local health
+/// instead of causing the others to be declared failed.
 #[test]
-fn a_member_that_receives_nothing_lowers_its_local_health_and_causes_no_failures() {
+fn a_member_that_receives_nothing_lowers_its_local_health_and_causes_no_failure_reports() {
     for seed in 0..5 {
-        let mut net = Net::fully_joined(30, seed + 700);
-        net.run(periods(3.0));
-        net.changes.clear();
-        net.is_partitioned = Box::new(|_, to| to == 4);
-        net.run(periods(15.0));
-        assert_eq!(net.nodes[4].as_ref().expect("running").local_health(), 8, "seed {seed}");
-        net.is_partitioned = Box::new(|_, _| false);
-        assert!(net.run_until_agreed(30, 60.0).is_some(), "seed {seed}");
+        let mut cluster = Cluster::fully_joined(30, seed + 700);
+        cluster.run(periods(3.0));
+        cluster.changes.clear();
+        cluster.is_partitioned = Box::new(|_, to| to == 4);
+        cluster.run(periods(15.0));
+        assert_eq!(cluster.nodes[4].as_ref().expect("running").local_health(), 8, "seed {seed}");
+        cluster.is_partitioned = Box::new(|_, _| false);
+        assert!(cluster.run_until_agreed(30, 60.0).is_some(), "seed {seed}");
         let others =
-            net.changes.iter().filter(|observed| observed.node != 4 && observed.change.name != name(4));
+            cluster.changes.iter().filter(|observed| observed.node != 4 && observed.change.name != name(4));
         assert_eq!(
             others.filter(|observed| observed.change.to == MemberState::Failed).count(),
             0,
--- a/quota-gateway/membership/tests/golden.rs
+++ b/quota-gateway/membership/tests/golden.rs
@@ -1,8 +1,9 @@
-//! Recorded bytes of the datagrams that members send each other.
+//! Golden tests of the datagrams that members send each other.
 //!
-//! The fixtures were written by one run of the code of the day on which they were recorded. Each test encodes fixed values
-//! and compares with the fixture, decodes the fixture, and encodes what was decoded to the same bytes. A type or field that
-//! is renamed in the program is renamed in the construction code here; the fixtures stay.
+//! The fixtures were written by one run of the code at the time of their recording. The test encodes fixed
+//! values and compares the result with the fixture, decodes the fixture, and encodes the decoded value to the
+//! same bytes. If a type or field is renamed, the code here that constructs it changes, and the fixtures do
+//! not.
 
 #[path = "../../../testing/support/golden/mod.rs"]
 mod golden;
@@ -31,7 +32,7 @@
     Update { record, suspected_by: 0xa1b2_c300 + u32::from(number) }
 }
 
-/// One update in each state, one of them without a zone.
+/// Returns one update for each state, one of them without a zone.
 fn updates() -> Vec<Update> {
     let mut updates = vec![
         update(3, MemberState::Alive),
@@ -43,7 +44,7 @@
     updates
 }
 
-/// Each kind of message, and what its fixture is called.
+/// Returns each kind of message, with the name of its fixture.
 fn messages() -> Vec<(&'static str, Message)> {
     let message = |kind, updates| Message { from: name("sender"), from_addr: addr(9, 7109), kind, updates };
     vec![
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn datagrams_keep_their_bytes() {
+fn datagrams_match_their_fixtures() {
     for (fixture, message) in messages() {
         same_bytes(fixture, &codec().encode(&message));
         let read = codec().decode(&bytes(fixture)).unwrap_or_else(|e| panic!("{fixture}: {e:?}"));
--- a/quota-gateway/membership/tests/merge.rs
+++ b/quota-gateway/membership/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Properties of merging claims, and of the datagram codec.
+//! Property tests of the merging of claims, and of the datagram codec.
 
 use marblecroft_membership::config::*;
 use marblecroft_membership::detector::*;
@@ -30,7 +30,7 @@
         .prop_map(|(name, addr, zone, incarnation, state)| Record { name, addr, zone, incarnation, state })
 }
 
-/// Claims about one member, from a range small enough for conflicts.
+/// Claims about one member, from a range that is small enough to cause conflicts.
 fn conflicting_claim() -> impl Strategy<Value = Record> {
     (1..3_u16, "[ab]", 0..3_u64, state()).prop_map(|(port, zone, incarnation, state)| Record {
         name: Name::new("x").expect("short"),
@@ -66,15 +66,16 @@
         prop_assert_eq!(merged(&merged(&a, &b), &c), merged(&a, &merged(&b, &c)));
         prop_assert_eq!(merged(&a, &a), a.clone());
         let m = merged(&a, &b);
-        prop_assert!(m.incarnation == a.incarnation.max(b.incarnation), "never lowered");
+        prop_assert!(m.incarnation == a.incarnation.max(b.incarnation), "merging never lowers the incarnation");
     }
 
-    /// The view does not depend on the order or number of updates, and the own incarnation never falls.
+    /// The view does not depend on the order or number of updates, and a member's own incarnation never
+    /// decreases.
     #[test]
     fn the_view_is_independent_of_the_order_of_updates(records in prop::collection::vec(record(), 1..30), rotation: prop::sample::Index) {
         let detector = || {
             let own = Name::new("own").expect("short");
-            let settings = Config {
+            let config = Config {
                 addr: SocketAddrV4::new([127, 0, 0, 1].into(), 9),
                 zone: own.clone(),
                 name: own,
@@ -83,7 +84,7 @@
                 expected: 3,
                 min_share: 0.5,
             };
-            FailureDetector::new(settings, 5, 1, Duration::ZERO)
+            FailureDetector::new(config, 5, 1, Duration::ZERO)
         };
         let (mut one, mut other) = (detector(), detector());
         one.handle_full_state(Duration::ZERO, records.clone(), &mut Vec::new());
@@ -95,7 +96,7 @@
             for peer in other.peers(Duration::ZERO) {
                 let Record { name, incarnation, state, .. } = peer.record.clone();
                 let before = latest.insert(name, (incarnation, state));
-                prop_assert!(before.is_none_or(|(was, _)| was <= incarnation), "an incarnation went back");
+                prop_assert!(before.is_none_or(|(was, _)| was <= incarnation), "an incarnation decreased");
                 if let Some((was, MemberState::Left)) = before {
                     prop_assert!(incarnation > was || state == MemberState::Left, "a member that left is present without a new incarnation");
                 }
@@ -112,13 +113,13 @@
         let datagram = codec().encode(&message);
         prop_assert!(datagram.len() <= MAX_DATAGRAM_BYTES);
         prop_assert_eq!(codec().decode(&datagram), Ok(message.clone()));
-        // During a key rotation the other order of keys is valid as well; other keys and clusters are not.
+        // During a key rotation, the reverse order of keys is valid as well. Other keys and clusters are not.
         let rotated = Codec::new("pay", &[b"old key", b"new key"]).expect("a cluster");
         prop_assert_eq!(rotated.decode(&datagram), Ok(message.clone()));
-        let stranger = Codec::new("pay", &[b"another key"]).expect("a cluster");
-        prop_assert_eq!(stranger.decode(&datagram), Err(DecodeError::Authentication));
-        let elsewhere = Codec::new("pax", &[b"new key"]).expect("a cluster");
-        prop_assert_eq!(elsewhere.decode(&datagram), Err(DecodeError::Cluster));
+        let other_key = Codec::new("pay", &[b"another key"]).expect("a cluster");
+        prop_assert_eq!(other_key.decode(&datagram), Err(DecodeError::Authentication));
+        let other_cluster = Codec::new("pax", &[b"new key"]).expect("a cluster");
+        prop_assert_eq!(other_cluster.decode(&datagram), Err(DecodeError::Cluster));
     }
 
     #[test]
@@ -137,7 +138,7 @@
         prop_assert!(codec().decode(&bytes).is_err());
     }
 
-    /// Signed with a valid key, but no message of a member.
+    /// The payload is signed with a valid key, but in general is not a message.
     #[test]
     fn signed_arbitrary_bytes_decode_without_a_panic(payload in prop::collection::vec(any::<u8>(), 0..300)) {
         use hmac::{Hmac, KeyInit, Mac};
@@ -153,7 +154,7 @@
 }
 
 #[test]
-fn a_cluster_has_one_key_or_two_and_a_short_name() {
+fn a_codec_requires_one_or_two_keys_and_a_short_cluster_name() {
     assert!(Codec::new("pay", &[]).is_none());
     assert!(Codec::new("pay", &[b"a", b"b", b"c"]).is_none());
     assert!(Codec::new(&"x".repeat(33), &[b"a"]).is_none());
