--- a/quota-gateway/discovery/benches/watches.rs
+++ b/quota-gateway/discovery/benches/watches.rs
@@ -38,14 +38,14 @@
 }
 
 /// Returns the median and the 99th percentile.
-fn median_and_p99(mut all: Vec<f64>) -> (f64, f64) {
-    all.sort_by(f64::total_cmp);
-    (all[all.len() / 2], all[(all.len() * 99 / 100).min(all.len() - 1)])
+fn median_and_p99(mut values: Vec<f64>) -> (f64, f64) {
+    values.sort_by(f64::total_cmp);
+    (values[values.len() / 2], values[(values.len() * 99 / 100).min(values.len() - 1)])
 }
 
-fn print_median_and_range(name: &str, unit: &str, all: &[f64]) {
-    let (min, max) = all.iter().fold((f64::MAX, f64::MIN), |(l, m), &x| (l.min(x), m.max(x)));
-    println!("{name}: {:.2} {unit} ({min:.2} to {max:.2})", median_and_p99(all.to_vec()).0);
+fn print_median_and_range(name: &str, unit: &str, values: &[f64]) {
+    let (min, max) = values.iter().fold((f64::MAX, f64::MIN), |(l, m), &x| (l.min(x), m.max(x)));
+    println!("{name}: {:.2} {unit} ({min:.2} to {max:.2})", median_and_p99(values.to_vec()).0);
 }
 
 /// Watches the list, and reports the time at which each change arrives.
@@ -92,21 +92,21 @@
     let memory = (resident_memory_kb(pid) - memory_without_watchers) as f64 / WATCHERS as f64;
     let (cpu_time, bytes, encodings) =
         (cpu_time_ns(pid), status(&mut operator, "bytes_written"), status(&mut operator, "encodings"));
-    let (mut each, mut all) = (Vec::new(), Vec::new());
+    let (mut delays_of_each, mut delays_of_last) = (Vec::new(), Vec::new());
     for n in 0..CHANGES {
         let (path, id) =
             (if n % 2 == 0 { "drain" } else { "undrain" }, format!(r#"{{"id":"s-{:08x}"}}"#, n / 2));
         let requested_at = Instant::now();
         let response = operator.post(&format!("/discovery/{path}"), &id);
         let revision = response.json()["revision"].as_u64().expect("a revision");
-        let mut last = Duration::ZERO;
+        let mut last_delay = Duration::ZERO;
         for _ in 0..WATCHERS {
             let (version, at) = receiver.recv_timeout(MAX_WAIT).expect("a response to each watch");
             assert!(version >= revision);
-            each.push((at - requested_at).as_secs_f64() * 1e3);
-            last = last.max(at - requested_at);
+            delays_of_each.push((at - requested_at).as_secs_f64() * 1e3);
+            last_delay = last_delay.max(at - requested_at);
         }
-        all.push(last.as_secs_f64() * 1e3);
+        delays_of_last.push(last_delay.as_secs_f64() * 1e3);
         wait_until("all watches wait again", || status(&mut operator, "watches") == WATCHERS as u64);
     }
     let delivered = (CHANGES * WATCHERS) as f64;
@@ -115,10 +115,17 @@
     let encodings = (status(&mut operator, "encodings") - encodings) as f64 / CHANGES as f64;
     println!(
         "  per change: {:.1} encodings; delay until received in ms: median {:.1}, 99th percentile {:.1}; until received by all: median {:.1}, 99th percentile {:.1}",
-        encodings, median_and_p99(each.clone()).0, median_and_p99(each.clone()).1, median_and_p99(all.clone()).0, median_and_p99(all.clone()).1
+        encodings, median_and_p99(delays_of_each.clone()).0, median_and_p99(delays_of_each.clone()).1, median_and_p99(delays_of_last.clone()).0, median_and_p99(delays_of_last.clone()).1
     );
     remove_folder(folder);
-    [cpu_time, bytes, memory, median_and_p99(each.clone()).0, median_and_p99(each).1, median_and_p99(all).1]
+    [
+        cpu_time,
+        bytes,
+        memory,
+        median_and_p99(delays_of_each.clone()).0,
+        median_and_p99(delays_of_each).1,
+        median_and_p99(delays_of_last).1,
+    ]
 }
 
 /// Returns the time to restore a store from a long log, in milliseconds.
--- a/quota-gateway/discovery/src/config.rs
+++ b/quota-gateway/discovery/src/config.rs
@@ -57,8 +57,9 @@
     pub peers: Vec<SocketAddr>,
     /// The writer that this process follows. By default, this process is the writer.
     pub follow: Option<SocketAddr>,
-    /// The maximum age in milliseconds, 5000 by default, of the last synchronization for a replica to serve
-    /// lists, and of the last response from at least half of the peers for a writer to accept changes.
+    /// The maximum age in milliseconds, 5000 by default. A replica serves lists while its last
+    /// synchronization is not older, and a writer accepts changes while the last responses of at least half
+    /// of its peers are not older.
     #[serde(default = "default_stale_ms")]
     pub stale_ms: u64,
     /// The limits on load.
--- a/quota-gateway/discovery/tests/store.rs
+++ b/quota-gateway/discovery/tests/store.rs
@@ -47,7 +47,8 @@
 struct FaultyStorage(Rc<RefCell<StorageState>>);
 
 impl FaultyStorage {
-    fn step(&self) -> io::Result<()> {
+    /// Counts an operation, and fails it if a fault is due.
+    fn count_operation(&self) -> io::Result<()> {
         let mut state = self.0.borrow_mut();
         if let Some(left) = &mut state.crash {
             if *left == 0 {
@@ -104,11 +105,11 @@
 
 impl Storage for FaultyStorage {
     fn file_names(&self) -> io::Result<Vec<String>> {
-        self.step()?;
+        self.count_operation()?;
         Ok(self.0.borrow().files.keys().cloned().collect())
     }
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
-        self.step()?;
+        self.count_operation()?;
         let state = self.0.borrow();
         state
             .files
@@ -117,7 +118,7 @@
             .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let result = self.step();
+        let result = self.count_operation();
         let mut state = self.0.borrow_mut();
         if !state.files.contains_key(name) {
             let contents = Rc::<RefCell<FileContents>>::default();
@@ -130,21 +131,21 @@
         result
     }
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         let state = self.0.borrow();
         let mut contents = state.files[name].borrow_mut();
         contents.written.truncate(length as usize);
         Ok(())
     }
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         let state = self.0.borrow();
         let mut contents = state.files[name].borrow_mut();
         contents.durable = contents.written.clone();
         Ok(())
     }
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         let mut state = self.0.borrow_mut();
         let contents = state.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
         state.files.insert(to.to_owned(), contents.clone());
@@ -152,14 +153,14 @@
         Ok(())
     }
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         let mut state = self.0.borrow_mut();
         state.files.remove(name).ok_or(io::ErrorKind::NotFound)?;
         state.unsynced.push(NameChange::Removed(name.to_owned()));
         Ok(())
     }
     fn sync_folder(&mut self) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         let mut state = self.0.borrow_mut();
         state.unsynced.clear();
         state.names = state.files.clone();
--- a/quota-gateway/membership/tests/fleet.rs
+++ b/quota-gateway/membership/tests/fleet.rs
@@ -243,10 +243,10 @@
 }
 
 /// Prints the median, the 99th percentile and the maximum, and returns the maximum.
-fn print_distribution(what: &str, mut all: Vec<f64>) -> f64 {
-    all.sort_by(f64::total_cmp);
-    let percentile = |share: f64| all[((all.len() as f64 * share) as usize).min(all.len() - 1)];
-    let max = all[all.len() - 1];
+fn print_distribution(what: &str, mut values: Vec<f64>) -> f64 {
+    values.sort_by(f64::total_cmp);
+    let percentile = |share: f64| values[((values.len() as f64 * share) as usize).min(values.len() - 1)];
+    let max = values[values.len() - 1];
     println!(
         "{what}: median {:.1}, 99th percentile {:.1}, maximum {max:.1} periods",
         percentile(0.5),
