--- a/quota-gateway/controller/src/server.rs
+++ b/quota-gateway/controller/src/server.rs
@@ -54,7 +54,7 @@
         serve_metrics(&shared, &role_metrics, address).await?;
     }
     spawn_local(reports.accept(listener, config.max_connections));
-    let client = Client::behind(config.coordinators.clone(), config.coordinator_host);
+    let client = Client::behind_translator(config.coordinators.clone(), config.coordinator_host);
     spawn_local(follow_view(shared.clone(), client.clone()));
     // Leaked once: the names are used until the process ends.
     let roles: &'static [&'static str] = config.roles().leak();
--- a/quota-gateway/coordination/src/client/calls.rs
+++ b/quota-gateway/coordination/src/client/calls.rs
@@ -105,7 +105,7 @@
         within: Duration,
     ) -> Result<(Revision, Vec<(String, Vec<u8>, Revision)>), CallError> {
         let request = || Request::Read { prefix: prefix.to_owned(), stale: false };
-        match self.question(request, within).await? {
+        match self.send_request(request, within).await? {
             Response::Values { revision, values, .. } => Ok((revision, values)),
             other => Err(unexpected(&other)),
         }
@@ -116,7 +116,7 @@
     /// # Errors
     ///
     /// See [`CallError`].
-    pub async fn question(
+    pub async fn send_request(
         &self,
         request: impl Fn() -> Request,
         within: Duration,
--- a/quota-gateway/coordination/src/client/lock.rs
+++ b/quota-gateway/coordination/src/client/lock.rs
@@ -19,7 +19,7 @@
 impl Lock {
     /// Returns the token to act under, at this moment; `None` once the service may have given the lock to another. Whoever
     /// takes the effect checks the token all the same: this process may stop between here and there.
-    pub fn act(&self) -> Option<Token> {
+    pub fn valid_token(&self) -> Option<Token> {
         self.session.is_alive().then_some(self.token)
     }
 
--- a/quota-gateway/coordination/src/client/mod.rs
+++ b/quota-gateway/coordination/src/client/mod.rs
@@ -53,11 +53,11 @@
 impl Client {
     /// Returns a client of the service at these addresses, of which one must be right. It connects with the first call.
     pub fn new(addresses: Vec<String>) -> Client {
-        Client::behind(addresses, None)
+        Client::behind_translator(addresses, None)
     }
 
     /// Returns a client behind an address translator: whichever leader is named is called at that address, with its own port.
-    pub fn behind(addresses: Vec<String>, translator: Option<IpAddr>) -> Client {
+    pub fn behind_translator(addresses: Vec<String>, translator: Option<IpAddr>) -> Client {
         Client::in_env(Env::default(), addresses, translator)
     }
 
--- a/quota-gateway/coordination/src/commands.rs
+++ b/quota-gateway/coordination/src/commands.rs
@@ -103,7 +103,7 @@
 
 /// Has a call carried out by the leader.
 async fn ask(client: &Client, request: impl Fn() -> Request) -> Result<Response, CommandError> {
-    Ok(client.question(request, CALL_TIMEOUT).await?)
+    Ok(client.send_request(request, CALL_TIMEOUT).await?)
 }
 
 async fn begin(addresses: &[String]) -> Result<(), CommandError> {
--- a/quota-gateway/coordination/src/disk/memory_disk.rs
+++ b/quota-gateway/coordination/src/disk/memory_disk.rs
@@ -32,7 +32,7 @@
     stops_at: u64,
     only_syncs_fail: bool,
     /// Nothing more is kept, and syncs return success.
-    lies: bool,
+    ignores_syncs: bool,
 }
 
 impl MemoryDisk {
@@ -45,7 +45,7 @@
             steps: 0,
             stops_at: u64::MAX,
             only_syncs_fail: false,
-            lies: false,
+            ignores_syncs: false,
         };
         MemoryDisk(Arc::new(Mutex::new(state)))
     }
@@ -62,8 +62,8 @@
     }
 
     /// Makes the disk keep nothing more and report success: no database survives that.
-    pub fn lies(&self, lies: bool) {
-        self.state().lies = lies;
+    pub fn ignore_syncs(&self, ignores_syncs: bool) {
+        self.state().ignores_syncs = ignores_syncs;
     }
 
     /// Whether the disk has reached the step at which it stops.
@@ -76,7 +76,7 @@
     pub fn after_crash(&self, rng: &mut impl Rng) -> Vec<u8> {
         let state = self.state();
         let mut image = state.synced.clone();
-        if state.lies {
+        if state.ignores_syncs {
             return image;
         }
         for change in &state.pending {
@@ -138,7 +138,7 @@
     fn sync_data(&self) -> io::Result<()> {
         let mut state = self.state();
         state.step(true)?;
-        if state.lies {
+        if state.ignores_syncs {
             return Ok(());
         }
         for change in std::mem::take(&mut state.pending) {
--- a/quota-gateway/coordination/src/env.rs
+++ b/quota-gateway/coordination/src/env.rs
@@ -16,22 +16,22 @@
 use tokio::time::Instant;
 
 /// The two directions of a connection.
-pub struct Ends {
+pub struct ConnectionHalves {
     /// What the peer sends.
     pub read: Box<dyn AsyncRead + Unpin>,
     /// What is sent to the peer.
     pub write: Box<dyn AsyncWrite + Unpin>,
 }
 
-impl From<TcpStream> for Ends {
-    fn from(stream: TcpStream) -> Ends {
+impl From<TcpStream> for ConnectionHalves {
+    fn from(stream: TcpStream) -> ConnectionHalves {
         let (read, write) = stream.into_split();
-        Ends { read: Box::new(read), write: Box::new(write) }
+        ConnectionHalves { read: Box::new(read), write: Box::new(write) }
     }
 }
 
 /// A connection that is being made.
-pub type Connecting = Pin<Box<dyn Future<Output = io::Result<Ends>>>>;
+pub type Connecting = Pin<Box<dyn Future<Output = io::Result<ConnectionHalves>>>>;
 
 /// How a process reaches others.
 pub trait Network {
--- a/quota-gateway/coordination/src/service/connections.rs
+++ b/quota-gateway/coordination/src/service/connections.rs
@@ -3,7 +3,7 @@
 use super::reads::MAX_WATCH_WAIT;
 use super::response_budget::{Reservation, ResponseBudget};
 use super::Service;
-use crate::env::Ends;
+use crate::env::ConnectionHalves;
 use crate::metrics::RejectionReason;
 use crate::wire::{read, write, Broken, Message, Request, Response, IN_FLIGHT};
 use std::cell::Cell;
@@ -60,7 +60,7 @@
     }
 
     /// Serves a connection, unless there are too many already.
-    pub fn admit(self: &Rc<Self>, ends: Ends) {
+    pub fn admit(self: &Rc<Self>, ends: ConnectionHalves) {
         let Ok(permit) = self.connections.clone().try_acquire_owned() else {
             self.metrics.count_rejection(RejectionReason::Connections);
             return;
@@ -72,7 +72,7 @@
         });
     }
 
-    async fn serve_connection(self: Rc<Self>, ends: Ends) {
+    async fn serve_connection(self: Rc<Self>, ends: ConnectionHalves) {
         let (replies, written) = mpsc::channel(IN_FLIGHT);
         let writer = spawn_local(write_replies(ends.write, self.cluster.clone(), written));
         let budget = Rc::new(ResponseBudget::new(self.pending_bytes.clone()));
--- a/quota-gateway/coordination/src/storage/mod.rs
+++ b/quota-gateway/coordination/src/storage/mod.rs
@@ -93,7 +93,7 @@
     /// # Errors
     ///
     /// As for [`LogStore::open`].
-    pub fn on(
+    pub fn open_on_backend(
         backend: impl StorageBackend,
         group_commit: bool,
         writer: Writer,
--- a/quota-gateway/coordination/src/wire.rs
+++ b/quota-gateway/coordination/src/wire.rs
@@ -3,7 +3,7 @@
 //! A frame is a head of 22 bytes (magic, version, cluster, length and CRC-32 of the payload) and a message in `postcard`.
 //! Frames of another version or cluster, that are too long, or whose checksum is wrong end their connection and are counted.
 
-use crate::env::{Ends, Env};
+use crate::env::{ConnectionHalves, Env};
 use crate::raft_types::{NodeId, Types};
 use crate::state::{Changes, ClientId, Op, Outcome, Revision, SessionId, Token};
 use openraft::error::{InstallSnapshotError, RaftError};
@@ -358,7 +358,7 @@
 }
 
 /// Sends the requests of a channel, and distributes the responses, until the connection ends or the channel is dropped.
-async fn run_channel(ends: Ends, cluster: u64, mut requests: mpsc::Receiver<PendingRequest>) {
+async fn run_channel(ends: ConnectionHalves, cluster: u64, mut requests: mpsc::Receiver<PendingRequest>) {
     let (read_half, mut write_half) = (ends.read, ends.write);
     // Frames are read by a task of their own: a read that is cancelled halfway would lose what it has.
     let (received, mut responses) = mpsc::channel(MAX_QUEUED_RESPONSES);
--- a/quota-gateway/coordination/tests/cluster.rs
+++ b/quota-gateway/coordination/tests/cluster.rs
@@ -185,21 +185,21 @@
         let first = one.session("one", TTL, LONG).await.expect("opens");
         let second = two.session("two", TTL, LONG).await.expect("opens");
         let held = first.acquire("list", LONG).await.expect("granted");
-        let token = held.act().expect("it holds it");
+        let token = held.valid_token().expect("it holds it");
         let waits = second.acquire("list", TTL + TTL / 2).await;
         assert!(matches!(waits, Err(CallError::TimedOut)), "renewed for as long as it lives");
-        assert!(held.act().is_some());
+        assert!(held.valid_token().is_some());
         // The leader stands still for longer than a session, and wakes: whoever leads by then gives all sessions their time.
         let leader = cluster.leader();
         cluster.members[leader].signal("-STOP");
         tokio::time::sleep(TTL * 2).await;
         cluster.members[leader].signal("-CONT");
-        let lived = held.act();
+        let lived = held.valid_token();
         // Nothing renews it any more: the other has the lock, and only after this one has stopped.
         first.let_lapse();
         let next = second.acquire("list", LONG).await;
-        let stopped = held.act();
-        let next = next.expect("granted").act().expect("it holds it");
+        let stopped = held.valid_token();
+        let next = next.expect("granted").valid_token().expect("it holds it");
         assert!(next > token && stopped.is_none(), "{token} {next} {lived:?} {stopped:?}");
     });
 }
@@ -254,7 +254,8 @@
     };
     play(async {
         let client = Client::new(cluster.addrs());
-        let Ok(Response::Identity { cluster: id, .. }) = client.question(|| Request::Identity, LONG).await
+        let Ok(Response::Identity { cluster: id, .. }) =
+            client.send_request(|| Request::Identity, LONG).await
         else {
             panic!("no identity");
         };
@@ -263,11 +264,11 @@
         assert!(matches!(joined, Response::Done), "{joined:?}");
         joining.signal("-STOP");
         let add = || Request::Add { node, addr: joining.addr.clone() };
-        let added = client.question(add, TTL).await;
+        let added = client.send_request(add, TTL).await;
         assert!(matches!(added, Err(CallError::TimedOut)), "{added:?}");
         assert_eq!(voters(&cluster.members[cluster.leader()]), 3);
         joining.signal("-CONT");
-        let added = client.question(add, LONG).await;
+        let added = client.send_request(add, LONG).await;
         assert!(matches!(added, Ok(Response::Done)), "{added:?}");
     });
     assert_eq!(voters(&joining), 4, "it knows by now that it votes");
@@ -404,14 +405,14 @@
         assert!(again.token() > before);
         // The old holder may not have heard of it yet; its session's time is all that is left to it.
         tokio::time::sleep(TTL).await;
-        assert!(held.act().is_none(), "its session is of a service that is gone");
+        assert!(held.valid_token().is_none(), "its session is of a service that is gone");
         // A renewal may be late beside load, and the holder stops acting meanwhile; the service renews the same session.
         let slept = Instant::now();
-        while again.act().is_none() {
+        while again.valid_token().is_none() {
             assert!(slept.elapsed() < LONG, "its session is renewed");
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        assert!(held.act().is_none());
+        assert!(held.valid_token().is_none());
     });
 }
 
@@ -434,7 +435,7 @@
         // Renewals of the later session do not renew the earlier one.
         tokio::time::sleep(TTL).await;
         for _ in 0..20 {
-            assert!(!earlier.is_alive() && held.act().is_none());
+            assert!(!earlier.is_alive() && held.valid_token().is_none());
             tokio::time::sleep(TTL / 20).await;
         }
         let refused = earlier.acquire("list", LONG).await.map(|lock| lock.token());
--- a/quota-gateway/coordination/tests/storage.rs
+++ b/quota-gateway/coordination/tests/storage.rs
@@ -16,8 +16,9 @@
 impl StoreBuilder<Types, LogStore, Machine> for Memory {
     async fn build(&self) -> Result<((), LogStore, Machine), StorageError<NodeId>> {
         // Built on a thread that waits: it is opened before there is a runtime.
-        let log =
-            std::thread::spawn(|| LogStore::on(InMemoryBackend::new(), true, Writer::Thread).expect("opens"));
+        let log = std::thread::spawn(|| {
+            LogStore::open_on_backend(InMemoryBackend::new(), true, Writer::Thread).expect("opens")
+        });
         let log = log.join().expect("no panic");
         let machine = Machine::open(log.clone()).expect("no snapshot");
         Ok(((), log, machine))
@@ -83,7 +84,7 @@
             let disk = Disk::new(image);
             disk.stop_in(rng.random_range(20..400), rng.random_bool(0.2));
             let opened = disk.clone();
-            let Ok(mut store) = LogStore::on(opened, true, Writer::Thread) else {
+            let Ok(mut store) = LogStore::open_on_backend(opened, true, Writer::Thread) else {
                 // It stopped while it was opened: nothing was acknowledged in this life.
                 image = disk.after_crash(&mut rng);
                 crashes += 1;
--- a/quota-gateway/server/src/fleet_decisions.rs
+++ b/quota-gateway/server/src/fleet_decisions.rs
@@ -99,7 +99,7 @@
             state: RefCell::default(),
             config,
         });
-        let client = Client::behind(member.config.coordinators.clone(), member.config.translator);
+        let client = Client::behind_translator(member.config.coordinators.clone(), member.config.translator);
         let (follower, prefix) = (member.clone(), member.names.prefix.clone());
         spawn_local(follow(client, prefix, move || started_at.elapsed(), move |view| follower.on_view(view)));
         spawn_local(member.clone().send_reports());
--- a/quota-gateway/singleton-roles/src/run/lease.rs
+++ b/quota-gateway/singleton-roles/src/run/lease.rs
@@ -41,7 +41,7 @@
 impl Lease {
     /// Returns the fencing token, if the lock is still valid now.
     pub fn valid_token(&self) -> Option<u64> {
-        self.lock.borrow().as_ref().and_then(Lock::act)
+        self.lock.borrow().as_ref().and_then(Lock::valid_token)
     }
 
     /// Returns whether the role is to go to another candidate, so that the work must finish and end.
--- a/quota-gateway/singleton-roles/src/run/role_runner.rs
+++ b/quota-gateway/singleton-roles/src/run/role_runner.rs
@@ -60,7 +60,7 @@
                 assigned.get(&self.role).is_some_and(|owner| owner.as_deref() == Some(&self.settings.name))
             };
             let mut events = vec![Event::Assigned(is_assigned), Event::Tick];
-            let is_lock_valid = lock.borrow().as_ref().is_some_and(|lock| lock.act().is_some());
+            let is_lock_valid = lock.borrow().as_ref().is_some_and(|lock| lock.valid_token().is_some());
             if matches!(role.state(), State::Owning(_) | State::Finishing(..)) && !is_lock_valid {
                 events.push(Event::LockLost);
             }
--- a/testing/fault-injection/src/shell/owners.rs
+++ b/testing/fault-injection/src/shell/owners.rs
@@ -92,7 +92,7 @@
         self.world.record(Event::Granted { candidate, lock, token, asked });
         self.owner.borrow_mut().insert(lock, candidate);
         let mut rng = chance(self.world.seed ^ token, Stream::Candidates);
-        while let Some(token) = held.act() {
+        while let Some(token) = held.valid_token() {
             self.world.record(Event::Acts { candidate, lock, token });
             // Here a process may stop, between the check and the act.
             self.goes_on(candidate).await;
--- a/testing/fault-injection/src/shell/run/coordinators.rs
+++ b/testing/fault-injection/src/shell/run/coordinators.rs
@@ -40,7 +40,7 @@
         let client = |candidate| {
             let view = address::view(End::Candidate(candidate));
             let addrs = ports.iter().map(|port| format!("{view}:{port}")).collect();
-            Client::behind(addrs, Some(view.into()))
+            Client::behind_translator(addrs, Some(view.into()))
         };
         self.owners.replace(Some(Owners::start(&self.world, client)));
         registers::start(&self.world, self.world.scenario.owners.candidates as u16, client);
@@ -106,10 +106,17 @@
         };
         let view = address::view(End::Clients);
         let ports = self.coordinators.iter().map(|(_, door)| door.port);
-        let client = Client::behind(ports.map(|port| format!("{view}:{port}")).collect(), Some(view.into()));
+        let client = Client::behind_translator(
+            ports.map(|port| format!("{view}:{port}")).collect(),
+            Some(view.into()),
+        );
         // The one that is to be replaced answers too; it is of no cluster.
         let status = loop {
-            match client.question(|| wire::Request::Status, REPLACE_TIMEOUT).await.map_err(|e| failed(&e))? {
+            match client
+                .send_request(|| wire::Request::Status, REPLACE_TIMEOUT)
+                .await
+                .map_err(|e| failed(&e))?
+            {
                 wire::Response::Status(status) if status.cluster != 0 && status.leader.is_some() => {
                     break status
                 }
@@ -122,10 +129,10 @@
         let old = status.members.iter().filter(|(of, at, _)| *at == addr && *of != node).map(|(of, ..)| *of);
         for old in old.collect::<Vec<_>>() {
             let remove = || wire::Request::Remove { node: old };
-            client.question(remove, REPLACE_TIMEOUT).await.map_err(|e| failed(&e))?;
+            client.send_request(remove, REPLACE_TIMEOUT).await.map_err(|e| failed(&e))?;
         }
         let add = || wire::Request::Add { node, addr: addr.clone() };
-        match client.question(add, REPLACE_TIMEOUT).await.map_err(|e| failed(&e))? {
+        match client.send_request(add, REPLACE_TIMEOUT).await.map_err(|e| failed(&e))? {
             wire::Response::Done => Ok(()),
             other => Err(failed(&format!("cannot be added: {other:?}"))),
         }
--- a/testing/fault-injection/src/shell/run/stewards.rs
+++ b/testing/fault-injection/src/shell/run/stewards.rs
@@ -41,7 +41,7 @@
             started?;
         }
         let (view, world) = (address::view(End::Clients), self.world.clone());
-        let client = Client::behind(self.coordinators_of(End::Clients), Some(view.into()));
+        let client = Client::behind_translator(self.coordinators_of(End::Clients), Some(view.into()));
         self.asking.replace(Some(client.clone()));
         let (names, listening) = (Keys::of(FLEET), world.clone());
         let last: [Cell<Option<(u64, u64)>>; 3] = Default::default();
--- a/testing/fault-injection/tests/clusters.rs
+++ b/testing/fault-injection/tests/clusters.rs
@@ -4,7 +4,7 @@
 
 use marblecroft_coordination::client::Client;
 use marblecroft_coordination::disk::MemoryDisk;
-use marblecroft_coordination::env::{self, Connecting, Ends, Env, Network};
+use marblecroft_coordination::env::{self, Connecting, ConnectionHalves, Env, Network};
 use marblecroft_coordination::service::{Service, Settings};
 use marblecroft_coordination::state::{Op, Owner};
 use marblecroft_coordination::storage::{LogStore, Writer as Writes};
@@ -68,7 +68,7 @@
 }
 
 /// Where a process is called while it is up.
-type Doors = Rc<RefCell<BTreeMap<String, mpsc::UnboundedSender<Ends>>>>;
+type Doors = Rc<RefCell<BTreeMap<String, mpsc::UnboundedSender<ConnectionHalves>>>>;
 
 struct Links {
     world: Rc<World>,
@@ -98,7 +98,7 @@
             let (near, mut relay_near) = duplex(64 << 10);
             let (mut relay_far, far) = duplex(64 << 10);
             let (read, write) = split(far);
-            door.send(Ends { read: Box::new(read), write: Box::new(write) })
+            door.send(ConnectionHalves { read: Box::new(read), write: Box::new(write) })
                 .map_err(|_| io::Error::from(io::ErrorKind::ConnectionRefused))?;
             let passing = async move {
                 relay(&world, &mut relay_near, from, &mut relay_far, to, Watch::default()).await;
@@ -106,7 +106,7 @@
             // Whoever asks may be gone with the play.
             drop(wires.0.send(Box::pin(passing)));
             let (read, write) = split(near);
-            Ok(Ends { read: Box::new(read), write: Box::new(write) })
+            Ok(ConnectionHalves { read: Box::new(read), write: Box::new(write) })
         })
     }
 }
@@ -247,13 +247,15 @@
             waker: RefCell::default(),
         });
         node.process.replace(Some(process.clone()));
-        let (calls, mut called) = mpsc::unbounded_channel::<Ends>();
+        let (calls, mut called) = mpsc::unbounded_channel::<ConnectionHalves>();
         self.doors.borrow_mut().insert(name(node.end), calls);
         let (env, sync, failed) = (node.env.clone(), node.sync.clone(), node.failed.clone());
         let set = LocalSet::new();
         set.spawn_local(async move {
             let takes: Rc<dyn Fn() -> Duration> = Rc::new(move || sync.get());
-            let Ok(log) = LogStore::on(disk, true, Writes::Task(takes)) else { return failed.set(true) };
+            let Ok(log) = LogStore::open_on_backend(disk, true, Writes::Task(takes)) else {
+                return failed.set(true);
+            };
             let settings = Settings {
                 translator: None,
                 heartbeat_interval: Duration::from_millis(50),
@@ -505,7 +507,7 @@
             let pause = cluster.rng.borrow_mut().random_range(100..1500);
             sleep(Duration::from_millis(pause)).await;
             if mutation == Mutation::LyingDisks {
-                cluster.nodes.iter().for_each(|node| node.disk.borrow().lies(true));
+                cluster.nodes.iter().for_each(|node| node.disk.borrow().ignore_syncs(true));
             }
             if mutation == Mutation::TokensReset && number == 4 {
                 // All lost, disks and the time: the one case in which tokens fall, as the page says.
