--- a/quota-gateway/coordination/src/client/calls.rs
+++ b/quota-gateway/coordination/src/client/calls.rs
@@ -2,7 +2,7 @@
 
 use super::error::CallError;
 use super::{Client, ATTEMPT_TIMEOUT};
-use crate::env::chance;
+use crate::env::with_rng;
 use crate::state::{Changes, ClientId, Done, Op, Refused, Revision};
 use crate::wire::{Request, Response};
 use rand::Rng;
@@ -12,13 +12,15 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// A watch without changes returns after this time: a leader that has fallen silent is noticed by the missing reply.
+/// Longest wait of one watch request. If the leader no longer responds, the missing reply shows it after this
+/// time.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(2);
-/// Pause between two looks at whether the first call of an incarnation has its reply.
-const FIRST_CALL_INTERVAL: Duration = Duration::from_millis(1);
+/// Polling interval while waiting for the reply to the first call of an incarnation.
+const FIRST_CALL_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// What the service knows this client by, and the numbers of its calls. Another one begins where the service has forgotten
-/// this one: after an hour without a call, or as the service began anew or was restored from a copy.
+/// The identifier under which this client is registered with the service, and the numbers of its calls. A new
+/// incarnation begins when the service no longer has this one: after an hour without a call, or after the
+/// cluster was created again or restored from a snapshot.
 pub(super) struct Incarnation {
     id: ClientId,
     last_number: Cell<u64>,
@@ -28,7 +30,7 @@
 
 impl Incarnation {
     pub(super) fn begin() -> Rc<Incarnation> {
-        let id = ClientId(chance(|rng| rng.random()));
+        let id = ClientId(with_rng(|rng| rng.random()));
         Rc::new(Incarnation { id, last_number: Cell::new(0), pending: RefCell::default() })
     }
 
@@ -39,21 +41,22 @@
         number
     }
 
-    /// The request; it tells up to which number all replies are here.
+    /// Returns the request of a call. It acknowledges the replies below the lowest number that is still
+    /// pending.
     fn request(&self, number: u64, op: &Op) -> Request {
         let done = self.pending.borrow().first().map_or(number, |first| *first) - 1;
         Request::Call { client: self.id, number, done, op: op.clone() }
     }
 }
 
-/// The result of an operation, and the cluster that carried it out.
+/// The result of an operation, and the cluster that applied it.
 pub(super) struct Executed {
     pub(super) done: Done,
     pub(super) cluster: u64,
 }
 
 impl Client {
-    /// Has an operation carried out, once.
+    /// Calls the service to apply an operation once.
     ///
     /// # Errors
     ///
@@ -62,7 +65,8 @@
         self.execute(op, None, within).await.map(|executed| executed.done)
     }
 
-    /// The same, in one cluster only where one is given: an operation that names a session means another one elsewhere.
+    /// Like [`Client::call`], but only in the given cluster, if there is one: in another cluster, the session
+    /// that an operation names would be a different session.
     pub(super) async fn execute(
         &self,
         op: Op,
@@ -71,9 +75,9 @@
     ) -> Result<Executed, CallError> {
         let incarnation = self.0.incarnation.borrow().clone();
         let number = incarnation.next_number();
-        // The first number must come first: the service knows a client by it.
+        // The call with number 1 must be the first to arrive, because it registers the client.
         while number > 1 && incarnation.pending.borrow().contains(&1) {
-            sleep(FIRST_CALL_INTERVAL).await;
+            sleep(FIRST_CALL_POLL_INTERVAL).await;
         }
         let request = |cluster: u64| {
             if only_in.is_some_and(|only| only != cluster) {
@@ -94,7 +98,7 @@
         Ok(Executed { done, cluster: reply.cluster })
     }
 
-    /// Reads the values whose keys begin with a prefix, as of now, and the revision to watch on from.
+    /// Reads the current values whose keys begin with a prefix, and the revision from which to watch.
     ///
     /// # Errors
     ///
@@ -126,7 +130,8 @@
         Ok(reply.response)
     }
 
-    /// Waits for changes behind a revision; there may be none, and then the revision to go on from is returned.
+    /// Waits for changes after a revision. If there are none in time, the result has no changes, but still
+    /// the revision to continue from.
     ///
     /// # Errors
     ///
@@ -153,7 +158,7 @@
     }
 }
 
-/// The error for a reply of another kind than the request's.
+/// Returns the error for a response whose kind does not match the request.
 pub(super) fn unexpected(response: &Response) -> CallError {
-    CallError::Rejected(format!("an answer of another kind: {response:?}"))
+    CallError::Rejected(format!("unexpected kind of response: {response:?}"))
 }
--- a/quota-gateway/coordination/src/client/connection.rs
+++ b/quota-gateway/coordination/src/client/connection.rs
@@ -1,10 +1,11 @@
-//! The connection to the leader, and calls that are sent again until there is a reply.
+//! The connection to the leader, and calls that are retried until there is a reply.
 //!
-//! Addresses are tried in turn, the leader is remembered, pauses are jittered, every call has a bound.
+//! Addresses are tried in turn, the address of the leader is kept, backoffs are jittered, and every call has
+//! a deadline.
 
 use super::error::CallError;
 use super::Client;
-use crate::env::chance;
+use crate::env::with_rng;
 use crate::peers::translated;
 use crate::state::Refused;
 use crate::wire::{Channel, Request, Response};
@@ -13,10 +14,10 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// The first and the longest pause between attempts; each is jittered by half either way.
+/// The first and the longest backoff between attempts; each is jittered by up to 50% in both directions.
 const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_RETRY_BACKOFF: Duration = Duration::from_millis(500);
-/// Pause before the leader is called that another process has named.
+/// Delay before a call is sent to the leader that another process has named.
 const REDIRECT_DELAY: Duration = Duration::from_millis(1);
 
 /// A connection to a process of the service.
@@ -27,32 +28,32 @@
     cluster: u64,
 }
 
-/// A reply, and the cluster that it is from.
+/// A reply, and the cluster of the process that sent it.
 pub(super) struct Reply {
     pub(super) response: Response,
     pub(super) cluster: u64,
 }
 
-/// What follows an attempt.
+/// The result of an attempt.
 enum Attempt {
     Finished(Box<Result<Reply, CallError>>),
-    /// Try again after a pause: the process' own, or the backoff.
+    /// Retry after the delay that the process has asked for, or else after the backoff.
     Retry {
         after: Option<Duration>,
     },
 }
 
 impl Client {
-    /// Returns the connection, or makes one: to the leader if it is known, else to the next address.
+    /// Returns the current connection, or connects: to the leader if it is known, else to the next address.
     async fn connect(&self) -> io::Result<Connection> {
         let _guard = self.0.connecting.lock().await;
         if let Some(connection) = self.0.connection.borrow().clone() {
             return Ok(connection);
         }
         let address = self.next_address().ok_or_else(|| io::Error::other("no address is known"))?;
-        // A frame names its cluster, which is not known before it was asked for.
-        let unbound = Channel::connect_in(&self.0.env, &address, 0).await?;
-        let cluster = match unbound.call(Request::Identity).await? {
+        // Frames carry the cluster, which is unknown until the process has reported it.
+        let identity_channel = Channel::connect_in(&self.0.env, &address, 0).await?;
+        let cluster = match identity_channel.call(Request::Identity).await? {
             Response::Identity { cluster, .. } if cluster != 0 => cluster,
             _ => return Err(io::Error::other("the process belongs to no cluster yet")),
         };
@@ -74,8 +75,9 @@
         self.0.connection.replace(None);
     }
 
-    /// Calls the leader, again and again, until there is a reply or the deadline has passed. `request` makes the request for
-    /// the cluster that it is sent to, or an error where it must not be sent there.
+    /// Calls the leader, with retries, until there is a reply or the deadline has passed. `request` makes the
+    /// request for the cluster that it is sent to, or returns an error if it must not be sent to that
+    /// cluster.
     pub(super) async fn call_leader(
         &self,
         request: impl Fn(u64) -> Result<Request, Refused>,
@@ -134,7 +136,7 @@
                 Attempt::Retry { after: Some(jittered(Duration::from_millis(after_ms.into()))) }
             }
             Response::No(reason) => Attempt::Finished(Box::new(Err(CallError::Rejected(reason)))),
-            // It may have been carried out; the same number, sent again, tells.
+            // The request may have taken effect. A retry with the same number returns its outcome.
             Response::Unknown(_) => {
                 self.disconnect();
                 Attempt::Retry { after: None }
@@ -145,5 +147,5 @@
 }
 
 fn jittered(pause: Duration) -> Duration {
-    pause.mul_f64(chance(|rng| rng.random_range(0.5..1.5)))
+    pause.mul_f64(with_rng(|rng| rng.random_range(0.5..1.5)))
 }
--- a/quota-gateway/coordination/src/client/error.rs
+++ b/quota-gateway/coordination/src/client/error.rs
@@ -1,23 +1,23 @@
-//! Why a call has no result.
+//! Errors of the client's calls.
 
 use crate::state::Refused;
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a call has no result. The variant says whether the operation may have been carried out.
+    /// The reason why a call has no result. The variant shows whether the operation may have taken effect.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum CallError {
-        /// The state machine refused the operation. Nothing was changed.
+        /// The state machine refused the operation. The state has not changed.
         Refused(reason: Refused) {
             display("refused: {:?}", reason)
         }
-        /// The service rejected the request, for this reason in one line. Nothing was changed.
+        /// The service rejected the request, for this reason in one line. The state has not changed.
         Rejected(reason: String) {
             display("{}", reason)
         }
-        /// There was no reply in time. The operation may have been carried out, or may yet be.
+        /// There was no reply in time. The operation may have taken effect, or may still do so.
         TimedOut {
-            display("no answer in time")
+            display("timed out without a reply")
         }
     }
 }
--- a/quota-gateway/coordination/src/client/lock.rs
+++ b/quota-gateway/coordination/src/client/lock.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// A lock that this process was granted.
+/// A lock that was granted to a session of this process.
 pub struct Lock {
     name: String,
     token: Token,
@@ -17,22 +17,23 @@
 }
 
 impl Lock {
-    /// Returns the token to act under, at this moment; `None` once the service may have given the lock to another. Whoever
-    /// takes the effect checks the token all the same: this process may stop between here and there.
+    /// Returns the token while the lock is certainly held, or `None` once the service may have granted the
+    /// lock to another session. The resource must check the token nevertheless: this process may be suspended
+    /// between this check and the effect.
     pub fn valid_token(&self) -> Option<Token> {
         self.session.is_alive().then_some(self.token)
     }
 
-    /// Returns the token that the lock was granted under.
+    /// Returns the token under which the lock was granted, even if the lock is no longer held.
     pub fn token(&self) -> Token {
         self.token
     }
 
-    /// Gives the lock back.
+    /// Releases the lock.
     ///
     /// # Errors
     ///
-    /// See [`CallError`]; the lock is free when its session ends.
+    /// See [`CallError`]. After an error, the lock is released at the latest when its session ends.
     pub async fn release(self, within: Duration) -> Result<(), CallError> {
         let release = Op::Release { session: self.session.id(), lock: self.name };
         self.session.client.execute(release, Some(self.session.cluster()), within).await.map(drop)
@@ -40,22 +41,23 @@
 }
 
 impl Session {
-    /// Acquires a lock, waiting for it in order for at most this long.
+    /// Acquires a lock, waiting in its queue for at most this long.
     ///
     /// # Errors
     ///
-    /// See [`CallError`]. After [`CallError::TimedOut`] the place in the queue is given back.
+    /// See [`CallError`]. After [`CallError::TimedOut`], the session is removed from the queue.
     pub async fn acquire(&self, lock: &str, within: Duration) -> Result<Lock, CallError> {
         let granted = self.await_grant(lock, Instant::now() + within).await;
         if granted == Err(CallError::TimedOut) {
-            // Or it would be granted to nobody who waits; the place may never have been taken.
+            // Otherwise the lock could be granted to a session that no longer waits for it. The release may
+            // fail, as the session may never have been queued.
             let leave = Op::Release { session: self.id(), lock: lock.to_owned() };
             drop(self.call(leave, ATTEMPT_TIMEOUT).await);
         }
         granted.map(|token| Lock { name: lock.to_owned(), token, session: self.0.clone() })
     }
 
-    /// Requests the lock, waits until something has changed, and requests it again.
+    /// Requests the lock, waits for a change of it, and requests it again, until it is granted.
     async fn await_grant(&self, lock: &str, deadline: Instant) -> Result<Token, CallError> {
         let client = &self.0.client;
         let remaining = || deadline.saturating_duration_since(Instant::now());
@@ -66,11 +68,13 @@
                 Done::Granted(token) => return Ok(token),
                 Done::Waiting(_) => {}
                 other => {
-                    return Err(CallError::Rejected(format!("no reply to a request for a lock: {other:?}")))
+                    return Err(CallError::Rejected(format!(
+                        "unexpected result for a lock request: {other:?}"
+                    )))
                 }
             }
-            // The session's turn shows as a change of the lock. The revision to watch from is read first; what came before it
-            // is seen by the next request.
+            // A grant to this session is reported as a change of the lock. The revision to watch from is read
+            // before the next request, so that this request sees every earlier change.
             watched_from = Some(match watched_from {
                 None => client.read(lock, remaining()).await?.0,
                 Some(revision) => self.await_change(lock, revision, deadline).await?,
@@ -78,7 +82,7 @@
         }
     }
 
-    /// Waits for a change of the lock, and returns the revision to go on from.
+    /// Waits for a change of the lock, and returns the revision to continue from.
     async fn await_change(
         &self,
         lock: &str,
@@ -93,7 +97,7 @@
     }
 }
 
-/// The same, but no longer than until the deadline.
+/// Runs a call until the deadline, and returns [`CallError::TimedOut`] after it.
 async fn bounded<T>(
     deadline: Instant,
     call: impl Future<Output = Result<T, CallError>>,
--- a/quota-gateway/coordination/src/client/mod.rs
+++ b/quota-gateway/coordination/src/client/mod.rs
@@ -1,12 +1,12 @@
-//! The client of the service, for gateways and other programs: one connection for each process, however many callers.
+//! The client of the service, for gateways and other programs. All callers of a client share one connection.
 //!
-//! - `connection`: finds the leader, follows it, and sends a request again until there is a reply.
+//! - `connection`: finds the leader, follows changes of leader, and retries a request until there is a reply.
 //! - `calls`: operations that take effect once, reads and watches.
 //! - `session`: sessions and their renewal.
 //! - `lock`: locks of a session.
 //!
-//! A call that is sent again after a lost reply takes effect once. A watch resumes by its revision, and never misses a change
-//! or goes back.
+//! A call that is sent again after a lost reply takes effect once. A watch resumes from its revision: it
+//! never misses a change, and its revision never decreases.
 
 mod calls;
 mod connection;
@@ -18,7 +18,7 @@
 pub use lock::Lock;
 pub use session::Session;
 
-use crate::env::{chance, Clock, Env};
+use crate::env::{with_rng, Clock, Env};
 use calls::Incarnation;
 use connection::Connection;
 use rand::Rng;
@@ -28,15 +28,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One process is waited for at most this long before another one is asked; a watch for as much longer as it waits.
+/// Time limit of one attempt at one process, before another process is tried. For a watch, its wait is added.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 struct Inner {
     incarnation: RefCell<Rc<Incarnation>>,
     addresses: Vec<String>,
-    /// Where the leader that is named is called, with its own port, if there is an address translator between.
+    /// IP address of the address translator, if there is one. A leader that is named by a process is then
+    /// called at this address, with the leader's own port.
     translator: Option<IpAddr>,
-    /// Index, modulo their count, of the address that is tried next where no leader is known.
+    /// Index of the address that is tried next while no leader is known, modulo the number of addresses.
     next_address: Cell<usize>,
     leader: RefCell<Option<String>>,
     connection: RefCell<Option<Connection>>,
@@ -51,19 +52,22 @@
 pub struct Client(Rc<Inner>);
 
 impl Client {
-    /// Returns a client of the service at these addresses, of which one must be right. It connects with the first call.
+    /// Returns a client of the service at these addresses, of which at least one must belong to a process of
+    /// the service. The client connects with its first call.
     pub fn new(addresses: Vec<String>) -> Client {
         Client::behind_translator(addresses, None)
     }
 
-    /// Returns a client behind an address translator: whichever leader is named is called at that address, with its own port.
+    /// Returns a client that reaches the service through an address translator: a leader that is named by a
+    /// process is called at the translator's address, with the leader's own port.
     pub fn behind_translator(addresses: Vec<String>, translator: Option<IpAddr>) -> Client {
         Client::in_env(Env::default(), addresses, translator)
     }
 
-    /// Returns a client with other clocks and connections than the system's.
+    /// Returns a client that uses the clocks and connections of an environment instead of the system's.
     pub fn in_env(env: Env, addresses: Vec<String>, translator: Option<IpAddr>) -> Client {
-        let first = if addresses.is_empty() { 0 } else { chance(|rng| rng.random_range(0..addresses.len())) };
+        let first =
+            if addresses.is_empty() { 0 } else { with_rng(|rng| rng.random_range(0..addresses.len())) };
         Client(Rc::new(Inner {
             incarnation: RefCell::new(Incarnation::begin()),
             addresses,
--- a/quota-gateway/coordination/src/client/session.rs
+++ b/quota-gateway/coordination/src/client/session.rs
@@ -1,11 +1,12 @@
-//! Sessions, and the task that renews all of a client.
+//! Sessions, and the task that renews all sessions of a client.
 //!
-//! The service numbers sessions from 1, and numbers them anew where it begins anew or is restored from a copy: the number of a
-//! session of the earlier cluster is then another owner's. A session therefore counts only in the cluster that opened it.
+//! A cluster numbers its sessions from 1. After the cluster is created again or restored from a snapshot, a
+//! number of the earlier cluster may belong to another owner. A session is therefore valid only in the
+//! cluster that opened it.
 
 use super::error::CallError;
 use super::Client;
-use crate::env::chance;
+use crate::env::with_rng;
 use crate::lease::HeldLease;
 use crate::state::{Done, Op, SessionId, Token};
 use crate::wire::{Request, Response};
@@ -17,27 +18,27 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// Sessions are renewed this many times in their time to live.
+/// Number of renewals of a session within its time to live.
 const RENEWALS_PER_TTL: u32 = 4;
 
-/// A session's number, in the cluster that opened it.
+/// A session's number and the cluster that opened it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SessionKey {
     cluster: u64,
     id: SessionId,
 }
 
-/// The sessions of a client that are renewed.
+/// The sessions of a client that are renewed, unless they have been dropped.
 pub(super) type SessionTable = BTreeMap<SessionKey, Weak<SessionState>>;
 
-/// What a session, its locks and the renewal share.
+/// The state that a session shares with its locks and with the renewal task.
 pub(super) struct SessionState {
     pub(super) client: Client,
     key: SessionKey,
     ttl: Duration,
-    /// Until when the session lives for certain; without a token of its own.
+    /// The time until which the session is certainly open. The token of this lease is unused.
     lease: Cell<HeldLease>,
-    is_over: Cell<bool>,
+    has_ended: Cell<bool>,
     is_lapsing: Cell<bool>,
 }
 
@@ -51,17 +52,18 @@
         self.key.cluster
     }
 
-    /// Whether the session lives for certain.
+    /// Returns whether the session is certainly open.
     pub(super) fn is_alive(&self) -> bool {
-        !self.is_over.get() && self.lease.get().act(self.client.now()).is_some()
+        !self.has_ended.get() && self.lease.get().valid_token(self.client.now()).is_some()
     }
 
     fn is_renewed(&self) -> bool {
-        !self.is_over.get() && !self.is_lapsing.get()
+        !self.has_ended.get() && !self.is_lapsing.get()
     }
 }
 
-/// A session of this process. It is renewed for as long as it or a lock of it is held, and then ends in its time.
+/// A session of this process. It is renewed until it and all of its locks are dropped, and expires after
+/// that.
 pub struct Session(pub(super) Rc<SessionState>);
 
 impl Session {
@@ -70,40 +72,40 @@
         self.0.id()
     }
 
-    /// Ends the renewals: the session ends in its time, and until then its locks may act.
+    /// Stops the renewals. The session then expires; until its lease ends, its locks are still valid.
     pub fn let_lapse(&self) {
         self.0.is_lapsing.set(true);
     }
 
-    /// Whether the session lives for certain.
+    /// Returns whether the session is certainly open.
     pub fn is_alive(&self) -> bool {
         self.0.is_alive()
     }
 
-    /// Has an operation carried out that names this session, once.
+    /// Calls the service to apply an operation that names this session once.
     ///
     /// # Errors
     ///
-    /// See [`CallError`]; [`Refused::NoSession`](crate::state::Refused::NoSession) where the service has begun anew or was
-    /// restored since the session was opened.
+    /// See [`CallError`]. The error is [`Refused::NoSession`](crate::state::Refused::NoSession) if the
+    /// cluster was created again or restored since the session was opened.
     pub async fn call(&self, op: Op, within: Duration) -> Result<Done, CallError> {
         let executed = self.0.client.execute(op, Some(self.0.cluster()), within).await?;
         Ok(executed.done)
     }
 
-    /// Ends the session now: what it holds is free at once.
+    /// Ends the session now, which releases its locks at once.
     ///
     /// # Errors
     ///
-    /// See [`CallError`]; the session ends in its time all the same.
+    /// See [`CallError`]. After an error, the session expires after its time to live.
     pub async fn close(self, within: Duration) -> Result<(), CallError> {
-        self.0.is_over.set(true);
+        self.0.has_ended.set(true);
         self.call(Op::Close { session: self.id() }, within).await.map(drop)
     }
 }
 
 impl Client {
-    /// Opens a session, which is renewed until it is dropped or lost.
+    /// Opens a session. It is renewed until it is dropped or has ended.
     ///
     /// # Errors
     ///
@@ -113,7 +115,7 @@
         let requested_at = self.now();
         let opened = self.execute(Op::Open { ttl_ms, name: name.to_owned() }, None, within).await?;
         let Done::Opened(id) = opened.done else {
-            return Err(CallError::Rejected("no session was opened".to_owned()));
+            return Err(CallError::Rejected("unexpected result for a request to open a session".to_owned()));
         };
         let key = SessionKey { cluster: opened.cluster, id };
         let state = Rc::new(SessionState {
@@ -121,7 +123,7 @@
             key,
             ttl,
             lease: Cell::new(HeldLease::granted_at_request(requested_at, ttl, Token::default())),
-            is_over: Cell::new(false),
+            has_ended: Cell::new(false),
             is_lapsing: Cell::new(false),
         });
         let is_first = self.0.sessions.borrow().is_empty();
@@ -132,15 +134,15 @@
         Ok(Session(state))
     }
 
-    /// The sessions that are to be renewed; the others are dropped from the table.
+    /// Returns the sessions that must be renewed, and removes the others from the table.
     fn renewed_sessions(&self) -> Vec<Rc<SessionState>> {
         let mut sessions = self.0.sessions.borrow_mut();
         sessions.retain(|_, session| session.upgrade().is_some_and(|session| session.is_renewed()));
         sessions.values().filter_map(Weak::upgrade).collect()
     }
 
-    /// Renews these sessions with one call. Those of another cluster than the one that replies are over: it knows nothing of
-    /// them.
+    /// Renews these sessions with one call. Sessions of another cluster than the one that replies have ended,
+    /// because the replying cluster does not have them.
     async fn renew(&self, keys: &[SessionKey], interval: Duration, within: Duration) {
         let requested_at = self.now();
         let request = |cluster: u64| {
@@ -154,25 +156,26 @@
             if session.cluster() == reply.cluster && live.contains(&session.id()) {
                 session.lease.set(session.lease.get().renewed(requested_at, session.ttl));
             } else {
-                session.is_over.set(true);
+                session.has_ended.set(true);
             }
         }
     }
 }
 
-/// Renews all sessions of a client; ends with the last of them.
+/// Renews all sessions of a client until none is left.
 async fn renew_all(client: Client) {
-    // Clients that began together do not renew together.
-    let mut share = chance(|rng| rng.random_range(0.3..1.0));
+    // The first interval is jittered, so that clients that started at the same time do not renew at the same
+    // time.
+    let mut jitter = with_rng(|rng| rng.random_range(0.3..1.0));
     loop {
         let sessions = client.renewed_sessions();
         let Some(shortest_ttl) = sessions.iter().map(|session| session.ttl).min() else { return };
         let keys: Vec<SessionKey> = sessions.iter().map(|session| session.key).collect();
-        // The pause must not keep a session alive that nobody holds.
+        // Dropped, so that sessions without an owner are not kept alive during the pause.
         drop(sessions);
         let interval = shortest_ttl / RENEWALS_PER_TTL;
-        sleep(interval.mul_f64(share)).await;
-        share = chance(|rng| rng.random_range(0.8..1.2));
+        sleep(interval.mul_f64(jitter)).await;
+        jitter = with_rng(|rng| rng.random_range(0.8..1.2));
         client.renew(&keys, interval, shortest_ttl / 2).await;
     }
 }
--- a/quota-gateway/coordination/src/commands.rs
+++ b/quota-gateway/coordination/src/commands.rs
@@ -1,9 +1,9 @@
-//! Operators' commands. Results go to standard output.
+//! Commands for operators. Results are written to standard output.
 
 use crate::error::CommandError;
 use crate::flags::Command;
 use marblecroft_coordination::client::Client;
-use marblecroft_coordination::env::chance;
+use marblecroft_coordination::env::with_rng;
 use marblecroft_coordination::raft::NodeId;
 use marblecroft_coordination::state::{Op, State};
 use marblecroft_coordination::storage::{self, LogStore};
@@ -16,19 +16,19 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// An operator waits for a response this long.
+/// Time limit for the response to a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// What errors call the service, where any of its processes may have replied.
+/// Name of the service in errors, in place of an address, when any of its processes may have replied.
 const SERVICE: &str = "the service";
 
 /// The identity of a process.
 struct Identity {
     node: NodeId,
-    /// 0 for none.
+    /// The cluster of the process, or 0 for none.
     cluster: u64,
 }
 
-/// Carries out a command of an operator on the service at these addresses.
+/// Runs an operator's command on the service at these addresses.
 ///
 /// # Errors
 ///
@@ -45,12 +45,12 @@
         Command::Sessions => print_sessions(&client).await,
         Command::Release { lock } => release(&client, lock).await,
         Command::Snapshot { file } => write_snapshot(&client, &file).await,
-        // `main` runs these.
+        // `main` handles these.
         Command::Run { .. } | Command::Restore { .. } => Ok(()),
     }
 }
 
-/// Writes the state of a file into a new folder, as the complete history of a cluster of one.
+/// Initializes a new data folder from a snapshot file, as a new cluster with one member.
 ///
 /// # Errors
 ///
@@ -62,10 +62,10 @@
         return Err(CommandError::LogExists(data.to_owned()));
     }
     let log = LogStore::open(data)?;
-    log.begin_from(bytes, address)?;
+    log.restore_from(bytes, address)?;
     let identity = log.identity();
     println!(
-        "node {:016x} begins cluster {:016x}; start it, then add the others",
+        "node {:016x} is the first member of new cluster {:016x}; start it, then add the other members",
         identity.node, identity.cluster
     );
     Ok(())
@@ -101,8 +101,8 @@
     }
 }
 
-/// Has a call carried out by the leader.
-async fn ask(client: &Client, request: impl Fn() -> Request) -> Result<Response, CommandError> {
+/// Calls the leader.
+async fn call_leader(client: &Client, request: impl Fn() -> Request) -> Result<Response, CommandError> {
     Ok(client.send_request(request, CALL_TIMEOUT).await?)
 }
 
@@ -115,12 +115,13 @@
         }
         members.insert(identity.node, address.clone());
     }
-    let cluster = chance(|rng| rng.random::<u64>()) | 1;
+    let cluster = with_rng(|rng| rng.random::<u64>()) | 1;
     for address in addresses {
         check_done(address, call_process(address, 0, Request::Join { cluster }).await?)?;
     }
-    // All at once, so that whichever has the fastest disk may lead first: one whose syncs take longer than an election never
-    // would. Whoever is asked after that has heard of it already, and rejects the request.
+    // The request goes to all processes at once, so that the process with the fastest disk can become the
+    // first leader. A process whose syncs take longer than an election timeout would never become the leader.
+    // A process that receives the request after a message of that leader rejects it.
     let requests: Vec<_> = addresses
         .iter()
         .map(|address| {
@@ -135,7 +136,7 @@
     if results.iter().all(Result::is_err) {
         return results.into_iter().collect();
     }
-    println!("cluster {cluster:016x} of {} begins", addresses.len());
+    println!("created cluster {cluster:016x} with {} members", addresses.len());
     Ok(())
 }
 
@@ -147,20 +148,20 @@
 }
 
 async fn print_statuses(addresses: &[String]) -> Result<(), CommandError> {
-    let mut replied = false;
+    let mut has_reply = false;
     for address in addresses {
         match status_of(address).await {
             Ok(status) => {
-                replied = true;
+                has_reply = true;
                 println!("{address} {}", serde_json::json!(status));
             }
             Err(error) => println!("{error}"),
         }
     }
-    if replied {
+    if has_reply {
         Ok(())
     } else {
-        Err(CommandError::NobodyReplied)
+        Err(CommandError::NoProcessReplied)
     }
 }
 
@@ -168,29 +169,29 @@
     for address in addresses {
         match status_of(address).await {
             Ok(status) => {
-                for (node, at, votes) in &status.members {
-                    println!("{node:016x} {at} {}", if *votes { "votes" } else { "learns" });
+                for (node, member_address, votes) in &status.members {
+                    println!("{node:016x} {member_address} {}", if *votes { "votes" } else { "learns" });
                 }
                 return Ok(());
             }
             Err(error) => println!("{error}"),
         }
     }
-    Err(CommandError::NobodyReplied)
+    Err(CommandError::NoProcessReplied)
 }
 
 async fn add(client: &Client, address: String) -> Result<(), CommandError> {
     let Identity { node, cluster } = identity_of(&address).await?;
-    let own = match ask(client, || Request::Identity).await? {
+    let service_cluster = match call_leader(client, || Request::Identity).await? {
         Response::Identity { cluster, .. } => cluster,
         other => return Err(unexpected(SERVICE, other)),
     };
-    if cluster != 0 && cluster != own {
-        return Err(CommandError::OtherCluster(address, cluster, own));
+    if cluster != 0 && cluster != service_cluster {
+        return Err(CommandError::OtherCluster(address, cluster, service_cluster));
     }
-    check_done(&address, call_process(&address, 0, Request::Join { cluster: own }).await?)?;
+    check_done(&address, call_process(&address, 0, Request::Join { cluster: service_cluster }).await?)?;
     let request = || Request::Add { node, addr: address.clone() };
-    check_done(&address, ask(client, request).await?)?;
+    check_done(&address, call_leader(client, request).await?)?;
     println!("{node:016x} {address} votes");
     Ok(())
 }
@@ -198,11 +199,11 @@
 async fn remove(client: &Client, argument: &str) -> Result<(), CommandError> {
     let node =
         NodeId::from_str_radix(argument, 16).map_err(|_| CommandError::MemberNumber(argument.to_owned()))?;
-    check_done(SERVICE, ask(client, || Request::Remove { node }).await?)
+    check_done(SERVICE, call_leader(client, || Request::Remove { node }).await?)
 }
 
 async fn print_locks(client: &Client) -> Result<(), CommandError> {
-    match ask(client, || Request::Locks).await? {
+    match call_leader(client, || Request::Locks).await? {
         Response::Locks(locks) => {
             for lock in &locks {
                 println!(
@@ -217,7 +218,7 @@
 }
 
 async fn print_sessions(client: &Client) -> Result<(), CommandError> {
-    match ask(client, || Request::Sessions).await? {
+    match call_leader(client, || Request::Sessions).await? {
         Response::Sessions(sessions) => {
             for session in &sessions {
                 println!(
@@ -238,7 +239,7 @@
 
 async fn write_snapshot(client: &Client, file: &Path) -> Result<(), CommandError> {
     let bytes = read_snapshot(client).await?;
-    // What was cut off on the way, or is of two snapshots, cannot be restored.
+    // Checks that the snapshot is not truncated or mixed from two snapshots.
     State::restore(&bytes)?;
     fs::write(file, &bytes).map_err(|error| CommandError::File(file.to_owned(), error))?;
     println!("{} bytes", bytes.len());
@@ -249,7 +250,7 @@
     let mut snapshot = Vec::new();
     loop {
         let from = snapshot.len() as u64;
-        match ask(client, || Request::Snapshot { from }).await? {
+        match call_leader(client, || Request::Snapshot { from }).await? {
             Response::SnapshotChunk { total, bytes } if !bytes.is_empty() => {
                 snapshot.extend(bytes);
                 if snapshot.len() as u64 >= total {
--- a/quota-gateway/coordination/src/config.rs
+++ b/quota-gateway/coordination/src/config.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 quick_error! {
-    /// Why a configuration cannot be used.
+    /// The reason why a configuration cannot be used.
     #[derive(Debug)]
     pub enum ConfigError {
         /// The file cannot be read.
@@ -18,7 +18,7 @@
             display("{}: {}", path.display(), error)
             source(error)
         }
-        /// The file is no TOML, or has a key that does not exist or a value of another type.
+        /// The file is not valid TOML, or has an unknown key or a value of a wrong type.
         Syntax(path: PathBuf, message: String) {
             display("{}: {}", path.display(), message)
         }
@@ -26,9 +26,9 @@
         Value(path: PathBuf, message: &'static str) {
             display("{}: {}", path.display(), message)
         }
-        /// An address is not one of this machine alone.
+        /// An address is not a loopback address.
         NotLoopback(path: PathBuf, key: &'static str) {
-            display("{}: {}: not on this machine alone, and allow_other_than_loopback is not set", path.display(), key)
+            display("{}: {}: not a loopback address, and allow_other_than_loopback is not set", path.display(), key)
         }
     }
 }
@@ -37,44 +37,45 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Where it listens.
+    /// The address on which the process listens.
     pub listen: SocketAddr,
-    /// Where the other members are called, with their own ports, if there is an address translator between.
+    /// IP address of the address translator, if there is one. The other members are then called at this
+    /// address, with their own ports.
     pub peers_at: Option<IpAddr>,
-    /// The folder of its log.
+    /// The data folder, which contains the log.
     pub data: PathBuf,
     #[serde(default = "default_heartbeat_ms")]
     heartbeat_ms: u64,
     #[serde(default = "default_election_ms")]
     election_ms: u64,
-    /// Entries after which a snapshot is made.
+    /// Number of log entries after which a snapshot is built.
     #[serde(default = "default_entries_per_snapshot")]
     pub snapshot_every: u64,
-    /// Connections at once.
+    /// Maximum number of open connections.
     #[serde(default = "default_max_connections")]
     pub connections: usize,
-    /// Calls without a reply at once.
+    /// Maximum number of calls that are in progress.
     #[serde(default = "default_max_calls")]
     pub calls: usize,
     #[serde(default)]
     allow_other_than_loopback: bool,
-    /// Where the page of metrics is served; nowhere without it.
+    /// The address on which the metrics are served; without it, they are not served.
     pub metrics: Option<SocketAddr>,
-    /// Faults of the disk, for trials.
+    /// Injected disk faults, for fault tests.
     pub trial: Option<DiskFaults>,
-    /// What is logged, and how.
+    /// Settings of logging.
     #[serde(default)]
     pub log: LogConfig,
 }
 
-/// Faults of the disk, to try a cluster with. Never for one that anybody relies on.
+/// Injected disk faults, for tests of a cluster. They must not be used in production.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DiskFaults {
     sync_delay_ms: u64,
-    /// Syncs fail after this many.
+    /// Number of syncs after which all further syncs fail.
     pub syncs_fail_after: Option<u64>,
-    /// Whether writes that wait share a sync.
+    /// Whether queued writes share a sync.
     pub group_commit: bool,
 }
 
@@ -85,7 +86,7 @@
 }
 
 impl DiskFaults {
-    /// Returns by how much longer each sync takes.
+    /// Returns the additional time that each sync takes.
     pub fn sync_delay(&self) -> Duration {
         Duration::from_millis(self.sync_delay_ms)
     }
@@ -112,11 +113,11 @@
 }
 
 impl Config {
-    /// Reads and checks a file.
+    /// Reads and validates a configuration file.
     ///
     /// # Errors
     ///
-    /// See [`ConfigError`]: one line that names the key.
+    /// See [`ConfigError`]. It is displayed in one line that names the key.
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
         let text = fs::read_to_string(path).map_err(|error| ConfigError::Read(path.to_owned(), error))?;
         let config: Config = toml::from_str(&text)
@@ -126,12 +127,12 @@
         Ok(config)
     }
 
-    /// Returns the pause between two heartbeats of the leader.
+    /// Returns the interval between two heartbeats of the leader.
     pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_millis(self.heartbeat_ms)
     }
 
-    /// Returns the time without a heartbeat after which another process becomes a candidate.
+    /// Returns the shortest time without a heartbeat after which a process becomes a candidate.
     pub fn election_timeout(&self) -> Duration {
         Duration::from_millis(self.election_ms)
     }
@@ -148,16 +149,16 @@
 
     fn check_values(&self) -> Result<(), &'static str> {
         if self.trial.is_some_and(|trial| trial.sync_delay_ms > 60_000) {
-            return Err("trial.sync_delay_ms: 60000 at the most");
+            return Err("trial.sync_delay_ms: must be at most 60000");
         }
         if !(10..=10_000).contains(&self.heartbeat_ms) {
-            return Err("heartbeat_ms: from 10 to 10000");
+            return Err("heartbeat_ms: must be from 10 to 10000");
         }
         if self.election_ms < 3 * self.heartbeat_ms || self.election_ms > 60_000 {
-            return Err("election_ms: three heartbeats at the least, 60000 at the most");
+            return Err("election_ms: must be at least three times heartbeat_ms and at most 60000");
         }
         if self.snapshot_every < 100 || self.connections == 0 || self.calls == 0 {
-            return Err("snapshot_every: 100 at the least; connections, calls: above 0");
+            return Err("snapshot_every: must be at least 100; connections, calls: must be above 0");
         }
         Ok(())
     }
--- a/quota-gateway/coordination/src/disk/faulty_file.rs
+++ b/quota-gateway/coordination/src/disk/faulty_file.rs
@@ -1,4 +1,4 @@
-//! A file on a slow or failing disk.
+//! Simulation of a slow or failing disk.
 
 use redb::backends::FileBackend;
 use redb::StorageBackend;
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// A file on a disk whose syncs are slow, or fail after some number of them. For trials alone.
+/// A file whose syncs are delayed, or fail after a number of syncs. For fault tests only.
 #[derive(Debug)]
 pub struct FaultyFile {
     file: FileBackend,
@@ -17,7 +17,7 @@
 }
 
 impl FaultyFile {
-    /// Returns a file of which each sync takes longer by `sync_delay`, and fails after that many syncs.
+    /// Wraps a file. Each sync takes longer by `sync_delay`, and syncs fail after `fails_after` of them.
     pub fn new(file: FileBackend, sync_delay: Duration, fails_after: Option<u64>) -> FaultyFile {
         FaultyFile { file, sync_delay, fails_after, syncs: AtomicU64::new(0) }
     }
@@ -38,10 +38,10 @@
 
     fn sync_data(&self) -> io::Result<()> {
         let before = self.syncs.fetch_add(1, Ordering::Relaxed);
-        if self.fails_after.is_some_and(|most| before >= most) {
+        if self.fails_after.is_some_and(|max_syncs| before >= max_syncs) {
             return Err(io::Error::other("the trial's disk takes no more syncs"));
         }
-        // This runs on the log's own thread, or before the process serves anything.
+        // Blocking is fine: this runs on the log's own thread, or before the process serves requests.
         thread::sleep(self.sync_delay);
         self.file.sync_data()
     }
--- a/quota-gateway/coordination/src/disk/memory_disk.rs
+++ b/quota-gateway/coordination/src/disk/memory_disk.rs
@@ -1,18 +1,19 @@
-//! A disk in memory that crashes.
+//! Simulation of a disk in memory, with crashes and failing syncs.
 
 use rand::Rng;
 use redb::StorageBackend;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Sectors are written as a whole; a write of several may be torn between them.
+/// Size of a sector. A sector is written atomically; a write of several sectors may be torn between them.
 const SECTOR_BYTES: usize = 512;
 
-/// A disk in memory that stops at a step. What was not synced by then is kept, torn or lost at random.
+/// A disk in memory that stops at a given step. After a crash, each write that was not synced is kept, torn
+/// or lost at random.
 #[derive(Clone, Debug)]
 pub struct MemoryDisk(Arc<Mutex<DiskState>>);
 
-/// A change since the last sync.
+/// A change that is not synced yet.
 #[derive(Debug)]
 enum Pending {
     /// Bytes at an offset.
@@ -24,19 +25,19 @@
 #[derive(Debug)]
 struct DiskState {
     synced: Vec<u8>,
-    /// What readers see.
+    /// The contents as reads see them, with unsynced changes.
     visible: Vec<u8>,
     pending: Vec<Pending>,
     steps: u64,
-    /// From this step on every access fails (a crash), or only syncs do (a failing disk).
+    /// From this step on, every write and sync fails (a crash), or only syncs fail (a failing disk).
     stops_at: u64,
     only_syncs_fail: bool,
-    /// Nothing more is kept, and syncs return success.
+    /// Whether syncs return success but make nothing durable, so that a crash loses all later writes.
     ignores_syncs: bool,
 }
 
 impl MemoryDisk {
-    /// Returns a disk with these contents, which never stops.
+    /// Returns a disk with these contents that does not stop unless [`MemoryDisk::stop_in`] is called.
     pub fn new(image: Vec<u8>) -> MemoryDisk {
         let state = DiskState {
             visible: image.clone(),
@@ -54,25 +55,26 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Makes the disk stop this many steps from now, altogether or for syncs alone.
+    /// Makes the disk stop this many steps from now, either completely or for syncs only.
     pub fn stop_in(&self, steps: u64, only_syncs_fail: bool) {
         let mut state = self.state();
         state.stops_at = state.steps.saturating_add(steps);
         state.only_syncs_fail = only_syncs_fail;
     }
 
-    /// Makes the disk keep nothing more and report success: no database survives that.
+    /// Makes the disk report successful syncs without making anything durable. No database survives such a
+    /// disk.
     pub fn ignore_syncs(&self, ignores_syncs: bool) {
         self.state().ignores_syncs = ignores_syncs;
     }
 
-    /// Whether the disk has reached the step at which it stops.
+    /// Returns whether the disk has reached the step at which it stops.
     pub fn has_stopped(&self) -> bool {
         let state = self.state();
         state.steps >= state.stops_at
     }
 
-    /// Returns the contents that a machine finds when it starts again.
+    /// Returns the contents of the disk after a crash and restart of the machine.
     pub fn after_crash(&self, rng: &mut impl Rng) -> Vec<u8> {
         let state = self.state();
         let mut image = state.synced.clone();
@@ -105,9 +107,9 @@
 }
 
 impl DiskState {
-    fn step(&mut self, sync: bool) -> io::Result<()> {
+    fn step(&mut self, is_sync: bool) -> io::Result<()> {
         self.steps += 1;
-        match self.steps >= self.stops_at && (sync || !self.only_syncs_fail) {
+        match self.steps >= self.stops_at && (is_sync || !self.only_syncs_fail) {
             true => Err(io::Error::other("the disk has stopped")),
             false => Ok(()),
         }
--- a/quota-gateway/coordination/src/disk/mod.rs
+++ b/quota-gateway/coordination/src/disk/mod.rs
@@ -1,8 +1,8 @@
-//! Disks under the log that are not the plain file.
+//! Storage backends for the log other than a plain file.
 //!
-//! - [`Overlay`]: a file that is read and never written.
-//! - [`FaultyFile`]: a file on a slow or failing disk, for trials.
-//! - [`MemoryDisk`]: a disk in memory that crashes, for tests and simulations.
+//! - [`Overlay`]: a read-only file whose changes are kept in memory.
+//! - [`FaultyFile`]: a file with slow or failing syncs, for fault tests.
+//! - [`MemoryDisk`]: a disk in memory that can crash, for tests and simulations.
 
 mod faulty_file;
 mod memory_disk;
--- a/quota-gateway/coordination/src/disk/overlay.rs
+++ b/quota-gateway/coordination/src/disk/overlay.rs
@@ -1,4 +1,4 @@
-//! A file that is read and never written.
+//! A read-only file whose changes are kept in memory.
 
 use redb::StorageBackend;
 use std::collections::BTreeMap;
@@ -11,8 +11,9 @@
 
 const PAGE_BYTES: u64 = 4096;
 
-/// A file that is only read: what is written over it stays in memory, and is lost with it. A database that recovers from a
-/// crash writes; with this it can be examined as it would be afterwards, and nothing is touched.
+/// A file that is only read. Writes are kept in memory and are lost when the overlay is dropped. A database
+/// writes when it recovers from a crash; on an overlay, the recovered database can be examined without
+/// changing the file.
 #[derive(Debug)]
 pub struct Overlay {
     file: File,
@@ -22,7 +23,8 @@
 #[derive(Debug)]
 struct Layer {
     length: u64,
-    /// Bytes of the file that count: what was truncated does not reappear when the file grows.
+    /// Number of bytes at the start of the file that are still valid. Truncated bytes do not reappear when
+    /// the length grows again.
     file_length: u64,
     pages: BTreeMap<u64, Vec<u8>>,
 }
@@ -52,16 +54,16 @@
     }
 }
 
-/// The part of a range that lies in one page.
+/// The part of a byte range that is in one page.
 struct PagePart {
     page_number: u64,
-    /// Offset in the page at which the part begins.
+    /// Offset of the part in the page.
     offset_in_page: usize,
-    /// The part, as a part of the range.
+    /// Position of the part in the byte range.
     range: Range<usize>,
 }
 
-/// Splits a range of bytes into its parts by page.
+/// Splits a byte range into its parts by page.
 fn page_parts(offset: u64, length: usize) -> impl Iterator<Item = PagePart> {
     let mut done = 0;
     std::iter::from_fn(move || {
--- a/quota-gateway/coordination/src/env.rs
+++ b/quota-gateway/coordination/src/env.rs
@@ -1,7 +1,7 @@
 //! The environment of a process: clocks, random numbers and connections.
 //!
-//! In production these are the system's. With others a complete cluster runs on a virtual clock, from a seed: nothing else in
-//! this crate uses the system's.
+//! In production, they are those of the system. A simulation replaces them to run a complete cluster on a
+//! virtual clock from a seed: no other module of this crate uses those of the system directly.
 
 use rand::rngs::StdRng;
 use rand::SeedableRng;
@@ -17,9 +17,9 @@
 
 /// The two directions of a connection.
 pub struct ConnectionHalves {
-    /// What the peer sends.
+    /// Receives bytes from the peer.
     pub read: Box<dyn AsyncRead + Unpin>,
-    /// What is sent to the peer.
+    /// Sends bytes to the peer.
     pub write: Box<dyn AsyncWrite + Unpin>,
 }
 
@@ -30,12 +30,12 @@
     }
 }
 
-/// A connection that is being made.
+/// A connection that is being established.
 pub type Connecting = Pin<Box<dyn Future<Output = io::Result<ConnectionHalves>>>>;
 
-/// How a process reaches others.
+/// Establishes connections to other processes.
 pub trait Network {
-    /// Connects to an address; the caller bounds how long that may take.
+    /// Connects to an address. There is no timeout; the caller must set one.
     fn connect(&self, addr: &str) -> Connecting;
 }
 
@@ -56,21 +56,21 @@
 /// The environment of a process.
 #[derive(Clone)]
 pub struct Env {
-    /// How other processes are reached.
+    /// Connects to other processes.
     pub network: Rc<dyn Network>,
-    /// Returns the wall clock's time in milliseconds since 1970. Only the floor of the tokens at a change of leader depends on
-    /// it.
+    /// Returns the time of the wall clock in milliseconds since 1970. It is only used for the token floor
+    /// that a new leader sets.
     pub wall_ms: Rc<dyn Fn() -> u64>,
-    /// The rate of this process' monotonic clock; 1 except in simulations of clocks that run apart.
+    /// The rate of this process' monotonic clock; 1 except in simulations of clock drift.
     pub rate: f64,
 }
 
 impl Default for Env {
     fn default() -> Env {
-        let since = || SystemTime::now().duration_since(UNIX_EPOCH);
+        let since_epoch = || SystemTime::now().duration_since(UNIX_EPOCH);
         Env {
             network: Rc::new(Sockets),
-            wall_ms: Rc::new(move || since().map_or(0, |since| since.as_millis() as u64)),
+            wall_ms: Rc::new(move || since_epoch().map_or(0, |elapsed| elapsed.as_millis() as u64)),
             rate: 1.0,
         }
     }
@@ -93,46 +93,46 @@
 impl Clock {
     /// Returns the time since the clock was started.
     pub fn now(&self) -> Duration {
-        let since = self.origin.elapsed();
+        let elapsed = self.origin.elapsed();
         if self.rate == 1.0 {
-            return since;
+            return elapsed;
         }
-        since.mul_f64(self.rate)
+        elapsed.mul_f64(self.rate)
     }
 }
 
 thread_local! {
-    static CHANCE: RefCell<StdRng> = RefCell::new(StdRng::from_os_rng());
+    static RNG: RefCell<StdRng> = RefCell::new(StdRng::from_os_rng());
 }
 
-/// Draws from this thread's source of random numbers.
-pub fn chance<T>(draw: impl FnOnce(&mut StdRng) -> T) -> T {
-    CHANCE.with(|chance| draw(&mut chance.borrow_mut()))
+/// Draws from this thread's random number generator.
+pub fn with_rng<T>(draw: impl FnOnce(&mut StdRng) -> T) -> T {
+    RNG.with(|rng| draw(&mut rng.borrow_mut()))
 }
 
-/// Seeds this thread's source of random numbers.
+/// Seeds this thread's random number generator.
 pub fn seed(seed: u64) {
-    CHANCE.with(|chance| chance.replace(StdRng::seed_from_u64(seed)));
+    RNG.with(|rng| rng.replace(StdRng::seed_from_u64(seed)));
 }
 
-/// The same source for the consensus crate, which uses an older version of the trait.
-pub struct Chance;
+/// This thread's random number generator for the consensus crate, which uses an older version of the trait.
+pub struct ConsensusRng;
 
-impl rand_core_06::RngCore for Chance {
+impl rand_core_06::RngCore for ConsensusRng {
     fn next_u32(&mut self) -> u32 {
-        chance(rand::RngCore::next_u32)
+        with_rng(rand::RngCore::next_u32)
     }
 
     fn next_u64(&mut self) -> u64 {
-        chance(rand::RngCore::next_u64)
+        with_rng(rand::RngCore::next_u64)
     }
 
-    fn fill_bytes(&mut self, into: &mut [u8]) {
-        chance(|rng| rand::RngCore::fill_bytes(rng, into));
+    fn fill_bytes(&mut self, buffer: &mut [u8]) {
+        with_rng(|rng| rand::RngCore::fill_bytes(rng, buffer));
     }
 
-    fn try_fill_bytes(&mut self, into: &mut [u8]) -> Result<(), rand_core_06::Error> {
-        self.fill_bytes(into);
+    fn try_fill_bytes(&mut self, buffer: &mut [u8]) -> Result<(), rand_core_06::Error> {
+        self.fill_bytes(buffer);
         Ok(())
     }
 }
--- a/quota-gateway/coordination/src/error.rs
+++ b/quota-gateway/coordination/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the program ends with an error: each in one line.
+//! Errors with which the program exits. Each is displayed in one line.
 
 use marblecroft_coordination::client::CallError;
 use marblecroft_coordination::service::StartError;
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 
 quick_error! {
-    /// Why a process of the service ends.
+    /// The reason why a process of the service exits.
     #[derive(Debug)]
     pub enum ServerError {
         /// The log cannot be opened.
@@ -37,18 +37,18 @@
             source(error)
             from()
         }
-        /// The consensus has ended, as the store failed.
+        /// The consensus has stopped, because the store failed.
         Consensus(reason: String) {
-            display("ends, as it can no longer keep its word: {}", reason)
+            display("exiting, because the consensus has stopped: {}", reason)
         }
     }
 }
 
 quick_error! {
-    /// Why an operator's command has failed.
+    /// The reason why an operator's command has failed.
     #[derive(Debug)]
     pub enum CommandError {
-        /// The service has not carried out the call.
+        /// A call to the service has failed.
         Call(error: CallError) {
             display("{}", error)
             source(error)
@@ -61,45 +61,45 @@
         }
         /// A process has not replied in time.
         NoReply(address: String) {
-            display("{}: no answer", address)
+            display("{}: timed out without a reply", address)
         }
         /// No process has replied.
-        NobodyReplied {
-            display("nobody answered")
+        NoProcessReplied {
+            display("none of the processes replied")
         }
         /// A process has rejected the request.
         Rejected(address: String, reason: String) {
             display("{}: {}", address, reason)
         }
-        /// A process has replied something else than what was requested.
+        /// The kind of a process's response does not match the request.
         Unexpected(address: String, response: Box<Response>) {
-            display("{}: an answer of another kind: {:?}", address, response)
+            display("{}: unexpected kind of response: {:?}", address, response)
         }
-        /// A process belongs to a cluster already.
+        /// A process already belongs to a cluster.
         InCluster(address: String, cluster: u64) {
-            display("{} is of cluster {:016x} already", address, cluster)
+            display("{} already belongs to cluster {:016x}", address, cluster)
         }
-        /// A process belongs to another cluster.
-        OtherCluster(address: String, cluster: u64, own: u64) {
-            display("{} is of cluster {:016x}, not of {:016x}", address, cluster, own)
+        /// A process belongs to another cluster than the service.
+        OtherCluster(address: String, cluster: u64, service_cluster: u64) {
+            display("{} belongs to cluster {:016x}, not to cluster {:016x}", address, cluster, service_cluster)
         }
-        /// The argument is no member's number.
+        /// The argument is not a member's number.
         MemberNumber(argument: String) {
-            display("{:?} is no member's number", argument)
+            display("{:?} is not a member's number in hexadecimal digits", argument)
         }
         /// A file cannot be read or written.
         File(path: PathBuf, error: io::Error) {
             display("{}: {}", path.display(), error)
             source(error)
         }
-        /// A file contains no state.
+        /// A file does not contain a valid snapshot.
         FileContents(path: PathBuf, error: SnapshotError) {
             display("{}: {}", path.display(), error)
             source(error)
         }
-        /// The folder holds a log already.
+        /// The folder already contains a log.
         LogExists(path: PathBuf) {
-            display("{}: holds a log already", path.display())
+            display("{}: already contains a log", path.display())
         }
         /// The service's snapshot cannot be used.
         Snapshot(error: SnapshotError) {
@@ -109,7 +109,7 @@
         }
         /// The service's snapshot ends early.
         SnapshotTruncated(response: Box<Response>) {
-            display("the snapshot breaks off: {:?}", response)
+            display("the snapshot ends early, at this response: {:?}", response)
         }
         /// The log cannot be opened or written.
         Store(error: StoreError) {
@@ -123,7 +123,7 @@
             source(error)
             from()
         }
-        /// A task of the program has ended early.
+        /// A task of the program has panicked or was cancelled.
         Task(error: tokio::task::JoinError) {
             display("{}", error)
             source(error)
--- a/quota-gateway/coordination/src/fencing.rs
+++ b/quota-gateway/coordination/src/fencing.rs
@@ -1,33 +1,34 @@
-//! Fencing: whoever acts names its token, and the resource rejects lower tokens than the highest that it has seen.
+//! Fencing: each request to a resource carries the fencing token of its sender, and the resource rejects
+//! tokens that are lower than the highest token that it has seen.
 
 use crate::state::Token;
 use serde::{Deserialize, Serialize};
 
-/// The highest token seen at one resource. A check by the owner itself is not enough: its process may be suspended between the
-/// check and the act.
+/// The highest token that one resource has seen. A check by the holder of the lock is not enough: its process
+/// may be suspended between the check and the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FencedResource {
     highest: Token,
 }
 
-/// An act under a lower token than one that was seen before.
+/// The error for a request with a lower token than one that was seen before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Late {
-    /// The token of the act.
+pub struct StaleToken {
+    /// The token of the request.
     pub token: Token,
-    /// The highest token that was seen.
+    /// The highest token that the resource has seen.
     pub highest: Token,
 }
 
 impl FencedResource {
-    /// Admits an act under this token.
+    /// Admits a request with this token.
     ///
     /// # Errors
     ///
     /// A higher token was seen before.
-    pub fn admit(&mut self, token: Token) -> Result<(), Late> {
+    pub fn admit(&mut self, token: Token) -> Result<(), StaleToken> {
         if token < self.highest {
-            return Err(Late { token, highest: self.highest });
+            return Err(StaleToken { token, highest: self.highest });
         }
         self.highest = token;
         Ok(())
--- a/quota-gateway/coordination/src/flags.rs
+++ b/quota-gateway/coordination/src/flags.rs
@@ -1,16 +1,16 @@
-//! The command line.
+//! Command line arguments.
 
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 
-/// A process of the coordination service, and what operators ask of it
+/// A process of the coordination service, and commands for its operators
 #[derive(Parser)]
 #[command(version, about)]
 pub struct Flags {
-    /// Addresses of the service, with commas between
+    /// Addresses of the service's processes, separated by commas
     #[arg(long, global = true, value_delimiter = ',', default_value = "127.0.0.1:7400")]
     pub at: Vec<String>,
-    /// What to do
+    /// The command to run
     #[command(subcommand)]
     pub command: Command,
 }
@@ -18,23 +18,23 @@
 /// The subcommands.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Is a process of the service, as this file says
+    /// Runs a process of the service with this configuration file
     Run {
         /// The configuration file
         config: PathBuf,
     },
-    /// The processes at these addresses, all new, become a cluster
+    /// Creates a cluster of the processes at the addresses, all of which must be new
     Begin,
-    /// How each process at the addresses is
+    /// Prints the status of each process at the addresses
     Status,
-    /// Who votes
+    /// Lists the members of the cluster, and whether they vote
     Members,
-    /// Adds a new process at this address; it learns all there is, then votes
+    /// Adds the new process at this address, which votes once it has received the complete log
     Add {
-        /// The process' address
+        /// The address of the process
         addr: String,
     },
-    /// Takes a member's vote, by its number
+    /// Removes a member, by its number
     Remove {
         /// The member's number, in hexadecimal digits
         node: String,
@@ -43,24 +43,24 @@
     Locks,
     /// Lists the open sessions
     Sessions,
-    /// Takes a lock from whoever holds it; the next in its queue has it then
+    /// Takes a lock from its holder; it passes to the next session in its queue
     Release {
         /// The lock
         lock: String,
     },
-    /// Writes the whole state into a file
+    /// Writes a snapshot of the complete state to a file
     Snapshot {
         /// The file
         file: PathBuf,
     },
-    /// Makes a folder that begins a cluster of its own with the state of a file; no process may run on it
+    /// Creates the data folder of a new cluster from a snapshot; no process may be running on the folder
     Restore {
-        /// The file
+        /// The file of the snapshot
         file: PathBuf,
-        /// The folder
+        /// The data folder
         #[arg(long)]
         data: PathBuf,
-        /// By which address the process on it will be reached
+        /// The address under which the process on the folder will be reached
         #[arg(long)]
         addr: String,
     },
--- a/quota-gateway/coordination/src/lease.rs
+++ b/quota-gateway/coordination/src/lease.rs
@@ -1,7 +1,9 @@
-//! When a session ends: at the service by the leader's clock, and for its holder earlier, by its own clock.
+//! Leases of sessions. At the service, a lease expires by the leader's clock; at its holder, it expires
+//! earlier, by the holder's clock.
 //!
-//! All instants are of one monotonic clock each; instants of two clocks are never compared, only durations are. Clocks may
-//! run apart by [`MAX_CLOCK_DRIFT`]: a duration that one measures as `d` the other measures as at most `d * (1 + MAX_CLOCK_DRIFT)`.
+//! Instants of two clocks are never compared; only durations are. Monotonic clocks may drift by
+//! [`MAX_CLOCK_DRIFT`]: a duration that one clock measures as `d` is at most `d * (1 + MAX_CLOCK_DRIFT)` on
+//! another clock.
 
 use crate::state::{SessionId, Token};
 use std::collections::BTreeMap;
@@ -10,16 +12,17 @@
 /// An instant of a monotonic clock with an arbitrary zero.
 pub type Instant = Duration;
 
-/// How far two clocks may run apart, as a share of the time. Ten times the drift of oscillators, for machines under a
-/// hypervisor.
+/// Maximum relative drift between two clocks. This is ten times the drift of oscillators, to allow for
+/// machines under a hypervisor.
 pub const MAX_CLOCK_DRIFT: f64 = 0.1;
 
-/// The session's time at its holder: shorter than the service's by the drift, and a hundredth more.
-fn holders_share(ttl: Duration) -> Duration {
+/// Returns the duration of a lease at its holder: shorter than at the service by the maximum drift, and by
+/// another 1%.
+fn holder_ttl(ttl: Duration) -> Duration {
     ttl.mul_f64(0.99 / (1.0 + MAX_CLOCK_DRIFT))
 }
 
-/// A lock that is held, at its holder. It ends at its deadline, which is checked before every act.
+/// A lease at its holder. The holder must check the deadline before every action under the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct HeldLease {
     token: Token,
@@ -27,80 +30,84 @@
 }
 
 impl HeldLease {
-    /// Returns the lease of a grant, or a renewal, that was requested at this instant: the session's time is counted from *before* the call left,
-    /// as the service may have begun to count then.
-    pub fn granted_at_request(asked: Instant, ttl: Duration, token: Token) -> HeldLease {
-        HeldLease { token, expires_at: asked + holders_share(ttl) }
+    /// Returns the lease of a grant, or of a renewal, that was requested at this instant. The lease starts
+    /// *before* the call is sent, because the service may start its own lease at any time after that.
+    pub fn granted_at_request(requested_at: Instant, ttl: Duration, token: Token) -> HeldLease {
+        HeldLease { token, expires_at: requested_at + holder_ttl(ttl) }
     }
 
-    /// Returns the lease after a renewal that was requested at this instant and confirmed. A late confirmation never shortens
-    /// what an earlier one gave.
-    pub fn renewed(self, asked: Instant, ttl: Duration) -> HeldLease {
-        HeldLease { expires_at: self.expires_at.max(asked + holders_share(ttl)), ..self }
+    /// Returns the lease after a renewal that was requested at this instant and confirmed. A confirmation
+    /// that arrives late never shortens the lease.
+    pub fn renewed(self, requested_at: Instant, ttl: Duration) -> HeldLease {
+        HeldLease { expires_at: self.expires_at.max(requested_at + holder_ttl(ttl)), ..self }
     }
 
-    /// Returns the token to act under at this instant; `None` once the service may have ended the session.
-    pub fn act(&self, now: Instant) -> Option<Token> {
+    /// Returns the token if the lease is valid at this instant, or `None` once the service may have ended the
+    /// session.
+    pub fn valid_token(&self, now: Instant) -> Option<Token> {
         (now < self.expires_at).then_some(self.token)
     }
 
-    /// Returns the deadline.
-    pub fn until(&self) -> Instant {
+    /// Returns the instant at which the lease expires.
+    pub fn expires_at(&self) -> Instant {
         self.expires_at
     }
 }
 
-/// The sessions' times at the leader. They are not replicated: each leader begins them anew.
+/// The leases of all sessions at the leader. They are not replicated: each new leader starts them again.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Leases {
-    ends: BTreeMap<SessionId, (Instant, Duration)>,
+    deadlines: BTreeMap<SessionId, (Instant, Duration)>,
 }
 
 impl Leases {
-    /// Returns the times at a new leader, which gives every session its full time: it cannot know when each was renewed last.
-    pub fn begin(now: Instant, sessions: impl Iterator<Item = (SessionId, Duration)>) -> Leases {
-        Leases { ends: sessions.map(|(id, ttl)| (id, (now + ttl, ttl))).collect() }
+    /// Returns the leases at a new leader. Every session gets its full time to live, because the new leader
+    /// does not have the times of the last renewals.
+    pub fn with_full_ttl(now: Instant, sessions: impl Iterator<Item = (SessionId, Duration)>) -> Leases {
+        Leases { deadlines: sessions.map(|(id, ttl)| (id, (now + ttl, ttl))).collect() }
     }
 
-    /// Begins the time of a session that was opened.
-    pub fn opened(&mut self, now: Instant, id: SessionId, ttl: Duration) {
-        self.ends.insert(id, (now + ttl, ttl));
+    /// Starts the lease of a session that was opened.
+    pub fn insert(&mut self, now: Instant, id: SessionId, ttl: Duration) {
+        self.deadlines.insert(id, (now + ttl, ttl));
     }
 
-    /// Renews a session, counted from when the call was received, which is after it was sent. Returns false where there is no
-    /// such session or its time is over. A renewal at the very instant of its end is too late, as the end may be proposed.
-    pub fn renewed(&mut self, now: Instant, id: SessionId) -> bool {
-        match self.ends.get_mut(&id) {
-            Some((ends, ttl)) if now < *ends && !ttl.is_zero() => {
-                *ends = now + *ttl;
+    /// Renews a session from the instant at which the call was received, which is after it was sent. Returns
+    /// false if there is no such session or its lease has expired. A renewal at the exact instant of the
+    /// deadline is too late, because the command that ends the session may already be proposed.
+    pub fn renew(&mut self, now: Instant, id: SessionId) -> bool {
+        match self.deadlines.get_mut(&id) {
+            Some((deadline, ttl)) if now < *deadline && !ttl.is_zero() => {
+                *deadline = now + *ttl;
                 true
             }
             _ => false,
         }
     }
 
-    /// Whether a session is known.
-    pub fn knows(&self, id: SessionId) -> bool {
-        self.ends.contains_key(&id)
+    /// Returns whether there is a lease for a session.
+    pub fn contains(&self, id: SessionId) -> bool {
+        self.deadlines.contains_key(&id)
     }
 
-    /// Marks a session whose end is about to be proposed: it is not renewed any more, and not reported as over again.
-    pub fn give_up(&mut self, id: SessionId) {
-        self.ends.insert(id, (Instant::MAX, Duration::ZERO));
+    /// Marks a session whose end is about to be proposed. It can no longer be renewed, and is not reported as
+    /// expired again.
+    pub fn mark_ending(&mut self, id: SessionId) {
+        self.deadlines.insert(id, (Instant::MAX, Duration::ZERO));
     }
 
-    /// Removes all sessions but those that exist.
-    pub fn keep(&mut self, lives: impl Fn(SessionId) -> bool) {
-        self.ends.retain(|id, _| lives(*id));
+    /// Removes the leases of sessions that no longer exist.
+    pub fn retain(&mut self, exists: impl Fn(SessionId) -> bool) {
+        self.deadlines.retain(|id, _| exists(*id));
     }
 
-    /// Removes a session.
-    pub fn ended(&mut self, id: SessionId) {
-        self.ends.remove(&id);
+    /// Removes the lease of a session.
+    pub fn remove(&mut self, id: SessionId) {
+        self.deadlines.remove(&id);
     }
 
-    /// Returns the sessions whose time is over, which a command must end.
-    pub fn over(&self, now: Instant) -> impl Iterator<Item = SessionId> + '_ {
-        self.ends.iter().filter(move |(_, (ends, _))| *ends <= now).map(|(id, _)| *id)
+    /// Returns the sessions whose leases have expired. A command must end them.
+    pub fn expired(&self, now: Instant) -> impl Iterator<Item = SessionId> + '_ {
+        self.deadlines.iter().filter(move |(_, (deadline, _))| *deadline <= now).map(|(id, _)| *id)
     }
 }
--- a/quota-gateway/coordination/src/lib.rs
+++ b/quota-gateway/coordination/src/lib.rs
@@ -1,12 +1,16 @@
-//! Coordination: sessions, locks with fencing tokens, small values and watches, replicated by consensus.
+//! Coordination service: sessions, locks with fencing tokens, small values and watches, replicated by
+//! consensus.
 //!
-//! - [`state`]: the state machine, pure and deterministic.
-//! - [`lease`]: when a session ends, at the service and, earlier, for its holder.
-//! - [`fencing`]: the check of tokens at a resource.
-//! - [`raft_types`], [`raft`], [`storage`]: the consensus crate's types, its view of the state machine, and the log on a disk.
-//! - [`mod@env`], [`disk`]: clocks, random numbers, connections and disks, so that complete clusters can be simulated.
+//! - [`state`]: the deterministic state machine.
+//! - [`lease`]: the expiry of sessions, at the service and, earlier, at the session's holder.
+//! - [`fencing`]: the check of fencing tokens at a resource.
+//! - [`raft_types`], [`raft`], [`storage`]: the types of the consensus crate, its interface to the state
+//!   machine, and the log on a disk.
+//! - [`mod@env`], [`disk`]: clocks, random numbers, connections and disks, which can be replaced to simulate
+//!   complete clusters.
 //! - [`metrics`]: the metrics of a process.
-//! - [`wire`], [`peers`], [`service`], [`client`]: frames, the processes' connections, one process, and its clients.
+//! - [`wire`], [`peers`], [`service`], [`client`]: the wire format, the connections between processes, one
+//!   process of the service, and its clients.
 #![forbid(unsafe_code)]
 
 pub mod client;
--- a/quota-gateway/coordination/src/main.rs
+++ b/quota-gateway/coordination/src/main.rs
@@ -1,4 +1,4 @@
-//! `marblecroft-coordination-server`: a process of the service, and operators' calls.
+//! `marblecroft-coordination-server`: runs a process of the service, or a command of an operator.
 #![forbid(unsafe_code)]
 
 mod commands;
@@ -19,7 +19,7 @@
 use tracing::error;
 
 const PROGRAM: &str = "marblecroft-coordination-server";
-/// The configuration cannot be used.
+/// Exit code for an invalid configuration.
 const EXIT_INVALID_CONFIGURATION: u8 = 2;
 
 fn runtime() -> io::Result<LocalRuntime> {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Carries out an operator's command.
+/// Runs an operator's command.
 fn execute(addresses: Vec<String>, command: Command) -> Result<(), CommandError> {
     if let Command::Restore { file, data, addr } = &command {
         return commands::restore(file, data, addr);
--- a/quota-gateway/coordination/src/metrics.rs
+++ b/quota-gateway/coordination/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a process, as a page in the OpenMetrics text format at an address of its own.
+//! Metrics of a process, served in the OpenMetrics text format at a separate address.
 
 use crate::wire::{Request, Status};
 use http_body_util::Full;
@@ -22,9 +22,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Readers of the page at once.
+/// Maximum number of concurrent readers of the metrics.
 const MAX_READERS: usize = 8;
-/// A reader that takes longer is disconnected.
+/// Time limit for serving one reader; a reader that takes longer is disconnected.
 const READER_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq, EncodeLabelValue)]
@@ -42,16 +42,16 @@
     kind: Kind,
 }
 
-/// The bound for which a call or a connection was rejected.
+/// The limit because of which a call or a connection was rejected.
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq, EncodeLabelValue)]
 pub enum RejectionReason {
-    /// Connections at once.
+    /// Number of open connections.
     Connections,
-    /// Calls without a reply.
+    /// Number of calls in progress.
     Calls,
-    /// Bytes of replies that wait to be written.
+    /// Size of the replies that wait to be written.
     Bytes,
-    /// A bound of the state: sessions, locks, waiters, clients, values.
+    /// A limit of the state: sessions, locks, waiters, clients or values.
     State,
 }
 
@@ -60,7 +60,8 @@
     why: RejectionReason,
 }
 
-/// What is counted as it happens, and what is read when the page is requested.
+/// The metrics of a process. Counters are updated as events happen; gauges are set when the page is
+/// requested.
 pub struct Metrics {
     registry: Registry,
     calls: Family<RequestLabels, Counter>,
@@ -86,7 +87,8 @@
 }
 
 impl Metrics {
-    /// Returns metrics that have counted nothing yet. `syncs` is how long each sync of the log took, in seconds.
+    /// Returns metrics whose counters are zero. `syncs` is the histogram of the durations of the log's writes
+    /// with their sync, in seconds.
     pub fn new(syncs: Histogram) -> Metrics {
         let mut registry = Registry::with_prefix("marblecroft_coordination");
         let (calls, rejections, expired_sessions) =
@@ -137,12 +139,12 @@
         self.rejections.get_or_create(&RejectionLabels { why }).inc();
     }
 
-    /// Counts sessions whose time was over.
+    /// Counts sessions that have expired.
     pub fn count_expired_sessions(&self, sessions: usize) {
         self.expired_sessions.inc_by(sessions as u64);
     }
 
-    /// Returns the page with the status of this process.
+    /// Returns the page of metrics, with the given status of this process.
     pub fn page(&self, status: &Status) -> String {
         let gauges = &self.gauges;
         let voters = status.members.iter().filter(|(_, _, votes)| *votes).count();
@@ -165,13 +167,14 @@
         let mut out = String::new();
         match text::encode(&mut out, &self.registry) {
             Ok(()) => out,
-            // Into a string, so for want of memory alone.
+            // Encoding into a string fails only if memory is exhausted.
             Err(e) => format!("# {e}\n"),
         }
     }
 }
 
-/// Serves a page until dropped: `GET /metrics`, one request for each connection. `page` renders it for each.
+/// Serves the metrics at `GET /metrics` until dropped, one request per connection. `page` renders them for
+/// each request.
 pub async fn serve(page: impl Fn() -> String + Clone + 'static, listener: TcpListener) {
     let readers = Arc::new(Semaphore::new(MAX_READERS));
     loop {
@@ -179,17 +182,17 @@
             sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let Ok(place) = readers.clone().acquire_owned().await else { return };
+        let Ok(permit) = readers.clone().acquire_owned().await else { return };
         let page = page.clone();
         spawn_local(async move {
             drop(timeout(READER_TIMEOUT, serve_reader(page, stream)).await);
-            drop(place);
+            drop(permit);
         });
     }
 }
 
 async fn serve_reader(page: impl Fn() -> String, stream: TcpStream) {
-    let answer = service_fn(|request: hyper::Request<hyper::body::Incoming>| {
+    let service = service_fn(|request: hyper::Request<hyper::body::Incoming>| {
         let is_page = request.method() == Method::GET && request.uri().path() == "/metrics";
         let text = if is_page { page() } else { String::new() };
         async move {
@@ -197,11 +200,12 @@
             if !is_page {
                 *response.status_mut() = StatusCode::NOT_FOUND;
             }
-            let kind = HeaderValue::from_static("application/openmetrics-text; version=1.0.0; charset=utf-8");
-            response.headers_mut().insert(CONTENT_TYPE, kind);
+            let content_type =
+                HeaderValue::from_static("application/openmetrics-text; version=1.0.0; charset=utf-8");
+            response.headers_mut().insert(CONTENT_TYPE, content_type);
             Ok::<_, Infallible>(response)
         }
     });
-    // A reader that disconnects early has what it wants.
-    drop(http1::Builder::new().keep_alive(false).serve_connection(TokioIo::new(stream), answer).await);
+    // Errors are ignored: a reader may disconnect at any time.
+    drop(http1::Builder::new().keep_alive(false).serve_connection(TokioIo::new(stream), service).await);
 }
--- a/quota-gateway/coordination/src/peers.rs
+++ b/quota-gateway/coordination/src/peers.rs
@@ -1,4 +1,4 @@
-//! The connections of the consensus to the other processes.
+//! Connections of the consensus to the other processes.
 
 use crate::env::Env;
 use crate::raft_types::{NodeId, Types};
@@ -23,13 +23,14 @@
 pub struct Peers {
     /// The environment of this process.
     pub env: Env,
-    /// The cluster, which a new process learns later; 0 until then.
+    /// The cluster of this process, or 0 until a new process has joined one.
     pub cluster: Rc<Cell<u64>>,
-    /// The address at which members are called, with their own ports, if there is an address translator between.
+    /// IP address of the address translator, if there is one. Members are then called at this address, with
+    /// their own ports.
     pub translator: Option<IpAddr>,
 }
 
-/// The connection to one process, made with the first call.
+/// The connection to one process, established with the first call.
 pub struct Peer {
     env: Env,
     cluster: Rc<Cell<u64>>,
@@ -38,7 +39,8 @@
     channel: Option<Channel>,
 }
 
-/// Returns the address at which a process is called: that of the address translator, with the process' port, if there is one.
+/// Returns the address at which a process is called: the process' own address, or, with an address
+/// translator, the translator's address with the process' port.
 pub fn translated(addr: &str, translator: Option<IpAddr>) -> String {
     match (translator, addr.parse::<SocketAddr>()) {
         (Some(translator), Ok(addr)) => SocketAddr::new(translator, addr.port()).to_string(),
@@ -49,9 +51,9 @@
 impl RaftNetworkFactory<Types> for Peers {
     type Network = Peer;
 
-    async fn new_client(&mut self, node: NodeId, at: &BasicNode) -> Peer {
+    async fn new_client(&mut self, node: NodeId, member: &BasicNode) -> Peer {
         let (env, cluster) = (self.env.clone(), self.cluster.clone());
-        Peer { env, cluster, node, addr: translated(&at.addr, self.translator), channel: None }
+        Peer { env, cluster, node, addr: translated(&member.addr, self.translator), channel: None }
     }
 }
 
@@ -59,7 +61,7 @@
 
 impl Peer {
     async fn call<E: Error>(&mut self, request: Request, within: Duration) -> Result<Response, CallError<E>> {
-        let asked = async {
+        let call = async {
             let channel = match &self.channel {
                 Some(channel) => channel.clone(),
                 None => {
@@ -69,11 +71,11 @@
             };
             channel.call(request).await
         };
-        let answered = timeout(within, asked).await;
-        match answered {
+        let result = timeout(within, call).await;
+        match result {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(e)) => {
-                // The next call connects anew.
+                // The next call connects again.
                 self.channel = None;
                 Err(RPCError::Unreachable(Unreachable::new(&e)))
             }
@@ -84,9 +86,9 @@
         }
     }
 
-    /// The error for a response of another kind than the request's.
+    /// Returns the error for a response whose kind does not match the request.
     fn unexpected<E: Error>(&self, response: &Response) -> CallError<E> {
-        let e = io::Error::other(format!("an answer of another kind: {response:?}"));
+        let e = io::Error::other(format!("unexpected kind of response: {response:?}"));
         RPCError::Network(NetworkError::new(&e))
     }
 }
@@ -98,8 +100,8 @@
         option: RPCOption,
     ) -> Result<AppendEntriesResponse<NodeId>, CallError<RaftError<NodeId>>> {
         match self.call(Request::Append(rpc), option.hard_ttl()).await? {
-            Response::Append(answer) => {
-                answer.map_err(|e| RPCError::RemoteError(RemoteError::new(self.node, e)))
+            Response::Append(result) => {
+                result.map_err(|e| RPCError::RemoteError(RemoteError::new(self.node, e)))
             }
             other => Err(self.unexpected(&other)),
         }
@@ -111,8 +113,8 @@
         option: RPCOption,
     ) -> Result<InstallSnapshotResponse<NodeId>, CallError<RaftError<NodeId, InstallSnapshotError>>> {
         match self.call(Request::Install(rpc), option.hard_ttl()).await? {
-            Response::Install(answer) => {
-                answer.map_err(|e| RPCError::RemoteError(RemoteError::new(self.node, e)))
+            Response::Install(result) => {
+                result.map_err(|e| RPCError::RemoteError(RemoteError::new(self.node, e)))
             }
             other => Err(self.unexpected(&other)),
         }
@@ -124,8 +126,8 @@
         option: RPCOption,
     ) -> Result<VoteResponse<NodeId>, CallError<RaftError<NodeId>>> {
         match self.call(Request::Vote(rpc), option.hard_ttl()).await? {
-            Response::Vote(answer) => {
-                answer.map_err(|e| RPCError::RemoteError(RemoteError::new(self.node, e)))
+            Response::Vote(result) => {
+                result.map_err(|e| RPCError::RemoteError(RemoteError::new(self.node, e)))
             }
             other => Err(self.unexpected(&other)),
         }
--- a/quota-gateway/coordination/src/raft.rs
+++ b/quota-gateway/coordination/src/raft.rs
@@ -1,10 +1,10 @@
-//! The consensus crate's view of the state machine, and its snapshots.
+//! The state machine interface of the consensus crate, and snapshots.
 
 pub use crate::raft_types::{NodeId, Raft, Reply, Runtime, Types};
 
-use crate::env::chance;
+use crate::env::with_rng;
 use crate::state::{SnapshotError, State};
-use crate::storage::{LogStore, Stored};
+use crate::storage::{LogStore, StoredSnapshot};
 use openraft::storage::RaftStateMachine;
 use openraft::{
     BasicNode, Entry, EntryPayload, LogId, OptionalSend, RaftSnapshotBuilder, Snapshot, SnapshotMeta,
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The state as of an entry of the log.
+/// The state after a log entry was applied.
 #[derive(Clone, Debug, Default)]
 struct Applied {
     state: State,
@@ -24,17 +24,17 @@
     membership: StoredMembership<NodeId, BasicNode>,
 }
 
-/// The replicated state machine; clones share it.
+/// The replicated state machine. Clones share the same state.
 #[derive(Clone)]
 pub struct Machine {
     applied: Rc<RefCell<Applied>>,
     log: LogStore,
-    /// Notified whenever something was applied.
+    /// Notified whenever entries were applied or a snapshot was installed.
     pub changed: Rc<Notify>,
 }
 
 impl Machine {
-    /// Restores the state of the last snapshot; what was committed after it is applied again by the consensus.
+    /// Restores the state from the last snapshot. The consensus applies later committed entries again.
     ///
     /// # Errors
     ///
@@ -51,7 +51,7 @@
         Ok(Machine { applied: Rc::new(RefCell::new(applied)), log, changed: Rc::new(Notify::new()) })
     }
 
-    /// Reads the state as this process has applied it.
+    /// Reads the local state, with the entries that this process has applied.
     pub fn with<T>(&self, read: impl FnOnce(&State) -> T) -> T {
         read(&self.applied.borrow().state)
     }
@@ -65,15 +65,15 @@
     async fn build_snapshot(&mut self) -> Result<Snapshot<Types>, StorageError<NodeId>> {
         let (bytes, meta) = {
             let applied = self.applied.borrow();
-            let number = applied.last.map_or(0, |last| last.index);
+            let index = applied.last.map_or(0, |last| last.index);
             let meta = SnapshotMeta {
                 last_log_id: applied.last,
                 last_membership: applied.membership.clone(),
-                snapshot_id: format!("{number}-{}", chance(|rng| rng.random::<u32>())),
+                snapshot_id: format!("{index}-{}", with_rng(|rng| rng.random::<u32>())),
             };
             (applied.state.snapshot().map_err(snapshot_error)?, meta)
         };
-        let stored = Stored { meta: meta.clone(), state: bytes.clone() };
+        let stored = StoredSnapshot { meta: meta.clone(), state: bytes.clone() };
         self.log.write_snapshot(stored).await.map_err(|error| snapshot_error(error.to_string()))?;
         Ok(Snapshot { meta, snapshot: Box::new(Cursor::new(bytes)) })
     }
@@ -128,7 +128,7 @@
     ) -> Result<(), StorageError<NodeId>> {
         let bytes = snapshot.into_inner();
         let state = State::restore(&bytes).map_err(snapshot_error)?;
-        let stored = Stored { meta: meta.clone(), state: bytes };
+        let stored = StoredSnapshot { meta: meta.clone(), state: bytes };
         self.log.write_snapshot(stored).await.map_err(|error| snapshot_error(error.to_string()))?;
         let (last, membership) = (meta.last_log_id, meta.last_membership.clone());
         self.applied.replace(Applied { state, last, membership });
--- a/quota-gateway/coordination/src/raft_types.rs
+++ b/quota-gateway/coordination/src/raft_types.rs
@@ -1,9 +1,9 @@
-//! The types that the consensus crate is instantiated with.
+//! The type configuration of the consensus crate.
 
-// The macro of the consensus crate writes public items without a comment.
+// The macro of the consensus crate generates public items without documentation.
 #![allow(missing_docs)]
 
-use crate::env::Chance;
+use crate::env::ConsensusRng;
 use crate::state::{Command, Outcome};
 use openraft::{AsyncRuntime, BasicNode, Entry, OptionalSend, TokioInstant, TokioRuntime};
 use serde::{Deserialize, Serialize};
@@ -11,16 +11,18 @@
 use std::io::Cursor;
 use std::time::Duration;
 
-/// Identifies a process. It is drawn at random when the process' folder is created, so one that lost its disk is another.
+/// Identifies a process. It is drawn at random when the data folder is created, so a process that has lost
+/// its disk gets another identifier.
 pub type NodeId = u64;
 
-/// The result of each command of an entry.
+/// The outcomes of the commands of an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply(pub Vec<Option<Outcome>>);
 
 openraft::declare_raft_types!(
     pub Types:
-        // The consensus appends one entry after the other, each with its sync, so commands that wait share an entry.
+        // The consensus appends entries one after the other, each with its own sync, so queued commands share
+        // an entry.
         D = Vec<Command>,
         R = Reply,
         NodeId = NodeId,
@@ -30,8 +32,8 @@
         AsyncRuntime = Runtime,
 );
 
-/// The runtime that the consensus runs on: tokio, with random numbers from this crate's one source, so that a complete cluster
-/// can be replayed from a seed.
+/// The runtime of the consensus: tokio, with random numbers from this crate's only source, so that the run of
+/// a complete cluster can be replayed from a seed.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Runtime;
 
@@ -42,7 +44,7 @@
     type Instant = TokioInstant;
     type TimeoutError = tokio::time::error::Elapsed;
     type Timeout<R, T: Future<Output = R> + OptionalSend> = tokio::time::Timeout<T>;
-    type ThreadLocalRng = Chance;
+    type ThreadLocalRng = ConsensusRng;
     type OneshotSender<T: OptionalSend> = <TokioRuntime as AsyncRuntime>::OneshotSender<T>;
     type OneshotReceiver<T: OptionalSend> = tokio::sync::oneshot::Receiver<T>;
     type OneshotReceiverError = tokio::sync::oneshot::error::RecvError;
@@ -81,8 +83,8 @@
         TokioRuntime::is_panic(join_error)
     }
 
-    fn thread_rng() -> Chance {
-        Chance
+    fn thread_rng() -> ConsensusRng {
+        ConsensusRng
     }
 
     fn oneshot<T: OptionalSend>() -> (Self::OneshotSender<T>, Self::OneshotReceiver<T>) {
@@ -90,5 +92,5 @@
     }
 }
 
-/// The consensus of one process.
+/// The consensus instance of one process.
 pub type Raft = openraft::Raft<Types>;
--- a/quota-gateway/coordination/src/server.rs
+++ b/quota-gateway/coordination/src/server.rs
@@ -1,4 +1,4 @@
-//! Runs a process of the service until it is told to end, or its store fails.
+//! Runs a process of the service until it receives SIGTERM or its store fails.
 
 use crate::config::Config;
 use crate::error::ServerError;
@@ -18,9 +18,9 @@
 use tokio::time::{sleep, timeout};
 use tracing::{info, warn};
 
-/// Pause between two checks of whether the consensus has ended.
+/// Interval between two checks whether the consensus has stopped.
 const FAILURE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// A terminating process waits for its consensus at most this long.
+/// Time limit for the shutdown of the consensus when the process terminates.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Runs a process.
@@ -29,16 +29,16 @@
 ///
 /// See [`ServerError`].
 pub fn run(config: Config, runtime: impl Fn() -> io::Result<LocalRuntime>) -> Result<(), ServerError> {
-    // Opened before there is a runtime: it blocks on its disk.
+    // The log is opened before the runtime starts, because opening blocks on the disk.
     let log = open_log(&config)?;
     runtime()?.block_on(serve(config, log))
 }
 
 fn open_log(config: &Config) -> Result<LogStore, StoreError> {
     let Some(faults) = config.trial else { return LogStore::open(&config.data) };
-    warn!("trial: the disk has faults on purpose");
-    let disk = |file| FaultyFile::new(file, faults.sync_delay(), faults.syncs_fail_after);
-    LogStore::open_on(&config.data, faults.group_commit, disk)
+    warn!("trial settings are in effect: disk faults are injected");
+    let wrap = |file| FaultyFile::new(file, faults.sync_delay(), faults.syncs_fail_after);
+    LogStore::open_with_wrapper(&config.data, faults.group_commit, wrap)
 }
 
 async fn listen(key: &'static str, address: SocketAddr) -> Result<(TcpListener, SocketAddr), ServerError> {
@@ -64,8 +64,8 @@
     if let Some(address) = config.metrics {
         let (listener, address) = listen("metrics", address).await?;
         info!(addr = %address, "metrics at http://{address}/metrics");
-        let measured = service.clone();
-        spawn_local(metrics::serve(move || measured.metrics_page(), listener));
+        let service = service.clone();
+        spawn_local(metrics::serve(move || service.metrics_page(), listener));
     }
     info!(
         node = %format_args!("{:016x}", identity.node),
@@ -77,14 +77,14 @@
         () = service.accept(&listener) => Ok(()),
         reason = consensus_failure(&service) => Err(ServerError::Consensus(reason.replace('\n', " "))),
         _ = terminate.recv() => {
-            // Another process leads soon; sessions have their full time there.
+            // If this process led, another one takes over and gives every session its full time to live.
             drop(timeout(SHUTDOWN_TIMEOUT, service.raft.shutdown()).await);
             Ok(())
         }
     }
 }
 
-/// Returns once the consensus has ended for good.
+/// Waits until the consensus has stopped for good, and returns the reason.
 async fn consensus_failure(service: &Rc<Service>) -> String {
     loop {
         if let Some(reason) = service.failure() {
--- a/quota-gateway/coordination/src/service/connections.rs
+++ b/quota-gateway/coordination/src/service/connections.rs
@@ -1,11 +1,11 @@
-//! Connections: requests are read, and replies written, each with the number of its request.
+//! Connections: reads requests and writes replies. Each reply carries the number of its request.
 
 use super::reads::MAX_WATCH_WAIT;
 use super::response_budget::{Reservation, ResponseBudget};
 use super::Service;
 use crate::env::ConnectionHalves;
 use crate::metrics::RejectionReason;
-use crate::wire::{read, write, Broken, Message, Request, Response, IN_FLIGHT};
+use crate::wire::{read, write, Message, ReadError, Request, Response, MAX_IN_FLIGHT_REQUESTS};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,25 +16,25 @@
 use tokio::time::{sleep, timeout};
 use tracing::warn;
 
-/// A reader that takes nothing for this long is disconnected.
+/// Time limit for writing one reply; a peer that does not read it within this time is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a connection could not be accepted.
+/// Pause after accepting a connection has failed.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// A reply, and the room that it takes until it is written.
+/// A reply, and the part of the response budget that it holds until it is written.
 pub(super) struct Reply {
     pub(super) response: Response,
     pub(super) reservation: Option<Reservation>,
 }
 
 impl From<Response> for Reply {
-    /// A reply that is small enough to need no room.
+    /// Makes a reply that is small enough to need no reservation.
     fn from(response: Response) -> Reply {
         Reply { response, reservation: None }
     }
 }
 
-/// A reply with the number of its request.
+/// A reply and the number of its request.
 struct NumberedReply {
     number: u64,
     reply: Reply,
@@ -46,7 +46,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    // One that cannot be set up is of no use to its caller either.
+                    // A connection that cannot be set up is dropped: it is of no use to the caller either.
                     if stream.set_nodelay(true).is_ok() {
                         self.admit(stream.into());
                     }
@@ -59,44 +59,45 @@
         }
     }
 
-    /// Serves a connection, unless there are too many already.
-    pub fn admit(self: &Rc<Self>, ends: ConnectionHalves) {
+    /// Serves a connection, or drops it if there are too many already.
+    pub fn admit(self: &Rc<Self>, connection: ConnectionHalves) {
         let Ok(permit) = self.connections.clone().try_acquire_owned() else {
             self.metrics.count_rejection(RejectionReason::Connections);
             return;
         };
         let service = self.clone();
         spawn_local(async move {
-            service.serve_connection(ends).await;
+            service.serve_connection(connection).await;
             drop(permit);
         });
     }
 
-    async fn serve_connection(self: Rc<Self>, ends: ConnectionHalves) {
-        let (replies, written) = mpsc::channel(IN_FLIGHT);
-        let writer = spawn_local(write_replies(ends.write, self.cluster.clone(), written));
+    async fn serve_connection(self: Rc<Self>, connection: ConnectionHalves) {
+        let (replies, queued_replies) = mpsc::channel(MAX_IN_FLIGHT_REQUESTS);
+        let writer = spawn_local(write_replies(connection.write, self.cluster.clone(), queued_replies));
         let budget = Rc::new(ResponseBudget::new(self.pending_bytes.clone()));
-        let mut requests = BufReader::new(ends.read);
+        let mut requests = BufReader::new(connection.read);
         loop {
             let (number, request) = match read(&mut requests).await {
                 Ok((cluster, Message::Request(number, request))) => {
-                    if !self.is_addressed(cluster, &request) {
-                        self.on_invalid_frame("of another cluster");
+                    if !self.is_for_this_process(cluster, &request) {
+                        self.on_invalid_frame("request for another cluster");
                         break;
                     }
                     (number, request)
                 }
                 Ok((_, Message::Response(..))) => {
-                    self.on_invalid_frame("a response to nothing");
+                    self.on_invalid_frame("response without a request");
                     break;
                 }
-                Err(Broken::Strange(reason)) => {
+                Err(ReadError::Invalid(reason)) => {
                     self.on_invalid_frame(reason);
                     break;
                 }
-                Err(Broken::Ended(_)) => break,
+                Err(ReadError::Closed(_)) => break,
             };
-            // A peer that reads no replies is not read from either: the channel is full then.
+            // While a peer does not read its replies, the channel is full and no more requests are read from
+            // the peer.
             let Ok(permit) = replies.clone().reserve_owned().await else { break };
             let (service, budget) = (self.clone(), budget.clone());
             spawn_local(async move {
@@ -105,7 +106,8 @@
             });
         }
         drop(replies);
-        // What was requested is still answered, as long as somebody reads it; nothing takes longer than a watch.
+        // Requests that were already read are still answered as long as the peer reads. No request takes
+        // longer than a watch.
         drop(timeout(MAX_WATCH_WAIT, writer).await);
     }
 
@@ -114,9 +116,10 @@
         warn!(reason, "connection closed after an invalid frame");
     }
 
-    /// Whether a request is for this process. Before it belongs to a cluster it only tells its identity, and joins; afterwards
-    /// it serves its own cluster alone.
-    fn is_addressed(&self, cluster: u64, request: &Request) -> bool {
+    /// Returns whether this process serves a request. Requests for its identity and its status, and requests
+    /// to join a cluster, are always served. All others are served only if this process belongs to a cluster
+    /// and the frame names that cluster.
+    fn is_for_this_process(&self, cluster: u64, request: &Request) -> bool {
         let own = self.cluster.get();
         match request {
             Request::Identity | Request::Join { .. } | Request::Status => true,
--- a/quota-gateway/coordination/src/service/leadership.rs
+++ b/quota-gateway/coordination/src/service/leadership.rs
@@ -1,4 +1,4 @@
-//! Who leads, and the sessions' times, which only the leader keeps.
+//! Leadership, and the leases of sessions, which only the leader keeps.
 
 use super::Service;
 use crate::lease::Leases;
@@ -12,39 +12,42 @@
 use tokio::time::sleep;
 use tracing::info;
 
-/// Pause between two steps of the leader: sessions end this late at most.
-const STEP_INTERVAL: Duration = Duration::from_millis(25);
-/// Tokens for each millisecond of the wall clock: more than are ever granted in one.
+/// Interval between two runs of the leader's periodic work. Sessions end at most this late.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Number of tokens per millisecond of the wall clock; more than are ever granted in one millisecond.
 const TOKENS_PER_MS: Token = 1024;
-/// A client that has not called for this long is forgotten, with the replies that are kept for it.
+/// A client that has not called for this long expires, together with its cached replies.
 const CLIENT_TTL: Duration = Duration::from_secs(3600);
-/// Clients that one command forgets.
+/// Maximum number of clients that expire with one command.
 const MAX_EXPIRED_CLIENTS: usize = 256;
-/// A caller comes back after this time to a leader that has not taken over yet.
+/// Retry delay of a caller while a new leader has not taken over yet.
 pub(super) const TAKEOVER_DELAY_MS: u32 = 50;
 
-/// The sessions' times, and the term in which this process has taken over with everything that was committed before.
+/// The leases of the sessions, and the term in which this process took over after applying all earlier
+/// commits.
 ///
-/// Nothing is answered without it. A leader that was killed and is back before another process has become a candidate goes on
-/// in its old term, and the consensus takes it for confirmed before it has applied what it had acknowledged.
+/// Clients are not served without it. A leader that is killed and restarts before another process becomes a
+/// candidate continues in its old term, and the consensus reports it as confirmed before it has applied the
+/// entries that it had acknowledged.
 pub(super) struct Leadership {
     term: u64,
     pub(super) leases: Leases,
 }
 
-/// Receives whether this process leads.
+/// Where the result of a confirmation is sent: whether this process leads.
 pub(super) type Confirmation = oneshot::Sender<bool>;
 
-/// Does the leader's regular work until the service is dropped.
+/// Runs the leader's periodic work until the service is dropped.
 pub(super) async fn run(service: Weak<Service>) {
     while let Some(service) = service.upgrade() {
-        service.step().await;
+        service.tick().await;
         drop(service);
-        sleep(STEP_INTERVAL).await;
+        sleep(TICK_INTERVAL).await;
     }
 }
 
-/// Shows that this process leads, once for all that wait; those that come meanwhile wait for the next time.
+/// Confirms with a majority that this process leads. One round answers all requests that are queued when it
+/// starts; requests that arrive during a round wait for the next one.
 pub(super) async fn confirm_leadership(raft: Raft, mut requests: mpsc::Receiver<Confirmation>) {
     while let Some(first) = requests.recv().await {
         let mut waiting = vec![first];
@@ -53,14 +56,14 @@
         }
         let is_leader = raft.ensure_linearizable().await.is_ok();
         for confirmation in waiting {
-            // Whoever asked may have gone.
+            // The caller may have given up.
             let _ = confirmation.send(is_leader);
         }
     }
 }
 
 impl Service {
-    /// Whether this process has taken over in the term that it leads in now.
+    /// Returns whether this process leads and has taken over in the current term.
     pub(super) fn is_serving(&self) -> bool {
         let term = self.raft.metrics().borrow().current_term;
         let leadership = self.leadership.borrow();
@@ -71,14 +74,15 @@
         self.raft.metrics().borrow().state == ServerState::Leader
     }
 
-    /// Whether this process still leads, shown by a majority after this call came, and has taken over.
+    /// Returns whether this process has taken over and still leads. A majority confirms this after the call
+    /// was made.
     pub(super) async fn has_confirmed_leadership(&self) -> bool {
         let (confirmation, confirmed) = oneshot::channel();
         let is_requested = self.confirmations.send(confirmation).await.is_ok();
         is_requested && confirmed.await.unwrap_or(false) && self.is_serving()
     }
 
-    /// The response of a process that does not serve.
+    /// Returns the response to a request that only a leader that has taken over can serve.
     pub(super) fn not_serving(&self) -> Response {
         if self.is_leader() {
             return Response::Busy { after_ms: TAKEOVER_DELAY_MS };
@@ -86,7 +90,8 @@
         self.not_leader()
     }
 
-    /// The response that names the leader, where another process is known to lead.
+    /// Returns the response that redirects to the leader, with its address if another process is known to
+    /// lead.
     pub(super) fn not_leader(&self) -> Response {
         let metrics = self.raft.metrics().borrow().clone();
         let leader = metrics.current_leader.filter(|leader| *leader != metrics.id);
@@ -95,8 +100,8 @@
         Response::NotLeader { leader: leader.and_then(address_of) }
     }
 
-    /// Takes over, ends sessions and forgets clients, as the leader.
-    async fn step(&self) {
+    /// As the leader, takes over once, and then ends expired sessions and drops expired clients.
+    async fn tick(&self) {
         if !self.is_leader() {
             if self.leadership.replace(None).is_some() {
                 info!("leadership lost");
@@ -109,11 +114,12 @@
             return;
         }
         self.end_expired_sessions().await;
-        self.forget_clients().await;
+        self.expire_clients().await;
     }
 
-    /// Has everything applied that was committed before; from then on tokens are above the present time, and every session has
-    /// its full time again.
+    /// Takes over as the leader by committing a token floor that is derived from the wall clock. When the
+    /// command is applied, all earlier commits are applied as well. From then on, granted tokens are above
+    /// the floor, and every session has its full time to live again.
     async fn take_over(&self) {
         let term = self.raft.metrics().borrow().current_term;
         let token = (self.env.wall_ms)().saturating_mul(TOKENS_PER_MS);
@@ -126,7 +132,7 @@
             state.sessions().map(|(id, session)| (id, ttl(session.ttl_ms))).collect()
         });
         info!(term, sessions = sessions.len(), "leadership taken over");
-        let leases = Leases::begin(now, sessions.into_iter());
+        let leases = Leases::with_full_ttl(now, sessions.into_iter());
         self.leadership.replace(Some(Leadership { term, leases }));
     }
 
@@ -138,41 +144,44 @@
         info!(sessions = expired.len(), "sessions expired");
         self.metrics.count_expired_sessions(expired.len());
         if self.raft.client_write(vec![Command::End { sessions: expired }]).await.is_err() {
-            // Whoever leads next gives them their full time again.
+            // The next leader gives these sessions their full time to live again.
             self.leadership.replace(None);
         }
     }
 
-    /// The sessions whose time is over. From here on no renewal saves them, whatever becomes of the command.
+    /// Returns the sessions that have expired. They can no longer be renewed, even if the command that ends
+    /// them fails.
     fn take_expired_sessions(&self) -> Vec<SessionId> {
         let now = self.now();
         let mut leadership = self.leadership.borrow_mut();
         let Some(Leadership { leases, .. }) = leadership.as_mut() else { return Vec::new() };
         self.machine.with(|state| {
             for (id, session) in state.sessions() {
-                // It was opened since the last step; its time begins no earlier than it was.
-                if !leases.knows(id) {
-                    leases.opened(now, id, Duration::from_millis(session.ttl_ms.into()));
+                // The session was opened since the last tick. Its lease starts now, so never before it was
+                // opened.
+                if !leases.contains(id) {
+                    leases.insert(now, id, Duration::from_millis(session.ttl_ms.into()));
                 }
             }
-            leases.keep(|id| state.has_session(id));
+            leases.retain(|id| state.has_session(id));
         });
-        let expired: Vec<SessionId> = leases.over(now).collect();
-        expired.iter().for_each(|id| leases.give_up(*id));
+        let expired: Vec<SessionId> = leases.expired(now).collect();
+        expired.iter().for_each(|id| leases.mark_ending(*id));
         expired
     }
 
-    async fn forget_clients(&self) {
-        let gone: Vec<ClientId> = {
-            let last_heard_at = self.last_heard_at.borrow();
-            let is_gone = last_heard_at.iter().filter(|(_, at)| at.elapsed() > CLIENT_TTL);
-            is_gone.map(|(id, _)| *id).take(MAX_EXPIRED_CLIENTS).collect()
+    async fn expire_clients(&self) {
+        let expired: Vec<ClientId> = {
+            let last_call_at = self.last_call_at.borrow();
+            let idle = last_call_at.iter().filter(|(_, at)| at.elapsed() > CLIENT_TTL);
+            idle.map(|(id, _)| *id).take(MAX_EXPIRED_CLIENTS).collect()
         };
-        if gone.is_empty() {
+        if expired.is_empty() {
             return;
         }
-        self.last_heard_at.borrow_mut().retain(|id, _| !gone.contains(id));
-        // Where it fails, the next leader hears nothing of them either.
-        drop(self.raft.client_write(vec![Command::ExpireClients { clients: gone }]).await);
+        self.last_call_at.borrow_mut().retain(|id, _| !expired.contains(id));
+        // If the write fails, these clients stay registered: the next leader does not track them either until
+        // they call.
+        drop(self.raft.client_write(vec![Command::ExpireClients { clients: expired }]).await);
     }
 }
--- a/quota-gateway/coordination/src/service/membership.rs
+++ b/quota-gateway/coordination/src/service/membership.rs
@@ -1,4 +1,4 @@
-//! Who votes: the beginning of a cluster, and members that are added and removed by operators.
+//! Cluster membership: the creation of a cluster, and the members that operators add and remove.
 
 use super::Service;
 use crate::raft::NodeId;
@@ -8,15 +8,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A new member has the log within this time, or its addition is requested again.
+/// Time limit for a new member to receive the log. If it is exceeded, the caller must request the addition
+/// again.
 const REPLICATION_TIMEOUT: Duration = Duration::from_secs(5);
-/// A caller comes back after this time where another change of the members is under way.
+/// Retry delay of a caller while another membership change is in progress.
 const MEMBERSHIP_CHANGE_DELAY_MS: u32 = 50;
 
 type MembershipError = RaftError<NodeId, ClientWriteError<NodeId, BasicNode>>;
 
 impl Service {
-    /// Makes this process, which belongs to no cluster yet, belong to one.
+    /// Assigns this process to a cluster, if it belongs to none yet.
     pub(super) async fn join(&self, cluster: u64) -> Response {
         match (self.cluster.get(), cluster) {
             (_, 0) => Response::No("cluster: 0 names none".to_owned()),
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Begins the cluster with these members.
+    /// Initializes the cluster with these members.
     pub(super) async fn begin(&self, members: BTreeMap<NodeId, String>) -> Response {
         let members: BTreeMap<NodeId, BasicNode> =
             members.into_iter().map(|(node, address)| (node, BasicNode::new(address))).collect();
@@ -42,10 +43,10 @@
         }
     }
 
-    /// Adds a process. It first gets the complete log, without a vote; then it is a member, and knows that it is one when this
-    /// is answered.
+    /// Adds a process as a voter. It first receives the complete log as a learner. When the response is
+    /// [`Response::Done`], the process itself has the entry that makes it a voter.
     pub(super) async fn add(&self, node: NodeId, address: String) -> Response {
-        // One that belonged to no cluster until now would answer for itself.
+        // Without this check, a process that has only just joined a cluster would answer on its own behalf.
         if !self.is_serving() {
             return self.not_serving();
         }
@@ -53,15 +54,16 @@
             Ok(learner) => learner,
             Err(error) => return self.membership_error(error),
         };
-        // The consensus takes a learner for caught up that lacks no more entries than a threshold: where the log is shorter,
-        // one that has nothing.
+        // The consensus crate treats a learner as caught up if it lags by no more entries than a threshold.
+        // If the log is shorter than the threshold, this includes a learner that has no entry at all.
         if !self.has_replicated(node, learner.log_id.index).await {
             return self.not_serving();
         }
         let voter = ChangeMembers::AddVoterIds(BTreeSet::from([node]));
         match self.raft.change_membership(voter, false).await {
             Ok(changed) if self.has_replicated(node, changed.log_id.index).await => Response::Done,
-            // It votes by now; requested again, this waits for it again.
+            // The process is a voter, but has not received the entry yet. A repeated request waits for it
+            // again.
             Ok(_) => self.not_serving(),
             Err(error) => self.membership_error(error),
         }
@@ -79,26 +81,27 @@
         }
     }
 
-    /// Waits until a process has the log up to an entry; false where it has not in time, or this process no longer leads.
+    /// Waits until a process has the log up to an entry. Returns false if it does not have it in time, or if
+    /// this process no longer leads.
     async fn has_replicated(&self, node: NodeId, index: u64) -> bool {
-        let is_over = |metrics: &RaftMetrics<NodeId, BasicNode>| {
+        let is_finished = |metrics: &RaftMetrics<NodeId, BasicNode>| {
             let Some(replication) = &metrics.replication else { return true };
             replication.get(&node).copied().flatten().is_some_and(|matched| matched.index >= index)
         };
         let wait = self.raft.wait(Some(REPLICATION_TIMEOUT));
-        let waited = wait.metrics(is_over, "a new member has the log").await;
+        let waited = wait.metrics(is_finished, "a new member has the log").await;
         waited.is_ok_and(|metrics| metrics.replication.is_some())
     }
 
     fn membership_error(&self, error: MembershipError) -> Response {
         match error {
             RaftError::APIError(ClientWriteError::ForwardToLeader(_)) => self.not_leader(),
-            // Often the same change, of a caller that had no reply in time and requests it again.
+            // Often this is the same change, requested again by a caller that got no reply in time.
             RaftError::APIError(ClientWriteError::ChangeMembershipError(
                 ChangeMembershipError::InProgress(_),
             )) => Response::Busy { after_ms: MEMBERSHIP_CHANGE_DELAY_MS },
             RaftError::APIError(error) => Response::No(error.to_string()),
-            // It may be in the log all the same.
+            // The change may be in the log despite the error.
             RaftError::Fatal(error) => Response::Unknown(error.to_string()),
         }
     }
--- a/quota-gateway/coordination/src/service/mod.rs
+++ b/quota-gateway/coordination/src/service/mod.rs
@@ -1,12 +1,12 @@
 //! One process of the service.
 //!
-//! A request takes this way: `connections` reads it from its connection, `requests` dispatches it, and its reply waits for room
-//! in the `response_budget` and is written in the order of completion.
+//! `connections` reads a request from its connection, and `requests` dispatches it. A large reply first
+//! reserves its size in the `response_budget`. Replies are written in the order of completion.
 //!
-//! - `leadership`: who leads, and the sessions' times, which only the leader keeps.
-//! - `proposals`: operations of clients, many of which share an entry of the log.
+//! - `leadership`: leadership, and the leases of sessions, which only the leader keeps.
+//! - `proposals`: operations of clients; many of them share one log entry.
 //! - `reads`: values, watches, lists for operators, and snapshots.
-//! - `membership`: who votes.
+//! - `membership`: creation of the cluster, and changes of its members.
 
 mod connections;
 mod leadership;
@@ -23,7 +23,7 @@
 use crate::raft::{Machine, NodeId, Raft};
 use crate::state::{ClientId, SnapshotError};
 use crate::storage::LogStore;
-use crate::wire::{Status, IN_FLIGHT};
+use crate::wire::{Status, MAX_IN_FLIGHT_REQUESTS};
 use leadership::{confirm_leadership, Confirmation, Leadership};
 use openraft::error::Fatal;
 use openraft::{Config, ConfigError, ServerState, SnapshotPolicy};
@@ -39,33 +39,35 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// A part of a snapshot that is sent at once, in bytes.
+/// Size of the chunks in which a snapshot is sent, in bytes.
 const SNAPSHOT_CHUNK_BYTES: usize = 1 << 20;
-/// Bytes of replies that wait to be written, for all connections together.
+/// Maximum size of the replies that wait to be written on all connections together, in bytes.
 const MAX_PENDING_BYTES: usize = 64 << 20;
-/// Entries that one message to a member holds: three of the largest fit a frame.
+/// Maximum number of entries in one message to a member; three entries of maximum size fit into a frame.
 const MAX_ENTRIES_PER_MESSAGE: u64 = 3;
 const INSTALL_SNAPSHOT_TIMEOUT_MS: u64 = 5000;
 
 /// Settings of a process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where the other members are called, with their own ports, if there is an address translator between.
+    /// IP address of the address translator, if there is one. The other members are then called at this
+    /// address, with their own ports.
     pub translator: Option<IpAddr>,
-    /// Pause between two heartbeats of the leader.
+    /// Interval between two heartbeats of the leader.
     pub heartbeat_interval: Duration,
-    /// Without a heartbeat for this long, and at random up to twice as long, another process becomes a candidate.
+    /// A process becomes a candidate after it has received no heartbeat for a random time between this and
+    /// twice this.
     pub election_timeout: Duration,
-    /// Entries after which a snapshot is made.
+    /// Number of log entries after which a snapshot is built.
     pub entries_per_snapshot: u64,
-    /// Connections at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Calls without a reply at once.
+    /// Maximum number of calls that are in progress.
     pub max_calls: usize,
 }
 
 quick_error! {
-    /// Why a process cannot start.
+    /// The reason why a process cannot start.
     #[derive(Debug)]
     pub enum StartError {
         /// The stored snapshot cannot be read.
@@ -105,12 +107,12 @@
     connections: Arc<Semaphore>,
     pending_bytes: Arc<Semaphore>,
     dropped_frames: Cell<u64>,
-    /// What is counted for the page of metrics.
+    /// The metrics of this process.
     pub metrics: Metrics,
-    /// The snapshot that operators read in parts.
+    /// The snapshot that an operator reads in chunks.
     snapshot: RefCell<Vec<u8>>,
-    /// When this leader last heard from each client.
-    last_heard_at: RefCell<BTreeMap<ClientId, Instant>>,
+    /// When each client last called this process as the leader.
+    last_call_at: RefCell<BTreeMap<ClientId, Instant>>,
 }
 
 fn consensus_config(settings: &Settings) -> Result<Config, Box<ConfigError>> {
@@ -145,8 +147,8 @@
         let peers = Peers { env: env.clone(), cluster: cluster.clone(), translator: settings.translator };
         let raft = Raft::new(identity.node, config, peers, log.clone(), machine.clone()).await;
         let raft = raft.map_err(|error| StartError::Consensus(Box::new(error)))?;
-        let (confirmations, requested_confirmations) = mpsc::channel(IN_FLIGHT);
-        let (proposals, queued_proposals) = mpsc::channel(IN_FLIGHT);
+        let (confirmations, requested_confirmations) = mpsc::channel(MAX_IN_FLIGHT_REQUESTS);
+        let (proposals, queued_proposals) = mpsc::channel(MAX_IN_FLIGHT_REQUESTS);
         let service = Rc::new(Service {
             clock: env.clock(),
             env,
@@ -164,7 +166,7 @@
             proposals,
             dropped_frames: Cell::new(0),
             snapshot: RefCell::default(),
-            last_heard_at: RefCell::default(),
+            last_call_at: RefCell::default(),
         });
         spawn_local(confirm_leadership(service.raft.clone(), requested_confirmations));
         spawn_local(propose_batches(service.raft.clone(), queued_proposals));
@@ -176,12 +178,12 @@
         self.clock.now()
     }
 
-    /// Returns why the consensus has ended for good, if it has: the store failed.
+    /// Returns the reason why the consensus has stopped for good, if it has: the store failed.
     pub fn failure(&self) -> Option<String> {
         self.raft.metrics().borrow().running_state.as_ref().err().map(ToString::to_string)
     }
 
-    /// Returns what this process knows of itself and of its cluster.
+    /// Returns the status of this process, with its view of the cluster.
     pub fn status(&self) -> Status {
         let metrics = self.raft.metrics().borrow().clone();
         let membership = metrics.membership_config.membership().clone();
@@ -209,7 +211,7 @@
         })
     }
 
-    /// Returns the page of metrics as of now.
+    /// Returns the current metrics in the text format.
     pub fn metrics_page(&self) -> String {
         self.metrics.page(&self.status())
     }
--- a/quota-gateway/coordination/src/service/proposals.rs
+++ b/quota-gateway/coordination/src/service/proposals.rs
@@ -1,4 +1,5 @@
-//! Operations of clients. All that wait while an entry is on its way share the next one, and so its syncs.
+//! Operations of clients. All operations that arrive while a log entry is in flight share the next entry, and
+//! so its syncs.
 
 use super::Service;
 use crate::metrics::RejectionReason;
@@ -9,68 +10,68 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Operations that share an entry, at most.
+/// Maximum number of operations that share a log entry.
 const MAX_ENTRY_COMMANDS: usize = 256;
-/// Bytes of operations after which no other one is added to an entry.
+/// Size of the operations in an entry, in bytes, from which on no further operation is added.
 const MAX_ENTRY_BYTES: usize = 1 << 20;
 
-/// A command for the log, and who waits for its result.
+/// A command for the log, and where to send its result.
 pub(super) struct Proposal {
     command: Command,
-    result: oneshot::Sender<Proposed>,
+    result_sender: oneshot::Sender<ProposalResult>,
 }
 
 /// The result of a proposal.
 #[derive(Clone)]
-enum Proposed {
+enum ProposalResult {
     /// The command was applied.
     Applied(Outcome),
-    /// Nothing was done: another process leads.
+    /// Another process leads; the command was not added to the log.
     NotLeader,
-    /// The command may be in the log all the same.
+    /// It is unknown whether the command is in the log.
     Unknown(String),
 }
 
 impl Service {
-    /// Carries out a client's operation, once for each number.
+    /// Applies a client's operation, once for each number.
     pub(super) async fn call(&self, client: ClientId, number: u64, done: u64, op: Op) -> Response {
         if !self.is_serving() {
             return self.not_serving();
         }
-        self.last_heard_at.borrow_mut().insert(client, Instant::now());
-        let (result, proposed) = oneshot::channel();
+        self.last_call_at.borrow_mut().insert(client, Instant::now());
+        let (result_sender, result) = oneshot::channel();
         let command = Command::Call { client, number, done, op };
-        if self.proposals.send(Proposal { command, result }).await.is_err() {
+        if self.proposals.send(Proposal { command, result_sender }).await.is_err() {
             return Response::No("the process ends".to_owned());
         }
-        match proposed.await {
-            Ok(Proposed::Applied(Err(Refused::Busy(after_ms)))) => {
+        match result.await {
+            Ok(ProposalResult::Applied(Err(Refused::Busy(after_ms)))) => {
                 self.metrics.count_rejection(RejectionReason::State);
                 Response::Busy { after_ms }
             }
-            Ok(Proposed::Applied(outcome)) => Response::Outcome(outcome),
-            Ok(Proposed::NotLeader) => self.not_leader(),
-            Ok(Proposed::Unknown(reason)) => Response::Unknown(reason),
+            Ok(ProposalResult::Applied(outcome)) => Response::Outcome(outcome),
+            Ok(ProposalResult::NotLeader) => self.not_leader(),
+            Ok(ProposalResult::Unknown(reason)) => Response::Unknown(reason),
             Err(_) => Response::Unknown("the process ends".to_owned()),
         }
     }
 }
 
-/// Proposes what is queued until the service is dropped.
+/// Proposes the queued commands in batches until the service is dropped.
 pub(super) async fn propose_batches(raft: Raft, mut queue: mpsc::Receiver<Proposal>) {
     while let Some(first) = queue.recv().await {
         let batch = next_batch(first, &mut queue);
-        let (commands, waiting): (Vec<Command>, Vec<oneshot::Sender<Proposed>>) =
-            batch.into_iter().map(|proposal| (proposal.command, proposal.result)).unzip();
+        let (commands, senders): (Vec<Command>, Vec<oneshot::Sender<ProposalResult>>) =
+            batch.into_iter().map(|proposal| (proposal.command, proposal.result_sender)).unzip();
         let results = propose(&raft, commands).await;
-        for (waiting, result) in waiting.into_iter().zip(results) {
-            // Whoever asked may have gone.
-            drop(waiting.send(result));
+        for (sender, result) in senders.into_iter().zip(results) {
+            // The caller may have given up.
+            drop(sender.send(result));
         }
     }
 }
 
-/// The first proposal, and those that wait behind it, as many as an entry takes.
+/// Returns the first proposal and as many of the queued proposals as fit into one entry.
 fn next_batch(first: Proposal, queue: &mut mpsc::Receiver<Proposal>) -> Vec<Proposal> {
     let mut bytes = approximate_bytes(&first.command);
     let mut batch = vec![first];
@@ -91,18 +92,20 @@
 }
 
 /// Proposes commands as one entry, and returns the result of each.
-async fn propose(raft: &Raft, commands: Vec<Command>) -> Vec<Proposed> {
+async fn propose(raft: &Raft, commands: Vec<Command>) -> Vec<ProposalResult> {
     let count = commands.len();
     match raft.client_write(commands).await {
         Ok(written) => written.data.0.into_iter().map(applied).collect(),
-        Err(RaftError::APIError(ClientWriteError::ForwardToLeader(_))) => vec![Proposed::NotLeader; count],
-        Err(error) => vec![Proposed::Unknown(error.to_string()); count],
+        Err(RaftError::APIError(ClientWriteError::ForwardToLeader(_))) => {
+            vec![ProposalResult::NotLeader; count]
+        }
+        Err(error) => vec![ProposalResult::Unknown(error.to_string()); count],
     }
 }
 
-fn applied(outcome: Option<Outcome>) -> Proposed {
+fn applied(outcome: Option<Outcome>) -> ProposalResult {
     match outcome {
-        Some(outcome) => Proposed::Applied(outcome),
-        None => Proposed::Unknown("a call had no outcome".to_owned()),
+        Some(outcome) => ProposalResult::Applied(outcome),
+        None => ProposalResult::Unknown("a call had no outcome".to_owned()),
     }
 }
--- a/quota-gateway/coordination/src/service/reads.rs
+++ b/quota-gateway/coordination/src/service/reads.rs
@@ -7,36 +7,39 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// The longest that a watch waits.
+/// Longest wait of a watch.
 pub(super) const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
-/// Bytes of values, or of lists, in one reply.
+/// Maximum size of the values, or of the list items, in one reply, in bytes.
 pub(super) const MAX_VALUES_BYTES: usize = MAX_PAYLOAD_BYTES / 2;
-/// Bytes of changes in one reply.
+/// Size of the changes in one reply, in bytes; the last change may exceed it.
 pub(super) const MAX_CHANGES_BYTES: usize = 1 << 20;
-/// Bytes that a value takes in a reply beside its key and its contents, and a line of a list beside its names; at most.
+/// Upper bound of the size of a value in a reply in addition to its key and its contents, in bytes.
 const VALUE_OVERHEAD_BYTES: usize = 32;
-const LINE_OVERHEAD_BYTES: usize = 40;
+/// Upper bound of the size of a list item in a reply in addition to its names, in bytes.
+const LIST_ITEM_OVERHEAD_BYTES: usize = 40;
 
-/// Counts the bytes of a list's lines.
+/// Sums up the size of the items of a list, in bytes.
 #[derive(Default)]
-struct LineBytes(usize);
+struct ListSize(usize);
 
-impl LineBytes {
-    /// Whether a line with names of this length still fits the reply.
+impl ListSize {
+    /// Adds an item with names of this length, and returns whether it still fits into the reply.
     fn fits(&mut self, name_bytes: usize) -> bool {
-        self.0 += name_bytes + LINE_OVERHEAD_BYTES;
+        self.0 += name_bytes + LIST_ITEM_OVERHEAD_BYTES;
         self.0 <= MAX_VALUES_BYTES
     }
 }
 
 impl Service {
-    /// Reads values by prefix, as of now, or as this process has them.
+    /// Reads values by prefix: linearizably on the leader, or, if `stale`, from the local state of this
+    /// process.
     pub(super) async fn read(&self, prefix: &str, stale: bool) -> Response {
         if !stale && !self.has_confirmed_leadership().await {
             return self.not_serving();
         }
         let quorum_age_ms = self.raft.metrics().borrow().millis_since_quorum_ack;
-        // A follower does not know how old its state is beyond the time of an election.
+        // A follower has no quorum acknowledgement. It reports twice the election timeout as the age of its
+        // state.
         let election_ms = self.settings.election_timeout.as_millis() as u64 * 2;
         let age_ms = stale.then(|| quorum_age_ms.unwrap_or(election_ms));
         self.machine.with(|state| {
@@ -53,8 +56,9 @@
         })
     }
 
-    /// Waits until there are changes behind a revision; the response where there are none in time, or this process does not
-    /// lead. Only the leader reports changes, so that a watch never goes back by going to another process.
+    /// Waits until there are changes after a revision, and then returns `None`. Returns a response if there
+    /// are no changes in time, or if this process does not lead. Only the leader reports changes, so that a
+    /// watch never goes back to an older revision when it continues on another process.
     pub(super) async fn await_changes(
         &self,
         prefix: &str,
@@ -76,14 +80,14 @@
         }
     }
 
-    /// The changes behind a revision.
+    /// Returns the changes after a revision.
     pub(super) fn changes(&self, prefix: &str, since: Revision) -> Response {
         Response::Changes(self.machine.with(|state| state.changes(prefix, since, MAX_CHANGES_BYTES)))
     }
 
-    /// Lists the locks that are held, as many as a reply holds.
+    /// Lists the locks that are held, as many as fit into a reply.
     pub(super) fn list_locks(&self) -> Response {
-        let mut bytes = LineBytes::default();
+        let mut size = ListSize::default();
         self.machine.with(|state| {
             let owners: BTreeMap<SessionId, &str> =
                 state.sessions().map(|(id, session)| (id, session.name.as_str())).collect();
@@ -93,13 +97,13 @@
                 let waiting = lock.waiting.len() as u32;
                 Some(LockStatus { name: name.to_owned(), holder, who, token, waiting })
             });
-            Response::Locks(held.take_while(|lock| bytes.fits(lock.name.len() + lock.who.len())).collect())
+            Response::Locks(held.take_while(|lock| size.fits(lock.name.len() + lock.who.len())).collect())
         })
     }
 
-    /// Lists the open sessions, as many as a reply holds.
+    /// Lists the open sessions, as many as fit into a reply.
     pub(super) fn list_sessions(&self) -> Response {
-        let mut bytes = LineBytes::default();
+        let mut size = ListSize::default();
         self.machine.with(|state| {
             let sessions = state.sessions().map(|(id, session)| SessionStatus {
                 id,
@@ -107,11 +111,11 @@
                 ttl_ms: session.ttl_ms,
                 locks: session.locks().len() as u32,
             });
-            Response::Sessions(sessions.take_while(|session| bytes.fits(session.who.len())).collect())
+            Response::Sessions(sessions.take_while(|session| size.fits(session.who.len())).collect())
         })
     }
 
-    /// Returns a part of a snapshot of the state as of the request for its first part.
+    /// Returns a chunk of a snapshot. The request for the first chunk takes the snapshot.
     pub(super) async fn snapshot_chunk(&self, from: u64) -> Response {
         if from == 0 {
             if !self.has_confirmed_leadership().await {
--- a/quota-gateway/coordination/src/service/requests.rs
+++ b/quota-gateway/coordination/src/service/requests.rs
@@ -10,18 +10,18 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// A caller comes back after this time where too many calls have no reply yet.
+/// Retry delay of a caller when too many calls are in progress.
 const TOO_MANY_CALLS_DELAY_MS: u32 = 200;
-/// A caller comes back after this time where there is no room for its reply.
-const NO_ROOM_DELAY_MS: u32 = 500;
-/// The largest reply to a watch: the last change may reach beyond the bound by its own size.
+/// Retry delay of a caller when the response budget is exhausted.
+const BUDGET_EXHAUSTED_DELAY_MS: u32 = 500;
+/// Largest reply to a watch: the last change may exceed the limit by its own size.
 const MAX_CHANGES_REPLY_BYTES: usize = MAX_CHANGES_BYTES + bounds::MAX_VALUE_BYTES;
 
 impl Service {
-    /// Carries out a request.
+    /// Handles a request.
     pub(super) async fn handle_request(&self, request: Request, budget: &ResponseBudget) -> Reply {
         self.metrics.count_request(&request);
-        // The consensus bounds its own calls: one for each process at a time.
+        // Calls of the consensus need no limit here: each process sends one at a time.
         let request = match request {
             Request::Append(rpc) => return Response::Append(self.raft.append_entries(rpc).await).into(),
             Request::Vote(rpc) => return Response::Vote(self.raft.vote(rpc).await).into(),
@@ -67,14 +67,14 @@
             Request::Snapshot { from } => {
                 self.with_reservation(budget, SNAPSHOT_CHUNK_BYTES, || self.snapshot_chunk(from)).await
             }
-            // `handle_request` has answered these.
+            // `handle_request` has handled these.
             Request::Append(_) | Request::Vote(_) | Request::Install(_) => {
                 Response::No("answered above".into()).into()
             }
         }
     }
 
-    /// Makes a response of at most this many bytes, once there is room for it.
+    /// Makes a response of at most this many bytes, once they are reserved in the response budget.
     async fn with_reservation<F: Future<Output = Response>>(
         &self,
         budget: &ResponseBudget,
@@ -85,13 +85,14 @@
             Some(reservation) => Reply { response: respond().await, reservation: Some(reservation) },
             None => {
                 self.metrics.count_rejection(RejectionReason::Bytes);
-                Response::Busy { after_ms: NO_ROOM_DELAY_MS }.into()
+                Response::Busy { after_ms: BUDGET_EXHAUSTED_DELAY_MS }.into()
             }
         }
     }
 
-    /// Renews sessions. Renewals are not in the log: a majority must have confirmed the leader after the call came, as whoever
-    /// leads after it gives every session its full time from then on.
+    /// Renews sessions. Renewals are not written to the log. A majority must confirm the leader after the
+    /// call was received: any later leader then starts after the renewal and gives every session its full
+    /// time to live.
     async fn renew(&self, sessions: Vec<SessionId>) -> Response {
         let received_at = self.now();
         if !self.has_confirmed_leadership().await {
@@ -101,7 +102,7 @@
         match leadership.as_mut() {
             Some(leadership) => {
                 let leases = &mut leadership.leases;
-                let live = sessions.into_iter().filter(|id| leases.renewed(received_at, *id)).collect();
+                let live = sessions.into_iter().filter(|id| leases.renew(received_at, *id)).collect();
                 Response::Renewed(live)
             }
             None => Response::Busy { after_ms: super::leadership::TAKEOVER_DELAY_MS },
--- a/quota-gateway/coordination/src/state.rs
+++ b/quota-gateway/coordination/src/state.rs
@@ -1,18 +1,18 @@
-//! The replicated state machine: sessions, locks and values, on which all replicas agree by applying the same commands in the
-//! same order.
+//! The replicated state machine of sessions, locks and values. All replicas reach the same state by applying
+//! the same commands in the same order.
 //!
-//! It is deterministic: no clock, no randomness, no I/O, no order that depends on a hash. Time enters only as the leader's
-//! command that ends sessions. The same commands give the same state, byte for byte, whether or not it was written to a
-//! snapshot in between.
+//! The state machine is deterministic: it uses no clock, no randomness, no I/O and no iteration order that
+//! depends on a hash. Time enters only through the leader's command that ends sessions. The same commands
+//! produce the same state, byte for byte, whether or not a snapshot was written and restored in between.
 //!
-//! A command takes this way through the modules:
+//! A command passes through these modules:
 //!
 //! 1. A replica applies it (`apply`); a client's call takes effect once (`calls`).
-//! 2. Its operation is carried out (`operations`) on `sessions`, `locks` or `values`; a batch that fails is rolled back
+//! 2. Its operation runs (`operations`) on `sessions`, `locks` or `values`; a batch that fails is rolled back
 //!    (`undo`).
 //! 3. Each change is recorded for watches (`history`).
 //!
-//! The tables that all of them work on are in `tables`, their format is in `snapshot`.
+//! The tables that all modules work on are in `tables`; their encoding is in `snapshot`.
 
 mod apply;
 pub mod bounds;
--- a/quota-gateway/coordination/src/state/apply.rs
+++ b/quota-gateway/coordination/src/state/apply.rs
@@ -4,7 +4,7 @@
 use super::tables::State;
 
 impl State {
-    /// Applies a command. Returns the outcome of a call; the leader's own commands have none.
+    /// Applies a command. Returns the outcome of a client's call, or None for a command of the leader.
     pub fn apply(&mut self, command: &Command) -> Option<Outcome> {
         let outcome = match command {
             Command::Call { client, number, done, op } => Some(self.call(*client, *number, *done, op)),
--- a/quota-gateway/coordination/src/state/calls.rs
+++ b/quota-gateway/coordination/src/state/calls.rs
@@ -1,5 +1,5 @@
-//! Calls of clients, deduplicated: a call takes effect once, however often it arrives (linearizable RPCs by cached replies;
-//! D. Ongaro, "Consensus: Bridging Theory and Practice", 2014, section 6.3).
+//! Deduplication of client calls: a call takes effect once, however often it arrives. Replies are cached to
+//! make the RPCs linearizable (D. Ongaro, "Consensus: Bridging Theory and Practice", 2014, section 6.3).
 
 use super::bounds;
 use super::command::{ClientId, Op, Outcome, Refused};
@@ -27,13 +27,13 @@
         self.clients.get(&id)?.replies.get(&number)
     }
 
-    /// Registers a new client, or drops the replies that a known one has acknowledged.
+    /// Registers a new client, or drops the cached replies that a registered client has acknowledged.
     fn admit_call(&mut self, id: ClientId, number: u64, acknowledged: u64) -> Result<(), Refused> {
         let is_full = self.clients.len() >= bounds::MAX_CLIENTS;
         match self.clients.get_mut(&id) {
             Some(client) => client.admit(number, acknowledged),
-            // A new client begins with its first number. One that comes with another number has expired, and its call may
-            // have taken effect before that.
+            // The first call of a new client has number 1. An unregistered client that sends another number
+            // has expired, and its call may have taken effect before it expired.
             None if number != 1 => Err(Refused::Forgotten),
             None if is_full => Err(Refused::Busy(BUSY_DELAY_MS)),
             None => {
@@ -59,6 +59,6 @@
 }
 
 fn request_crc(op: &Op) -> u32 {
-    // Serialising into memory does not fail.
+    // Serializing into memory does not fail.
     postcard::to_stdvec(op).map_or(0, |bytes| crc32fast::hash(&bytes))
 }
--- a/quota-gateway/coordination/src/state/change.rs
+++ b/quota-gateway/coordination/src/state/change.rs
@@ -1,4 +1,4 @@
-//! What watches see of the state's history.
+//! Changes of the state, as they are reported to watches.
 
 use super::command::{Revision, SessionId, Token};
 use serde::{Deserialize, Serialize};
@@ -18,7 +18,7 @@
         /// Its key.
         key: String,
     },
-    /// A lock has another holder, or is free.
+    /// The holder of a lock has changed, or the lock is now free.
     Lock {
         /// The lock.
         name: String,
@@ -35,7 +35,8 @@
 }
 
 impl Change {
-    /// The name that a watch's prefix is compared with: a key or a lock; empty for sessions.
+    /// Returns the name that is matched against the prefix of a watch: the key or the lock. It is empty for
+    /// sessions.
     pub fn name(&self) -> &str {
         match self {
             Change::Value { key, .. } | Change::Deleted { key } => key,
@@ -45,7 +46,7 @@
     }
 }
 
-/// What a watch receives.
+/// The response to a watch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Changes {
     /// All changes after the requested revision, up to this one.
@@ -55,10 +56,10 @@
         /// The changes with their revisions, in order.
         changes: Vec<(Revision, Change)>,
     },
-    /// The changes after the requested revision are not retained, or the revision is of another history: the caller reads
-    /// the state anew and watches from there.
+    /// The changes after the requested revision are no longer retained, or the revision belongs to another
+    /// history. The caller must read the state again and watch from the revision of that read.
     Lost {
-        /// The present revision.
+        /// The current revision.
         now: Revision,
     },
 }
--- a/quota-gateway/coordination/src/state/command.rs
+++ b/quota-gateway/coordination/src/state/command.rs
@@ -1,31 +1,31 @@
-//! What the replicated log holds, and the outcomes of it. `postcard` writes by position: fields and variants are only added at
-//! the end, under a new [`VERSION`](super::VERSION).
+//! Commands of the replicated log, and their outcomes. `postcard` encodes by position: fields and variants
+//! may only be added at the end, under a new [`VERSION`](super::VERSION).
 
 use serde::{Deserialize, Serialize};
 
-/// A fencing token. Rises with every grant of any lock, over all restarts of the service.
+/// A fencing token. It increases with every grant of any lock, also across restarts of the service.
 pub type Token = u64;
-/// Rises by one with every change of the state that a watch can see.
+/// Revision of the state. It increases by one with every change that is reported to watches.
 pub type Revision = u64;
 
-/// Identifies a session; never reused.
+/// Identifies a session. Identifiers are never reused within a cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionId(pub u64);
 
-/// Identifies one incarnation of a client, which draws it at random.
+/// Identifies one incarnation of a client. The client draws it at random.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClientId(pub u64);
 
-/// The condition under which a value is written, and how long it stays.
+/// The condition under which a value is written, and the lifetime of the value.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Owner {
-    /// No condition; the value stays until it is deleted.
+    /// Written without a condition; the value is kept until it is deleted.
     Nobody,
-    /// Written only while the lock is held under this token; stays until it is deleted.
+    /// Written only while the lock is held under this token; the value is kept until it is deleted.
     Lock {
         /// The lock.
         name: String,
-        /// The token under which the writer holds it.
+        /// The token under which the writer holds the lock.
         token: Token,
     },
     /// Written only while the session is open, and deleted when it ends.
@@ -48,9 +48,9 @@
         /// The session.
         session: SessionId,
     },
-    /// Acquires a lock. Idempotent: the holder gets its present token, a waiter its present position.
+    /// Acquires a lock. Idempotent: the holder gets its current token, a waiter its current position.
     Acquire {
-        /// The session that is to hold the lock.
+        /// The session that requests the lock.
         session: SessionId,
         /// The lock.
         lock: String,
@@ -64,7 +64,7 @@
         /// The lock.
         lock: String,
     },
-    /// Takes a lock from its holder, whoever that is; for operators.
+    /// Takes a lock from its current holder. For operators.
     Revoke {
         /// The lock.
         lock: String,
@@ -75,28 +75,28 @@
         key: String,
         /// The value.
         value: Vec<u8>,
-        /// The revision at which the key must be, 0 for absent; `None` for any.
+        /// The revision that the key must have, 0 if it must be absent, `None` for any revision.
         expect: Option<Revision>,
-        /// The condition for the write, and the value's lifetime.
+        /// The condition for the write, and the lifetime of the value.
         owner: Owner,
     },
     /// Deletes a value.
     Delete {
         /// The key.
         key: String,
-        /// The revision at which the key must be; `None` for any.
+        /// The revision that the key must have; `None` for any revision.
         expect: Option<Revision>,
         /// The condition for the deletion.
         owner: Owner,
     },
-    /// Fails unless the lock is held under this token; guards the other operations of a batch.
+    /// Fails unless the lock is held under this token. Guards the other operations of a batch.
     Check {
         /// The lock.
         lock: String,
         /// The token.
         token: Token,
     },
-    /// Carries out all operations in their order, or none.
+    /// Applies all operations in order, or none of them.
     Batch(Vec<Op>),
 }
 
@@ -107,67 +107,70 @@
     Call {
         /// The client.
         client: ClientId,
-        /// The client's sequence number of this call, from 1. A number takes effect once.
+        /// The client's sequence number of this call, starting at 1. A number takes effect once.
         number: u64,
-        /// The client has the replies to all numbers up to this one.
+        /// The client has received the replies to all numbers up to and including this one.
         done: u64,
         /// The operation.
         op: Op,
     },
-    /// Sessions have expired by the leader's clock.
+    /// Sessions have expired according to the leader's clock.
     End {
         /// The sessions.
         sessions: Vec<SessionId>,
     },
-    /// A leader takes over, possibly of a restored service: later tokens are above this one.
+    /// A new leader has taken over, possibly of a service that was restored from a snapshot. Tokens that are
+    /// granted after this command are higher than its token.
     Floor {
-        /// The floor.
+        /// The lower bound of later tokens.
         token: Token,
     },
-    /// Clients have not called the leader for long; their cached replies are dropped.
+    /// Clients that have not called the leader for a long time have expired; their cached replies are
+    /// dropped.
     ExpireClients {
         /// The clients.
         clients: Vec<ClientId>,
     },
 }
 
-/// The result of an operation that was carried out.
+/// The result of an operation that was applied.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Done {
     /// The session that was opened.
     Opened(SessionId),
     /// The lock is held under this token.
     Granted(Token),
-    /// The session waits for the lock, behind this many others.
+    /// The session is queued for the lock, behind this many other sessions.
     Waiting(u32),
     /// The revision of the write.
     At(Revision),
-    /// Carried out, without a result.
+    /// The operation was applied and has no result.
     Nothing,
     /// The results of a batch, in the order of its operations.
     All(Vec<Done>),
 }
 
-/// Why an operation was rejected. Nothing was changed.
+/// The reason why an operation was rejected. The state has not changed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refused {
-    /// The session has ended, or never existed.
+    /// The session has ended or never existed.
     NoSession,
     /// Another session holds the lock, under this token.
     Held(Token),
-    /// The lock is held under this token, another one than the operation's; 0 if it is free.
+    /// The operation's token is not the one under which the lock is held. Holds the current token, or 0 if
+    /// the lock is free.
     Fenced(Token),
-    /// The key is at this revision, another one than expected; 0 if it is absent.
+    /// The key does not have the expected revision. Holds its current revision, or 0 if the key is absent.
     Conflict(Revision),
-    /// A bound is reached; retry after this many milliseconds.
+    /// A limit is reached. Holds the delay before a retry, in milliseconds.
     Busy(u32),
     /// This field is invalid.
     Bad(String),
-    /// The reply to this number is no longer cached, so that it is unknown here whether the call took effect.
+    /// The reply to this number is no longer cached, so it is unknown whether the call took effect.
     Forgotten,
-    /// All tokens are used up.
+    /// All tokens have been used.
     Exhausted,
 }
 
-/// What an operation comes to.
+/// The outcome of an operation.
 pub type Outcome = Result<Done, Refused>;
--- a/quota-gateway/coordination/src/state/history.rs
+++ b/quota-gateway/coordination/src/state/history.rs
@@ -1,11 +1,11 @@
-//! The bounded history of changes, from which watches resume by revision.
+//! The bounded history of changes. Watches resume from it by revision.
 
 use super::bounds;
 use super::change::{Change, Changes};
 use super::command::Revision;
 use super::tables::State;
 
-/// What a change counts beside its name and value, in bytes.
+/// Estimated size of a change in a response in addition to its name and value, in bytes.
 const CHANGE_OVERHEAD_BYTES: usize = 32;
 
 impl State {
@@ -14,20 +14,21 @@
         self.changes.push_back((self.revision, change));
     }
 
-    /// Drops the oldest changes. Runs after a command, so that a batch that is rolled back has none to restore.
+    /// Drops the oldest changes beyond the limit. Runs after each command, not within one, so that rolling
+    /// back a batch never has to restore dropped changes.
     pub(super) fn compact_history(&mut self) {
         while self.changes.len() > bounds::MAX_CHANGES {
             self.compacted = self.changes.pop_front().map_or(self.compacted, |(revision, _)| revision);
         }
     }
 
-    /// Whether [`changes`](Self::changes) has anything to report for this prefix after a revision.
+    /// Returns whether [`changes`](Self::changes) has anything to report for this prefix after this revision.
     pub fn has_changes(&self, prefix: &str, since: Revision) -> bool {
         !self.is_retained(since) || self.changes_after(prefix, since).next().is_some()
     }
 
-    /// The changes for a prefix after a revision, up to about `max_bytes` but at least one. The caller gets the rest by
-    /// continuing from the revision that it is given.
+    /// Returns the changes for a prefix after a revision: about `max_bytes` at most, but at least one change
+    /// if there is any. The caller gets the rest by continuing from the returned revision.
     pub fn changes(&self, prefix: &str, since: Revision, max_bytes: usize) -> Changes {
         if !self.is_retained(since) {
             return Changes::Lost { now: self.revision };
--- a/quota-gateway/coordination/src/state/locks.rs
+++ b/quota-gateway/coordination/src/state/locks.rs
@@ -11,7 +11,7 @@
         check_name("lock", name)?;
         self.open_session(session)?;
         match self.locks.get(name).and_then(|lock| lock.holder) {
-            // Idempotent: the holder gets the token that it has.
+            // Idempotent: the holder gets its current token.
             Some((holder, token)) if holder == session => Ok(Done::Granted(token)),
             Some((_, token)) if !wait => Err(Refused::Held(token)),
             Some(_) => self.enqueue(session, name),
@@ -44,7 +44,8 @@
         Ok(Done::Granted(token))
     }
 
-    /// Issues a token that nobody ever had. The last one is never issued: nothing could pass it.
+    /// Issues a token that was never issued before. `Token::MAX` is never issued, because no higher token
+    /// could follow.
     fn issue_token(&mut self) -> Result<Token, Refused> {
         if self.last_token >= Token::MAX - 1 {
             return Err(Refused::Exhausted);
@@ -56,7 +57,7 @@
     pub(super) fn release(&mut self, session: SessionId, name: &str) -> Outcome {
         let locks = &mut self.open_session(session)?.locks;
         let Some(position) = locks.iter().position(|lock| lock == name) else {
-            return Err(Refused::Fenced(self.present_token(name)));
+            return Err(Refused::Fenced(self.current_token(name)));
         };
         locks.remove(position);
         self.detach_from_lock(session, name);
@@ -69,7 +70,8 @@
         self.release(session, name)
     }
 
-    /// Removes a session from a lock's queue; if it is the holder, the lock passes to the first in the queue.
+    /// Removes a session from a lock's queue. If the session holds the lock, the lock passes to the first
+    /// session in the queue.
     pub(super) fn detach_from_lock(&mut self, session: SessionId, name: &str) {
         let Some(lock) = self.locks.get_mut(name) else { return };
         lock.waiting.retain(|waiting| *waiting != session);
@@ -77,7 +79,7 @@
             return;
         }
         let next = lock.waiting.pop_front();
-        // Once all tokens are used up the lock stays free.
+        // Once all tokens have been used, the lock stays free.
         let holder = next.and_then(|next| Some((next, self.issue_token().ok()?)));
         self.record(Change::Lock { name: name.to_owned(), holder });
         match (holder, self.locks.get_mut(name)) {
@@ -86,15 +88,15 @@
         }
     }
 
-    /// The token under which a lock is held; 0 if it is free.
-    fn present_token(&self, name: &str) -> Token {
+    /// Returns the token under which a lock is held, or 0 if it is free.
+    fn current_token(&self, name: &str) -> Token {
         self.locks.get(name).and_then(|lock| lock.holder).map_or(0, |(_, token)| token)
     }
 
     pub(super) fn check_token(&self, name: &str, token: Token) -> Result<(), Refused> {
-        match self.present_token(name) {
-            present if present == token && token != 0 => Ok(()),
-            present => Err(Refused::Fenced(present)),
+        match self.current_token(name) {
+            current if current == token && token != 0 => Ok(()),
+            current => Err(Refused::Fenced(current)),
         }
     }
 }
--- a/quota-gateway/coordination/src/state/operations.rs
+++ b/quota-gateway/coordination/src/state/operations.rs
@@ -1,4 +1,4 @@
-//! Carries out operations, batches atomically.
+//! Applies operations; batches are atomic.
 
 use super::bounds;
 use super::command::{Done, Op, Outcome, Refused};
@@ -6,7 +6,7 @@
 use super::undo::UndoLog;
 
 impl State {
-    /// Carries out an operation; a batch of which one operation fails changes nothing.
+    /// Applies an operation. A batch in which one operation fails changes nothing.
     pub(super) fn apply_op(&mut self, op: &Op) -> Outcome {
         match op {
             Op::Batch(ops) => self.apply_batch(ops),
--- a/quota-gateway/coordination/src/state/sessions.rs
+++ b/quota-gateway/coordination/src/state/sessions.rs
@@ -1,5 +1,5 @@
-//! Sessions: opening, closing and expiry. When a session has expired is decided outside the state machine, by the leader's
-//! clock.
+//! Opening, closing and expiry of sessions. The leader decides by its clock when a session has expired; the
+//! state machine does not.
 
 use super::bounds;
 use super::change::Change;
@@ -31,7 +31,7 @@
         Ok(Done::Nothing)
     }
 
-    /// Ends a session: its locks pass to the next in each queue, and its values are deleted.
+    /// Ends a session: each of its locks passes to the next session in the queue, and its values are deleted.
     pub(super) fn end_session(&mut self, id: SessionId) {
         let Some(session) = self.sessions.remove(&id) else { return };
         for name in session.locks {
--- a/quota-gateway/coordination/src/state/tables.rs
+++ b/quota-gateway/coordination/src/state/tables.rs
@@ -1,4 +1,4 @@
-//! The replicated state: its tables, and their reads.
+//! Tables of the replicated state, and read access to them.
 
 use super::change::Change;
 use super::command::{ClientId, Outcome, Refused, Revision, SessionId, Token};
@@ -10,16 +10,16 @@
 pub struct Session {
     /// The owner's name, for operators.
     pub name: String,
-    /// Its time to live in milliseconds.
+    /// Time to live in milliseconds.
     pub ttl_ms: u32,
-    /// Locks that it holds or waits for, in the order of its requests.
+    /// Locks that the session holds or waits for, in the order of its requests.
     pub(super) locks: Vec<String>,
-    /// Keys of the values that are deleted when it ends.
+    /// Keys of the values that are deleted when the session ends.
     pub(super) keys: Vec<String>,
 }
 
 impl Session {
-    /// Locks that it holds or waits for, in the order of its requests.
+    /// Locks that the session holds or waits for, in the order of its requests.
     pub fn locks(&self) -> &[String] {
         &self.locks
     }
@@ -30,47 +30,48 @@
 pub struct Lock {
     /// The session that holds it, and its token.
     pub holder: Option<(SessionId, Token)>,
-    /// The sessions that wait for it, first come first served.
+    /// The sessions that wait for the lock, in the order in which they are served.
     pub waiting: VecDeque<SessionId>,
 }
 
 /// A stored value.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Value {
-    /// Its bytes.
+    /// The bytes of the value.
     pub value: Vec<u8>,
     /// The revision of its last write.
     pub revision: Revision,
-    /// The session with which it ends.
+    /// The session whose end deletes the value, if any.
     pub(super) session: Option<SessionId>,
 }
 
-/// The replies to a client's calls, by which a call that is sent again takes effect once.
+/// Cached replies to a client's calls. With them, a call that is sent again takes effect only once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct Client {
-    /// Replies are cached for numbers above this.
+    /// The highest acknowledged number; only replies to higher numbers are cached.
     pub(super) acknowledged: u64,
     pub(super) replies: BTreeMap<u64, CachedReply>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct CachedReply {
-    /// The CRC-32 of the operation: two clients that drew the same id would otherwise get each other's replies.
+    /// The CRC-32 of the operation. Without it, two clients that drew the same id would get each other's
+    /// replies.
     pub(super) request_crc: u32,
     pub(super) outcome: Outcome,
 }
 
-/// The state on which all replicas agree. The order of the fields is the snapshot's format.
+/// The state on which all replicas agree. The order of the fields is part of the snapshot format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct State {
     pub(super) revision: Revision,
     pub(super) last_session: u64,
-    /// The highest token that was granted, or the floor above which tokens are granted.
+    /// The highest token that was granted, or the floor if that is higher. Later tokens are above it.
     pub(super) last_token: Token,
     pub(super) sessions: BTreeMap<SessionId, Session>,
     pub(super) locks: BTreeMap<String, Lock>,
     pub(super) values: BTreeMap<String, Value>,
-    /// Bytes of all values with their keys.
+    /// Total size of all values and their keys, in bytes.
     pub(super) value_bytes: usize,
     pub(super) clients: BTreeMap<ClientId, Client>,
     pub(super) changes: VecDeque<(Revision, Change)>,
@@ -79,39 +80,39 @@
 }
 
 impl State {
-    /// The revision of the latest change.
+    /// Returns the revision of the latest change.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// All open sessions.
+    /// Returns all open sessions.
     pub fn sessions(&self) -> impl Iterator<Item = (SessionId, &Session)> {
         self.sessions.iter().map(|(id, session)| (*id, session))
     }
 
-    /// Whether a session is open.
+    /// Returns whether a session is open.
     pub fn has_session(&self, id: SessionId) -> bool {
         self.sessions.contains_key(&id)
     }
 
-    /// All locks that are held.
+    /// Returns all locks that are held.
     pub fn locks(&self) -> impl Iterator<Item = (&str, &Lock)> {
         self.locks.iter().map(|(name, lock)| (name.as_str(), lock))
     }
 
-    /// The value of a key.
+    /// Returns the value of a key.
     pub fn value(&self, key: &str) -> Option<&Value> {
         self.values.get(key)
     }
 
-    /// The values of all keys with this prefix, and the revision from which to watch.
+    /// Returns the values of all keys with this prefix, and the revision from which to watch.
     pub fn read(&self, prefix: &str) -> (Revision, Vec<(&str, &Value)>) {
         let from = self.values.range(prefix.to_owned()..);
         let values = from.take_while(|(key, _)| key.starts_with(prefix));
         (self.revision, values.map(|(key, value)| (key.as_str(), value)).collect())
     }
 
-    /// The highest token that was granted, or the floor above which tokens are granted.
+    /// Returns the highest token that was granted, or the floor if that is higher. Later tokens are above it.
     pub fn token_floor(&self) -> Token {
         self.last_token
     }
--- a/quota-gateway/coordination/src/state/undo.rs
+++ b/quota-gateway/coordination/src/state/undo.rs
@@ -1,17 +1,17 @@
-//! Rolling back a batch of which an operation fails. Only the entries that the batch touches are copied, so that its cost does
-//! not grow with the state.
+//! Rollback of a batch in which an operation fails. Only the entries that the batch touches are copied, so
+//! the cost does not grow with the size of the state.
 
 use super::command::{Op, Owner, Revision, SessionId, Token};
 use super::tables::{Lock, Session, State, Value};
 use std::collections::BTreeMap;
 
-/// The entries that the operations of a batch change, as they were before it.
+/// The entries that the operations of a batch change, as they were before the batch.
 pub(super) struct UndoLog {
     revision: Revision,
     last_session: u64,
     last_token: Token,
     value_bytes: usize,
-    changes: usize,
+    change_count: usize,
     sessions: BTreeMap<SessionId, Option<Session>>,
     locks: BTreeMap<String, Option<Lock>>,
     values: BTreeMap<String, Option<Value>>,
@@ -24,17 +24,17 @@
             last_session: state.last_session,
             last_token: state.last_token,
             value_bytes: state.value_bytes,
-            changes: state.changes.len(),
+            change_count: state.changes.len(),
             sessions: BTreeMap::new(),
             locks: BTreeMap::new(),
             values: BTreeMap::new(),
         }
     }
 
-    /// Saves what an operation may change; runs before it.
+    /// Saves the entries that an operation may change. Must be called before the operation.
     pub(super) fn save(&mut self, state: &State, op: &Op) {
         match op {
-            // The id that the new session will have, which is unused so far.
+            // The id that the new session will get; it is unused before the operation.
             Op::Open { .. } => drop(self.sessions.insert(SessionId(state.last_session + 1), None)),
             Op::Close { session } => self.save_session(state, *session),
             Op::Acquire { session, lock, .. } | Op::Release { session, lock } => {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Saves a session with all that ends with it.
+    /// Saves a session together with the locks and values that its end changes.
     fn save_session(&mut self, state: &State, id: SessionId) {
         let session = state.sessions.get(&id);
         for lock in session.iter().flat_map(|session| &session.locks) {
@@ -79,11 +79,11 @@
     }
 
     pub(super) fn roll_back(self, state: &mut State) {
-        fn restore<K: Ord, V>(into: &mut BTreeMap<K, V>, before: BTreeMap<K, Option<V>>) {
-            for (key, before) in before {
-                match before {
-                    Some(before) => drop(into.insert(key, before)),
-                    None => drop(into.remove(&key)),
+        fn restore<K: Ord, V>(table: &mut BTreeMap<K, V>, saved: BTreeMap<K, Option<V>>) {
+            for (key, saved) in saved {
+                match saved {
+                    Some(saved) => drop(table.insert(key, saved)),
+                    None => drop(table.remove(&key)),
                 }
             }
         }
@@ -91,7 +91,7 @@
         state.last_session = self.last_session;
         state.last_token = self.last_token;
         state.value_bytes = self.value_bytes;
-        state.changes.truncate(self.changes);
+        state.changes.truncate(self.change_count);
         restore(&mut state.sessions, self.sessions);
         restore(&mut state.locks, self.locks);
         restore(&mut state.values, self.values);
--- a/quota-gateway/coordination/src/state/values.rs
+++ b/quota-gateway/coordination/src/state/values.rs
@@ -1,4 +1,4 @@
-//! Values: conditional writes, and lifetimes that end with a session.
+//! Values: conditional writes, and values that are deleted when their session ends.
 
 use super::bounds;
 use super::change::Change;
@@ -45,7 +45,7 @@
         Ok(Done::At(self.revision))
     }
 
-    /// Checks the conditions of a write or deletion.
+    /// Checks the conditions of a write or a deletion.
     fn check_write(&mut self, key: &str, expect: Option<Revision>, owner: &Owner) -> Result<(), Refused> {
         check_name("key", key)?;
         match owner {
@@ -53,18 +53,19 @@
             Owner::Lock { name, token } => self.check_token(name, *token)?,
             Owner::Session(id) => drop(self.open_session(*id)?),
         }
-        let present = self.values.get(key).map_or(0, |value| value.revision);
-        match expect.is_some_and(|expect| expect != present) {
-            true => Err(Refused::Conflict(present)),
+        let current = self.values.get(key).map_or(0, |value| value.revision);
+        match expect.is_some_and(|expect| expect != current) {
+            true => Err(Refused::Conflict(current)),
             false => Ok(()),
         }
     }
 
-    /// The value no longer ends with the session that wrote it.
+    /// Detaches a value from the session that wrote it, so that the end of the session no longer deletes the
+    /// value.
     fn detach_from_session(&mut self, key: &str) {
         let owner = self.values.get(key).and_then(|value| value.session);
         if let Some(session) = owner.and_then(|id| self.sessions.get_mut(&id)) {
-            session.keys.retain(|of| of != key);
+            session.keys.retain(|owned| owned != key);
         }
     }
 
--- a/quota-gateway/coordination/src/storage/contents.rs
+++ b/quota-gateway/coordination/src/storage/contents.rs
@@ -1,4 +1,4 @@
-//! What a store contains, in memory and in the tables of its database.
+//! The contents of a store, in memory and in the tables of its database.
 
 use super::record::{decode, Damage};
 use super::writer::Write;
@@ -11,46 +11,46 @@
 
 const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
 const META: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
-/// Names of the records beside the log.
+/// Names of the records that are stored in addition to the log entries.
 pub(super) const VOTE: &str = "vote";
 pub(super) const COMMITTED: &str = "committed";
 pub(super) const PURGED: &str = "purged";
 pub(super) const SNAPSHOT: &str = "snapshot";
 pub(super) const IDENTITY: &str = "identity";
 
-/// The identity of a folder, and its cluster.
+/// The identity of a data folder, and its cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// The process that runs on the folder; drawn at random.
+    /// The process that runs on the folder. The number is drawn at random when the folder is created.
     pub node: NodeId,
-    /// Its cluster; 0 as long as it belongs to none.
+    /// The cluster that the process belongs to, or 0 if it belongs to none yet.
     pub cluster: u64,
-    /// The version of the format.
+    /// The version of the storage format.
     pub(super) version: u16,
 }
 
 /// A snapshot as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stored {
-    /// What the snapshot covers.
+pub struct StoredSnapshot {
+    /// The last log entry and the membership that the snapshot covers.
     pub meta: SnapshotMeta<NodeId, BasicNode>,
     /// The encoded state.
     pub state: Vec<u8>,
 }
 
-/// What is kept in memory: everything that is not purged.
+/// The contents that are kept in memory: everything except purged entries.
 #[derive(Default)]
 pub(super) struct Contents {
     pub(super) entries: BTreeMap<u64, Entry<Types>>,
     pub(super) purged: Option<LogId<NodeId>>,
     pub(super) committed: Option<LogId<NodeId>>,
     pub(super) vote: Option<Vote<NodeId>>,
-    pub(super) snapshot: Option<Stored>,
+    pub(super) snapshot: Option<StoredSnapshot>,
     pub(super) identity: Option<Identity>,
 }
 
 impl Contents {
-    /// Reads a database. Entries must be consecutive: a gap is damage.
+    /// Reads a database. The indexes of the entries must be consecutive; a gap is reported as damage.
     pub(super) fn read(database: &Database) -> Result<Contents, Damage> {
         create_tables(database).map_err(Damage::of_store)?;
         let transaction = database.begin_read().map_err(Damage::of_store)?;
@@ -92,7 +92,7 @@
     value.map(|value| decode(name, value.value())).transpose()
 }
 
-/// Carries out writes in one transaction, which is durable on return.
+/// Applies writes in one transaction, which is durable when this returns.
 pub(super) fn write_batch(database: &Database, writes: &[Write]) -> Result<(), redb::Error> {
     let transaction = database.begin_write()?;
     {
--- a/quota-gateway/coordination/src/storage/error.rs
+++ b/quota-gateway/coordination/src/storage/error.rs
@@ -1,11 +1,11 @@
-//! Why a store cannot be opened, and why nothing can be written to it.
+//! Errors of the store.
 
 use quick_error::quick_error;
 use std::io;
 use std::path::PathBuf;
 
 quick_error! {
-    /// Why a store cannot be opened or used.
+    /// The reason why a store cannot be opened or written.
     #[derive(Debug)]
     pub enum StoreError {
         /// The folder or a file in it cannot be read or written.
@@ -18,15 +18,15 @@
             display("{}", error)
             source(error)
         }
-        /// A record cannot be read, for this reason. Nothing was changed.
+        /// A record cannot be read, for this reason. The file was not changed.
         Damaged(reason: String) {
             display("{}", reason)
         }
-        /// The store is of another version of the format.
+        /// The store has another version of the storage format.
         Version(found: u16, supported: u16) {
-            display("its version is {}, this program reads {}", found, supported)
+            display("storage format version is {}, this program supports version {}", found, supported)
         }
-        /// The same, in this file.
+        /// An error that concerns this file.
         InFile(path: PathBuf, error: Box<StoreError>) {
             display("{}: {}", path.display(), error)
             source(&**error)
@@ -41,13 +41,13 @@
 }
 
 impl StoreError {
-    /// Names the file that the error is about.
+    /// Adds the path of the file that the error concerns.
     pub(super) fn in_file(self, path: PathBuf) -> StoreError {
         StoreError::InFile(path, Box::new(self))
     }
 }
 
-/// Maps an error of the database.
+/// Converts an error of the database.
 pub(super) fn database(error: impl Into<redb::Error>) -> StoreError {
     StoreError::Database(error.into())
 }
--- a/quota-gateway/coordination/src/storage/mod.rs
+++ b/quota-gateway/coordination/src/storage/mod.rs
@@ -1,8 +1,9 @@
-//! The log, the vote and the snapshot on a disk, in an embedded database; and the identity of the folder.
+//! Storage of the log, the vote, the snapshot and the identity of the data folder, in an embedded database on
+//! a disk.
 //!
-//! - `contents`: what a store contains, in memory and in its database.
+//! - `contents`: the contents of a store, in memory and in its database.
 //! - `writer`: group commit.
-//! - `raft_log`: the consensus crate's view of it.
+//! - `raft_log`: the storage interface of the consensus crate.
 //! - `record`: the encoding of a record.
 
 mod contents;
@@ -11,12 +12,12 @@
 mod record;
 mod writer;
 
-pub use contents::{Identity, Stored};
+pub use contents::{Identity, StoredSnapshot};
 pub use error::StoreError;
 pub use writer::{Counts, Writer};
 
 use crate::disk::Overlay;
-use crate::env::chance;
+use crate::env::with_rng;
 use contents::{write_batch, Contents, COMMITTED, IDENTITY, PURGED, SNAPSHOT};
 use error::database;
 use openraft::{BasicNode, CommittedLeaderId, LogId, Membership, SnapshotMeta, StoredMembership};
@@ -34,12 +35,13 @@
 use tokio::sync::oneshot;
 use writer::{Write, WriteQueue};
 
-/// The version of the format. 2: every record begins with its checksum; 3: an entry holds several commands.
+/// The version of the storage format. Version 2: every record begins with its checksum. Version 3: an entry
+/// holds several commands.
 const VERSION: u16 = 3;
-/// The file of a store in its folder.
+/// The name of the store's file in the data folder.
 const FILE_NAME: &str = "log.redb";
 
-/// The store of one process; clones share it.
+/// The store of one process. Clones share the same store.
 #[derive(Clone)]
 pub struct LogStore {
     contents: Arc<Mutex<Contents>>,
@@ -47,48 +49,48 @@
     sync_times: Histogram,
 }
 
-/// Whether a folder holds a store.
+/// Returns whether a folder contains a store.
 pub fn exists_in(folder: &Path) -> bool {
     folder.join(FILE_NAME).exists()
 }
 
 impl LogStore {
-    /// Opens the store in a folder, or creates it. Damage is found before anything is written: a database that recovers from a
-    /// crash writes, so it is examined in memory first.
+    /// Opens the store in a folder, or creates it. Damage is detected before anything is written: the
+    /// database writes to its file when it recovers from a crash, so the file is first checked in memory.
     ///
     /// # Errors
     ///
-    /// The store cannot be read or written, is damaged, or is of another version. The error names the file.
+    /// The store cannot be read or written, is damaged, or has another version. The error names the file.
     pub fn open(folder: &Path) -> Result<LogStore, StoreError> {
-        LogStore::open_on(folder, true, |file| file)
+        LogStore::open_with_wrapper(folder, true, |file| file)
     }
 
-    /// Opens the store on a disk of another kind, which `disk` makes of the file's. Without `group_commit` each write has its
-    /// own sync, to measure what sharing them gains.
+    /// Opens the store on a backend that `wrap` makes of the file's backend. Without `group_commit`, each
+    /// write has its own sync, so that the gain from shared syncs can be measured.
     ///
     /// # Errors
     ///
     /// As for [`LogStore::open`].
-    pub fn open_on<B: StorageBackend>(
+    pub fn open_with_wrapper<B: StorageBackend>(
         folder: &Path,
         group_commit: bool,
-        disk: impl FnOnce(FileBackend) -> B,
+        wrap: impl FnOnce(FileBackend) -> B,
     ) -> Result<LogStore, StoreError> {
         fs::create_dir_all(folder).map_err(|error| StoreError::File(folder.to_owned(), error))?;
         let path = folder.join(FILE_NAME);
-        let named = |error: StoreError| error.in_file(path.clone());
+        let with_path = |error: StoreError| error.in_file(path.clone());
         if fs::metadata(&path).is_ok_and(|file| file.len() > 0) {
-            check_undamaged(&path).map_err(named)?;
+            check_undamaged(&path).map_err(with_path)?;
         }
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(&path);
         let file = file.map_err(|error| StoreError::File(path.clone(), error))?;
-        let backend = FileBackend::new(file).map_err(|error| named(database(error)))?;
-        let opened = Database::builder().create_with_backend(disk(backend));
-        let opened = opened.map_err(|error| named(database(error)))?;
-        LogStore::from_database(opened, group_commit, Writer::Thread).map_err(named)
+        let backend = FileBackend::new(file).map_err(|error| with_path(database(error)))?;
+        let opened = Database::builder().create_with_backend(wrap(backend));
+        let opened = opened.map_err(|error| with_path(database(error)))?;
+        LogStore::from_database(opened, group_commit, Writer::Thread).map_err(with_path)
     }
 
-    /// Opens a store on any disk. Within a runtime where a task writes.
+    /// Opens a store on any storage backend. With [`Writer::Task`], this must be called within a runtime.
     ///
     /// # Errors
     ///
@@ -117,21 +119,23 @@
         Ok(LogStore { contents: Arc::new(Mutex::new(contents)), writes, sync_times })
     }
 
-    /// Nobody panics while holding the lock, so it is never poisoned; if somebody did, what is there is consistent all the same.
+    /// Locks the contents. No code panics while it holds the lock, so the lock is never poisoned. Even after
+    /// a panic, the contents would be consistent.
     fn contents(&self) -> MutexGuard<'_, Contents> {
         self.contents.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the identity of the folder.
+    /// Returns the identity of the data folder.
     pub fn identity(&self) -> Identity {
         self.contents().identity.unwrap_or(Identity { node: 0, cluster: 0, version: VERSION })
     }
 
-    /// Makes the folder belong to a cluster from now on.
+    /// Assigns the data folder to a cluster.
     ///
     /// # Errors
     ///
-    /// Returns the store's error; the folder may belong to the cluster all the same after the next start.
+    /// Returns the store's error. Despite the error, the folder may belong to the cluster after the next
+    /// start.
     pub async fn join(&self, cluster: u64) -> io::Result<()> {
         let identity = Identity { cluster, ..self.identity() };
         self.write_record(IDENTITY, &identity).await?;
@@ -139,13 +143,13 @@
         Ok(())
     }
 
-    /// Makes a new folder begin with a state, as the complete history of a cluster of which it is the only member. There must
-    /// be no runtime.
+    /// Initializes a new data folder from a state, as a new cluster whose only member is this process. Must
+    /// be called outside a runtime, because it blocks.
     ///
     /// # Errors
     ///
-    /// Returns the store's error; the folder belongs to no cluster then.
-    pub fn begin_from(&self, state: Vec<u8>, address: &str) -> Result<(), StoreError> {
+    /// Returns the store's error. The folder then belongs to no cluster.
+    pub fn restore_from(&self, state: Vec<u8>, address: &str) -> Result<(), StoreError> {
         let node = self.identity().node;
         let last = LogId::new(CommittedLeaderId::new(1, node), 1);
         let members = BTreeMap::from([(node, BasicNode::new(address))]);
@@ -155,38 +159,38 @@
             last_membership: StoredMembership::new(Some(last), membership),
             snapshot_id: "restored".to_owned(),
         };
-        self.write_record_blocking(SNAPSHOT, &Stored { meta, state })?;
+        self.write_record_blocking(SNAPSHOT, &StoredSnapshot { meta, state })?;
         self.write_record_blocking(PURGED, &last)?;
         self.write_record_blocking(COMMITTED, &last)?;
-        // Last: a folder that was not finished belongs to no cluster.
-        let identity = Identity { cluster: chance(|rng| rng.random::<u64>()) | 1, ..self.identity() };
+        // The identity is written last, so that an incompletely written folder belongs to no cluster.
+        let identity = Identity { cluster: with_rng(|rng| rng.random::<u64>()) | 1, ..self.identity() };
         self.write_record_blocking(IDENTITY, &identity)?;
         self.contents().identity = Some(identity);
         Ok(())
     }
 
-    /// Returns how much was written since the start.
+    /// Returns the number of writes and syncs since the start.
     pub fn counts(&self) -> Counts {
         self.writes.counts()
     }
 
     /// Returns the newest snapshot.
-    pub fn snapshot(&self) -> Option<Stored> {
+    pub fn snapshot(&self) -> Option<StoredSnapshot> {
         self.contents().snapshot.clone()
     }
 
-    /// Replaces the snapshot, which is durable on return.
+    /// Replaces the snapshot. The new one is durable when this returns.
     ///
     /// # Errors
     ///
     /// Returns the store's error.
-    pub async fn write_snapshot(&self, stored: Stored) -> io::Result<()> {
+    pub async fn write_snapshot(&self, stored: StoredSnapshot) -> io::Result<()> {
         self.write_record(SNAPSHOT, &stored).await?;
         self.contents().snapshot = Some(stored);
         Ok(())
     }
 
-    /// Returns how long each sync took, in seconds.
+    /// Returns the histogram of the durations of writes with their sync, in seconds.
     pub fn sync_times(&self) -> Histogram {
         self.sync_times.clone()
     }
@@ -200,7 +204,7 @@
     }
 }
 
-/// Reads a file as the database would be after a recovery, without writing to it.
+/// Reads the database in a file as it would be after crash recovery, without writing to the file.
 fn check_undamaged(path: &Path) -> Result<(), StoreError> {
     let overlay = Overlay::open(path)?;
     let recovered = Database::builder().create_with_backend(overlay).map_err(database)?;
@@ -208,9 +212,9 @@
     Ok(())
 }
 
-/// Draws the identity of a new folder, and stores it.
+/// Draws the identity of a new data folder, and stores it.
 fn create_identity(opened: &Database) -> Result<Identity, StoreError> {
-    let node = chance(|rng| rng.random::<u64>()) | 1;
+    let node = with_rng(|rng| rng.random::<u64>()) | 1;
     let identity = Identity { node, cluster: 0, version: VERSION };
     let (done, _) = oneshot::channel();
     let write = Write::Meta { name: IDENTITY, record: encode(&identity)?, done };
--- a/quota-gateway/coordination/src/storage/raft_log.rs
+++ b/quota-gateway/coordination/src/storage/raft_log.rs
@@ -1,4 +1,4 @@
-//! The consensus crate's view of the store: the log and the vote.
+//! The storage interface of the consensus crate: the log and the vote.
 
 use super::contents::VOTE;
 use super::record::encode;
@@ -49,7 +49,8 @@
         Ok(self.contents().vote)
     }
 
-    /// It is written with the next entries: an older one only means that less is applied before a leader is heard of.
+    /// Keeps the committed index in memory; it is written together with the next entries. An older index on
+    /// disk only means that fewer entries are applied after a restart before a leader is known.
     async fn save_committed(&mut self, committed: Option<LogId<NodeId>>) -> Result<(), StorageError<NodeId>> {
         self.contents().committed = committed;
         Ok(())
--- a/quota-gateway/coordination/src/storage/record.rs
+++ b/quota-gateway/coordination/src/storage/record.rs
@@ -1,4 +1,5 @@
-//! A record: the CRC-32 of what follows (4 bytes, little endian), and the value in `postcard`.
+//! The encoding of a record: the CRC-32 of the encoded value (4 bytes, little-endian), and the value in
+//! `postcard`.
 
 use super::error::StoreError;
 use serde::de::DeserializeOwned;
@@ -17,12 +18,12 @@
 }
 
 impl Damage {
-    /// The damage of a store as a whole, which no record shows.
+    /// Damage that concerns the store as a whole instead of one record.
     pub(super) fn of_store(reason: impl ToString) -> Damage {
         Damage { reason: reason.to_string(), bytes: Vec::new() }
     }
 
-    /// Returns the error, with the record's offset in the file, if it can be found there.
+    /// Returns the error. It contains the offset of the record in the file, if the record can be found there.
     pub(super) fn into_error(self, file: Option<&Path>) -> StoreError {
         let offset = file.and_then(|file| offset_of(&fs::read(file).ok()?, &self.bytes));
         StoreError::Damaged(match offset {
@@ -32,7 +33,7 @@
     }
 }
 
-/// The offset of these bytes in a file.
+/// Returns the offset of these bytes in a file.
 fn offset_of(file: &[u8], bytes: &[u8]) -> Option<usize> {
     if bytes.is_empty() {
         return None;
@@ -47,7 +48,7 @@
     Ok(bytes)
 }
 
-/// Decodes a record; `name` is its name in the error.
+/// Decodes a record; `name` identifies it in the error.
 pub(super) fn decode<T: DeserializeOwned>(name: &str, bytes: &[u8]) -> Result<T, Damage> {
     let damage = |reason: &str| Damage { reason: format!("{name}: {reason}"), bytes: bytes.to_vec() };
     let Some((checksum, value)) = bytes.split_first_chunk::<CHECKSUM_BYTES>() else {
--- a/quota-gateway/coordination/src/storage/writer.rs
+++ b/quota-gateway/coordination/src/storage/writer.rs
@@ -1,7 +1,7 @@
-//! Group commit: one thread or task writes; what waits for it is written together and shares one sync.
+//! Group commit: one thread or task does all writes. Queued writes are written together and share one sync.
 //!
-//! After a write that fails nothing more is written until the next start: what is on the disk then is as after a crash, and is
-//! read as such.
+//! After a failed write, nothing more is written until the next start. The disk is then in the same state as
+//! after a crash, and the next start recovers from it in the same way.
 
 use super::contents::write_batch;
 use super::error::StoreError;
@@ -18,42 +18,42 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 
-/// Writes that share one sync at most.
+/// Maximum number of writes that share one sync.
 const MAX_BATCH_WRITES: usize = 1024;
-/// Writes that wait at most; whoever has another one waits until there is room.
+/// Maximum number of queued writes. When the queue is full, submitting a write waits.
 const MAX_QUEUED_WRITES: usize = 8192;
 
-/// What writes to the disk.
+/// How writes to the disk are run.
 #[derive(Clone)]
 pub enum Writer {
-    /// A thread of its own, which a sync may block.
+    /// By a dedicated thread, which may block on a sync.
     Thread,
-    /// A task, for virtual clocks: a sync takes as long as this returns.
+    /// By a task, for virtual clocks: each sync takes the time that the function returns.
     Task(Rc<dyn Fn() -> Duration>),
 }
 
-/// The number of writes, and of the syncs that they took.
+/// The number of writes, and the number of syncs that they needed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Writes.
+    /// Number of writes.
     pub writes: u64,
-    /// Syncs.
+    /// Number of syncs.
     pub syncs: u64,
 }
 
-/// One change of the store, and who waits for it.
+/// One change of the store, and where to report its completion.
 pub(super) enum Write {
-    /// Appends encoded entries, and stores how far the log is known to be committed: that costs no sync of its own.
+    /// Appends encoded entries. Also stores the committed log id, which saves a separate sync.
     Append { entries: Vec<(u64, Vec<u8>)>, committed: Option<Vec<u8>>, flushed: LogFlushed<Types> },
     /// Removes the entries from this index on.
     Truncate { from: u64 },
-    /// Removes the entries up to this index.
+    /// Removes the entries up to and including this index.
     Purge { up_to: u64, record: Vec<u8> },
-    /// Replaces a record beside the log.
+    /// Replaces a record that is not a log entry.
     Meta { name: &'static str, record: Vec<u8>, done: oneshot::Sender<io::Result<()>> },
 }
 
-/// Submits writes to the writer, and counts them.
+/// The queue of writes, and the counts of the writer.
 #[derive(Clone)]
 pub(super) struct WriteQueue {
     writes: Sender<Write>,
@@ -61,7 +61,7 @@
 }
 
 impl WriteQueue {
-    /// Starts a writer. Without `group_commit` each write has its own sync.
+    /// Starts a writer. Without `group_commit`, each write has its own sync.
     pub(super) fn start(
         database: Database,
         group_commit: bool,
@@ -75,7 +75,7 @@
         match writer {
             Writer::Thread => {
                 let thread = thread::Builder::new().name("log".to_owned());
-                // It ends with the last sender, or with a write that fails.
+                // The thread ends when the last sender is dropped, or after a failed write.
                 thread.spawn(move || batches.run())?;
             }
             Writer::Task(sync_time) => drop(spawn_local(batches.run_as_task(sync_time))),
@@ -87,14 +87,14 @@
         self.writes.send(write).await.map_err(|_| writer_has_ended())
     }
 
-    /// Replaces a record, and waits until that is durable.
+    /// Replaces a record, and waits until it is durable.
     pub(super) async fn write_record(&self, name: &'static str, record: Vec<u8>) -> io::Result<()> {
         let (done, durable) = oneshot::channel();
         self.submit(Write::Meta { name, record, done }).await?;
         durable.await.map_err(|_| writer_has_ended())?
     }
 
-    /// The same where there is no runtime.
+    /// Like [`Self::write_record`], but blocks. For use outside a runtime.
     pub(super) fn write_record_blocking(&self, name: &'static str, record: Vec<u8>) -> io::Result<()> {
         let (done, durable) = oneshot::channel();
         self.writes.blocking_send(Write::Meta { name, record, done }).map_err(|_| writer_has_ended())?;
@@ -110,7 +110,7 @@
     io::Error::other("a write failed before; nothing is written until the next start")
 }
 
-/// Takes writes from the queue, and writes them in batches.
+/// Writes the queued writes in batches.
 struct BatchWriter {
     database: Database,
     queue: Receiver<Write>,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The first write, and what waits behind it.
+    /// Returns the first write and the writes that are queued behind it, up to the size of a batch.
     fn next_batch(&mut self, first: Write) -> Vec<Write> {
         let mut batch = vec![first];
         while batch.len() < self.max_batch_writes {
@@ -164,13 +164,13 @@
     }
 }
 
-/// Reports the result to those that wait; returns whether more may be written.
+/// Reports the result of a batch to its callers. Returns whether more may be written.
 fn acknowledge(batch: Vec<Write>, written: Result<(), Arc<redb::Error>>) -> bool {
     for write in batch {
         let result = written.clone().map_err(io::Error::other);
         match write {
             Write::Append { flushed, .. } => flushed.log_io_completed(result),
-            // Whoever waited may have gone.
+            // The caller may have given up.
             Write::Meta { done, .. } => drop(done.send(result)),
             Write::Truncate { .. } | Write::Purge { .. } => {}
         }
