--- a/quota-gateway/coordination/benches/service.rs
+++ b/quota-gateway/coordination/benches/service.rs
@@ -246,8 +246,8 @@
     }
 }
 
-/// Compares the rate of commands with group commit and with one sync per write. Each sync is slower than the
-/// disk's by `delay_ms`.
+/// Compares the rate of commands with group commit and with one sync per write. Each sync takes `delay_ms`
+/// longer than the disk needs.
 fn group_commit(delay_ms: u64) {
     let (mut grouped, mut ungrouped) = (Vec::new(), Vec::new());
     for _ in 0..RUNS {
