--- a/quota-gateway/server/benches/cost.rs
+++ b/quota-gateway/server/benches/cost.rs
@@ -1,6 +1,7 @@
-//! Instructions that the gateway takes for a request, counted by valgrind's callgrind, which does not depend on how busy
-//! the machine is: `cargo bench -p marblecroft-quota-gateway --bench cost`. A fixed number of requests on one connection to one server; the
-//! start is taken off by a second run with fewer. Needs valgrind.
+//! Measures the instructions per request of the gateway with valgrind's callgrind, whose result does not
+//! depend on the load of the machine: `cargo bench -p marblecroft-quota-gateway --bench cost`. A fixed number
+//! of requests is sent on one connection and forwarded to one server. The cost of the start is removed by
+//! subtracting a second run with fewer requests. Needs valgrind.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -8,12 +9,13 @@
 use common::*;
 use std::process::Command;
 
-const FEW: usize = 200;
-const MANY: usize = 1200;
-const PLAYS: usize = 3;
+const BASELINE_REQUESTS: usize = 200;
+const MEASURED_REQUESTS: usize = 1200;
+const RUNS: usize = 3;
 
-/// Instructions of a whole life with so many requests, as valgrind says at its end.
-fn life(requests: usize) -> u64 {
+/// Runs a gateway process that serves `requests` requests, and returns its total number of instructions as
+/// reported by valgrind on exit.
+fn count_instructions(requests: usize) -> u64 {
     let server = Stub::start(|_| ok("served"));
     let agent = Agent::start();
     let known = list(1, true, &serving(&[&server]));
@@ -27,31 +29,36 @@
         let answer = client.ask(&request);
         assert_eq!(answer.status(), 200, "request {n}: {}", answer.text());
     }
-    assert_eq!(server.requests(), requests, "each was sent once");
+    assert_eq!(server.requests(), requests, "each request was sent once");
     gateway.terminate();
     assert!(gateway.exit().success());
-    let mut counted = None;
-    until("valgrind has counted", || {
+    let mut instructions = None;
+    until("valgrind has reported its count", || {
         let log = gateway.log();
         let line =
             log.lines().find_map(|line| line.split_once("Collected :").map(|(_, n)| n.trim().to_owned()));
-        counted = line.and_then(|n| n.parse().ok());
-        counted.is_some()
+        instructions = line.and_then(|n| n.parse().ok());
+        instructions.is_some()
     });
-    counted.expect("just seen")
+    instructions.expect("the condition above was met")
 }
 
 fn main() {
     if !Command::new("valgrind").arg("--version").output().is_ok_and(|output| output.status.success()) {
-        println!("valgrind is not installed: nothing was counted");
+        println!("valgrind is not installed: no instructions were counted");
         return;
     }
-    let mut each: Vec<u64> = (0..PLAYS).map(|_| (life(MANY) - life(FEW)) / (MANY - FEW) as u64).collect();
-    each.sort_unstable();
+    let mut per_request: Vec<u64> = (0..RUNS)
+        .map(|_| {
+            (count_instructions(MEASURED_REQUESTS) - count_instructions(BASELINE_REQUESTS))
+                / (MEASURED_REQUESTS - BASELINE_REQUESTS) as u64
+        })
+        .collect();
+    per_request.sort_unstable();
     println!(
-        "instructions for each request, median and spread of {PLAYS}: {} ({} to {})",
-        each[PLAYS / 2],
-        each[0],
-        each[PLAYS - 1]
+        "instructions per request, median and range of {RUNS} runs: {} ({} to {})",
+        per_request[RUNS / 2],
+        per_request[0],
+        per_request[RUNS - 1]
     );
 }
--- a/quota-gateway/server/src/body/request_body.rs
+++ b/quota-gateway/server/src/body/request_body.rs
@@ -13,25 +13,25 @@
 use tokio::sync::Notify;
 use tokio::time::timeout_at;
 
-/// A server that takes no more of a body for this long is considered lost.
+/// A server that does not read more of a body for this long is considered lost.
 const SLOW_READER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How much of a streamed body has been delivered to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// Nothing; all of it is still here.
+    /// Nothing was delivered.
     NotStarted,
-    /// A part.
+    /// A part was delivered.
     Partial,
-    /// All of it is with the server, or with the operating system for it.
+    /// All of it was passed to the operating system for the server.
     Complete,
-    /// The client broke it off.
+    /// The client did not send all of it.
     BrokenOff,
     /// It is longer than [`MAX_BODY_BYTES`].
     TooLong,
 }
 
-/// The start of a body that was read before it turned out to be long, and the rest, still to be read.
+/// The start of a body, which was read before the body turned out to be long, and the rest, still to be read.
 struct Unsent {
     start: Bytes,
     rest: Incoming,
@@ -39,7 +39,7 @@
 
 /// A request body that is streamed, once, to the server of one attempt.
 pub struct StreamedBody {
-    /// `None` while an attempt has it, and after one has sent any part.
+    /// `None` while an attempt owns it, and after one has sent any part.
     unsent: RefCell<Option<Unsent>>,
     length: Option<u64>,
     delivery: Cell<Delivery>,
@@ -49,7 +49,8 @@
 }
 
 impl StreamedBody {
-    /// Creates a body from the bytes already read and the rest; `length` as its head says, if it does.
+    /// Creates a body from the bytes already read and the rest. `length` is its length if the request's head
+    /// states it.
     pub fn new(start: Bytes, rest: Incoming, length: Option<u64>) -> Rc<StreamedBody> {
         Rc::new(StreamedBody {
             unsent: RefCell::new(Some(Unsent { start, rest })),
@@ -61,17 +62,17 @@
         })
     }
 
-    /// How much has been delivered.
+    /// Returns how much has been delivered.
     pub fn delivery(&self) -> Delivery {
         self.delivery.get()
     }
 
-    /// Returns whether an attempt has taken the body, so that no other can send it.
+    /// Returns whether an attempt owns the body or has sent a part of it, so that no other can send it.
     pub fn is_consumed(&self) -> bool {
         self.unsent.borrow().is_none()
     }
 
-    /// Waits until the server has all of it; forever if that never happens.
+    /// Waits until the server has received all of it; forever if that never happens.
     pub async fn delivered(&self) {
         while self.delivery.get() != Delivery::Complete {
             self.changed.notified().await;
@@ -80,18 +81,19 @@
 
     /// Waits until the delivery changes, or until `deadline`.
     pub async fn changed(&self, deadline: Instant) {
-        // The caller looks at the state again in either case.
+        // The caller checks the state again in either case.
         let _ = timeout_at(deadline.into(), self.changed.notified()).await;
     }
 
-    /// The instant at which the client, or else the server, is too slow; `None` once the delivery is complete.
+    /// The instant at which the client is too slow, or the server if the client is not being waited for;
+    /// `None` once the delivery is complete.
     pub fn deadline(&self) -> Option<Instant> {
         let is_in_progress = self.delivery.get() != Delivery::Complete;
         is_in_progress
             .then(|| self.rate.get().deadline().unwrap_or(self.last_progress_at.get() + SLOW_READER_TIMEOUT))
     }
 
-    /// Returns whether it is the client that is waited for.
+    /// Returns whether the client is being waited for, and not the server.
     pub fn awaits_client(&self) -> bool {
         self.rate.get().deadline().is_some()
     }
@@ -104,14 +106,14 @@
 
 /// The body of a client's request.
 pub enum RequestBody {
-    /// All of it is in memory: any number of attempts can send it.
+    /// The body is in memory. Any number of attempts can send it.
     Buffered(Bytes),
-    /// It is streamed: one attempt can send it.
+    /// The body is streamed. One attempt can send it.
     Streamed(Rc<StreamedBody>),
 }
 
 impl RequestBody {
-    /// The streamed body, if it is one.
+    /// Returns the streamed body, or `None` if the body is buffered.
     pub fn as_streamed(&self) -> Option<&Rc<StreamedBody>> {
         match self {
             RequestBody::Buffered(_) => None,
@@ -128,7 +130,7 @@
     Streamed(OutgoingStream),
 }
 
-/// A streamed body while an attempt has it.
+/// A streamed body that an attempt owns.
 pub struct OutgoingStream {
     body: Rc<StreamedBody>,
     unsent: Unsent,
@@ -136,7 +138,7 @@
 }
 
 impl OutgoingBody {
-    /// Takes the body for an attempt; `None` when another attempt has taken it already.
+    /// Takes the body for an attempt; returns `None` if another attempt has taken it.
     pub fn take(body: &RequestBody) -> Option<OutgoingBody> {
         match body {
             RequestBody::Buffered(bytes) => Some(OutgoingBody::Buffered(Full::new(bytes.clone()))),
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Returns a body of which nothing was sent, so that another attempt can take it.
+    /// Puts back a body of which nothing was sent, so that another attempt can take it.
     pub fn put_back(self) {
         if let OutgoingBody::Streamed(OutgoingStream { body, unsent, .. }) = self {
             body.unsent.replace(Some(unsent));
@@ -162,7 +164,7 @@
 }
 
 impl OutgoingStream {
-    /// Polls the client for the next bytes; `None` at the end.
+    /// Polls for the next bytes from the client; `None` at the end.
     fn poll_client(&mut self, cx: &mut Context<'_>) -> Poll<Option<hyper::Result<Bytes>>> {
         loop {
             let polled = Pin::new(&mut self.unsent.rest).poll_frame(cx);
@@ -172,7 +174,7 @@
                 self.body.rate.set(rate);
             }
             match ready!(polled) {
-                // Trailers are dropped: no reader uses them.
+                // Trailers are dropped, because no reader uses them.
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) => return Poll::Ready(Some(Ok(data))),
                     Err(_) => continue,
@@ -203,7 +205,7 @@
         Poll::Ready(Some(self.on_data(data)))
     }
 
-    /// Accounts for bytes that are about to be sent.
+    /// Updates the state for bytes that are about to be sent.
     fn on_data(&mut self, data: Bytes) -> io::Result<Bytes> {
         let mut rate = self.body.rate.get();
         rate.on_received(data.len());
--- a/quota-gateway/server/src/body/response_body.rs
+++ b/quota-gateway/server/src/body/response_body.rs
@@ -7,10 +7,10 @@
 use std::task::{ready, Context, Poll};
 use tokio::sync::mpsc;
 
-/// The number of chunks of a streamed response that may wait for the client.
+/// The number of chunks of a streamed response that are buffered for the client.
 const CHUNKS_BUFFERED: usize = 2;
 
-/// An item of a streamed response. A stream that stops without [`Chunk::End`] is broken off.
+/// An item of a streamed response. A stream that stops without [`Chunk::End`] is incomplete.
 pub enum Chunk {
     /// The next bytes.
     Data(Bytes),
@@ -20,13 +20,13 @@
 
 /// A response's body.
 pub enum ResponseBody {
-    /// All of it is in memory.
+    /// The body is in memory.
     Buffered(Full<Bytes>),
-    /// It is streamed.
+    /// The body is streamed.
     Streamed {
-        /// What is still to come.
+        /// The chunks that are not forwarded yet.
         chunks: mpsc::Receiver<Chunk>,
-        /// Its length, if the server's head says so.
+        /// The length of the body, if the server's head states it.
         length: Option<u64>,
     },
 }
@@ -55,7 +55,8 @@
             ResponseBody::Streamed { chunks, .. } => Poll::Ready(match ready!(chunks.poll_recv(cx)) {
                 Some(Chunk::Data(data)) => Some(Ok(Frame::data(data))),
                 Some(Chunk::End) => None,
-                // Closes the connection, which tells the client that the response is incomplete.
+                // The error makes hyper close the connection, so that the client detects the incomplete
+                // response.
                 None => Some(Err(io::ErrorKind::UnexpectedEof.into())),
             }),
         }
--- a/quota-gateway/server/src/clock.rs
+++ b/quota-gateway/server/src/clock.rs
@@ -1,14 +1,14 @@
-//! The time scale of the decisions, of deadlines and of the servers' `started_ms`.
+//! The clock of the core, of deadlines and of the servers' `started_ms`.
 
 use marblecroft_quota_gateway_core::Time;
 use marblecroft_transport::system::monotonic_now;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Unix time as it was at the start of the gateway's first process, continued by the monotonic clock. When the wall clock
-/// is set, this time does not jump, so that no deadline, quota or ejection is affected.
+/// Unix time at the start of the gateway's first process, continued by the monotonic clock. It does not jump
+/// when the wall clock is set, so that no deadline, quota or ejection is affected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Clock {
-    /// The time at the machine's boot, in nanoseconds.
+    /// This clock's time at the boot of the machine, in nanoseconds.
     origin: u64,
 }
 
@@ -24,7 +24,8 @@
         Clock { origin: nanos(unix).saturating_sub(nanos(monotonic_now())) }
     }
 
-    /// Continues the clock of another process on this machine, so that its instants mean the same here.
+    /// Continues the clock of another process on this machine, so that instants of the two processes are
+    /// comparable.
     pub fn from_origin(origin: u64) -> Clock {
         Clock { origin }
     }
--- a/quota-gateway/server/src/commands.rs
+++ b/quota-gateway/server/src/commands.rs
@@ -5,7 +5,7 @@
 /// A command. Commands that change something are idempotent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Is this process ready for clients?
+    /// Check whether this process accepts clients.
     Ready,
     /// Return the metrics.
     Metrics,
@@ -16,16 +16,16 @@
 /// The result of a command that succeeded.
 #[derive(Debug, PartialEq, Eq)]
 pub enum CommandOutput {
-    /// There is nothing to say but that it succeeded.
+    /// Success without further output.
     Done,
     /// A text of this content type.
     Text { body: Vec<u8>, content_type: String },
 }
 
-/// A change that both processes of a gateway make during an upgrade.
+/// A change that both processes of a gateway apply during an upgrade.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// Send no requests to the pay server of this id.
+    /// Send no requests to the pay server with this id.
     Disable(String),
     /// Send requests to it again.
     Enable(String),
@@ -35,13 +35,13 @@
     Undrain,
 }
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, PartialEq, Eq)]
 pub enum CommandError {
-    /// The process accepts no clients yet, or no longer.
+    /// The process does not accept clients yet, or no longer accepts them.
     NotReady,
-    /// No metrics are kept.
+    /// No metrics are recorded.
     MetricsUnavailable,
-    /// No pay server of this id was ever listed.
+    /// No pay server with this id is known.
     UnknownServer(String),
 }
--- a/quota-gateway/server/src/config.rs
+++ b/quota-gateway/server/src/config.rs
@@ -1,9 +1,10 @@
-//! The configuration: the file that `RELAY_CONFIG` names, and the variables that override it at the start.
+//! The configuration: the file at the path in `RELAY_CONFIG`, and the environment variables that override it
+//! at the start.
 //!
-//! Keys of the file are the names in the `serde` attributes; they are fixed. The process-wide limits on connections are
-//! derived here from the number of descriptors.
+//! The keys of the file are fixed: they are the names in the `serde` attributes, or else of the fields. The
+//! limits on connections are derived from the configured number of descriptors.
 
-use crate::console::MAX_CALLERS;
+use crate::console::MAX_CONSOLE_CONNECTIONS;
 use crate::fleet_decisions::fleet_config::{FleetConfig, FleetConfigError};
 use marblecroft_discovery::client::RemovalPolicy;
 use marblecroft_discovery::format::HostList;
@@ -16,25 +17,26 @@
 use std::time::Duration;
 use std::{env, fs, io};
 
-/// The variable that names the configuration file.
+/// The environment variable with the path of the configuration file.
 const FILE_VARIABLE: &str = "RELAY_CONFIG";
 /// The largest number of further addresses of the discovery service.
 const MAX_OTHER_SERVICES: usize = 8;
 /// The longest time for which missing servers are kept, in milliseconds.
 const MAX_REMOVAL_DELAY_MS: u64 = 60_000;
-/// The least number of connections, whatever the limit on descriptors.
+/// The minimum of the limit on connections, whatever the limit on descriptors.
 const MIN_SOCKETS: usize = 8;
-/// Descriptors for the process itself: standard streams, epoll, signals, the listener, discovery, and some that are closed
-/// already but not released yet.
+/// The descriptors for the process itself: standard streams, epoll, signals, the listener, discovery, and
+/// closed ones that are not released yet.
 const RESERVED_SOCKETS: usize = 32;
-/// With fewer descriptors nothing is left for clients and servers beside what the process itself needs.
+/// The minimum of the configured number of descriptors. With fewer, too few are left for clients and servers.
 const MIN_CONFIGURED_SOCKETS: usize = 2 * RESERVED_SOCKETS;
 
 quick_error! {
-    /// Why a configuration is rejected. The text is one line that names what is missing or wrong.
+    /// The reason why a configuration is rejected. The message is one line that names the missing or invalid
+    /// key or variable.
     #[derive(Debug)]
     pub enum ConfigError {
-        /// The variable that names the file is not set.
+        /// The environment variable with the path of the file is not set.
         NoFile(cause: VarError) {
             display("{FILE_VARIABLE}: {cause}")
             source(cause)
@@ -49,18 +51,18 @@
             display("{cause}")
             source(cause)
         }
-        /// A variable does not name an address.
+        /// The value of an environment variable is not an address.
         Address(variable: &'static str, value: String, cause: AddrParseError) {
             display("{variable}: {value:?}: {cause}")
             source(cause)
         }
         /// The limit on descriptors is too low.
         TooFewSockets(sockets: usize) {
-            display("limits.sockets: {sockets} is under {MIN_CONFIGURED_SOCKETS}")
+            display("limits.sockets: {sockets} is less than {MIN_CONFIGURED_SOCKETS}")
         }
         /// The settings of the discovery service are out of range.
         ListService {
-            display("list_service: {MAX_OTHER_SERVICES} others, a share of 1 and {MAX_REMOVAL_DELAY_MS} ms at the most")
+            display("list_service: at most {MAX_OTHER_SERVICES} others, a share of 1 and {MAX_REMOVAL_DELAY_MS} ms")
         }
         /// The settings of the fleet are out of range.
         Fleet(cause: FleetConfigError) {
@@ -71,7 +73,7 @@
     }
 }
 
-/// The configuration. Keys that the gateway does not use are ignored.
+/// The configuration. Unknown keys of the file are ignored.
 #[derive(Debug, Deserialize)]
 pub struct Config {
     /// The address for clients.
@@ -85,17 +87,17 @@
     pub seed: u64,
     /// The limits of the process.
     pub limits: Limits,
-    /// Set where the endpoint list comes from the project's own discovery service.
+    /// Set if the endpoint list comes from the project's own discovery service.
     pub list_service: Option<DiscoveryService>,
-    /// Set where the gateway takes part in a fleet; without it each gateway decides alone.
+    /// Set if the gateway is a member of a fleet; otherwise it makes all decisions locally.
     #[serde(rename = "stewards")]
     pub fleet: Option<FleetConfig>,
-    /// The endpoint list that is in force until one is fetched.
+    /// The endpoint list that is used until one is fetched.
     #[serde(rename = "known")]
     pub initial_list: Option<HostList>,
-    /// The settings of the decisions and the names in the endpoint list.
+    /// The settings of the core, and the names that the endpoint list uses.
     pub settings: Site,
-    /// How events are logged on standard error.
+    /// The format of log events on standard error.
     #[serde(default)]
     pub log: LogConfig,
 }
@@ -104,13 +106,13 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoveryService {
-    /// Asked in turn when the address in `discovery` fails.
+    /// The addresses that are asked in turn if the address in `discovery` fails.
     #[serde(default)]
     others: Vec<SocketAddr>,
-    /// The fraction of servers that may disappear at once without being kept for a while. Default: 0.5.
+    /// The fraction of servers that may disappear together without a removal delay. Default: 0.5.
     #[serde(rename = "missing_share", default = "default_missing_fraction")]
     missing_fraction: f64,
-    /// How long servers that disappeared together are kept, in milliseconds. Default: 10 000.
+    /// The removal delay of servers that disappeared together, in milliseconds. Default: 10 000.
     #[serde(rename = "missing_hold_ms", default = "default_removal_delay_ms")]
     removal_delay_ms: u64,
 }
@@ -124,7 +126,7 @@
 }
 
 impl DiscoveryService {
-    /// How a sudden loss of many servers is handled.
+    /// The policy for servers that disappear together.
     pub fn removal_policy(&self) -> RemovalPolicy {
         RemovalPolicy {
             share: self.missing_fraction,
@@ -142,23 +144,23 @@
 /// The limits of the process.
 #[derive(Debug, Deserialize)]
 pub struct Limits {
-    /// The number of file descriptors that the process may hold.
+    /// The number of file descriptors that the process may use.
     pub sockets: usize,
 }
 
 /// The limits on open connections.
 pub struct ConnectionLimits {
-    /// Connections from clients.
+    /// The maximum number of connections from clients.
     pub clients: usize,
-    /// Connections to servers.
+    /// The maximum number of connections to servers.
     pub servers: usize,
 }
 
 impl Config {
-    /// Reads the configuration at the start, when variables override the file.
+    /// Reads the configuration at the start of the process, when environment variables override the file.
     ///
     /// # Errors
-    /// Fails if the file or a variable is missing or wrong.
+    /// Fails if the file or a variable is missing or invalid.
     pub fn load() -> Result<Config, ConfigError> {
         let mut config = Config::from_file()?;
         let Config { listen, discovery, console, .. } = &mut config;
@@ -168,10 +170,11 @@
         Ok(config)
     }
 
-    /// Reads the file alone: once it has been replaced, the variables of the start are out of date.
+    /// Reads only the file. Used for reloads, because the variables were set for the configuration at the
+    /// start.
     ///
     /// # Errors
-    /// Fails if the file is missing or wrong.
+    /// Fails if the file is missing or invalid.
     pub fn from_file() -> Result<Config, ConfigError> {
         let path = env::var(FILE_VARIABLE).map_err(ConfigError::NoFile)?;
         let text = fs::read(&path).map_err(|cause| ConfigError::Unreadable(path, cause))?;
@@ -194,19 +197,21 @@
         Ok(config)
     }
 
-    /// The addresses of discovery, in the order in which they are asked.
+    /// The addresses of the discovery agents, in the order in which they are asked.
     pub fn agents(&self) -> Vec<SocketAddr> {
         let others = self.list_service.iter().flat_map(|service| &service.others);
         std::iter::once(&self.discovery).chain(others).copied().collect()
     }
 
-    /// The limits on open connections; `is_shared` while another process of this gateway lives, which gets half of them.
+    /// The limits on open connections. `is_shared` is set while another process of this gateway runs, which
+    /// gets half of them.
     ///
-    /// A request uses one connection of each kind, and a hedged one another one to a server; but clients keep far more
-    /// connections open than are in use, because each client opens its own.
+    /// A request uses one connection of each kind, and a hedged request uses another one to a server. Clients
+    /// still get more connections than servers, because each client opens its own and keeps many that are not
+    /// in use.
     pub fn connection_limits(&self, is_shared: bool) -> ConnectionLimits {
-        // The console's connections are reserved, whatever the clients do.
-        let console = self.console.map_or(0, |_| MAX_CALLERS);
+        // The console's connections are reserved, independently of the clients.
+        let console = self.console.map_or(0, |_| MAX_CONSOLE_CONNECTIONS);
         let sockets = if is_shared { self.limits.sockets / 2 } else { self.limits.sockets };
         let available = sockets.saturating_sub(RESERVED_SOCKETS + console).max(MIN_SOCKETS);
         let clients = available * 3 / 5;
@@ -214,7 +219,7 @@
     }
 }
 
-/// The address that a variable names, if it is set.
+/// Returns the address in an environment variable, if it is set.
 fn address_variable(variable: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
     let Ok(value) = env::var(variable) else { return Ok(None) };
     match value.parse() {
--- a/quota-gateway/server/src/console.rs
+++ b/quota-gateway/server/src/console.rs
@@ -1,7 +1,8 @@
-//! The operators' console: HTTP/1.1, one command per connection, answered with 2xx, or 4xx and 5xx where it failed.
+//! The operators' console: HTTP/1.1 with one command per connection. The status is 2xx on success, 4xx or 5xx
+//! on failure.
 //!
-//! The number of connections is bounded. When all slots are taken, the oldest connection is closed, so that callers that
-//! never complete a command cannot lock the operators out.
+//! The number of connections is limited. When all slots are taken, the oldest connection is closed, so that
+//! callers that never complete a command cannot lock out the operators.
 
 use crate::commands::{Change, Command, CommandError, CommandOutput};
 use crate::operations::Operations;
@@ -25,21 +26,22 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tracing::warn;
 
-/// The largest number of connections at a time. When all are taken, the oldest is closed ...
-pub const MAX_CALLERS: usize = 16;
-/// ... once it is this old: a complete command is read and answered sooner. Further callers wait in the listener's queue
-/// meanwhile.
+/// The maximum number of connections. When it is reached, the oldest connection is closed after
+/// [`CLOSE_DELAY`].
+pub const MAX_CONSOLE_CONNECTIONS: usize = 16;
+/// The age from which the oldest connection may be closed; a complete command is read and answered sooner.
+/// Further callers wait in the listener's queue meanwhile.
 const CLOSE_DELAY: Duration = Duration::from_millis(50);
-/// The longest time for a command to arrive and its response to be written.
+/// The longest time in which a command must arrive and its response be written.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The longest head, in bytes. No command needs more ...
+/// The longest head, in bytes. No command needs a longer one.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// ... or a body, in bytes; a short one is read and ignored.
+/// The longest body, in bytes. No command needs a body; a short one is read and ignored.
 const MAX_BODY_BYTES: usize = 4 << 10;
-/// The pause after an accept that failed.
+/// The pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Observes what a caller sends, for what hyper does not report.
+/// Observes the bytes that a caller sends, for conditions that hyper does not report.
 #[derive(Default)]
 struct Caller {
     heads: RefCell<HeadScanner>,
@@ -63,13 +65,13 @@
 pub struct Console {
     operations: Rc<Operations>,
     accepted_count: Cell<u64>,
-    /// The open connections, by the order in which they were accepted.
+    /// The open connections, numbered in the order in which they were accepted.
     connections: RefCell<BTreeMap<u64, Connection>>,
     slot_freed: Notify,
 }
 
 impl Console {
-    /// Creates a console for these operations.
+    /// Creates a console without connections.
     pub fn new(operations: Rc<Operations>) -> Rc<Console> {
         Rc::new(Console {
             operations,
@@ -108,14 +110,14 @@
         self.connections.borrow_mut().insert(number, connection);
     }
 
-    /// Waits until there is a slot for another connection, and closes the oldest one where it must.
+    /// Waits until there is a slot for another connection, and closes the oldest one if necessary.
     async fn wait_for_slot(&self) {
-        while self.connections.borrow().len() >= MAX_CALLERS {
+        while self.connections.borrow().len() >= MAX_CONSOLE_CONNECTIONS {
             let oldest = self.connections.borrow().values().next().map(|oldest| oldest.accepted_at);
             let Some(accepted_at) = oldest else { return };
             let closable_at = accepted_at + CLOSE_DELAY;
             if closable_at > Instant::now() {
-                // The number is checked again in either case.
+                // The loop checks the number again in either case.
                 let _ = timeout_at(closable_at, self.slot_freed.notified()).await;
             } else if let Some((_, oldest)) = self.connections.borrow_mut().pop_first() {
                 oldest.task.abort();
@@ -135,7 +137,8 @@
             .half_close(true)
             .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(HyperIo(socket.clone()), service);
-        // How the connection ended is the caller's affair; hyper has answered what it could not parse.
+        // The result of the connection is not needed: hyper has responded to any request that it could not
+        // parse.
         let is_late = timeout(COMMAND_TIMEOUT, connection).await.is_err();
         let last_bytes = (is_late && caller.has_sent.get())
             .then(|| raw_rejection(StatusCode::REQUEST_TIMEOUT, "the call did not come in time"));
@@ -154,7 +157,7 @@
     }
 }
 
-/// Reads a command and its body, which has no meaning but must be complete.
+/// Reads a command and its body, which is ignored but must be complete.
 async fn read_command(request: Request<Incoming>, framing: Option<Framing>) -> Result<Command, CallError> {
     let (head, body) = request.into_parts();
     let command = parse_command(&head.method, head.uri.path(), head.uri.query())?;
@@ -208,7 +211,7 @@
     }
 }
 
-/// Why a call is not answered with success.
+/// The reason why a call failed.
 #[derive(Debug, PartialEq, Eq)]
 enum CallError {
     /// There is no such command.
--- a/quota-gateway/server/src/discovery.rs
+++ b/quota-gateway/server/src/discovery.rs
@@ -1,8 +1,9 @@
 //! Follows the endpoint list and passes it to the engine.
 //!
-//! A watch asks the agent for changes since the version of the list in force; after a failure the next address is asked, with
-//! a backoff ([`follow_timing`]). What a [`call`](mod@call) returns is first merged by the [`list_follower`], where several processes
-//! of the project's own discovery service may contradict each other, and then applied: ids and names become numbers
+//! A watch asks the agent for changes since the version of the list in force. After a failure the next
+//! address is asked, with a backoff ([`follow_timing`]). The [`list_follower`] merges the lists that
+//! [`call`](mod@call) returns if they come from the project's own discovery service, several processes of
+//! which may contradict each other. Then the list is applied: ids and names are mapped to numbers
 //! ([`server_ids`], [`name_table`]). While discovery fails, the old list stays in force.
 
 mod call;
@@ -30,7 +31,7 @@
 use tokio::time::sleep;
 use tracing::warn;
 
-/// What a [`Discovery`] is created with.
+/// The settings of a [`Discovery`].
 pub struct DiscoverySettings {
     /// The names of zones that have fixed numbers.
     pub zones: Vec<String>,
@@ -47,33 +48,34 @@
 /// Follows the endpoint list.
 pub struct Discovery {
     engine: Rc<Engine>,
-    /// The addresses to ask, which a new configuration may change: the agent, and others that serve the same list.
+    /// The addresses to ask: the agent, and others that serve the same list. A new configuration may change
+    /// them.
     agents: watch::Receiver<Vec<SocketAddr>>,
-    /// Set where the list comes from the project's own service.
+    /// Set if the list comes from the project's own service.
     service: Option<ListFollower>,
     zones: NameTable,
     kinds: NameTable,
     ids: Rc<RefCell<ServerIds>>,
-    /// The version of the list in force; `None` where the full list must be fetched.
+    /// The version of the list in force; `None` if the full list must be fetched.
     version: Option<u64>,
-    /// Spreads what many gateways would otherwise do at the same time.
+    /// The source of jitter, which spreads calls that many gateways would otherwise make at the same time.
     random: Random,
     timing: FollowTiming,
-    /// The time in which all gateways take their turn.
+    /// The time over which the calls of all gateways are spread.
     round: Duration,
     has_logged_malformed_entry: bool,
 }
 
-/// The state of a watch at one set of addresses.
+/// The state of a watch on one set of addresses.
 struct WatchState {
     connection: Option<Connection>,
     address_index: usize,
     backoff: Duration,
-    /// The current outage has been logged.
+    /// Whether the current outage has been logged.
     is_outage_logged: bool,
-    /// The full list is fetched next, because the last call failed.
+    /// Whether the full list is fetched next, because the last call failed.
     needs_full_list: bool,
-    /// Discovery answered the last call with "busy".
+    /// Whether the last call was rejected with "busy".
     is_busy: bool,
 }
 
@@ -84,7 +86,7 @@
 }
 
 impl Discovery {
-    /// Creates a follower that holds no list.
+    /// Creates a follower without a list.
     pub fn new(
         engine: Rc<Engine>,
         agents: watch::Receiver<Vec<SocketAddr>>,
@@ -112,8 +114,8 @@
         self.ids.clone()
     }
 
-    /// Takes over the list of another process of this gateway, and returns whether that process had one. The agent may have
-    /// sent that process more than it passed on, so the full list is fetched next.
+    /// Applies the list of another process of this gateway, and returns whether that process had one. The
+    /// other process may not have passed on all that the agent sent to it, so the full list is fetched next.
     pub fn adopt(&mut self, ids: ServerIds) -> bool {
         let servers: Vec<Entry> = ids.listed_hosts().cloned().map(Entry::Readable).collect();
         for server in ids.disabled() {
@@ -167,10 +169,10 @@
         ServerChange { info, addr: host.addr }
     }
 
-    /// Handles an entry that cannot be read: a server that it names, and that is in use, counts as gone.
+    /// Handles an entry that cannot be read. If it names a server that is in use, that server counts as gone.
     fn on_malformed_entry(&mut self, id: Option<String>) -> Option<ServerChange> {
         if !std::mem::replace(&mut self.has_logged_malformed_entry, true) {
-            warn!("discovery: an entry cannot be read, ignored from now on");
+            warn!("discovery: an entry cannot be read, further ones are not logged");
         }
         let id = self.ids.borrow_mut().number(&id?);
         let addr = self.engine.upstream.process_of(id)?.addr;
@@ -178,25 +180,26 @@
         Some(ServerChange { info, addr })
     }
 
-    /// Follows the list forever; `on_held` is called whenever a list has been received.
-    pub async fn follow(mut self, on_held: impl Fn()) {
+    /// Follows the list forever. Calls `on_list_received` after each successful call.
+    pub async fn follow(mut self, on_list_received: impl Fn()) {
         let mut agents = self.agents.clone();
         loop {
             let addresses = agents.borrow_and_update().clone();
             tokio::select! {
                 // The call in flight and its connection are dropped together with the old agent.
                 changed = agents.changed() => if changed.is_err() { return },
-                () = self.watch(&addresses, &on_held) => {}
+                () = self.watch(&addresses, &on_list_received) => {}
             }
-            // The versions of a new agent need not continue those of the old one, so the full list is fetched. Until it
-            // arrives the old one stays in force.
+            // A new agent's versions need not continue those of the old one, so the full list is fetched.
+            // Until it arrives, the old list stays in force.
             self.version = None;
             self.service.iter_mut().for_each(ListFollower::on_agents_changed);
         }
     }
 
-    /// Watches the list at one of these addresses, at the next one after a failure, until dropped.
-    async fn watch(&mut self, addresses: &[SocketAddr], on_held: impl Fn()) {
+    /// Watches the list at one of these addresses until dropped. After a failure it moves on to the next
+    /// address.
+    async fn watch(&mut self, addresses: &[SocketAddr], on_list_received: impl Fn()) {
         let mut state = WatchState {
             connection: None,
             address_index: 0,
@@ -206,13 +209,14 @@
             is_busy: false,
         };
         if self.version.is_some() {
-            // A list is in force, and the other gateways may have been restarted at the same time.
+            // A list is already in force, so the call can be delayed: other gateways may have restarted at
+            // the same time.
             sleep(jitter(self.round, &mut self.random)).await;
         }
         loop {
             match self.fetch(addresses, &mut state).await {
                 // The next call follows at once: a watch continues only if it comes within 200 ms.
-                Ok(()) => on_held(),
+                Ok(()) => on_list_received(),
                 Err(cause) => self.back_off(addresses, &mut state, &cause).await,
             }
         }
@@ -227,7 +231,7 @@
             Ok(Fetched { list, connection }) => {
                 state.connection = Some(connection);
                 let list = self.merge(list).map_err(|e| e.to_string())?;
-                // A watch that ended without a change has nothing to apply.
+                // A watch that ended without a change returns an empty delta, which is not applied.
                 if list.full || !list.servers.is_empty() || self.version != Some(list.version) {
                     self.on_list(list);
                 }
@@ -247,7 +251,7 @@
         }
     }
 
-    /// A watch from the version in force, or a call for the full list.
+    /// Returns a watch from the version in force, or a call for the full list.
     fn next_request(&self, state: &WatchState) -> FetchRequest {
         let is_watch_possible = !state.needs_full_list || self.service.is_some();
         let watch_from = self
@@ -274,8 +278,8 @@
         state.backoff = (state.backoff * 2).min(self.timing.backoff.max);
     }
 
-    /// Makes one call, and hedges it where it stays silent: the first answer counts. Slow calls are not abandoned before
-    /// their time; those that remain when one is answered are.
+    /// Makes one call and hedges it if it is not answered in time. The first response is used. Slow calls are
+    /// not abandoned before their timeout; those still in flight when one is answered are.
     async fn query(
         &mut self,
         addresses: &[SocketAddr],
@@ -295,13 +299,14 @@
             };
             tokio::select! {
                 ended = calls.next() => match ended {
-                    // While other calls are in flight a failure is ignored; the last one decides.
+                    // A failure is ignored while other calls are in flight, and returned if it is the last
+                    // call.
                     Some(Err(FetchError::Failed(_))) if !calls.is_empty() => {}
                     Some(ended) => return ended,
-                    None => return Err("no answer".into()),
+                    None => return Err("no response in time".into()),
                 },
                 () = hedge_delay => {
-                    log_outage(&mut state.is_outage_logged, "no answer");
+                    log_outage(&mut state.is_outage_logged, "no response in time");
                     wait = Duration::ZERO;
                     state.address_index = (state.address_index + 1) % addresses.len();
                     self.remove_expired();
@@ -312,14 +317,15 @@
         }
     }
 
-    /// What a hedged call asks for. With the project's own service the version in force is valid at any of its processes;
-    /// elsewhere the full list is fetched, because a watch would wait again before it is known to be unanswered.
+    /// The watch of a hedged call; `None` for the full list. The version in force is valid at any process of
+    /// the project's own service. Other agents are asked for the full list, because a further watch would
+    /// have to wait again before it is known to be unanswered.
     fn hedge_watch_from(&self) -> Option<WatchFrom> {
         let version = self.version.filter(|_| self.service.is_some())?;
         Some(WatchFrom { version, wait: Duration::ZERO })
     }
 
-    /// Returns the list to apply after one was received.
+    /// Merges a received list and returns the list to apply.
     fn merge(&mut self, list: HostList) -> Result<HostList, MergeError> {
         let Some(service) = &mut self.service else { return Ok(list) };
         let merged = service.merge(list);
@@ -329,20 +335,20 @@
         merged
     }
 
-    /// Removes servers that have been missing from the list for too long.
+    /// Removes servers that have been missing from the list for longer than the removal delay.
     fn remove_expired(&mut self) {
         let removal = self.service.as_mut().and_then(ListFollower::remove_expired);
         removal.into_iter().for_each(|list| self.on_list(list));
     }
 
-    /// How long a watch may wait: not beyond the instant at which the next missing server is removed.
+    /// The longest wait of a watch. It ends before the next missing server is to be removed.
     fn max_watch_wait(&self) -> Duration {
         let until_removal = self.service.as_ref().and_then(ListFollower::until_next_removal);
         until_removal.map_or(self.timing.wait, |removal| removal.min(self.timing.wait))
     }
 }
 
-/// Logs one event for a whole outage, however many calls fail in it.
+/// Logs one event per outage, independent of the number of calls that fail.
 fn log_outage(is_logged: &mut bool, cause: &str) {
     if !std::mem::replace(is_logged, true) {
         warn!(cause = %cause, "discovery: {cause}");
--- a/quota-gateway/server/src/discovery/call.rs
+++ b/quota-gateway/server/src/discovery/call.rs
@@ -16,29 +16,29 @@
 pub struct WatchFrom {
     /// The version of the list that is in force.
     pub version: u64,
-    /// How long the agent waits for a change before it answers.
+    /// How long the agent waits for a change before it responds.
     pub wait: Duration,
 }
 
-/// What is asked for.
+/// The parameters of a call.
 #[derive(Clone, Copy)]
 pub struct FetchRequest {
-    /// The watch; `None` for the full list.
+    /// The watch, or `None` to fetch the full list.
     pub watch_from: Option<WatchFrom>,
-    /// How long the answer may take beyond the watch's wait.
+    /// How long the response may take in addition to the watch's wait.
     pub timeout: Duration,
 }
 
 impl FetchRequest {
-    /// How long the agent may wait before it answers.
+    /// How long the agent may wait before it responds.
     pub fn wait(&self) -> Duration {
         self.watch_from.map_or(Duration::ZERO, |watch| watch.wait)
     }
 }
 
-/// The answer to a call, and its connection for the next one.
+/// The response to a call, and its connection for the next one.
 pub struct Fetched {
-    /// What the agent sent.
+    /// The list that the agent sent.
     pub list: HostList,
     /// The connection, still open.
     pub connection: Connection,
@@ -46,8 +46,8 @@
 
 /// Why a call returned no list.
 pub enum FetchError {
-    /// The agent is alive but has too many calls. The list in force is as valid as before, and the full list would cost
-    /// the agent far more than the changes.
+    /// The agent rejected the call because it has too many. The list in force is still valid, and the full
+    /// list would cost the agent far more than the changes.
     Busy(Connection),
     /// The call failed, for this reason.
     Failed(String),
@@ -59,17 +59,17 @@
     }
 }
 
-/// Makes a call, on `connection` if that is still open.
+/// Makes a call, on `connection` if it is still open.
 ///
 /// # Errors
-/// Fails if the agent is busy, cannot be reached, does not answer in time, or sends what is not a list.
+/// Fails if the agent is busy, cannot be reached, does not respond in time, or sends no valid list.
 pub async fn call(
     agent: SocketAddr,
     request: FetchRequest,
     connection: Option<Connection>,
 ) -> Result<Fetched, FetchError> {
-    let answered = timeout(request.wait() + request.timeout, exchange(agent, request, connection)).await;
-    answered.unwrap_or_else(|_| Err("no answer".into()))
+    let response = timeout(request.wait() + request.timeout, exchange(agent, request, connection)).await;
+    response.unwrap_or_else(|_| Err("no response in time".into()))
 }
 
 async fn exchange(
@@ -77,7 +77,7 @@
     request: FetchRequest,
     mut connection: Option<Connection>,
 ) -> Result<Fetched, FetchError> {
-    // The agent may have closed the connection since, or announced that it would: the call need not wait for that.
+    // A new connection is used if the agent has closed this one in the meantime or announced its close.
     if let Some(kept) = &mut connection {
         if !kept.ready().await || !kept.is_reusable() {
             connection = None;
@@ -94,13 +94,13 @@
         Request::get(list_request.target()).header("host", agent.to_string()).body(Default::default())?;
     let response = connection.send(message).await?;
     let status = response.status();
-    let body = read_buffered(response.into_body()).await.ok_or("an answer that is cut off or too long")?;
+    let body = read_buffered(response.into_body()).await.ok_or("response truncated or too long")?;
     match status {
         StatusCode::OK => {
             let list = serde_json::from_slice(&body).map_err(|e| format!("malformed list: {e}"))?;
             Ok(Fetched { list, connection })
         }
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Err(FetchError::Busy(connection)),
-        _ => Err(format!("answered {status}").into()),
+        _ => Err(format!("responded with {status}").into()),
     }
 }
--- a/quota-gateway/server/src/discovery/follow_timing.rs
+++ b/quota-gateway/server/src/discovery/follow_timing.rs
@@ -1,44 +1,48 @@
-//! The timing with which an endpoint list is followed, and the bound that it adds up to.
+//! The timing with which an endpoint list is followed, and the resulting bound on the delay of a change.
 
 use marblecroft_quota_gateway_core::{Discovery as Method, Random};
 use std::time::Duration;
 
-/// The pauses after failed calls, before jitter: the first one doubles up to the maximum.
+/// The pauses after failed calls, before jitter. The pause doubles with each failure, up to the maximum.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Backoff {
-    /// The first pause, and the one after a success.
+    /// The pause after the first failure since a success.
     pub first: Duration,
     /// The longest pause.
     pub max: Duration,
 }
 
-/// How a list is followed.
+/// The timing with which a list is followed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FollowTiming {
     /// How long a watch waits for a change.
     pub wait: Duration,
-    /// A call that is unanswered this long after its wait is hedged; `None`: it is not.
+    /// A call that is unanswered this long after its wait is hedged; `None` to never hedge.
     pub hedge_after: Option<Duration>,
-    /// A watch that is unanswered this long after its wait is abandoned: it has had its turn before.
+    /// A watch that is unanswered this long after its wait is abandoned. Discovery has accepted it before, so
+    /// it does not queue again.
     pub watch_timeout: Duration,
-    /// A call for the full list, which waits its turn among those of all gateways, is abandoned after this time ...
+    /// A call for the full list is abandoned after this time, which includes queueing behind the calls of
+    /// other gateways.
     pub timeout: Duration,
-    /// ... or this time after a busy answer: a call waits its turn then, and each that is abandoned too early is wasted
-    /// work that delays the others.
+    /// The timeout of a call after a busy response. Such a call queues, and abandoning it too early wastes
+    /// work of discovery and delays the other calls.
     pub busy_timeout: Duration,
     /// The pauses after failed calls.
     pub backoff: Backoff,
-    /// The time in which discovery is expected to answer one gateway's new watch.
+    /// The time that discovery is expected to take for one gateway's new watch.
     pub stagger: Duration,
 }
 
-/// Where lists must be requested, calls are priced and abandoned ones are wasted work. A change counts as delivered 6 s
-/// after discovery has it, so a watch that turns silent as it begins is abandoned and the full list requested within that
-/// time ([`FollowTiming::update_bound`]). The full list is answered at once; a further watch would take its whole wait again
-/// to find the agent silent. Silent watches end for all gateways at the same time, and each one's next call takes discovery
-/// a third of a second where it is slow: a call that is abandoned before its turn is served all the same and delays the
-/// others, so it is waited for for longer. All gateways start a watch when they were restarted or rejected together, and
-/// discovery also works on abandoned calls: with less than a turn between them it reaches none before its caller has gone.
+/// The timing for a list that must be polled: calls are priced, and abandoned ones are wasted work. A change
+/// counts as delivered 6 s after discovery has it. Within that time, a watch that gets no response is
+/// abandoned and the full list is requested ([`FollowTiming::update_bound`]). The full list is returned
+/// immediately, whereas a further watch would have to wait as long again before the agent is known
+/// to be unresponsive. Unanswered watches end for all gateways at the same time, and each gateway's next call
+/// takes a slow discovery service a third of a second. A call that is abandoned while it queues is processed
+/// anyway and delays the others, so its timeout is longer. All gateways start a watch at the same time when
+/// they were restarted or rejected together. Discovery processes abandoned calls too: with a stagger below
+/// the time that one call takes, it would reach each call only after its caller has given up.
 const POLLED: FollowTiming = FollowTiming {
     wait: Duration::from_millis(2500),
     hedge_after: None,
@@ -49,9 +53,10 @@
     stagger: Duration::from_millis(35),
 };
 
-/// Where lists are pushed, the agent is on this machine, answers at once and at no cost, and a change counts as delivered
-/// from the moment at which the agent has it, whatever calls it left unanswered. A call that turned silent is never
-/// answered, so it is soon hedged; it is not abandoned for that, so that an agent that is only slow is heard too.
+/// The timing for a list that is pushed: the agent is on this machine, responds immediately and at no cost. A
+/// change counts as delivered as soon as the agent has it, even if calls are unanswered. An unanswered call
+/// never gets a response, so it is hedged soon. It is not abandoned at that point, so that the response of a
+/// slow agent is still used.
 const PUSHED: FollowTiming = FollowTiming {
     wait: Duration::from_millis(200),
     hedge_after: Some(Duration::from_millis(80)),
@@ -62,9 +67,10 @@
     stagger: Duration::ZERO,
 };
 
-/// The project's own service pushes changes too, from a few processes to all gateways: their watches share one encoding,
-/// but each call costs a little, and several hundred calls that come back at the same time cost more.
-const SERVED: FollowTiming = FollowTiming {
+/// The timing for the project's own service, which also pushes changes, from a few processes to all gateways.
+/// The watches share one encoding, but each call costs a little, and several hundred simultaneous calls cost
+/// more.
+const PROJECT_SERVICE: FollowTiming = FollowTiming {
     wait: Duration::from_secs(1),
     hedge_after: Some(Duration::from_millis(250)),
     watch_timeout: Duration::from_secs(1),
@@ -74,21 +80,22 @@
     stagger: Duration::ZERO,
 };
 
-/// The smallest factor of a jittered pause; the largest is greater by [`JITTER_SPAN`].
+/// The smallest factor of a jittered pause. The largest is greater by [`JITTER_SPAN`].
 const MIN_JITTER: f64 = 0.5;
 const JITTER_SPAN: f64 = 1.0;
-/// The longest round. With more gateways than take their turn in it, discovery rejects some, which is better than that all
-/// are served too late.
+/// The longest time over which the calls of all gateways are spread. If there are too many gateways for it,
+/// discovery rejects some calls, which is better than serving all of them too late.
 const MAX_ROUND: Duration = Duration::from_millis(2800);
-/// A change counts as delivered this long after discovery had it and could be reached, whatever became of earlier calls.
+/// A change counts as delivered this long after discovery had it and could be reached, whatever happened to
+/// earlier calls.
 const UPDATE_BOUND: Duration = Duration::from_secs(6);
 
-/// A random instant within the round in which all gateways take their turn: they cannot agree on an order.
+/// Returns a random delay within the round over which calls are spread. The gateways have no agreed order.
 pub fn jitter(round: Duration, random: &mut Random) -> Duration {
     round.mul_f64(random.uniform())
 }
 
-const fn longer(one: Duration, other: Duration) -> Duration {
+const fn max_duration(one: Duration, other: Duration) -> Duration {
     if one.as_nanos() > other.as_nanos() {
         one
     } else {
@@ -96,7 +103,7 @@
     }
 }
 
-/// A pause with the largest jitter.
+/// Returns a pause with the largest jitter.
 const fn longest_pause(pause: Duration) -> Duration {
     pause.saturating_mul(3).checked_div(2).expect("no division by zero")
 }
@@ -104,29 +111,31 @@
 const _: () = {
     assert!(POLLED.update_bound().as_nanos() <= UPDATE_BOUND.as_nanos());
     assert!(PUSHED.update_bound().as_nanos() <= UPDATE_BOUND.as_nanos());
-    assert!(SERVED.update_bound().as_nanos() <= UPDATE_BOUND.as_nanos());
+    assert!(PROJECT_SERVICE.update_bound().as_nanos() <= UPDATE_BOUND.as_nanos());
 };
 
 impl FollowTiming {
-    /// The timing for a method; `is_own_service` where the list comes from the project's own discovery service.
+    /// The timing for a method; `is_own_service` is set if the list comes from the project's own discovery
+    /// service.
     pub fn of(method: Method, is_own_service: bool) -> FollowTiming {
         match (method, is_own_service) {
             (Method::Subscribe, _) => POLLED,
             (Method::Push, false) => PUSHED,
-            (Method::Push, true) => SERVED,
+            (Method::Push, true) => PROJECT_SERVICE,
         }
     }
 
-    /// The longest time from the moment at which discovery has a change and can be reached until a call starts that it can
-    /// answer, whatever the state at that moment: a watch or a call that turned silent as it began, or a pause.
+    /// The longest time from the moment at which discovery has a change and can be reached until a call
+    /// starts that it can answer. At that moment a watch or another call may just have started and remain
+    /// unanswered, or a pause may have begun.
     pub const fn max_time_to_call(&self) -> Duration {
         match self.hedge_after {
             Some(hedge_after) => {
-                longer(self.wait.saturating_add(hedge_after), longest_pause(self.backoff.max))
+                max_duration(self.wait.saturating_add(hedge_after), longest_pause(self.backoff.max))
             }
             None => {
                 let watch = self.wait.saturating_add(self.watch_timeout);
-                longer(
+                max_duration(
                     watch.saturating_add(longest_pause(self.backoff.first)),
                     self.timeout.saturating_add(longest_pause(self.backoff.max)),
                 )
@@ -134,14 +143,15 @@
         }
     }
 
-    /// The same until that call is answered, or would be abandoned; this holds for gateways that were rejected, too.
+    /// The longest time until that call is answered or abandoned, also for gateways that were rejected as
+    /// busy.
     pub const fn update_bound(&self) -> Duration {
         let rejected =
-            longest_pause(longer(self.backoff.max, self.max_round())).saturating_add(self.busy_timeout);
-        longer(self.max_time_to_call().saturating_add(self.timeout), rejected)
+            longest_pause(max_duration(self.backoff.max, self.max_round())).saturating_add(self.busy_timeout);
+        max_duration(self.max_time_to_call().saturating_add(self.timeout), rejected)
     }
 
-    /// A pause with jitter, so that many gateways do not call at the same time.
+    /// Returns a pause with jitter, so that many gateways do not call at the same time.
     pub fn jittered(pause: Duration, random: &mut Random) -> Duration {
         pause.mul_f64(MIN_JITTER + JITTER_SPAN * random.uniform())
     }
@@ -154,8 +164,8 @@
         }
     }
 
-    /// The time in which each gateway takes its turn with a discovery that must be polled. Where changes are pushed a watch
-    /// costs nothing, and a change counts as delivered at once.
+    /// The time over which the calls of all gateways are spread if the list must be polled. If changes are
+    /// pushed, it is zero: a watch costs nothing, and a change counts as delivered immediately.
     pub fn round(&self, gateways: u32) -> Duration {
         self.stagger.saturating_mul(gateways).min(self.max_round())
     }
--- a/quota-gateway/server/src/discovery/list_follower.rs
+++ b/quota-gateway/server/src/discovery/list_follower.rs
@@ -1,7 +1,8 @@
-//! The list of the project's own discovery service, which several processes serve.
+//! Follows the list of the project's own discovery service, which several processes serve.
 //!
-//! One of them may lag behind or have lost its store, so what they send is merged by
-//! [`marblecroft_discovery::client::Follower`], which also delays the removal of many servers at once.
+//! One of them may lag behind or have lost its store, so their lists are merged by
+//! [`marblecroft_discovery::client::Follower`], which also delays the removal of many servers at the same
+//! time.
 
 use crate::metric::Metric;
 use marblecroft_discovery::client::{Follower, MergeOutcome, RemovalPolicy};
@@ -12,16 +13,16 @@
 use std::time::{Duration, Instant};
 
 quick_error! {
-    /// Why a list that was received is not applied.
+    /// The reason why a received list is not applied.
     #[derive(Debug)]
     pub enum MergeError {
         /// It is older than the one in force.
         Behind {
-            display("a list older than what is held")
+            display("the received list is older than the one in force")
         }
-        /// It holds changes of another store than the one that is followed.
+        /// It belongs to another store than the one that is followed.
         OtherStore {
-            display("changes of another store")
+            display("the received list belongs to another store")
         }
     }
 }
@@ -33,17 +34,17 @@
     metrics: Rc<ListMetrics>,
 }
 
-/// How up to date the list is, for operators.
+/// The metrics of how up to date the list is.
 #[derive(Default)]
 pub struct ListMetrics {
-    last_heard_at: Cell<Option<Instant>>,
+    last_update_at: Cell<Option<Instant>>,
     suspects: Cell<usize>,
 }
 
 impl ListMetrics {
     /// The current values.
     pub fn metrics(&self) -> [Metric; 2] {
-        let age = self.last_heard_at.get().map(|heard_at| heard_at.elapsed().as_secs_f64());
+        let age = self.last_update_at.get().map(|updated_at| updated_at.elapsed().as_secs_f64());
         [
             Metric {
                 name: "marblecroft_list_age_seconds",
@@ -60,7 +61,7 @@
 }
 
 impl ListFollower {
-    /// Creates a follower that holds no list.
+    /// Creates a follower without a list.
     pub fn new(removal_policy: RemovalPolicy) -> ListFollower {
         ListFollower {
             follower: Follower::new(removal_policy),
@@ -74,21 +75,21 @@
         self.metrics.clone()
     }
 
-    /// Merges a list that was received into the one in force, and returns what is to be applied.
+    /// Merges a received list into the one in force, and returns the list to apply.
     ///
     /// # Errors
     /// Fails if the list is older than the one in force, or of another store.
     pub fn merge(&mut self, list: HostList) -> Result<HostList, MergeError> {
-        let taken = self.follower.merge(list, self.started_at.elapsed());
+        let outcome = self.follower.merge(list, self.started_at.elapsed());
         self.update_metrics();
-        match taken {
+        match outcome {
             MergeOutcome::Merged(list) => Ok(list),
             MergeOutcome::Stale => Err(MergeError::Behind),
             MergeOutcome::OtherStore => Err(MergeError::OtherStore),
         }
     }
 
-    /// Returns the removal of servers that have been missing for too long, if there are any.
+    /// Returns a list that removes the servers whose removal delay has passed, if there are any.
     pub fn remove_expired(&mut self) -> Option<HostList> {
         let removal = self.follower.remove_overdue(self.started_at.elapsed());
         self.update_metrics();
@@ -100,14 +101,14 @@
         Some(self.follower.next_removal_at()?.saturating_sub(self.started_at.elapsed()))
     }
 
-    /// Records that other addresses are asked from now on.
+    /// Handles a change of the addresses that are asked.
     pub fn on_agents_changed(&mut self) {
         self.follower.on_service_changed();
     }
 
     fn update_metrics(&self) {
         let age = self.follower.age(self.started_at.elapsed());
-        self.metrics.last_heard_at.set(age.and_then(|age| Instant::now().checked_sub(age)));
+        self.metrics.last_update_at.set(age.and_then(|age| Instant::now().checked_sub(age)));
         self.metrics.suspects.set(self.follower.servers_pending_removal());
     }
 }
--- a/quota-gateway/server/src/discovery/name_table.rs
+++ b/quota-gateway/server/src/discovery/name_table.rs
@@ -1,13 +1,14 @@
 //! Numbers for names of zones and kinds.
 
-/// The largest number of names. Further names count as the last one: names that are ever new would grow without bound.
+/// The largest number of names. Further names get the last number, so that the table stays bounded when new
+/// names keep appearing.
 const MAX_NAMES: usize = 256;
 
-/// Numbers for names: those of the settings keep theirs, and others follow as they appear.
+/// Numbers for names. The names in the settings have fixed numbers; others are numbered as they appear.
 pub struct NameTable(Vec<String>);
 
 impl NameTable {
-    /// Creates a table of these names, numbered from 0.
+    /// Creates a table with these names, numbered from 0.
     pub fn new(names: Vec<String>) -> NameTable {
         NameTable(names)
     }
--- a/quota-gateway/server/src/discovery/server_ids.rs
+++ b/quota-gateway/server/src/discovery/server_ids.rs
@@ -1,6 +1,6 @@
 //! Numbers for the ids of servers.
 //!
-//! The numbers are passed on from process to process, as JSON: names of fields are part of the format.
+//! The numbers are passed from process to process as JSON, so field names are part of the format.
 
 use marblecroft_discovery::format::Host;
 use marblecroft_quota_gateway_core::{Lifecycle, Scope, ServerId, ServerInfo};
@@ -9,31 +9,32 @@
 use std::time::{Duration, Instant};
 use tracing::info;
 
-/// How long the number of a server that is no longer listed is kept: longer than any request to it may last.
+/// How long the number of an unlisted server is kept: longer than any request to it may last.
 const ID_RETENTION: Duration = Duration::from_secs(60);
 /// The parameters of the 32-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// Numbers for the ids of servers. The number is a hash of the id, so that a server has the same number after a restart of
-/// the gateway; on a collision the next free number is used.
+/// Numbers for the ids of servers. The number is a hash of the id, so that a server keeps its number across
+/// restarts of the gateway. On a collision the next free number is used.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct ServerIds(HashMap<u32, NumberedServer>);
 
 #[derive(Clone, Serialize, Deserialize)]
 struct NumberedServer {
     id: String,
-    /// The last entry of the list, while the server is listed.
+    /// The server's last entry, while it is listed.
     host: Option<Host>,
-    /// The operators have disabled it, and may enable it again whatever becomes of it.
+    /// Whether the operators have disabled it. Kept also while the server is not listed, because they may
+    /// enable it again.
     disabled: bool,
-    /// Since when it is not listed any more.
+    /// The instant since which it is not listed.
     #[serde(skip)]
     unlisted_since: Option<Instant>,
 }
 
 impl ServerIds {
-    /// The number of an id; a new one if it has none.
+    /// Returns the number of an id, and assigns one if it has none.
     pub fn number(&mut self, id: &str) -> ServerId {
         let mut number =
             id.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME));
@@ -41,14 +42,14 @@
             number = number.wrapping_add(1);
         }
         self.0.entry(number).or_insert_with(|| {
-            // The decisions' own log lines name servers by number.
-            info!(server = %id, number, "server {id} is number {number}");
+            // The core's log lines identify servers by number.
+            info!(server = %id, number, "server {id} has number {number}");
             NumberedServer { id: id.to_owned(), host: None, disabled: false, unlisted_since: None }
         });
         ServerId(number)
     }
 
-    /// Records an entry of the list, and returns its server's number.
+    /// Records an entry of the list and returns the number of its server.
     pub fn on_host(&mut self, host: &Host) -> ServerId {
         let number = self.number(&host.id);
         if let Some(server) = self.0.get_mut(&number.0) {
@@ -57,7 +58,7 @@
         number
     }
 
-    /// Marks a server as disabled or not, and returns its number if the id is known.
+    /// Marks a server as disabled or enabled, and returns its number if the id is known.
     pub fn set_disabled(&mut self, id: &str, disabled: bool) -> Option<ServerId> {
         let (&number, server) = self.0.iter_mut().find(|(_, server)| server.id == id)?;
         server.disabled = disabled;
@@ -74,7 +75,8 @@
         self.0.values().filter_map(|server| server.host.as_ref())
     }
 
-    /// Applies an endpoint list, and forgets servers that were unlisted long ago: in long service ids are ever new.
+    /// Applies an endpoint list, and removes servers that were unlisted longer ago than [`ID_RETENTION`]:
+    /// over time, new ids keep appearing.
     pub fn on_endpoint_list(&mut self, scope: Scope, servers: &[ServerInfo], now: Instant) {
         if scope == Scope::Full {
             for server in self.0.values_mut() {
--- a/quota-gateway/server/src/engine.rs
+++ b/quota-gateway/server/src/engine.rs
@@ -1,10 +1,11 @@
-//! The event loop around the quota gateway's decisions.
+//! The event loop around the quota gateway's decision core.
 //!
-//! The decisions ([`marblecroft_quota_gateway_core::Gateway`]) are a pure core: the engine passes each event to them, then
-//! carries out the actions that they return. An action may cause further events, which are queued: the core is never called
-//! while its actions are being carried out. The engine owns the requests in flight ([`open_request`]), runs their
-//! [`attempts`], and keeps the [`timers`]. It enforces two rules whatever the core does: each request gets exactly one final
-//! response, by its deadline, and each attempt ends exactly once.
+//! The core ([`marblecroft_quota_gateway_core::Gateway`]) decides and does no I/O: the engine passes each
+//! event to it and carries out the actions that it returns. An action may cause further events, which are
+//! queued: the core is never called while its actions are being carried out. The engine owns the requests in
+//! flight ([`open_request`]), runs their [`attempts`], and keeps the [`timers`]. It enforces two rules
+//! whatever the core does: each request gets exactly one final response, by its deadline, and each attempt
+//! ends exactly once.
 
 mod attempts;
 pub mod open_request;
@@ -30,8 +31,8 @@
 /// How often idle connections are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Handles one event and appends the resulting actions: [`marblecroft_quota_gateway_core::Gateway::handle`], or a wrapper
-/// around it that observes what passes.
+/// Handles one event and appends the resulting actions: [`marblecroft_quota_gateway_core::Gateway::handle`],
+/// or a wrapper around it that observes the events and actions.
 pub type Decide = Box<dyn FnMut(Time, Event, &mut Vec<Action>)>;
 
 /// The event loop.
@@ -54,7 +55,7 @@
     is_handling: Cell<bool>,
 }
 
-/// Clears the flag also when something panics, or no event would be handled any more.
+/// Clears the flag on drop, also after a panic: otherwise no further event would be handled.
 struct HandlingGuard<'a>(&'a Cell<bool>);
 
 impl Drop for HandlingGuard<'_> {
@@ -88,8 +89,8 @@
         })
     }
 
-    /// Handles a client's request that has arrived; `request` lacks only its id. The final response comes once, or not at
-    /// all if the client is reported as disconnected before.
+    /// Handles a client's request; the engine sets the id of `request`. The receiver gets the final response
+    /// once, or nothing if the client is reported as disconnected first.
     pub fn on_request(
         &self,
         mut request: NewRequest,
@@ -116,7 +117,8 @@
         (id, response)
     }
 
-    /// Makes every present and future request get its response by `exit_at`, when the process is killed.
+    /// Ensures that every present and future request gets its response by `exit_at`, when the process is
+    /// killed.
     pub fn set_process_end(&self, exit_at: Time) {
         self.budgets.end_by(exit_at);
         let open: Vec<RequestId> = self.open.borrow().keys().copied().collect();
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Passes an event to the decisions, and then the events that arise while their actions are carried out.
+    /// Passes an event to the core, and then the events that arise while the core's actions are carried out.
     pub fn post(&self, event: Event) {
         self.queue.borrow_mut().push_back(event);
         if self.is_handling.replace(true) {
@@ -146,11 +148,11 @@
     }
 
     fn handle(&self, mut event: Event, actions: &mut Vec<Action>) {
-        let request = self.before_decision(&mut event);
+        let request = self.prepare_event(&mut event);
         let now = self.clock.now();
         let decide = || (*self.decide.borrow_mut())(now, event, actions);
         if catch_unwind(AssertUnwindSafe(decide)).is_err() {
-            // The panic hook has written to standard error. Only the request that the event is about fails.
+            // The panic hook has written to standard error. Only the request that the event belongs to fails.
             if let Some(id) = request.filter(|&id| self.respond(id, FinalResponse::GatewayFault)) {
                 self.queue.borrow_mut().push_back(Event::ClientDisconnected(id));
             }
@@ -159,13 +161,13 @@
             self.perform(now, action);
         }
         if let Some(id) = request {
-            self.remove_if_over(id);
+            self.remove_if_complete(id);
         }
     }
 
-    /// Completes an event with what is known only now, when its turn has come, and applies it here where it concerns the
-    /// engine too. Returns the request that the event is about.
-    fn before_decision(&self, event: &mut Event) -> Option<RequestId> {
+    /// Fills in the fields of an event that are known only when it is handled, and applies the event to the
+    /// engine's own state where necessary. Returns the request that the event belongs to.
+    fn prepare_event(&self, event: &mut Event) -> Option<RequestId> {
         match event {
             Event::Request(request) => Some(request.id),
             Event::Outcome(outcome) => {
@@ -185,10 +187,10 @@
         }
     }
 
-    /// Forgets a request that has its response and no attempt in flight.
-    fn remove_if_over(&self, id: RequestId) {
+    /// Removes a request that has its final response and no attempt in flight.
+    fn remove_if_complete(&self, id: RequestId) {
         let mut open = self.open.borrow_mut();
-        if open.get(&id).is_some_and(OpenRequest::is_over) {
+        if open.get(&id).is_some_and(OpenRequest::is_complete) {
             open.remove(&id);
         }
     }
@@ -196,7 +198,7 @@
     fn perform(&self, now: Time, action: Action) {
         match action {
             Action::Send { id, server, deadline, begin_by } => {
-                // The decisions write an attempt without an end of its own as one that ends at zero.
+                // The core represents an attempt without an end of its own by a deadline of zero.
                 let ends_at = (deadline != Time(0)).then_some(deadline);
                 self.start_attempt(now, id, server, AttemptWindow { ends_at, begin_by });
             }
@@ -208,13 +210,13 @@
                 self.respond(id, FinalResponse::Failed);
             }
             Action::Timer { at, token } => self.timers.set(at, TimerKind::Decision(token)),
-            // The watch of the endpoint list runs from the start and resumes by itself.
+            // The watch of the endpoint list is started with the process and resumes by itself.
             Action::Subscribe => {}
             Action::Log(text) => info!("{text}"),
         }
     }
 
-    /// Gives the final response. Returns whether it is the first, which alone is sent.
+    /// Sends a final response unless the request already has one. Returns whether it was sent.
     fn respond(&self, id: RequestId, response: FinalResponse) -> bool {
         if let Some(open) = self.open.borrow().get(&id).filter(|open| !open.is_finished()) {
             let is_served = matches!(response, FinalResponse::Served(_));
@@ -222,12 +224,12 @@
             debug!(trace = open.upstream_request.trace(), response = response.name(), "request answered");
         }
         let Some(responder) = self.finish(id) else { return false };
-        // Without a receiver the client has just disconnected, and its connection will report that.
+        // Without a receiver, the client has just disconnected, and its connection reports that.
         let _ = responder.send(response);
         true
     }
 
-    /// Marks a request as finished and returns the channel of its response, the first time.
+    /// Marks a request as finished. Returns the channel of its response on the first call only.
     fn finish(&self, id: RequestId) -> Option<oneshot::Sender<FinalResponse>> {
         self.open.borrow_mut().get_mut(&id)?.finish()
     }
@@ -240,7 +242,7 @@
     /// Runs the timers, forever.
     pub async fn run_timers(&self) {
         loop {
-            let next_due = self.timers.next_due(|kind| self.is_timer_wanted(kind));
+            let next_due = self.timers.next_due(|kind| self.is_timer_live(kind));
             match next_due.map(|due_at| due_at.0.saturating_sub(self.clock.now().0)) {
                 Some(0) => {
                     if let Some(kind) = self.timers.pop() {
@@ -253,9 +255,9 @@
         }
     }
 
-    /// Returns whether a timer still has an effect. Most timers of attempts and requests outlive them, and each would wake
-    /// the process for nothing.
-    fn is_timer_wanted(&self, kind: &TimerKind) -> bool {
+    /// Returns whether a timer still has an effect. Most timers of attempts and requests outlast them, and
+    /// each would wake the process for nothing.
+    fn is_timer_live(&self, kind: &TimerKind) -> bool {
         match kind {
             TimerKind::Decision(_) => true,
             TimerKind::AttemptEnd(id, _) | TimerKind::ResponseDeadline(id) => {
@@ -276,7 +278,7 @@
         }
     }
 
-    /// Closes connections to servers that were idle for too long, forever.
+    /// Closes connections to servers that were idle for too long, at regular intervals forever.
     pub async fn run_sweeps(&self) {
         loop {
             sleep(SWEEP_INTERVAL).await;
--- a/quota-gateway/server/src/engine/attempts.rs
+++ b/quota-gateway/server/src/engine/attempts.rs
@@ -1,4 +1,5 @@
-//! The life of an attempt: started on the decisions' behalf, ended by its response, its timer or a cancellation.
+//! The lifecycle of an attempt: started by an action of the core, ended by its response, its timer or a
+//! cancellation.
 
 use super::open_request::{Attempt, EndingAttempt, FinalResponse};
 use super::timers::TimerKind;
@@ -14,19 +15,20 @@
 use tracing::debug;
 
 impl Engine {
-    /// Starts an attempt, or ends it at once where it is late, exceeds the number of attempts, comes after the final
-    /// response, or is for a server that is not listed. Either way it gets one outcome.
+    /// Starts an attempt. It ends at once if its deadline has passed, it exceeds the number of attempts, the
+    /// request already has its final response, or the server is not listed. Either way it gets one outcome.
     pub(super) fn start_attempt(&self, now: Time, id: RequestId, server: ServerId, window: AttemptWindow) {
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(&id) else { return };
         let attempt = AttemptNo(open.attempts.len() as u32);
-        // Bounded by the request's deadline; without a deadline its body is still arriving, and nothing bounds it.
+        // Limited by the request's deadline. A request without a deadline is still sending its body, and the
+        // attempt has no time limit yet.
         let deadline = open.upstream_request.budget.deadline();
         let ends_at = deadline.map(|deadline| window.ends_at.map_or(deadline, |end| end.min(deadline)));
         let window = AttemptWindow { ends_at, ..window };
         let is_late = ends_at.is_some_and(|ends_at| ends_at <= now);
-        let is_moot = open.is_finished() || is_late || open.attempts.len() >= self.max_attempts;
-        let process = self.upstream.process_of(server).filter(|_| !is_moot);
+        let is_obsolete = open.is_finished() || is_late || open.attempts.len() >= self.max_attempts;
+        let process = self.upstream.process_of(server).filter(|_| !is_obsolete);
         let request = &open.upstream_request;
         let task = process.and_then(|process| {
             let engine = self.weak_self.upgrade()?;
@@ -46,7 +48,7 @@
         });
         drop(requests);
         if !in_flight {
-            let status = if is_moot { Status::NotSent } else { Status::ConnectFailed };
+            let status = if is_obsolete { Status::NotSent } else { Status::ConnectFailed };
             self.on_ended(id, attempt, now, status.into());
         } else if let Some(ends_at) = ends_at {
             self.timers.set(ends_at, TimerKind::AttemptEnd(id, attempt));
@@ -73,7 +75,7 @@
         self.on_attempt_ended(id, attempt, end.await);
     }
 
-    /// A server has the last byte of a streamed body, so the client's timeout starts now.
+    /// A server has received the last byte of a streamed body, so the client's timeout starts now.
     fn on_body_written(&self, id: RequestId, attempt: AttemptNo) {
         let now = self.clock.now();
         let mut requests = self.open.borrow_mut();
@@ -89,7 +91,7 @@
         self.post(Event::BodyWritten { id, attempt, deadline });
     }
 
-    /// A streamed response has begun: it is the final one, and no timer bounds the attempt any more.
+    /// A streamed response has begun: it is the final response, and no timer limits the attempt any more.
     fn on_stream_started(&self, id: RequestId, attempt: AttemptNo, response: ServedResponse) {
         if let Some(open) = self.open.borrow_mut().get_mut(&id) {
             if let Some(attempt) = open.attempt_mut(attempt) {
@@ -100,7 +102,7 @@
         self.respond(id, FinalResponse::Served(response));
     }
 
-    /// Abandons an attempt whose end has come. The end may have been moved since the timer was set.
+    /// Aborts an attempt that has timed out. Its end may have been moved since the timer was set.
     pub(super) fn on_attempt_timer(&self, id: RequestId, attempt: AttemptNo) {
         let mut requests = self.open.borrow_mut();
         let ends_at = requests.get_mut(&id).and_then(|open| open.attempt_mut(attempt)?.ends_at);
@@ -118,10 +120,11 @@
         }
     }
 
-    /// Handles the end of an attempt by itself. The first complete response is the final one.
+    /// Handles an attempt that has run to its end. The first complete response is the final one.
     fn on_attempt_ended(&self, id: RequestId, attempt: AttemptNo, mut end: AttemptEnd) {
         if end.status == Status::Cancelled {
-            // The client disconnected during its response. Reported while the attempt is still in flight: its end follows.
+            // The client disconnected during its response. Reported while the attempt is still in flight; the
+            // outcome of the attempt follows.
             self.post(Event::ClientDisconnected(id));
         }
         if let Some(EndingAttempt { sent_at, .. }) = self.take_in_flight(id, attempt) {
@@ -157,8 +160,8 @@
         }));
     }
 
-    /// Updates the budget and the other processes. Returns whether the attempt consumed the body, so that no further one
-    /// can be made.
+    /// Updates the budget and notifies the other processes of this gateway. Returns whether the attempt
+    /// consumed the body, so that no further attempt is possible.
     fn record_end(&self, id: RequestId, attempt: AttemptNo, elapsed: Duration, status: Status) -> bool {
         let requests = self.open.borrow();
         let Some(open) = requests.get(&id) else { return false };
--- a/quota-gateway/server/src/engine/open_request.rs
+++ b/quota-gateway/server/src/engine/open_request.rs
@@ -1,4 +1,4 @@
-//! A request in flight: its attempts, and the response that its client is owed.
+//! A request in flight: its attempts, and the channel for its final response.
 
 use crate::upstream::request::{ServedResponse, UpstreamRequest};
 use marblecroft_quota_gateway_core::{AttemptNo, NewRequest, ServerId, Time};
@@ -15,9 +15,9 @@
     Rejected { retry_after: Duration },
     /// All attempts failed; the request may have run.
     Failed,
-    /// The decisions gave no response by the deadline.
+    /// The core decided on no response by the deadline.
     DeadlineExceeded,
-    /// The decisions panicked while they handled the request.
+    /// The core panicked while it handled the request.
     GatewayFault,
 }
 
@@ -36,11 +36,12 @@
 
 /// One attempt of a request.
 pub struct Attempt {
-    /// The server that was chosen.
+    /// The server that the request is sent to.
     pub server: ServerId,
     /// When it was started; for a streamed body, when the server had all of it.
     pub sent_at: Time,
-    /// When it is abandoned; `None` while the request's body is being sent, and once a streamed response has begun.
+    /// When it times out; `None` while the request's body is being sent, and once a streamed response has
+    /// begun.
     pub ends_at: Option<Time>,
     /// The task that runs it, while it is in flight.
     pub task: Option<AbortHandle>,
@@ -54,13 +55,13 @@
     pub task: AbortHandle,
 }
 
-/// A request that has no final response yet, or still has attempts in flight.
+/// A request that has no final response yet or still has attempts in flight.
 pub struct OpenRequest {
-    /// What the decisions know of the request.
+    /// The request as passed to the core.
     pub request: NewRequest,
-    /// What is sent to servers; shared with the attempts.
+    /// The message for servers; shared with the attempts.
     pub upstream_request: Rc<UpstreamRequest>,
-    /// Where the final response goes; `None` once it is given.
+    /// The channel for the final response; `None` once the request is finished.
     responder: Option<oneshot::Sender<FinalResponse>>,
     /// All attempts so far, by number.
     pub attempts: Vec<Attempt>,
@@ -81,17 +82,17 @@
         }
     }
 
-    /// Returns whether the final response is given, or the client has disconnected.
+    /// Returns whether the final response was sent or the client has disconnected.
     pub fn is_finished(&self) -> bool {
         self.responder.is_none()
     }
 
     /// Returns whether the request is finished and no attempt is in flight.
-    pub fn is_over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.is_finished() && self.attempts.iter().all(|attempt| attempt.task.is_none())
     }
 
-    /// Finishes the request and returns the channel of its response, the first time.
+    /// Marks the request as finished. Returns the channel of its response on the first call only.
     pub fn finish(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.upstream_request.is_finished.set(true);
         self.responder.take()
@@ -102,7 +103,7 @@
         self.attempts.get_mut(attempt.0 as usize)
     }
 
-    /// Takes an attempt out of flight, the first time, so that it ends only once.
+    /// Marks an attempt as no longer in flight. Returns it on the first call only, so that it ends only once.
     pub fn end_attempt(&mut self, attempt: AttemptNo) -> Option<EndingAttempt> {
         let attempt = self.attempt_mut(attempt)?;
         attempt.task.take().map(|task| EndingAttempt { sent_at: attempt.sent_at, task })
--- a/quota-gateway/server/src/engine/tests.rs
+++ b/quota-gateway/server/src/engine/tests.rs
@@ -10,8 +10,8 @@
 
 const SERVER: ServerId = ServerId(1);
 
-/// Runs a test with an engine and one server that accepts connections and never responds. The decisions are a script, and
-/// the events that they handled are recorded.
+/// Runs a test with an engine and one server that accepts connections and never responds. `script` takes the
+/// place of the core, and the events that it handles are recorded.
 fn with_engine(
     script: impl Fn(&Event, &mut Vec<Action>) + 'static,
     test: impl AsyncFnOnce(&Rc<Engine>, &RefCell<Vec<Event>>),
@@ -24,7 +24,7 @@
     let events: Rc<RefCell<Vec<Event>>> = Rc::default();
     let recorded = events.clone();
     let decide = move |_, event: Event, actions: &mut Vec<Action>| {
-        // Panics if the engine is re-entrant.
+        // Panics if the engine calls the core recursively.
         recorded.borrow_mut().push(event.clone());
         script(&event, actions);
     };
@@ -80,10 +80,11 @@
 }
 
 #[test]
-fn each_attempt_gets_one_outcome_and_moot_ones_are_not_sent() {
+fn each_attempt_gets_one_outcome_and_obsolete_attempts_are_not_sent() {
     let script = |event: &Event, actions: &mut Vec<Action>| {
         if let Event::Request(r) = event {
-            // To a server that is not listed, too late, beyond the number of attempts, and after the final response.
+            // To a server that is not listed, past its deadline, beyond the number of attempts, and after the
+            // final response.
             actions.push(send(r.id, ServerId(9), Time(0)));
             actions.push(send(r.id, SERVER, Time(1)));
             actions.push(send(r.id, SERVER, Time(0)));
@@ -94,9 +95,10 @@
     };
     with_engine(script, async |engine, events| {
         let (_, answered) = admit(engine, LONG);
-        assert!(matches!(answered.await, Ok(FinalResponse::Failed)), "the first final response counts");
-        let moot = Status::NotSent;
-        let all = [(0, Status::ConnectFailed, true), (1, moot, true), (2, moot, true), (3, moot, true)];
+        assert!(matches!(answered.await, Ok(FinalResponse::Failed)), "the first final response is sent");
+        let not_sent = Status::NotSent;
+        let all =
+            [(0, Status::ConnectFailed, true), (1, not_sent, true), (2, not_sent, true), (3, not_sent, true)];
         assert_eq!(outcomes(events), all);
         assert!(engine.open.borrow().is_empty());
     });
@@ -123,10 +125,10 @@
 }
 
 #[test]
-fn a_request_is_answered_even_if_the_decisions_stall_or_panic() {
+fn a_request_gets_a_response_even_if_the_core_stalls_or_panics() {
     let script = |event: &Event, _: &mut Vec<Action>| {
         if matches!(event, Event::Request(r) if r.id == RequestId(1)) {
-            panic!("the decisions fail");
+            panic!("the core fails");
         }
     };
     with_engine(script, async |engine, events| {
@@ -136,7 +138,7 @@
         let (second, answered) = admit(engine, Duration::from_millis(20));
         assert!(matches!(answered.await, Ok(FinalResponse::DeadlineExceeded)));
         assert!(matches!(events.borrow().last(), Some(Event::ClientDisconnected(id)) if *id == second));
-        assert!(engine.open.borrow().is_empty(), "both requests are forgotten");
+        assert!(engine.open.borrow().is_empty(), "both requests are removed");
     });
 }
 
--- a/quota-gateway/server/src/engine/timers.rs
+++ b/quota-gateway/server/src/engine/timers.rs
@@ -8,23 +8,23 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// What a timer is for. Timers that are due at the same instant fire in this order.
+/// The purpose of a timer. Timers that are due at the same instant fire in the order of the variants.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerKind {
-    /// A timer that the decisions set.
+    /// A timer set by the core.
     Decision(Token),
     /// An attempt is abandoned.
     AttemptEnd(RequestId, AttemptNo),
-    /// A final response must be given.
+    /// The final response to a request is due.
     ResponseDeadline(RequestId),
 }
 
-/// Timers in the order in which they are due.
+/// Timers, ordered by due time.
 #[derive(Default)]
 pub struct TimerQueue {
     heap: RefCell<BinaryHeap<Reverse<(Time, TimerKind)>>>,
     /// Notified when a timer is set that is due before all others.
-    earlier: Notify,
+    earlier_timer_set: Notify,
 }
 
 impl TimerQueue {
@@ -32,16 +32,16 @@
     pub fn set(&self, due_at: Time, kind: TimerKind) {
         let mut heap = self.heap.borrow_mut();
         if heap.peek().is_none_or(|Reverse((first, _))| due_at < *first) {
-            self.earlier.notify_one();
+            self.earlier_timer_set.notify_one();
         }
         heap.push(Reverse((due_at, kind)));
     }
 
-    /// The instant at which the first timer is due that is still wanted. Timers before it that are not wanted are removed.
-    pub fn next_due(&self, is_wanted: impl Fn(&TimerKind) -> bool) -> Option<Time> {
+    /// Returns when the first live timer is due, and removes the timers before it that are not live.
+    pub fn next_due(&self, is_live: impl Fn(&TimerKind) -> bool) -> Option<Time> {
         let mut heap = self.heap.borrow_mut();
         while let Some(Reverse((due_at, kind))) = heap.peek() {
-            if is_wanted(kind) {
+            if is_live(kind) {
                 return Some(*due_at);
             }
             heap.pop();
@@ -58,10 +58,10 @@
     pub async fn sleep(&self, duration: Option<Duration>) {
         match duration {
             Some(duration) => {
-                // The caller looks at the queue again in either case.
-                let _ = timeout(duration, self.earlier.notified()).await;
+                // The caller checks the queue again in either case.
+                let _ = timeout(duration, self.earlier_timer_set.notified()).await;
             }
-            None => self.earlier.notified().await,
+            None => self.earlier_timer_set.notified().await,
         }
     }
 }
--- a/quota-gateway/server/src/fleet_decisions.rs
+++ b/quota-gateway/server/src/fleet_decisions.rs
@@ -1,9 +1,9 @@
-//! The gateway as a member of its fleet.
+//! The gateway as a member of a fleet.
 //!
-//! It follows what the fleet's controllers publish in the coordination service, applies it to its own decisions, and reports
-//! what it observes to the owners of the controllers' roles ([`reporter`]). Between the engine and the decisions the
-//! [`observer`] counts attempts for the reports, and applies quota shares and the shard map to requests. None of this
-//! exists unless the configuration has a `stewards` object.
+//! The member follows the decisions that the fleet's controllers publish in the coordination service, applies
+//! them in this gateway, and reports its observations to the owners of the controllers' roles ([`reporter`]).
+//! The [`observer`], between the engine and the core, counts attempts for the reports and applies quota
+//! shares and the shard map to requests. All this runs only if the configuration has a `stewards` object.
 
 pub mod fleet_config;
 mod observations;
@@ -35,37 +35,38 @@
 use tokio::time::interval;
 use tracing::{info, warn};
 
-/// How often it is checked whether a decision has lapsed, and the limits of this gateway are recomputed.
+/// The interval at which this gateway's limits are recomputed and decisions are checked for expiry.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What was read of the fleet's decisions.
+/// The fleet's decisions as last read, and this gateway's state that depends on them.
 #[derive(Default)]
 struct FleetState {
     zones: DecisionReader<ZonesDecision>,
-    /// The addresses of the role owners, to which reports go.
+    /// The addresses of the role owners, which receive the reports.
     owners: BTreeSet<SocketAddr>,
-    /// The zone shares that were last passed to the decisions.
-    announced: Vec<ZoneShare>,
-    /// The number of unreadable decisions, by cause.
+    /// The zone shares that were last posted to the core.
+    last_posted: Vec<ZoneShare>,
+    /// The number of decisions that could not be decoded, by cause.
     malformed: BTreeMap<DecodeError, u64>,
-    is_zone_decision_lapsed: bool,
-    /// A moving average over a second or two, from which this gateway's part of zone capacities is computed.
+    is_zone_decision_expired: bool,
+    /// A moving average over one to two seconds; this gateway's part of the zone capacities is computed from
+    /// it.
     units_per_second: f64,
 }
 
-/// What a member is created with.
+/// The settings of a [`Member`].
 pub struct MemberSettings {
     /// The fleet's part of the configuration.
     pub config: FleetConfig,
-    /// The observer whose observations are reported.
+    /// Provides the observations to report.
     pub observer: Rc<Observer>,
-    /// The shard map, where writes are placed by it.
+    /// The shard map, if writes are routed by it.
     pub shard_routing: Option<Rc<ShardRouting>>,
-    /// The instant from which instants of decisions count.
+    /// The origin of all instants of decisions.
     pub started_at: Instant,
     /// The number of this gateway's zone.
     pub zone: u32,
-    /// Distinguishes this process from others of the same gateway.
+    /// The number of this process, which distinguishes it from others of the same gateway.
     pub incarnation: u64,
 }
 
@@ -73,7 +74,7 @@
 pub struct Member {
     config: FleetConfig,
     fleet: Fleet,
-    names: Keys,
+    keys: Keys,
     engine: Weak<Engine>,
     observer: Rc<Observer>,
     shard_routing: Option<Rc<ShardRouting>>,
@@ -84,12 +85,12 @@
 }
 
 impl Member {
-    /// Starts to follow decisions and to report, until the engine is dropped.
+    /// Starts the tasks that follow decisions and send reports. They end when the engine is dropped.
     pub fn start(engine: &Rc<Engine>, settings: MemberSettings) {
         let MemberSettings { config, observer, shard_routing, started_at, zone, incarnation } = settings;
         let member = Rc::new(Member {
             fleet: Fleet::named(&config.name),
-            names: Keys::of(&config.name),
+            keys: Keys::of(&config.name),
             engine: Rc::downgrade(engine),
             zone: observer.zone(zone),
             observer,
@@ -100,38 +101,38 @@
             config,
         });
         let client = Client::behind(member.config.coordinators.clone(), member.config.translator);
-        let (follower, prefix) = (member.clone(), member.names.prefix.clone());
+        let (follower, prefix) = (member.clone(), member.keys.prefix.clone());
         spawn_local(follow(client, prefix, move || started_at.elapsed(), move |view| follower.on_view(view)));
         spawn_local(member.clone().send_reports());
         spawn_local(member.apply_decisions());
     }
 
-    /// Handles a new view of what the fleet has published.
+    /// Handles a new view of the keys that the fleet has published.
     fn on_view(&self, view: &View) {
-        let asked_at = view.as_of().unwrap_or_default();
+        let queried_at = view.as_of().unwrap_or_default();
         self.read_decision::<ZonesDecision>(view, "zones", |decision| {
-            Some(self.state.borrow_mut().zones.accept(asked_at, decision))
+            Some(self.state.borrow_mut().zones.accept(queried_at, decision))
         });
         self.read_decision::<ShareDecision>(view, "shares", |decision| {
-            self.observer.install_shares(asked_at, decision)
+            self.observer.install_shares(queried_at, decision)
         });
         self.read_decision::<ShardMap>(view, "books", |decision| {
-            Some(self.shard_routing.as_ref()?.install(asked_at, decision))
+            Some(self.shard_routing.as_ref()?.install(queried_at, decision))
         });
-        let prefix = format!("{}owner/", self.names.prefix);
+        let prefix = format!("{}owner/", self.keys.prefix);
         let address = |owner: RoleOwner| Some(self.config.reachable(owner.report_address.parse().ok()?));
         self.state.borrow_mut().owners =
             view.entries_under(&prefix).filter_map(|(_, value)| address(decode_value(value)?)).collect();
     }
 
-    /// Reads one role's decision; `install` returns `None` where this gateway does not use it.
+    /// Reads the decision of one role; `install` returns `None` if this gateway does not use it.
     fn read_decision<T: Body>(
         &self,
         view: &View,
         role: &str,
         install: impl FnOnce(Decision<T>) -> Option<Acceptance>,
     ) {
-        let Some(bytes) = view.get(&self.names.decision(role)) else { return };
+        let Some(bytes) = view.get(&self.keys.decision(role)) else { return };
         match decode::<Decision<T>>(self.fleet, bytes) {
             Ok(decision) => {
                 let Stamp { token, revision } = decision.stamp;
@@ -140,24 +141,25 @@
                         info!(token, revision, duty = role, "goes by {role} {token}.{revision}")
                     }
                     Some(Acceptance::Stale) => {
-                        info!(token, duty = role, "a decision on {role} came after a newer one")
+                        info!(token, duty = role, "ignored a decision on {role}: a newer one is in force")
                     }
                     Some(Acceptance::Renewed) | None => {}
                 }
             }
             Err(cause) => {
-                // Logged once for each cause; the decision in force stays.
+                // Logged once per cause. The decision in force stays in force.
                 let mut state = self.state.borrow_mut();
                 let count = state.malformed.entry(cause).or_insert(0);
                 *count += 1;
                 if *count == 1 {
-                    warn!(why = cause.name(), duty = role, "a decision on {role} is refused: {cause}");
+                    warn!(why = cause.name(), duty = role, "rejected a decision on {role}: {cause}");
                 }
             }
         }
     }
 
-    /// Passes the decisions in force to the engine whenever they change; none once they have lapsed.
+    /// Posts the zone shares to the engine whenever they change. They are empty once the decision has
+    /// expired.
     async fn apply_decisions(self: Rc<Self>) {
         let mut ticks = interval(CHECK_INTERVAL);
         loop {
@@ -170,45 +172,46 @@
         }
     }
 
-    /// The zone shares in force, if they have changed.
+    /// Returns the zone shares in force if they have changed since the last call.
     fn changed_zone_shares(&self) -> Option<Vec<ZoneShare>> {
         let mut state = self.state.borrow_mut();
-        let standing = state.zones.validity(self.started_at.elapsed());
-        let is_lapsed = matches!(standing, Validity::Expired(..));
-        let limits = match standing {
+        let validity = state.zones.validity(self.started_at.elapsed());
+        let is_expired = matches!(validity, Validity::Expired(..));
+        let limits = match validity {
             Validity::Valid(decision) => {
                 GatewayLimits::for_gateway(&decision.body, &self.zone, state.units_per_second)
             }
             Validity::NoDecision | Validity::Expired(..) => None,
         };
         let shares = limits.map_or_else(Vec::new, |limits| self.zone_shares(&limits));
-        if std::mem::replace(&mut state.is_zone_decision_lapsed, is_lapsed) != is_lapsed {
-            if is_lapsed {
-                warn!("the decision on zones has lapsed; each zone is chosen as it would be alone");
+        if std::mem::replace(&mut state.is_zone_decision_expired, is_expired) != is_expired {
+            if is_expired {
+                warn!("the decision on zones has expired; zones are selected without the fleet's shares");
             } else {
-                info!("goes by what is decided in common again");
+                info!("goes by the fleet's decision on zones again");
             }
         }
-        if state.announced == shares {
+        if state.last_posted == shares {
             return None;
         }
-        state.announced.clone_from(&shares);
+        state.last_posted.clone_from(&shares);
         Some(shares)
     }
 
-    /// The shares of the zones that this gateway knows, with the limits on requests to other zones.
+    /// The shares of the zones that this gateway has a number for, with the limits on requests to other
+    /// zones.
     fn zone_shares(&self, limits: &GatewayLimits) -> Vec<ZoneShare> {
         let max_rate = |name: &String| {
             let limit = limits.max_rates.iter().find(|(zone, _)| zone == name);
             limit.map_or(f64::INFINITY, |(_, max_rate)| *max_rate)
         };
-        let known = limits.shares.iter().filter_map(|(name, share)| {
+        let shares = limits.shares.iter().filter_map(|(name, share)| {
             Some(ZoneShare {
                 zone: self.observer.zone_number(name)?,
                 share: *share,
                 max_rate: max_rate(name),
             })
         });
-        known.collect()
+        shares.collect()
     }
 }
--- a/quota-gateway/server/src/fleet_decisions/fleet_config.rs
+++ b/quota-gateway/server/src/fleet_decisions/fleet_config.rs
@@ -11,7 +11,7 @@
 const MAX_REPORT_MS: u64 = 10_000;
 
 quick_error! {
-    /// Why the settings are rejected. The text names the key.
+    /// Why the settings are rejected. The message names the key.
     #[derive(Debug)]
     pub enum FleetConfigError {
         /// The fleet's name is empty or too long.
@@ -29,28 +29,29 @@
     }
 }
 
-/// Where the fleet's decisions come from, and how often the gateway reports.
+/// The fleet that the gateway belongs to, how its decisions are fetched and used, and how often the gateway
+/// reports.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetConfig {
     /// The fleet's name, as in the controllers' configuration.
     #[serde(rename = "fleet")]
     pub name: String,
-    /// This gateway's number among all.
+    /// This gateway's number in the fleet.
     pub gateway: u32,
     /// The addresses of the coordination service.
     pub coordinators: Vec<String>,
-    /// The address under which coordinators and controllers are reached, with their own ports, where an address translator
-    /// is in between.
+    /// The address of an address translator through which coordinators and controllers are reached, with
+    /// their own ports, if there is one.
     #[serde(rename = "at")]
     pub translator: Option<IpAddr>,
     /// The interval between reports, in milliseconds. Default: 1000.
     #[serde(default = "default_report_ms")]
     report_ms: u64,
-    /// Whether requests are admitted by the firms' shares of the fleet's capacity.
+    /// Whether requests are limited by the firms' shares of the fleet's capacity.
     #[serde(rename = "shares", default)]
     uses_quota_shares: bool,
-    /// Whether writes are placed by the shard map, and rejected while no valid one is in force.
+    /// Whether writes are routed by the shard map, and rejected while no valid map is in force.
     #[serde(rename = "books", default)]
     pub uses_shard_map: bool,
 }
@@ -60,7 +61,7 @@
 }
 
 impl FleetConfig {
-    /// This gateway's number, where requests are admitted by quota shares.
+    /// This gateway's number if it uses quota shares.
     pub fn quota_share_gateway(&self) -> Option<u32> {
         self.uses_quota_shares.then_some(self.gateway)
     }
@@ -78,7 +79,7 @@
     /// Checks that all values are in range.
     ///
     /// # Errors
-    /// Names the first key whose value is not.
+    /// Returns the first key whose value is out of range.
     pub fn check(&self) -> Result<(), FleetConfigError> {
         if self.name.is_empty() || self.name.len() > MAX_FLEET_NAME_BYTES {
             return Err(FleetConfigError::Name);
--- a/quota-gateway/server/src/fleet_decisions/observations.rs
+++ b/quota-gateway/server/src/fleet_decisions/observations.rs
@@ -1,4 +1,4 @@
-//! What is observed between two reports: the outcomes of attempts by zone.
+//! The observations between two reports: the outcomes of attempts by zone.
 
 use marblecroft_control_messages::report::{AttemptCounts, ZoneObservation};
 use marblecroft_quota_gateway_core::{
@@ -7,29 +7,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// An attempt that was cancelled after at least this long had met an unresponsive server.
+/// An attempt that is cancelled after at least this long counts as failed: its server was unresponsive.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(300);
-/// The largest number of requests whose attempts are tracked: far more than are ever in flight here.
+/// The largest number of requests whose attempts are tracked, far above the number that one gateway has in
+/// flight.
 const MAX_TRACKED_REQUESTS: usize = 20_000;
 
 /// An attempt of a request.
 struct SentAttempt {
     server: ServerId,
     sent_at: Time,
-    /// It was reported as failed because its server is unresponsive; only a response still counts.
+    /// It was already counted as failed because its server is unresponsive; only a later response is still
+    /// counted.
     is_counted: bool,
     is_ended: bool,
 }
 
-/// A request, as long as it may have an attempt in flight.
+/// A request that may still have an attempt in flight.
 pub(super) struct TrackedRequest {
     units: f64,
-    /// A server that is silent for longer than this is unresponsive, whenever the attempt is abandoned.
+    /// A server that does not respond for longer than this counts as unresponsive, whenever the attempt is
+    /// abandoned.
     latency_target: Duration,
     attempts: Vec<SentAttempt>,
 }
 
-/// What a gateway reports on one interval.
+/// The observations of one report interval.
 pub struct ObservedInterval {
     /// The units of all new requests.
     pub requested_units: f64,
@@ -43,14 +46,14 @@
     servers: BTreeMap<ServerId, ServerInfo>,
     pub(super) requests: BTreeMap<RequestId, TrackedRequest>,
     /// Outcomes by zone.
-    seen: BTreeMap<u32, AttemptCounts>,
+    attempt_counts: BTreeMap<u32, AttemptCounts>,
     requested_units: f64,
 }
 
 impl Observations {
     /// Tracks a request that has arrived.
     pub fn on_request(&mut self, request: &NewRequest, settings: &Settings) {
-        // A client's retry is not further demand.
+        // A client's retry adds no demand.
         self.requested_units += if request.is_retry { 0.0 } else { request.units };
         let class = settings.classes.get(request.class.0);
         let latency_target = class.map_or(UNRESPONSIVE_AFTER, |class| class.latency_target);
@@ -61,17 +64,18 @@
         }
     }
 
-    /// Tracks an attempt that is sent.
+    /// Tracks an attempt that was sent.
     pub fn on_sent(&mut self, id: RequestId, server: ServerId, now: Time) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts.push(SentAttempt { server, sent_at: now, is_counted: false, is_ended: false });
         }
     }
 
-    /// Forgets a request that has its final response, unless an attempt is still in flight, whose outcome follows.
+    /// Stops tracking a request that has its final response. If an attempt is still in flight, its outcome
+    /// does so.
     pub fn on_finished(&mut self, id: RequestId) {
-        let is_over = |request: &TrackedRequest| request.attempts.iter().all(|attempt| attempt.is_ended);
-        if self.requests.get(&id).is_some_and(is_over) {
+        let has_ended = |request: &TrackedRequest| request.attempts.iter().all(|attempt| attempt.is_ended);
+        if self.requests.get(&id).is_some_and(has_ended) {
             self.requests.remove(&id);
         }
     }
@@ -90,14 +94,14 @@
         }
         let Some((server, is_counted)) = attempt else { return };
         let Some(zone) = self.zone_of(server) else { return };
-        let seen = self.seen.entry(zone).or_default();
+        let seen = self.attempt_counts.entry(zone).or_default();
         match outcome.status {
             Status::Ok => seen.served += units,
             _ if is_counted => {}
             Status::Rejected => seen.rejected += units,
             Status::Error | Status::Reset | Status::TimedOut => seen.failed += units,
             Status::ConnectFailed => seen.connect_failed += units,
-            // Cancelled because the server is unresponsive; an earlier cancellation says nothing of the server.
+            // The server was unresponsive. An earlier cancellation is no evidence about the server.
             Status::Cancelled if outcome.elapsed >= UNRESPONSIVE_AFTER => seen.failed += units,
             Status::Cancelled | Status::NotSent => {}
         }
@@ -122,7 +126,7 @@
     /// Returns the observations since the last call; `zones` are the names of the zones.
     pub fn take(&mut self, zones: &[String], settings: &Settings, now: Time) -> ObservedInterval {
         self.count_unresponsive(now);
-        let mut seen = std::mem::take(&mut self.seen);
+        let mut seen = std::mem::take(&mut self.attempt_counts);
         let zones = (0..).zip(zones).map(|(zone, name)| {
             let is_running = |s: &&ServerInfo| s.zone == zone && s.lifecycle == Lifecycle::Running;
             let running = self.servers.values().filter(is_running);
@@ -136,7 +140,7 @@
         ObservedInterval { requested_units: std::mem::take(&mut self.requested_units), zones }
     }
 
-    /// The zones in which servers run.
+    /// The zones that have a running server.
     fn running_zones(&self) -> BTreeSet<u32> {
         let is_running = |server: &&ServerInfo| server.lifecycle == Lifecycle::Running;
         self.servers.values().filter(is_running).map(|server| server.zone).collect()
@@ -146,8 +150,9 @@
         self.servers.get(&server).map(|server| server.zone)
     }
 
-    /// Counts attempts as failed, once, whose server has been silent for longer than the latency target. Otherwise a zone
-    /// that is lost without a sign would be noticed only when its attempts are abandoned.
+    /// Counts each attempt as failed, once, when its server has not responded within the latency target.
+    /// Without this, the loss of a zone whose connections stay open would be noticed only when its attempts
+    /// are abandoned.
     fn count_unresponsive(&mut self, now: Time) {
         let mut unresponsive = Vec::new();
         for request in self.requests.values_mut() {
@@ -162,13 +167,13 @@
         }
         for (server, units) in unresponsive {
             if let Some(zone) = self.zone_of(server) {
-                self.seen.entry(zone).or_default().failed += units;
+                self.attempt_counts.entry(zone).or_default().failed += units;
             }
         }
     }
 }
 
-/// The fraction of its capacity that a server offers during its slow start.
+/// The fraction of its capacity that a server offers at `now`, which is less than 1 during its slow start.
 fn warm_fraction(settings: &Settings, server: &ServerInfo, now: Time) -> f64 {
     let slow_start = settings.slow_start_duration.as_secs_f64();
     let age = server.started.map_or(slow_start, |started| now.since(started));
--- a/quota-gateway/server/src/fleet_decisions/observer.rs
+++ b/quota-gateway/server/src/fleet_decisions/observer.rs
@@ -1,7 +1,8 @@
-//! The observer between the engine and the decisions.
+//! The observer between the engine and the core.
 //!
-//! It records what passes for the reports to the fleet, and adds a placement to requests where the fleet's decisions
-//! restrict them: a firm's quota share first, then the cell of the shard that the request writes.
+//! It records events and actions for the reports to the fleet, and adds a placement to requests that the
+//! fleet's decisions restrict: by the firm's quota share first, then by the cell of the shard that the
+//! request writes.
 
 use super::observations::{Observations, ObservedInterval};
 use super::quota_shares::{QuotaShares, SHARE_RETRY_AFTER};
@@ -18,21 +19,21 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// What an observer is created with.
+/// The settings of an [`Observer`].
 pub struct ObserverSettings {
     /// The names of the zones, by number.
     pub zones: Vec<String>,
-    /// The settings of the decisions.
+    /// The settings of the core.
     pub settings: Settings,
-    /// This gateway's number, where requests are admitted by quota shares.
+    /// This gateway's number if it uses quota shares.
     pub quota_share_gateway: Option<u32>,
-    /// The shard map, where writes are placed by it.
+    /// The shard map, if writes are routed by it.
     pub shard_routing: Option<Rc<ShardRouting>>,
-    /// The instant from which instants of decisions count.
+    /// The origin of all instants of decisions.
     pub started_at: Instant,
 }
 
-/// Observes the decisions' events and actions.
+/// Observes the core's events and actions.
 pub struct Observer {
     observations: RefCell<Observations>,
     zones: Vec<String>,
@@ -40,11 +41,12 @@
     quota_shares: Option<QuotaShares>,
     shard_routing: Option<Rc<ShardRouting>>,
     started_at: Instant,
-    /// Notified when a zone has lost its last server: the controllers should not wait for the next interval's report.
+    /// Notified when a zone has lost its last running server, which is reported without waiting for the next
+    /// interval.
     pub zone_emptied: Notify,
 }
 
-/// A request that was passed to the decisions.
+/// The fields of a request that are needed after it was passed to the core.
 struct PassedRequest {
     id: RequestId,
     customer: CustomerId,
@@ -52,7 +54,7 @@
 }
 
 impl Observer {
-    /// Creates an observer that has observed nothing.
+    /// Creates an observer without observations.
     pub fn new(settings: ObserverSettings) -> Rc<Observer> {
         Rc::new(Observer {
             observations: RefCell::default(),
@@ -65,7 +67,8 @@
         })
     }
 
-    /// Passes an event to the decisions, with a placement where one applies, and observes it and the resulting actions.
+    /// Passes an event to the core, with a placement if one applies, and observes the event and the resulting
+    /// actions.
     pub fn handle(&self, gateway: &mut Gateway, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.on_event(&event);
         let (event, request) = match event {
@@ -87,7 +90,8 @@
         }
     }
 
-    /// Charges a request to its firm's share if it is sent. The first attempt is sent at once or never.
+    /// Charges a request to its firm's share if it is sent. The core sends the first attempt at once or
+    /// never.
     fn charge_if_sent(&self, request: &PassedRequest, actions: &[Action]) {
         let Some(shares) = &self.quota_shares else { return };
         let is_send = |action: &Action| matches!(action, Action::Send { id, .. } if *id == request.id);
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Where the fleet's decisions allow a request to go.
+    /// Returns where the fleet's decisions allow a request to be sent.
     fn placement(&self, gateway: &Gateway, request: &NewRequest) -> Placement {
         let plan = self.settings.plans.get(request.plan.0);
         if let (Some(shares), Some(plan)) = (&self.quota_shares, plan) {
@@ -113,7 +117,7 @@
         }
     }
 
-    /// Observes an event before the decisions handle it.
+    /// Observes an event before the core handles it.
     fn on_event(&self, event: &Event) {
         let mut observations = self.observations.borrow_mut();
         match event {
@@ -131,7 +135,7 @@
         }
     }
 
-    /// Observes the decisions' actions.
+    /// Observes the core's actions.
     fn on_actions(&self, now: Time, actions: &[Action]) {
         let mut observations = self.observations.borrow_mut();
         for action in actions {
@@ -143,29 +147,29 @@
         }
     }
 
-    /// Installs a decision on quota shares; `None` where this gateway does not use them.
+    /// Installs a decision on quota shares; returns `None` if this gateway does not use them.
     pub fn install_shares(
         &self,
-        asked_at: Duration,
+        queried_at: Duration,
         decision: Decision<ShareDecision>,
     ) -> Option<Acceptance> {
-        Some(self.quota_shares.as_ref()?.install(asked_at, decision))
+        Some(self.quota_shares.as_ref()?.install(queried_at, decision))
     }
 
-    /// Recomputes the firms' limits; called a few times a second.
+    /// Recomputes the firms' limits. Called several times per second.
     pub fn apply_shares(&self) {
         if let Some(shares) = &self.quota_shares {
             shares.apply(self.started_at.elapsed());
         }
     }
 
-    /// The firms' demand to report, and the stamp of the decision in force.
+    /// Returns the firms' demand to report, and the stamp of the decision in force.
     pub fn take_demand(&self) -> (Demand, Stamp) {
         let shares = self.quota_shares.as_ref();
         shares.map_or_else(Default::default, |shares| shares.take_demand(self.started_at.elapsed()))
     }
 
-    /// The gauges of quota shares and of the shard map, where they are used.
+    /// The gauges of quota shares and of the shard map, if they are used.
     pub fn metrics(&self) -> Vec<Metric> {
         let shares = self.quota_shares.iter().map(QuotaShares::metric);
         let shard_map = self.shard_routing.iter().flat_map(|routing| routing.metrics());
@@ -182,7 +186,7 @@
         u32::try_from(self.zones.iter().position(|zone| zone == name)?).ok()
     }
 
-    /// The observations since the last report.
+    /// Returns the observations since the last report.
     pub fn take_report(&self, now: Time) -> ObservedInterval {
         self.observations.borrow_mut().take(&self.zones, &self.settings, now)
     }
--- a/quota-gateway/server/src/fleet_decisions/observer/tests.rs
+++ b/quota-gateway/server/src/fleet_decisions/observer/tests.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// A server turns silent during a request: the attempt is reported as failed once the latency target has passed, and not a
-/// second time when it is abandoned.
+/// A server stops responding during a request: the attempt is reported as failed once the latency target has
+/// passed, and not a second time when it is abandoned.
 #[test]
 fn an_unresponsive_server_is_counted_once_after_the_latency_target() {
     let zones = vec!["hall-a".to_owned(), "hall-b".to_owned()];
@@ -83,5 +83,5 @@
     }));
     assert_eq!(failed(5000), 0.0);
     observer.on_actions(at(5000), &[Action::Fail { id: RequestId(1) }]);
-    assert!(observer.observations.borrow().requests.is_empty(), "a request that is over is forgotten");
+    assert!(observer.observations.borrow().requests.is_empty(), "a finished request is no longer tracked");
 }
--- a/quota-gateway/server/src/fleet_decisions/quota_shares.rs
+++ b/quota-gateway/server/src/fleet_decisions/quota_shares.rs
@@ -9,14 +9,15 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-/// The retry-after of a request that exceeds its firm's share: of the order of the interval at which shares are computed.
+/// The retry-after of a request that exceeds its firm's share: about the interval at which shares are
+/// recomputed.
 pub const SHARE_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// This gateway's part of the quota shares. All instants count from the start of the process.
+/// This gateway's part of the quota shares. All instants are relative to the start of the process.
 pub struct QuotaShares {
     limiter: RefCell<ShareLimiter>,
-    decided: RefCell<DecisionReader<ShareDecision>>,
-    /// Requests that were rejected because they exceeded their firm's share.
+    decisions: RefCell<DecisionReader<ShareDecision>>,
+    /// The number of requests that were rejected because they exceeded their firm's share.
     rejected: Cell<u64>,
 }
 
@@ -25,13 +26,13 @@
     pub fn new(gateway: u32) -> QuotaShares {
         QuotaShares {
             limiter: RefCell::new(ShareLimiter::new(gateway)),
-            decided: RefCell::default(),
+            decisions: RefCell::default(),
             rejected: Cell::new(0),
         }
     }
 
-    /// Returns whether the firm's share admits a request, and counts it if not. `customer_share` is the part of the firm's
-    /// requests that pass through this gateway, if it is metered.
+    /// Returns whether the firm's share admits a request, and counts a rejection otherwise. `customer_share`
+    /// is the part of the firm's requests that pass through this gateway, if it is metered.
     pub fn admit(
         &self,
         now: Duration,
@@ -41,7 +42,8 @@
     ) -> bool {
         let equal_fraction = 1.0 / f64::from(request.gateways.max(1));
         let local_fraction = customer_share.unwrap_or(equal_fraction);
-        // The weight is what the firm pays for its contracted rate; a plan without a rate is weighted by its price alone.
+        // The weight is the price that the firm pays for its contracted rate. The weight of a plan without a
+        // rate is its price alone.
         let contracted_rate = if plan.rate > 0.0 { plan.rate } else { 1.0 };
         let rate_limit =
             if plan.rate > 0.0 { plan.rate * local_fraction.max(equal_fraction) } else { f64::INFINITY };
@@ -55,25 +57,25 @@
         is_admitted
     }
 
-    /// Charges a request that was sent to its firm's share.
+    /// Charges a request that was sent against its firm's share.
     pub fn charge(&self, firm: u64, units: f64) {
         self.limiter.borrow_mut().charge(firm, units);
     }
 
-    /// Installs a decision that was read; `asked_at` is an instant before the query was sent.
-    pub fn install(&self, asked_at: Duration, decision: Decision<ShareDecision>) -> Acceptance {
-        self.decided.borrow_mut().accept(asked_at, decision)
+    /// Installs a decision that was read; `queried_at` is an instant before the query was sent.
+    pub fn install(&self, queried_at: Duration, decision: Decision<ShareDecision>) -> Acceptance {
+        self.decisions.borrow_mut().accept(queried_at, decision)
     }
 
     /// Recomputes each firm's limit from the decision in force.
     pub fn apply(&self, now: Duration) {
-        self.limiter.borrow_mut().apply_decision(now, &self.decided.borrow());
+        self.limiter.borrow_mut().apply_decision(now, &self.decisions.borrow());
     }
 
-    /// The demand to report, and the stamp of the decision in force.
+    /// Returns the demand to report, and the stamp of the decision in force.
     pub fn take_demand(&self, now: Duration) -> (Demand, Stamp) {
         let demand = self.limiter.borrow_mut().sample_demand(now);
-        (demand, self.decided.borrow().stamp().unwrap_or_default())
+        (demand, self.decisions.borrow().stamp().unwrap_or_default())
     }
 
     /// The counter of rejected requests.
--- a/quota-gateway/server/src/fleet_decisions/reporter.rs
+++ b/quota-gateway/server/src/fleet_decisions/reporter.rs
@@ -13,9 +13,9 @@
 use tokio::net::TcpStream;
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 
-/// An owner that does not take a report within this time is skipped; the next report says more.
+/// An owner to which a report cannot be written within this time is skipped until the next report.
 const SEND_TIMEOUT: Duration = Duration::from_millis(300);
-/// A report that must not wait for the next interval is sent within this time.
+/// The longest delay of a report that does not wait for the next interval.
 const URGENT_REPORT_DELAY: Duration = Duration::from_millis(100);
 /// The shortest span of a report, in seconds, so that rates stay finite.
 const MIN_SPAN_SECS: f64 = 1e-3;
@@ -32,12 +32,13 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut connections = BTreeMap::new();
         let (mut number, mut last_report_at) = (0, Instant::now());
-        // Gateways that were started together do not report together.
+        // Spreads the reports of gateways that were started at the same time.
         sleep(interval_length.mul_f64((self.incarnation % 1000) as f64 / 1000.0)).await;
         loop {
             tokio::select! {
                 _ = ticks.tick() => {}
-                // Reported at once, with some jitter, because all gateways learn of it together.
+                // Reported without waiting for the interval, with jitter, because all gateways receive the
+                // list at once.
                 () = self.observer.zone_emptied.notified() => {
                     sleep(URGENT_REPORT_DELAY.mul_f64((self.incarnation % 100) as f64 / 100.0)).await;
                     ticks.reset();
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Creates the report on the last `span_secs` seconds.
+    /// Creates the report for the last `span_secs` seconds.
     fn next_report(&self, number: u64, span_secs: f64, now: Time) -> Report {
         let observed = self.observer.take_report(now);
         let mut state = self.state.borrow_mut();
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Sends a report to each owner, over its connection or a new one.
+    /// Sends a report to each owner, on the open connection to it or on a new one.
     async fn send_to_owners(&self, connections: &mut BTreeMap<SocketAddr, TcpStream>, bytes: &[u8]) {
         let owners = self.state.borrow().owners.clone();
         connections.retain(|addr, _| owners.contains(addr));
@@ -93,7 +94,7 @@
     }
 }
 
-/// Writes a report, and returns its connection for the next one.
+/// Writes a report and returns the connection for the next one.
 async fn send(addr: SocketAddr, connection: Option<TcpStream>, bytes: &[u8]) -> io::Result<TcpStream> {
     let mut connection = match connection {
         Some(connection) => connection,
--- a/quota-gateway/server/src/handover.rs
+++ b/quota-gateway/server/src/handover.rs
@@ -1,8 +1,10 @@
-//! The upgrade of a gateway: a new process replaces an old one that goes on living until its requests are answered.
+//! The upgrade of a gateway: a new process replaces an old one, which keeps running until its requests are
+//! answered.
 //!
-//! Both processes are started with the same listening socket ([`inherited_socket`]). The new one asks the old one for its
-//! state ([`snapshot`]), so that no attempt is counted twice and nothing is learned anew; from then on the two exchange
-//! updates ([`crate::peer_links`]) until one of them exits. Each process offers the same to its successor in turn.
+//! Both processes are started with the same listening socket ([`inherited_socket`]). The new one requests the
+//! state of the old one ([`snapshot`]), so that no attempt is counted twice and no learned state is lost.
+//! From then on the two exchange updates ([`crate::peer_links`]) until one of them exits. Each process offers
+//! its state to its successor in the same way.
 
 pub mod inherited_socket;
 pub mod snapshot;
@@ -33,35 +35,35 @@
 
 /// This process's side of an upgrade.
 pub struct Handover {
-    /// Carries out the changes that the other process passes on.
+    /// Applies the operators' changes that the other process passes on.
     pub operations: Rc<Operations>,
-    /// The decisions whose state is handed over.
+    /// The core whose state is sent to a successor.
     pub gateway: Rc<RefCell<Gateway>>,
-    /// Handles the other process's events.
+    /// Handles the events of the other process.
     pub engine: Rc<Engine>,
-    /// Called with `true` when another process of the gateway appears, and with `false` when this one is alone again: the
-    /// two share all limits.
+    /// Called with `true` when another process of the gateway is connected, and with `false` when this one is
+    /// alone again. The two processes share the limits on connections.
     pub on_shared: Box<dyn Fn(bool)>,
 }
 
 impl Handover {
-    /// Exchanges updates with the process that this one took over from.
+    /// Starts to exchange updates with the process that this one took over from.
     pub fn join(self: &Rc<Self>, peer: PeerConnection) {
         let (sender, receiver) = PeerLinks::channel();
         spawn_local(self.clone().exchange(peer, sender, receiver));
     }
 
-    /// Offers this process's state to its successor, forever.
+    /// Returns a task that offers this process's state to its successor, forever.
     ///
     /// # Errors
-    /// Fails if the socket at which the successor asks cannot be created.
+    /// Fails if the socket to which the successor connects cannot be created.
     pub fn offer(self: Rc<Self>, listen: SocketAddr) -> io::Result<impl Future<Output = ()>> {
         let path = socket_path(listen);
         let new_path = path.with_extension(process::id().to_string());
-        // Usually there is nothing to remove; if it cannot be removed, the bind fails.
+        // Usually there is no such file. If it exists and cannot be removed, the bind fails.
         let _ = fs::remove_file(&new_path);
         let listener = UnixListener::bind(&new_path)?;
-        // Atomically replaces the socket of the process before.
+        // Atomically replaces the socket of the previous process.
         fs::rename(&new_path, &path)?;
         Ok(async move {
             loop {
@@ -75,7 +77,7 @@
         })
     }
 
-    /// Sends the state to a successor of the same format version, and then exchanges updates with it.
+    /// Sends the state to a successor that uses the same format version, and then exchanges updates with it.
     async fn hand_over(self: Rc<Self>, stream: UnixStream) {
         let Some(peer) = PeerConnection::accept(stream).await else { return };
         let snapshot = HandoverSnapshot::new(
@@ -86,13 +88,14 @@
         );
         let Ok(line) = serde_json::to_string(&snapshot) else { return };
         let (sender, receiver) = PeerLinks::channel();
-        // Queued before the link is added, so that all updates are of later events. A new queue is not full.
+        // Queued before the link is added, so that only updates of later events follow. The queue is new and
+        // not full.
         let _ = sender.try_send(line + "\n");
-        info!("hands over to a new process");
+        info!("sending the state to a new process of this gateway");
         self.exchange(peer, sender, receiver).await;
     }
 
-    /// Exchanges updates until the other process is gone.
+    /// Exchanges updates until the other process exits or the connection fails.
     async fn exchange(
         self: Rc<Self>,
         peer: PeerConnection,
@@ -114,13 +117,14 @@
         info!("the other process is gone");
     }
 
-    /// Applies the other process's updates until its connection ends, or one cannot be read.
+    /// Applies the other process's updates until its connection ends or an update cannot be parsed.
     async fn read_updates(&self, mut reader: BufReader<OwnedReadHalf>) {
         while let Ok(line) = read_line(&mut reader, MAX_UPDATE_BYTES).await {
             match serde_json::from_str(&line) {
                 Ok(PeerUpdate::Process(event)) => self.engine.post(Event::PeerProcess(event)),
                 Ok(PeerUpdate::Change(change)) => {
-                    // A server may be known to only one of the two processes; the one with the console reports that.
+                    // Only one of the two processes may have listed the server. The one that received the
+                    // command reports an unknown server.
                     let _ = self.operations.apply(&change);
                 }
                 Err(_) => return,
--- a/quota-gateway/server/src/handover/inherited_socket.rs
+++ b/quota-gateway/server/src/handover/inherited_socket.rs
@@ -1,4 +1,4 @@
-//! The clients' listening socket, where the supervisor opens it and passes its descriptor on.
+//! The listening socket for clients, if the supervisor opens it and passes its descriptor to the process.
 
 use quick_error::quick_error;
 use socket2::Socket;
@@ -7,13 +7,13 @@
 use std::os::fd::{FromRawFd, RawFd};
 use std::{env, fs, io};
 
-/// The variable that names the descriptor.
+/// The environment variable with the number of the descriptor.
 const VARIABLE: &str = "RELAY_FD";
-/// Descriptors below this are the standard streams.
+/// The lowest number above the standard streams.
 const FIRST_INHERITABLE_FD: RawFd = 3;
 
 quick_error! {
-    /// Why the socket that the environment names is not used.
+    /// The reason why the socket in the environment variable is not used.
     #[derive(Debug)]
     pub enum InheritError {
         /// The value of the variable is not a number.
@@ -28,7 +28,7 @@
         }
         /// The descriptor is not a socket.
         NotASocket(value: String) {
-            display("{VARIABLE}: {value:?}: no socket")
+            display("{VARIABLE}: {value:?}: not a socket")
         }
         /// The socket does not listen on the configured address.
         OtherAddress(value: String, listen: SocketAddr) {
@@ -37,12 +37,13 @@
     }
 }
 
-/// Returns the listening socket that this process inherited, if the environment names one.
+/// Returns the listening socket that this process inherited, if the environment variable is set.
 ///
-/// Must be called before anything else is opened, because that could get the same descriptor number.
+/// Must be called before any other descriptor is opened, because that could get the same number.
 ///
 /// # Errors
-/// Fails if what is named is not a socket that listens on `listen`. A descriptor that is not a socket is left open.
+/// Fails if the descriptor is not a socket that listens on `listen`. A descriptor that is not a socket is
+/// left open.
 #[allow(unsafe_code, reason = "adopting an inherited descriptor has no safe interface")]
 pub fn inherited_socket(listen: SocketAddr) -> Result<Option<TcpListener>, InheritError> {
     let Ok(value) = env::var(VARIABLE) else { return Ok(None) };
@@ -52,8 +53,8 @@
     if fd < FIRST_INHERITABLE_FD || !target.to_string_lossy().starts_with("socket:") {
         return Err(InheritError::NotASocket(value));
     }
-    // SAFETY: the descriptor is open, as just checked, and nothing in this process owns it: nothing was opened before, and
-    // the supervisor names it for this process to own.
+    // SAFETY: the descriptor is open, as just checked, and nothing in this process owns it: nothing was
+    // opened before, and the supervisor passes it to this process to own.
     let socket = unsafe { Socket::from_raw_fd(fd) };
     match prepare(&socket, listen) {
         Ok(true) => Ok(Some(socket.into())),
--- a/quota-gateway/server/src/handover/snapshot.rs
+++ b/quota-gateway/server/src/handover/snapshot.rs
@@ -1,7 +1,7 @@
-//! The state that a new process takes over from a living old one.
+//! The state that a new process takes over from the running old one.
 //!
-//! The new process connects to the old one's socket and sends its format version; the old one answers with one line of
-//! JSON. Names of fields are part of the format between versions of the program.
+//! The new process connects to the old one's socket and sends its format version. The old one responds with
+//! one line of JSON. Field names are part of the format, which versions of the program share.
 
 use crate::discovery::server_ids::ServerIds;
 use marblecroft_quota_gateway_core::StateSnapshot;
@@ -16,14 +16,14 @@
 use tokio::time::timeout;
 use tracing::{info, warn};
 
-/// The version of the format. Processes of different versions start afresh beside each other.
+/// The version of the format. A process does not take over the state of a process with a different version.
 const VERSION: u32 = 1;
-/// The longest snapshot, in bytes: some thousand customers.
+/// The longest snapshot, in bytes, enough for several thousand customers.
 const MAX_SNAPSHOT_BYTES: u64 = 2 << 20;
-/// The longest line with which a successor asks, in bytes.
+/// The longest request line of a successor, in bytes.
 const MAX_VERSION_BYTES: u64 = 4 << 10;
-/// An old process that does not answer within this time is considered dead: the new one must be ready within six seconds,
-/// and its operators have an answer within one.
+/// An old process that does not respond within this time is considered to have failed. The new process must
+/// be ready within six seconds, and its operators must get a response within one.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The state of a process.
@@ -32,13 +32,13 @@
     version: u32,
     /// The servers' ids and numbers, with the endpoint list in force.
     pub ids: ServerIds,
-    /// Whether the operators have drained the gateway.
+    /// Whether an operator has drained the gateway.
     #[serde(rename = "draining")]
     pub is_draining: bool,
-    /// The origin of the clock of all instants in `state`; processes of an early version did not send it.
+    /// The clock origin of all instants in `state`. Early versions of the program do not send it.
     #[serde(default, rename = "origin")]
     pub clock_origin: Option<u64>,
-    /// The state of the decisions.
+    /// The state of the core.
     #[serde(rename = "memory")]
     pub state: StateSnapshot,
 }
@@ -50,11 +50,11 @@
     }
 }
 
-/// A connection to another process of this gateway, on which no updates have been exchanged yet.
+/// A connection to another process of this gateway, before updates are exchanged on it.
 pub struct PeerConnection {
-    /// Where the other process's lines arrive.
+    /// The reader of the other process's lines.
     pub reader: BufReader<OwnedReadHalf>,
-    /// Where lines to the other process are written.
+    /// The writer of lines to the other process.
     pub writer: OwnedWriteHalf,
 }
 
@@ -64,7 +64,8 @@
         PeerConnection { reader: BufReader::new(reader), writer }
     }
 
-    /// Accepts a successor that asks for the current format version; `None` if it asks for another one, or not at all.
+    /// Accepts a successor that requests the current format version. Returns `None` if it requests another
+    /// one or sends no request in time.
     pub async fn accept(stream: UnixStream) -> Option<PeerConnection> {
         let mut peer = PeerConnection::new(stream);
         let version = timeout(ANSWER_TIMEOUT, read_line(&mut peer.reader, MAX_VERSION_BYTES)).await;
@@ -72,16 +73,16 @@
     }
 }
 
-/// The path of the socket at which the processes of the gateway at this address meet. The name is part of the format: a
-/// process of an earlier version listens there.
+/// The path of the socket at which the processes of the gateway with this address connect. The name is part
+/// of the format, because a process of an earlier version listens there.
 pub fn socket_path(listen: SocketAddr) -> PathBuf {
     env::temp_dir().join(format!("mapledeck-{}.sock", listen.port()))
 }
 
-/// Takes over the state of the living process of this gateway.
+/// Takes over the state of the running process of this gateway.
 ///
-/// Returns `None` where there is none. A socket in the file system may be that of a dead process, and a snapshot that cannot
-/// be read is not used in part.
+/// Returns `None` if there is none. A socket file may remain from a process that has exited, and no part of a
+/// snapshot that cannot be read is used.
 pub async fn take_over(listen: SocketAddr) -> Option<(HandoverSnapshot, PeerConnection)> {
     let path = socket_path(listen);
     match timeout(ANSWER_TIMEOUT, request_snapshot(&path)).await {
@@ -90,8 +91,8 @@
             return Some(taken);
         }
         Ok(Err(e)) if e.kind() == io::ErrorKind::NotFound => {}
-        Ok(Err(e)) => warn!(path = %path.display(), error = %e, "starts afresh: {}: {e}", path.display()),
-        Err(_) => warn!(path = %path.display(), "starts afresh: {}: no answer", path.display()),
+        Ok(Err(e)) => warn!(path = %path.display(), error = %e, "no handover: {}: {e}", path.display()),
+        Err(_) => warn!(path = %path.display(), "no handover: {}: no response in time", path.display()),
     }
     None
 }
@@ -107,7 +108,8 @@
     Ok((snapshot, peer))
 }
 
-/// Reads a line without its end. A line that is longer than `max_bytes` or has no end is an error.
+/// Reads a line and removes its newline. A line that is longer than `max_bytes` or has no newline is an
+/// error.
 pub async fn read_line(reader: &mut (impl AsyncBufRead + Unpin), max_bytes: u64) -> io::Result<String> {
     let mut line = String::new();
     reader.take(max_bytes).read_line(&mut line).await?;
--- a/quota-gateway/server/src/main.rs
+++ b/quota-gateway/server/src/main.rs
@@ -1,10 +1,13 @@
-//! The quota gateway: the decisions of `marblecroft-quota-gateway-core` between HTTP/1.1 clients and servers, on one thread.
+//! The quota gateway: forwards HTTP/1.1 requests to servers as `marblecroft-quota-gateway-core` decides, on
+//! one thread.
 //!
-//! A client's request passes [`server`] (read and validated), [`engine`] (events to the decisions, actions from them) and
-//! [`upstream`] (an attempt at a server); its time is limited by its [`request_budget`]. [`discovery`] follows the endpoint
-//! list, [`fleet_decisions`] and [`shard_map`] what the fleet decides in common. Operators use the [`console`], whose
-//! [`commands`] the [`operations`] carry out. [`handover`] lets a new process replace this one without losing a request;
-//! until it has, the two keep in step by [`peer_links`]. [`process`] puts these parts together.
+//! The [`server`] reads and validates a client's request, the [`engine`] passes events to the core and
+//! carries out its actions, and [`upstream`] makes the attempts at servers. The [`request_budget`] limits the
+//! time of a request. [`discovery`] follows the endpoint list; [`fleet_decisions`] and [`shard_map`] follow
+//! the decisions of the fleet's controllers. Operators send [`commands`] to the [`console`], which the
+//! [`operations`] carry out. [`handover`] lets a new process replace this one without losing a request; until
+//! this one exits, the two exchange updates over [`peer_links`]. [`process`] creates and connects these
+//! parts.
 #![deny(unsafe_code)]
 
 mod body;
@@ -34,9 +37,9 @@
 use tokio::runtime::{Builder, LocalOptions};
 use tracing::{error, warn};
 
-/// The name with which log lines begin.
+/// The program's name, with which log lines begin.
 const PROGRAM: &str = "marblecroft-quota-gateway";
-/// The exit code for a configuration that is missing or wrong.
+/// The exit code for a missing or invalid configuration.
 const EXIT_CONFIGURATION: u8 = 2;
 
 fn main() -> ExitCode {
@@ -49,7 +52,7 @@
         }
     };
     marblecroft_logging::init(PROGRAM, config.log);
-    // Before anything is opened, which could get the descriptor that is named.
+    // Called before any other descriptor is opened, because that could get the same number.
     let inherited = inherited_socket(config.listen).unwrap_or_else(|e| {
         warn!("{e}");
         None
--- a/quota-gateway/server/src/metric.rs
+++ b/quota-gateway/server/src/metric.rs
@@ -2,10 +2,10 @@
 
 /// The current value of a gauge.
 pub struct Metric {
-    /// The name of the series.
+    /// The metric's name.
     pub name: &'static str,
     /// The help text of the Prometheus text format.
     pub help: &'static str,
-    /// The value at this moment.
+    /// The current value.
     pub value: f64,
 }
--- a/quota-gateway/server/src/operations.rs
+++ b/quota-gateway/server/src/operations.rs
@@ -12,19 +12,19 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// The parts of the gateway that commands concern.
+/// The parts of the gateway that commands read or change.
 pub struct Operations {
-    /// Handles the events of changes.
+    /// Handles the events that changes cause.
     pub engine: Rc<Engine>,
-    /// The decisions, for the retry budget.
+    /// The core, which provides the retry budget.
     pub gateway: Rc<RefCell<Gateway>>,
-    /// The clients' side, for readiness and draining.
+    /// The server for clients, which provides readiness and draining.
     pub server: Rc<ClientServer>,
     /// The servers' ids and numbers.
     pub ids: Rc<RefCell<ServerIds>>,
-    /// Set where the endpoint list comes from the project's own discovery service.
+    /// Set if the endpoint list comes from the project's own discovery service.
     pub list_metrics: Option<Rc<ListMetrics>>,
-    /// Set where the gateway takes part in a fleet.
+    /// Set if the gateway is a member of a fleet.
     pub fleet: Option<Rc<Observer>>,
 }
 
@@ -32,14 +32,15 @@
     /// Carries out a command.
     ///
     /// # Errors
-    /// Fails if the process does not accept clients, keeps no metrics, or does not know the named server.
+    /// Fails if the process does not accept clients, records no metrics, or has no server with the given
+    /// name.
     pub fn perform(&self, command: &Command) -> Result<CommandOutput, CommandError> {
         match command {
             Command::Ready if self.server.accepts_clients() => Ok(CommandOutput::Done),
             Command::Ready => Err(CommandError::NotReady),
             Command::Metrics => self.metrics(),
             Command::Change(change) => {
-                // Passed on also where the server is unknown here: the other process may know it.
+                // Passed on even if the server is unknown here, because the other process may have listed it.
                 self.engine.peer_links.send_change(change);
                 self.apply(change).map(|()| CommandOutput::Done)
             }
@@ -57,16 +58,16 @@
         Ok(CommandOutput::Text { body, content_type })
     }
 
-    /// Gauges of the parts of the gateway that this configuration has: the endpoint list, then the fleet.
+    /// The gauges of the endpoint list and of the fleet, if the configuration has them.
     fn gauges(&self) -> Vec<Metric> {
         let list = self.list_metrics.iter().flat_map(|list| list.metrics());
         list.chain(self.fleet.iter().flat_map(|fleet| fleet.metrics())).collect()
     }
 
-    /// Makes a change in this process only.
+    /// Applies a change in this process only.
     ///
     /// # Errors
-    /// Fails if the change names a server that is not known here.
+    /// Fails if the server is not known here.
     pub fn apply(&self, change: &Change) -> Result<(), CommandError> {
         match change {
             Change::Disable(name) | Change::Enable(name) => {
@@ -82,7 +83,7 @@
             Change::Drain => self.server.drain(),
             Change::Undrain => self.server.undrain(),
         }
-        info!(change = ?change, "operators: {change:?}");
+        info!(change = ?change, "applied an operator command: {change:?}");
         Ok(())
     }
 }
--- a/quota-gateway/server/src/process.rs
+++ b/quota-gateway/server/src/process.rs
@@ -1,8 +1,9 @@
-//! The process: puts the parts of the gateway together, serves until SIGTERM, and then until every request is answered.
+//! The process: creates the parts of the gateway, serves until SIGTERM, and exits when every request is
+//! answered.
 //!
-//! The order of the start matters. The signals come first, so that none ends the process by default; the console is bound
-//! early, so that operators wait for an answer instead of being refused; the state of an old process is taken over before
-//! the first event; and clients are accepted last.
+//! The order of the start matters. Signal handlers are installed first, so that no signal ends the process by
+//! default. The console is bound early, so that operators' connections wait instead of being refused. The
+//! state of an old process is taken over before the first event. Clients are accepted last.
 
 use crate::clock::Clock;
 use crate::config::{Config, ConnectionLimits};
@@ -34,11 +35,11 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::{info, warn};
 
-/// After SIGTERM new connections arrive for up to 0.4 s; they are accepted for a while longer.
-const FLUSH_TIME: Duration = Duration::from_millis(600);
+/// How long connections are accepted after SIGTERM. New ones arrive for up to 0.4 s.
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(600);
 
 quick_error! {
-    /// Why the process cannot serve.
+    /// The reason why the process cannot serve.
     #[derive(Debug)]
     pub enum ProcessError {
         /// An address cannot be bound.
@@ -59,7 +60,7 @@
 struct Listeners {
     console: Option<TcpListener>,
     clients: TcpListener,
-    /// The clients' socket was inherited, so another process can take it over.
+    /// Whether the socket for clients was inherited, so that a successor process can serve on it too.
     is_replaceable: bool,
 }
 
@@ -88,7 +89,7 @@
     TcpListener::bind(addr).await.map_err(|cause| ProcessError::Bind(purpose, addr, cause))
 }
 
-/// The decisions and what is built around them.
+/// The gateway's decision core and the engine that drives it.
 struct Core {
     gateway: Rc<RefCell<Gateway>>,
     engine: Rc<Engine>,
@@ -96,7 +97,7 @@
 }
 
 impl Core {
-    /// Builds the core, and joins the fleet where the configuration says so.
+    /// Builds the core and the engine, and starts the fleet member if the configuration has a fleet.
     fn build(config: &mut Config, clock: Clock, has_console: bool, limits: &ConnectionLimits) -> Core {
         let site = &config.settings;
         let started_at = std::time::Instant::now();
@@ -133,7 +134,8 @@
     }
 }
 
-/// The decisions as the engine calls them: directly, or through the observer where the gateway takes part in a fleet.
+/// Returns the function by which the engine calls the core: directly, or through the observer if the gateway
+/// is a member of a fleet.
 fn decide_with(gateway: Rc<RefCell<Gateway>>, observer: Option<Rc<Observer>>) -> Decide {
     match observer {
         None => Box::new(move |now, event, actions| gateway.borrow_mut().handle(now, event, actions)),
@@ -143,7 +145,7 @@
     }
 }
 
-/// Serves until SIGTERM, and then until every request that was accepted is answered.
+/// Serves until SIGTERM, and then until every accepted request is answered.
 ///
 /// # Errors
 /// Fails if a signal handler cannot be installed or an address cannot be bound.
@@ -154,8 +156,8 @@
         Listeners::bind(&config, inherited).await?;
     let listen = listener.local_addr()?;
     let taken_over = if is_replaceable { take_over(listen).await } else { None };
-    // The instants that are taken over are on the old process's clock. If the wall clock was set since, a new clock would
-    // move them into the future or the past.
+    // The instants in the old process's state are on that process's clock. If the wall clock was set since, a
+    // new clock would move them into the future or the past.
     let clock_origin = taken_over.as_ref().and_then(|(snapshot, _)| snapshot.clock_origin);
     let clock = clock_origin.map_or_else(Clock::start, Clock::from_origin);
     let limits = config.connection_limits(false);
@@ -183,7 +185,7 @@
             Ok(offer) => {
                 spawn_local(offer);
             }
-            Err(e) => warn!(error = %e, "the next process will start afresh: {e}"),
+            Err(e) => warn!(error = %e, "a successor process cannot take over the state: {e}"),
         }
     }
     if let Some(listener) = console {
@@ -230,7 +232,8 @@
     })
 }
 
-/// Restores the state of the process that is replaced, or else installs the configured endpoint list.
+/// Restores the state of the process that is replaced. Without one, applies the endpoint list of the
+/// configuration.
 fn restore(
     core: &Core,
     server: &ClientServer,
@@ -264,17 +267,17 @@
     spawn_local(async move { sweeps.run_sweeps().await });
 }
 
-/// Ends the service after SIGTERM. Every response closes its connection from now on, so that clients move to the other
-/// gateways.
+/// Stops serving after SIGTERM. From now on every response closes its connection, so that clients move to the
+/// other gateways.
 async fn shut_down(engine: &Engine, server: &Rc<ClientServer>, listener: TcpListener) {
     let terminated_at = Instant::now();
     let is_replaced = engine.peer_links.has_peers();
     server.close(is_replaced);
-    // Connections in the queue of a socket on which another process listens belong to that process.
+    // If another process listens on the same socket, that process accepts the connections in its queue.
     if !is_replaced {
         tokio::select! {
             () = server.accept(&listener) => {}
-            () = sleep_until(terminated_at + FLUSH_TIME) => {}
+            () = sleep_until(terminated_at + ACCEPT_AFTER_SIGTERM) => {}
         }
         server.accept_queued(&listener);
     }
@@ -282,7 +285,8 @@
     server.wait_until_empty(terminated_at.into()).await;
 }
 
-/// Reads the file again at each SIGHUP, forever. Only the addresses of discovery follow it; requests and connections go on.
+/// Reads the configuration file again at each SIGHUP, forever. Only the discovery addresses are updated.
+/// Requests and connections are not affected.
 async fn reload(mut hangup: Signal, agents: watch::Sender<Vec<SocketAddr>>) {
     while hangup.recv().await.is_some() {
         match Config::from_file() {
--- a/quota-gateway/server/src/request_budget.rs
+++ b/quota-gateway/server/src/request_budget.rs
@@ -1,8 +1,8 @@
-//! The time budgets of requests on the process's clock, and the metrics of how they were used.
+//! The time budgets of requests on the process's clock, and the metrics of their use.
 //!
-//! The server begins a [`RequestBudget`] when it has read a request's head; the engine and the upstream ask it how long
-//! each connect, attempt and pause may take. What it was spent on is recorded once: when the response has been flushed, or
-//! else when the budget is dropped, because then the connection is gone.
+//! The server begins a [`RequestBudget`] when it has read a request's head. The engine and the upstream query
+//! it for the time that each connect, attempt and pause may take. The outcome is recorded once: when the
+//! response has been flushed, or when the budget is dropped because the connection is lost.
 
 use crate::clock::Clock;
 use marblecroft_deadline::{Budget, Outcome, OutcomeTotals};
@@ -12,21 +12,21 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// What the budgets of all requests have in common.
+/// The state that the budgets of all requests share.
 pub struct RequestBudgets {
     clock: Clock,
-    /// When the process exits; every response must be written by then.
+    /// The instant at which the process exits. Every response must be written by then.
     process_ends_at: Cell<Option<Time>>,
-    /// The metrics; `None` where the configuration has no console to read them from.
+    /// The metrics; `None` if the configuration has no console from which to read them.
     pub totals: Option<OutcomeTotals>,
 }
 
 impl RequestBudgets {
-    /// Creates the budgets for classes of these names; without names no metrics are kept.
+    /// Creates the budgets for classes with these names. Without names no metrics are recorded.
     pub fn new(clock: Clock, classes: Option<&[String]>) -> Rc<RequestBudgets> {
         let totals = classes.and_then(|classes| {
             OutcomeTotals::new(classes)
-                .map_err(|e| warn!(error = %e, "no account is kept of requests' time: {e}"))
+                .map_err(|e| warn!(error = %e, "request time metrics are not recorded: {e}"))
                 .ok()
         });
         Rc::new(RequestBudgets { clock, process_ends_at: Cell::new(None), totals })
@@ -37,8 +37,8 @@
         self.process_ends_at.set(Some(exit_at));
     }
 
-    /// Starts the budget of a request whose head took `head_duration` to arrive and whose client waits for `client_timeout`
-    /// from its last byte.
+    /// Starts the budget of a request whose head took `head_duration` to arrive and whose client waits for
+    /// `client_timeout` from the request's last byte.
     pub fn begin(
         self: &Rc<Self>,
         class: usize,
@@ -63,9 +63,9 @@
     shared: Rc<RequestBudgets>,
     class: usize,
     budget: RefCell<Budget>,
-    /// Whether the request was passed to the quota gateway's decisions and its outcome is not recorded yet.
+    /// Whether the request was passed to the core and its outcome is not recorded yet.
     awaits_outcome: Cell<bool>,
-    /// The outcome to record when the response is flushed or its connection is lost.
+    /// The outcome to record when the response is flushed or the connection is lost.
     outcome_on_close: Cell<Outcome>,
 }
 
@@ -79,12 +79,12 @@
         f(&mut budget, self.shared.clock.now())
     }
 
-    /// The metrics, where they are kept.
+    /// The metrics, if they are recorded.
     fn totals(&self) -> Option<&OutcomeTotals> {
         self.shared.totals.as_ref()
     }
 
-    /// Records that the request was passed to the quota gateway's decisions.
+    /// Records that the request was passed to the core.
     pub fn on_admitted(&self) {
         self.awaits_outcome.set(true);
     }
@@ -94,17 +94,17 @@
         self.with_budget(|budget, now| budget.on_complete(now, unread_for));
     }
 
-    /// The instant by which the response must be written; see [`Budget::deadline`].
+    /// Returns the instant by which the response must be written; see [`Budget::deadline`].
     pub fn deadline(&self) -> Option<Time> {
         self.with_budget(|budget, _| budget.deadline())
     }
 
-    /// The deadline, or the one that the request would have if it were complete now.
+    /// Returns the deadline, or the one that the request would have if it were complete now.
     pub fn latest_deadline(&self) -> Time {
         self.with_budget(|budget, now| budget.latest_deadline(now))
     }
 
-    /// Returns whether `instant` lies in the future.
+    /// Returns whether `instant` has not been reached yet.
     pub fn is_before(&self, instant: Time) -> bool {
         self.shared.clock.now() < instant
     }
@@ -119,8 +119,8 @@
         self.with_budget(|budget, now| budget.begin_connect(now, max_wait))
     }
 
-    /// Begins an attempt, which ends at `attempt_ends_at` if that is set, and returns the timeout to advertise to the
-    /// server, or `None` when the request must not be sent.
+    /// Begins an attempt, which ends at `attempt_ends_at` if that is set. Returns the timeout to advertise to
+    /// the server, or `None` if the request must not be sent.
     pub fn begin_attempt(
         &self,
         attempt_ends_at: Option<Time>,
@@ -139,7 +139,7 @@
         advertised
     }
 
-    /// Takes back the last attempt: no byte of it was written.
+    /// Cancels the last attempt, of which no byte was written.
     pub fn cancel_attempt(&self) {
         self.with_budget(|budget, now| budget.cancel_attempt(now));
     }
@@ -149,14 +149,15 @@
         self.with_budget(|budget, now| budget.begin_wait(now));
     }
 
-    /// Records that the final response is decided: a server's if `is_served`, else one of the gateway's own.
+    /// Records that the final response is decided: a server's response if `is_served`, otherwise one that the
+    /// gateway generates.
     pub fn on_response_decided(&self, is_served: bool) {
         self.with_budget(|budget, now| {
             if let Some(totals) = self.totals().filter(|_| !budget.is_decided()) {
                 totals.record_decided(self.class, budget, now);
             }
             budget.decide(now);
-            // Fixed now: an attempt that is still being written comes too late to count.
+            // Determined now, because an attempt that is still being written must not count.
             self.outcome_on_close.set(match (is_served, budget.has_attempts()) {
                 (true, _) => Outcome::Answered,
                 (false, true) => Outcome::InAttempt,
@@ -165,17 +166,17 @@
         });
     }
 
-    /// Records that the server broke off its response.
+    /// Records that the server ended its response prematurely.
     pub fn on_response_broken_off(&self) {
         self.outcome_on_close.set(Outcome::InAttempt);
     }
 
-    /// Records that the client's system has acknowledged all of the response.
+    /// Records that the client's operating system has acknowledged all of the response.
     pub fn on_flushed(&self) {
         self.record_outcome(self.outcome_on_close.get());
     }
 
-    /// Records the outcome, the first time.
+    /// Records the outcome on the first call only.
     fn record_outcome(&self, outcome: Outcome) {
         if let Some(totals) = self.totals().filter(|_| self.awaits_outcome.replace(false)) {
             totals.record_outcome(self.class, &self.budget.borrow(), self.shared.clock.now(), outcome);
@@ -184,7 +185,8 @@
 }
 
 impl Drop for RequestBudget {
-    /// A response that was not flushed means that the client disconnected, unless the server broke its response off.
+    /// A response that was not flushed means that the client disconnected, unless the server ended its
+    /// response prematurely.
     fn drop(&mut self) {
         let outcome = self.outcome_on_close.get();
         self.record_outcome(if outcome == Outcome::InAttempt { outcome } else { Outcome::ClientGone });
--- a/quota-gateway/server/src/server.rs
+++ b/quota-gateway/server/src/server.rs
@@ -1,9 +1,9 @@
 //! The clients' side: HTTP/1.1 on one listening socket.
 //!
-//! A connection passes [`listener`], which bounds the number of connections; [`connection`] tracks what it is doing and
-//! when its time is up; [`serving`] drives it with hyper. Each request on it is read and validated by [`request_reader`],
-//! passed to the engine and answered by [`responder`] with a [`response`]. [`draining`] ends the connections when the
-//! gateway drains or the process exits.
+//! [`listener`] accepts connections and limits their number; [`connection`] tracks a connection's phase and
+//! its timeout; [`serving`] drives it with hyper. Each request is read and validated by [`request_reader`],
+//! passed to the engine, and answered by [`responder`] with a [`response`]. [`draining`] ends the connections
+//! when the gateway drains or the process exits.
 
 mod connection;
 mod draining;
@@ -21,16 +21,16 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Whether the gateway accepts clients.
+/// Whether the gateway is open to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DrainState {
-    /// It does.
+    /// New connections are accepted and kept open.
     Open,
-    /// It answers requests, but keeps no connection open and wants no further clients.
+    /// Requests are answered, but no connection is kept open, and readiness checks fail.
     Draining,
-    /// The same, and the process exits ...
+    /// As `Draining`, because the process exits.
     Exiting,
-    /// ... while another process of this gateway accepts clients.
+    /// As `Exiting`, but another process of this gateway accepts clients, so readiness checks succeed.
     Replaced,
 }
 
@@ -39,14 +39,14 @@
     engine: Rc<Engine>,
     site: Site,
     max_connections: Cell<usize>,
-    /// An endpoint list is in force.
+    /// Whether an endpoint list is in force.
     is_ready: Cell<bool>,
     is_accepting: Cell<bool>,
     drain_state: Cell<DrainState>,
-    /// A connection waits for a slot: connections that complete a request are closed.
-    is_crowded: Cell<bool>,
+    /// Whether there are too many connections. Connections that complete a request are then closed.
+    is_over_limit: Cell<bool>,
     accepted_count: Cell<u64>,
-    /// The open connections, by the order in which they were accepted.
+    /// The open connections, numbered in the order in which they were accepted.
     clients: RefCell<HashMap<u64, Rc<ClientConnection>>>,
     slot_freed: Notify,
     /// The trace ids of the requests in flight.
@@ -63,7 +63,7 @@
             is_ready: Cell::new(false),
             is_accepting: Cell::new(false),
             drain_state: Cell::new(DrainState::Open),
-            is_crowded: Cell::new(false),
+            is_over_limit: Cell::new(false),
             accepted_count: Cell::new(0),
             clients: RefCell::default(),
             slot_freed: Notify::new(),
--- a/quota-gateway/server/src/server/connection.rs
+++ b/quota-gateway/server/src/server/connection.rs
@@ -1,7 +1,7 @@
-//! The state of a client's connection, and when its time is up.
+//! The state of a client's connection, and its timeouts.
 //!
-//! Every phase of a connection is bounded, so that a client that sends nothing, or only a part of a request, gets an error
-//! or a close within three seconds.
+//! Every phase of a connection has a time limit, so that a client that sends nothing, or only a part of a
+//! request, gets an error or a close within three seconds.
 
 use crate::body::response_body::ResponseBody;
 use crate::request_budget::RequestBudget;
@@ -17,41 +17,44 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// The longest time for a head; the first one counts from the start of its connection.
+/// The longest time for a head to arrive. For the first head it starts when the connection is accepted.
 pub const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
 /// The longest time between two requests.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A connection that is to close waits this long for the head of a request to be completed.
+/// The longest time that a connection with a requested close waits for an incomplete head.
 const DRAIN_HEAD_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What a client's connection is doing.
+/// The phase of a client's connection.
 #[derive(Clone, Copy)]
 pub enum Phase {
-    /// No request is in flight, since this instant.
+    /// No request has been in flight since this instant.
     Idle(Instant),
     /// A request is in flight.
     InFlight,
-    /// A response is being written. The instant is when the client stopped taking it; `None` while it does.
+    /// A response is being written. The value is the instant at which the client stopped reading, or `None`
+    /// while it reads.
     Writing(Option<Instant>),
 }
 
 /// A client's connection.
 pub struct ClientConnection {
-    /// What the connection is doing.
+    /// The current phase.
     pub phase: Cell<Phase>,
-    /// The client has sent at least one complete head.
+    /// Whether the client has sent at least one complete head.
     pub has_sent_request: Cell<bool>,
-    /// hyper has not taken the whole response yet, so what the system has accepted is not all of it.
-    pub is_body_unfinished: Cell<bool>,
-    /// A request was rejected, perhaps with a part of it unread.
+    /// Whether hyper has not read the entire response body yet. The bytes that the operating system has
+    /// accepted are then only a part of the response.
+    pub is_body_pending: Cell<bool>,
+    /// Whether a request was rejected, possibly with a part of it unread.
     pub is_rejected: Cell<bool>,
-    /// From this instant on the connection is closed when it is idle; in any case it is closed after its next response.
+    /// From this instant on the connection is closed when it is idle. It is closed after its next response in
+    /// any case.
     close_requested_at: Cell<Option<Instant>>,
     /// Notified when `close_requested_at` has changed.
     pub close_changed: Notify,
-    /// Follows the framing of the client's bytes.
+    /// Tracks the framing of the bytes that the client sends.
     pub heads: RefCell<HeadScanner>,
-    /// When the first bytes of an incomplete head arrived.
+    /// The instant at which the first bytes of an incomplete head arrived.
     head_since: Cell<Option<Instant>>,
     /// How long the last complete head took to arrive.
     pub head_duration: Cell<Duration>,
@@ -65,7 +68,7 @@
         Rc::new(ClientConnection {
             phase: Cell::new(Phase::Idle(Instant::now())),
             has_sent_request: Cell::new(false),
-            is_body_unfinished: Cell::new(false),
+            is_body_pending: Cell::new(false),
             is_rejected: Cell::new(false),
             close_requested_at: Cell::new(None),
             close_changed: Notify::new(),
@@ -76,25 +79,26 @@
         })
     }
 
-    /// Closes the connection if it is idle at `at` or later, and after its next response in any case.
+    /// Requests that the connection is closed when it is idle at or after `at`, and after its next response
+    /// in any case.
     pub fn request_close(&self, at: Instant) {
         let earliest = self.close_requested_at.get().map_or(at, |requested| requested.min(at));
         self.close_requested_at.set(Some(earliest));
         self.close_changed.notify_one();
     }
 
-    /// Withdraws the request to close.
+    /// Withdraws the close request.
     pub fn cancel_close(&self) {
         self.close_requested_at.set(None);
         self.close_changed.notify_one();
     }
 
-    /// Returns whether the connection is to close.
+    /// Returns whether a close was requested.
     pub fn is_close_requested(&self) -> bool {
         self.close_requested_at.get().is_some()
     }
 
-    /// Since when no request is in flight; `None` while one is.
+    /// The instant since which no request has been in flight; `None` while one is.
     pub fn idle_since(&self) -> Option<Instant> {
         match self.phase.get() {
             Phase::Idle(since) => Some(since),
@@ -107,7 +111,8 @@
         self.head_since.get().is_some()
     }
 
-    /// The instant at which the connection's time is up, as things stand; `None` while its response is awaited.
+    /// The instant at which the connection times out in its current state; `None` while the engine's response
+    /// is awaited.
     pub fn due(&self) -> Option<Instant> {
         let close_requested_at = self.close_requested_at.get();
         let (limit, close_at) = match (self.phase.get(), self.head_since.get()) {
@@ -149,7 +154,7 @@
     }
 
     fn on_flushed(&self) {
-        if matches!(self.phase.get(), Phase::Writing(_)) && !self.is_body_unfinished.get() {
+        if matches!(self.phase.get(), Phase::Writing(_)) && !self.is_body_pending.get() {
             self.phase.set(Phase::Idle(Instant::now()));
             if let Some(budget) = self.budget.take() {
                 budget.on_flushed();
@@ -158,7 +163,7 @@
     }
 }
 
-/// A response's body. Its drop shows that hyper has taken all of it.
+/// A response's body. hyper drops it when it has read all of it.
 pub struct TrackedBody {
     body: ResponseBody,
     client: Rc<ClientConnection>,
@@ -167,7 +172,7 @@
 impl TrackedBody {
     /// Tracks the body of a response on a client's connection.
     pub fn new(body: ResponseBody, client: Rc<ClientConnection>) -> TrackedBody {
-        client.is_body_unfinished.set(true);
+        client.is_body_pending.set(true);
         TrackedBody { body, client }
     }
 }
@@ -191,6 +196,6 @@
 
 impl Drop for TrackedBody {
     fn drop(&mut self) {
-        self.client.is_body_unfinished.set(false);
+        self.client.is_body_pending.set(false);
     }
 }
--- a/quota-gateway/server/src/server/draining.rs
+++ b/quota-gateway/server/src/server/draining.rs
@@ -1,7 +1,7 @@
-//! Draining: on the operators' command, and when the process exits.
+//! Draining, on an operator's command and when the process exits.
 //!
-//! Connections in use get their next request answered with `Connection: close`, so that no request is lost; connections
-//! that stay idle are closed.
+//! The next request on a connection in use is answered with `Connection: close`, so that no request is lost.
+//! Connections that stay idle are closed.
 
 use super::connection::ClientConnection;
 use super::listener::CLOSE_DELAY;
@@ -10,19 +10,19 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
-/// A connection on which nothing has arrived for this long is not in use and is closed. Bounds how long a client can hold on
-/// to a gateway that drains; costs clients with rarer requests a reconnect.
+/// A connection on which nothing arrives for this long is not in use and is closed. Limits how long a client
+/// can keep a connection to a draining gateway; clients with less frequent requests have to reconnect.
 const DRAIN_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
-/// The time after SIGTERM for which a first request that has begun is waited for: new connections arrive for 0.4 s, and a
-/// head may take 2 s.
+/// How long after SIGTERM the process waits for an incomplete first request: new connections arrive for 0.4
+/// s, and a head may take 2 s.
 const DRAIN_ACCEPT_TIME: Duration = Duration::from_millis(2600);
-/// SIGKILL comes the longest deadline after SIGTERM, which is at most this ...
+/// SIGKILL follows SIGTERM after the longest request deadline, which is at most this, plus [`KILL_GRACE`].
 const MAX_KILL_DEADLINE: Duration = Duration::from_secs(3);
-/// ... and this much later, of which some is left for writing the responses.
+/// The time between the longest request deadline and SIGKILL. A part of it remains for writing the responses.
 const KILL_GRACE: Duration = Duration::from_millis(550);
 
 impl ClientServer {
-    /// Keeps no connection open after its next response, and none that stays idle.
+    /// Closes each connection after its next response or when it stays idle.
     pub fn drain(&self) {
         if self.drain_state.get() == DrainState::Open {
             self.drain_state.set(DrainState::Draining);
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Accepts clients again, and keeps the connections that are still open.
+    /// Ends draining, and keeps the connections that are still open.
     pub fn undrain(&self) {
         if self.drain_state.get() == DrainState::Draining {
             self.drain_state.set(DrainState::Open);
@@ -43,9 +43,10 @@
         self.drain_state.get() == DrainState::Draining
     }
 
-    /// Drains because the process exits; `is_replaced` if another process of the gateway goes on.
+    /// Drains because the process exits. `is_replaced` is set if another process of the gateway continues to
+    /// serve.
     pub fn close(&self, is_replaced: bool) {
-        // The gateway as a whole is up, unless it is drained.
+        // The gateway stays available through the other process, unless it is drained.
         let is_gateway_up = is_replaced && !self.is_draining();
         self.drain_state.set(if is_gateway_up { DrainState::Replaced } else { DrainState::Exiting });
         self.request_close_all();
@@ -55,8 +56,8 @@
         self.engine.set_process_end(self.engine.clock.now().after(until_kill));
     }
 
-    /// Closes all connections that have sent a request. One without a request was only just accepted, and its first request
-    /// is on the way: it must not be closed under it.
+    /// Requests the close of all connections that have sent a request. A connection without a request was
+    /// only just accepted, and its first request is on the way, so it is not closed.
     fn request_close_all(&self) {
         let at = Instant::now() + DRAIN_IDLE_TIMEOUT;
         for client in self.clients.borrow().values().filter(|client| client.has_sent_request.get()) {
@@ -64,8 +65,9 @@
         }
     }
 
-    /// Waits until every connection with a request has ended, including those that were accepted last and those on which a
-    /// first request has begun; for the latter only as long as a head may take, counted from SIGTERM.
+    /// Waits until every connection that has sent a request has ended, including those that were accepted
+    /// last. A connection whose first request is incomplete is waited for only until [`DRAIN_ACCEPT_TIME`]
+    /// after SIGTERM.
     pub async fn wait_until_empty(&self, terminated_at: Instant) {
         sleep(CLOSE_DELAY).await;
         let first_request_until = terminated_at + DRAIN_ACCEPT_TIME;
@@ -73,7 +75,7 @@
             client.has_sent_request.get() || (client.is_in_head() && Instant::now() < first_request_until)
         };
         while self.clients.borrow().values().any(is_awaited) {
-            // The connections are checked again in either case.
+            // The loop checks the connections again in either case.
             let _ = timeout(CLOSE_DELAY, self.slot_freed.notified()).await;
         }
     }
--- a/quota-gateway/server/src/server/listener.rs
+++ b/quota-gateway/server/src/server/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, and closing idle ones when there are too many.
+//! Accepts connections, and closes idle ones when there are too many.
 
 use super::connection::ClientConnection;
 use super::ClientServer;
@@ -10,26 +10,29 @@
 use tokio::time::{sleep, timeout};
 use tracing::warn;
 
-/// The time in which a connection that was just accepted sends its first request.
+/// The time within which a new connection is expected to send its first request; before that it is not closed
+/// as idle.
 pub const CLOSE_DELAY: Duration = Duration::from_millis(100);
-/// When there are too many connections and none can be closed yet, they are checked again after this time.
-const CROWDED_ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
-/// The pause after an accept that failed, mostly for want of descriptors.
+/// The interval of checks while there are too many connections and none can be closed.
+const OVER_LIMIT_RECHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// The pause after a failed accept, which usually means that no descriptor is free.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// The fraction of the clients' connections that may be idle after a response. Clients, too, can hold only so many, and some
-/// send one request and keep the connection: if these were kept for all of the idle timeout, no others could connect while
-/// the gateway has nothing to do. Costs clients that alternate between more connections, because they reconnect.
+/// The fraction of the client connections that may be idle after a response. Clients also have a limited
+/// number of connections, and some send one request and keep the connection open: if all of these stayed open
+/// for the full idle timeout, other clients could not connect although the gateway has no work. Clients that
+/// alternate between more connections have to reconnect.
 const MAX_IDLE_FRACTION: f64 = 0.25;
 
 impl ClientServer {
-    /// Accepts connections until dropped. While there are too many, further ones wait in the listener's queue.
+    /// Accepts connections until dropped. While there are too many, new ones wait in the listener's queue.
     pub async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         let mut has_logged_error = false;
         self.is_accepting.set(true);
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => self.spawn_connection(stream),
-                // The client's doing, or want of descriptors; either way not to be retried at once.
+                // Caused by the client or by a lack of descriptors; in both cases an immediate retry is
+                // useless.
                 Err(e) => {
                     if !std::mem::replace(&mut has_logged_error, true) {
                         warn!(error = %e, "accept: {e}");
@@ -47,16 +50,16 @@
     /// Waits until the number of connections is within its limit.
     async fn wait_for_slot(&self) {
         while self.clients.borrow().len() > self.max_connections.get() {
-            self.is_crowded.set(true);
-            // A connection that is to close may take its time, so another one is chosen after a while.
-            let pause = if self.close_one_idle() { CLOSE_DELAY } else { CROWDED_ACCEPT_BACKOFF };
-            // The number is checked again in either case.
+            self.is_over_limit.set(true);
+            // The requested close may be delayed, so another connection is closed after a while.
+            let pause = if self.close_one_idle() { CLOSE_DELAY } else { OVER_LIMIT_RECHECK_INTERVAL };
+            // The loop checks the number again in either case.
             let _ = timeout(pause, self.slot_freed.notified()).await;
         }
-        self.is_crowded.set(false);
+        self.is_over_limit.set(false);
     }
 
-    /// Accepts the connections that wait in the listener's queue: the system has completed their handshakes.
+    /// Accepts the connections in the listener's queue, whose handshakes the operating system has completed.
     pub fn accept_queued(self: &Rc<Self>, listener: &TcpListener) {
         while let Some(Ok((stream, _))) = listener.accept().now_or_never() {
             self.spawn_connection(stream);
@@ -75,7 +78,7 @@
         });
     }
 
-    /// Changes the number of connections that may be open, and closes idle ones that exceed it.
+    /// Changes the maximum number of open connections, and closes excess idle ones.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
         let excess = self.clients.borrow().len().saturating_sub(max_connections);
@@ -86,9 +89,9 @@
         }
     }
 
-    /// Closes the connection that has been idle the longest, preferably one without any request yet, but none that was only
-    /// just accepted. Returns whether there was one. A request that crosses the close is sent again by the client on a new
-    /// connection.
+    /// Closes the connection that has been idle the longest, preferably one that has sent no request yet, but
+    /// none that was accepted less than [`CLOSE_DELAY`] ago. Returns whether there was one. If a request
+    /// crosses the close, the client sends it again on a new connection.
     fn close_one_idle(&self) -> bool {
         let clients = self.clients.borrow();
         let idle = clients.values().filter_map(|client| Some((client.idle_since()?, client)));
@@ -99,8 +102,8 @@
         longest.map(|(since, client)| client.request_close(since)).is_some()
     }
 
-    /// When too many connections are idle after a response, closes the one that has been idle the longest. Each response
-    /// adds at most one, so closing one is enough.
+    /// If too many connections are idle after a response, closes the one that has been idle the longest. Each
+    /// response adds at most one idle connection, so closing one is enough.
     pub(super) fn close_excess_idle(&self) {
         let max_idle = (self.max_connections.get() as f64 * MAX_IDLE_FRACTION) as usize;
         let clients = self.clients.borrow();
--- a/quota-gateway/server/src/server/request_reader.rs
+++ b/quota-gateway/server/src/server/request_reader.rs
@@ -1,7 +1,7 @@
-//! Reading and validating a client's request.
+//! Reads and validates a client's request.
 //!
-//! The head is validated completely before any byte of the body is read. A header that occurs twice is rejected, because
-//! another reader might take the other value.
+//! The head is validated completely before any byte of the body is read. A header that occurs twice is
+//! rejected, because another recipient might use the other value.
 
 use super::response::{bad_request, body_timeout, payload_too_large, Rejection};
 use super::serving::ClientSocket;
@@ -22,10 +22,10 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
-/// The system reports the age of received bytes in its own ticks, of which the longest in use is this. Bytes that are
-/// younger have only just arrived.
+/// The operating system reports the age of received bytes in ticks, and this is the longest tick in use.
+/// Bytes with a lower age have only just arrived.
 const SYSTEM_TICK: Duration = Duration::from_millis(10);
-/// A customer's number is below this (protocol).
+/// Customer numbers are below this limit of the protocol.
 const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
 /// The number of hexadecimal digits of a customer's number and of a trace id.
 const ID_DIGITS: usize = 16;
@@ -40,27 +40,27 @@
 
 /// A request that has passed validation.
 pub struct AdmittedRequest<'a> {
-    /// What the decisions need to know; the engine numbers it.
+    /// The request as passed to the core; the engine sets its id.
     pub request: NewRequest,
-    /// What is sent to servers.
+    /// The message for servers.
     pub upstream_request: UpstreamRequest,
-    /// Keeps the trace id reserved until the request is over.
-    pub _open_id: OpenIdGuard<'a>,
+    /// Reserves the trace id until the request ends.
+    pub _open_trace_id: TraceIdGuard<'a>,
 }
 
-/// The trace id of a request in flight, released when the request is over.
-pub struct OpenIdGuard<'a> {
+/// The trace id of a request in flight, released on drop.
+pub struct TraceIdGuard<'a> {
     ids: &'a RefCell<HashSet<u64>>,
     id: u64,
 }
 
-impl Drop for OpenIdGuard<'_> {
+impl Drop for TraceIdGuard<'_> {
     fn drop(&mut self) {
         self.ids.borrow_mut().remove(&self.id);
     }
 }
 
-/// What a valid head says.
+/// The values of a valid head.
 struct RequestHead {
     class: usize,
     plan: usize,
@@ -86,7 +86,7 @@
     ) -> Result<AdmittedRequest<'_>, Rejection> {
         let (parts, body) = request.into_parts();
         let head = read_head(&self.site, &parts)?;
-        let open_id = self
+        let open_trace_id = self
             .reserve_trace_id(head.trace_id)
             .ok_or_else(|| bad_request(format!("{TRACE_ID} is that of an open request")))?;
         if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
@@ -95,7 +95,7 @@
         let head_duration = socket.observer.head_duration.get();
         let budget = self.engine.budgets.begin(head.class, head.client_timeout, head_duration);
         let body = read_body(body, &budget).await?;
-        // The client's timeout starts at the last byte; of a streamed body, that is still to come.
+        // The client's timeout starts at the last byte, which a streamed body has not received yet.
         let is_streamed = body.as_streamed().is_some();
         if !is_streamed {
             // The request may have waited in the listener's queue, or for a busy or suspended process.
@@ -103,7 +103,7 @@
             budget.on_complete(unread_for.unwrap_or_default());
         }
         let request = NewRequest {
-            // Numbered by the engine.
+            // Set by the engine.
             id: RequestId(0),
             class: ClassId(head.class),
             plan: PlanId(head.plan),
@@ -123,13 +123,13 @@
             budget,
             is_finished: Cell::new(false),
         };
-        Ok(AdmittedRequest { request, upstream_request, _open_id: open_id })
+        Ok(AdmittedRequest { request, upstream_request, _open_trace_id: open_trace_id })
     }
 
-    /// Reserves a trace id; `None` when a request in flight has it, which goes on undisturbed.
-    fn reserve_trace_id(&self, id: u64) -> Option<OpenIdGuard<'_>> {
+    /// Reserves a trace id. Returns `None` if a request in flight has it; that request is not affected.
+    fn reserve_trace_id(&self, id: u64) -> Option<TraceIdGuard<'_>> {
         let ids = &self.open_trace_ids;
-        ids.borrow_mut().insert(id).then(|| OpenIdGuard { ids, id })
+        ids.borrow_mut().insert(id).then(|| TraceIdGuard { ids, id })
     }
 }
 
@@ -157,12 +157,12 @@
     let metering =
         parse_metering(site, single_value(headers, &METERING)?).ok_or_else(|| unreadable(&METERING))?;
     check_method(site.settings.classes[class].effect, path_class, parts)?;
-    // Guards against a request that stays forever: the settings bound the timeout of a class.
+    // The settings limit the timeout of a class, so that no request stays open forever.
     let client_timeout = client_timeout.min(site.settings.classes[class].deadline);
     Ok(RequestHead { class, plan, trace_id, customer, client_timeout, metering })
 }
 
-/// Checks that the method is the one of the class, and that a class with idempotency keys has one.
+/// Checks that the method is that of the class, and that a request of a class with idempotency keys has one.
 fn check_method(effect: Effect, class: &str, parts: &Parts) -> Result<(), Rejection> {
     let method = match effect {
         Effect::Safe => Method::GET,
@@ -178,7 +178,7 @@
     Ok(())
 }
 
-/// The headers that servers get unchanged.
+/// The headers that are forwarded to servers unchanged.
 fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     [TRACE_ID, IDEMPOTENCY_KEY, CONTENT_TYPE]
         .into_iter()
@@ -186,7 +186,7 @@
         .collect()
 }
 
-/// Reads a body, or the start of a long one. The timeouts end a client that has vanished.
+/// Reads a body, or the start of a long one. The timeouts reject a client that has stopped sending.
 async fn read_body(mut body: Incoming, budget: &RequestBudget) -> Result<RequestBody, Rejection> {
     let length = body.size_hint().exact();
     let mut rate = TransferRate::waiting();
@@ -211,7 +211,7 @@
     Ok(RequestBody::Buffered(received.into()))
 }
 
-/// The value of a header that must occur exactly once.
+/// Returns the value of a header that must occur exactly once.
 fn single_value<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, Rejection> {
     let mut values = headers.get_all(name).iter();
     let value = values.next().ok_or_else(|| bad_request(format!("{name} is missing")))?;
@@ -236,8 +236,8 @@
     Duration::try_from_secs_f64(text.parse().ok()?).ok().filter(|duration| !duration.is_zero())
 }
 
-/// Parses `units=2,spread=3,first=1`: the units, the number of gateways of the customer's set and the first of them, which
-/// must be among the gateways that exist.
+/// Parses `units=2,spread=3,first=1`: the units, the number of gateways over which the customer spreads its
+/// requests, and the first of them, which must be an existing gateway.
 fn parse_metering(site: &Site, text: &str) -> Option<Metering> {
     let (mut units, mut spread, mut first) = (None, None, None);
     for pair in text.split(',') {
--- a/quota-gateway/server/src/server/responder.rs
+++ b/quota-gateway/server/src/server/responder.rs
@@ -1,4 +1,4 @@
-//! From a request to its response: the readiness check, and requests that are passed to the engine.
+//! Answers requests: the readiness check, and requests that are passed to the engine.
 
 use super::request_reader::AdmittedRequest;
 use super::response::{
@@ -19,7 +19,8 @@
 /// The path of the readiness check.
 const READINESS_PATH: &str = "/up";
 
-/// A client that awaits its response. Its drop, with the connection when the client disconnects, notifies the engine.
+/// Notifies the engine when it is dropped before the response has been received, which happens when the
+/// client disconnects and its connection is dropped.
 struct DisconnectGuard<'a> {
     engine: &'a Engine,
     /// `None` once the response has been received.
@@ -38,7 +39,8 @@
     /// Answers a request.
     ///
     /// # Errors
-    /// Returns the rejection of a request that reaches no server, or of one whose body the client breaks off.
+    /// Returns the rejection of a request that is not passed to the engine, or whose body ends prematurely,
+    /// is too long or is too slow.
     pub(super) async fn respond(
         &self,
         request: Request<Incoming>,
@@ -51,12 +53,12 @@
         if request.uri().path() == READINESS_PATH {
             return self.readiness(request.method());
         }
-        let AdmittedRequest { request, upstream_request, _open_id } =
+        let AdmittedRequest { request, upstream_request, _open_trace_id } =
             self.read_request(request, socket).await?;
         let streamed = upstream_request.body.as_streamed().cloned();
         socket.observer.budget.replace(Some(upstream_request.budget.clone()));
         let (id, response) = self.engine.on_request(request, upstream_request);
-        // Dropped on every way out, so that the decisions learn that the request is over.
+        // Dropped on every return path, so that the core is notified of the request's end.
         let mut guard = DisconnectGuard { engine: &self.engine, id: Some(id) };
         let response = match streamed {
             None => response.await,
@@ -84,7 +86,7 @@
     }
 }
 
-/// Waits until a streamed body is broken off, too long or too slow; forever if none of it happens.
+/// Waits until a streamed body ends prematurely, is too long or is too slow; forever if none of this happens.
 async fn body_rejection(body: &StreamedBody) -> Rejection {
     loop {
         match (body.delivery(), body.deadline()) {
--- a/quota-gateway/server/src/server/response.rs
+++ b/quota-gateway/server/src/server/response.rs
@@ -1,4 +1,4 @@
-//! The responses that the gateway gives by itself, and those that it passes on.
+//! The responses that the gateway generates, and those that it forwards from servers.
 
 use crate::body::response_body::ResponseBody;
 use crate::body::MAX_BODY_BYTES;
@@ -7,7 +7,7 @@
 use hyper::header::{HeaderValue, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// The response to a request that reaches no server.
+/// The response to a request that is rejected by the gateway itself.
 pub struct Rejection {
     /// The status of the response.
     pub status: StatusCode,
@@ -15,22 +15,22 @@
     pub reason: String,
 }
 
-/// A rejection with status 400.
+/// Rejects a request with status 400.
 pub fn bad_request(reason: impl Into<String>) -> Rejection {
     Rejection { status: StatusCode::BAD_REQUEST, reason: reason.into() }
 }
 
-/// The rejection of a body that is longer than [`MAX_BODY_BYTES`].
+/// Rejects a body that is longer than [`MAX_BODY_BYTES`].
 pub fn payload_too_large() -> Rejection {
     Rejection { status: StatusCode::PAYLOAD_TOO_LARGE, reason: format!("more than {MAX_BODY_BYTES} bytes") }
 }
 
-/// The rejection of a body that arrives too slowly.
+/// Rejects a body that arrives too slowly.
 pub fn body_timeout() -> Rejection {
     Rejection { status: StatusCode::REQUEST_TIMEOUT, reason: "the body did not come in time".into() }
 }
 
-/// The HTTP response for the engine's final response.
+/// Converts the engine's final response to an HTTP response.
 pub fn response_for(response: FinalResponse) -> Response<ResponseBody> {
     match response {
         FinalResponse::Served(served) => {
@@ -58,7 +58,7 @@
     }
 }
 
-/// A response whose body is one line of text.
+/// Creates a response whose body is one line of text.
 pub fn plain_response(status: StatusCode, line: &str) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::from(Bytes::from(format!("{line}\n"))));
     *response.status_mut() = status;
@@ -66,7 +66,8 @@
     response
 }
 
-/// The bytes of a last response that is written outside hyper, to a request that is malformed or did not arrive in time.
+/// Formats a response that is written outside hyper, to a request that is malformed or did not arrive in
+/// time.
 pub fn raw_rejection(status: StatusCode, reason: &str) -> Vec<u8> {
     let length = reason.len() + 1;
     format!(
