--- a/quota-gateway/server/src/server/serving.rs
+++ b/quota-gateway/server/src/server/serving.rs
@@ -1,4 +1,4 @@
-//! Driving one connection with hyper, from its first byte to its close.
+//! Drives one connection with hyper, from its first byte to its close.
 
 use super::connection::{ClientConnection, Phase, TrackedBody, HEAD_TIMEOUT};
 use super::response::{plain_response, raw_rejection, Rejection};
@@ -19,15 +19,15 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep_until;
 
-/// The longest head, in bytes; as much is read of a body at once. Bounds memory: hyper's own limit is some hundred KiB for
-/// each connection.
+/// The longest head, in bytes, and the most that is read of a body at a time. Limits memory: hyper's own
+/// limit is several hundred KiB per connection.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 /// The largest number of header lines.
 const MAX_HEADERS: usize = 64;
-/// A connection that is about to be closed, but has received bytes after all, is checked again after this time.
+/// A connection that has timed out but has unread input is checked again after this time.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The socket of a client's connection.
+/// The socket of a connection from a client.
 pub type ClientSocket = Socket<Rc<ClientConnection>>;
 
 /// A last response, written outside hyper.
@@ -36,10 +36,10 @@
     reason: &'static str,
 }
 
-/// What follows when a connection's time is up.
+/// How a connection that has timed out is handled.
 enum Expiry {
     Close(Option<LastResponse>),
-    /// Bytes have arrived that hyper has not read yet: a request, which is served first, or the end.
+    /// hyper has not read all input yet. It is a request, which is served first, or the end of the stream.
     Recheck,
 }
 
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Drives a connection until it ends, or its time is up. Returns the last response that is still to be written; a
-    /// request in flight was reported as disconnected.
+    /// Drives a connection until it ends or times out. Returns the last response that is still to be written.
+    /// A request in flight has been reported as disconnected.
     async fn drive_connection(
         self: &Rc<Self>,
         client: &Rc<ClientConnection>,
@@ -82,10 +82,10 @@
                 biased;
                 ended = connection.as_mut() => return ended.err().and_then(|e| on_parse_error(client, &e)),
                 () = client.close_changed.notified() => {}
-                // The request in flight is dropped with the connection.
+                // Dropping the connection drops the request in flight.
                 () = socket.peer_closed(|| matches!(client.phase.get(), Phase::InFlight)) => return None,
                 () = sleep_until(wake_at.into()) => {
-                    // The connection may have moved on meanwhile: the timer is not set anew with each request.
+                    // The timer is not reset for each request, so the connection may not have timed out.
                     if client.due().is_none_or(|due| due > Instant::now()) {
                         recheck_at = None;
                         continue;
@@ -117,7 +117,7 @@
         let mut response =
             result.unwrap_or_else(|Rejection { status, reason }| plain_response(status, &reason));
         if self.drain_state.get() != DrainState::Open
-            || self.is_crowded.get()
+            || self.is_over_limit.get()
             || client.is_close_requested()
             || framing == Framing::Ambiguous
         {
@@ -129,7 +129,8 @@
     }
 }
 
-/// The response to a request that hyper could not parse. How else a connection ended is the client's affair.
+/// Returns the response to a request that hyper could not parse. Any other end of a connection needs no
+/// response.
 fn on_parse_error(client: &ClientConnection, error: &hyper::Error) -> Option<LastResponse> {
     if !error.is_parse() || client.idle_since().is_none() {
         return None;
@@ -144,7 +145,7 @@
     })
 }
 
-/// Decides what follows when a connection's time is up.
+/// Decides how a connection that has timed out is handled.
 fn on_expired(client: &ClientConnection, socket: &ClientSocket, is_recheck: bool) -> Expiry {
     let is_idle = client.idle_since().is_some();
     if is_idle && !client.is_in_head() && !is_recheck && !socket.has_no_input() {
--- a/quota-gateway/server/src/shard_map.rs
+++ b/quota-gateway/server/src/shard_map.rs
@@ -1,7 +1,8 @@
-//! The shard map at the gateway: which cell may write a firm's shard, checked at the last moment before each write.
+//! The shard map at the gateway: the cell that may write a firm's shard is checked immediately before each
+//! write.
 //!
-//! A write carries the epoch of its shard, and a cell rejects one of another epoch, so that a shard is never written at two
-//! cells. Used only where the configuration says so.
+//! A write carries the epoch of its shard, and a cell rejects a write with another epoch, so that a shard is
+//! never written at two cells. Used only if the configuration enables it.
 
 use crate::metric::Metric;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -16,29 +17,30 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// The epoch that a write carries; servers that do not use shards ignore it.
+/// The header with the epoch of a write. Servers that do not use shards ignore it.
 pub const EPOCH: HeaderName = HeaderName::from_static("x-book-epoch");
-/// Set beside `X-Never-Ran` when the write had another epoch than the cell's: the epoch that is due there (0: none of this
-/// range).
+/// The header, set together with `X-Never-Ran`, with the epoch that the cell requires, if the write had
+/// another one. 0 means that the cell does not own the range.
 const EPOCH_DUE: HeaderName = HeaderName::from_static("x-book-due");
-/// How long a newer map is waited for before the attempt ends: the pause of a move, as in cells that fence. The request's
-/// budget bounds it further.
+/// How long an attempt waits for a newer map before it ends: the pause of a shard's move between cells that
+/// fence writes. The request's budget limits it further.
 pub const MAX_MAP_UPDATE_WAIT: Duration = Duration::from_millis(300);
 
-/// The shard map, and which cell each server belongs to.
+/// The shard map, and the cell of each server.
 pub struct ShardRouting {
     map: RefCell<DecisionReader<ShardMap>>,
     cells: RefCell<BTreeMap<ServerId, u32>>,
     started_at: Instant,
     changed: Notify,
-    /// Writes that a cell rejected because they had another epoch.
+    /// The number of writes that a cell rejected because they had another epoch.
     rejected_by_cell: Cell<u64>,
-    /// Writes that were not sent because their shard was open at no cell.
+    /// The number of writes that were not sent because their shard was not open at any cell, or not at the
+    /// server's cell.
     withheld: Cell<u64>,
 }
 
 impl ShardRouting {
-    /// Creates a routing without a map. Instants of [`ShardRouting::install`] count from `started_at`.
+    /// Creates a routing without a map. Instants of [`ShardRouting::install`] are relative to `started_at`.
     pub fn new(started_at: Instant) -> Rc<ShardRouting> {
         Rc::new(ShardRouting {
             map: RefCell::default(),
@@ -50,21 +52,22 @@
         })
     }
 
-    /// Installs a map that was read; `asked_at` is an instant, counted from the start, before the query was sent.
-    pub fn install(&self, asked_at: Duration, decision: Decision<ShardMap>) -> Acceptance {
-        let taken = self.map.borrow_mut().accept(asked_at, decision);
-        if taken == Acceptance::New {
+    /// Installs a map that was read; `queried_at` is an instant before the query was sent, relative to the
+    /// start.
+    pub fn install(&self, queried_at: Duration, decision: Decision<ShardMap>) -> Acceptance {
+        let acceptance = self.map.borrow_mut().accept(queried_at, decision);
+        if acceptance == Acceptance::New {
             self.changed.notify_waiters();
         }
-        taken
+        acceptance
     }
 
-    /// The stamp of the map that is installed.
+    /// Returns the stamp of the installed map.
     pub fn stamp(&self) -> Option<Stamp> {
         self.map.borrow().stamp()
     }
 
-    /// Applies an endpoint list: which cell each server belongs to.
+    /// Applies an endpoint list, which states the cell of each server.
     pub fn on_endpoint_list(&self, scope: Scope, servers: &[ServerInfo]) {
         let mut cells = self.cells.borrow_mut();
         if scope == Scope::Full {
@@ -82,12 +85,12 @@
         }
     }
 
-    /// A ticket to write a firm's shard, if the map allows that now.
+    /// Returns a ticket to write a firm's shard, if the map currently allows it.
     fn ticket(&self, firm: Firm) -> Result<Ticket, TicketError> {
         Ticket::acquire(self.started_at.elapsed(), &self.map.borrow(), firm)
     }
 
-    /// Where a firm's write goes, as known when the request arrives.
+    /// Returns the placement of a firm's write when its request arrives.
     pub fn placement(&self, firm: Firm) -> Placement {
         match self.ticket(firm) {
             Ok(ticket) => Placement::Cell(ticket.cell()),
@@ -98,7 +101,8 @@
         }
     }
 
-    /// The epoch of a write at a server, at this moment; `None` where nothing may be written there now.
+    /// Returns the current epoch of a write at a server, or `None` if the shard may not currently be written
+    /// there.
     pub fn epoch(&self, firm: Firm, server: ServerId) -> Option<HeaderValue> {
         let ticket = self.ticket(firm).ok()?;
         let (cell, epoch) = ticket.destination(self.started_at.elapsed())?;
@@ -109,7 +113,7 @@
         Some(HeaderValue::from(epoch))
     }
 
-    /// The epoch that is due at a cell, if it rejected a write because of another epoch.
+    /// Returns the epoch that a cell requires, if it rejected a write because of another epoch.
     pub fn epoch_due(&self, headers: &HeaderMap) -> Option<Epoch> {
         let due = headers.get(EPOCH_DUE)?.to_str().ok()?.parse().ok()?;
         self.rejected_by_cell.set(self.rejected_by_cell.get() + 1);
@@ -120,7 +124,7 @@
         self.withheld.set(self.withheld.get() + 1);
     }
 
-    /// The counters of writes that were not carried out.
+    /// The counters of writes that were rejected by a cell or not sent.
     pub fn metrics(&self) -> [Metric; 2] {
         [
             Metric {
@@ -136,8 +140,8 @@
         ]
     }
 
-    /// Waits for a map that is newer than the one by which a write was just rejected, and returns the cell at which the
-    /// firm's shard may be written by it.
+    /// Waits for a map that is newer than the one with which a write was just rejected, and returns the cell
+    /// at which the firm's shard may be written according to it.
     pub async fn wait_for_move(&self, firm: Firm, max_wait: Duration) -> Option<u32> {
         let before = self.stamp();
         let newer = async {
--- a/quota-gateway/server/src/upstream.rs
+++ b/quota-gateway/server/src/upstream.rs
@@ -1,8 +1,9 @@
 //! The servers that requests are sent to.
 //!
-//! An attempt passes [`attempt`], which takes a connection from the [`pool`] or establishes one, checks at the last moment
-//! that the attempt is still wanted, and writes the request; then [`response`], which reads the response and says how the
-//! attempt ended, with the [`load_report`] that the server attached. [`endpoints`] follows the endpoint list.
+//! [`attempt`] takes a connection from the [`pool`] or establishes one, checks immediately before writing
+//! that the attempt is still valid, and writes the request. [`response`] reads the response and determines
+//! how the attempt ended, with the [`load_report`] that the server attached. [`endpoints`] follows the
+//! endpoint list.
 
 mod attempt;
 mod endpoints;
@@ -22,7 +23,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The endpoints, the connections to them, and what is shared by all attempts.
+/// The endpoints, the connections to them, and the state that all attempts share.
 pub struct Upstream {
     endpoints: Endpoints,
     pool: ConnectionPool,
@@ -33,8 +34,8 @@
 impl Upstream {
     /// Creates an upstream without endpoints.
     ///
-    /// A connect may take `connect_timeout`; servers close connections that are idle for `server_idle_timeout`; at most
-    /// `max_connections` are open at a time.
+    /// A connect may take at most `connect_timeout`; servers close connections that are idle for
+    /// `server_idle_timeout`; at most `max_connections` may be open.
     pub fn new(
         connect_timeout: Duration,
         server_idle_timeout: Duration,
@@ -50,12 +51,13 @@
         }
     }
 
-    /// Changes the number of connections that may be open, and closes idle ones that exceed it.
+    /// Changes the maximum number of open connections, and closes excess idle ones.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.pool.set_max_connections(max_connections);
     }
 
-    /// Applies an endpoint list, and closes idle connections to processes that drain, are gone or have restarted.
+    /// Applies an endpoint list, and closes idle connections to processes that drain, are unlisted or have
+    /// restarted.
     pub fn on_endpoint_list(
         &self,
         scope: Scope,
@@ -71,7 +73,7 @@
         self.endpoints.process_of(server)
     }
 
-    /// Disables a server on the operators' behalf, or enables it again.
+    /// Disables a server, or enables it again, on an operator's command.
     pub fn set_disabled(&self, server: ServerId, is_disabled: bool) {
         self.endpoints.set_disabled(server, is_disabled);
     }
@@ -86,24 +88,24 @@
         self.pool.close_one_idle()
     }
 
-    /// Returns whether an attempt that was decided on earlier may still begin: while its connection was established the
-    /// client may have left, the server may have begun to drain, and the attempt's window may have ended.
-    fn may_begin(&self, process: &ServerProcess, request: &UpstreamRequest, begin_by: Option<Time>) -> bool {
+    /// Returns whether an attempt may still be written. While its connection was established, the client may
+    /// have disconnected, the server may have begun to drain, and the attempt's window may have ended.
+    fn may_write(&self, process: &ServerProcess, request: &UpstreamRequest, begin_by: Option<Time>) -> bool {
         !request.is_finished.get()
             && self.endpoints.is_running(process)
             && !self.endpoints.is_disabled(process.server)
             && begin_by.is_none_or(|begin_by| request.budget.is_before(begin_by))
     }
 
-    /// Records that a connection to this process showed activity, be it its end.
-    fn on_heard(&self, process: ServerProcess) {
-        // An attempt may outlast its server, whose entry would then never be removed.
+    /// Records activity on a connection to this process, including its close.
+    fn on_activity(&self, process: ServerProcess) {
+        // An attempt may outlast its server's listing. Its entry would then never be removed.
         if self.endpoints.is_running(&process) {
-            self.pool.on_heard(process);
+            self.pool.on_activity(process);
         }
     }
 
-    /// Returns a connection to the pool, unless it is closed or its process is no longer used.
+    /// Returns a connection to the pool, unless it is closed or its process is no longer running.
     fn put_back(&self, process: ServerProcess, connection: PooledConnection) {
         if !connection.is_closed() && self.endpoints.is_running(&process) {
             self.pool.put_back(process, connection);
--- a/quota-gateway/server/src/upstream/attempt.rs
+++ b/quota-gateway/server/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one server, up to the head of the response.
+//! One attempt of a request at a server, up to the head of the response.
 
 use super::pool::{Acquired, ConnectionPool, PooledConnection};
 use super::request::{AttemptEnd, AttemptWindow, ServedResponse, UpstreamRequest, EXPIRES_IN};
@@ -12,19 +12,19 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Why an attempt that has a connection is not written.
+/// The reason why an attempt that has a connection is not written.
 enum NotWritten {
-    /// It is no longer wanted, or no time remains.
+    /// The attempt is no longer valid, or no time remains.
     Obsolete,
-    /// The firm's shard may not be written at this server now.
+    /// The firm's shard may not currently be written at this server.
     ShardClosed,
 }
 
 /// Guards an attempt that has no response yet.
 ///
-/// A server that has sent nothing at all since the attempt began may be a machine that has vanished: connections to it stay
-/// open and silent, while new ones fail and so prove that nothing ran. When such an attempt is abandoned, the idle
-/// connections to the server are closed.
+/// If the server has sent nothing on any connection since the attempt began, its machine may be lost:
+/// existing connections to it stay open without traffic, whereas a new connect fails, which proves that
+/// nothing ran. When such an attempt is abandoned, the idle connections to the server are closed.
 struct PendingResponse<'a> {
     pool: &'a ConnectionPool,
     process: ServerProcess,
@@ -33,7 +33,7 @@
 
 impl Drop for PendingResponse<'_> {
     fn drop(&mut self) {
-        if !self.pool.has_heard_since(&self.process, self.sent_at) {
+        if !self.pool.has_activity_since(&self.process, self.sent_at) {
             self.pool.close_idle(&self.process);
         }
     }
@@ -42,7 +42,7 @@
 impl Upstream {
     /// Makes one attempt at `process`. `on_stream` is called with a streamed response when it begins.
     ///
-    /// A pooled connection that turns out to be closed is replaced within the attempt, as long as nothing was written.
+    /// A pooled connection that turns out to be closed is replaced within the attempt if nothing was written.
     pub async fn attempt(
         &self,
         process: ServerProcess,
@@ -50,7 +50,7 @@
         window: AttemptWindow,
         on_stream: impl Fn(ServedResponse),
     ) -> AttemptEnd {
-        // Another attempt has consumed a streamed body: there is nothing left to send.
+        // Another attempt has consumed the streamed body.
         let Some(body) = OutgoingBody::take(&request.body) else { return Status::NotSent.into() };
         let mut message = outgoing_message(&process, request, body);
         loop {
@@ -71,7 +71,7 @@
                 let sent_at = Instant::now();
                 let _pending = PendingResponse { pool: &self.pool, process, sent_at };
                 let sent = connection.try_send(message).await;
-                self.on_heard(process);
+                self.on_activity(process);
                 match sent {
                     Ok(response) => {
                         return self.on_response(process, connection, request, response, on_stream).await
@@ -85,7 +85,7 @@
                         None if request.delivery() != Delivery::Complete => {
                             return Status::ConnectFailed.into()
                         }
-                        // At least a part was written: nothing proves that it was not all.
+                        // At least a part was written, and the request may have run.
                         None => {
                             self.pool.on_reset(idle_for, sent_at);
                             return Status::Reset.into();
@@ -93,8 +93,8 @@
                     },
                 }
             }
-            // The connection was closed before anything was written. A pooled one is replaced within the same attempt; a
-            // new one counts as a failed connect.
+            // The connection was closed before anything was written. A pooled one is replaced within the same
+            // attempt. A new one counts as a failed connect.
             if idle_for.is_none() {
                 message.into_body().put_back();
                 return Status::ConnectFailed.into();
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Decides, at the last moment before the request is written, whether it may be, and sets the headers that depend on
-    /// this moment.
+    /// Decides, immediately before the request is written, whether it may be, and sets the headers that
+    /// depend on this instant.
     fn authorize(
         &self,
         process: &ServerProcess,
@@ -111,7 +111,7 @@
         window: AttemptWindow,
         headers: &mut HeaderMap,
     ) -> Result<(), NotWritten> {
-        if !self.may_begin(process, request, window.begin_by) {
+        if !self.may_write(process, request, window.begin_by) {
             return Err(NotWritten::Obsolete);
         }
         let timeout = request
@@ -150,7 +150,7 @@
         let is_wrong_epoch = shard.is_some_and(|(shards, _)| shards.epoch_due(response.headers()).is_some());
         let end = self.read_response(process, connection, request, response, on_stream).await;
         match shard {
-            // The write did not run, and the rejection says nothing of the server's health.
+            // The write did not run, and the rejection is no evidence about the server's health.
             Some((shards, firm)) if is_wrong_epoch && end.status == Status::Rejected => {
                 rejected_by_cell(shards, firm, request).await
             }
@@ -180,8 +180,8 @@
     message
 }
 
-/// Ends an attempt that was not written, or was rejected, because its shard is not open at this cell: once it is known where
-/// the shard is, or that this is not known soon.
+/// Ends an attempt that was not written, or was rejected, because its shard is not open at this cell. Waits
+/// until the shard's new cell is known, for at most [`MAX_MAP_UPDATE_WAIT`] and the time remaining.
 async fn rejected_by_cell(shards: &ShardRouting, firm: u64, request: &UpstreamRequest) -> AttemptEnd {
     let max_wait = request.budget.limit_wait(MAX_MAP_UPDATE_WAIT);
     let moved_to_cell = shards.wait_for_move(firm, max_wait).await;
--- a/quota-gateway/server/src/upstream/endpoints.rs
+++ b/quota-gateway/server/src/upstream/endpoints.rs
@@ -1,13 +1,13 @@
-//! The endpoint table: which process serves under each server's id, and which servers the operators have disabled.
+//! The endpoint table: the current process of each server, and the servers that the operators have disabled.
 
 use marblecroft_quota_gateway_core::{Lifecycle, Scope, ServerId, ServerInfo, Time};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// One process of a server, as an endpoint list named it.
+/// One process of a server, as listed in an endpoint list.
 ///
-/// An address may belong to another server later, and a restarted server knows none of the connections of its predecessor,
+/// An address may later belong to another server, and the connections to a server do not survive its restart,
 /// so connections are pooled by id, address and start time together.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerProcess {
@@ -26,7 +26,7 @@
 }
 
 impl Endpoints {
-    /// Applies an endpoint list: a full one replaces the table, a delta changes the named servers.
+    /// Applies an endpoint list: a full list replaces the table, a delta changes only the listed servers.
     pub fn on_endpoint_list(
         &self,
         scope: Scope,
@@ -52,7 +52,7 @@
         self.listed.borrow().get(&server).map(|(process, _)| *process)
     }
 
-    /// Returns whether the process is still listed, and as running.
+    /// Returns whether the process is still listed as running.
     pub fn is_running(&self, process: &ServerProcess) -> bool {
         self.listed.borrow().get(&process.server) == Some(&(*process, Lifecycle::Running))
     }
--- a/quota-gateway/server/src/upstream/load_report.rs
+++ b/quota-gateway/server/src/upstream/load_report.rs
@@ -1,4 +1,4 @@
-//! The headers in which servers report a customer's metered use and their own load.
+//! The headers in which servers report a customer's metered use of its quota and their own load.
 
 use hyper::header::{HeaderMap, HeaderName};
 use marblecroft_quota_gateway_core::LoadReport;
@@ -14,7 +14,7 @@
 /// The highest processor utilization that a server may report: full use, and a margin for noise.
 const MAX_REPORTED_UTILIZATION: f64 = 1.5;
 
-/// Reads the headers. A value that is malformed is ignored, and logged the first time for each header.
+/// Reads the headers. A malformed value is ignored; the first one is logged, for each header.
 #[derive(Default)]
 pub struct LoadReportReader {
     has_logged_meter: Cell<bool>,
@@ -27,7 +27,7 @@
         read_header(&self.has_logged_meter, "meter", headers, METER, parse_percent)
     }
 
-    /// The server's load; empty where it reports none.
+    /// The server's load; empty if it reports none.
     pub fn load_report(&self, headers: &HeaderMap) -> LoadReport {
         read_header(&self.has_logged_load, "load report", headers, LOAD, parse_load).unwrap_or_default()
     }
@@ -43,7 +43,7 @@
     let value = headers.get(name)?;
     let parsed = value.to_str().ok().and_then(parse);
     if parsed.is_none() && !has_logged.replace(true) {
-        warn!(what, value = ?value, "malformed {what} {value:?}, ignored from now on");
+        warn!(what, value = ?value, "malformed {what} {value:?}, further ones are not logged");
     }
     parsed
 }
@@ -53,7 +53,8 @@
     percent.filter(|percent| (0.0..=MAX_METER_PERCENT).contains(percent)).map(|percent| percent / 100.0)
 }
 
-/// Parses `TEXT queue=3,util=0.5`. All fields must be valid: what corrupted one may have corrupted the others.
+/// Parses `TEXT queue=3,util=0.5`. One invalid field invalidates the report, because the others may be
+/// corrupt as well.
 fn parse_load(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in text.trim().strip_prefix("TEXT ")?.split(',') {
--- a/quota-gateway/server/src/upstream/pool.rs
+++ b/quota-gateway/server/src/upstream/pool.rs
@@ -1,8 +1,8 @@
 //! The pool of connections to servers.
 //!
-//! Idle connections are reused, the most recently used first. How long one may be idle is learned: servers, and middle
-//! boxes on the way to them, may close connections far earlier than the settings say, and a request that crosses the close
-//! ends as a reset that may not be retried.
+//! Idle connections are reused, the most recently used first. The maximum idle time adapts to observed
+//! closes: servers, and middleboxes on the path, may close connections far earlier than configured, and a
+//! request that crosses the close ends as a reset that may not be retried.
 
 use super::endpoints::ServerProcess;
 use crate::body::request_body::OutgoingBody;
@@ -14,23 +14,26 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The fraction of the servers' idle timeout after which a connection is closed here, so that a request does not cross the
-/// server's close.
+/// The fraction of the servers' idle timeout after which this side closes a connection, so that a request
+/// does not cross the server's close.
 const IDLE_FRACTION: f64 = 0.75;
-/// A reset within the time of a connect, and at least this time, of writing is taken for an earlier close by the server; a
-/// reset that aborts work comes later ...
+/// A reset that follows the write within the time of a connect, or within this time if that is longer, is
+/// taken for an earlier close by the server. A reset that aborts work comes later.
 const MIN_IMMEDIATE_RESET: Duration = Duration::from_millis(2);
-/// ... if the connection had been idle for at least this long. Bounds the damage of aborts that are mistaken for closes.
-const MIN_LEARNED_IDLE: Duration = Duration::from_millis(20);
-/// After an early close was observed, the permitted idle time doubles in this interval, up to the settings' limit.
+/// The shortest idle time after which a reset is taken for an earlier close. Limits the damage of aborts that
+/// are mistaken for closes.
+const MIN_OBSERVED_IDLE: Duration = Duration::from_millis(20);
+/// After an early close, the idle limit doubles in each such interval, up to the configured limit.
 const IDLE_RECOVERY_INTERVAL: Duration = Duration::from_secs(10);
-/// A connection that has just delivered a response is not used again for this long. Some servers send a response twice, the
-/// second copy 0.5 to 3.7 ms late (31 of them on four short days): behind a further request it would be taken for that
-/// request's. Costs a further connection where requests to a server follow each other faster.
+/// A connection that has just delivered a response is not reused for this long. Some servers send a response
+/// twice, the second copy 0.5 to 3.7 ms late (31 copies in four short days of traffic); after a further
+/// request it would be taken for the response to that one. Costs an additional connection if requests to a
+/// server follow each other faster.
 const REUSE_DELAY: Duration = Duration::from_millis(15);
 /// The weight of a new sample in the moving average of the connect time.
 const CONNECT_TIME_WEIGHT: f64 = 0.1;
-/// The longest transit time that is assumed for a response: slow connects indicate busy servers, not long paths.
+/// The longest transit time that is assumed for a response. Slow connects indicate busy servers, not long
+/// paths.
 const MAX_RESPONSE_TRANSIT: Duration = Duration::from_millis(10);
 
 /// A connection to a server.
@@ -38,17 +41,17 @@
 
 /// The limits of a pool.
 pub struct PoolSettings {
-    /// The longest time that a connect may take.
+    /// The connect timeout.
     pub connect_timeout: Duration,
     /// The time after which servers close an idle connection.
     pub server_idle_timeout: Duration,
-    /// The number of connections that may be open at a time.
+    /// The maximum number of open connections.
     pub max_connections: usize,
 }
 
 /// A connection for an attempt.
 pub struct Acquired {
-    /// The connection, for this attempt alone.
+    /// The connection, used by this attempt only.
     pub connection: PooledConnection,
     /// How long the connection had been idle; `None` for a new one.
     pub idle_for: Option<Duration>,
@@ -59,33 +62,33 @@
     idle_since: Instant,
 }
 
-/// What an early close by a server showed.
+/// A reduced idle limit, from an observed early close.
 #[derive(Clone, Copy)]
-struct LearnedIdleLimit {
+struct ObservedIdleLimit {
     limit: Duration,
-    learned_at: Instant,
+    observed_at: Instant,
 }
 
-/// How long a connection may have been idle to be used again.
+/// The maximum idle time of a connection that is reused.
 struct IdleLimit {
     max: Duration,
-    learned: Cell<Option<LearnedIdleLimit>>,
+    observed: Cell<Option<ObservedIdleLimit>>,
 }
 
 impl IdleLimit {
     fn at(&self, now: Instant) -> Duration {
-        self.learned.get().map_or(self.max, |LearnedIdleLimit { limit, learned_at }| {
-            let elapsed = now.duration_since(learned_at).as_secs_f64();
+        self.observed.get().map_or(self.max, |ObservedIdleLimit { limit, observed_at }| {
+            let elapsed = now.duration_since(observed_at).as_secs_f64();
             let doublings = elapsed / IDLE_RECOVERY_INTERVAL.as_secs_f64();
             self.max.min(limit.mul_f64(doublings.min(32.0).exp2()))
         })
     }
 
-    /// Learns that a connection that had been idle for so long turned out to be closed.
+    /// Reduces the limit after a connection that had been idle for `idle_for` was found to be closed.
     fn on_closed_early(&self, idle_for: Duration, now: Instant) {
-        if idle_for >= MIN_LEARNED_IDLE {
+        if idle_for >= MIN_OBSERVED_IDLE {
             let limit = self.at(now).min(idle_for.mul_f64(IDLE_FRACTION));
-            self.learned.set(Some(LearnedIdleLimit { limit, learned_at: now }));
+            self.observed.set(Some(ObservedIdleLimit { limit, observed_at: now }));
         }
     }
 }
@@ -94,7 +97,7 @@
 pub struct ConnectionPool {
     connect_timeout: Duration,
     idle_limit: IdleLimit,
-    /// The moving average of the time that a connect takes.
+    /// The moving average of the connect time.
     connect_time: Cell<Duration>,
     max_connections: Cell<usize>,
     /// The number of open connections, idle and in use.
@@ -102,7 +105,7 @@
     /// Idle connections to running processes, the most recently used last.
     idle: RefCell<BTreeMap<ServerProcess, Vec<IdleConnection>>>,
     /// When each process last showed activity on a connection.
-    last_heard_at: RefCell<BTreeMap<ServerProcess, Instant>>,
+    last_activity_at: RefCell<BTreeMap<ServerProcess, Instant>>,
 }
 
 impl ConnectionPool {
@@ -111,35 +114,35 @@
         let max_idle = settings.server_idle_timeout.mul_f64(IDLE_FRACTION);
         ConnectionPool {
             connect_timeout: settings.connect_timeout,
-            idle_limit: IdleLimit { max: max_idle, learned: Cell::new(None) },
+            idle_limit: IdleLimit { max: max_idle, observed: Cell::new(None) },
             connect_time: Cell::new(MIN_IMMEDIATE_RESET),
             max_connections: Cell::new(settings.max_connections),
             open: Rc::default(),
             idle: RefCell::default(),
-            last_heard_at: RefCell::default(),
+            last_activity_at: RefCell::default(),
         }
     }
 
-    /// Changes the number of connections that may be open, and closes idle ones that exceed it.
+    /// Changes the maximum number of open connections, and closes excess idle ones.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
         while self.open.get() > max_connections && self.close_one_idle() {}
     }
 
-    /// Forgets processes that are no longer used, and closes the idle connections to them.
+    /// Removes processes that are no longer used, and closes the idle connections to them.
     pub fn retain(&self, is_used: impl Fn(&ServerProcess) -> bool) {
         self.idle.borrow_mut().retain(|process, _| is_used(process));
-        self.last_heard_at.borrow_mut().retain(|process, _| is_used(process));
+        self.last_activity_at.borrow_mut().retain(|process, _| is_used(process));
     }
 
     /// Records activity of a process.
-    pub fn on_heard(&self, process: ServerProcess) {
-        self.last_heard_at.borrow_mut().insert(process, Instant::now());
+    pub fn on_activity(&self, process: ServerProcess) {
+        self.last_activity_at.borrow_mut().insert(process, Instant::now());
     }
 
-    /// Returns whether a process has shown activity at `instant` or later.
-    pub fn has_heard_since(&self, process: &ServerProcess, instant: Instant) -> bool {
-        self.last_heard_at.borrow().get(process).is_some_and(|&heard_at| heard_at >= instant)
+    /// Returns whether a process showed activity at or after `instant`.
+    pub fn has_activity_since(&self, process: &ServerProcess, instant: Instant) -> bool {
+        self.last_activity_at.borrow().get(process).is_some_and(|&activity_at| activity_at >= instant)
     }
 
     /// Closes the idle connections to a process.
@@ -147,7 +150,7 @@
         self.idle.borrow_mut().remove(process);
     }
 
-    /// Closes connections that were idle for too long, and drops those that cannot be used again.
+    /// Closes connections that were idle for too long or cannot be reused.
     pub fn sweep(&self) {
         let limit = self.idle_limit.at(Instant::now());
         self.idle.borrow_mut().retain(|_, idle| {
@@ -166,8 +169,8 @@
     /// Takes an idle connection to `process`, or establishes one within the request's budget.
     ///
     /// # Errors
-    /// The status with which the attempt ends: [`Status::NotSent`] where no further connection may be open, which says
-    /// nothing of the server, or [`Status::ConnectFailed`].
+    /// The status with which the attempt ends: [`Status::NotSent`] if the maximum number of connections is
+    /// open, which is no evidence about the server, or [`Status::ConnectFailed`].
     pub async fn acquire(&self, process: &ServerProcess, budget: &RequestBudget) -> Result<Acquired, Status> {
         if let Some(acquired) = self.take_idle(process) {
             return Ok(acquired);
@@ -184,7 +187,7 @@
         let idle = idle.get_mut(process)?;
         let now = Instant::now();
         let limit = self.idle_limit.at(now);
-        // The connections are in the order in which they were put back.
+        // The connections are ordered by the time at which they became idle.
         let reusable = idle.partition_point(|idle| now.duration_since(idle.idle_since) >= REUSE_DELAY);
         let newest_first = (0..reusable).rev().map(|index| idle.remove(index));
         newest_first
@@ -201,19 +204,19 @@
         Ok(connection)
     }
 
-    /// Adds an open connection to the idle ones.
+    /// Adds an open connection to the idle connections.
     pub fn put_back(&self, process: ServerProcess, connection: PooledConnection) {
         let idle_since = Instant::now();
         self.idle.borrow_mut().entry(process).or_default().push(IdleConnection { connection, idle_since });
     }
 
-    /// The assumed transit time of a response: half of a connect, which takes one way there and one back.
+    /// The assumed transit time of a response: half of a connect, which takes one round trip.
     pub fn response_transit(&self) -> Duration {
         (self.connect_time.get() / 2).min(MAX_RESPONSE_TRANSIT)
     }
 
-    /// Learns from a reset of a request written at `sent_at` on a connection that had been idle for `idle_for`: one that
-    /// comes immediately shows that the server had closed the connection.
+    /// Handles the reset of a request that was written at `sent_at` on a connection that had been idle for
+    /// `idle_for`. An immediate reset shows that the server had closed the connection.
     pub fn on_reset(&self, idle_for: Option<Duration>, sent_at: Instant) {
         let is_immediate = sent_at.elapsed() <= self.connect_time.get().max(MIN_IMMEDIATE_RESET);
         if let Some(idle_for) = idle_for.filter(|_| is_immediate) {
--- a/quota-gateway/server/src/upstream/request.rs
+++ b/quota-gateway/server/src/upstream/request.rs
@@ -1,4 +1,4 @@
-//! What an attempt is made of, and how it ends.
+//! The message, the time window and the result of an attempt.
 
 use crate::body::request_body::{Delivery, RequestBody};
 use crate::body::response_body::ResponseBody;
@@ -9,68 +9,68 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The header that tells a server how long its response is waited for, in seconds.
+/// The header with the time for which the sender waits for the response, in seconds.
 pub const EXPIRES_IN: HeaderName = HeaderName::from_static("x-expires-in");
 
-/// The parts of a request that every attempt carries unchanged from the client.
+/// The parts of a request that are the same in every attempt.
 pub struct UpstreamRequest {
     /// The client's method.
     pub method: Method,
     /// The client's path and query.
     pub uri: Uri,
-    /// The client's headers that servers get.
+    /// The client's headers that are forwarded to servers.
     pub headers: HeaderMap,
     /// The client's body.
     pub body: RequestBody,
-    /// The firm whose shard the request writes, if it writes any.
+    /// The firm whose shard the request writes, if it is a write.
     pub written_firm: Option<u64>,
-    /// The time that remains for the request.
+    /// The time budget of the request.
     pub budget: Rc<RequestBudget>,
-    /// Set with the final response. No attempt is written after that, including those that are still connecting and may
-    /// not be cancelled.
+    /// Set with the final response. After that no attempt is written, including attempts that are still
+    /// connecting and cannot be cancelled.
     pub is_finished: Cell<bool>,
 }
 
 impl UpstreamRequest {
-    /// The trace id that the client set; every request that comes this far has one.
+    /// The trace id that the client set. Every validated request has one.
     pub fn trace(&self) -> &str {
         self.headers.get("x-trace-id").and_then(|id| id.to_str().ok()).unwrap_or_default()
     }
 
-    /// How much of the body has been delivered; a buffered one goes out in one piece.
+    /// Returns how much of the body has been delivered. A buffered body always counts as complete.
     pub fn delivery(&self) -> Delivery {
         self.body.as_streamed().map_or(Delivery::Complete, |body| body.delivery())
     }
 }
 
-/// When an attempt may begin and when it ends.
+/// The time window of an attempt.
 #[derive(Clone, Copy)]
 pub struct AttemptWindow {
-    /// The attempt is abandoned at this instant, by dropping it.
+    /// The instant at which the attempt is aborted by dropping its task.
     pub ends_at: Option<Time>,
-    /// Nothing is written at this instant or later.
+    /// The attempt is not written at or after this instant.
     pub begin_by: Option<Time>,
 }
 
-/// A server's 200 response: a complete one, or a streamed one that has begun.
+/// A server's 200 response: complete, or streamed and in progress.
 pub struct ServedResponse {
     /// The server's body.
     pub body: ResponseBody,
-    /// The server's content type, if it names one.
+    /// The server's content type, if it sent one.
     pub content_type: Option<HeaderValue>,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 pub struct AttemptEnd {
-    /// How it ended, for the decisions.
+    /// The status that is passed to the core.
     pub status: Status,
     /// The customer's metered use of its quota, as a fraction, if the server reports one.
     pub metered_use: Option<f64>,
-    /// The load that the server reports of itself.
+    /// The server's report of its own load.
     pub load_report: LoadReport,
-    /// The response, with [`Status::Ok`] only, and only if it was not streamed before.
+    /// The response, with [`Status::Ok`] only, unless it was streamed.
     pub response: Option<ServedResponse>,
-    /// The cell of the written shard, if it is not the one that the attempt went to.
+    /// The cell of the written shard, if the attempt was made at another one.
     pub moved_to_cell: Option<u32>,
 }
 
--- a/quota-gateway/server/src/upstream/response.rs
+++ b/quota-gateway/server/src/upstream/response.rs
@@ -1,8 +1,8 @@
 //! Reading a server's response.
 //!
-//! A short response counts only when it is complete: a rejection proves nothing before, and half of a 200 serves nobody.
-//! While nothing has gone out to the client, another attempt is possible. A long response is streamed to the client from
-//! the moment at which it is known to be long.
+//! A short response is used only when it is complete: an incomplete rejection does not prove that the request
+//! was not executed, and a part of a 200 response is useless. Another attempt is possible until the response
+//! to the client has begun. A long response is streamed to the client as soon as it is known to be long.
 
 use super::pool::PooledConnection;
 use super::request::{AttemptEnd, ServedResponse, UpstreamRequest};
@@ -22,26 +22,27 @@
 
 /// The header by which a server declares that it did not run the request.
 const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-never-ran");
-/// The longest gap within a short response of known length. A server that pauses for longer may keep its connection open
-/// forever.
+/// The longest gap within a short response of known length. A server that pauses for longer may keep its
+/// connection open forever.
 const SHORT_BODY_TIMEOUT: Duration = Duration::from_millis(500);
 /// A response of unknown length that is not complete after this time is streamed.
 const MAX_BUFFERING_TIME: Duration = Duration::from_millis(150);
-/// The longest gap within a streamed response. It is longer, because a part has already gone out to the client.
+/// The longest gap within a streamed response. It is longer, because the client has already received a part.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How much of a response has been read.
+/// The result of reading the start of a response body.
 enum BodyStart {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// The first bytes of a long one.
+    /// The first bytes of a long body.
     Partial(Bytes),
-    /// It broke off, or stalled.
+    /// The body ended prematurely or stalled.
     BrokenOff,
 }
 
 impl Upstream {
-    /// Reads the response to an attempt. A streamed one is passed to `on_stream` when it begins and forwarded to its end.
+    /// Reads the response to an attempt. A streamed response is passed to `on_stream` when it begins, and is
+    /// forwarded to its end.
     pub(super) async fn read_response(
         &self,
         process: ServerProcess,
@@ -56,7 +57,7 @@
             load_report: self.load_reports.load_report(&head.headers),
             ..status_of(&head).into()
         };
-        // The status line of an error says all that matters: the body is not read, and the connection is closed.
+        // The status is sufficient for an error: the body is not read, and the connection is closed.
         if end.status == Status::Error {
             return end;
         }
@@ -80,12 +81,12 @@
                 if end.status == Status::Reset {
                     request.budget.on_response_broken_off();
                 }
-                self.on_heard(process);
+                self.on_activity(process);
             }
-            // Also a rejection that breaks off or is too long: it proves nothing.
+            // A rejection that is incomplete or too long does not prove that the request was not executed.
             BodyStart::Partial(_) | BodyStart::BrokenOff => end.status = Status::Reset,
         }
-        // While a part of the request is unsent, the server would take the next request for the rest of it.
+        // If a part of the request is unsent, the server would read the next request as the rest of this one.
         if matches!(end.status, Status::Ok | Status::Rejected) && request.delivery() == Delivery::Complete {
             self.put_back(process, connection);
         }
@@ -103,8 +104,9 @@
     }
 }
 
-/// Returns whether the body can be read: it is not too long, and its end can be told from a lost connection. A body that
-/// ends with its connection may be cut off anywhere, unless the server announced the close.
+/// Returns whether the body can be read: it is not too long, and its regular end can be distinguished from a
+/// lost connection. A body that ends with the connection may be truncated, unless the server announced the
+/// close.
 fn is_readable(headers: &HeaderMap, length: Option<u64>) -> bool {
     match length {
         Some(length) => length <= MAX_BODY_BYTES as u64,
@@ -112,7 +114,7 @@
     }
 }
 
-/// Returns whether the server announces that it closes the connection after the response.
+/// Returns whether the server announced that it closes the connection after the response.
 fn closes_connection(headers: &HeaderMap) -> bool {
     let is_close = |value: &HeaderValue| {
         value
@@ -148,7 +150,7 @@
     }
 }
 
-/// Forwards a streamed response to its end, and returns how it ended.
+/// Forwards a streamed response to its end and returns the resulting status.
 async fn forward(start: Bytes, mut body: Incoming, chunks: &Sender<Chunk>) -> Status {
     let mut next = Some(start).filter(|start| !start.is_empty());
     loop {
@@ -161,13 +163,13 @@
             read = timeout(STREAM_TIMEOUT, next_data(&mut body)) => match read {
                 Ok(Ok(Some(data))) => next = Some(data),
                 Ok(Ok(None)) => break,
-                // The sender is dropped, so the client sees that the response is incomplete.
+                // Dropping the sender marks the response as incomplete for the client.
                 Ok(Err(_)) | Err(_) => return Status::Reset,
             },
             () = chunks.closed() => return Status::Cancelled,
         }
     }
-    // A client that has received the announced length does not wait for the end.
+    // The receiver may already be gone if the announced length was delivered.
     let _ = chunks.send(Chunk::End).await;
     Status::Ok
 }
