--- a/quota-gateway/server/src/body/transfer_rate/tests.rs
+++ b/quota-gateway/server/src/body/transfer_rate/tests.rs
@@ -8,7 +8,7 @@
         |rate: &TransferRate| rate.deadline().expect("the reader waits").saturating_duration_since(start);
     assert!(left(&rate) <= MAX_GAP + Duration::from_millis(100));
     rate.on_received_awaiting_more(10 << 20);
-    assert!(left(&rate) <= MAX_GAP + Duration::from_millis(200), "fast bytes do not lengthen the gap");
+    assert!(left(&rate) <= MAX_GAP + Duration::from_millis(200), "a large transfer does not extend the gap");
     // After a long total wait, the deadline depends on whether the bytes received so far reach the minimum
     // rate.
     rate.waited = Duration::from_secs(60);
--- a/quota-gateway/server/src/config.rs
+++ b/quota-gateway/server/src/config.rs
@@ -21,14 +21,15 @@
 const FILE_VARIABLE: &str = "RELAY_CONFIG";
 /// The largest number of further addresses of the discovery service.
 const MAX_OTHER_SERVICES: usize = 8;
-/// The longest time for which missing servers are kept, in milliseconds.
+/// The upper limit of the removal delay of missing servers, in milliseconds.
 const MAX_REMOVAL_DELAY_MS: u64 = 60_000;
-/// The minimum of the limit on connections, whatever the limit on descriptors.
+/// The lower limit of the number of connections, whatever the limit on descriptors.
 const MIN_SOCKETS: usize = 8;
 /// The descriptors for the process itself: standard streams, epoll, signals, the listener, discovery, and
 /// closed ones that are not released yet.
 const RESERVED_SOCKETS: usize = 32;
-/// The minimum of the configured number of descriptors. With fewer, too few are left for clients and servers.
+/// The minimum number of descriptors that may be configured. With fewer, too few are left for clients and
+/// servers.
 const MIN_CONFIGURED_SOCKETS: usize = 2 * RESERVED_SOCKETS;
 
 quick_error! {
--- a/quota-gateway/server/src/discovery.rs
+++ b/quota-gateway/server/src/discovery.rs
@@ -62,7 +62,7 @@
     random: Random,
     timing: FollowTiming,
     /// The time over which the calls of all gateways are spread.
-    round: Duration,
+    call_spread: Duration,
     has_logged_malformed_entry: bool,
 }
 
@@ -104,7 +104,7 @@
             version: None,
             random: Random(settings.seed),
             timing,
-            round: timing.round(settings.gateways),
+            call_spread: timing.call_spread(settings.gateways),
             has_logged_malformed_entry: false,
         }
     }
@@ -211,7 +211,7 @@
         if self.version.is_some() {
             // A list is already in force, so the call can be delayed: other gateways may have restarted at
             // the same time.
-            sleep(jitter(self.round, &mut self.random)).await;
+            sleep(jitter(self.call_spread, &mut self.random)).await;
         }
         loop {
             match self.fetch(addresses, &mut state).await {
@@ -273,7 +273,7 @@
             state.address_index = (state.address_index + 1) % addresses.len();
             state.connection = None;
         }
-        let pause = if state.is_busy { state.backoff.max(self.round) } else { state.backoff };
+        let pause = if state.is_busy { state.backoff.max(self.call_spread) } else { state.backoff };
         sleep(FollowTiming::jittered(pause, &mut self.random)).await;
         state.backoff = (state.backoff * 2).min(self.timing.backoff.max);
     }
--- a/quota-gateway/server/src/discovery/call.rs
+++ b/quota-gateway/server/src/discovery/call.rs
@@ -44,7 +44,7 @@
     pub connection: Connection,
 }
 
-/// Why a call returned no list.
+/// The reason why a call returned no list.
 pub enum FetchError {
     /// The agent rejected the call because it has too many. The list in force is still valid, and the full
     /// list would cost the agent far more than the changes.
--- a/quota-gateway/server/src/discovery/follow_timing.rs
+++ b/quota-gateway/server/src/discovery/follow_timing.rs
@@ -34,7 +34,7 @@
     pub stagger: Duration,
 }
 
-/// The timing for a list that must be polled: calls are priced, and abandoned ones are wasted work. A change
+/// The timing for a list that must be polled: calls have a cost, and abandoned ones are wasted work. A change
 /// counts as delivered 6 s after discovery has it. Within that time, a watch that gets no response is
 /// abandoned and the full list is requested ([`FollowTiming::update_bound`]). The full list is returned
 /// immediately, whereas a further watch would have to wait as long again before the agent is known
@@ -85,14 +85,14 @@
 const JITTER_SPAN: f64 = 1.0;
 /// The longest time over which the calls of all gateways are spread. If there are too many gateways for it,
 /// discovery rejects some calls, which is better than serving all of them too late.
-const MAX_ROUND: Duration = Duration::from_millis(2800);
+const MAX_CALL_SPREAD: Duration = Duration::from_millis(2800);
 /// A change counts as delivered this long after discovery had it and could be reached, whatever happened to
 /// earlier calls.
 const UPDATE_BOUND: Duration = Duration::from_secs(6);
 
-/// Returns a random delay within the round over which calls are spread. The gateways have no agreed order.
-pub fn jitter(round: Duration, random: &mut Random) -> Duration {
-    round.mul_f64(random.uniform())
+/// Returns a random delay within the time over which calls are spread. The gateways have no agreed order.
+pub fn jitter(call_spread: Duration, random: &mut Random) -> Duration {
+    call_spread.mul_f64(random.uniform())
 }
 
 const fn max_duration(one: Duration, other: Duration) -> Duration {
@@ -125,8 +125,8 @@
         }
     }
 
-    /// The longest time from the moment at which discovery has a change and can be reached until a call
-    /// starts that it can answer. At that moment a watch or another call may just have started and remain
+    /// The longest time between the instant at which discovery has a change and can be reached and the start
+    /// of a call that it can answer. At that instant a watch or another call may just have started and remain
     /// unanswered, or a pause may have begun.
     pub const fn max_time_to_call(&self) -> Duration {
         match self.hedge_after {
@@ -143,11 +143,11 @@
         }
     }
 
-    /// The longest time until that call is answered or abandoned, also for gateways that were rejected as
-    /// busy.
+    /// The longest time from the same instant until that call is answered or abandoned, also for gateways
+    /// that were rejected as busy.
     pub const fn update_bound(&self) -> Duration {
-        let rejected =
-            longest_pause(max_duration(self.backoff.max, self.max_round())).saturating_add(self.busy_timeout);
+        let rejected = longest_pause(max_duration(self.backoff.max, self.max_call_spread()))
+            .saturating_add(self.busy_timeout);
         max_duration(self.max_time_to_call().saturating_add(self.timeout), rejected)
     }
 
@@ -156,18 +156,18 @@
         pause.mul_f64(MIN_JITTER + JITTER_SPAN * random.uniform())
     }
 
-    const fn max_round(&self) -> Duration {
+    const fn max_call_spread(&self) -> Duration {
         if self.stagger.is_zero() {
             Duration::ZERO
         } else {
-            MAX_ROUND
+            MAX_CALL_SPREAD
         }
     }
 
     /// The time over which the calls of all gateways are spread if the list must be polled. If changes are
     /// pushed, it is zero: a watch costs nothing, and a change counts as delivered immediately.
-    pub fn round(&self, gateways: u32) -> Duration {
-        self.stagger.saturating_mul(gateways).min(self.max_round())
+    pub fn call_spread(&self, gateways: u32) -> Duration {
+        self.stagger.saturating_mul(gateways).min(self.max_call_spread())
     }
 }
 
--- a/quota-gateway/server/src/discovery/follow_timing/tests.rs
+++ b/quota-gateway/server/src/discovery/follow_timing/tests.rs
@@ -17,7 +17,7 @@
     assert_eq!(
         FollowTiming::of(Method::Subscribe, false).hedge_after,
         None,
-        "polling calls are priced and not hedged"
+        "polling calls have a cost and are not hedged"
     );
     assert_eq!(
         FollowTiming::of(Method::Subscribe, true),
@@ -35,12 +35,12 @@
     let watch = millis(timing.wait) + millis(timing.watch_timeout) + millis(timing.backoff.first) * 3 / 2;
     let call = millis(timing.timeout) + millis(timing.backoff.max) * 3 / 2;
     let unanswered = watch.max(call) + millis(timing.timeout);
-    let rejected = millis(timing.round(u32::MAX)) * 3 / 2 + millis(timing.busy_timeout);
+    let rejected = millis(timing.call_spread(u32::MAX)) * 3 / 2 + millis(timing.busy_timeout);
     assert!(unanswered <= 6000, "{unanswered} ms");
     assert!(rejected <= 6000, "{rejected} ms");
     assert_eq!(millis(timing.update_bound()), unanswered.max(rejected));
     let mut random = Random(1);
-    let longest = (0..1000).map(|_| FollowTiming::jittered(timing.round(300), &mut random)).max();
+    let longest = (0..1000).map(|_| FollowTiming::jittered(timing.call_spread(300), &mut random)).max();
     assert!(longest.is_some_and(|longest| longest + timing.busy_timeout <= Duration::from_secs(6)));
 }
 
@@ -50,20 +50,20 @@
     let polled = FollowTiming::of(Method::Subscribe, false);
     let mut calls = vec![0; 40];
     for seed in 0..100_u64 {
-        let at = jitter(polled.round(100), &mut Random(seed));
+        let at = jitter(polled.call_spread(100), &mut Random(seed));
         calls[(at.as_millis() / 100) as usize] += 1;
     }
     assert!(calls.iter().all(|&calls| calls <= 12), "in 100 ms each: {calls:?}");
     assert!(
-        jitter(polled.round(3), &mut Random(1)) < Duration::from_millis(150),
+        jitter(polled.call_spread(3), &mut Random(1)) < Duration::from_millis(150),
         "three gateways wait less than 150 ms"
     );
     assert_eq!(
-        FollowTiming::of(Method::Push, false).round(100),
+        FollowTiming::of(Method::Push, false).call_spread(100),
         Duration::ZERO,
         "calls are not spread if changes are pushed"
     );
-    assert_eq!(polled.round(0), Duration::ZERO);
+    assert_eq!(polled.call_spread(0), Duration::ZERO);
     // 300 gateways that start together must also be ready in time: nine in ten within ten seconds.
-    assert!(polled.round(u32::MAX) + polled.busy_timeout < Duration::from_secs(10));
+    assert!(polled.call_spread(u32::MAX) + polled.busy_timeout < Duration::from_secs(10));
 }
--- a/quota-gateway/server/src/discovery/list_follower.rs
+++ b/quota-gateway/server/src/discovery/list_follower.rs
@@ -38,7 +38,7 @@
 #[derive(Default)]
 pub struct ListMetrics {
     last_update_at: Cell<Option<Instant>>,
-    suspects: Cell<usize>,
+    pending_removals: Cell<usize>,
 }
 
 impl ListMetrics {
@@ -54,7 +54,7 @@
             Metric {
                 name: "marblecroft_list_suspects",
                 help: "Servers held though the last whole list lacked them.",
-                value: self.suspects.get() as f64,
+                value: self.pending_removals.get() as f64,
             },
         ]
     }
@@ -109,6 +109,6 @@
     fn update_metrics(&self) {
         let age = self.follower.age(self.started_at.elapsed());
         self.metrics.last_update_at.set(age.and_then(|age| Instant::now().checked_sub(age)));
-        self.metrics.suspects.set(self.follower.servers_pending_removal());
+        self.metrics.pending_removals.set(self.follower.servers_pending_removal());
     }
 }
--- a/quota-gateway/server/src/engine.rs
+++ b/quota-gateway/server/src/engine.rs
@@ -28,7 +28,7 @@
 use tokio::time::sleep;
 use tracing::{debug, info};
 
-/// How often idle connections are checked.
+/// The interval at which idle connections are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Handles one event and appends the resulting actions: [`marblecroft_quota_gateway_core::Gateway::handle`],
@@ -43,7 +43,7 @@
     pub budgets: Rc<RequestBudgets>,
     /// The servers.
     pub upstream: Upstream,
-    /// The other processes of this gateway, which keep the same quota state.
+    /// The links to the other processes of this gateway, which keep the same quota state.
     pub peer_links: PeerLinks,
     weak_self: Weak<Engine>,
     max_attempts: usize,
@@ -198,7 +198,7 @@
     fn perform(&self, now: Time, action: Action) {
         match action {
             Action::Send { id, server, deadline, begin_by } => {
-                // The core represents an attempt without an end of its own by a deadline of zero.
+                // A deadline of zero means that the attempt has no end of its own.
                 let ends_at = (deadline != Time(0)).then_some(deadline);
                 self.start_attempt(now, id, server, AttemptWindow { ends_at, begin_by });
             }
@@ -209,7 +209,7 @@
             Action::Fail { id } => {
                 self.respond(id, FinalResponse::Failed);
             }
-            Action::Timer { at, token } => self.timers.set(at, TimerKind::Decision(token)),
+            Action::Timer { at, token } => self.timers.set(at, TimerKind::Core(token)),
             // The watch of the endpoint list is started with the process and resumes by itself.
             Action::Subscribe => {}
             Action::Log(text) => info!("{text}"),
@@ -259,7 +259,7 @@
     /// each would wake the process for nothing.
     fn is_timer_live(&self, kind: &TimerKind) -> bool {
         match kind {
-            TimerKind::Decision(_) => true,
+            TimerKind::Core(_) => true,
             TimerKind::AttemptEnd(id, _) | TimerKind::ResponseDeadline(id) => {
                 self.open.borrow().contains_key(id)
             }
@@ -268,7 +268,7 @@
 
     fn on_timer(&self, kind: TimerKind) {
         match kind {
-            TimerKind::Decision(token) => self.post(Event::Timer(token)),
+            TimerKind::Core(token) => self.post(Event::Timer(token)),
             TimerKind::AttemptEnd(id, attempt) => self.on_attempt_timer(id, attempt),
             TimerKind::ResponseDeadline(id) => {
                 if self.respond(id, FinalResponse::DeadlineExceeded) {
--- a/quota-gateway/server/src/engine/attempts.rs
+++ b/quota-gateway/server/src/engine/attempts.rs
@@ -15,8 +15,9 @@
 use tracing::debug;
 
 impl Engine {
-    /// Starts an attempt. It ends at once if its deadline has passed, it exceeds the number of attempts, the
-    /// request already has its final response, or the server is not listed. Either way it gets one outcome.
+    /// Starts an attempt. It ends immediately if its deadline has passed, the maximum number of attempts has
+    /// been made, the request already has its final response, or the server is not listed. Either way it gets
+    /// one outcome.
     pub(super) fn start_attempt(&self, now: Time, id: RequestId, server: ServerId, window: AttemptWindow) {
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(&id) else { return };
--- a/quota-gateway/server/src/engine/open_request.rs
+++ b/quota-gateway/server/src/engine/open_request.rs
@@ -38,10 +38,10 @@
 pub struct Attempt {
     /// The server that the request is sent to.
     pub server: ServerId,
-    /// When it was started; for a streamed body, when the server had all of it.
+    /// The instant at which it was started, or at which the server had received all of a streamed body.
     pub sent_at: Time,
-    /// When it times out; `None` while the request's body is being sent, and once a streamed response has
-    /// begun.
+    /// The instant at which it times out; `None` while the request's body is being sent, and once a streamed
+    /// response has begun.
     pub ends_at: Option<Time>,
     /// The task that runs it, while it is in flight.
     pub task: Option<AbortHandle>,
@@ -49,7 +49,7 @@
 
 /// An attempt that was in flight and is about to end.
 pub struct EndingAttempt {
-    /// When it was started; for a streamed body, when the server had all of it.
+    /// The instant at which it was started, or at which the server had received all of a streamed body.
     pub sent_at: Time,
     /// The task that ran it.
     pub task: AbortHandle,
@@ -98,7 +98,7 @@
         self.responder.take()
     }
 
-    /// The attempt of this number.
+    /// Returns the attempt with this number.
     pub fn attempt_mut(&mut self, attempt: AttemptNo) -> Option<&mut Attempt> {
         self.attempts.get_mut(attempt.0 as usize)
     }
--- a/quota-gateway/server/src/engine/timers.rs
+++ b/quota-gateway/server/src/engine/timers.rs
@@ -12,8 +12,8 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerKind {
     /// A timer set by the core.
-    Decision(Token),
-    /// An attempt is abandoned.
+    Core(Token),
+    /// An attempt times out.
     AttemptEnd(RequestId, AttemptNo),
     /// The final response to a request is due.
     ResponseDeadline(RequestId),
@@ -37,7 +37,8 @@
         heap.push(Reverse((due_at, kind)));
     }
 
-    /// Returns when the first live timer is due, and removes the timers before it that are not live.
+    /// Returns the instant at which the first live timer is due, and removes the timers before it that are
+    /// not live.
     pub fn next_due(&self, is_live: impl Fn(&TimerKind) -> bool) -> Option<Time> {
         let mut heap = self.heap.borrow_mut();
         while let Some(Reverse((due_at, kind))) = heap.peek() {
--- a/quota-gateway/server/src/fleet_decisions/fleet_config.rs
+++ b/quota-gateway/server/src/fleet_decisions/fleet_config.rs
@@ -11,7 +11,7 @@
 const MAX_REPORT_MS: u64 = 10_000;
 
 quick_error! {
-    /// Why the settings are rejected. The message names the key.
+    /// The reason why the settings are rejected. The message names the key.
     #[derive(Debug)]
     pub enum FleetConfigError {
         /// The fleet's name is empty or too long.
--- a/quota-gateway/server/src/fleet_decisions/observations.rs
+++ b/quota-gateway/server/src/fleet_decisions/observations.rs
@@ -17,8 +17,8 @@
 struct SentAttempt {
     server: ServerId,
     sent_at: Time,
-    /// It was already counted as failed because its server is unresponsive; only a later response is still
-    /// counted.
+    /// Whether it was counted as failed because its server is unresponsive. After that, only a successful
+    /// response is counted.
     is_counted: bool,
     is_ended: bool,
 }
@@ -26,8 +26,8 @@
 /// A request that may still have an attempt in flight.
 pub(super) struct TrackedRequest {
     units: f64,
-    /// A server that does not respond for longer than this counts as unresponsive, whenever the attempt is
-    /// abandoned.
+    /// A server that does not respond within this time counts as unresponsive, even if the attempt is
+    /// abandoned later.
     latency_target: Duration,
     attempts: Vec<SentAttempt>,
 }
@@ -45,7 +45,7 @@
 pub struct Observations {
     servers: BTreeMap<ServerId, ServerInfo>,
     pub(super) requests: BTreeMap<RequestId, TrackedRequest>,
-    /// Outcomes by zone.
+    /// The outcomes of attempts by zone.
     attempt_counts: BTreeMap<u32, AttemptCounts>,
     requested_units: f64,
 }
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Stops tracking a request that has its final response. If an attempt is still in flight, its outcome
-    /// does so.
+    /// Stops tracking a request that has its final response. If an attempt is still in flight, the request is
+    /// tracked until that attempt's outcome.
     pub fn on_finished(&mut self, id: RequestId) {
         let has_ended = |request: &TrackedRequest| request.attempts.iter().all(|attempt| attempt.is_ended);
         if self.requests.get(&id).is_some_and(has_ended) {
@@ -94,15 +94,15 @@
         }
         let Some((server, is_counted)) = attempt else { return };
         let Some(zone) = self.zone_of(server) else { return };
-        let seen = self.attempt_counts.entry(zone).or_default();
+        let counts = self.attempt_counts.entry(zone).or_default();
         match outcome.status {
-            Status::Ok => seen.served += units,
+            Status::Ok => counts.served += units,
             _ if is_counted => {}
-            Status::Rejected => seen.rejected += units,
-            Status::Error | Status::Reset | Status::TimedOut => seen.failed += units,
-            Status::ConnectFailed => seen.connect_failed += units,
+            Status::Rejected => counts.rejected += units,
+            Status::Error | Status::Reset | Status::TimedOut => counts.failed += units,
+            Status::ConnectFailed => counts.connect_failed += units,
             // The server was unresponsive. An earlier cancellation is no evidence about the server.
-            Status::Cancelled if outcome.elapsed >= UNRESPONSIVE_AFTER => seen.failed += units,
+            Status::Cancelled if outcome.elapsed >= UNRESPONSIVE_AFTER => counts.failed += units,
             Status::Cancelled | Status::NotSent => {}
         }
     }
@@ -126,15 +126,15 @@
     /// Returns the observations since the last call; `zones` are the names of the zones.
     pub fn take(&mut self, zones: &[String], settings: &Settings, now: Time) -> ObservedInterval {
         self.count_unresponsive(now);
-        let mut seen = std::mem::take(&mut self.attempt_counts);
+        let mut counts = std::mem::take(&mut self.attempt_counts);
         let zones = (0..).zip(zones).map(|(zone, name)| {
             let is_running = |s: &&ServerInfo| s.zone == zone && s.lifecycle == Lifecycle::Running;
             let running = self.servers.values().filter(is_running);
             let (servers, warm) = running.fold((0.0, 0.0), |(servers, warm), server| {
                 (servers + 1.0, warm + warm_fraction(settings, server, now))
             });
-            let seen = seen.remove(&zone).unwrap_or_default();
-            ZoneObservation { zone: name.clone(), attempts: seen, servers, warm: warm.min(servers) }
+            let zone_counts = counts.remove(&zone).unwrap_or_default();
+            ZoneObservation { zone: name.clone(), attempts, servers, warm: warm.min(servers) }
         });
         let zones = zones.collect();
         ObservedInterval { requested_units: std::mem::take(&mut self.requested_units), zones }
--- a/quota-gateway/server/src/fleet_decisions/observer.rs
+++ b/quota-gateway/server/src/fleet_decisions/observer.rs
@@ -176,12 +176,12 @@
         shares.chain(shard_map).collect()
     }
 
-    /// The name of the zone of this number; empty if there is none.
+    /// The name of the zone with this number; empty if there is none.
     pub fn zone(&self, number: u32) -> String {
         self.zones.get(number as usize).cloned().unwrap_or_default()
     }
 
-    /// The number of the zone of this name.
+    /// The number of the zone with this name.
     pub fn zone_number(&self, name: &str) -> Option<u32> {
         u32::try_from(self.zones.iter().position(|zone| zone == name)?).ok()
     }
--- a/quota-gateway/server/src/fleet_decisions/quota_shares.rs
+++ b/quota-gateway/server/src/fleet_decisions/quota_shares.rs
@@ -22,7 +22,7 @@
 }
 
 impl QuotaShares {
-    /// Creates the shares of the gateway of this number, without a decision.
+    /// Creates the shares of the gateway with this number, without a decision.
     pub fn new(gateway: u32) -> QuotaShares {
         QuotaShares {
             limiter: RefCell::new(ShareLimiter::new(gateway)),
--- a/quota-gateway/server/src/server/draining.rs
+++ b/quota-gateway/server/src/server/draining.rs
@@ -13,8 +13,8 @@
 /// A connection on which nothing arrives for this long is not in use and is closed. Limits how long a client
 /// can keep a connection to a draining gateway; clients with less frequent requests have to reconnect.
 const DRAIN_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long after SIGTERM the process waits for an incomplete first request: new connections arrive for 0.4
-/// s, and a head may take 2 s.
+/// The time after SIGTERM for which the process waits for an incomplete first request. New connections arrive
+/// for 0.4 s, and a head may take 2 s.
 const DRAIN_ACCEPT_TIME: Duration = Duration::from_millis(2600);
 /// SIGKILL follows SIGTERM after the longest request deadline, which is at most this, plus [`KILL_GRACE`].
 const MAX_KILL_DEADLINE: Duration = Duration::from_secs(3);
--- a/quota-gateway/server/src/server/responder.rs
+++ b/quota-gateway/server/src/server/responder.rs
@@ -19,8 +19,8 @@
 /// The path of the readiness check.
 const READINESS_PATH: &str = "/up";
 
-/// Notifies the engine when it is dropped before the response has been received, which happens when the
-/// client disconnects and its connection is dropped.
+/// Notifies the engine if it is dropped before the response has been received: the client has disconnected,
+/// which drops its connection, or the request's body was rejected.
 struct DisconnectGuard<'a> {
     engine: &'a Engine,
     /// `None` once the response has been received.
--- a/quota-gateway/server/src/shard_map.rs
+++ b/quota-gateway/server/src/shard_map.rs
@@ -22,8 +22,8 @@
 /// The header, set together with `X-Never-Ran`, with the epoch that the cell requires, if the write had
 /// another one. 0 means that the cell does not own the range.
 const EPOCH_DUE: HeaderName = HeaderName::from_static("x-book-due");
-/// How long an attempt waits for a newer map before it ends: the pause of a shard's move between cells that
-/// fence writes. The request's budget limits it further.
+/// How long an attempt waits for a newer map before it ends: the pause of a move, the same as in cells that
+/// fence. The request's budget limits it further.
 pub const MAX_MAP_UPDATE_WAIT: Duration = Duration::from_millis(300);
 
 /// The shard map, and the cell of each server.
