--- a/quota-gateway/server/src/fleet_decisions/observations.rs
+++ b/quota-gateway/server/src/fleet_decisions/observations.rs
@@ -134,7 +134,7 @@
                 (servers + 1.0, warm + warm_fraction(settings, server, now))
             });
             let zone_counts = counts.remove(&zone).unwrap_or_default();
-            ZoneObservation { zone: name.clone(), attempts, servers, warm: warm.min(servers) }
+            ZoneObservation { zone: name.clone(), attempts: zone_counts, servers, warm: warm.min(servers) }
         });
         let zones = zones.collect();
         ObservedInterval { requested_units: std::mem::take(&mut self.requested_units), zones }
