--- a/quota-gateway/core/tests/conformance.rs
+++ b/quota-gateway/core/tests/conformance.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use marblecroft_quota_gateway_core::*;
-use marblecroft_test_support::conformance::{hold, Played};
+use marblecroft_test_support::conformance::{check_rows, RowResult};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -274,8 +274,8 @@
             let mut steps = row.steps.iter().enumerate();
             let miss = steps.find_map(|(at, step)| Some((at, step.play(&mut door).err()?)));
             let outcome = miss.map_or(Ok(()), |(at, seen)| Err(format!("step {at}: {seen}")));
-            Played { id: row.id, clause: row.clause, because: row.because, outcome }
+            RowResult { id: row.id, clause: row.clause, because: row.because, outcome }
         }));
     }
-    hold(&clauses.clause, rows);
+    check_rows(&clauses.clause, rows);
 }
--- a/quota-gateway/fair-share/tests/conformance.rs
+++ b/quota-gateway/fair-share/tests/conformance.rs
@@ -5,7 +5,7 @@
 use marblecroft_fair_share::allocator::ShareAllocator;
 use marblecroft_fair_share::decision::ShareDecision;
 use marblecroft_fair_share::limiter::{FirmQuota, ShareLimiter, SHRINK_INTERVAL};
-use marblecroft_test_support::conformance::{hold, Played};
+use marblecroft_test_support::conformance::{check_rows, RowResult};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -132,11 +132,11 @@
 fn every_clause_has_rows_and_every_row_passes() {
     let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/conformance/shares.toml"));
     let tables: Tables = toml::from_str(&text.expect("readable")).expect("tables");
-    let rows = tables.share.iter().map(|row| Played {
+    let rows = tables.share.iter().map(|row| RowResult {
         id: row.id.clone(),
         clause: row.clause.clone(),
         because: row.because.clone(),
         outcome: row.play(),
     });
-    hold(&tables.clause, rows);
+    check_rows(&tables.clause, rows);
 }
--- a/quota-gateway/shard-map/tests/conformance.rs
+++ b/quota-gateway/shard-map/tests/conformance.rs
@@ -7,7 +7,7 @@
 use marblecroft_shard_map::migration::CellOperation;
 use marblecroft_shard_map::plan::{plan_migrations, CellStatus, Limits};
 use marblecroft_shard_map::ticket::{Ticket, TicketError};
-use marblecroft_test_support::conformance::{hold, Played};
+use marblecroft_test_support::conformance::{check_rows, RowResult};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -179,13 +179,13 @@
 fn every_clause_has_rows_and_every_row_holds() {
     let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/conformance/books.toml"));
     let tables: Tables = toml::from_str(&text.expect("readable")).expect("tables");
-    let rows = tables.row.iter().map(|row| Played {
+    let rows = tables.row.iter().map(|row| RowResult {
         id: row.id.clone(),
         clause: row.clause.clone(),
         because: row.because.clone(),
         outcome: row.play(),
     });
-    hold(&tables.clause, rows);
+    check_rows(&tables.clause, rows);
     // A book in the middle of its move is open to nobody.
     assert!(
         MigrationStep::Planned < MigrationStep::Fencing
--- a/quota-gateway/zone-failover/tests/conformance.rs
+++ b/quota-gateway/zone-failover/tests/conformance.rs
@@ -1,6 +1,6 @@
 //! Tables of conformance of the decision: rows from the design page on zones, a clause each. A clause without a row is a failure.
 
-use marblecroft_test_support::conformance::{hold, Played};
+use marblecroft_test_support::conformance::{check_rows, RowResult};
 use marblecroft_zone_failover::allocation::{allocate, Load};
 use marblecroft_zone_failover::decision::ZoneState;
 use marblecroft_zone_failover::settings::{Settings, ZoneSettings};
@@ -126,7 +126,7 @@
 fn every_clause_has_rows_and_every_row_passes() {
     let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/conformance/zones.toml"));
     let tables: Tables = toml::from_str(&text.expect("readable")).expect("tables");
-    let played = |id: &String, clause: &String, because: &String, outcome| Played {
+    let played = |id: &String, clause: &String, because: &String, outcome| RowResult {
         id: id.clone(),
         clause: clause.clone(),
         because: because.clone(),
@@ -134,7 +134,7 @@
     };
     let flows = tables.flow.iter().map(|row| played(&row.id, &row.clause, &row.because, row.play()));
     let states = tables.state.iter().map(|row| played(&row.id, &row.clause, &row.because, row.play()));
-    hold(&tables.clause, flows.chain(states));
+    check_rows(&tables.clause, flows.chain(states));
 }
 
 /// A configuration that can't be used is named by its field.
--- a/testing/support/src/conformance.rs
+++ b/testing/support/src/conformance.rs
@@ -1,32 +1,38 @@
 //! Conformance tables: rows of input and expected output, each derived from a clause of a design page.
 //!
-//! The caller plays each row; [`hold`] checks that all rows passed and that every clause has one. A row names the clause
-//! that it shows and why its expectation follows from it, so that a failure can be traced to the page.
+//! The caller evaluates each row; [`check_rows`] checks that all rows passed and that every clause has one. A
+//! row names its clause and the reason for its expectation, so that a failure can be traced to the design
+//! page.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A row that was played.
-pub struct Played {
+/// The result of one row.
+pub struct RowResult {
     /// Identifier of the row, unique in its table.
     pub id: String,
-    /// Identifier of the clause that the row shows.
+    /// Identifier of the clause that the row tests.
     pub clause: String,
     /// Why the expectation follows from the clause.
     pub because: String,
-    /// Whether the row passed; the error says what came instead.
+    /// Whether the row passed; the error describes the actual output.
     pub outcome: Result<(), String>,
 }
 
-/// Checks the rows of a table against its clauses, from identifier to text.
+/// Checks the results of a table's rows against its clauses, which are given as a map from identifier to
+/// text.
 ///
 /// # Panics
 ///
-/// Panics with all rows that failed, with an identifier that two rows have, and with all clauses that have no row.
-pub fn hold(clauses: &BTreeMap<String, String>, rows: impl IntoIterator<Item = Played>) {
+/// Panics if a row failed (listing all that did), if a row names an unknown clause or gives no reason, if two
+/// rows have the same identifier, or if a clause has no row (listing all such clauses).
+pub fn check_rows(clauses: &BTreeMap<String, String>, rows: impl IntoIterator<Item = RowResult>) {
     let (mut covered, mut ids, mut failures) = (BTreeSet::new(), BTreeSet::new(), Vec::new());
-    for Played { id, clause, because, outcome } in rows {
-        assert!(clauses.contains_key(&clause) && !because.is_empty(), "{id}: {clause}");
-        assert!(ids.insert(id.clone()), "two rows are called {id}");
+    for RowResult { id, clause, because, outcome } in rows {
+        assert!(
+            clauses.contains_key(&clause) && !because.is_empty(),
+            "row {id}: unknown clause {clause}, or no reason"
+        );
+        assert!(ids.insert(id.clone()), "two rows have the identifier {id}");
         failures.extend(outcome.err().map(|actual| format!("{id} ({clause}): {actual}")));
         covered.insert(clause);
     }
