--- a/testing/support/golden/hex.rs
+++ b/testing/support/golden/hex.rs
@@ -1,12 +1,16 @@
-//! Bytes in hexadecimal, as golden fixtures have them in one line.
+//! Hexadecimal encoding of bytes on one line, as used by golden fixtures.
 
-/// Returns bytes in hexadecimal.
+/// Encodes bytes as lowercase hexadecimal.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Returns bytes from hexadecimal.
+/// Decodes hexadecimal.
+///
+/// # Panics
+///
+/// Panics if the text is not an even number of hexadecimal digits.
 pub fn unhex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
+    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
     (0..text.len()).step_by(2).map(digits).collect()
 }
--- a/testing/support/golden/storage.rs
+++ b/testing/support/golden/storage.rs
@@ -1,5 +1,5 @@
-//! The writes of a chain's member, compared with recorded ones; shared by golden tests. The includer has
-//! the module `encoding` as well.
+//! Comparison of the storage writes of a chain member with recorded ones, shared by golden tests. A file that
+//! includes this module must also include the module `encoding`.
 
 use super::encoding::{hex, unhex};
 use marblecroft_chain_replication::storage::Storage;
@@ -8,7 +8,7 @@
 use std::io;
 use std::rc::Rc;
 
-/// A storage that lists what is written, a line for each write: `segment` or `append`, and the bytes.
+/// A storage that records each write as a line: `segment` or `append`, and the bytes in hexadecimal.
 #[derive(Clone, Default)]
 pub struct RecordingStorage(Rc<RefCell<String>>);
 
@@ -17,16 +17,16 @@
         self.0.borrow_mut().push_str(&format!("{kind} {}\n", hex(bytes)));
     }
 
-    /// Returns the writes so far.
+    /// Returns the recorded lines.
     pub fn written(&self) -> String {
         self.0.borrow().clone()
     }
 
-    /// Checks that the writes are those of a fixture.
+    /// Checks that the recorded writes equal those of a fixture.
     #[track_caller]
     pub fn check_written(&self, fixture: &str) {
         let written = self.written();
-        assert!(written == fixture, "other bytes than the fixture's are written:\n{written}");
+        assert!(written == fixture, "the writes differ from the fixture; written:\n{written}");
     }
 }
 
@@ -54,11 +54,11 @@
     }
 }
 
-/// Returns the last checkpoint of a fixture, and the records behind it.
+/// Returns the last checkpoint of a fixture and the records after it.
 pub fn recovered(fixture: &str) -> Recovered {
     let mut found = Recovered::default();
     for line in fixture.lines() {
-        let (kind, bytes) = line.split_once(' ').expect("two words");
+        let (kind, bytes) = line.split_once(' ').expect("a line has a kind and bytes");
         match kind {
             "segment" => {
                 found.snapshot = Some(unhex(bytes));
--- a/testing/support/src/port.rs
+++ b/testing/support/src/port.rs
@@ -3,11 +3,12 @@
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// A free port, reserved until this is dropped.
+/// A free TCP port, reserved until this value is dropped.
 ///
-/// A program can be told the port before it starts, and can come back to it after a restart: the system gives it to no one
-/// else. The socket that reserves it is bound but does not listen, so a connection is refused while the program is away. A
-/// port that was released instead would now and then be another program's by the time it is used.
+/// A test can pass the port to a program before it starts, and the program can bind it again after a restart:
+/// the operating system assigns it to no other socket. The reserving socket is bound but does not listen, so
+/// connections are refused while the program is not running. If the port were released instead, another
+/// program could sometimes be assigned it before it is used.
 pub struct Port {
     /// The address, on the loopback interface.
     pub addr: SocketAddr,
@@ -15,17 +16,18 @@
 }
 
 impl Port {
-    /// Reserves a port that the system chooses.
+    /// Reserves a port chosen by the operating system.
     ///
     /// # Panics
     ///
     /// Panics if the system has no free port.
     pub fn held() -> Port {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).expect("a socket");
-        // Lets the program bind the port beside this socket, which does not listen; all programs here set the same option.
-        socket.set_reuse_address(true).expect("an option");
-        socket.bind(&SockAddr::from(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))).expect("a port");
-        let addr = socket.local_addr().ok().and_then(|addr| addr.as_socket()).expect("bound");
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).expect("create a socket");
+        // SO_REUSEADDR lets the program bind the port beside this socket, which does not listen. All programs
+        // that tests start set the option as well.
+        socket.set_reuse_address(true).expect("set SO_REUSEADDR");
+        socket.bind(&SockAddr::from(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))).expect("bind a free port");
+        let addr = socket.local_addr().ok().and_then(|addr| addr.as_socket()).expect("address of the socket");
         Port { addr, _socket: socket }
     }
 }
--- a/testing/support/tests/known_red.rs
+++ b/testing/support/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! CI passes over the tests of `KNOWN-RED.txt`, and over no others.
+//! Tests of `.ci/known-red`: CI skips exactly the tests that `KNOWN-RED.txt` lists.
 
 use std::fs;
 use std::path::Path;
@@ -6,41 +6,42 @@
 
 const LISTING: &str = "first: test\nmodule::second: test\nthird: test\nfourth: test\ntwice: test\ntwice: test\n\n6 tests, 0 benchmarks\n";
 
-/// What CI is to skip, or what it says is wrong.
-fn skipped(name: &str, lines: Option<&str>) -> Result<Vec<String>, String> {
+/// Runs `.ci/known-red` on a file of these lines, or without a file. Returns the arguments that skip tests,
+/// or the error that was printed. Checks that all lines of an accepted file are printed.
+fn skip_arguments(name: &str, lines: Option<&str>) -> Result<Vec<String>, String> {
     let folder = std::env::temp_dir().join(format!("known-red-{}-{name}", std::process::id()));
-    fs::create_dir_all(&folder).expect("a folder");
+    fs::create_dir_all(&folder).expect("create the folder");
     let (file, listing) = (folder.join("KNOWN-RED.txt"), folder.join("tests.txt"));
     if let Some(lines) = lines {
-        fs::write(&file, lines).expect("written");
+        fs::write(&file, lines).expect("write the file");
     }
-    fs::write(&listing, LISTING).expect("written");
+    fs::write(&listing, LISTING).expect("write the listing");
     let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../.ci/known-red");
-    let output = Command::new("bash").arg(script).args([&file, &listing]).output().expect("it runs");
-    fs::remove_dir_all(&folder).expect("removed");
+    let output = Command::new("bash").arg(script).args([&file, &listing]).output().expect("run the script");
+    fs::remove_dir_all(&folder).expect("remove the folder");
     let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
     if !output.status.success() {
         return Err(text(output.stderr));
     }
     let printed = text(output.stderr);
     for line in lines.unwrap_or_default().lines() {
-        assert!(printed.contains(line), "{line:?} is printed");
+        assert!(printed.contains(line), "{line:?} is not printed");
     }
     Ok(text(output.stdout).lines().map(str::to_owned).collect())
 }
 
 #[test]
-fn exactly_the_named_tests_are_skipped_and_all_are_printed() {
-    assert_eq!(skipped("none", None), Ok(vec![]));
-    assert_eq!(skipped("empty", Some("")), Ok(vec![]));
+fn exactly_the_listed_tests_are_skipped_and_printed() {
+    assert_eq!(skip_arguments("none", None), Ok(vec![]));
+    assert_eq!(skip_arguments("empty", Some("")), Ok(vec![]));
     let three = "first, a fault of its own, issue 28\nmodule::second, another, with a comma, issue 7\nthird, x, issue 1";
     let names = ["--skip", "first", "--skip", "module::second", "--skip", "third"];
-    assert_eq!(skipped("three", Some(three)), Ok(names.map(str::to_owned).to_vec()));
+    assert_eq!(skip_arguments("three", Some(three)), Ok(names.map(str::to_owned).to_vec()));
 }
 
 #[test]
-fn what_is_not_in_order_fails() {
-    for (name, lines, why) in [
+fn malformed_files_and_ambiguous_test_names_are_rejected() {
+    for (name, lines, expected) in [
         (
             "fourth",
             "first, x, issue 1\nthird, x, issue 1\nmodule::second, x, issue 1\nfourth, x, issue 1\n",
@@ -54,7 +55,7 @@
         ("pattern", "thir., x, issue 1\n", "line 1"),
         ("twice", "twice, x, issue 1\n", "2 tests"),
     ] {
-        let said = skipped(name, Some(lines)).expect_err(name);
-        assert!(said.contains(why), "{name}: {said}");
+        let error = skip_arguments(name, Some(lines)).expect_err(name);
+        assert!(error.contains(expected), "{name}: {error}");
     }
 }
