--- a/control-plane/simulation/src/checker/change.rs
+++ b/control-plane/simulation/src/checker/change.rs
@@ -1,41 +1,41 @@
-//! Changes of the configuration, as operators send them.
+//! Changes of the configuration that operators send.
 
 use std::time::Duration;
 
-/// The routes of a configuration in their order: name and text.
+/// The routes of a configuration in order, each with its name and its JSON text.
 pub type Routes = Vec<(String, String)>;
 
-/// What an operator changes.
+/// A change of the routes of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// All routes.
+    /// Replaces all routes.
     Replace(Routes),
-    /// Adds a route, or replaces the one of its name.
+    /// Adds a route, given by its name and JSON text, or replaces the route of this name.
     Upsert(String, String),
-    /// Removes the route of this name, if it is there.
+    /// Removes the route of this name, if it exists.
     Remove(String),
 }
 
-/// A change that an operator sends.
+/// A change that an operator sends, and its outcome.
 #[derive(Clone, Debug)]
 pub struct ConfigurationChange {
-    /// The generation that it builds on.
+    /// Generation that the change is based on.
     pub base: u64,
-    /// The generation that it makes.
+    /// Generation that the change creates.
     pub generation: u64,
-    /// The body of its request.
+    /// Body of the request.
     pub body: String,
-    /// Whether it changes single routes, rather than replaces all.
+    /// Whether it changes a single route instead of replacing all routes.
     pub is_update: bool,
-    /// The routes that it may result in: several where several changes to its base generation were sent.
+    /// Routes that may result from it; several if several changes that create its base generation were sent.
     pub(super) possible_routes: Vec<Routes>,
-    /// When it was first acknowledged, since the start of the run.
+    /// When it was first acknowledged, as time since the start of the run.
     pub acknowledged_at: Option<Duration>,
-    /// Whether it was rejected for good.
+    /// Whether it was rejected with a final status (4xx).
     pub rejected: bool,
 }
 
-/// Returns a configuration as operators write it.
+/// Returns a configuration in the JSON form that operators send.
 pub(super) fn configuration(generation: u64, routes: &Routes) -> String {
     let routes: Vec<&str> = routes.iter().map(|route| route.1.as_str()).collect();
     format!(
@@ -45,7 +45,7 @@
 }
 
 impl Change {
-    /// Returns the routes after this change.
+    /// Returns the routes that result from applying this change to `before`.
     pub(super) fn applied_to(&self, before: &Routes) -> Routes {
         let mut routes = before.clone();
         match self {
--- a/control-plane/simulation/src/checker/configuration.rs
+++ b/control-plane/simulation/src/checker/configuration.rs
@@ -1,14 +1,15 @@
-//! Checks that the configuration behaves as one register.
+//! Checks that the configuration behaves like a single register.
 //!
-//! Generations only rise, so the newer of two configurations is the one of the higher generation: a reader that asks after an
-//! acknowledgement must see that generation or a higher one, and nobody sees a configuration that was rejected or never sent.
+//! Generations only increase, so the newer of two configurations is the one with the higher generation. A
+//! read that is sent after an acknowledgement must return that generation or a higher one, and no client may
+//! see a configuration that was rejected or never sent.
 
 use super::change::{configuration, Change, ConfigurationChange, Routes};
 use super::findings::Findings;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A read that showed a configuration.
+/// A read that returned a configuration.
 #[derive(Clone, Copy, Debug)]
 struct Read {
     answered_at: Duration,
@@ -19,20 +20,20 @@
 #[derive(Default)]
 pub struct ConfigurationChecker {
     findings: Findings,
-    /// By number, in the order in which operators decided on them.
+    /// By number, in the order in which operators recorded them.
     changes: Vec<ConfigurationChange>,
     reads: Vec<Read>,
-    /// The generation that each gateway has.
+    /// Generation of each gateway's configuration, by gateway number.
     gateways: BTreeMap<usize, u64>,
 }
 
 impl ConfigurationChecker {
-    /// Returns what this checker has found.
+    /// Returns the findings of this checker.
     pub fn findings(&self) -> &Findings {
         &self.findings
     }
 
-    /// Records that an operator is about to send a change, and returns the change's number.
+    /// Records a change that an operator is about to send, and returns its number.
     pub fn record_change(&mut self, base: u64, generation: u64, change: &Change) -> usize {
         let is_update = !matches!(change, Change::Replace(_));
         let possible_routes = if is_update {
@@ -53,7 +54,8 @@
         self.changes.len() - 1
     }
 
-    /// Returns what a change may result in, for each configuration that may have been in force under generation `base`.
+    /// Returns the routes that may result from a change: one entry for each configuration that may be in
+    /// force at generation `base`.
     fn possible_routes_on(&self, base: u64, change: &Change) -> Vec<Routes> {
         let bases = self.changes.iter().filter(|sent| sent.generation == base && !sent.rejected);
         let mut possible_routes: Vec<Routes> =
@@ -67,45 +69,48 @@
     ///
     /// # Panics
     ///
-    /// If no change has this number.
+    /// Panics if no change has this number.
     pub fn change(&self, number: usize) -> &ConfigurationChange {
         &self.changes[number]
     }
 
-    /// Returns the numbers of the changes that were acknowledged.
+    /// Returns the numbers of the acknowledged changes.
     pub fn acknowledged_changes(&self) -> Vec<usize> {
         (0..self.changes.len()).filter(|number| self.changes[*number].acknowledged_at.is_some()).collect()
     }
 
-    /// Returns the newest generation that was acknowledged by an instant, 0 if none was.
+    /// Returns the newest generation that was acknowledged at or before `by`, or 0 if there is none.
     pub fn newest_acknowledged(&self, by: Duration) -> u64 {
         let acknowledged = |change: &&ConfigurationChange| change.acknowledged_at.is_some_and(|at| at <= by);
         self.changes.iter().filter(acknowledged).map(|change| change.generation).max().unwrap_or(0)
     }
 
-    /// Handles the HTTP status of the reply to a change: acknowledged, rejected, or else unknown.
+    /// Handles the HTTP status of the reply to a change: 200 acknowledges it, 4xx rejects it, and after any
+    /// other status its outcome is unknown.
     pub fn on_change_reply(&mut self, now: Duration, number: usize, status: u16) {
-        let known = self.changes[number].clone();
+        let change = self.changes[number].clone();
         match status {
             200 => {
                 self.findings.count("acknowledged");
-                if known.rejected {
-                    self.findings.report(format!("acknowledged after a rejection: {known:?}"));
+                if change.rejected {
+                    self.findings.report(format!("acknowledged after a rejection: {change:?}"));
                 }
                 let conflicts = |other: &ConfigurationChange| {
-                    let same_generation = other.generation == known.generation || other.base == known.base;
-                    other.acknowledged_at.is_some() && same_generation && other.body != known.body
+                    let same_generation = other.generation == change.generation || other.base == change.base;
+                    other.acknowledged_at.is_some() && same_generation && other.body != change.body
                 };
                 if let Some(other) = self.changes.iter().find(|other| conflicts(other)) {
-                    self.findings.report(format!("two are acknowledged: {known:?} and {other:?}"));
+                    self.findings.report(format!(
+                        "two conflicting changes are acknowledged: {change:?} and {other:?}"
+                    ));
                 }
                 self.changes[number].acknowledged_at.get_or_insert(now);
             }
             400..=499 => {
                 self.findings.count("refused");
-                if known.acknowledged_at.is_some() {
+                if change.acknowledged_at.is_some() {
                     self.findings
-                        .report(format!("rejected with {status} after it was acknowledged: {known:?}"));
+                        .report(format!("rejected with {status} after it was acknowledged: {change:?}"));
                 }
                 self.changes[number].rejected = true;
             }
@@ -113,7 +118,8 @@
         }
     }
 
-    /// Reports a body that no accepted change results in; returns the generation of one that does.
+    /// Returns the generation of the change that results in a body. Reports a violation and returns `None` if
+    /// no change that was sent results in it, or only rejected ones do.
     fn check_in_force(&mut self, body: &str, event: &str) -> Option<u64> {
         let results_in_body = |change: &&ConfigurationChange| {
             change.possible_routes.iter().any(|routes| configuration(change.generation, routes) == body)
@@ -124,11 +130,11 @@
             candidates.iter().find(|change| !change.rejected).or(candidates.first()).copied().cloned();
         match change {
             None => {
-                self.findings.report(format!("{event}: nobody has sent {body}"));
+                self.findings.report(format!("{event}: no change that was sent results in {body}"));
                 None
             }
             Some(change) if change.rejected => {
-                self.findings.report(format!("{event}: in force though rejected: {change:?}"));
+                self.findings.report(format!("{event}: a rejected change is in force: {change:?}"));
                 None
             }
             Some(change) => Some(change.generation),
@@ -141,8 +147,9 @@
         let Some(generation) = self.check_in_force(body, "read") else { return };
         let newest = self.newest_acknowledged(sent_at);
         if generation < newest {
-            self.findings
-                .report(format!("read {generation}, sent at {sent_at:?} when {newest} was acknowledged"));
+            self.findings.report(format!(
+                "read of generation {generation}, sent at {sent_at:?} after {newest} was acknowledged"
+            ));
         }
         let seen = self
             .reads
@@ -152,12 +159,12 @@
             .max()
             .unwrap_or(0);
         if generation < seen {
-            self.findings.report(format!("read {generation} after {seen} was read"));
+            self.findings.report(format!("read of generation {generation} after an earlier read of {seen}"));
         }
         self.reads.push(Read { answered_at: now, generation });
     }
 
-    /// Handles a fresh answer to a gateway's pull; the gateway has the configuration `body` from now on.
+    /// Handles a fresh reply to a gateway's pull, after which `body` is the gateway's configuration.
     pub fn on_pulled(&mut self, gateway: usize, sent_at: Duration, body: Option<&str>) {
         self.findings.count("pulled");
         let generation = match body {
@@ -166,12 +173,14 @@
         };
         let newest = self.newest_acknowledged(sent_at);
         if generation < newest {
-            self.findings
-                .report(format!("pulled {generation}, sent at {sent_at:?} when {newest} was acknowledged"));
+            self.findings.report(format!(
+                "pull of generation {generation}, sent at {sent_at:?} after {newest} was acknowledged"
+            ));
         }
         let before = self.gateways.insert(gateway, generation).unwrap_or(0);
         if generation < before {
-            self.findings.report(format!("gateway {gateway} goes back from {before} to {generation}"));
+            self.findings
+                .report(format!("gateway {gateway} went back from generation {before} to {generation}"));
         }
     }
 }
--- a/control-plane/simulation/src/checker/findings.rs
+++ b/control-plane/simulation/src/checker/findings.rs
@@ -1,8 +1,8 @@
-//! What a checker has found: violations, and how often it observed each kind of event.
+//! The findings of a checker: violations, and the number of observed events by kind.
 
 use std::collections::BTreeMap;
 
-/// The violations and the counted events of one checker.
+/// The violations and the event counts of one checker.
 #[derive(Debug, Default)]
 pub struct Findings {
     violations: Vec<String>,
@@ -25,7 +25,7 @@
         &self.violations
     }
 
-    /// Returns the counted kinds, each with its number of events.
+    /// Returns each kind of event with the number of its events.
     pub fn counts(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         self.counts.iter().map(|(kind, count)| (*kind, *count))
     }
--- a/control-plane/simulation/src/checker/mod.rs
+++ b/control-plane/simulation/src/checker/mod.rs
@@ -1,8 +1,9 @@
-//! Checks the history of what clients sent and what they were answered. It shares no code with the program under test.
+//! Checks the history of clients' requests and responses. It shares no code with the program under test.
 //!
-//! Each checker holds its part of the history and its own findings: [`ConfigurationChecker`] the configuration as one
-//! register, [`JobChecker`] the batch jobs, [`ServerListChecker`] the server lists that gateways take. A run ends at the
-//! first violation that any of them reports.
+//! Each checker has its own part of the history and its own findings: [`ConfigurationChecker`] checks that
+//! the configuration behaves like a single register, [`JobChecker`] checks batch jobs, and
+//! [`ServerListChecker`] checks the server lists of gateways. A run ends at the first violation that any of
+//! them reports.
 
 mod change;
 mod configuration;
@@ -27,7 +28,7 @@
     pub jobs: JobChecker,
     /// Checks the server lists.
     pub server_lists: ServerListChecker,
-    /// What is found outside the three, such as two views of one number.
+    /// Findings outside the three checkers, such as two views with the same number.
     general: Findings,
 }
 
@@ -36,7 +37,7 @@
         [&self.general, self.configuration.findings(), self.jobs.findings(), self.server_lists.findings()]
     }
 
-    /// Returns the violations that were found, each as a sentence.
+    /// Returns the violations, grouped by checker.
     pub fn violations(&self) -> Vec<String> {
         self.all_findings().into_iter().flat_map(Findings::violations).cloned().collect()
     }
@@ -46,17 +47,17 @@
         self.all_findings().into_iter().any(|findings| !findings.violations().is_empty())
     }
 
-    /// Records a violation that none of the three checkers covers.
+    /// Records a violation outside the three checkers.
     pub fn report(&mut self, violation: String) {
         self.general.report(violation);
     }
 
-    /// Returns how often each kind of event was observed.
+    /// Returns the number of observed events by kind.
     pub fn counts(&self) -> BTreeMap<&'static str, u64> {
         self.all_findings().into_iter().flat_map(Findings::counts).collect()
     }
 
-    /// Returns how often a kind of event was observed.
+    /// Returns the number of observed events of a kind.
     pub fn count_of(&self, kind: &str) -> u64 {
         self.all_findings().into_iter().map(|findings| findings.count_of(kind)).sum()
     }
--- a/control-plane/simulation/src/checker/server_lists.rs
+++ b/control-plane/simulation/src/checker/server_lists.rs
@@ -1,28 +1,29 @@
-//! Checks that no gateway takes a server list that is older than the one it has.
+//! Checks that no gateway replaces its server list with an older one.
 
 use super::findings::Findings;
 use std::collections::BTreeMap;
 
-/// The server lists that gateways have taken.
+/// The history of the gateways' server lists.
 #[derive(Default)]
 pub struct ServerListChecker {
     findings: Findings,
-    /// When the list of each gateway was read from the platform.
+    /// When the server list of each gateway was read from the platform, by gateway number.
     read_at: BTreeMap<usize, String>,
 }
 
 impl ServerListChecker {
-    /// Returns what this checker has found.
+    /// Returns the findings of this checker.
     pub fn findings(&self) -> &Findings {
         &self.findings
     }
 
-    /// Handles that a gateway takes a server list that was read from the platform at this time.
+    /// Handles a server list that a gateway received; a coordinator read it from the platform at `read_at`.
     pub fn on_server_list(&mut self, gateway: usize, read_at: &str) {
         let before = self.read_at.insert(gateway, read_at.to_owned()).unwrap_or_default();
         if *read_at < *before {
-            self.findings
-                .report(format!("gateway {gateway} takes a list of {read_at} after one of {before}"));
+            self.findings.report(format!(
+                "gateway {gateway} replaces its server list of {before} with one of {read_at}"
+            ));
         }
     }
 }
--- a/control-plane/simulation/src/clients/batch_client.rs
+++ b/control-plane/simulation/src/clients/batch_client.rs
@@ -1,4 +1,4 @@
-//! A client of batch jobs: submits them, repeats submissions, and reads results.
+//! A client that submits batch jobs, retries submissions, and reads results.
 
 use super::head_follower::HeadFollower;
 use crate::cluster::{Client, Cluster, Response};
@@ -7,30 +7,32 @@
 use marblecroft_rpc::Bytes;
 use std::time::Duration;
 
-/// Tokens that may be queued on the only route.
+/// Quota of queued tokens on the only route.
 const QUOTA_TOKENS: u64 = 400;
-/// Submissions of one job before its client gives it up.
-const MAX_SUBMIT_ATTEMPTS: usize = 40;
+/// Number of retries after which the client abandons the submission of a job.
+const MAX_SUBMIT_RETRIES: usize = 40;
 
 /// The task of a batch client.
 enum BatchTask {
-    Submit { job: String, tokens: Vec<u64>, max_queued_before: u64, attempts: usize },
+    Submit { job: String, tokens: Vec<u64>, max_queued_before: u64, retries: usize },
     Read { job: String, start: usize },
 }
 
-/// Submits jobs, sends some of them again, and reads their results.
+/// Submits jobs, retries submissions without a final reply, and reads the results of accepted jobs.
 pub struct BatchClient {
-    jobs: u64,
+    /// Number of jobs created so far.
+    job_count: u64,
     task: Option<BatchTask>,
     head_follower: HeadFollower,
-    /// Upper bound of the time between two tasks, in milliseconds.
-    max_think_time_ms: u64,
+    /// Upper bound of the random part of the pause after a reply, in milliseconds.
+    think_time_spread_ms: u64,
 }
 
 impl BatchClient {
-    /// Returns a client that thinks for `max_think_time_ms` at most between two tasks.
-    pub fn new(max_think_time_ms: u64) -> BatchClient {
-        BatchClient { jobs: 0, task: None, head_follower: HeadFollower::default(), max_think_time_ms }
+    /// Returns a client that pauses after each reply for 20 ms plus a random time below
+    /// `think_time_spread_ms`.
+    pub fn new(think_time_spread_ms: u64) -> BatchClient {
+        BatchClient { job_count: 0, task: None, head_follower: HeadFollower::default(), think_time_spread_ms }
     }
 
     fn choose_task(&mut self, cluster: &mut Cluster) -> BatchTask {
@@ -40,12 +42,12 @@
             let start = cluster.rng.usize(0..=results_read);
             return BatchTask::Read { job, start };
         }
-        self.jobs += 1;
-        let job = format!("job-{}", self.jobs);
+        self.job_count += 1;
+        let job = format!("job-{}", self.job_count);
         let items = cluster.rng.usize(1..5);
         let tokens: Vec<u64> = (0..items).map(|_| cluster.rng.u64(10..60)).collect();
         let max_queued_before = cluster.checker.jobs.on_sent(&job, &tokens);
-        BatchTask::Submit { job, tokens, max_queued_before, attempts: 0 }
+        BatchTask::Submit { job, tokens, max_queued_before, retries: 0 }
     }
 }
 
@@ -65,17 +67,17 @@
     }
 
     fn on_reply(&mut self, cluster: &mut Cluster, number: usize, call: u64, response: Option<Response>) {
-        if call != self.head_follower.call {
+        if call != self.head_follower.last_call {
             return;
         }
-        let had_answer = response.is_some();
+        let had_response = response.is_some();
         let reply = self.head_follower.handle_response(cluster, response);
         match self.task.take() {
-            Some(BatchTask::Submit { job, tokens, max_queued_before, attempts }) => {
-                let is_final = handle_submit_reply(cluster, &job, reply, max_queued_before, had_answer);
-                if !is_final && attempts < MAX_SUBMIT_ATTEMPTS {
-                    let attempts = attempts + 1;
-                    self.task = Some(BatchTask::Submit { job, tokens, max_queued_before, attempts });
+            Some(BatchTask::Submit { job, tokens, max_queued_before, retries }) => {
+                let is_final = handle_submit_reply(cluster, &job, reply, max_queued_before, had_response);
+                if !is_final && retries < MAX_SUBMIT_RETRIES {
+                    let retries = retries + 1;
+                    self.task = Some(BatchTask::Submit { job, tokens, max_queued_before, retries });
                 }
             }
             Some(BatchTask::Read { job, start }) => match reply {
@@ -92,7 +94,7 @@
             },
             None => {}
         }
-        let think_time = Duration::from_millis(cluster.rng.u64(20..20 + self.max_think_time_ms));
+        let think_time = Duration::from_millis(cluster.rng.u64(20..20 + self.think_time_spread_ms));
         cluster.wake_client(number, think_time);
     }
 }
@@ -103,7 +105,7 @@
     job: &str,
     reply: Option<StoreReply>,
     max_queued_before: u64,
-    had_answer: bool,
+    had_response: bool,
 ) -> bool {
     match reply {
         Some(StoreReply::Accepted) => {
@@ -115,7 +117,7 @@
             true
         }
         Some(StoreReply::Conflict) => {
-            cluster.checker.report(format!("job {job} is taken for another one"));
+            cluster.checker.report(format!("job {job} is rejected as a conflict with another job"));
             true
         }
         Some(StoreReply::OutcomeUnknown) => {
@@ -123,7 +125,7 @@
             false
         }
         _ => {
-            if !had_answer {
+            if !had_response {
                 cluster.checker.jobs.on_outcome_unknown(job);
             }
             false
--- a/control-plane/simulation/src/clients/head_follower.rs
+++ b/control-plane/simulation/src/clients/head_follower.rs
@@ -1,4 +1,4 @@
-//! Sends requests to the head of the stores' chain, and follows it when it moves.
+//! Sends requests to the head of the stores' chain, and follows changes of the head.
 
 use crate::cluster::{Cluster, Request, Response, Role};
 use marblecroft_protocol::store::{StoreReply, StoreRequest};
@@ -6,24 +6,24 @@
 
 const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Knows the head of the stores' chain, or searches for it.
+/// Tracks the head of the stores' chain; tries the stores in turn while the head is unknown.
 #[derive(Default)]
 pub(super) struct HeadFollower {
     head: Option<usize>,
-    /// Number of the store that is tried next where the head is not known.
+    /// Number of the store to try next if the head is unknown.
     next_store: usize,
     /// Number of the last call.
-    pub(super) call: u64,
+    pub(super) last_call: u64,
 }
 
 impl HeadFollower {
     pub(super) fn send(&mut self, cluster: &mut Cluster, number: usize, request: StoreRequest) {
         let stores = cluster.machines_of(Role::Store);
         let to = self.head.unwrap_or_else(|| stores[self.next_store % stores.len()]);
-        self.call = cluster.call_from_client(number, to, Request::Store(request), STORE_TIMEOUT);
+        self.last_call = cluster.call_from_client(number, to, Request::Store(request), STORE_TIMEOUT);
     }
 
-    /// Returns the reply of a head; `None` where another store must be tried.
+    /// Returns the reply of the head, or `None` if another store must be tried.
     pub(super) fn handle_response(
         &mut self,
         cluster: &Cluster,
--- a/control-plane/simulation/src/clients/item_runner.rs
+++ b/control-plane/simulation/src/clients/item_runner.rs
@@ -1,4 +1,4 @@
-//! A gateway that takes items of batch jobs from the stores, runs them and reports their outcomes.
+//! A gateway that gets items of batch jobs from the stores, runs them and reports their outcomes.
 
 use super::head_follower::HeadFollower;
 use crate::cluster::{Client, Cluster, Response};
@@ -10,34 +10,35 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A gateway that runs items.
+/// A gateway that runs items of batch jobs.
 pub struct ItemRunner {
     name: String,
     running: VecDeque<GrantedItem>,
     finished: Vec<FinishedItem>,
-    runs: u64,
+    /// Number of items run so far.
+    run_count: u64,
     head_follower: HeadFollower,
 }
 
 impl ItemRunner {
-    /// Returns a runner under the name of a gateway.
+    /// Returns a runner for the gateway of this name.
     pub fn new(name: String) -> ItemRunner {
         ItemRunner {
             name,
             running: VecDeque::new(),
             finished: Vec::new(),
-            runs: 0,
+            run_count: 0,
             head_follower: HeadFollower::default(),
         }
     }
 
     fn finish_one(&mut self, cluster: &mut Cluster) {
         let Some(item) = self.running.pop_front() else { return };
-        self.runs += 1;
-        let text = format!("{} run {}", self.name, self.runs);
+        self.run_count += 1;
+        let outcome = format!("{} run {}", self.name, self.run_count);
         let ItemId { job, item: index } = &item.id;
-        cluster.checker.jobs.on_item_run(job, *index as usize, &item.item.id, &text);
-        self.finished.push(FinishedItem { id: item.id, outcome: ItemOutcome::Completed(text) });
+        cluster.checker.jobs.on_item_run(job, *index as usize, &item.item.id, &outcome);
+        self.finished.push(FinishedItem { id: item.id, outcome: ItemOutcome::Completed(outcome) });
     }
 }
 
@@ -61,7 +62,7 @@
     }
 
     fn on_reply(&mut self, cluster: &mut Cluster, number: usize, call: u64, response: Option<Response>) {
-        if call != self.head_follower.call {
+        if call != self.head_follower.last_call {
             return;
         }
         if let Some(StoreReply::Work(reply)) = self.head_follower.handle_response(cluster, response) {
--- a/control-plane/simulation/src/clients/mod.rs
+++ b/control-plane/simulation/src/clients/mod.rs
@@ -1,6 +1,6 @@
 //! The clients of a simulated cluster: operators, gateways that pull, and clients and runners of batch jobs.
 //!
-//! Each one records in the [checker](crate::checker) what it sends and what it is answered.
+//! Each client records its requests and responses in the [checker](crate::checker).
 
 mod batch_client;
 mod gateway;
--- a/control-plane/simulation/src/clients/operator.rs
+++ b/control-plane/simulation/src/clients/operator.rs
@@ -1,4 +1,4 @@
-//! An operator, who changes and reads the configuration through any coordinator.
+//! An operator that changes and reads the configuration through random coordinators.
 
 use crate::checker::Change;
 use crate::cluster::{Client, Cluster, Request, Response, Role};
@@ -7,43 +7,45 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Without a reply for this long the operator tries another coordinator.
+/// Time without a reply after which an operator tries another coordinator.
 const OPERATOR_TIMEOUT: Duration = Duration::from_millis(1000);
 const REPLACE_PATH: &str = "/-/Config.Replace";
 const UPDATE_PATH: &str = "/-/Config.Update";
-/// Redirects that one attempt follows.
+/// Maximum number of redirects that one attempt follows.
 const MAX_REDIRECTS: usize = 2;
-/// Status that stands for a call without response.
+/// Status that is recorded for a call without a final response.
 const NO_RESPONSE_STATUS: u16 = 599;
 
 /// The task of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OperatorTask {
-    /// Sends a change, by its number, until there is a final response.
+    /// Sends the change of this number until there is a final response.
     Submit(usize),
-    /// Sends an acknowledged change again, once.
+    /// Sends an acknowledged change once more.
     Resubmit(usize),
     /// Reads the configuration.
     Read,
 }
 
-/// Changes the configuration, reads it, and sends what was acknowledged again.
+/// Changes and reads the configuration, and resubmits acknowledged changes.
 pub struct Operator {
-    name: usize,
-    /// The newest generation that it knows.
-    base: u64,
+    id: usize,
+    /// Newest generation that is known from the replies to its changes.
+    newest_generation: u64,
     task: Option<OperatorTask>,
-    /// When the current task, or the last attempt of a read, began.
+    /// Start of the current task, or of the last attempt of a read.
     sent_at: Duration,
     /// Number of its last call.
-    call: u64,
+    last_call: u64,
+    /// Number of redirects that the current attempt has followed.
     redirects: usize,
-    changes: u64,
-    /// Upper bound of the time between two tasks, in milliseconds.
-    max_think_time_ms: u64,
+    /// Number of changes created so far.
+    change_count: u64,
+    /// Upper bound of the random part of the pause after a reply, in milliseconds.
+    think_time_spread_ms: u64,
 }
 
-/// Returns a route whose timeout tells the change that made it.
+/// Returns the JSON of a route; its timeout identifies the change that creates it.
 fn route(name: &str, prefix: &str, change: u64) -> String {
     let timeout = 1000 + change;
     format!(
@@ -53,17 +55,18 @@
 }
 
 impl Operator {
-    /// Returns an operator that thinks for `max_think_time_ms` at most between two tasks.
-    pub fn new(name: usize, max_think_time_ms: u64) -> Operator {
+    /// Returns an operator that pauses after each reply for 50 ms plus a random time below
+    /// `think_time_spread_ms`.
+    pub fn new(id: usize, think_time_spread_ms: u64) -> Operator {
         Operator {
-            name,
-            base: 0,
+            id,
+            newest_generation: 0,
             task: None,
             sent_at: Duration::ZERO,
-            call: 0,
+            last_call: 0,
             redirects: 0,
-            changes: 0,
-            max_think_time_ms,
+            change_count: 0,
+            think_time_spread_ms,
         }
     }
 
@@ -75,28 +78,31 @@
                 OperatorTask::Resubmit(acknowledged[cluster.rng.usize(0..acknowledged.len())])
             }
             _ => {
-                self.changes += 1;
-                let generation = self.base + 1 + cluster.rng.u64(0..2);
+                self.change_count += 1;
+                let generation = self.newest_generation + 1 + cluster.rng.u64(0..2);
                 let change = self.change(cluster.rng.u32(0..6));
-                OperatorTask::Submit(
-                    cluster.checker.configuration.record_change(self.base, generation, &change),
-                )
+                OperatorTask::Submit(cluster.checker.configuration.record_change(
+                    self.newest_generation,
+                    generation,
+                    &change,
+                ))
             }
         }
     }
 
-    /// Returns a full replacement, or an update of the operator's own route; the first change is always a replacement.
+    /// Returns a full replacement, or an update of the operator's own route. It is always a replacement while
+    /// the operator knows no generation.
     fn change(&self, kind: u32) -> Change {
-        let own = format!("u-{}", self.name);
+        let route_name = format!("u-{}", self.id);
         match kind {
-            0 if self.base > 0 => Change::Remove(own),
-            1..=2 if self.base > 0 => {
-                let text = route(&own, &format!("/u{}/", self.name), self.changes);
-                Change::Upsert(own, text)
+            0 if self.newest_generation > 0 => Change::Remove(route_name),
+            1..=2 if self.newest_generation > 0 => {
+                let text = route(&route_name, &format!("/u{}/", self.id), self.change_count);
+                Change::Upsert(route_name, text)
             }
             _ => {
-                let name = format!("r-{}", self.name);
-                let text = route(&name, "/p/", self.changes);
+                let name = format!("r-{}", self.id);
+                let text = route(&name, "/p/", self.change_count);
                 Change::Replace(vec![(name, text)])
             }
         }
@@ -106,7 +112,7 @@
         let Some(task) = self.task else { return };
         let call = match task {
             OperatorTask::Read => {
-                // A read is checked against the instant of its last attempt.
+                // A read is checked against the start of its last attempt.
                 self.sent_at = cluster.now;
                 Call { method: Method::Get, url: "/-/Config.Read".to_owned(), base: None, body: Vec::new() }
             }
@@ -120,7 +126,7 @@
                 }
             }
         };
-        self.call = cluster.call_from_client(number, to, Request::Operator(call), OPERATOR_TIMEOUT);
+        self.last_call = cluster.call_from_client(number, to, Request::Operator(call), OPERATOR_TIMEOUT);
     }
 
     /// Handles a reply, and returns whether it ends the task.
@@ -135,10 +141,12 @@
                     if is_final { reply.status } else { NO_RESPONSE_STATUS },
                 );
                 if reply.status == 200 {
-                    self.base = self.base.max(cluster.checker.configuration.change(change).generation);
+                    self.newest_generation =
+                        self.newest_generation.max(cluster.checker.configuration.change(change).generation);
                 } else if is_final && !is_resubmission {
                     let text = String::from_utf8_lossy(&reply.body).into_owned();
-                    self.base = last_number(&text).unwrap_or(self.base).max(self.base);
+                    self.newest_generation =
+                        last_number(&text).unwrap_or(self.newest_generation).max(self.newest_generation);
                 }
                 // A resubmission is not retried.
                 is_final || is_resubmission
@@ -149,7 +157,7 @@
                 true
             }
             Some(OperatorTask::Read) if is_final => {
-                cluster.checker.report(format!("a read is answered with {}", reply.status));
+                cluster.checker.report(format!("a read failed with status {}", reply.status));
                 true
             }
             Some(OperatorTask::Read) | None => true,
@@ -170,7 +178,7 @@
     }
 
     fn on_reply(&mut self, cluster: &mut Cluster, number: usize, call: u64, response: Option<Response>) {
-        if call != self.call {
+        if call != self.last_call {
             return;
         }
         let reply = match response {
@@ -184,7 +192,7 @@
                 return;
             }
         }
-        let think_time = Duration::from_millis(cluster.rng.u64(50..50 + self.max_think_time_ms));
+        let think_time = Duration::from_millis(cluster.rng.u64(50..50 + self.think_time_spread_ms));
         if self.handle_reply(cluster, &reply) {
             self.task = None;
         }
@@ -192,14 +200,14 @@
     }
 }
 
-/// Returns the machine that a redirect names.
+/// Returns the machine that a redirect points to.
 fn redirect_target(cluster: &Cluster, reply: &Reply) -> Option<usize> {
     let (_, location) = reply.headers.iter().find(|header| header.0 == "Location")?;
     let host = location.strip_prefix("http://")?.split('/').next()?;
     cluster.machine_at(host.parse::<SocketAddr>().ok()?)
 }
 
-/// Returns the last integer of a text: the generation in force that a rejection names.
+/// Returns the last integer of a text. In a rejection, this is the generation in force.
 fn last_number(text: &str) -> Option<u64> {
     text.split(|c: char| !c.is_ascii_digit()).filter_map(|digits| digits.parse().ok()).next_back()
 }
--- a/control-plane/simulation/src/cluster/dispatch.rs
+++ b/control-plane/simulation/src/cluster/dispatch.rs
@@ -1,4 +1,4 @@
-//! The event loop: takes events in order, and gives each to what handles it.
+//! The event loop: takes events in order, and dispatches each to its handler.
 
 use super::message::{Origin, Request};
 use super::process::Input;
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 impl Cluster {
-    /// Runs until an instant since the start of the run, or until a checker has found a violation.
+    /// Runs until an instant, given as time since the start of the run, or until a checker has reported a
+    /// violation.
     pub fn run_until(&mut self, until: Duration) {
         while !self.checker.has_violation() {
             let Some((at, event)) = self.events.pop_until(until) else { break };
@@ -18,19 +19,19 @@
 
     /// Handles one event at the current instant.
     pub(super) fn handle_event(&mut self, event: Event) {
-        self.add_to_trace(self.now.as_nanos() as u64);
+        self.update_event_digest(self.now.as_nanos() as u64);
         match event {
             Event::RequestArrives { machine, origin, request } => {
                 self.handle_request_arrival(machine, origin, request)
             }
             Event::ResponseArrives { origin, response } => self.handle_response(origin, response),
-            Event::Emit { machine, incarnation, outputs } => {
+            Event::PerformOutputs { machine, incarnation, outputs } => {
                 if self.incarnation_of(machine) == Some(incarnation) {
                     self.machines[machine].disk.complete();
                     self.perform_outputs(machine, incarnation, outputs);
                 }
             }
-            Event::Process { machine, incarnation } => {
+            Event::RunNextInput { machine, incarnation } => {
                 if self.incarnation_of(machine) == Some(incarnation) {
                     self.run_next_input(machine);
                 }
@@ -62,15 +63,15 @@
         }
     }
 
-    /// Lets a client act on the cluster that it is part of.
+    /// Calls a client with access to the cluster that it is part of.
     pub(super) fn with_client(
         &mut self,
-        client: usize,
+        number: usize,
         f: impl FnOnce(&mut dyn Client, &mut Cluster, usize),
     ) {
-        let Some(mut state) = self.clients[client].take() else { return };
-        f(state.as_mut(), self, client);
-        self.clients[client] = Some(state);
+        let Some(mut client) = self.clients[number].take() else { return };
+        f(client.as_mut(), self, number);
+        self.clients[number] = Some(client);
     }
 
     /// Schedules a wake-up of a client.
@@ -78,7 +79,8 @@
         self.schedule_event(after, Event::ClientWakes { client });
     }
 
-    /// Calls a process on behalf of a client, and returns the number of the call. Its end comes to [`Client::on_reply`].
+    /// Calls a process on behalf of a client, and returns the number of the call. The response, or `None`, is
+    /// passed to [`Client::on_reply`].
     pub fn call_from_client(&mut self, client: usize, to: usize, request: Request, timeout: Duration) -> u64 {
         self.client_calls += 1;
         let origin = Origin::Client { client, call: self.client_calls };
--- a/control-plane/simulation/src/cluster/execution.rs
+++ b/control-plane/simulation/src/cluster/execution.rs
@@ -1,4 +1,5 @@
-//! Runs processes: one input at a time, each busy for as long as its writes take; then performs the outputs.
+//! Runs processes. A process handles one input at a time and is busy until the writes of the input are
+//! synced; then its outputs are performed.
 
 use super::message::{Origin, Request, Response};
 use super::process::{Input, Output};
@@ -9,28 +10,29 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Consecutive inputs after which a process may ask to be woken at once; one that never stops keeps a processor busy.
+/// Maximum number of consecutive inputs after each of which a process may request an immediate wake-up. A
+/// process that always does so would keep a processor busy.
 const MAX_IMMEDIATE_WAKES: u32 = 200;
 
 impl Cluster {
-    /// Adds an input to the inbox of a process, if one runs.
+    /// Adds an input to the inbox of a machine's process, if it is running.
     pub(super) fn enqueue(&mut self, machine: usize, input: Input) {
         let Some(running) = &mut self.machines[machine].running else { return };
         running.inbox.push_back(input);
         self.schedule_processing(machine);
     }
 
-    /// Schedules that a process takes an input as soon as it is not busy.
+    /// Schedules the next input of a process for the instant from which it is not busy.
     pub(super) fn schedule_processing(&mut self, machine: usize) {
         let host = &self.machines[machine];
         let Some(running) = &host.running else { return };
         if !host.frozen {
             let (incarnation, after) = (running.incarnation, running.busy_until.saturating_sub(self.now));
-            self.schedule_event(after, Event::Process { machine, incarnation });
+            self.schedule_event(after, Event::RunNextInput { machine, incarnation });
         }
     }
 
-    /// Gives the next input to a process that is neither busy nor frozen, and schedules what follows.
+    /// Passes the next input to a process that is not busy or frozen, and schedules the resulting events.
     pub(super) fn run_next_input(&mut self, machine: usize) {
         let now = self.now;
         let host = &mut self.machines[machine];
@@ -46,11 +48,12 @@
         let (outputs, next_wake) = running.handle(time, input);
         running.immediate_wakes = if next_wake <= monotonic { running.immediate_wakes + 1 } else { 0 };
         if running.immediate_wakes > MAX_IMMEDIATE_WAKES {
-            let text = format!("{} wants to be woken at {next_wake:?}, and it is {monotonic:?}", host.name);
+            let text =
+                format!("{} keeps requesting immediate wake-ups: {next_wake:?} at {monotonic:?}", host.name);
             self.checker.report(text);
             return;
         }
-        let (incarnation, busy_time) = (running.incarnation, host.disk.take_time());
+        let (incarnation, busy_time) = (running.incarnation, host.disk.take_write_time());
         running.busy_until = now + busy_time;
         if let Some(wake_at) = running.reset_timer(now, next_wake) {
             self.schedule_event(wake_at - now, Event::Wake { machine, incarnation });
@@ -58,7 +61,7 @@
         if busy_time.is_zero() {
             self.perform_outputs(machine, incarnation, outputs);
         } else {
-            self.schedule_event(busy_time, Event::Emit { machine, incarnation, outputs });
+            self.schedule_event(busy_time, Event::PerformOutputs { machine, incarnation, outputs });
         }
         if self.machines[machine].running.as_ref().is_some_and(|running| !running.inbox.is_empty()) {
             self.schedule_processing(machine);
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Sends a response to where the request of a token came from.
+    /// Sends a response to the origin of the request that the token identifies.
     pub(super) fn respond(&mut self, machine: usize, token: Token, response: Response) {
         let origin =
             self.machines[machine].running.as_mut().and_then(|running| running.origins.remove(&token));
@@ -119,11 +122,11 @@
             Some(origin) => self.send_response(machine, origin, Some(response)),
             None => self
                 .checker
-                .report(format!("{} answers a call twice or that nobody made", self.machines[machine].name)),
+                .report(format!("{} answers a call twice, or an unknown call", self.machines[machine].name)),
         }
     }
 
-    /// Calls a process on behalf of another one.
+    /// Calls a process on behalf of another process.
     pub(super) fn call(
         &mut self,
         machine: usize,
--- a/control-plane/simulation/src/cluster/lifecycle.rs
+++ b/control-plane/simulation/src/cluster/lifecycle.rs
@@ -14,13 +14,13 @@
 use std::io;
 use std::time::Duration;
 
-/// Delay before a program that could not start is started again.
+/// Delay before the supervisor restarts a program that could not start.
 const RESTART_DELAY: Duration = Duration::from_millis(500);
-/// The grace period in the processes' settings.
+/// Grace period after SIGTERM in the settings of the processes.
 const GRACE_PERIOD: Duration = Duration::from_secs(8);
 
 impl Cluster {
-    /// Starts the process of a machine, unless it runs or the machine was removed.
+    /// Starts the process of a machine, unless it is running or the machine was removed.
     pub(super) fn start(&mut self, machine: usize) {
         let host = &self.machines[machine];
         if host.running.is_some() || host.removed {
@@ -39,12 +39,12 @@
             Role::Store => self.new_store(machine, incarnation, random),
         };
         let Ok(process) = process else {
-            // The program exits with an error, and its supervisor starts it again.
+            // The program exits with an error, and its supervisor restarts it.
             self.schedule_event(RESTART_DELAY, Event::Start { machine });
             return;
         };
         let host = &mut self.machines[machine];
-        let busy_time = host.disk.take_time();
+        let busy_time = host.disk.take_write_time();
         host.disk.complete();
         host.started_before = true;
         host.powered_off = false;
@@ -132,7 +132,8 @@
         }
     }
 
-    /// Kills a process, or its whole machine with `power`; then pending calls get no response at all.
+    /// Kills a process. If `power` is set, its machine loses power as well, and pending calls get no response
+    /// at all.
     pub fn kill(&mut self, machine: usize, power: bool) {
         self.machines[machine].powered_off = power;
         let disk = self.machines[machine].disk.clone();
@@ -143,7 +144,7 @@
         self.machines[machine].frozen = false;
     }
 
-    /// Schedules a start of a machine and its process.
+    /// Schedules the start of a machine's process.
     pub fn restart(&mut self, machine: usize, after: Duration) {
         self.schedule_event(after, Event::Start { machine });
     }
@@ -153,7 +154,7 @@
         self.enqueue(machine, Input::Terminate);
     }
 
-    /// Suspends a process, or lets it continue with what has queued up in its inbox.
+    /// Suspends a process, or resumes it with the inputs that are queued in its inbox.
     pub fn set_frozen(&mut self, machine: usize, frozen: bool) {
         self.machines[machine].frozen = frozen;
         if !frozen {
--- a/control-plane/simulation/src/cluster/links.rs
+++ b/control-plane/simulation/src/cluster/links.rs
@@ -11,16 +11,16 @@
     Reset,
 }
 
-/// The links that are faulty now, each with its direction.
+/// The faulty links, by direction.
 #[derive(Default)]
 pub(super) struct Links {
     faults: BTreeMap<(usize, usize), LinkFault>,
-    /// Machines that clients do not reach.
+    /// Machines that clients can't reach.
     unreachable: BTreeSet<usize>,
 }
 
 impl Links {
-    /// The fault of the link from one end to the other; an end that is `None` is a client.
+    /// Returns the fault of the link from one end to the other; an end that is `None` is a client.
     pub(super) fn fault(&self, from: Option<usize>, to: Option<usize>) -> Option<LinkFault> {
         match (from, to) {
             (Some(from), Some(to)) => self.faults.get(&(from, to)).copied(),
--- a/control-plane/simulation/src/cluster/machine.rs
+++ b/control-plane/simulation/src/cluster/machine.rs
@@ -16,27 +16,27 @@
 
 /// A machine with its disk.
 pub struct Machine {
-    /// Where its process takes calls of other processes.
+    /// Address at which its process takes calls of other processes.
     pub address: SocketAddr,
-    /// Its role and number, for the log.
+    /// Its role and number, used in the log and as the node name of its process.
     pub name: String,
-    /// What it runs.
+    /// The program that it runs.
     pub role: Role,
-    /// Its disk, which outlives its processes.
+    /// The storage of its process.
     pub disk: Disk,
-    /// Whether the disk keeps data when the process ends.
+    /// Whether it has a disk. Without one, all data is erased before its process starts.
     pub has_disk: bool,
     pub(super) running: Option<RunningProcess>,
     /// Whether power is off: calls get no response, not even a reset.
     pub powered_off: bool,
     /// Whether the process is suspended.
     pub frozen: bool,
-    /// Whether it was removed for good.
+    /// Whether it was removed permanently.
     pub removed: bool,
-    /// Whether it has started before: only the first start founds a chain.
+    /// Whether its process was started before; only the first start may found a chain.
     pub(super) started_before: bool,
-    /// The instant from which it no longer counts as lost.
+    /// Instant from which it no longer counts as lost.
     pub counts_as_lost_until: Duration,
-    /// Speed of the monotonic clocks of its processes against virtual time.
+    /// Speed of the monotonic clocks of its processes relative to virtual time.
     pub(super) clock_rate: f64,
 }
--- a/control-plane/simulation/src/cluster/message.rs
+++ b/control-plane/simulation/src/cluster/message.rs
@@ -1,4 +1,4 @@
-//! Requests to processes, their responses, and where a request came from.
+//! Requests to processes, their responses, and the origins of requests.
 
 use marblecroft_control_plane_core::operator::Call as OperatorCall;
 use marblecroft_protocol::coordinator::{CoordinatorReply, CoordinatorRequest};
@@ -19,18 +19,18 @@
 /// The response to a [`Request`].
 #[derive(Clone, Debug)]
 pub enum Response {
-    /// Of a coordinator.
+    /// From a coordinator.
     Coordinator(CoordinatorReply),
-    /// Of a store.
+    /// From a store.
     Store(StoreReply),
-    /// Of the operator's API.
+    /// From the operator's API.
     Operator(OperatorReply),
 }
 
-/// Where a request came from, and where its response goes.
+/// The sender of a request, which receives the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Origin {
-    /// A process, in one of its incarnations.
+    /// One incarnation of the process of a machine.
     Machine {
         /// The machine.
         machine: usize,
@@ -46,6 +46,6 @@
         /// The number of the call.
         call: u64,
     },
-    /// The network, which duplicated the request; the response is dropped.
+    /// The network, which duplicated the request; the response to the duplicate is dropped.
     Duplicate,
 }
--- a/control-plane/simulation/src/cluster/network.rs
+++ b/control-plane/simulation/src/cluster/network.rs
@@ -9,9 +9,9 @@
 
 /// Lower bound of the delay of a message, in microseconds.
 const MIN_DELAY_MICROS: u64 = 200;
-/// Upper bound of the delay of a message without fault, in microseconds.
+/// Upper bound of the delay of a message without a fault, in microseconds.
 const MAX_DELAY_MICROS: u64 = 2500;
-/// Upper bound of what a message fault adds to a delay, in milliseconds.
+/// Upper bound of the extra delay of a message with a fault, in milliseconds.
 const MAX_EXTRA_DELAY_MILLIS: u64 = 3000;
 
 impl Cluster {
@@ -30,7 +30,7 @@
         self.message_fault_permille > 0 && self.rng.u32(0..1000) < self.message_fault_permille
     }
 
-    /// Sends a request; its origin gets a response, a reset, or a timeout, whichever comes first.
+    /// Sends a request. Its origin receives a response, a reset or a timeout, whichever is first.
     pub(super) fn send_request(
         &mut self,
         from: Option<usize>,
@@ -54,7 +54,7 @@
             return;
         }
         let after = self.draw_delay();
-        // Clients' calls are never duplicated: no intermediary of theirs retries.
+        // Calls of clients are never duplicated, because there is no intermediary that retries them.
         if from.is_some() && self.draw_message_fault() {
             let duplicate_after = after + self.draw_delay();
             let (origin, request) = (Origin::Duplicate, request.clone());
@@ -82,7 +82,8 @@
         self.schedule_event(after, Event::ResponseArrives { origin, response });
     }
 
-    /// Gives an arriving request to its process, or resets the call where none takes it.
+    /// Passes an arriving request to the process of a machine. Resets the call if no process of the right
+    /// role is running; drops it if the machine is off or removed.
     pub(super) fn handle_request_arrival(&mut self, machine: usize, origin: Origin, request: Request) {
         let host = &self.machines[machine];
         if host.powered_off || host.removed {
@@ -100,7 +101,7 @@
         self.enqueue(machine, Input::Request { origin, request });
     }
 
-    /// Gives the first response to a call to its origin; later ones are dropped.
+    /// Passes the first response to a call to the origin of the call; drops later ones.
     pub(super) fn handle_response(&mut self, origin: Origin, response: Option<Response>) {
         if !self.unanswered.remove(&origin) {
             return;
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Lets the link from one machine to another fail.
+    /// Makes the link from one machine to another fail.
     pub fn partition(&mut self, from: usize, to: usize, fault: LinkFault) {
         self.links.partition(from, to, fault);
     }
--- a/control-plane/simulation/src/cluster/process.rs
+++ b/control-plane/simulation/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! A running coordinator or store: its inbox, its clock, and the conversion of inputs to those of the real node.
+//! A running coordinator or store: its inbox, its clock, and the conversion of inputs to those of the node.
 
 use super::message::{Origin, Request, Response};
 use crate::disk::Disk;
@@ -16,7 +16,7 @@
     Store(Box<Store<Disk>>),
 }
 
-/// An input that waits in the inbox of a process.
+/// An input in the inbox of a process.
 pub(super) enum Input {
     Request { origin: Origin, request: Request },
     Response { call: u64, response: Option<Response> },
@@ -31,32 +31,33 @@
     Store(store::Output),
 }
 
-/// A process and what it has not yet taken or answered.
+/// A running process, with its queued inputs and unanswered requests.
 pub(super) struct RunningProcess {
     pub(super) process: Process,
     pub(super) incarnation: u64,
     pub(super) started_at: Duration,
-    /// Speed of its monotonic clock against virtual time.
+    /// Speed of its monotonic clock relative to virtual time.
     pub(super) clock_rate: f64,
-    /// When the writes of its last input are synced.
+    /// Instant at which the writes of its last input are synced.
     pub(super) busy_until: Duration,
-    /// Instant of its timer.
+    /// Instant at which its timer fires.
     pub(super) wake_at: Option<Duration>,
     pub(super) inbox: VecDeque<Input>,
-    /// By token, where the requests came from that it has not answered.
+    /// Origins of the requests that it has not answered, by token.
     pub(super) origins: BTreeMap<Token, Origin>,
     pub(super) last_token: Token,
-    /// Consecutive inputs after which it asked to be woken at once.
+    /// Number of consecutive inputs after which it requested an immediate wake-up.
     pub(super) immediate_wakes: u32,
 }
 
-/// Node time from which a wake-up means that there is none.
+/// A next wake-up at this node time or later means that no wake-up is needed.
 const NO_WAKE: Duration = Duration::from_secs(1 << 30);
-/// Timers are always a little late.
+/// Delay by which every timer fires late.
 const TIMER_LATENESS: Duration = Duration::from_micros(50);
 
 impl RunningProcess {
-    /// Sets the timer to a monotonic time of the process; returns its instant where a new event is needed for it.
+    /// Sets the timer to a time of the process's monotonic clock. Returns its instant if a new event must be
+    /// scheduled for it.
     pub(super) fn reset_timer(&mut self, now: Duration, next_wake: Duration) -> Option<Duration> {
         if next_wake >= NO_WAKE {
             return None;
@@ -67,7 +68,8 @@
         is_needed.then(|| *self.wake_at.insert(wake_at))
     }
 
-    /// Handles an input at a time of the process's clocks; returns the outputs, and the monotonic time of the next wake-up.
+    /// Handles an input at a time of the process's clocks. Returns the outputs and the monotonic time of the
+    /// next wake-up.
     pub(super) fn handle(&mut self, time: Time, input: Input) -> (Vec<Output>, Duration) {
         let mut token_of = |origin| {
             self.last_token += 1;
@@ -89,7 +91,7 @@
     }
 }
 
-/// Converts an input to a coordinator's; what a coordinator does not take only wakes it.
+/// Converts an input to one of a coordinator. An input that coordinators don't handle becomes a wake-up.
 fn coordinator_input(input: Input, token_of: &mut impl FnMut(Origin) -> Token) -> coordinator::Input {
     match input {
         Input::Request { origin, request: Request::Coordinator(request) } => {
@@ -111,7 +113,7 @@
     }
 }
 
-/// Converts an input to a store's; what a store does not take only wakes it.
+/// Converts an input to one of a store. An input that stores don't handle becomes a wake-up.
 fn store_input(node: &Store<Disk>, input: Input, token_of: &mut impl FnMut(Origin) -> Token) -> store::Input {
     match input {
         Input::Request { origin, request: Request::Store(request) } => {
--- a/control-plane/simulation/src/cluster/queries.rs
+++ b/control-plane/simulation/src/cluster/queries.rs
@@ -1,4 +1,4 @@
-//! What faults, checks and scenarios query of a cluster.
+//! Queries of the state of a cluster, for faults, checks and scenarios.
 
 use super::machine::{Machine, Role};
 use super::process::Process;
@@ -7,12 +7,12 @@
 use std::collections::BTreeSet;
 
 impl Cluster {
-    /// Returns whether a process runs on a machine.
+    /// Returns whether the process of a machine is running.
     pub fn is_running(&self, machine: usize) -> bool {
         self.machines[machine].running.is_some()
     }
 
-    /// Returns the status that a process reports; `None` where none runs.
+    /// Returns the status of the process of a machine, or `None` if it is not running.
     pub fn status(&self, machine: usize) -> Option<Status> {
         let running = self.machines[machine].running.as_ref()?;
         let monotonic = (self.now - running.started_at).mul_f64(running.clock_rate);
@@ -35,20 +35,20 @@
                     status.complete,
                     status.position.index
                 ),
-                None => format!("{name} does not run"),
+                None => format!("{name} is not running"),
             }
         };
         (0..self.machines.len()).map(describe).collect()
     }
 
-    /// Returns the newest view that a process of this role knows.
+    /// Returns the newest view among the running processes of a role.
     pub(super) fn newest_view(&self, role: Role) -> Option<View> {
         let machines = (0..self.machines.len()).filter(|machine| self.machines[*machine].role == role);
         let views = machines.filter_map(|machine| self.status(machine)).map(|status| status.view);
         views.max_by_key(|view| view.number)
     }
 
-    /// Returns the machine whose process heads the newest view of a role.
+    /// Returns the machine of the head of the newest view of a role.
     pub fn head_of(&self, role: Role) -> Option<usize> {
         self.machine_at(self.newest_view(role)?.head()?.address)
     }
@@ -58,7 +58,7 @@
         self.machine_at(self.newest_view(role)?.members.last()?.address)
     }
 
-    /// Returns the machines with a disk that count as lost now.
+    /// Returns the machines with a disk that currently count as lost.
     pub fn lost_machines(&self) -> BTreeSet<usize> {
         let is_lost = |machine: &usize| {
             let host = &self.machines[*machine];
@@ -69,7 +69,8 @@
         (0..self.machines.len()).filter(is_lost).collect()
     }
 
-    /// Returns the number of running coordinators that have a configuration of at least this generation, acknowledged or not.
+    /// Returns the number of running coordinators that have a configuration of at least this generation,
+    /// acknowledged or not.
     pub fn coordinators_with_generation(&self, generation: u64) -> usize {
         let has_generation =
             |machine: &&Machine| match machine.running.as_ref().map(|running| &running.process) {
--- a/control-plane/simulation/src/cluster/state.rs
+++ b/control-plane/simulation/src/cluster/state.rs
@@ -1,4 +1,4 @@
-//! The state of a cluster, its events, and the interfaces of what acts on it from outside.
+//! The state of a cluster, its events, and the interfaces of clients and faults.
 
 use super::event_queue::EventQueue;
 use super::links::Links;
@@ -21,24 +21,24 @@
 /// Port of the operator's API.
 pub(super) const OPERATOR_PORT: u16 = 8166;
 /// Number of coordinators that found the chain.
-const FOUNDERS: usize = 3;
+const FOUNDER_COUNT: usize = 3;
 /// Duration of a write and its sync on a healthy disk.
 pub(crate) const SYNC_TIME: Duration = Duration::from_millis(2);
-/// A client's first wake comes this long after it was added.
+/// Delay of the first wake-up of a client after it was added.
 const FIRST_CLIENT_WAKE_DELAY: Duration = Duration::from_millis(500);
 
-/// A client of the cluster, which acts when it is woken and when a call ends.
+/// A client of the cluster, which is called on its wake-ups and when one of its calls ends.
 pub trait Client {
-    /// Handles a wake-up; `number` names this client in its calls.
+    /// Handles a wake-up; `number` identifies this client in its calls.
     fn wake(&mut self, cluster: &mut Cluster, number: usize);
 
-    /// Handles the response to a call, or `None` where it was reset or timed out.
+    /// Handles the response to a call, or `None` if it was reset or timed out.
     fn on_reply(&mut self, cluster: &mut Cluster, number: usize, call: u64, response: Option<Response>);
 }
 
-/// A fault that is injected at its instant; its `Debug` form goes into the log.
+/// A fault that is injected at a scheduled instant; its `Debug` form is logged.
 pub trait ScheduledFault: Debug {
-    /// Carries the fault out.
+    /// Injects the fault.
     fn inject(&self, cluster: &mut Cluster);
 }
 
@@ -53,23 +53,24 @@
     pub stores: usize,
     /// Number of machines with a disk that may be lost at once.
     pub tolerated_machines: usize,
-    /// Number of further coordinators that have no disk; they come first, and the first three of all are the founders.
+    /// Number of additional coordinators without a disk. They are numbered first; the first three of all
+    /// coordinators are the founders.
     pub diskless_coordinators: usize,
 }
 
-/// What happens at an instant. Events of an `incarnation` that has ended are ignored.
+/// An event at an instant. Events of an `incarnation` that has ended are ignored.
 pub(super) enum Event {
     /// A request reaches a machine.
     RequestArrives { machine: usize, origin: Origin, request: Request },
-    /// A response reaches its origin; `None` stands for a reset or a timeout.
+    /// A response reaches the origin of its request; `None` is a reset or a timeout.
     ResponseArrives { origin: Origin, response: Option<Response> },
-    /// The writes of an input are synced: its outputs are performed.
-    Emit { machine: usize, incarnation: u64, outputs: Vec<Output> },
-    /// A process takes its next input.
-    Process { machine: usize, incarnation: u64 },
+    /// The writes of an input are synced, and its outputs are performed.
+    PerformOutputs { machine: usize, incarnation: u64, outputs: Vec<Output> },
+    /// A process handles the next input of its inbox.
+    RunNextInput { machine: usize, incarnation: u64 },
     /// A timer of a process fires.
     Wake { machine: usize, incarnation: u64 },
-    /// The platform answers a process with its servers; `None` if that failed.
+    /// The platform returns its server list to a process, or `None` if the read failed.
     ServerList { machine: usize, incarnation: u64, servers: Option<Vec<Server>> },
     /// A machine starts its process.
     Start { machine: usize },
@@ -81,44 +82,45 @@
 
 /// A cluster with its clients, its network and the checker of its history.
 pub struct Cluster {
-    /// Its size and seed.
+    /// Size and seed.
     pub spec: ClusterSpec,
     /// The source of all random numbers; the order of draws is part of a replay.
     pub rng: Rng,
     /// Time since the start of the run.
     pub now: Duration,
-    /// By number; removed ones stay.
+    /// Machines by number; removed ones stay in the list.
     pub machines: Vec<Machine>,
     /// Checks the history.
     pub checker: Checker,
-    /// By number; `None` while a client acts on the cluster.
+    /// Clients by number; `None` while a client is being called.
     pub(super) clients: Vec<Option<Box<dyn Client>>>,
     pub(super) events: EventQueue<Event>,
     /// Number of processes started so far.
     pub(super) incarnations: u64,
-    /// Calls that have no response yet.
+    /// Origins of the calls that have no response yet.
     pub(super) unanswered: BTreeSet<Origin>,
     /// Number of calls of clients so far.
     pub(super) client_calls: u64,
     pub(super) links: Links,
-    /// Disks lost since all machines of a role were last healthy.
+    /// Number of disks lost, by role, since all machines of the role were last healthy.
     pub disks_lost: BTreeMap<Role, usize>,
-    /// Chance per thousand that a message is lost, late or duplicated, each drawn on its own.
+    /// Probability in permille that a message is lost, late or duplicated; each of the three is drawn
+    /// independently.
     pub message_fault_permille: u32,
     /// Operator addresses of the founders.
     pub(super) seeds: Vec<SocketAddr>,
-    /// The first view that was seen of each role and number.
+    /// The first view that was observed, by role and view number.
     pub(super) views: BTreeMap<(Role, u64), View>,
-    /// A digest of the instants of all events in their order.
-    pub trace: u64,
+    /// Digest of the instants of all events in order.
+    pub event_digest: u64,
 }
 
-/// Returns where a machine of this address serves the operator's API.
+/// Returns the address of the operator's API on the machine that has this address.
 pub(super) fn operator_address(address: SocketAddr) -> SocketAddr {
     SocketAddr::new(address.ip(), OPERATOR_PORT)
 }
 
-/// Returns where a machine of this address takes calls of other processes.
+/// Returns the address for calls of other processes on the machine that has this address.
 pub(super) fn internal_address(seed: SocketAddr) -> SocketAddr {
     SocketAddr::new(seed.ip(), INTERNAL_PORT)
 }
@@ -142,13 +144,13 @@
             disks_lost: BTreeMap::new(),
             seeds: Vec::new(),
             views: BTreeMap::new(),
-            trace: 0,
+            event_digest: 0,
         };
         for number in 0..spec.diskless_coordinators + spec.coordinators {
             let machine = cluster.add_machine(Role::Coordinator);
             cluster.machines[machine].has_disk = number >= spec.diskless_coordinators;
         }
-        let founders = cluster.machines.iter().take(FOUNDERS);
+        let founders = cluster.machines.iter().take(FOUNDER_COUNT);
         cluster.seeds = founders.map(|machine| operator_address(machine.address)).collect();
         for _ in 0..spec.stores {
             cluster.add_machine(Role::Store);
@@ -160,14 +162,14 @@
         cluster
     }
 
-    /// Adds a machine that is off, and returns its number.
+    /// Adds a machine whose process is not started, and returns its number.
     ///
     /// # Panics
     ///
-    /// If there are more than 254 machines.
+    /// Panics if there are already 255 machines.
     pub fn add_machine(&mut self, role: Role) -> usize {
         let number = self.machines.len();
-        let last_octet = u8::try_from(number + 1).expect("a small cluster");
+        let last_octet = u8::try_from(number + 1).expect("at most 255 machines");
         let disk = Disk::default();
         disk.set_sync_time(SYNC_TIME);
         let clock_rate = 0.92 + 0.16 * self.rng.f64();
@@ -188,33 +190,34 @@
         number
     }
 
-    /// Adds a client, and wakes it soon.
+    /// Adds a client, and schedules its first wake-up.
     pub fn add_client(&mut self, client: impl Client + 'static) {
         self.clients.push(Some(Box::new(client)));
         let client = self.clients.len() - 1;
         self.schedule_event(FIRST_CLIENT_WAKE_DELAY, Event::ClientWakes { client });
     }
 
-    /// Schedules an event; those of the same instant run in the order of these calls.
+    /// Schedules an event. Events of the same instant run in the order in which they were scheduled.
     pub(super) fn schedule_event(&mut self, after: Duration, event: Event) {
         self.events.push(self.now + after, event);
     }
 
-    /// Schedules a fault for an instant since the start of the run; at once where that has passed.
-    pub fn fault_at(&mut self, at: Duration, fault: impl ScheduledFault + 'static) {
+    /// Schedules a fault for an instant, given as time since the start of the run. If the instant has passed,
+    /// the fault is scheduled for the current instant.
+    pub fn schedule_fault(&mut self, at: Duration, fault: impl ScheduledFault + 'static) {
         self.schedule_event(at.saturating_sub(self.now), Event::Fault(Box::new(fault)));
     }
 
-    /// Logs an event with its instant, between the events that processes log.
+    /// Logs a message with the current instant, in the same log as the messages of the processes.
     pub(super) fn log(&self, message: impl FnOnce() -> String) {
         if tracing::enabled!(tracing::Level::INFO) {
             info!("{:9.3} {}", self.now.as_secs_f64(), message());
         }
     }
 
-    /// Mixes a value into the trace.
-    pub(super) fn add_to_trace(&mut self, value: u64) {
-        self.trace = (self.trace ^ value).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(23);
+    /// Mixes a value into the digest of events.
+    pub(super) fn update_event_digest(&mut self, value: u64) {
+        self.event_digest = (self.event_digest ^ value).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(23);
     }
 
     /// Returns the incarnation of the process that runs on a machine.
@@ -222,7 +225,7 @@
         self.machines[machine].running.as_ref().map(|running| running.incarnation)
     }
 
-    /// Returns the machine at an address; the port does not matter.
+    /// Returns the machine at an address; the port is ignored.
     pub fn machine_at(&self, address: SocketAddr) -> Option<usize> {
         self.machines.iter().position(|machine| machine.address.ip() == address.ip())
     }
--- a/control-plane/simulation/src/disk.rs
+++ b/control-plane/simulation/src/disk.rs
@@ -1,4 +1,4 @@
-//! A virtual disk: synced data stays, and unsynced writes may be lost or torn when power is lost.
+//! A virtual disk: synced data is durable, and unsynced writes may be lost or torn when power is lost.
 
 use fastrand::Rng;
 use marblecroft_chain_replication::storage::Storage;
@@ -7,13 +7,13 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// A write whose sync has not returned.
+/// A write that is not synced yet.
 enum Write {
     Records(Vec<Vec<u8>>),
     Segment(Vec<u8>),
 }
 
-/// What a process reads.
+/// The data that a process reads.
 #[derive(Clone, Default)]
 struct Contents {
     snapshot: Option<Vec<u8>>,
@@ -22,7 +22,7 @@
 }
 
 impl Contents {
-    /// Applies a complete write. A segment replaces everything before it, damage included.
+    /// Applies a complete write. A segment replaces all previous contents, including corrupted data.
     fn apply(&mut self, write: &Write) {
         match write {
             Write::Records(records) => self.records.extend(records.iter().cloned()),
@@ -42,11 +42,11 @@
     writable: bool,
     /// Duration of a write and its sync.
     sync_time: Duration,
-    /// Time that the writes since the last [`Disk::take_time`] have taken.
-    elapsed: Duration,
+    /// Total duration of the writes since the last [`Disk::take_write_time`].
+    write_time: Duration,
 }
 
-/// A disk that outlives the processes of its machine.
+/// A disk that keeps its data when a process of its machine ends.
 #[derive(Clone, Default)]
 pub struct Disk(Arc<Mutex<State>>);
 
@@ -55,8 +55,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns what a process recovers when it starts, or when it reads the disk anew: what was written, synced or not. It
-    /// must begin a new segment before it writes records.
+    /// Returns the data that a process recovers when it starts or reads the disk again: all writes, synced or
+    /// not. The process must start a new segment before it appends records.
     pub fn recovered(&self) -> Recovered {
         let mut state = self.state();
         state.writable = false;
@@ -75,12 +75,13 @@
         self.state().sync_time = time;
     }
 
-    /// Lets all writes fail from now on, or none.
+    /// Sets whether writes fail from now on.
     pub fn set_failing(&self, failing: bool) {
         self.state().failing = failing;
     }
 
-    /// Flips a bit of synced data: a random record and all after it can't be read, or the snapshot where there is no record.
+    /// Flips a bit of synced data: a random record and all later ones become unreadable, or the snapshot if
+    /// there is no record.
     pub fn corrupt(&self, rng: &mut Rng) {
         let mut state = self.state();
         let contents = &mut state.synced;
@@ -93,18 +94,18 @@
         }
     }
 
-    /// Erases everything; the duration of a write stays.
+    /// Erases all data and ends write failures; the duration of a write stays.
     pub fn wipe(&self) {
         let sync_time = self.state().sync_time;
         *self.state() = State { sync_time, ..State::default() };
     }
 
-    /// Returns the time that the writes since the last call have taken.
-    pub fn take_time(&self) -> Duration {
-        std::mem::take(&mut self.state().elapsed)
+    /// Returns the total duration of the writes since the last call.
+    pub fn take_write_time(&self) -> Duration {
+        std::mem::take(&mut self.state().write_time)
     }
 
-    /// Completes the syncs of all unsynced writes.
+    /// Syncs all unsynced writes.
     pub fn complete(&self) {
         let mut state = self.state();
         for write in std::mem::take(&mut state.unsynced) {
@@ -112,7 +113,8 @@
         }
     }
 
-    /// Loses power: each unsynced write is complete, missing or torn, at random; nothing after a torn one is read.
+    /// Simulates a loss of power: unsynced writes are kept, lost or torn at random. All writes after the
+    /// first one that is not kept whole are lost.
     pub fn lose_power(&self, rng: &mut Rng) {
         let mut state = self.state();
         for write in std::mem::take(&mut state.unsynced) {
@@ -140,14 +142,14 @@
     fn append(&mut self, records: &[&[u8]]) -> io::Result<()> {
         let mut state = self.state();
         let sync_time = state.sync_time;
-        state.elapsed += sync_time;
+        state.write_time += sync_time;
         let records: Vec<Vec<u8>> = records.iter().map(|record| record.to_vec()).collect();
         if state.failing {
-            // A part of a failed write may have reached the disk all the same.
+            // Part of a failed write may still have reached the disk.
             let torn = records.into_iter().take(1).collect();
             state.unsynced.push(Write::Records(torn));
             state.writable = false;
-            return Err(io::Error::other("the disk refuses"));
+            return Err(io::Error::other("injected write failure"));
         }
         state.unsynced.push(Write::Records(records));
         Ok(())
@@ -156,10 +158,10 @@
     fn start_segment(&mut self, snapshot: &[u8]) -> io::Result<()> {
         let mut state = self.state();
         let sync_time = state.sync_time;
-        state.elapsed += sync_time;
+        state.write_time += sync_time;
         if state.failing {
             state.writable = false;
-            return Err(io::Error::other("the disk refuses"));
+            return Err(io::Error::other("injected write failure"));
         }
         state.unsynced.push(Write::Segment(snapshot.to_vec()));
         state.writable = true;
@@ -175,10 +177,11 @@
     }
 
     fn record_bytes(&self) -> u64 {
-        // Segments turn over after a few hundred entries, so that every test sees it.
+        // Each record counts as large, so that a new segment starts after a few hundred records, and every
+        // test covers this.
         self.state().synced.records.len() as u64 * RECORD_BYTES
     }
 }
 
-/// Bytes that one record counts for, far more than it has.
+/// Bytes that each record counts as in the size of a segment, far more than its actual size.
 const RECORD_BYTES: u64 = 256 << 10;
--- a/control-plane/simulation/src/faults/fault.rs
+++ b/control-plane/simulation/src/faults/fault.rs
@@ -1,4 +1,4 @@
-//! The kinds of faults, and whom they affect.
+//! The kinds of faults and their targets.
 
 use crate::cluster::{LinkFault, Role};
 use std::time::Duration;
@@ -6,7 +6,7 @@
 /// The machine that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// A random one of the role.
+    /// A random machine of the role that has a disk.
     Any(Role),
     /// The head of the role's chain.
     Head(Role),
@@ -16,7 +16,7 @@
     Machine(usize),
 }
 
-/// What a machine is partitioned from.
+/// The machines and clients that a machine is partitioned from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartitionScope {
     /// The machines of its role.
@@ -41,16 +41,16 @@
 /// A fault, or the end of one. The `Debug` form goes into the log.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// The process is killed, with or without the power of its machine, and restarted.
+    /// The process is killed, with or without a power loss of its machine, and restarted.
     Kill {
         /// The machine.
         target: Target,
-        /// Whether power is lost with it.
+        /// Whether the machine loses power.
         power: bool,
         /// Time until the restart.
         restart_after: Duration,
     },
-    /// The machine loses its disk, and comes back with an empty one.
+    /// The machine loses power and its disk, and restarts with an empty disk.
     Wipe {
         /// The machine.
         target: Target,
@@ -66,7 +66,7 @@
     Freeze {
         /// The machine.
         target: Target,
-        /// How long it lasts.
+        /// Duration of the fault.
         duration: Duration,
     },
     /// A suspended process continues.
@@ -80,18 +80,18 @@
         target: Target,
         /// What the machine is partitioned from.
         scope: PartitionScope,
-        /// Which directions fail.
+        /// The directions in which the links fail.
         direction: PartitionDirection,
-        /// How they fail.
+        /// How the links fail.
         link_fault: LinkFault,
-        /// How long it lasts.
+        /// Duration of the fault.
         duration: Duration,
     },
-    /// Half of a role is partitioned from the other half.
+    /// Half of the machines of a role are partitioned from the other half.
     Split {
         /// The role.
         role: Role,
-        /// How long it lasts.
+        /// Duration of the fault.
         duration: Duration,
     },
     /// All links of a machine work again.
@@ -99,12 +99,12 @@
         /// The machine.
         machine: usize,
     },
-    /// SIGTERM; the process is restarted 4.5 seconds later.
+    /// The process receives SIGTERM, and is restarted 4.5 seconds later.
     Terminate {
         /// The machine.
         target: Target,
     },
-    /// The machine is removed for good, and an empty one is added at another address.
+    /// The machine is removed permanently, and an empty one is added at another address.
     Replace {
         /// The machine.
         target: Target,
@@ -116,28 +116,28 @@
     },
     /// All processes are killed at the same instant, and restarted within a second.
     KillAll {
-        /// Whether power is lost with it.
+        /// Whether all machines lose power.
         power: bool,
     },
-    /// Some disks are lost while all other machines lose power.
+    /// All running machines lose power, and some of them lose their disks.
     WipeAndPowerOff {
-        /// Number of disks of each role.
+        /// Maximum number of disks that are lost, for each role.
         disks: usize,
     },
-    /// Writes take `sync` each.
+    /// Each write takes `sync_time`.
     SlowDisk {
         /// The machine.
         target: Target,
         /// Duration of a write and its sync.
         sync_time: Duration,
-        /// How long it lasts.
+        /// Duration of the fault.
         duration: Duration,
     },
     /// Writes fail.
     FailingDisk {
         /// The machine.
         target: Target,
-        /// How long it lasts.
+        /// Duration of the fault.
         duration: Duration,
     },
     /// The disk works again at its usual speed.
@@ -147,9 +147,9 @@
     },
     /// Messages are lost, late or duplicated.
     LossyNetwork {
-        /// Chance of a fault, per thousand draws.
+        /// Probability of each message fault, in permille.
         message_fault_permille: u32,
-        /// How long it lasts.
+        /// Duration of the fault.
         duration: Duration,
     },
     /// The network works again.
--- a/control-plane/simulation/src/faults/inject.rs
+++ b/control-plane/simulation/src/faults/inject.rs
@@ -1,7 +1,7 @@
-//! Injects faults: into a machine, into the links, or into the whole cluster.
+//! Injects faults into single machines, links or the whole cluster.
 
 use super::fault::{Fault, PartitionDirection, PartitionScope, Target};
-use super::loss::{count_as_lost, may_lose_disk};
+use super::loss::{count_as_lost, reserve_disk_loss};
 use crate::cluster::{Cluster, LinkFault, Role, ScheduledFault, SYNC_TIME};
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     }
 }
 
-/// Returns the machine that a target means now, unless it was removed.
+/// Returns the machine that a target selects at this instant, unless it was removed.
 fn resolve_target(cluster: &mut Cluster, target: Target) -> Option<usize> {
     let machine = match target {
         Target::Any(role) => {
@@ -26,7 +26,7 @@
     (!cluster.machines[machine].removed).then_some(machine)
 }
 
-/// Carries out a fault.
+/// Injects a fault.
 fn inject(cluster: &mut Cluster, fault: Fault) {
     match fault {
         Fault::Thaw { machine } => cluster.set_frozen(machine, false),
@@ -41,7 +41,7 @@
             for machine in 0..cluster.machines.len() {
                 count_as_lost(cluster, machine, duration);
             }
-            cluster.fault_at(cluster.now + duration, Fault::ReliableNetwork);
+            cluster.schedule_fault(cluster.now + duration, Fault::ReliableNetwork);
         }
         Fault::KillAll { power } => kill_all(cluster, power),
         Fault::WipeAndPowerOff { disks } => wipe_and_power_off(cluster, disks),
@@ -67,7 +67,8 @@
     }
 }
 
-/// Carries out a fault of one machine. Machines without a disk are only killed and frozen.
+/// Injects a fault into one machine. A machine without a disk can only be killed or frozen; other faults are
+/// skipped.
 fn inject_into_machine(cluster: &mut Cluster, machine: usize, fault: Fault) {
     if !cluster.machines[machine].has_disk && !matches!(fault, Fault::Kill { .. } | Fault::Freeze { .. }) {
         return;
@@ -83,7 +84,7 @@
         Fault::Freeze { duration, .. } => {
             count_as_lost(cluster, machine, duration);
             cluster.set_frozen(machine, true);
-            cluster.fault_at(cluster.now + duration, Fault::Thaw { machine });
+            cluster.schedule_fault(cluster.now + duration, Fault::Thaw { machine });
         }
         Fault::Partition { scope, direction, link_fault, duration, .. } => {
             partition(cluster, machine, scope, direction, link_fault, duration)
@@ -92,19 +93,19 @@
             count_as_lost(cluster, machine, Duration::from_secs(5));
             cluster.terminate(machine);
             cluster.restart(machine, Duration::from_millis(4500));
-            // Sometimes the process is killed before its grace period is over.
+            // With a probability of 1/3 the process is killed after 4 s, before its grace period ends.
             let target = Target::Machine(machine);
             if cluster.rng.u32(0..3) == 0 {
                 let restart_after = Duration::from_millis(400);
                 let at = cluster.now + Duration::from_millis(4000);
-                cluster.fault_at(at, Fault::Kill { target, power: false, restart_after });
+                cluster.schedule_fault(at, Fault::Kill { target, power: false, restart_after });
             }
         }
         Fault::Replace { .. } => replace(cluster, machine),
         Fault::SlowDisk { sync_time, duration, .. } => {
             count_as_lost(cluster, machine, duration);
             cluster.machines[machine].disk.set_sync_time(sync_time);
-            cluster.fault_at(cluster.now + duration, Fault::RepairDisk { machine });
+            cluster.schedule_fault(cluster.now + duration, Fault::RepairDisk { machine });
         }
         Fault::FailingDisk { duration, .. } => fail_writes(cluster, machine, duration),
         _ => {}
@@ -112,7 +113,7 @@
 }
 
 fn wipe(cluster: &mut Cluster, machine: usize, restart_after: Duration) {
-    if !may_lose_disk(cluster, machine) {
+    if !reserve_disk_loss(cluster, machine) {
         return;
     }
     count_as_lost(cluster, machine, restart_after);
@@ -123,7 +124,7 @@
 
 fn corrupt_disk(cluster: &mut Cluster, machine: usize) {
     const RESTART_DELAY: Duration = Duration::from_millis(300);
-    if !may_lose_disk(cluster, machine) {
+    if !reserve_disk_loss(cluster, machine) {
         return;
     }
     count_as_lost(cluster, machine, RESTART_DELAY);
@@ -134,13 +135,13 @@
 }
 
 fn fail_writes(cluster: &mut Cluster, machine: usize, duration: Duration) {
-    // A process can't start on a disk whose writes fail, so that it would not come back before the repair.
+    // A process can't start on a disk whose writes fail: a stopped one would not be back before the repair.
     if !cluster.is_running(machine) {
         return;
     }
     count_as_lost(cluster, machine, duration);
     cluster.machines[machine].disk.set_failing(true);
-    cluster.fault_at(cluster.now + duration, Fault::RepairDisk { machine });
+    cluster.schedule_fault(cluster.now + duration, Fault::RepairDisk { machine });
 }
 
 fn partition(
@@ -167,7 +168,7 @@
     if scope == PartitionScope::MachinesAndClients {
         cluster.isolate_from_clients(machine);
     }
-    cluster.fault_at(cluster.now + duration, Fault::Heal { machine });
+    cluster.schedule_fault(cluster.now + duration, Fault::Heal { machine });
 }
 
 fn split(cluster: &mut Cluster, role: Role, duration: Duration) {
@@ -183,7 +184,7 @@
             cluster.partition(machine, other, LinkFault::Drop);
             cluster.partition(other, machine, LinkFault::Drop);
         }
-        cluster.fault_at(cluster.now + duration, Fault::Heal { machine });
+        cluster.schedule_fault(cluster.now + duration, Fault::Heal { machine });
     }
 }
 
@@ -226,11 +227,12 @@
     let role = cluster.machines[machine].role;
     let lost =
         cluster.lost_machines().into_iter().filter(|lost| cluster.machines[*lost].role == role).count();
-    // The machines that never come back must leave a majority of the voters, which takes 2f + 1 of them.
+    // The removed machine never returns, so the other coordinators must still be a majority of the voters.
+    // This takes at least 2f + 1 coordinators for f tolerated losses.
     let (coordinators, tolerated) = (cluster.spec.coordinators, cluster.spec.tolerated_machines);
     let leaves_majority =
         role == Role::Store || (coordinators > 2 * tolerated && 2 * (lost + 1) < coordinators);
-    if !may_lose_disk(cluster, machine) || !leaves_majority {
+    if !reserve_disk_loss(cluster, machine) || !leaves_majority {
         return;
     }
     let added = cluster.add_machine(role);
--- a/control-plane/simulation/src/faults/loss.rs
+++ b/control-plane/simulation/src/faults/loss.rs
@@ -1,21 +1,22 @@
-//! Account of the machines that count as lost, so that no more are lost at once than the deployment tolerates.
+//! Tracks the machines that count as lost, so that no more are lost at once than the deployment tolerates.
 
 use crate::cluster::Cluster;
 use std::time::Duration;
 
-/// A machine counts as lost for this long after it is back.
+/// Time after the end of a fault for which a machine still counts as lost, because it must catch up.
 pub const CATCH_UP_TIME: Duration = Duration::from_secs(5);
 
-/// Lets a machine count as lost until it is back and has caught up.
+/// Counts a machine as lost until `restart_after` and then the time to catch up have passed.
 pub(super) fn count_as_lost(cluster: &mut Cluster, machine: usize, restart_after: Duration) {
     let until = cluster.now + restart_after + CATCH_UP_TIME;
     let machine = &mut cluster.machines[machine];
     machine.counts_as_lost_until = machine.counts_as_lost_until.max(until);
 }
 
-/// Returns whether one more disk may be lost now, and counts it: no more machines are lost with it than are tolerated, and no
-/// more disks since all machines were last healthy.
-pub(super) fn may_lose_disk(cluster: &mut Cluster, machine: usize) -> bool {
+/// Returns whether one more disk may be lost now, and if so counts it as lost. Neither the lost machines of
+/// the role nor the disks that it lost since all of its machines were last healthy may exceed the tolerated
+/// number.
+pub(super) fn reserve_disk_loss(cluster: &mut Cluster, machine: usize) -> bool {
     let role = cluster.machines[machine].role;
     let lost = cluster
         .lost_machines()
--- a/control-plane/simulation/src/faults/mod.rs
+++ b/control-plane/simulation/src/faults/mod.rs
@@ -1,7 +1,8 @@
-//! Faults: what they are, how they are injected, and plans of them drawn from a seed.
+//! Kinds of faults, their injection, and plans of faults drawn from a seed.
 //!
-//! A [`Plan`] schedules faults; each chooses its machine only at its instant, and is skipped where it would exceed what the
-//! deployment tolerates, so that every violation is a fault of the program.
+//! A [`Plan`] schedules faults. Each fault selects its machine only at its instant. A fault that would lose
+//! more disks than the deployment tolerates is skipped, so that every violation is a defect of the program
+//! under test.
 
 mod fault;
 mod inject;
--- a/control-plane/simulation/src/faults/plan.rs
+++ b/control-plane/simulation/src/faults/plan.rs
@@ -11,8 +11,8 @@
 pub struct Plan {
     /// Each fault with its instant.
     pub faults: Vec<(Duration, Fault)>,
-    /// The instant from which no fault lasts and all machines have caught up.
-    pub quiet_from: Duration,
+    /// Instant at which all faults have ended and all machines have caught up.
+    pub fault_free_from: Duration,
 }
 
 fn draw_target(rng: &mut Rng) -> Target {
@@ -72,16 +72,17 @@
     }
 }
 
-/// Upper bound of the time that a fault lasts.
-const MAX_FAULT_TIME: Duration = Duration::from_secs(21);
+/// Upper bound of the duration of a fault.
+const MAX_FAULT_DURATION: Duration = Duration::from_secs(21);
 
 impl Plan {
-    /// Returns a plan of given faults, the last of which is over at `quiet_from`.
-    pub fn of(faults: Vec<(Duration, Fault)>, quiet_from: Duration) -> Plan {
-        Plan { faults, quiet_from }
+    /// Returns a plan of given faults, after which all machines have caught up at `fault_free_from`.
+    pub fn of(faults: Vec<(Duration, Fault)>, fault_free_from: Duration) -> Plan {
+        Plan { faults, fault_free_from }
     }
 
-    /// Draws the faults of a seed: some alone, some in pairs at the same instant, some shortly after one another.
+    /// Draws the faults of a seed: some alone, some at the same instant as another one, and some shortly
+    /// after another one.
     pub fn draw(spec: &ClusterSpec) -> Plan {
         let mut rng = Rng::with_seed(spec.seed ^ 0x5bd1_e995);
         let mut faults = Vec::new();
@@ -96,6 +97,6 @@
                 _ => seconds(&mut rng, 4.0, 12.0),
             };
         }
-        Plan { faults, quiet_from: last_at + MAX_FAULT_TIME + CATCH_UP_TIME }
+        Plan { faults, fault_free_from: last_at + MAX_FAULT_DURATION + CATCH_UP_TIME }
     }
 }
--- a/control-plane/simulation/src/flags.rs
+++ b/control-plane/simulation/src/flags.rs
@@ -1,39 +1,39 @@
-//! The program's flags.
+//! The command-line flags of the program.
 #![allow(missing_docs, reason = "xflags documents neither the types nor the functions that it generates")]
 
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Clusters of coordinators and stores on virtual networks, disks and clocks.
+    /// Simulates clusters of coordinators and stores on virtual networks, disks and clocks.
     cmd marblecroft-simulation {
-        /// Runs seeds, and prints their rate and which of them violate a check.
+        /// Runs seeds; prints the seeds that violate a check and the number of seeds per second.
         cmd search {
-            /// The first seed (1).
+            /// First seed (default: 1).
             optional --from from: u64
-            /// How many seeds (1000).
+            /// Number of seeds (default: 1000).
             optional --seeds seeds: u64
-            /// Coordinators (3).
+            /// Number of coordinators with a disk (default: 3).
             optional --coordinators coordinators: usize
-            /// Stores (4).
+            /// Number of stores (default: 4).
             optional --stores stores: usize
-            /// Machines with a disk that may be lost at once (1).
+            /// Number of machines with a disk that may be lost at once (default: 1).
             optional --tolerated tolerated: usize
-            /// Further coordinators without a disk (0).
+            /// Number of additional coordinators without a disk (default: 0).
             optional --without-disk without: usize
-            /// Threads (4).
+            /// Number of threads (default: 4).
             optional --threads threads: usize
         }
-        /// Writes scenarios (days) for the bench, one file each, and prints their faults.
+        /// Writes scenarios (days) for the test bench, one file each, and prints a summary of each.
         cmd days {
-            /// The site file whose first day is the template of traffic and thresholds.
+            /// Site file whose first day is the template for traffic and thresholds.
             required --site site: PathBuf
-            /// The directory that they are written to.
+            /// Directory that the scenarios are written to.
             required --out out: PathBuf
-            /// The first day (0).
+            /// Number of the first day (default: 0).
             optional --from from: usize
-            /// How many (one for each variant of each fault).
+            /// Number of days (default: one for each kind of fault, variant and role).
             optional --days days: usize
-            /// The seed (1).
+            /// Seed (default: 1).
             optional --seed seed: u64
         }
         /// Runs one seed and logs its events.
--- a/control-plane/simulation/src/lib.rs
+++ b/control-plane/simulation/src/lib.rs
@@ -1,8 +1,11 @@
-//! Clusters of coordinators and stores on virtual networks, disks and clocks, replayed exactly from a seed.
+//! Simulates clusters of coordinators and stores on virtual networks, disks and clocks. A run replays exactly
+//! from its seed.
 //!
-//! The coordinators and stores are those of `marblecroft-control-plane-core`, as the programs run them. A [`Cluster`] carries
-//! their inputs and outputs; [`clients`] are the operators, gateways and batch clients, [`faults`] the faults that are
-//! injected, and the [`checker`] checks the history of requests and responses. The [`runner`] puts them together.
+//! The coordinators and stores are those of `marblecroft-control-plane-core`, which the real programs run as
+//! well. A [`Cluster`] delivers their inputs and performs their outputs. The [`clients`] are operators,
+//! gateways and batch clients. The [`faults`] are injected into the cluster, and the [`checker`] checks the
+//! history of requests and responses. The [`runner`] runs a cluster with its clients and faults. Apart from
+//! these, [`scenarios`] generates input for the test bench.
 #![forbid(unsafe_code)]
 
 pub mod checker;
--- a/control-plane/simulation/src/main.rs
+++ b/control-plane/simulation/src/main.rs
@@ -1,11 +1,12 @@
-//! Searches seeds for violations (`search`), replays one with a log (`replay`), and writes scenarios for the bench (`days`).
+//! Searches seeds for violations (`search`), replays one seed with a log (`replay`), and writes scenarios for
+//! the test bench (`days`).
 
 mod flags;
 
 use flags::{Days, MarblecroftSimulation, MarblecroftSimulationCmd, Replay, Search};
 use marblecroft_logging::{LogConfig, LogFormat};
 use marblecroft_simulation::runner;
-use marblecroft_simulation::scenarios::{fault_variants, scenario, Template};
+use marblecroft_simulation::scenarios::{fault_variant_count, scenario, Template};
 use marblecroft_simulation::{ClusterSpec, Plan};
 use quick_error::quick_error;
 use std::collections::BTreeMap;
@@ -16,7 +17,7 @@
 use std::time::Instant;
 use std::{fs, io};
 
-// The run unless flags give another one.
+// Default values of the flags.
 const DEFAULT_COORDINATORS: usize = 3;
 const DEFAULT_STORES: usize = 4;
 const DEFAULT_TOLERATED: usize = 1;
@@ -24,23 +25,23 @@
 const DEFAULT_THREADS: usize = 4;
 
 quick_error! {
-    /// Scenarios can't be written.
+    /// An error while writing scenarios.
     #[derive(Debug)]
     enum WriteScenariosError {
-        /// The site file can't be read, or a scenario not written.
+        /// The site file can't be read, or a scenario can't be written.
         Io(e: io::Error) {
             from()
             source(e)
             display("{e}")
         }
-        /// The site file has no day that could be the template.
+        /// The site file has no day that can be used as the template.
         NoTemplate {
-            display("the site file has no day")
+            display("the site file has no [[day]] table")
         }
     }
 }
 
-/// Returns the cluster that flags describe.
+/// Returns the size and seed of a cluster from the values of flags.
 fn spec(
     seed: u64,
     coordinators: Option<usize>,
@@ -57,15 +58,15 @@
     }
 }
 
-/// What a search has found so far.
+/// The results of a search so far.
 #[derive(Default)]
 struct SearchResults {
     failed_seeds: Vec<u64>,
-    /// Events of all runs, by kind.
+    /// Number of events in all runs, by kind.
     counts: BTreeMap<&'static str, u64>,
 }
 
-/// Runs one seed after the other until none is left, and prints the first violation of each.
+/// Runs seeds until none is left, and prints the first violation of each seed that has one.
 fn search_seeds(next: &AtomicU64, end: u64, spec: ClusterSpec, results: &Mutex<SearchResults>) {
     loop {
         let seed = next.fetch_add(1, Ordering::Relaxed);
@@ -85,7 +86,7 @@
     }
 }
 
-/// Runs seeds on several threads, and prints what they found.
+/// Runs seeds on several threads, and prints a summary.
 fn search(flags: &Search) -> ExitCode {
     let (from, seeds) = (flags.from.unwrap_or(1), flags.seeds.unwrap_or(DEFAULT_SEEDS));
     let spec = spec(from, flags.coordinators, flags.stores, flags.tolerated, flags.without_disk);
@@ -100,8 +101,8 @@
     let seeds_per_second = seeds as f64 / started_at.elapsed().as_secs_f64();
     println!("{:?}", results.counts);
     println!(
-        "{} coordinators and {} without a disk, {} stores, {} tolerated: {seeds} seeds from {from}, \
-         {seeds_per_second:.1} a second, {} failed",
+        "{} coordinators and {} without a disk, {} stores, tolerated losses: {}; {seeds} seeds from {from}, \
+         {seeds_per_second:.1} per second, {} failed",
         spec.coordinators,
         spec.diskless_coordinators,
         spec.stores,
@@ -111,11 +112,11 @@
     exit_code(results.failed_seeds.is_empty())
 }
 
-/// Writes scenarios, each into a file of its number, and prints their faults.
+/// Writes scenarios, each into a file that is named by its number, and prints a summary of each.
 fn write_scenarios(flags: &Days) -> Result<(), WriteScenariosError> {
     let template =
         Template::read(&fs::read_to_string(&flags.site)?).ok_or(WriteScenariosError::NoTemplate)?;
-    let (from, days) = (flags.from.unwrap_or(0), flags.days.unwrap_or_else(fault_variants));
+    let (from, days) = (flags.from.unwrap_or(0), flags.days.unwrap_or_else(fault_variant_count));
     fs::create_dir_all(&flags.out)?;
     for number in from..from + days {
         let scenario = scenario(&template, number, flags.seed.unwrap_or(1));
@@ -125,7 +126,7 @@
     Ok(())
 }
 
-/// Writes scenarios for the bench, and reports a failure with the site file.
+/// Writes scenarios for the test bench; prints an error with the path of the site file.
 fn export_scenarios(flags: &Days) -> ExitCode {
     match write_scenarios(flags) {
         Ok(()) => ExitCode::SUCCESS,
@@ -136,13 +137,13 @@
     }
 }
 
-/// Runs one seed with its log.
+/// Runs one seed and logs its events.
 fn replay(flags: &Replay) -> ExitCode {
     let log = LogConfig { format: LogFormat::TextWithFields, ..LogConfig::default() };
     marblecroft_logging::init("simulation", log);
     let spec = spec(flags.seed, flags.coordinators, flags.stores, flags.tolerated, flags.without_disk);
     let verdict = runner::run(spec, &Plan::draw(&spec));
-    verdict.violations.iter().for_each(|violation| println!("FOUND {violation}"));
+    verdict.violations.iter().for_each(|violation| println!("violation: {violation}"));
     exit_code(verdict.violations.is_empty())
 }
 
--- a/control-plane/simulation/src/scenarios.rs
+++ b/control-plane/simulation/src/scenarios.rs
@@ -1,44 +1,47 @@
-//! Scenarios for the bench, one day each: every kind of fault of coordinators and stores, alone, twice, and in pairs at the
-//! same instant, with configuration changes in flight, and with every way to end a day.
+//! Generates scenarios for the test bench, one day each: every kind of fault of coordinators and stores,
+//! alone, twice, or together with another fault at the same instant, with configuration changes in flight,
+//! and with every way to end a day.
 //!
-//! A scenario takes its traffic and its thresholds from a [`Template`], the first day of a site file; the rest is drawn from a
-//! seed. The words of the TOML text are the bench's.
+//! A scenario takes its traffic and its thresholds from a [`Template`], the first day of a site file; the
+//! rest is drawn from a seed. The test bench defines the keys and values of the TOML text.
 
 use fastrand::Rng;
 use std::fmt::Write;
 
-/// A kind of fault in the words of the bench: whether it takes `on`, its variants (`how`), and its further fields.
+/// A kind of fault under its name in the test bench, with its variants (values of `how`) and its other fields
+/// in TOML.
 struct FaultKind {
     name: &'static str,
-    on: bool,
+    /// Whether it takes the field `on`, the role that it affects.
+    takes_role: bool,
     variants: &'static [&'static str],
     fields: &'static str,
 }
 
-const fn kind(
+const fn fault_kind(
     name: &'static str,
-    on: bool,
+    takes_role: bool,
     variants: &'static [&'static str],
     fields: &'static str,
 ) -> FaultKind {
-    FaultKind { name, on, variants, fields }
+    FaultKind { name, takes_role, variants, fields }
 }
 
 /// All kinds of faults.
 const FAULT_KINDS: [FaultKind; 19] = [
-    kind(
+    fault_kind(
         "node_kill",
         true,
         &["", "power", "leader", "leader power race drain", "meet drain", "seed", "hard"],
         "count = 1, for_s = 3.2",
     ),
-    kind(
+    fault_kind(
         "node_freeze",
         true,
         &["", "leader race drain hard", "turn", "meet", "reader"],
         "count = 1, for_s = 3.6",
     ),
-    kind(
+    fault_kind(
         "core_cut",
         true,
         &[
@@ -62,22 +65,22 @@
         ],
         "count = 1, for_s = 5.2",
     ),
-    kind("replace_core", true, &["", "oldest", "planned"], "x = 1.0"),
-    kind("after_ack_kill", true, &["", "kill", "timed", "taken"], "count = 1, for_s = 2.4"),
-    kind("after_ack_wipe", true, &["", "oldest"], "count = 1, for_s = 2.2"),
-    kind("herd_kill", true, &["", "off", "taken", "taken all"], "share = 1.0, for_s = 0.9"),
-    kind("roll_term", true, &["", "busy"], "share = 1.0, x = 1.0, gap_s = 1.6"),
-    kind("add_nodes", true, &[""], "count = 1"),
-    kind("retire", false, &["", "wipe"], "for_s = 8.0"),
-    kind("node_slow", true, &[""], "count = 1, x = 5.0, for_s = 4.0"),
-    kind("disk_slow", true, &[""], "count = 1, x = 30.0, for_s = 4.0"),
-    kind("disk_full", true, &[""], "count = 1, for_s = 4.0"),
-    kind("disk_stall", true, &[""], "count = 1, for_s = 4.0"),
-    kind("clock_step", false, &["back", "ahead"], "share = 0.4, x = 2000.0, for_s = 6.0"),
-    kind("reset_conns", true, &[""], "share = 0.4, x = 0.6, for_s = 4.0"),
-    kind("node_cut", false, &["", "all"], "share = 0.2, for_s = 4.0"),
-    kind("seed_turnover", false, &[""], "gap_s = 1.0"),
-    kind("hup", false, &[""], "share = 0.5, gap_s = 0.5"),
+    fault_kind("replace_core", true, &["", "oldest", "planned"], "x = 1.0"),
+    fault_kind("after_ack_kill", true, &["", "kill", "timed", "taken"], "count = 1, for_s = 2.4"),
+    fault_kind("after_ack_wipe", true, &["", "oldest"], "count = 1, for_s = 2.2"),
+    fault_kind("herd_kill", true, &["", "off", "taken", "taken all"], "share = 1.0, for_s = 0.9"),
+    fault_kind("roll_term", true, &["", "busy"], "share = 1.0, x = 1.0, gap_s = 1.6"),
+    fault_kind("add_nodes", true, &[""], "count = 1"),
+    fault_kind("retire", false, &["", "wipe"], "for_s = 8.0"),
+    fault_kind("node_slow", true, &[""], "count = 1, x = 5.0, for_s = 4.0"),
+    fault_kind("disk_slow", true, &[""], "count = 1, x = 30.0, for_s = 4.0"),
+    fault_kind("disk_full", true, &[""], "count = 1, for_s = 4.0"),
+    fault_kind("disk_stall", true, &[""], "count = 1, for_s = 4.0"),
+    fault_kind("clock_step", false, &["back", "ahead"], "share = 0.4, x = 2000.0, for_s = 6.0"),
+    fault_kind("reset_conns", true, &[""], "share = 0.4, x = 0.6, for_s = 4.0"),
+    fault_kind("node_cut", false, &["", "all"], "share = 0.2, for_s = 4.0"),
+    fault_kind("seed_turnover", false, &[""], "gap_s = 1.0"),
+    fault_kind("hup", false, &[""], "share = 0.5, gap_s = 0.5"),
 ];
 
 /// The ways to end a day, each with its variants.
@@ -87,20 +90,22 @@
     ("kill_all", &["", "timed", "taken"]),
 ];
 
-/// When the first fault comes, in seconds from the start of traffic.
+/// Earliest instant of the first fault, in seconds from the start of traffic; up to one second is added at
+/// random.
 const FIRST_FAULT_AT_SECONDS: f64 = 9.0;
-/// When it comes again, in scenarios that have it twice.
+/// Earliest instant of its repetition, in scenarios that inject it twice; up to one second is added at
+/// random.
 const SECOND_FAULT_AT_SECONDS: f64 = 19.5;
 
-/// The lines of a day that all scenarios made of it share.
+/// The lines of a day that are the same in all scenarios generated from it.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Template {
-    /// Its thresholds and its traffic.
+    /// Thresholds and traffic.
     shared_lines: String,
 }
 
 impl Template {
-    /// Returns the template in the first day of a site file; `None` where there is no day.
+    /// Returns the template from the first day of a site file, or `None` if there is no day.
     pub fn read(site: &str) -> Option<Template> {
         let day = site.split("\n[[day]]\n").nth(1)?;
         let mut shared_lines = String::new();
@@ -121,42 +126,44 @@
     }
 }
 
-/// Returns the line of one fault.
+/// Returns the TOML line of one fault.
 fn fault_line(kind: &FaultKind, variant: &str, role: &str, at: f64) -> String {
-    let on = if kind.on { format!("on = \"{role}\", ") } else { String::new() };
+    let on = if kind.takes_role { format!("on = \"{role}\", ") } else { String::new() };
     let how = if variant.is_empty() { String::new() } else { format!(", how = \"{variant}\"") };
     format!("  {{ at = {at:.2}, kind = \"{}\", {on}{}{how} }},\n", kind.name, kind.fields)
 }
 
-/// A kind of fault in one of its variants, and the role that it affects (empty where the kind takes none).
+/// A kind of fault, one of its variants, and the role that it affects (empty if the kind takes none).
 type FaultVariant = (&'static FaultKind, &'static str, &'static str);
 
-/// Returns all kinds with all of their variants and roles.
+/// Returns all combinations of kind, variant and role.
 fn all_faults() -> Vec<FaultVariant> {
     let mut all = Vec::new();
     for kind in &FAULT_KINDS {
-        for role in if kind.on { &["core", "store"][..] } else { &[""][..] } {
+        for role in if kind.takes_role { &["core", "store"][..] } else { &[""][..] } {
             all.extend(kind.variants.iter().map(|variant| (kind, *variant, *role)));
         }
     }
     all
 }
 
-/// Returns the number of kinds with their variants and roles: as many scenarios have each of them once.
-pub fn fault_variants() -> usize {
+/// Returns the number of combinations of kind, variant and role. In as many consecutive scenarios, each
+/// combination is the first fault once.
+pub fn fault_variant_count() -> usize {
     all_faults().len()
 }
 
-/// A scenario for the bench.
+/// A scenario for the test bench.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scenario {
-    /// Its text for a site file.
+    /// The scenario as TOML text of a site file.
     pub toml: String,
-    /// One line about its faults.
+    /// One line that describes its faults.
     pub summary: String,
 }
 
-/// Returns scenario `number`, whose first fault is that of this number, drawn from a seed.
+/// Returns the scenario of a number. The number selects the first fault; the rest is drawn from the seed and
+/// the number.
 pub fn scenario(template: &Template, number: usize, seed: u64) -> Scenario {
     let mut rng = Rng::with_seed(seed.wrapping_mul(1_000_003) ^ number as u64);
     let all = all_faults();
--- a/control-plane/simulation/tests/partitions.rs
+++ b/control-plane/simulation/tests/partitions.rs
@@ -1,5 +1,6 @@
-//! A machine is partitioned for twenty seconds while changes go on: alone, twice, and while another one is replaced. It neither
-//! serves an old configuration, nor rejects or acknowledges a change.
+//! A machine is partitioned for 20 seconds while changes are submitted: once, twice, and while another
+//! machine is replaced, joins or terminates. It must not serve an old configuration, and must not acknowledge
+//! or reject a change against the decision of the cluster. The same holds for a frozen machine that resumes.
 
 #[allow(dead_code, reason = "not every test file uses all of the helpers")]
 mod common;
@@ -31,7 +32,7 @@
     Fault::Partition { target, scope, direction, link_fault, duration: seconds(PARTITION_SECONDS) }
 }
 
-/// Partitions of every target, scope and direction, with lost messages and with resets.
+/// Returns partitions of every target, scope and direction, with lost messages and with resets.
 fn all_partitions() -> Vec<Fault> {
     let mut partitions = Vec::new();
     for target in TARGETS {
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn a_partitioned_machine_serves_nothing_stale() {
+fn a_partitioned_machine_serves_no_stale_configuration() {
     let scenario = |(number, fault): (usize, Fault)| {
         Scenario::new(format!("{fault:?}"), spec(number as u64), vec![(6.0, fault)], 6.0 + PARTITION_SECONDS)
     };
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn the_same_machine_is_partitioned_twice() {
+fn a_machine_that_is_partitioned_twice_serves_no_stale_configuration() {
     let scenario = |(number, fault): (usize, Fault)| {
         let faults = vec![(6.0, fault), (6.0 + PARTITION_SECONDS + 1.0, fault)];
         Scenario::new(
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn a_machine_is_partitioned_while_another_is_replaced_or_joins() {
+fn a_partition_is_safe_while_another_machine_is_replaced_joins_or_terminates() {
     let mut scenarios = Vec::new();
     for (number, fault) in all_partitions().into_iter().step_by(3).enumerate() {
         let target = Target::Tail(Role::Coordinator);
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn a_frozen_machine_that_continues_serves_nothing_stale() {
+fn a_resumed_machine_serves_no_stale_configuration() {
     let mut scenarios = Vec::new();
     for (number, target) in TARGETS.into_iter().enumerate() {
         for (step, time) in [0.4, 0.9, 1.6, 3.0, 8.0, 20.0].into_iter().enumerate() {
@@ -108,7 +109,8 @@
     let mut scenarios = Vec::new();
     for machine in 0..4 {
         for (step, time) in [1.2, 3.0, 8.0, 20.0].into_iter().enumerate() {
-            // It continues while partitioned from its peers, so that it first receives what was sent to it long ago.
+            // The machine resumes while it is partitioned from its peers, so that it first receives messages
+            // that were sent long before.
             let target = Target::Machine(machine);
             let freeze = Fault::Freeze { target, duration: seconds(time) };
             let partition = Fault::Partition {
@@ -122,7 +124,7 @@
             let seed = 400 + (machine * 10 + step) as u64;
             let mut scenario =
                 Scenario::new(format!("{freeze:?}, {partition:?}"), spec(seed), faults, 11.0 + time);
-            scenario.max_think_time_ms = 60;
+            scenario.think_time_spread_ms = 60;
             scenarios.push(scenario);
         }
     }
--- a/control-plane/simulation/tests/resubmitted_changes.rs
+++ b/control-plane/simulation/tests/resubmitted_changes.rs
@@ -1,5 +1,6 @@
-//! Two operators choose the same generations, and changes are submitted again after a lost response. Operators of every run
-//! do so, to any coordinator; here a machine that acknowledges changes fails while changes are in flight.
+//! Operators submit a change again after its response was lost, and two operators may choose the same
+//! generation. In every run the operators do so through random coordinators. Here, in addition, a machine
+//! that acknowledges changes fails while changes are in flight.
 
 #[allow(dead_code, reason = "not every test file uses all of the helpers")]
 mod common;
@@ -13,7 +14,7 @@
 use marblecroft_simulation::ClusterSpec;
 
 #[test]
-fn a_change_is_resubmitted_after_a_fault_of_who_acknowledges_it() {
+fn resubmission_is_safe_after_a_fault_of_the_acknowledging_machine() {
     let head = Target::Head(Role::Coordinator);
     let tail = Target::Tail(Role::Coordinator);
     let partition = |target, direction| Fault::Partition {
@@ -44,11 +45,11 @@
                 tolerated_machines: 1,
                 diskless_coordinators: 0,
             };
-            // At different moments of the changes that are in flight.
+            // The fault occurs at different stages of the changes in flight.
             let at = 6.0 + 0.0037 * f64::from(step);
             let faults = vec![(at, fault), (at + 14.0, fault)];
             let mut scenario = Scenario::new(format!("{fault:?}"), spec, faults, 28.0);
-            scenario.max_think_time_ms = 60;
+            scenario.think_time_spread_ms = 60;
             scenarios.push(scenario);
         }
     }
@@ -56,22 +57,22 @@
 }
 
 #[test]
-fn a_change_older_than_the_remembered_generations_is_neither_acknowledged_nor_rejected() {
+fn a_change_older_than_the_retained_generations_is_neither_acknowledged_nor_rejected() {
     let mut control = ControlState::default();
     let body = |generation: u64| Bytes(format!("body {generation}").into_bytes());
     let replace =
         |base, generation| Operation::ReplaceConfiguration { base, generation, body: body(generation) };
-    let remembered = MAX_RETAINED_GENERATIONS as u64;
-    for generation in 1..=remembered + 5 {
+    let retained = MAX_RETAINED_GENERATIONS as u64;
+    for generation in 1..=retained + 5 {
         assert_eq!(control.apply(replace(generation - 1, generation)), Output::Accepted);
     }
-    assert_eq!(control.apply(replace(5, 6)), Output::Accepted, "remembered");
+    assert_eq!(control.apply(replace(5, 6)), Output::Accepted, "generation 6 is retained");
     for generation in 1..=5 {
         assert_eq!(control.apply(replace(generation - 1, generation)), Output::GenerationPruned);
     }
-    let restored = ControlState::restore(&control.snapshot()).expect("a snapshot");
+    let restored = ControlState::restore(&control.snapshot()).expect("the snapshot is valid");
     assert_eq!(restored, control);
-    // What a coordinator remembers of each change: a digest of 32 bytes, a number and their lengths.
+    // For each change a coordinator retains a digest of 32 bytes, a number and their lengths.
     let size = control.snapshot().len();
-    assert!(size < MAX_RETAINED_GENERATIONS * 64, "{size} bytes");
+    assert!(size < MAX_RETAINED_GENERATIONS * 64, "the snapshot has {size} bytes");
 }
--- a/control-plane/simulation/tests/seeds.rs
+++ b/control-plane/simulation/tests/seeds.rs
@@ -1,4 +1,5 @@
-//! A bounded part of the search of seeds, of which `marblecroft-simulation search` runs more; and that a seed replays exactly.
+//! Runs a fixed number of seeds for clusters of several sizes, and checks that a seed replays exactly. More
+//! seeds can be run with `marblecroft-simulation search`.
 
 #[allow(dead_code, reason = "not every test file uses all of the helpers")]
 mod common;
@@ -6,9 +7,9 @@
 use common::{run_all, Scenario};
 use marblecroft_simulation::{runner, ClusterSpec, Plan};
 
-/// Seeds of each size.
+/// Number of seeds for each size of cluster.
 const SEEDS: u64 = 24;
-/// Coordinators, others without a disk, stores and tolerated machines.
+/// Sizes of clusters: coordinators with a disk, coordinators without a disk, stores and tolerated losses.
 const SIZES: [(usize, usize, usize, usize); 8] = [
     (3, 0, 4, 1),
     (4, 0, 5, 1),
@@ -33,7 +34,7 @@
                 diskless_coordinators: without_disk,
             };
             let plan = Plan::draw(&spec);
-            scenarios.push(Scenario { name: format!("seed {seed}"), spec, plan, max_think_time_ms: 700 });
+            scenarios.push(Scenario { name: format!("seed {seed}"), spec, plan, think_time_spread_ms: 700 });
         }
     }
     run_all(scenarios);
@@ -44,8 +45,8 @@
     let spec =
         ClusterSpec { seed: 77, coordinators: 4, stores: 4, tolerated_machines: 1, diskless_coordinators: 0 };
     let plan = Plan::draw(&spec);
-    let (first, again) = (runner::run(spec, &plan), runner::run(spec, &plan));
-    assert_eq!((first.trace, first.counts), (again.trace, again.counts));
+    let (first, second) = (runner::run(spec, &plan), runner::run(spec, &plan));
+    assert_eq!((first.event_digest, first.counts), (second.event_digest, second.counts));
     let other = ClusterSpec { seed: 78, ..spec };
-    assert_ne!(first.trace, runner::run(other, &Plan::draw(&other)).trace);
+    assert_ne!(first.event_digest, runner::run(other, &Plan::draw(&other)).event_digest);
 }
--- a/control-plane/simulation/tests/successive_losses.rs
+++ b/control-plane/simulation/tests/successive_losses.rs
@@ -1,5 +1,5 @@
-//! As soon as a machine has caught up the next one is lost, and then another one. Nothing that was acknowledged is lost, and
-//! a majority stays.
+//! Each time a machine has caught up after a loss, the next one is lost. No acknowledged change may be lost,
+//! and a majority of the coordinators must remain.
 
 #[allow(dead_code, reason = "not every test file uses all of the helpers")]
 mod common;
@@ -9,10 +9,10 @@
 use marblecroft_simulation::faults::{Fault, Target, CATCH_UP_TIME};
 use marblecroft_simulation::ClusterSpec;
 
-/// A little more than the time in which a machine must catch up.
+/// Time between two losses, longer than [`CATCH_UP_TIME`].
 const STEP_SECONDS: f64 = 7.0;
 
-/// Coordinators and tolerated losses f: at least 2f + 1 coordinators.
+/// Sizes of clusters: coordinators and tolerated losses f, with at least 2f + 1 coordinators.
 const SIZES: [(usize, usize); 7] = [(3, 1), (4, 1), (5, 1), (5, 2), (6, 2), (7, 2), (9, 2)];
 
 fn losses(target: Target) -> [Fault; 4] {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn losses_follow_one_another_after_catching_up() {
+fn successive_losses_after_catching_up_are_tolerated() {
     let mut scenarios = Vec::new();
     let step = CATCH_UP_TIME.as_secs_f64().max(STEP_SECONDS);
     for (number, size) in SIZES.into_iter().enumerate() {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn disks_are_lost_while_all_other_machines_lose_power() {
+fn disk_losses_are_tolerated_while_all_other_machines_lose_power() {
     let mut scenarios = Vec::new();
     for (number, size) in SIZES.into_iter().enumerate() {
         for seed in 0..6 {
@@ -75,16 +75,16 @@
 }
 
 #[test]
-fn as_many_disks_as_tolerated_are_lost_at_once_after_a_repair() {
+fn the_maximum_of_disk_losses_is_tolerated_after_a_replacement() {
     let mut scenarios = Vec::new();
     for (number, size) in SIZES.into_iter().enumerate() {
         for role in [Role::Coordinator, Role::Store] {
             let wipe = |target| Fault::Wipe { target, restart_after: seconds(0.5) };
-            let both = [wipe(Target::Head(role)), wipe(Target::Tail(role))];
-            let repaired = Fault::Replace { target: Target::Any(role) };
-            let mut faults = vec![(6.0, repaired)];
-            faults.extend(both.into_iter().take(size.1).map(|fault| (6.0 + STEP_SECONDS, fault)));
-            let name = format!("{repaired:?}, then {} disks", size.1);
+            let wipes = [wipe(Target::Head(role)), wipe(Target::Tail(role))];
+            let replacement = Fault::Replace { target: Target::Any(role) };
+            let mut faults = vec![(6.0, replacement)];
+            faults.extend(wipes.into_iter().take(size.1).map(|fault| (6.0 + STEP_SECONDS, fault)));
+            let name = format!("{replacement:?}, then {} disks", size.1);
             scenarios.push(Scenario::new(name, spec(2000 + number as u64, size), faults, 16.0));
         }
     }
