--- a/control-plane/simulation/src/disk.rs
+++ b/control-plane/simulation/src/disk.rs
@@ -114,7 +114,7 @@
     }
 
     /// Simulates a loss of power: unsynced writes are kept, lost or torn at random. All writes after the
-    /// first one that is not kept whole are lost.
+    /// first lost or torn one are lost.
     pub fn lose_power(&self, rng: &mut Rng) {
         let mut state = self.state();
         for write in std::mem::take(&mut state.unsynced) {
--- a/control-plane/simulation/src/faults/fault.rs
+++ b/control-plane/simulation/src/faults/fault.rs
@@ -78,7 +78,7 @@
     Partition {
         /// The machine.
         target: Target,
-        /// What the machine is partitioned from.
+        /// The machines and clients that the machine is partitioned from.
         scope: PartitionScope,
         /// The directions in which the links fail.
         direction: PartitionDirection,
--- a/control-plane/simulation/src/faults/loss.rs
+++ b/control-plane/simulation/src/faults/loss.rs
@@ -1,4 +1,5 @@
-//! Tracks the machines that count as lost, so that no more are lost at once than the deployment tolerates.
+//! Tracks the machines that count as lost, so that no more machines are lost at the same time than the
+//! deployment tolerates.
 
 use crate::cluster::Cluster;
 use std::time::Duration;
@@ -13,9 +14,9 @@
     machine.counts_as_lost_until = machine.counts_as_lost_until.max(until);
 }
 
-/// Returns whether one more disk may be lost now, and if so counts it as lost. Neither the lost machines of
-/// the role nor the disks that it lost since all of its machines were last healthy may exceed the tolerated
-/// number.
+/// Returns whether one more disk may be lost now, and if so counts it as lost. With this disk, the number of
+/// lost machines of the role and the number of disks that the role has lost since all of its machines were
+/// last healthy must not exceed the tolerated number.
 pub(super) fn reserve_disk_loss(cluster: &mut Cluster, machine: usize) -> bool {
     let role = cluster.machines[machine].role;
     let lost = cluster
