--- a/quota-gateway/core/tests/conformance.rs
+++ b/quota-gateway/core/tests/conformance.rs
@@ -9,7 +9,7 @@
 
 use common::*;
 use marblecroft_quota_gateway_core::*;
-use marblecroft_test_support::conformance::{hold, Played};
+use marblecroft_test_support::conformance::{check_rows, RowResult};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -295,8 +295,8 @@
             let failure = steps.find_map(|(index, step)| Some((index, step.run(&mut harness).err()?)));
             let outcome =
                 failure.map_or(Ok(()), |(index, observed)| Err(format!("step {index}: {observed}")));
-            Played { id: row.id, clause: row.clause, because: row.because, outcome }
+            RowResult { id: row.id, clause: row.clause, because: row.because, outcome }
         }));
     }
-    hold(&clauses.clause, rows);
+    check_rows(&clauses.clause, rows);
 }
--- a/quota-gateway/zone-failover/tests/conformance.rs
+++ b/quota-gateway/zone-failover/tests/conformance.rs
@@ -1,7 +1,7 @@
 //! Conformance tables of zone failover. Each row shows one clause of the design page; a clause without a row
 //! is a failure.
 
-use marblecroft_test_support::conformance::{hold, Played};
+use marblecroft_test_support::conformance::{check_rows, RowResult};
 use marblecroft_zone_failover::allocation::{allocate, Load};
 use marblecroft_zone_failover::decision::ZoneState;
 use marblecroft_zone_failover::settings::{Settings, ZoneSettings};
@@ -135,7 +135,7 @@
     let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/conformance/zones.toml"));
     let tables: Tables =
         toml::from_str(&text.expect("the table file is readable")).expect("the table file is valid");
-    let played = |id: &String, clause: &String, because: &String, outcome| Played {
+    let played = |id: &String, clause: &String, because: &String, outcome| RowResult {
         id: id.clone(),
         clause: clause.clone(),
         because: because.clone(),
@@ -143,7 +143,7 @@
     };
     let flows = tables.flow.iter().map(|row| played(&row.id, &row.clause, &row.because, row.play()));
     let states = tables.state.iter().map(|row| played(&row.id, &row.clause, &row.because, row.play()));
-    hold(&tables.clause, flows.chain(states));
+    check_rows(&tables.clause, flows.chain(states));
 }
 
 #[test]
