--- a/common/logging/src/config.rs
+++ b/common/logging/src/config.rs
@@ -4,14 +4,14 @@
 use tracing::level_filters::LevelFilter;
 
 /// How events are logged; the member `log` of a program's configuration.
-// Deserializers name the types in their errors, so these keep their names there.
+// `rename` keeps the outer type names, which deserializers print in their errors.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename = "Log", deny_unknown_fields, default)]
 pub struct LogConfig {
     /// Format of the log (`form`). Default: text.
     #[serde(rename = "form")]
     pub format: LogFormat,
-    /// Whether events of single requests, at least four for each, are logged too. Default: false.
+    /// Whether events of single requests, at least four per request, are logged too. Default: false.
     pub requests: bool,
 }
 
@@ -33,10 +33,10 @@
     /// One line of text for each event: the name of the program and the message (`text`).
     #[default]
     Text,
-    /// Like [`Text`](Self::Text), with the event's other fields behind the message, each as ` name=value`. For programs whose
-    /// messages are constant texts; a configuration cannot name it.
+    /// Like [`Text`](Self::Text), with the event's other fields after the message, each as ` name=value`. For
+    /// programs whose messages are constant texts. It cannot be selected in a configuration.
     #[serde(skip)]
     TextWithFields,
-    /// One JSON object on a line for each event, with the event's fields (`json`).
+    /// One line with a JSON object for each event, with the event's fields (`json`).
     Json,
 }
--- a/common/logging/src/lib.rs
+++ b/common/logging/src/lib.rs
@@ -1,8 +1,9 @@
 //! Logging to standard error, one event a line.
 //!
-//! Programs log with `tracing`. As text, a line is the program's name and the event's message, with the event's fields where
-//! the program's messages are constant texts; as JSON, it always has the fields. Events of single requests are logged only where the [`LogConfig`] says so: they carry the request's id in
-//! the field `trace`, so that one request can be followed through all programs.
+//! Programs log with `tracing`. A text line consists of the program's name and the event's message, followed
+//! by the event's fields in programs whose messages are constant texts. A JSON line always has the fields.
+//! Events of single requests are logged only if the [`LogConfig`] enables them. They carry the request's id
+//! in the field `trace`, so that one request can be followed through all programs.
 #![forbid(unsafe_code)]
 
 mod config;
@@ -19,13 +20,14 @@
 use tracing_subscriber::fmt::MakeWriter;
 use tracing_subscriber::layer::SubscriberExt;
 
-/// Logs the events of this process to standard error from now on, under the name `program`. A second call has no effect.
+/// Starts logging the events of this process to standard error, under the name `program`. A second call has
+/// no effect.
 pub fn init(program: &'static str, config: LogConfig) {
     set_global(subscriber(program, config, BestEffortStderr));
 }
 
-/// Like [`init`], for programs whose dependencies log too: of events whose target does not begin with `target_prefix`, only
-/// errors are logged.
+/// Like [`init`], for programs whose dependencies log too: events whose target does not begin with
+/// `target_prefix` are logged only if they are errors.
 pub fn init_for_target(program: &'static str, target_prefix: &'static str, config: LogConfig) {
     let targets =
         Targets::new().with_target(target_prefix, config.max_level()).with_default(LevelFilter::ERROR);
@@ -33,7 +35,7 @@
 }
 
 fn set_global(subscriber: impl Subscriber + Send + Sync) {
-    // This fails where a subscriber is set already, which then logs all events.
+    // Fails if a subscriber is already set; that one continues to log all events.
     let _ = tracing::subscriber::set_global_default(subscriber);
 }
 
@@ -45,7 +47,7 @@
     let builder = tracing_subscriber::fmt()
         .with_max_level(config.max_level())
         .with_writer(writer)
-        // Errors of the writer would be logged to the standard error that has failed.
+        // A write error would be reported to standard error, which is what has just failed.
         .log_internal_errors(false);
     let text = |with_fields| TextFormat { program, with_fields };
     match config.format {
--- a/common/logging/src/stderr.rs
+++ b/common/logging/src/stderr.rs
@@ -3,7 +3,8 @@
 use std::io::{self, Write};
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Writes to standard error and ignores failures: a program must not end or stop because the reader of its log is gone.
+/// Writes to standard error and ignores failures: a program must not exit or block because the reader of its
+/// log has gone away.
 #[derive(Clone, Copy)]
 pub(crate) struct BestEffortStderr;
 
@@ -17,7 +18,7 @@
 
 impl Write for BestEffortStderr {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // There is nowhere else to report the failure to.
+        // There is no other place to report the failure.
         let _ = io::stderr().lock().write_all(bytes);
         Ok(bytes.len())
     }
--- a/common/logging/src/text_format.rs
+++ b/common/logging/src/text_format.rs
@@ -1,4 +1,4 @@
-//! The text formats: the name of the program and an event's message, with or without its other fields.
+//! The text formats: the name of the program and an event's message, with or without the other fields.
 
 use std::fmt;
 use tracing::field::{Field, Visit};
@@ -32,11 +32,12 @@
     }
 }
 
-/// Writes an event's message, and its other fields if they are wanted. `tracing` visits the message first.
+/// Writes an event's message, and its other fields if `with_fields` is set. `tracing` visits the message
+/// first.
 struct TextVisitor<'a, 'w> {
     writer: &'a mut Writer<'w>,
     with_fields: bool,
-    /// The first failure; visiting cannot be aborted.
+    /// The first failure. It is stored because visiting cannot be aborted.
     result: fmt::Result,
 }
 
--- a/common/logging/tests/formats.rs
+++ b/common/logging/tests/formats.rs
@@ -1,4 +1,4 @@
-//! Events in both formats, events of single requests, and the configuration.
+//! Tests of the text and JSON formats, of the filter for events of single requests, and of the configuration.
 
 use marblecroft_logging::{subscriber, LogConfig, LogFormat};
 use std::io::{self, Write};
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn text_is_the_message_and_json_has_the_fields() {
+fn text_has_only_the_message_and_json_has_the_fields() {
     assert_eq!(log_output(LogConfig::default()), "marblecroft-quota-gateway: server 7 is DRAINING\n");
     let json = log_output(LogConfig { format: LogFormat::Json, requests: false });
     let line: serde_json::Value = serde_json::from_str(&json).expect("one object");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn text_with_fields_has_them_behind_the_message() {
+fn text_with_fields_has_the_fields_after_the_message() {
     let log = log_output(LogConfig { format: LogFormat::TextWithFields, requests: true });
     let lines = [
         "marblecroft-quota-gateway: server 7 is DRAINING server=7 state=\"DRAINING\"",
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn events_of_requests_are_logged_only_where_they_are_configured() {
+fn events_of_requests_are_logged_only_if_enabled() {
     assert_eq!(log_output(LogConfig { format: LogFormat::Text, requests: true }).lines().count(), 2);
     let json = log_output(LogConfig { format: LogFormat::Json, requests: true });
     let last: serde_json::Value = serde_json::from_str(json.lines().last().expect("two")).expect("an object");
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_configuration_has_the_members_form_and_requests_only() {
+fn configuration_accepts_only_the_members_form_and_requests() {
     let parse = |text: &str| serde_json::from_str::<LogConfig>(text);
     assert_eq!(parse("{}").expect("each member has a default"), LogConfig::default());
     let all = parse(r#"{"form":"json","requests":true}"#).expect("valid");
--- a/common/settings/src/error.rs
+++ b/common/settings/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a settings file is rejected.
+//! The reasons to reject a settings file.
 
 use quick_error::quick_error;
 use std::io;
@@ -17,7 +17,7 @@
             display("settings file {}: {}", path.display(), cause)
             source(cause)
         }
-        /// A line, counted from 1, has no `=`.
+        /// A line has no `=`. Lines are numbered from 1.
         MalformedLine(number: usize) {
             display("line {number}: expected key=value")
         }
@@ -25,7 +25,7 @@
         MissingKey(key: &'static str) {
             display("{key} is missing")
         }
-        /// A value cannot be used.
+        /// The value of a key is invalid.
         InvalidValue(key: String, value: String, allowed: &'static str) {
             display("{key}={value}: expected {allowed}")
         }
--- a/common/settings/src/fields.rs
+++ b/common/settings/src/fields.rs
@@ -10,7 +10,8 @@
 /// Upper bound of a duration in seconds; longer ones are clamped to it.
 const MAX_DURATION_S: f64 = 1e7;
 
-/// The fields of one file. Empty lines and those that begin with `#` are ignored; of lines with equal keys the last counts.
+/// The fields of one file. Empty lines and lines that begin with `#` are ignored. If a key occurs several
+/// times, the last line applies.
 pub struct Fields<'a> {
     values: BTreeMap<&'a str, &'a str>,
 }
@@ -40,7 +41,7 @@
         self.optional(key).ok_or(Error::MissingKey(key))
     }
 
-    /// Returns the rests of the keys that begin with `prefix`, sorted.
+    /// Returns the keys that begin with `prefix`, without the prefix, sorted.
     pub fn keys_with_prefix(&self, prefix: &str) -> Vec<String> {
         self.values.keys().filter_map(|key| key.strip_prefix(prefix)).map(str::to_owned).collect()
     }
@@ -50,7 +51,7 @@
         self.optional(key).map(convert).transpose()
     }
 
-    /// Returns an integer, or its default.
+    /// Returns a non-negative integer, or its default.
     pub fn integer(&self, key: &str, default: u64) -> Result<u64, Error> {
         Ok(self.converted(key, "a whole number")?.unwrap_or(default))
     }
@@ -81,7 +82,7 @@
         Ok(self.converted(key, "true or false")?.unwrap_or(default))
     }
 
-    /// Returns the address of a key that may be absent.
+    /// Returns an address, or `None` if the key is absent.
     pub fn address(&self, key: &str) -> Result<Option<SocketAddr>, Error> {
         self.converted(key, "IP:PORT")
     }
@@ -91,7 +92,7 @@
         self.converted(key, "an IPv4 address")?.ok_or(Error::MissingKey(key))
     }
 
-    /// Returns a list of addresses, joined by commas; empty where the key is absent.
+    /// Returns a comma-separated list of addresses, which is empty if the key is absent.
     pub fn addresses(&self, key: &str) -> Result<Vec<SocketAddr>, Error> {
         let convert =
             |part: &str| part.trim().parse().map_err(|_| invalid(key, part, "IP:PORT, joined by commas"));
--- a/common/settings/src/lib.rs
+++ b/common/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! The settings file of one process: lines of the form `key=value`, lists joined by commas.
+//! The settings file of one process: lines of the form `key=value`, lists separated by commas.
 //!
-//! [`Settings::parse`] splits the text into fields, then converts and checks each setting that it knows. Unknown keys are
-//! ignored, so that one file can serve several releases; a value that cannot be used is rejected with an [`Error`] that names
-//! the key, the value and what is allowed.
+//! [`Settings::parse`] splits the text into fields, then converts and checks each known setting. Unknown keys
+//! are ignored, so that one file can be used with several releases. An invalid value is rejected with an
+//! [`Error`] that names the key, the value and what is allowed.
 #![forbid(unsafe_code)]
 
 mod error;
--- a/common/settings/src/ports.rs
+++ b/common/settings/src/ports.rs
@@ -5,6 +5,6 @@
 pub struct PortRange {
     /// The first port.
     pub first: u16,
-    /// The last port, which belongs to the range.
+    /// The last port; the range includes it.
     pub last: u16,
 }
--- a/common/settings/src/settings.rs
+++ b/common/settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a process, and the keys that they are parsed from.
+//! The settings of a process and their keys.
 
 use crate::error::Error;
 use crate::fields::Fields;
@@ -10,7 +10,7 @@
 /// The environment variable that holds the path of the settings file.
 pub const PATH_VARIABLE: &str = "MARBLECROFT_CONFIG";
 
-/// Addresses on which the process serves outside parties; each is present only where its role serves them.
+/// Addresses on which the process serves external clients. Each is set only if the process's role uses it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BindAddresses {
     /// For clients' requests (`bind_addresses.front`).
@@ -31,14 +31,14 @@
     }
 }
 
-/// Resources that the platform allots to the process. No process reads them yet.
+/// Resources that the platform allocates to the process. No process reads them yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Memory in MB (`limits.memory_mb`). Default: 256.
     pub memory_mb: u64,
     /// Open file descriptors (`limits.max_open_files`). Default: 1024.
     pub max_open_files: u64,
-    /// Disk space in MB (`limits.disk_mb`); 0, the default, where the machine has no disk.
+    /// Disk space in MB (`limits.disk_mb`); 0, the default, if the machine has no disk.
     pub disk_mb: u64,
 }
 
@@ -52,17 +52,18 @@
     }
 }
 
-/// Bounds on the system's behaviour that the operator sets. The keys name the unit in which each is written.
+/// Time limits and an overage limit that the operator sets. Each key ends in the unit of its value, except
+/// `bounds.quota_overage`, which has none.
 ///
-/// No process uses `contact`, `ack_timeout`, `catch_up`, `drain_timeout`, `config_apply`, `cancel` and `settle` yet; they are
-/// parsed so that an invalid value is rejected.
+/// No process uses `contact`, `ack_timeout`, `catch_up`, `drain_timeout`, `config_apply`, `cancel` and
+/// `settle` yet; they are parsed so that an invalid value is rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     /// `bounds.contact_ms`. Default: 3 s.
     pub contact: Duration,
     /// `bounds.ack_timeout_ms`. Default: 4 s.
     pub ack_timeout: Duration,
-    /// Time within which a member that was away catches up (`bounds.catch_up_s`). Default: 5 s.
+    /// Time within which a member that was unreachable catches up (`bounds.catch_up_s`). Default: 5 s.
     pub catch_up: Duration,
     /// `bounds.drain_timeout_ms`. Default: 3 s.
     pub drain_timeout: Duration,
@@ -74,9 +75,11 @@
     pub cancel: Duration,
     /// `bounds.settle_ms`. Default: 1 s.
     pub settle: Duration,
-    /// Time from the submission of a batch job for which its results are readable (`bounds.status_s`). Default: 120 s.
+    /// Time after the submission of a batch job during which its results can be read (`bounds.status_s`).
+    /// Default: 120 s.
     pub status: Duration,
-    /// Fraction of a route's `max_queued_tokens` by which the queued tokens may exceed it (`bounds.quota_overage`). Default: 0.
+    /// Fraction of a route's `max_queued_tokens` by which the queued tokens may exceed it
+    /// (`bounds.quota_overage`). Default: 0.
     pub quota_overage: f64,
 }
 
@@ -102,10 +105,11 @@
 pub struct CloudApi {
     /// Address of the API (`cloud_api.address`).
     pub address: SocketAddr,
-    /// Calls per second that the API accepts from all processes together (`cloud_api.rate_per_s`). Default: 10.
+    /// Calls per second that the API accepts from all processes in total (`cloud_api.rate_per_s`). Default:
+    /// 10.
     pub rate_per_s: f64,
-    /// Longest time by which a listing may lag behind the servers' state (`cloud_api.max_lag_ms`); no process uses it yet.
-    /// Default: 0.
+    /// Longest time by which a listing may lag behind the servers' state (`cloud_api.max_lag_ms`). Default:
+    /// 0. No process uses it yet.
     pub max_lag: Duration,
 }
 
@@ -131,23 +135,23 @@
     pub zone: String,
     /// All zones of the deployment: the names that follow `zones.` in the keys.
     pub zones: Vec<String>,
-    /// Addresses for outside parties.
+    /// Addresses for external clients.
     pub bind: BindAddresses,
     /// Ports for communication between processes of this project (`ephemeral_ports`, `FIRST,LAST`); required.
     pub ephemeral_ports: PortRange,
-    /// Addresses of the operator's API of up to three machines (`seeds`). Default: none.
+    /// Addresses of the operator API on up to three machines (`seeds`). Default: none.
     pub seeds: Vec<SocketAddr>,
     /// Whether this is the first start of the whole system (`bootstrap`). Default: false.
     pub bootstrap: bool,
     /// Resources of the process.
     pub limits: Limits,
-    /// Directory for durable data (`data_dir`); absent where the process has no disk.
+    /// Directory for durable data (`data_dir`); `None` if the process has no disk.
     pub data_dir: Option<PathBuf>,
-    /// Number of machines that may be lost at once (`fault_tolerance.machines`). Default: 0.
+    /// Number of machines that may fail at the same time (`fault_tolerance.machines`). Default: 0.
     pub tolerated_machines: usize,
-    /// Bounds of the system's behaviour.
+    /// Limits that the operator sets.
     pub bounds: Bounds,
-    /// The platform's API; absent where the process does not read it.
+    /// The platform's API; `None` if the process does not read it.
     pub cloud_api: Option<CloudApi>,
 }
 
@@ -177,10 +181,10 @@
     ///
     /// # Errors
     ///
-    /// Returns an error that names the first fault: a line without `=`, a missing key, or an invalid value.
+    /// Returns an error for the first fault found: a line without `=`, a missing key, or an invalid value.
     pub fn parse(text: &str) -> Result<Settings, Error> {
         let fields = Fields::parse(text)?;
-        // The order decides which of several faults is reported.
+        // If there are several faults, this order determines which one is reported.
         let bounds = Bounds::parse(&fields)?;
         let limits = Limits::parse(&fields)?;
         let bind = BindAddresses::parse(&fields)?;
--- a/common/settings/tests/settings.rs
+++ b/common/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! A valid settings file is parsed; each invalid value is rejected in one line that names it.
+//! A valid settings file is parsed. Each invalid value is rejected with a one-line error that names it.
 
 use marblecroft_settings::{PortRange, Settings};
 use std::time::Duration;
--- a/common/transport/src/connection.rs
+++ b/common/transport/src/connection.rs
@@ -1,6 +1,7 @@
 //! A client connection to a server.
 //!
-//! hyper's connection future runs as a task of its own; the requests on the connection see how it ends.
+//! hyper's connection future runs in its own task. If it fails, the request on the connection receives the
+//! error.
 
 use crate::socket::{HyperIo, Socket};
 use hyper::body::{Body, Incoming};
@@ -17,13 +18,13 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time;
 
-/// Upper bound of the head of a response, and of how much of a body is read at once. Bounds the memory that a server can
-/// make the process use by a head without end.
+/// Upper bound of the size of a response's head, and of how much of a body is read at once. Limits the memory
+/// that a server can make the process use by sending a head that does not end.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 /// Upper bound of the number of fields in the head of a response.
 const MAX_HEADERS: usize = 64;
 
-/// A connection. Dropping it closes it, which is how an attempt is cancelled.
+/// A client connection. Dropping it closes the connection, which is how an attempt is cancelled.
 pub struct ClientConnection<B> {
     sender: SendRequest<B>,
     socket: Rc<Socket<()>>,
@@ -44,8 +45,8 @@
     B::Data: Send,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    /// Connects to a server. The connection is counted in `connection_count` until it is dropped, and also while it is being
-    /// established.
+    /// Connects to a server. The connection is counted in `connection_count` from the start of the attempt
+    /// until it is dropped.
     ///
     /// # Errors
     ///
@@ -59,7 +60,7 @@
         timeout: Duration,
         connection_count: Option<Rc<Cell<usize>>>,
     ) -> io::Result<ClientConnection<B>> {
-        // Counted from here on, as a connection that is being established holds a descriptor too.
+        // Counted before connecting, because a connection that is being established also uses a descriptor.
         let count = connection_count.map(ConnectionCount::new);
         let stream = time::timeout(timeout, TcpStream::connect(address)).await??;
         let socket = Socket::new(stream, ())?;
@@ -68,15 +69,15 @@
         let (sender, connection) =
             builder.handshake(HyperIo(socket.clone())).await.map_err(io::Error::other)?;
         let drive = async move {
-            // The request on the connection, if there is one, receives the error as well.
+            // If there is a request on the connection, it receives the error as well.
             let _ = connection.await;
         };
         let driver = spawn_local(drive).abort_handle();
         Ok(ClientConnection { sender, socket, driver, _count: count })
     }
 
-    /// Returns whether a next request would receive its own response: the server has not closed the connection, and has sent
-    /// nothing after the last response, which would be taken for the next one.
+    /// Returns whether another request can be sent on the connection: the server has not closed it, and has
+    /// sent no bytes after the last response. Such bytes would be read as the response to the next request.
     pub fn is_reusable(&self) -> bool {
         !self.is_closed() && self.socket.has_no_input()
     }
@@ -100,7 +101,7 @@
         self.sender.send_request(request).await
     }
 
-    /// Like [`ClientConnection::send`], but the error returns a request of which nothing was written.
+    /// Like [`ClientConnection::send`], but the error contains the request if none of it was written.
     ///
     /// # Errors
     ///
--- a/common/transport/src/framing.rs
+++ b/common/transport/src/framing.rs
@@ -1,17 +1,18 @@
-//! Scans the heads of requests for how they delimit their bodies, beside hyper.
+//! Determines how the heads of requests delimit their bodies, in addition to hyper's parser.
 //!
-//! hyper prefers a `Transfer-Encoding` to a `Content-Length`, merges equal lengths, and reports neither. Where two parsers of
-//! such a request differ, one takes for the body what the other takes for another request (request smuggling, RFC 9112,
-//! section 11.2), so it must not be forwarded.
+//! hyper prefers a `Transfer-Encoding` to a `Content-Length`, merges equal lengths, and reports neither case.
+//! Two parsers may delimit such a request differently, so that one reads as part of the body what the other
+//! reads as the next request (request smuggling, RFC 9112, section 11.2). It must not be forwarded.
 
 use std::collections::VecDeque;
 
-/// Bytes of a line that are examined: a relevant name and the number after it.
+/// Number of bytes examined at the start of each line. Enough for a relevant field name and a number after
+/// it.
 const MAX_LINE_PREFIX_BYTES: usize = 64;
 /// Length of the line end after a chunk's data.
 const CHUNK_END_BYTES: u64 = 2;
 
-/// How a request's head delimits its body.
+/// Whether a request's head delimits its body unambiguously.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// By at most one length, or by a transfer coding.
@@ -20,26 +21,26 @@
     Ambiguous,
 }
 
-/// Where in the stream of requests the next byte belongs.
+/// The part of a request that the next byte belongs to.
 enum State {
     Head,
-    /// Bytes of the body that are still to come.
+    /// In a body; the number of bytes not yet received.
     Body(u64),
-    /// The line with a chunk's size.
+    /// In the line with a chunk's size.
     ChunkSize,
-    /// Bytes of the chunk and its line end that are still to come.
+    /// In a chunk; the number of bytes not yet received, including the line end.
     Chunk(u64),
     Trailers,
     /// After an ambiguous head or a malformed chunk: the rest of the connection cannot be scanned.
     Unrecoverable,
 }
 
-/// What the head that is being scanned has said so far.
+/// The scanned part of the current head.
 #[derive(Default)]
 struct Head {
     has_request_line: bool,
     content_length_count: usize,
-    /// The last length; `None` where it is not a number.
+    /// The value of the last `Content-Length`; `None` if it is not a number.
     content_length: Option<u64>,
     has_transfer_encoding: bool,
 }
@@ -47,7 +48,7 @@
 /// Scans the bytes of a connection and queues the framing of each head until it is taken.
 pub struct HeadScanner {
     state: State,
-    /// The beginning of the line that is not complete yet, up to [`MAX_LINE_PREFIX_BYTES`].
+    /// The start of the incomplete current line, up to [`MAX_LINE_PREFIX_BYTES`].
     line_prefix: Vec<u8>,
     head: Head,
     framings: VecDeque<Framing>,
@@ -65,17 +66,18 @@
 }
 
 impl HeadScanner {
-    /// Takes the framing of the next head, in the order of the requests; `None` while there is no complete one.
+    /// Takes the framing of the next head, in the order of the requests; `None` if no head is complete.
     pub fn take_framing(&mut self) -> Option<Framing> {
         self.framings.pop_front()
     }
 
-    /// Returns whether a head has begun and is not complete.
+    /// Returns whether a head has started and is not complete.
     pub fn is_in_head(&self) -> bool {
         matches!(self.state, State::Head) && (self.head.has_request_line || !self.line_prefix.is_empty())
     }
 
-    /// Returns whether a body has begun and is not complete, or the rest of the connection cannot be scanned.
+    /// Returns whether a body has started and is not complete, or the rest of the connection cannot be
+    /// scanned.
     pub fn is_in_body(&self) -> bool {
         !matches!(self.state, State::Head)
     }
@@ -167,7 +169,7 @@
 
 /// Returns the state after the line with a chunk's size.
 fn after_chunk_size(line: &[u8]) -> State {
-    // What follows the digits is an extension.
+    // Any text after the digits is a chunk extension.
     let digits = line.split(|b| !b.is_ascii_hexdigit()).next().unwrap_or_default();
     let size = std::str::from_utf8(digits).ok().and_then(|text| u64::from_str_radix(text, 16).ok());
     match size {
--- a/common/transport/src/framing/tests.rs
+++ b/common/transport/src/framing/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Returns the framings of the heads in `text` when it is scanned in chunks of this size.
+/// Returns the framings of the heads in `text`, which is scanned in chunks of `chunk_size` bytes.
 fn framings_of(text: &str, chunk_size: usize) -> Vec<Framing> {
     let mut scanner = HeadScanner::default();
     text.as_bytes().chunks(chunk_size).for_each(|bytes| scanner.scan(bytes));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn an_incomplete_head_is_distinguished_from_none() {
+fn an_incomplete_head_is_detected() {
     let mut scanner = HeadScanner::default();
     assert!(!scanner.is_in_head());
     scanner.scan(b"GE");
--- a/common/transport/src/lib.rs
+++ b/common/transport/src/lib.rs
@@ -1,11 +1,11 @@
 //! Network code that the quota gateway and the serving tier's data plane share.
 //!
-//! hyper parses and writes HTTP; what it does not expose is added here, below it and beside it:
+//! hyper parses and writes HTTP. These modules add what it does not expose:
 //!
-//! - [`socket`] is the socket under hyper, which its owner can observe and close in its own way.
-//! - [`framing`] scans the bytes that a client sends for heads whose body length is ambiguous.
-//! - [`connection`] is a client connection to a server.
-//! - [`system`] holds the calls to the kernel that no crate in use offers.
+//! - [`socket`]: the socket that hyper uses, which its owner can observe and close.
+//! - [`framing`]: a scanner for requests whose heads delimit the body ambiguously.
+//! - [`connection`]: a client connection to a server.
+//! - [`system`]: system calls that none of the dependencies provides.
 
 pub mod connection;
 pub mod framing;
--- a/common/transport/src/socket/hyper_io.rs
+++ b/common/transport/src/socket/hyper_io.rs
@@ -1,4 +1,4 @@
-//! hyper's side of a socket.
+//! The interface through which hyper uses a socket.
 
 use super::{Socket, SocketObserver, CHUNK_BYTES};
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -8,7 +8,7 @@
 use std::task::{ready, Context, Poll};
 use tokio::net::TcpStream;
 
-/// A socket as hyper reads and writes it. What its owner has read ahead is read first.
+/// Implements hyper's I/O traits for a socket. Bytes that the owner has read ahead are returned first.
 pub struct HyperIo<O>(pub Rc<Socket<O>>);
 
 impl<O: SocketObserver> Read for HyperIo<O> {
@@ -37,7 +37,8 @@
 }
 
 impl<O: SocketObserver> HyperIo<O> {
-    /// Writes by `write` when the socket is ready, or discards all `length` bytes where the observer does not permit output.
+    /// Calls `write` when the socket is writable. If the observer does not permit output, all `length` bytes
+    /// are discarded.
     fn poll_write_with(
         &self,
         cx: &mut Context<'_>,
@@ -83,7 +84,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Does nothing: the owner closes the socket, and may have a reply of its own to send first.
+    /// Does nothing: the owner closes the socket, and may have to send its own reply first.
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
--- a/common/transport/src/socket/observer.rs
+++ b/common/transport/src/socket/observer.rs
@@ -1,22 +1,23 @@
-//! What the owner of a socket observes and decides while hyper uses it.
+//! The interface through which the owner of a socket observes and controls hyper's use of it.
 
 use std::rc::Rc;
 
-/// Observes a socket that hyper uses. The defaults observe nothing and permit everything.
+/// Observes a socket that hyper uses. The default methods do nothing and permit all output.
 pub trait SocketObserver {
     /// Called with the bytes that hyper is about to parse.
     fn on_received(&self, _bytes: &[u8]) {}
 
-    /// Returns whether what hyper writes is sent; otherwise it is discarded. hyper replies to what it cannot parse by
-    /// itself, without an indication of the reason.
+    /// Returns whether hyper's output is sent; otherwise it is discarded. hyper itself replies to requests
+    /// that it cannot parse, and does not indicate the reason.
     fn permits_output(&self) -> bool {
         true
     }
 
-    /// Called before each write with whether the kernel's send buffer is full, as the peer reads nothing.
+    /// Called before each write. `is_blocked` is set if the kernel's send buffer is full, because the peer
+    /// does not read.
     fn on_blocked(&self, _is_blocked: bool) {}
 
-    /// Called when all that hyper had to write is in the kernel's send buffer.
+    /// Called when all of hyper's output is in the kernel's send buffer.
     fn on_flushed(&self) {}
 }
 
--- a/common/transport/src/system/tests.rs
+++ b/common/transport/src/system/tests.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 #[test]
-fn the_time_since_the_last_bytes_counts_also_those_received_before_the_connection_was_accepted() {
+fn time_since_last_received_includes_bytes_received_before_the_connection_was_accepted() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut client = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
     let before = Instant::now();
@@ -14,13 +14,13 @@
     let (accepted, _) = listener.accept().expect("accepted");
     let min_age = written.elapsed();
     let age = time_since_last_received(&accepted).expect("the system reports it");
-    // A tick either way.
+    // Tolerance of one kernel tick in both directions.
     let tick = Duration::from_millis(11);
-    assert!(age + tick >= min_age && age <= before.elapsed() + tick, "{age:?}, {min_age:?} at least");
+    assert!(age + tick >= min_age && age <= before.elapsed() + tick, "age {age:?}, at least {min_age:?}");
 }
 
 #[test]
-fn the_monotonic_clock_is_that_of_instants() {
+fn monotonic_now_advances_like_instants() {
     let (started_at, before) = (Instant::now(), monotonic_now());
     std::thread::sleep(Duration::from_millis(5));
     let (after, elapsed) = (monotonic_now(), started_at.elapsed());
