--- a/control-plane/server/src/coordinator.rs
+++ b/control-plane/server/src/coordinator.rs
@@ -1,8 +1,8 @@
-//! The coordinator's process: sockets, files, threads and clocks around
+//! The coordinator's process: sockets, files, threads and clocks for
 //! [`marblecroft_control_plane_core::coordinator`].
 //!
-//! A call of another process or of the operator's waits on its listener's thread while the event loop handles it; calls of
-//! this process wait on threads of the pool.
+//! An incoming call, from another process or the operator, blocks its listener's thread until the event loop
+//! has replied. Outgoing calls block threads of the pool.
 
 use crate::error::StartError;
 use crate::event_loop::{self, Clock, ControlFlow};
@@ -25,7 +25,8 @@
 use std::sync::Arc;
 use tracing::info;
 
-/// The first view and this process's identity in it, where it is a founder.
+/// Returns this process's identity in the first view and that view, or `None` if it is not one of the
+/// founders.
 fn founding_view(settings: &Settings) -> Option<(u64, View)> {
     let own = settings.bind.control_plane.filter(|_| settings.bootstrap)?;
     member::founding_view(own, &settings.seeds, |seed| coordinator_address(seed, settings.ephemeral_ports))
@@ -45,7 +46,7 @@
     }
 }
 
-/// What the threads of a coordinator share.
+/// State shared by the threads of a coordinator.
 #[derive(Clone)]
 struct Shared {
     runtime: Runtime<Input>,
@@ -55,11 +56,12 @@
     operator_calls: Arc<PendingReplies<Reply>>,
 }
 
-/// Runs a coordinator until the process is to end.
+/// Runs a coordinator until the process should exit.
 ///
 /// # Errors
 ///
-/// A setting is missing, or a socket, a file or a thread cannot be opened.
+/// Returns an error if a setting is missing, a socket or a file cannot be opened, or a thread cannot be
+/// started.
 pub fn run(settings: &Settings) -> Result<(), StartError> {
     let operator_address =
         settings.bind.control_plane.ok_or(StartError::MissingSetting("bind_addresses.control_plane"))?;
--- a/control-plane/server/src/event_loop.rs
+++ b/control-plane/server/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! Runs a state machine: one thread hands it the inputs in the order in which they arrive, with the time, and carries out its
-//! outputs before the next input.
+//! Runs a state machine: one thread passes it the inputs in the order of their arrival, with the current
+//! time, and executes its outputs before the next input.
 
 use marblecroft_control_plane_core::{Node, Time};
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tracing::info;
 
-/// Delay between the end of the event loop and the end of the process, in which the threads of the last replies write them
-/// to their sockets.
+/// Delay between the end of the event loop and the exit of the process. In this time other threads write the
+/// last replies to their sockets.
 const FLUSH_DELAY: Duration = Duration::from_millis(50);
 
 /// The clocks of a process.
@@ -18,12 +18,12 @@
 }
 
 impl Clock {
-    /// Starts the steady clock at zero.
+    /// Starts the monotonic clock at zero.
     pub fn start() -> Clock {
         Clock { started_at: Instant::now() }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn time(&self) -> Time {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let wall_ms = u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX);
@@ -31,17 +31,17 @@
     }
 }
 
-/// What follows an output.
+/// Whether the event loop continues after an output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlFlow {
-    /// The loop goes on.
+    /// The event loop continues.
     Continue,
-    /// The process ends.
+    /// The event loop ends and the process exits.
     Exit,
 }
 
-/// Runs `node` until one of its outputs ends the process, and lets the last replies leave. `wake` makes the input that only
-/// tells the time.
+/// Runs `node` until one of its outputs ends the process, then waits for the last replies to be sent. `wake`
+/// creates an input without content, which is used when the node's next timer expires.
 pub fn run<N: Node>(
     node: &mut N,
     clock: Clock,
@@ -62,7 +62,7 @@
         input = match inputs.recv_timeout(timeout) {
             Ok(input) => input,
             Err(RecvTimeoutError::Timeout) => wake(),
-            // No thread is left that could submit an input.
+            // No thread that could submit an input remains.
             Err(RecvTimeoutError::Disconnected) => return,
         };
     }
--- a/control-plane/server/src/flags.rs
+++ b/control-plane/server/src/flags.rs
@@ -3,11 +3,12 @@
 xflags::xflags! {
     /// The control plane of the serving tier. Settings are read from the file that MARBLECROFT_CONFIG names.
     cmd marblecroft-control-plane {
-        /// Keeps the configuration and the list of servers, and gives both to the gateways.
+        /// Runs a coordinator, which replicates the configuration and the server list and serves both to the
+        /// gateways.
         cmd coordinator {}
-        /// Keeps batch jobs.
+        /// Runs a store, which replicates batch jobs.
         cmd store {}
-        /// Reads the settings and says whether they can be used.
+        /// Validates the settings file.
         cmd check {}
     }
 }
--- a/control-plane/server/src/main.rs
+++ b/control-plane/server/src/main.rs
@@ -1,8 +1,9 @@
 //! The control plane of the serving tier.
 //!
-//! `marblecroft-control-plane coordinator` replicates the configuration and the list of servers, and serves both to the
-//! gateways; `marblecroft-control-plane store` replicates batch jobs. `check` validates the settings file. The decisions of
-//! both roles are in `marblecroft-control-plane-core`; the modules here carry them out.
+//! `marblecroft-control-plane coordinator` replicates the configuration and the server list, and serves both
+//! to the gateways; `marblecroft-control-plane store` replicates batch jobs. `check` validates the settings
+//! file. The logic of both roles is in `marblecroft-control-plane-core`; the modules of this crate perform
+//! its I/O.
 #![forbid(unsafe_code)]
 
 mod coordinator;
@@ -22,7 +23,7 @@
 use std::process::ExitCode;
 use tracing::error;
 
-/// Exit code for settings or arguments that are invalid. A role that cannot start or fails exits with 1.
+/// Exit code for invalid settings or arguments. A role that cannot start or that fails exits with 1.
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -47,7 +48,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            // One line for the operator, as the text of a `StartError` says.
+            // The text of a `StartError` is one line for the operator.
             error!("{e}");
             ExitCode::FAILURE
         }
--- a/control-plane/server/src/pending_replies.rs
+++ b/control-plane/server/src/pending_replies.rs
@@ -1,4 +1,4 @@
-//! Threads of other processes' calls that wait for the state machine's reply.
+//! Incoming calls whose threads are blocked until the state machine replies.
 
 use marblecroft_chain_replication::Token;
 use std::collections::HashMap;
@@ -6,8 +6,8 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// A call that has no reply after this time gets none. Longer than the longest call takes: an operation and a read one after
-/// the other, 3.7 s.
+/// Time after which a call without a reply is abandoned. Longer than the longest call, an operation followed
+/// by a read, which takes 3.7 s.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Waiting<R> {
@@ -15,7 +15,7 @@
     senders: HashMap<Token, SyncSender<R>>,
 }
 
-/// The calls that wait for a reply, by token. Tokens count from 1.
+/// The calls that wait for a reply, by token. The first token is 1.
 pub struct PendingReplies<R> {
     waiting: Mutex<Waiting<R>>,
 }
@@ -27,7 +27,8 @@
 }
 
 impl<R> PendingReplies<R> {
-    /// Submits a call under a new token with `submit`, and blocks until its reply; `None` where there is none in time.
+    /// Submits a call under a new token with `submit`, and blocks until its reply arrives. Returns `None`
+    /// after a timeout.
     pub fn wait_for(&self, submit: impl FnOnce(Token)) -> Option<R> {
         let (token, reply) = self.register();
         submit(token);
@@ -48,13 +49,13 @@
     /// Delivers the reply to the call with this token.
     pub fn deliver(&self, token: Token, reply: R) {
         if let Some(sender) = self.lock().senders.remove(&token) {
-            // The channel has capacity for the only reply, so this fails only where the caller has given up.
+            // The channel has capacity for the only reply, so this fails only if the caller has given up.
             let _ = sender.try_send(reply);
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, Waiting<R>> {
-        // The table is consistent between any two statements, so also where a thread has panicked.
+        // The table is consistent after each statement, so it can be used even if a thread has panicked.
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/control-plane/server/src/runtime.rs
+++ b/control-plane/server/src/runtime.rs
@@ -1,7 +1,7 @@
-//! What the threads of a coordinator and of a store have in common: the queue of inputs, and the pool for blocking calls.
+//! The runtime of a coordinator or a store: the queue of inputs, and the thread pool for blocking calls.
 //!
-//! No thread here is joined. The signal thread, the listeners and the pool own nothing that outlives the process, and the
-//! process ends when the event loop returns from `main`.
+//! No thread is joined. The signal thread, the listeners and the pool own no resources that outlive the
+//! process, and the process exits when `main` returns after the event loop.
 
 use crate::pending_replies::PendingReplies;
 use crate::thread_pool::ThreadPool;
@@ -19,7 +19,7 @@
     pool: ThreadPool,
 }
 
-// Derived, it would ask that inputs can be cloned.
+// Not derived, because the derived implementation would require `I: Clone`.
 impl<I> Clone for Runtime<I> {
     fn clone(&self) -> Runtime<I> {
         Runtime { inputs: self.inputs.clone(), pool: self.pool.clone() }
@@ -35,27 +35,29 @@
 
     /// Submits an input.
     pub fn submit(&self, input: I) {
-        // Fails only where the event loop has ended, and the process is about to.
+        // Fails only if the event loop has ended, and then the process is about to exit.
         let _ = self.inputs.send(input);
     }
 
-    /// Submits the input that `input` makes of a new token, and blocks until the reply; `None` where there is none in time.
+    /// Submits the input that `input` creates for a new token, and blocks until the reply arrives. Returns
+    /// `None` after a timeout.
     pub fn request<R>(&self, replies: &PendingReplies<R>, input: impl FnOnce(Token) -> I) -> Option<R> {
         replies.wait_for(|token| self.submit(input(token)))
     }
 
-    /// Runs a blocking call on a thread of its own, and submits the input that it returns.
+    /// Runs a blocking call on a thread of the pool, and submits the input that it returns.
     pub fn spawn(&self, call: impl FnOnce() -> I + Send + 'static) {
         let runtime = self.clone();
         self.pool.run(move || runtime.submit(call()));
     }
 
-    /// Submits `terminate` on every SIGTERM. SIGHUP means that the settings file has changed; what a process of the control
-    /// plane uses of it does not change while it runs, so the signal is only kept from ending the process.
+    /// Submits the input that `terminate` creates on every SIGTERM. SIGHUP means that the settings file has
+    /// changed. It is ignored, because the settings that a control plane process uses do not change while it
+    /// runs.
     ///
     /// # Errors
     ///
-    /// The handlers or the thread cannot be installed.
+    /// Returns an error if the handlers cannot be installed or the thread cannot be started.
     pub fn forward_signals(&self, terminate: impl Fn() -> I + Send + 'static) -> io::Result<()> {
         use signal_hook::consts::{SIGHUP, SIGTERM};
         let mut signals = signal_hook::iterator::Signals::new([SIGTERM, SIGHUP])?;
@@ -72,7 +74,7 @@
     }
 }
 
-/// Where the coordinators of the seeds are called.
+/// Returns the addresses of the coordinators on the seed machines.
 pub fn seed_coordinators(settings: &Settings) -> Vec<SocketAddr> {
     settings.seeds.iter().map(|seed| coordinator_address(*seed, settings.ephemeral_ports)).collect()
 }
--- a/control-plane/server/src/server_list_client.rs
+++ b/control-plane/server/src/server_list_client.rs
@@ -5,9 +5,9 @@
 use std::thread;
 use std::time::Duration;
 
-/// Time for one page.
+/// Timeout for reading one page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Upper bound of the pages of one list. Guards against a list that does not end.
+/// Upper bound of the number of pages of one list. Guards against a list that does not end.
 const MAX_PAGES: usize = 200;
 
 /// A client of the platform's API. Its clones share their connections.
@@ -24,7 +24,8 @@
         ServerListClient { agent: config.into(), api }
     }
 
-    /// Reads the complete list; `None` where a page could not be read, as a part of the list would make servers seem gone.
+    /// Reads the complete list. Returns `None` if a page could not be read, because servers that are missing
+    /// in an incomplete list would be considered removed.
     pub fn read(&self) -> Option<Vec<Server>> {
         let mut servers = Vec::new();
         let mut page_token: Option<String> = None;
@@ -35,7 +36,7 @@
                 Some(next) => page_token = Some(next),
                 None => return Some(servers),
             }
-            // Keeps to the rate that the platform accepts, as the only reader.
+            // Stays within the rate that the platform accepts. No other process reads the list.
             thread::sleep(Duration::from_secs_f64(1.0 / self.api.rate_per_s.max(1.0)));
         }
         None
--- a/control-plane/server/src/storage.rs
+++ b/control-plane/server/src/storage.rs
@@ -8,11 +8,12 @@
 use std::io;
 use std::path::Path;
 
-/// Opens the state in `folder`. From an empty folder a founder starts in the `founding` view, with its identity there.
+/// Opens the state in `folder`. If the folder is empty, a founder starts in the `founding` view, with its
+/// identity in that view.
 ///
 /// # Errors
 ///
-/// The log cannot be read or written.
+/// Returns an error if the log cannot be read or written.
 pub fn open<M: StateMachine>(folder: &Path, founding: Option<(u64, View)>) -> io::Result<Replica<M, Wal>> {
     let (log, recovered) = Wal::open(folder)?;
     member::open(log, recovered, random_id(), founding)
@@ -22,7 +23,7 @@
 ///
 /// # Errors
 ///
-/// None in practice: the storage takes every write.
+/// Never fails in practice, because writes to [`NullStorage`] always succeed.
 pub fn without_disk<M: StateMachine>(founding: Option<(u64, View)>) -> io::Result<Replica<M, NullStorage>> {
     member::open(NullStorage, Recovered::default(), random_id(), founding)
 }
--- a/control-plane/server/src/store.rs
+++ b/control-plane/server/src/store.rs
@@ -1,6 +1,6 @@
-//! The store's process: sockets, files, threads and clocks around [`marblecroft_control_plane_core::store`].
+//! The store's process: sockets, files, threads and clocks for [`marblecroft_control_plane_core::store`].
 //!
-//! A call of another process waits on its listener's thread while the event loop handles it; calls of this process wait on
+//! An incoming call blocks its listener's thread until the event loop has replied. Outgoing calls block
 //! threads of the pool.
 
 use crate::error::StartError;
@@ -31,7 +31,7 @@
     }
 }
 
-/// What the threads of a store share.
+/// State shared by the threads of a store.
 #[derive(Clone)]
 struct Shared {
     runtime: Runtime<Input>,
@@ -40,11 +40,12 @@
     requests: Arc<PendingReplies<StoreReply>>,
 }
 
-/// Runs a store until the process is to end.
+/// Runs a store until the process should exit.
 ///
 /// # Errors
 ///
-/// A setting is missing, or a socket, a file or a thread cannot be opened.
+/// Returns an error if a setting is missing, a socket or a file cannot be opened, or a thread cannot be
+/// started.
 pub fn run(settings: &Settings) -> Result<(), StartError> {
     let folder = settings.data_dir.as_ref().ok_or(StartError::MissingSetting("data_dir"))?;
     if settings.seeds.is_empty() {
--- a/control-plane/server/src/thread_pool.rs
+++ b/control-plane/server/src/thread_pool.rs
@@ -6,44 +6,46 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Stack of a thread, in bytes. Calls encode and decode messages and recurse nowhere.
+/// Stack size of a thread. Calls encode and decode messages without recursion.
 const THREAD_STACK_BYTES: usize = 256 << 10;
-/// A thread without a job ends after this time.
+/// Time after which a thread without a job ends.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Runs blocking jobs, each at once on a thread of its own; idle threads are used again.
+/// Runs each blocking job immediately on its own thread; idle threads are reused.
 ///
-/// The number of threads is not bounded: a job that waited for a thread would run into its timeout. Threads are not joined:
-/// each ends after [`IDLE_TIMEOUT`] without a job, or with the process, and jobs hold nothing that must be cleaned up.
+/// The number of threads is not limited: a job that waited for a thread would run into its timeout. Threads
+/// are not joined: each ends after [`IDLE_TIMEOUT`] without a job, or with the process, and jobs hold no
+/// resources that must be cleaned up.
 #[derive(Clone, Default)]
 pub struct ThreadPool {
     idle: Arc<Mutex<Vec<SyncSender<Job>>>>,
 }
 
 impl ThreadPool {
-    /// Runs a job at once. Where no thread can be started the job is dropped, and the caller's timeout has to notice.
+    /// Runs a job immediately. If no thread can be started, the job is dropped and the caller must rely on
+    /// its timeout.
     pub fn run(&self, job: impl FnOnce() + Send + 'static) {
         let mut job: Job = Box::new(job);
         loop {
             let Some(thread) = self.idle_threads().pop() else { break };
             match thread.send(job) {
                 Ok(()) => return,
-                // The thread has ended meanwhile.
+                // The thread has ended in the meantime.
                 Err(returned) => job = returned.0,
             }
         }
         let pool = self.clone();
         let spawned = thread::Builder::new().stack_size(THREAD_STACK_BYTES).spawn(move || pool.run_jobs(job));
         if let Err(error) = spawned {
-            warn!(%error, "no thread for a call");
+            warn!(%error, "cannot start a thread for a call");
         }
     }
 
     fn run_jobs(&self, first: Job) {
-        // The channel has no capacity, so a job is either taken or given back: none is lost with a thread that has just
-        // stopped waiting.
+        // The channel has no capacity, so a job is either received or returned to the sender. No job is lost
+        // if the thread has just stopped waiting.
         let (sender, jobs) = sync_channel(0);
         let mut job = first;
         loop {
@@ -57,7 +59,7 @@
     }
 
     fn idle_threads(&self) -> MutexGuard<'_, Vec<SyncSender<Job>>> {
-        // The list is consistent between any two statements, so also where a thread has panicked.
+        // The list is consistent after each statement, so it can be used even if a thread has panicked.
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/control-plane/server/tests/operator.rs
+++ b/control-plane/server/tests/operator.rs
@@ -1,5 +1,6 @@
-//! The operator's API as a transcript, against a real coordinator on the loopback interface; what was acknowledged survives
-//! the kill of the process. What a process that cannot start prints, and its exit code.
+//! Tests the operator API with a sequence of calls to a real coordinator on the loopback interface.
+//! Acknowledged changes must survive a kill of the process. Also tests the error output and exit code of a
+//! process that cannot start.
 
 use std::fs;
 use std::net::Ipv4Addr;
@@ -7,14 +8,14 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// Time in which a coordinator starts, and forms its chain of one.
+/// Time within which a coordinator starts and forms a chain with one member.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bodies of the 503 of a coordinator that has just started.
+/// Bodies of 503 responses of a coordinator that has just started.
 const NO_HEAD: &str = "no head is known at the moment\n";
-const STORES_NOT_HEARD: &str = "the stores have not all been heard from\n";
+const STORES_NOT_REPORTED: &str = "the stores have not all been heard from\n";
 
-/// A coordinator process with a folder and an address of its own.
+/// A coordinator process with its own folder and address.
 struct Coordinator {
     folder: PathBuf,
     ip: Ipv4Addr,
@@ -23,7 +24,7 @@
 
 impl Coordinator {
     fn new(name: &str, number: u8) -> Coordinator {
-        // Every test process has loopback addresses of its own.
+        // Every test process uses different loopback addresses.
         let [_, _, high, low] = std::process::id().to_be_bytes();
         let ip = Ipv4Addr::new(127, high.max(1), low, number);
         let folder = std::env::temp_dir().join(format!("marblecroft-{name}-{}", std::process::id()));
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Status and body of the reply to a call; `None` where there is none.
+    /// Returns the status and body of the reply to a call, or `None` if there is no reply.
     fn call(&self, method: &str, path: &str, base: Option<&str>, body: &str) -> Option<(u16, String)> {
         let config =
             ureq::Agent::config_builder().http_status_as_error(false).timeout_global(Some(CALL_TIMEOUT));
@@ -79,21 +80,21 @@
         Some((response.status().as_u16(), text))
     }
 
-    /// Repeats a call, as the operator does, until the body of the reply is none of `transient`.
+    /// Repeats a call, as an operator would, until the body of the reply is none of `transient`.
     fn call_until(&self, call: (&str, &str, Option<&str>, &str), transient: &[&str]) -> (u16, String) {
-        let until = Instant::now() + START_TIMEOUT;
+        let deadline = Instant::now() + START_TIMEOUT;
         let (method, path, base, body) = call;
         loop {
             let answer = self.call(method, path, base, body);
             if let Some(answer) = answer.filter(|answer| !transient.contains(&answer.1.as_str())) {
                 return answer;
             }
-            assert!(Instant::now() < until, "no coordinator answers");
+            assert!(Instant::now() < deadline, "the coordinator did not reply in time");
             std::thread::yield_now();
         }
     }
 
-    /// Reads the configuration as soon as the coordinator has started.
+    /// Reads the configuration, and repeats the call until the coordinator has started.
     fn read_when_up(&self) -> (u16, String) {
         self.call_until(("GET", "/-/Config.Read", None, ""), &[NO_HEAD])
     }
@@ -115,18 +116,18 @@
 }
 
 #[test]
-fn the_operators_transcript_holds_and_survives_a_kill() {
+fn operator_calls_get_the_expected_replies_and_acknowledged_changes_survive_a_kill() {
     let mut coordinator = Coordinator::new("operator", 1);
     coordinator.start(true);
     assert_eq!(coordinator.read_when_up(), (503, "there is no configuration yet\n".to_owned()));
     let replace = "/-/Config.Replace";
     let (first, second) = (configuration(3, 2000), configuration(7, 1000));
     let no_timeout = configuration(8, 0);
-    let not_whole = &second[..second.len() - 9];
+    let truncated = &second[..second.len() - 9];
     let update = "/-/Config.Update";
     let route_b = "{\"name\":\"b\",\"hostname\":\"x.example\",\"path_prefix\":\"/b/\",\"route_type\":\"batch\",\"backend\":\"s\"}";
-    let adds = format!("{{\"generation\":9,\"upsert\":{{\"routes\":[{route_b}]}}}}");
-    let orphans = "{\"generation\":9,\"remove\":{\"services\":[\"s\"]}}";
+    let add_route = format!("{{\"generation\":9,\"upsert\":{{\"routes\":[{route_b}]}}}}");
+    let remove_used_service = "{\"generation\":9,\"remove\":{\"services\":[\"s\"]}}";
     let third = configuration(9, 1000).replace("}],\"services\"", &format!("}},{route_b}],\"services\""));
     let transcript = [
         ("POST", replace, None, first.as_str(), 400, "X-Base-Version is missing\n"),
@@ -138,15 +139,15 @@
         ("POST", replace, Some("0"), &first, 200, ""),
         ("POST", replace, Some("7"), &configuration(7, 5), 400, "generation 7 is not higher than 7\n"),
         ("POST", replace, Some("7"), &no_timeout, 400, "route a: timeout_ms is 0\n"),
-        ("POST", replace, Some("7"), not_whole, 400, "not a configuration: not one whole JSON value\n"),
+        ("POST", replace, Some("7"), truncated, 400, "not a configuration: not one whole JSON value\n"),
         ("GET", "/-/Config.Read", None, "", 200, &second),
-        ("POST", update, None, &adds, 400, "X-Base-Version is missing\n"),
-        ("POST", update, Some("3"), &adds, 412, "version 7 is current\n"),
+        ("POST", update, None, &add_route, 400, "X-Base-Version is missing\n"),
+        ("POST", update, Some("3"), &add_route, 412, "version 7 is current\n"),
         ("POST", update, Some("7"), "{", 400, "not an update: not one whole JSON value\n"),
-        ("POST", update, Some("7"), orphans, 400, "route a: no service is named s\n"),
-        ("POST", update, Some("7"), &adds, 200, ""),
-        ("POST", update, Some("7"), &adds, 200, ""),
-        ("POST", update, Some("9"), &adds, 200, ""),
+        ("POST", update, Some("7"), remove_used_service, 400, "route a: no service is named s\n"),
+        ("POST", update, Some("7"), &add_route, 200, ""),
+        ("POST", update, Some("7"), &add_route, 200, ""),
+        ("POST", update, Some("9"), &add_route, 200, ""),
         ("POST", replace, Some("7"), &configuration(8, 1), 412, "version 9 is current\n"),
         ("GET", "/-/Config.Read", None, "", 200, &third),
         ("GET", update, None, "", 405, "not with this method\n"),
@@ -156,16 +157,16 @@
         ("GET", "/-/Retire.Read/storage-a-1", None, "", 404, "this machine is not being emptied\n"),
     ];
     for (method, path, base, body, status, text) in transcript {
-        let answer = coordinator.call_until((method, path, base, body), &[STORES_NOT_HEARD]);
+        let answer = coordinator.call_until((method, path, base, body), &[STORES_NOT_REPORTED]);
         assert_eq!(answer, (status, text.to_owned()), "{method} {path} {base:?} {body}");
     }
     coordinator.kill();
     coordinator.start(false);
     assert_eq!(coordinator.read_when_up(), (200, third));
     let again = coordinator.call("POST", replace, Some("3"), &second).expect("answered");
-    assert_eq!(again, (200, String::new()), "what was taken is acknowledged again");
-    let again = coordinator.call("POST", update, Some("7"), &adds).expect("answered");
-    assert_eq!(again, (200, String::new()), "a change of named items too");
+    assert_eq!(again, (200, String::new()), "a repeated replacement is acknowledged again");
+    let again = coordinator.call("POST", update, Some("7"), &add_route).expect("answered");
+    assert_eq!(again, (200, String::new()), "a repeated update is acknowledged again");
 }
 
 #[test]
@@ -186,14 +187,14 @@
 }
 
 #[test]
-fn a_role_without_a_setting_that_it_needs_names_it_in_one_line_and_exits_with_code_1() {
+fn a_role_that_lacks_a_required_setting_names_it_in_one_line_and_exits_with_code_1() {
     let coordinator = Coordinator::new("startup", 3);
     let settings = coordinator.settings(true);
     let cases = [("coordinator", "bind_addresses.control_plane"), ("store", "seeds"), ("store", "data_dir")];
     for (role, key) in cases {
         let is_other = |line: &&str| !line.starts_with(key);
-        let lacking: String = settings.lines().filter(is_other).map(|line| format!("{line}\n")).collect();
-        let mut command = coordinator.command(role, &lacking);
+        let incomplete: String = settings.lines().filter(is_other).map(|line| format!("{line}\n")).collect();
+        let mut command = coordinator.command(role, &incomplete);
         let output = command.stderr(Stdio::piped()).output().expect("ran");
         assert_eq!(output.status.code(), Some(1), "{role} without {key}");
         let text = format!("marblecroft-control-plane: {key} is missing\n");
