--- a/quota-gateway/controller/src/cell_client.rs
+++ b/quota-gateway/controller/src/cell_client.rs
@@ -1,4 +1,4 @@
-//! Requests to cells, each in flight at most once, and their answers.
+//! Client for requests to cells. Each operation has at most one request in flight.
 
 use marblecroft_control_messages::frame::{decode, encode, Fleet, Header, HEADER_BYTES};
 use marblecroft_shard_map::cell::{CellReply, CellRequest};
@@ -17,16 +17,18 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// How long one request may take. The role repeats it while the map needs it.
+/// Timeout of one request. The role repeats the request as long as the shard map needs the operation.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// The largest number of requests in flight.
+/// Maximum number of requests in flight.
 const MAX_CONCURRENT_REQUESTS: usize = 64;
-/// How long a request is not repeated after one that is in progress, or that failed.
+/// Delay before an operation is requested again if it is still in progress at the cell, or the request
+/// failed.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How long a request is not repeated after one that was rejected: the next map, or another owner's, decides.
+/// Delay before an operation is requested again if the cell rejected it. By then there may be a newer shard
+/// map, possibly from another owner, that does not need the operation.
 const REJECTED_DELAY: Duration = Duration::from_secs(1);
 
-/// A client of all cells, with one idle connection for each.
+/// A client of all cells, with at most one idle connection per cell.
 pub struct CellClient {
     fleet: Fleet,
     addresses: BTreeMap<Cell, SocketAddr>,
@@ -49,17 +51,18 @@
         })
     }
 
-    /// Returns the answers since the last call.
+    /// Returns the acknowledgements received since the last call.
     pub fn take_answers(&self) -> Vec<CellAnswer> {
         std::mem::take(&mut self.answers.borrow_mut())
     }
 
-    /// Waits until a request has ended, with or without an answer.
+    /// Waits until a request has ended, with or without a reply.
     pub async fn replied(&self) {
         self.replied.notified().await;
     }
 
-    /// Requests an operation under the owner's token, unless it is in flight or too many are.
+    /// Requests an operation under the owner's fencing token, unless the operation is already in flight or
+    /// the maximum number of requests is reached.
     pub fn request(self: &Rc<Self>, token: u64, operation: CellOperation) {
         {
             let mut in_flight = self.in_flight.borrow_mut();
@@ -69,14 +72,15 @@
         }
         let client = self.clone();
         spawn_local(async move {
-            client.carry_out(token, operation).await;
+            client.execute(token, operation).await;
             client.in_flight.borrow_mut().remove(&operation);
             client.replied.notify_one();
         });
     }
 
-    /// Sends a request and stores its answer; without one it returns only after the delay before the next attempt.
-    async fn carry_out(&self, token: u64, operation: CellOperation) {
+    /// Sends a request and stores the acknowledgement. If there is none, returns only after the delay before
+    /// the next attempt.
+    async fn execute(&self, token: u64, operation: CellOperation) {
         match timeout(REQUEST_TIMEOUT, self.exchange(token, operation)).await {
             Ok(Ok(CellReply::Done)) => self.answers.borrow_mut().push(answer(operation)),
             Ok(Ok(CellReply::Fenced { .. } | CellReply::Higher)) => sleep(REJECTED_DELAY).await,
@@ -84,7 +88,8 @@
         }
     }
 
-    /// Sends a request and reads its reply. The cause of a failure does not matter to the caller, who repeats the request.
+    /// Sends a request and reads its reply. The caller does not distinguish causes of failure, because it
+    /// retries after each of them.
     async fn exchange(&self, token: u64, operation: CellOperation) -> io::Result<CellReply> {
         let cell = operation.cell();
         let idle = self.idle.borrow_mut().remove(&cell);
@@ -101,12 +106,15 @@
     }
 
     async fn connect(&self, cell: Cell) -> io::Result<TcpStream> {
-        let address = self.addresses.get(&cell).ok_or_else(|| io::Error::other("no address of the cell"))?;
+        let address = self
+            .addresses
+            .get(&cell)
+            .ok_or_else(|| io::Error::other("the cell has no configured address"))?;
         TcpStream::connect(address).await
     }
 }
 
-/// The acknowledgement of an operation.
+/// Returns the acknowledgement of an operation.
 fn answer(operation: CellOperation) -> CellAnswer {
     let ((first, _), epoch) = (operation.range(), operation.epoch());
     match operation {
--- a/quota-gateway/controller/src/commands.rs
+++ b/quota-gateway/controller/src/commands.rs
@@ -11,27 +11,27 @@
 use quick_error::quick_error;
 use std::time::Duration;
 
-/// How long an operator waits for the coordination service.
+/// Timeout of a call to the coordination service.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 quick_error! {
-    /// Why a command was not carried out.
+    /// Why a command failed.
     #[derive(Debug)]
     pub enum CommandError {
         /// There is no such role.
         UnknownRole(name: String) {
-            display("{name}: the duties are {}", ROLES.join(", "))
+            display("{name}: unknown duty; expected one of {}", ROLES.join(", "))
         }
-        /// There is no decision on the zones yet.
+        /// No decision on the zones has been published.
         NothingDecided {
-            display("nothing is decided yet")
+            display("no decision on the zones has been published yet")
         }
         /// The decision cannot be decoded.
         Malformed(cause: DecodeError) {
             display("{cause}")
             from()
         }
-        /// The coordination service did not carry it out.
+        /// The call to the coordination service failed.
         Coordination(cause: CallError) {
             display("{cause}")
             from()
@@ -39,7 +39,7 @@
     }
 }
 
-/// The coordination service, and the keys of the fleet in it.
+/// Executes operator commands through the coordination service.
 pub struct Operator {
     client: Client,
     fleet: Fleet,
@@ -47,28 +47,28 @@
 }
 
 impl Operator {
-    /// Creates an operator of a fleet at these addresses of the coordination service.
+    /// Creates an operator for a fleet. `addresses` are those of the coordination service.
     pub fn new(addresses: Vec<String>, fleet: &str) -> Operator {
         Operator { client: Client::new(addresses), fleet: Fleet::named(fleet), keys: Keys::of(fleet) }
     }
 
-    /// Overrides a zone: it does not serve until it is released.
+    /// Takes a zone out of service until it is released.
     pub async fn hold_zone(&self, zone: &str) -> Result<(), CommandError> {
         self.put(self.keys.zone_override(zone), vec![1]).await
     }
 
-    /// Withdraws the override of a zone.
+    /// Removes the override of a zone.
     pub async fn release_zone(&self, zone: &str) -> Result<(), CommandError> {
         self.delete(self.keys.zone_override(zone)).await
     }
 
-    /// Sets the command on a role.
+    /// Sets the operator command for a role.
     pub async fn command_role(&self, role: &str, command: OperatorCommand) -> Result<(), CommandError> {
         check_role(role)?;
         self.put(self.keys.operator_command(role), encode_value(&command)).await
     }
 
-    /// Withdraws the command on a role.
+    /// Removes the operator command for a role.
     pub async fn withdraw_command(&self, role: &str) -> Result<(), CommandError> {
         check_role(role)?;
         self.delete(self.keys.operator_command(role)).await
@@ -101,7 +101,7 @@
         Ok(())
     }
 
-    /// Prints the owner of each role and the command on it.
+    /// Prints the owner of each role and the operator command for it.
     pub async fn print_roles(&self) -> Result<(), CommandError> {
         let (_, values) = self.client.read(&self.keys.prefix, CALL_TIMEOUT).await?;
         let value =
--- a/quota-gateway/controller/src/config.rs
+++ b/quota-gateway/controller/src/config.rs
@@ -14,13 +14,13 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 
-/// The longest name in bytes: a part of a name in the coordination service.
+/// Maximum length of a name, in bytes. Names are parts of keys in the coordination service.
 const MAX_NAME_BYTES: usize = 64;
-/// The largest number of addresses of the coordination service.
+/// Maximum number of addresses of the coordination service.
 const MAX_COORDINATORS: usize = 16;
 
 quick_error! {
-    /// Why a configuration is not valid. The text is one line that names the key.
+    /// Why a configuration is invalid. The display text is one line that names the key.
     #[derive(Debug)]
     pub enum ConfigError {
         /// The file cannot be read.
@@ -28,53 +28,53 @@
             display("{}: {cause}", path.display())
             source(cause)
         }
-        /// The file has no valid configuration.
+        /// The file's configuration is invalid.
         InvalidFile(path: PathBuf, cause: Box<ConfigError>) {
             display("{}: {cause}", path.display())
             source(cause)
         }
-        /// It is not TOML, or has not the right keys and types.
+        /// The text is not TOML, or has unknown keys, missing keys or values of the wrong type.
         Malformed(cause: toml::de::Error) {
             display("{}", cause.to_string().trim().replace('\n', " "))
             source(cause)
         }
-        /// A name is empty or too long, or has other characters than are allowed.
+        /// A name is empty, too long or has characters that are not allowed.
         Name(key: &'static str) {
             display("{key}: 1 to {MAX_NAME_BYTES} letters, digits, '-', '_', '.'")
         }
-        /// An address is not a loopback address, and others are not allowed.
+        /// An address is not a loopback address, and the configuration does not allow other addresses.
         NotLoopback(key: &'static str) {
-            display("{key}: not on this machine alone, and allow_other_than_loopback is not set")
+            display("{key}: not a loopback address, and allow_other_than_loopback is not set")
         }
-        /// There are no addresses of the coordination service, or too many.
+        /// The number of addresses of the coordination service is 0 or too large.
         Coordinators {
             display("coordinators: 1 to {MAX_COORDINATORS} addresses")
         }
-        /// A number is out of its range.
+        /// A number is out of range.
         OutOfRange(key: &'static str, min: u64, max: u64) {
             display("{key}: from {min} to {max}")
         }
-        /// The settings of the zones are not valid.
+        /// The settings of the zone failover are invalid.
         Zones(cause: SettingsError) {
             display("zones.{cause}")
             source(cause)
         }
-        /// The capacity is not a number from 0.
+        /// The capacity is negative, too large or not a number.
         InvalidCapacity {
-            display("shares.capacity: no number from 0")
+            display("shares.capacity: expected a number from 0 to 1e12")
         }
-        /// There is no capacity, and no zones to take it from.
+        /// Neither a capacity nor zones, from which it could be derived, are configured.
         MissingCapacity {
-            display("shares.capacity: needed where zones are not decided on")
+            display("shares.capacity: required if zones is not configured")
         }
-        /// The configuration of the shard map is not valid.
+        /// The configuration of the shard map is invalid.
         ShardMap(cause: ShardMapConfigError) {
             display("books.{cause}")
             source(cause)
         }
         /// No role is configured.
         NoRole {
-            display("zones, shares, books: one of them at least")
+            display("zones, shares, books: at least one is required")
         }
     }
 }
@@ -83,63 +83,65 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// The name of the fleet, as in the configuration of each gateway.
+    /// The name of the fleet. It must be equal in the configuration of each gateway.
     pub fleet: String,
     /// The name of this controller, unique in the fleet.
     pub name: String,
-    /// Its zone, as the owners of roles are spread over zones.
+    /// The zone of this controller. The owners of roles are spread over zones.
     #[serde(default)]
     pub zone: String,
-    /// Where it accepts reports.
+    /// The address to listen on for reports.
     pub listen: SocketAddr,
-    /// The address at which gateways reach it, if that is another one.
+    /// The address at which gateways reach this controller, if it differs from the one to listen on.
     #[serde(rename = "reached_at")]
     pub report_address: Option<SocketAddr>,
     /// The addresses of the coordination service.
     pub coordinators: Vec<String>,
-    /// The host at which all of them are reached, each at its own port, where addresses are translated.
+    /// The IP address at which all coordinators are reached, each at its own port, if addresses are
+    /// translated.
     #[serde(rename = "coordinators_at")]
     pub coordinator_host: Option<IpAddr>,
-    /// How long its session at the coordination service is valid without a renewal, in milliseconds.
+    /// Time to live of the session at the coordination service without renewal, in milliseconds.
     #[serde(rename = "session_ms", default = "default_session_ttl_ms")]
     pub session_ttl_ms: u64,
-    /// The time between two decisions, in milliseconds.
+    /// The interval between two decisions, in milliseconds.
     #[serde(rename = "decide_ms", default = "default_decision_interval_ms")]
     pub decision_interval_ms: u64,
-    /// The largest number of connections of gateways.
+    /// Maximum number of connections from gateways.
     #[serde(rename = "connections", default = "default_max_connections")]
     pub max_connections: usize,
-    /// Whether addresses may be others than loopback addresses.
+    /// Whether addresses other than loopback addresses are allowed.
     #[serde(default)]
     pub allow_other_than_loopback: bool,
-    /// Where metrics are served, if they are.
+    /// The address at which metrics are served; `None` disables them.
     pub metrics: Option<SocketAddr>,
-    /// What is logged.
+    /// The logging configuration.
     #[serde(default)]
     pub log: LogConfig,
     /// How long decisions are valid.
     #[serde(rename = "valid", default)]
     pub ttl: DecisionTtl,
-    /// The zone failover, if this is a candidate for it.
+    /// The zone failover, if this controller is a candidate for it.
     pub zones: Option<ZoneFailoverConfig>,
-    /// The fair shares, if this is a candidate for them.
+    /// The fair shares, if this controller is a candidate for them.
     #[serde(rename = "shares")]
     pub fair_share: Option<FairShareConfig>,
-    /// The shard map, if this is a candidate for it.
+    /// The shard map, if this controller is a candidate for it.
     #[serde(rename = "books")]
     pub shard_map: Option<ShardMapConfig>,
 }
 
-/// How long a reader may use each decision after it last knew it to be the newest, in milliseconds.
+/// For how long a reader may use each decision after the last confirmation that it is the newest, in
+/// milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DecisionTtl {
-    /// Of the zone failover. Long, as the loss of all controllers is no reason to undo a failover.
+    /// For the zone failover. Long, because the loss of all controllers is no reason to revert a failover.
     pub zones_ms: u32,
-    /// Of the fair shares. Short, as demand changes by the second.
+    /// For the fair shares. Short, because demand changes within seconds.
     pub shares_ms: u32,
-    /// Of the shard map. After it writes are rejected; where cells do not fence, a migration waits this long for a gateway that
-    /// does not report.
+    /// For the shard map. Gateways with an expired shard map reject writes. If cells do not fence, a
+    /// migration waits this long for a gateway that does not report.
     #[serde(rename = "books_ms")]
     pub shard_map_ms: u32,
 }
@@ -154,7 +156,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FairShareConfig {
-    /// The capacity in units per second: the largest one where zones are decided on. 0 for none.
+    /// The capacity in units per second. If zones are configured, it is the upper bound of their capacity. 0
+    /// means that no capacity is configured.
     pub capacity: f64,
 }
 
@@ -196,7 +199,7 @@
         Ok(config)
     }
 
-    /// Returns the roles that this is a candidate for.
+    /// Returns the roles that this controller is a candidate for.
     pub fn roles(&self) -> Vec<&'static str> {
         let configured = [self.zones.is_some(), self.fair_share.is_some(), self.shard_map.is_some()];
         let roles = ROLES.into_iter().zip(configured);
--- a/quota-gateway/controller/src/config/shard_map.rs
+++ b/quota-gateway/controller/src/config/shard_map.rs
@@ -7,30 +7,31 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// The largest number of cells.
+/// Maximum number of cells.
 const MAX_CELLS: usize = 1024;
-/// What the times may be, in milliseconds.
+/// Valid range of the configured times, in milliseconds.
 const TIME_RANGE_MS: RangeInclusive<u64> = 100..=600_000;
 
 quick_error! {
-    /// Why the configuration of the shard map is not valid. The text names the key.
+    /// Why the configuration of the shard map is invalid. The display text names the key.
     #[derive(Debug)]
     pub enum ShardMapConfigError {
-        /// A number is out of its range.
+        /// A number is out of range.
         OutOfRange(key: &'static str, min: u64, max: u64) {
             display("{key}: from {min} to {max}")
         }
-        /// There are no cells, or too many.
+        /// The number of cells is 0 or too large.
         CellCount {
             display("cells: 1 to {MAX_CELLS}")
         }
-        /// Two cells have the same number; the index of the second one.
+        /// Two cells have the same number. The index is that of the second one.
         DuplicateCell(index: usize, number: Cell) {
-            display("cells[{index}].number: {number} comes twice")
+            display("cells[{index}].number: duplicate number {number}")
         }
-        /// The address of the cell at an index is not a loopback address, and others are not allowed.
+        /// The address of a cell is not a loopback address, and the configuration does not allow other
+        /// addresses.
         NotLoopback(index: usize) {
-            display("cells[{index}].at: not on this machine alone, and allow_other_than_loopback is not set")
+            display("cells[{index}].at: not a loopback address, and allow_other_than_loopback is not set")
         }
     }
 }
@@ -39,14 +40,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShardCell {
-    /// Its number in the server list.
+    /// Number of the cell in the server list.
     pub number: Cell,
-    /// Its zone.
+    /// Zone of the cell.
     pub zone: String,
-    /// The region of its zone.
+    /// Region of the zone.
     #[serde(default)]
     pub region: String,
-    /// Where it accepts requests of the owner of the shard map.
+    /// Address at which the cell accepts requests from the owner of the shard map.
     #[serde(rename = "at")]
     pub address: SocketAddr,
 }
@@ -55,19 +56,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShardMapConfig {
-    /// The number of shards of the first map, all of the same width.
+    /// The number of shards of the first map. They are equally wide.
     #[serde(rename = "count", default = "default_shard_count")]
     pub shard_count: usize,
     /// The cells.
     pub cells: Vec<ShardCell>,
-    /// Whether cells store epochs and reject lower ones; without it a migration waits for gateways instead.
+    /// Whether cells store epochs and reject lower ones. If they do not, a migration waits for the gateways
+    /// instead.
     pub fencing: bool,
-    /// The number of gateways: while fewer have reported, an unknown one may use an older map.
+    /// The number of gateways. If fewer have reported, an unknown gateway may still use an older map.
     pub gateways: usize,
-    /// The longest time that an attempt can be in flight, in milliseconds.
+    /// The maximum time that an attempt can be in flight, in milliseconds.
     #[serde(rename = "attempt_ms", default = "default_max_attempt_ms")]
     pub max_attempt_ms: u64,
-    /// How long a copy may take before the migration is abandoned, in milliseconds.
+    /// The maximum time that a copy may take before the migration is abandoned, in milliseconds.
     #[serde(rename = "patience_ms", default = "default_step_timeout_ms")]
     pub step_timeout_ms: u64,
 }
--- a/quota-gateway/controller/src/create_role.rs
+++ b/quota-gateway/controller/src/create_role.rs
@@ -1,4 +1,4 @@
-//! The role of a name.
+//! Creates a role by its name.
 
 use crate::config::Config;
 use crate::decision_role::{decode_decision, DecisionRole, Now};
@@ -10,8 +10,8 @@
 use marblecroft_singleton_roles::keys::Keys;
 use marblecroft_zone_failover::decision::ZonesDecision;
 
-/// Creates a role on top of its published decision, if that can be decoded. `None` if there is no such role, or it is not
-/// configured.
+/// Creates a role by its name. It continues from its published decision, if that can be decoded. Returns
+/// `None` if there is no such role or it is not configured.
 pub fn create_role(
     config: &Config,
     name: &str,
--- a/quota-gateway/controller/src/decision_role.rs
+++ b/quota-gateway/controller/src/decision_role.rs
@@ -1,4 +1,4 @@
-//! The interface of the roles: reports and what is published in the fleet go in, a decision comes out.
+//! The interface of the roles. A role handles reports and published entries, and returns decisions.
 
 use crate::cell_client::CellClient;
 use marblecroft_control_messages::frame::{decode, DecodeError, Fleet};
@@ -11,38 +11,39 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// An instant of this process's monotonic clock, as the time since its start.
+/// An instant of the monotonic clock, as the time since the process started.
 pub type Now = Duration;
 
-/// A role that decides for the fleet, as run by its owner.
+/// A role that makes decisions for the fleet. It is run by its owner.
 pub trait DecisionRole {
     /// Handles the report of a gateway.
     ///
     /// # Errors
     ///
-    /// Why the report was rejected; it changed nothing.
+    /// Returns the reason if the report was rejected, which leaves the role unchanged.
     fn handle_report(&mut self, now: Now, report: &Report) -> Result<(), DecodeError>;
-    /// Handles what operators and other roles have published.
+    /// Handles the entries that operators and other roles have published.
     fn handle_view(&mut self, now: Now, view: &View);
-    /// Returns a decision, encoded, to be published under this stamp; `None` if there is nothing new.
+    /// Returns an encoded decision to publish under this stamp, or `None` if nothing needs to be published.
     fn decide(&mut self, now: Now, stamp: Stamp) -> Option<Vec<u8>>;
-    /// The last decision was published under this stamp.
+    /// Called when the last decision has been published under this stamp.
     fn on_published(&mut self, _: Now, _: Stamp) {}
-    /// Acts on what is published. Called only while the lease is valid.
+    /// Executes operations that follow from the published decision. Called only while the lease is valid.
     fn act(&mut self) {}
-    /// Returns the client whose replies should be handled at once.
+    /// Returns the client whose replies trigger the next decision immediately.
     fn cell_client(&self) -> Option<Rc<CellClient>> {
         None
     }
 }
 
-/// Decodes the published decision of a role. `None` if there is none or another version wrote it: the owner then decides anew.
+/// Decodes the published decision of a role. Returns `None` if there is none, or if it cannot be decoded, for
+/// example because another version wrote it. The owner then decides without a previous decision.
 pub fn decode_decision<T: Body>(fleet: Fleet, duty: &str, published: Option<&[u8]>) -> Option<Decision<T>> {
     let decision = decode::<Decision<T>>(fleet, published?);
-    decision.inspect_err(|why| warn!(duty, "{duty}: the decision that stands cannot be read: {why}")).ok()
+    decision.inspect_err(|why| warn!(duty, "{duty}: the published decision cannot be read: {why}")).ok()
 }
 
-/// Returns the published decision on the zones; `None` if there is none or it cannot be decoded.
+/// Returns the published decision on the zones, or `None` if there is none or it cannot be decoded.
 pub fn published_zones(fleet: Fleet, keys: &Keys, view: &View) -> Option<ZonesDecision> {
     let bytes = view.get(&keys.decision("zones"))?;
     decode::<Decision<ZonesDecision>>(fleet, bytes).ok().map(|decision| decision.body)
--- a/quota-gateway/controller/src/fair_share_role.rs
+++ b/quota-gateway/controller/src/fair_share_role.rs
@@ -1,4 +1,4 @@
-//! The role that decides each gateway's part of the capacity, by what its clients request.
+//! The role that allocates the capacity to gateways, depending on the demand of their clients.
 
 use crate::decision_role::{published_zones, DecisionRole, Now};
 use marblecroft_control_messages::frame::{encode, DecodeError, Fleet};
@@ -12,21 +12,23 @@
 use marblecroft_zone_failover::decision::{ZoneState, ZonesDecision};
 use std::time::Duration;
 
-/// How long a new owner collects reports before it decides: two reports of every gateway.
+/// Time for which a new owner collects reports before it decides. Gateways report once per second, so each
+/// reports twice.
 const OBSERVATION_TIME: Duration = Duration::from_millis(2200);
 
-/// The owner's state of the shares.
+/// The owner's state of the fair shares.
 pub struct FairShareRole {
     fleet: Fleet,
     keys: Keys,
     ttl_ms: u32,
-    /// The configured capacity in units per second; 0 if there is none.
+    /// The configured capacity in units per second, or 0 if none is configured.
     max_capacity: f64,
     core: ShareAllocator,
 }
 
 impl FairShareRole {
-    /// Creates the role on top of the published decision. Readers may use each decision for `ttl_ms` milliseconds.
+    /// Creates the role, which continues from the published decision. Readers may use each decision for
+    /// `ttl_ms` milliseconds.
     pub fn new(
         fleet: Fleet,
         keys: Keys,
@@ -41,7 +43,7 @@
         FairShareRole { fleet, keys, ttl_ms, max_capacity, core }
     }
 
-    /// The capacity of the zones that serve, at most the configured one.
+    /// Returns the capacity of the zones that serve, limited to the configured capacity.
     fn capacity(&self, zones: Option<ZonesDecision>) -> f64 {
         let serves = |state: ZoneState| !matches!(state, ZoneState::FailedOver | ZoneState::HeldByOperator);
         let of_zones = zones.map(|decided| {
--- a/quota-gateway/controller/src/lib.rs
+++ b/quota-gateway/controller/src/lib.rs
@@ -1,16 +1,18 @@
-//! A controller: a candidate for the singleton roles that decide for the fleet (`docs/controller.md`).
+//! A controller: a candidate for the singleton roles that make decisions for the fleet
+//! (`docs/controller.md`).
 //!
-//! Reports of gateways come in through [`reports`] and are dispatched to the roles that are owned here. [`run_role`] steps the
-//! [`decision_role`] of each and publishes its decisions under the lease's token.
+//! [`reports`] receives the reports of gateways and dispatches them to the roles that this process owns.
+//! [`run_role`] drives the [`decision_role`] of each and publishes its decisions under the lease's fencing
+//! token.
 //!
 //! - [`config`]: the configuration file.
-//! - [`reports`]: the reports of gateways, over persistent connections, bounded in number and in queue.
+//! - [`reports`]: the receiver of gateways' reports, with a limited number of connections and bounded queues.
 //! - [`decision_role`]: the interface of all roles.
 //! - [`zone_failover_role`], [`fair_share_role`], [`shard_map_role`]: the roles.
 //! - [`cell_client`]: requests to the cells of the shard map.
-//! - [`create_role`]: the role of a name.
-//! - [`run_role`]: the work of the owner of a role.
-//! - [`shared`]: what all roles of a process share.
+//! - [`create_role`]: creates a role by its name.
+//! - [`run_role`]: the main loop of the owner of a role.
+//! - [`shared`]: state shared by all roles of a process.
 //! - [`metrics`]: the metrics of the process.
 #![forbid(unsafe_code)]
 
--- a/quota-gateway/controller/src/main.rs
+++ b/quota-gateway/controller/src/main.rs
@@ -1,4 +1,4 @@
-//! `marblecroft-controller`: a candidate for the singleton roles of a fleet, and the commands of operators on them.
+//! `marblecroft-controller`: a candidate for the singleton roles of a fleet, and operator commands for them.
 #![forbid(unsafe_code)]
 
 mod commands;
@@ -19,11 +19,11 @@
 use tracing::error;
 
 const PROGRAM: &str = "marblecroft-controller";
-/// The exit code where the configuration is not valid.
+/// Exit code for an invalid configuration.
 const INVALID_CONFIG_EXIT_CODE: u8 = 2;
 
 quick_error! {
-    /// Why the program ends without success.
+    /// Why the program fails.
     #[derive(Debug)]
     enum ProgramError {
         Runtime(cause: io::Error) {
@@ -43,14 +43,14 @@
     }
 }
 
-/// A candidate for the fleet's decisions, and what operators say of them
+/// Controller of a fleet of gateways, and operator commands
 #[derive(Parser)]
 #[command(version, about)]
 struct Args {
-    /// Addresses of the coordination service, with commas between
+    /// Addresses of the coordination service, separated by commas
     #[arg(long, global = true, value_delimiter = ',', default_value = "127.0.0.1:7400")]
     at: Vec<String>,
-    /// The fleet's name
+    /// Name of the fleet
     #[arg(long, global = true, default_value = "fleet")]
     fleet: String,
     #[command(subcommand)]
@@ -59,7 +59,7 @@
 
 #[derive(Subcommand)]
 enum Call {
-    /// Is a candidate, as this file says
+    /// Run a controller with this configuration file
     Run { config: PathBuf },
     #[command(flatten)]
     Operator(OperatorCall),
@@ -67,19 +67,19 @@
 
 #[derive(Subcommand)]
 enum OperatorCall {
-    /// Each zone's state, what it bears, and who sends where
+    /// Print the state, capacity, demand and traffic shares of each zone
     Zones,
-    /// Keeps a zone out until it is let back
+    /// Take a zone out of service until it is returned
     Hold { zone: String },
-    /// Lets a zone back that is held out
+    /// Return a held zone to service
     Return { zone: String },
-    /// Who owns what, under which token
+    /// Print the owner and fencing token of each duty
     Duties,
-    /// Has a duty owned by this steward, while it lives
+    /// Assign a duty to this controller as long as it is running
     Move { duty: String, to: String },
-    /// Has a duty owned by nobody: what was decided stands or lapses
+    /// Leave a duty without an owner; its last decision remains until it expires
     Pause { duty: String },
-    /// Takes back what was said of a duty
+    /// Remove the move or pause command of a duty
     Resume { duty: String },
 }
 
@@ -95,7 +95,7 @@
         },
         Call::Operator(call) => {
             init_logging(LogConfig::default());
-            block_on(carry_out(args.at, args.fleet, call))
+            block_on(execute(args.at, args.fleet, call))
         }
     };
     match result {
@@ -122,7 +122,7 @@
     runtime.map_err(ProgramError::Runtime)?.block_on(work).map_err(Into::into)
 }
 
-async fn carry_out(addresses: Vec<String>, fleet: String, call: OperatorCall) -> Result<(), CommandError> {
+async fn execute(addresses: Vec<String>, fleet: String, call: OperatorCall) -> Result<(), CommandError> {
     let operator = Operator::new(addresses, &fleet);
     match call {
         OperatorCall::Zones => operator.print_zones().await,
--- a/quota-gateway/controller/src/metrics.rs
+++ b/quota-gateway/controller/src/metrics.rs
@@ -20,7 +20,7 @@
     why: &'static str,
 }
 
-/// Renders the metrics as they are now.
+/// Renders the current metrics.
 pub fn render(shared: &Rc<Shared>, role_metrics: &Rc<RoleMetrics>) -> String {
     let mut registry = Registry::with_prefix("marblecroft_controller");
     register_roles(&mut registry, role_metrics);
@@ -36,7 +36,7 @@
     let mut page = String::new();
     match text::encode(&mut page, &registry) {
         Ok(()) => page,
-        // Encoding into memory fails only where memory is exhausted.
+        // Encoding into memory fails only if memory is exhausted.
         Err(e) => format!("# {e}\n"),
     }
 }
--- a/quota-gateway/controller/src/reports.rs
+++ b/quota-gateway/controller/src/reports.rs
@@ -1,4 +1,5 @@
-//! The reports of gateways: one persistent connection from each, with a sequence of frames that are not answered.
+//! Receives the reports of gateways. Each gateway has one persistent connection, on which it sends a sequence
+//! of frames without replies.
 
 use marblecroft_control_messages::frame::{decode, DecodeError, Fleet, Header, HEADER_BYTES};
 use marblecroft_control_messages::report::Report;
@@ -14,15 +15,15 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// How long a connection without a report is kept, as a gateway reports once a second.
+/// Time after which a connection without a report is closed. A gateway reports once per second.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long to wait after a connection could not be accepted.
+/// Delay after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The largest number of reports in the queue of one role. Further ones are dropped, as the next report of their gateways
-/// replaces them.
+/// Maximum number of reports in the queue of one role. Further reports are dropped, because the next report
+/// of the same gateway replaces them.
 pub const MAX_QUEUED_REPORTS: usize = 8192;
 
-/// Dispatches reports to the roles that are owned here, and counts them.
+/// Dispatches reports to the roles that this process owns, and counts them.
 pub struct Reports {
     fleet: Fleet,
     subscribers: RefCell<BTreeMap<String, mpsc::Sender<Rc<Report>>>>,
@@ -30,16 +31,16 @@
     pub connections: Cell<u64>,
     /// The number of reports that were received and decoded.
     pub received: Cell<u64>,
-    /// The number of reports that found the queue of a role full.
+    /// The number of reports that were dropped because the queue of a role was full.
     pub dropped: Cell<u64>,
-    /// The number of reports that were rejected, by cause.
+    /// The number of rejected reports, by cause.
     pub rejected: RefCell<BTreeMap<DecodeError, u64>>,
-    /// Bytes of all complete frames.
+    /// Total size of all complete frames, in bytes.
     pub bytes: Cell<u64>,
 }
 
 impl Reports {
-    /// Creates a dispatcher of one fleet's reports without subscribers.
+    /// Creates a dispatcher for the reports of one fleet, without subscribers.
     pub fn new(fleet: Fleet) -> Rc<Reports> {
         Rc::new(Reports {
             fleet,
@@ -52,14 +53,15 @@
         })
     }
 
-    /// Subscribes a role to all reports from now on, until it drops the receiver or subscribes again.
+    /// Subscribes a role to all reports received from now on, until it drops the receiver or subscribes
+    /// again.
     pub fn subscribe(&self, role: &str) -> mpsc::Receiver<Rc<Report>> {
         let (sender, receiver) = mpsc::channel(MAX_QUEUED_REPORTS);
         self.subscribers.borrow_mut().insert(role.to_owned(), sender);
         receiver
     }
 
-    /// Counts a report that was rejected.
+    /// Counts a rejected report.
     pub fn reject(&self, cause: DecodeError) {
         *self.rejected.borrow_mut().entry(cause).or_default() += 1;
     }
@@ -77,7 +79,8 @@
         });
     }
 
-    /// Accepts connections until it is dropped; those beyond `max_connections` are closed at once, and their gateways retry.
+    /// Accepts connections until the future is dropped. Connections beyond `max_connections` are closed
+    /// immediately, and the gateways retry.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, max_connections: usize) {
         let permits = Arc::new(Semaphore::new(max_connections));
         loop {
@@ -96,11 +99,12 @@
         }
     }
 
-    /// Reads reports until the connection ends, is idle, or has a frame whose end is not known.
+    /// Reads reports until the connection is closed or idle, or a frame has an invalid header, so that its
+    /// end is unknown.
     async fn read_all(&self, mut stream: TcpStream) {
         loop {
             let mut bytes = vec![0; HEADER_BYTES];
-            // An end between two frames is no error.
+            // Closing the connection between two frames is not an error.
             let Ok(()) = read_exact(&mut stream, &mut bytes).await else { return };
             let payload_bytes = match Header::read(self.fleet, &bytes) {
                 Ok(header) => header.payload_bytes,
@@ -120,7 +124,7 @@
     }
 }
 
-/// The connection ended or was idle before the buffer was full.
+/// The connection was closed or idle before the buffer was full.
 struct ConnectionEnded;
 
 async fn read_exact(stream: &mut TcpStream, buffer: &mut [u8]) -> Result<(), ConnectionEnded> {
--- a/quota-gateway/controller/src/run_role.rs
+++ b/quota-gateway/controller/src/run_role.rs
@@ -1,5 +1,5 @@
-//! The work of the owner of a role: it continues from the published decision, handles reports, decides, and publishes under its
-//! token.
+//! The main loop of the owner of a role. It continues from the published decision, handles reports, decides,
+//! and publishes under the lease's fencing token.
 
 use crate::cell_client::CellClient;
 use crate::create_role::create_role;
@@ -13,10 +13,10 @@
 use tokio::sync::mpsc;
 use tracing::warn;
 
-/// How long one attempt to read the published decision may take.
+/// Timeout of one attempt to read the published decision.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs a role until its lease should finish or is not valid any more.
+/// Runs a role until its lease should finish or is no longer valid.
 pub async fn run_role(shared: Rc<Shared>, mut lease: Lease) {
     let mut reports = shared.reports.subscribe(&lease.role);
     let key = lease.keys.decision(&lease.role);
@@ -57,14 +57,14 @@
                 return Ok(value.map(|(_, value, _)| value));
             }
             Err(e) if lease.valid_token().is_some() => {
-                warn!(duty = %lease.role, "{}: what stands is not read: {e}", lease.role)
+                warn!(duty = %lease.role, "{}: failed to read the published decision: {e}", lease.role)
             }
             Err(_) => return Err(LeaseEnded),
         }
     }
 }
 
-/// Handles what was published and reported, and decides.
+/// Handles the published entries and the queued reports, and returns the decision to publish, if any.
 fn decide(
     shared: &Shared,
     role: &mut dyn DecisionRole,
@@ -83,7 +83,7 @@
     decision
 }
 
-/// Waits for the next decision: for the interval, or until a cell replies.
+/// Waits until the next decision is due: after the interval, or when a cell replies.
 async fn wait(shared: &Shared, lease: &mut Lease, cell_client: Option<&CellClient>) {
     let interval = Duration::from_millis(shared.config.decision_interval_ms);
     match cell_client {
--- a/quota-gateway/controller/src/server.rs
+++ b/quota-gateway/controller/src/server.rs
@@ -1,4 +1,4 @@
-//! The process of a candidate.
+//! The process of a controller.
 
 use marblecroft_control_messages::frame::Fleet;
 use marblecroft_controller::config::Config;
@@ -24,7 +24,7 @@
     /// Why the process cannot serve.
     #[derive(Debug)]
     pub enum ServeError {
-        /// An address cannot be bound; the field of the configuration is named.
+        /// An address cannot be bound. The text names the field of the configuration.
         Bind(field: &'static str, address: SocketAddr, cause: io::Error) {
             display("{field}: {address}: {cause}")
             source(cause)
@@ -38,11 +38,11 @@
     }
 }
 
-/// Runs a candidate until SIGTERM.
+/// Runs a controller until it receives SIGTERM.
 ///
 /// # Errors
 ///
-/// [`ServeError`] if an address cannot be bound, or the signal cannot be handled.
+/// [`ServeError`] if an address cannot be bound, or the signal handler cannot be installed.
 pub async fn serve(config: Config) -> Result<(), ServeError> {
     let mut terminate = signal(SignalKind::terminate())?;
     let (listener, address) = bind("listen", config.listen).await?;
@@ -56,14 +56,15 @@
     spawn_local(reports.accept(listener, config.max_connections));
     let client = Client::behind(config.coordinators.clone(), config.coordinator_host);
     spawn_local(follow_view(shared.clone(), client.clone()));
-    // Leaked once: the names are used until the process ends.
+    // Leaked only once, because the names are used until the process exits.
     let roles: &'static [&'static str] = config.roles().leak();
     let run_shared = shared.clone();
     let run = move |lease| run_role(run_shared.clone(), lease);
     info!(addr = %address, "listening on {address}");
     tokio::select! {
         () = run_candidate(client, settings(config, address), roles, role_metrics, run) => {}
-        // Its roles go to other candidates once its session has ended; until then its last decisions are valid.
+        // Other candidates take its roles after its session has expired. Until then its last decisions remain
+        // valid.
         _ = terminate.recv() => {}
     }
     Ok(())
@@ -88,7 +89,7 @@
     Ok(())
 }
 
-/// Keeps the view of what is published in the fleet.
+/// Keeps the view of the fleet's published entries up to date.
 async fn follow_view(shared: Rc<Shared>, client: Client) {
     let prefix = Keys::of(&shared.config.fleet).prefix;
     follow(client, prefix, || shared.now(), |view| drop(shared.view.replace(view.clone()))).await;
--- a/quota-gateway/controller/src/shard_map_role.rs
+++ b/quota-gateway/controller/src/shard_map_role.rs
@@ -1,4 +1,4 @@
-//! The role that decides which cell serves each shard, and requests the operations of cells that migrations need.
+//! The role that decides which cell serves each shard, and requests operations from cells to migrate shards.
 
 use crate::cell_client::CellClient;
 use crate::config::ShardMapConfig;
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// The capacity of a zone that is not decided on, in units per second.
+/// The capacity of a zone without a published decision, in units per second.
 const DEFAULT_ZONE_CAPACITY: f64 = 1e9;
 
 /// The owner's state of the shard map.
@@ -29,18 +29,19 @@
     config: ShardMapConfig,
     core: Owner,
     cell_client: Rc<CellClient>,
-    /// The operations to request of cells once the map that needs them is published.
+    /// The operations to request from cells after the map that needs them is published.
     operations: Vec<CellOperation>,
     /// The map that is being published.
     publishing: Option<ShardMap>,
-    /// The token of the last decision.
+    /// The fencing token of the last decision.
     token: u64,
-    /// The number of completed migrations that were logged.
+    /// The number of completed migrations in the last log line.
     logged_migrations: u64,
 }
 
 impl ShardMapRole {
-    /// Creates the role on top of the published map. Readers may use each map for `ttl_ms` milliseconds.
+    /// Creates the role, which continues from the published map. Readers may use each map for `ttl_ms`
+    /// milliseconds.
     pub fn new(
         fleet: Fleet,
         keys: Keys,
@@ -75,7 +76,8 @@
         }
     }
 
-    /// What is known of the cells, by the decision on the zones. The capacity of a zone is shared evenly by its cells.
+    /// Derives the status of the cells from the decision on the zones. The capacity of a zone is divided
+    /// evenly among its cells.
     fn cell_status(&self, zones: Option<&ZonesDecision>) -> BTreeMap<Cell, CellStatus> {
         let state_and_capacity = |name: &str| {
             let zone = zones?.zones.iter().find(|zone| zone.name == name)?;
@@ -88,7 +90,8 @@
             let status = CellStatus {
                 zone: cell.zone.clone(),
                 region: cell.region.clone(),
-                // Shards are not migrated into a zone that is about to be out, or that has only just returned.
+                // No shards are migrated into a zone that may be about to fail over, or that has just
+                // returned.
                 accepts_writes: state == ZoneState::Serving,
                 is_draining: matches!(state, ZoneState::FailedOver | ZoneState::HeldByOperator),
                 capacity: capacity / cells_in(&cell.zone) as f64,
@@ -99,8 +102,9 @@
         status.collect()
     }
 
-    /// Follows the operators' overrides: the shard of a firm is to be at a cell, while that accepts writes.
-    fn follow_overrides(&mut self, now: Now, view: &View, cells: &BTreeMap<Cell, CellStatus>) {
+    /// Applies the operators' overrides: migrates the shard of a firm to the given cell, if that accepts
+    /// writes.
+    fn apply_overrides(&mut self, now: Now, view: &View, cells: &BTreeMap<Cell, CellStatus>) {
         let prefix = self.keys.shard_override("");
         for (firm, bytes) in view.entries_under(&prefix) {
             let (Ok(firm), Some(to)) = (firm.parse::<Firm>(), keys::decode_value::<Cell>(bytes)) else {
@@ -111,12 +115,12 @@
                 continue;
             }
             if let Err(why) = self.core.on_operator_command(now, firm, to) {
-                warn!(firm, to, ?why, "the book of {firm} is not moved to cell {to}: {why:?}");
+                warn!(firm, to, ?why, "cannot migrate the shard of firm {firm} to cell {to}: {why:?}");
             }
         }
     }
 
-    /// Whether the shard of a firm is at another cell, and not being migrated.
+    /// Returns whether the shard of a firm is at another cell and is not being migrated.
     fn can_migrate(&self, firm: Firm, to: Cell) -> bool {
         let map = self.core.map();
         let shard = map.find(firm).map(|index| map.shards[index]);
@@ -126,7 +130,7 @@
     fn log_migrations(&mut self) {
         let moves = self.core.completed_migrations();
         if moves > self.logged_migrations {
-            info!(moves, "{moves} books have moved under this owner");
+            info!(moves, "{moves} shards have been migrated by this owner");
             self.logged_migrations = moves;
         }
     }
@@ -141,7 +145,7 @@
     fn handle_view(&mut self, now: Now, view: &View) {
         let zones = published_zones(self.fleet, &self.keys, view);
         let cells = self.cell_status(zones.as_ref());
-        self.follow_overrides(now, view, &cells);
+        self.apply_overrides(now, view, &cells);
         self.core.set_cells(cells);
         for answer in self.cell_client.take_answers() {
             self.core.handle_answer(now, answer);
@@ -168,7 +172,8 @@
     }
 
     fn act(&mut self) {
-        // A step is requested of cells only once it is known to be published.
+        // Operations are requested from cells only after the map that needs them is confirmed to be
+        // published.
         if self.publishing.is_none() {
             for operation in std::mem::take(&mut self.operations) {
                 self.cell_client.request(self.token, operation);
--- a/quota-gateway/controller/src/shared.rs
+++ b/quota-gateway/controller/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all roles of a process share.
+//! State shared by all roles of a process.
 
 use crate::config::Config;
 use crate::decision_role::Now;
@@ -8,23 +8,23 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What all roles of a process share.
+/// State shared by all roles of a process.
 pub struct Shared {
     /// The configuration.
     pub config: Config,
     /// The reports of gateways.
     pub reports: Rc<Reports>,
-    /// All that is published in the fleet, as last read.
+    /// The published entries of the fleet, as last read.
     pub view: RefCell<View>,
     /// The number of decisions that were published.
     pub published_decisions: Cell<u64>,
-    /// The longest time that one decision has taken.
+    /// The maximum time that one decision has taken.
     pub longest_decision: Cell<Duration>,
     started_at: Instant,
 }
 
 impl Shared {
-    /// Creates the shared state; the clock of [`Shared::now`] starts.
+    /// Creates the shared state, and starts the clock of [`Shared::now`].
     pub fn new(config: Config, reports: Rc<Reports>) -> Rc<Shared> {
         Rc::new(Shared {
             config,
@@ -36,7 +36,7 @@
         })
     }
 
-    /// Returns the time since the process started.
+    /// Returns the time since the shared state was created.
     pub fn now(&self) -> Now {
         self.started_at.elapsed()
     }
--- a/quota-gateway/controller/src/zone_failover_role.rs
+++ b/quota-gateway/controller/src/zone_failover_role.rs
@@ -1,4 +1,4 @@
-//! The role that decides which zones serve, and where the others' requests go.
+//! The role that decides which zones serve, and to which zones the requests of the others go.
 
 use crate::decision_role::{DecisionRole, Now};
 use marblecroft_control_messages::frame::{encode, DecodeError, Fleet};
@@ -18,13 +18,14 @@
     keys: Keys,
     ttl_ms: u32,
     core: FailoverController,
-    /// The zones that operators override, as last handled.
+    /// The zones that operators override, as of the last call of [`DecisionRole::handle_view`].
     overridden: BTreeSet<String>,
     rejected_failovers: u64,
 }
 
 impl ZoneFailoverRole {
-    /// Creates the role on top of the published decision. Readers may use each decision for `ttl_ms` milliseconds.
+    /// Creates the role, which continues from the published decision. Readers may use each decision for
+    /// `ttl_ms` milliseconds.
     pub fn new(
         fleet: Fleet,
         keys: Keys,
@@ -45,7 +46,7 @@
 
     fn hold(&mut self, now: Now, zone: &str) {
         if !self.core.on_operator_command(now, &OperatorCommand::Hold(zone.to_owned())) {
-            warn!(zone = %zone, "an operator holds out {zone}, which is none of the zones");
+            warn!(zone = %zone, "an operator holds zone {zone}, which is not configured");
         }
     }
 
@@ -54,13 +55,13 @@
     }
 
     fn log_changes(&mut self) {
-        for moved in self.core.take_state_changes() {
-            info!(zone = %moved.zone, from = moved.from.name(), to = moved.to.name(),
-                "{} is {}, was {}", moved.zone, moved.to.name(), moved.from.name());
+        for change in self.core.take_state_changes() {
+            info!(zone = %change.zone, from = change.from.name(), to = change.to.name(),
+                "{} is {}, was {}", change.zone, change.to.name(), change.from.name());
         }
         if self.core.rejected_failovers() > self.rejected_failovers {
             if self.rejected_failovers == 0 {
-                warn!("a zone looks lost and is kept: it is the last, or another region has just moved");
+                warn!("a zone seems to have failed, but stays in service: it is the last one, or another region has just failed over");
             }
             self.rejected_failovers = self.core.rejected_failovers();
         }
@@ -83,7 +84,8 @@
         for zone in before.difference(&overridden) {
             self.release(now, zone.clone());
         }
-        // Overrides that the published decision has, and that were withdrawn before this process became the owner.
+        // Releases zones that the published decision holds, but whose override was removed before this
+        // process became the owner.
         for zone in self.core.held_zones() {
             if !overridden.contains(&zone) {
                 self.release(now, zone);
--- a/quota-gateway/controller/tests/input.rs
+++ b/quota-gateway/controller/tests/input.rs
@@ -1,4 +1,5 @@
-//! What a steward is told: configurations that cannot be used are named by their field, and reports that are none change nothing.
+//! Tests of the controller's input: an invalid configuration is rejected with an error that names the field,
+//! and invalid reports have no effect.
 
 use marblecroft_control_messages::frame::{encode, DecodeError, Fleet, HEADER_BYTES};
 use marblecroft_control_messages::report::{AppliedDecisions, Demand, Report};
@@ -12,10 +13,10 @@
 use tokio::time::{sleep, timeout};
 
 const FLEET: Fleet = Fleet(9);
-/// Bound of every wait; only a failure takes that long.
-const LONG: Duration = Duration::from_secs(20);
+/// Upper bound of every wait. Only a failing test takes that long.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-const GOOD: &str = r#"
+const VALID_CONFIG: &str = r#"
 fleet = "payroll"
 name = "steward-a"
 listen = "127.0.0.1:0"
@@ -25,8 +26,8 @@
 "#;
 
 #[test]
-fn a_configuration_that_cannot_be_used_is_named_by_its_field() {
-    assert!(Config::parse(GOOD).is_ok());
+fn an_invalid_configuration_is_rejected_with_the_name_of_the_field() {
+    assert!(Config::parse(VALID_CONFIG).is_ok());
     for (from, to, field) in [
         ("fleet = \"payroll\"", "", "fleet"),
         ("\"payroll\"", "\"pay/roll\"", "fleet"),
@@ -47,17 +48,17 @@
             "zones, shares",
         ),
     ] {
-        let text = GOOD.replacen(from, to, 1);
-        assert_ne!(text, GOOD, "{from}");
+        let text = VALID_CONFIG.replacen(from, to, 1);
+        assert_ne!(text, VALID_CONFIG, "{from}");
         let e = Config::parse(&text).expect_err(field).to_string();
         assert!(e.contains(field) && !e.contains('\n'), "{field}: {e}");
     }
 }
 
-fn play<T>(what: impl Future<Output = T>) -> T {
+fn run<T>(test: impl Future<Output = T>) -> T {
     let options = tokio::runtime::LocalOptions::default();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build_local(options);
-    runtime.expect("a runtime").block_on(async { timeout(LONG, what).await.expect("in time") })
+    runtime.expect("a runtime").block_on(async { timeout(TEST_TIMEOUT, test).await.expect("in time") })
 }
 
 fn report(gateway: u32) -> Vec<u8> {
@@ -75,37 +76,37 @@
     encode(FLEET, &report).expect("short")
 }
 
-async fn until(mut holds: impl FnMut() -> bool) {
-    while !holds() {
+async fn wait_until(mut condition: impl FnMut() -> bool) {
+    while !condition() {
         sleep(Duration::from_millis(5)).await;
     }
 }
 
 #[test]
-fn what_is_no_report_is_refused_by_its_cause_and_good_ones_still_come() {
-    play(async {
+fn invalid_reports_are_rejected_by_cause_and_valid_ones_are_still_received() {
+    run(async {
         let reports = Reports::new(FLEET);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("bound");
         spawn_local(reports.clone().accept(listener, 4));
-        let mut heard = reports.subscribe("zones");
-        let ends = |bytes: Vec<u8>| async move {
-            let mut link = TcpStream::connect(addr).await.expect("connected");
-            link.write_all(&bytes).await.expect("written");
+        let mut received = reports.subscribe("zones");
+        let assert_closed_after = |bytes: Vec<u8>| async move {
+            let mut connection = TcpStream::connect(addr).await.expect("connected");
+            connection.write_all(&bytes).await.expect("written");
             let mut rest = Vec::new();
-            // The connection ends, as nothing behind it can be read.
-            drop(link.read_to_end(&mut rest).await);
-            assert!(rest.is_empty(), "nothing is answered");
+            // The server closes the connection, because it cannot find the end of the frame.
+            drop(connection.read_to_end(&mut rest).await);
+            assert!(rest.is_empty(), "the server sends no reply");
         };
-        let spoilt = |at: usize, by: u8| {
+        let corrupt_report = |at: usize, xor: u8| {
             let mut bytes = report(1);
-            bytes[at] ^= by;
+            bytes[at] ^= xor;
             bytes
         };
-        ends(b"GET / HTTP/1.1\r\nHost: steward\r\n\r\n".to_vec()).await;
-        ends(spoilt(4, 1)).await;
-        ends(spoilt(7, 1)).await;
-        ends(spoilt(18, 0x7f)).await;
+        assert_closed_after(b"GET / HTTP/1.1\r\nHost: steward\r\n\r\n".to_vec()).await;
+        assert_closed_after(corrupt_report(4, 1)).await;
+        assert_closed_after(corrupt_report(7, 1)).await;
+        assert_closed_after(corrupt_report(18, 0x7f)).await;
         let count = |why: DecodeError| reports.rejected.borrow().get(&why).copied().unwrap_or(0);
         for why in [
             DecodeError::BadMagic,
@@ -113,53 +114,54 @@
             DecodeError::WrongFleet,
             DecodeError::TooLong,
         ] {
-            until(|| count(why) == 1).await;
+            wait_until(|| count(why) == 1).await;
         }
-        // Damage within a report of known length is passed over, and the next one is heard.
-        let mut link = TcpStream::connect(addr).await.expect("connected");
-        link.write_all(&spoilt(HEADER_BYTES, 1)).await.expect("written");
-        link.write_all(&spoilt(6, 7)).await.expect("written");
-        link.write_all(&report(2)).await.expect("written");
-        assert_eq!(heard.recv().await.map(|report| report.gateway), Some(2));
+        // A corrupt report of known length is skipped, and the next one is received.
+        let mut connection = TcpStream::connect(addr).await.expect("connected");
+        connection.write_all(&corrupt_report(HEADER_BYTES, 1)).await.expect("written");
+        connection.write_all(&corrupt_report(6, 7)).await.expect("written");
+        connection.write_all(&report(2)).await.expect("written");
+        assert_eq!(received.recv().await.map(|report| report.gateway), Some(2));
         assert_eq!((count(DecodeError::Corrupt), count(DecodeError::UnexpectedKind)), (1, 1));
-        // Half a report and an end.
-        let mut half = TcpStream::connect(addr).await.expect("connected");
-        half.write_all(&report(3)[..HEADER_BYTES + 2]).await.expect("written");
-        drop(half);
-        until(|| count(DecodeError::Truncated) == 1).await;
+        // The connection is closed in the middle of a report.
+        let mut truncated = TcpStream::connect(addr).await.expect("connected");
+        truncated.write_all(&report(3)[..HEADER_BYTES + 2]).await.expect("written");
+        drop(truncated);
+        wait_until(|| count(DecodeError::Truncated) == 1).await;
         assert_eq!(reports.received.get(), 1);
     });
 }
 
-/// With all places taken others are turned away, and let in when one is free; a work that hears nothing bounds what waits for it.
+/// Connections beyond the limit are closed, and new ones are accepted when there is capacity again. Reports
+/// are dropped when the queue of a role that does not read them is full.
 #[test]
-fn connections_and_what_waits_are_bounded() {
-    play(async {
+fn connections_and_queued_reports_are_bounded() {
+    run(async {
         let reports = Reports::new(FLEET);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("bound");
         spawn_local(reports.clone().accept(listener, 2));
-        let heard = reports.subscribe("zones");
-        let mut held = Vec::new();
+        let received = reports.subscribe("zones");
+        let mut connections = Vec::new();
         for _ in 0..2 {
-            held.push(TcpStream::connect(addr).await.expect("connected"));
+            connections.push(TcpStream::connect(addr).await.expect("connected"));
         }
-        until(|| reports.connections.get() == 2).await;
+        wait_until(|| reports.connections.get() == 2).await;
         let mut third = TcpStream::connect(addr).await.expect("connected");
-        assert_eq!(third.read(&mut [0; 1]).await.unwrap_or(0), 0, "it is turned away");
-        let many = marblecroft_controller::reports::MAX_QUEUED_REPORTS as u32 + 50;
-        let flood: Vec<u8> = (0..many).flat_map(report).collect();
-        held[0].write_all(&flood).await.expect("written");
-        until(|| reports.received.get() == u64::from(many)).await;
+        assert_eq!(third.read(&mut [0; 1]).await.unwrap_or(0), 0, "the connection is closed");
+        let count = marblecroft_controller::reports::MAX_QUEUED_REPORTS as u32 + 50;
+        let encoded: Vec<u8> = (0..count).flat_map(report).collect();
+        connections[0].write_all(&encoded).await.expect("written");
+        wait_until(|| reports.received.get() == u64::from(count)).await;
         assert_eq!(reports.dropped.get(), 50);
-        assert_eq!(heard.len(), marblecroft_controller::reports::MAX_QUEUED_REPORTS);
-        drop(held);
-        until(|| reports.connections.get() == 0).await;
-        // A work that has ended is told nothing more.
-        drop(heard);
-        let mut again = TcpStream::connect(addr).await.expect("connected");
-        again.write_all(&report(1)).await.expect("written");
-        until(|| reports.received.get() == u64::from(many) + 1).await;
+        assert_eq!(received.len(), marblecroft_controller::reports::MAX_QUEUED_REPORTS);
+        drop(connections);
+        wait_until(|| reports.connections.get() == 0).await;
+        // A role that has ended receives no more reports.
+        drop(received);
+        let mut connection = TcpStream::connect(addr).await.expect("connected");
+        connection.write_all(&report(1)).await.expect("written");
+        wait_until(|| reports.received.get() == u64::from(count) + 1).await;
         assert_eq!(reports.dropped.get(), 50);
     });
 }
