--- a/quota-gateway/control-messages/src/frame.rs
+++ b/quota-gateway/control-messages/src/frame.rs
@@ -1,9 +1,11 @@
-//! Framing: the header and the checks that all messages share, with one definition for both ends.
+//! Framing: the header and the validation that all messages share. Senders and receivers use the same
+//! definitions.
 //!
-//! The header has 23 bytes, integers little-endian: magic `MDFL`, version (u16), kind (u8), fleet (u64), length of the payload
-//! (u32), its CRC-32 (u32); the payload follows in `postcard`. [`decode`] checks in this order: magic, version, fleet, length,
-//! kind, checksum, encoding, and the values themselves, so that a foreign message costs least. A message is accepted as a
-//! whole or rejected with a [`DecodeError`], which receivers count.
+//! The header has 23 bytes, with little-endian integers: magic `MDFL`, version (u16), kind (u8), fleet (u64),
+//! length of the payload (u32), and CRC-32 of the payload (u32). The payload follows, encoded with
+//! `postcard`. [`decode`] checks in this order: magic, version, fleet, length, kind, checksum, encoding, and
+//! the values. The cheap checks come first, so that messages of other protocols or fleets cost little. A
+//! message is either accepted completely or rejected with a [`DecodeError`], which receivers count.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -15,8 +17,8 @@
 pub const VERSION: u16 = 1;
 /// Length of the header, in bytes.
 pub const HEADER_BYTES: usize = 23;
-/// Upper bound of the payload, in bytes: a value of the coordination service, which must hold a decision with its header, has
-/// 64 KiB at most.
+/// Maximum size of the payload, in bytes. A decision with its header is stored as one value of the
+/// coordination service, and values have at most 64 KiB.
 pub const MAX_PAYLOAD_BYTES: usize = (64 << 10) - HEADER_BYTES;
 
 /// The kind of a message; its number is part of the format.
@@ -37,12 +39,12 @@
     CellReply = 6,
 }
 
-/// The fleet of a message, so that a gateway of another fleet has no effect.
+/// Identifies the fleet of a message, so that messages of another fleet are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fleet(pub u64);
 
 impl Fleet {
-    /// Returns the fleet of a name in the configuration (FNV-1a, 64 bits).
+    /// Returns the identifier of the fleet with this name in the configuration (FNV-1a, 64 bits).
     pub fn named(name: &str) -> Fleet {
         let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
         Fleet(name.bytes().fold(0xcbf2_9ce4_8422_2325, step))
@@ -52,26 +54,26 @@
 /// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DecodeError {
-    /// It is shorter than its header says, or has no complete header.
+    /// The message is shorter than specified in its header, or has no complete header.
     Truncated,
-    /// Its first bytes are not [`MAGIC`].
+    /// The first bytes are not [`MAGIC`].
     BadMagic,
-    /// It is of another [`VERSION`].
+    /// The message has another [`VERSION`].
     UnsupportedVersion,
-    /// It is of another fleet.
+    /// The message belongs to another fleet.
     WrongFleet,
-    /// It is of another kind than the receiver decodes.
+    /// The message has another kind than the receiver expects.
     UnexpectedKind,
-    /// Its payload exceeds [`MAX_PAYLOAD_BYTES`], or more bytes follow than its header says.
+    /// The payload exceeds [`MAX_PAYLOAD_BYTES`], or is longer than specified in the header.
     TooLong,
-    /// Its checksum does not match, or its payload is not an encoded message of its kind.
+    /// The checksum does not match, or the payload cannot be decoded as a message of its kind.
     Corrupt,
-    /// A value is not a number, negative or out of bounds, or a name is not known to the receiver.
+    /// A value is not a number, negative or out of bounds, or the receiver does not know a name.
     InvalidValue,
 }
 
 impl DecodeError {
-    /// All reasons, in the order of metrics.
+    /// All variants, in the order in which metrics list them.
     pub const ALL: [DecodeError; 8] = [
         DecodeError::Truncated,
         DecodeError::BadMagic,
@@ -83,7 +85,7 @@
         DecodeError::InvalidValue,
     ];
 
-    /// Returns its name in metrics and logs.
+    /// Returns the name of the variant in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             DecodeError::Truncated => "cut_off",
@@ -106,11 +108,12 @@
     }
 }
 
-/// The payload of a message, which knows which of its values are valid.
+/// The payload of a message. It validates its own values.
 pub trait Message: Serialize + DeserializeOwned {
-    /// The kind in its header.
+    /// The kind in the header.
     const KIND: Kind;
-    /// Returns whether each value is in its bounds. Receivers check names, which only they know.
+    /// Returns whether all values are within their bounds. Receivers check names, because only they know the
+    /// valid ones.
     fn is_valid(&self) -> bool;
 }
 
@@ -119,10 +122,10 @@
     (0.0..=1e12).contains(&x)
 }
 
-/// Encodes a message with its header; returns `None` if it exceeds [`MAX_PAYLOAD_BYTES`], which the bounds of valid messages
-/// exclude.
+/// Encodes a message with its header. Returns `None` if the payload exceeds [`MAX_PAYLOAD_BYTES`], which
+/// cannot happen for valid messages.
 pub fn encode<M: Message>(fleet: Fleet, message: &M) -> Option<Vec<u8>> {
-    // Encoding into memory fails only where memory is exhausted.
+    // Encoding into memory fails only if memory is exhausted.
     let payload = postcard::to_stdvec(message).ok().filter(|payload| payload.len() <= MAX_PAYLOAD_BYTES)?;
     let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
     bytes.extend_from_slice(&MAGIC);
@@ -135,16 +138,17 @@
     Some(bytes)
 }
 
-/// A header that was read and checked, but for the kind.
+/// A header that was read and validated, except for its kind.
 pub struct Header {
     kind: u8,
-    /// Length of the payload that follows, in bytes.
+    /// Length of the payload after the header, in bytes.
     pub payload_bytes: usize,
     crc32: u32,
 }
 
 impl Header {
-    /// Reads a header from the first [`HEADER_BYTES`] bytes, so that a receiver can reject a message before it reads the payload.
+    /// Reads a header from the first [`HEADER_BYTES`] bytes, so that a receiver can reject a message before
+    /// it reads the payload.
     ///
     /// # Errors
     ///
@@ -171,7 +175,7 @@
     }
 }
 
-/// Decodes a message, of which all of the bytes must be.
+/// Decodes a message. It must consist of all of the bytes.
 ///
 /// # Errors
 ///
@@ -191,7 +195,7 @@
     if crc32fast::hash(payload) != header.crc32 {
         return Err(DecodeError::Corrupt);
     }
-    // Bytes that `postcard` leaves over belong to a message of another shape.
+    // If `postcard` does not consume all bytes, the payload is a message of another type.
     match postcard::take_from_bytes::<M>(payload) {
         Ok((message, [])) if message.is_valid() => Ok(message),
         Ok((_, [])) => Err(DecodeError::InvalidValue),
--- a/quota-gateway/control-messages/src/published.rs
+++ b/quota-gateway/control-messages/src/published.rs
@@ -1,45 +1,47 @@
-//! A decision that one controller publishes and all gateways read.
+//! Decisions that one controller publishes and all gateways read.
 //!
-//! Its [`Stamp`] orders it by fencing token and revision: a [`DecisionReader`] never goes back to an older one, so that an
-//! owner that lost its role has no effect. It is valid for a time after the reader last knew it for the newest; then the
-//! reader knows that it may have missed newer ones.
+//! A [`Stamp`] orders decisions by fencing token and revision. A [`DecisionReader`] never returns to an older
+//! decision, so that an owner that has lost its role has no effect. A decision is valid for a limited time
+//! after the last confirmation that it is the newest. When it has expired, the reader may have missed newer
+//! decisions.
 
 use crate::frame::{Kind, Message};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// An instant of the reader's monotonic clock, since any fixed instant.
+/// An instant of the reader's monotonic clock, as the time since an arbitrary fixed instant.
 pub type Instant = Duration;
 
-/// The identity of a decision, ordered as they are decided.
+/// The identity of a decision. Stamps are ordered like the decisions they identify.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Stamp {
-    /// The owner's fencing token, from 1.
+    /// The owner's fencing token. The lowest is 1.
     pub token: u64,
-    /// The number of the decision under this token.
+    /// The sequence number of the decision under this token.
     pub revision: u64,
 }
 
-/// Upper bound of the validity of a decision.
+/// Maximum time for which a decision can be valid.
 pub const MAX_VALIDITY: Duration = Duration::from_secs(600);
 
 /// The content of a decision.
 pub trait Body: Serialize + DeserializeOwned {
-    /// The kind of the messages that carry it.
+    /// The kind of the messages that contain it.
     const KIND: Kind;
-    /// Returns whether each value is in its bounds.
+    /// Returns whether all values are within their bounds.
     fn is_valid(&self) -> bool;
 }
 
-/// A decision as it is published.
+/// A published decision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Decision<T> {
-    /// Its identity.
+    /// The identity of the decision.
     pub stamp: Stamp,
-    /// How long a reader may apply it after the reader last knew it for the newest, in milliseconds.
+    /// Time for which a reader may apply the decision after the last confirmation that it is the newest, in
+    /// milliseconds.
     pub valid_ms: u32,
-    /// What is decided.
+    /// The content of the decision.
     pub body: T,
 }
 
@@ -54,29 +56,31 @@
     }
 }
 
-/// How a reader took a decision.
+/// The result of passing a decision to a reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acceptance {
-    /// It is newer than the current one, and replaces it.
+    /// The decision is newer than the current one and replaces it.
     New,
-    /// It is the current one, which is still the newest: its validity begins again.
+    /// The decision is the current one, so its validity is extended.
     Renewed,
-    /// It is older than the current one, which stays: it comes from a former owner, or in a late answer.
+    /// The decision is ignored. It is older than the current one, because it comes from a former owner or in
+    /// a delayed response, or it differs from the current one under the same stamp.
     Stale,
 }
 
 /// The current decision of a reader, and whether it may be applied.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Validity<'a, T> {
-    /// No decision was read yet.
+    /// No decision has been read yet.
     NoDecision,
-    /// It may be applied.
+    /// The decision may be applied.
     Valid(&'a Decision<T>),
-    /// Its validity ended this long ago: the reader may have missed newer ones, and falls back as each role documents.
+    /// The decision expired this long ago. The reader may have missed newer ones, and uses the fallback that
+    /// the role documents.
     Expired(&'a Decision<T>, Duration),
 }
 
-/// The newest decision that was read, and until when it is valid.
+/// The newest decision that was read, and the instant at which it expires.
 #[derive(Clone, Debug)]
 struct CurrentDecision<T> {
     decision: Decision<T>,
@@ -96,18 +100,20 @@
 }
 
 impl<T: PartialEq> DecisionReader<T> {
-    /// Accepts a decision that was read as the newest one, unless it is stale. `requested_at` is an instant before the request
-    /// was sent, as the decision may have been the newest only then.
+    /// Accepts a decision that was read as the newest one, unless it is stale. `requested_at` is an instant
+    /// before the request was sent. The validity starts there, because a newer decision may have been
+    /// published since.
     pub fn accept(&mut self, requested_at: Instant, decision: Decision<T>) -> Acceptance {
         let valid_until = requested_at + Duration::from_millis(decision.valid_ms.into());
         match &mut self.current {
             Some(current) if decision.stamp < current.decision.stamp => Acceptance::Stale,
-            // A stamp identifies one decision: another one under the same stamp is not of the lock's owner.
+            // A stamp identifies one decision. A different decision under the same stamp is not from the
+            // lock's owner.
             Some(current) if decision.stamp == current.decision.stamp => {
                 if decision != current.decision {
                     return Acceptance::Stale;
                 }
-                // A late answer to an earlier request never shortens the validity.
+                // A delayed response to an earlier request never shortens the validity.
                 current.valid_until = current.valid_until.max(valid_until);
                 Acceptance::Renewed
             }
@@ -118,7 +124,7 @@
         }
     }
 
-    /// Renews the current decision, which was the newest at this instant or later.
+    /// Renews the current decision. It was still the newest at `requested_at` or later.
     pub fn renew(&mut self, requested_at: Instant) {
         if let Some(current) = &mut self.current {
             current.valid_until = current
@@ -127,7 +133,7 @@
         }
     }
 
-    /// Returns the current decision, and whether it is valid now.
+    /// Returns the current decision and whether it is valid at `now`.
     pub fn validity(&self, now: Instant) -> Validity<'_, T> {
         match &self.current {
             None => Validity::NoDecision,
@@ -136,7 +142,7 @@
         }
     }
 
-    /// Returns until when the current decision is valid.
+    /// Returns the instant at which the current decision expires.
     pub fn valid_until(&self) -> Option<Instant> {
         self.current.as_ref().map(|current| current.valid_until)
     }
--- a/quota-gateway/control-messages/tests/golden.rs
+++ b/quota-gateway/control-messages/tests/golden.rs
@@ -1,8 +1,10 @@
-//! Recorded bytes of the messages between gateways and controllers: frames, reports and published decisions.
+//! Golden tests of the encoding of messages between gateways and controllers: frames, reports and published
+//! decisions.
 //!
-//! The fixtures were written by one run of the code of the day on which they were recorded. Each test encodes fixed values
-//! and compares with the fixture, decodes the fixture, and encodes what was decoded to the same bytes. A type or field that
-//! is renamed in the program is renamed in the construction code here; the fixtures stay.
+//! The fixtures were recorded by one run of an earlier version of the code. Each test encodes fixed values
+//! and compares them with the fixture, decodes the fixture, and checks that the decoded value is encoded to
+//! the same bytes. If a type or field is renamed, only the code that constructs the values here changes; the
+//! fixtures do not.
 
 #[path = "../../../testing/support/golden/mod.rs"]
 mod golden;
@@ -18,13 +20,13 @@
 use serde::{Deserialize, Serialize};
 
 fn zone(name: &str, base: f64) -> ZoneObservation {
-    let seen = AttemptCounts {
+    let attempts = AttemptCounts {
         served: base + 0.5,
         rejected: base + 1.25,
         failed: base + 2.125,
         connect_failed: base + 3.0625,
     };
-    ZoneObservation { zone: name.to_owned(), attempts: seen, servers: base + 9.0, warm: base + 8.5 }
+    ZoneObservation { zone: name.to_owned(), attempts, servers: base + 9.0, warm: base + 8.5 }
 }
 
 fn stamp(number: u64) -> Stamp {
@@ -47,7 +49,7 @@
     check_message("report.hex", &report);
 }
 
-/// The bodies themselves are of other crates, and recorded there.
+/// Replaces the bodies, which other crates define. The golden tests of their encoding are in those crates.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct TestBody<const KIND: u8>(f64, String);
 
@@ -79,7 +81,7 @@
     assert_stable_decision::<6>("decision-cell-said.hex");
 }
 
-/// By these numbers gateways know which messages are of their own fleet.
+/// Receivers compare these identifiers to reject messages of other fleets.
 #[test]
 fn fleets_have_stable_identifiers() {
     assert_eq!(Fleet::named(""), Fleet(0xcbf2_9ce4_8422_2325));
