--- a/quota-gateway/singleton-roles/src/assign.rs
+++ b/quota-gateway/singleton-roles/src/assign.rs
@@ -1,10 +1,11 @@
-//! The assignment of roles to candidates. All candidates compute the same one from the same view; where their views differ,
-//! the lock of a role decides.
+//! The assignment of roles to candidates. All candidates compute the same assignment from the same view. If
+//! their views differ, the lock of a role determines its owner.
 
 use crate::keys::{Candidate, OperatorCommand};
 use std::collections::BTreeMap;
 
-/// Returns the preference of a role for a candidate, equal at all candidates: FNV-1a with a finalizer.
+/// Returns the preference of a role for a candidate (FNV-1a with a finalizer). All candidates compute the
+/// same value.
 fn preference_hash(role: &str, candidate: &str) -> u64 {
     let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
     let mut z = role.bytes().chain([0]).chain(candidate.bytes()).fold(0xcbf2_9ce4_8422_2325, step);
@@ -12,9 +13,9 @@
     z ^ (z >> 31)
 }
 
-/// Returns the candidate that should own each role; `None` where the role is paused or there is no candidate.
+/// Returns the candidate that should own each role, or `None` if the role is paused or there is no candidate.
 ///
-/// `owners` are the current owners, which keep their roles as long as no candidate has more than its even share.
+/// `owners` are the current owners. They keep their roles up to an even share of the roles.
 pub fn assign(
     roles: &[&str],
     candidates: &BTreeMap<String, Candidate>,
@@ -31,7 +32,8 @@
         }
         (role.to_owned(), Some(candidate.to_owned()))
     };
-    // Operator commands take precedence, then current owners, then the least loaded candidates.
+    // Operator commands have priority, followed by current owners and then the candidates with the fewest
+    // roles.
     for role in roles {
         match commands.get(*role) {
             Some(OperatorCommand::Pause) => {
@@ -60,7 +62,7 @@
         if assigned.contains_key(*role) {
             continue;
         }
-        // The fewest roles, then the zone that has fewer, then the highest preference.
+        // Selects by fewest roles, then fewest roles in the candidate's zone, then highest preference.
         let in_zone = |candidate: &str| {
             let zone = &candidates[candidate].zone;
             counts
--- a/quota-gateway/singleton-roles/src/keys.rs
+++ b/quota-gateway/singleton-roles/src/keys.rs
@@ -1,21 +1,22 @@
 //! Keys in the coordination service, and their values.
 //!
-//! Under `fleet/NAME/`: `candidate/WHO` (deleted with its session), `owner/ROLE` and `ROLE` itself, which is the published decision
-//! (both written under the lock's fencing token only), and `order/ROLE`, `hold/ZONE` and `book/FIRM` (operator commands, until they
-//! are withdrawn). The lock of a role is `duty/NAME/ROLE`.
+//! The keys under `fleet/NAME/` are `candidate/CANDIDATE` (deleted when the candidate's session ends),
+//! `owner/ROLE`, `ROLE` (the published decision of the role), and `order/ROLE`, `hold/ZONE` and `book/FIRM`
+//! (operator commands, kept until they are removed). Owners and decisions are written only under the lock's
+//! fencing token. The lock of a role is `duty/NAME/ROLE`.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// The roles of controllers. Each reads what it needs of the others from their publications, and waits for none.
+/// The roles of controllers. A role reads the published decisions of other roles, but never waits for them.
 pub const ROLES: [&str; 3] = ["zones", "shares", "books"];
 
 /// A process that can own roles.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Candidate {
-    /// Its zone.
+    /// Zone of the process.
     pub zone: String,
-    /// Where it accepts reports.
+    /// Address at which it accepts reports.
     pub report_address: String,
 }
 
@@ -24,25 +25,25 @@
 pub struct RoleOwner {
     /// Name of the candidate.
     pub candidate: String,
-    /// Where it accepts reports.
+    /// Address at which it accepts reports.
     pub report_address: String,
-    /// The fencing token that it owns the role under.
+    /// The fencing token under which it owns the role.
     pub token: u64,
 }
 
-/// An operator's command on a role.
+/// An operator's command for a role.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorCommand {
-    /// No candidate may own it.
+    /// No candidate may own the role.
     Pause,
-    /// This candidate must own it, while it is there.
+    /// The candidate of this name must own the role, as long as it is present.
     Move(String),
 }
 
 /// The keys of one fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Keys {
-    /// Prefix of all keys but locks.
+    /// Prefix of all keys. Names of locks do not have it.
     pub prefix: String,
     fleet: String,
 }
@@ -68,7 +69,7 @@
         format!("{}{role}", self.prefix)
     }
 
-    /// Returns the key of the operator's command on a role.
+    /// Returns the key of the operator's command for a role.
     pub fn operator_command(&self, role: &str) -> String {
         format!("{}order/{role}", self.prefix)
     }
@@ -91,11 +92,11 @@
 
 /// Encodes a value.
 pub fn encode_value<T: Serialize>(value: &T) -> Vec<u8> {
-    // Encoding into memory fails only where memory is exhausted.
+    // Encoding into memory fails only if memory is exhausted.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-/// Decodes a value; returns `None` if it is of another format, as another version may have written it.
+/// Decodes a value. Returns `None` if it has another format, because another version may have written it.
 pub fn decode_value<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     postcard::take_from_bytes(bytes).ok().filter(|(_, rest)| rest.is_empty()).map(|(value, _)| value)
 }
--- a/quota-gateway/singleton-roles/src/role.rs
+++ b/quota-gateway/singleton-roles/src/role.rs
@@ -1,55 +1,56 @@
-//! The state machine of one role at one candidate: requesting its lock, owning it, and releasing it in order.
+//! The state machine of one role at one candidate: it requests the lock, owns the role, and releases the
+//! lock.
 //!
-//! Work starts only with a granted lock, and ends before the lock is released; work that outlives its lock is fenced by the
-//! coordination service.
+//! The work starts only after the lock was granted, and ends before the lock is released. If the work
+//! continues after the lock was lost, the coordination service fences its writes.
 
 use std::time::Duration;
 
-/// An instant of the monotonic clock of the candidate.
+/// An instant of the candidate's monotonic clock.
 pub type Now = Duration;
 
-/// Time in which the work must finish when the role goes to another candidate. Then the lock is released all the same, and late
-/// publications are fenced.
+/// Time within which the work must finish when the role is assigned to another candidate. After this time the
+/// work is aborted and the lock released, and late publications are fenced.
 pub const FINISH_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The state of a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Neither owns the role nor requests it.
+    /// The candidate does not own the role and does not request it.
     Idle,
-    /// Waits in the queue of the lock.
+    /// The candidate waits in the queue of the lock.
     AwaitingLock,
-    /// Owns the role under this fencing token.
+    /// The candidate owns the role under this fencing token.
     Owning(u64),
-    /// The work under this token finishes; the lock is released by this instant.
+    /// The work under this fencing token is finishing. The lock is released at this instant at the latest.
     Finishing(u64, Now),
 }
 
 /// An event at a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Whether the role is assigned to this candidate, by the newest view.
+    /// Whether the newest view assigns the role to this candidate.
     Assigned(bool),
     /// The lock was acquired under this fencing token.
     Granted(u64),
     /// The request for the lock failed.
     NotGranted,
-    /// The lock is no longer known to be valid.
+    /// The lock may no longer be valid.
     LockLost,
     /// The work has ended.
     WorkEnded,
-    /// Time passes.
+    /// Periodic event, so that timeouts are checked.
     Tick,
 }
 
-/// What a candidate must do.
+/// An action that the candidate must perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Request the lock.
     RequestLock,
     /// Start the work under this fencing token.
     StartWork(u64),
-    /// Ask the work to finish and end.
+    /// Signal the work to finish.
     FinishWork,
     /// Abort the work.
     AbortWork,
@@ -76,17 +77,17 @@
         self.state
     }
 
-    /// Handles an event, and returns the actions in their order.
+    /// Handles an event, and returns the actions to perform, in order.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
-        if let Event::Assigned(wanted) = event {
-            self.is_assigned = wanted;
+        if let Event::Assigned(is_assigned) = event {
+            self.is_assigned = is_assigned;
         }
         match (self.state, event) {
             (State::Idle, Event::Assigned(true)) => self.enter(State::AwaitingLock, &[Action::RequestLock]),
             (State::AwaitingLock, Event::Granted(token)) if self.is_assigned => {
                 self.enter(State::Owning(token), &[Action::StartWork(token)])
             }
-            // The grant came too late: the role is assigned to another candidate by now.
+            // The lock was granted too late: the role is now assigned to another candidate.
             (State::AwaitingLock, Event::Granted(_)) => self.enter(State::Idle, &[Action::ReleaseLock]),
             (State::AwaitingLock, Event::NotGranted) if self.is_assigned => vec![Action::RequestLock],
             (State::AwaitingLock, Event::NotGranted) => self.enter(State::Idle, &[]),
@@ -94,7 +95,8 @@
                 self.enter(State::Finishing(token, now + FINISH_TIMEOUT), &[Action::FinishWork])
             }
             (State::Owning(_), Event::LockLost) => self.leave(&[Action::AbortWork]),
-            // Work ends by itself when a publication of its was fenced: another candidate has the lock, or will have it.
+            // The work also ends when one of its publications was fenced: another candidate has or will get
+            // the lock.
             (State::Owning(_) | State::Finishing(..), Event::WorkEnded) => self.leave(&[Action::ReleaseLock]),
             (State::Finishing(..), Event::LockLost) => self.leave(&[Action::AbortWork]),
             (State::Finishing(_, deadline), Event::Tick) if now >= deadline => {
@@ -109,7 +111,7 @@
         actions.to_vec()
     }
 
-    /// Leaves the role, and requests the lock again while the role is assigned.
+    /// Leaves the role. Requests the lock again if the role is still assigned to this candidate.
     fn leave(&mut self, actions: &[Action]) -> Vec<Action> {
         self.state = if self.is_assigned { State::AwaitingLock } else { State::Idle };
         let request = self.is_assigned.then_some(Action::RequestLock);
--- a/quota-gateway/singleton-roles/src/run/candidate.rs
+++ b/quota-gateway/singleton-roles/src/run/candidate.rs
@@ -1,4 +1,5 @@
-//! A candidate: one session after the other, in each its entry, its view and a runner for each role.
+//! A candidate. It opens a session, publishes its entry, follows the view and runs each role, and starts over
+//! with a new session when the session is lost.
 
 use super::follow::follow;
 use super::lease::Lease;
@@ -19,7 +20,8 @@
 use tokio::time::sleep;
 use tracing::warn;
 
-/// Runs a candidate for roles without end; `work` does the work of one until its lease must finish or is lost.
+/// Runs a candidate for roles, and never returns. `work` performs the work of an owned role until its lease
+/// must finish or is lost.
 pub async fn run_candidate<W, F>(
     client: Client,
     settings: Settings,
@@ -32,20 +34,21 @@
 {
     let keys = Keys::of(&settings.fleet);
     loop {
-        // A new session after each that is lost, since the candidate's entries and locks end with it.
+        // A lost session is replaced by a new one, because the candidate's entry and locks end with the
+        // session.
         match client.session(&settings.name, settings.session_ttl, CALL_TIMEOUT).await {
             Ok(session) => {
                 run_session(&client, &settings, &keys, session, roles, &metrics, work.clone()).await;
-                warn!("the session is over; this one owns nothing until it has another");
+                warn!("the session has ended; this candidate owns no roles until it has a new session");
             }
-            Err(e) => warn!("no session: {e}"),
+            Err(e) => warn!("cannot open a session: {e}"),
         }
         metrics.owned_roles.borrow_mut().clear();
         sleep(RETRY_DELAY).await;
     }
 }
 
-/// Returns the owner that each role should have by a view.
+/// Returns the candidate that should own each role, based on a view.
 fn assignments(view: &View, keys: &Keys, roles: &[&str]) -> BTreeMap<String, Option<String>> {
     let under = |kind: &str| format!("{}{kind}/", keys.prefix);
     let (candidates, owners, commands) = (under("candidate"), under("owner"), under("order"));
@@ -64,7 +67,7 @@
     assign(roles, &candidates, &owners, &commands)
 }
 
-/// Is a candidate during one session.
+/// Runs the candidate for the duration of one session.
 async fn run_session<W, F>(
     client: &Client,
     settings: &Settings,
@@ -85,7 +88,7 @@
         owner: Owner::Session(session.id()),
     };
     if let Err(e) = session.call(put, CALL_TIMEOUT).await {
-        warn!("not a candidate: {e}");
+        warn!("cannot publish the candidate's entry: {e}");
         return;
     }
     let (assignments_sender, _) = watch::channel(BTreeMap::new());
@@ -128,7 +131,8 @@
     }
     session.let_lapse();
     for task in runners {
-        // Each ends by itself, as its lock is no longer valid; one that panicked has ended, too.
+        // Each runner ends because the session has ended. An error means that it panicked, so it has ended
+        // too.
         let _ = task.await;
     }
     follower.abort();
--- a/quota-gateway/singleton-roles/src/run/follow.rs
+++ b/quota-gateway/singleton-roles/src/run/follow.rs
@@ -1,4 +1,4 @@
-//! Follows what is published in the coordination service.
+//! Follows the entries published in the coordination service.
 
 use super::timing::{CALL_TIMEOUT, RENEW_INTERVAL, RETRY_DELAY};
 use crate::view::View;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Follows all entries under a prefix without end, and calls `on_view` with the view after each response.
+/// Follows all entries under a prefix, and calls `on_view` with the view after each response. Never returns.
 pub async fn follow(client: Client, prefix: String, clock: impl Fn() -> Duration, on_view: impl Fn(&View)) {
     let mut view = View::default();
     loop {
--- a/quota-gateway/singleton-roles/src/run/lease.rs
+++ b/quota-gateway/singleton-roles/src/run/lease.rs
@@ -1,4 +1,5 @@
-//! The lease of an owned role: what its work may publish, and when it must end.
+//! The lease of an owned role. It publishes values while the lock is valid, and signals when the work must
+//! end.
 
 use super::timing::CALL_TIMEOUT;
 use crate::keys::Keys;
@@ -14,20 +15,20 @@
 /// The result of a publication by an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PublishOutcome {
-    /// It is published.
+    /// The value is published.
     Published,
-    /// It may be published now or later.
+    /// The result is unknown: the value may have been published or may be published later.
     Unknown,
-    /// The lock is lost, so that nothing is published any more, and the work must end.
+    /// The lock is lost. Nothing more can be published, and the work must end.
     LeaseLost,
 }
 
-/// The lease of an owned role, for the work on it.
+/// The lease of an owned role. It is passed to the work of the role.
 #[derive(Clone)]
 pub struct Lease {
     /// Name of the role.
     pub role: String,
-    /// The fencing token that it was acquired under.
+    /// The fencing token of the lock.
     pub token: u64,
     /// Keys of the fleet in the coordination service.
     pub keys: Keys,
@@ -39,12 +40,12 @@
 }
 
 impl Lease {
-    /// Returns the fencing token, if the lock is still valid now.
+    /// Returns the fencing token if the lock is still valid.
     pub fn valid_token(&self) -> Option<u64> {
         self.lock.borrow().as_ref().and_then(Lock::act)
     }
 
-    /// Returns whether the role is to go to another candidate, so that the work must finish and end.
+    /// Returns whether the work must finish, because the role is assigned to another candidate.
     pub fn should_finish(&self) -> bool {
         *self.finish.borrow()
     }
@@ -61,13 +62,14 @@
             Ok(_) => PublishOutcome::Published,
             Err(CallError::Refused(Refused::Fenced(_))) => {
                 self.fenced_writes.set(self.fenced_writes.get() + 1);
-                warn!(duty = %self.role, token, "{}: a word under token {token} came too late and is refused", self.role);
+                warn!(duty = %self.role, token,
+                    "{}: a publication under token {token} came too late and is refused", self.role);
                 PublishOutcome::LeaseLost
             }
-            // Whether it took effect is unknown; the next publication supersedes it either way.
+            // It is unknown whether the write took effect. The next publication supersedes it in either case.
             Err(CallError::TimedOut) => unknown(),
             Err(e) => {
-                warn!(duty = %self.role, "{}: not published: {e}", self.role);
+                warn!(duty = %self.role, "{}: failed to publish: {e}", self.role);
                 unknown()
             }
         }
@@ -75,7 +77,7 @@
 
     /// Sleeps for a duration, or until the work must finish.
     pub async fn sleep_until_finish(&mut self, max: Duration) {
-        // Both ends of the wait mean the same to the caller, who checks `should_finish`.
+        // The caller checks `should_finish`, so it does not matter why the wait ended.
         let _ = timeout(max, self.finish.wait_for(|finish| *finish)).await;
     }
 }
--- a/quota-gateway/singleton-roles/src/run/mod.rs
+++ b/quota-gateway/singleton-roles/src/run/mod.rs
@@ -1,7 +1,8 @@
-//! Candidates and followers on the client of the coordination service.
+//! Candidates and followers, which use the client of the coordination service.
 //!
-//! A candidate follows the entries of its fleet, works out which roles it should own, and runs a state machine for each: the
-//! lock of a role alone decides who owns it, and each publication carries the lock's fencing token.
+//! A candidate follows the entries of its fleet, computes which roles it should own, and runs a state machine
+//! for each role. Only the lock of a role determines its owner, and each publication contains the lock's
+//! fencing token.
 
 mod candidate;
 mod follow;
--- a/quota-gateway/singleton-roles/src/run/role_runner.rs
+++ b/quota-gateway/singleton-roles/src/run/role_runner.rs
@@ -1,4 +1,4 @@
-//! Runs one role at one candidate: feeds events to its state machine, and performs the actions.
+//! Runs one role at one candidate: passes events to its state machine, and performs the actions.
 
 use super::lease::{Lease, PublishOutcome};
 use super::settings::{RoleMetrics, Settings};
@@ -26,7 +26,7 @@
     pub(super) role: String,
 }
 
-/// Aborts its task when it is dropped.
+/// The task that performs the work of a role. Dropping it aborts the task.
 struct WorkTask {
     task: JoinHandle<()>,
     finish: watch::Sender<bool>,
@@ -39,7 +39,7 @@
 }
 
 impl RoleRunner {
-    /// Runs until the session ends; `assigned` are the owners that all roles should have.
+    /// Runs until the session ends. `assigned` contains the candidate that should own each role.
     pub(super) async fn run<W, F>(
         self,
         mut assigned: watch::Receiver<BTreeMap<String, Option<String>>>,
@@ -51,7 +51,7 @@
         let started_at = Instant::now();
         let mut role = Role::default();
         let lock: Rc<RefCell<Option<Lock>>> = Rc::default();
-        let mut working: Option<WorkTask> = None;
+        let mut work_task: Option<WorkTask> = None;
         let (granted, mut grants) = mpsc::channel::<Option<Lock>>(1);
         let ended = Rc::new(Notify::new());
         while self.session.is_alive() {
@@ -75,7 +75,7 @@
             }
             for event in events {
                 for action in role.handle(started_at.elapsed(), event) {
-                    self.perform(action, &lock, &mut working, &granted, &ended, &work).await;
+                    self.perform(action, &lock, &mut work_task, &granted, &ended, &work).await;
                 }
             }
         }
@@ -87,7 +87,7 @@
         &self,
         action: Action,
         lock: &Rc<RefCell<Option<Lock>>>,
-        working: &mut Option<WorkTask>,
+        work_task: &mut Option<WorkTask>,
         granted: &mpsc::Sender<Option<Lock>>,
         ended: &Rc<Notify>,
         work: &W,
@@ -100,30 +100,30 @@
                 self.request_lock(granted.clone());
             }
             Action::StartWork(token) => {
-                *working = Some(self.start_work(token, lock, ended.clone(), work));
+                *work_task = Some(self.start_work(token, lock, ended.clone(), work));
             }
             Action::FinishWork => {
-                if let Some(working) = working {
-                    working.finish.send_replace(true);
+                if let Some(work_task) = work_task {
+                    work_task.finish.send_replace(true);
                 }
             }
             Action::AbortWork => {
-                *working = None;
-                self.record_role_lost("can no longer show its lock, or took too long to finish");
+                *work_task = None;
+                self.record_role_lost("the lock may no longer be valid, or the work did not finish in time");
             }
             Action::ReleaseLock => {
-                *working = None;
-                self.record_role_lost("given back");
+                *work_task = None;
+                self.record_role_lost("lock released");
                 let lock = lock.borrow_mut().take();
                 if let Some(lock) = lock {
-                    // A lock that could not be released ends with its session.
+                    // If the lock cannot be released, it ends with its session.
                     let _ = lock.release(CALL_TIMEOUT).await;
                 }
             }
         }
     }
 
-    /// Requests the lock of the role; the result comes through `granted`, after a delay if it is a failure.
+    /// Requests the lock of the role. The result is sent to `granted`, after a delay if the request failed.
     fn request_lock(&self, granted: mpsc::Sender<Option<Lock>>) {
         let (session, name) = (self.session.clone(), self.keys.lock(&self.role));
         spawn_local(async move {
@@ -131,12 +131,13 @@
             if lock.is_none() {
                 sleep(RETRY_DELAY).await;
             }
-            // The receiver is gone where the session has ended, and its locks with it.
+            // Fails only if the session has ended, and then its locks have ended too.
             let _ = granted.send(lock).await;
         });
     }
 
-    /// Publishes the owner, and then starts the work under its lease; `ended` is notified when it ends.
+    /// Starts a task that publishes the owner and then performs the work. `ended` is notified when the task
+    /// ends.
     fn start_work<W, F>(
         &self,
         token: u64,
@@ -177,10 +178,10 @@
         WorkTask { task, finish }
     }
 
-    /// Takes the role out of the metrics, and logs why, if this candidate owned it.
+    /// Removes the role from the metrics and logs the reason, if this candidate owned it.
     fn record_role_lost(&self, reason: &str) {
         if self.metrics.owned_roles.borrow_mut().remove(&self.role).is_some() {
-            info!(duty = %self.role, "owns {} no longer: {reason}", self.role);
+            info!(duty = %self.role, "no longer owns {}: {reason}", self.role);
         }
     }
 }
--- a/quota-gateway/singleton-roles/src/run/settings.rs
+++ b/quota-gateway/singleton-roles/src/run/settings.rs
@@ -13,19 +13,19 @@
     pub fleet: String,
     /// Name of the candidate, unique in the fleet.
     pub name: String,
-    /// What it publishes of itself.
+    /// The entry that the candidate publishes.
     pub candidate: Candidate,
-    /// Time to live of its session.
+    /// Time to live of the candidate's session.
     pub session_ttl: Duration,
 }
 
 /// Metrics of a candidate.
 #[derive(Default)]
 pub struct RoleMetrics {
-    /// Fencing tokens of the roles that it owns, by role.
+    /// Fencing tokens of the roles that the candidate owns, by role.
     pub owned_roles: RefCell<BTreeMap<String, u64>>,
-    /// Publications that were rejected, as another candidate owns the role.
+    /// Number of publications that were rejected because another candidate owns the role.
     pub fenced_writes: Rc<Cell<u64>>,
-    /// Roles acquired so far.
+    /// Number of times that the candidate has acquired a role.
     pub acquisitions: Cell<u64>,
 }
--- a/quota-gateway/singleton-roles/src/run/timing.rs
+++ b/quota-gateway/singleton-roles/src/run/timing.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-/// Timeout of a call to the coordination service; what it would have changed is retried.
+/// Timeout of a call to the coordination service. Callers retry after it.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Interval at which a follower polls at least, so that what it has is renewed.
+/// Longest time for which a follower waits for changes. It then polls again, which renews its view.
 pub(super) const RENEW_INTERVAL: Duration = Duration::from_secs(1);
 /// Delay after a failed attempt.
 pub(super) const RETRY_DELAY: Duration = Duration::from_millis(200);
--- a/quota-gateway/singleton-roles/src/view.rs
+++ b/quota-gateway/singleton-roles/src/view.rs
@@ -1,4 +1,4 @@
-//! What was read of the coordination service under one prefix, and as of which instant.
+//! The entries read from the coordination service under one prefix, and the instant of the read.
 
 use marblecroft_coordination::state::{Change, Revision};
 use std::collections::BTreeMap;
@@ -7,21 +7,22 @@
 /// An instant of the reader's monotonic clock.
 pub type Now = Duration;
 
-/// Upper bound of the entries of a view; further ones are dropped and counted.
+/// Maximum number of entries of a view. Further entries are dropped and counted.
 pub const MAX_ENTRIES: usize = 8192;
 
 /// The entries under one prefix.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     values: BTreeMap<String, Vec<u8>>,
-    /// An instant before the last request was sent: the entries were complete then or later.
+    /// An instant before the last successful request was sent. The entries were complete then or later.
     as_of: Option<Now>,
-    /// Entries that were dropped so far, as there were too many.
+    /// Number of entries that were dropped because there were too many.
     pub dropped_entries: u64,
 }
 
 impl View {
-    /// Replaces all entries by those of a full read; `requested_at` is an instant before its request was sent.
+    /// Replaces all entries by those of a full read. `requested_at` is an instant before the request was
+    /// sent.
     pub fn reset(&mut self, requested_at: Now, values: Vec<(String, Vec<u8>, Revision)>) {
         self.dropped_entries += values.len().saturating_sub(MAX_ENTRIES) as u64;
         self.values = values.into_iter().take(MAX_ENTRIES).map(|(key, value, _)| (key, value)).collect();
@@ -57,13 +58,13 @@
         self.values.get(key).map(Vec::as_slice)
     }
 
-    /// Returns the entries whose keys begin with `prefix`, each with the rest of its key.
+    /// Returns the entries whose keys begin with `prefix`. The prefix is removed from the returned keys.
     pub fn entries_under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a [u8])> {
         let from = self.values.range(prefix.to_owned()..);
         from.map_while(move |(key, value)| Some((key.strip_prefix(prefix)?, value.as_slice())))
     }
 
-    /// Returns an instant at or after which the entries were complete; `None` before the first read.
+    /// Returns the instant at or after which the entries were complete, or `None` before the first read.
     pub fn as_of(&self) -> Option<Now> {
         self.as_of
     }
