--- a/quota-gateway/work-handoff/src/lib.rs
+++ b/quota-gateway/work-handoff/src/lib.rs
@@ -1,10 +1,9 @@
-//! Handoff of requests in flight from a gateway that was lost to its successors: the records, the commands that write them, and
-//! what a successor does with each. The records are kept in the coordination service, under the fencing tokens of its locks;
-//! here is no I/O.
+//! Handoff of the requests of a failed gateway to its successors. The records of requests are stored in the
+//! coordination service and are written under the fencing tokens of its locks. This crate performs no I/O.
 //!
-//! - [`record`]: a request that was accepted, how far it has come, and its encoding.
-//! - [`work_log`]: the commands that write records, each under the owner's token and on top of a known revision.
-//! - [`takeover`]: what a successor does with a record.
+//! - [`record`]: the record of an accepted request with its progress, and the encoding of records.
+//! - [`work_log`]: the operations that write records, conditional on the owner's token and the last revision.
+//! - [`takeover`]: the steps of a successor that has taken over a record.
 #![forbid(unsafe_code)]
 
 pub mod record;
--- a/quota-gateway/work-handoff/src/record.rs
+++ b/quota-gateway/work-handoff/src/record.rs
@@ -1,125 +1,127 @@
-//! A request that was accepted, and how far it has come.
+//! The record of an accepted request and its progress.
 //!
-//! A record holds no instant, as no two processes share a clock: it holds how much time remained when it was written, and its
-//! reader subtracts the record's age.
+//! A record contains no absolute times, because processes do not share a clock. It contains the time that
+//! remained when it was written, and the reader subtracts the age of the record.
 
 use marblecroft_coordination::state::bounds;
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-/// The version of the encoding: the version in one byte, CRC-32 (little endian) of what follows, and the record in postcard.
+/// The version of the encoding. An encoded record consists of the version in one byte, the CRC-32
+/// (little-endian) of the remaining bytes, and the record in postcard.
 pub const VERSION: u8 = 1;
 /// The length of version and checksum.
 const HEADER_BYTES: usize = 5;
-/// The largest request that is recorded, with its head and body.
+/// Maximum size of a recorded request, including head and body.
 pub const MAX_REQUEST_BYTES: usize = 60 << 10;
-/// The largest encoded record: a value of the coordination service.
+/// Maximum size of an encoded record, which is a value of the coordination service.
 pub const MAX_RECORD_BYTES: usize = bounds::MAX_VALUE_BYTES;
-/// The largest number of attempts of a request, over all its owners.
+/// Maximum number of attempts of a request by all its owners.
 pub const MAX_ATTEMPTS: u8 = 4;
-/// The longest name of a server.
+/// Maximum length of a server's name.
 const MAX_NAME_BYTES: usize = 256;
 
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RequestClass {
-    /// Several executions have the effect of one.
+    /// Several executions have the same effect as one.
     Idempotent,
-    /// It must not be executed twice.
+    /// The request must not be executed more than once.
     NonIdempotent,
 }
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RequestOutcome {
-    /// With a pay server's response: status, head and body, as far as they are stored.
+    /// A pay server has responded. Contains the stored part of the response: status, head and body.
     Completed(Vec<u8>),
-    /// Without an execution, as no time or attempt remained. An idempotent request may have been executed.
+    /// No time or no attempt remained. A non-idempotent request was not executed; an idempotent one may have
+    /// been.
     Abandoned,
-    /// An attempt may have been executed; there is no way to find out.
+    /// An attempt may have been executed, and this cannot be determined.
     Unknown,
 }
 
-/// How far a request has come.
+/// The progress of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Stage {
     /// No attempt is in flight: none was sent, or the last one ended without being executed.
     Accepted,
-    /// An attempt may be sent from now on.
+    /// An attempt may be in flight.
     Intent {
-        /// The server that it is for.
+        /// The server of the attempt.
         server: String,
-        /// How long it can be in flight, in milliseconds from this record on.
+        /// Maximum time that the attempt can be in flight, in milliseconds after this record was written.
         max_attempt_ms: u32,
     },
     /// The request has ended.
     Outcome(RequestOutcome),
 }
 
-/// A request that was accepted. The encoding is by position.
+/// The record of an accepted request. Fields are encoded by position.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Whether it may be executed more than once.
+    /// Whether the request may be executed more than once.
     pub class: RequestClass,
-    /// The number of its customer.
+    /// The number of the customer.
     pub customer: u64,
-    /// Digest of method, path and body, by which another request under the same id is detected.
+    /// Digest of method, path and body. It detects a different request with the same id.
     pub digest: u32,
-    /// The request as it is forwarded; empty once it has ended.
+    /// The request as it is forwarded. Empty if the request has ended.
     pub request: Vec<u8>,
-    /// Time to its deadline when this was written, in milliseconds.
+    /// Time to the deadline when this record was written, in milliseconds.
     pub remaining_ms: u32,
-    /// Number of attempts that may have been sent, by all owners.
+    /// Number of attempts that may have been sent by all owners.
     pub attempts: u8,
-    /// Whether its unit was charged to its customer's quota.
+    /// Whether the request was charged to the customer's quota.
     pub quota_charged: bool,
-    /// How far it has come.
+    /// The progress of the request.
     pub stage: Stage,
 }
 
 quick_error! {
-    /// Why bytes are no record, or a record cannot be stored.
+    /// Why bytes are not a valid record, or a record cannot be stored.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum RecordError {
-        /// Shorter than version and checksum.
+        /// The bytes are shorter than version and checksum.
         Truncated {
-            display("too short for a record")
+            display("record truncated")
         }
-        /// Written in another version of the encoding.
+        /// The record has another version of the encoding.
         UnsupportedVersion(version: u8) {
-            display("a record of version {version}, this program reads {VERSION}")
+            display("record has version {version}, expected {VERSION}")
         }
-        /// The checksum is another one than that of the record.
+        /// The checksum does not match the record.
         ChecksumMismatch {
-            display("a record whose checksum is wrong")
+            display("record checksum mismatch")
         }
         /// The bytes after the checksum are not exactly one record.
         Malformed {
-            display("a record with an impossible form")
+            display("malformed record")
         }
-        /// More attempts than [`MAX_ATTEMPTS`].
+        /// There are more attempts than [`MAX_ATTEMPTS`].
         TooManyAttempts {
-            display("a record with an impossible number of attempts")
+            display("invalid record: more than {MAX_ATTEMPTS} attempts")
         }
-        /// An intent that is not counted as an attempt.
+        /// An intent is not counted as an attempt.
         IntentWithoutAttempt {
-            display("a record with an impossible intent without an attempt")
+            display("invalid record: intent without an attempt")
         }
-        /// An intent of a request that was not charged.
+        /// The request has an intent, but was not charged.
         IntentWithoutCharge {
-            display("a record with an impossible intent without its unit")
+            display("invalid record: intent without a quota charge")
         }
         /// The name of the server is empty or too long.
         InvalidServer {
-            display("a record with an impossible server")
+            display("invalid record: server name empty or longer than {MAX_NAME_BYTES} bytes")
         }
-        /// An outcome that needs an attempt, and there was none.
+        /// The outcome requires an attempt, but there was none.
         OutcomeWithoutAttempt {
-            display("a record with an impossible outcome of no attempt")
+            display("invalid record: outcome without an attempt")
         }
-        /// Larger than [`MAX_REQUEST_BYTES`] or [`MAX_RECORD_BYTES`].
+        /// The request is larger than [`MAX_REQUEST_BYTES`] or the record larger than [`MAX_RECORD_BYTES`].
         TooLarge {
-            display("larger than the ledger takes")
+            display("record too large")
         }
     }
 }
@@ -129,7 +131,7 @@
     ///
     /// # Errors
     ///
-    /// [`RecordError`] if it is too large, or in a state that no owner writes.
+    /// [`RecordError`] if the record is too large or in an invalid state.
     pub fn encode(&self) -> Result<Vec<u8>, RecordError> {
         self.check()?;
         if self.request.len() > MAX_REQUEST_BYTES {
@@ -150,7 +152,7 @@
     ///
     /// # Errors
     ///
-    /// [`RecordError`] if the bytes are not exactly one record, or one in a state that no owner writes.
+    /// [`RecordError`] if the bytes are not exactly one record, or the record is in an invalid state.
     pub fn decode(bytes: &[u8]) -> Result<Record, RecordError> {
         let Some((header, body)) = bytes.split_first_chunk::<HEADER_BYTES>() else {
             return Err(RecordError::Truncated);
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Rejects states that no owner writes, on encoding as well as on decoding.
+    /// Rejects states that no owner writes. Called when encoding and when decoding.
     fn check(&self) -> Result<(), RecordError> {
         if self.attempts > MAX_ATTEMPTS {
             return Err(RecordError::TooManyAttempts);
--- a/quota-gateway/work-handoff/tests/golden.rs
+++ b/quota-gateway/work-handoff/tests/golden.rs
@@ -1,8 +1,9 @@
-//! Recorded bytes of the ledger's records.
+//! Golden tests of the encoding of records.
 //!
-//! The fixtures were written by one run of the code of the day on which they were recorded. Each test encodes fixed values
-//! and compares with the fixture, decodes the fixture, and encodes what was decoded to the same bytes. A type or field that
-//! is renamed in the program is renamed in the construction code here; the fixtures stay.
+//! The fixtures were recorded by one run of an earlier version of the code. Each test encodes fixed values
+//! and compares them with the fixture, decodes the fixture, and checks that the decoded value is encoded to
+//! the same bytes. If a type or field is renamed, only the code that constructs the values here changes; the
+//! fixtures do not.
 
 #[path = "../../../testing/support/golden/mod.rs"]
 mod golden;
@@ -24,21 +25,21 @@
     }
 }
 
-/// Each stage and each end, and what its fixture is called.
+/// Returns a record of each stage and outcome, with the name of its fixture.
 fn records() -> Vec<(&'static str, Record)> {
     let intent = Stage::Intent { server: "server-5".to_owned(), max_attempt_ms: 1234 };
-    let answered = RequestOutcome::Completed(b"HTTP/1.1 200 OK\r\n\r\npaid".to_vec());
+    let completed = RequestOutcome::Completed(b"HTTP/1.1 200 OK\r\n\r\npaid".to_vec());
     vec![
         ("accepted.hex", record(RequestClass::Idempotent, 0, Stage::Accepted)),
         ("intent.hex", record(RequestClass::NonIdempotent, 1, intent)),
-        ("answered.hex", record(RequestClass::Idempotent, 2, Stage::Outcome(answered))),
+        ("answered.hex", record(RequestClass::Idempotent, 2, Stage::Outcome(completed))),
         ("given-up.hex", record(RequestClass::NonIdempotent, 3, Stage::Outcome(RequestOutcome::Abandoned))),
         ("unknown.hex", record(RequestClass::NonIdempotent, 4, Stage::Outcome(RequestOutcome::Unknown))),
     ]
 }
 
 #[test]
-fn records_keep_their_bytes() {
+fn records_have_a_stable_encoding() {
     for (fixture, record) in records() {
         same_bytes(fixture, &record.encode().expect("it fits"));
         let read = Record::decode(&bytes(fixture)).unwrap_or_else(|e| panic!("{fixture}: {e}"));
@@ -47,9 +48,10 @@
     }
 }
 
-/// Another shard or key, and a successor would not find what was written before.
+/// If the shard or key of a record changed, a successor would not find records that another version has
+/// written.
 #[test]
-fn records_keep_their_place() {
-    let place = RecordKey { owner: "gateway-3".to_owned(), trace: "4bf92f3577b34da6".to_owned() };
-    golden::same_text("place.txt", &format!("{} {}", place.shard(), place.key()));
+fn records_have_stable_shards_and_keys() {
+    let record_key = RecordKey { owner: "gateway-3".to_owned(), trace: "4bf92f3577b34da6".to_owned() };
+    golden::same_text("place.txt", &format!("{} {}", record_key.shard(), record_key.key()));
 }
--- a/quota-gateway/work-handoff/tests/interleavings.rs
+++ b/quota-gateway/work-handoff/tests/interleavings.rs
@@ -1,6 +1,7 @@
-//! One request, its owner, two successors, the ledger with the real state machine of the coordination service, a pay server with
-//! and without receipts, in all interleavings: calls, answers and attempts that are late, processes that crash, stand still and
-//! wake, sessions that end under a process that lives. And mutations, each of which must be caught.
+//! Model checks the handoff of one request in all interleavings. The model has the owner, two successors, a
+//! server with or without receipts, and the coordination service (`ledger`) with its real state machine.
+//! Calls, replies and attempts are delayed, gateways crash, pause and resume, and sessions expire while their
+//! gateways are running. Each mutation of the protocol must violate a property.
 
 use marblecroft_coordination::state::{ClientId, Command, Done, Op, Outcome, Owner, SessionId, State, Token};
 use marblecroft_work_handoff::record::{Record, RequestClass, RequestOutcome, Stage};
@@ -13,40 +14,40 @@
 use std::time::Duration;
 
 const OWNER: usize = 0;
-const LEFT_MS: u32 = 10_000;
-const OUT_MS: u32 = 1_000;
+const REMAINING_MS: u32 = 10_000;
+const MAX_ATTEMPT_MS: u32 = 1_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
-    /// An attempt is written before its intent is acknowledged.
-    NoIntent,
-    /// The ledger asks neither for the token nor for the revision.
-    NoGuard,
-    /// A successor sends again what may have run and must not run twice.
-    ResendUnsafe,
-    /// A successor asks for no seal where there are receipts.
-    NoSeal,
-    /// The server forgets what it has sealed.
-    SealForgotten,
-    /// A successor counts the unit as its own.
-    CountAgain,
+    /// An attempt is sent before its intent is acknowledged.
+    SendBeforeIntent,
+    /// The ledger checks neither the token nor the revision of a write.
+    UnguardedWrite,
+    /// A successor repeats a non-idempotent request that may have been executed.
+    ResendNonIdempotent,
+    /// A successor does not request a seal, although the server stores receipts.
+    SkipSeal,
+    /// The server does not store a seal.
+    LoseSeal,
+    /// A successor charges the quota again.
+    ChargeTwice,
 }
 
 #[derive(Clone, Debug)]
 struct Config {
     class: RequestClass,
-    receipts: bool,
-    /// Accepted first, and sent later: two writes.
+    has_receipts: bool,
+    /// The request is recorded as accepted before the intent is written, which takes two writes.
     queued: bool,
     faults: u8,
-    /// Attempts that the server turns away unrun.
-    bounces: u8,
+    /// Number of attempts that the server rejects without executing them.
+    server_rejections: u8,
     mutation: Mutation,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Asked {
+enum PendingCall {
     Claim,
     Accept,
     Intent,
@@ -54,76 +55,76 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum At {
+enum Phase {
     Idle,
-    Asked(Asked),
-    /// It has the lock, and may look at the work.
-    Holds,
-    /// Its clock has said that it holds the lock: it may stop here.
-    MaySend,
-    Out,
+    AwaitingReply(PendingCall),
+    /// Holds the lock and can process the record.
+    Owning,
+    /// Has checked by its own clock that its session is valid. It can be paused before it sends the attempt.
+    ReadyToSend,
+    InFlight,
     Sealing,
     Done,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Agent {
-    up: bool,
-    still: bool,
-    /// By its own clock it holds its session.
-    lives: bool,
-    number: u64,
+struct Gateway {
+    is_running: bool,
+    is_paused: bool,
+    /// Whether the session is valid according to the gateway's own clock.
+    is_session_valid: bool,
+    call_number: u64,
     token: Token,
-    at: At,
+    phase: Phase,
     entry: Option<Entry>,
-    /// What it is about to write counts the unit.
-    counts: bool,
-    /// It has waited until the old attempt can be out no longer.
+    /// Whether its pending write charges the quota.
+    charges_quota: bool,
+    /// Whether it has waited until the old attempt can no longer be in flight.
     waited: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Wire {
+enum Message {
     Call(usize, u64, Vec<u8>),
-    Answer(usize, Vec<u8>),
+    CallReply(usize, Vec<u8>),
     Attempt(usize, Token),
-    Reply(usize, bool),
+    AttemptReply(usize, bool),
     Seal(usize, Token),
     Receipt(usize, bool),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Play {
+struct System {
     ledger: State,
-    agents: Vec<Agent>,
-    wire: Vec<Wire>,
+    gateways: Vec<Gateway>,
+    messages: Vec<Message>,
     sealed: Token,
-    runs: u8,
-    units: u8,
-    /// What whoever asks was told: that it was served, was given up, or is unknown.
-    told: [bool; 3],
+    executions: u8,
+    quota_charges: u8,
+    /// Which outcomes were reported to clients: completed, abandoned, unknown.
+    reported: [bool; 3],
     faults: u8,
-    bounces: u8,
+    server_rejections: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    Go(usize),
+    Step(usize),
     Deliver(usize),
-    Bounce(usize),
+    RejectAttempt(usize),
     TimePasses(usize),
     Crash(usize),
-    Stop(usize),
-    Wake(usize),
-    /// A session ends: after its holder's own clock has said so.
-    End(usize),
+    Pause(usize),
+    Resume(usize),
+    /// A session ends. By then the gateway's own clock has shown that it is no longer valid.
+    ExpireSession(usize),
 }
 
-fn session(agent: usize) -> SessionId {
-    SessionId(agent as u64 + 1)
+fn session(gateway: usize) -> SessionId {
+    SessionId(gateway as u64 + 1)
 }
 
-fn place() -> RecordKey {
+fn record_key() -> RecordKey {
     RecordKey { owner: "g".to_owned(), trace: "t".to_owned() }
 }
 
@@ -131,47 +132,47 @@
     postcard::to_stdvec(value).expect("small")
 }
 
-impl Play {
-    fn call(&mut self, agent: usize, op: &Op, asked: Asked) {
-        let of = &mut self.agents[agent];
-        of.number += 1;
-        of.at = At::Asked(asked);
-        let call = Wire::Call(agent, of.number, bytes(op));
-        self.wire.push(call);
+impl System {
+    fn call(&mut self, gateway: usize, op: &Op, pending: PendingCall) {
+        let state = &mut self.gateways[gateway];
+        state.call_number += 1;
+        state.phase = Phase::AwaitingReply(pending);
+        let call = Message::Call(gateway, state.call_number, bytes(op));
+        self.messages.push(call);
     }
 
-    fn write(&mut self, agent: usize, entry: Entry, asked: Asked, config: &Config) {
-        let op = entry.put_operation(self.agents[agent].token).expect("it fits");
+    fn write(&mut self, gateway: usize, entry: Entry, pending: PendingCall, config: &Config) {
+        let op = entry.put_operation(self.gateways[gateway].token).expect("it fits");
         let op = match op {
-            Op::Put { key, value, .. } if config.mutation == Mutation::NoGuard => {
+            Op::Put { key, value, .. } if config.mutation == Mutation::UnguardedWrite => {
                 Op::Put { key, value, expect: None, owner: Owner::Nobody }
             }
             op => op,
         };
-        self.agents[agent].entry = Some(entry);
-        self.call(agent, &op, asked);
+        self.gateways[gateway].entry = Some(entry);
+        self.call(gateway, &op, pending);
     }
 
-    fn intend(&mut self, agent: usize, entry: &Entry, config: &Config) {
-        let Some(next) = entry.with_intent("s", LEFT_MS, OUT_MS) else {
-            return self.agents[agent].at = At::Done;
+    fn write_intent(&mut self, gateway: usize, entry: &Entry, config: &Config) {
+        let Some(next) = entry.with_intent("s", REMAINING_MS, MAX_ATTEMPT_MS) else {
+            return self.gateways[gateway].phase = Phase::Done;
         };
-        self.agents[agent].counts = next.record.quota_charged && !entry.record.quota_charged;
-        self.write(agent, next, Asked::Intent, config);
-        if config.mutation == Mutation::NoIntent {
-            self.agents[agent].at = At::MaySend;
+        self.gateways[gateway].charges_quota = next.record.quota_charged && !entry.record.quota_charged;
+        self.write(gateway, next, PendingCall::Intent, config);
+        if config.mutation == Mutation::SendBeforeIntent {
+            self.gateways[gateway].phase = Phase::ReadyToSend;
         }
     }
 
-    fn end(&mut self, agent: usize, entry: &Entry, ended: RequestOutcome, config: &Config) {
-        match entry.with_outcome(ended) {
-            Some(next) => self.write(agent, next, Asked::Outcome, config),
-            None => self.agents[agent].at = At::Done,
+    fn write_outcome(&mut self, gateway: usize, entry: &Entry, outcome: RequestOutcome, config: &Config) {
+        match entry.with_outcome(outcome) {
+            Some(next) => self.write(gateway, next, PendingCall::Outcome, config),
+            None => self.gateways[gateway].phase = Phase::Done,
         }
     }
 
-    fn tell(&mut self, ended: &RequestOutcome) {
-        self.told[match ended {
+    fn report_outcome(&mut self, outcome: &RequestOutcome) {
+        self.reported[match outcome {
             RequestOutcome::Completed(_) => 0,
             RequestOutcome::Abandoned => 1,
             RequestOutcome::Unknown => 2,
@@ -179,394 +180,421 @@
     }
 
     fn record(&self) -> Option<Entry> {
-        let value = self.ledger.value(&place().key())?;
-        let record = Record::decode(&value.value).expect("nobody else writes there");
-        Some(Entry { key: place(), revision: value.revision, record })
+        let value = self.ledger.value(&record_key().key())?;
+        let record = Record::decode(&value.value).expect("all writers encode records");
+        Some(Entry { key: record_key(), revision: value.revision, record })
     }
 
-    fn follow(&mut self, agent: usize, entry: &Entry, what: TakeoverStep, config: &Config) {
-        match what {
-            TakeoverStep::Report(ended) => {
-                self.tell(&ended);
-                self.agents[agent].at = At::Done;
+    fn execute(&mut self, gateway: usize, entry: &Entry, step: TakeoverStep, config: &Config) {
+        match step {
+            TakeoverStep::Report(outcome) => {
+                self.report_outcome(&outcome);
+                self.gateways[gateway].phase = Phase::Done;
             }
-            TakeoverStep::Send => self.intend(agent, entry, config),
-            // Time passes by an action of its own.
-            TakeoverStep::Wait(_) => self.agents[agent].at = At::Holds,
+            TakeoverStep::Send => self.write_intent(gateway, entry, config),
+            // The wait is the separate action `TimePasses`.
+            TakeoverStep::Wait(_) => self.gateways[gateway].phase = Phase::Owning,
             TakeoverStep::Seal => {
-                self.agents[agent].entry = Some(entry.clone());
-                self.agents[agent].at = At::Sealing;
-                let seal = Wire::Seal(agent, self.agents[agent].token);
-                self.wire.push(seal);
+                self.gateways[gateway].entry = Some(entry.clone());
+                self.gateways[gateway].phase = Phase::Sealing;
+                let seal = Message::Seal(gateway, self.gateways[gateway].token);
+                self.messages.push(seal);
             }
-            TakeoverStep::Finish(ended) => self.end(agent, entry, ended, config),
+            TakeoverStep::Finish(outcome) => self.write_outcome(gateway, entry, outcome, config),
         }
     }
 
-    /// A process takes its next step of its own accord.
-    fn go(&mut self, agent: usize, config: &Config) {
-        match (self.agents[agent].at, agent) {
-            (At::Idle, OWNER) => {
+    /// Executes the next step of a gateway that does not depend on a message.
+    fn step(&mut self, gateway: usize, config: &Config) {
+        match (self.gateways[gateway].phase, gateway) {
+            (Phase::Idle, OWNER) => {
                 let record = Record {
                     class: config.class,
                     customer: 1,
                     digest: 1,
                     request: vec![1],
-                    remaining_ms: LEFT_MS,
+                    remaining_ms: REMAINING_MS,
                     attempts: 0,
                     quota_charged: false,
                     stage: Stage::Accepted,
                 };
-                let entry = Entry::accepted(place(), record);
+                let entry = Entry::accepted(record_key(), record);
                 if config.queued {
-                    self.write(agent, entry, Asked::Accept, config);
+                    self.write(gateway, entry, PendingCall::Accept, config);
                 } else {
-                    self.intend(agent, &entry, config);
+                    self.write_intent(gateway, &entry, config);
                 }
             }
-            (At::Idle, _) => {
-                let lock = place().lock();
-                self.call(agent, &Op::Acquire { session: session(agent), lock, wait: false }, Asked::Claim);
+            (Phase::Idle, _) => {
+                let lock = record_key().lock();
+                self.call(
+                    gateway,
+                    &Op::Acquire { session: session(gateway), lock, wait: false },
+                    PendingCall::Claim,
+                );
             }
-            (At::Holds, OWNER) => {
-                let entry = self.agents[agent].entry.clone().expect("it was accepted");
-                self.intend(agent, &entry, config);
+            (Phase::Owning, OWNER) => {
+                let entry = self.gateways[gateway].entry.clone().expect("it was accepted");
+                self.write_intent(gateway, &entry, config);
             }
-            (At::Holds, _) => {
+            (Phase::Owning, _) => {
                 let Some(mut entry) = self.record() else {
-                    // Nothing was taken there.
-                    return self.agents[agent].at = At::Done;
+                    // No request was accepted.
+                    return self.gateways[gateway].phase = Phase::Done;
                 };
-                if config.mutation == Mutation::CountAgain {
+                if config.mutation == Mutation::ChargeTwice {
                     entry.record.quota_charged = false;
                 }
-                let waited = self.agents[agent].waited;
-                let age = Duration::from_millis(if waited { OUT_MS.into() } else { 0 });
-                let owner_dead = !self.agents[OWNER].up;
-                let receipts = config.receipts && config.mutation != Mutation::NoSeal;
-                let mut what = next_step(
+                let waited = self.gateways[gateway].waited;
+                let age = Duration::from_millis(if waited { MAX_ATTEMPT_MS.into() } else { 0 });
+                let is_owner_terminated = !self.gateways[OWNER].is_running;
+                let has_receipts = config.has_receipts && config.mutation != Mutation::SkipSeal;
+                let mut step = next_step(
                     &entry.record,
-                    TakeoverContext {
-                        age,
-                        has_receipts: receipts,
-                        is_owner_dead: owner_dead,
-                        allows_overlap: false,
-                    },
+                    TakeoverContext { age, has_receipts, is_owner_terminated, allows_overlap: false },
                 );
-                let unsafe_again = [Mutation::ResendUnsafe, Mutation::NoSeal].contains(&config.mutation);
-                if unsafe_again && what == TakeoverStep::Finish(RequestOutcome::Unknown) {
-                    what = TakeoverStep::Send;
+                let resends = [Mutation::ResendNonIdempotent, Mutation::SkipSeal].contains(&config.mutation);
+                if resends && step == TakeoverStep::Finish(RequestOutcome::Unknown) {
+                    step = TakeoverStep::Send;
                 }
-                self.follow(agent, &entry, what, config);
+                self.execute(gateway, &entry, step, config);
             }
-            (At::MaySend, _) => {
-                let attempt = Wire::Attempt(agent, self.agents[agent].token);
-                self.wire.push(attempt);
-                self.agents[agent].at = At::Out;
+            (Phase::ReadyToSend, _) => {
+                let attempt = Message::Attempt(gateway, self.gateways[gateway].token);
+                self.messages.push(attempt);
+                self.gateways[gateway].phase = Phase::InFlight;
             }
             _ => {}
         }
     }
 
-    fn answered(&mut self, agent: usize, outcome: &Outcome) {
-        let lives = self.agents[agent].lives;
-        let At::Asked(asked) = self.agents[agent].at else { return };
-        let of = &mut self.agents[agent];
-        match (asked, outcome) {
-            (Asked::Claim, Ok(Done::Granted(token))) => {
-                of.token = *token;
-                of.at = At::Holds;
+    fn handle_call_reply(&mut self, gateway: usize, outcome: &Outcome) {
+        let is_session_valid = self.gateways[gateway].is_session_valid;
+        let Phase::AwaitingReply(pending) = self.gateways[gateway].phase else { return };
+        let state = &mut self.gateways[gateway];
+        match (pending, outcome) {
+            (PendingCall::Claim, Ok(Done::Granted(token))) => {
+                state.token = *token;
+                state.phase = Phase::Owning;
             }
-            // Somebody else was faster.
-            (Asked::Claim, _) => of.at = At::Idle,
-            (Asked::Accept | Asked::Intent, Ok(Done::At(revision))) => {
-                of.entry = of.entry.take().map(|entry| entry.at_revision(*revision));
-                // Asked here, and only here: the process may stop between this and the act.
-                of.at = match (lives, asked) {
-                    (false, _) => At::Done,
-                    (true, Asked::Accept) => At::Holds,
-                    (true, _) => At::MaySend,
+            // Another gateway has acquired the lock.
+            (PendingCall::Claim, _) => state.phase = Phase::Idle,
+            (PendingCall::Accept | PendingCall::Intent, Ok(Done::At(revision))) => {
+                state.entry = state.entry.take().map(|entry| entry.at_revision(*revision));
+                // The session is checked only here. The gateway can be paused between this check and the next
+                // step.
+                state.phase = match (is_session_valid, pending) {
+                    (false, _) => Phase::Done,
+                    (true, PendingCall::Accept) => Phase::Owning,
+                    (true, _) => Phase::ReadyToSend,
                 };
             }
-            (Asked::Outcome, Ok(Done::At(_))) => {
-                let ended = of.entry.as_ref().map(|entry| entry.record.stage.clone());
-                of.at = At::Done;
-                if let Some(Stage::Outcome(ended)) = ended {
-                    self.tell(&ended);
+            (PendingCall::Outcome, Ok(Done::At(_))) => {
+                let outcome = state.entry.as_ref().map(|entry| entry.record.stage.clone());
+                state.phase = Phase::Done;
+                if let Some(Stage::Outcome(outcome)) = outcome {
+                    self.report_outcome(&outcome);
                 }
             }
-            // Refused: it is no longer this one's.
-            _ => of.at = At::Done,
+            // The write was rejected: this gateway no longer owns the record.
+            _ => state.phase = Phase::Done,
         }
     }
 
-    fn deliver(&mut self, wire: Wire, config: &Config) {
-        match wire {
-            Wire::Call(agent, number, op) => {
+    fn deliver(&mut self, message: Message, config: &Config) {
+        match message {
+            Message::Call(gateway, number, op) => {
                 let op: Op = postcard::from_bytes(&op).expect("its own");
-                let client = ClientId(agent as u64 + 1);
+                let client = ClientId(gateway as u64 + 1);
                 let call = Command::Call { client, number, done: number - 1, op };
                 let outcome = self.ledger.apply(&call).expect("a call");
-                // What is refused is never sent, and counts nothing.
-                let counts = std::mem::take(&mut self.agents[agent].counts);
-                self.units += u8::from(counts && matches!(outcome, Ok(Done::At(_))));
-                self.wire.push(Wire::Answer(agent, bytes(&outcome)));
+                // A rejected intent charges no quota, because its attempt is never sent.
+                let charges_quota = std::mem::take(&mut self.gateways[gateway].charges_quota);
+                self.quota_charges += u8::from(charges_quota && matches!(outcome, Ok(Done::At(_))));
+                self.messages.push(Message::CallReply(gateway, bytes(&outcome)));
             }
-            Wire::Answer(agent, outcome) => {
+            Message::CallReply(gateway, outcome) => {
                 let outcome: Outcome = postcard::from_bytes(&outcome).expect("its own");
-                self.answered(agent, &outcome);
+                self.handle_call_reply(gateway, &outcome);
             }
-            Wire::Attempt(agent, token) => {
-                let refused = config.receipts && token < self.sealed;
-                self.runs += u8::from(!refused);
-                self.wire.push(Wire::Reply(agent, !refused));
+            Message::Attempt(gateway, token) => {
+                let refused = config.has_receipts && token < self.sealed;
+                self.executions += u8::from(!refused);
+                self.messages.push(Message::AttemptReply(gateway, !refused));
             }
-            Wire::Reply(agent, served) => {
-                let entry = self.agents[agent].entry.clone().expect("it has sent it");
+            Message::AttemptReply(gateway, served) => {
+                let entry = self.gateways[gateway].entry.clone().expect("it has sent it");
                 if served {
-                    // The answer goes out first, and the outcome is written behind it.
-                    self.told[0] = true;
-                    self.end(agent, &entry, RequestOutcome::Completed(vec![1]), config);
-                } else if let Some(again) = entry.with_attempt_rejected(LEFT_MS) {
-                    self.write(agent, again, Asked::Accept, config);
+                    // The response is sent to the client before the outcome is written.
+                    self.reported[0] = true;
+                    self.write_outcome(gateway, &entry, RequestOutcome::Completed(vec![1]), config);
+                } else if let Some(next) = entry.with_attempt_rejected(REMAINING_MS) {
+                    self.write(gateway, next, PendingCall::Accept, config);
                 }
             }
-            Wire::Seal(agent, token) => {
-                let ran = self.runs > 0;
-                if !ran && config.mutation != Mutation::SealForgotten {
+            Message::Seal(gateway, token) => {
+                let ran = self.executions > 0;
+                if !ran && config.mutation != Mutation::LoseSeal {
                     self.sealed = self.sealed.max(token);
                 }
-                self.wire.push(Wire::Receipt(agent, ran));
+                self.messages.push(Message::Receipt(gateway, ran));
             }
-            Wire::Receipt(agent, ran) => {
-                let entry = self.agents[agent].entry.clone().expect("it was read");
+            Message::Receipt(gateway, ran) => {
+                let entry = self.gateways[gateway].entry.clone().expect("it was read");
                 let receipt = if ran { Receipt::Executed(vec![1]) } else { Receipt::Sealed };
-                let what = step_after_seal(&entry.record, receipt, Duration::ZERO);
-                self.follow(agent, &entry, what, config);
+                let step = step_after_seal(&entry.record, receipt, Duration::ZERO);
+                self.execute(gateway, &entry, step, config);
             }
         }
     }
 }
 
-fn receiver(wire: &Wire) -> Option<usize> {
-    match wire {
-        Wire::Answer(agent, _) | Wire::Reply(agent, _) | Wire::Receipt(agent, _) => Some(*agent),
-        Wire::Call(..) | Wire::Attempt(..) | Wire::Seal(..) => None,
+fn receiver(message: &Message) -> Option<usize> {
+    match message {
+        Message::CallReply(gateway, _) | Message::AttemptReply(gateway, _) | Message::Receipt(gateway, _) => {
+            Some(*gateway)
+        }
+        Message::Call(..) | Message::Attempt(..) | Message::Seal(..) => None,
     }
 }
 
 impl Model for Config {
-    type State = Play;
+    type State = System;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<Play> {
+    fn init_states(&self) -> Vec<System> {
         let mut ledger = State::default();
-        for agent in 0..3 {
-            let client = ClientId(agent as u64 + 1);
-            let op = Op::Open { ttl_ms: 1000, name: format!("g{agent}") };
+        for gateway in 0..3 {
+            let client = ClientId(gateway as u64 + 1);
+            let op = Op::Open { ttl_ms: 1000, name: format!("g{gateway}") };
             ledger.apply(&Command::Call { client, number: 1, done: 0, op });
         }
-        let op = Op::Acquire { session: session(OWNER), lock: place().lock(), wait: false };
+        let op = Op::Acquire { session: session(OWNER), lock: record_key().lock(), wait: false };
         ledger.apply(&Command::Call { client: ClientId(1), number: 2, done: 1, op });
         let token = ledger.locks().find_map(|(_, lock)| lock.holder).expect("granted").1;
-        let agents = (0..3).map(|agent| Agent {
-            up: true,
-            still: false,
-            lives: true,
-            number: if agent == OWNER { 2 } else { 1 },
-            token: if agent == OWNER { token } else { 0 },
-            at: At::Idle,
+        let gateways = (0..3).map(|gateway| Gateway {
+            is_running: true,
+            is_paused: false,
+            is_session_valid: true,
+            call_number: if gateway == OWNER { 2 } else { 1 },
+            token: if gateway == OWNER { token } else { 0 },
+            phase: Phase::Idle,
             entry: None,
-            counts: false,
+            charges_quota: false,
             waited: false,
         });
-        vec![Play {
+        vec![System {
             ledger,
-            agents: agents.collect(),
-            wire: Vec::new(),
+            gateways: gateways.collect(),
+            messages: Vec::new(),
             sealed: 0,
-            runs: 0,
-            units: 0,
-            told: [false; 3],
+            executions: 0,
+            quota_charges: 0,
+            reported: [false; 3],
             faults: self.faults,
-            bounces: self.bounces,
+            server_rejections: self.server_rejections,
         }]
     }
 
-    fn actions(&self, play: &Play, actions: &mut Vec<Action>) {
-        let free = play.ledger.locks().all(|(_, lock)| lock.holder.is_none());
-        for (i, agent) in play.agents.iter().enumerate() {
-            let runs = agent.up && !agent.still;
-            let ready = match agent.at {
-                At::Idle if i == OWNER => agent.lives,
-                // A successor begins once there is something to claim.
-                At::Idle => agent.lives && free,
-                At::Holds => agent.lives && (i == OWNER || agent.waited || !waits(self, play)),
-                At::MaySend => true,
+    fn actions(&self, system: &System, actions: &mut Vec<Action>) {
+        let is_lock_free = system.ledger.locks().all(|(_, lock)| lock.holder.is_none());
+        for (i, gateway) in system.gateways.iter().enumerate() {
+            let can_run = gateway.is_running && !gateway.is_paused;
+            let is_ready = match gateway.phase {
+                Phase::Idle if i == OWNER => gateway.is_session_valid,
+                // A successor starts when the lock is free.
+                Phase::Idle => gateway.is_session_valid && is_lock_free,
+                Phase::Owning => {
+                    gateway.is_session_valid && (i == OWNER || gateway.waited || !must_wait(self, system))
+                }
+                Phase::ReadyToSend => true,
                 _ => false,
             };
-            if runs && ready {
-                actions.push(Action::Go(i));
+            if can_run && is_ready {
+                actions.push(Action::Step(i));
             }
-            if runs && agent.at == At::Holds && i != OWNER && !agent.waited && waits(self, play) {
+            if can_run
+                && gateway.phase == Phase::Owning
+                && i != OWNER
+                && !gateway.waited
+                && must_wait(self, system)
+            {
                 actions.push(Action::TimePasses(i));
             }
-            let worth = i == OWNER || agent.at != At::Idle;
-            if runs && play.faults > 0 && worth && agent.at != At::Done {
+            let is_relevant = i == OWNER || gateway.phase != Phase::Idle;
+            if can_run && system.faults > 0 && is_relevant && gateway.phase != Phase::Done {
                 actions.push(Action::Crash(i));
-                actions.push(Action::Stop(i));
-                if agent.lives {
-                    actions.push(Action::End(i));
+                actions.push(Action::Pause(i));
+                if gateway.is_session_valid {
+                    actions.push(Action::ExpireSession(i));
                 }
             }
-            if agent.still && agent.up {
-                actions.push(Action::Wake(i));
+            if gateway.is_paused && gateway.is_running {
+                actions.push(Action::Resume(i));
             }
-            if agent.lives && (!agent.up || agent.still) {
-                actions.push(Action::End(i));
+            if gateway.is_session_valid && (!gateway.is_running || gateway.is_paused) {
+                actions.push(Action::ExpireSession(i));
             }
         }
-        for (i, wire) in play.wire.iter().enumerate() {
-            let there = receiver(wire).is_none_or(|to| play.agents[to].up && !play.agents[to].still);
-            if there {
+        for (i, message) in system.messages.iter().enumerate() {
+            let can_receive = receiver(message)
+                .is_none_or(|to| system.gateways[to].is_running && !system.gateways[to].is_paused);
+            if can_receive {
                 actions.push(Action::Deliver(i));
             }
-            if play.bounces > 0 && matches!(wire, Wire::Attempt(..)) {
-                actions.push(Action::Bounce(i));
+            if system.server_rejections > 0 && matches!(message, Message::Attempt(..)) {
+                actions.push(Action::RejectAttempt(i));
             }
         }
     }
 
-    fn next_state(&self, before: &Play, action: Action) -> Option<Play> {
-        let mut play = before.clone();
+    fn next_state(&self, before: &System, action: Action) -> Option<System> {
+        let mut system = before.clone();
         match action {
-            Action::Go(i) => play.go(i, self),
+            Action::Step(i) => system.step(i, self),
             Action::Deliver(i) => {
-                let wire = play.wire.remove(i);
-                play.deliver(wire, self);
+                let message = system.messages.remove(i);
+                system.deliver(message, self);
             }
-            Action::Bounce(i) => {
-                play.bounces -= 1;
-                if let Wire::Attempt(agent, _) = play.wire.remove(i) {
-                    play.wire.push(Wire::Reply(agent, false));
+            Action::RejectAttempt(i) => {
+                system.server_rejections -= 1;
+                if let Message::Attempt(gateway, _) = system.messages.remove(i) {
+                    system.messages.push(Message::AttemptReply(gateway, false));
                 }
             }
-            Action::TimePasses(i) => play.agents[i].waited = true,
+            Action::TimePasses(i) => system.gateways[i].waited = true,
             Action::Crash(i) => {
-                play.faults -= 1;
-                play.agents[i].up = false;
-                // What was on its way to it is lost with it.
-                play.wire.retain(|wire| receiver(wire) != Some(i));
+                system.faults -= 1;
+                system.gateways[i].is_running = false;
+                // Messages to a crashed gateway are lost.
+                system.messages.retain(|message| receiver(message) != Some(i));
             }
-            Action::Stop(i) => {
-                play.faults -= 1;
-                play.agents[i].still = true;
+            Action::Pause(i) => {
+                system.faults -= 1;
+                system.gateways[i].is_paused = true;
             }
-            Action::Wake(i) => play.agents[i].still = false,
-            Action::End(i) => {
-                let agent = &mut play.agents[i];
-                // Under one that lives and runs it is a fault; whoever is gone or stands still just runs out of time.
-                play.faults -= u8::from(agent.up && !agent.still);
-                agent.lives = false;
-                if agent.at == At::Idle {
-                    agent.at = At::Done;
+            Action::Resume(i) => system.gateways[i].is_paused = false,
+            Action::ExpireSession(i) => {
+                let gateway = &mut system.gateways[i];
+                // It is a fault only if the gateway is running. The session of a crashed or paused gateway
+                // always expires.
+                system.faults -= u8::from(gateway.is_running && !gateway.is_paused);
+                gateway.is_session_valid = false;
+                if gateway.phase == Phase::Idle {
+                    gateway.phase = Phase::Done;
                 }
-                play.ledger.apply(&Command::End { sessions: vec![session(i)] });
+                system.ledger.apply(&Command::End { sessions: vec![session(i)] });
             }
         }
-        play.wire.sort();
-        Some(play)
+        system.messages.sort();
+        Some(system)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never twice", |config: &Config, play: &Play| {
-                config.class == RequestClass::Idempotent || play.runs <= 1
+            Property::always("no duplicate execution", |config: &Config, system: &System| {
+                config.class == RequestClass::Idempotent || system.executions <= 1
             }),
-            Property::always("units once", |_, play: &Play| play.units <= 1),
-            Property::always("answers agree", |config: &Config, play: &Play| {
-                let [served, given_up, _] = play.told;
-                // What is told to be given up has never run, and what is told to be served has.
-                (!served || play.runs > 0)
-                    && !(config.class == RequestClass::NonIdempotent && given_up && play.runs > 0)
+            Property::always("no duplicate charge", |_, system: &System| system.quota_charges <= 1),
+            Property::always("consistent outcomes", |config: &Config, system: &System| {
+                let [completed, abandoned, _] = system.reported;
+                // A request reported as completed was executed. A non-idempotent one reported as abandoned
+                // was not.
+                (!completed || system.executions > 0)
+                    && !(config.class == RequestClass::NonIdempotent && abandoned && system.executions > 0)
             }),
-            Property::eventually("finishes", |_, play: &Play| {
-                play.told.contains(&true) || play.record().is_none() && play.agents[OWNER].at != At::Idle
+            Property::eventually("request finishes", |_, system: &System| {
+                system.reported.contains(&true)
+                    || system.record().is_none() && system.gateways[OWNER].phase != Phase::Idle
             }),
-            Property::sometimes("a successor finishes it", |_, play: &Play| {
-                play.told.contains(&true) && play.agents[1..].iter().any(|agent| agent.at == At::Done)
+            Property::sometimes("successor finishes the request", |_, system: &System| {
+                system.reported.contains(&true)
+                    && system.gateways[1..].iter().any(|gateway| gateway.phase == Phase::Done)
             }),
         ]
     }
 }
 
-/// Whether a successor has to wait until the old attempt can be out no longer.
-fn waits(config: &Config, play: &Play) -> bool {
-    let Some(entry) = play.record() else { return false };
-    let owner_dead = !play.agents[OWNER].up;
-    let of = TakeoverContext {
+/// Returns whether a successor must wait until the old attempt can no longer be in flight.
+fn must_wait(config: &Config, system: &System) -> bool {
+    let Some(entry) = system.record() else { return false };
+    let is_owner_terminated = !system.gateways[OWNER].is_running;
+    let context = TakeoverContext {
         age: Duration::ZERO,
-        has_receipts: config.receipts,
-        is_owner_dead: owner_dead,
+        has_receipts: config.has_receipts,
+        is_owner_terminated,
         allows_overlap: false,
     };
-    matches!(next_step(&entry.record, of), TakeoverStep::Wait(_))
+    matches!(next_step(&entry.record, context), TakeoverStep::Wait(_))
 }
 
 fn configs(faults: u8, mutation: Mutation) -> impl Iterator<Item = Config> {
     let classes = [RequestClass::Idempotent, RequestClass::NonIdempotent];
     classes.into_iter().flat_map(move |class| {
-        [false, true].into_iter().flat_map(move |receipts| {
-            [false, true].map(move |queued| Config { class, receipts, queued, faults, bounces: 0, mutation })
+        [false, true].into_iter().flat_map(move |has_receipts| {
+            [false, true].map(move |queued| Config {
+                class,
+                has_receipts,
+                queued,
+                faults,
+                server_rejections: 0,
+                mutation,
+            })
         })
     })
 }
 
-/// The longest of them: the first attempt is turned away, and everything else may go wrong afterwards.
-fn turned_away(mutation: Mutation) -> Config {
+/// The configuration with the longest paths: the first attempt is rejected, and two faults can follow.
+fn rejected_first_attempt(mutation: Mutation) -> Config {
     let class = RequestClass::NonIdempotent;
-    Config { class, receipts: true, queued: false, faults: 2, bounces: 1, mutation }
+    Config { class, has_receipts: true, queued: false, faults: 2, server_rejections: 1, mutation }
 }
 
 #[test]
-fn no_interleaving_breaks_what_is_promised() {
+fn safety_properties_hold_in_all_interleavings() {
     let mut states = 0;
-    for config in configs(2, Mutation::None).chain([turned_away(Mutation::None)]) {
+    for config in configs(2, Mutation::None).chain([rejected_first_attempt(Mutation::None)]) {
         let checker = config.clone().checker().threads(4).spawn_dfs().join();
         states += checker.unique_state_count();
-        for name in ["never twice", "units once", "answers agree"] {
-            let found = checker.discovery(name);
-            assert!(found.is_none(), "{config:?}: {name}: {:?}", found.map(|path| path.into_actions()));
+        for name in ["no duplicate execution", "no duplicate charge", "consistent outcomes"] {
+            let violation = checker.discovery(name);
+            assert!(
+                violation.is_none(),
+                "{config:?}: {name}: {:?}",
+                violation.map(|path| path.into_actions())
+            );
         }
-        assert!(checker.discovery("a successor finishes it").is_some(), "{config:?}");
+        assert!(checker.discovery("successor finishes the request").is_some(), "{config:?}");
     }
     println!("{states} states");
     assert!(states > 10_000);
 }
 
 #[test]
-fn without_a_fault_beyond_the_first_the_work_finishes() {
+fn the_request_finishes_with_at_most_one_fault() {
     for config in configs(1, Mutation::None) {
         let checker = config.clone().checker().threads(4).spawn_bfs().join();
-        let found = checker.discovery("finishes");
-        assert!(found.is_none(), "{config:?}: {:?}", found.map(|path| path.into_actions()));
+        let violation = checker.discovery("request finishes");
+        assert!(violation.is_none(), "{config:?}: {:?}", violation.map(|path| path.into_actions()));
     }
 }
 
 #[test]
-fn each_mutation_is_caught() {
+fn each_mutation_violates_a_property() {
     for (mutation, name) in [
-        (Mutation::NoIntent, "never twice"),
-        (Mutation::NoGuard, "never twice"),
-        (Mutation::ResendUnsafe, "never twice"),
-        (Mutation::NoSeal, "never twice"),
-        (Mutation::SealForgotten, "never twice"),
-        (Mutation::CountAgain, "units once"),
+        (Mutation::SendBeforeIntent, "no duplicate execution"),
+        (Mutation::UnguardedWrite, "no duplicate execution"),
+        (Mutation::ResendNonIdempotent, "no duplicate execution"),
+        (Mutation::SkipSeal, "no duplicate execution"),
+        (Mutation::LoseSeal, "no duplicate execution"),
+        (Mutation::ChargeTwice, "no duplicate charge"),
     ] {
-        let caught =
-            configs(1, mutation).chain([turned_away(mutation)]).chain(configs(2, mutation)).any(|config| {
-                let seen = HasDiscoveries::AllOf(BTreeSet::from([name]));
-                let checker = config.checker().threads(4).finish_when(seen).spawn_bfs().join();
+        let caught = configs(1, mutation)
+            .chain([rejected_first_attempt(mutation)])
+            .chain(configs(2, mutation))
+            .any(|config| {
+                let goal = HasDiscoveries::AllOf(BTreeSet::from([name]));
+                let checker = config.checker().threads(4).finish_when(goal).spawn_bfs().join();
                 checker.discovery(name).is_some()
             });
         assert!(caught, "{mutation:?}");
