--- a/quota-gateway/simulator-adapter/src/gateways.rs
+++ b/quota-gateway/simulator-adapter/src/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways of a simulation, by name, each with the decisions of its own.
+//! The simulated gateways, by name. Each has its own decision state.
 
 use crate::wire::action::WireAction;
 use crate::wire::convert::{read_event, write_action, Incoming};
@@ -10,17 +10,17 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// The gateways that have started and not stopped.
+/// The gateways that have been started and not stopped.
 #[derive(Default)]
 pub struct Gateways {
     gateways: BTreeMap<String, Gateway>,
-    /// Empty between events; kept for its allocation.
+    /// Buffer that is empty between events. It is kept to reuse its allocation.
     actions: Vec<Action>,
 }
 
 impl Gateways {
-    /// Passes the events of a batch to their gateways in order, and returns their actions. An event that is malformed or for
-    /// no gateway is reported on the standard error and left out.
+    /// Passes the events of a batch to their gateways in order, and returns their actions. An event that is
+    /// malformed or addressed to an unknown gateway is reported on standard error and skipped.
     pub fn handle_batch(&mut self, batch: Batch) -> Reply {
         let now = Time(batch.at_time);
         let mut reply = Reply::default();
@@ -59,8 +59,8 @@
         Ok(())
     }
 
-    /// Passes an event to a gateway. One whose decisions panic is reported to the simulator and removed, as its state may be
-    /// inconsistent; the others go on.
+    /// Passes an event to a gateway. If the gateway panics, it is reported to the simulator and removed,
+    /// because its state may be inconsistent; the other gateways continue.
     fn handle_event(&mut self, now: Time, name: &str, event: Event, reply: &mut Reply) {
         let Some(gateway) = self.gateways.get_mut(name) else {
             report_unknown_gateway(name);
--- a/quota-gateway/simulator-adapter/src/lib.rs
+++ b/quota-gateway/simulator-adapter/src/lib.rs
@@ -1,6 +1,8 @@
-//! The settings object of the quota gateway, which a simulator's first message and a gateway's configuration file hold.
+//! The settings object of the quota gateway. It is part of a simulator's `Init` event and of a gateway's
+//! configuration file.
 //!
-//! The program of this package puts the decisions on a simulator's wire; the gateway uses the library alone.
+//! The program of this package connects the gateway's decision logic to a simulator. The gateway uses only
+//! the library.
 
 mod settings;
 mod settings_error;
--- a/quota-gateway/simulator-adapter/src/main.rs
+++ b/quota-gateway/simulator-adapter/src/main.rs
@@ -1,7 +1,7 @@
-//! The decisions of the quota gateway on a simulator's wire.
+//! Connects the decision logic of the quota gateway to a simulator.
 //!
-//! The simulator writes a batch of events in a line to the standard input, and reads the actions from a line of the standard
-//! output before it writes the next. Messages about malformed input go to the standard error.
+//! The simulator writes a batch of events as one line to standard input, and reads the actions as one line
+//! from standard output before it writes the next batch. Malformed input is reported on standard error.
 
 mod gateways;
 mod wire;
@@ -11,7 +11,7 @@
 use std::panic;
 use wire::{Batch, Reply};
 
-/// The name with which lines on the standard error begin.
+/// The program name, with which each line on standard error begins.
 const PROGRAM: &str = "marblecroft-simulator-adapter";
 
 fn main() -> io::Result<()> {
@@ -31,7 +31,7 @@
     Ok(())
 }
 
-/// Handles a batch; one that is malformed has an empty reply, since the simulator waits for a line.
+/// Handles a batch. The reply to a malformed batch is empty, because the simulator always waits for a line.
 fn handle_line(gateways: &mut Gateways, line: &[u8]) -> Reply {
     match serde_json::from_slice::<Batch>(line) {
         Ok(batch) => gateways.handle_batch(batch),
--- a/quota-gateway/simulator-adapter/src/settings.rs
+++ b/quota-gateway/simulator-adapter/src/settings.rs
@@ -1,23 +1,24 @@
-//! Decoding of the settings object into the settings of the decisions, and the names and timeouts around them.
+//! Decodes the settings object into the settings of the decision logic, and names and timeouts that only the
+//! gateway uses.
 //!
-//! The private structs mirror the object field by field: their names, in `PascalCase`, are part of the format. Durations in
-//! it are in nanoseconds. Fields that are not listed here are ignored.
+//! The private structs mirror the object field by field. The field names in `PascalCase` are part of the
+//! format. Durations are in nanoseconds. Unknown fields are ignored.
 
 use crate::settings_error::SettingsError;
 use marblecroft_quota_gateway_core as decisions;
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Timeout of a connection attempt where the object has none, in nanoseconds.
+/// Default timeout of a connection attempt, in nanoseconds.
 const DEFAULT_CONNECT_TIMEOUT: u64 = 250_000_000;
-/// Idle timeout of the servers' connections where the object has none, in nanoseconds.
+/// Default idle timeout of connections to servers, in nanoseconds.
 const DEFAULT_IDLE_TIMEOUT: u64 = 15_000_000_000;
 
 /// The settings of one gateway.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(try_from = "BootInfo")]
 pub struct Site {
-    /// Settings of the decisions.
+    /// Settings of the decision logic.
     pub settings: decisions::Settings,
     /// Names of the request classes, in the order of [`decisions::Settings::classes`].
     pub classes: Vec<String>,
@@ -27,7 +28,7 @@
     pub zones: Vec<String>,
     /// Names of the kinds of machine, as server lists use them.
     pub kinds: Vec<String>,
-    /// Time after which a connection attempt has failed.
+    /// Time after which a connection attempt fails.
     pub connect_timeout: Duration,
     /// Time after which servers may close an idle connection.
     pub idle_timeout: Duration,
@@ -76,7 +77,7 @@
     importance: f64,
 }
 
-/// What a customer has paid for.
+/// A customer's plan.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct Plan {
@@ -117,7 +118,7 @@
     DEFAULT_IDLE_TIMEOUT
 }
 
-/// What the metering of units is about.
+/// The metering of units.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct Domain {
@@ -158,7 +159,7 @@
     }
 }
 
-/// Converts what the decisions need of the object.
+/// Converts the object to the settings of the decision logic.
 fn decision_settings(boot: BootInfo) -> Result<decisions::Settings, SettingsError> {
     Ok(decisions::Settings {
         gateways: boot.fleet_size,
@@ -200,7 +201,7 @@
 }
 
 fn effect(profile: &Profile) -> Result<decisions::Effect, SettingsError> {
-    // The scope is checked for every class, also where its effect does not use it.
+    // The scope is validated for every class, even if its effect does not use the scope.
     let group = deduplication_scope(&profile.group)?;
     match profile.effect.as_str() {
         "read_like" => Ok(decisions::Effect::Safe),
--- a/quota-gateway/simulator-adapter/src/settings_error.rs
+++ b/quota-gateway/simulator-adapter/src/settings_error.rs
@@ -3,20 +3,21 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// A word in the settings object that is none of those that its field may hold.
+    /// A field of the settings object has an unknown value.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum SettingsError {
-        /// The way in which server lists come.
-        UnknownDiscovery(word: String) {
-            display("unknown Discovery {word:?}")
+        /// The value of `Discovery`, which determines how server lists are received, is unknown.
+        UnknownDiscovery(value: String) {
+            display("unknown Discovery {value:?}")
         }
-        /// Whether a request of the class may be executed more than once.
-        UnknownEffect(word: String) {
-            display("unknown Effect {word:?}")
+        /// The value of `Effect`, which determines whether requests of a class may be executed more than
+        /// once, is unknown.
+        UnknownEffect(value: String) {
+            display("unknown Effect {value:?}")
         }
-        /// The servers among which an idempotency key is known.
-        UnknownGroup(word: String) {
-            display("unknown Group {word:?}")
+        /// The value of `Group`, which determines the servers that share an idempotency key, is unknown.
+        UnknownGroup(value: String) {
+            display("unknown Group {value:?}")
         }
     }
 }
--- a/quota-gateway/simulator-adapter/src/wire.rs
+++ b/quota-gateway/simulator-adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! The wire: one batch of events in a line of JSON, and one reply with the actions in a line of JSON.
+//! The simulator's protocol. A batch of events and the reply with the actions are one line of JSON each.
 
 pub mod action;
 pub mod convert;
@@ -9,13 +9,13 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// Events of one instant, in order.
+/// The events of one instant of simulated time, in order.
 #[derive(Deserialize)]
 pub struct Batch {
     /// The simulated time, in nanoseconds.
     #[serde(rename = "AtTime")]
     pub at_time: u64,
-    /// The events, each decoded on its own, so that a malformed one does not cost the others.
+    /// The events. Each is decoded separately, so that a malformed one does not affect the others.
     pub items: Vec<Box<RawValue>>,
 }
 
--- a/quota-gateway/simulator-adapter/src/wire/action.rs
+++ b/quota-gateway/simulator-adapter/src/wire/action.rs
@@ -1,4 +1,5 @@
-//! Actions as they are on the wire. The names of variants, and those of fields in `PascalCase`, are part of the format.
+//! The wire format of actions. The names of variants, and the names of fields in `PascalCase`, are part of
+//! the format.
 
 use serde::Serialize;
 
@@ -20,20 +21,20 @@
     /// Sets a timer; `alarm_time` is in nanoseconds.
     #[serde(rename_all = "PascalCase")]
     NotifyMe { gateway_id: String, alarm_time: u64, r#ref: u64 },
-    /// Asks for server lists.
+    /// Subscribes to server lists.
     #[serde(rename_all = "PascalCase")]
     Subscribe { gateway_id: String, active: bool },
     /// Logs a text.
     #[serde(rename_all = "PascalCase")]
     Log { gateway_id: String, body_text: String },
-    /// Reports a panic of the decisions.
+    /// Reports a panic of the decision logic.
     #[serde(rename_all = "PascalCase")]
     Fault { gateway_id: String, body_text: String },
 }
 
 impl WireAction {
-    /// Returns the report that the decisions of a gateway have panicked.
-    pub fn fault(instance: &str, text: &str) -> WireAction {
-        WireAction::Fault { gateway_id: instance.to_owned(), body_text: text.to_owned() }
+    /// Creates the report that a gateway has panicked.
+    pub fn fault(gateway: &str, text: &str) -> WireAction {
+        WireAction::Fault { gateway_id: gateway.to_owned(), body_text: text.to_owned() }
     }
 }
--- a/quota-gateway/simulator-adapter/src/wire/convert.rs
+++ b/quota-gateway/simulator-adapter/src/wire/convert.rs
@@ -1,4 +1,4 @@
-//! Conversion between the wire's events and actions and those of the decisions.
+//! Converts events and actions between the wire format and the decision logic.
 
 use super::action::WireAction;
 use super::error::EventError;
@@ -6,28 +6,28 @@
 use marblecroft_quota_gateway_core as decisions;
 use std::time::Duration;
 
-/// What an event of the wire is for the adapter.
+/// A converted event.
 pub enum Incoming {
     /// A gateway starts, with the seed of its random numbers.
     Start {
         /// The seed.
         seed: u64,
-        /// Settings of the decisions.
+        /// Settings of the decision logic.
         settings: Box<decisions::Settings>,
     },
     /// A gateway stops.
     Stop,
-    /// An answer to something that the decisions never ask for.
+    /// A response to an action that the decision logic never performs.
     Unused,
-    /// An event for the decisions.
+    /// An event for the decision logic.
     Event(decisions::Event),
 }
 
-/// Converts an event; returns the name of the gateway that it is for, too.
+/// Converts an event. Also returns the name of the gateway that it is addressed to.
 ///
 /// # Errors
 ///
-/// [`EventError`] if a value is none of those that its field may hold.
+/// [`EventError`] if a field has an unknown or invalid value.
 pub fn read_event(event: WireEvent) -> Result<(String, Incoming), EventError> {
     Ok(match event {
         WireEvent::Init(init) => {
@@ -110,7 +110,7 @@
     })
 }
 
-/// Parses a customer's identifier, which is hexadecimal; none is the customer 0.
+/// Parses a customer's hexadecimal identifier. An empty one means customer 0.
 fn customer(client_id: &str) -> Result<decisions::CustomerId, EventError> {
     if client_id.is_empty() {
         return Ok(decisions::CustomerId(0));
@@ -126,7 +126,7 @@
         status: status(settled.status)?,
         elapsed: Duration::from_nanos(settled.spent),
         finished: settled.over,
-        // On the wire 0 is no figure, and 1 to 101 are 0 to 100 percent.
+        // On the wire, 0 means that there is no value, and 1 to 101 mean 0 to 100 percent.
         metered_use: (settled.quota_use > 0).then(|| (settled.quota_use - 1) as f64 / 100.0),
         actual_units: (settled.true_units > 0.0).then_some(settled.true_units),
         not_retryable: false,
--- a/quota-gateway/simulator-adapter/src/wire/error.rs
+++ b/quota-gateway/simulator-adapter/src/wire/error.rs
@@ -1,24 +1,24 @@
-//! Errors of events that are well-formed JSON.
+//! Errors of events that can be parsed, but have invalid values.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// A value of an event that is none of those that its field may hold.
+    /// A field of an event has an unknown or invalid value.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum EventError {
-        /// The scope of a server list.
-        UnknownScope(word: String) {
-            display("Sync: unknown Scope {word:?}")
+        /// The scope of a server list is unknown.
+        UnknownScope(value: String) {
+            display("Sync: unknown Scope {value:?}")
         }
-        /// The lifecycle of a server.
-        UnknownLifecycle(word: String) {
-            display("Sync: unknown Lifecycle {word:?}")
+        /// The lifecycle of a server is unknown.
+        UnknownLifecycle(value: String) {
+            display("Sync: unknown Lifecycle {value:?}")
         }
-        /// The status of an attempt.
+        /// The status of an attempt is unknown.
         UnknownStatus(code: u32) {
             display("Settled: unknown Status {code}")
         }
-        /// A customer's identifier that is not hexadecimal.
+        /// A customer's identifier is not a hexadecimal number.
         InvalidClientId(text: String, cause: std::num::ParseIntError) {
             display("NewRequest: ClientId {text:?}: {cause}")
             source(cause)
--- a/quota-gateway/simulator-adapter/src/wire/event.rs
+++ b/quota-gateway/simulator-adapter/src/wire/event.rs
@@ -1,4 +1,5 @@
-//! Events as they are on the wire. The names of variants, and those of fields in `PascalCase`, are part of the format.
+//! The wire format of events. The names of variants, and the names of fields in `PascalCase`, are part of the
+//! format.
 
 use marblecroft_simulator_adapter::Site;
 use serde::Deserialize;
@@ -20,7 +21,7 @@
     LedgerReply(InstanceEvent),
 }
 
-/// An event of which only the gateway matters.
+/// An event of which only the gateway is used.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct InstanceEvent {
@@ -36,7 +37,7 @@
     pub(super) boot_info: Site,
 }
 
-/// A server list, or a change of it.
+/// A server list, or a change to it.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Sync {
@@ -46,7 +47,7 @@
     pub(super) members: Vec<Member>,
 }
 
-/// A server of a list.
+/// An entry of a server list.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct Member {
@@ -88,7 +89,7 @@
 /// The bit of [`NewRequest::bitmap`] that marks a client's retry.
 pub(super) const RETRY_BIT: u32 = 2;
 
-/// The head of a streamed response has come.
+/// The head of a streamed response has been received.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Headers {
--- a/quota-gateway/simulator-adapter/tests/golden.rs
+++ b/quota-gateway/simulator-adapter/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The recorded events of two gateways bring the recorded actions and error lines, byte for byte.
+//! Golden test: the recorded events of two gateways must produce exactly the recorded actions and error
+//! lines.
 
 #[path = "../../../testing/support/golden/mod.rs"]
 mod golden;
@@ -9,7 +10,7 @@
 use std::thread;
 
 #[test]
-fn recorded_events_bring_the_recorded_actions_and_errors() {
+fn recorded_events_produce_the_recorded_actions_and_errors() {
     let mut adapter = Command::new(env!("CARGO_BIN_EXE_marblecroft-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -17,7 +18,8 @@
         .spawn()
         .expect("the adapter starts");
     let mut input = adapter.stdin.take().expect("piped");
-    // Written beside the reading of the output, as neither pipe holds all of it.
+    // Input is written in a separate thread while the output is read, because the pipes cannot buffer it
+    // completely.
     let writer = thread::spawn(move || input.write_all((text("events.jsonl") + "\n").as_bytes()));
     let output = adapter.wait_with_output().expect("it ends with its input");
     writer.join().expect("no panic").expect("written");
--- a/quota-gateway/simulator-adapter/tests/round_trip.rs
+++ b/quota-gateway/simulator-adapter/tests/round_trip.rs
@@ -1,4 +1,5 @@
-//! The adapter as a process: events in, actions out, and an error line for what is malformed.
+//! Tests the adapter as a process: it converts events to actions, and writes an error line for malformed
+//! input.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -68,7 +69,7 @@
         "{\"AtTime\":1,\"items\":[{\"Dropped\":{\"GatewayId\":\"gateway-1\",\"Tid\":\"x\"}}]}\n",
     ));
     assert_eq!(lines, vec![r#"{"output":[]}"#; 4]);
-    for named in ["not a batch", "Nope", "missing field `Tid`", "invalid type: string"] {
-        assert!(errors.contains(named), "{named} in {errors}");
+    for text in ["not a batch", "Nope", "missing field `Tid`", "invalid type: string"] {
+        assert!(errors.contains(text), "{text} in {errors}");
     }
 }
