--- a/common/settings/src/error.rs
+++ b/common/settings/src/error.rs
@@ -10,7 +10,7 @@
     pub enum Error {
         /// The environment variable that names the file is not set.
         NoPath(variable: &'static str) {
-            display("the variable {variable} names no settings file")
+            display("the environment variable {variable} is not set")
         }
         /// The file cannot be read.
         Unreadable(path: PathBuf, cause: io::Error) {
--- a/common/settings/src/settings.rs
+++ b/common/settings/src/settings.rs
@@ -105,11 +105,11 @@
 pub struct CloudApi {
     /// Address of the API (`cloud_api.address`).
     pub address: SocketAddr,
-    /// Calls per second that the API accepts from all processes in total (`cloud_api.rate_per_s`). Default:
-    /// 10.
+    /// Calls per second that the API accepts from all processes in total (`cloud_api.rate_per_s`).
+    /// Default: 10.
     pub rate_per_s: f64,
-    /// Longest time by which a listing may lag behind the servers' state (`cloud_api.max_lag_ms`). Default:
-    /// 0. No process uses it yet.
+    /// Longest time by which a listing may lag behind the servers' state (`cloud_api.max_lag_ms`).
+    /// Default: 0. No process uses it yet.
     pub max_lag: Duration,
 }
 
--- a/common/transport/src/socket.rs
+++ b/common/transport/src/socket.rs
@@ -34,7 +34,7 @@
 const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
 /// Interval at which a socket whose read-ahead buffer is full is checked for whether the peer has closed it.
 /// A request must not be forwarded if its client disconnected more than 100 ms ago. Each check costs a system
-/// call, but only clients that send far more than one request ahead cause checks.
+/// call, but the buffer is full only if a client floods the connection.
 const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// Time for which input of a closing connection is read at most.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
--- a/control-plane/server/src/coordinator.rs
+++ b/control-plane/server/src/coordinator.rs
@@ -25,8 +25,7 @@
 use std::sync::Arc;
 use tracing::info;
 
-/// Returns this process's identity in the first view and that view, or `None` if it is not one of the
-/// founders.
+/// Returns the first view and this process's identity in it, or `None` if the process is not a founder.
 fn founding_view(settings: &Settings) -> Option<(u64, View)> {
     let own = settings.bind.control_plane.filter(|_| settings.bootstrap)?;
     member::founding_view(own, &settings.seeds, |seed| coordinator_address(seed, settings.ephemeral_ports))
--- a/control-plane/server/src/flags.rs
+++ b/control-plane/server/src/flags.rs
@@ -3,10 +3,9 @@
 xflags::xflags! {
     /// The control plane of the serving tier. Settings are read from the file that MARBLECROFT_CONFIG names.
     cmd marblecroft-control-plane {
-        /// Runs a coordinator, which replicates the configuration and the server list and serves both to the
-        /// gateways.
+        /// Replicates the configuration and the server list, and serves both to the gateways.
         cmd coordinator {}
-        /// Runs a store, which replicates batch jobs.
+        /// Replicates batch jobs.
         cmd store {}
         /// Validates the settings file.
         cmd check {}
--- a/control-plane/server/tests/operator.rs
+++ b/control-plane/server/tests/operator.rs
@@ -85,9 +85,9 @@
         let deadline = Instant::now() + START_TIMEOUT;
         let (method, path, base, body) = call;
         loop {
-            let answer = self.call(method, path, base, body);
-            if let Some(answer) = answer.filter(|answer| !transient.contains(&answer.1.as_str())) {
-                return answer;
+            let reply = self.call(method, path, base, body);
+            if let Some(reply) = reply.filter(|reply| !transient.contains(&reply.1.as_str())) {
+                return reply;
             }
             assert!(Instant::now() < deadline, "the coordinator did not reply in time");
             std::thread::yield_now();
@@ -95,7 +95,7 @@
     }
 
     /// Reads the configuration, and repeats the call until the coordinator has started.
-    fn read_when_up(&self) -> (u16, String) {
+    fn read_configuration(&self) -> (u16, String) {
         self.call_until(("GET", "/-/Config.Read", None, ""), &[NO_HEAD])
     }
 }
@@ -119,7 +119,7 @@
 fn operator_calls_get_the_expected_replies_and_acknowledged_changes_survive_a_kill() {
     let mut coordinator = Coordinator::new("operator", 1);
     coordinator.start(true);
-    assert_eq!(coordinator.read_when_up(), (503, "there is no configuration yet\n".to_owned()));
+    assert_eq!(coordinator.read_configuration(), (503, "there is no configuration yet\n".to_owned()));
     let replace = "/-/Config.Replace";
     let (first, second) = (configuration(3, 2000), configuration(7, 1000));
     let no_timeout = configuration(8, 0);
@@ -129,7 +129,7 @@
     let add_route = format!("{{\"generation\":9,\"upsert\":{{\"routes\":[{route_b}]}}}}");
     let remove_used_service = "{\"generation\":9,\"remove\":{\"services\":[\"s\"]}}";
     let third = configuration(9, 1000).replace("}],\"services\"", &format!("}},{route_b}],\"services\""));
-    let transcript = [
+    let calls = [
         ("POST", replace, None, first.as_str(), 400, "X-Base-Version is missing\n"),
         ("POST", replace, Some("x"), &first, 400, "X-Base-Version: expected a whole number\n"),
         ("POST", replace, Some("0"), &first, 200, ""),
@@ -156,17 +156,17 @@
         ("POST", "/-/Retire.Start/storage-a-1", None, "{}", 404, "no store machine of this name is known\n"),
         ("GET", "/-/Retire.Read/storage-a-1", None, "", 404, "this machine is not being emptied\n"),
     ];
-    for (method, path, base, body, status, text) in transcript {
-        let answer = coordinator.call_until((method, path, base, body), &[STORES_NOT_REPORTED]);
-        assert_eq!(answer, (status, text.to_owned()), "{method} {path} {base:?} {body}");
+    for (method, path, base, body, status, text) in calls {
+        let reply = coordinator.call_until((method, path, base, body), &[STORES_NOT_REPORTED]);
+        assert_eq!(reply, (status, text.to_owned()), "{method} {path} {base:?} {body}");
     }
     coordinator.kill();
     coordinator.start(false);
-    assert_eq!(coordinator.read_when_up(), (200, third));
-    let again = coordinator.call("POST", replace, Some("3"), &second).expect("answered");
-    assert_eq!(again, (200, String::new()), "a repeated replacement is acknowledged again");
-    let again = coordinator.call("POST", update, Some("7"), &add_route).expect("answered");
-    assert_eq!(again, (200, String::new()), "a repeated update is acknowledged again");
+    assert_eq!(coordinator.read_configuration(), (200, third));
+    let reply = coordinator.call("POST", replace, Some("3"), &second).expect("answered");
+    assert_eq!(reply, (200, String::new()), "a repeated replacement is acknowledged again");
+    let reply = coordinator.call("POST", update, Some("7"), &add_route).expect("answered");
+    assert_eq!(reply, (200, String::new()), "a repeated update is acknowledged again");
 }
 
 #[test]
@@ -176,14 +176,14 @@
         let mut command = coordinator.command("check", settings);
         command.stdout(Stdio::piped()).stderr(Stdio::piped()).output().expect("ran")
     };
-    let good = run(&coordinator.settings(true));
+    let valid = run(&coordinator.settings(true));
     assert_eq!(
-        (good.status.code(), good.stdout.as_slice()),
+        (valid.status.code(), valid.stdout.as_slice()),
         (Some(0), &b"edge-a-1: the settings can be used\n"[..])
     );
-    let bad = run(&coordinator.settings(true).replace("zone=a", "zone="));
-    assert_eq!(bad.status.code(), Some(2));
-    assert_eq!(String::from_utf8_lossy(&bad.stderr), "marblecroft-control-plane: zone is missing\n");
+    let invalid = run(&coordinator.settings(true).replace("zone=a", "zone="));
+    assert_eq!(invalid.status.code(), Some(2));
+    assert_eq!(String::from_utf8_lossy(&invalid.stderr), "marblecroft-control-plane: zone is missing\n");
 }
 
 #[test]
--- a/quota-gateway/controller/src/zone_failover_role.rs
+++ b/quota-gateway/controller/src/zone_failover_role.rs
@@ -77,11 +77,11 @@
         let prefix = self.keys.zone_override("");
         let overridden: BTreeSet<String> =
             view.entries_under(&prefix).map(|(zone, _)| zone.to_owned()).collect();
-        let before = std::mem::take(&mut self.overridden);
-        for zone in overridden.difference(&before) {
+        let previous = std::mem::take(&mut self.overridden);
+        for zone in overridden.difference(&previous) {
             self.hold(now, zone);
         }
-        for zone in before.difference(&overridden) {
+        for zone in previous.difference(&overridden) {
             self.release(now, zone.clone());
         }
         // Releases zones that the published decision holds, but whose override was removed before this
--- a/quota-gateway/simulator-adapter/tests/round_trip.rs
+++ b/quota-gateway/simulator-adapter/tests/round_trip.rs
@@ -49,7 +49,8 @@
             r#"{{"NewRequest":{{"GatewayId":"gateway-1","Tid":{id},"Deadline":{deadline},"SizeUnits":1,"NEntries":2,"Bitmap":{bits}}}}}"#
         )
     };
-    // The latency target is 0.8 s of 3 s: with 1 s left it has passed, unless this is a first attempt (4 marks a write).
+    // The class has a latency target of 0.8 s and a deadline of 3 s. A retry with 1 s left has already waited for
+    // 2 s, longer than the target; a first attempt has not waited. In the bitmap, 2 marks a retry and 4 a write.
     let first = request(5, 3_000_000_010, 4);
     let (short, retry) = (request(6, 1_000_000_010, 4), request(7, 1_000_000_010, 6));
     let (lines, _) =
--- a/quota-gateway/singleton-roles/src/lib.rs
+++ b/quota-gateway/singleton-roles/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! - [`keys`]: the keys and values in the coordination service.
 //! - [`assign`]: the assignment of roles to candidates: even, spread over zones, and stable. No I/O.
-//! - [`role`]: the state machine of one role at one candidate, from requesting its lock to releasing it. No I/O.
+//! - [`role`]: the state machine of one role at one candidate, from requesting to releasing the lock. No I/O.
 //! - [`view`]: the entries read from the coordination service, and the instant of the read. No I/O.
 //! - [`run`]: candidates and followers, which use the client of the coordination service.
 #![forbid(unsafe_code)]
--- a/quota-gateway/singleton-roles/src/run/candidate.rs
+++ b/quota-gateway/singleton-roles/src/run/candidate.rs
@@ -50,8 +50,8 @@
 
 /// Returns the candidate that should own each role, based on a view.
 fn assignments(view: &View, keys: &Keys, roles: &[&str]) -> BTreeMap<String, Option<String>> {
-    let under = |kind: &str| format!("{}{kind}/", keys.prefix);
-    let (candidates, owners, commands) = (under("candidate"), under("owner"), under("order"));
+    let prefix_of = |kind: &str| format!("{}{kind}/", keys.prefix);
+    let (candidates, owners, commands) = (prefix_of("candidate"), prefix_of("owner"), prefix_of("order"));
     let candidates: BTreeMap<String, Candidate> = view
         .entries_under(&candidates)
         .filter_map(|(name, value)| Some((name.to_owned(), decode_value(value)?)))
--- a/quota-gateway/singleton-roles/src/run/role_runner.rs
+++ b/quota-gateway/singleton-roles/src/run/role_runner.rs
@@ -52,8 +52,8 @@
         let mut role = Role::default();
         let lock: Rc<RefCell<Option<Lock>>> = Rc::default();
         let mut work_task: Option<WorkTask> = None;
-        let (granted, mut grants) = mpsc::channel::<Option<Lock>>(1);
-        let ended = Rc::new(Notify::new());
+        let (grant_sender, mut grant_receiver) = mpsc::channel::<Option<Lock>>(1);
+        let work_ended = Rc::new(Notify::new());
         while self.session.is_alive() {
             let is_assigned = {
                 let assigned = assigned.borrow_and_update();
@@ -66,16 +66,16 @@
             }
             tokio::select! {
                 _ = assigned.changed() => {}
-                Some(grant) = grants.recv() => {
+                Some(grant) = grant_receiver.recv() => {
                     events.push(grant.as_ref().map_or(Event::NotGranted, |lock| Event::Granted(lock.token())));
                     lock.replace(grant);
                 }
-                () = ended.notified() => events.push(Event::WorkEnded),
+                () = work_ended.notified() => events.push(Event::WorkEnded),
                 () = sleep(LOCK_CHECK_INTERVAL) => {}
             }
             for event in events {
                 for action in role.handle(started_at.elapsed(), event) {
-                    self.perform(action, &lock, &mut work_task, &granted, &ended, &work).await;
+                    self.perform(action, &lock, &mut work_task, &grant_sender, &work_ended, &work).await;
                 }
             }
         }
@@ -88,8 +88,8 @@
         action: Action,
         lock: &Rc<RefCell<Option<Lock>>>,
         work_task: &mut Option<WorkTask>,
-        granted: &mpsc::Sender<Option<Lock>>,
-        ended: &Rc<Notify>,
+        grant_sender: &mpsc::Sender<Option<Lock>>,
+        work_ended: &Rc<Notify>,
         work: &W,
     ) where
         W: Fn(Lease) -> F,
@@ -97,10 +97,10 @@
     {
         match action {
             Action::RequestLock => {
-                self.request_lock(granted.clone());
+                self.request_lock(grant_sender.clone());
             }
             Action::StartWork(token) => {
-                *work_task = Some(self.start_work(token, lock, ended.clone(), work));
+                *work_task = Some(self.start_work(token, lock, work_ended.clone(), work));
             }
             Action::FinishWork => {
                 if let Some(work_task) = work_task {
@@ -123,8 +123,9 @@
         }
     }
 
-    /// Requests the lock of the role. The result is sent to `granted`, after a delay if the request failed.
-    fn request_lock(&self, granted: mpsc::Sender<Option<Lock>>) {
+    /// Requests the lock of the role. The result is sent to `grant_sender`, after a delay if the request
+    /// failed.
+    fn request_lock(&self, grant_sender: mpsc::Sender<Option<Lock>>) {
         let (session, name) = (self.session.clone(), self.keys.lock(&self.role));
         spawn_local(async move {
             let lock = session.acquire(&name, CALL_TIMEOUT).await.ok();
@@ -132,17 +133,17 @@
                 sleep(RETRY_DELAY).await;
             }
             // Fails only if the session has ended, and then its locks have ended too.
-            let _ = granted.send(lock).await;
+            let _ = grant_sender.send(lock).await;
         });
     }
 
-    /// Starts a task that publishes the owner and then performs the work. `ended` is notified when the task
-    /// ends.
+    /// Starts a task that publishes the owner and then performs the work. `work_ended` is notified when the
+    /// task ends.
     fn start_work<W, F>(
         &self,
         token: u64,
         lock: &Rc<RefCell<Option<Lock>>>,
-        ended: Rc<Notify>,
+        work_ended: Rc<Notify>,
         work: &W,
     ) -> WorkTask
     where
@@ -173,7 +174,7 @@
             if lease.publish(key, encode_value(&owner)).await != PublishOutcome::LeaseLost {
                 work.await;
             }
-            ended.notify_one();
+            work_ended.notify_one();
         });
         WorkTask { task, finish }
     }
--- a/quota-gateway/work-handoff/tests/interleavings.rs
+++ b/quota-gateway/work-handoff/tests/interleavings.rs
@@ -134,10 +134,10 @@
 
 impl System {
     fn call(&mut self, gateway: usize, op: &Op, pending: PendingCall) {
-        let state = &mut self.gateways[gateway];
-        state.call_number += 1;
-        state.phase = Phase::AwaitingReply(pending);
-        let call = Message::Call(gateway, state.call_number, bytes(op));
+        let current = &mut self.gateways[gateway];
+        current.call_number += 1;
+        current.phase = Phase::AwaitingReply(pending);
+        let call = Message::Call(gateway, current.call_number, bytes(op));
         self.messages.push(call);
     }
 
@@ -271,33 +271,33 @@
     fn handle_call_reply(&mut self, gateway: usize, outcome: &Outcome) {
         let is_session_valid = self.gateways[gateway].is_session_valid;
         let Phase::AwaitingReply(pending) = self.gateways[gateway].phase else { return };
-        let state = &mut self.gateways[gateway];
+        let current = &mut self.gateways[gateway];
         match (pending, outcome) {
             (PendingCall::Claim, Ok(Done::Granted(token))) => {
-                state.token = *token;
-                state.phase = Phase::Owning;
+                current.token = *token;
+                current.phase = Phase::Owning;
             }
             // Another gateway has acquired the lock.
-            (PendingCall::Claim, _) => state.phase = Phase::Idle,
+            (PendingCall::Claim, _) => current.phase = Phase::Idle,
             (PendingCall::Accept | PendingCall::Intent, Ok(Done::At(revision))) => {
-                state.entry = state.entry.take().map(|entry| entry.at_revision(*revision));
+                current.entry = current.entry.take().map(|entry| entry.at_revision(*revision));
                 // The session is checked only here. The gateway can be paused between this check and the next
                 // step.
-                state.phase = match (is_session_valid, pending) {
+                current.phase = match (is_session_valid, pending) {
                     (false, _) => Phase::Done,
                     (true, PendingCall::Accept) => Phase::Owning,
                     (true, _) => Phase::ReadyToSend,
                 };
             }
             (PendingCall::Outcome, Ok(Done::At(_))) => {
-                let outcome = state.entry.as_ref().map(|entry| entry.record.stage.clone());
-                state.phase = Phase::Done;
+                let outcome = current.entry.as_ref().map(|entry| entry.record.stage.clone());
+                current.phase = Phase::Done;
                 if let Some(Stage::Outcome(outcome)) = outcome {
                     self.report_outcome(&outcome);
                 }
             }
             // The write was rejected: this gateway no longer owns the record.
-            _ => state.phase = Phase::Done,
+            _ => current.phase = Phase::Done,
         }
     }
 
