--- a/common/settings/src/error.rs
+++ b/common/settings/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a settings file is rejected.
+//! The reasons to reject a settings file.
 
 use quick_error::quick_error;
 use std::io;
@@ -10,14 +10,14 @@
     pub enum Error {
         /// The environment variable that names the file is not set.
         NoPath(variable: &'static str) {
-            display("the variable {variable} names no settings file")
+            display("the environment variable {variable} is not set")
         }
         /// The file cannot be read.
         Unreadable(path: PathBuf, cause: io::Error) {
             display("settings file {}: {}", path.display(), cause)
             source(cause)
         }
-        /// A line, counted from 1, has no `=`.
+        /// A line has no `=`. Lines are numbered from 1.
         MalformedLine(number: usize) {
             display("line {number}: expected key=value")
         }
@@ -25,7 +25,7 @@
         MissingKey(key: &'static str) {
             display("{key} is missing")
         }
-        /// A value cannot be used.
+        /// The value of a key is invalid.
         InvalidValue(key: String, value: String, allowed: &'static str) {
             display("{key}={value}: expected {allowed}")
         }
