--- a/testing/fault-injection/src/checker/ceilings.rs
+++ b/testing/fault-injection/src/checker/ceilings.rs
@@ -15,10 +15,10 @@
 
 impl Checker {
     /// A try takes its unit from its customer's ceiling.
-    pub(super) fn spend(&mut self, at: Nanos, trace: Trace) {
+    pub(super) fn take_from_ceiling(&mut self, at: Nanos, trace: Trace) {
         let Some(setup) = &self.setup else { return };
         let Some(&last) = self.last_try.get(&trace) else { return };
-        let Some(&(customer, _)) = self.asks.get(&self.tries[last].ask) else { return };
+        let Some(&(customer, _)) = self.requests.get(&self.tries[last].request) else { return };
         let Some(quota) =
             setup.plans.get(customer as usize).and_then(|plan| setup.quotas.get(usize::from(*plan)))
         else {
--- a/testing/fault-injection/src/checker/findings.rs
+++ b/testing/fault-injection/src/checker/findings.rs
@@ -34,17 +34,17 @@
             })
         };
         let ends = [FaultKind::Kill, FaultKind::Restart, FaultKind::Wipe, FaultKind::Term, FaultKind::Stop];
-        let mut moot: Vec<(&str, &str)> = vec![];
+        let mut not_applicable: Vec<(&str, &str)> = vec![];
         if touches(Kind::PayServers) {
-            moot.push((
+            not_applicable.push((
                 "ceilings_kept",
                 "links to pay servers fail, so arrivals do not tell when something was sent",
             ));
         }
-        moot.push(("units_once", "the program has no takeover, under which it is asked"));
+        not_applicable.push(("units_once", "the program has no takeover, under which it is asked"));
         if setup.coordinators == 0 {
             for name in ["one_owner", "fenced", "tokens_rise"] {
-                moot.push((name, "the fleet has no coordinators"));
+                not_applicable.push((name, "the fleet has no coordinators"));
             }
         }
         let mut lists = Vec::new();
@@ -70,9 +70,9 @@
         }
         // What the coordinators acknowledged is judged by itself; where there are none, there is only the list.
         if setup.coordinators == 0 {
-            moot.append(&mut lists);
+            not_applicable.append(&mut lists);
         }
-        for (name, why) in moot {
+        for (name, why) in not_applicable {
             findings.insert(name, Finding { holds: None, why: vec![why.to_owned()], cases: 0 });
         }
         for name in INVARIANTS {
--- a/testing/fault-injection/src/checker/lists.rs
+++ b/testing/fault-injection/src/checker/lists.rs
@@ -2,9 +2,9 @@
 
 use super::tries::FAULT_AFTERMATH;
 use super::{seconds, Checker, LIST_LACKS_SERVER};
-use crate::deployment::{Drawn, Nanos, SECOND};
+use crate::deployment::{DrawnFault, Nanos, SECOND};
 use crate::endpoint::Kind;
-use crate::history::Told;
+use crate::history::ServerState;
 use std::collections::HashMap;
 
 /// A replica of the list service may be this far behind.
@@ -13,7 +13,7 @@
 /// What a gateway has been told, in one life of its process.
 #[derive(Default)]
 pub(super) struct Gateway {
-    pub(super) told: HashMap<u16, (Told, Nanos)>,
+    pub(super) states: HashMap<u16, (ServerState, Nanos)>,
     pub(super) store: Option<u64>,
     /// The store may have changed since the last call.
     pub(super) moved: bool,
@@ -23,58 +23,63 @@
 impl Checker {
     /// What a gateway was told of a server, or counts as told of: what its agent holds, from the first moment of its process, while
     /// no fault lies between the two.
-    pub(super) fn counts_as_told(
+    pub(super) fn effective_state(
         &self,
         gateway: u16,
         server: u16,
-        told: Option<(Told, Nanos)>,
-    ) -> Option<(Told, Nanos)> {
-        let between = |fault: &Drawn| {
+        known_state: Option<(ServerState, Nanos)>,
+    ) -> Option<(ServerState, Nanos)> {
+        let between = |fault: &DrawnFault| {
             fault.kind.of_links()
                 && (fault.from.is_empty()
                     || fault.victims.iter().chain(&fault.from).any(|end| end.kind() == Kind::ListService))
         };
         if self.setup.as_ref().is_none_or(|setup| setup.faults.iter().any(between)) {
-            return told;
+            return known_state;
         }
-        let held = self.held.get(&server).filter(|(held, _)| *held != Told::Serving);
+        let agent_state = self.agent_states.get(&server).filter(|(state, _)| *state != ServerState::Serving);
         let started = self.started.get(&gateway).copied().unwrap_or(0);
-        let held = held.map(|(held, since)| (*held, (*since).max(started)));
-        match (told, held) {
-            (Some((Told::Draining | Told::Gone, told_at)), Some((_, since))) if told_at <= since => told,
-            (_, Some(held)) => Some(held),
-            (told, None) => told,
+        let agent_state = agent_state.map(|(state, since)| (*state, (*since).max(started)));
+        match (known_state, agent_state) {
+            (Some((ServerState::Draining | ServerState::Gone, received_at)), Some((_, since)))
+                if received_at <= since =>
+            {
+                known_state
+            }
+            (_, Some(agent_state)) => Some(agent_state),
+            (known_state, None) => known_state,
         }
     }
 
-    pub(super) fn told(
+    pub(super) fn list_received(
         &mut self,
         at: Nanos,
         gateway: u16,
         list: u16,
         store: u64,
         full: bool,
-        servers: &[(u16, Told)],
+        servers: &[(u16, ServerState)],
     ) {
-        let seen = self.gateways.entry(gateway).or_default();
-        if seen.store.replace(store).is_some_and(|before| before != store) {
-            seen.moved = true;
+        let gateway_state = self.gateways.entry(gateway).or_default();
+        if gateway_state.store.replace(store).is_some_and(|before| before != store) {
+            gateway_state.moved = true;
         }
         let processes = self.setup.as_ref().map_or(0, |setup| setup.list_processes);
         if full {
-            let missing = seen.told.keys().filter(|old| !servers.iter().any(|(new, _)| new == *old)).count();
+            let missing =
+                gateway_state.states.keys().filter(|old| !servers.iter().any(|(new, _)| new == *old)).count();
             // What lacks most of the servers at once may be held for a while, where the list service is followed.
-            if processes == 0 || missing * 2 <= seen.told.len() {
-                for (old, state) in &mut seen.told {
-                    if !servers.iter().any(|(new, _)| new == old) && state.0 != Told::Gone {
-                        *state = (Told::Gone, at);
+            if processes == 0 || missing * 2 <= gateway_state.states.len() {
+                for (old, state) in &mut gateway_state.states {
+                    if !servers.iter().any(|(new, _)| new == old) && state.0 != ServerState::Gone {
+                        *state = (ServerState::Gone, at);
                     }
                 }
             }
         }
         for (server, now) in servers {
-            let state = seen.told.entry(*server).or_insert((*now, at));
-            let leaves = |told| told != Told::Serving;
+            let state = gateway_state.states.entry(*server).or_insert((*now, at));
+            let leaves = |state| state != ServerState::Serving;
             if state.0 != *now && !(leaves(state.0) && leaves(*now)) {
                 state.1 = at;
             }
--- a/testing/fault-injection/src/checker/locks.rs
+++ b/testing/fault-injection/src/checker/locks.rs
@@ -14,15 +14,15 @@
     /// A lock is granted: above every token whose holder knew of it before this one asked.
     pub(super) fn granted(&mut self, at: Nanos, candidate: u16, lock: u16, token: u64, asked: Nanos) {
         let owned = self.locks.entry(lock).or_default();
-        let not_above = owned.grants.iter().find(|(heard, who, other)| {
-            (*heard < asked && *other > token) || (*other == token && *who != candidate)
+        let not_above = owned.grants.iter().find(|(received, who, other)| {
+            (*received < asked && *other > token) || (*other == token && *who != candidate)
         });
-        if let Some((heard, who, other)) = not_above.copied() {
+        if let Some((received, who, other)) = not_above.copied() {
             self.broken("tokens_rise", || {
                 format!(
                     "lock-{lock}: candidates[{candidate}] has {token} at {}, and candidates[{who}] had {other} at {}",
                     seconds(at),
-                    seconds(heard)
+                    seconds(received)
                 )
             });
         }
@@ -33,12 +33,12 @@
     pub(super) fn acts(&mut self, at: Nanos, candidate: u16, lock: u16, token: u64) {
         let owned = self.locks.entry(lock).or_default();
         let later = owned.grants.iter().find(|(_, who, other)| *other > token && *who != candidate).copied();
-        if let Some((heard, who, other)) = later {
+        if let Some((received, who, other)) = later {
             self.broken("one_owner", || {
                 format!(
                     "lock-{lock}: candidates[{candidate}] acts under {token} at {}, and candidates[{who}] has {other} since {}",
                     seconds(at),
-                    seconds(heard)
+                    seconds(received)
                 )
             });
         }
--- a/testing/fault-injection/src/checker/mod.rs
+++ b/testing/fault-injection/src/checker/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::deployment::{Nanos, SECOND, SOCKET_SLACK};
 use crate::endpoint::End;
-use crate::history::{At, Event, Life, Setup, Told, Trace};
+use crate::history::{Event, ProcessChange, ServerState, Setup, TimedEvent, Trace};
 use crate::linear::{Call, Op};
 use ceilings::Ceiling;
 use lists::Gateway;
@@ -60,21 +60,21 @@
 #[derive(Default)]
 pub struct Checker {
     setup: Option<Box<Setup>>,
-    asks: HashMap<u32, (u32, u8)>,
+    requests: HashMap<u32, (u32, u8)>,
     tries: Vec<Try>,
     last_try: HashMap<Trace, usize>,
     attempts: HashMap<u64, Attempt>,
-    of_trace: HashMap<Trace, Vec<u64>>,
+    attempts_of_trace: HashMap<Trace, Vec<u64>>,
     closed: HashMap<u64, Nanos>,
     gateways: HashMap<u16, Gateway>,
     /// What the platform's agents hold, and since when; and when each gateway's process was started.
-    held: HashMap<u16, (Told, Nanos)>,
+    agent_states: HashMap<u16, (ServerState, Nanos)>,
     started: HashMap<u16, Nanos>,
     ceilings: HashMap<u32, Ceiling>,
     registered: HashMap<u16, Nanos>,
     stalls: Vec<(Nanos, Nanos)>,
-    began: HashMap<u16, Nanos>,
-    over: HashMap<u16, Nanos>,
+    fault_starts: HashMap<u16, Nanos>,
+    fault_ends: HashMap<u16, Nanos>,
     crashes: Vec<(End, Nanos)>,
     locks: HashMap<u16, Owned>,
     /// Calls on registers by their numbers, in the order of their begins.
@@ -107,19 +107,21 @@
     }
 
     /// Observes the next event.
-    pub fn observe(&mut self, At { at, event }: &At) {
+    pub fn observe(&mut self, TimedEvent { at, event }: &TimedEvent) {
         let at = *at;
         match event {
             Event::Setup(setup) => self.setup = Some(setup.clone()),
-            Event::Asked { ask, customer, class, .. } => drop(self.asks.insert(*ask, (*customer, *class))),
-            Event::Tried { ask, trace, gateway, .. } => {
+            Event::RequestStarted { request, customer, class, .. } => {
+                self.requests.insert(*request, (*customer, *class));
+            }
+            Event::TryStarted { request, trace, gateway, .. } => {
                 self.last_try.insert(*trace, self.tries.len());
-                let (ask, trace, gateway) = (*ask, *trace, *gateway);
+                let (request, trace, gateway) = (*request, *trace, *gateway);
                 let (ended, more_ends, afterwards) = (None, 0, None);
-                self.tries.push(Try { ask, trace, gateway, began: at, ended, more_ends, afterwards });
+                self.tries.push(Try { request, trace, gateway, began: at, ended, more_ends, afterwards });
             }
-            Event::Ended { trace, outcome } => self.ended(at, *trace, *outcome),
-            Event::Afterwards { trace, answered } => {
+            Event::TryEnded { trace, outcome } => self.ended(at, *trace, *outcome),
+            Event::TryEndedLate { trace, answered } => {
                 if let Some(&last) = self.last_try.get(trace) {
                     self.tries[last].afterwards = Some((at, *answered));
                 }
@@ -136,11 +138,11 @@
                     attempt.answered.get_or_insert((at, *answer));
                 }
             }
-            Event::ListAsked { gateway, since: Some(since) } => {
-                let seen = self.gateways.entry(*gateway).or_default();
-                let (before, moved) = (seen.since, seen.moved);
-                seen.since = *since;
-                seen.moved = false;
+            Event::ListRequested { gateway, since: Some(since) } => {
+                let gateway_state = self.gateways.entry(*gateway).or_default();
+                let (before, moved) = (gateway_state.since, gateway_state.moved);
+                gateway_state.since = *since;
+                gateway_state.moved = false;
                 if *since < before && !moved {
                     let gateway = *gateway;
                     self.broken("list_never_back", || {
@@ -151,24 +153,26 @@
                     });
                 }
             }
-            Event::ListTold { gateway, list, store, full, servers, .. } => {
-                self.told(at, *gateway, *list, *store, *full, servers);
+            Event::ListReceived { gateway, list, store, full, servers, .. } => {
+                self.list_received(at, *gateway, *list, *store, *full, servers);
+            }
+            Event::AgentStateChanged { server, state } => {
+                self.agent_states.insert(*server, (*state, at));
             }
-            Event::AgentsHold { server, told } => drop(self.held.insert(*server, (*told, at))),
             Event::Registered { server, .. } => drop(self.registered.insert(*server, at)),
-            Event::Lived { end, life } => match (end, life) {
-                (End::Gateway(gateway), Life::Started) => {
+            Event::ProcessChanged { end, change } => match (end, change) {
+                (End::Gateway(gateway), ProcessChange::Started) => {
                     self.gateways.remove(gateway);
                     self.started.insert(*gateway, at);
                 }
-                (End::Gateway(gateway), Life::Continued) => drop(self.started.insert(*gateway, at)),
-                (_, Life::Crashed) => self.crashes.push((*end, at)),
+                (End::Gateway(gateway), ProcessChange::Continued) => drop(self.started.insert(*gateway, at)),
+                (_, ProcessChange::Crashed) => self.crashes.push((*end, at)),
                 _ => {}
             },
             Event::Granted { candidate, lock, token, asked } => {
                 self.granted(at, *candidate, *lock, *token, *asked)
             }
-            Event::Acts { candidate, lock, token } => self.acts(at, *candidate, *lock, *token),
+            Event::ActionStarted { candidate, lock, token } => self.acts(at, *candidate, *lock, *token),
             Event::Effect { lock, token, admitted: true, .. } => {
                 let (lock, token) = (*lock, *token);
                 let owned = self.locks.entry(lock).or_default();
@@ -180,34 +184,34 @@
                     });
                 }
             }
-            Event::Called { client, call, register, put } => {
+            Event::CallStarted { client, call, register, put } => {
                 let op = put.map_or(Op::Read, |(value, expect)| Op::Put { value, expect });
                 self.calls.insert(*call, (*register, Call { client: *client, from: at, op, answer: None }));
             }
-            Event::Returned { call, returned } => self.returned(at, *call, *returned),
+            Event::CallReturned { call, result: returned } => self.returned(at, *call, *returned),
             Event::Watched { watcher, since, upto, changes } => {
                 self.watched(at, *watcher, *since, *upto, changes)
             }
-            Event::FaultBegan { fault } => drop(self.began.insert(*fault, at)),
-            Event::FaultOver { fault } => drop(self.over.insert(*fault, at)),
+            Event::FaultBegan { fault } => drop(self.fault_starts.insert(*fault, at)),
+            Event::FaultEnded { fault } => drop(self.fault_ends.insert(*fault, at)),
             Event::Stalled { late } => self.stalls.push((at, *late)),
             Event::Finished { .. } => self.finished = true,
-            Event::ListAsked { since: None, .. }
-            | Event::AskEnded { .. }
+            Event::ListRequested { since: None, .. }
+            | Event::RequestEnded { .. }
             | Event::Opened { .. }
             | Event::Probed { .. }
-            | Event::Fell { .. }
+            | Event::OverloadCrash { .. }
             | Event::Renewed { .. }
-            | Event::Counted { .. }
+            | Event::CounterCalled { .. }
             | Event::Effect { admitted: false, .. }
-            | Event::Decided { .. }
+            | Event::ZonesDecided { .. }
             | Event::SharesDecided { .. }
-            | Event::BooksDecided { .. }
-            | Event::BookWrite { .. }
-            | Event::CellsHold { .. }
-            | Event::GoesBy { .. }
+            | Event::ShardMapDecided { .. }
+            | Event::ShardWrite { .. }
+            | Event::WriteLocations { .. }
+            | Event::DecisionApplied { .. }
             | Event::DecisionRefused { .. }
-            | Event::Busy { .. } => {}
+            | Event::HarnessCpu { .. } => {}
         }
     }
 }
--- a/testing/fault-injection/src/checker/registers.rs
+++ b/testing/fault-injection/src/checker/registers.rs
@@ -2,7 +2,7 @@
 
 use super::{seconds, Checker};
 use crate::deployment::Nanos;
-use crate::history::Returned;
+use crate::history::CallResult;
 use crate::linear::{self, Call, Op, Ret};
 use std::collections::BTreeMap;
 
@@ -11,22 +11,22 @@
 pub(super) struct Watched {
     pub(super) from: u64,
     pub(super) upto: u64,
-    pub(super) told: BTreeMap<u64, (u16, u64)>,
+    pub(super) changes: BTreeMap<u64, (u16, u64)>,
 }
 
 impl Checker {
     /// A call on a register has its answer. One of which nothing was done is as if it had never been made; so is a read that
     /// was given up.
-    pub(super) fn returned(&mut self, at: Nanos, call: u64, returned: Returned) {
+    pub(super) fn returned(&mut self, at: Nanos, call: u64, returned: CallResult) {
         let ret = match returned {
-            Returned::Value { value, revision } => Ret::Value { value, revision },
-            Returned::At { revision } => Ret::At(revision),
-            Returned::Conflict { revision } => Ret::Conflict(revision),
-            Returned::Nothing => {
+            CallResult::Value { value, revision } => Ret::Value { value, revision },
+            CallResult::Written { revision } => Ret::Written(revision),
+            CallResult::Conflict { revision } => Ret::Conflict(revision),
+            CallResult::NoEffect => {
                 self.calls.remove(&call);
                 return;
             }
-            Returned::Unknown => return,
+            CallResult::Unknown => return,
         };
         if let Some((_, call)) = self.calls.get_mut(&call) {
             call.answer = Some((at, ret));
@@ -41,14 +41,14 @@
         upto: u64,
         changes: &[(u64, u16, u64)],
     ) {
-        let lives = self.watches.entry(watcher).or_default();
+        let watches = self.watches.entry(watcher).or_default();
         let Some(since) = since else {
-            return lives.push(Watched { from: upto, upto, told: BTreeMap::new() });
+            return watches.push(Watched { from: upto, upto, changes: BTreeMap::new() });
         };
-        let Some(life) = lives.last_mut() else { return };
+        let Some(watch) = watches.last_mut() else { return };
         let in_order = changes.windows(2).all(|pair| pair[0].0 < pair[1].0);
         let behind = changes.iter().all(|(revision, ..)| *revision > since && *revision <= upto);
-        if since != life.upto || upto < since || !in_order || !behind {
+        if since != watch.upto || upto < since || !in_order || !behind {
             self.broken("nothing_acknowledged_lost", || {
                 format!(
                     "candidates[{watcher}] watches from {since} and is told up to {upto} out of order at {}",
@@ -57,8 +57,10 @@
             });
             return;
         }
-        life.upto = upto;
-        life.told.extend(changes.iter().map(|(revision, register, value)| (*revision, (*register, *value))));
+        watch.upto = upto;
+        watch
+            .changes
+            .extend(changes.iter().map(|(revision, register, value)| (*revision, (*register, *value))));
     }
 
     /// Registers are linearizable, and no watcher misses what was acknowledged.
@@ -81,19 +83,19 @@
                 }),
             }
         }
-        for (watcher, lives) in std::mem::take(&mut self.watches) {
-            for life in lives {
+        for (watcher, watches) in std::mem::take(&mut self.watches) {
+            for watch in watches {
                 for (register, call) in
                     of.iter().flat_map(|(of, calls)| calls.iter().map(move |call| (*of, call)))
                 {
-                    let (Op::Put { value, .. }, Some((at, Ret::At(revision)))) = (call.op, call.answer)
+                    let (Op::Put { value, .. }, Some((at, Ret::Written(revision)))) = (call.op, call.answer)
                     else {
                         continue;
                     };
-                    if revision <= life.from || revision > life.upto {
+                    if revision <= watch.from || revision > watch.upto {
                         continue;
                     }
-                    if life.told.get(&revision) != Some(&(register, value)) {
+                    if watch.changes.get(&revision) != Some(&(register, value)) {
                         self.broken("nothing_acknowledged_lost", || {
                             format!(
                                 "candidates[{watcher}] was not told of revision {revision} of register-{register}, acknowledged at {}",
--- a/testing/fault-injection/src/checker/tries.rs
+++ b/testing/fault-injection/src/checker/tries.rs
@@ -1,9 +1,9 @@
 //! Requests' tries and the attempts at pay servers: one final answer, nothing unsafe twice, one attempt at a time.
 
 use super::{seconds, Checker};
-use crate::deployment::{Drawn, Nanos, ATTEMPTS_MOST, DRAIN_GRACE, SECOND, UNSAFE};
+use crate::deployment::{DrawnFault, Nanos, DRAIN_GRACE, MAX_ATTEMPTS, SECOND, UNSAFE};
 use crate::endpoint::End;
-use crate::history::{Answer, Outcome, Setup, Told, Trace};
+use crate::history::{Answer, Outcome, ServerState, Setup, Trace};
 use crate::scenario::FaultKind;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +12,7 @@
 
 /// One try of a request, at one gateway.
 pub(super) struct Try {
-    pub(super) ask: u32,
+    pub(super) request: u32,
     pub(super) trace: Trace,
     pub(super) gateway: u16,
     pub(super) began: Nanos,
@@ -64,17 +64,18 @@
     ) {
         let (ran, answered) = (false, None);
         self.attempts.insert(attempt, Attempt { trace, connection, arrived: at, ran, answered });
-        let attempts = self.of_trace.entry(trace).or_default();
+        let attempts = self.attempts_of_trace.entry(trace).or_default();
         attempts.push(attempt);
         let count = attempts.len();
-        if count > ATTEMPTS_MOST as usize {
+        if count > MAX_ATTEMPTS as usize {
             self.broken("attempts_at_most_four", || {
                 format!("{trace:016x}: attempt {count} arrived at {}", seconds(at))
             });
         }
-        let told = self.gateways.get(&gateway).and_then(|seen| seen.told.get(&server)).copied();
-        let told = self.counts_as_told(gateway, server, told);
-        if let Some((Told::Draining | Told::Gone, since)) = told {
+        let known_state =
+            self.gateways.get(&gateway).and_then(|gateway_state| gateway_state.states.get(&server)).copied();
+        let known_state = self.effective_state(gateway, server, known_state);
+        if let Some((ServerState::Draining | ServerState::Gone, since)) = known_state {
             if at > since + DRAIN_GRACE + self.slack(at) {
                 self.broken("drains_kept", || {
                     format!(
@@ -87,14 +88,14 @@
             }
         }
         if count == 1 {
-            self.spend(at, trace);
+            self.take_from_ceiling(at, trace);
         }
     }
 
     /// Whether a fault explains that a try at this gateway got no answer.
-    pub(super) fn excused(&self, setup: &Setup, gateway: u16, from: Nanos, to: Nanos) -> bool {
+    pub(super) fn explained_by_fault(&self, setup: &Setup, gateway: u16, from: Nanos, to: Nanos) -> bool {
         let end = End::Gateway(gateway);
-        let struck = |fault: &Drawn| match fault.kind {
+        let affects = |fault: &DrawnFault| match fault.kind {
             FaultKind::Kill | FaultKind::Restart | FaultKind::Wipe | FaultKind::Stop => {
                 fault.victims.contains(&end)
             }
@@ -109,9 +110,10 @@
         };
         let by_fault = setup.faults.iter().enumerate().any(|(i, fault)| {
             let i = i as u16;
-            let Some(&began) = self.began.get(&i) else { return false };
-            let over = self.over.get(&i).filter(|_| fault.until.is_some()).copied().unwrap_or(Nanos::MAX);
-            struck(fault) && from <= over.saturating_add(FAULT_AFTERMATH) && to >= began
+            let Some(&began) = self.fault_starts.get(&i) else { return false };
+            let over =
+                self.fault_ends.get(&i).filter(|_| fault.until.is_some()).copied().unwrap_or(Nanos::MAX);
+            affects(fault) && from <= over.saturating_add(FAULT_AFTERMATH) && to >= began
         });
         by_fault || self.crashes.iter().any(|(of, at)| *of == end && to + FAULT_AFTERMATH >= *at)
     }
@@ -131,19 +133,19 @@
                 _ => None,
             };
             if let Some((at, how)) = lost {
-                if !self.excused(setup, gateway, began, at) {
+                if !self.explained_by_fault(setup, gateway, began, at) {
                     self.broken("one_final_answer", || {
                         format!("{trace:016x} {how} by gateways[{gateway}], sent to it at {}", seconds(began))
                     });
                 }
             }
-            if self.asks.get(&it.ask).is_some_and(|(_, class)| *class == UNSAFE) {
-                traces.entry(it.ask).or_default().insert(trace);
+            if self.requests.get(&it.request).is_some_and(|(_, class)| *class == UNSAFE) {
+                traces.entry(it.request).or_default().insert(trace);
             }
         }
         // What must never run twice is the request, whichever of its tries it was.
-        for (ask, traces) in traces {
-            let ids = traces.iter().flat_map(|trace| self.of_trace.get(trace).into_iter().flatten());
+        for (request, traces) in traces {
+            let ids = traces.iter().flat_map(|trace| self.attempts_of_trace.get(trace).into_iter().flatten());
             let ran = ids.filter_map(|id| self.attempts.get(id).filter(|attempt| attempt.ran));
             let runs: Vec<(Nanos, Trace)> = ran.map(|attempt| (attempt.arrived, attempt.trace)).collect();
             if runs.len() < 2 {
@@ -152,14 +154,14 @@
             self.broken("never_ran_twice", || {
                 let runs: Vec<String> =
                     runs.iter().map(|(at, trace)| format!("{trace:016x} at {}", seconds(*at))).collect();
-                format!("request {ask} ran {} times: {}", runs.len(), runs.join(", "))
+                format!("request {request} ran {} times: {}", runs.len(), runs.join(", "))
             });
         }
     }
 
     pub(super) fn check_attempts(&mut self) {
         let mut overlaps = Vec::new();
-        for (trace, ids) in &self.of_trace {
+        for (trace, ids) in &self.attempts_of_trace {
             let attempts: Vec<&Attempt> = ids.iter().filter_map(|id| self.attempts.get(id)).collect();
             for pair in attempts.windows(2) {
                 let answered = pair[0].answered.map_or(Nanos::MAX, |(at, _)| at);
--- a/testing/fault-injection/src/compare.rs
+++ b/testing/fault-injection/src/compare.rs
@@ -59,7 +59,7 @@
 }
 
 /// Median and spread of a figure over runs that have it.
-fn over(runs: &[BTreeMap<String, f64>], name: &str) -> Option<(f64, f64, f64)> {
+fn quantiles_over(runs: &[BTreeMap<String, f64>], name: &str) -> Option<(f64, f64, f64)> {
     let mut values: Vec<f64> = runs.iter().filter_map(|run| run.get(name).copied()).collect();
     values.sort_by(f64::total_cmp);
     Some((*values.first()?, values[values.len() / 2], *values.last()?))
@@ -72,8 +72,8 @@
 /// A folder holds no run, or one that cannot be read.
 pub fn compare(one: &Path, other: &Path) -> Result<String, RecordingError> {
     let sides = [runs(one)?, runs(other)?];
-    let figured: Vec<Vec<_>> = sides.iter().map(|runs| runs.iter().map(figures).collect()).collect();
-    let mut names: Vec<&String> = figured.iter().flatten().flat_map(|run| run.keys()).collect();
+    let figures_of_runs: Vec<Vec<_>> = sides.iter().map(|runs| runs.iter().map(figures).collect()).collect();
+    let mut names: Vec<&String> = figures_of_runs.iter().flatten().flat_map(|run| run.keys()).collect();
     names.sort();
     names.dedup();
     let mut table = format!(
@@ -83,12 +83,12 @@
         format!("{} runs", sides[1].len())
     );
     for name in names {
-        let cell = |runs: &[BTreeMap<String, f64>]| match over(runs, name) {
+        let cell = |runs: &[BTreeMap<String, f64>]| match quantiles_over(runs, name) {
             Some((least, median, most)) if least == most => format!("{median:.4}"),
             Some((least, median, most)) => format!("{median:.4} ({least:.4} to {most:.4})"),
             None => "-".to_owned(),
         };
-        table += &format!("{name:<38} {:>30} {:>30}\n", cell(&figured[0]), cell(&figured[1]));
+        table += &format!("{name:<38} {:>30} {:>30}\n", cell(&figures_of_runs[0]), cell(&figures_of_runs[1]));
     }
     Ok(table)
 }
--- a/testing/fault-injection/src/decided/shares.rs
+++ b/testing/fault-injection/src/decisions/shares.rs
@@ -1,31 +1,31 @@
 //! Shares, judged on a history alone, beside the exact weighted max-min solution: the sum within the capacity, each firm's least
 //! share, the distance from what would be exact.
 
-use super::Broken;
+use super::Violations;
 use crate::deployment::{Nanos, MS, SECOND};
-use crate::history::{At, Event, Setup, Trace};
+use crate::history::{Event, Setup, TimedEvent, Trace};
 use marblecroft_fair_share_reference::{max_min_shares, Firm};
 use std::collections::{HashMap, HashSet};
 
 /// What is asked and sent is looked at over this long: a second holds a request or two of a firm.
-const WINDOW: usize = 4;
+const WINDOW_SECONDS: usize = 4;
 /// The sum may pass the capacity by the owner's slack, and by what firms' stores hold: a second's worth in a window.
-const SLACK: f64 = 0.05;
+const SLACK_SHARE: f64 = 0.05;
 /// After a fault began or was over, after a shift, and at the begin, shares move for this long.
 const TRANSITION: Nanos = 8 * SECOND;
 /// Of a firm's least share so much has to reach it, less what chance does: requests come in whole, and so many roots of them.
-const FLOOR: f64 = 0.75;
-const CHANCE: f64 = 3.0;
+const FLOOR_SHARE: f64 = 0.75;
+const CHANCE_ROOTS: f64 = 3.0;
 
 /// Figures; null where they do not apply.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Told {
+pub struct ShareFigures {
     pub share_error: Option<f64>,
     pub time_to_shares_ms: Option<u64>,
 }
 
 #[derive(Default)]
-pub struct Shares {
+pub struct ShareChecker {
     applies: bool,
     from: Nanos,
     shift: Option<Nanos>,
@@ -42,12 +42,12 @@
     end: Nanos,
 }
 
-impl Shares {
+impl ShareChecker {
     pub fn begin(&mut self, setup: &Setup) {
         self.applies = setup.shares;
         self.from = setup.load_from;
         self.end = setup.load_from + setup.duration;
-        self.shift = setup.shift.map(|at| setup.load_from + at);
+        self.shift = setup.demand_shift_at.map(|at| setup.load_from + at);
         // What each pays by what it has contracted, as gateways weigh it.
         let weight = |plan: &u8| setup.quotas.get(usize::from(*plan)).map_or(0.0, |q| q.price * q.rate);
         self.weights = setup.plans.iter().map(weight).collect();
@@ -66,20 +66,20 @@
         Some(second)
     }
 
-    pub fn take(&mut self, At { at, event }: &At) {
+    pub fn take(&mut self, TimedEvent { at, event }: &TimedEvent) {
         let at = *at;
         if !self.applies {
             return;
         }
         match event {
-            Event::Asked { ask, customer, .. } => {
-                self.customers.insert(*ask, *customer);
+            Event::RequestStarted { request, customer, .. } => {
+                self.customers.insert(*request, *customer);
                 if let Some(second) = self.second(at) {
                     self.asked[second][*customer as usize] += 1.0;
                 }
             }
-            Event::Tried { ask, trace, .. } => {
-                if let Some(customer) = self.customers.get(ask) {
+            Event::TryStarted { request, trace, .. } => {
+                if let Some(customer) = self.customers.get(request) {
                     self.traces.insert(*trace, *customer);
                 }
             }
@@ -90,7 +90,7 @@
                 }
             }
             Event::SharesDecided { capacity, .. } => self.capacity.push((at, *capacity)),
-            Event::FaultBegan { .. } | Event::FaultOver { .. } => self.moved.push(at),
+            Event::FaultBegan { .. } | Event::FaultEnded { .. } => self.moved.push(at),
             _ => {}
         }
     }
@@ -106,58 +106,58 @@
         (0..of[0].len()).map(|firm| of.iter().map(|second| second[firm]).sum()).collect()
     }
 
-    pub fn findings(self, broken: &mut Broken) -> Told {
+    pub fn findings(self, violations: &mut Violations) -> ShareFigures {
         if !self.applies {
             for name in ["shares_within_capacity", "share_floor"] {
-                broken.does_not_apply(name, "no shares are decided");
+                violations.does_not_apply(name, "no shares are decided");
             }
-            return Told::default();
+            return ShareFigures::default();
         }
-        let seconds = WINDOW as f64;
+        let seconds = WINDOW_SECONDS as f64;
         let all: f64 = self.weights.iter().sum();
         let mut errors: Vec<f64> = Vec::new();
         let mut settled: Option<Nanos> = None;
-        for second in 0..self.sent.len().saturating_sub(WINDOW - 1) {
+        for second in 0..self.sent.len().saturating_sub(WINDOW_SECONDS - 1) {
             let from = self.from + second as Nanos * SECOND;
-            let to = from + WINDOW as Nanos * SECOND;
+            let to = from + WINDOW_SECONDS as Nanos * SECOND;
             // What was decided before the load began is what shares begin from.
             let Some(capacity) = self.capacity_in(from, to) else { continue };
-            let asked = Shares::sums(&self.asked[second..second + WINDOW]);
-            let sent = Shares::sums(&self.sent[second..second + WINDOW]);
+            let asked = ShareChecker::sums(&self.asked[second..second + WINDOW_SECONDS]);
+            let sent = ShareChecker::sums(&self.sent[second..second + WINDOW_SECONDS]);
             let sum: f64 = sent.iter().sum();
-            let most = capacity * (1.0 + SLACK) * (seconds + 1.0);
+            let most = capacity * (1.0 + SLACK_SHARE) * (seconds + 1.0);
             let calm = self.moved.iter().all(|moved| to <= *moved || from >= *moved + TRANSITION);
-            if sum > most + CHANCE * most.sqrt() {
-                broken.add("shares_within_capacity", || {
-                    format!("{sum} were sent on in the {WINDOW} s from second {second}, and all may send {capacity:.1} a second")
+            if sum > most + CHANCE_ROOTS * most.sqrt() {
+                violations.add("shares_within_capacity", || {
+                    format!("{sum} were sent on in the {WINDOW_SECONDS} s from second {second}, and all may send {capacity:.1} a second")
                 });
             }
             let firms: Vec<Firm> = asked
                 .iter()
                 .zip(&self.weights)
-                .map(|(asks, weight)| Firm { demand: *asks, weight: *weight })
+                .map(|(demand, weight)| Firm { demand: *demand, weight: *weight })
                 .collect();
             let exact = max_min_shares(&firms, capacity * seconds);
             let far = |(sent, exact): (&f64, &f64)| (sent - exact).abs() / (capacity * seconds);
             let error = sent.iter().zip(&exact).map(far).fold(0.0, f64::max);
             if calm {
                 errors.push(error);
-                for (firm, (sent, firm_asks)) in sent.iter().zip(&firms).enumerate() {
-                    let least = firm_asks.demand.min(capacity * seconds * firm_asks.weight / all);
-                    if *sent < FLOOR * least - CHANCE * least.sqrt() - 1.0 {
-                        broken.add("share_floor", || {
-                            format!("firm {firm} was sent on {sent} in the {WINDOW} s from second {second}, and its least share is {least:.1}")
+                for (firm, (sent, firm_demand)) in sent.iter().zip(&firms).enumerate() {
+                    let least = firm_demand.demand.min(capacity * seconds * firm_demand.weight / all);
+                    if *sent < FLOOR_SHARE * least - CHANCE_ROOTS * least.sqrt() - 1.0 {
+                        violations.add("share_floor", || {
+                            format!("firm {firm} was sent on {sent} in the {WINDOW_SECONDS} s from second {second}, and its least share is {least:.1}")
                         });
                     }
                 }
             }
             let after = self.shift.filter(|shift| from >= *shift);
-            if after.is_some() && error <= SLACK {
+            if after.is_some() && error <= SLACK_SHARE {
                 settled.get_or_insert(from);
             }
         }
         errors.sort_by(f64::total_cmp);
-        Told {
+        ShareFigures {
             share_error: errors.get(errors.len() / 2).copied(),
             time_to_shares_ms: settled.zip(self.shift).map(|(at, shift)| (at - shift) / MS),
         }
--- a/testing/fault-injection/src/deployment.rs
+++ b/testing/fault-injection/src/deployment.rs
@@ -2,7 +2,7 @@
 //! each fault strikes. The same scenario and seed give the same deployment, load and faults, on every machine.
 
 use crate::endpoint::{End, Kind};
-use crate::scenario::in_common::Tenants;
+use crate::scenario::tenancy::Tenants;
 use crate::scenario::{Fault, FaultKind, Scenario, ScenarioError, Target};
 use rand::seq::{index, SliceRandom};
 use rand::{Rng, SeedableRng};
@@ -22,7 +22,7 @@
 
 /// What chance is drawn for; each has a stream of its own, so that a draw more for one moves no other.
 #[derive(Clone, Copy)]
-pub enum Stream {
+pub enum RandomStream {
     /// Customers, pay servers and gateways.
     Deployment,
     /// Victims of the faults.
@@ -42,7 +42,7 @@
 }
 
 /// Returns the random numbers of a stream.
-pub fn chance(seed: u64, stream: Stream) -> ChaCha8Rng {
+pub fn random_stream(seed: u64, stream: RandomStream) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(stream as u64 + 1);
     rng
@@ -58,11 +58,11 @@
     /// Its requests, as a share of all.
     pub weight: f64,
     /// Its first gateway.
-    pub first: u16,
+    pub first_gateway: u16,
     /// How its requests are spread over the gateways from `first` on; as many as its set has.
-    pub spread: Vec<f64>,
+    pub gateway_weights: Vec<f64>,
     /// Its requests, and its first gateway, once demand has moved.
-    pub moved: (f64, u16),
+    pub after_shift: (f64, u16),
     /// It comes again at once when refused.
     pub greedy: bool,
 }
@@ -105,7 +105,7 @@
 
 /// A fault with its victims drawn.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Drawn {
+pub struct DrawnFault {
     /// What happens.
     pub kind: FaultKind,
     /// When it begins, in nanoseconds after the load's begin.
@@ -144,7 +144,7 @@
     /// The seed of each gateway's first start.
     pub gateway_seeds: Vec<u64>,
     /// The faults.
-    pub faults: Vec<Drawn>,
+    pub faults: Vec<DrawnFault>,
 }
 
 /// Classes by number.
@@ -155,7 +155,7 @@
 pub const CLASSES: [&str; 2] = ["payslip-read", "pay-run-submit"];
 
 /// A request is tried at four servers at the most.
-pub const ATTEMPTS_MOST: u32 = 4;
+pub const MAX_ATTEMPTS: u32 = 4;
 /// A server that drains may still be sent to for this time.
 pub const DRAIN_GRACE: Nanos = 500 * MS;
 /// Limits that the rules give are this much longer on sockets.
@@ -170,27 +170,27 @@
     ///
     /// Two faults suspend or end the same process at the same time.
     pub fn draw(scenario: &Scenario, seed: u64) -> Result<Deployment, ScenarioError> {
-        let mut rng = chance(seed, Stream::Deployment);
+        let mut rng = random_stream(seed, RandomStream::Deployment);
         let site = &scenario.site;
         let (customers, quotas) = match &scenario.tenants {
-            Some(tenants) => firms(scenario, tenants, &mut rng),
-            None => customers(scenario, &mut rng),
+            Some(tenants) => draw_firms(scenario, tenants, &mut rng),
+            None => draw_customers(scenario, &mut rng),
         };
         let servers = (0..scenario.fleet.pay_servers as usize)
             .map(|i| PayServer {
                 id: format!("s-{:08x}", rng.random::<u32>()),
                 zone: i % scenario.fleet.zones.len(),
                 cell: scenario.cell_of(i as u32),
-                speed: spread(site.speed, site.speed_cv, &mut rng),
+                speed: sample_gamma(site.speed, site.speed_cv, &mut rng),
             })
             .collect();
         let gateway_seeds = (0..scenario.fleet.gateways).map(|_| rng.random()).collect();
-        let faults = faults(scenario, &mut chance(seed, Stream::Faults))?;
+        let faults = draw_faults(scenario, &mut random_stream(seed, RandomStream::Faults))?;
         Ok(Deployment { customers, quotas, servers, gateway_seeds, faults })
     }
 
     /// When the last fault is over: undone, or done where it is for good.
-    pub fn faults_over(&self) -> Option<Nanos> {
+    pub fn last_fault_end(&self) -> Option<Nanos> {
         self.faults.iter().map(|fault| fault.until.unwrap_or(fault.at)).max()
     }
 
@@ -221,7 +221,7 @@
             "Domain": {"SharedCounter": scenario.fleet.counter, "CountWait": 30 * MS, "CallPrice": 0.01,
                 "Metering": METER_PERIOD, "UnitsTop": 1, "PostPaid": false, "InboxPerS": 0.0},
             "Limits": {"Cancel": true, "ConnIdle": 15 * SECOND, "ConnectTimeout": 250 * MS,
-                "MaxAttempts": ATTEMPTS_MOST, "MaxRetryAfter": 500 * MS, "MostHeld": 20_000, "Peers": false, "Probes": true,
+                "MaxAttempts": MAX_ATTEMPTS, "MaxRetryAfter": 500 * MS, "MostHeld": 20_000, "Peers": false, "Probes": true,
                 "RetryAfter": true, "SecondCopies": false, "StreamsPerConn": 1},
             "Rules": {"AnswerSlack": 16 * MS, "AskEvery": 10 * SECOND, "ColdFrom": site.cold_from,
                 "DrainGrace": DRAIN_GRACE, "Fall": ns(site.fall_ms), "OverloadFactor": site.fall_multiple,
@@ -233,7 +233,7 @@
 }
 
 /// A positive figure about a mean.
-pub fn spread(mean: f64, cv: f64, rng: &mut impl Rng) -> f64 {
+pub fn sample_gamma(mean: f64, cv: f64, rng: &mut impl Rng) -> f64 {
     if cv <= 0.0 {
         return mean;
     }
@@ -244,8 +244,8 @@
 
 /// Customers of each plan, as many as give it its share of the use; then quotas are scaled so that the load is what these
 /// customers ask for.
-fn customers(scenario: &Scenario, rng: &mut ChaCha8Rng) -> (Vec<Customer>, Vec<Quota>) {
-    let (site, load, gateways) = (&scenario.site, &scenario.load, scenario.entries() as usize);
+fn draw_customers(scenario: &Scenario, rng: &mut ChaCha8Rng) -> (Vec<Customer>, Vec<Quota>) {
+    let (site, load, gateways) = (&scenario.site, &scenario.load, scenario.entry_count() as usize);
     let needed: Vec<f64> = site.plans.iter().map(|plan| plan.share / plan.rate).collect();
     let all: f64 = needed.iter().sum();
     let mut customers = Vec::new();
@@ -267,9 +267,9 @@
                 id: rng.random_range(0..1u64 << 33),
                 plan,
                 weight,
-                first: rng.random_range(0..gateways) as u16,
-                spread: (0..size).map(|_| rng.random_range(0.05f64..1.0).powf(site.skew)).collect(),
-                moved: (weight, 0),
+                first_gateway: rng.random_range(0..gateways) as u16,
+                gateway_weights: (0..size).map(|_| rng.random_range(0.05f64..1.0).powf(site.skew)).collect(),
+                after_shift: (weight, 0),
                 greedy: false,
             });
         }
@@ -278,7 +278,7 @@
     let scale = load.rate / asked;
     for customer in &mut customers {
         customer.weight /= asked;
-        customer.moved = (customer.weight, customer.first);
+        customer.after_shift = (customer.weight, customer.first_gateway);
     }
     customers.shuffle(rng);
     let quotas = site.plans.iter().map(|plan| {
@@ -302,14 +302,14 @@
 }
 
 /// The quota of a firm whose shares are decided in common, against its part of the load: shares are to bind before it.
-const ROOMY: f64 = 4.0;
+const QUOTA_HEADROOM: f64 = 4.0;
 /// What a greedy firm asks for, against its part.
-const GREED: f64 = 5.0;
+const GREEDY_DEMAND_FACTOR: f64 = 5.0;
 
 /// Firms with weights in turn, a plan for each weight: contracted by weight, at one price, so that nobody's worth goes before
 /// another's.
-fn firms(scenario: &Scenario, tenants: &Tenants, rng: &mut ChaCha8Rng) -> (Vec<Customer>, Vec<Quota>) {
-    let (load, gateways) = (&scenario.load, scenario.entries() as usize);
+fn draw_firms(scenario: &Scenario, tenants: &Tenants, rng: &mut ChaCha8Rng) -> (Vec<Customer>, Vec<Quota>) {
+    let (load, gateways) = (&scenario.load, scenario.entry_count() as usize);
     let weight = |i: usize| tenants.weights[i % tenants.weights.len()];
     let all: f64 = (0..tenants.firms as usize).map(weight).sum();
     let mut plans: Vec<f64> = tenants.weights.clone();
@@ -318,16 +318,19 @@
     let mut customers: Vec<Customer> = (0..tenants.firms as usize)
         .map(|i| {
             let greedy = i < tenants.greedy as usize;
-            let asks = weight(i) / all * if greedy { GREED } else { rng.random_range(0.3..1.5) };
+            let asks =
+                weight(i) / all * if greedy { GREEDY_DEMAND_FACTOR } else { rng.random_range(0.3..1.5) };
             let most = if gateways <= 4 { 4 } else { 9 };
             let size = rng.random_range(2..=most).min(gateways);
             Customer {
                 id: rng.random_range(0..1u64 << 33),
                 plan: plans.iter().position(|plan| *plan == weight(i)).unwrap_or(0),
                 weight: asks,
-                first: rng.random_range(0..gateways) as u16,
-                spread: (0..size).map(|_| rng.random_range(0.2f64..1.0).powf(scenario.site.skew)).collect(),
-                moved: (asks, rng.random_range(0..gateways) as u16),
+                first_gateway: rng.random_range(0..gateways) as u16,
+                gateway_weights: (0..size)
+                    .map(|_| rng.random_range(0.2f64..1.0).powf(scenario.site.skew))
+                    .collect(),
+                after_shift: (asks, rng.random_range(0..gateways) as u16),
                 greedy,
             }
         })
@@ -336,16 +339,17 @@
     let mut factors: Vec<f64> = customers.iter().enumerate().map(|(i, c)| c.weight / weight(i)).collect();
     factors.shuffle(rng);
     for (i, (customer, factor)) in customers.iter_mut().zip(factors).enumerate() {
-        customer.moved.0 = weight(i) * factor;
+        customer.after_shift.0 = weight(i) * factor;
     }
-    let (before, after) =
-        customers.iter().fold((0.0, 0.0), |(a, b), customer| (a + customer.weight, b + customer.moved.0));
+    let (before, after) = customers
+        .iter()
+        .fold((0.0, 0.0), |(a, b), customer| (a + customer.weight, b + customer.after_shift.0));
     for customer in &mut customers {
         customer.weight /= before;
-        customer.moved.0 /= after;
+        customer.after_shift.0 /= after;
     }
     let quotas = plans.iter().enumerate().map(|(i, weight)| {
-        let rate = ROOMY * load.rate * weight / all;
+        let rate = QUOTA_HEADROOM * load.rate * weight / all;
         Quota {
             name: format!("weight-{i}"),
             rate,
@@ -361,8 +365,8 @@
     (customers, quotas.collect())
 }
 
-fn faults(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Result<Vec<Drawn>, ScenarioError> {
-    let mut drawn: Vec<Drawn> = Vec::new();
+fn draw_faults(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Result<Vec<DrawnFault>, ScenarioError> {
+    let mut drawn: Vec<DrawnFault> = Vec::new();
     // Until when each is down or stopped, and by which fault.
     let mut held: BTreeMap<End, Vec<(Nanos, Nanos, usize)>> = BTreeMap::new();
     for (i, fault) in scenario.faults.iter().enumerate() {
@@ -392,7 +396,7 @@
                 spans.push((at, end, i));
             }
         }
-        drawn.push(Drawn {
+        drawn.push(DrawnFault {
             kind: fault.kind,
             at,
             until,
@@ -422,7 +426,7 @@
         Target::Zone(_) | Target::Region(_) => Kind::ALL
             .into_iter()
             .flat_map(|kind| (0..scenario.count(kind)).filter_map(move |i| End::of(kind, i)))
-            .filter(|end| scenario.place(*end).is_some_and(|zone| scenario.stands_in(zone, target)))
+            .filter(|end| scenario.zone_of(*end).is_some_and(|zone| scenario.is_zone_in(zone, target)))
             .collect(),
         // Found when the fault begins.
         Target::Owner(_) => Vec::new(),
--- a/testing/fault-injection/src/draw.rs
+++ b/testing/fault-injection/src/draw.rs
@@ -3,7 +3,7 @@
 //! Keys that the lab has no use for are passed over, as the file is the operators' and not the lab's; a range that is upside
 //! down, or not a number where one is needed, is refused with its name.
 
-use crate::deployment::{chance, Stream};
+use crate::deployment::{random_stream, RandomStream};
 use crate::endpoint::Kind;
 use crate::scenario::{Expect, Fault, FaultKind, Plan, Scenario, ScenarioError, Target};
 use quick_error::quick_error;
@@ -210,15 +210,15 @@
 }
 
 /// Draws from ranges, and tells by name which one cannot be drawn from.
-struct Draws {
+struct RangeSampler {
     rng: ChaCha8Rng,
 }
 
-impl Draws {
-    fn of(&mut self, name: &str, range: Range) -> Result<f64, SiteFileError> {
+impl RangeSampler {
+    fn sample(&mut self, name: &str, range: Range) -> Result<f64, SiteFileError> {
         let [least, most] = match range {
             Range::Fixed(value) => [value, value],
-            Range::Between(both) => both,
+            Range::Between(cores) => cores,
         };
         match least <= most && least.is_finite() && most.is_finite() {
             true => Ok(least + (most - least) * self.rng.random::<f64>()),
@@ -226,12 +226,12 @@
         }
     }
 
-    fn maybe(&mut self, name: &str, range: Option<Range>, usual: f64) -> Result<f64, SiteFileError> {
-        range.map_or(Ok(usual), |range| self.of(name, range))
+    fn sample_or(&mut self, name: &str, range: Option<Range>, default: f64) -> Result<f64, SiteFileError> {
+        range.map_or(Ok(default), |range| self.sample(name, range))
     }
 
-    fn whole(&mut self, name: &str, range: Range) -> Result<u64, SiteFileError> {
-        Ok(self.of(name, range)?.floor().max(0.0) as u64)
+    fn sample_integer(&mut self, name: &str, range: Range) -> Result<u64, SiteFileError> {
+        Ok(self.sample(name, range)?.floor().max(0.0) as u64)
     }
 }
 
@@ -245,15 +245,15 @@
         let line = error.span().map_or(1, |span| text[..span.start].matches('\n').count() + 1);
         SiteFileError::Syntax(line, error.message().replace('\n', " "))
     })?;
-    let mut draws = Draws { rng: chance(seed, Stream::Deployment) };
-    let scenario = scenario(&site, &mut draws)?;
+    let mut sampler = RangeSampler { rng: random_stream(seed, RandomStream::Deployment) };
+    let scenario = scenario(&site, &mut sampler)?;
     let text = toml::to_string(&scenario)?;
     // What is drawn must be what the lab takes.
     Scenario::parse(&text)?;
     Ok(format!("# Drawn with seed {seed}.\n{text}"))
 }
 
-fn scenario(site: &SiteFile, draws: &mut Draws) -> Result<Scenario, SiteFileError> {
+fn scenario(site: &SiteFile, sampler: &mut RangeSampler) -> Result<Scenario, SiteFileError> {
     let mut drawn = Scenario::default();
     let tier = site.tier.first().ok_or_else(|| invalid("tier", "the site has none"))?;
     let machine = tier.kind.first().ok_or_else(|| invalid("tier.kind", "the tier has none"))?;
@@ -266,33 +266,36 @@
     let unsafe_class = unsafe_class.ok_or_else(|| invalid("class", "none must never run twice"))?;
 
     let figures = &mut drawn.site;
-    figures.work_ms = draws.of(&format!("class {}.work_ms", safe.name), safe.work_ms)?;
-    figures.work_cv = draws.of(&format!("class {}.cv", safe.name), safe.cv)?;
+    figures.work_ms = sampler.sample(&format!("class {}.work_ms", safe.name), safe.work_ms)?;
+    figures.work_cv = sampler.sample(&format!("class {}.cv", safe.name), safe.cv)?;
     figures.aim_ms = safe.aim_ms as u64;
     figures.deadline_ms = safe.deadline_ms as u64;
-    figures.try_share = draws.of("clients.try_share", site.clients.try_share)?;
-    figures.backoff_ms = draws.whole("clients.backoff_ms", site.clients.backoff_ms)?;
-    figures.honour = draws.of("clients.honour", site.clients.honour)?;
-    figures.notice_ms = (draws.of("front.notice_s", site.front.notice_s)? * 1000.0) as u64;
-    figures.speed = draws.of("tier.kind.speed", machine.speed)? * machine.cores / 2.0;
-    figures.speed_cv = draws.of("tier.kind.speed_cv", machine.speed_cv)?;
-    figures.slots_per_core = draws.whole("tier.kind.slots_per_core", machine.slots_per_core)?.max(1) as u32;
-    figures.queue_per_core = draws.whole("tier.kind.queue_per_core", machine.queue_per_core)? as u32;
-    figures.thrash = draws.of("tier.kind.thrash", machine.thrash)?;
-    figures.thrash_at = draws.of("tier.kind.thrash_at", machine.thrash_at)?;
-    figures.error_rate = draws.of("tier.kind.error_rate", machine.error_rate)?;
-    figures.drops_queued = machine.cancel.choose(&mut draws.rng).is_some_and(|way| way == "queued");
-    figures.cold_from = draws.of("tier.kind.cold_from", machine.cold_from)?;
-    figures.cold_ms = (draws.of("tier.kind.cold_s", machine.cold_s)? * 1000.0) as u64;
+    figures.try_share = sampler.sample("clients.try_share", site.clients.try_share)?;
+    figures.backoff_ms = sampler.sample_integer("clients.backoff_ms", site.clients.backoff_ms)?;
+    figures.honour = sampler.sample("clients.honour", site.clients.honour)?;
+    figures.notice_ms = (sampler.sample("front.notice_s", site.front.notice_s)? * 1000.0) as u64;
+    figures.speed = sampler.sample("tier.kind.speed", machine.speed)? * machine.cores / 2.0;
+    figures.speed_cv = sampler.sample("tier.kind.speed_cv", machine.speed_cv)?;
+    figures.slots_per_core =
+        sampler.sample_integer("tier.kind.slots_per_core", machine.slots_per_core)?.max(1) as u32;
+    figures.queue_per_core =
+        sampler.sample_integer("tier.kind.queue_per_core", machine.queue_per_core)? as u32;
+    figures.thrash = sampler.sample("tier.kind.thrash", machine.thrash)?;
+    figures.thrash_at = sampler.sample("tier.kind.thrash_at", machine.thrash_at)?;
+    figures.error_rate = sampler.sample("tier.kind.error_rate", machine.error_rate)?;
+    figures.drops_queued = machine.cancel.choose(&mut sampler.rng).is_some_and(|way| way == "queued");
+    figures.cold_from = sampler.sample("tier.kind.cold_from", machine.cold_from)?;
+    figures.cold_ms = (sampler.sample("tier.kind.cold_s", machine.cold_s)? * 1000.0) as u64;
     figures.fall_multiple = site.rules.fall_multiple;
     figures.fall_ms = site.rules.fall_ms as u64;
-    figures.connections_per_core = draws.whole("tier.conn.cap_per_core", tier.conn.cap_per_core)? as u32;
-    figures.handshake_us = draws.whole("tier.conn.handshake_us", tier.conn.handshake_us)?;
-    figures.meter_late_ms = draws.maybe("fam.meter_late_ms", site.fam.meter_late_ms, 800.0)? as u64;
-    figures.list_notice_ms = (draws.of("discovery.notice_s", site.discovery.notice_s)? * 1000.0) as u64;
-    figures.list_add_ms = (draws.of("discovery.add_s", site.discovery.add_s)? * 1000.0) as u64;
-    figures.counter_per_s = draws.maybe("fam.counter_per_s", site.fam.counter_per_s, 640.0)?;
-    figures.skew = draws.maybe("fam.skew", site.fam.skew, 0.7)?;
+    figures.connections_per_core =
+        sampler.sample_integer("tier.conn.cap_per_core", tier.conn.cap_per_core)? as u32;
+    figures.handshake_us = sampler.sample_integer("tier.conn.handshake_us", tier.conn.handshake_us)?;
+    figures.meter_late_ms = sampler.sample_or("fam.meter_late_ms", site.fam.meter_late_ms, 800.0)? as u64;
+    figures.list_notice_ms = (sampler.sample("discovery.notice_s", site.discovery.notice_s)? * 1000.0) as u64;
+    figures.list_add_ms = (sampler.sample("discovery.add_s", site.discovery.add_s)? * 1000.0) as u64;
+    figures.counter_per_s = sampler.sample_or("fam.counter_per_s", site.fam.counter_per_s, 640.0)?;
+    figures.skew = sampler.sample_or("fam.skew", site.fam.skew, 0.7)?;
     if site.tenant.len() != site.fam.plan.len() {
         return Err(invalid("fam.plan", "there are not as many as tenants"));
     }
@@ -301,47 +304,47 @@
         let name = format!("fam.plan {}", tenant.name);
         plans.push(Plan {
             name: tenant.name.clone(),
-            share: draws.of(&format!("tenant {}.share", tenant.name), tenant.share)?,
-            rate: draws.of(&format!("{name}.rate"), plan.rate)?,
-            burst_s: draws.of(&format!("{name}.burst_s"), plan.burst_s)?,
+            share: sampler.sample(&format!("tenant {}.share", tenant.name), tenant.share)?,
+            rate: sampler.sample(&format!("{name}.rate"), plan.rate)?,
+            burst_s: sampler.sample(&format!("{name}.burst_s"), plan.burst_s)?,
             price: plan.price,
             over_cost: plan.over_cost,
-            open: draws.maybe(&format!("{name}.open"), plan.open, 0.0)? as u32,
-            ceiling: draws.maybe(&format!("{name}.ceiling"), plan.ceiling, 0.0)?,
+            open: sampler.sample_or(&format!("{name}.open"), plan.open, 0.0)? as u32,
+            ceiling: sampler.sample_or(&format!("{name}.ceiling"), plan.ceiling, 0.0)?,
         });
     }
     figures.plans = plans;
 
     let fleet = &mut drawn.fleet;
-    fleet.gateways = draws.whole("scale.balancers", site.scale.balancers)? as u32;
-    fleet.pay_servers = draws.whole("scale.servers", site.scale.servers)? as u32;
+    fleet.gateways = sampler.sample_integer("scale.balancers", site.scale.balancers)? as u32;
+    fleet.pay_servers = sampler.sample_integer("scale.servers", site.scale.servers)? as u32;
     fleet.counter = site.fam.counter;
     if !site.net.zones.is_empty() {
         fleet.zones = site.net.zones.clone();
     }
-    let troubled = draws.whole("day.troubles", site.day.troubles)?.min(site.trouble.len() as u64);
+    let troubled = sampler.sample_integer("day.troubles", site.day.troubles)?.min(site.trouble.len() as u64);
     let (name, busy) =
         if troubled == 0 { ("load.quiet", site.load.quiet) } else { ("load.trouble", site.load.trouble) };
-    let share = draws.of(name, busy)?;
-    let both = 2.0 * f64::from(fleet.pay_servers) * drawn.site.speed;
+    let share = sampler.sample(name, busy)?;
+    let cores = 2.0 * f64::from(fleet.pay_servers) * drawn.site.speed;
     let load = &mut drawn.load;
-    load.rate = (both * share / (drawn.site.work_ms / 1000.0) * 10.0).round() / 10.0;
-    load.duration_ms = (draws.of("day.length_s", site.day.length_s)? * 1000.0) as u64;
+    load.rate = (cores * share / (drawn.site.work_ms / 1000.0) * 10.0).round() / 10.0;
+    load.duration_ms = (sampler.sample("day.length_s", site.day.length_s)? * 1000.0) as u64;
     load.customers = (load.rate * 0.7).ceil().max(1.0) as u32;
-    let unsafe_share = draws.of(&format!("class {}.share", unsafe_class.name), unsafe_class.share)?;
-    let safe_share = draws.of(&format!("class {}.share", safe.name), safe.share)?;
+    let unsafe_share = sampler.sample(&format!("class {}.share", unsafe_class.name), unsafe_class.share)?;
+    let safe_share = sampler.sample(&format!("class {}.share", safe.name), safe.share)?;
     load.unsafe_share = unsafe_share / (unsafe_share + safe_share);
-    load.retries = draws.whole("clients.retries", site.clients.retries)? as u32;
+    load.retries = sampler.sample_integer("clients.retries", site.clients.retries)? as u32;
 
     // Each trouble has a part of the day of its own, so that none contradicts another.
     let mut names: Vec<&Trouble> = site.trouble.iter().collect();
     for i in 0..troubled {
         let at = (load.duration_ms as f64 * (0.2 + 0.7 * i as f64 / troubled as f64)) as u64;
         let most = (load.duration_ms as f64 * 0.6 / troubled as f64) as u64;
-        let weights = names.choose_weighted(&mut draws.rng, |trouble| trouble.weight.unwrap_or(1.0));
+        let weights = names.choose_weighted(&mut sampler.rng, |trouble| trouble.weight.unwrap_or(1.0));
         let trouble = *weights.map_err(|error| invalid("trouble.weight", error.to_string()))?;
         names.retain(|other| !std::ptr::eq(*other, trouble));
-        drawn.faults.extend(fault(trouble, at, most, draws)?);
+        drawn.faults.extend(fault(trouble, at, most, sampler)?);
     }
     drawn.expect = None::<Expect>;
     Ok(drawn)
@@ -352,12 +355,12 @@
     trouble: &Trouble,
     at_ms: u64,
     most: u64,
-    draws: &mut Draws,
+    sampler: &mut RangeSampler,
 ) -> Result<Option<Fault>, SiteFileError> {
     let name = |field: &str| format!("trouble {}.{field}", trouble.name);
-    let length = draws.maybe(&name("len_s"), trouble.len_s, 2.0)?;
-    let part = draws.maybe(&name("part"), trouble.part, 0.3)?;
-    let size = draws.maybe(&name("size"), trouble.size, 1.0)?;
+    let length = sampler.sample_or(&name("len_s"), trouble.len_s, 2.0)?;
+    let part = sampler.sample_or(&name("part"), trouble.part, 0.3)?;
+    let size = sampler.sample_or(&name("size"), trouble.size, 1.0)?;
     let for_ms = ((length * 1000.0) as u64).clamp(100, most.max(100));
     let fault = |kind, target, share: Option<f64>, for_ms| Fault {
         at_ms,
--- a/testing/fault-injection/src/endpoint.rs
+++ b/testing/fault-injection/src/endpoint.rs
@@ -22,7 +22,8 @@
     /// Stand-ins of processes that compete for locks.
     Candidates,
     /// Processes of the controller.
-    Stewards,
+    #[serde(rename = "stewards")]
+    Controllers,
     /// Stand-ins of the stores of cells, which serve the controller's calls.
     Cells,
 }
@@ -37,7 +38,7 @@
         Kind::Coordinators,
         Kind::Counter,
         Kind::Candidates,
-        Kind::Stewards,
+        Kind::Controllers,
         Kind::Cells,
     ];
 
@@ -51,7 +52,7 @@
             Kind::Coordinators => "coordinators",
             Kind::Counter => "counter",
             Kind::Candidates => "candidates",
-            Kind::Stewards => "stewards",
+            Kind::Controllers => "stewards",
             Kind::Cells => "cells",
         }
     }
@@ -75,7 +76,7 @@
     /// A candidate for locks, or a client of values, by its number.
     Candidate(u16),
     /// A process of the controller, by its number.
-    Steward(u16),
+    Controller(u16),
     /// The store of a cell, by its number.
     Cell(u16),
 }
@@ -91,7 +92,7 @@
             End::Counter => Kind::Counter,
             End::Coordinator(_) => Kind::Coordinators,
             End::Candidate(_) => Kind::Candidates,
-            End::Steward(_) => Kind::Stewards,
+            End::Controller(_) => Kind::Controllers,
             End::Cell(_) => Kind::Cells,
         }
     }
@@ -107,7 +108,7 @@
             Kind::Counter => End::Counter,
             Kind::Coordinators => End::Coordinator(index),
             Kind::Candidates => End::Candidate(index),
-            Kind::Stewards => End::Steward(index),
+            Kind::Controllers => End::Controller(index),
             Kind::Cells => End::Cell(index),
         })
     }
@@ -122,7 +123,7 @@
             | End::ListService(i)
             | End::Coordinator(i)
             | End::Candidate(i)
-            | End::Steward(i)
+            | End::Controller(i)
             | End::Cell(i) => {
                 write!(f, "{}[{i}]", self.kind().name())
             }
--- a/testing/fault-injection/src/figures.rs
+++ b/testing/fault-injection/src/figures.rs
@@ -1,24 +1,24 @@
 //! What a run comes to in figures: goodput, latencies, calls, losses; from its history alone.
 
 use crate::checker::Finding;
-use crate::decided::Told;
+use crate::decisions::DecisionFigures;
 use crate::deployment::{Nanos, MS, SECOND, UNSAFE};
 use crate::endpoint::End;
-use crate::history::{At, Event, Outcome, Setup, Trace};
+use crate::history::{Event, Outcome, Setup, TimedEvent, Trace};
 use crate::scenario::FaultKind;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Goodput is whole again at this share of what it was.
-const FULL: f64 = 0.95;
+const FULL_SERVICE_SHARE: f64 = 0.95;
 /// ... over this long, looked at in steps of so much.
-const FULL_OVER: Nanos = 2 * SECOND;
-const STEP: Nanos = 100 * MS;
+const FULL_SERVICE_WINDOW: Nanos = 2 * SECOND;
+const FULL_SERVICE_STEP: Nanos = 100 * MS;
 /// The first moments of a load are no steady state.
-const SETTLING: Nanos = SECOND;
+const WARMUP: Nanos = SECOND;
 /// Latencies are told up to here, in us.
-const LATENCY_MOST: u64 = 600_000_000;
+const MAX_LATENCY_US: u64 = 600_000_000;
 
 /// A run in figures; the last line of `run --json`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -52,9 +52,11 @@
     /// The invariants, by name.
     pub invariants: BTreeMap<String, Option<bool>>,
     /// Tries that a gateway had in flight when a fault struck it.
-    pub in_hand: u64,
+    #[serde(rename = "in_hand")]
+    pub in_flight: u64,
     /// Those of them whose connection ended without an answer.
-    pub in_hand_lost: u64,
+    #[serde(rename = "in_hand_lost")]
+    pub in_flight_lost: u64,
     /// Unsafe requests whose client never had an answer.
     pub unsafe_lost: u64,
     /// Those of them that had run.
@@ -64,7 +66,8 @@
     /// Tries that met no listener.
     pub unreachable_tries: u64,
     /// Pay servers that fell under load.
-    pub fell: u64,
+    #[serde(rename = "fell")]
+    pub overload_crashes: u64,
     /// Processes that ended by themselves.
     pub crashes: u64,
     /// The longest that a lock had nobody who acted under it; null without candidates.
@@ -93,12 +96,13 @@
     /// Writes under another epoch that cells turned away.
     pub late_writes_refused: Option<u64>,
     /// What the harness measured of itself.
-    pub lab: Lab,
+    #[serde(rename = "lab")]
+    pub harness: HarnessFigures,
 }
 
 /// What the lab itself cost, and how late it was.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Lab {
+pub struct HarnessFigures {
     /// Number of events.
     pub events: u64,
     /// How late requests left, in ms: 99.9% were no later.
@@ -108,7 +112,8 @@
     /// The highest share of a second that its one thread was busy during the load.
     pub busy_most: f64,
     /// Processor seconds.
-    pub lab_cpu_s: f64,
+    #[serde(rename = "lab_cpu_s")]
+    pub harness_cpu_s: f64,
     /// Processor time of the fleet, in seconds.
     pub fleet_cpu_s: f64,
     /// Duration of the run, in seconds.
@@ -148,7 +153,7 @@
 
 #[derive(Clone, Copy)]
 struct Open {
-    ask: u32,
+    request: u32,
     gateway: u16,
 }
 
@@ -156,36 +161,36 @@
 #[derive(Default)]
 pub struct Figures {
     setup: Option<Box<Setup>>,
-    asks: HashMap<u32, (Nanos, u8)>,
+    requests: HashMap<u32, (Nanos, u8)>,
     open: HashMap<Trace, Open>,
-    in_hand: HashSet<Trace>,
+    in_flight: HashSet<Trace>,
     attempts: HashMap<u64, Trace>,
     ran: HashSet<Trace>,
     /// Requests whose last connection ended unanswered, by their last id.
     unsafe_lost: Vec<Trace>,
-    last: HashMap<u32, Trace>,
-    good: Vec<Nanos>,
+    last_try: HashMap<u32, Trace>,
+    good_answers: Vec<Nanos>,
     seconds: Vec<Second>,
-    began: Vec<(u16, Nanos)>,
-    over: Vec<(u16, Nanos)>,
+    fault_starts: Vec<(u16, Nanos)>,
+    fault_ends: Vec<(u16, Nanos)>,
     lateness: Option<Histogram<u64>>,
     latency: Option<Histogram<u64>>,
     counts: [u64; 5],
-    in_hand_all: u64,
-    in_hand_lost: u64,
+    in_flight_total: u64,
+    in_flight_lost: u64,
     unanswered: u64,
     unreachable: u64,
-    fell: u64,
+    overload_crashes: u64,
     crashes: u64,
-    acted: HashMap<u16, Nanos>,
+    last_action: HashMap<u16, Nanos>,
     owner_gap: Option<Nanos>,
     late_effects: u64,
-    lab: Lab,
+    harness: HarnessFigures,
 }
 
 fn histogram() -> Option<Histogram<u64>> {
     // The bounds are constants that the crate takes.
-    Histogram::new_with_bounds(1, LATENCY_MOST, 3).ok()
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).ok()
 }
 
 impl Figures {
@@ -208,24 +213,24 @@
     }
 
     /// Observes the next event.
-    pub fn take(&mut self, At { at, event }: &At) {
+    pub fn take(&mut self, TimedEvent { at, event }: &TimedEvent) {
         let at = *at;
-        self.lab.events += 1;
+        self.harness.events += 1;
         match event {
             Event::Setup(setup) => self.setup = Some(setup.clone()),
-            Event::Asked { ask, class, late, .. } => {
-                self.asks.insert(*ask, (at, *class));
+            Event::RequestStarted { request, class, late, .. } => {
+                self.requests.insert(*request, (at, *class));
                 self.lateness
                     .iter_mut()
                     .for_each(|lateness| lateness.saturating_record((late / 1000).max(1)));
             }
-            Event::Tried { ask, trace, gateway, .. } => {
-                self.last.insert(*ask, *trace);
-                self.open.insert(*trace, Open { ask: *ask, gateway: *gateway });
+            Event::TryStarted { request, trace, gateway, .. } => {
+                self.last_try.insert(*request, *trace);
+                self.open.insert(*trace, Open { request: *request, gateway: *gateway });
                 self.call(at, "tries");
             }
-            Event::Ended { trace, outcome } => self.ended(*trace, *outcome),
-            Event::AskEnded { ask, outcome } => self.ask_ended(at, *ask, *outcome),
+            Event::TryEnded { trace, outcome } => self.ended(*trace, *outcome),
+            Event::RequestEnded { request, outcome } => self.request_ended(at, *request, *outcome),
             Event::Arrived { attempt, trace, .. } => {
                 self.attempts.insert(*attempt, *trace);
                 self.call(at, "attempts");
@@ -237,29 +242,29 @@
                 self.call(at, "connections")
             }
             Event::Probed { .. } => self.call(at, "probes"),
-            Event::ListAsked { .. } => self.call(at, "list_calls"),
+            Event::ListRequested { .. } => self.call(at, "list_calls"),
             Event::Renewed { .. } => self.call(at, "renewals"),
-            Event::Counted { .. } => self.call(at, "counts"),
+            Event::CounterCalled { .. } => self.call(at, "counts"),
             Event::Granted { .. } => self.call(at, "claims"),
-            Event::Acts { lock, .. } => {
+            Event::ActionStarted { lock, .. } => {
                 // The first owner needs its time; afterwards a gap is a gap.
-                if let Some(before) = self.acted.insert(*lock, at) {
+                if let Some(before) = self.last_action.insert(*lock, at) {
                     self.owner_gap = self.owner_gap.max(Some(at - before));
                 }
             }
             Event::Effect { admitted: false, .. } => self.late_effects += 1,
-            Event::Fell { .. } => self.fell += 1,
-            Event::Lived { life: crate::history::Life::Crashed, .. } => self.crashes += 1,
+            Event::OverloadCrash { .. } => self.overload_crashes += 1,
+            Event::ProcessChanged { change: crate::history::ProcessChange::Crashed, .. } => self.crashes += 1,
             Event::FaultBegan { fault } => self.fault_began(at, *fault),
-            Event::FaultOver { fault } => self.over.push((*fault, at)),
-            Event::Busy { cpu } if self.setup.is_some() => {
-                self.lab.busy_most = self.lab.busy_most.max(round(*cpu as f64 / SECOND as f64));
+            Event::FaultEnded { fault } => self.fault_ends.push((*fault, at)),
+            Event::HarnessCpu { cpu } if self.setup.is_some() => {
+                self.harness.busy_most = self.harness.busy_most.max(round(*cpu as f64 / SECOND as f64));
             }
-            Event::Finished { lab_cpu, fleet_cpu } => {
+            Event::Finished { harness_cpu, fleet_cpu } => {
                 let s = |nanos: Nanos| nanos as f64 / SECOND as f64;
-                self.lab.lab_cpu_s = s(*lab_cpu);
-                self.lab.fleet_cpu_s = s(*fleet_cpu);
-                self.lab.wall_s = s(at);
+                self.harness.harness_cpu_s = s(*harness_cpu);
+                self.harness.fleet_cpu_s = s(*fleet_cpu);
+                self.harness.wall_s = s(at);
             }
             _ => {}
         }
@@ -267,65 +272,65 @@
 
     fn ended(&mut self, trace: Trace, outcome: Outcome) {
         self.open.remove(&trace);
-        if self.in_hand.remove(&trace) && matches!(outcome, Outcome::Reset { .. }) {
-            self.in_hand_lost += 1;
+        if self.in_flight.remove(&trace) && matches!(outcome, Outcome::Reset { .. }) {
+            self.in_flight_lost += 1;
         }
         self.unreachable += u64::from(outcome == Outcome::Unreachable);
     }
 
-    fn ask_ended(&mut self, at: Nanos, ask: u32, outcome: Outcome) {
-        let Some((asked, class)) = self.asks.remove(&ask) else { return };
-        let last = self.last.remove(&ask);
-        let aim = self.setup.as_ref().map_or(0, |setup| setup.aim);
+    fn request_ended(&mut self, at: Nanos, request: u32, outcome: Outcome) {
+        let Some((asked, class)) = self.requests.remove(&request) else { return };
+        let last = self.last_try.remove(&request);
+        let aim = self.setup.as_ref().map_or(0, |setup| setup.latency_target);
         let latency = at - asked;
-        let which = match outcome {
+        let category = match outcome {
             Outcome::Served { .. } => 0,
             Outcome::Refused => 1,
             Outcome::Failed | Outcome::TimedOut | Outcome::Unreachable => 2,
             Outcome::Unknown => 3,
             Outcome::Reset { .. } => 4,
         };
-        self.counts[which] += 1;
+        self.counts[category] += 1;
         let unanswered = matches!(outcome, Outcome::Reset { .. } | Outcome::TimedOut | Outcome::Unreachable);
         self.unanswered += u64::from(unanswered);
         if class == UNSAFE && unanswered && outcome != Outcome::Unreachable {
             self.unsafe_lost.extend(last);
         }
-        if which == 0 {
+        if category == 0 {
             self.latency.iter_mut().for_each(|h| h.saturating_record((latency / 1000).max(1)));
             if latency <= aim {
-                self.good.push(at);
+                self.good_answers.push(at);
             }
         }
         if let Some(second) = self.second(at) {
-            match which {
+            match category {
                 0 if latency <= aim => second.good += 1,
                 0 => second.late += 1,
                 1 => second.refused += 1,
                 2 | 3 => second.failed += 1,
                 _ => second.lost += 1,
             }
-            if which == 0 {
+            if category == 0 {
                 second.latencies.push(latency / 1000);
             }
         }
     }
 
     fn fault_began(&mut self, at: Nanos, number: u16) {
-        self.began.push((number, at));
+        self.fault_starts.push((number, at));
         let Some(fault) = self.setup.as_ref().and_then(|setup| setup.faults.get(usize::from(number))) else {
             return;
         };
         if fault.kind.of_links() || fault.kind == FaultKind::FullDisk {
             return;
         }
-        let struck: HashSet<End> = fault.victims.iter().copied().collect();
-        let held = self.open.iter().filter(|(_, open)| {
-            struck.contains(&End::Gateway(open.gateway)) && self.asks.contains_key(&open.ask)
+        let victims: HashSet<End> = fault.victims.iter().copied().collect();
+        let affected = self.open.iter().filter(|(_, open)| {
+            victims.contains(&End::Gateway(open.gateway)) && self.requests.contains_key(&open.request)
         });
-        let held: Vec<Trace> = held.map(|(trace, _)| *trace).collect();
-        self.in_hand_all += held.len() as u64;
-        self.in_hand.extend(held);
+        let affected: Vec<Trace> = affected.map(|(trace, _)| *trace).collect();
+        self.in_flight_total += affected.len() as u64;
+        self.in_flight.extend(affected);
     }
 
     /// The seconds of the load, and when faults began and were over, in seconds of it.
@@ -344,31 +349,38 @@
         let second = |at: Nanos| at.saturating_sub(setup.load_from) as f64 / SECOND as f64;
         let over = |fault: u16| {
             let lasts = setup.faults.get(usize::from(fault)).is_some_and(|fault| fault.until.is_none());
-            self.over.iter().find(|(of, _)| *of == fault && !lasts).map(|(_, at)| second(*at))
+            self.fault_ends.iter().find(|(of, _)| *of == fault && !lasts).map(|(_, at)| second(*at))
         };
-        self.began.iter().map(|(fault, at)| (*fault, second(*at), over(*fault))).collect()
+        self.fault_starts.iter().map(|(fault, at)| (*fault, second(*at), over(*fault))).collect()
     }
 
     /// Good answers a second within these instants.
     fn goodput(&self, from: Nanos, to: Nanos) -> Option<f64> {
-        let count = self.good.partition_point(|at| *at < to) - self.good.partition_point(|at| *at < from);
+        let count = self.good_answers.partition_point(|at| *at < to)
+            - self.good_answers.partition_point(|at| *at < from);
         (to >= from + SECOND).then(|| count as f64 * SECOND as f64 / (to - from) as f64)
     }
 
     /// Returns the summary; `None` where there was no setup.
-    pub fn summary(&mut self, findings: &BTreeMap<&'static str, Finding>, told: &Told) -> Option<Summary> {
+    pub fn summary(
+        &mut self,
+        findings: &BTreeMap<&'static str, Finding>,
+        decisions: &DecisionFigures,
+    ) -> Option<Summary> {
         let setup = self.setup.clone()?;
-        self.good.sort_unstable();
+        self.good_answers.sort_unstable();
         let (from, to) = (setup.load_from, setup.load_from + setup.duration);
-        let first = self.began.iter().map(|(_, at)| *at).min();
-        let over = self.over.iter().map(|(_, at)| *at).max();
+        let first = self.fault_starts.iter().map(|(_, at)| *at).min();
+        let over = self.fault_ends.iter().map(|(_, at)| *at).max();
         let steady_to = first.unwrap_or(to);
-        let before = self.goodput(from + SETTLING, steady_to);
+        let before = self.goodput(from + WARMUP, steady_to);
         let after = over.and_then(|over| self.goodput(over, to));
         let full = over.zip(before).and_then(|(over, before)| {
-            let windows = (0..).map(|i| over + i * STEP).take_while(|at| at + FULL_OVER <= to);
+            let windows =
+                (0..).map(|i| over + i * FULL_SERVICE_STEP).take_while(|at| at + FULL_SERVICE_WINDOW <= to);
             let mut whole = windows.filter(|at| {
-                self.goodput(*at, at + FULL_OVER).is_some_and(|goodput| goodput >= FULL * before)
+                self.goodput(*at, at + FULL_SERVICE_WINDOW)
+                    .is_some_and(|goodput| goodput >= FULL_SERVICE_SHARE * before)
             });
             whole.next().map(|at| (at - over) / MS)
         });
@@ -396,9 +408,9 @@
         let latency_ms = [("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("p999", 0.999)];
         let latency_ms =
             latency_ms.iter().map(|(name, q)| ((*name).to_owned(), quantiles(&self.latency, *q))).collect();
-        self.lab.late_p999_ms = quantiles(&self.lateness, 0.999);
-        self.lab.late_most_ms = quantiles(&self.lateness, 1.0);
-        let requests = self.counts.iter().sum::<u64>() + self.asks.len() as u64;
+        self.harness.late_p999_ms = quantiles(&self.lateness, 0.999);
+        self.harness.late_most_ms = quantiles(&self.lateness, 1.0);
+        let requests = self.counts.iter().sum::<u64>() + self.requests.len() as u64;
         Some(Summary {
             scenario: setup.scenario.clone(),
             seed: setup.seed,
@@ -414,27 +426,27 @@
             time_to_full_service_ms: full,
             peaks,
             invariants: findings.iter().map(|(name, f)| ((*name).to_owned(), f.holds)).collect(),
-            in_hand: self.in_hand_all,
-            in_hand_lost: self.in_hand_lost,
+            in_flight: self.in_flight_total,
+            in_flight_lost: self.in_flight_lost,
             unsafe_lost: self.unsafe_lost.len() as u64,
             unsafe_lost_ran: self.unsafe_lost.iter().filter(|trace| self.ran.contains(trace)).count() as u64,
             unanswered_share: round(self.unanswered as f64 / requests.max(1) as f64),
             unreachable_tries: self.unreachable,
-            fell: self.fell,
+            overload_crashes: self.overload_crashes,
             crashes: self.crashes,
             owner_gap_ms: self.owner_gap.map(|gap| gap / MS),
             late_effects: self.late_effects,
             latency_ms,
-            near_share: told.near_share.map(round),
-            time_to_failover_ms: told.time_to_failover_ms,
-            time_to_return_ms: told.time_to_return_ms,
-            late_decisions_refused: told.late_decisions_refused,
-            share_error: told.shares.share_error.map(round),
-            time_to_shares_ms: told.shares.time_to_shares_ms,
-            moves: told.books.moves,
-            move_pause_ms: told.books.move_pause_ms,
-            late_writes_refused: told.books.late_writes_refused,
-            lab: self.lab.clone(),
+            near_share: decisions.near_share.map(round),
+            time_to_failover_ms: decisions.time_to_failover_ms,
+            time_to_return_ms: decisions.time_to_return_ms,
+            late_decisions_refused: decisions.late_decisions_refused,
+            share_error: decisions.shares.share_error.map(round),
+            time_to_shares_ms: decisions.shares.time_to_shares_ms,
+            moves: decisions.shards.moves,
+            move_pause_ms: decisions.shards.move_pause_ms,
+            late_writes_refused: decisions.shards.late_writes_refused,
+            harness: self.harness.clone(),
         })
     }
 }
--- a/testing/fault-injection/src/follow.rs
+++ b/testing/fault-injection/src/follow.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Fields of a line that are told elsewhere, or always the same.
-const PLAIN: [&str; 5] = ["timestamp", "level", "message", "target", "trace"];
+const OMITTED_FIELDS: [&str; 5] = ["timestamp", "level", "message", "target", "trace"];
 
 /// Returns the lines on a request, in the order of their times.
 ///
@@ -25,16 +25,20 @@
     let mut lines = events_of(&dir.join(HISTORY), trace)?;
     let logs = dir.join("logs");
     for entry in fs::read_dir(&logs).map_err(|error| RecordingError::File(logs.clone(), error))?.flatten() {
-        let who =
+        let source =
             entry.path().file_stem().map_or_else(String::new, |stem| stem.to_string_lossy().into_owned());
         let file = File::open(entry.path()).map_err(|error| RecordingError::File(entry.path(), error))?;
-        let told = BufReader::new(file).lines().map_while(Result::ok).filter_map(|line| told(&line, trace));
-        lines.extend(told.map(|(at, what)| (at, who.clone(), what)));
+        let log_line =
+            BufReader::new(file).lines().map_while(Result::ok).filter_map(|line| log_line(&line, trace));
+        lines.extend(log_line.map(|(at, what)| (at, source.clone(), what)));
     }
     lines.sort();
     let begin = lines.first().map_or(UNIX_EPOCH, |(at, ..)| *at);
     let since = |at: SystemTime| at.duration_since(begin).unwrap_or_default().as_secs_f64() * 1e3;
-    Ok(lines.into_iter().map(|(at, who, what)| format!("{:>10.3} ms  {who}: {what}", since(at))).collect())
+    Ok(lines
+        .into_iter()
+        .map(|(at, source, what)| format!("{:>10.3} ms  {source}: {what}", since(at)))
+        .collect())
 }
 
 type Line = (SystemTime, String, String);
@@ -44,48 +48,49 @@
     let (mut origin, mut lines, mut attempts) = (UNIX_EPOCH, Vec::new(), HashSet::new());
     Reader::open(path)?
         .each(|at| {
-            let mut add = |who: String, what: String| lines.push((at.at, who, what));
+            let mut push = |source: String, what: String| lines.push((at.at, source, what));
             match &at.event {
                 Event::Setup(setup) => origin = UNIX_EPOCH + Duration::from_micros(setup.unix_us),
-                Event::Tried { trace: of, ask, gateway, wait, .. } if *of == trace => {
-                    add(
+                Event::TryStarted { trace: of, request, gateway, timeout, .. } if *of == trace => {
+                    push(
                         "client".to_owned(),
-                        format!("request {ask} to gateways[{gateway}], waits {} ms", wait / 1_000_000),
+                        format!("request {request} to gateways[{gateway}], waits {} ms", timeout / 1_000_000),
                     );
                 }
-                Event::Ended { trace: of, outcome } if *of == trace => {
-                    add("client".to_owned(), format!("{outcome:?}"));
+                Event::TryEnded { trace: of, outcome } if *of == trace => {
+                    push("client".to_owned(), format!("{outcome:?}"));
                 }
-                Event::Afterwards { trace: of, answered } if *of == trace => {
-                    add("client".to_owned(), format!("after its time: answered {answered}"));
+                Event::TryEndedLate { trace: of, answered } if *of == trace => {
+                    push("client".to_owned(), format!("after its time: answered {answered}"));
                 }
                 Event::Arrived { trace: of, attempt, server, gateway, .. } if *of == trace => {
                     attempts.insert(*attempt);
-                    add(
+                    push(
                         format!("pay_servers[{server}]"),
                         format!("attempt {attempt} has come from gateways[{gateway}]"),
                     );
                 }
                 Event::Ran { attempt } if attempts.contains(attempt) => {
-                    add("pay server".to_owned(), format!("attempt {attempt} runs"));
+                    push("pay server".to_owned(), format!("attempt {attempt} runs"));
                 }
                 Event::Answered { attempt, answer } if attempts.contains(attempt) => {
-                    add("pay server".to_owned(), format!("attempt {attempt}: {answer:?}"));
+                    push("pay server".to_owned(), format!("attempt {attempt}: {answer:?}"));
                 }
                 _ => {}
             }
         })
         .map_err(|damage| RecordingError::Damaged(path.to_owned(), damage))?;
-    let placed = lines.into_iter().map(|(at, who, what)| (origin + Duration::from_nanos(at), who, what));
+    let placed =
+        lines.into_iter().map(|(at, source, what)| (origin + Duration::from_nanos(at), source, what));
     Ok(placed.collect())
 }
 
 /// What a process wrote of it: when, and what.
-fn told(line: &str, trace: Trace) -> Option<(SystemTime, String)> {
+fn log_line(line: &str, trace: Trace) -> Option<(SystemTime, String)> {
     let fields: Value = serde_json::from_str(line).ok()?;
     let of = Trace::from_str_radix(fields.get("trace")?.as_str()?, 16).ok()?;
     let at = humantime::parse_rfc3339(fields.get("timestamp")?.as_str()?).ok()?;
-    let rest = fields.as_object()?.iter().filter(|(name, _)| !PLAIN.contains(&name.as_str()));
+    let rest = fields.as_object()?.iter().filter(|(name, _)| !OMITTED_FIELDS.contains(&name.as_str()));
     let rest: Vec<String> = rest.map(|(name, value)| format!("{name}={value}")).collect();
     let message = fields.get("message")?.as_str()?;
     (of == trace).then(|| (at, format!("{message} {}", rest.join(" "))))
--- a/testing/fault-injection/src/history.rs
+++ b/testing/fault-injection/src/history.rs
@@ -3,7 +3,7 @@
 //! The format is in `docs/fault-injection.md`. A file begins with [`MAGIC`] and the version; frames follow, each its length, the
 //! CRC-32 of its payload, and the payload: events in `postcard`. A reader never trusts a length beyond [`FRAME_MOST`].
 
-use crate::deployment::{Drawn, Nanos, Quota};
+use crate::deployment::{DrawnFault, Nanos, Quota};
 use crate::endpoint::End;
 use crate::error::RecordingError;
 use serde::{Deserialize, Serialize};
@@ -16,9 +16,9 @@
 /// The version of the format.
 pub const VERSION: u16 = 4;
 /// The longest payload that a reader takes.
-pub const FRAME_MOST: usize = 4 << 20;
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 /// Events are gathered to about this many bytes before they are written.
-const FRAME_USUAL: usize = 32 << 10;
+const FRAME_TARGET_BYTES: usize = 32 << 10;
 
 /// An id that a client gave its request.
 pub type Trace = u64;
@@ -33,7 +33,7 @@
     /// The file's text.
     pub text: String,
     /// The latency target in nanoseconds.
-    pub aim: Nanos,
+    pub latency_target: Nanos,
     /// The deadline in nanoseconds.
     pub deadline: Nanos,
     /// The duration of the load in nanoseconds.
@@ -51,13 +51,13 @@
     /// Gateways and pay servers are dealt over them in turn.
     pub zones: Vec<String>,
     /// Number of controllers.
-    pub stewards: u16,
+    pub controllers: u16,
     /// Firms' shares are decided in common; when their demand moves.
     pub shares: bool,
     /// When demand moves, if it does.
-    pub shift: Option<Nanos>,
+    pub demand_shift_at: Option<Nanos>,
     /// Books are decided in common, and cells turn older epochs away.
-    pub books: bool,
+    pub shard_map: bool,
     /// Whether cells reject older epochs.
     pub fencing: bool,
     /// The cell of each pay server, and the number under which books know each customer.
@@ -65,7 +65,7 @@
     /// The firms, by customer.
     pub firms: Vec<u64>,
     /// The faults with their victims.
-    pub faults: Vec<Drawn>,
+    pub faults: Vec<DrawnFault>,
     /// The load begins then; faults are counted from it.
     pub load_from: Nanos,
     /// The wall clock at the history's zero, in Unix time in us: lines of processes tell theirs. Nothing is judged by it.
@@ -110,7 +110,7 @@
 
 /// What a process does to the history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Life {
+pub enum ProcessChange {
     /// It was started.
     Started,
     /// It serves.
@@ -127,7 +127,7 @@
 
 /// State of a server in a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Told {
+pub enum ServerState {
     /// It serves.
     Serving,
     /// It drains.
@@ -153,9 +153,9 @@
 
 /// How far a book's move is, in a map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum BookStep {
+pub enum ShardStep {
     /// It is not moving.
-    Stands,
+    Stable,
     /// The migration is planned.
     Planned,
     /// The old cell is being fenced.
@@ -168,7 +168,7 @@
 
 /// A book in a map; `to`: where it goes, or where it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BookSeen {
+pub struct ShardRecord {
     /// The first firm of the shard.
     pub first: u64,
     /// Number of the cell.
@@ -176,14 +176,14 @@
     /// The epoch.
     pub epoch: u64,
     /// How far the shard's migration is.
-    pub step: BookStep,
+    pub step: ShardStep,
     /// The other end, or where it goes.
     pub to: u16,
 }
 
 /// Decisions that are made in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Duty {
+pub enum DecisionKind {
     /// Zones.
     Zones,
     /// Fair shares.
@@ -194,7 +194,7 @@
 
 /// What a client of the coordination service was told of a call on a register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Returned {
+pub enum CallResult {
     /// The value was read.
     Value {
         /// The value.
@@ -203,7 +203,7 @@
         revision: u64,
     },
     /// The value was written.
-    At {
+    Written {
         /// The revision.
         revision: u64,
     },
@@ -213,7 +213,7 @@
         revision: u64,
     },
     /// Nothing was done, for another reason.
-    Nothing,
+    NoEffect,
     /// Nobody knows what came of it.
     Unknown,
 }
@@ -224,9 +224,9 @@
     /// The setup of the run.
     Setup(Box<Setup>),
     /// A client wants something; `late` by the lab's own doing.
-    Asked {
+    RequestStarted {
         /// Number of the request.
-        ask: u32,
+        request: u32,
         /// Number of the customer.
         customer: u32,
         /// Class of the request.
@@ -235,36 +235,36 @@
         late: Nanos,
     },
     /// A try leaves; the client waits so long. `back`: the same id again after its gateway was lost.
-    Tried {
+    TryStarted {
         /// Number of the request.
-        ask: u32,
+        request: u32,
         /// The id of the try.
         trace: Trace,
         /// Number of the gateway.
         gateway: u16,
         /// How long the client waits, in nanoseconds.
-        wait: Nanos,
+        timeout: Nanos,
         /// Whether the id comes again after its gateway was lost.
-        back: bool,
+        reuses_id: bool,
     },
     /// A try has ended for its client.
-    Ended {
+    TryEnded {
         /// The id of the try.
         trace: Trace,
         /// How it ended.
         outcome: Outcome,
     },
     /// What came of a try after its client's time was over: an answer at last, or none.
-    Afterwards {
+    TryEndedLate {
         /// The id of the try.
         trace: Trace,
         /// Whether there was an answer.
         answered: bool,
     },
     /// A request has ended, with all its tries.
-    AskEnded {
+    RequestEnded {
         /// Number of the request.
-        ask: u32,
+        request: u32,
         /// How it ended.
         outcome: Outcome,
     },
@@ -315,19 +315,19 @@
         gateway: u16,
     },
     /// A cold pay server was sent too much.
-    Fell {
+    OverloadCrash {
         /// Number of the pay server.
         server: u16,
     },
     /// A gateway asks for the list.
-    ListAsked {
+    ListRequested {
         /// Number of the gateway.
         gateway: u16,
         /// The version, or revision, that the caller has.
         since: Option<u64>,
     },
     /// And is told it; servers by number.
-    ListTold {
+    ListReceived {
         /// Number of the gateway.
         gateway: u16,
         /// Number of the process that told it.
@@ -341,7 +341,7 @@
         /// Whether it is complete.
         full: bool,
         /// The servers by number, and their states.
-        servers: Vec<(u16, Told)>,
+        servers: Vec<(u16, ServerState)>,
     },
     /// The list service acknowledged a registration.
     Registered {
@@ -356,7 +356,7 @@
         server: u16,
     },
     /// A gateway has called the counter.
-    Counted {
+    CounterCalled {
         /// Number of the gateway.
         gateway: u16,
         /// Whether it was rejected as too much.
@@ -374,7 +374,7 @@
         asked: Nanos,
     },
     /// It has shown, by its own clock, that it still holds it, and is about to act.
-    Acts {
+    ActionStarted {
         /// Number of the candidate.
         candidate: u16,
         /// Number of the lock.
@@ -394,7 +394,7 @@
         admitted: bool,
     },
     /// A client calls on a register: reads it, or puts a value there, at a revision or at any.
-    Called {
+    CallStarted {
         /// Number of the client.
         client: u16,
         /// Number of the call.
@@ -405,11 +405,11 @@
         put: Option<(u64, Option<u64>)>,
     },
     /// A call on a register has returned.
-    Returned {
+    CallReturned {
         /// Number of the call.
         call: u64,
         /// The result.
-        returned: Returned,
+        result: CallResult,
     },
     /// A watcher was told the changes behind a revision up to another: which revision, register and value. Without `since` it
     /// begins there.
@@ -424,11 +424,11 @@
         changes: Vec<(u64, u16, u64)>,
     },
     /// A process or stand-in was started, or has ended.
-    Lived {
+    ProcessChanged {
         /// The process or stand-in.
         end: End,
         /// What happened to it.
-        life: Life,
+        change: ProcessChange,
     },
     /// A fault begins.
     FaultBegan {
@@ -436,7 +436,7 @@
         fault: u16,
     },
     /// A fault is over.
-    FaultOver {
+    FaultEnded {
         /// Number of the fault.
         fault: u16,
     },
@@ -446,19 +446,19 @@
         late: Nanos,
     },
     /// Processor time that the lab's own process took in the second before.
-    Busy {
+    HarnessCpu {
         /// Processor time in nanoseconds.
         cpu: Nanos,
     },
     /// Nothing follows.
     Finished {
         /// Processor time of the harness in nanoseconds.
-        lab_cpu: Nanos,
+        harness_cpu: Nanos,
         /// Processor time of all other processes in nanoseconds.
         fleet_cpu: Nanos,
     },
     /// A decision on zones was published: each zone's state, and the units a second that it bears.
-    Decided {
+    ZonesDecided {
         /// The fencing token.
         token: u64,
         /// The revision.
@@ -478,16 +478,16 @@
         capacity: f64,
     },
     /// A book map was published.
-    BooksDecided {
+    ShardMapDecided {
         /// The fencing token.
         token: u64,
         /// The revision.
         revision: u64,
         /// The shards.
-        books: Vec<BookSeen>,
+        shards: Vec<ShardRecord>,
     },
     /// A write came to a cell under an epoch (0: it named none), and was admitted or turned away.
-    BookWrite {
+    ShardWrite {
         /// Number of the attempt.
         attempt: u64,
         /// Number of the cell.
@@ -500,18 +500,18 @@
         admitted: bool,
     },
     /// At the end: which cells have what an attempt wrote.
-    CellsHold {
+    WriteLocations {
         /// The id of the try.
         trace: Trace,
         /// Numbers of the cells.
         cells: Vec<u16>,
     },
     /// A gateway says that it goes by a decision from now on.
-    GoesBy {
+    DecisionApplied {
         /// Number of the gateway.
         gateway: u16,
         /// The kind of the decision.
-        duty: Duty,
+        kind: DecisionKind,
         /// The fencing token.
         token: u64,
         /// The revision.
@@ -520,20 +520,20 @@
     /// A steward's word came too late and was refused.
     DecisionRefused {
         /// Number of the controller.
-        steward: u16,
+        controller: u16,
     },
     /// The platform's agents hold this of a server: it counts as told to every gateway, asked for or not.
-    AgentsHold {
+    AgentStateChanged {
         /// Number of the pay server.
         server: u16,
         /// The state.
-        told: Told,
+        state: ServerState,
     },
 }
 
 /// An event with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct At {
+pub struct TimedEvent {
     /// When it happened, in nanoseconds since the start.
     pub at: Nanos,
     /// What happened.
@@ -555,7 +555,7 @@
     pub fn new(mut out: W) -> io::Result<Writer<W>> {
         out.write_all(&MAGIC)?;
         out.write_all(&VERSION.to_le_bytes())?;
-        Ok(Writer { out, pending: Vec::with_capacity(2 * FRAME_USUAL) })
+        Ok(Writer { out, pending: Vec::with_capacity(2 * FRAME_TARGET_BYTES) })
     }
 
     /// Adds an event.
@@ -563,10 +563,10 @@
     /// # Errors
     ///
     /// Earlier events cannot be written.
-    pub fn add(&mut self, event: &At) -> io::Result<()> {
+    pub fn add(&mut self, event: &TimedEvent) -> io::Result<()> {
         let pending = std::mem::take(&mut self.pending);
         self.pending = postcard::to_extend(event, pending).map_err(io::Error::other)?;
-        match self.pending.len() >= FRAME_USUAL {
+        match self.pending.len() >= FRAME_TARGET_BYTES {
             true => self.flush(),
             false => Ok(()),
         }
@@ -656,7 +656,7 @@
     }
 
     /// Hands each event to `take`, to the end.
-    pub fn each(&mut self, mut take: impl FnMut(At)) -> Result<(), Damage> {
+    pub fn each(&mut self, mut take: impl FnMut(TimedEvent)) -> Result<(), Damage> {
         let mut payload = Vec::new();
         loop {
             let begin = self.byte;
@@ -669,7 +669,7 @@
             }
             let word = |i: usize| u32::from_le_bytes([head[i], head[i + 1], head[i + 2], head[i + 3]]);
             let length = word(0) as usize;
-            if length == 0 || length > FRAME_MOST {
+            if length == 0 || length > MAX_FRAME_BYTES {
                 return damage("a frame of an impossible length");
             }
             payload.resize(length, 0);
--- a/testing/fault-injection/src/lib.rs
+++ b/testing/fault-injection/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub mod checker;
 pub mod compare;
-pub mod decided;
+pub mod decisions;
 pub mod deployment;
 pub mod draw;
 pub mod endpoint;
--- a/testing/fault-injection/src/linear.rs
+++ b/testing/fault-injection/src/linear.rs
@@ -32,7 +32,7 @@
         revision: u64,
     },
     /// Written at this revision.
-    At(u64),
+    Written(u64),
     /// Not written, as this is the revision.
     Conflict(u64),
 }
@@ -62,7 +62,7 @@
 }
 
 /// Steps of a search at the most; a history that is linearizable needs a few for each call.
-const STEPS_MOST: u64 = 50_000;
+const MAX_SEARCH_STEPS: u64 = 50_000;
 /// The search goes as deep as there are calls.
 const STACK: usize = 256 << 20;
 
@@ -71,13 +71,13 @@
     value: Option<u64>,
     /// The least that its revision can be, and whether it is known to be that.
     revision: u64,
-    known: bool,
+    exact: bool,
     steps: Rc<Cell<u64>>,
 }
 
 impl Register {
-    fn may_be(&self, revision: u64) -> bool {
-        match self.known {
+    fn may_have_revision(&self, revision: u64) -> bool {
+        match self.exact {
             true => revision == self.revision,
             false => revision > self.revision,
         }
@@ -86,7 +86,7 @@
     /// One more step; false once there were too many.
     fn step(&self) -> bool {
         self.steps.set(self.steps.get() + 1);
-        self.steps.get() <= STEPS_MOST
+        self.steps.get() <= MAX_SEARCH_STEPS
     }
 }
 
@@ -98,13 +98,13 @@
     fn invoke(&mut self, op: &Op) -> Ret {
         self.step();
         if let Op::Put { value, expect } = *op {
-            if expect.is_none_or(|expect| self.may_be(expect)) {
+            if expect.is_none_or(|expect| self.may_have_revision(expect)) {
                 self.value = Some(value);
                 self.revision = expect.unwrap_or(0).max(self.revision);
-                self.known = false;
+                self.exact = false;
             }
         }
-        Ret::At(self.revision)
+        Ret::Written(self.revision)
     }
 
     fn is_valid_step(&mut self, op: &Op, ret: &Ret) -> bool {
@@ -112,20 +112,20 @@
             return false;
         }
         match (*op, *ret) {
-            (Op::Put { value, expect }, Ret::At(at)) => {
-                let fits = expect.is_none_or(|expect| self.may_be(expect))
+            (Op::Put { value, expect }, Ret::Written(at)) => {
+                let fits = expect.is_none_or(|expect| self.may_have_revision(expect))
                     && at > self.revision.max(expect.unwrap_or(0));
-                (self.value, self.revision, self.known) = (Some(value), at, true);
+                (self.value, self.revision, self.exact) = (Some(value), at, true);
                 fits
             }
             (Op::Put { expect: Some(expect), .. }, Ret::Conflict(at)) => {
-                let fits = at != expect && self.may_be(at);
-                (self.revision, self.known) = (at, true);
+                let fits = at != expect && self.may_have_revision(at);
+                (self.revision, self.exact) = (at, true);
                 fits
             }
             (Op::Read, Ret::Value { value, revision }) => {
-                let fits = value == self.value && self.may_be(revision);
-                (self.revision, self.known) = (revision, true);
+                let fits = value == self.value && self.may_have_revision(revision);
+                (self.revision, self.exact) = (revision, true);
                 fits
             }
             _ => false,
@@ -155,7 +155,7 @@
     }
     edges.sort_unstable();
     let steps = Rc::new(Cell::new(0));
-    let register = Register { value: None, revision: 0, known: true, steps: steps.clone() };
+    let register = Register { value: None, revision: 0, exact: true, steps: steps.clone() };
     let mut tester = LinearizabilityTester::new(register);
     // A client goes on after a call that was never answered; that call then is of somebody who asks nothing more.
     let mut thread_of: HashMap<u16, u32> = HashMap::new();
@@ -186,7 +186,7 @@
     }
     match tester.is_consistent() {
         true => Verdict::Linear,
-        false if steps.get() > STEPS_MOST => Verdict::Undecided,
+        false if steps.get() > MAX_SEARCH_STEPS => Verdict::Undecided,
         false => Verdict::Not,
     }
 }
--- a/testing/fault-injection/src/link.rs
+++ b/testing/fault-injection/src/link.rs
@@ -1,6 +1,6 @@
 //! What faults do to what lies between two ends: the rules in force, without I/O.
 
-use crate::deployment::{Drawn, Nanos, MS};
+use crate::deployment::{DrawnFault, Nanos, MS};
 use crate::endpoint::End;
 use crate::scenario::FaultKind;
 use rand::Rng;
@@ -11,7 +11,7 @@
 
 /// The way from one end to another, at this moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Path {
+pub struct LinkState {
     /// What is sent arrives.
     pub open: bool,
     /// New connections may come up: a process that stands still has a system that answers for it.
@@ -28,15 +28,22 @@
     pub duplicates: f64,
 }
 
-impl Path {
+impl LinkState {
     /// A link without a fault.
-    pub const CLEAR: Path =
-        Path { open: true, connects: true, reset: false, delay: 0, jitter: 0, loss: 0.0, duplicates: 0.0 };
+    pub const CLEAR: LinkState = LinkState {
+        open: true,
+        connects: true,
+        reset: false,
+        delay: 0,
+        jitter: 0,
+        loss: 0.0,
+        duplicates: 0.0,
+    };
 
     /// How much later a piece of a stream arrives: it is delayed, and what is lost is sent again.
     pub fn stream_delay(&self, rng: &mut impl Rng) -> Nanos {
         let lost = self.loss > 0.0 && rng.random::<f64>() < self.loss;
-        self.shifted(rng) + if lost { RETRANSMISSION } else { 0 }
+        self.delay_with_jitter(rng) + if lost { RETRANSMISSION } else { 0 }
     }
 
     /// When a datagram's copies arrive, counted from now: none, one or two, each with a delay of its own, so that they may
@@ -45,19 +52,19 @@
         let lost = !self.open || (self.loss > 0.0 && rng.random::<f64>() < self.loss);
         let twice = self.duplicates > 0.0 && rng.random::<f64>() < self.duplicates;
         let copies = if lost { 0 } else { 1 + usize::from(twice) };
-        (0..copies).map(|_| self.shifted(rng)).collect()
+        (0..copies).map(|_| self.delay_with_jitter(rng)).collect()
     }
 
-    fn shifted(&self, rng: &mut impl Rng) -> Nanos {
+    fn delay_with_jitter(&self, rng: &mut impl Rng) -> Nanos {
         self.delay + if self.jitter > 0 { rng.random_range(0..=self.jitter) } else { 0 }
     }
 }
 
 /// Faults of links in force, and the stand-ins that stand still.
 #[derive(Default)]
-pub struct Rules {
+pub struct LinkFaults {
     active: Vec<(usize, Rule)>,
-    still: BTreeSet<End>,
+    suspended: BTreeSet<End>,
 }
 
 struct Rule {
@@ -83,9 +90,9 @@
     }
 }
 
-impl Rules {
+impl LinkFaults {
     /// A fault of links begins; it has this number.
-    pub fn begin(&mut self, number: usize, fault: &Drawn) {
+    pub fn begin(&mut self, number: usize, fault: &DrawnFault) {
         let rule = Rule {
             kind: fault.kind,
             target: fault.victims.iter().copied().collect(),
@@ -105,18 +112,18 @@
     }
 
     /// A stand-in stands still, or goes on.
-    pub fn stand_still(&mut self, end: End, still: bool) {
-        if still {
-            self.still.insert(end);
+    pub fn set_suspended(&mut self, end: End, suspended: bool) {
+        if suspended {
+            self.suspended.insert(end);
         } else {
-            self.still.remove(&end);
+            self.suspended.remove(&end);
         }
     }
 
     /// The way from one end to another. Several faults add up.
-    pub fn path(&self, from: End, to: End) -> Path {
-        let mut path = Path::CLEAR;
-        if self.still.contains(&to) || self.still.contains(&from) {
+    pub fn path(&self, from: End, to: End) -> LinkState {
+        let mut path = LinkState::CLEAR;
+        if self.suspended.contains(&to) || self.suspended.contains(&from) {
             path.open = false;
         }
         for (_, rule) in &self.active {
@@ -147,8 +154,8 @@
     }
 
     /// Whether a process or a stand-in is suspended.
-    pub fn stands_still(&self, end: End) -> bool {
-        self.still.contains(&end)
+    pub fn is_suspended(&self, end: End) -> bool {
+        self.suspended.contains(&end)
     }
 
     /// Whether connections in this direction are reset.
@@ -158,6 +165,6 @@
 
     /// Whether there is no fault.
     pub fn is_empty(&self) -> bool {
-        self.active.is_empty() && self.still.is_empty()
+        self.active.is_empty() && self.suspended.is_empty()
     }
 }
--- a/testing/fault-injection/src/main.rs
+++ b/testing/fault-injection/src/main.rs
@@ -22,11 +22,11 @@
 #[command(version, about)]
 struct Args {
     #[command(subcommand)]
-    call: Call,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Call {
+enum Command {
     /// A small fleet, one gateway killed under load, a report; under a minute
     Demo {
         #[arg(long, default_value_t = 1)]
@@ -145,45 +145,45 @@
 }
 
 fn main() -> ExitCode {
-    ExitCode::from(call(Args::parse().call).unwrap_or_else(|error| {
+    ExitCode::from(run_command(Args::parse().command).unwrap_or_else(|error| {
         eprintln!("marblecroft-fault-injection: {}", error.to_string().replace('\n', " "));
         error.exit_code()
     }))
 }
 
-fn call(call: Call) -> Result<u8, CommandError> {
-    match call {
-        Call::Demo { seed, out } => {
-            let code = play("demo", DEMO.to_owned(), seed, out.clone(), false)?;
+fn run_command(command: Command) -> Result<u8, CommandError> {
+    match command {
+        Command::Demo { seed, out } => {
+            let code = run_scenario("demo", DEMO.to_owned(), seed, out.clone(), false)?;
             write_report(&out.unwrap_or_else(|| usual_dir("demo", seed)))?;
             Ok(code)
         }
-        Call::Run { file, seed, out, json } => {
+        Command::Run { file, seed, out, json } => {
             let name = file.file_stem().map_or("run".into(), |name| name.to_string_lossy().into_owned());
-            play(&name, read(&file)?, seed, out, json)
+            run_scenario(&name, read(&file)?, seed, out, json)
         }
-        Call::Draw { site, seed } => {
+        Command::Draw { site, seed } => {
             let drawn = draw::draw(&read(&site)?, seed);
             print!("{}", drawn.map_err(|error| CommandError::SiteFile(site, error))?);
             Ok(EXIT_HOLDS)
         }
-        Call::Check { dir, trace: Some(trace), .. } => {
+        Command::Check { dir, trace: Some(trace), .. } => {
             follow(&dir, &trace)?.iter().for_each(|line| println!("{line}"));
             Ok(EXIT_HOLDS)
         }
-        Call::Check { dir, json, trace: None } => {
+        Command::Check { dir, json, trace: None } => {
             let (verdict, _) = judge(&dir)?;
             Ok(print_verdict(&verdict, json))
         }
-        Call::Report { dir } => {
+        Command::Report { dir } => {
             write_report(&dir)?;
             Ok(EXIT_HOLDS)
         }
-        Call::Hold { parent, program, args } => {
+        Command::Hold { parent, program, args } => {
             let error = become_held(parent, &program, &args);
             Err(CommandError::Output(PathBuf::from(program), error))
         }
-        Call::Compare { one, other } => {
+        Command::Compare { one, other } => {
             print!("{}", compare::compare(&one, &other)?);
             Ok(EXIT_HOLDS)
         }
@@ -194,7 +194,13 @@
     fs::read_to_string(path).map_err(|error| CommandError::Input(path.to_owned(), error))
 }
 
-fn play(name: &str, text: String, seed: u64, out: Option<PathBuf>, json: bool) -> Result<u8, CommandError> {
+fn run_scenario(
+    name: &str,
+    text: String,
+    seed: u64,
+    out: Option<PathBuf>,
+    json: bool,
+) -> Result<u8, CommandError> {
     // Before anything is made: a scenario that cannot be used leaves nothing behind.
     Scenario::parse(&text).map_err(|error| CommandError::Scenario(name.to_owned(), error))?;
     let dir = out.unwrap_or_else(|| usual_dir(name, seed));
--- a/testing/fault-injection/src/report.rs
+++ b/testing/fault-injection/src/report.rs
@@ -1,6 +1,6 @@
 //! A run as one page: plots as inline SVG, the faults marked, a table of the invariants; readable on its own.
 
-use crate::deployment::{Drawn, SECOND};
+use crate::deployment::{DrawnFault, SECOND};
 use crate::error::{IncompleteHistory, RecordingError};
 use crate::figures::{Figures, Second, CALLS};
 use crate::verdict::Verdict;
@@ -8,7 +8,7 @@
 use plotters::style::text_anchor::{HPos, Pos, VPos};
 use std::fmt::Write;
 
-const SIZE: (u32, u32) = (960, 260);
+const PLOT_SIZE: (u32, u32) = (960, 260);
 /// Colours that people tell apart who do not see all of them.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(0, 114, 178),
@@ -19,8 +19,8 @@
     RGBColor(86, 180, 233),
 ];
 /// The time axis goes on by this factor: there stand the names of the lines, over none of them.
-const LEGEND: f64 = 1.14;
-const FAULT: RGBColor = RGBColor(190, 30, 45);
+const LEGEND_FACTOR: f64 = 1.14;
+const FAULT_COLOUR: RGBColor = RGBColor(190, 30, 45);
 
 struct Line {
     name: String,
@@ -122,7 +122,7 @@
     row(
         &mut page,
         "tries in hand at a struck gateway",
-        format!("{}, {} of them lost", s.in_hand, s.in_hand_lost),
+        format!("{}, {} of them lost", s.in_flight, s.in_flight_lost),
     );
     row(
         &mut page,
@@ -131,7 +131,7 @@
     );
     row(&mut page, "clients left without an answer", format!("{:.2}%", s.unanswered_share * 100.0));
     row(&mut page, "tries that met no gateway", s.unreachable_tries.to_string());
-    row(&mut page, "cold pay servers that fell over", s.fell.to_string());
+    row(&mut page, "cold pay servers that fell over", s.overload_crashes.to_string());
     row(&mut page, "processes that ended by themselves", s.crashes.to_string());
     for (name, ms) in &s.latency_ms {
         row(&mut page, &format!("latency {name}"), format!("{ms} ms"));
@@ -146,7 +146,7 @@
         "the lab itself",
         format!(
             "{} events; up to {:.0}% of its thread; requests left {} ms late at 99.9%, {} ms at most; {} s of processor time, the fleet {} s, in {:.1} s",
-            s.lab.events, s.lab.busy_most * 100.0, s.lab.late_p999_ms, s.lab.late_most_ms, s.lab.lab_cpu_s, s.lab.fleet_cpu_s, s.lab.wall_s
+            s.harness.events, s.harness.busy_most * 100.0, s.harness.late_p999_ms, s.harness.late_most_ms, s.harness.harness_cpu_s, s.harness.fleet_cpu_s, s.harness.wall_s
         ),
     );
     let _ = write!(page, "</table><h2>Scenario</h2><pre>{}</pre></html>", escape(&setup.text));
@@ -164,7 +164,7 @@
 }
 
 /// A few by name, many by number.
-fn victims(fault: &Drawn) -> String {
+fn victims(fault: &DrawnFault) -> String {
     match fault.victims.as_slice() {
         few if few.len() <= 4 => few.iter().map(ToString::to_string).collect::<Vec<_>>().join(", "),
         many => format!("{} of {}", many.len(), many[0].kind().name()),
@@ -181,21 +181,22 @@
     let top = lines.iter().flat_map(|line| &line.points).map(|(_, y)| *y).fold(1.0, f64::max) * 1.1;
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
         let mut chart = ChartBuilder::on(&area)
             .margin(8)
             .x_label_area_size(34)
             .y_label_area_size(56)
-            .build_cartesian_2d(0.0..length * LEGEND, 0.0..top)
+            .build_cartesian_2d(0.0..length * LEGEND_FACTOR, 0.0..top)
             .map_err(|e| failed(&e))?;
         let mut mesh = chart.configure_mesh();
         mesh.x_desc("seconds of the load").y_desc(unit).light_line_style(WHITE);
         mesh.draw().map_err(|e| failed(&e))?;
         for (number, from, to) in marks {
             let to = to.unwrap_or(length).clamp(*from, length);
-            let band = Rectangle::new([(*from, 0.0), (to, top)], FAULT.mix(0.10).filled());
-            let edge = PathElement::new([(*from, 0.0), (*from, top)], FAULT.mix(0.8));
-            let style = ("sans-serif", 12).into_font().color(&FAULT).pos(Pos::new(HPos::Left, VPos::Top));
+            let band = Rectangle::new([(*from, 0.0), (to, top)], FAULT_COLOUR.mix(0.10).filled());
+            let edge = PathElement::new([(*from, 0.0), (*from, top)], FAULT_COLOUR.mix(0.8));
+            let style =
+                ("sans-serif", 12).into_font().color(&FAULT_COLOUR).pos(Pos::new(HPos::Left, VPos::Top));
             let name = Text::new(format!(" fault {number}"), (*from, top * 0.98), style);
             chart.draw_series([band]).map_err(|e| failed(&e))?;
             chart.draw_series([edge]).map_err(|e| failed(&e))?;
--- a/testing/fault-injection/src/scenario/fleet.rs
+++ b/testing/fault-injection/src/scenario/fleet.rs
@@ -38,10 +38,11 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub witness: Option<String>,
     /// Processes of the steward; they need coordinators.
-    pub stewards: u32,
+    #[serde(rename = "stewards")]
+    pub controllers: u32,
     /// Merged into each steward's configuration as it is.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub steward_config: Option<toml::Table>,
+    #[serde(rename = "steward_config", skip_serializing_if = "Option::is_none")]
+    pub controller_config: Option<toml::Table>,
     /// Pay servers turn writes under older epochs away.
     pub fencing: bool,
     /// Cells that pay servers are dealt out over, each within one zone; 0: by fours.
@@ -63,8 +64,8 @@
             gateway_config: None,
             regions: BTreeMap::new(),
             witness: None,
-            stewards: 0,
-            steward_config: None,
+            controllers: 0,
+            controller_config: None,
             fencing: false,
             cells: 0,
         }
--- a/testing/fault-injection/src/scenario/mod.rs
+++ b/testing/fault-injection/src/scenario/mod.rs
@@ -8,10 +8,10 @@
 mod expect;
 mod fault;
 mod fleet;
-pub mod in_common;
 mod load;
 mod site;
 mod target;
+pub mod tenancy;
 mod topology;
 mod validation;
 
@@ -25,8 +25,8 @@
 pub use target::{Target, LEADER, ROLES};
 pub use validation::{MAX_GATEWAYS, MAX_PAY_SERVERS};
 
-use in_common::{Books, Tenants};
 use serde::{Deserialize, Serialize};
+use tenancy::{Shards, Tenants};
 
 /// A scenario, as its file has it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -49,8 +49,8 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tenants: Option<Tenants>,
     /// Ranges of firms that move between cells.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub books: Option<Books>,
+    #[serde(rename = "books", skip_serializing_if = "Option::is_none")]
+    pub shards: Option<Shards>,
     /// What is expected beyond the invariants.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub expect: Option<Expect>,
--- a/testing/fault-injection/src/scenario/in_common.rs
+++ b/testing/fault-injection/src/scenario/tenancy.rs
@@ -28,35 +28,36 @@
 /// Ranges of firms whose pay runs are written at one cell each.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Books {
+pub struct Shards {
     /// Ranges at the begin.
     pub count: u32,
     /// Operators' moves.
     #[serde(rename = "move", skip_serializing_if = "Vec::is_empty")]
-    pub moves: Vec<BookMove>,
+    pub moves: Vec<ShardMove>,
 }
 
-impl Default for Books {
-    fn default() -> Books {
-        Books { count: 8, moves: Vec::new() }
+impl Default for Shards {
+    fn default() -> Shards {
+        Shards { count: 8, moves: Vec::new() }
     }
 }
 
 /// An operator's word: from then on a book, by its number at the begin, is to be at a cell.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct BookMove {
+pub struct ShardMove {
     /// After the load's begin, in milliseconds.
     pub at_ms: u64,
     /// The book.
-    pub book: u32,
+    #[serde(rename = "book")]
+    pub shard: u32,
     /// The cell.
     pub to_cell: u32,
 }
 
 const MAX_FIRMS: u32 = 20_000;
 const MAX_WEIGHTS: usize = 16;
-const MAX_BOOKS: u32 = 1024;
+const MAX_SHARDS: u32 = 1024;
 const MAX_MOVES: usize = 256;
 
 impl Scenario {
@@ -81,14 +82,14 @@
         cell as usize % self.fleet.zones.len()
     }
 
-    pub(super) fn validate_in_common(&self) -> Result<(), ScenarioError> {
+    pub(super) fn validate_tenancy(&self) -> Result<(), ScenarioError> {
         let fleet = &self.fleet;
         within("fleet.cells", fleet.cells, 0, fleet.pay_servers)?;
         if fleet.cells > 0 && fleet.cells < fleet.zones.len() as u32 {
             return Err(ScenarioError::invalid("fleet.cells", "one for each zone at least"));
         }
         if let Some(tenants) = &self.tenants {
-            if fleet.stewards == 0 {
+            if fleet.controllers == 0 {
                 return Err(ScenarioError::invalid(
                     "tenants",
                     "shares are decided by stewards, and there are none",
@@ -104,17 +105,17 @@
             }
             within("tenants.shift_at_ms", tenants.shift_at_ms.unwrap_or(0), 0, self.load.duration_ms)?;
         }
-        if let Some(books) = &self.books {
-            if fleet.stewards == 0 || fleet.cells == 0 {
+        if let Some(shards) = &self.shards {
+            if fleet.controllers == 0 || fleet.cells == 0 {
                 return Err(ScenarioError::invalid("books", "they need stewards, and fleet.cells"));
             }
-            within("books.count", books.count, 1, MAX_BOOKS)?;
-            if books.moves.len() > MAX_MOVES {
+            within("books.count", shards.count, 1, MAX_SHARDS)?;
+            if shards.moves.len() > MAX_MOVES {
                 return Err(ScenarioError::invalid("books.move", format!("{MAX_MOVES} at the most")));
             }
-            for (i, moved) in books.moves.iter().enumerate() {
+            for (i, moved) in shards.moves.iter().enumerate() {
                 within(&format!("books.move[{i}].at_ms"), moved.at_ms, 0, self.load.duration_ms)?;
-                within(&format!("books.move[{i}].book"), moved.book, 0, books.count - 1)?;
+                within(&format!("books.move[{i}].book"), moved.shard, 0, shards.count - 1)?;
                 within(&format!("books.move[{i}].to_cell"), moved.to_cell, 0, fleet.cells - 1)?;
             }
         }
--- a/testing/fault-injection/src/scenario/topology.rs
+++ b/testing/fault-injection/src/scenario/topology.rs
@@ -5,7 +5,7 @@
 
 impl Scenario {
     /// Returns the number of processes that clients call: the gateways, or the pay servers where there are none.
-    pub fn entries(&self) -> u32 {
+    pub fn entry_count(&self) -> u32 {
         match self.fleet.gateways {
             0 => self.fleet.pay_servers,
             gateways => gateways,
@@ -21,7 +21,7 @@
             Kind::ListService => self.fleet.list_service.max(1),
             Kind::Coordinators => self.fleet.coordinators,
             Kind::Counter => u32::from(self.fleet.counter),
-            Kind::Stewards => self.fleet.stewards,
+            Kind::Controllers => self.fleet.controllers,
             Kind::Cells => self.fleet.cells,
             Kind::Candidates => {
                 if self.fleet.coordinators > 0 {
@@ -50,11 +50,11 @@
     }
 
     /// Returns the zone, by its number among all, of a process or a stand-in; `None` for those outside of all zones.
-    pub fn place(&self, end: End) -> Option<usize> {
+    pub fn zone_of(&self, end: End) -> Option<usize> {
         let zones = self.fleet.zones.len();
         match end {
             End::Gateway(i) | End::PayServer(i) | End::Cell(i) => Some(usize::from(i) % zones),
-            End::Coordinator(i) | End::Steward(i) => self.spread_over_zones(usize::from(i)),
+            End::Coordinator(i) | End::Controller(i) => self.spread_over_zones(usize::from(i)),
             End::ListService(i) if self.fleet.list_service > 0 => self.spread_over_zones(usize::from(i)),
             End::Clients | End::Counter | End::Candidate(_) | End::ListService(_) => None,
         }
@@ -76,7 +76,7 @@
     }
 
     /// Whether a zone is what a target names, or in it.
-    pub fn stands_in(&self, zone: usize, target: &Target) -> bool {
+    pub fn is_zone_in(&self, zone: usize, target: &Target) -> bool {
         let Some(name) = self.all_zones().get(zone).copied() else { return false };
         match target {
             Target::Zone(wanted) => name == wanted,
--- a/testing/fault-injection/src/scenario/validation.rs
+++ b/testing/fault-injection/src/scenario/validation.rs
@@ -18,7 +18,7 @@
 impl Scenario {
     pub(super) fn validate(&self) -> Result<(), ScenarioError> {
         let Scenario { fleet, load, site, owners, registers, faults, expect, .. } = self;
-        self.validate_in_common()?;
+        self.validate_tenancy()?;
         within("fleet.gateways", fleet.gateways, 0, MAX_GATEWAYS)?;
         if fleet.gateways == 0 && fleet.coordinators == 0 && !faults.is_empty() {
             return Err(ScenarioError::invalid("fault", "without gateways the lab only measures itself"));
@@ -50,8 +50,8 @@
                 "one zone at least, each with a name of 128 bytes at most",
             ));
         }
-        within("fleet.stewards", fleet.stewards, 0, 8)?;
-        if fleet.stewards > 0 && fleet.coordinators == 0 {
+        within("fleet.stewards", fleet.controllers, 0, 8)?;
+        if fleet.controllers > 0 && fleet.coordinators == 0 {
             return Err(ScenarioError::invalid("fleet.stewards", "they need coordinators"));
         }
         let all = self.all_zones();
@@ -193,11 +193,11 @@
             Target::Owner(name) if name == LEADER && self.fleet.coordinators > 0 => {
                 return Ok(Kind::Coordinators);
             }
-            Target::Owner(name) if self.fleet.stewards > 0 && ROLES.contains(&name.as_str()) => {
-                return Ok(Kind::Stewards);
+            Target::Owner(name) if self.fleet.controllers > 0 && ROLES.contains(&name.as_str()) => {
+                return Ok(Kind::Controllers);
             }
             Target::Zone(_) | Target::Region(_) => {
-                let there = (0..self.all_zones().len()).any(|zone| self.stands_in(zone, target));
+                let there = (0..self.all_zones().len()).any(|zone| self.is_zone_in(zone, target));
                 return match there {
                     true => Ok(Kind::Gateways),
                     false => Err(ScenarioError::invalid(field, format!("the fleet has no {target}"))),
--- a/testing/fault-injection/src/shell.rs
+++ b/testing/fault-injection/src/shell.rs
@@ -12,11 +12,11 @@
 pub mod relay;
 pub mod run;
 
-use crate::deployment::{Deployment, Nanos, Stream};
+use crate::deployment::{Deployment, Nanos, RandomStream};
 use crate::endpoint::End;
 use crate::error::RunError;
-use crate::history::{At, Event, Trace, Writer};
-use crate::link::{Path, Rules};
+use crate::history::{Event, TimedEvent, Trace, Writer};
+use crate::link::{LinkFaults, LinkState};
 use crate::scenario::Scenario;
 use rand_chacha::ChaCha8Rng;
 use std::cell::{Cell, RefCell};
@@ -39,7 +39,7 @@
     history: RefCell<Writer<File>>,
     /// The first failure to write the history: the run is worth nothing then.
     broken: RefCell<Option<std::io::Error>>,
-    rules: RefCell<Rules>,
+    rules: RefCell<LinkFaults>,
     /// Notified whenever the faults of links change.
     pub rules_changed: Notify,
     /// Random numbers of the links.
@@ -61,7 +61,7 @@
             broken: RefCell::new(None),
             rules: RefCell::default(),
             rules_changed: Notify::new(),
-            chance: RefCell::new(crate::deployment::chance(seed, Stream::Links)),
+            chance: RefCell::new(crate::deployment::random_stream(seed, RandomStream::Links)),
             next: Cell::new(1),
             traces: RefCell::default(),
         })
@@ -84,7 +84,7 @@
 
     /// Records an event, with the present time.
     pub fn record(&self, event: Event) {
-        let at = At { at: self.now(), event };
+        let at = TimedEvent { at: self.now(), event };
         if let Err(e) = self.history.borrow_mut().add(&at) {
             self.broken.borrow_mut().get_or_insert(e);
         }
@@ -107,23 +107,23 @@
     }
 
     /// Changes the faults of links.
-    pub fn change_rules(&self, change: impl FnOnce(&mut Rules)) {
+    pub fn change_rules(&self, change: impl FnOnce(&mut LinkFaults)) {
         change(&mut self.rules.borrow_mut());
         self.rules_changed.notify_waiters();
     }
 
     /// Returns the state of a link in one direction.
-    pub fn path(&self, from: End, to: End) -> Path {
+    pub fn path(&self, from: End, to: End) -> LinkState {
         let rules = self.rules.borrow();
         if rules.is_empty() {
-            return Path::CLEAR;
+            return LinkState::CLEAR;
         }
         rules.path(from, to)
     }
 
     /// Whether a process or a stand-in is suspended.
     pub fn stands_still(&self, end: End) -> bool {
-        self.rules.borrow().stands_still(end)
+        self.rules.borrow().is_suspended(end)
     }
 
     /// Whether connections in this direction come up.
--- a/testing/fault-injection/src/shell/address.rs
+++ b/testing/fault-injection/src/shell/address.rs
@@ -25,7 +25,7 @@
         End::ListService(i) => numbered(104, i),
         End::Candidate(i) => numbered(105, i),
         End::Coordinator(i) => numbered(106, i),
-        End::Steward(i) => numbered(110, i),
+        End::Controller(i) => numbered(110, i),
         End::Cell(i) => numbered(112, i),
         End::Clients | End::Counter | End::PayServer(_) => numbered(109, 0),
     }
@@ -37,7 +37,7 @@
         End::Gateway(i) => numbered(102, i),
         End::ListService(i) => numbered(103, i),
         End::Coordinator(i) => numbered(107, i),
-        End::Steward(i) => numbered(111, i),
+        End::Controller(i) => numbered(111, i),
         End::Clients | End::Counter | End::PayServer(_) | End::Candidate(_) | End::Cell(_) => {
             Ipv4Addr::LOCALHOST
         }
@@ -54,7 +54,7 @@
         104 => Some(End::ListService(index)),
         105 => Some(End::Candidate(index)),
         106 => Some(End::Coordinator(index)),
-        110 => Some(End::Steward(index)),
+        110 => Some(End::Controller(index)),
         112 => Some(End::Cell(index)),
         109 => Some(End::Clients),
         _ => None,
--- a/testing/fault-injection/src/shell/cells.rs
+++ b/testing/fault-injection/src/shell/cells.rs
@@ -90,7 +90,7 @@
 
     /// Whether books are written here at all.
     pub fn takes(&self, class: u8) -> bool {
-        !self.cells.is_empty() && self.world.scenario.books.is_some() && class == UNSAFE
+        !self.cells.is_empty() && self.world.scenario.shards.is_some() && class == UNSAFE
     }
 
     /// A write comes to a server of a cell.
@@ -104,7 +104,7 @@
         let Some(cell) = self.of(number) else { return Ok(()) };
         let admitted = cell.borrow_mut().admit(attempt, firm, epoch);
         let epoch = epoch.unwrap_or(0);
-        self.world.record(Event::BookWrite {
+        self.world.record(Event::ShardWrite {
             attempt,
             cell: number,
             firm,
--- a/testing/fault-injection/src/shell/clients.rs
+++ b/testing/fault-injection/src/shell/clients.rs
@@ -150,7 +150,10 @@
             while !self.up(gateway).await {
                 tokio::time::sleep(UP_EVERY).await;
             }
-            self.world.record(Event::Lived { end: End::Gateway(gateway), life: crate::history::Life::Ready });
+            self.world.record(Event::ProcessChanged {
+                end: End::Gateway(gateway),
+                change: crate::history::ProcessChange::Ready,
+            });
             self.front.borrow_mut().set(gateway, true);
             // One that has gone and come back before anybody noticed is asked again all the same.
             if state.wait_for(|state| *state == super::process::State::Down).await.is_err() {
@@ -184,20 +187,20 @@
         let world = &self.world;
         self.asked.set(self.asked.get() + 1);
         self.open.set(self.open.get() + 1);
-        world.record(Event::Asked { ask, customer, class, late });
+        world.record(Event::RequestStarted { request: ask, customer, class, late });
         let whose = &world.deployment.customers[customer as usize];
         let mut asking = Asking::new(&arrival, self.manners.clone(), world.now());
         let mut next = asking.first(world.now(), whose, &self.front.borrow());
         let outcome = loop {
             world.sleep_until(world.now() + next.after).await;
             let (outcome, retry_after) = self.clone().attempt(ask, customer, class, &next).await;
-            world.record(Event::Ended { trace: next.trace, outcome });
+            world.record(Event::TryEnded { trace: next.trace, outcome });
             match asking.next(world.now(), outcome, retry_after, whose, &self.front.borrow()) {
                 Next::Try(again) => next = again,
                 Next::End(outcome) => break outcome,
             }
         };
-        world.record(Event::AskEnded { ask, outcome });
+        world.record(Event::RequestEnded { request: ask, outcome });
         self.served.set(self.served.get() + u64::from(matches!(outcome, Outcome::Served { .. })));
         self.open.set(self.open.get() - 1);
         // Its last attempts may still be on their way to a pay server.
@@ -219,7 +222,10 @@
             .header("x-contract", &self.world.deployment.quotas[whose.plan].name)
             .header("x-client-id", format!("{:016x}", whose.id))
             .header("x-expires-in", format!("{:.3}", next.wait as f64 / SECOND as f64))
-            .header("x-metering", format!("units=1,spread={},first={}", whose.spread.len(), whose.first));
+            .header(
+                "x-metering",
+                format!("units=1,spread={},first={}", whose.gateway_weights.len(), whose.first_gateway),
+            );
         let request = if next.marked { request.header("x-second-try", "1") } else { request };
         request.body(Full::new(body)).ok()
     }
@@ -236,7 +242,13 @@
         let (gateway, trace) = (next.gateway, next.trace);
         let until = world.instant(world.now() + next.wait);
         world.traces.borrow_mut().insert(trace, (customer, class));
-        world.record(Event::Tried { ask, trace, gateway, wait: next.wait, back: next.back });
+        world.record(Event::TryStarted {
+            request: ask,
+            trace,
+            gateway,
+            timeout: next.wait,
+            reuses_id: next.back,
+        });
         let entry = &self.entries[usize::from(gateway)];
         let losses = entry.losses();
         loop {
@@ -260,7 +272,7 @@
                 // Whoever has given up looks on, so that it is known whether the gateway ever answered.
                 spawn_local(async move {
                     let answered = matches!(timeout(AFTERWARDS, exchange).await, Ok((Ok(_), _)));
-                    world.record(Event::Afterwards { trace, answered });
+                    world.record(Event::TryEndedLate { trace, answered });
                 });
                 return (Outcome::TimedOut, None);
             };
--- a/testing/fault-injection/src/shell/lists.rs
+++ b/testing/fault-injection/src/shell/lists.rs
@@ -3,7 +3,7 @@
 
 use crate::deployment::MS;
 use crate::endpoint::End;
-use crate::history::{Event, Told};
+use crate::history::{Event, ServerState};
 use crate::shell::pay_servers::{plain, shut_out};
 use crate::shell::process::Process;
 use crate::shell::relay::{relay, Side, Tap, Watch};
@@ -170,7 +170,7 @@
         self.changed.notify_waiters();
         spawn_local(async move {
             world.until(|world| !Platform::is_silent(world)).await;
-            world.record(Event::AgentsHold { server: number, told });
+            world.record(Event::AgentStateChanged { server: number, state: told });
         });
     }
 
@@ -189,7 +189,7 @@
             Err(e) => return Ok(plain(400, "", e.to_string())),
         };
         let since = if let ListRequest::Watch { since, .. } = ask { Some(since) } else { None };
-        world.record(Event::ListAsked { gateway, since });
+        world.record(Event::ListRequested { gateway, since });
         if let ListRequest::Watch { wait, .. } = ask {
             // In time or not, it is answered; but one over which discovery falls silent never is.
             tokio::select! {
@@ -205,7 +205,7 @@
         });
         let servers = answer.told();
         let (version, full) = (answer.version, answer.full);
-        world.record(Event::ListTold { gateway, list: 0, store: 1, epoch: 1, version, full, servers });
+        world.record(Event::ListReceived { gateway, list: 0, store: 1, epoch: 1, version, full, servers });
         let body = answer.body(address::view(from)).map_err(io::Error::other)?;
         Ok(Response::new(Full::new(body.into())))
     }
@@ -267,7 +267,7 @@
         let query = line.split(' ').nth(1).and_then(|target| target.strip_prefix(HOSTS));
         if let Some(Ok(ask)) = query.map(|query| ListRequest::parse(query.trim_start_matches('?'))) {
             let since = if let ListRequest::Watch { since, .. } = ask { Some(since) } else { None };
-            world.record(Event::ListAsked { gateway, since });
+            world.record(Event::ListRequested { gateway, since });
         }
     })
 }
@@ -283,7 +283,7 @@
             }
         }
         let Ok(told_list) = serde_json::from_slice::<HostList>(body) else { return };
-        let servers: Vec<(u16, Told)> = told_list
+        let servers: Vec<(u16, ServerState)> = told_list
             .servers
             .iter()
             .filter_map(|entry| match entry {
@@ -291,7 +291,7 @@
                 Entry::Malformed(_) => None,
             })
             .collect();
-        world.record(Event::ListTold {
+        world.record(Event::ListReceived {
             gateway,
             list,
             store: told_list.store.unwrap_or(0),
@@ -395,7 +395,7 @@
         let mut lines = BufReader::with_capacity(LINE_MOST, read).lines();
         while let Some(line) = lines.next_line().await? {
             let reply = self.core.borrow_mut().call(world.now(), line.trim_end());
-            world.record(Event::Counted { gateway, busy: reply.busy });
+            world.record(Event::CounterCalled { gateway, busy: reply.busy });
             world.sleep_until(reply.at).await;
             write.write_all(format!("{}\r\n", reply.text).as_bytes()).await?;
         }
--- a/testing/fault-injection/src/shell/owners.rs
+++ b/testing/fault-injection/src/shell/owners.rs
@@ -3,7 +3,7 @@
 //! Models: sessions that are renewed, locks that are waited for, a check before each act, a stop between the check and its effect,
 //! effects that come late to the place that takes them. Leaves out: what the work is, and that it takes time.
 
-use crate::deployment::{chance, Nanos, Stream, MS, SECOND};
+use crate::deployment::{random_stream, Nanos, RandomStream, MS, SECOND};
 use crate::endpoint::End;
 use crate::history::Event;
 use crate::shell::World;
@@ -91,9 +91,9 @@
         let token = held.token();
         self.world.record(Event::Granted { candidate, lock, token, asked });
         self.owner.borrow_mut().insert(lock, candidate);
-        let mut rng = chance(self.world.seed ^ token, Stream::Candidates);
+        let mut rng = random_stream(self.world.seed ^ token, RandomStream::Candidates);
         while let Some(token) = held.act() {
-            self.world.record(Event::Acts { candidate, lock, token });
+            self.world.record(Event::ActionStarted { candidate, lock, token });
             // Here a process may stop, between the check and the act.
             self.goes_on(candidate).await;
             let admitted = self.fences.borrow_mut()[usize::from(lock)].admit(token).is_ok();
--- a/testing/fault-injection/src/shell/pay_servers.rs
+++ b/testing/fault-injection/src/shell/pay_servers.rs
@@ -1,6 +1,6 @@
 //! The pay servers on sockets: HTTP/1.1 by the published page, one listener each.
 
-use crate::deployment::{spread, Nanos, MS, SECOND};
+use crate::deployment::{sample_gamma, Nanos, MS, SECOND};
 use crate::endpoint::{End, Kind};
 use crate::history::{Answer, Event, Trace};
 use crate::scenario::Scenario;
@@ -172,7 +172,7 @@
     pub fn pause(&self, paused: bool) {
         let mut acts = Vec::new();
         self.core.borrow_mut().pause(self.world.now(), paused, &mut acts);
-        self.world.change_rules(|rules| rules.stand_still(self.end(), paused));
+        self.world.change_rules(|rules| rules.set_suspended(self.end(), paused));
         self.perform(acts);
     }
 
@@ -285,7 +285,7 @@
         self.waiting.borrow_mut().insert(attempt, answered);
         // What a request costs is its own; whether it fails is the attempt's.
         let site = &self.world.scenario.site;
-        let work = spread(site.work_ms * 1e6, site.work_cv, &mut ChaCha8Rng::seed_from_u64(trace));
+        let work = sample_gamma(site.work_ms * 1e6, site.work_cv, &mut ChaCha8Rng::seed_from_u64(trace));
         let fails = ChaCha8Rng::seed_from_u64(trace ^ attempt).random::<f64>() < site.error_rate;
         let mut acts = Vec::new();
         self.core.borrow_mut().arrive(now, attempt, trace, work, first, fails, token, &mut acts);
@@ -338,7 +338,7 @@
                     let _ = waiting.map(|waiting| waiting.send(answer));
                 }
                 Act::Fell => {
-                    self.world.record(Event::Fell { server: self.number });
+                    self.world.record(Event::OverloadCrash { server: self.number });
                     self.kill();
                     self.fell.notify_one();
                 }
@@ -388,7 +388,7 @@
     let lists = (0..world.scenario.fleet.list_service as u16).map(End::ListService);
     let coordinators = (0..world.scenario.fleet.coordinators as u16).map(End::Coordinator);
     let candidates = (0..world.scenario.count(Kind::Candidates) as u16).map(End::Candidate);
-    let stewards = (0..world.scenario.fleet.stewards as u16).map(End::Steward);
+    let stewards = (0..world.scenario.fleet.controllers as u16).map(End::Controller);
     let cut: Vec<_> = gateways
         .chain(lists)
         .chain(stewards)
--- a/testing/fault-injection/src/shell/process.rs
+++ b/testing/fault-injection/src/shell/process.rs
@@ -2,7 +2,7 @@
 
 use crate::endpoint::End;
 use crate::error::RunError;
-use crate::history::{Duty, Event, Life};
+use crate::history::{DecisionKind, Event, ProcessChange};
 use crate::shell::World;
 use rustix::process::{kill_process, Pid, Resource, Rlimit, Signal};
 use std::cell::{Cell, RefCell};
@@ -99,8 +99,8 @@
         self.losses.get()
     }
 
-    fn record(&self, life: Life) {
-        self.world.record(Event::Lived { end: self.end, life });
+    fn record(&self, life: ProcessChange) {
+        self.world.record(Event::ProcessChanged { end: self.end, change: life });
     }
 
     /// Starts it, and waits until it listens.
@@ -127,7 +127,7 @@
         self.told.set(false);
         self.stopped.set(false);
         self.state.send_replace(State::Starting(pid));
-        self.record(Life::Started);
+        self.record(ProcessChange::Started);
         let log = OpenOptions::new().create(true).append(true).open(&self.log);
         let log = log.map_err(|e| failed(&e))?;
         let mut listening = self.state.subscribe();
@@ -179,9 +179,9 @@
         let stamp = text.rsplit_once("goes by ").and_then(|(_, said)| {
             let (duty, stamp) = said.split_once(' ')?;
             let duty = match duty {
-                "zones" => Duty::Zones,
-                "shares" => Duty::Shares,
-                "books" => Duty::Books,
+                "zones" => DecisionKind::Zones,
+                "shares" => DecisionKind::Shares,
+                "books" => DecisionKind::Books,
                 _ => return None,
             };
             let (token, revision) = stamp.split_once('.')?;
@@ -189,10 +189,10 @@
         });
         match (self.end, stamp) {
             (End::Gateway(gateway), Some((duty, token, revision))) => {
-                self.world.record(Event::GoesBy { gateway, duty, token, revision });
+                self.world.record(Event::DecisionApplied { gateway, kind: duty, token, revision });
             }
-            (End::Steward(steward), _) if text.contains("came too late and is refused") => {
-                self.world.record(Event::DecisionRefused { steward });
+            (End::Controller(steward), _) if text.contains("came too late and is refused") => {
+                self.world.record(Event::DecisionRefused { controller: steward });
             }
             _ => {}
         }
@@ -201,7 +201,7 @@
     async fn reap(self: Rc<Self>, mut child: Child) {
         let status = child.wait().await;
         let told = self.told.get();
-        self.record(if told { Life::Ended } else { Life::Crashed });
+        self.record(if told { ProcessChange::Ended } else { ProcessChange::Crashed });
         if !told {
             self.losses.set(self.losses.get() + 1);
             let status = status.map_or_else(|e| e.to_string(), |status| status.to_string());
@@ -248,7 +248,7 @@
     pub fn pause(&self, paused: bool) {
         if self.stopped.replace(paused) != paused && self.lives() {
             self.signal(if paused { Signal::STOP } else { Signal::CONT });
-            self.record(if paused { Life::Stopped } else { Life::Continued });
+            self.record(if paused { ProcessChange::Stopped } else { ProcessChange::Continued });
         }
     }
 
--- a/testing/fault-injection/src/shell/registers.rs
+++ b/testing/fault-injection/src/shell/registers.rs
@@ -4,9 +4,9 @@
 //! Models: readers and conditional writers that contend, an answer that is given up, watchers that resume. Leaves out: large
 //! values, values that a lock or a session owns.
 
-use crate::deployment::{chance, Nanos, Stream, MS};
+use crate::deployment::{random_stream, Nanos, RandomStream, MS};
 use crate::endpoint::End;
-use crate::history::{Event, Returned};
+use crate::history::{CallResult, Event};
 use crate::shell::World;
 use marblecroft_coordination::client::{CallError, Client};
 use marblecroft_coordination::state::{Change, Changes, Done, Op, Owner, Refused};
@@ -34,7 +34,7 @@
 
 async fn call(world: Rc<World>, number: u16, client: Client) {
     let registers = world.scenario.registers.clone();
-    let mut rng = chance(world.seed ^ u64::from(number) << 32, Stream::Registers);
+    let mut rng = random_stream(world.seed ^ u64::from(number) << 32, RandomStream::Registers);
     let mut known = vec![0; registers.registers as usize];
     loop {
         world.until(|world| !world.stands_still(End::Candidate(number))).await;
@@ -46,37 +46,37 @@
             let expect = rng.random_bool(0.7).then_some(*at);
             (call, expect)
         });
-        world.record(Event::Called { client: number, call, register, put });
+        world.record(Event::CallStarted { client: number, call, register, put });
         let returned = match put {
             None => match client.read(&key, WAIT).await {
                 // Prefixes may match more than the one.
                 Ok((_, values)) => match values.into_iter().find(|(of, ..)| *of == key) {
                     Some((_, value, revision)) => {
-                        Returned::Value { value: Some(number_of(&value)), revision }
+                        CallResult::Value { value: Some(number_of(&value)), revision }
                     }
-                    None => Returned::Value { value: None, revision: 0 },
+                    None => CallResult::Value { value: None, revision: 0 },
                 },
-                Err(_) => Returned::Nothing,
+                Err(_) => CallResult::NoEffect,
             },
             Some((value, expect)) => {
                 let value = value.to_le_bytes().to_vec();
                 match client.call(Op::Put { key, value, expect, owner: Owner::Nobody }, WAIT).await {
-                    Ok(Done::At(revision)) => Returned::At { revision },
-                    Err(CallError::Refused(Refused::Conflict(revision))) => Returned::Conflict { revision },
-                    Err(CallError::Refused(Refused::Forgotten) | CallError::TimedOut) => Returned::Unknown,
-                    Ok(_) | Err(CallError::Refused(_) | CallError::Rejected(_)) => Returned::Nothing,
+                    Ok(Done::At(revision)) => CallResult::Written { revision },
+                    Err(CallError::Refused(Refused::Conflict(revision))) => CallResult::Conflict { revision },
+                    Err(CallError::Refused(Refused::Forgotten) | CallError::TimedOut) => CallResult::Unknown,
+                    Ok(_) | Err(CallError::Refused(_) | CallError::Rejected(_)) => CallResult::NoEffect,
                 }
             }
         };
         match returned {
-            Returned::Value { revision, .. }
-            | Returned::At { revision }
-            | Returned::Conflict { revision } => {
+            CallResult::Value { revision, .. }
+            | CallResult::Written { revision }
+            | CallResult::Conflict { revision } => {
                 *at = revision;
             }
-            Returned::Nothing | Returned::Unknown => {}
+            CallResult::NoEffect | CallResult::Unknown => {}
         }
-        world.record(Event::Returned { call, returned });
+        world.record(Event::CallReturned { call, result: returned });
         let pause = registers.every_ms * MS;
         world.sleep_until(world.now() + rng.random_range(pause / 2..=pause * 3 / 2)).await;
     }
--- a/testing/fault-injection/src/shell/run/discovery.rs
+++ b/testing/fault-injection/src/shell/run/discovery.rs
@@ -5,7 +5,7 @@
 use super::{CALL_TIMEOUT, LEASE_MS, RENEW_INTERVAL};
 use crate::endpoint::End;
 use crate::error::RunError;
-use crate::history::{Event, Life};
+use crate::history::{Event, ProcessChange};
 use crate::shell::address;
 use crate::shell::lists::{lateness, list_process, place};
 use crate::shell::relay::{relay, Watch};
@@ -81,7 +81,7 @@
                 Ok(())
             })
             .await?;
-        self.world.record(Event::Lived { end, life: Life::Ready });
+        self.world.record(Event::ProcessChanged { end, change: ProcessChange::Ready });
         Ok(())
     }
 
@@ -165,7 +165,8 @@
         let port = port.map_err(|error| RunError::ListenAgain(End::PayServer(number), error))?;
         let started = unix_us() / 1000;
         self.places.borrow_mut()[usize::from(number)] = (port, started);
-        self.world.record(Event::Lived { end: End::PayServer(number), life: Life::Started });
+        self.world
+            .record(Event::ProcessChanged { end: End::PayServer(number), change: ProcessChange::Started });
         if let Some(platform) = &self.platform {
             self.world.sleep_until(self.world.now() + lateness(&self.world, true)).await;
             let host = self.host(number, State::Serving, address::REGISTERED);
--- a/testing/fault-injection/src/shell/run/faults.rs
+++ b/testing/fault-injection/src/shell/run/faults.rs
@@ -2,10 +2,10 @@
 
 use super::harness::Lab;
 use super::DRAIN_TIME;
-use crate::deployment::{chance, Drawn, Nanos, Stream};
+use crate::deployment::{random_stream, DrawnFault, Nanos, RandomStream};
 use crate::endpoint::End;
 use crate::error::RunError;
-use crate::history::{Event, Life};
+use crate::history::{Event, ProcessChange};
 use crate::scenario::{FaultKind, LEADER, ROLES};
 use crate::shell::lists::lateness;
 use crate::shell::process::Process;
@@ -37,7 +37,7 @@
             self.world.sleep_until(load_from + until).await;
             self.undo(number, &fault).await;
         }
-        self.world.record(Event::FaultOver { fault: number as u16 });
+        self.world.record(Event::FaultEnded { fault: number as u16 });
         tracing::info!(number, kind = ?fault.kind, "a fault is over");
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Strikes all victims at once; what takes time goes on by itself.
-    pub(super) fn begin(self: &Rc<Self>, number: usize, fault: &Drawn) {
+    pub(super) fn begin(self: &Rc<Self>, number: usize, fault: &DrawnFault) {
         if fault.kind.of_links() {
             self.world.change_rules(|rules| rules.begin(number, fault));
             self.shut_out();
@@ -70,7 +70,7 @@
         }
     }
 
-    fn strike_pay_server(self: &Rc<Self>, number: u16, fault: &Drawn) {
+    fn strike_pay_server(self: &Rc<Self>, number: u16, fault: &DrawnFault) {
         let server = &self.servers[usize::from(number)];
         match fault.kind {
             FaultKind::Stop => server.pause(true),
@@ -80,7 +80,10 @@
             }
             _ => {
                 server.kill();
-                self.world.record(Event::Lived { end: End::PayServer(number), life: Life::Ended });
+                self.world.record(Event::ProcessChanged {
+                    end: End::PayServer(number),
+                    change: ProcessChange::Ended,
+                });
                 // One that returns soon is gone from no list.
                 self.registered.borrow_mut()[usize::from(number)] = false;
                 let noticed_after = lateness(&self.world, false);
@@ -104,10 +107,10 @@
     fn strike_stand_in(&self, victim: End, kind: FaultKind) {
         match (kind, victim) {
             (FaultKind::Wipe, End::Counter) => {
-                let mut rng = chance(self.world.seed, Stream::Counter);
+                let mut rng = random_stream(self.world.seed, RandomStream::Counter);
                 self.counts.iter().for_each(|counts| counts.core.borrow_mut().lose(1.0, &mut rng));
             }
-            (FaultKind::Stop, _) => self.world.change_rules(|rules| rules.stand_still(victim, true)),
+            (FaultKind::Stop, _) => self.world.change_rules(|rules| rules.set_suspended(victim, true)),
             (kind, _) => {
                 self.doors(victim).iter().for_each(|door| door.set(false));
                 if let (FaultKind::Wipe, End::Cell(number)) = (kind, victim) {
@@ -133,7 +136,7 @@
         }
     }
 
-    pub(super) async fn undo(self: &Rc<Self>, number: usize, fault: &Drawn) {
+    pub(super) async fn undo(self: &Rc<Self>, number: usize, fault: &DrawnFault) {
         if fault.kind.of_links() {
             self.world.change_rules(|rules| rules.end(number));
             self.shut_out();
@@ -150,7 +153,7 @@
                 (_, Some(process)) => self.repair_process(&process, fault.kind).await,
                 (_, None) => {
                     self.doors(victim).iter().for_each(|door| door.set(true));
-                    self.world.change_rules(|rules| rules.stand_still(victim, false));
+                    self.world.change_rules(|rules| rules.set_suspended(victim, false));
                     Ok(())
                 }
             }
@@ -200,7 +203,7 @@
         match victim {
             End::Gateway(i) => self.start_gateway(i, !wiped).await,
             End::ListService(i) => self.start_list(i).await,
-            End::Steward(i) => self.start_steward(i).await,
+            End::Controller(i) => self.start_steward(i).await,
             End::Coordinator(i) => {
                 self.start_coordinator(i).await?;
                 if wiped {
--- a/testing/fault-injection/src/shell/run/gateways.rs
+++ b/testing/fault-injection/src/shell/run/gateways.rs
@@ -63,7 +63,7 @@
         if !self.stewards.is_empty() {
             config["stewards"] = json!({"fleet": FLEET, "gateway": number, "coordinators": self.coordinators_of(end),
                 "at": address::view(end), "shares": world.scenario.tenants.is_some(),
-                "books": world.scenario.books.is_some()});
+                "books": world.scenario.shards.is_some()});
         }
         if let Some(more) = &world.scenario.fleet.gateway_config {
             merge(
--- a/testing/fault-injection/src/shell/run/harness.rs
+++ b/testing/fault-injection/src/shell/run/harness.rs
@@ -130,7 +130,7 @@
             scenario: spec.name.clone(),
             seed: spec.seed,
             text: spec.text.clone(),
-            aim: site.aim_ms * MS,
+            latency_target: site.aim_ms * MS,
             deadline: site.deadline_ms * MS,
             duration: load.duration_ms * MS,
             gateways: fleet.gateways as u16,
@@ -139,10 +139,16 @@
             list_processes: fleet.list_service as u16,
             coordinators: fleet.coordinators as u16,
             zones: fleet.zones.clone(),
-            stewards: fleet.stewards as u16,
+            controllers: fleet.controllers as u16,
             shares: self.world.scenario.tenants.is_some(),
-            shift: self.world.scenario.tenants.as_ref().and_then(|t| t.shift_at_ms).map(|ms| ms * MS),
-            books: self.world.scenario.books.is_some(),
+            demand_shift_at: self
+                .world
+                .scenario
+                .tenants
+                .as_ref()
+                .and_then(|t| t.shift_at_ms)
+                .map(|ms| ms * MS),
+            shard_map: self.world.scenario.shards.is_some(),
             fencing: fleet.fencing,
             cells: deployment.servers.iter().map(|server| server.cell as u16).collect(),
             firms: deployment.customers.iter().map(|customer| customer.id).collect(),
@@ -164,7 +170,7 @@
             End::Gateway(i) => self.gateways.get(usize::from(i)).cloned(),
             End::ListService(i) => self.lists.get(usize::from(i)).map(|(process, _)| process.clone()),
             End::Coordinator(i) => self.coordinators.get(usize::from(i)).map(|(process, _)| process.clone()),
-            End::Steward(i) => self.stewards.get(usize::from(i)).map(|(process, _)| process.clone()),
+            End::Controller(i) => self.stewards.get(usize::from(i)).map(|(process, _)| process.clone()),
             _ => None,
         }
     }
--- a/testing/fault-injection/src/shell/run/measurement.rs
+++ b/testing/fault-injection/src/shell/run/measurement.rs
@@ -51,7 +51,7 @@
             let cpu = own_cpu(ClockId::ThreadCPUTime);
             // For a second that was longer than one, as much as of one.
             let taken = (cpu - before) as f64 * SECOND as f64 / (now - second) as f64;
-            world.record(Event::Busy { cpu: taken as Nanos });
+            world.record(Event::HarnessCpu { cpu: taken as Nanos });
             (second, before) = (now, cpu);
         }
     }
--- a/testing/fault-injection/src/shell/run/process_config.rs
+++ b/testing/fault-injection/src/shell/run/process_config.rs
@@ -2,7 +2,7 @@
 
 use super::harness::Lab;
 use crate::error::RunError;
-use crate::history::{Event, Life};
+use crate::history::{Event, ProcessChange};
 use crate::shell::process::Process;
 use serde_json::Value;
 use std::fs;
@@ -27,7 +27,7 @@
             Ok(())
         };
         process.start(prepare).await?;
-        self.world.record(Event::Lived { end: process.end, life: Life::Ready });
+        self.world.record(Event::ProcessChanged { end: process.end, change: ProcessChange::Ready });
         Ok(())
     }
 }
--- a/testing/fault-injection/src/shell/run/setup.rs
+++ b/testing/fault-injection/src/shell/run/setup.rs
@@ -48,7 +48,7 @@
     let lists = processes(scenario.fleet.list_service, End::ListService, "marblecroft-discovery")?;
     let coordinators =
         processes(scenario.fleet.coordinators, End::Coordinator, "marblecroft-coordination-server")?;
-    let stewards = processes(scenario.fleet.stewards, End::Steward, "marblecroft-controller")?;
+    let stewards = processes(scenario.fleet.controllers, End::Controller, "marblecroft-controller")?;
     let platform =
         if lists.is_empty() { Some(Platform::new(world).map_err(RunError::Listen)?) } else { None };
     let gateway = match &scenario.fleet.program {
@@ -94,7 +94,8 @@
     });
     let result = lab.clone().play(spec).await;
     lab.end().await;
-    world.record(Event::Finished { lab_cpu: own_cpu(ClockId::ProcessCPUTime), fleet_cpu: children_cpu() });
+    world
+        .record(Event::Finished { harness_cpu: own_cpu(ClockId::ProcessCPUTime), fleet_cpu: children_cpu() });
     world.flush()?;
     result
 }
--- a/testing/fault-injection/src/shell/run/stewards.rs
+++ b/testing/fault-injection/src/shell/run/stewards.rs
@@ -6,7 +6,7 @@
 use crate::deployment::{Nanos, MS};
 use crate::endpoint::End;
 use crate::error::RunError;
-use crate::history::{BookSeen, BookStep, Event, ZoneState};
+use crate::history::{Event, ShardRecord, ShardStep, ZoneState};
 use crate::shell::address;
 use crate::shell::lists::{place, process_behind};
 use crate::shell::relay::Watch;
@@ -48,7 +48,7 @@
         let seen = move |seen: &View| {
             if let Some((token, revision, body)) = newer::<ZonesDecision>(seen, &names, "zones", &last[0]) {
                 let zones = body.zones.iter().map(|zone| (state_of(zone.state), zone.capacity)).collect();
-                world.record(Event::Decided { token, revision, zones });
+                world.record(Event::ZonesDecided { token, revision, zones });
             }
             if let Some((token, revision, body)) = newer::<ShareDecision>(seen, &names, "shares", &last[1]) {
                 let ShareDecision { level, capacity, .. } = body;
@@ -56,7 +56,7 @@
             }
             if let Some((token, revision, body)) = newer::<ShardMap>(seen, &names, "books", &last[2]) {
                 let books = body.shards.iter().map(book_seen).collect();
-                world.record(Event::BooksDecided { token, revision, books });
+                world.record(Event::ShardMapDecided { token, revision, shards: books });
             }
         };
         let prefix = Keys::of(FLEET).prefix;
@@ -65,10 +65,10 @@
     }
 
     pub(super) async fn start_steward(&self, number: u16) -> Result<(), RunError> {
-        let (end, scenario) = (End::Steward(number), &self.world.scenario);
+        let (end, scenario) = (End::Controller(number), &self.world.scenario);
         let (process, door) = &self.stewards[usize::from(number)];
         let folder = self.dir.join("tmp").join(end.to_string());
-        let zone = scenario.place(end).and_then(|zone| scenario.all_zones().get(zone).copied());
+        let zone = scenario.zone_of(end).and_then(|zone| scenario.all_zones().get(zone).copied());
         let places: Vec<Value> = scenario
             .fleet
             .zones
@@ -83,7 +83,7 @@
         if scenario.tenants.is_some() {
             config["shares"] = json!({});
         }
-        if let Some(books) = &scenario.books {
+        if let Some(books) = &scenario.shards {
             let cells = (0..).zip(&self.cells.doors).map(|(number, door)| {
                 let zone = &scenario.fleet.zones[scenario.zone_of_cell(number)];
                 json!({"number": number, "zone": zone, "region": scenario.region(zone), "at": place(end, door.port)})
@@ -92,7 +92,7 @@
             config["books"] = json!({"count": books.count, "cells": cells, "fencing": scenario.fleet.fencing,
                 "gateways": scenario.fleet.gateways, "attempt_ms": scenario.site.deadline_ms.max(100)});
         }
-        if let Some(more) = &scenario.fleet.steward_config {
+        if let Some(more) = &scenario.fleet.controller_config {
             merge(
                 &mut config,
                 serde_json::to_value(more)
@@ -109,7 +109,7 @@
         let (_, values) = client.read(&key, CALL_TIMEOUT).await.ok()?;
         let (_, value, _) = values.into_iter().find(|(name, ..)| *name == key)?;
         let number = decode_value::<RoleOwner>(&value)?.candidate.strip_prefix("steward-")?.parse().ok()?;
-        Some(End::Steward(number))
+        Some(End::Controller(number))
     }
 
     /// Waits until everything is decided that the load is to begin with.
@@ -117,7 +117,7 @@
         let scenario = &self.world.scenario;
         let Some(client) = self.asking.borrow().clone() else { return };
         let names = Keys::of(FLEET);
-        for (duty, wanted) in [("books", scenario.books.is_some()), ("shares", scenario.tenants.is_some())] {
+        for (duty, wanted) in [("books", scenario.shards.is_some()), ("shares", scenario.tenants.is_some())] {
             let key = names.decision(duty);
             if !wanted {
                 continue;
@@ -134,7 +134,7 @@
 
     /// Says an operator's words on books, each at its time.
     pub(super) async fn say_moves(self: Rc<Self>, load_from: Nanos) {
-        let Some(books) = &self.world.scenario.books else { return };
+        let Some(books) = &self.world.scenario.shards else { return };
         let Some(client) = self.asking.borrow().clone() else { return };
         let cells: Vec<u32> = (0..self.world.scenario.fleet.cells).collect();
         let begun = ShardMap::even(books.count as usize, &cells);
@@ -142,7 +142,7 @@
         moves.sort_by_key(|moved| moved.at_ms);
         for moved in moves {
             self.world.sleep_until(load_from + moved.at_ms * MS).await;
-            let Some(book) = begun.shards.get(moved.book as usize) else { continue };
+            let Some(book) = begun.shards.get(moved.shard as usize) else { continue };
             let key = Keys::of(FLEET).shard_override(&book.first.to_string());
             let put =
                 Op::Put { key, value: encode_value(&moved.to_cell), expect: None, owner: Owner::Nobody };
@@ -153,11 +153,11 @@
 
     /// Writes down which cells have each write that was made.
     pub(super) fn note_cells(&self) {
-        if self.world.scenario.books.is_none() {
+        if self.world.scenario.shards.is_none() {
             return;
         }
         for (trace, firm) in self.cells.written() {
-            self.world.record(Event::CellsHold { trace, cells: self.cells.holding(firm, trace) });
+            self.world.record(Event::WriteLocations { trace, cells: self.cells.holding(firm, trace) });
         }
     }
 }
@@ -174,16 +174,16 @@
     (last.replace(Some(now)) != Some(now)).then_some((now.0, now.1, decision.body))
 }
 
-fn book_seen(book: &Shard) -> BookSeen {
+fn book_seen(book: &Shard) -> ShardRecord {
     let step = match book.migration.map(|moving| moving.step) {
-        None => BookStep::Stands,
-        Some(MigrationStep::Planned) => BookStep::Planned,
-        Some(MigrationStep::Fencing) => BookStep::Fencing,
-        Some(MigrationStep::Drained) => BookStep::Drained,
-        Some(MigrationStep::Copied) => BookStep::Copied,
+        None => ShardStep::Stable,
+        Some(MigrationStep::Planned) => ShardStep::Planned,
+        Some(MigrationStep::Fencing) => ShardStep::Fencing,
+        Some(MigrationStep::Drained) => ShardStep::Drained,
+        Some(MigrationStep::Copied) => ShardStep::Copied,
     };
     let to = book.migration.map_or(book.cell, |moving| moving.to);
-    BookSeen { first: book.first, cell: book.cell as u16, epoch: book.epoch, step, to: to as u16 }
+    ShardRecord { first: book.first, cell: book.cell as u16, epoch: book.epoch, step, to: to as u16 }
 }
 
 fn state_of(state: DecidedState) -> ZoneState {
--- a/testing/fault-injection/src/stand/clients.rs
+++ b/testing/fault-injection/src/stand/clients.rs
@@ -5,7 +5,7 @@
 //! a front that notices late that a gateway is dead; the return with the same id. Leaves out: shifts of the busiest gateway,
 //! spikes of single customers, clients that give up early.
 
-use crate::deployment::{chance, Customer, Deployment, Nanos, Stream, MS, SAFE, SECOND, UNSAFE};
+use crate::deployment::{random_stream, Customer, Deployment, Nanos, RandomStream, MS, SAFE, SECOND, UNSAFE};
 use crate::history::{Outcome, Trace};
 use crate::scenario::Scenario;
 use rand::distr::weighted::WeightedIndex;
@@ -83,12 +83,12 @@
     pub fn new(scenario: &Scenario, deployment: &Deployment, seed: u64) -> Option<Arrivals> {
         let load = &scenario.load;
         Some(Arrivals {
-            rng: chance(seed, Stream::Arrivals),
+            rng: random_stream(seed, RandomStream::Arrivals),
             customers: WeightedIndex::new(deployment.customers.iter().map(|customer| customer.weight))
                 .ok()?,
             moved: match scenario.tenants.as_ref().and_then(|tenants| tenants.shift_at_ms) {
                 Some(at) => {
-                    let weights = deployment.customers.iter().map(|customer| customer.moved.0);
+                    let weights = deployment.customers.iter().map(|customer| customer.after_shift.0);
                     Some((at * MS, WeightedIndex::new(weights).ok()?))
                 }
                 None => None,
@@ -146,9 +146,10 @@
 
     /// A gateway of the customer's set; of those that are held for alive, and not this one, if there are others.
     fn choose(&self, customer: &Customer, moved: bool, but: Option<u16>, rng: &mut impl Rng) -> u16 {
-        let first = if moved { customer.moved.1 } else { customer.first };
+        let first = if moved { customer.after_shift.1 } else { customer.first_gateway };
         let of = |i: usize| ((usize::from(first) + i) % self.alive.len()) as u16;
-        let set: Vec<(u16, f64)> = customer.spread.iter().enumerate().map(|(i, w)| (of(i), *w)).collect();
+        let set: Vec<(u16, f64)> =
+            customer.gateway_weights.iter().enumerate().map(|(i, w)| (of(i), *w)).collect();
         let usable = |strict: bool| {
             let usable = set.iter().filter(move |(gateway, _)| {
                 self.alive[usize::from(*gateway)] && !(strict && but == Some(*gateway))
--- a/testing/fault-injection/src/stand/list.rs
+++ b/testing/fault-injection/src/stand/list.rs
@@ -3,7 +3,7 @@
 //! Models: whole lists, changes since a version, servers that drain and are deleted, addresses that differ from gateway to
 //! gateway, what the list learns late. Leaves out: an agent of each gateway that is behind the others, lost changes.
 
-use crate::history::Told;
+use crate::history::ServerState;
 use marblecroft_discovery::format::{Host, HostListRef, ListRequest, State};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -76,16 +76,16 @@
     }
 
     /// Returns the state of each server.
-    pub fn told(&self) -> Vec<(u16, Told)> {
+    pub fn told(&self) -> Vec<(u16, ServerState)> {
         self.servers.iter().map(|(number, host)| (*number, told(host.state))).collect()
     }
 }
 
 /// Returns the state of a server as the history has it.
-pub fn told(state: State) -> Told {
+pub fn told(state: State) -> ServerState {
     match state {
-        State::Serving => Told::Serving,
-        State::Draining => Told::Draining,
-        State::Deleted => Told::Gone,
+        State::Serving => ServerState::Serving,
+        State::Draining => ServerState::Draining,
+        State::Deleted => ServerState::Gone,
     }
 }
--- a/testing/fault-injection/src/verdict.rs
+++ b/testing/fault-injection/src/verdict.rs
@@ -1,7 +1,7 @@
 //! A recorded run, read once: what holds, and what it came to.
 
 use crate::checker::{Checker, Finding};
-use crate::decided::Decided;
+use crate::decisions::DecisionChecker;
 use crate::error::{IncompleteHistory, RecordingError};
 use crate::figures::{Figures, Summary};
 use crate::history::Reader;
@@ -11,7 +11,7 @@
 use std::path::Path;
 
 /// Beyond this share of its thread the lab's own waits show in what it measures.
-const BUSY: f64 = 0.8;
+const MAX_HARNESS_LOAD: f64 = 0.8;
 
 /// The verdict on a run.
 pub struct Verdict {
@@ -30,19 +30,22 @@
 /// See [`RecordingError`].
 pub fn judge(dir: &Path) -> Result<(Verdict, Figures), RecordingError> {
     let path = dir.join(HISTORY);
-    let (mut judge, mut figures, mut decided) = (Checker::default(), Figures::new(), Decided::default());
+    let (mut checker, mut figures, mut decisions) =
+        (Checker::default(), Figures::new(), DecisionChecker::default());
     let read = Reader::open(&path)?.each(|event| {
-        judge.observe(&event);
+        checker.observe(&event);
         figures.take(&event);
-        decided.take(&event);
+        decisions.take(&event);
     });
     read.map_err(|damage| RecordingError::Damaged(path.clone(), damage))?;
     let incomplete = |error| RecordingError::Incomplete(path.clone(), error);
-    let mut findings = judge.findings().map_err(incomplete)?;
-    let (of_decisions, told) = decided.findings();
-    findings.extend(of_decisions);
+    let mut findings = checker.findings().map_err(incomplete)?;
+    let (decision_findings, decision_figures) = decisions.findings();
+    findings.extend(decision_findings);
     let text = figures.setup().map(|setup| setup.text.clone()).unwrap_or_default();
-    let summary = figures.summary(&findings, &told).ok_or_else(|| incomplete(IncompleteHistory::NoSetup))?;
+    let summary = figures
+        .summary(&findings, &decision_figures)
+        .ok_or_else(|| incomplete(IncompleteHistory::NoSetup))?;
     let scenario = Scenario::parse(&text).map_err(RecordingError::Scenario)?;
     let missed = missed(&scenario, &summary);
     Ok((Verdict { findings, summary, missed }, figures))
@@ -51,10 +54,10 @@
 fn missed(scenario: &Scenario, summary: &Summary) -> Vec<String> {
     let Some(expect) = &scenario.expect else { return Vec::new() };
     let mut missed = Vec::new();
-    if let Some(wanted) = expect.served_share {
+    if let Some(expected) = expect.served_share {
         let share = summary.served as f64 / summary.requests.max(1) as f64;
-        if share < wanted {
-            missed.push(format!("expect.served_share: {share:.3} of {wanted}"));
+        if share < expected {
+            missed.push(format!("expect.served_share: {share:.3} of {expected}"));
         }
     }
     if let Some(within) = expect.full_service_within_ms {
@@ -95,7 +98,7 @@
             ),
             format!(
                 "in hand when struck: {}, lost of them: {}; must not run twice and unknown to their clients: {}, had run: {}",
-                s.in_hand, s.in_hand_lost, s.unsafe_lost, s.unsafe_lost_ran
+                s.in_flight, s.in_flight_lost, s.unsafe_lost, s.unsafe_lost_ran
             ),
         ];
         if let (Some(near), Some(late)) = (s.near_share, s.late_decisions_refused) {
@@ -130,10 +133,10 @@
         if s.crashes > 0 {
             lines.push(format!("BROKEN: {} processes ended by themselves", s.crashes));
         }
-        if s.lab.busy_most > BUSY {
+        if s.harness.busy_most > MAX_HARNESS_LOAD {
             lines.push(format!(
                 "the lab itself was up to {:.0}% busy: ask for a lower rate, or its figures are partly its own",
-                s.lab.busy_most * 100.0
+                s.harness.busy_most * 100.0
             ));
         }
         lines.extend(self.missed.iter().map(|missed| format!("MISSED: {missed}")));
--- a/testing/fault-injection/tests/clusters.rs
+++ b/testing/fault-injection/tests/clusters.rs
@@ -10,7 +10,7 @@
 use marblecroft_coordination::storage::{LogStore, Writer as Writes};
 use marblecroft_coordination::wire::{Channel, Request, Response};
 use marblecroft_fault_injection::checker::{Checker, Finding};
-use marblecroft_fault_injection::deployment::{Deployment, Drawn, MS, SECOND};
+use marblecroft_fault_injection::deployment::{Deployment, DrawnFault, MS, SECOND};
 use marblecroft_fault_injection::endpoint::End;
 use marblecroft_fault_injection::figures::Figures;
 use marblecroft_fault_injection::history::{Event, Reader, Setup, Writer};
@@ -333,7 +333,7 @@
     }
 
     fn cut(&self, number: usize, kind: FaultKind, victims: Vec<End>, from: Vec<End>, one_way: bool) {
-        let fault = Drawn {
+        let fault = DrawnFault {
             kind,
             at: 0,
             until: None,
@@ -401,9 +401,9 @@
             // Somebody who wants locks stands still, perhaps between a check and an act.
             9 => {
                 let candidate = End::Candidate(draw(0, 3) as u16);
-                self.world.change_rules(|rules| rules.stand_still(candidate, true));
+                self.world.change_rules(|rules| rules.set_suspended(candidate, true));
                 sleep(lasts * 2).await;
-                self.world.change_rules(|rules| rules.stand_still(candidate, false));
+                self.world.change_rules(|rules| rules.set_suspended(candidate, false));
             }
             // All at once, or a majority.
             _ => {
@@ -475,7 +475,7 @@
             scenario: "clusters".to_owned(),
             seed,
             text: text.clone(),
-            aim: SECOND,
+            latency_target: SECOND,
             deadline: 4 * SECOND,
             duration: TROUBLE + REST,
             gateways: 0,
@@ -537,7 +537,7 @@
             number += 1;
         }
         world.sleep_until(TROUBLE + REST).await;
-        world.record(Event::Finished { lab_cpu: 0, fleet_cpu: 0 });
+        world.record(Event::Finished { harness_cpu: 0, fleet_cpu: 0 });
         world.flush().expect("written");
         cluster.crashes.get()
     });
@@ -548,7 +548,7 @@
     let mut figures = Figures::new();
     let read = Reader::new(history.as_slice()).expect("a history").each(|event| {
         match &event.event {
-            Event::Returned { .. } if event.at > TROUBLE + REST - 2 * SECOND => answered += 1,
+            Event::CallReturned { .. } if event.at > TROUBLE + REST - 2 * SECOND => answered += 1,
             Event::Effect { admitted: true, .. } => effects += 1,
             Event::Effect { .. } => late += 1,
             _ => {}
--- a/testing/fault-injection/tests/datagrams.rs
+++ b/testing/fault-injection/tests/datagrams.rs
@@ -1,7 +1,7 @@
 //! Datagrams between processes pass through the lab: each hears the others under their public addresses, and a cut holds in
 //! the direction that it names.
 
-use marblecroft_fault_injection::deployment::{Deployment, Drawn};
+use marblecroft_fault_injection::deployment::{Deployment, DrawnFault};
 use marblecroft_fault_injection::endpoint::End;
 use marblecroft_fault_injection::history::Writer;
 use marblecroft_fault_injection::scenario::{FaultKind, Scenario};
@@ -44,7 +44,7 @@
         a.send_to(b"one", b_public).await.expect("sent");
         assert_eq!(heard(&b).await, (b"one".to_vec(), a_public));
 
-        let cut = Drawn {
+        let cut = DrawnFault {
             kind: FaultKind::Cut,
             at: 0,
             until: None,
--- a/testing/fault-injection/tests/fleet.rs
+++ b/testing/fault-injection/tests/fleet.rs
@@ -79,7 +79,7 @@
         assert!(told["peaks"].get(name).is_some(), "{name}");
     }
     let all = marblecroft_fault_injection::checker::INVARIANTS.len()
-        + marblecroft_fault_injection::decided::INVARIANTS.len();
+        + marblecroft_fault_injection::decisions::INVARIANTS.len();
     assert_eq!(told["invariants"].as_object().map(|told| told.len()), Some(all));
 
     let again = lab(&["check", &path(&out), "--json"]);
@@ -188,11 +188,11 @@
     let mut events = Vec::new();
     let history = Reader::open(&out.join("history.bin"));
     history.expect("a history").each(|at| events.push(at.event)).expect("whole");
-    let over = events.iter().position(|e| matches!(e, Event::FaultOver { .. })).expect("it speaks again");
+    let over = events.iter().position(|e| matches!(e, Event::FaultEnded { .. })).expect("it speaks again");
     for gateway in 0..2 {
         let end = End::Gateway(gateway);
         let mut after = events[over..].iter();
-        let told = after.position(|e| matches!(e, Event::ListTold { gateway: to, .. } if *to == gateway));
+        let told = after.position(|e| matches!(e, Event::ListReceived { gateway: to, .. } if *to == gateway));
         let told = over + told.expect("it is told again");
         let opened = |e: &Event| matches!(e, Event::Opened { from, to, .. } if *from == end && *to == End::ListService(0));
         assert!(
