--- a/testing/fault-injection/tests/history.rs
+++ b/testing/fault-injection/tests/history.rs
@@ -1,12 +1,13 @@
 //! Histories: every invariant holds on a good one and is broken by one that is spoilt for it; damage is named by its byte.
 
 use marblecroft_fault_injection::checker::{Checker, Finding, INVARIANTS};
-use marblecroft_fault_injection::decided::{self, Decided};
-use marblecroft_fault_injection::deployment::{Drawn, Nanos, Quota, MS, SAFE, SECOND, UNSAFE};
+use marblecroft_fault_injection::decisions::{self, DecisionChecker};
+use marblecroft_fault_injection::deployment::{DrawnFault, Nanos, Quota, MS, SAFE, SECOND, UNSAFE};
 use marblecroft_fault_injection::endpoint::End;
 use marblecroft_fault_injection::figures::Figures;
 use marblecroft_fault_injection::history::{
-    Answer, At, Duty, Event, Life, Outcome, Reader, Returned, Setup, Told, Writer, ZoneState,
+    Answer, CallResult, DecisionKind, Event, Outcome, ProcessChange, Reader, ServerState, Setup, TimedEvent,
+    Writer, ZoneState,
 };
 use marblecroft_fault_injection::scenario::FaultKind;
 use proptest::prelude::*;
@@ -17,7 +18,7 @@
         scenario: "spoilt".to_owned(),
         seed: 1,
         text: String::new(),
-        aim: SECOND,
+        latency_target: SECOND,
         deadline: 4 * SECOND,
         duration: 20 * SECOND,
         gateways: 2,
@@ -36,7 +37,7 @@
         list_processes: 1,
         coordinators: 3,
         zones: vec!["hall-a".to_owned()],
-        faults: vec![Drawn {
+        faults: vec![DrawnFault {
             kind: FaultKind::Kill,
             at: 5 * SECOND,
             until: Some(6 * SECOND),
@@ -55,30 +56,30 @@
 }
 
 /// Begins with what all histories begin with.
-struct Story {
-    events: Vec<At>,
+struct HistoryBuilder {
+    events: Vec<TimedEvent>,
     next: u64,
 }
 
-impl Story {
-    fn new() -> Story {
-        let mut story = Story { events: Vec::new(), next: 1 };
-        story.at(0, Event::Setup(Box::new(setup())));
+impl HistoryBuilder {
+    fn new() -> HistoryBuilder {
+        let mut history = HistoryBuilder { events: Vec::new(), next: 1 };
+        history.at(0, Event::Setup(Box::new(setup())));
         for server in 0..2 {
-            story.at(1, Event::Registered { server, list: 0 });
+            history.at(1, Event::Registered { server, list: 0 });
         }
-        story.list(2 * MS, 0, 10, true, &[(0, Told::Serving), (1, Told::Serving)]);
-        story.list(2 * MS, 1, 10, true, &[(0, Told::Serving), (1, Told::Serving)]);
-        story
+        history.list(2 * MS, 0, 10, true, &[(0, ServerState::Serving), (1, ServerState::Serving)]);
+        history.list(2 * MS, 1, 10, true, &[(0, ServerState::Serving), (1, ServerState::Serving)]);
+        history
     }
 
     fn at(&mut self, at: Nanos, event: Event) {
-        self.events.push(At { at, event });
+        self.events.push(TimedEvent { at, event });
     }
 
-    fn list(&mut self, at: Nanos, gateway: u16, version: u64, full: bool, servers: &[(u16, Told)]) {
+    fn list(&mut self, at: Nanos, gateway: u16, version: u64, full: bool, servers: &[(u16, ServerState)]) {
         let servers = servers.to_vec();
-        self.at(at, Event::ListTold { gateway, list: 0, store: 7, epoch: 1, version, full, servers });
+        self.at(at, Event::ListReceived { gateway, list: 0, store: 7, epoch: 1, version, full, servers });
     }
 
     fn number(&mut self) -> u64 {
@@ -86,12 +87,12 @@
         self.next
     }
 
-    fn asked(&mut self, at: Nanos, ask: u32, class: u8) {
-        self.at(at, Event::Asked { ask, customer: 0, class, late: 0 });
+    fn asked(&mut self, at: Nanos, request: u32, class: u8) {
+        self.at(at, Event::RequestStarted { request, customer: 0, class, late: 0 });
     }
 
-    fn tried(&mut self, at: Nanos, ask: u32, trace: u64, gateway: u16) {
-        self.at(at, Event::Tried { ask, trace, gateway, wait: 3 * SECOND, back: false });
+    fn tried(&mut self, at: Nanos, request: u32, trace: u64, gateway: u16) {
+        self.at(at, Event::TryStarted { request, trace, gateway, timeout: 3 * SECOND, reuses_id: false });
     }
 
     /// An attempt that arrives and runs; its number and its connection's.
@@ -106,52 +107,52 @@
         self.at(at, Event::Answered { attempt, answer });
     }
 
-    fn ended(&mut self, at: Nanos, ask: u32, trace: u64, outcome: Outcome) {
-        self.at(at, Event::Ended { trace, outcome });
-        self.at(at, Event::AskEnded { ask, outcome });
+    fn ended(&mut self, at: Nanos, request: u32, trace: u64, outcome: Outcome) {
+        self.at(at, Event::TryEnded { trace, outcome });
+        self.at(at, Event::RequestEnded { request, outcome });
     }
 
     /// A request that is served as it should be.
-    fn served(&mut self, at: Nanos, ask: u32, class: u8) {
-        let trace = 1000 + u64::from(ask);
-        self.asked(at, ask, class);
-        self.tried(at, ask, trace, 0);
+    fn served(&mut self, at: Nanos, request: u32, class: u8) {
+        let trace = 1000 + u64::from(request);
+        self.asked(at, request, class);
+        self.tried(at, request, trace, 0);
         let (attempt, _) = self.arrived(at + MS, trace, 0, 0);
         self.answered(at + 50 * MS, attempt, Answer::Served);
-        self.ended(at + 51 * MS, ask, trace, Outcome::Served { attempt: Some(attempt) });
+        self.ended(at + 51 * MS, request, trace, Outcome::Served { attempt: Some(attempt) });
     }
 
     /// One that is lost with its gateway, which a fault kills.
-    fn lost_with_its_gateway(&mut self, ask: u32) {
-        let (at, trace) = (5 * SECOND - 20 * MS, 1000 + u64::from(ask));
-        self.asked(at, ask, UNSAFE);
-        self.tried(at, ask, trace, 1);
+    fn lost_with_its_gateway(&mut self, request: u32) {
+        let (at, trace) = (5 * SECOND - 20 * MS, 1000 + u64::from(request));
+        self.asked(at, request, UNSAFE);
+        self.tried(at, request, trace, 1);
         let (_, connection) = self.arrived(at + MS, trace, 1, 1);
         self.at(5 * SECOND, Event::FaultBegan { fault: 0 });
         self.at(5 * SECOND, Event::Closed { connection });
-        self.at(5 * SECOND, Event::Lived { end: End::Gateway(1), life: Life::Ended });
-        self.ended(5 * SECOND + MS, ask, trace, Outcome::Reset { first: false });
-        self.at(6 * SECOND, Event::Lived { end: End::Gateway(1), life: Life::Started });
-        self.at(6 * SECOND, Event::FaultOver { fault: 0 });
+        self.at(5 * SECOND, Event::ProcessChanged { end: End::Gateway(1), change: ProcessChange::Ended });
+        self.ended(5 * SECOND + MS, request, trace, Outcome::Reset { first: false });
+        self.at(6 * SECOND, Event::ProcessChanged { end: End::Gateway(1), change: ProcessChange::Started });
+        self.at(6 * SECOND, Event::FaultEnded { fault: 0 });
     }
 
     /// A lock that goes from one candidate to the other; the first one's last effect comes late and is refused.
     fn owned(&mut self) {
         self.at(SECOND, Event::Granted { candidate: 0, lock: 0, token: 5, asked: SECOND - MS });
-        self.at(2 * SECOND, Event::Acts { candidate: 0, lock: 0, token: 5 });
+        self.at(2 * SECOND, Event::ActionStarted { candidate: 0, lock: 0, token: 5 });
         self.at(2 * SECOND, Event::Effect { candidate: 0, lock: 0, token: 5, admitted: true });
-        self.at(3 * SECOND, Event::Acts { candidate: 0, lock: 0, token: 5 });
+        self.at(3 * SECOND, Event::ActionStarted { candidate: 0, lock: 0, token: 5 });
         self.at(5 * SECOND, Event::Granted { candidate: 1, lock: 0, token: 6, asked: 4 * SECOND });
-        self.at(5 * SECOND, Event::Acts { candidate: 1, lock: 0, token: 6 });
+        self.at(5 * SECOND, Event::ActionStarted { candidate: 1, lock: 0, token: 6 });
         self.at(5 * SECOND, Event::Effect { candidate: 1, lock: 0, token: 6, admitted: true });
         self.at(6 * SECOND, Event::Effect { candidate: 0, lock: 0, token: 5, admitted: false });
     }
 
     /// A call on a register that takes a millisecond.
-    fn called(&mut self, at: Nanos, client: u16, put: Option<(u64, Option<u64>)>, returned: Returned) {
+    fn called(&mut self, at: Nanos, client: u16, put: Option<(u64, Option<u64>)>, returned: CallResult) {
         let call = self.number();
-        self.at(at, Event::Called { client, call, register: 0, put });
-        self.at(at + MS, Event::Returned { call, returned });
+        self.at(at, Event::CallStarted { client, call, register: 0, put });
+        self.at(at + MS, Event::CallReturned { call, result: returned });
     }
 
     /// A register that is written, read, written by two who contend, and by one who never learns what came of it; and watched.
@@ -163,30 +164,30 @@
             changes: changes.to_vec(),
         };
         self.at(SECOND, watched(None, 10, &[]));
-        self.called(SECOND, 5, None, Returned::Value { value: None, revision: 0 });
-        self.called(2 * SECOND, 5, Some((70, Some(0))), Returned::At { revision: 11 });
-        self.called(2 * SECOND, 6, Some((71, Some(0))), Returned::Conflict { revision: 11 });
+        self.called(SECOND, 5, None, CallResult::Value { value: None, revision: 0 });
+        self.called(2 * SECOND, 5, Some((70, Some(0))), CallResult::Written { revision: 11 });
+        self.called(2 * SECOND, 6, Some((71, Some(0))), CallResult::Conflict { revision: 11 });
         self.at(3 * SECOND, watched(Some(10), 11, &[(11, 0, 70)]));
-        self.called(3 * SECOND, 6, Some((72, None)), Returned::Unknown);
-        self.called(4 * SECOND, 5, None, Returned::Value { value: Some(70), revision: 11 });
-        self.called(6 * SECOND, 5, None, Returned::Value { value: Some(72), revision: 15 });
-        self.called(7 * SECOND, 6, Some((73, Some(15))), Returned::At { revision: 16 });
+        self.called(3 * SECOND, 6, Some((72, None)), CallResult::Unknown);
+        self.called(4 * SECOND, 5, None, CallResult::Value { value: Some(70), revision: 11 });
+        self.called(6 * SECOND, 5, None, CallResult::Value { value: Some(72), revision: 15 });
+        self.called(7 * SECOND, 6, Some((73, Some(15))), CallResult::Written { revision: 16 });
         self.at(8 * SECOND, watched(Some(11), 16, &[(15, 0, 72), (16, 0, 73)]));
     }
 
-    fn good() -> Story {
-        let mut story = Story::new();
-        story.owned();
-        story.registers();
-        story.served(SECOND, 1, SAFE);
-        story.served(2 * SECOND, 2, UNSAFE);
-        story.lost_with_its_gateway(3);
-        story.served(8 * SECOND, 4, UNSAFE);
-        story
+    fn good() -> HistoryBuilder {
+        let mut history = HistoryBuilder::new();
+        history.owned();
+        history.registers();
+        history.served(SECOND, 1, SAFE);
+        history.served(2 * SECOND, 2, UNSAFE);
+        history.lost_with_its_gateway(3);
+        history.served(8 * SECOND, 4, UNSAFE);
+        history
     }
 
-    fn events(mut self) -> Vec<At> {
-        self.at(20 * SECOND, Event::Finished { lab_cpu: 0, fleet_cpu: 0 });
+    fn events(mut self) -> Vec<TimedEvent> {
+        self.at(20 * SECOND, Event::Finished { harness_cpu: 0, fleet_cpu: 0 });
         // As it was written: by time.
         self.events.sort_by_key(|event| event.at);
         self.events
@@ -201,7 +202,7 @@
 
 #[test]
 fn a_good_history_holds_and_says_what_does_not_apply() {
-    let findings = Story::good().findings();
+    let findings = HistoryBuilder::good().findings();
     assert_eq!(findings.len(), INVARIANTS.len());
     for (name, finding) in findings {
         let moot = name == "units_once";
@@ -211,34 +212,34 @@
 }
 
 /// What is done to a good history.
-type Spoil = fn(&mut Story);
+type Corruption = fn(&mut HistoryBuilder);
 
 #[test]
 fn each_invariant_is_broken_by_a_history_that_is_spoilt_for_it_and_by_no_other() {
-    let cases: [(&str, Spoil); 22] = [
+    let cases: [(&str, Corruption); 22] = [
         ("nothing_acknowledged_lost", |s| {
             // What was acknowledged is gone.
-            s.called(9 * SECOND, 5, None, Returned::Value { value: Some(70), revision: 11 });
+            s.called(9 * SECOND, 5, None, CallResult::Value { value: Some(70), revision: 11 });
         }),
         ("nothing_acknowledged_lost", |s| {
             // Two have written over the same.
-            s.called(9 * SECOND, 5, Some((80, Some(16))), Returned::At { revision: 17 });
-            s.called(9 * SECOND, 6, Some((81, Some(16))), Returned::At { revision: 18 });
+            s.called(9 * SECOND, 5, Some((80, Some(16))), CallResult::Written { revision: 17 });
+            s.called(9 * SECOND, 6, Some((81, Some(16))), CallResult::Written { revision: 18 });
         }),
         ("nothing_acknowledged_lost", |s| {
             // Nobody wrote that.
-            s.called(9 * SECOND, 5, None, Returned::Value { value: Some(99), revision: 17 });
+            s.called(9 * SECOND, 5, None, CallResult::Value { value: Some(99), revision: 17 });
         }),
         ("nothing_acknowledged_lost", |s| {
             // A watcher is told of later changes, and not of this one.
-            s.called(9 * SECOND, 5, Some((80, None)), Returned::At { revision: 17 });
+            s.called(9 * SECOND, 5, Some((80, None)), CallResult::Written { revision: 17 });
             s.at(10 * SECOND, Event::Watched { watcher: 9, since: Some(16), upto: 18, changes: Vec::new() });
         }),
         ("nothing_acknowledged_lost", |s| {
             // A watcher goes back.
             s.at(10 * SECOND, Event::Watched { watcher: 9, since: Some(16), upto: 12, changes: Vec::new() });
         }),
-        ("one_owner", |s| s.at(7 * SECOND, Event::Acts { candidate: 0, lock: 0, token: 5 })),
+        ("one_owner", |s| s.at(7 * SECOND, Event::ActionStarted { candidate: 0, lock: 0, token: 5 })),
         ("fenced", |s| {
             s.at(7 * SECOND, Event::Effect { candidate: 0, lock: 0, token: 5, admitted: true });
         }),
@@ -255,7 +256,7 @@
             s.asked(10 * SECOND, 9, SAFE);
             s.tried(10 * SECOND, 9, 9, 0);
             s.ended(13 * SECOND, 9, 9, Outcome::TimedOut);
-            s.at(15 * SECOND, Event::Afterwards { trace: 9, answered: false });
+            s.at(15 * SECOND, Event::TryEndedLate { trace: 9, answered: false });
         }),
         ("one_final_answer", |s| {
             // The fault that would explain it struck another gateway.
@@ -265,7 +266,7 @@
         }),
         ("one_final_answer", |s| {
             // Two answers to one try.
-            s.at(9 * SECOND, Event::Ended { trace: 1004, outcome: Outcome::Refused });
+            s.at(9 * SECOND, Event::TryEnded { trace: 1004, outcome: Outcome::Refused });
         }),
         ("never_ran_twice", |s| {
             // A client that lost its gateway asks again elsewhere, and what had run runs again.
@@ -274,7 +275,7 @@
             s.answered(7 * SECOND + 9 * MS, attempt, Answer::Served);
             s.at(
                 7 * SECOND + 9 * MS,
-                Event::Ended { trace: 1003, outcome: Outcome::Served { attempt: Some(attempt) } },
+                Event::TryEnded { trace: 1003, outcome: Outcome::Served { attempt: Some(attempt) } },
             );
         }),
         ("never_ran_twice", |s| {
@@ -282,7 +283,7 @@
             s.tried(7 * SECOND, 3, 77, 0);
             let (attempt, _) = s.arrived(7 * SECOND + MS, 77, 0, 0);
             s.answered(7 * SECOND + 9 * MS, attempt, Answer::Error);
-            s.at(7 * SECOND + 9 * MS, Event::Ended { trace: 77, outcome: Outcome::Failed });
+            s.at(7 * SECOND + 9 * MS, Event::TryEnded { trace: 77, outcome: Outcome::Failed });
         }),
         ("answers_belong", |s| {
             s.asked(10 * SECOND, 9, SAFE);
@@ -308,33 +309,33 @@
             s.ended(11 * SECOND, 9, 9, Outcome::Failed);
         }),
         ("drains_kept", |s| {
-            s.list(10 * SECOND, 0, 11, false, &[(0, Told::Draining)]);
-            s.list(10 * SECOND + 400 * MS, 0, 12, false, &[(0, Told::Gone)]);
+            s.list(10 * SECOND, 0, 11, false, &[(0, ServerState::Draining)]);
+            s.list(10 * SECOND + 400 * MS, 0, 12, false, &[(0, ServerState::Gone)]);
             // Counted from the first word, and beyond the slack.
             s.served(10 * SECOND + 560 * MS, 9, SAFE);
         }),
         ("ceilings_kept", |s| {
-            for ask in 10..20 {
-                s.served(10 * SECOND, ask, SAFE);
+            for request in 10..20 {
+                s.served(10 * SECOND, request, SAFE);
             }
         }),
         ("list_never_back", |s| {
-            s.at(10 * SECOND, Event::ListAsked { gateway: 0, since: Some(12) });
-            s.at(11 * SECOND, Event::ListAsked { gateway: 0, since: Some(11) });
+            s.at(10 * SECOND, Event::ListRequested { gateway: 0, since: Some(12) });
+            s.at(11 * SECOND, Event::ListRequested { gateway: 0, since: Some(11) });
         }),
         ("nothing_acknowledged_lost", |s| {
-            s.list(10 * SECOND, 0, 13, true, &[(0, Told::Serving)]);
+            s.list(10 * SECOND, 0, 13, true, &[(0, ServerState::Serving)]);
         }),
         ("drains_kept", |s| {
             // A whole list that lacks a server tells of its end as well.
-            s.list(10 * SECOND, 0, 13, true, &[(1, Told::Serving)]);
+            s.list(10 * SECOND, 0, 13, true, &[(1, ServerState::Serving)]);
             s.served(11 * SECOND, 9, SAFE);
         }),
     ];
-    for (i, (name, spoil)) in cases.into_iter().enumerate() {
-        let mut story = Story::good();
-        spoil(&mut story);
-        let broken: Vec<&str> = story
+    for (i, (name, corrupt)) in cases.into_iter().enumerate() {
+        let mut history = HistoryBuilder::good();
+        corrupt(&mut history);
+        let broken: Vec<&str> = history
             .findings()
             .into_iter()
             .filter(|(_, finding)| finding.holds == Some(false))
@@ -353,11 +354,11 @@
 #[test]
 fn a_late_lab_blames_nobody() {
     let late_by = |stalled_at: Nanos| {
-        let mut story = Story::good();
-        story.list(10 * SECOND, 0, 11, false, &[(0, Told::Draining)]);
-        story.served(10 * SECOND + 650 * MS, 9, SAFE);
-        story.at(stalled_at, Event::Stalled { late: 200 * MS });
-        story.findings()["drains_kept"].holds
+        let mut history = HistoryBuilder::good();
+        history.list(10 * SECOND, 0, 11, false, &[(0, ServerState::Draining)]);
+        history.served(10 * SECOND + 650 * MS, 9, SAFE);
+        history.at(stalled_at, Event::Stalled { late: 200 * MS });
+        history.findings()["drains_kept"].holds
     };
     assert_eq!(late_by(10 * SECOND + 600 * MS), Some(true));
     assert_eq!(late_by(14 * SECOND), Some(false));
@@ -367,19 +368,19 @@
 #[test]
 fn what_agents_hold_counts_as_told() {
     let holds = |fault: Option<FaultKind>, started: Option<Nanos>, sent_at: Nanos| {
-        let mut story = Story::new();
+        let mut history = HistoryBuilder::new();
         let mut setup = setup();
         setup.faults.retain(|_| fault.is_some());
         for drawn in &mut setup.faults {
             (drawn.kind, drawn.victims) = (fault.expect("kept"), vec![End::ListService(0)]);
         }
-        story.at(3 * MS, Event::Setup(Box::new(setup)));
-        story.at(9 * SECOND, Event::AgentsHold { server: 0, told: Told::Draining });
+        history.at(3 * MS, Event::Setup(Box::new(setup)));
+        history.at(9 * SECOND, Event::AgentStateChanged { server: 0, state: ServerState::Draining });
         if let Some(at) = started {
-            story.at(at, Event::Lived { end: End::Gateway(0), life: Life::Started });
+            history.at(at, Event::ProcessChanged { end: End::Gateway(0), change: ProcessChange::Started });
         }
-        story.served(sent_at, 9, SAFE);
-        story.findings()["drains_kept"].holds
+        history.served(sent_at, 9, SAFE);
+        history.findings()["drains_kept"].holds
     };
     let late = 9 * SECOND + 600 * MS;
     assert_eq!(holds(None, None, late), Some(false), "never asked");
@@ -393,42 +394,48 @@
 #[test]
 fn decisions_are_judged() {
     let zones = |state: ZoneState| vec![(ZoneState::Serving, 20.0), (state, 20.0)];
-    let play = |spoil: fn(&mut Story)| {
-        let mut story = Story { events: Vec::new(), next: 1 };
+    let play = |corrupt: fn(&mut HistoryBuilder)| {
+        let mut history = HistoryBuilder { events: Vec::new(), next: 1 };
         let mut setup = setup();
-        (setup.zones, setup.stewards) = (vec!["hall-a".to_owned(), "hall-b".to_owned()], 3);
-        story.at(0, Event::Setup(Box::new(setup)));
+        (setup.zones, setup.controllers) = (vec!["hall-a".to_owned(), "hall-b".to_owned()], 3);
+        history.at(0, Event::Setup(Box::new(setup)));
         for (at, state) in [(1, ZoneState::Serving), (7, ZoneState::Out), (12, ZoneState::Serving)] {
             let revision = at;
-            story.at(at * SECOND, Event::Decided { token: 5, revision, zones: zones(state) });
-            story.at(at * SECOND, Event::GoesBy { gateway: 0, duty: Duty::Zones, token: 5, revision });
+            history.at(at * SECOND, Event::ZonesDecided { token: 5, revision, zones: zones(state) });
+            history.at(
+                at * SECOND,
+                Event::DecisionApplied { gateway: 0, kind: DecisionKind::Zones, token: 5, revision },
+            );
         }
-        story.at(5 * SECOND, Event::FaultBegan { fault: 0 });
-        story.at(9 * SECOND, Event::FaultOver { fault: 0 });
+        history.at(5 * SECOND, Event::FaultBegan { fault: 0 });
+        history.at(9 * SECOND, Event::FaultEnded { fault: 0 });
         // Gateway 0 and server 0 stand in one zone, server 1 in the other.
         for n in 0..30 {
-            story.arrived(3 * SECOND + n * 30 * MS, 100 + n, u16::from(n < 3), 0);
+            history.arrived(3 * SECOND + n * 30 * MS, 100 + n, u16::from(n < 3), 0);
         }
-        spoil(&mut story);
-        story.events.sort_by_key(|event| event.at);
-        let mut decided = Decided::default();
-        story.events.iter().for_each(|event| decided.take(event));
+        corrupt(&mut history);
+        history.events.sort_by_key(|event| event.at);
+        let mut decided = DecisionChecker::default();
+        history.events.iter().for_each(|event| decided.take(event));
         decided.findings()
     };
-    let (findings, told) = play(|_| {});
+    let (findings, figures) = play(|_| {});
     // Shares and books do not apply (`in_common.rs`).
     assert!(findings.values().all(|finding| finding.holds != Some(false)), "{findings:?}");
-    assert_eq!(findings.len(), decided::INVARIANTS.len());
-    assert_eq!((told.near_share, told.late_decisions_refused), (Some(0.9), Some(0)));
-    assert_eq!((told.time_to_failover_ms, told.time_to_return_ms), (Some(2000), Some(3000)));
-    let cases: [(&str, Spoil); 3] = [
+    assert_eq!(findings.len(), decisions::INVARIANTS.len());
+    assert_eq!((figures.near_share, figures.late_decisions_refused), (Some(0.9), Some(0)));
+    assert_eq!((figures.time_to_failover_ms, figures.time_to_return_ms), (Some(2000), Some(3000)));
+    let cases: [(&str, Corruption); 3] = [
         ("decision_never_back", |s| {
-            s.at(8 * SECOND, Event::GoesBy { gateway: 0, duty: Duty::Zones, token: 5, revision: 1 })
+            s.at(
+                8 * SECOND,
+                Event::DecisionApplied { gateway: 0, kind: DecisionKind::Zones, token: 5, revision: 1 },
+            )
         }),
         ("decision_fenced", |s| {
             s.at(
                 8 * SECOND,
-                Event::Decided { token: 4, revision: 90, zones: vec![(ZoneState::Serving, 1.0); 2] },
+                Event::ZonesDecided { token: 4, revision: 90, zones: vec![(ZoneState::Serving, 1.0); 2] },
             );
         }),
         ("zone_never_overloaded", |s| {
@@ -437,16 +444,19 @@
             }
         }),
     ];
-    for (name, spoil) in cases {
-        let (findings, _) = play(spoil);
+    for (name, corrupt) in cases {
+        let (findings, _) = play(corrupt);
         let broken: Vec<_> =
             findings.iter().filter(|(_, f)| f.holds == Some(false)).map(|(name, _)| *name).collect();
         assert_eq!(broken, [name]);
     }
     // A gateway that was started anew may begin with any.
     let (findings, _) = play(|s| {
-        s.at(8 * SECOND, Event::Lived { end: End::Gateway(0), life: Life::Started });
-        s.at(8 * SECOND, Event::GoesBy { gateway: 0, duty: Duty::Zones, token: 5, revision: 1 });
+        s.at(8 * SECOND, Event::ProcessChanged { end: End::Gateway(0), change: ProcessChange::Started });
+        s.at(
+            8 * SECOND,
+            Event::DecisionApplied { gateway: 0, kind: DecisionKind::Zones, token: 5, revision: 1 },
+        );
     });
     assert_eq!(findings["decision_never_back"].holds, Some(true));
 }
@@ -454,7 +464,7 @@
 #[test]
 fn a_history_that_ends_early_is_no_verdict() {
     let mut judge = Checker::default();
-    let events = Story::good().events();
+    let events = HistoryBuilder::good().events();
     events[..events.len() - 1].iter().for_each(|event| judge.observe(event));
     assert!(judge.findings().is_err());
 }
@@ -462,22 +472,22 @@
 /// Goodput falls for three seconds after a fault: full service is counted from the fault's end, over two whole seconds.
 #[test]
 fn full_service_is_counted_from_the_last_faults_end() {
-    let mut story = Story::new();
+    let mut history = HistoryBuilder::new();
     for i in 0..200_u32 {
         let at = u64::from(i) * 100 * MS;
         let down = (5 * SECOND..9 * SECOND).contains(&at);
         if down {
-            story.asked(at, i, SAFE);
-            story.tried(at, i, u64::from(i), 0);
-            story.ended(at + MS, i, u64::from(i), Outcome::Refused);
+            history.asked(at, i, SAFE);
+            history.tried(at, i, u64::from(i), 0);
+            history.ended(at + MS, i, u64::from(i), Outcome::Refused);
         } else {
-            story.served(at, i, SAFE);
+            history.served(at, i, SAFE);
         }
     }
-    story.at(5 * SECOND, Event::FaultBegan { fault: 0 });
-    story.at(6 * SECOND, Event::FaultOver { fault: 0 });
+    history.at(5 * SECOND, Event::FaultBegan { fault: 0 });
+    history.at(6 * SECOND, Event::FaultEnded { fault: 0 });
     let (mut judge, mut figures) = (Checker::default(), Figures::new());
-    for event in story.events() {
+    for event in history.events() {
         judge.observe(&event);
         figures.take(&event);
     }
@@ -498,8 +508,8 @@
     ) {
         let mut bytes = Vec::new();
         let mut writer = Writer::new(&mut bytes).expect("in memory");
-        let events: Vec<At> =
-            lates.iter().map(|late| At { at: late / 2, event: Event::Stalled { late: *late } }).collect();
+        let events: Vec<TimedEvent> =
+            lates.iter().map(|late| TimedEvent { at: late / 2, event: Event::Stalled { late: *late } }).collect();
         for (i, event) in events.iter().enumerate() {
             writer.add(event).expect("in memory");
             if i % 7 == 0 {
--- a/testing/fault-injection/tests/in_common.rs
+++ b/testing/fault-injection/tests/in_common.rs
@@ -2,9 +2,9 @@
 //! a scenario's cells and tenants come to.
 
 use marblecroft_fault_injection::checker::Finding;
-use marblecroft_fault_injection::decided::{Decided, Told};
+use marblecroft_fault_injection::decisions::{DecisionChecker, DecisionFigures};
 use marblecroft_fault_injection::deployment::{Deployment, Nanos, Quota, MS, SAFE, SECOND, UNSAFE};
-use marblecroft_fault_injection::history::{At, BookSeen, BookStep, Event, Outcome, Setup};
+use marblecroft_fault_injection::history::{Event, Outcome, Setup, ShardRecord, ShardStep, TimedEvent};
 use marblecroft_fault_injection::scenario::Scenario;
 use std::collections::BTreeMap;
 
@@ -12,22 +12,22 @@
 /// Firms of weights 1 and 3; the first half of numbers is book 0.
 const FIRMS: [u64; 2] = [5, (1 << 32) + 5];
 
-struct Story {
-    events: Vec<At>,
+struct HistoryBuilder {
+    events: Vec<TimedEvent>,
     next: u64,
 }
 
-impl Story {
+impl HistoryBuilder {
     fn at(&mut self, at: Nanos, event: Event) {
-        self.events.push(At { at, event });
+        self.events.push(TimedEvent { at, event });
     }
 
     /// A request of a firm that arrives at a server; its attempt and trace.
     fn asked(&mut self, at: Nanos, customer: u32, class: u8, sent: bool) -> (u64, u64) {
         self.next += 1;
-        let (ask, trace, attempt) = (self.next as u32, 1_000_000 + self.next, 2_000_000 + self.next);
-        self.at(at, Event::Asked { ask, customer, class, late: 0 });
-        self.at(at, Event::Tried { ask, trace, gateway: 0, wait: SECOND, back: false });
+        let (request, trace, attempt) = (self.next as u32, 1_000_000 + self.next, 2_000_000 + self.next);
+        self.at(at, Event::RequestStarted { request, customer, class, late: 0 });
+        self.at(at, Event::TryStarted { request, trace, gateway: 0, timeout: SECOND, reuses_id: false });
         if sent {
             self.at(at + MS, Event::Arrived { attempt, trace, server: 0, connection: 1, gateway: 0 });
         }
@@ -38,23 +38,23 @@
     fn written(&mut self, at: Nanos, customer: u32, cell: u16, epoch: u64) -> u64 {
         let (attempt, trace) = self.asked(at, customer, UNSAFE, true);
         let firm = FIRMS[customer as usize];
-        self.at(at + 2 * MS, Event::BookWrite { attempt, cell, firm, epoch, admitted: true });
+        self.at(at + 2 * MS, Event::ShardWrite { attempt, cell, firm, epoch, admitted: true });
         self.at(at + 3 * MS, Event::Ran { attempt });
-        self.at(at + 50 * MS, Event::Ended { trace, outcome: Outcome::Served { attempt: Some(attempt) } });
+        self.at(at + 50 * MS, Event::TryEnded { trace, outcome: Outcome::Served { attempt: Some(attempt) } });
         trace
     }
 
-    fn map(&mut self, at: Nanos, revision: u64, cell: u16, epoch: u64, step: BookStep) {
-        let book = |first, cell, epoch, step, to| BookSeen { first, cell, epoch, step, to };
-        let books = vec![
-            book(0, cell, epoch, step, if step == BookStep::Stands { cell } else { 1 }),
-            book(1 << 32, 1, 1, BookStep::Stands, 1),
+    fn map(&mut self, at: Nanos, revision: u64, cell: u16, epoch: u64, step: ShardStep) {
+        let shard = |first, cell, epoch, step, to| ShardRecord { first, cell, epoch, step, to };
+        let shards = vec![
+            shard(0, cell, epoch, step, if step == ShardStep::Stable { cell } else { 1 }),
+            shard(1 << 32, 1, 1, ShardStep::Stable, 1),
         ];
-        self.at(at, Event::BooksDecided { token: 3, revision, books });
+        self.at(at, Event::ShardMapDecided { token: 3, revision, shards });
     }
 }
 
-fn play(spoil: impl FnOnce(&mut Story)) -> (BTreeMap<&'static str, Finding>, Told) {
+fn play(corrupt: impl FnOnce(&mut HistoryBuilder)) -> (BTreeMap<&'static str, Finding>, DecisionFigures) {
     let quota = |rate| Quota {
         name: String::new(),
         rate,
@@ -66,62 +66,62 @@
         ceiling_depth: 0.0,
         ceiling_slack: 0.0,
     };
-    let mut story = Story { events: Vec::new(), next: 0 };
+    let mut history = HistoryBuilder { events: Vec::new(), next: 0 };
     let setup = Setup {
         duration: LENGTH * SECOND,
         quotas: vec![quota(1.0), quota(3.0)],
         plans: vec![0, 1],
         coordinators: 3,
         zones: vec!["hall-a".to_owned()],
-        stewards: 2,
+        controllers: 2,
         shares: true,
-        shift: Some(10 * SECOND),
-        books: true,
+        demand_shift_at: Some(10 * SECOND),
+        shard_map: true,
         fencing: true,
         cells: vec![0, 1],
         firms: FIRMS.to_vec(),
         ..Setup::default()
     };
-    story.at(0, Event::Setup(Box::new(setup)));
-    story.at(0, Event::SharesDecided { token: 2, revision: 1, level: 5.0, capacity: 20.0 });
+    history.at(0, Event::Setup(Box::new(setup)));
+    history.at(0, Event::SharesDecided { token: 2, revision: 1, level: 5.0, capacity: 20.0 });
     // Of 20 a second both ask for 20; 5 and 15 are theirs.
     for second in 0..LENGTH {
         for n in 0..20 {
             let at = second * SECOND + n * 50 * MS;
-            story.asked(at, 0, SAFE, n < 5);
-            story.asked(at + 10 * MS, 1, SAFE, n < 15);
+            history.asked(at, 0, SAFE, n < 5);
+            history.asked(at + 10 * MS, 1, SAFE, n < 15);
         }
     }
     // Book 0 moves from cell 0 to cell 1 within 80 ms.
-    story.map(0, 1, 0, 1, BookStep::Stands);
-    let before = story.written(SECOND, 0, 0, 1);
+    history.map(0, 1, 0, 1, ShardStep::Stable);
+    let before = history.written(SECOND, 0, 0, 1);
     for (ms, revision, epoch, step) in
-        [(0, 2, 2, BookStep::Fencing), (40, 3, 2, BookStep::Drained), (60, 4, 2, BookStep::Copied)]
+        [(0, 2, 2, ShardStep::Fencing), (40, 3, 2, ShardStep::Drained), (60, 4, 2, ShardStep::Copied)]
     {
-        story.map(5 * SECOND + ms * MS, revision, 0, epoch, step);
+        history.map(5 * SECOND + ms * MS, revision, 0, epoch, step);
     }
-    story.map(5 * SECOND + 80 * MS, 5, 1, 2, BookStep::Stands);
-    let after = story.written(8 * SECOND, 0, 1, 2);
+    history.map(5 * SECOND + 80 * MS, 5, 1, 2, ShardStep::Stable);
+    let after = history.written(8 * SECOND, 0, 1, 2);
     for trace in [before, after] {
-        story.at(LENGTH * SECOND, Event::CellsHold { trace, cells: vec![0, 1] });
+        history.at(LENGTH * SECOND, Event::WriteLocations { trace, cells: vec![0, 1] });
     }
-    spoil(&mut story);
-    story.events.sort_by_key(|event| event.at);
-    let mut decided = Decided::default();
-    story.events.iter().for_each(|event| decided.take(event));
+    corrupt(&mut history);
+    history.events.sort_by_key(|event| event.at);
+    let mut decided = DecisionChecker::default();
+    history.events.iter().for_each(|event| decided.take(event));
     decided.findings()
 }
 
 #[test]
 fn shares_and_books_are_judged() {
-    let (findings, told) = play(|_| {});
+    let (findings, figures) = play(|_| {});
     assert!(findings.values().all(|finding| finding.holds == Some(true)), "{findings:?}");
-    assert!(told.shares.share_error.is_some_and(|error| error < 0.01), "{told:?}");
-    assert_eq!(told.shares.time_to_shares_ms, Some(0));
-    assert_eq!((told.books.moves, told.books.move_pause_ms), (Some(1), Some(80)));
-    assert_eq!(told.books.late_writes_refused, Some(0));
-    type Spoil = fn(&mut Story);
-    let cases: [(&str, Spoil); 5] = [
+    assert!(figures.shares.share_error.is_some_and(|error| error < 0.01), "{figures:?}");
+    assert_eq!(figures.shares.time_to_shares_ms, Some(0));
+    assert_eq!((figures.shards.moves, figures.shards.move_pause_ms), (Some(1), Some(80)));
+    assert_eq!(figures.shards.late_writes_refused, Some(0));
+    type Corruption = fn(&mut HistoryBuilder);
+    let cases: [(&str, Corruption); 5] = [
         ("shares_within_capacity", |s| {
             for n in 0..200 {
                 s.asked(2 * SECOND + n * 2 * MS, 0, SAFE, true);
@@ -134,7 +134,9 @@
                 .iter()
                 .filter(|at| at.at >= 20 * SECOND)
                 .filter_map(|at| match at.event {
-                    Event::Asked { ask, customer: 0, .. } => Some(1_000_000 + u64::from(ask)),
+                    Event::RequestStarted { request, customer: 0, .. } => {
+                        Some(1_000_000 + u64::from(request))
+                    }
                     _ => None,
                 })
                 .collect();
@@ -142,24 +144,24 @@
         }),
         ("no_write_to_moved_range", |s| {
             let trace = s.written(6 * SECOND, 0, 0, 1);
-            s.at(LENGTH * SECOND, Event::CellsHold { trace, cells: vec![0, 1] });
+            s.at(LENGTH * SECOND, Event::WriteLocations { trace, cells: vec![0, 1] });
         }),
         ("written_once", |s| {
             let trace = s.written(9 * SECOND, 0, 1, 2);
             let attempt = 9;
             s.at(9 * SECOND, Event::Arrived { attempt, trace, server: 0, connection: 1, gateway: 0 });
             let (cell, firm, epoch) = (0, FIRMS[0], 2);
-            s.at(9 * SECOND + MS, Event::BookWrite { attempt, cell, firm, epoch, admitted: true });
+            s.at(9 * SECOND + MS, Event::ShardWrite { attempt, cell, firm, epoch, admitted: true });
             s.at(9 * SECOND + 2 * MS, Event::Ran { attempt });
-            s.at(LENGTH * SECOND, Event::CellsHold { trace, cells: vec![0, 1] });
+            s.at(LENGTH * SECOND, Event::WriteLocations { trace, cells: vec![0, 1] });
         }),
         ("nothing_lost_in_moves", |s| {
             let trace = s.written(2 * SECOND, 0, 0, 1);
-            s.at(LENGTH * SECOND, Event::CellsHold { trace, cells: vec![0] });
+            s.at(LENGTH * SECOND, Event::WriteLocations { trace, cells: vec![0] });
         }),
     ];
-    for (name, spoil) in cases {
-        let (findings, _) = play(spoil);
+    for (name, corrupt) in cases {
+        let (findings, _) = play(corrupt);
         let broken: Vec<_> =
             findings.iter().filter(|(_, f)| f.holds == Some(false)).map(|(name, _)| *name).collect();
         assert_eq!(broken, [name]);
@@ -167,7 +169,7 @@
     // A write under the old epoch before the range is drained is as it should be: its cell takes it along.
     let (findings, _) = play(|s| {
         let trace = s.written(5 * SECOND + 10 * MS, 0, 0, 1);
-        s.at(LENGTH * SECOND, Event::CellsHold { trace, cells: vec![0, 1] });
+        s.at(LENGTH * SECOND, Event::WriteLocations { trace, cells: vec![0, 1] });
     });
     assert_eq!(findings["no_write_to_moved_range"].holds, Some(true));
 }
@@ -187,7 +189,7 @@
     let weight = |i: usize| deployment.quotas[deployment.customers[i].plan].rate;
     assert!((weight(1) / weight(0) - 2.0).abs() < 1e-9);
     for moved in [false, true] {
-        let demand = deployment.customers.iter().map(|c| if moved { c.moved.0 } else { c.weight });
+        let demand = deployment.customers.iter().map(|c| if moved { c.after_shift.0 } else { c.weight });
         let all: f64 = demand.sum();
         assert!((all - 1.0).abs() < 1e-9, "{all}");
     }
--- a/testing/fault-injection/tests/linear.rs
+++ b/testing/fault-injection/tests/linear.rs
@@ -23,8 +23,8 @@
 #[test]
 fn known_histories_are_judged_as_they_should_be() {
     let none = Ret::Value { value: None, revision: 0 };
-    let first = call(1, 0, 10, put(1, Some(0)), Ret::At(3));
-    let second = call(2, 20, 30, put(2, Some(3)), Ret::At(5));
+    let first = call(1, 0, 10, put(1, Some(0)), Ret::Written(3));
+    let second = call(2, 20, 30, put(2, Some(3)), Ret::Written(5));
     let cases: Vec<(&str, Vec<Call>, Verdict)> = vec![
         ("nothing", vec![], Verdict::Linear),
         ("one after the other", vec![first, second, call(1, 40, 50, Op::Read, value(2, 5))], Verdict::Linear),
@@ -38,10 +38,10 @@
         ),
         (
             "two over the same",
-            vec![first, second, call(3, 20, 30, put(3, Some(3)), Ret::At(6))],
+            vec![first, second, call(3, 20, 30, put(3, Some(3)), Ret::Written(6))],
             Verdict::Not,
         ),
-        ("a revision that falls", vec![first, call(2, 20, 30, put(2, None), Ret::At(2))], Verdict::Not),
+        ("a revision that falls", vec![first, call(2, 20, 30, put(2, None), Ret::Written(2))], Verdict::Not),
         (
             "a conflict with nobody",
             vec![first, call(2, 20, 30, put(2, Some(3)), Ret::Conflict(4))],
@@ -104,7 +104,7 @@
                 _ => {
                     let expect = (what < 8).then_some(at);
                     (held, at) = (Some(k), at + 3);
-                    (put(k, expect), Ret::At(at))
+                    (put(k, expect), Ret::Written(at))
                 }
             };
             known[who] = at;
@@ -116,7 +116,7 @@
             calls.push(Call { client: who as u16, from, op, answer });
         }
         prop_assert_eq!(judge(&calls), Verdict::Linear);
-        let written = calls.iter().any(|call| matches!(call.answer, Some((_, Ret::At(_)))));
+        let written = calls.iter().any(|call| matches!(call.answer, Some((_, Ret::Written(_)))));
         if written {
             let end = 100 * calls.len() as u64 + 1000;
             calls.push(call(9, end, end + 1, Op::Read, Ret::Value { value: None, revision: 0 }));
--- a/testing/fault-injection/tests/scenarios.rs
+++ b/testing/fault-injection/tests/scenarios.rs
@@ -114,7 +114,7 @@
         let asked: f64 = deployment.customers.iter().filter(|c| c.plan == plan).map(|c| c.weight).sum();
         assert!((0.1..0.6).contains(&asked), "plan {plan} asks for {asked} of all");
     }
-    assert!(deployment.customers.iter().all(|customer| (2..=9).contains(&customer.spread.len())));
+    assert!(deployment.customers.iter().all(|customer| (2..=9).contains(&customer.gateway_weights.len())));
     let sent: Vec<End> = deployment.faults[0].victims.clone();
     assert!(sent.windows(2).all(|pair| pair[0] < pair[1]));
     // Streams of chance are apart: another fault moves no customer.
--- a/testing/fault-injection/tests/stand_ins.rs
+++ b/testing/fault-injection/tests/stand_ins.rs
@@ -1,10 +1,12 @@
 //! The stand-ins against the published pages, without sockets.
 
 use marblecroft_discovery::format::{Host, ListRequest, State};
-use marblecroft_fault_injection::deployment::{chance, Deployment, Drawn, Nanos, Stream, MS, SECOND, UNSAFE};
+use marblecroft_fault_injection::deployment::{
+    random_stream, Deployment, DrawnFault, Nanos, RandomStream, MS, SECOND, UNSAFE,
+};
 use marblecroft_fault_injection::endpoint::End;
 use marblecroft_fault_injection::history::{Answer, Outcome};
-use marblecroft_fault_injection::link::{Path, Rules};
+use marblecroft_fault_injection::link::{LinkFaults, LinkState};
 use marblecroft_fault_injection::scenario::{FaultKind, Scenario, Site};
 use marblecroft_fault_injection::stand::clients::{Arrivals, Asking, Front, Manners, Next};
 use marblecroft_fault_injection::stand::counter::Counter;
@@ -205,7 +207,7 @@
     assert_eq!(taken, 20);
     assert!(replies.iter().filter(|reply| !reply.busy).all(|reply| reply.at > 10 * SECOND));
     assert_eq!(counter.call(20 * SECOND, "incr b 0 1").text, "ok 20");
-    counter.lose(1.0, &mut chance(1, Stream::Counter));
+    counter.lose(1.0, &mut random_stream(1, RandomStream::Counter));
     assert_eq!(counter.call(21 * SECOND, "incr b 1 1000").text, "ok 1");
 }
 
@@ -239,9 +241,9 @@
     }
 }
 
-fn fault(kind: FaultKind, victims: Vec<End>, from: Vec<End>, one_way: bool) -> Drawn {
+fn fault(kind: FaultKind, victims: Vec<End>, from: Vec<End>, one_way: bool) -> DrawnFault {
     let (delay, jitter) = if kind == FaultKind::Delay { (30 * MS, 20 * MS) } else { (0, 0) };
-    Drawn {
+    DrawnFault {
         kind,
         at: 0,
         until: None,
@@ -260,7 +262,7 @@
 #[test]
 fn cuts_have_directions_and_sides_and_heal() {
     let (g0, g1, pay, list) = (End::Gateway(0), End::Gateway(1), End::PayServer(0), End::ListService(0));
-    let mut rules = Rules::default();
+    let mut rules = LinkFaults::default();
     rules.begin(0, &fault(FaultKind::Cut, vec![pay], vec![g0], true));
     assert!(!rules.path(g0, pay).open && rules.path(pay, g0).open, "one way");
     assert!(!rules.connects(g0, pay), "a connection needs both");
@@ -268,9 +270,9 @@
     rules.begin(1, &fault(FaultKind::Cut, vec![g1], Vec::new(), false));
     assert!(!rules.path(g1, list).open && !rules.path(list, g1).open && !rules.path(End::Clients, g1).open);
     rules.end(0);
-    assert_eq!(rules.path(g0, pay), Path::CLEAR);
+    assert_eq!(rules.path(g0, pay), LinkState::CLEAR);
     rules.end(1);
-    rules.stand_still(pay, true);
+    rules.set_suspended(pay, true);
     assert!(!rules.path(g0, pay).open && rules.connects(g0, pay), "its system still answers");
 }
 
@@ -279,11 +281,11 @@
     #[test]
     fn datagrams_and_streams_fare_as_the_rules_say(seed in any::<u64>()) {
         let (a, b) = (End::Gateway(0), End::Gateway(1));
-        let mut rules = Rules::default();
+        let mut rules = LinkFaults::default();
         rules.begin(0, &fault(FaultKind::Lose, vec![b], vec![a], false));
         rules.begin(1, &fault(FaultKind::Duplicate, vec![b], vec![a], false));
         rules.begin(2, &fault(FaultKind::Delay, vec![b], vec![a], false));
-        let mut rng = chance(seed, Stream::Links);
+        let mut rng = random_stream(seed, RandomStream::Links);
         let path = rules.path(a, b);
         let copies: Vec<usize> = (0..2000).map(|_| path.datagram(&mut rng).len()).collect();
         let share = |n| copies.iter().filter(|copies| **copies == n).count() as f64 / 2000.0;
