--- a/testing/fault-injection/src/checker/ceilings.rs
+++ b/testing/fault-injection/src/checker/ceilings.rs
@@ -1,20 +1,20 @@
-//! The customers' hard ceilings.
+//! Checks of the customers' hard ceilings.
 
 use super::{seconds, Checker};
 use crate::deployment::{Nanos, MS, SECOND, SOCKET_SLACK};
 use crate::history::Trace;
 
-/// The ceiling's slack is widened by what its rate gives in this time.
+/// The slack of a ceiling is extended by the units that its rate yields in this time.
 const CEILING_SLACK: Nanos = 150 * MS;
 
-/// What is left of a customer's ceiling, as a token bucket.
+/// Token bucket of a customer's ceiling.
 pub(super) struct Ceiling {
     pub(super) level: f64,
     pub(super) at: Nanos,
 }
 
 impl Checker {
-    /// A try takes its unit from its customer's ceiling.
+    /// Takes one unit for a try from the bucket of its customer's ceiling.
     pub(super) fn take_from_ceiling(&mut self, at: Nanos, trace: Trace) {
         let Some(setup) = &self.setup else { return };
         let Some(&last) = self.last_try.get(&trace) else { return };
@@ -28,17 +28,17 @@
             return;
         }
         let (rate, depth) = (quota.ceiling_rate, quota.ceiling_depth);
-        let store = self.ceilings.entry(customer).or_insert(Ceiling { level: depth, at });
-        let since = at.saturating_sub(store.at) as f64 / SECOND as f64;
-        store.level = (store.level + since * rate).min(depth) - 1.0;
-        store.at = at;
-        let level = store.level;
+        let bucket = self.ceilings.entry(customer).or_insert(Ceiling { level: depth, at });
+        let since = at.saturating_sub(bucket.at) as f64 / SECOND as f64;
+        bucket.level = (bucket.level + since * rate).min(depth) - 1.0;
+        bucket.at = at;
+        let level = bucket.level;
         let late = (CEILING_SLACK + self.slack(at) - SOCKET_SLACK) as f64 / SECOND as f64;
         let least = -quota.ceiling_slack - late * rate;
         if level < least {
             self.broken("ceilings_kept", || {
                 format!(
-                    "{trace:016x}: customer {customer} was at {level:.2} of its ceiling at {}, under {least:.2}",
+                    "{trace:016x}: customer {customer} exceeded its ceiling at {}: level {level:.2}, allowed down to {least:.2}",
                     seconds(at)
                 )
             });
--- a/testing/fault-injection/src/checker/findings.rs
+++ b/testing/fault-injection/src/checker/findings.rs
@@ -1,4 +1,4 @@
-//! The findings at the end of a history: which invariants hold, and which do not apply.
+//! The findings at the end of a history: which invariants hold, are violated, or do not apply.
 
 use super::{Checker, Finding, INVARIANTS, LIST_LACKS_SERVER};
 use crate::endpoint::Kind;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 impl Checker {
-    /// All invariants, by name.
+    /// Returns the findings on all invariants, by name.
     ///
     /// # Errors
     ///
@@ -21,27 +21,28 @@
         self.check_registers();
         self.check_attempts();
         let mut findings = std::mem::take(&mut self.cases);
-        let touches = |kind: Kind| {
+        let affects_links = |kind: Kind| {
             setup.faults.iter().any(|fault| {
                 fault.kind.of_links()
                     && (fault.from.is_empty()
                         || fault.victims.iter().chain(&fault.from).any(|e| e.kind() == kind))
             })
         };
-        let strikes = |kind: Kind, wanted: &[FaultKind]| {
+        let affects_members = |kind: Kind, wanted: &[FaultKind]| {
             setup.faults.iter().any(|fault| {
                 wanted.contains(&fault.kind) && fault.victims.iter().any(|victim| victim.kind() == kind)
             })
         };
-        let ends = [FaultKind::Kill, FaultKind::Restart, FaultKind::Wipe, FaultKind::Term, FaultKind::Stop];
+        let interruptions =
+            [FaultKind::Kill, FaultKind::Restart, FaultKind::Wipe, FaultKind::Term, FaultKind::Stop];
         let mut not_applicable: Vec<(&str, &str)> = vec![];
-        if touches(Kind::PayServers) {
+        if affects_links(Kind::PayServers) {
             not_applicable.push((
                 "ceilings_kept",
-                "links to pay servers fail, so arrivals do not tell when something was sent",
+                "links to pay servers fail, so arrival times do not show when attempts were sent",
             ));
         }
-        not_applicable.push(("units_once", "the program has no takeover, under which it is asked"));
+        not_applicable.push(("units_once", "the program has no takeover, which the invariant is about"));
         if setup.coordinators == 0 {
             for name in ["one_owner", "fenced", "tokens_rise"] {
                 not_applicable.push((name, "the fleet has no coordinators"));
@@ -49,17 +50,20 @@
         }
         let mut lists = Vec::new();
         if setup.list_processes == 0 {
-            lists.push(("nothing_acknowledged_lost", "the fleet has no list service that acknowledges"));
-        } else if strikes(Kind::ListService, &[FaultKind::Wipe]) {
-            lists.push(("nothing_acknowledged_lost", "the list service's folder is taken away"));
-        } else if strikes(Kind::PayServers, &ends)
-            || touches(Kind::PayServers)
-            || touches(Kind::ListService)
-            || strikes(Kind::ListService, &[FaultKind::Stop, FaultKind::FullDisk])
+            lists.push((
+                "nothing_acknowledged_lost",
+                "the fleet has no list service that acknowledges registrations",
+            ));
+        } else if affects_members(Kind::ListService, &[FaultKind::Wipe]) {
+            lists.push(("nothing_acknowledged_lost", "a fault deletes the list service's folder"));
+        } else if affects_members(Kind::PayServers, &interruptions)
+            || affects_links(Kind::PayServers)
+            || affects_links(Kind::ListService)
+            || affects_members(Kind::ListService, &[FaultKind::Stop, FaultKind::FullDisk])
         {
             lists.push((
                 "nothing_acknowledged_lost",
-                "leases may end for want of renewals, so a server may leave",
+                "leases may expire without renewals, so a server may leave the list",
             ));
         }
         if let Some(lacks) = findings.remove(LIST_LACKS_SERVER).filter(|_| lists.is_empty()) {
@@ -68,7 +72,8 @@
             all.cases += lacks.cases;
             all.why.extend(lacks.why);
         }
-        // What the coordinators acknowledged is judged by itself; where there are none, there is only the list.
+        // The invariant also covers the coordinators' acknowledgements. It does not apply only if there are
+        // no coordinators either.
         if setup.coordinators == 0 {
             not_applicable.append(&mut lists);
         }
--- a/testing/fault-injection/src/checker/lists.rs
+++ b/testing/fault-injection/src/checker/lists.rs
@@ -1,4 +1,4 @@
-//! What gateways are told of pay servers, by the list service or its stand-in.
+//! Checks of the lists of pay servers that gateways receive from the list service or its stand-in.
 
 use super::tries::FAULT_AFTERMATH;
 use super::{seconds, Checker, LIST_LACKS_SERVER};
@@ -7,22 +7,23 @@
 use crate::history::ServerState;
 use std::collections::HashMap;
 
-/// A replica of the list service may be this far behind.
+/// Maximum replication lag of a replica of the list service.
 const MAX_REPLICA_LAG: Nanos = 6 * SECOND;
 
-/// What a gateway has been told, in one life of its process.
+/// The lists that a gateway has received since its process was started.
 #[derive(Default)]
 pub(super) struct Gateway {
     pub(super) states: HashMap<u16, (ServerState, Nanos)>,
     pub(super) store: Option<u64>,
-    /// The store may have changed since the last call.
-    pub(super) moved: bool,
+    /// Whether the store has changed since the gateway's last request.
+    pub(super) store_changed: bool,
     pub(super) since: u64,
 }
 
 impl Checker {
-    /// What a gateway was told of a server, or counts as told of: what its agent holds, from the first moment of its process, while
-    /// no fault lies between the two.
+    /// Returns the state of a server that a gateway has received or counts as having received, and since
+    /// when. The state at the platform's agent counts from the start of the gateway's process, unless a fault
+    /// affects the links to the list service.
     pub(super) fn effective_state(
         &self,
         gateway: u16,
@@ -62,13 +63,14 @@
     ) {
         let gateway_state = self.gateways.entry(gateway).or_default();
         if gateway_state.store.replace(store).is_some_and(|before| before != store) {
-            gateway_state.moved = true;
+            gateway_state.store_changed = true;
         }
         let processes = self.setup.as_ref().map_or(0, |setup| setup.list_processes);
         if full {
             let missing =
                 gateway_state.states.keys().filter(|old| !servers.iter().any(|(new, _)| new == *old)).count();
-            // What lacks most of the servers at once may be held for a while, where the list service is followed.
+            // A gateway that follows the list service may hold back a list that lacks more than half of the
+            // known servers at once, so such a list does not count as removing them.
             if processes == 0 || missing * 2 <= gateway_state.states.len() {
                 for (old, state) in &mut gateway_state.states {
                     if !servers.iter().any(|(new, _)| new == old) && state.0 != ServerState::Gone {
@@ -98,7 +100,7 @@
             if let Some((server, since)) = lacks {
                 self.broken(LIST_LACKS_SERVER, || {
                     format!(
-                        "pay_servers[{server}] was registered at {}, and the list told at {} lacks it",
+                        "pay_servers[{server}] was registered at {}, and the list sent at {} lacks it",
                         seconds(since),
                         seconds(at)
                     )
--- a/testing/fault-injection/src/checker/locks.rs
+++ b/testing/fault-injection/src/checker/locks.rs
@@ -1,17 +1,19 @@
-//! Locks of the coordination service: one owner, under tokens that rise.
+//! Checks of the coordination service's locks: one owner at a time, and rising tokens.
 
 use super::{seconds, Checker};
 use crate::deployment::Nanos;
 
-/// What is known of a lock: each grant with when its holder heard of it, and the highest token that took effect.
+/// The grants of a lock and the highest token of an accepted effect.
 #[derive(Default)]
 pub(super) struct Owned {
+    /// Time at which the holder received the grant, holder and token.
     pub(super) grants: Vec<(Nanos, u16, u64)>,
     pub(super) highest: u64,
 }
 
 impl Checker {
-    /// A lock is granted: above every token whose holder knew of it before this one asked.
+    /// Checks a grant: its token must be higher than each token whose holder received it before this
+    /// candidate sent its request.
     pub(super) fn granted(&mut self, at: Nanos, candidate: u16, lock: u16, token: u64, asked: Nanos) {
         let owned = self.locks.entry(lock).or_default();
         let not_above = owned.grants.iter().find(|(received, who, other)| {
@@ -20,7 +22,7 @@
         if let Some((received, who, other)) = not_above.copied() {
             self.broken("tokens_rise", || {
                 format!(
-                    "lock-{lock}: candidates[{candidate}] has {token} at {}, and candidates[{who}] had {other} at {}",
+                    "lock-{lock}: candidates[{candidate}] has token {token} at {}, and candidates[{who}] had {other} at {}",
                     seconds(at),
                     seconds(received)
                 )
@@ -29,14 +31,15 @@
         self.locks.entry(lock).or_default().grants.push((at, candidate, token));
     }
 
-    /// A holder holds itself for the owner: nobody may have heard of a later grant before.
+    /// Checks an action of a holder that considers itself the owner: no other candidate may have received a
+    /// later grant before.
     pub(super) fn acts(&mut self, at: Nanos, candidate: u16, lock: u16, token: u64) {
         let owned = self.locks.entry(lock).or_default();
         let later = owned.grants.iter().find(|(_, who, other)| *other > token && *who != candidate).copied();
         if let Some((received, who, other)) = later {
             self.broken("one_owner", || {
                 format!(
-                    "lock-{lock}: candidates[{candidate}] acts under {token} at {}, and candidates[{who}] has {other} since {}",
+                    "lock-{lock}: candidates[{candidate}] acts under token {token} at {}, and candidates[{who}] has {other} since {}",
                     seconds(at),
                     seconds(received)
                 )
--- a/testing/fault-injection/src/checker/mod.rs
+++ b/testing/fault-injection/src/checker/mod.rs
@@ -1,7 +1,8 @@
-//! The invariants, checked on a history alone.
+//! Checks of the invariants, based on the history alone.
 //!
-//! Each holds, is broken (with the first cases, their ids and times), or does not apply, for a stated reason. None depends on
-//! how fast the machine is: a limit in time is widened by what the harness' own clock was late.
+//! Each invariant holds, is violated (with the first cases, their ids and times), or does not apply for a
+//! stated reason. No result depends on the speed of the machine: time limits are extended by the recorded
+//! delays of the harness.
 
 mod ceilings;
 mod findings;
@@ -22,7 +23,7 @@
 use std::collections::{BTreeMap, HashMap};
 use tries::{Attempt, Try};
 
-/// The names of all invariants, as reports and scenarios have them.
+/// Names of all invariants, as used in reports.
 pub const INVARIANTS: [&str; 13] = [
     "one_final_answer",
     "never_ran_twice",
@@ -39,24 +40,25 @@
     "nothing_acknowledged_lost",
 ];
 
-/// Cases that are told of one invariant.
+/// Maximum number of reported cases of one invariant.
 const MAX_CASES: usize = 5;
 
-/// What breaks `nothing_acknowledged_lost` at the list service, until it is known whether it applies there.
+/// Internal name of the violations of `nothing_acknowledged_lost` at the list service. They are merged at the
+/// end, when it is known whether the invariant applies to the list service.
 const LIST_LACKS_SERVER: &str = "list_lacks";
 
 /// The finding on one invariant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Finding {
-    /// Whether it holds; `None` where it does not apply.
+    /// Whether the invariant holds; `None` if it does not apply.
     pub holds: Option<bool>,
-    /// Cases, or why it does not apply.
+    /// The first cases of a violation, or the reason why the invariant does not apply.
     pub why: Vec<String>,
-    /// How often it is broken.
+    /// Number of violations.
     pub cases: u64,
 }
 
-/// Checks a history, event by event.
+/// Checks the invariants on the events of a history.
 #[derive(Default)]
 pub struct Checker {
     setup: Option<Box<Setup>>,
@@ -67,8 +69,9 @@
     attempts_of_trace: HashMap<Trace, Vec<u64>>,
     closed: HashMap<u64, Nanos>,
     gateways: HashMap<u16, Gateway>,
-    /// What the platform's agents hold, and since when; and when each gateway's process was started.
+    /// The state of each server at the platform's agents, and since when it is this state.
     agent_states: HashMap<u16, (ServerState, Nanos)>,
+    /// When each gateway's process was last started or resumed.
     started: HashMap<u16, Nanos>,
     ceilings: HashMap<u32, Ceiling>,
     registered: HashMap<u16, Nanos>,
@@ -77,11 +80,11 @@
     fault_ends: HashMap<u16, Nanos>,
     crashes: Vec<(End, Nanos)>,
     locks: HashMap<u16, Owned>,
-    /// Calls on registers by their numbers, in the order of their begins.
+    /// Calls on registers by number, which is the order of their starts.
     calls: BTreeMap<u64, (u16, Call)>,
     watches: BTreeMap<u16, Vec<Watched>>,
     cases: BTreeMap<&'static str, Finding>,
-    /// Whether the history has its end.
+    /// Whether the last event of the run was observed.
     pub finished: bool,
 }
 
@@ -99,7 +102,7 @@
         }
     }
 
-    /// How much a limit that ends then is widened.
+    /// Returns the extension of a time limit that ends at this time.
     pub(super) fn slack(&self, at: Nanos) -> Nanos {
         let from = self.stalls.partition_point(|(stall, _)| *stall + SECOND < at);
         let near = self.stalls[from..].iter().take_while(|(stall, _)| *stall < at + SECOND);
@@ -140,14 +143,14 @@
             }
             Event::ListRequested { gateway, since: Some(since) } => {
                 let gateway_state = self.gateways.entry(*gateway).or_default();
-                let (before, moved) = (gateway_state.since, gateway_state.moved);
+                let (before, store_changed) = (gateway_state.since, gateway_state.store_changed);
                 gateway_state.since = *since;
-                gateway_state.moved = false;
-                if *since < before && !moved {
+                gateway_state.store_changed = false;
+                if *since < before && !store_changed {
                     let gateway = *gateway;
                     self.broken("list_never_back", || {
                         format!(
-                            "gateways[{gateway}] went from version {before} to {since} at {}",
+                            "gateways[{gateway}] went back from version {before} to {since} at {}",
                             seconds(at)
                         )
                     });
@@ -180,7 +183,7 @@
                 owned.highest = highest.max(token);
                 if token < highest {
                     self.broken("fenced", || {
-                        format!("lock-{lock}: an effect under {token} after {highest} at {}", seconds(at))
+                        format!("lock-{lock}: an effect under token {token} was accepted after one under {highest} at {}", seconds(at))
                     });
                 }
             }
--- a/testing/fault-injection/src/checker/registers.rs
+++ b/testing/fault-injection/src/checker/registers.rs
@@ -1,4 +1,5 @@
-//! Registers of the coordination service: linearizable, and nothing acknowledged is missed by a watcher.
+//! Checks of the coordination service's registers: they are linearizable, and watchers miss no acknowledged
+//! write.
 
 use super::{seconds, Checker};
 use crate::deployment::Nanos;
@@ -6,7 +7,7 @@
 use crate::linear::{self, Call, Op, Ret};
 use std::collections::BTreeMap;
 
-/// What a watcher was told in one life of its watch.
+/// The changes that a watcher has received from one watch.
 #[derive(Default)]
 pub(super) struct Watched {
     pub(super) from: u64,
@@ -15,8 +16,8 @@
 }
 
 impl Checker {
-    /// A call on a register has its answer. One of which nothing was done is as if it had never been made; so is a read that
-    /// was given up.
+    /// Records the result of a call on a register. A call without effect is dropped, as if it had never been
+    /// made. A call with an unknown result is kept without an answer.
     pub(super) fn returned(&mut self, at: Nanos, call: u64, returned: CallResult) {
         let ret = match returned {
             CallResult::Value { value, revision } => Ret::Value { value, revision },
@@ -51,7 +52,7 @@
         if since != watch.upto || upto < since || !in_order || !behind {
             self.broken("nothing_acknowledged_lost", || {
                 format!(
-                    "candidates[{watcher}] watches from {since} and is told up to {upto} out of order at {}",
+                    "candidates[{watcher}] watches from {since} and received changes up to {upto} out of order at {}",
                     seconds(at)
                 )
             });
@@ -63,30 +64,31 @@
             .extend(changes.iter().map(|(revision, register, value)| (*revision, (*register, *value))));
     }
 
-    /// Registers are linearizable, and no watcher misses what was acknowledged.
+    /// Checks that registers are linearizable, and that no watcher misses an acknowledged write.
     pub(super) fn check_registers(&mut self) {
-        let mut of: BTreeMap<u16, Vec<Call>> = BTreeMap::new();
+        let mut by_register: BTreeMap<u16, Vec<Call>> = BTreeMap::new();
         for (register, call) in std::mem::take(&mut self.calls).into_values() {
-            // A read that nobody answered says nothing.
+            // A read without an answer has no effect and proves nothing.
             if call.answer.is_some() || call.op != Op::Read {
-                of.entry(register).or_default().push(call);
+                by_register.entry(register).or_default().push(call);
             }
         }
-        for (register, calls) in &of {
+        for (register, calls) in &by_register {
             match linear::judge(calls) {
                 linear::Verdict::Linear => {}
                 linear::Verdict::Not => self.broken("nothing_acknowledged_lost", || {
-                    format!("register-{register}: no order of its {} calls explains their answers", calls.len())
+                    format!("register-{register}: no order of its {} calls explains their results", calls.len())
                 }),
                 linear::Verdict::Undecided => self.broken("nothing_acknowledged_lost", || {
-                    format!("register-{register}: it cannot be decided whether an order of its calls explains the answers")
+                    format!("register-{register}: the search for an order of its calls that explains their results is undecided")
                 }),
             }
         }
         for (watcher, watches) in std::mem::take(&mut self.watches) {
             for watch in watches {
-                for (register, call) in
-                    of.iter().flat_map(|(of, calls)| calls.iter().map(move |call| (*of, call)))
+                for (register, call) in by_register
+                    .iter()
+                    .flat_map(|(register, calls)| calls.iter().map(move |call| (*register, call)))
                 {
                     let (Op::Put { value, .. }, Some((at, Ret::Written(revision)))) = (call.op, call.answer)
                     else {
@@ -98,7 +100,7 @@
                     if watch.changes.get(&revision) != Some(&(register, value)) {
                         self.broken("nothing_acknowledged_lost", || {
                             format!(
-                                "candidates[{watcher}] was not told of revision {revision} of register-{register}, acknowledged at {}",
+                                "candidates[{watcher}] did not receive revision {revision} of register-{register}, acknowledged at {}",
                                 seconds(at)
                             )
                         });
--- a/testing/fault-injection/src/checker/tries.rs
+++ b/testing/fault-injection/src/checker/tries.rs
@@ -1,4 +1,4 @@
-//! Requests' tries and the attempts at pay servers: one final answer, nothing unsafe twice, one attempt at a time.
+//! Checks of tries and attempts: one final answer, no unsafe request runs twice, one attempt at a time.
 
 use super::{seconds, Checker};
 use crate::deployment::{DrawnFault, Nanos, DRAIN_GRACE, MAX_ATTEMPTS, SECOND, UNSAFE};
@@ -7,22 +7,22 @@
 use crate::scenario::FaultKind;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a fault does to a request is over this long after the fault.
+/// A fault can explain the loss of a request up to this long after its end.
 pub(super) const FAULT_AFTERMATH: Nanos = SECOND;
 
-/// One try of a request, at one gateway.
+/// A try of a request at a gateway.
 pub(super) struct Try {
     pub(super) request: u32,
     pub(super) trace: Trace,
     pub(super) gateway: u16,
     pub(super) began: Nanos,
     pub(super) ended: Option<(Nanos, Outcome)>,
-    /// Ends beyond the first.
+    /// Number of ends after the first one.
     pub(super) more_ends: u32,
     pub(super) afterwards: Option<(Nanos, bool)>,
 }
 
-/// One attempt of a gateway, at one pay server.
+/// An attempt of a gateway at a pay server.
 pub(super) struct Attempt {
     pub(super) trace: Trace,
     pub(super) connection: u64,
@@ -41,13 +41,16 @@
         }
         it.ended = Some((at, outcome));
         if let Outcome::Served { attempt } = outcome {
-            let made = attempt.and_then(|attempt| self.attempts.get(&attempt));
-            let belongs = made.is_some_and(|made| {
-                made.trace == trace && matches!(made.answered, Some((_, Answer::Served)))
+            let source = attempt.and_then(|attempt| self.attempts.get(&attempt));
+            let belongs = source.is_some_and(|source| {
+                source.trace == trace && matches!(source.answered, Some((_, Answer::Served)))
             });
             if !belongs {
                 self.broken("answers_belong", || {
-                    format!("{trace:016x} was served at {} with what no pay server made for it", seconds(at))
+                    format!(
+                        "{trace:016x} was served at {} with a body that no pay server sent for it",
+                        seconds(at)
+                    )
                 });
             }
         }
@@ -79,7 +82,7 @@
             if at > since + DRAIN_GRACE + self.slack(at) {
                 self.broken("drains_kept", || {
                     format!(
-                        "{trace:016x}: gateways[{gateway}] was told at {} that pay_servers[{server}] drains or is gone, \
+                        "{trace:016x}: gateways[{gateway}] received at {} that pay_servers[{server}] is draining or removed, \
                          and sent to it at {}",
                         seconds(since),
                         seconds(at)
@@ -92,14 +95,14 @@
         }
     }
 
-    /// Whether a fault explains that a try at this gateway got no answer.
+    /// Whether a fault explains that a try at this gateway received no answer.
     pub(super) fn explained_by_fault(&self, setup: &Setup, gateway: u16, from: Nanos, to: Nanos) -> bool {
         let end = End::Gateway(gateway);
         let affects = |fault: &DrawnFault| match fault.kind {
             FaultKind::Kill | FaultKind::Restart | FaultKind::Wipe | FaultKind::Stop => {
                 fault.victims.contains(&end)
             }
-            // A gateway that is told to end answers what it has taken.
+            // On SIGTERM a gateway answers all requests that it has received before it exits.
             FaultKind::Term | FaultKind::FullDisk => false,
             FaultKind::Cut | FaultKind::Delay | FaultKind::Lose | FaultKind::Duplicate => {
                 let between = |a: End, b: End| {
@@ -123,11 +126,12 @@
         for it in std::mem::take(&mut self.tries) {
             let Try { trace, gateway, began, .. } = it;
             if it.more_ends > 0 {
-                self.broken("one_final_answer", || format!("{trace:016x} has more than one end"));
+                self.broken("one_final_answer", || format!("{trace:016x} ended more than once"));
             }
             let lost = match (it.ended, it.afterwards) {
-                (None, _) => Some((Nanos::MAX, "has no end")),
-                // Whoever closes a first request unanswered has not lost it, by the operators' terms.
+                (None, _) => Some((Nanos::MAX, "never ended")),
+                // By the operators' rules a first request of a connection that is closed without an answer is
+                // not lost.
                 (Some((at, Outcome::Reset { first: false })), _) => Some((at, "was cut off unanswered")),
                 (Some((_, Outcome::TimedOut)), Some((at, false))) => Some((at, "was never answered")),
                 _ => None,
@@ -143,7 +147,7 @@
                 traces.entry(it.request).or_default().insert(trace);
             }
         }
-        // What must never run twice is the request, whichever of its tries it was.
+        // A request must not run twice, not even in different tries.
         for (request, traces) in traces {
             let ids = traces.iter().flat_map(|trace| self.attempts_of_trace.get(trace).into_iter().flatten());
             let ran = ids.filter_map(|id| self.attempts.get(id).filter(|attempt| attempt.ran));
@@ -175,7 +179,7 @@
         overlaps.sort_unstable();
         for (at, trace) in overlaps {
             self.broken("attempts_one_at_a_time", || {
-                format!("{trace:016x}: one arrived at {} while another was out", seconds(at))
+                format!("{trace:016x}: an attempt arrived at {} while another one was in flight", seconds(at))
             });
         }
     }
--- a/testing/fault-injection/src/compare.rs
+++ b/testing/fault-injection/src/compare.rs
@@ -1,4 +1,4 @@
-//! Two runs side by side; or two folders of runs, with the spread over their seeds.
+//! Comparison of two runs, or of two folders of runs with the spread over their seeds.
 
 use crate::error::RecordingError;
 use crate::figures::Summary;
@@ -9,7 +9,7 @@
 use std::fs;
 use std::path::Path;
 
-/// The runs in a folder: itself, or those in it.
+/// Returns the summary of the run in a folder, or those of the runs in its subfolders.
 fn runs(dir: &Path) -> Result<Vec<Summary>, RecordingError> {
     let unreadable = |error| RecordingError::File(dir.to_owned(), error);
     if dir.join(HISTORY).is_file() {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Every figure of a run, by its name.
+/// Returns all figures of a run by name.
 fn figures(summary: &Summary) -> BTreeMap<String, f64> {
     let mut figures = BTreeMap::new();
     flatten("", &serde_json::json!(summary), &mut figures);
@@ -58,7 +58,7 @@
     }
 }
 
-/// Median and spread of a figure over runs that have it.
+/// Returns the minimum, median and maximum of a figure over the runs that have it.
 fn quantiles_over(runs: &[BTreeMap<String, f64>], name: &str) -> Option<(f64, f64, f64)> {
     let mut values: Vec<f64> = runs.iter().filter_map(|run| run.get(name).copied()).collect();
     values.sort_by(f64::total_cmp);
@@ -69,7 +69,7 @@
 ///
 /// # Errors
 ///
-/// A folder holds no run, or one that cannot be read.
+/// A folder does not contain a run, or contains one that cannot be read.
 pub fn compare(one: &Path, other: &Path) -> Result<String, RecordingError> {
     let sides = [runs(one)?, runs(other)?];
     let figures_of_runs: Vec<Vec<_>> = sides.iter().map(|runs| runs.iter().map(figures).collect()).collect();
--- a/testing/fault-injection/src/decisions.rs
+++ b/testing/fault-injection/src/decisions.rs
@@ -1,5 +1,6 @@
-//! Decisions made in common, judged on a history alone: that none goes back, that none is published under an older token, that no
-//! zone is sent more from elsewhere than it bears; shares and books in modules of their own; and what they come to in figures.
+//! Checks and figures of the controllers' decisions, based on the history alone: no gateway goes back to an
+//! older decision, none is published under an older token, and no zone receives more from other zones than
+//! its capacity. Shares and shards have modules of their own.
 
 mod shards;
 mod shares;
@@ -10,7 +11,7 @@
 use crate::history::{DecisionKind, Event, Outcome, ProcessChange, Setup, TimedEvent, Trace, ZoneState};
 use std::collections::{BTreeMap, HashMap};
 
-/// The invariants that are judged here.
+/// The invariants that are checked here.
 pub const INVARIANTS: [&str; 8] = [
     "decision_never_back",
     "decision_fenced",
@@ -21,10 +22,10 @@
     "written_once",
     "nothing_lost_in_moves",
 ];
-/// Those that are of zones, or of all decisions.
+/// The invariants of zones and of all decisions.
 const ZONE_INVARIANTS: [&str; 3] = ["decision_never_back", "decision_fenced", "zone_never_overloaded"];
 
-/// What is broken, with the first cases of each.
+/// The violated and inapplicable invariants, with the first cases of each.
 #[derive(Default)]
 pub struct Violations(BTreeMap<&'static str, Finding>);
 
@@ -43,25 +44,26 @@
     }
 }
 
-/// What is sent to a zone from elsewhere may pass what it was decided to bear by this share: demand may grow by it before a
-/// gateway cuts what goes abroad ...
+/// Share by which the requests from other zones may exceed a zone's decided capacity: demand may grow by it
+/// before a gateway limits what it sends to other zones.
 const SLACK_SHARE: f64 = 0.25;
-/// ... and by chance by so many roots of it, and so many requests.
+/// Allowance for random variation: this many square roots of the capacity, plus this many requests.
 const CHANCE_ROOTS: f64 = 4.0;
-/// A decision that was followed by another one may still be gone by for this long.
+/// Time for which gateways may still apply a decision after the next one was published.
 const MAX_DECISION_LAG: Nanos = 3 * SECOND;
+/// Maximum number of reported cases of one invariant.
 const MAX_CASES: usize = 5;
 
-/// Figures of decisions; null where they do not apply.
+/// Figures of decisions; `None` where they do not apply.
 #[derive(Clone, Debug, Default)]
 pub struct DecisionFigures {
     /// The share of attempts that went to a pay server of the gateway's own zone.
     pub near_share: Option<f64>,
-    /// Time from the first fault's begin to the first decision that has a zone out, in milliseconds.
+    /// Time from the start of the first fault to the first decision that fails a zone over, in milliseconds.
     pub time_to_failover_ms: Option<u64>,
-    /// Time from the last fault's end to the first decision that has all zones serve again, in milliseconds.
+    /// Time from the end of the last fault to the first decision with all zones serving, in milliseconds.
     pub time_to_return_ms: Option<u64>,
-    /// Decisions under older tokens that were rejected.
+    /// Number of decisions that were refused because they came too late.
     pub late_decisions_refused: Option<u64>,
     /// Figures of the shares.
     pub shares: shares::ShareFigures,
@@ -69,19 +71,21 @@
     pub shards: shards::ShardFigures,
 }
 
-/// Checks what is decided in common.
+/// Checks the decisions in a history.
 #[derive(Default)]
 pub struct DecisionChecker {
     setup: Option<Box<Setup>>,
     violations: Violations,
     shares: shares::ShareChecker,
     shards: shards::ShardChecker,
-    /// Which decision of each duty each gateway goes by, in one life of its process.
+    /// Token and revision of the decision of each kind that each gateway applies, since its process was
+    /// started.
     applied: HashMap<(u16, DecisionKind), (u64, u64)>,
+    /// Token and revision of the last published decision of each kind.
     last: BTreeMap<DecisionKind, (u64, u64)>,
-    /// What each zone was decided to bear, and when.
+    /// The decided capacities of each zone, and the times of the decisions.
     capacities: Vec<Vec<(Nanos, f64)>>,
-    /// Arrivals at each zone from elsewhere, by second.
+    /// Number of arrivals at each zone from other zones, by second.
     cross_zone: HashMap<(usize, u64), u64>,
     traces: HashMap<Trace, u32>,
     same_zone: u64,
@@ -130,7 +134,7 @@
                 if let Some(before) = before.filter(|before| *before > now) {
                     self.violations.add("decision_never_back", || {
                         format!(
-                            "gateways[{gateway}] went from {before:?} to {now:?} of {kind:?} at {:.3} s",
+                            "gateways[{gateway}] went back from {before:?} to {now:?} of {kind:?} at {:.3} s",
                             seconds(at)
                         )
                     });
@@ -178,7 +182,7 @@
         let (from, to) = (usize::from(gateway) % n, usize::from(server) % n);
         self.sends += 1;
         self.same_zone += u64::from(from == to);
-        // A repeat goes wherever anything may go; a decision shares out first attempts.
+        // Only first attempts count: repeated attempts are not limited by the decided capacities.
         let tries = self.traces.entry(trace).or_default();
         *tries += 1;
         if *tries == 1 && from != to && !self.capacities.iter().all(Vec::is_empty) {
@@ -186,7 +190,7 @@
         }
     }
 
-    /// The most that a zone was decided to bear by any decision that may have been gone by in a second.
+    /// Returns the highest capacity of a zone in any decision that gateways may have applied in a second.
     fn max_capacity(&self, zone: usize, second: u64) -> Option<f64> {
         let (from, to) = ((second * SECOND).saturating_sub(MAX_DECISION_LAG), (second + 1) * SECOND);
         let all = self.capacities.get(zone)?;
@@ -198,21 +202,21 @@
             .reduce(f64::max)
     }
 
-    /// What holds of decisions, and figures.
+    /// Returns the findings on the invariants, and the figures.
     pub fn findings(mut self) -> (BTreeMap<&'static str, Finding>, DecisionFigures) {
         let controllers = self.setup.as_ref().map_or(0, |setup| setup.controllers);
         let over: Vec<(usize, u64, u64, f64)> = self
             .cross_zone
             .iter()
             .filter_map(|((zone, second), sent)| {
-                let capacities = self.max_capacity(*zone, *second)?;
-                let most = capacities * (1.0 + SLACK_SHARE) + CHANCE_ROOTS * capacities.sqrt() + CHANCE_ROOTS;
-                (*sent as f64 > most).then_some((*zone, *second, *sent, capacities))
+                let capacity = self.max_capacity(*zone, *second)?;
+                let most = capacity * (1.0 + SLACK_SHARE) + CHANCE_ROOTS * capacity.sqrt() + CHANCE_ROOTS;
+                (*sent as f64 > most).then_some((*zone, *second, *sent, capacity))
             })
             .collect();
-        for (zone, second, sent, capacities) in over {
+        for (zone, second, sent, capacity) in over {
             self.violations.add("zone_never_overloaded", || {
-                format!("zone {zone} bears {capacities:.1} a second and was sent {sent} from elsewhere in second {second}")
+                format!("zone {zone} has a capacity of {capacity:.1} a second and received {sent} from other zones in second {second}")
             });
         }
         if controllers == 0 {
--- a/testing/fault-injection/src/decisions/shards.rs
+++ b/testing/fault-injection/src/decisions/shards.rs
@@ -1,17 +1,18 @@
-//! Books, judged on a history alone: no write under an older epoch once a range has moved, each write in one cell or in none, and
-//! what was acknowledged is where its book is.
+//! Checks of shards, based on the history alone: no write under an older epoch after a shard was migrated,
+//! each write in at most one cell, and each acknowledged write at the cell that owns its shard.
 
 use super::Violations;
 use crate::deployment::{Nanos, MS, SECOND, UNSAFE};
 use crate::history::{Event, Outcome, Setup, ShardRecord, ShardStep, TimedEvent, Trace};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Firms are numbers under this.
+/// Upper bound of firm ids, exclusive.
 const FIRM_END: u64 = 1 << 33;
-/// A range that moved again within this before the run's end is not judged by where its writes are: their copy is on its way.
+/// Shards that are being migrated when the run ends are not checked for lost writes if the shard map changed
+/// within this time before the end, because the copy may still be in progress.
 const END_GRACE: Nanos = SECOND;
 
-/// Figures; null where they do not apply.
+/// Figures of shards; `None` where they do not apply.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShardFigures {
     pub moves: Option<u64>,
@@ -25,14 +26,14 @@
     firms: Vec<u64>,
     servers: Vec<u16>,
     map: Vec<ShardRecord>,
-    /// The epoch under which each range was shut for good: from when on a lower one must not be admitted.
+    /// By the first firm of a range: the epoch below which writes must be rejected, and since when.
     drained: BTreeMap<u64, (u64, Nanos)>,
-    /// Since when a book takes no pay run.
-    shut: HashMap<u64, Nanos>,
+    /// By the first firm of a shard: since when it accepts no pay runs.
+    closed_since: HashMap<u64, Nanos>,
     moves: u64,
     longest_pause: Nanos,
     refused: u64,
-    /// Of each write that was admitted: its cell, and whose it is.
+    /// The cell and the firm of each accepted write, by attempt.
     writes: HashMap<u64, (u16, u64)>,
     attempts: HashMap<u64, Trace>,
     ran: HashMap<Trace, HashSet<u16>>,
@@ -82,7 +83,7 @@
                     let (required, since) = (*required, *since);
                     violations.add("no_write_to_moved_range", || {
                         format!(
-                            "attempt {attempt}: firm {firm} was written at cells[{cell}] under epoch {epoch} at {:.3} s, and {required} was due since {:.3} s",
+                            "attempt {attempt}: firm {firm} was written at cells[{cell}] under epoch {epoch} at {:.3} s, and {required} was required since {:.3} s",
                             seconds(at),
                             seconds(since)
                         )
@@ -110,17 +111,17 @@
             let end = shards.get(i + 1).map_or(FIRM_END, |next| next.first);
             let open = shard.step <= ShardStep::Planned;
             if open {
-                if let Some(since) = self.shut.remove(&shard.first) {
+                if let Some(since) = self.closed_since.remove(&shard.first) {
                     self.longest_pause = self.longest_pause.max(at - since);
                     self.moves += 1;
                 }
             } else {
-                self.shut.entry(shard.first).or_insert(at);
+                self.closed_since.entry(shard.first).or_insert(at);
             }
-            // From `drained` on nothing under the epoch before may take effect.
-            let shut = shard.step >= ShardStep::Drained || (open && shard.epoch > 1);
+            // From the step `Drained` on no write under an earlier epoch may take effect.
+            let closed = shard.step >= ShardStep::Drained || (open && shard.epoch > 1);
             let known = self.drained.range(..=shard.first).next_back().map_or(0, |(_, (epoch, _))| *epoch);
-            if shut && known < shard.epoch {
+            if closed && known < shard.epoch {
                 let after = self.drained.range(..end).next_back().map_or((0, 0), |(_, after)| *after);
                 self.drained.retain(|first, _| !(shard.first..end).contains(first));
                 self.drained.insert(shard.first, (shard.epoch, at));
@@ -135,7 +136,7 @@
     pub fn findings(mut self, violations: &mut Violations) -> ShardFigures {
         if !self.applies {
             for name in ["no_write_to_moved_range", "written_once", "nothing_lost_in_moves"] {
-                violations.does_not_apply(name, "the fleet has no books");
+                violations.does_not_apply(name, "the fleet has no shard map");
             }
             return ShardFigures::default();
         }
@@ -143,13 +144,13 @@
             violations.add("written_once", || format!("{trace:016x} was written in cells {cells:?}"));
         }
         if self.wiped {
-            violations.does_not_apply("nothing_lost_in_moves", "what was kept was wiped");
+            violations.does_not_apply("nothing_lost_in_moves", "a fault deletes the stored writes");
         } else {
             let served = std::mem::take(&mut self.served);
             for (trace, firm) in served {
                 let Some(shard) = self.shard(firm).copied() else { continue };
                 let held = self.holds.get(&trace).cloned().unwrap_or_default();
-                // Copied: the new one has it; before, the old one.
+                // From the step `Copied` on the new cell has the data; before, the old one does.
                 let late = self.changed + END_GRACE > self.end && shard.step != ShardStep::Stable;
                 let there = if shard.step == ShardStep::Copied { shard.to } else { shard.cell };
                 if !late && !held.contains(&there) {
--- a/testing/fault-injection/src/decisions/shares.rs
+++ b/testing/fault-injection/src/decisions/shares.rs
@@ -1,5 +1,5 @@
-//! Shares, judged on a history alone, beside the exact weighted max-min solution: the sum within the capacity, each firm's least
-//! share, the distance from what would be exact.
+//! Checks of fair shares, based on the history alone, against the exact weighted max-min solution: the sum is
+//! within the capacity, each firm receives its minimum share, and the deviation from the exact solution.
 
 use super::Violations;
 use crate::deployment::{Nanos, MS, SECOND};
@@ -7,17 +7,23 @@
 use marblecroft_fair_share_reference::{max_min_shares, Firm};
 use std::collections::{HashMap, HashSet};
 
-/// What is asked and sent is looked at over this long: a second holds a request or two of a firm.
+/// Length of the windows over which demand and sent requests are summed, in seconds. A second is too short,
+/// because it has only one or two requests of a firm.
 const WINDOW_SECONDS: usize = 4;
-/// The sum may pass the capacity by the owner's slack, and by what firms' stores hold: a second's worth in a window.
+/// Share by which the sum may exceed the capacity, which is the slack of the controllers' decisions. In
+/// addition the firms' token buckets may release one second's worth in a window. It is also the deviation from
+/// the exact solution up to which shares count as settled after a shift of demand.
 const SLACK_SHARE: f64 = 0.05;
-/// After a fault began or was over, after a shift, and at the begin, shares move for this long.
+/// Time for which shares may be in transition after the start or end of a fault, a shift of demand, and the
+/// start of the load.
 const TRANSITION: Nanos = 8 * SECOND;
-/// Of a firm's least share so much has to reach it, less what chance does: requests come in whole, and so many roots of them.
+/// Part of its minimum share that a firm must receive, less the allowance for random variation and one
+/// request, because requests are whole.
 const FLOOR_SHARE: f64 = 0.75;
+/// Allowance for random variation, in square roots of the expected number of requests.
 const CHANCE_ROOTS: f64 = 3.0;
 
-/// Figures; null where they do not apply.
+/// Figures of fair shares; `None` where they do not apply.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShareFigures {
     pub share_error: Option<f64>,
@@ -33,10 +39,11 @@
     customers: HashMap<u32, u32>,
     traces: HashMap<Trace, u32>,
     arrived: HashSet<Trace>,
-    /// By second of the load and firm: asked, and sent on.
+    /// Number of requests by second of the load and firm.
     asked: Vec<Vec<f64>>,
+    /// Number of requests that were sent to pay servers, by second of the load and firm.
     sent: Vec<Vec<f64>>,
-    /// What all may send on, and when that was decided.
+    /// The capacity that all firms together may use, and when it was decided.
     capacity: Vec<(Nanos, f64)>,
     moved: Vec<Nanos>,
     end: Nanos,
@@ -48,7 +55,7 @@
         self.from = setup.load_from;
         self.end = setup.load_from + setup.duration;
         self.shift = setup.demand_shift_at.map(|at| setup.load_from + at);
-        // What each pays by what it has contracted, as gateways weigh it.
+        // A firm's weight is its price times its contracted rate, as in the gateways.
         let weight = |plan: &u8| setup.quotas.get(usize::from(*plan)).map_or(0.0, |q| q.price * q.rate);
         self.weights = setup.plans.iter().map(weight).collect();
         self.moved.push(setup.load_from);
@@ -83,7 +90,7 @@
                     self.traces.insert(*trace, *customer);
                 }
             }
-            // A further attempt of a try is no further share.
+            // Only the first attempt of a try counts towards the share.
             Event::Arrived { trace, .. } if self.arrived.insert(*trace) => {
                 if let (Some(second), Some(customer)) = (self.second(at), self.traces.get(trace).copied()) {
                     self.sent[second][customer as usize] += 1.0;
@@ -95,7 +102,7 @@
         }
     }
 
-    /// The most that may have been decided for a window.
+    /// Returns the highest capacity that was in force in a window.
     fn capacity_in(&self, from: Nanos, to: Nanos) -> Option<f64> {
         let first = self.capacity.partition_point(|(at, _)| *at <= from).saturating_sub(1);
         let within = self.capacity[first..].iter().take_while(|(at, _)| *at < to);
@@ -120,7 +127,8 @@
         for second in 0..self.sent.len().saturating_sub(WINDOW_SECONDS - 1) {
             let from = self.from + second as Nanos * SECOND;
             let to = from + WINDOW_SECONDS as Nanos * SECOND;
-            // What was decided before the load began is what shares begin from.
+            // A decision from before the load applies to the first windows; windows without a decision are
+            // skipped.
             let Some(capacity) = self.capacity_in(from, to) else { continue };
             let asked = ShareChecker::sums(&self.asked[second..second + WINDOW_SECONDS]);
             let sent = ShareChecker::sums(&self.sent[second..second + WINDOW_SECONDS]);
@@ -129,7 +137,7 @@
             let calm = self.moved.iter().all(|moved| to <= *moved || from >= *moved + TRANSITION);
             if sum > most + CHANCE_ROOTS * most.sqrt() {
                 violations.add("shares_within_capacity", || {
-                    format!("{sum} were sent on in the {WINDOW_SECONDS} s from second {second}, and all may send {capacity:.1} a second")
+                    format!("{sum} were sent on in the {WINDOW_SECONDS} s from second {second}, and all firms may send {capacity:.1} a second")
                 });
             }
             let firms: Vec<Firm> = asked
@@ -146,7 +154,7 @@
                     let least = firm_demand.demand.min(capacity * seconds * firm_demand.weight / all);
                     if *sent < FLOOR_SHARE * least - CHANCE_ROOTS * least.sqrt() - 1.0 {
                         violations.add("share_floor", || {
-                            format!("firm {firm} was sent on {sent} in the {WINDOW_SECONDS} s from second {second}, and its least share is {least:.1}")
+                            format!("firm {firm} had {sent} sent on in the {WINDOW_SECONDS} s from second {second}, and its minimum share is {least:.1}")
                         });
                     }
                 }
--- a/testing/fault-injection/src/deployment.rs
+++ b/testing/fault-injection/src/deployment.rs
@@ -1,5 +1,6 @@
-//! What a scenario and a seed come to: who the customers are, how fast each server is, what each gateway is told, and whom
-//! each fault strikes. The same scenario and seed give the same deployment, load and faults, on every machine.
+//! Draws a deployment from a scenario and a seed: the customers, the speed of each server, the settings of
+//! each gateway and the victims of each fault. The same scenario and seed give the same deployment, load and
+//! faults on every machine.
 
 use crate::endpoint::{End, Kind};
 use crate::scenario::tenancy::Tenants;
@@ -12,15 +13,16 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// Nanoseconds, since the run's begin where it is an instant.
+/// Nanoseconds; since the start of the run if the value is an instant.
 pub type Nanos = u64;
 
-/// A millisecond.
+/// A millisecond in nanoseconds.
 pub const MS: Nanos = 1_000_000;
-/// A second.
+/// A second in nanoseconds.
 pub const SECOND: Nanos = 1_000 * MS;
 
-/// What chance is drawn for; each has a stream of its own, so that a draw more for one moves no other.
+/// Purposes of random numbers. Each one has a stream of its own, so that an additional draw for one purpose
+/// does not change the values of the others.
 #[derive(Clone, Copy)]
 pub enum RandomStream {
     /// Customers, pay servers and gateways.
@@ -29,11 +31,11 @@
     Faults,
     /// Arrivals of requests.
     Arrivals,
-    /// Work of the requests.
+    /// Work of the requests at pay servers.
     Servers,
     /// Delays and losses of the links.
     Links,
-    /// The counter.
+    /// The shared counter.
     Counter,
     /// Candidates for locks.
     Candidates,
@@ -41,50 +43,50 @@
     Registers,
 }
 
-/// Returns the random numbers of a stream.
+/// Returns the random number generator of a stream.
 pub fn random_stream(seed: u64, stream: RandomStream) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(stream as u64 + 1);
     rng
 }
 
-/// A client firm: its plan, how much it asks, and through which gateways.
+/// A client firm: its plan, its demand and its gateways.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
-    /// Its number in requests.
+    /// Id of the firm in requests.
     pub id: u64,
-    /// Index of its plan.
+    /// Index of the firm's plan.
     pub plan: usize,
-    /// Its requests, as a share of all.
+    /// Its demand, as a share of all requests.
     pub weight: f64,
-    /// Its first gateway.
+    /// Number of the first gateway in its set.
     pub first_gateway: u16,
-    /// How its requests are spread over the gateways from `first` on; as many as its set has.
+    /// Weights of the gateways in its set, which are consecutive from `first_gateway` on.
     pub gateway_weights: Vec<f64>,
-    /// Its requests, and its first gateway, once demand has moved.
+    /// Its demand and its first gateway after the shift of demand.
     pub after_shift: (f64, u16),
-    /// It comes again at once when refused.
+    /// Whether it retries at once after a refusal.
     pub greedy: bool,
 }
 
-/// A plan's figures, scaled to the load.
+/// The limits and prices of a plan, scaled to the load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Its name.
+    /// Name of the plan.
     pub name: String,
     /// Units a second.
     pub rate: f64,
     /// Depth of the token bucket, in units.
     pub burst: f64,
-    /// Worth of a unit within the quota.
+    /// Price of a unit within the quota.
     pub price: f64,
-    /// Cost of a unit beyond it.
+    /// Cost of a unit beyond the quota.
     pub over_cost: f64,
-    /// Attempts at once; 0 for no such bound.
+    /// Maximum number of concurrent attempts; 0 for no limit.
     pub open: u32,
     /// The hard ceiling in units a second; 0 for none.
     pub ceiling_rate: f64,
-    /// Depth of the ceiling, in units.
+    /// Depth of the ceiling's token bucket, in units.
     pub ceiling_depth: f64,
     /// How far the ceiling may be exceeded, in units.
     pub ceiling_slack: f64,
@@ -93,46 +95,46 @@
 /// A pay server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PayServer {
-    /// Its id in lists.
+    /// Id of the server in lists.
     pub id: String,
-    /// Index of its zone.
+    /// Index of the server's zone.
     pub zone: usize,
-    /// Its cell.
+    /// Number of the server's cell.
     pub cell: u32,
-    /// Its speed, against one core of the reference.
+    /// Speed relative to a reference core.
     pub speed: f64,
 }
 
-/// A fault with its victims drawn.
+/// A fault whose victims are drawn.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DrawnFault {
-    /// What happens.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// When it begins, in nanoseconds after the load's begin.
+    /// Start of the fault, in nanoseconds after the start of the load.
     pub at: Nanos,
-    /// When it is undone, if it ever is.
+    /// End of the fault; `None` if it is permanent.
     pub until: Option<Nanos>,
-    /// Whom it strikes.
+    /// The processes and stand-ins that the fault affects.
     pub victims: Vec<End>,
-    /// The lock whose owner is the victim, or `leader`, found when the fault begins; and the same for the other side.
+    /// The lock or role whose owner is the victim, or `leader`. The owner is looked up when the fault starts.
     pub owner: Option<String>,
-    /// The lock or role whose owner is on the other side.
+    /// The lock or role whose owner is the other side of a fault of links.
     pub from_owner: Option<String>,
-    /// The other side of a fault of links; empty: all others.
+    /// The other side of a fault of links; empty for all others.
     pub from: Vec<End>,
     /// Whether only one direction fails.
     pub one_way: bool,
     /// Whether connections are reset.
     pub reset: bool,
-    /// Delay each way, in nanoseconds.
+    /// Delay in each direction, in nanoseconds.
     pub delay: Nanos,
-    /// The most that is added to it at random, in nanoseconds.
+    /// Maximum random delay on top of `delay`, in nanoseconds.
     pub jitter: Nanos,
     /// Share of the datagrams that are lost or duplicated.
     pub probability: f64,
 }
 
-/// All that is drawn.
+/// A drawn deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
     /// The customers.
@@ -147,20 +149,20 @@
     pub faults: Vec<DrawnFault>,
 }
 
-/// Classes by number.
+/// The class that may run more than once.
 pub const SAFE: u8 = 0;
 /// The class that must never run twice.
 pub const UNSAFE: u8 = 1;
-/// The names of the classes.
+/// Names of the classes, by number.
 pub const CLASSES: [&str; 2] = ["payslip-read", "pay-run-submit"];
 
-/// A request is tried at four servers at the most.
+/// Maximum number of attempts of a request.
 pub const MAX_ATTEMPTS: u32 = 4;
-/// A server that drains may still be sent to for this time.
+/// Time for which gateways may still send to a draining server.
 pub const DRAIN_GRACE: Nanos = 500 * MS;
-/// Limits that the rules give are this much longer on sockets.
+/// Extension of the rules' time limits for the delays of sockets.
 pub const SOCKET_SLACK: Nanos = 50 * MS;
-/// Pause between two reports of the meter.
+/// Interval between two reports of the meter.
 pub const METER_PERIOD: Nanos = 500 * MS;
 
 impl Deployment {
@@ -189,12 +191,12 @@
         Ok(Deployment { customers, quotas, servers, gateway_seeds, faults })
     }
 
-    /// When the last fault is over: undone, or done where it is for good.
+    /// Returns the end of the last fault; a permanent fault counts with its start.
     pub fn last_fault_end(&self) -> Option<Nanos> {
         self.faults.iter().map(|fault| fault.until.unwrap_or(fault.at)).max()
     }
 
-    /// The settings object of a gateway, as the published pages have it.
+    /// Returns the settings object of a gateway, in the published format.
     pub fn settings(&self, scenario: &Scenario, gateway: u16) -> Value {
         let site = &scenario.site;
         let ns = |ms: u64| ms * MS;
@@ -232,29 +234,29 @@
     }
 }
 
-/// A positive figure about a mean.
+/// Draws a positive value with this mean and coefficient of variation.
 pub fn sample_gamma(mean: f64, cv: f64, rng: &mut impl Rng) -> f64 {
     if cv <= 0.0 {
         return mean;
     }
     let shape = 1.0 / (cv * cv);
-    // Parameters are positive, as the scenario's bounds see to.
+    // The scenario's validation ensures that the parameters are positive.
     Gamma::new(shape, mean / shape).map_or(mean, |gamma| gamma.sample(rng).max(mean * 1e-3))
 }
 
-/// Customers of each plan, as many as give it its share of the use; then quotas are scaled so that the load is what these
-/// customers ask for.
+/// Draws customers for each plan, in such numbers that the plan has its share of the usage. The quotas are
+/// scaled so that the demand of these customers equals the load.
 fn draw_customers(scenario: &Scenario, rng: &mut ChaCha8Rng) -> (Vec<Customer>, Vec<Quota>) {
     let (site, load, gateways) = (&scenario.site, &scenario.load, scenario.entry_count() as usize);
     let needed: Vec<f64> = site.plans.iter().map(|plan| plan.share / plan.rate).collect();
     let all: f64 = needed.iter().sum();
     let mut customers = Vec::new();
-    let mut passed = 0.0;
+    let mut cumulative = 0.0;
     for (plan, need) in needed.iter().enumerate() {
-        passed += need / all;
-        let upto = (passed * f64::from(load.customers)).round() as usize;
+        cumulative += need / all;
+        let upto = (cumulative * f64::from(load.customers)).round() as usize;
         while customers.len() < upto {
-            // Most stay well under their quota, some use nearly all of it, a few ask for far more.
+            // Most customers stay well below their quota, some use nearly all of it, a few request far more.
             let use_of_quota = match rng.random::<f64>() {
                 x if x < 0.70 => rng.random_range(0.16..0.36),
                 x if x < 0.91 => rng.random_range(0.8..0.95),
@@ -274,16 +276,16 @@
             });
         }
     }
-    let asked: f64 = customers.iter().map(|customer| customer.weight).sum();
-    let scale = load.rate / asked;
+    let demand: f64 = customers.iter().map(|customer| customer.weight).sum();
+    let scale = load.rate / demand;
     for customer in &mut customers {
-        customer.weight /= asked;
+        customer.weight /= demand;
         customer.after_shift = (customer.weight, customer.first_gateway);
     }
     customers.shuffle(rng);
     let quotas = site.plans.iter().map(|plan| {
         let rate = plan.rate * scale;
-        // A plan too small for a burst of one request could never be served.
+        // A bucket that holds less than one request would never admit any.
         let burst = (rate * plan.burst_s).max(1.0);
         let depth = if plan.ceiling > 0.0 { (rate * plan.ceiling * 1.3).max(2.0) } else { 0.0 };
         Quota {
@@ -301,13 +303,14 @@
     (customers, quotas.collect())
 }
 
-/// The quota of a firm whose shares are decided in common, against its part of the load: shares are to bind before it.
+/// Quota of a firm with fair shares, relative to its part of the load. It is large enough that the fair share
+/// limits the firm first.
 const QUOTA_HEADROOM: f64 = 4.0;
-/// What a greedy firm asks for, against its part.
+/// Demand of a greedy firm, relative to its part of the load.
 const GREEDY_DEMAND_FACTOR: f64 = 5.0;
 
-/// Firms with weights in turn, a plan for each weight: contracted by weight, at one price, so that nobody's worth goes before
-/// another's.
+/// Draws firms with round-robin weights and a plan for each weight. Quotas are proportional to the weights,
+/// and all prices are equal, so that no firm has priority because of its price.
 fn draw_firms(scenario: &Scenario, tenants: &Tenants, rng: &mut ChaCha8Rng) -> (Vec<Customer>, Vec<Quota>) {
     let (load, gateways) = (&scenario.load, scenario.entry_count() as usize);
     let weight = |i: usize| tenants.weights[i % tenants.weights.len()];
@@ -318,24 +321,24 @@
     let mut customers: Vec<Customer> = (0..tenants.firms as usize)
         .map(|i| {
             let greedy = i < tenants.greedy as usize;
-            let asks =
+            let demand =
                 weight(i) / all * if greedy { GREEDY_DEMAND_FACTOR } else { rng.random_range(0.3..1.5) };
             let most = if gateways <= 4 { 4 } else { 9 };
             let size = rng.random_range(2..=most).min(gateways);
             Customer {
                 id: rng.random_range(0..1u64 << 33),
                 plan: plans.iter().position(|plan| *plan == weight(i)).unwrap_or(0),
-                weight: asks,
+                weight: demand,
                 first_gateway: rng.random_range(0..gateways) as u16,
                 gateway_weights: (0..size)
                     .map(|_| rng.random_range(0.2f64..1.0).powf(scenario.site.skew))
                     .collect(),
-                after_shift: (asks, rng.random_range(0..gateways) as u16),
+                after_shift: (demand, rng.random_range(0..gateways) as u16),
                 greedy,
             }
         })
         .collect();
-    // Others ask for what each asked for before, by weight.
+    // After the shift each firm has the demand per weight that another firm had before.
     let mut factors: Vec<f64> = customers.iter().enumerate().map(|(i, c)| c.weight / weight(i)).collect();
     factors.shuffle(rng);
     for (i, (customer, factor)) in customers.iter_mut().zip(factors).enumerate() {
@@ -367,8 +370,8 @@
 
 fn draw_faults(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Result<Vec<DrawnFault>, ScenarioError> {
     let mut drawn: Vec<DrawnFault> = Vec::new();
-    // Until when each is down or stopped, and by which fault.
-    let mut held: BTreeMap<End, Vec<(Nanos, Nanos, usize)>> = BTreeMap::new();
+    // Start, end and number of each fault during which a process is down or suspended.
+    let mut outages: BTreeMap<End, Vec<(Nanos, Nanos, usize)>> = BTreeMap::new();
     for (i, fault) in scenario.faults.iter().enumerate() {
         let victims = members(scenario, &fault.target);
         let count = match (fault.share, fault.count) {
@@ -380,17 +383,17 @@
             index::sample(rng, victims.len(), count.min(victims.len())).iter().map(|k| victims[k]).collect();
         chosen.sort_unstable();
         let at = fault.at_ms * MS;
-        // A restart has its process back at once, or after the time that is named.
-        let back = matches!(fault.kind, FaultKind::Restart | FaultKind::Wipe);
-        let until = fault.for_ms.map(|ms| at + ms * MS).or(back.then_some(at));
+        // A restarted process starts again at once, or after the fault's duration.
+        let restarts = matches!(fault.kind, FaultKind::Restart | FaultKind::Wipe);
+        let until = fault.for_ms.map(|ms| at + ms * MS).or(restarts.then_some(at));
         if !fault.kind.of_links() && fault.kind != FaultKind::FullDisk {
             for &victim in &chosen {
-                let spans = held.entry(victim).or_default();
+                let spans = outages.entry(victim).or_default();
                 let end = until.unwrap_or(Nanos::MAX).max(at + 1);
                 if let Some((.., other)) = spans.iter().find(|(a, b, _)| *a < end && at < *b) {
                     return Err(ScenarioError::invalid(
                         format!("fault[{i}].target"),
-                        format!("{victim} is held by fault[{other}] at that time"),
+                        format!("{victim} is already down or stopped by fault[{other}] at that time"),
                     ));
                 }
                 spans.push((at, end, i));
@@ -415,8 +418,8 @@
 }
 
 fn probability(fault: &Fault) -> f64 {
-    let usual = if matches!(fault.kind, FaultKind::Lose | FaultKind::Duplicate) { 0.3 } else { 0.0 };
-    fault.probability.unwrap_or(usual)
+    let default = if matches!(fault.kind, FaultKind::Lose | FaultKind::Duplicate) { 0.3 } else { 0.0 };
+    fault.probability.unwrap_or(default)
 }
 
 fn members(scenario: &Scenario, target: &Target) -> Vec<End> {
@@ -428,7 +431,7 @@
             .flat_map(|kind| (0..scenario.count(kind)).filter_map(move |i| End::of(kind, i)))
             .filter(|end| scenario.zone_of(*end).is_some_and(|zone| scenario.is_zone_in(zone, target)))
             .collect(),
-        // Found when the fault begins.
+        // Looked up when the fault starts.
         Target::Owner(_) => Vec::new(),
     }
 }
--- a/testing/fault-injection/src/draw.rs
+++ b/testing/fault-injection/src/draw.rs
@@ -1,7 +1,8 @@
-//! A scenario drawn from a site file's ranges: the operators publish their sites as ranges, and each seed is another day.
+//! Draws a scenario from a site file: the operators publish their sites as ranges of values, and each seed
+//! draws another day.
 //!
-//! Keys that the lab has no use for are passed over, as the file is the operators' and not the lab's; a range that is upside
-//! down, or not a number where one is needed, is refused with its name.
+//! Unknown keys are ignored, because the operators define the file's format, not this program. An inverted
+//! range, or a value that is not a number where one is needed, is rejected with the name of its field.
 
 use crate::deployment::{random_stream, RandomStream};
 use crate::endpoint::Kind;
@@ -12,7 +13,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
 
-/// A figure: fixed, or drawn from a range.
+/// A value that is fixed, or drawn from a range.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(untagged)]
 enum Range {
@@ -51,7 +52,7 @@
     balancers: Range,
 }
 
-/// Shares of what the fleet can do.
+/// The load of days without and with troubles, as shares of the fleet's capacity.
 #[derive(Deserialize)]
 struct Loads {
     quiet: Range,
@@ -179,10 +180,10 @@
 }
 
 quick_error! {
-    /// Why no scenario can be drawn from a site file. Each is one line that names the field.
+    /// A site file that no scenario can be drawn from. The text is one line that names the field.
     #[derive(Debug)]
     pub enum SiteFileError {
-        /// The file is no TOML, or has a value of another type.
+        /// The file is not TOML, or lacks a key or has a value of the wrong type.
         Syntax(line: usize, message: String) {
             display("line {}: {}", line, message)
         }
@@ -190,13 +191,13 @@
         Invalid(field: String, reason: String) {
             display("{}: {}", field, reason)
         }
-        /// What was drawn is no scenario that can be used.
+        /// The drawn scenario cannot be used.
         Scenario(error: ScenarioError) {
             display("{}", error)
             source(error)
             from()
         }
-        /// The scenario cannot be written.
+        /// The scenario cannot be encoded.
         Encode(error: toml::ser::Error) {
             display("{}", error)
             source(error)
@@ -209,7 +210,7 @@
     SiteFileError::Invalid(field.into(), reason.into())
 }
 
-/// Draws from ranges, and tells by name which one cannot be drawn from.
+/// Draws values from ranges. Errors name the range.
 struct RangeSampler {
     rng: ChaCha8Rng,
 }
@@ -218,11 +219,11 @@
     fn sample(&mut self, name: &str, range: Range) -> Result<f64, SiteFileError> {
         let [least, most] = match range {
             Range::Fixed(value) => [value, value],
-            Range::Between(cores) => cores,
+            Range::Between(bounds) => bounds,
         };
         match least <= most && least.is_finite() && most.is_finite() {
             true => Ok(least + (most - least) * self.rng.random::<f64>()),
-            false => Err(invalid(name, format!("[{least}, {most}] is upside down"))),
+            false => Err(invalid(name, format!("the range [{least}, {most}] is inverted or not finite"))),
         }
     }
 
@@ -235,7 +236,7 @@
     }
 }
 
-/// Returns a scenario, as the text of its file, that is drawn from a site file's ranges.
+/// Draws a scenario from the ranges of a site file and returns it as the text of a scenario file.
 ///
 /// # Errors
 ///
@@ -248,22 +249,22 @@
     let mut sampler = RangeSampler { rng: random_stream(seed, RandomStream::Deployment) };
     let scenario = scenario(&site, &mut sampler)?;
     let text = toml::to_string(&scenario)?;
-    // What is drawn must be what the lab takes.
+    // Parsed again to check that the drawn scenario is valid.
     Scenario::parse(&text)?;
     Ok(format!("# Drawn with seed {seed}.\n{text}"))
 }
 
 fn scenario(site: &SiteFile, sampler: &mut RangeSampler) -> Result<Scenario, SiteFileError> {
     let mut drawn = Scenario::default();
-    let tier = site.tier.first().ok_or_else(|| invalid("tier", "the site has none"))?;
-    let machine = tier.kind.first().ok_or_else(|| invalid("tier.kind", "the tier has none"))?;
+    let tier = site.tier.first().ok_or_else(|| invalid("tier", "the site has no tier"))?;
+    let machine = tier.kind.first().ok_or_else(|| invalid("tier.kind", "the tier has no kind of machine"))?;
     let safe = site
         .class
         .iter()
         .find(|class| class.effect == "safe")
-        .ok_or_else(|| invalid("class", "none is safe to repeat"))?;
+        .ok_or_else(|| invalid("class", "no class has the effect \"safe\""))?;
     let unsafe_class = site.class.iter().find(|class| class.effect == "unsafe");
-    let unsafe_class = unsafe_class.ok_or_else(|| invalid("class", "none must never run twice"))?;
+    let unsafe_class = unsafe_class.ok_or_else(|| invalid("class", "no class has the effect \"unsafe\""))?;
 
     let figures = &mut drawn.site;
     figures.work_ms = sampler.sample(&format!("class {}.work_ms", safe.name), safe.work_ms)?;
@@ -297,7 +298,7 @@
     figures.counter_per_s = sampler.sample_or("fam.counter_per_s", site.fam.counter_per_s, 640.0)?;
     figures.skew = sampler.sample_or("fam.skew", site.fam.skew, 0.7)?;
     if site.tenant.len() != site.fam.plan.len() {
-        return Err(invalid("fam.plan", "there are not as many as tenants"));
+        return Err(invalid("fam.plan", "the number of plans differs from the number of tenants"));
     }
     let mut plans = Vec::new();
     for (tenant, plan) in site.tenant.iter().zip(&site.fam.plan) {
@@ -326,9 +327,9 @@
     let (name, busy) =
         if troubled == 0 { ("load.quiet", site.load.quiet) } else { ("load.trouble", site.load.trouble) };
     let share = sampler.sample(name, busy)?;
-    let cores = 2.0 * f64::from(fleet.pay_servers) * drawn.site.speed;
+    let capacity_cores = 2.0 * f64::from(fleet.pay_servers) * drawn.site.speed;
     let load = &mut drawn.load;
-    load.rate = (cores * share / (drawn.site.work_ms / 1000.0) * 10.0).round() / 10.0;
+    load.rate = (capacity_cores * share / (drawn.site.work_ms / 1000.0) * 10.0).round() / 10.0;
     load.duration_ms = (sampler.sample("day.length_s", site.day.length_s)? * 1000.0) as u64;
     load.customers = (load.rate * 0.7).ceil().max(1.0) as u32;
     let unsafe_share = sampler.sample(&format!("class {}.share", unsafe_class.name), unsafe_class.share)?;
@@ -336,7 +337,7 @@
     load.unsafe_share = unsafe_share / (unsafe_share + safe_share);
     load.retries = sampler.sample_integer("clients.retries", site.clients.retries)? as u32;
 
-    // Each trouble has a part of the day of its own, so that none contradicts another.
+    // The troubles start at different times and are limited in length, so that no two overlap.
     let mut names: Vec<&Trouble> = site.trouble.iter().collect();
     for i in 0..troubled {
         let at = (load.duration_ms as f64 * (0.2 + 0.7 * i as f64 / troubled as f64)) as u64;
@@ -350,7 +351,8 @@
     Ok(drawn)
 }
 
-/// The fault that a trouble of the site comes to; none where the trouble is in the load and not between processes.
+/// Returns the fault for a trouble of the site; `None` if the trouble is in the load and not in the
+/// processes.
 fn fault(
     trouble: &Trouble,
     at_ms: u64,
@@ -385,7 +387,7 @@
             (size as u64).clamp(50, 500).min(for_ms),
         )),
         "flush" => Some(Fault { for_ms: None, ..fault(FaultKind::Wipe, Kind::Counter, None, 1) }),
-        // More load from some customers is the load's matter, which the lab keeps steady.
+        // Other troubles change the load of some customers, which this program keeps steady.
         _ => None,
     })
 }
--- a/testing/fault-injection/src/endpoint.rs
+++ b/testing/fault-injection/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The processes and stand-ins of a fleet, which are the ends of its links.
+//! The processes and stand-ins of a fleet, which are the endpoints of its links.
 
 use serde::{Deserialize, Serialize};
 use std::fmt::{self, Display};
@@ -7,24 +7,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// All clients, and the load balancer before the gateways.
+    /// All clients, and the load balancer in front of the gateways.
     Clients,
     /// Processes of the gateway.
     Gateways,
-    /// Stand-ins of pay servers.
+    /// Stand-ins for pay servers.
     PayServers,
-    /// Processes of the discovery service, or the stand-in of the platform's.
+    /// Processes of the discovery service, or the stand-in for the platform's discovery.
     ListService,
     /// Processes of the coordination service.
     Coordinators,
-    /// The stand-in of the shared counter.
+    /// The stand-in for the shared counter.
     Counter,
-    /// Stand-ins of processes that compete for locks.
+    /// Stand-ins for processes that compete for locks.
     Candidates,
     /// Processes of the controller.
     #[serde(rename = "stewards")]
     Controllers,
-    /// Stand-ins of the stores of cells, which serve the controller's calls.
+    /// Stand-ins for the stores of cells, which serve the controllers' calls.
     Cells,
 }
 
@@ -42,7 +42,7 @@
         Kind::Cells,
     ];
 
-    /// Returns the kind's name in files.
+    /// Returns the kind's name in scenario files and reports.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Clients => "clients",
@@ -58,10 +58,10 @@
     }
 }
 
-/// One end of a link: a process or a stand-in.
+/// An endpoint of a link: a process or a stand-in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum End {
-    /// All clients, and the load balancer before the gateways.
+    /// All clients, and the load balancer in front of the gateways.
     Clients,
     /// A gateway, by its number.
     Gateway(u16),
@@ -69,11 +69,11 @@
     PayServer(u16),
     /// A process of the discovery service, by its number.
     ListService(u16),
-    /// The counter.
+    /// The shared counter.
     Counter,
     /// A process of the coordination service, by its number.
     Coordinator(u16),
-    /// A candidate for locks, or a client of values, by its number.
+    /// A candidate for locks, or a client of registers, by its number.
     Candidate(u16),
     /// A process of the controller, by its number.
     Controller(u16),
@@ -82,7 +82,7 @@
 }
 
 impl End {
-    /// Returns its kind.
+    /// Returns the kind of the endpoint.
     pub fn kind(self) -> Kind {
         match self {
             End::Clients => Kind::Clients,
--- a/testing/fault-injection/src/error.rs
+++ b/testing/fault-injection/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a run fails, and why a recorded one cannot be read.
+//! Errors of running a scenario and of reading a recorded run.
 
 use crate::endpoint::End;
 use crate::history::Damage;
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 
 quick_error! {
-    /// Why a run fails. Each is one line.
+    /// An error that ends a run. Its text is one line.
     #[derive(Debug)]
     pub enum RunError {
         /// The scenario cannot be used.
@@ -37,12 +37,12 @@
             display("a stand-in cannot listen: {}", error)
             source(error)
         }
-        /// A pay server that was down cannot listen again.
+        /// A restarted pay server cannot listen.
         ListenAgain(end: End, error: io::Error) {
             display("{} cannot listen again: {}", end, error)
             source(error)
         }
-        /// A program beside this one is missing.
+        /// A program is missing in this program's folder.
         ProgramMissing(path: PathBuf) {
             display("{} is missing; build it first", path.display())
         }
@@ -50,64 +50,64 @@
         NamedProgramMissing(path: PathBuf) {
             display("fleet.program: {} is missing", path.display())
         }
-        /// A process cannot be started, for this reason.
+        /// A process cannot be started.
         Start(end: End, program: PathBuf, reason: String) {
             display("{}: {}: {}", end, program.display(), reason)
         }
-        /// A part of a configuration cannot be written, for this reason.
+        /// A part of a process's configuration cannot be encoded.
         Configuration(field: &'static str, reason: String) {
             display("{}: {}", field, reason)
         }
-        /// The coordinators do not become a cluster.
+        /// The coordinators do not form a cluster.
         Cluster(error: io::Error) {
-            display("the coordinators: {}", error)
+            display("cannot form a cluster of the coordinators: {}", error)
             source(error)
         }
-        /// A coordinator that lost its disk is not replaced, for this reason.
+        /// A coordinator that lost its disk cannot be replaced.
         Replacement(end: End, reason: String) {
             display("{}: {}", end, reason)
         }
-        /// Something has not happened in time.
+        /// A step of the run has not finished in time.
         NotInTime(what: &'static str) {
             display("{}", what)
         }
-        /// No customer of the scenario asks for anything.
+        /// No customer of the scenario has any demand.
         NoDemand {
-            display("no customer asks for anything")
+            display("no customer sends any requests")
         }
         /// The run took longer than this, in seconds.
         TooLong(seconds: u64) {
             display("the run took more than {} s", seconds)
         }
-        /// The fleet needs more descriptors than this process may have.
+        /// The fleet needs more file descriptors than this process may open.
         Descriptors(needed: u64, limit: u64) {
             display("this fleet needs {} descriptors, and the limit is {} (ulimit -Hn)", needed, limit)
         }
-        /// The limit on descriptors cannot be raised.
+        /// The limit on file descriptors cannot be raised.
         DescriptorLimit(error: io::Error) {
-            display("the limit on descriptors: {}", error)
+            display("cannot raise the limit on file descriptors: {}", error)
             source(error)
         }
     }
 }
 
 quick_error! {
-    /// Why a history says too little for a verdict.
+    /// The reason why a history is incomplete and cannot be checked.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum IncompleteHistory {
-        /// There is no setup in it.
+        /// It does not contain the setup.
         NoSetup {
             display("the history has no setup")
         }
-        /// It ends before the run did.
+        /// It ends before the end of the run.
         Unfinished {
-            display("the history ends before the run did")
+            display("the history ends before the end of the run")
         }
     }
 }
 
 quick_error! {
-    /// Why a recorded run cannot be judged or shown.
+    /// An error of checking or reporting a recorded run.
     #[derive(Debug)]
     pub enum RecordingError {
         /// A file cannot be read.
@@ -126,25 +126,25 @@
         }
         /// The history's scenario cannot be used.
         Scenario(error: ScenarioError) {
-            display("the history's scenario: {}", error)
+            display("the scenario in the history cannot be used: {}", error)
             source(error)
         }
-        /// The summary is no JSON of a summary.
+        /// The summary file is not valid.
         Summary(path: PathBuf, error: serde_json::Error) {
             display("{}: {}", path.display(), error)
             source(error)
         }
-        /// The text is no id of a request.
+        /// The text is not a trace id.
         TraceId(text: String) {
-            display("{:?} is no id of up to 16 hex digits", text)
+            display("{:?} is not a trace id of up to 16 hex digits", text)
         }
-        /// The folder holds no run.
+        /// The folder does not contain a run.
         NoRun(path: PathBuf) {
-            display("{}: no run is kept there", path.display())
+            display("{}: the folder does not contain a run", path.display())
         }
-        /// A plot cannot be drawn, for this reason.
+        /// A plot cannot be drawn.
         Plot(reason: String) {
-            display("a plot: {}", reason)
+            display("cannot draw a plot: {}", reason)
         }
     }
 }
--- a/testing/fault-injection/src/figures.rs
+++ b/testing/fault-injection/src/figures.rs
@@ -1,4 +1,4 @@
-//! What a run comes to in figures: goodput, latencies, calls, losses; from its history alone.
+//! The figures of a run, computed from its history alone: goodput, latencies, call rates and losses.
 
 use crate::checker::Finding;
 use crate::decisions::DecisionFigures;
@@ -10,108 +10,112 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Goodput is whole again at this share of what it was.
+/// Share of the goodput before the first fault at which service counts as full again.
 const FULL_SERVICE_SHARE: f64 = 0.95;
-/// ... over this long, looked at in steps of so much.
+/// Length of the windows in which the goodput after the last fault must reach this share.
 const FULL_SERVICE_WINDOW: Nanos = 2 * SECOND;
+/// Distance between the starts of two such windows.
 const FULL_SERVICE_STEP: Nanos = 100 * MS;
-/// The first moments of a load are no steady state.
+/// Time after the start of the load that does not count as steady state.
 const WARMUP: Nanos = SECOND;
-/// Latencies are told up to here, in us.
+/// Maximum latency that is recorded, in microseconds.
 const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// A run in figures; the last line of `run --json`.
+/// The figures of a run; the last line of `run --json`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// The scenario's name.
     pub scenario: String,
     /// The seed.
     pub seed: u64,
-    /// What clients wanted, each with all its tries; the next five add up to it.
+    /// Number of requests, each with all its tries. The next five figures add up to it if every request has
+    /// ended.
     pub requests: u64,
-    /// Requests that were served.
+    /// Number of requests that were served.
     pub served: u64,
-    /// Requests that were rejected.
+    /// Number of requests that were rejected.
     pub refused: u64,
-    /// Answered as failed, not answered in the client's time, or no gateway could be reached.
+    /// Number of requests that failed: an error response, no response within the client's timeout, or no
+    /// gateway reached.
     pub failed: u64,
-    /// Requests of which nobody knows whether they ran.
+    /// Number of requests of which it is unknown whether they ran.
     pub unknown: u64,
-    /// The connection ended after the gateway had taken it: the client does not know what became of it.
+    /// Number of requests whose connection ended after the gateway had received them, so that the client does
+    /// not know their result.
     pub lost: u64,
-    /// Unsafe requests that ran more than once.
+    /// Number of unsafe requests that ran more than once.
     pub ran_twice: u64,
-    /// Answers within the latency target, a second, before the first fault.
+    /// Answers within the latency target a second, before the first fault.
     pub goodput_before: Option<f64>,
-    /// Answers within the latency target, a second, after the last fault is over.
+    /// Answers within the latency target a second, after the end of the last fault.
     pub goodput_after: Option<f64>,
-    /// Time after the last fault until service is complete again, in milliseconds.
+    /// Time from the end of the last fault to full service, in milliseconds.
     pub time_to_full_service_ms: Option<u64>,
-    /// Highest rate over steady rate; null without any.
+    /// Highest rate relative to the steady rate for each kind of call; null if there were none.
     pub peaks: BTreeMap<String, Option<f64>>,
-    /// The invariants, by name.
+    /// Whether each invariant holds, by name; null if it does not apply.
     pub invariants: BTreeMap<String, Option<bool>>,
-    /// Tries that a gateway had in flight when a fault struck it.
+    /// Number of tries that were in flight at a gateway when a fault affected it.
     #[serde(rename = "in_hand")]
     pub in_flight: u64,
-    /// Those of them whose connection ended without an answer.
+    /// Number of those whose connection ended without an answer.
     #[serde(rename = "in_hand_lost")]
     pub in_flight_lost: u64,
-    /// Unsafe requests whose client never had an answer.
+    /// Number of unsafe requests whose client received no answer.
     pub unsafe_lost: u64,
-    /// Those of them that had run.
+    /// Number of those that had run.
     pub unsafe_lost_ran: u64,
-    /// Clients that were left without an answer, of all.
+    /// Share of the requests that ended without an answer.
     pub unanswered_share: f64,
-    /// Tries that met no listener.
+    /// Number of tries that reached no listener.
     pub unreachable_tries: u64,
-    /// Pay servers that fell under load.
+    /// Number of pay servers' crashes because of overload.
     #[serde(rename = "fell")]
     pub overload_crashes: u64,
-    /// Processes that ended by themselves.
+    /// Number of processes that exited by themselves.
     pub crashes: u64,
-    /// The longest that a lock had nobody who acted under it; null without candidates.
+    /// Longest time between two actions under the same lock, in milliseconds; null without any.
     pub owner_gap_ms: Option<u64>,
-    /// Effects that came too late and were refused.
+    /// Number of effects that arrived too late and were refused.
     pub late_effects: u64,
     /// Latency by quantile, in milliseconds.
     pub latency_ms: BTreeMap<String, f64>,
     /// The share of attempts that went to a pay server of the gateway's own zone.
     pub near_share: Option<f64>,
-    /// Time from the first fault's begin to the first decision that has a zone out, in milliseconds.
+    /// Time from the start of the first fault to the first decision that fails a zone over, in milliseconds.
     pub time_to_failover_ms: Option<u64>,
-    /// Time from the last fault's end to the first decision that has all zones serve again, in milliseconds.
+    /// Time from the end of the last fault to the first decision with all zones serving, in milliseconds.
     pub time_to_return_ms: Option<u64>,
-    /// Words of stewards that owned a duty no longer.
+    /// Number of refused decisions of controllers that were no longer the owner.
     pub late_decisions_refused: Option<u64>,
-    /// The largest distance of a firm from the exact weighted max-min solution, as a share of capacity: median over seconds
-    /// outside transitions.
+    /// The largest deviation of a firm from the exact weighted max-min solution, as a share of the capacity:
+    /// the median over all windows outside transitions.
     pub share_error: Option<f64>,
-    /// Time from the shift of demand until that distance is within 5%, in milliseconds.
+    /// Time from the shift of demand until that deviation is within 5%, in milliseconds.
     pub time_to_shares_ms: Option<u64>,
-    /// Migrations of shards that came to an end.
+    /// Number of completed shard migrations.
     pub moves: Option<u64>,
-    /// The longest time in which a shard took no write, in milliseconds.
+    /// Longest time for which a shard accepted no writes, in milliseconds.
     pub move_pause_ms: Option<u64>,
-    /// Writes under another epoch that cells turned away.
+    /// Number of writes that cells rejected because of their epoch.
     pub late_writes_refused: Option<u64>,
-    /// What the harness measured of itself.
+    /// Figures of the harness itself.
     #[serde(rename = "lab")]
     pub harness: HarnessFigures,
 }
 
-/// What the lab itself cost, and how late it was.
+/// Resource usage and delays of the harness itself.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HarnessFigures {
     /// Number of events.
     pub events: u64,
-    /// How late requests left, in ms: 99.9% were no later.
+    /// 99.9% quantile of the delay with which requests were sent, in milliseconds.
     pub late_p999_ms: f64,
-    /// The most that the clock was late, in milliseconds.
+    /// Maximum delay with which requests were sent, in milliseconds.
     pub late_most_ms: f64,
-    /// The highest share of a second that its one thread was busy during the load.
+    /// Highest share of a second for which the harness' only thread was busy.
     pub busy_most: f64,
-    /// Processor seconds.
+    /// Processor time of the harness, in seconds.
     #[serde(rename = "lab_cpu_s")]
     pub harness_cpu_s: f64,
     /// Processor time of the fleet, in seconds.
@@ -123,23 +127,23 @@
 /// One second of the load.
 #[derive(Clone, Debug, Default)]
 pub struct Second {
-    /// Served within the latency target.
+    /// Number of requests that were served within the latency target.
     pub good: u64,
-    /// Served late.
+    /// Number of requests that were served later.
     pub late: u64,
-    /// Rejected.
+    /// Number of rejected requests.
     pub refused: u64,
-    /// Failed.
+    /// Number of failed requests.
     pub failed: u64,
-    /// Lost.
+    /// Number of lost requests.
     pub lost: u64,
     latencies: Vec<u64>,
-    /// Calls by kind.
+    /// Number of calls by kind.
     pub calls: BTreeMap<&'static str, u64>,
 }
 
 impl Second {
-    /// A latency that this share of the second's served requests stayed under, in ms.
+    /// Returns a quantile of the latency of the requests that were served in this second, in milliseconds.
     pub fn latency(&self, share: f64) -> Option<f64> {
         let mut sorted = self.latencies.clone();
         sorted.sort_unstable();
@@ -148,7 +152,7 @@
     }
 }
 
-/// Kinds of calls whose peaks are told.
+/// Kinds of calls whose peaks are reported.
 pub const CALLS: [&str; 6] = ["connections", "list_calls", "probes", "renewals", "claims", "attempts"];
 
 #[derive(Clone, Copy)]
@@ -157,7 +161,7 @@
     gateway: u16,
 }
 
-/// Takes a history, event by event.
+/// Computes the figures from the events of a history.
 #[derive(Default)]
 pub struct Figures {
     setup: Option<Box<Setup>>,
@@ -166,7 +170,7 @@
     in_flight: HashSet<Trace>,
     attempts: HashMap<u64, Trace>,
     ran: HashSet<Trace>,
-    /// Requests whose last connection ended unanswered, by their last id.
+    /// Last trace ids of the unsafe requests that ended without an answer.
     unsafe_lost: Vec<Trace>,
     last_try: HashMap<u32, Trace>,
     good_answers: Vec<Nanos>,
@@ -189,12 +193,12 @@
 }
 
 fn histogram() -> Option<Histogram<u64>> {
-    // The bounds are constants that the crate takes.
+    // Never `None`: the bounds are constants that the crate accepts.
     Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).ok()
 }
 
 impl Figures {
-    /// Returns figures of nothing.
+    /// Returns figures without any events.
     pub fn new() -> Figures {
         Figures { lateness: histogram(), latency: histogram(), ..Figures::default() }
     }
@@ -247,7 +251,7 @@
             Event::CounterCalled { .. } => self.call(at, "counts"),
             Event::Granted { .. } => self.call(at, "claims"),
             Event::ActionStarted { lock, .. } => {
-                // The first owner needs its time; afterwards a gap is a gap.
+                // The time before the first action does not count, because the first owner has to start.
                 if let Some(before) = self.last_action.insert(*lock, at) {
                     self.owner_gap = self.owner_gap.max(Some(at - before));
                 }
@@ -333,7 +337,7 @@
         self.in_flight.extend(affected);
     }
 
-    /// The seconds of the load, and when faults began and were over, in seconds of it.
+    /// Returns the seconds of the load.
     pub fn seconds(&self) -> &[Second] {
         &self.seconds
     }
@@ -343,7 +347,7 @@
         self.setup.as_deref()
     }
 
-    /// Begin and end of each fault, in seconds of the load; without an end where it is for good.
+    /// Returns the number, start and end of each fault, in seconds of the load; permanent faults have no end.
     pub fn marks(&self) -> Vec<(u16, f64, Option<f64>)> {
         let Some(setup) = &self.setup else { return Vec::new() };
         let second = |at: Nanos| at.saturating_sub(setup.load_from) as f64 / SECOND as f64;
@@ -354,7 +358,8 @@
         self.fault_starts.iter().map(|(fault, at)| (*fault, second(*at), over(*fault))).collect()
     }
 
-    /// Good answers a second within these instants.
+    /// Returns the answers within the latency target a second, between two instants; `None` if they are less
+    /// than a second apart.
     fn goodput(&self, from: Nanos, to: Nanos) -> Option<f64> {
         let count = self.good_answers.partition_point(|at| *at < to)
             - self.good_answers.partition_point(|at| *at < from);
@@ -398,7 +403,7 @@
                 if first.is_some() { rates.get(steady_seconds..).unwrap_or_default() } else { &rates };
             let highest = later.iter().copied().fold(0.0, f64::max);
             let any = rates.iter().any(|rate| *rate > 0.0);
-            // Over less than one a second no ratio says anything.
+            // The steady rate counts as at least one a second, because ratios to lower rates are meaningless.
             ((*name).to_owned(), any.then(|| round(highest / steady.max(1.0))))
         });
         let peaks = peaks.collect();
@@ -451,7 +456,7 @@
     }
 }
 
-/// To four digits behind the point: more would be noise.
+/// Rounds to four decimal places; further digits are noise.
 fn round(value: f64) -> f64 {
     (value * 1e4).round() / 1e4
 }
--- a/testing/fault-injection/src/follow.rs
+++ b/testing/fault-injection/src/follow.rs
@@ -1,6 +1,7 @@
-//! One request by its id: what clients and pay servers saw of it, and the lines that processes wrote of it, by time.
+//! The trace of one request by its id: events of clients and pay servers, and log lines of processes, ordered
+//! by time.
 //!
-//! Gateways tell of single requests only where their configuration has `log = { form = "json", requests = true }`.
+//! Gateways log single requests only if their configuration has `log = { form = "json", requests = true }`.
 
 use crate::error::RecordingError;
 use crate::history::{Event, Reader, Trace};
@@ -12,14 +13,14 @@
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Fields of a line that are told elsewhere, or always the same.
+/// Fields of a log line that are omitted, because they are printed elsewhere or are always the same.
 const OMITTED_FIELDS: [&str; 5] = ["timestamp", "level", "message", "target", "trace"];
 
-/// Returns the lines on a request, in the order of their times.
+/// Returns the lines on a request, ordered by time.
 ///
 /// # Errors
 ///
-/// The id is none, or the history or a log cannot be read.
+/// The id is invalid, or the history or a log cannot be read.
 pub fn follow(dir: &Path, id: &str) -> Result<Vec<String>, RecordingError> {
     let trace = Trace::from_str_radix(id, 16).map_err(|_| RecordingError::TraceId(id.to_owned()))?;
     let mut lines = events_of(&dir.join(HISTORY), trace)?;
@@ -43,7 +44,7 @@
 
 type Line = (SystemTime, String, String);
 
-/// The lines on what the harness recorded.
+/// Returns the lines on the recorded events of a request.
 fn events_of(path: &Path, trace: Trace) -> Result<Vec<Line>, RecordingError> {
     let (mut origin, mut lines, mut attempts) = (UNIX_EPOCH, Vec::new(), HashSet::new());
     Reader::open(path)?
@@ -61,13 +62,13 @@
                     push("client".to_owned(), format!("{outcome:?}"));
                 }
                 Event::TryEndedLate { trace: of, answered } if *of == trace => {
-                    push("client".to_owned(), format!("after its time: answered {answered}"));
+                    push("client".to_owned(), format!("after its timeout: answered {answered}"));
                 }
                 Event::Arrived { trace: of, attempt, server, gateway, .. } if *of == trace => {
                     attempts.insert(*attempt);
                     push(
                         format!("pay_servers[{server}]"),
-                        format!("attempt {attempt} has come from gateways[{gateway}]"),
+                        format!("attempt {attempt} arrived from gateways[{gateway}]"),
                     );
                 }
                 Event::Ran { attempt } if attempts.contains(attempt) => {
@@ -85,7 +86,7 @@
     Ok(placed.collect())
 }
 
-/// What a process wrote of it: when, and what.
+/// Returns the time and the text of a log line if it is about the request.
 fn log_line(line: &str, trace: Trace) -> Option<(SystemTime, String)> {
     let fields: Value = serde_json::from_str(line).ok()?;
     let of = Trace::from_str_radix(fields.get("trace")?.as_str()?, 16).ok()?;
--- a/testing/fault-injection/src/history.rs
+++ b/testing/fault-injection/src/history.rs
@@ -1,7 +1,8 @@
-//! What happened in a run, as each side saw it, on one monotonic clock; and how it is kept on disk.
+//! The events of a run, as observed by each side and timed by one monotonic clock, and their file format.
 //!
-//! The format is in `docs/fault-injection.md`. A file begins with [`MAGIC`] and the version; frames follow, each its length, the
-//! CRC-32 of its payload, and the payload: events in `postcard`. A reader never trusts a length beyond [`FRAME_MOST`].
+//! `docs/fault-injection.md` describes the format. A file starts with [`MAGIC`] and the version, followed by
+//! frames. A frame consists of the length of its payload, the payload's CRC-32, and the payload: events
+//! encoded with `postcard`. A reader rejects lengths above [`MAX_FRAME_BYTES`].
 
 use crate::deployment::{DrawnFault, Nanos, Quota};
 use crate::endpoint::End;
@@ -11,26 +12,26 @@
 use std::io::{self, BufReader, Read, Write};
 use std::path::Path;
 
-/// The first bytes of a history.
+/// Magic number at the start of a history file.
 pub const MAGIC: [u8; 8] = *b"MDLABHIS";
 /// The version of the format.
 pub const VERSION: u16 = 4;
-/// The longest payload that a reader takes.
+/// Maximum length of a frame's payload that a reader accepts, in bytes.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
-/// Events are gathered to about this many bytes before they are written.
+/// Events are buffered up to about this many bytes before a frame is written.
 const FRAME_TARGET_BYTES: usize = 32 << 10;
 
-/// An id that a client gave its request.
+/// Trace id that a client assigns to a try; a client that lost its gateway may reuse it.
 pub type Trace = u64;
 
-/// What the judge must know beforehand.
+/// Facts about a run that the checkers need before the first event.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Setup {
     /// The scenario's name.
     pub scenario: String,
     /// The seed.
     pub seed: u64,
-    /// The file's text.
+    /// Text of the scenario file.
     pub text: String,
     /// The latency target in nanoseconds.
     pub latency_target: Nanos,
@@ -42,58 +43,60 @@
     pub gateways: u16,
     /// The plans.
     pub quotas: Vec<Quota>,
-    /// The plan of each customer.
+    /// Index of each customer's plan in `quotas`.
     pub plans: Vec<u8>,
     /// Number of processes of the list service.
     pub list_processes: u16,
     /// Number of coordinators.
     pub coordinators: u16,
-    /// Gateways and pay servers are dealt over them in turn.
+    /// The zones; gateways and pay servers are assigned to them round-robin.
     pub zones: Vec<String>,
     /// Number of controllers.
     pub controllers: u16,
-    /// Firms' shares are decided in common; when their demand moves.
+    /// Whether the controllers decide fair shares for the firms.
     pub shares: bool,
-    /// When demand moves, if it does.
+    /// When demand shifts to other firms and gateways, in nanoseconds after the start of the load; `None` if
+    /// never.
     pub demand_shift_at: Option<Nanos>,
-    /// Books are decided in common, and cells turn older epochs away.
+    /// Whether the controllers decide a shard map.
     pub shard_map: bool,
-    /// Whether cells reject older epochs.
+    /// Whether cells reject writes under older epochs.
     pub fencing: bool,
-    /// The cell of each pay server, and the number under which books know each customer.
+    /// The cell of each pay server.
     pub cells: Vec<u16>,
-    /// The firms, by customer.
+    /// The firm id of each customer; shards are ranges of firm ids.
     pub firms: Vec<u64>,
-    /// The faults with their victims.
+    /// The faults, with the processes that each one affects.
     pub faults: Vec<DrawnFault>,
-    /// The load begins then; faults are counted from it.
+    /// Start of the load; fault times are relative to it.
     pub load_from: Nanos,
-    /// The wall clock at the history's zero, in Unix time in us: lines of processes tell theirs. Nothing is judged by it.
+    /// Wall-clock time at the start of the history, as Unix time in us. It aligns the history with the log
+    /// lines of processes, which carry wall-clock times; no check depends on it.
     pub unix_us: u64,
 }
 
-/// How a try ended, as its client saw it.
+/// How a try ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// 200, with a pay server's body; its attempt, if that can be read.
+    /// Status 200 with the body of a pay server.
     Served {
-        /// Number of the attempt, if it can be read.
+        /// Number of the attempt in the body, if it can be parsed.
         attempt: Option<u64>,
     },
-    /// 429 or 503.
+    /// Status 429 or 503.
     Refused,
-    /// Any other answer.
+    /// Any other response.
     Failed,
-    /// Told that nobody knows whether it ran.
+    /// The response says that it is unknown whether the request ran.
     Unknown,
-    /// No connection came up, or nothing of it was taken.
+    /// The connection was not established, or no part of the request was received.
     Unreachable,
-    /// The connection ended after the gateway had taken it; `first`: it was the connection's first request.
+    /// The connection ended after the gateway had received the request.
     Reset {
-        /// Whether it was the connection's first request.
+        /// Whether it was the first request on its connection.
         first: bool,
     },
-    /// Nothing had come when the client's time was over.
+    /// No response arrived within the client's timeout.
     TimedOut,
 }
 
@@ -102,97 +105,97 @@
 pub enum Answer {
     /// A response of a pay server.
     Served,
-    /// An error.
+    /// An error response.
     Error,
-    /// It was dropped before it ran.
+    /// The attempt was dropped before it ran.
     NeverRan,
 }
 
-/// What a process does to the history.
+/// A change in the state of a process or a stand-in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProcessChange {
-    /// It was started.
+    /// The process was started.
     Started,
-    /// It serves.
+    /// The process accepts requests.
     Ready,
-    /// The lab ended or killed it.
+    /// The harness terminated or killed the process.
     Ended,
-    /// It ended by itself.
+    /// The process exited by itself.
     Crashed,
-    /// It was suspended.
+    /// The process was suspended.
     Stopped,
-    /// It was resumed.
+    /// The process was resumed.
     Continued,
 }
 
-/// State of a server in a list.
+/// State of a pay server in a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerState {
-    /// It serves.
+    /// The server accepts requests.
     Serving,
-    /// It drains.
+    /// The server is draining.
     Draining,
-    /// It is gone.
+    /// The server has been removed.
     Gone,
 }
 
 /// State of a zone in a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ZoneState {
-    /// It serves.
+    /// The zone receives traffic.
     Serving,
-    /// It may have failed.
+    /// The zone may have failed.
     Suspect,
-    /// It has failed over.
+    /// The zone has failed over.
     Out,
-    /// It is being taken back.
+    /// The zone's traffic is being ramped up after a failover.
     Returning,
-    /// It is held out by an operator.
+    /// An operator keeps the zone out of service.
     HeldOut,
 }
 
-/// How far a book's move is, in a map.
+/// Step of a shard's migration in a shard map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ShardStep {
-    /// It is not moving.
+    /// The shard is not being migrated.
     Stable,
     /// The migration is planned.
     Planned,
     /// The old cell is being fenced.
     Fencing,
-    /// The old cell has no writes under way.
+    /// The old cell has no writes in flight.
     Drained,
-    /// The new cell has everything.
+    /// The new cell has all data of the shard.
     Copied,
 }
 
-/// A book in a map; `to`: where it goes, or where it is.
+/// A shard in a shard map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardRecord {
-    /// The first firm of the shard.
+    /// Id of the first firm in the shard.
     pub first: u64,
-    /// Number of the cell.
+    /// Number of the cell that owns the shard.
     pub cell: u16,
-    /// The epoch.
+    /// Epoch of the shard, which grows with each migration.
     pub epoch: u64,
-    /// How far the shard's migration is.
+    /// Step of the shard's migration.
     pub step: ShardStep,
-    /// The other end, or where it goes.
+    /// Number of the cell that the shard migrates to, or of its present cell if it is not being migrated.
     pub to: u16,
 }
 
-/// Decisions that are made in common.
+/// Kinds of decisions that the controllers make for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DecisionKind {
-    /// Zones.
+    /// Zone failover.
     Zones,
     /// Fair shares.
     Shares,
-    /// Shards.
+    /// The shard map.
     Books,
 }
 
-/// What a client of the coordination service was told of a call on a register.
+/// Result of a call on a register of the coordination service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallResult {
     /// The value was read.
@@ -207,23 +210,23 @@
         /// The revision.
         revision: u64,
     },
-    /// The value is at another revision.
+    /// The value was not written, because it is at another revision than expected.
     Conflict {
         /// The revision.
         revision: u64,
     },
-    /// Nothing was done, for another reason.
+    /// The call had no effect, for another reason.
     NoEffect,
-    /// Nobody knows what came of it.
+    /// It is unknown whether the call took effect.
     Unknown,
 }
 
-/// What happened.
+/// An event of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// The setup of the run.
     Setup(Box<Setup>),
-    /// A client wants something; `late` by the lab's own doing.
+    /// A client starts a request.
     RequestStarted {
         /// Number of the request.
         request: u32,
@@ -231,10 +234,10 @@
         customer: u32,
         /// Class of the request.
         class: u8,
-        /// How late, in nanoseconds.
+        /// Delay behind the schedule that the harness itself caused, in nanoseconds.
         late: Nanos,
     },
-    /// A try leaves; the client waits so long. `back`: the same id again after its gateway was lost.
+    /// A client sends a try of a request.
     TryStarted {
         /// Number of the request.
         request: u32,
@@ -242,47 +245,47 @@
         trace: Trace,
         /// Number of the gateway.
         gateway: u16,
-        /// How long the client waits, in nanoseconds.
+        /// The client's timeout for the try, in nanoseconds.
         timeout: Nanos,
-        /// Whether the id comes again after its gateway was lost.
+        /// Whether the try reuses the id of an earlier one whose gateway was lost.
         reuses_id: bool,
     },
-    /// A try has ended for its client.
+    /// A try has ended for its client, with a response or without one.
     TryEnded {
         /// The id of the try.
         trace: Trace,
-        /// How it ended.
+        /// How the try ended.
         outcome: Outcome,
     },
-    /// What came of a try after its client's time was over: an answer at last, or none.
+    /// The connection of a try that had timed out has delivered a response or has ended.
     TryEndedLate {
         /// The id of the try.
         trace: Trace,
-        /// Whether there was an answer.
+        /// Whether a response arrived after the timeout, or the connection ended without one.
         answered: bool,
     },
-    /// A request has ended, with all its tries.
+    /// A request has ended, after its last try.
     RequestEnded {
         /// Number of the request.
         request: u32,
-        /// How it ended.
+        /// How the request ended.
         outcome: Outcome,
     },
-    /// A connection from one end to another has come up.
+    /// A connection between two ends was established.
     Opened {
         /// Number of the connection.
         connection: u64,
         /// The end that opened it.
         from: End,
-        /// The other end, or where it goes.
+        /// The end that accepted it.
         to: End,
     },
-    /// Its far side, the one that opened it, has closed it or is gone.
+    /// The end that opened a connection has closed it or has terminated.
     Closed {
         /// Number of the connection.
         connection: u64,
     },
-    /// A pay server has all of an attempt.
+    /// A pay server has received an attempt completely.
     Arrived {
         /// Number of the attempt.
         attempt: u64,
@@ -295,7 +298,7 @@
         /// Number of the gateway.
         gateway: u16,
     },
-    /// It begins to run.
+    /// An attempt starts to run at its pay server.
     Ran {
         /// Number of the attempt.
         attempt: u64,
@@ -304,53 +307,53 @@
     Answered {
         /// Number of the attempt.
         attempt: u64,
-        /// How it ended.
+        /// How the attempt ended.
         answer: Answer,
     },
-    /// A gateway has probed a pay server.
+    /// A gateway has sent a health probe to a pay server.
     Probed {
         /// Number of the pay server.
         server: u16,
         /// Number of the gateway.
         gateway: u16,
     },
-    /// A cold pay server was sent too much.
+    /// A pay server crashed because its load exceeded its capacity.
     OverloadCrash {
         /// Number of the pay server.
         server: u16,
     },
-    /// A gateway asks for the list.
+    /// A gateway requests the list of pay servers.
     ListRequested {
         /// Number of the gateway.
         gateway: u16,
-        /// The version, or revision, that the caller has.
+        /// The version that the gateway has, if any.
         since: Option<u64>,
     },
-    /// And is told it; servers by number.
+    /// A gateway receives a list of pay servers.
     ListReceived {
         /// Number of the gateway.
         gateway: u16,
-        /// Number of the process that told it.
+        /// Number of the list service's process that sent it.
         list: u16,
-        /// The store that the version is of.
+        /// Id of the store that numbers the versions.
         store: u64,
         /// The epoch.
         epoch: u64,
         /// The version.
         version: u64,
-        /// Whether it is complete.
+        /// Whether it is a complete list; otherwise it contains changes only.
         full: bool,
-        /// The servers by number, and their states.
+        /// Numbers and states of the servers.
         servers: Vec<(u16, ServerState)>,
     },
     /// The list service acknowledged a registration.
     Registered {
         /// Number of the pay server.
         server: u16,
-        /// Number of the process that told it.
+        /// Number of the list service's process that acknowledged it.
         list: u16,
     },
-    /// A pay server's registration was renewed.
+    /// A pay server has renewed its registration.
     Renewed {
         /// Number of the pay server.
         server: u16,
@@ -359,10 +362,10 @@
     CounterCalled {
         /// Number of the gateway.
         gateway: u16,
-        /// Whether it was rejected as too much.
+        /// Whether the counter rejected the call because of its load.
         busy: bool,
     },
-    /// A candidate was told that it has a lock, which it asked for at this instant.
+    /// A candidate has received the grant of a lock.
     Granted {
         /// Number of the candidate.
         candidate: u16,
@@ -370,10 +373,10 @@
         lock: u16,
         /// The fencing token.
         token: u64,
-        /// When it was requested.
+        /// When the candidate requested the lock.
         asked: Nanos,
     },
-    /// It has shown, by its own clock, that it still holds it, and is about to act.
+    /// A candidate has verified by its own clock that it still holds a lock, and is about to act under it.
     ActionStarted {
         /// Number of the candidate.
         candidate: u16,
@@ -382,7 +385,7 @@
         /// The fencing token.
         token: u64,
     },
-    /// Its effect has come to the place that takes it.
+    /// The effect of an action under a lock has arrived at the resource that it changes.
     Effect {
         /// Number of the candidate.
         candidate: u16,
@@ -390,10 +393,11 @@
         lock: u16,
         /// The fencing token.
         token: u64,
-        /// Whether it was admitted.
+        /// Whether the resource accepted it.
         admitted: bool,
     },
-    /// A client calls on a register: reads it, or puts a value there, at a revision or at any.
+    /// A client starts a call on a register: it reads the register, or writes a value if the register is at
+    /// the expected revision, or at any revision.
     CallStarted {
         /// Number of the client.
         client: u16,
@@ -401,7 +405,7 @@
         call: u64,
         /// Number of the register.
         register: u16,
-        /// The value, and the revision that it expects; `None` for a read.
+        /// The value to write and the expected revision, if any; `None` for a read.
         put: Option<(u64, Option<u64>)>,
     },
     /// A call on a register has returned.
@@ -411,62 +415,62 @@
         /// The result.
         result: CallResult,
     },
-    /// A watcher was told the changes behind a revision up to another: which revision, register and value. Without `since` it
-    /// begins there.
+    /// A watcher has received the changes after `since` up to `upto`. Without `since` the watch starts at
+    /// `upto`.
     Watched {
         /// Number of the watcher.
         watcher: u16,
-        /// The version, or revision, that the caller has.
+        /// The revision after which the changes are reported.
         since: Option<u64>,
-        /// The revision up to which changes were reported.
+        /// The revision up to which the changes are reported.
         upto: u64,
         /// The changes: revision, register and value.
         changes: Vec<(u64, u16, u64)>,
     },
-    /// A process or stand-in was started, or has ended.
+    /// The state of a process or a stand-in has changed.
     ProcessChanged {
         /// The process or stand-in.
         end: End,
-        /// What happened to it.
+        /// The change.
         change: ProcessChange,
     },
-    /// A fault begins.
+    /// A fault starts.
     FaultBegan {
         /// Number of the fault.
         fault: u16,
     },
-    /// A fault is over.
+    /// A fault has ended.
     FaultEnded {
         /// Number of the fault.
         fault: u16,
     },
-    /// The lab's own clock was late by so much: nothing that it saw meanwhile is exact.
+    /// The harness was late by this much: times that it recorded meanwhile are inexact.
     Stalled {
-        /// How late, in nanoseconds.
+        /// The delay in nanoseconds.
         late: Nanos,
     },
-    /// Processor time that the lab's own process took in the second before.
+    /// Processor time that the harness used in the last second.
     HarnessCpu {
         /// Processor time in nanoseconds.
         cpu: Nanos,
     },
-    /// Nothing follows.
+    /// The run has ended; this is the last event.
     Finished {
         /// Processor time of the harness in nanoseconds.
         harness_cpu: Nanos,
         /// Processor time of all other processes in nanoseconds.
         fleet_cpu: Nanos,
     },
-    /// A decision on zones was published: each zone's state, and the units a second that it bears.
+    /// A decision on zones was published.
     ZonesDecided {
         /// The fencing token.
         token: u64,
         /// The revision.
         revision: u64,
-        /// The zones.
+        /// The state of each zone, and its capacity in units a second.
         zones: Vec<(ZoneState, f64)>,
     },
-    /// A decision on shares was published: the level, and what all may send on together, in units a second.
+    /// A decision on fair shares was published.
     SharesDecided {
         /// The fencing token.
         token: u64,
@@ -474,10 +478,10 @@
         revision: u64,
         /// The level of service.
         level: f64,
-        /// The capacity in units a second.
+        /// The units a second that all firms together may send to pay servers.
         capacity: f64,
     },
-    /// A book map was published.
+    /// A shard map was published.
     ShardMapDecided {
         /// The fencing token.
         token: u64,
@@ -486,27 +490,27 @@
         /// The shards.
         shards: Vec<ShardRecord>,
     },
-    /// A write came to a cell under an epoch (0: it named none), and was admitted or turned away.
+    /// A write has arrived at a cell.
     ShardWrite {
         /// Number of the attempt.
         attempt: u64,
         /// Number of the cell.
         cell: u16,
-        /// The firm.
+        /// Id of the firm.
         firm: u64,
-        /// The epoch.
+        /// The epoch that the write carries; 0 if it carries none.
         epoch: u64,
-        /// Whether it was admitted.
+        /// Whether the cell accepted the write.
         admitted: bool,
     },
-    /// At the end: which cells have what an attempt wrote.
+    /// Recorded at the end of the run: the cells that hold what a try wrote.
     WriteLocations {
         /// The id of the try.
         trace: Trace,
         /// Numbers of the cells.
         cells: Vec<u16>,
     },
-    /// A gateway says that it goes by a decision from now on.
+    /// A gateway has logged that it applies a decision from now on.
     DecisionApplied {
         /// Number of the gateway.
         gateway: u16,
@@ -517,12 +521,13 @@
         /// The revision.
         revision: u64,
     },
-    /// A steward's word came too late and was refused.
+    /// A controller's decision was refused because it came too late.
     DecisionRefused {
         /// Number of the controller.
         controller: u16,
     },
-    /// The platform's agents hold this of a server: it counts as told to every gateway, asked for or not.
+    /// The state that the platform's agents hold for a server has changed. It counts as received by every
+    /// gateway, whether the gateway has requested it or not.
     AgentStateChanged {
         /// Number of the pay server.
         server: u16,
@@ -531,34 +536,34 @@
     },
 }
 
-/// An event with its time.
+/// An event and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TimedEvent {
-    /// When it happened, in nanoseconds since the start.
+    /// Time of the event in nanoseconds since the start of the run.
     pub at: Nanos,
-    /// What happened.
+    /// The event.
     pub event: Event,
 }
 
-/// Writes events to a file as they come.
+/// Writes events to a file.
 pub struct Writer<W: Write> {
     out: W,
     pending: Vec<u8>,
 }
 
 impl<W: Write> Writer<W> {
-    /// Returns a writer that has written the head.
+    /// Returns a writer that has written the file header.
     ///
     /// # Errors
     ///
-    /// It cannot be written.
+    /// The header cannot be written.
     pub fn new(mut out: W) -> io::Result<Writer<W>> {
         out.write_all(&MAGIC)?;
         out.write_all(&VERSION.to_le_bytes())?;
         Ok(Writer { out, pending: Vec::with_capacity(2 * FRAME_TARGET_BYTES) })
     }
 
-    /// Adds an event.
+    /// Appends an event to the buffer, and writes the buffer when it is large enough.
     ///
     /// # Errors
     ///
@@ -572,7 +577,7 @@
         }
     }
 
-    /// Writes what was gathered.
+    /// Writes the buffered events as one frame.
     pub fn flush(&mut self) -> io::Result<()> {
         if self.pending.is_empty() {
             return Ok(());
@@ -591,7 +596,7 @@
 pub struct Damage {
     /// Offset in the file.
     pub byte: u64,
-    /// What is wrong.
+    /// Description of the damage.
     pub what: &'static str,
 }
 
@@ -601,7 +606,7 @@
     }
 }
 
-/// Reads a history, event by event.
+/// Reads the events of a history one after another.
 pub struct Reader<R: Read> {
     input: R,
     byte: u64,
@@ -612,7 +617,7 @@
     ///
     /// # Errors
     ///
-    /// The file cannot be read, or does not begin like a history.
+    /// The file cannot be read, or does not start with a valid header.
     pub fn open(path: &Path) -> Result<Self, RecordingError> {
         let file = File::open(path).map_err(|error| RecordingError::File(path.to_owned(), error))?;
         let reader = Reader::new(BufReader::with_capacity(1 << 20, file));
@@ -621,24 +626,24 @@
 }
 
 impl<R: Read> Reader<R> {
-    /// Returns a reader that has read the head.
+    /// Returns a reader that has read the file header.
     ///
     /// # Errors
     ///
-    /// It is none, or of another version.
+    /// The input does not start with a header, or the header has another version.
     pub fn new(input: R) -> Result<Reader<R>, Damage> {
         let mut reader = Reader { input, byte: 0 };
         let mut head = [0; 10];
         if reader.fill(&mut head)? != head.len() || head[..8] != MAGIC {
-            return Err(Damage { byte: 0, what: "no history begins like this" });
+            return Err(Damage { byte: 0, what: "the file header is not that of a history" });
         }
         match u16::from_le_bytes([head[8], head[9]]) {
             VERSION => Ok(reader),
-            _ => Err(Damage { byte: 8, what: "a version that this program does not read" }),
+            _ => Err(Damage { byte: 8, what: "the format version is not supported" }),
         }
     }
 
-    /// As many bytes as there are.
+    /// Fills the buffer, or as much of it as the input has bytes left. Returns the number of bytes read.
     fn fill(&mut self, into: &mut [u8]) -> Result<usize, Damage> {
         let mut filled = 0;
         while filled < into.len() {
@@ -655,7 +660,7 @@
         Ok(filled)
     }
 
-    /// Hands each event to `take`, to the end.
+    /// Passes each event to `take`, up to the end of the file.
     pub fn each(&mut self, mut take: impl FnMut(TimedEvent)) -> Result<(), Damage> {
         let mut payload = Vec::new();
         loop {
@@ -665,19 +670,19 @@
             match self.fill(&mut head)? {
                 0 => return Ok(()),
                 8 => {}
-                _ => return damage("a frame's head is cut off"),
+                _ => return damage("truncated frame header"),
             }
             let word = |i: usize| u32::from_le_bytes([head[i], head[i + 1], head[i + 2], head[i + 3]]);
             let length = word(0) as usize;
             if length == 0 || length > MAX_FRAME_BYTES {
-                return damage("a frame of an impossible length");
+                return damage("invalid frame length");
             }
             payload.resize(length, 0);
             if self.fill(&mut payload)? != length {
-                return damage("a frame is cut off");
+                return damage("truncated frame payload");
             }
             if crc32fast::hash(&payload) != word(4) {
-                return damage("a frame's checksum is wrong");
+                return damage("frame checksum mismatch");
             }
             let mut rest = payload.as_slice();
             while !rest.is_empty() {
@@ -686,7 +691,7 @@
                         take(event);
                         rest = after;
                     }
-                    Err(_) => return damage("a frame holds what is no event"),
+                    Err(_) => return damage("frame payload is not a sequence of events"),
                 }
             }
         }
--- a/testing/fault-injection/src/lib.rs
+++ b/testing/fault-injection/src/lib.rs
@@ -1,11 +1,14 @@
-//! A fleet on one machine: many processes of the program, faults between them, a history of what every side saw, and a
-//! verdict. `docs/fault-injection.md` says how it is used and what it leaves out.
+//! Fault injection for a fleet on one machine: runs many processes of the programs, injects faults between
+//! them, records a history of the events on every side, and judges it. `docs/fault-injection.md` describes
+//! the usage and the limits.
 //!
-//! - [`scenario`], [`draw`], [`deployment`], [`endpoint`]: what is asked for, and what a seed makes of it.
+//! - [`scenario`], [`draw`], [`deployment`], [`endpoint`]: the scenario, and what is drawn for it from a
+//!   seed.
 //! - [`stand`], [`link`]: the rules of the stand-ins and of the links, without I/O.
-//! - [`shell`]: all of that on sockets, and the processes.
-//! - [`history`], [`checker`], [`figures`], [`verdict`], [`follow`]: what happened, on disk, and what it comes to.
-//! - [`report`], [`compare`]: the same for people.
+//! - [`shell`]: the same on sockets, and the processes.
+//! - [`history`], [`checker`], [`decisions`], [`linear`], [`figures`], [`verdict`], [`follow`]: the recorded
+//!   events and their evaluation.
+//! - [`report`], [`compare`]: human-readable reports.
 #![deny(unsafe_code)]
 
 pub mod checker;
--- a/testing/fault-injection/src/linear.rs
+++ b/testing/fault-injection/src/linear.rs
@@ -1,5 +1,6 @@
-//! Whether calls on a register could have been made one after the other, each at some instant between its begin and its end: the
-//! check for linearizability of `stateright`, and what a register of the coordination service may answer.
+//! Linearizability of the calls on a register: whether some sequential order explains their results, with
+//! each call taking effect at an instant between its start and its end. Uses the checker of `stateright` with
+//! a sequential specification of the coordination service's registers.
 
 use crate::deployment::Nanos;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
@@ -7,70 +8,71 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// What was asked of a register.
+/// An operation on a register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Op {
-    /// Reads it.
+    /// Reads the register.
     Read,
-    /// `expect`: only at this revision, 0 where there is no value yet.
+    /// Writes a value.
     Put {
         /// The value.
         value: u64,
-        /// The revision at which it must be.
+        /// The revision that the register must have, 0 if it has no value yet; `None` for any.
         expect: Option<u64>,
     },
 }
 
-/// What was answered.
+/// The result of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ret {
-    /// Its value and revision.
+    /// The value and revision were read.
     Value {
         /// The value; `None` where there is none yet.
         value: Option<u64>,
         /// The revision.
         revision: u64,
     },
-    /// Written at this revision.
+    /// The value was written at this revision.
     Written(u64),
-    /// Not written, as this is the revision.
+    /// The value was not written, because the register is at this revision.
     Conflict(u64),
 }
 
-/// A call; without an answer it may have taken effect at any time since its begin, or never.
+/// A call. Without an answer it may have taken effect at any time after its start, or never.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Who called.
+    /// Number of the client.
     pub client: u16,
-    /// When the call began.
+    /// Start of the call.
     pub from: Nanos,
     /// The operation.
     pub op: Op,
-    /// When it returned, and the result.
+    /// Time of the return, and the result.
     pub answer: Option<(Nanos, Ret)>,
 }
 
 /// Whether a history is linearizable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is.
+    /// The history is linearizable.
     Linear,
-    /// No order of the calls explains the answers.
+    /// No order of the calls explains the results.
     Not,
-    /// Nor is one known within the steps that a search may take.
+    /// The search found no such order within its limit of steps, or the history is malformed.
     Undecided,
 }
 
-/// Steps of a search at the most; a history that is linearizable needs a few for each call.
+/// Maximum number of steps of a search; a linearizable history needs a few for each call.
 const MAX_SEARCH_STEPS: u64 = 50_000;
-/// The search goes as deep as there are calls.
+/// Stack size of the search in bytes; the recursion is as deep as the number of calls.
 const STACK: usize = 256 << 20;
 
 #[derive(Clone, Debug)]
 struct Register {
     value: Option<u64>,
-    /// The least that its revision can be, and whether it is known to be that.
+    /// The lower bound of the revision.
     revision: u64,
+    /// Whether the revision is equal to its lower bound.
     exact: bool,
     steps: Rc<Cell<u64>>,
 }
@@ -83,7 +85,7 @@
         }
     }
 
-    /// One more step; false once there were too many.
+    /// Counts one step; returns false once there are too many.
     fn step(&self) -> bool {
         self.steps.set(self.steps.get() + 1);
         self.steps.get() <= MAX_SEARCH_STEPS
@@ -94,7 +96,7 @@
     type Op = Op;
     type Ret = Ret;
 
-    /// A call without an answer takes effect, at a revision that nobody was told.
+    /// Applies a call without an answer; its revision is unknown.
     fn invoke(&mut self, op: &Op) -> Ret {
         self.step();
         if let Op::Put { value, expect } = *op {
@@ -133,9 +135,9 @@
     }
 }
 
-/// Judges the calls on one register that has no value at first.
+/// Checks the calls on one register that initially has no value.
 pub fn judge(calls: &[Call]) -> Verdict {
-    // The search recurses once for each call; the usual stack of a thread is too small for long histories.
+    // The search recurses once for each call; the default stack of a thread is too small for long histories.
     let calls = calls.to_vec();
     let search = std::thread::Builder::new().stack_size(STACK).spawn(move || search(&calls));
     let found = search.map(std::thread::JoinHandle::join);
@@ -146,8 +148,8 @@
 }
 
 fn search(calls: &[Call]) -> Verdict {
-    // What is known of it is judged in the order of time; at one instant begins come before ends, so that calls that may have
-    // met have met.
+    // The tester takes starts and ends in time order. At the same instant starts come before ends, so that
+    // calls that may have overlapped count as overlapping.
     let mut edges: Vec<(Nanos, bool, usize)> = Vec::new();
     for (i, call) in calls.iter().enumerate() {
         edges.push((call.from, false, i));
@@ -157,7 +159,7 @@
     let steps = Rc::new(Cell::new(0));
     let register = Register { value: None, revision: 0, exact: true, steps: steps.clone() };
     let mut tester = LinearizabilityTester::new(register);
-    // A client goes on after a call that was never answered; that call then is of somebody who asks nothing more.
+    // A client continues after a call without an answer; the tester then needs another thread for the client.
     let mut thread_of: HashMap<u16, u32> = HashMap::new();
     let mut open: BTreeMap<usize, u32> = BTreeMap::new();
     let mut next = 0;
@@ -180,7 +182,7 @@
             tester.on_invoke(thread, call.op).is_ok()
         };
         if !taken {
-            // A client that asks two things at once has no place in such a history.
+            // A client with two concurrent calls makes the history malformed.
             return Verdict::Undecided;
         }
     }
--- a/testing/fault-injection/src/link.rs
+++ b/testing/fault-injection/src/link.rs
@@ -1,4 +1,4 @@
-//! What faults do to what lies between two ends: the rules in force, without I/O.
+//! The effect of the active faults on the links between endpoints, without I/O.
 
 use crate::deployment::{DrawnFault, Nanos, MS};
 use crate::endpoint::End;
@@ -6,21 +6,21 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// A segment that a stream loses is sent again by the system after about this time.
+/// Approximate time after which the operating system retransmits a lost segment of a stream.
 const RETRANSMISSION: Nanos = 200 * MS;
 
-/// The way from one end to another, at this moment.
+/// State of a link in one direction.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkState {
-    /// What is sent arrives.
+    /// Whether data arrives.
     pub open: bool,
-    /// New connections may come up: a process that stands still has a system that answers for it.
+    /// Whether new connections can be established; for a suspended process its operating system accepts them.
     pub connects: bool,
-    /// Connections are reset.
+    /// Whether connections are reset.
     pub reset: bool,
-    /// Delay each way, in nanoseconds.
+    /// Delay in this direction, in nanoseconds.
     pub delay: Nanos,
-    /// The most that is added to it at random, in nanoseconds.
+    /// Maximum random delay on top of `delay`, in nanoseconds.
     pub jitter: Nanos,
     /// Share of the datagrams that are lost.
     pub loss: f64,
@@ -40,14 +40,14 @@
         duplicates: 0.0,
     };
 
-    /// How much later a piece of a stream arrives: it is delayed, and what is lost is sent again.
+    /// Returns the delay of a segment of a stream, including the retransmission if it is lost.
     pub fn stream_delay(&self, rng: &mut impl Rng) -> Nanos {
         let lost = self.loss > 0.0 && rng.random::<f64>() < self.loss;
         self.delay_with_jitter(rng) + if lost { RETRANSMISSION } else { 0 }
     }
 
-    /// When a datagram's copies arrive, counted from now: none, one or two, each with a delay of its own, so that they may
-    /// change places with others.
+    /// Returns the delays of a datagram's copies: none, one or two. Each has a delay of its own, so datagrams
+    /// may be reordered.
     pub fn datagram(&self, rng: &mut impl Rng) -> Vec<Nanos> {
         let lost = !self.open || (self.loss > 0.0 && rng.random::<f64>() < self.loss);
         let twice = self.duplicates > 0.0 && rng.random::<f64>() < self.duplicates;
@@ -60,7 +60,7 @@
     }
 }
 
-/// Faults of links in force, and the stand-ins that stand still.
+/// The active faults of links, and the suspended processes and stand-ins.
 #[derive(Default)]
 pub struct LinkFaults {
     active: Vec<(usize, Rule)>,
@@ -70,7 +70,7 @@
 struct Rule {
     kind: FaultKind,
     target: BTreeSet<End>,
-    /// Empty: all others.
+    /// The other side of the links; empty for all endpoints that are not in `target`.
     from: BTreeSet<End>,
     one_way: bool,
     reset: bool,
@@ -91,7 +91,7 @@
 }
 
 impl LinkFaults {
-    /// A fault of links begins; it has this number.
+    /// Starts a fault of links, which has this number.
     pub fn begin(&mut self, number: usize, fault: &DrawnFault) {
         let rule = Rule {
             kind: fault.kind,
@@ -111,7 +111,7 @@
         self.active.retain(|(of, _)| *of != number);
     }
 
-    /// A stand-in stands still, or goes on.
+    /// Suspends or resumes a process or a stand-in.
     pub fn set_suspended(&mut self, end: End, suspended: bool) {
         if suspended {
             self.suspended.insert(end);
@@ -120,7 +120,7 @@
         }
     }
 
-    /// The way from one end to another. Several faults add up.
+    /// Returns the state of the link from one endpoint to another. Concurrent faults are combined.
     pub fn path(&self, from: End, to: End) -> LinkState {
         let mut path = LinkState::CLEAR;
         if self.suspended.contains(&to) || self.suspended.contains(&from) {
@@ -148,7 +148,7 @@
         path
     }
 
-    /// Whether a connection between the two may come up: both ways are needed.
+    /// Whether a connection between two endpoints can be established, which needs both directions.
     pub fn connects(&self, from: End, to: End) -> bool {
         self.path(from, to).connects && self.path(to, from).connects
     }
@@ -158,12 +158,12 @@
         self.suspended.contains(&end)
     }
 
-    /// Whether connections in this direction are reset.
+    /// Whether connections between two endpoints are reset.
     pub fn reset(&self, from: End, to: End) -> bool {
         self.path(from, to).reset || self.path(to, from).reset
     }
 
-    /// Whether there is no fault.
+    /// Whether there is no active fault.
     pub fn is_empty(&self) -> bool {
         self.active.is_empty() && self.suspended.is_empty()
     }
--- a/testing/fault-injection/src/main.rs
+++ b/testing/fault-injection/src/main.rs
@@ -1,4 +1,4 @@
-//! `marblecroft-fault-injection`: what it is asked for, and its exit codes.
+//! `marblecroft-fault-injection`: the command line and the exit codes.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -17,7 +17,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Starts a fleet on this machine, breaks what is between its processes, and judges what happened.
+/// Runs a fleet on this machine, injects faults between its processes, and checks the recorded history
 #[derive(Parser)]
 #[command(version, about)]
 struct Args {
@@ -27,59 +27,62 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// A small fleet, one gateway killed under load, a report; under a minute
+    /// Runs a small fleet, kills one gateway under load, and writes a report; takes less than a minute
     Demo {
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Plays a scenario
+    /// Runs a scenario
     Run {
         file: PathBuf,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Where the history, logs and figures are kept; target/lab/NAME-SEED without it
+        /// Output folder for the history, logs and figures [default: target/lab/NAME-SEED]
         #[arg(long)]
         out: Option<PathBuf>,
-        /// The last line of standard output is one JSON object
+        /// Print the summary as one JSON object on the last line of standard output
         #[arg(long)]
         json: bool,
     },
-    /// Draws a scenario from a site file's ranges, to standard output
+    /// Draws a scenario from the ranges of a site file and prints it
     Draw {
         site: PathBuf,
         #[arg(long)]
         seed: u64,
     },
-    /// Judges a recorded run again
+    /// Checks a recorded run again
     Check {
         dir: PathBuf,
         #[arg(long)]
         json: bool,
-        /// Instead, all that clients, pay servers and processes tell of one id, by time
+        /// Print all events and log lines of one trace id instead, ordered by time
         #[arg(long)]
         trace: Option<String>,
     },
-    /// Writes DIR/report.html: one file, readable on its own
+    /// Writes DIR/report.html, a self-contained page
     Report { dir: PathBuf },
-    /// Becomes one of the fleet's processes; for the lab itself
+    /// Becomes one of the fleet's processes; used by the harness itself
     #[command(hide = true)]
     Hold { parent: i32, program: OsString, args: Vec<OsString> },
-    /// Two runs, or two folders of runs, side by side
+    /// Compares two runs, or two folders of runs
     Compare { one: PathBuf, other: PathBuf },
 }
 
-/// Exit codes: every invariant holds; one is broken; the call or the scenario cannot be used; the harness failed.
+/// Every invariant and expectation holds.
 const EXIT_HOLDS: u8 = 0;
+/// An invariant is violated, an expectation is missed, or a process has crashed.
 const EXIT_BROKEN: u8 = 1;
+/// The command line or its input cannot be used.
 const EXIT_UNUSABLE: u8 = 2;
+/// The harness failed.
 const EXIT_FAILED: u8 = 3;
 
 const DEMO: &str = include_str!("../scenarios/demo.toml");
 
 quick_error! {
-    /// Why the program ends with an error.
+    /// An error that ends the program.
     #[derive(Debug)]
     enum CommandError {
         /// The scenario cannot be used.
@@ -92,12 +95,12 @@
             display("{}: {}", path.display(), error)
             source(error)
         }
-        /// A file that was named cannot be read.
+        /// An input file cannot be read.
         Input(path: PathBuf, error: io::Error) {
             display("{}: {}", path.display(), error)
             source(error)
         }
-        /// A recorded run that was named cannot be read.
+        /// A recorded run cannot be read.
         Recording(error: RecordingError) {
             display("{}", error)
             source(error)
@@ -109,12 +112,12 @@
             source(error)
             from()
         }
-        /// The run that was just recorded cannot be judged or shown.
+        /// The run that was just recorded cannot be checked or reported.
         Verdict(error: RecordingError) {
             display("{}", error)
             source(error)
         }
-        /// A file of the run cannot be written.
+        /// An output file or folder cannot be written.
         Output(path: PathBuf, error: io::Error) {
             display("{}: {}", path.display(), error)
             source(error)
@@ -201,12 +204,12 @@
     out: Option<PathBuf>,
     json: bool,
 ) -> Result<u8, CommandError> {
-    // Before anything is made: a scenario that cannot be used leaves nothing behind.
+    // Parsed before any file is created, so that an unusable scenario leaves nothing behind.
     Scenario::parse(&text).map_err(|error| CommandError::Scenario(name.to_owned(), error))?;
     let dir = out.unwrap_or_else(|| usual_dir(name, seed));
     let failed = |error| CommandError::Output(dir.clone(), error);
     fs::create_dir_all(&dir).map_err(failed)?;
-    // Processes are started from folders of their own.
+    // An absolute path, because the processes have working directories of their own.
     let dir = dir.canonicalize().map_err(failed)?;
     let log = fs::File::create(dir.join("lab.log")).map_err(failed)?;
     tracing_subscriber::fmt().json().with_writer(log).init();
--- a/testing/fault-injection/src/report.rs
+++ b/testing/fault-injection/src/report.rs
@@ -1,4 +1,5 @@
-//! A run as one page: plots as inline SVG, the faults marked, a table of the invariants; readable on its own.
+//! The report on a run as one self-contained HTML page: plots as inline SVG with the faults marked, and
+//! tables of the invariants and figures.
 
 use crate::deployment::{DrawnFault, SECOND};
 use crate::error::{IncompleteHistory, RecordingError};
@@ -9,7 +10,7 @@
 use std::fmt::Write;
 
 const PLOT_SIZE: (u32, u32) = (960, 260);
-/// Colours that people tell apart who do not see all of them.
+/// Colours that remain distinguishable with colour vision deficiency.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(0, 114, 178),
     RGBColor(230, 159, 0),
@@ -18,7 +19,7 @@
     RGBColor(204, 121, 167),
     RGBColor(86, 180, 233),
 ];
-/// The time axis goes on by this factor: there stand the names of the lines, over none of them.
+/// Factor by which the time axis is extended, so that the legend covers no line.
 const LEGEND_FACTOR: f64 = 1.14;
 const FAULT_COLOUR: RGBColor = RGBColor(190, 30, 45);
 
@@ -74,8 +75,11 @@
     let s = &verdict.summary;
     let title = escape(&format!("{}, seed {}", s.scenario, s.seed));
     let _ = write!(page, "<title>{title}</title><h1>{title}</h1>");
-    let word =
-        if verdict.holds() { "Everything that was asked holds." } else { "Something is broken or missed." };
+    let word = if verdict.holds() {
+        "All invariants and expectations hold."
+    } else {
+        "An invariant or an expectation is violated, or a process has crashed."
+    };
     let _ = write!(
         page,
         "<p><b>{word}</b> {} gateways, {} requests: {} served, {} refused, {} failed, {} unknown, {} lost.",
@@ -121,18 +125,18 @@
     };
     row(
         &mut page,
-        "tries in hand at a struck gateway",
+        "tries in flight at a gateway hit by a fault",
         format!("{}, {} of them lost", s.in_flight, s.in_flight_lost),
     );
     row(
         &mut page,
-        "must not run twice, and their clients were never told",
+        "must not run twice, and their clients received no answer",
         format!("{}, {} of them had run", s.unsafe_lost, s.unsafe_lost_ran),
     );
     row(&mut page, "clients left without an answer", format!("{:.2}%", s.unanswered_share * 100.0));
-    row(&mut page, "tries that met no gateway", s.unreachable_tries.to_string());
-    row(&mut page, "cold pay servers that fell over", s.overload_crashes.to_string());
-    row(&mut page, "processes that ended by themselves", s.crashes.to_string());
+    row(&mut page, "tries that reached no gateway", s.unreachable_tries.to_string());
+    row(&mut page, "pay servers that crashed under load", s.overload_crashes.to_string());
+    row(&mut page, "processes that exited by themselves", s.crashes.to_string());
     for (name, ms) in &s.latency_ms {
         row(&mut page, &format!("latency {name}"), format!("{ms} ms"));
     }
@@ -143,7 +147,7 @@
     }
     row(
         &mut page,
-        "the lab itself",
+        "the harness itself",
         format!(
             "{} events; up to {:.0}% of its thread; requests left {} ms late at 99.9%, {} ms at most; {} s of processor time, the fleet {} s, in {:.1} s",
             s.harness.events, s.harness.busy_most * 100.0, s.harness.late_p999_ms, s.harness.late_most_ms, s.harness.harness_cpu_s, s.harness.fleet_cpu_s, s.harness.wall_s
@@ -163,7 +167,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// A few by name, many by number.
+/// Returns the names of up to 4 victims of a fault, or the number and kind of more.
 fn victims(fault: &DrawnFault) -> String {
     match fault.victims.as_slice() {
         few if few.len() <= 4 => few.iter().map(ToString::to_string).collect::<Vec<_>>().join(", "),
--- a/testing/fault-injection/src/scenario/coordination.rs
+++ b/testing/fault-injection/src/scenario/coordination.rs
@@ -1,14 +1,14 @@
-//! Clients of the coordination service.
+//! Clients of the coordination service that a scenario configures.
 
 use serde::{Deserialize, Serialize};
 
-/// Stand-ins of processes that would own work of the fleet; only where there are coordinators.
+/// Stand-ins for processes that compete for locks. They exist only if the fleet has coordinators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Owners {
-    /// Each wants every lock.
+    /// Number of candidates; each one requests every lock.
     pub candidates: u32,
-    /// `lock-0`, `lock-1`, ...
+    /// Number of locks, which are named `lock-0`, `lock-1` and so on.
     pub locks: u32,
     /// Time to live of a session, in milliseconds.
     pub session_ms: u64,
@@ -20,17 +20,18 @@
     }
 }
 
-/// Clients of the coordination service whose calls are judged for linearizability; only where there are coordinators.
+/// Clients of the coordination service whose calls are checked for linearizability. They exist only if the
+/// fleet has coordinators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Registers {
-    /// Clients that read and write.
+    /// Number of clients that read and write.
     pub clients: u32,
     /// Mean pause between two calls of a client, in milliseconds.
     pub every_ms: u64,
     /// Number of registers.
     pub registers: u32,
-    /// Clients that watch all of them.
+    /// Number of clients that watch all registers.
     pub watchers: u32,
 }
 
--- a/testing/fault-injection/src/scenario/error.rs
+++ b/testing/fault-injection/src/scenario/error.rs
@@ -1,12 +1,12 @@
-//! Why a scenario cannot be used.
+//! Errors of a scenario file.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a scenario cannot be used. Each is one line that names the field.
+    /// A scenario that cannot be used. The text is one line that names the field.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum ScenarioError {
-        /// The file is no TOML, or has a key that does not exist or a value of another type.
+        /// The file is not TOML, or has an unknown key or a value of the wrong type.
         Syntax(line: usize, message: String) {
             display("line {}: {}", line, message)
         }
@@ -18,16 +18,16 @@
 }
 
 quick_error! {
-    /// Why a text names no target.
+    /// A text that is not a target of a fault.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum TargetError {
-        /// What stands in brackets is no number.
+        /// The index in brackets is not a number.
         Number(text: String) {
-            display("{:?}: no such number", text)
+            display("{:?}: the index is not a number", text)
         }
-        /// There is no such kind.
+        /// The kind is unknown.
         Kind(text: String) {
-            display("{:?} is none of the fleet's kinds", text)
+            display("{:?}: unknown kind of process", text)
         }
     }
 }
@@ -38,7 +38,7 @@
         ScenarioError::Invalid(field.into(), reason.into())
     }
 
-    /// Returns the error of a field of a fault, named from the scenario on.
+    /// Returns the error of a fault's field, with the field's full path in the scenario.
     pub(super) fn in_fault(self, index: usize) -> ScenarioError {
         match self {
             ScenarioError::Invalid(field, reason) => {
--- a/testing/fault-injection/src/scenario/expect.rs
+++ b/testing/fault-injection/src/scenario/expect.rs
@@ -1,18 +1,18 @@
-//! What is expected beyond the invariants.
+//! Expectations of a scenario in addition to the invariants.
 
 use serde::{Deserialize, Serialize};
 
-/// What is expected beyond the invariants.
+/// Expectations in addition to the invariants.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Expect {
-    /// Requests that were served, as a share of all.
+    /// Minimum share of the requests that are served.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub served_share: Option<f64>,
-    /// The time after the last fault within which service is complete again, in milliseconds.
+    /// Maximum time from the end of the last fault to full service, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub full_service_within_ms: Option<u64>,
-    /// Requests that ended with no answer, at the most.
+    /// Maximum number of requests that end without an answer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub lost_at_most: Option<u64>,
 }
--- a/testing/fault-injection/src/scenario/fault.rs
+++ b/testing/fault-injection/src/scenario/fault.rs
@@ -1,43 +1,45 @@
-//! Faults.
+//! Faults of a scenario.
 
 use super::Target;
 use serde::{Deserialize, Serialize};
 
-/// A fault, as the file has it.
+/// A fault, as the scenario file describes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// After the load's begin.
+    /// Start of the fault, in milliseconds after the start of the load.
     pub at_ms: u64,
-    /// What happens.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// To whom.
+    /// The processes that the fault affects.
     pub target: Target,
-    /// The share of the target that it concerns, drawn by the seed; all without `share` and `count`.
+    /// The share of the target's members that are affected, drawn at random. Without `share` and `count` all
+    /// are.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub share: Option<f64>,
-    /// The number of the target that it concerns.
+    /// The number of the target's members that are affected, drawn at random.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub count: Option<u32>,
-    /// For faults of links: between the target and these; all others without it.
+    /// For faults of links: the other side of the links; all other processes without it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub from: Option<Target>,
-    /// Only what goes from `from` to the target.
+    /// Affects only the direction from `from` to the target.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub one_way: bool,
-    /// Undone after this time; for good without it.
+    /// Duration of the fault in milliseconds; permanent without it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub for_ms: Option<u64>,
-    /// `cut`: connections are reset, and new ones too; silence without it.
+    /// For `cut`: resets existing and new connections; without it data is silently dropped.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub reset: bool,
-    /// `delay`: this much more each way (100 without it), and up to as much again by `jitter_ms`.
+    /// For `delay`: added delay in each direction, in milliseconds; 100 without it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub delay_ms: Option<u64>,
-    /// `delay`: the most that is added at random, in milliseconds.
+    /// For `delay`: maximum of the random delay on top of `delay_ms`, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub jitter_ms: Option<u64>,
-    /// `lose` and `duplicate`: the share of datagrams (0.3 without it). What a stream loses comes 200 ms later.
+    /// For `lose` and `duplicate`: the share of datagrams; 0.3 without it. Data that a stream loses arrives
+    /// 200 ms later instead.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub probability: Option<f64>,
 }
@@ -48,17 +50,17 @@
 pub enum FaultKind {
     /// The process is killed.
     Kill,
-    /// The process is told to end (SIGTERM).
+    /// The process receives SIGTERM.
     Term,
     /// The process is suspended, and resumed later.
     Stop,
     /// The process is killed and started again.
     Restart,
-    /// The process is killed, and started again without its files.
+    /// The process is killed, its files are deleted, and it is started again.
     Wipe,
     /// Links are cut.
     Cut,
-    /// Links are slow.
+    /// Links are delayed.
     Delay,
     /// Links lose datagrams.
     Lose,
@@ -69,7 +71,7 @@
 }
 
 impl FaultKind {
-    /// Whether it concerns the links between processes.
+    /// Whether the fault affects the links between processes.
     pub fn of_links(self) -> bool {
         matches!(self, FaultKind::Cut | FaultKind::Delay | FaultKind::Lose | FaultKind::Duplicate)
     }
--- a/testing/fault-injection/src/scenario/fleet.rs
+++ b/testing/fault-injection/src/scenario/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes and the stand-ins.
+//! The processes and the stand-ins of a scenario.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -8,44 +8,47 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// Processes of the gateway, 0 to 300. With 0 clients ask the pay servers themselves: what the lab alone can do.
+    /// Number of gateways, 0 to 300. With 0, clients call the pay servers directly, which measures the
+    /// harness itself.
     pub gateways: u32,
-    /// Stand-ins of pay servers, 1 to 200.
+    /// Number of stand-ins for pay servers, 1 to 200.
     pub pay_servers: u32,
-    /// Where gateways and pay servers stand, in turn; one at least.
+    /// The zones, at least one. Gateways and pay servers are assigned to them round-robin.
     pub zones: Vec<String>,
-    /// Pay servers seal ids and tell what came of them.
+    /// Whether pay servers can seal a trace id and report the result of its request.
     pub receipts: bool,
-    /// Processes of the list service, 0 to 3; with 0 the stand-in of the platform's discovery tells the list.
+    /// Number of processes of the list service, 0 to 3. With 0, the stand-in for the platform's discovery
+    /// serves the list.
     pub list_service: u32,
-    /// Processes of the coordination service: 0, 3 or 5.
+    /// Number of processes of the coordination service: 0, 3 or 5.
     pub coordinators: u32,
-    /// Merged into the configuration of the first, second, ... of them.
+    /// The n-th table is merged into the configuration of the n-th coordinator.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub coordinator_config: Vec<toml::Table>,
-    /// There is a counter.
+    /// Whether there is a shared counter.
     pub counter: bool,
-    /// The gateway's program, where it is not the one beside this one.
+    /// Path of the gateway's program; by default the one in this program's folder.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub program: Option<PathBuf>,
-    /// Merged into each gateway's configuration as it is.
+    /// Merged into each gateway's configuration.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub gateway_config: Option<toml::Table>,
-    /// Zones by region; left out: one region.
+    /// Zones by region; without it all zones are in one region.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub regions: BTreeMap<String, Vec<String>>,
-    /// One more zone, with neither gateways nor pay servers.
+    /// An additional zone without gateways and pay servers.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub witness: Option<String>,
-    /// Processes of the steward; they need coordinators.
+    /// Number of controllers; they need coordinators.
     #[serde(rename = "stewards")]
     pub controllers: u32,
-    /// Merged into each steward's configuration as it is.
+    /// Merged into each controller's configuration.
     #[serde(rename = "steward_config", skip_serializing_if = "Option::is_none")]
     pub controller_config: Option<toml::Table>,
-    /// Pay servers turn writes under older epochs away.
+    /// Whether pay servers reject writes under older epochs.
     pub fencing: bool,
-    /// Cells that pay servers are dealt out over, each within one zone; 0: by fours.
+    /// Number of cells, each within one zone, that pay servers are distributed over. With 0, each four
+    /// consecutive pay servers form a cell.
     pub cells: u32,
 }
 
--- a/testing/fault-injection/src/scenario/load.rs
+++ b/testing/fault-injection/src/scenario/load.rs
@@ -2,21 +2,22 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What the clients ask for.
+/// The load that the clients generate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Requests a second, without retries; sent on schedule, whatever comes back.
+    /// Requests a second, not counting retries; an open loop that does not depend on the responses.
     pub rate: f64,
     /// Duration of the load in milliseconds.
     pub duration_ms: u64,
     /// Number of customers.
     pub customers: u32,
-    /// The share of the class that must never run twice.
+    /// Share of the requests in the class that must never run twice.
     pub unsafe_share: f64,
-    /// Further tries that a client makes by itself.
+    /// Maximum number of retries of a request by its client.
     pub retries: u32,
-    /// A client that lost its gateway returns with the same id, also where its request may have run.
+    /// Whether a client that lost its gateway retries with the same trace id, even if its request may have
+    /// run.
     pub come_back: bool,
 }
 
--- a/testing/fault-injection/src/scenario/mod.rs
+++ b/testing/fault-injection/src/scenario/mod.rs
@@ -1,7 +1,7 @@
-//! A scenario: a fleet, its load, its faults, and what is expected of it, in one TOML file.
+//! Scenarios: a fleet, its load, its faults and the expected results, in one TOML file.
 //!
-//! Unknown keys are rejected, and every error is one line that names the field. What the file leaves out has the default of
-//! its type here. [`crate::deployment`] draws from a scenario and a seed.
+//! Unknown keys are rejected, and every error is one line that names the field. Missing fields have the
+//! defaults of the types in this module. [`crate::deployment`] draws the random parts from a seed.
 
 mod coordination;
 mod error;
@@ -28,7 +28,7 @@
 use serde::{Deserialize, Serialize};
 use tenancy::{Shards, Tenants};
 
-/// A scenario, as its file has it.
+/// The content of a scenario file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Scenario {
@@ -40,24 +40,24 @@
     pub site: Site,
     /// Candidates for locks of the coordination service.
     pub owners: Owners,
-    /// Clients of the coordination service's values.
+    /// Clients of registers of the coordination service.
     pub registers: Registers,
-    /// The faults, in the order of the file.
+    /// The faults, in file order.
     #[serde(rename = "fault", skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<Fault>,
-    /// Firms with fair shares; without it the site's plans apply.
+    /// Firms with fair shares; without them the site's plans apply.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tenants: Option<Tenants>,
-    /// Ranges of firms that move between cells.
+    /// Shards that are migrated between cells.
     #[serde(rename = "books", skip_serializing_if = "Option::is_none")]
     pub shards: Option<Shards>,
-    /// What is expected beyond the invariants.
+    /// Expectations in addition to the invariants.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub expect: Option<Expect>,
 }
 
 impl Scenario {
-    /// Reads and checks a file's text.
+    /// Parses and validates the text of a scenario file.
     ///
     /// # Errors
     ///
--- a/testing/fault-injection/src/scenario/site.rs
+++ b/testing/fault-injection/src/scenario/site.rs
@@ -2,7 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Figures of the site that the stand-ins go by. The defaults lie within the ranges that the operators publish.
+/// Parameters of the site that the stand-ins simulate. The defaults are within the ranges that the operators
+/// publish.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Site {
@@ -14,51 +15,51 @@
     pub aim_ms: u64,
     /// The deadline of a request in milliseconds.
     pub deadline_ms: u64,
-    /// The least share of the deadline that a client waits for a try.
+    /// Minimum timeout of a client's try, as a share of the deadline.
     pub try_share: f64,
     /// A client's pause before a retry, in milliseconds.
     pub backoff_ms: u64,
-    /// The share of refusals whose `Retry-After` is honoured.
+    /// Share of the refusals whose `Retry-After` the clients honour.
     pub honour: f64,
-    /// A front notices a dead gateway this late.
+    /// Delay after which the load balancer detects a failed gateway, in milliseconds.
     pub notice_ms: u64,
-    /// Mean speed of a pay server, against one core of the reference.
+    /// Mean speed of a pay server, relative to a reference core.
     pub speed: f64,
     /// Coefficient of variation of the speed.
     pub speed_cv: f64,
-    /// Requests that a pay server runs at once, for each core.
+    /// Number of requests that a pay server runs concurrently, for each core.
     pub slots_per_core: u32,
-    /// Requests that wait at a pay server, for each core.
+    /// Length of a pay server's queue, for each core.
     pub queue_per_core: u32,
-    /// Each request beyond `thrash_at` for each core slows all by this share.
+    /// Share by which each request above `thrash_at` slows down all requests.
     pub thrash: f64,
-    /// Requests for each core up to which nothing slows down.
+    /// Number of requests for each core up to which there is no slowdown.
     pub thrash_at: f64,
-    /// The share of requests that fail at a pay server.
+    /// Share of requests that fail at a pay server.
     pub error_rate: f64,
-    /// Waiting work is dropped when its connection ends.
+    /// Whether a pay server drops queued work when its connection ends.
     pub drops_queued: bool,
-    /// The share of its speed that a pay server starts with.
+    /// Speed of a pay server after its start, as a share of its full speed.
     pub cold_from: f64,
-    /// A pay server has its full speed after this time, in milliseconds.
+    /// Time from a pay server's start to its full speed, in milliseconds.
     pub cold_ms: u64,
-    /// A pay server at this multiple of its capacity crashes, ...
+    /// Multiple of its capacity at which a pay server crashes if the load lasts for `fall_ms`.
     pub fall_multiple: f64,
-    /// ... after this time, in milliseconds.
+    /// Duration of an overload after which a pay server crashes, in milliseconds.
     pub fall_ms: u64,
-    /// Connections that a pay server accepts, for each core.
+    /// Number of connections that a pay server accepts, for each core.
     pub connections_per_core: u32,
-    /// Work that a new connection costs a pay server, in us of one core.
+    /// Cost of a new connection at a pay server, in microseconds of one core.
     pub handshake_us: u64,
-    /// The meter reports this late, in milliseconds.
+    /// Delay of the meter's reports, in milliseconds.
     pub meter_late_ms: u64,
-    /// The list tells of a server that drains or dies this late, ...
+    /// Delay after which the list shows that a server drains or has failed, in milliseconds.
     pub list_notice_ms: u64,
-    /// ... and of a new one this late.
+    /// Delay after which the list shows a new server, in milliseconds.
     pub list_add_ms: u64,
-    /// Calls a second that the counter bears.
+    /// Calls a second that the counter can serve.
     pub counter_per_s: f64,
-    /// How unevenly a customer's requests come in through its gateways: 0 evenly.
+    /// Skew of the distribution of a customer's requests over its gateways; 0 distributes them evenly.
     pub skew: f64,
     /// The plans.
     #[serde(rename = "plan")]
@@ -114,26 +115,26 @@
     }
 }
 
-/// A plan; customers are given to plans so that each has its `share` of the use.
+/// A plan. Customers are assigned to plans so that each plan has its `share` of the usage.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Its name.
+    /// Name of the plan.
     pub name: String,
-    /// Its share of the use.
+    /// The plan's share of the usage.
     pub share: f64,
     /// Units a second, before they are scaled to the load.
     pub rate: f64,
-    /// The store's depth, in seconds of the rate.
+    /// Depth of the token bucket, in seconds of the rate.
     pub burst_s: f64,
-    /// The worth of a unit within the quota.
+    /// Price of a unit within the quota.
     pub price: f64,
     /// The cost of a unit beyond the quota.
     pub over_cost: f64,
-    /// Attempts out at once; 0: no such quota.
+    /// Maximum number of concurrent attempts; 0 for no limit.
     #[serde(default)]
     pub open: u32,
-    /// The hard ceiling in multiples of the rate; 0: none.
+    /// The hard ceiling as a multiple of the rate; 0 for none.
     #[serde(default)]
     pub ceiling: f64,
 }
--- a/testing/fault-injection/src/scenario/target.rs
+++ b/testing/fault-injection/src/scenario/target.rs
@@ -1,33 +1,34 @@
-//! Whom a fault concerns.
+//! Targets of faults.
 
 use super::TargetError;
 use crate::endpoint::Kind;
 use serde::{Deserialize, Serialize};
 use std::fmt::{self, Display};
 
-/// Whom a fault concerns: `gateways`, `gateways[2]`, `zone:NAME`, `region:NAME`, or `owner:NAME`.
+/// The processes that a fault affects: `gateways`, `gateways[2]`, `zone:NAME`, `region:NAME`, or
+/// `owner:NAME`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum Target {
-    /// All of a kind.
+    /// All members of a kind.
     All(Kind),
-    /// One of a kind, by its number.
+    /// One member of a kind, by its number.
     One(Kind, u32),
-    /// The process that owns a lock or a role when the fault begins.
+    /// The process that owns a lock or a role when the fault starts.
     Owner(String),
-    /// Everything in a zone.
+    /// All processes and stand-ins in a zone.
     Zone(String),
-    /// Everything in a region.
+    /// All processes and stand-ins in a region.
     Region(String),
 }
 
-/// The roles whose owner is a controller.
+/// The roles that controllers own.
 pub const ROLES: [&str; 3] = marblecroft_singleton_roles::keys::ROLES;
-/// The owner of this name is the coordinator that leads.
+/// The name of the role that the coordinators' leader owns.
 pub const LEADER: &str = "leader";
 
 impl Target {
-    /// Returns the lock or role, where the target is its owner.
+    /// Returns the name of the lock or role if the target is its owner.
     pub fn owner(&self) -> Option<String> {
         match self {
             Target::Owner(name) => Some(name.clone()),
--- a/testing/fault-injection/src/scenario/tenancy.rs
+++ b/testing/fault-injection/src/scenario/tenancy.rs
@@ -1,20 +1,22 @@
-//! What a scenario says of shares and books.
+//! Tenants and shards of a scenario, and the assignment of pay servers to cells.
 
 use super::validation::within;
 use super::{Scenario, ScenarioError};
 use serde::{Deserialize, Serialize};
 
-/// Firms whose shares of the fleet's capacity are decided in common, in place of the site's plans and customers.
+/// Firms whose shares of the fleet's capacity are decided by the controllers. They replace the site's plans
+/// and customers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tenants {
-    /// Customers with demand.
+    /// Number of firms.
     pub firms: u32,
-    /// The firms' weights, in turn.
+    /// The firms' weights, assigned round-robin.
     pub weights: Vec<f64>,
-    /// So many ask five times their part, and again at once when refused.
+    /// Number of firms that request five times their fair share, and retry at once after a refusal.
     pub greedy: u32,
-    /// Demand moves to other firms and gateways; never without it.
+    /// When demand shifts to other firms and gateways, in milliseconds after the start of the load; never
+    /// without it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub shift_at_ms: Option<u64>,
 }
@@ -25,13 +27,13 @@
     }
 }
 
-/// Ranges of firms whose pay runs are written at one cell each.
+/// Shards: ranges of firms whose pay runs are each written at one cell.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Shards {
-    /// Ranges at the begin.
+    /// Number of shards at the start.
     pub count: u32,
-    /// Operators' moves.
+    /// Migrations that operators request.
     #[serde(rename = "move", skip_serializing_if = "Vec::is_empty")]
     pub moves: Vec<ShardMove>,
 }
@@ -42,16 +44,16 @@
     }
 }
 
-/// An operator's word: from then on a book, by its number at the begin, is to be at a cell.
+/// An operator's request to move a shard to a cell.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShardMove {
-    /// After the load's begin, in milliseconds.
+    /// Time of the request, in milliseconds after the start of the load.
     pub at_ms: u64,
-    /// The book.
+    /// Number of the shard, as numbered at the start.
     #[serde(rename = "book")]
     pub shard: u32,
-    /// The cell.
+    /// Number of the cell.
     pub to_cell: u32,
 }
 
@@ -61,7 +63,8 @@
 const MAX_MOVES: usize = 256;
 
 impl Scenario {
-    /// The cell of a pay server, by its number: dealt out in turn, each cell within one zone. By fours where cells mean nothing.
+    /// Returns the cell of a pay server. Pay servers are assigned round-robin to the cells of their zone;
+    /// without configured cells each four consecutive pay servers form one.
     pub fn cell_of(&self, server: u32) -> u32 {
         let (zones, cells) = (self.fleet.zones.len() as u32, self.fleet.cells);
         if cells == 0 {
@@ -72,12 +75,12 @@
         zone + zones * (server / zones % here.max(1))
     }
 
-    /// How many cells a zone has.
+    /// Returns the number of cells in a zone.
     fn cells_in(&self, zone: u32) -> u32 {
         (0..self.fleet.cells).filter(|cell| cell % self.fleet.zones.len() as u32 == zone).count() as u32
     }
 
-    /// The number of the zone that a cell is in.
+    /// Returns the number of a cell's zone.
     pub fn zone_of_cell(&self, cell: u32) -> usize {
         cell as usize % self.fleet.zones.len()
     }
@@ -86,13 +89,13 @@
         let fleet = &self.fleet;
         within("fleet.cells", fleet.cells, 0, fleet.pay_servers)?;
         if fleet.cells > 0 && fleet.cells < fleet.zones.len() as u32 {
-            return Err(ScenarioError::invalid("fleet.cells", "one for each zone at least"));
+            return Err(ScenarioError::invalid("fleet.cells", "at least one for each zone"));
         }
         if let Some(tenants) = &self.tenants {
             if fleet.controllers == 0 {
                 return Err(ScenarioError::invalid(
                     "tenants",
-                    "shares are decided by stewards, and there are none",
+                    "shares are decided by stewards, and the fleet has none",
                 ));
             }
             within("tenants.firms", tenants.firms, 1, MAX_FIRMS)?;
@@ -107,11 +110,11 @@
         }
         if let Some(shards) = &self.shards {
             if fleet.controllers == 0 || fleet.cells == 0 {
-                return Err(ScenarioError::invalid("books", "they need stewards, and fleet.cells"));
+                return Err(ScenarioError::invalid("books", "books need fleet.stewards and fleet.cells"));
             }
             within("books.count", shards.count, 1, MAX_SHARDS)?;
             if shards.moves.len() > MAX_MOVES {
-                return Err(ScenarioError::invalid("books.move", format!("{MAX_MOVES} at the most")));
+                return Err(ScenarioError::invalid("books.move", format!("at most {MAX_MOVES}")));
             }
             for (i, moved) in shards.moves.iter().enumerate() {
                 within(&format!("books.move[{i}].at_ms"), moved.at_ms, 0, self.load.duration_ms)?;
--- a/testing/fault-injection/src/scenario/topology.rs
+++ b/testing/fault-injection/src/scenario/topology.rs
@@ -1,10 +1,11 @@
-//! Where the processes and stand-ins of a scenario are.
+//! Placement of a scenario's processes and stand-ins in zones and regions.
 
 use super::{Scenario, Target};
 use crate::endpoint::{End, Kind};
 
 impl Scenario {
-    /// Returns the number of processes that clients call: the gateways, or the pay servers where there are none.
+    /// Returns the number of processes that clients call: the gateways, or the pay servers where there are
+    /// none.
     pub fn entry_count(&self) -> u32 {
         match self.fleet.gateways {
             0 => self.fleet.pay_servers,
@@ -12,7 +13,7 @@
         }
     }
 
-    /// Returns the number of a kind.
+    /// Returns the number of members of a kind.
     pub fn count(&self, kind: Kind) -> u32 {
         match kind {
             Kind::Clients => 1,
@@ -25,7 +26,8 @@
             Kind::Cells => self.fleet.cells,
             Kind::Candidates => {
                 if self.fleet.coordinators > 0 {
-                    // Whoever keeps registers comes after those that want locks.
+                    // The candidates for locks have the first numbers; clients and watchers of registers
+                    // follow.
                     self.owners.candidates + self.registers.clients + self.registers.watchers
                 } else {
                     0
@@ -34,12 +36,12 @@
         }
     }
 
-    /// Returns all zones, with the witness as the last.
+    /// Returns all zones, with the witness zone last.
     pub fn all_zones(&self) -> Vec<&str> {
         self.fleet.zones.iter().chain(&self.fleet.witness).map(String::as_str).collect()
     }
 
-    /// Returns the region of a zone; a witness is one of its own.
+    /// Returns the region of a zone; a witness zone that no region lists is a region of its own.
     pub fn region(&self, zone: &str) -> String {
         let named = self.fleet.regions.iter().find(|(_, zones)| zones.iter().any(|other| other == zone));
         match named {
@@ -49,7 +51,8 @@
         }
     }
 
-    /// Returns the zone, by its number among all, of a process or a stand-in; `None` for those outside of all zones.
+    /// Returns the zone of a process or a stand-in, as an index into [`Scenario::all_zones`]; `None` for
+    /// those outside all zones.
     pub fn zone_of(&self, end: End) -> Option<usize> {
         let zones = self.fleet.zones.len();
         match end {
@@ -60,7 +63,8 @@
         }
     }
 
-    /// The zone of the first, second, ... of the processes that are spread over the regions in turn, and in each over its zones.
+    /// Returns the zone of the process with this number. Such processes are spread over the regions
+    /// round-robin, and within each region over its zones.
     fn spread_over_zones(&self, number: usize) -> Option<usize> {
         let all = self.all_zones();
         let mut regions: Vec<(String, Vec<usize>)> = Vec::new();
@@ -75,7 +79,7 @@
         zones.get(number / regions.len() % zones.len()).copied()
     }
 
-    /// Whether a zone is what a target names, or in it.
+    /// Whether a zone is the target, or is in the target region.
     pub fn is_zone_in(&self, zone: usize, target: &Target) -> bool {
         let Some(name) = self.all_zones().get(zone).copied() else { return false };
         match target {
--- a/testing/fault-injection/src/scenario/validation.rs
+++ b/testing/fault-injection/src/scenario/validation.rs
@@ -1,12 +1,12 @@
-//! The checks of a scenario's values.
+//! Validation of a scenario's values.
 
 use super::{Fault, FaultKind, Scenario, ScenarioError, Target, LEADER, ROLES};
 use crate::endpoint::Kind;
 use std::fmt::Display;
 
-/// Bounds of what one machine and one history can take.
+/// Maximum number of gateways. This and the other limits keep a run within one machine and one history.
 pub const MAX_GATEWAYS: u32 = 300;
-/// Bound of the pay servers.
+/// Maximum number of pay servers.
 pub const MAX_PAY_SERVERS: u32 = 200;
 const MAX_LIST_PROCESSES: u32 = 3;
 const MAX_CUSTOMERS: u32 = 20_000;
@@ -21,7 +21,10 @@
         self.validate_tenancy()?;
         within("fleet.gateways", fleet.gateways, 0, MAX_GATEWAYS)?;
         if fleet.gateways == 0 && fleet.coordinators == 0 && !faults.is_empty() {
-            return Err(ScenarioError::invalid("fault", "without gateways the lab only measures itself"));
+            return Err(ScenarioError::invalid(
+                "fault",
+                "without gateways and coordinators the run only measures the harness, and takes no faults",
+            ));
         }
         within("fleet.pay_servers", fleet.pay_servers, 1, MAX_PAY_SERVERS)?;
         within("fleet.list_service", fleet.list_service, 0, MAX_LIST_PROCESSES)?;
@@ -32,10 +35,7 @@
             ));
         }
         if fleet.coordinator_config.len() > fleet.coordinators as usize {
-            return Err(ScenarioError::invalid(
-                "fleet.coordinator_config",
-                "more than there are coordinators",
-            ));
+            return Err(ScenarioError::invalid("fleet.coordinator_config", "more tables than coordinators"));
         }
         within("registers.clients", registers.clients, 0, 100)?;
         within("registers.every_ms", registers.every_ms, 1, 60_000)?;
@@ -47,22 +47,25 @@
         if fleet.zones.is_empty() || fleet.zones.iter().any(|zone| zone.is_empty() || zone.len() > 128) {
             return Err(ScenarioError::invalid(
                 "fleet.zones",
-                "one zone at least, each with a name of 128 bytes at most",
+                "at least one zone, each with a name of 1 to 128 bytes",
             ));
         }
         within("fleet.stewards", fleet.controllers, 0, 8)?;
         if fleet.controllers > 0 && fleet.coordinators == 0 {
-            return Err(ScenarioError::invalid("fleet.stewards", "they need coordinators"));
+            return Err(ScenarioError::invalid("fleet.stewards", "stewards need coordinators"));
         }
         let all = self.all_zones();
         if (1..all.len()).any(|i| all[..i].contains(&all[i])) {
-            return Err(ScenarioError::invalid("fleet.zones", "a name comes twice"));
+            return Err(ScenarioError::invalid("fleet.zones", "a name occurs twice"));
         }
         let listed: Vec<&String> = fleet.regions.values().flatten().collect();
         let once = |zone: &String| listed.iter().filter(|other| **other == zone).count() == 1;
         let known = listed.iter().all(|zone| fleet.zones.contains(zone));
         if !(fleet.regions.is_empty() || known && fleet.zones.iter().all(once)) {
-            return Err(ScenarioError::invalid("fleet.regions", "each zone in one of them, and no others"));
+            return Err(ScenarioError::invalid(
+                "fleet.regions",
+                "must list each zone of fleet.zones exactly once, and no others",
+            ));
         }
         within("load.rate", load.rate, 0.1, MAX_RATE)?;
         within("load.duration_ms", load.duration_ms, 1000, MAX_DURATION_MS)?;
@@ -116,7 +119,7 @@
         }
         within("site.plan: shares in all", site.plans.iter().map(|plan| plan.share).sum(), 0.01, 16.0)?;
         if faults.len() > MAX_FAULTS {
-            return Err(ScenarioError::invalid("fault", format!("{MAX_FAULTS} at the most")));
+            return Err(ScenarioError::invalid("fault", format!("at most {MAX_FAULTS}")));
         }
         for (i, fault) in faults.iter().enumerate() {
             self.validate_fault(fault).map_err(|error| error.in_fault(i))?;
@@ -135,23 +138,28 @@
         let kind = self.target("target", &fault.target)?;
         if let Some(from) = &fault.from {
             if !fault.kind.of_links() {
-                return Err(ScenarioError::invalid("from", "only faults of links lie between two sides"));
+                return Err(ScenarioError::invalid("from", "applies only to faults of links"));
             }
             self.target("from", from)?;
         }
         if fault.one_way && fault.from.is_none() {
-            return Err(ScenarioError::invalid("one_way", "between which sides? `from` is missing"));
-        }
-        let one = |set: bool, name: &str, kinds: &[FaultKind]| match set && !kinds.contains(&fault.kind) {
-            true => Err(ScenarioError::invalid(name, "means nothing for this kind of fault")),
-            false => Ok(()),
-        };
-        one(fault.reset, "reset", &[FaultKind::Cut])?;
-        one(fault.delay_ms.is_some(), "delay_ms", &[FaultKind::Delay])?;
-        one(fault.jitter_ms.is_some(), "jitter_ms", &[FaultKind::Delay])?;
-        one(fault.probability.is_some(), "probability", &[FaultKind::Lose, FaultKind::Duplicate])?;
+            return Err(ScenarioError::invalid("one_way", "needs `from`"));
+        }
+        let applies_only_to =
+            |set: bool, name: &str, kinds: &[FaultKind]| match set && !kinds.contains(&fault.kind) {
+                true => Err(ScenarioError::invalid(name, "does not apply to this kind of fault")),
+                false => Ok(()),
+            };
+        applies_only_to(fault.reset, "reset", &[FaultKind::Cut])?;
+        applies_only_to(fault.delay_ms.is_some(), "delay_ms", &[FaultKind::Delay])?;
+        applies_only_to(fault.jitter_ms.is_some(), "jitter_ms", &[FaultKind::Delay])?;
+        applies_only_to(
+            fault.probability.is_some(),
+            "probability",
+            &[FaultKind::Lose, FaultKind::Duplicate],
+        )?;
         match (fault.share, fault.count) {
-            (Some(_), Some(_)) => return Err(ScenarioError::invalid("share", "`count` is set as well")),
+            (Some(_), Some(_)) => return Err(ScenarioError::invalid("share", "excludes `count`")),
             (Some(share), None) => within("share", share, 0.0, 1.0)?,
             (None, Some(count)) => within("count", count, 0, self.count(kind))?,
             (None, None) => {}
@@ -159,33 +167,33 @@
         if !matches!(fault.target, Target::All(_)) && (fault.share.is_some() || fault.count.is_some()) {
             return Err(ScenarioError::invalid(
                 "target",
-                "it names one already, so `share` and `count` mean nothing",
+                "`share` and `count` apply only to all members of a kind",
             ));
         }
         within("delay_ms", fault.delay_ms.unwrap_or(0), 0, 60_000)?;
         within("jitter_ms", fault.jitter_ms.unwrap_or(0), 0, 60_000)?;
         within("probability", fault.probability.unwrap_or(0.0), 0.0, 1.0)?;
-        let stands_in = kind == Kind::ListService && self.fleet.list_service == 0;
+        let is_stand_in = kind == Kind::ListService && self.fleet.list_service == 0;
         match (fault.kind, kind) {
-            (FaultKind::FullDisk, Kind::ListService) if !stands_in => Ok(()),
+            (FaultKind::FullDisk, Kind::ListService) if !is_stand_in => Ok(()),
             (FaultKind::FullDisk, Kind::Coordinators) => Ok(()),
             (FaultKind::Stop, Kind::Candidates) => Ok(()),
             (_, Kind::Candidates) if !fault.kind.of_links() => {
-                Err(ScenarioError::invalid("kind", "candidates stand still or lose their links"))
+                Err(ScenarioError::invalid("kind", "candidates can only be stopped or lose their links"))
             }
             (FaultKind::FullDisk, _) => {
-                Err(ScenarioError::invalid("kind", "only processes with a folder have a disk"))
+                Err(ScenarioError::invalid("kind", "only the list service and the coordinators have a disk"))
             }
             (kind, _) if kind.of_links() => Ok(()),
-            (_, Kind::Clients) => Err(ScenarioError::invalid("target", "clients only lose their links")),
+            (_, Kind::Clients) => Err(ScenarioError::invalid("target", "clients can only lose their links")),
             (FaultKind::Term, Kind::Counter | Kind::Cells) => {
-                Err(ScenarioError::invalid("kind", "the counter and cells take no signals"))
+                Err(ScenarioError::invalid("kind", "the counter and the cells do not receive signals"))
             }
             _ => Ok(()),
         }
     }
 
-    /// The kind of a target that the fleet has.
+    /// Returns the kind of a target's members, if the fleet has the target.
     fn target(&self, field: &str, target: &Target) -> Result<Kind, ScenarioError> {
         let (kind, index) = match target {
             Target::All(kind) => (*kind, 0),
@@ -197,8 +205,8 @@
                 return Ok(Kind::Controllers);
             }
             Target::Zone(_) | Target::Region(_) => {
-                let there = (0..self.all_zones().len()).any(|zone| self.is_zone_in(zone, target));
-                return match there {
+                let exists = (0..self.all_zones().len()).any(|zone| self.is_zone_in(zone, target));
+                return match exists {
                     true => Ok(Kind::Gateways),
                     false => Err(ScenarioError::invalid(field, format!("the fleet has no {target}"))),
                 };
@@ -217,7 +225,7 @@
             true => Ok(kind),
             false => Err(ScenarioError::invalid(
                 field,
-                format!("the fleet has {} of {:?}, not {target}", self.count(kind), kind.name()),
+                format!("{target} does not exist: the fleet has {} {}", self.count(kind), kind.name()),
             )),
         }
     }
--- a/testing/fault-injection/src/verdict.rs
+++ b/testing/fault-injection/src/verdict.rs
@@ -1,4 +1,4 @@
-//! A recorded run, read once: what holds, and what it came to.
+//! The verdict on a recorded run: the findings and the figures, from one pass over its history.
 
 use crate::checker::{Checker, Finding};
 use crate::decisions::DecisionChecker;
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Beyond this share of its thread the lab's own waits show in what it measures.
+/// Load of the harness' thread, as a share, above which its own delays affect the measured figures.
 const MAX_HARNESS_LOAD: f64 = 0.8;
 
 /// The verdict on a run.
@@ -19,11 +19,11 @@
     pub findings: BTreeMap<&'static str, Finding>,
     /// The figures.
     pub summary: Summary,
-    /// What was wanted beyond the invariants, and missed.
+    /// The scenario's expectations that were missed.
     pub missed: Vec<String>,
 }
 
-/// Judges the run in a folder. `figures`, filled, are for whoever draws them.
+/// Checks the run in a folder. The figures are returned for reports with plots.
 ///
 /// # Errors
 ///
@@ -73,14 +73,14 @@
 }
 
 impl Verdict {
-    /// Whether all invariants hold, nothing that was expected is missed, and no process has crashed.
+    /// Whether no invariant is violated, no expectation is missed, and no process has crashed.
     pub fn holds(&self) -> bool {
         self.summary.crashes == 0
             && self.missed.is_empty()
             && self.findings.values().all(|finding| finding.holds != Some(false))
     }
 
-    /// For people.
+    /// Returns the verdict as text for the console.
     pub fn lines(&self) -> Vec<String> {
         let s = &self.summary;
         let or_never = |ms: Option<u64>| ms.map_or("never".to_owned(), |ms| format!("{ms} ms"));
@@ -135,7 +135,7 @@
         }
         if s.harness.busy_most > MAX_HARNESS_LOAD {
             lines.push(format!(
-                "the lab itself was up to {:.0}% busy: ask for a lower rate, or its figures are partly its own",
+                "the harness itself was up to {:.0}% busy: use a lower rate, or its own delays affect the figures",
                 s.harness.busy_most * 100.0
             ));
         }
--- a/testing/fault-injection/tests/fleet.rs
+++ b/testing/fault-injection/tests/fleet.rs
@@ -165,7 +165,7 @@
         "client: request",
         "request admitted",
         "attempt started",
-        "has come",
+        "arrived from",
         "runs",
         "Served",
         "request answered",
