--- a/testing/fault-injection/tests/history.rs
+++ b/testing/fault-injection/tests/history.rs
@@ -1,4 +1,5 @@
-//! Histories: every invariant holds on a good one and is broken by one that is spoilt for it; damage is named by its byte.
+//! Tests of the history file and of the checkers: every invariant holds on a valid history, and each one is
+//! violated by a history that is corrupted for it; damage of the file is reported with its byte.
 
 use marblecroft_fault_injection::checker::{Checker, Finding, INVARIANTS};
 use marblecroft_fault_injection::decisions::{self, DecisionChecker};
@@ -15,7 +16,7 @@
 
 fn setup() -> Setup {
     Setup {
-        scenario: "spoilt".to_owned(),
+        scenario: "corrupted".to_owned(),
         seed: 1,
         text: String::new(),
         latency_target: SECOND,
@@ -55,7 +56,7 @@
     }
 }
 
-/// Begins with what all histories begin with.
+/// Builds a history, which starts with the setup, registrations and lists that all histories here have.
 struct HistoryBuilder {
     events: Vec<TimedEvent>,
     next: u64,
@@ -95,7 +96,7 @@
         self.at(at, Event::TryStarted { request, trace, gateway, timeout: 3 * SECOND, reuses_id: false });
     }
 
-    /// An attempt that arrives and runs; its number and its connection's.
+    /// Adds an attempt that arrives and runs. Returns the numbers of the attempt and of its connection.
     fn arrived(&mut self, at: Nanos, trace: u64, server: u16, gateway: u16) -> (u64, u64) {
         let (attempt, connection) = (self.number(), self.number());
         self.at(at, Event::Arrived { attempt, trace, server, connection, gateway });
@@ -112,7 +113,7 @@
         self.at(at, Event::RequestEnded { request, outcome });
     }
 
-    /// A request that is served as it should be.
+    /// Adds a request that is served correctly.
     fn served(&mut self, at: Nanos, request: u32, class: u8) {
         let trace = 1000 + u64::from(request);
         self.asked(at, request, class);
@@ -122,7 +123,7 @@
         self.ended(at + 51 * MS, request, trace, Outcome::Served { attempt: Some(attempt) });
     }
 
-    /// One that is lost with its gateway, which a fault kills.
+    /// Adds a request that is lost because a fault kills its gateway.
     fn lost_with_its_gateway(&mut self, request: u32) {
         let (at, trace) = (5 * SECOND - 20 * MS, 1000 + u64::from(request));
         self.asked(at, request, UNSAFE);
@@ -136,8 +137,9 @@
         self.at(6 * SECOND, Event::FaultEnded { fault: 0 });
     }
 
-    /// A lock that goes from one candidate to the other; the first one's last effect comes late and is refused.
-    fn owned(&mut self) {
+    /// Adds a lock that passes from one candidate to another. The first one's last effect arrives late and is
+    /// refused.
+    fn lock_handover(&mut self) {
         self.at(SECOND, Event::Granted { candidate: 0, lock: 0, token: 5, asked: SECOND - MS });
         self.at(2 * SECOND, Event::ActionStarted { candidate: 0, lock: 0, token: 5 });
         self.at(2 * SECOND, Event::Effect { candidate: 0, lock: 0, token: 5, admitted: true });
@@ -148,14 +150,15 @@
         self.at(6 * SECOND, Event::Effect { candidate: 0, lock: 0, token: 5, admitted: false });
     }
 
-    /// A call on a register that takes a millisecond.
+    /// Adds a call on a register that takes a millisecond.
     fn called(&mut self, at: Nanos, client: u16, put: Option<(u64, Option<u64>)>, returned: CallResult) {
         let call = self.number();
         self.at(at, Event::CallStarted { client, call, register: 0, put });
         self.at(at + MS, Event::CallReturned { call, result: returned });
     }
 
-    /// A register that is written, read, written by two who contend, and by one who never learns what came of it; and watched.
+    /// Adds a watched register with reads, concurrent writes of two clients, and a write whose client
+    /// receives no result.
     fn registers(&mut self) {
         let watched = |since, upto, changes: &[(u64, u16, u64)]| Event::Watched {
             watcher: 9,
@@ -177,7 +180,7 @@
 
     fn good() -> HistoryBuilder {
         let mut history = HistoryBuilder::new();
-        history.owned();
+        history.lock_handover();
         history.registers();
         history.served(SECOND, 1, SAFE);
         history.served(2 * SECOND, 2, UNSAFE);
@@ -188,55 +191,55 @@
 
     fn events(mut self) -> Vec<TimedEvent> {
         self.at(20 * SECOND, Event::Finished { harness_cpu: 0, fleet_cpu: 0 });
-        // As it was written: by time.
+        // A recorded history is ordered by time.
         self.events.sort_by_key(|event| event.at);
         self.events
     }
 
     fn findings(self) -> BTreeMap<&'static str, Finding> {
-        let mut judge = Checker::default();
-        self.events().iter().for_each(|event| judge.observe(event));
-        judge.findings().expect("a whole history")
+        let mut checker = Checker::default();
+        self.events().iter().for_each(|event| checker.observe(event));
+        checker.findings().expect("complete history")
     }
 }
 
 #[test]
-fn a_good_history_holds_and_says_what_does_not_apply() {
+fn a_valid_history_violates_nothing_and_inapplicable_invariants_have_a_reason() {
     let findings = HistoryBuilder::good().findings();
     assert_eq!(findings.len(), INVARIANTS.len());
     for (name, finding) in findings {
-        let moot = name == "units_once";
-        assert_eq!(finding.holds, (!moot).then_some(true), "{name}: {:?}", finding.why);
-        assert_eq!(moot, !finding.why.is_empty(), "{name}");
+        let not_applicable = name == "units_once";
+        assert_eq!(finding.holds, (!not_applicable).then_some(true), "{name}: {:?}", finding.why);
+        assert_eq!(not_applicable, !finding.why.is_empty(), "{name}");
     }
 }
 
-/// What is done to a good history.
+/// Corrupts a valid history.
 type Corruption = fn(&mut HistoryBuilder);
 
 #[test]
-fn each_invariant_is_broken_by_a_history_that_is_spoilt_for_it_and_by_no_other() {
+fn each_invariant_is_violated_by_the_history_that_is_corrupted_for_it_and_by_no_other() {
     let cases: [(&str, Corruption); 22] = [
         ("nothing_acknowledged_lost", |s| {
-            // What was acknowledged is gone.
+            // A read returns an old value after an acknowledged write.
             s.called(9 * SECOND, 5, None, CallResult::Value { value: Some(70), revision: 11 });
         }),
         ("nothing_acknowledged_lost", |s| {
-            // Two have written over the same.
+            // Two writes succeed at the same expected revision.
             s.called(9 * SECOND, 5, Some((80, Some(16))), CallResult::Written { revision: 17 });
             s.called(9 * SECOND, 6, Some((81, Some(16))), CallResult::Written { revision: 18 });
         }),
         ("nothing_acknowledged_lost", |s| {
-            // Nobody wrote that.
+            // A read returns a value that no client wrote.
             s.called(9 * SECOND, 5, None, CallResult::Value { value: Some(99), revision: 17 });
         }),
         ("nothing_acknowledged_lost", |s| {
-            // A watcher is told of later changes, and not of this one.
+            // A watcher receives a later revision without this change.
             s.called(9 * SECOND, 5, Some((80, None)), CallResult::Written { revision: 17 });
             s.at(10 * SECOND, Event::Watched { watcher: 9, since: Some(16), upto: 18, changes: Vec::new() });
         }),
         ("nothing_acknowledged_lost", |s| {
-            // A watcher goes back.
+            // A watcher goes back to an older revision.
             s.at(10 * SECOND, Event::Watched { watcher: 9, since: Some(16), upto: 12, changes: Vec::new() });
         }),
         ("one_owner", |s| s.at(7 * SECOND, Event::ActionStarted { candidate: 0, lock: 0, token: 5 })),
@@ -244,32 +247,32 @@
             s.at(7 * SECOND, Event::Effect { candidate: 0, lock: 0, token: 5, admitted: true });
         }),
         ("tokens_rise", |s| {
-            // Above no grant that was known when it was asked for.
+            // The token is lower than that of a grant that was received before the request.
             s.at(9 * SECOND, Event::Granted { candidate: 0, lock: 0, token: 4, asked: 8 * SECOND });
         }),
         ("tokens_rise", |s| {
-            // The same token to two, however their answers crossed.
+            // Two candidates receive the same token, even if their requests overlapped.
             s.at(9 * SECOND, Event::Granted { candidate: 0, lock: 0, token: 6, asked: 4 * SECOND });
         }),
         ("one_final_answer", |s| {
-            // Its gateway lives, and never answers.
+            // The gateway runs but never answers.
             s.asked(10 * SECOND, 9, SAFE);
             s.tried(10 * SECOND, 9, 9, 0);
             s.ended(13 * SECOND, 9, 9, Outcome::TimedOut);
             s.at(15 * SECOND, Event::TryEndedLate { trace: 9, answered: false });
         }),
         ("one_final_answer", |s| {
-            // The fault that would explain it struck another gateway.
+            // The fault that would explain the loss affects another gateway.
             s.asked(5 * SECOND, 9, SAFE);
             s.tried(5 * SECOND, 9, 9, 0);
             s.ended(5 * SECOND + MS, 9, 9, Outcome::Reset { first: false });
         }),
         ("one_final_answer", |s| {
-            // Two answers to one try.
+            // A try ends twice.
             s.at(9 * SECOND, Event::TryEnded { trace: 1004, outcome: Outcome::Refused });
         }),
         ("never_ran_twice", |s| {
-            // A client that lost its gateway asks again elsewhere, and what had run runs again.
+            // A client that lost its gateway retries at another one, and the request runs again.
             s.tried(7 * SECOND, 3, 1003, 0);
             let (attempt, _) = s.arrived(7 * SECOND + MS, 1003, 0, 0);
             s.answered(7 * SECOND + 9 * MS, attempt, Answer::Served);
@@ -279,7 +282,7 @@
             );
         }),
         ("never_ran_twice", |s| {
-            // The same under a fresh id: it is one request.
+            // The same with a new trace id: it is still the same request.
             s.tried(7 * SECOND, 3, 77, 0);
             let (attempt, _) = s.arrived(7 * SECOND + MS, 77, 0, 0);
             s.answered(7 * SECOND + 9 * MS, attempt, Answer::Error);
@@ -311,7 +314,8 @@
         ("drains_kept", |s| {
             s.list(10 * SECOND, 0, 11, false, &[(0, ServerState::Draining)]);
             s.list(10 * SECOND + 400 * MS, 0, 12, false, &[(0, ServerState::Gone)]);
-            // Counted from the first word, and beyond the slack.
+            // The grace period starts with the first list that shows the server as draining, and has passed
+            // with the slack.
             s.served(10 * SECOND + 560 * MS, 9, SAFE);
         }),
         ("ceilings_kept", |s| {
@@ -327,7 +331,7 @@
             s.list(10 * SECOND, 0, 13, true, &[(0, ServerState::Serving)]);
         }),
         ("drains_kept", |s| {
-            // A whole list that lacks a server tells of its end as well.
+            // A complete list that lacks a server also means that the server was removed.
             s.list(10 * SECOND, 0, 13, true, &[(1, ServerState::Serving)]);
             s.served(11 * SECOND, 9, SAFE);
         }),
@@ -340,19 +344,19 @@
             .into_iter()
             .filter(|(_, finding)| finding.holds == Some(false))
             .map(|(name, finding)| {
-                assert!(finding.cases > 0 && !finding.why.is_empty(), "{name} tells no case");
+                assert!(finding.cases > 0 && !finding.why.is_empty(), "{name} has no cases");
                 name
             })
             .collect();
-        // The last case loses an acknowledged server too: one event can break two.
+        // The last case also loses a registered server, so it violates two invariants.
         let expected = if i == 21 { vec![name, "nothing_acknowledged_lost"] } else { vec![name] };
         assert_eq!(broken, expected, "case {i}");
     }
 }
 
-/// Limits in time give way by what the lab was late itself, and only near that moment.
+/// Time limits are extended by the delays of the harness itself, and only near the time of the delay.
 #[test]
-fn a_late_lab_blames_nobody() {
+fn time_limits_are_extended_by_delays_of_the_harness() {
     let late_by = |stalled_at: Nanos| {
         let mut history = HistoryBuilder::good();
         history.list(10 * SECOND, 0, 11, false, &[(0, ServerState::Draining)]);
@@ -364,15 +368,16 @@
     assert_eq!(late_by(14 * SECOND), Some(false));
 }
 
-/// What the agents hold counts as told, asked for or not, from the first moment of a process; not where the way to them fails.
+/// The state at the platform's agents counts as received by a gateway from the start of its process, without
+/// a request, unless a fault affects the links to the agents.
 #[test]
-fn what_agents_hold_counts_as_told() {
+fn the_state_at_agents_counts_as_received() {
     let holds = |fault: Option<FaultKind>, started: Option<Nanos>, sent_at: Nanos| {
         let mut history = HistoryBuilder::new();
         let mut setup = setup();
         setup.faults.retain(|_| fault.is_some());
         for drawn in &mut setup.faults {
-            (drawn.kind, drawn.victims) = (fault.expect("kept"), vec![End::ListService(0)]);
+            (drawn.kind, drawn.victims) = (fault.expect("the fault was retained"), vec![End::ListService(0)]);
         }
         history.at(3 * MS, Event::Setup(Box::new(setup)));
         history.at(9 * SECOND, Event::AgentStateChanged { server: 0, state: ServerState::Draining });
@@ -383,18 +388,23 @@
         history.findings()["drains_kept"].holds
     };
     let late = 9 * SECOND + 600 * MS;
-    assert_eq!(holds(None, None, late), Some(false), "never asked");
-    assert_eq!(holds(None, None, 9 * SECOND + 500 * MS), Some(true), "within the grace");
-    assert_eq!(holds(None, Some(9 * SECOND + 300 * MS), late), Some(true), "a new process has its own");
+    assert_eq!(holds(None, None, late), Some(false), "the gateway never requested the list");
+    assert_eq!(holds(None, None, 9 * SECOND + 500 * MS), Some(true), "within the grace period");
+    assert_eq!(
+        holds(None, Some(9 * SECOND + 300 * MS), late),
+        Some(true),
+        "the grace period starts again with a new process"
+    );
     assert_eq!(holds(None, Some(9 * SECOND), late), Some(false));
-    assert_eq!(holds(Some(FaultKind::Cut), None, late), Some(true), "it could not hear");
+    assert_eq!(holds(Some(FaultKind::Cut), None, late), Some(true), "the links to the agents are cut");
 }
 
-/// Decisions made in common: what holds, and each invariant broken by a history that is spoilt for it.
+/// Invariants of decisions hold on a valid history, and each one is violated by a history that is corrupted
+/// for it.
 #[test]
-fn decisions_are_judged() {
+fn violations_of_decision_invariants_are_detected() {
     let zones = |state: ZoneState| vec![(ZoneState::Serving, 20.0), (state, 20.0)];
-    let play = |corrupt: fn(&mut HistoryBuilder)| {
+    let judge_history = |corrupt: fn(&mut HistoryBuilder)| {
         let mut history = HistoryBuilder { events: Vec::new(), next: 1 };
         let mut setup = setup();
         (setup.zones, setup.controllers) = (vec!["hall-a".to_owned(), "hall-b".to_owned()], 3);
@@ -409,7 +419,7 @@
         }
         history.at(5 * SECOND, Event::FaultBegan { fault: 0 });
         history.at(9 * SECOND, Event::FaultEnded { fault: 0 });
-        // Gateway 0 and server 0 stand in one zone, server 1 in the other.
+        // Gateway 0 and server 0 are in one zone, server 1 is in the other.
         for n in 0..30 {
             history.arrived(3 * SECOND + n * 30 * MS, 100 + n, u16::from(n < 3), 0);
         }
@@ -419,8 +429,8 @@
         history.events.iter().for_each(|event| decided.take(event));
         decided.findings()
     };
-    let (findings, figures) = play(|_| {});
-    // Shares and books do not apply (`in_common.rs`).
+    let (findings, figures) = judge_history(|_| {});
+    // The invariants of shares and shards do not apply here; `in_common.rs` tests them.
     assert!(findings.values().all(|finding| finding.holds != Some(false)), "{findings:?}");
     assert_eq!(findings.len(), decisions::INVARIANTS.len());
     assert_eq!((figures.near_share, figures.late_decisions_refused), (Some(0.9), Some(0)));
@@ -445,13 +455,13 @@
         }),
     ];
     for (name, corrupt) in cases {
-        let (findings, _) = play(corrupt);
+        let (findings, _) = judge_history(corrupt);
         let broken: Vec<_> =
             findings.iter().filter(|(_, f)| f.holds == Some(false)).map(|(name, _)| *name).collect();
         assert_eq!(broken, [name]);
     }
-    // A gateway that was started anew may begin with any.
-    let (findings, _) = play(|s| {
+    // A restarted gateway may start with any decision.
+    let (findings, _) = judge_history(|s| {
         s.at(8 * SECOND, Event::ProcessChanged { end: End::Gateway(0), change: ProcessChange::Started });
         s.at(
             8 * SECOND,
@@ -462,21 +472,22 @@
 }
 
 #[test]
-fn a_history_that_ends_early_is_no_verdict() {
-    let mut judge = Checker::default();
+fn a_truncated_history_is_not_judged() {
+    let mut checker = Checker::default();
     let events = HistoryBuilder::good().events();
-    events[..events.len() - 1].iter().for_each(|event| judge.observe(event));
-    assert!(judge.findings().is_err());
+    events[..events.len() - 1].iter().for_each(|event| checker.observe(event));
+    assert!(checker.findings().is_err());
 }
 
-/// Goodput falls for three seconds after a fault: full service is counted from the fault's end, over two whole seconds.
+/// The goodput is zero until three seconds after the end of a fault. The time to full service is measured
+/// from the fault's end, with windows of two seconds.
 #[test]
-fn full_service_is_counted_from_the_last_faults_end() {
+fn time_to_full_service_starts_at_the_end_of_the_last_fault() {
     let mut history = HistoryBuilder::new();
     for i in 0..200_u32 {
         let at = u64::from(i) * 100 * MS;
-        let down = (5 * SECOND..9 * SECOND).contains(&at);
-        if down {
+        let is_down = (5 * SECOND..9 * SECOND).contains(&at);
+        if is_down {
             history.asked(at, i, SAFE);
             history.tried(at, i, u64::from(i), 0);
             history.ended(at + MS, i, u64::from(i), Outcome::Refused);
@@ -486,24 +497,26 @@
     }
     history.at(5 * SECOND, Event::FaultBegan { fault: 0 });
     history.at(6 * SECOND, Event::FaultEnded { fault: 0 });
-    let (mut judge, mut figures) = (Checker::default(), Figures::new());
+    let (mut checker, mut figures) = (Checker::default(), Figures::new());
     for event in history.events() {
-        judge.observe(&event);
+        checker.observe(&event);
         figures.take(&event);
     }
-    let findings = judge.findings().expect("whole");
-    let summary = figures.summary(&findings, &Default::default()).expect("a setup");
+    let findings = checker.findings().expect("complete history");
+    let summary = figures.summary(&findings, &Default::default()).expect("the history has a setup");
     assert_eq!((summary.requests, summary.served, summary.refused), (200, 160, 40));
     assert_eq!(summary.goodput_before, Some(10.0));
-    // Whole again from 9 s on, found in steps of 100 ms, and a window that lacks one answer in twenty is whole.
-    let took = summary.time_to_full_service_ms.expect("in time");
+    // Service is full from 9 s on. The windows are 100 ms apart, and one that lacks one answer in twenty
+    // counts as full.
+    let took = summary.time_to_full_service_ms.expect("full service within the run");
     assert!((2900..=3100).contains(&took), "{took}");
 }
 
 proptest! {
-    /// What is written is read again; and whatever byte is changed or cut off, a reader names a place and never panics.
+    /// A reader returns the events that were written. If any byte is changed or the file is truncated
+    /// anywhere, the reader reports a place and does not panic.
     #[test]
-    fn damage_is_named_by_its_byte(
+    fn damage_is_reported_with_its_byte(
         lates in prop::collection::vec(0..u64::MAX, 1..200), place in 0.0..1.0f64, flip in 1..=255u8, cut in any::<bool>(),
     ) {
         let mut bytes = Vec::new();
@@ -530,11 +543,11 @@
             bytes[at] ^= flip;
         }
         let (fewer, ended) = read(&bytes);
-        prop_assert_eq!(&events[..fewer.len()], &fewer[..], "nothing is read that was not written");
+        prop_assert_eq!(&events[..fewer.len()], &fewer[..], "only written events are read");
         match ended {
-            // Cut off exactly between two frames: that is seen by the missing end.
+            // Truncation between two frames is detected by the missing last event.
             Ok(()) => prop_assert!(cut && fewer.len() < events.len()),
-            Err(damage) => prop_assert!(damage.byte <= at as u64, "{damage:?} behind byte {at}"),
+            Err(damage) => prop_assert!(damage.byte <= at as u64, "{damage:?} is after byte {at}"),
         }
     }
 }
--- a/testing/fault-injection/tests/in_common.rs
+++ b/testing/fault-injection/tests/in_common.rs
@@ -1,5 +1,5 @@
-//! Shares and books: what is judged of them holds on a good history, and each invariant is broken by one that is spoilt for it; what
-//! a scenario's cells and tenants come to.
+//! Checks of fair shares and shards: every invariant holds on a valid history, and each one is violated by a
+//! history that is corrupted for it. Also checks the drawing of cells and tenants from a scenario.
 
 use marblecroft_fault_injection::checker::Finding;
 use marblecroft_fault_injection::decisions::{DecisionChecker, DecisionFigures};
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 const LENGTH: u64 = 30;
-/// Firms of weights 1 and 3; the first half of numbers is book 0.
+/// Firms with the weights 1 and 3. The lower half of the firm ids is shard 0.
 const FIRMS: [u64; 2] = [5, (1 << 32) + 5];
 
 struct HistoryBuilder {
@@ -22,7 +22,7 @@
         self.events.push(TimedEvent { at, event });
     }
 
-    /// A request of a firm that arrives at a server; its attempt and trace.
+    /// Adds a request of a firm, which arrives at a server if `sent`. Returns its attempt and trace.
     fn asked(&mut self, at: Nanos, customer: u32, class: u8, sent: bool) -> (u64, u64) {
         self.next += 1;
         let (request, trace, attempt) = (self.next as u32, 1_000_000 + self.next, 2_000_000 + self.next);
@@ -34,7 +34,7 @@
         (attempt, trace)
     }
 
-    /// A pay run that is written at a cell under an epoch, and acknowledged.
+    /// Adds a pay run that is written at a cell under an epoch and acknowledged. Returns its trace.
     fn written(&mut self, at: Nanos, customer: u32, cell: u16, epoch: u64) -> u64 {
         let (attempt, trace) = self.asked(at, customer, UNSAFE, true);
         let firm = FIRMS[customer as usize];
@@ -54,7 +54,9 @@
     }
 }
 
-fn play(corrupt: impl FnOnce(&mut HistoryBuilder)) -> (BTreeMap<&'static str, Finding>, DecisionFigures) {
+fn judge_history(
+    corrupt: impl FnOnce(&mut HistoryBuilder),
+) -> (BTreeMap<&'static str, Finding>, DecisionFigures) {
     let quota = |rate| Quota {
         name: String::new(),
         rate,
@@ -84,7 +86,7 @@
     };
     history.at(0, Event::Setup(Box::new(setup)));
     history.at(0, Event::SharesDecided { token: 2, revision: 1, level: 5.0, capacity: 20.0 });
-    // Of 20 a second both ask for 20; 5 and 15 are theirs.
+    // The capacity is 20 a second and each firm requests 20, so their fair shares are 5 and 15.
     for second in 0..LENGTH {
         for n in 0..20 {
             let at = second * SECOND + n * 50 * MS;
@@ -92,7 +94,7 @@
             history.asked(at + 10 * MS, 1, SAFE, n < 15);
         }
     }
-    // Book 0 moves from cell 0 to cell 1 within 80 ms.
+    // Shard 0 is migrated from cell 0 to cell 1 within 80 ms.
     history.map(0, 1, 0, 1, ShardStep::Stable);
     let before = history.written(SECOND, 0, 0, 1);
     for (ms, revision, epoch, step) in
@@ -113,8 +115,8 @@
 }
 
 #[test]
-fn shares_and_books_are_judged() {
-    let (findings, figures) = play(|_| {});
+fn violations_of_share_and_shard_invariants_are_detected() {
+    let (findings, figures) = judge_history(|_| {});
     assert!(findings.values().all(|finding| finding.holds == Some(true)), "{findings:?}");
     assert!(figures.shares.share_error.is_some_and(|error| error < 0.01), "{figures:?}");
     assert_eq!(figures.shares.time_to_shares_ms, Some(0));
@@ -128,7 +130,7 @@
             }
         }),
         ("share_floor", |s| {
-            // From 20 s on nothing of the lighter one is sent on.
+            // From 20 s on no request of the firm with the lower weight is sent on.
             let light: Vec<u64> = s
                 .events
                 .iter()
@@ -161,13 +163,13 @@
         }),
     ];
     for (name, corrupt) in cases {
-        let (findings, _) = play(corrupt);
+        let (findings, _) = judge_history(corrupt);
         let broken: Vec<_> =
             findings.iter().filter(|(_, f)| f.holds == Some(false)).map(|(name, _)| *name).collect();
         assert_eq!(broken, [name]);
     }
-    // A write under the old epoch before the range is drained is as it should be: its cell takes it along.
-    let (findings, _) = play(|s| {
+    // A write under the old epoch before the shard is drained is valid: it is copied with the shard.
+    let (findings, _) = judge_history(|s| {
         let trace = s.written(5 * SECOND + 10 * MS, 0, 0, 1);
         s.at(LENGTH * SECOND, Event::WriteLocations { trace, cells: vec![0, 1] });
     });
@@ -175,11 +177,11 @@
 }
 
 #[test]
-fn cells_stand_within_a_zone_and_tenants_weigh_by_what_they_contracted() {
+fn cells_lie_within_one_zone_and_tenants_weights_set_their_quotas() {
     let text = "[fleet]\ncoordinators = 3\nstewards = 2\npay_servers = 18\ncells = 6\n\
                 [tenants]\nfirms = 12\nweights = [1, 2]\ngreedy = 2\nshift_at_ms = 5000\n[load]\nrate = 40.0";
-    let scenario = Scenario::parse(text).expect("a scenario");
-    let deployment = Deployment::draw(&scenario, 3).expect("drawn");
+    let scenario = Scenario::parse(text).expect("valid scenario");
+    let deployment = Deployment::draw(&scenario, 3).expect("drawn deployment");
     let mut sizes = BTreeMap::new();
     for server in &deployment.servers {
         assert_eq!(scenario.zone_of_cell(server.cell), server.zone);
--- a/testing/fault-injection/tests/linear.rs
+++ b/testing/fault-injection/tests/linear.rs
@@ -1,5 +1,5 @@
-//! The check for linearizability, itself checked: what a register really did is taken, whatever overlaps; and each way of going
-//! wrong is not.
+//! Tests of the linearizability check: histories of a correct register are accepted with any overlap of
+//! calls, and each kind of incorrect history is rejected.
 
 use marblecroft_fault_injection::linear::{judge, Call, Op, Ret, Verdict};
 use proptest::prelude::*;
@@ -21,44 +21,56 @@
 }
 
 #[test]
-fn known_histories_are_judged_as_they_should_be() {
+fn known_histories_get_the_expected_verdict() {
     let none = Ret::Value { value: None, revision: 0 };
     let first = call(1, 0, 10, put(1, Some(0)), Ret::Written(3));
     let second = call(2, 20, 30, put(2, Some(3)), Ret::Written(5));
     let cases: Vec<(&str, Vec<Call>, Verdict)> = vec![
-        ("nothing", vec![], Verdict::Linear),
-        ("one after the other", vec![first, second, call(1, 40, 50, Op::Read, value(2, 5))], Verdict::Linear),
-        ("a read beside a write sees either", vec![first, call(2, 5, 9, Op::Read, none)], Verdict::Linear),
-        ("a read behind a write sees it", vec![first, call(2, 11, 12, Op::Read, none)], Verdict::Not),
+        ("no calls", vec![], Verdict::Linear),
+        ("sequential calls", vec![first, second, call(1, 40, 50, Op::Read, value(2, 5))], Verdict::Linear),
+        (
+            "a read concurrent with a write returns the old value",
+            vec![first, call(2, 5, 9, Op::Read, none)],
+            Verdict::Linear,
+        ),
+        (
+            "a read after a write returns the old value",
+            vec![first, call(2, 11, 12, Op::Read, none)],
+            Verdict::Not,
+        ),
         ("a stale read", vec![first, second, call(1, 31, 40, Op::Read, value(1, 3))], Verdict::Not),
         (
-            "two reads beside a write that see new and then old",
+            "two reads concurrent with a write return the new and then the old value",
             vec![first, call(2, 1, 2, Op::Read, value(1, 3)), call(3, 4, 5, Op::Read, none)],
             Verdict::Not,
         ),
         (
-            "two over the same",
+            "two writes at the same expected revision",
             vec![first, second, call(3, 20, 30, put(3, Some(3)), Ret::Written(6))],
             Verdict::Not,
         ),
-        ("a revision that falls", vec![first, call(2, 20, 30, put(2, None), Ret::Written(2))], Verdict::Not),
         (
-            "a conflict with nobody",
+            "a revision that decreases",
+            vec![first, call(2, 20, 30, put(2, None), Ret::Written(2))],
+            Verdict::Not,
+        ),
+        (
+            "a conflict without a concurrent write",
             vec![first, call(2, 20, 30, put(2, Some(3)), Ret::Conflict(4))],
             Verdict::Not,
         ),
         (
-            "what is unknown may have happened",
+            "a write with an unknown result may have taken effect",
             vec![first, lost(2, 20, 9, Some(3)), call(1, 40, 50, Op::Read, value(9, 7))],
             Verdict::Linear,
         ),
         (
-            "or not",
+            "a write with an unknown result may have had no effect",
             vec![first, lost(2, 20, 9, Some(3)), call(1, 40, 50, Op::Read, value(1, 3))],
             Verdict::Linear,
         ),
         (
-            "but not come and go",
+            "a write with an unknown result must not take effect and vanish",
             vec![
                 first,
                 lost(2, 20, 9, Some(3)),
@@ -68,16 +80,20 @@
             Verdict::Not,
         ),
         (
-            "nor before it was asked",
+            "a write must not take effect before its call",
             vec![first, call(1, 12, 15, Op::Read, value(9, 7)), lost(2, 20, 9, Some(3))],
             Verdict::Not,
         ),
         (
-            "nor where it could not",
+            "a write with an unknown result must not take effect at another than the expected revision",
             vec![first, lost(2, 20, 9, Some(2)), call(1, 40, 50, Op::Read, value(9, 7))],
             Verdict::Not,
         ),
-        ("one client, two calls at once", vec![first, call(1, 5, 15, Op::Read, none)], Verdict::Undecided),
+        (
+            "one client with two concurrent calls",
+            vec![first, call(1, 5, 15, Op::Read, none)],
+            Verdict::Undecided,
+        ),
     ];
     for (what, calls, expected) in cases {
         assert_eq!(judge(&calls), expected, "{what}");
@@ -87,10 +103,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 40, max_shrink_iters: 20, ..ProptestConfig::default() })]
 
-    /// A register that takes the k-th call at the instant 100 k, within a call that begins before and ends after it and overlaps
-    /// three others: its history is taken. With a read at the end that goes back to the begin it is not.
+    /// The register applies the k-th call at the instant 100 k. The call starts before and ends after this
+    /// instant, and overlaps calls of three other clients. The history is accepted; with a read of the
+    /// initial state at its end it is not.
     #[test]
-    fn what_a_register_did_is_taken_and_a_read_that_goes_back_is_not(
+    fn correct_histories_are_accepted_and_a_stale_read_at_the_end_is_not(
         plan in prop::collection::vec((0u8..10, 0u64..300, 1u64..300, any::<bool>()), 10..60),
     ) {
         let (mut held, mut at, mut known, mut free) = (None, 0, [0; 4], [0; 4]);
@@ -109,7 +126,7 @@
             };
             known[who] = at;
             free[who] = to + 1;
-            // What came of a write that was given up shows only in what others see.
+            // A write that its client gave up has no result; only other clients' reads show its effect.
             let gives_up = lose && op != Op::Read && lost < 2;
             lost += u32::from(gives_up);
             let answer = (!gives_up).then_some((to, ret));
@@ -120,7 +137,8 @@
         if written {
             let end = 100 * calls.len() as u64 + 1000;
             calls.push(call(9, end, end + 1, Op::Read, Ret::Value { value: None, revision: 0 }));
-            // Where too many orders are to be tried it is not decided, which the judge takes for broken as well.
+            // With too many possible orders the verdict is `Undecided`, which the checker reports as a
+            // violation too.
             prop_assert_ne!(judge(&calls), Verdict::Linear);
         }
     }
--- a/testing/fault-injection/tests/scenarios.rs
+++ b/testing/fault-injection/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Scenario and site files: what they come to, and one clear line for what cannot be used.
+//! Tests of scenario and site files: the deployments that are drawn from them, and one-line errors for
+//! invalid files.
 
 use marblecroft_fault_injection::deployment::Deployment;
 use marblecroft_fault_injection::draw::draw;
@@ -8,8 +9,8 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn what_cannot_be_used_is_one_line_that_names_the_field() {
-    let decided = |more: &str| format!("[fleet]\ncoordinators = 3\nstewards = 2\ncells = 3\n{more}");
+fn invalid_scenarios_are_rejected_with_one_line_that_names_the_field() {
+    let with_controllers = |more: &str| format!("[fleet]\ncoordinators = 3\nstewards = 2\ncells = 3\n{more}");
     let fault = |more: &str| format!("[[fault]]\nat_ms = 1000\n{more}");
     let cases = [
         ("[fleet]\ngatways = 3".to_owned(), "gatways"),
@@ -44,13 +45,13 @@
         ("[tenants]\nfirms = 3".to_owned(), "tenants"),
         ("[books]\ncount = 3".to_owned(), "books"),
         ("[fleet]\ncells = 2".to_owned(), "fleet.cells"),
-        (decided("[tenants]\nweights = []"), "tenants.weights"),
-        (decided("[tenants]\nweights = [0.0]"), "tenants.weights[0]"),
-        (decided("[tenants]\ngreedy = 41"), "tenants.greedy"),
-        (decided("[books]\ncount = 0"), "books.count"),
-        (decided("[[books.move]]\nat_ms = 1\nbook = 8\nto_cell = 0"), "books.move[0].book"),
-        (decided("[[books.move]]\nat_ms = 1\nbook = 0\nto_cell = 3"), "books.move[0].to_cell"),
-        (decided("[[fault]]\nat_ms = 1\nkind = \"term\"\ntarget = \"cells\""), "fault[0].kind"),
+        (with_controllers("[tenants]\nweights = []"), "tenants.weights"),
+        (with_controllers("[tenants]\nweights = [0.0]"), "tenants.weights[0]"),
+        (with_controllers("[tenants]\ngreedy = 41"), "tenants.greedy"),
+        (with_controllers("[books]\ncount = 0"), "books.count"),
+        (with_controllers("[[books.move]]\nat_ms = 1\nbook = 8\nto_cell = 0"), "books.move[0].book"),
+        (with_controllers("[[books.move]]\nat_ms = 1\nbook = 0\nto_cell = 3"), "books.move[0].to_cell"),
+        (with_controllers("[[fault]]\nat_ms = 1\nkind = \"term\"\ntarget = \"cells\""), "fault[0].kind"),
         ("fleet = 3".to_owned(), "line 1"),
     ];
     for (text, field) in cases {
@@ -60,34 +61,34 @@
 }
 
 #[test]
-fn faults_that_contradict_each_other_are_refused_by_name() {
-    let both = |second: &str| {
+fn overlapping_faults_of_one_process_are_rejected_by_name() {
+    let draw_with_kill_at = |at_ms: &str| {
         let text = format!(
             "[[fault]]\nat_ms = 1000\nkind = \"stop\"\ntarget = \"gateways[1]\"\nfor_ms = 3000\n\
-             [[fault]]\nat_ms = {second}\nkind = \"kill\"\ntarget = \"gateways[1]\""
+             [[fault]]\nat_ms = {at_ms}\nkind = \"kill\"\ntarget = \"gateways[1]\""
         );
-        Deployment::draw(&Scenario::parse(&text).expect("each alone"), 1)
+        Deployment::draw(&Scenario::parse(&text).expect("valid scenario"), 1)
     };
-    let error = both("3999").expect_err("it stands still").to_string();
+    let error = draw_with_kill_at("3999").expect_err("the process is still stopped").to_string();
     assert!(error.starts_with("fault[1].target") && error.contains("fault[0]"), "{error}");
-    assert!(both("4000").is_ok());
-    // For good is for good; links have no such state.
+    assert!(draw_with_kill_at("4000").is_ok());
+    // A killed process stays down without a duration. Faults of links may overlap.
     let killed = "[[fault]]\nat_ms = 1000\nkind = \"kill\"\ntarget = \"gateways\"\n";
     let again = format!("{killed}[[fault]]\nat_ms = 9000\nkind = \"term\"\ntarget = \"gateways[0]\"");
-    assert!(Deployment::draw(&Scenario::parse(&again).expect("each alone"), 1).is_err());
+    assert!(Deployment::draw(&Scenario::parse(&again).expect("valid scenario"), 1).is_err());
     let cut = "[[fault]]\nat_ms = 1000\nkind = \"cut\"\ntarget = \"gateways\"\n";
-    assert!(Deployment::draw(&Scenario::parse(&format!("{cut}{cut}")).expect("each alone"), 1).is_ok());
+    assert!(Deployment::draw(&Scenario::parse(&format!("{cut}{cut}")).expect("valid scenario"), 1).is_ok());
 }
 
 const HERD: &str = "[fleet]\ngateways = 30\npay_servers = 20\n[load]\nrate = 140.0\ncustomers = 100\n\
                     [[fault]]\nat_ms = 5000\nkind = \"kill\"\ntarget = \"gateways\"\nshare = 0.7";
 
 #[test]
-fn the_same_seed_draws_the_same_and_another_draws_another() {
-    let scenario = Scenario::parse(HERD).expect("usable");
+fn the_same_seed_draws_the_same_deployment_and_another_seed_a_different_one() {
+    let scenario = Scenario::parse(HERD).expect("valid scenario");
     let drawn = |seed| {
-        let deployment = Deployment::draw(&scenario, seed).expect("draws");
-        let arrivals: Vec<_> = Arrivals::new(&scenario, &deployment, seed).expect("customers").collect();
+        let deployment = Deployment::draw(&scenario, seed).expect("drawn");
+        let arrivals: Vec<_> = Arrivals::new(&scenario, &deployment, seed).expect("arrivals").collect();
         (deployment, arrivals)
     };
     let (one, same, other) = (drawn(7), drawn(7), drawn(8));
@@ -98,28 +99,28 @@
 }
 
 #[test]
-fn the_load_is_what_was_asked_for_and_plans_bear_their_shares_of_it() {
-    let scenario = Scenario::parse(HERD).expect("usable");
-    let deployment = Deployment::draw(&scenario, 3).expect("draws");
-    let arrivals: Vec<_> = Arrivals::new(&scenario, &deployment, 3).expect("customers").collect();
+fn the_load_has_the_configured_rate_and_plans_have_their_shares_of_it() {
+    let scenario = Scenario::parse(HERD).expect("valid scenario");
+    let deployment = Deployment::draw(&scenario, 3).expect("drawn");
+    let arrivals: Vec<_> = Arrivals::new(&scenario, &deployment, 3).expect("arrivals").collect();
     assert_eq!(arrivals.len(), 2800);
     let mut of_second = BTreeMap::new();
     for arrival in &arrivals {
         *of_second.entry(arrival.at / 1_000_000_000).or_insert(0_u32) += 1;
     }
-    assert!(of_second.values().all(|count| (138..=142).contains(count)), "no second differs: {of_second:?}");
-    let must = arrivals.iter().filter(|arrival| arrival.class == 1).count() as f64 / 2800.0;
-    assert!((0.41..0.51).contains(&must), "{must}");
+    assert!(of_second.values().all(|count| (138..=142).contains(count)), "arrivals by second: {of_second:?}");
+    let unsafe_share = arrivals.iter().filter(|arrival| arrival.class == 1).count() as f64 / 2800.0;
+    assert!((0.41..0.51).contains(&unsafe_share), "{unsafe_share}");
     for plan in 0..3 {
         let asked: f64 = deployment.customers.iter().filter(|c| c.plan == plan).map(|c| c.weight).sum();
-        assert!((0.1..0.6).contains(&asked), "plan {plan} asks for {asked} of all");
+        assert!((0.1..0.6).contains(&asked), "share of plan {plan}: {asked}");
     }
     assert!(deployment.customers.iter().all(|customer| (2..=9).contains(&customer.gateway_weights.len())));
-    let sent: Vec<End> = deployment.faults[0].victims.clone();
-    assert!(sent.windows(2).all(|pair| pair[0] < pair[1]));
-    // Streams of chance are apart: another fault moves no customer.
+    let victims: Vec<End> = deployment.faults[0].victims.clone();
+    assert!(victims.windows(2).all(|pair| pair[0] < pair[1]));
+    // Random streams are independent: removing the fault does not change the customers.
     let calm = Scenario { faults: Vec::new(), ..scenario };
-    assert_eq!(Deployment::draw(&calm, 3).expect("draws").customers, deployment.customers);
+    assert_eq!(Deployment::draw(&calm, 3).expect("drawn").customers, deployment.customers);
 }
 
 const SITE: &str = r#"
@@ -198,16 +199,16 @@
 "#;
 
 #[test]
-fn a_site_is_drawn_within_its_ranges_and_what_is_upside_down_is_named() {
+fn a_site_is_drawn_within_its_ranges_and_inverted_ranges_are_named() {
     for seed in 0..50 {
-        let text = draw(SITE, seed).expect("draws");
-        assert_eq!(text, draw(SITE, seed).expect("draws"), "the same again");
-        let scenario = Scenario::parse(&text).expect("the lab takes it");
+        let text = draw(SITE, seed).expect("drawn");
+        assert_eq!(text, draw(SITE, seed).expect("drawn"), "the same seed draws the same scenario");
+        let scenario = Scenario::parse(&text).expect("valid scenario");
         assert!((2..=3).contains(&scenario.fleet.gateways) && (4..=6).contains(&scenario.fleet.pay_servers));
         assert!((10_000..=12_000).contains(&scenario.load.duration_ms));
         assert!((80.0..=120.0).contains(&scenario.site.work_ms));
         assert!((1..=2).contains(&scenario.faults.len()), "{text}");
-        Deployment::draw(&scenario, seed).expect("its faults do not contradict each other");
+        Deployment::draw(&scenario, seed).expect("its faults do not overlap");
     }
     for (from, to, field) in [
         ("work_ms = [80, 120]", "work_ms = [120, 80]", "work_ms"),
