--- a/testing/fault-injection/src/history.rs
+++ b/testing/fault-injection/src/history.rs
@@ -261,7 +261,7 @@
     TryEndedLate {
         /// The id of the try.
         trace: Trace,
-        /// Whether a response arrived after the timeout, or the connection ended without one.
+        /// Whether a response arrived after the timeout; false if the connection ended without one.
         answered: bool,
     },
     /// A request has ended, after its last try.
--- a/testing/fault-injection/src/scenario/fleet.rs
+++ b/testing/fault-injection/src/scenario/fleet.rs
@@ -47,7 +47,7 @@
     pub controller_config: Option<toml::Table>,
     /// Whether pay servers reject writes under older epochs.
     pub fencing: bool,
-    /// Number of cells, each within one zone, that pay servers are distributed over. With 0, each four
+    /// Number of cells, each within one zone, that pay servers are distributed over. With 0, every four
     /// consecutive pay servers form a cell.
     pub cells: u32,
 }
--- a/testing/fault-injection/src/scenario/tenancy.rs
+++ b/testing/fault-injection/src/scenario/tenancy.rs
@@ -64,7 +64,7 @@
 
 impl Scenario {
     /// Returns the cell of a pay server. Pay servers are assigned round-robin to the cells of their zone;
-    /// without configured cells each four consecutive pay servers form one.
+    /// without configured cells every four consecutive pay servers form one.
     pub fn cell_of(&self, server: u32) -> u32 {
         let (zones, cells) = (self.fleet.zones.len() as u32, self.fleet.cells);
         if cells == 0 {
