--- a/testing/fault-injection/src/checker/tries.rs
+++ b/testing/fault-injection/src/checker/tries.rs
@@ -1,28 +1,28 @@
-//! Requests' tries and the attempts at pay servers: one final answer, nothing unsafe twice, one attempt at a time.
+//! Checks of tries and attempts: one final answer, no unsafe request runs twice, one attempt at a time.
 
 use super::{seconds, Checker};
-use crate::deployment::{Drawn, Nanos, ATTEMPTS_MOST, DRAIN_GRACE, SECOND, UNSAFE};
+use crate::deployment::{DrawnFault, Nanos, DRAIN_GRACE, MAX_ATTEMPTS, SECOND, UNSAFE};
 use crate::endpoint::End;
-use crate::history::{Answer, Outcome, Setup, Told, Trace};
+use crate::history::{Answer, Outcome, ServerState, Setup, Trace};
 use crate::scenario::FaultKind;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a fault does to a request is over this long after the fault.
+/// A fault can explain the loss of a request up to this long after its end.
 pub(super) const FAULT_AFTERMATH: Nanos = SECOND;
 
-/// One try of a request, at one gateway.
+/// A try of a request at a gateway.
 pub(super) struct Try {
-    pub(super) ask: u32,
+    pub(super) request: u32,
     pub(super) trace: Trace,
     pub(super) gateway: u16,
     pub(super) began: Nanos,
     pub(super) ended: Option<(Nanos, Outcome)>,
-    /// Ends beyond the first.
+    /// Number of ends after the first one.
     pub(super) more_ends: u32,
     pub(super) afterwards: Option<(Nanos, bool)>,
 }
 
-/// One attempt of a gateway, at one pay server.
+/// An attempt of a gateway at a pay server.
 pub(super) struct Attempt {
     pub(super) trace: Trace,
     pub(super) connection: u64,
@@ -41,13 +41,16 @@
         }
         it.ended = Some((at, outcome));
         if let Outcome::Served { attempt } = outcome {
-            let made = attempt.and_then(|attempt| self.attempts.get(&attempt));
-            let belongs = made.is_some_and(|made| {
-                made.trace == trace && matches!(made.answered, Some((_, Answer::Served)))
+            let source = attempt.and_then(|attempt| self.attempts.get(&attempt));
+            let belongs = source.is_some_and(|source| {
+                source.trace == trace && matches!(source.answered, Some((_, Answer::Served)))
             });
             if !belongs {
                 self.broken("answers_belong", || {
-                    format!("{trace:016x} was served at {} with what no pay server made for it", seconds(at))
+                    format!(
+                        "{trace:016x} was served at {} with a body that no pay server sent for it",
+                        seconds(at)
+                    )
                 });
             }
         }
@@ -64,21 +67,22 @@
     ) {
         let (ran, answered) = (false, None);
         self.attempts.insert(attempt, Attempt { trace, connection, arrived: at, ran, answered });
-        let attempts = self.of_trace.entry(trace).or_default();
+        let attempts = self.attempts_of_trace.entry(trace).or_default();
         attempts.push(attempt);
         let count = attempts.len();
-        if count > ATTEMPTS_MOST as usize {
+        if count > MAX_ATTEMPTS as usize {
             self.broken("attempts_at_most_four", || {
                 format!("{trace:016x}: attempt {count} arrived at {}", seconds(at))
             });
         }
-        let told = self.gateways.get(&gateway).and_then(|seen| seen.told.get(&server)).copied();
-        let told = self.counts_as_told(gateway, server, told);
-        if let Some((Told::Draining | Told::Gone, since)) = told {
+        let known_state =
+            self.gateways.get(&gateway).and_then(|gateway_state| gateway_state.states.get(&server)).copied();
+        let known_state = self.effective_state(gateway, server, known_state);
+        if let Some((ServerState::Draining | ServerState::Gone, since)) = known_state {
             if at > since + DRAIN_GRACE + self.slack(at) {
                 self.broken("drains_kept", || {
                     format!(
-                        "{trace:016x}: gateways[{gateway}] was told at {} that pay_servers[{server}] drains or is gone, \
+                        "{trace:016x}: gateways[{gateway}] received at {} that pay_servers[{server}] is draining or removed, \
                          and sent to it at {}",
                         seconds(since),
                         seconds(at)
@@ -87,18 +91,18 @@
             }
         }
         if count == 1 {
-            self.spend(at, trace);
+            self.take_from_ceiling(at, trace);
         }
     }
 
-    /// Whether a fault explains that a try at this gateway got no answer.
-    pub(super) fn excused(&self, setup: &Setup, gateway: u16, from: Nanos, to: Nanos) -> bool {
+    /// Whether a fault explains that a try at this gateway received no answer.
+    pub(super) fn explained_by_fault(&self, setup: &Setup, gateway: u16, from: Nanos, to: Nanos) -> bool {
         let end = End::Gateway(gateway);
-        let struck = |fault: &Drawn| match fault.kind {
+        let affects = |fault: &DrawnFault| match fault.kind {
             FaultKind::Kill | FaultKind::Restart | FaultKind::Wipe | FaultKind::Stop => {
                 fault.victims.contains(&end)
             }
-            // A gateway that is told to end answers what it has taken.
+            // On SIGTERM a gateway answers all requests that it has received before it exits.
             FaultKind::Term | FaultKind::FullDisk => false,
             FaultKind::Cut | FaultKind::Delay | FaultKind::Lose | FaultKind::Duplicate => {
                 let between = |a: End, b: End| {
@@ -109,9 +113,10 @@
         };
         let by_fault = setup.faults.iter().enumerate().any(|(i, fault)| {
             let i = i as u16;
-            let Some(&began) = self.began.get(&i) else { return false };
-            let over = self.over.get(&i).filter(|_| fault.until.is_some()).copied().unwrap_or(Nanos::MAX);
-            struck(fault) && from <= over.saturating_add(FAULT_AFTERMATH) && to >= began
+            let Some(&began) = self.fault_starts.get(&i) else { return false };
+            let over =
+                self.fault_ends.get(&i).filter(|_| fault.until.is_some()).copied().unwrap_or(Nanos::MAX);
+            affects(fault) && from <= over.saturating_add(FAULT_AFTERMATH) && to >= began
         });
         by_fault || self.crashes.iter().any(|(of, at)| *of == end && to + FAULT_AFTERMATH >= *at)
     }
@@ -121,29 +126,30 @@
         for it in std::mem::take(&mut self.tries) {
             let Try { trace, gateway, began, .. } = it;
             if it.more_ends > 0 {
-                self.broken("one_final_answer", || format!("{trace:016x} has more than one end"));
+                self.broken("one_final_answer", || format!("{trace:016x} ended more than once"));
             }
             let lost = match (it.ended, it.afterwards) {
-                (None, _) => Some((Nanos::MAX, "has no end")),
-                // Whoever closes a first request unanswered has not lost it, by the operators' terms.
+                (None, _) => Some((Nanos::MAX, "never ended")),
+                // By the operators' rules a first request of a connection that is closed without an answer is
+                // not lost.
                 (Some((at, Outcome::Reset { first: false })), _) => Some((at, "was cut off unanswered")),
                 (Some((_, Outcome::TimedOut)), Some((at, false))) => Some((at, "was never answered")),
                 _ => None,
             };
             if let Some((at, how)) = lost {
-                if !self.excused(setup, gateway, began, at) {
+                if !self.explained_by_fault(setup, gateway, began, at) {
                     self.broken("one_final_answer", || {
                         format!("{trace:016x} {how} by gateways[{gateway}], sent to it at {}", seconds(began))
                     });
                 }
             }
-            if self.asks.get(&it.ask).is_some_and(|(_, class)| *class == UNSAFE) {
-                traces.entry(it.ask).or_default().insert(trace);
+            if self.requests.get(&it.request).is_some_and(|(_, class)| *class == UNSAFE) {
+                traces.entry(it.request).or_default().insert(trace);
             }
         }
-        // What must never run twice is the request, whichever of its tries it was.
-        for (ask, traces) in traces {
-            let ids = traces.iter().flat_map(|trace| self.of_trace.get(trace).into_iter().flatten());
+        // A request must not run twice, not even in different tries.
+        for (request, traces) in traces {
+            let ids = traces.iter().flat_map(|trace| self.attempts_of_trace.get(trace).into_iter().flatten());
             let ran = ids.filter_map(|id| self.attempts.get(id).filter(|attempt| attempt.ran));
             let runs: Vec<(Nanos, Trace)> = ran.map(|attempt| (attempt.arrived, attempt.trace)).collect();
             if runs.len() < 2 {
@@ -152,14 +158,14 @@
             self.broken("never_ran_twice", || {
                 let runs: Vec<String> =
                     runs.iter().map(|(at, trace)| format!("{trace:016x} at {}", seconds(*at))).collect();
-                format!("request {ask} ran {} times: {}", runs.len(), runs.join(", "))
+                format!("request {request} ran {} times: {}", runs.len(), runs.join(", "))
             });
         }
     }
 
     pub(super) fn check_attempts(&mut self) {
         let mut overlaps = Vec::new();
-        for (trace, ids) in &self.of_trace {
+        for (trace, ids) in &self.attempts_of_trace {
             let attempts: Vec<&Attempt> = ids.iter().filter_map(|id| self.attempts.get(id)).collect();
             for pair in attempts.windows(2) {
                 let answered = pair[0].answered.map_or(Nanos::MAX, |(at, _)| at);
@@ -173,7 +179,7 @@
         overlaps.sort_unstable();
         for (at, trace) in overlaps {
             self.broken("attempts_one_at_a_time", || {
-                format!("{trace:016x}: one arrived at {} while another was out", seconds(at))
+                format!("{trace:016x}: an attempt arrived at {} while another one was in flight", seconds(at))
             });
         }
     }
--- a/testing/fault-injection/src/compare.rs
+++ b/testing/fault-injection/src/compare.rs
@@ -1,4 +1,4 @@
-//! Two runs side by side; or two folders of runs, with the spread over their seeds.
+//! Comparison of two runs, or of two folders of runs with the spread over their seeds.
 
 use crate::error::RecordingError;
 use crate::figures::Summary;
@@ -9,7 +9,7 @@
 use std::fs;
 use std::path::Path;
 
-/// The runs in a folder: itself, or those in it.
+/// Returns the summary of the run in a folder, or those of the runs in its subfolders.
 fn runs(dir: &Path) -> Result<Vec<Summary>, RecordingError> {
     let unreadable = |error| RecordingError::File(dir.to_owned(), error);
     if dir.join(HISTORY).is_file() {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Every figure of a run, by its name.
+/// Returns all figures of a run by name.
 fn figures(summary: &Summary) -> BTreeMap<String, f64> {
     let mut figures = BTreeMap::new();
     flatten("", &serde_json::json!(summary), &mut figures);
@@ -58,8 +58,8 @@
     }
 }
 
-/// Median and spread of a figure over runs that have it.
-fn over(runs: &[BTreeMap<String, f64>], name: &str) -> Option<(f64, f64, f64)> {
+/// Returns the minimum, median and maximum of a figure over the runs that have it.
+fn quantiles_over(runs: &[BTreeMap<String, f64>], name: &str) -> Option<(f64, f64, f64)> {
     let mut values: Vec<f64> = runs.iter().filter_map(|run| run.get(name).copied()).collect();
     values.sort_by(f64::total_cmp);
     Some((*values.first()?, values[values.len() / 2], *values.last()?))
@@ -69,11 +69,11 @@
 ///
 /// # Errors
 ///
-/// A folder holds no run, or one that cannot be read.
+/// A folder does not contain a run, or contains one that cannot be read.
 pub fn compare(one: &Path, other: &Path) -> Result<String, RecordingError> {
     let sides = [runs(one)?, runs(other)?];
-    let figured: Vec<Vec<_>> = sides.iter().map(|runs| runs.iter().map(figures).collect()).collect();
-    let mut names: Vec<&String> = figured.iter().flatten().flat_map(|run| run.keys()).collect();
+    let figures_of_runs: Vec<Vec<_>> = sides.iter().map(|runs| runs.iter().map(figures).collect()).collect();
+    let mut names: Vec<&String> = figures_of_runs.iter().flatten().flat_map(|run| run.keys()).collect();
     names.sort();
     names.dedup();
     let mut table = format!(
@@ -83,12 +83,12 @@
         format!("{} runs", sides[1].len())
     );
     for name in names {
-        let cell = |runs: &[BTreeMap<String, f64>]| match over(runs, name) {
+        let cell = |runs: &[BTreeMap<String, f64>]| match quantiles_over(runs, name) {
             Some((least, median, most)) if least == most => format!("{median:.4}"),
             Some((least, median, most)) => format!("{median:.4} ({least:.4} to {most:.4})"),
             None => "-".to_owned(),
         };
-        table += &format!("{name:<38} {:>30} {:>30}\n", cell(&figured[0]), cell(&figured[1]));
+        table += &format!("{name:<38} {:>30} {:>30}\n", cell(&figures_of_runs[0]), cell(&figures_of_runs[1]));
     }
     Ok(table)
 }
--- a/testing/fault-injection/src/figures.rs
+++ b/testing/fault-injection/src/figures.rs
@@ -1,114 +1,123 @@
-//! What a run comes to in figures: goodput, latencies, calls, losses; from its history alone.
+//! The figures of a run, computed from its history alone: goodput, latencies, call rates and losses.
 
 use crate::checker::Finding;
-use crate::decided::Told;
+use crate::decisions::DecisionFigures;
 use crate::deployment::{Nanos, MS, SECOND, UNSAFE};
 use crate::endpoint::End;
-use crate::history::{At, Event, Outcome, Setup, Trace};
+use crate::history::{Event, Outcome, Setup, TimedEvent, Trace};
 use crate::scenario::FaultKind;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Goodput is whole again at this share of what it was.
-const FULL: f64 = 0.95;
-/// ... over this long, looked at in steps of so much.
-const FULL_OVER: Nanos = 2 * SECOND;
-const STEP: Nanos = 100 * MS;
-/// The first moments of a load are no steady state.
-const SETTLING: Nanos = SECOND;
-/// Latencies are told up to here, in us.
-const LATENCY_MOST: u64 = 600_000_000;
+/// Share of the goodput before the first fault at which service counts as full again.
+const FULL_SERVICE_SHARE: f64 = 0.95;
+/// Length of the windows in which the goodput after the last fault must reach this share.
+const FULL_SERVICE_WINDOW: Nanos = 2 * SECOND;
+/// Distance between the starts of two such windows.
+const FULL_SERVICE_STEP: Nanos = 100 * MS;
+/// Time after the start of the load that does not count as steady state.
+const WARMUP: Nanos = SECOND;
+/// Maximum latency that is recorded, in microseconds.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// A run in figures; the last line of `run --json`.
+/// The figures of a run; the last line of `run --json`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// The scenario's name.
     pub scenario: String,
     /// The seed.
     pub seed: u64,
-    /// What clients wanted, each with all its tries; the next five add up to it.
+    /// Number of requests, each with all its tries. The next five figures add up to it if every request has
+    /// ended.
     pub requests: u64,
-    /// Requests that were served.
+    /// Number of requests that were served.
     pub served: u64,
-    /// Requests that were rejected.
+    /// Number of requests that were rejected.
     pub refused: u64,
-    /// Answered as failed, not answered in the client's time, or no gateway could be reached.
+    /// Number of requests that failed: an error response, no response within the client's timeout, or no
+    /// gateway reached.
     pub failed: u64,
-    /// Requests of which nobody knows whether they ran.
+    /// Number of requests of which it is unknown whether they ran.
     pub unknown: u64,
-    /// The connection ended after the gateway had taken it: the client does not know what became of it.
+    /// Number of requests whose connection ended after the gateway had received them, so that the client does
+    /// not know their result.
     pub lost: u64,
-    /// Unsafe requests that ran more than once.
+    /// Number of unsafe requests that ran more than once.
     pub ran_twice: u64,
-    /// Answers within the latency target, a second, before the first fault.
+    /// Answers within the latency target a second, before the first fault.
     pub goodput_before: Option<f64>,
-    /// Answers within the latency target, a second, after the last fault is over.
+    /// Answers within the latency target a second, after the end of the last fault.
     pub goodput_after: Option<f64>,
-    /// Time after the last fault until service is complete again, in milliseconds.
+    /// Time from the end of the last fault to full service, in milliseconds.
     pub time_to_full_service_ms: Option<u64>,
-    /// Highest rate over steady rate; null without any.
+    /// Highest rate relative to the steady rate for each kind of call; null if there were none.
     pub peaks: BTreeMap<String, Option<f64>>,
-    /// The invariants, by name.
+    /// Whether each invariant holds, by name; null if it does not apply.
     pub invariants: BTreeMap<String, Option<bool>>,
-    /// Tries that a gateway had in flight when a fault struck it.
-    pub in_hand: u64,
-    /// Those of them whose connection ended without an answer.
-    pub in_hand_lost: u64,
-    /// Unsafe requests whose client never had an answer.
+    /// Number of tries that were in flight at a gateway when a fault affected it.
+    #[serde(rename = "in_hand")]
+    pub in_flight: u64,
+    /// Number of those whose connection ended without an answer.
+    #[serde(rename = "in_hand_lost")]
+    pub in_flight_lost: u64,
+    /// Number of unsafe requests whose client received no answer.
     pub unsafe_lost: u64,
-    /// Those of them that had run.
+    /// Number of those that had run.
     pub unsafe_lost_ran: u64,
-    /// Clients that were left without an answer, of all.
+    /// Share of the requests that ended without an answer.
     pub unanswered_share: f64,
-    /// Tries that met no listener.
+    /// Number of tries that reached no listener.
     pub unreachable_tries: u64,
-    /// Pay servers that fell under load.
-    pub fell: u64,
-    /// Processes that ended by themselves.
+    /// Number of pay servers' crashes because of overload.
+    #[serde(rename = "fell")]
+    pub overload_crashes: u64,
+    /// Number of processes that exited by themselves.
     pub crashes: u64,
-    /// The longest that a lock had nobody who acted under it; null without candidates.
+    /// Longest time between two actions under the same lock, in milliseconds; null without any.
     pub owner_gap_ms: Option<u64>,
-    /// Effects that came too late and were refused.
+    /// Number of effects that arrived too late and were refused.
     pub late_effects: u64,
     /// Latency by quantile, in milliseconds.
     pub latency_ms: BTreeMap<String, f64>,
     /// The share of attempts that went to a pay server of the gateway's own zone.
     pub near_share: Option<f64>,
-    /// Time from the first fault's begin to the first decision that has a zone out, in milliseconds.
+    /// Time from the start of the first fault to the first decision that fails a zone over, in milliseconds.
     pub time_to_failover_ms: Option<u64>,
-    /// Time from the last fault's end to the first decision that has all zones serve again, in milliseconds.
+    /// Time from the end of the last fault to the first decision with all zones serving, in milliseconds.
     pub time_to_return_ms: Option<u64>,
-    /// Words of stewards that owned a duty no longer.
+    /// Number of refused decisions of controllers that were no longer the owner.
     pub late_decisions_refused: Option<u64>,
-    /// The largest distance of a firm from the exact weighted max-min solution, as a share of capacity: median over seconds
-    /// outside transitions.
+    /// The largest deviation of a firm from the exact weighted max-min solution, as a share of the capacity:
+    /// the median over all windows outside transitions.
     pub share_error: Option<f64>,
-    /// Time from the shift of demand until that distance is within 5%, in milliseconds.
+    /// Time from the shift of demand until that deviation is within 5%, in milliseconds.
     pub time_to_shares_ms: Option<u64>,
-    /// Migrations of shards that came to an end.
+    /// Number of completed shard migrations.
     pub moves: Option<u64>,
-    /// The longest time in which a shard took no write, in milliseconds.
+    /// Longest time for which a shard accepted no writes, in milliseconds.
     pub move_pause_ms: Option<u64>,
-    /// Writes under another epoch that cells turned away.
+    /// Number of writes that cells rejected because of their epoch.
     pub late_writes_refused: Option<u64>,
-    /// What the harness measured of itself.
-    pub lab: Lab,
+    /// Figures of the harness itself.
+    #[serde(rename = "lab")]
+    pub harness: HarnessFigures,
 }
 
-/// What the lab itself cost, and how late it was.
+/// Resource usage and delays of the harness itself.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Lab {
+pub struct HarnessFigures {
     /// Number of events.
     pub events: u64,
-    /// How late requests left, in ms: 99.9% were no later.
+    /// 99.9% quantile of the delay with which requests were sent, in milliseconds.
     pub late_p999_ms: f64,
-    /// The most that the clock was late, in milliseconds.
+    /// Maximum delay with which requests were sent, in milliseconds.
     pub late_most_ms: f64,
-    /// The highest share of a second that its one thread was busy during the load.
+    /// Highest share of a second for which the harness' only thread was busy.
     pub busy_most: f64,
-    /// Processor seconds.
-    pub lab_cpu_s: f64,
+    /// Processor time of the harness, in seconds.
+    #[serde(rename = "lab_cpu_s")]
+    pub harness_cpu_s: f64,
     /// Processor time of the fleet, in seconds.
     pub fleet_cpu_s: f64,
     /// Duration of the run, in seconds.
@@ -118,23 +127,23 @@
 /// One second of the load.
 #[derive(Clone, Debug, Default)]
 pub struct Second {
-    /// Served within the latency target.
+    /// Number of requests that were served within the latency target.
     pub good: u64,
-    /// Served late.
+    /// Number of requests that were served later.
     pub late: u64,
-    /// Rejected.
+    /// Number of rejected requests.
     pub refused: u64,
-    /// Failed.
+    /// Number of failed requests.
     pub failed: u64,
-    /// Lost.
+    /// Number of lost requests.
     pub lost: u64,
     latencies: Vec<u64>,
-    /// Calls by kind.
+    /// Number of calls by kind.
     pub calls: BTreeMap<&'static str, u64>,
 }
 
 impl Second {
-    /// A latency that this share of the second's served requests stayed under, in ms.
+    /// Returns a quantile of the latency of the requests that were served in this second, in milliseconds.
     pub fn latency(&self, share: f64) -> Option<f64> {
         let mut sorted = self.latencies.clone();
         sorted.sort_unstable();
@@ -143,53 +152,53 @@
     }
 }
 
-/// Kinds of calls whose peaks are told.
+/// Kinds of calls whose peaks are reported.
 pub const CALLS: [&str; 6] = ["connections", "list_calls", "probes", "renewals", "claims", "attempts"];
 
 #[derive(Clone, Copy)]
 struct Open {
-    ask: u32,
+    request: u32,
     gateway: u16,
 }
 
-/// Takes a history, event by event.
+/// Computes the figures from the events of a history.
 #[derive(Default)]
 pub struct Figures {
     setup: Option<Box<Setup>>,
-    asks: HashMap<u32, (Nanos, u8)>,
+    requests: HashMap<u32, (Nanos, u8)>,
     open: HashMap<Trace, Open>,
-    in_hand: HashSet<Trace>,
+    in_flight: HashSet<Trace>,
     attempts: HashMap<u64, Trace>,
     ran: HashSet<Trace>,
-    /// Requests whose last connection ended unanswered, by their last id.
+    /// Last trace ids of the unsafe requests that ended without an answer.
     unsafe_lost: Vec<Trace>,
-    last: HashMap<u32, Trace>,
-    good: Vec<Nanos>,
+    last_try: HashMap<u32, Trace>,
+    good_answers: Vec<Nanos>,
     seconds: Vec<Second>,
-    began: Vec<(u16, Nanos)>,
-    over: Vec<(u16, Nanos)>,
+    fault_starts: Vec<(u16, Nanos)>,
+    fault_ends: Vec<(u16, Nanos)>,
     lateness: Option<Histogram<u64>>,
     latency: Option<Histogram<u64>>,
     counts: [u64; 5],
-    in_hand_all: u64,
-    in_hand_lost: u64,
+    in_flight_total: u64,
+    in_flight_lost: u64,
     unanswered: u64,
     unreachable: u64,
-    fell: u64,
+    overload_crashes: u64,
     crashes: u64,
-    acted: HashMap<u16, Nanos>,
+    last_action: HashMap<u16, Nanos>,
     owner_gap: Option<Nanos>,
     late_effects: u64,
-    lab: Lab,
+    harness: HarnessFigures,
 }
 
 fn histogram() -> Option<Histogram<u64>> {
-    // The bounds are constants that the crate takes.
-    Histogram::new_with_bounds(1, LATENCY_MOST, 3).ok()
+    // Never `None`: the bounds are constants that the crate accepts.
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).ok()
 }
 
 impl Figures {
-    /// Returns figures of nothing.
+    /// Returns figures without any events.
     pub fn new() -> Figures {
         Figures { lateness: histogram(), latency: histogram(), ..Figures::default() }
     }
@@ -208,24 +217,24 @@
     }
 
     /// Observes the next event.
-    pub fn take(&mut self, At { at, event }: &At) {
+    pub fn take(&mut self, TimedEvent { at, event }: &TimedEvent) {
         let at = *at;
-        self.lab.events += 1;
+        self.harness.events += 1;
         match event {
             Event::Setup(setup) => self.setup = Some(setup.clone()),
-            Event::Asked { ask, class, late, .. } => {
-                self.asks.insert(*ask, (at, *class));
+            Event::RequestStarted { request, class, late, .. } => {
+                self.requests.insert(*request, (at, *class));
                 self.lateness
                     .iter_mut()
                     .for_each(|lateness| lateness.saturating_record((late / 1000).max(1)));
             }
-            Event::Tried { ask, trace, gateway, .. } => {
-                self.last.insert(*ask, *trace);
-                self.open.insert(*trace, Open { ask: *ask, gateway: *gateway });
+            Event::TryStarted { request, trace, gateway, .. } => {
+                self.last_try.insert(*request, *trace);
+                self.open.insert(*trace, Open { request: *request, gateway: *gateway });
                 self.call(at, "tries");
             }
-            Event::Ended { trace, outcome } => self.ended(*trace, *outcome),
-            Event::AskEnded { ask, outcome } => self.ask_ended(at, *ask, *outcome),
+            Event::TryEnded { trace, outcome } => self.ended(*trace, *outcome),
+            Event::RequestEnded { request, outcome } => self.request_ended(at, *request, *outcome),
             Event::Arrived { attempt, trace, .. } => {
                 self.attempts.insert(*attempt, *trace);
                 self.call(at, "attempts");
@@ -237,29 +246,29 @@
                 self.call(at, "connections")
             }
             Event::Probed { .. } => self.call(at, "probes"),
-            Event::ListAsked { .. } => self.call(at, "list_calls"),
+            Event::ListRequested { .. } => self.call(at, "list_calls"),
             Event::Renewed { .. } => self.call(at, "renewals"),
-            Event::Counted { .. } => self.call(at, "counts"),
+            Event::CounterCalled { .. } => self.call(at, "counts"),
             Event::Granted { .. } => self.call(at, "claims"),
-            Event::Acts { lock, .. } => {
-                // The first owner needs its time; afterwards a gap is a gap.
-                if let Some(before) = self.acted.insert(*lock, at) {
+            Event::ActionStarted { lock, .. } => {
+                // The time before the first action does not count, because the first owner has to start.
+                if let Some(before) = self.last_action.insert(*lock, at) {
                     self.owner_gap = self.owner_gap.max(Some(at - before));
                 }
             }
             Event::Effect { admitted: false, .. } => self.late_effects += 1,
-            Event::Fell { .. } => self.fell += 1,
-            Event::Lived { life: crate::history::Life::Crashed, .. } => self.crashes += 1,
+            Event::OverloadCrash { .. } => self.overload_crashes += 1,
+            Event::ProcessChanged { change: crate::history::ProcessChange::Crashed, .. } => self.crashes += 1,
             Event::FaultBegan { fault } => self.fault_began(at, *fault),
-            Event::FaultOver { fault } => self.over.push((*fault, at)),
-            Event::Busy { cpu } if self.setup.is_some() => {
-                self.lab.busy_most = self.lab.busy_most.max(round(*cpu as f64 / SECOND as f64));
+            Event::FaultEnded { fault } => self.fault_ends.push((*fault, at)),
+            Event::HarnessCpu { cpu } if self.setup.is_some() => {
+                self.harness.busy_most = self.harness.busy_most.max(round(*cpu as f64 / SECOND as f64));
             }
-            Event::Finished { lab_cpu, fleet_cpu } => {
+            Event::Finished { harness_cpu, fleet_cpu } => {
                 let s = |nanos: Nanos| nanos as f64 / SECOND as f64;
-                self.lab.lab_cpu_s = s(*lab_cpu);
-                self.lab.fleet_cpu_s = s(*fleet_cpu);
-                self.lab.wall_s = s(at);
+                self.harness.harness_cpu_s = s(*harness_cpu);
+                self.harness.fleet_cpu_s = s(*fleet_cpu);
+                self.harness.wall_s = s(at);
             }
             _ => {}
         }
@@ -267,68 +276,68 @@
 
     fn ended(&mut self, trace: Trace, outcome: Outcome) {
         self.open.remove(&trace);
-        if self.in_hand.remove(&trace) && matches!(outcome, Outcome::Reset { .. }) {
-            self.in_hand_lost += 1;
+        if self.in_flight.remove(&trace) && matches!(outcome, Outcome::Reset { .. }) {
+            self.in_flight_lost += 1;
         }
         self.unreachable += u64::from(outcome == Outcome::Unreachable);
     }
 
-    fn ask_ended(&mut self, at: Nanos, ask: u32, outcome: Outcome) {
-        let Some((asked, class)) = self.asks.remove(&ask) else { return };
-        let last = self.last.remove(&ask);
-        let aim = self.setup.as_ref().map_or(0, |setup| setup.aim);
+    fn request_ended(&mut self, at: Nanos, request: u32, outcome: Outcome) {
+        let Some((asked, class)) = self.requests.remove(&request) else { return };
+        let last = self.last_try.remove(&request);
+        let aim = self.setup.as_ref().map_or(0, |setup| setup.latency_target);
         let latency = at - asked;
-        let which = match outcome {
+        let category = match outcome {
             Outcome::Served { .. } => 0,
             Outcome::Refused => 1,
             Outcome::Failed | Outcome::TimedOut | Outcome::Unreachable => 2,
             Outcome::Unknown => 3,
             Outcome::Reset { .. } => 4,
         };
-        self.counts[which] += 1;
+        self.counts[category] += 1;
         let unanswered = matches!(outcome, Outcome::Reset { .. } | Outcome::TimedOut | Outcome::Unreachable);
         self.unanswered += u64::from(unanswered);
         if class == UNSAFE && unanswered && outcome != Outcome::Unreachable {
             self.unsafe_lost.extend(last);
         }
-        if which == 0 {
+        if category == 0 {
             self.latency.iter_mut().for_each(|h| h.saturating_record((latency / 1000).max(1)));
             if latency <= aim {
-                self.good.push(at);
+                self.good_answers.push(at);
             }
         }
         if let Some(second) = self.second(at) {
-            match which {
+            match category {
                 0 if latency <= aim => second.good += 1,
                 0 => second.late += 1,
                 1 => second.refused += 1,
                 2 | 3 => second.failed += 1,
                 _ => second.lost += 1,
             }
-            if which == 0 {
+            if category == 0 {
                 second.latencies.push(latency / 1000);
             }
         }
     }
 
     fn fault_began(&mut self, at: Nanos, number: u16) {
-        self.began.push((number, at));
+        self.fault_starts.push((number, at));
         let Some(fault) = self.setup.as_ref().and_then(|setup| setup.faults.get(usize::from(number))) else {
             return;
         };
         if fault.kind.of_links() || fault.kind == FaultKind::FullDisk {
             return;
         }
-        let struck: HashSet<End> = fault.victims.iter().copied().collect();
-        let held = self.open.iter().filter(|(_, open)| {
-            struck.contains(&End::Gateway(open.gateway)) && self.asks.contains_key(&open.ask)
+        let victims: HashSet<End> = fault.victims.iter().copied().collect();
+        let affected = self.open.iter().filter(|(_, open)| {
+            victims.contains(&End::Gateway(open.gateway)) && self.requests.contains_key(&open.request)
         });
-        let held: Vec<Trace> = held.map(|(trace, _)| *trace).collect();
-        self.in_hand_all += held.len() as u64;
-        self.in_hand.extend(held);
+        let affected: Vec<Trace> = affected.map(|(trace, _)| *trace).collect();
+        self.in_flight_total += affected.len() as u64;
+        self.in_flight.extend(affected);
     }
 
-    /// The seconds of the load, and when faults began and were over, in seconds of it.
+    /// Returns the seconds of the load.
     pub fn seconds(&self) -> &[Second] {
         &self.seconds
     }
@@ -338,37 +347,45 @@
         self.setup.as_deref()
     }
 
-    /// Begin and end of each fault, in seconds of the load; without an end where it is for good.
+    /// Returns the number, start and end of each fault, in seconds of the load; permanent faults have no end.
     pub fn marks(&self) -> Vec<(u16, f64, Option<f64>)> {
         let Some(setup) = &self.setup else { return Vec::new() };
         let second = |at: Nanos| at.saturating_sub(setup.load_from) as f64 / SECOND as f64;
         let over = |fault: u16| {
             let lasts = setup.faults.get(usize::from(fault)).is_some_and(|fault| fault.until.is_none());
-            self.over.iter().find(|(of, _)| *of == fault && !lasts).map(|(_, at)| second(*at))
+            self.fault_ends.iter().find(|(of, _)| *of == fault && !lasts).map(|(_, at)| second(*at))
         };
-        self.began.iter().map(|(fault, at)| (*fault, second(*at), over(*fault))).collect()
+        self.fault_starts.iter().map(|(fault, at)| (*fault, second(*at), over(*fault))).collect()
     }
 
-    /// Good answers a second within these instants.
+    /// Returns the answers within the latency target a second, between two instants; `None` if they are less
+    /// than a second apart.
     fn goodput(&self, from: Nanos, to: Nanos) -> Option<f64> {
-        let count = self.good.partition_point(|at| *at < to) - self.good.partition_point(|at| *at < from);
+        let count = self.good_answers.partition_point(|at| *at < to)
+            - self.good_answers.partition_point(|at| *at < from);
         (to >= from + SECOND).then(|| count as f64 * SECOND as f64 / (to - from) as f64)
     }
 
     /// Returns the summary; `None` where there was no setup.
-    pub fn summary(&mut self, findings: &BTreeMap<&'static str, Finding>, told: &Told) -> Option<Summary> {
+    pub fn summary(
+        &mut self,
+        findings: &BTreeMap<&'static str, Finding>,
+        decisions: &DecisionFigures,
+    ) -> Option<Summary> {
         let setup = self.setup.clone()?;
-        self.good.sort_unstable();
+        self.good_answers.sort_unstable();
         let (from, to) = (setup.load_from, setup.load_from + setup.duration);
-        let first = self.began.iter().map(|(_, at)| *at).min();
-        let over = self.over.iter().map(|(_, at)| *at).max();
+        let first = self.fault_starts.iter().map(|(_, at)| *at).min();
+        let over = self.fault_ends.iter().map(|(_, at)| *at).max();
         let steady_to = first.unwrap_or(to);
-        let before = self.goodput(from + SETTLING, steady_to);
+        let before = self.goodput(from + WARMUP, steady_to);
         let after = over.and_then(|over| self.goodput(over, to));
         let full = over.zip(before).and_then(|(over, before)| {
-            let windows = (0..).map(|i| over + i * STEP).take_while(|at| at + FULL_OVER <= to);
+            let windows =
+                (0..).map(|i| over + i * FULL_SERVICE_STEP).take_while(|at| at + FULL_SERVICE_WINDOW <= to);
             let mut whole = windows.filter(|at| {
-                self.goodput(*at, at + FULL_OVER).is_some_and(|goodput| goodput >= FULL * before)
+                self.goodput(*at, at + FULL_SERVICE_WINDOW)
+                    .is_some_and(|goodput| goodput >= FULL_SERVICE_SHARE * before)
             });
             whole.next().map(|at| (at - over) / MS)
         });
@@ -386,7 +403,7 @@
                 if first.is_some() { rates.get(steady_seconds..).unwrap_or_default() } else { &rates };
             let highest = later.iter().copied().fold(0.0, f64::max);
             let any = rates.iter().any(|rate| *rate > 0.0);
-            // Over less than one a second no ratio says anything.
+            // The steady rate counts as at least one a second, because ratios to lower rates are meaningless.
             ((*name).to_owned(), any.then(|| round(highest / steady.max(1.0))))
         });
         let peaks = peaks.collect();
@@ -396,9 +413,9 @@
         let latency_ms = [("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("p999", 0.999)];
         let latency_ms =
             latency_ms.iter().map(|(name, q)| ((*name).to_owned(), quantiles(&self.latency, *q))).collect();
-        self.lab.late_p999_ms = quantiles(&self.lateness, 0.999);
-        self.lab.late_most_ms = quantiles(&self.lateness, 1.0);
-        let requests = self.counts.iter().sum::<u64>() + self.asks.len() as u64;
+        self.harness.late_p999_ms = quantiles(&self.lateness, 0.999);
+        self.harness.late_most_ms = quantiles(&self.lateness, 1.0);
+        let requests = self.counts.iter().sum::<u64>() + self.requests.len() as u64;
         Some(Summary {
             scenario: setup.scenario.clone(),
             seed: setup.seed,
@@ -414,32 +431,32 @@
             time_to_full_service_ms: full,
             peaks,
             invariants: findings.iter().map(|(name, f)| ((*name).to_owned(), f.holds)).collect(),
-            in_hand: self.in_hand_all,
-            in_hand_lost: self.in_hand_lost,
+            in_flight: self.in_flight_total,
+            in_flight_lost: self.in_flight_lost,
             unsafe_lost: self.unsafe_lost.len() as u64,
             unsafe_lost_ran: self.unsafe_lost.iter().filter(|trace| self.ran.contains(trace)).count() as u64,
             unanswered_share: round(self.unanswered as f64 / requests.max(1) as f64),
             unreachable_tries: self.unreachable,
-            fell: self.fell,
+            overload_crashes: self.overload_crashes,
             crashes: self.crashes,
             owner_gap_ms: self.owner_gap.map(|gap| gap / MS),
             late_effects: self.late_effects,
             latency_ms,
-            near_share: told.near_share.map(round),
-            time_to_failover_ms: told.time_to_failover_ms,
-            time_to_return_ms: told.time_to_return_ms,
-            late_decisions_refused: told.late_decisions_refused,
-            share_error: told.shares.share_error.map(round),
-            time_to_shares_ms: told.shares.time_to_shares_ms,
-            moves: told.books.moves,
-            move_pause_ms: told.books.move_pause_ms,
-            late_writes_refused: told.books.late_writes_refused,
-            lab: self.lab.clone(),
+            near_share: decisions.near_share.map(round),
+            time_to_failover_ms: decisions.time_to_failover_ms,
+            time_to_return_ms: decisions.time_to_return_ms,
+            late_decisions_refused: decisions.late_decisions_refused,
+            share_error: decisions.shares.share_error.map(round),
+            time_to_shares_ms: decisions.shares.time_to_shares_ms,
+            moves: decisions.shards.moves,
+            move_pause_ms: decisions.shards.move_pause_ms,
+            late_writes_refused: decisions.shards.late_writes_refused,
+            harness: self.harness.clone(),
         })
     }
 }
 
-/// To four digits behind the point: more would be noise.
+/// Rounds to four decimal places; further digits are noise.
 fn round(value: f64) -> f64 {
     (value * 1e4).round() / 1e4
 }
--- a/testing/fault-injection/src/link.rs
+++ b/testing/fault-injection/src/link.rs
@@ -1,26 +1,26 @@
-//! What faults do to what lies between two ends: the rules in force, without I/O.
+//! The effect of the active faults on the links between endpoints, without I/O.
 
-use crate::deployment::{Drawn, Nanos, MS};
+use crate::deployment::{DrawnFault, Nanos, MS};
 use crate::endpoint::End;
 use crate::scenario::FaultKind;
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// A segment that a stream loses is sent again by the system after about this time.
+/// Approximate time after which the operating system retransmits a lost segment of a stream.
 const RETRANSMISSION: Nanos = 200 * MS;
 
-/// The way from one end to another, at this moment.
+/// State of a link in one direction.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Path {
-    /// What is sent arrives.
+pub struct LinkState {
+    /// Whether data arrives.
     pub open: bool,
-    /// New connections may come up: a process that stands still has a system that answers for it.
+    /// Whether new connections can be established; for a suspended process its operating system accepts them.
     pub connects: bool,
-    /// Connections are reset.
+    /// Whether connections are reset.
     pub reset: bool,
-    /// Delay each way, in nanoseconds.
+    /// Delay in this direction, in nanoseconds.
     pub delay: Nanos,
-    /// The most that is added to it at random, in nanoseconds.
+    /// Maximum random delay on top of `delay`, in nanoseconds.
     pub jitter: Nanos,
     /// Share of the datagrams that are lost.
     pub loss: f64,
@@ -28,42 +28,49 @@
     pub duplicates: f64,
 }
 
-impl Path {
+impl LinkState {
     /// A link without a fault.
-    pub const CLEAR: Path =
-        Path { open: true, connects: true, reset: false, delay: 0, jitter: 0, loss: 0.0, duplicates: 0.0 };
-
-    /// How much later a piece of a stream arrives: it is delayed, and what is lost is sent again.
+    pub const CLEAR: LinkState = LinkState {
+        open: true,
+        connects: true,
+        reset: false,
+        delay: 0,
+        jitter: 0,
+        loss: 0.0,
+        duplicates: 0.0,
+    };
+
+    /// Returns the delay of a segment of a stream, including the retransmission if it is lost.
     pub fn stream_delay(&self, rng: &mut impl Rng) -> Nanos {
         let lost = self.loss > 0.0 && rng.random::<f64>() < self.loss;
-        self.shifted(rng) + if lost { RETRANSMISSION } else { 0 }
+        self.delay_with_jitter(rng) + if lost { RETRANSMISSION } else { 0 }
     }
 
-    /// When a datagram's copies arrive, counted from now: none, one or two, each with a delay of its own, so that they may
-    /// change places with others.
+    /// Returns the delays of a datagram's copies: none, one or two. Each has a delay of its own, so datagrams
+    /// may be reordered.
     pub fn datagram(&self, rng: &mut impl Rng) -> Vec<Nanos> {
         let lost = !self.open || (self.loss > 0.0 && rng.random::<f64>() < self.loss);
         let twice = self.duplicates > 0.0 && rng.random::<f64>() < self.duplicates;
         let copies = if lost { 0 } else { 1 + usize::from(twice) };
-        (0..copies).map(|_| self.shifted(rng)).collect()
+        (0..copies).map(|_| self.delay_with_jitter(rng)).collect()
     }
 
-    fn shifted(&self, rng: &mut impl Rng) -> Nanos {
+    fn delay_with_jitter(&self, rng: &mut impl Rng) -> Nanos {
         self.delay + if self.jitter > 0 { rng.random_range(0..=self.jitter) } else { 0 }
     }
 }
 
-/// Faults of links in force, and the stand-ins that stand still.
+/// The active faults of links, and the suspended processes and stand-ins.
 #[derive(Default)]
-pub struct Rules {
+pub struct LinkFaults {
     active: Vec<(usize, Rule)>,
-    still: BTreeSet<End>,
+    suspended: BTreeSet<End>,
 }
 
 struct Rule {
     kind: FaultKind,
     target: BTreeSet<End>,
-    /// Empty: all others.
+    /// The other side of the links; empty for all endpoints that are not in `target`.
     from: BTreeSet<End>,
     one_way: bool,
     reset: bool,
@@ -83,9 +90,9 @@
     }
 }
 
-impl Rules {
-    /// A fault of links begins; it has this number.
-    pub fn begin(&mut self, number: usize, fault: &Drawn) {
+impl LinkFaults {
+    /// Starts a fault of links, which has this number.
+    pub fn begin(&mut self, number: usize, fault: &DrawnFault) {
         let rule = Rule {
             kind: fault.kind,
             target: fault.victims.iter().copied().collect(),
@@ -104,19 +111,19 @@
         self.active.retain(|(of, _)| *of != number);
     }
 
-    /// A stand-in stands still, or goes on.
-    pub fn stand_still(&mut self, end: End, still: bool) {
-        if still {
-            self.still.insert(end);
+    /// Suspends or resumes a process or a stand-in.
+    pub fn set_suspended(&mut self, end: End, suspended: bool) {
+        if suspended {
+            self.suspended.insert(end);
         } else {
-            self.still.remove(&end);
+            self.suspended.remove(&end);
         }
     }
 
-    /// The way from one end to another. Several faults add up.
-    pub fn path(&self, from: End, to: End) -> Path {
-        let mut path = Path::CLEAR;
-        if self.still.contains(&to) || self.still.contains(&from) {
+    /// Returns the state of the link from one endpoint to another. Concurrent faults are combined.
+    pub fn path(&self, from: End, to: End) -> LinkState {
+        let mut path = LinkState::CLEAR;
+        if self.suspended.contains(&to) || self.suspended.contains(&from) {
             path.open = false;
         }
         for (_, rule) in &self.active {
@@ -141,23 +148,23 @@
         path
     }
 
-    /// Whether a connection between the two may come up: both ways are needed.
+    /// Whether a connection between two endpoints can be established, which needs both directions.
     pub fn connects(&self, from: End, to: End) -> bool {
         self.path(from, to).connects && self.path(to, from).connects
     }
 
     /// Whether a process or a stand-in is suspended.
-    pub fn stands_still(&self, end: End) -> bool {
-        self.still.contains(&end)
+    pub fn is_suspended(&self, end: End) -> bool {
+        self.suspended.contains(&end)
     }
 
-    /// Whether connections in this direction are reset.
+    /// Whether connections between two endpoints are reset.
     pub fn reset(&self, from: End, to: End) -> bool {
         self.path(from, to).reset || self.path(to, from).reset
     }
 
-    /// Whether there is no fault.
+    /// Whether there is no active fault.
     pub fn is_empty(&self) -> bool {
-        self.active.is_empty() && self.still.is_empty()
+        self.active.is_empty() && self.suspended.is_empty()
     }
 }
