--- a/quota-gateway/server/tests/clients.rs
+++ b/quota-gateway/server/tests/clients.rs
@@ -1,4 +1,4 @@
-//! What clients see: answers, bad input, hanging up, and their connections.
+//! The client side: responses, invalid requests, disconnects, and the limits on clients' connections.
 
 mod common;
 
@@ -8,23 +8,26 @@
 #[test]
 fn a_request_is_forwarded_unchanged_and_its_response_body_returned() {
     let server = Stub::start(|m| ok(&format!("{} {}", m.header("x-trace-id"), m.text())));
-    let (gateway, _agent) = Running::before(&[&server]);
+    let (gateway, _agent) = Running::with_servers(&[&server]);
     let mut client = gateway.client();
 
     let answer = client.ask(&saldo("a1", "2.000"));
-    assert_eq!((answer.status(), answer.text().as_str()), (200, format!("{} ", trace("a1")).as_str()));
-    let seen = server.last();
-    assert_eq!(seen.line[..2], ["GET".to_owned(), format!("/saldo?of={}", trace("a1"))]);
-    assert!(!seen.headers.contains_key("idempotency-key"));
-    let wait: f64 = seen.header("x-expires-in").parse().expect("seconds");
-    assert!(wait > 0.0 && wait < 2.0, "{wait}: less than the client waits");
+    assert_eq!((answer.status(), answer.text().as_str()), (200, format!("{} ", trace_id("a1")).as_str()));
+    let forwarded = server.last_request();
+    assert_eq!(forwarded.start_line[..2], ["GET".to_owned(), format!("/saldo?of={}", trace_id("a1"))]);
+    assert!(!forwarded.headers.contains_key("idempotency-key"));
+    let wait: f64 = forwarded.header("x-expires-in").parse().expect("a number of seconds");
+    assert!(wait > 0.0 && wait < 2.0, "{wait}: the server is given less time than the client waits");
 
-    rest();
+    wait_for_reuse();
     let answer = client.ask(&abono("a2", "5", "pago 17"));
-    assert_eq!((answer.status(), answer.text().as_str()), (200, format!("{} pago 17", trace("a2")).as_str()));
-    let seen = server.last();
-    assert_eq!(seen.line[..2], ["POST", "/abono/new"]);
-    assert_eq!(seen.header("idempotency-key"), format!("key-{}", trace("a2")));
+    assert_eq!(
+        (answer.status(), answer.text().as_str()),
+        (200, format!("{} pago 17", trace_id("a2")).as_str())
+    );
+    let forwarded = server.last_request();
+    assert_eq!(forwarded.start_line[..2], ["POST", "/abono/new"]);
+    assert_eq!(forwarded.header("idempotency-key"), format!("key-{}", trace_id("a2")));
     assert_eq!(
         (server.requests(), server.connections.load(Ordering::SeqCst)),
         (2, 1),
@@ -35,7 +38,7 @@
 #[test]
 fn a_malformed_request_is_rejected_and_reaches_no_server() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::before(&[&server]);
+    let (gateway, _agent) = Running::with_servers(&[&server]);
     let good = saldo("b", "2");
     let without = |name: &str| {
         let lines = good.split_inclusive("\r\n").filter(|line| !line.starts_with(name));
@@ -61,8 +64,8 @@
         (good.replace("X-Expires-In: 2", "X-Expires-In: 2\r\nX-Expires-In: 3"), 400, "x-expires-in"),
         (good.replace("00000000b4d65521", "b4d65521"), 400, "x-client-id"),
         (good.replace("00000000b4d65521", "0000000200000000"), 400, "x-client-id"),
-        (good.replace(&trace("b"), "b"), 400, "x-trace-id"),
-        (good.replace(&trace("b"), "zzzzzzzzzzzzzzzz"), 400, "x-trace-id"),
+        (good.replace(&trace_id("b"), "b"), 400, "x-trace-id"),
+        (good.replace(&trace_id("b"), "zzzzzzzzzzzzzzzz"), 400, "x-trace-id"),
         (good.replace("units=2", "units=two"), 400, "x-metering"),
         (good.replace("units=2", "units=0"), 400, "x-metering"),
         (good.replace("units=2", "units=nan"), 400, "x-metering"),
@@ -85,59 +88,60 @@
         assert!(answer.text().contains(word), "{word} in {}", answer.text());
         assert_eq!(answer.text().trim_end().lines().count(), 1);
     }
-    // More than 32 MiB: by its length at once, in chunks once that much has come.
-    let long = abono("b", "2", "").replace("Content-Length: 0", "Content-Length: 33554433");
-    assert_eq!(gateway.client().ask(&long).status(), 413);
-    let short = "x".repeat(64 << 10);
-    assert_eq!(gateway.client().ask(&abono("b", "2", &short)).status(), 200);
+    // A body of more than 32 MiB is rejected: at once if its length is declared, and if it is chunked, once
+    // that much has arrived.
+    let too_long = abono("b", "2", "").replace("Content-Length: 0", "Content-Length: 33554433");
+    assert_eq!(gateway.client().ask(&too_long).status(), 413);
+    let accepted = "x".repeat(64 << 10);
+    assert_eq!(gateway.client().ask(&abono("b", "2", &accepted)).status(), 200);
     assert_eq!(server.requests(), 1);
 }
 
 #[test]
 fn a_rejection_is_immediate_and_has_a_retry_after() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::before(&[&server]);
-    let beyond = saldo("r", "2").replace("X-Contract: basico", "X-Contract: nada");
-    let answer = gateway.client().ask(&beyond);
+    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let over_quota = saldo("r", "2").replace("X-Contract: basico", "X-Contract: nada");
+    let answer = gateway.client().ask(&over_quota);
     assert!(matches!(answer.status(), 429 | 503), "{}", answer.status());
-    let wait: f64 = answer.header("retry-after").parse().expect("seconds");
-    assert!(wait > 0.0 && wait <= 0.5, "{wait}: at most MaxRetryAfter");
+    let wait: f64 = answer.header("retry-after").parse().expect("a number of seconds");
+    assert!(wait > 0.0 && wait <= 0.5, "{wait}: Retry-After is at most MaxRetryAfter");
     assert_eq!(server.requests(), 0);
 }
 
 #[test]
 fn a_retry_past_its_latency_target_is_rejected_and_reaches_no_server() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::before(&[&server]);
+    let (gateway, _agent) = Running::with_servers(&[&server]);
     let mut client = gateway.client();
-    assert_eq!(client.ask(&saldo("f", "4")).status(), 200, "a first try");
-    let late = saldo("s", "2");
-    let marked = late.replace("X-Unknown: 1", "X-Second-Try: 1");
+    assert_eq!(client.ask(&saldo("f", "4")).status(), 200, "a first attempt");
+    let unmarked = saldo("s", "2");
+    let marked = unmarked.replace("X-Unknown: 1", "X-Second-Try: 1");
     let answer = client.ask(&marked);
     assert!(
         matches!(answer.status(), 429 | 503),
-        "{}: of 4 s 2 are left, and the aim is 1.5 s",
+        "{}: 2 of 4 s are left, and the latency target of 1.5 s has passed",
         answer.status()
     );
     assert_eq!(server.requests(), 1);
-    assert_eq!(client.ask(&late).status(), 200, "it does not say that it is a repeat");
+    assert_eq!(client.ask(&unmarked).status(), 200, "the request is not marked as a retry");
 }
 
 #[test]
 fn a_client_disconnect_cancels_its_attempt() {
-    let server = Stub::start(|_| Reply::Silence);
-    let (gateway, _agent) = Running::before(&[&server]);
+    let server = Stub::start(|_| Reply::NoAnswer);
+    let (gateway, _agent) = Running::with_servers(&[&server]);
     let mut client = gateway.client();
     client.write(&saldo("h", "4"));
-    until("the server has it", || server.requests() == 1);
+    until("the server has the request", || server.requests() == 1);
     drop(client);
-    until("the attempt's connection is closed", || server.ended.load(Ordering::SeqCst) == 1);
-    server.act(|_| ok("served"));
+    until("the attempt's connection is closed", || server.closed.load(Ordering::SeqCst) == 1);
+    server.set_handler(|_| ok("served"));
     assert_eq!(gateway.client().ask(&saldo("i", "4")).status(), 200);
     assert_eq!(
         server.connections.load(Ordering::SeqCst),
         2,
-        "a connection with an attempt given up is not used again"
+        "the connection of a cancelled attempt is not reused"
     );
 }
 
@@ -146,9 +150,9 @@
     let server = Stub::start(|_| ok("served"));
     let agent = Agent::start();
     let known = list(1, true, &serving(&[&server]));
-    let few =
+    let small =
         config("127.0.0.1:0", agent.stub.addr, Some(&known)).replace(r#""sockets":256"#, r#""sockets":64"#);
-    let gateway = Running::start_under("ulimit -n 64; exec \"$0\"", &few);
+    let gateway = Running::start_in_shell("ulimit -n 64; exec \"$0\"", &small);
     let mut clients: Vec<Client> = Vec::new();
     for n in 0..80 {
         let mut client = gateway.client();
@@ -156,27 +160,27 @@
         clients.push(client);
     }
     assert_eq!(server.requests(), 80);
-    assert!(!gateway.log().contains("accept"), "no want of descriptors: {}", gateway.log());
-    assert!(clients[0].ends(), "the one that was idle the longest made room");
+    assert!(!gateway.log().contains("accept"), "the gateway has enough descriptors: {}", gateway.log());
+    assert!(clients[0].is_closed(), "the connection that was idle for longest was closed");
 }
 
 #[test]
-fn running_out_of_descriptors_is_survived() {
+fn the_gateway_recovers_from_descriptor_exhaustion() {
     let server = Stub::start(|_| ok("served"));
     let agent = Agent::start();
     let known = list(1, true, &serving(&[&server]));
-    // The machine grants fewer than the configuration promises.
-    let gateway = Running::start_under(
+    // The process limit is lower than the configured number of sockets.
+    let gateway = Running::start_in_shell(
         "ulimit -n 32; exec \"$0\"",
         &config("127.0.0.1:0", agent.stub.addr, Some(&known)),
     );
     assert_eq!(gateway.client().ask(&saldo("d", "4")).status(), 200);
     let mut clients: Vec<Client> = (0..60).map(|_| gateway.client()).collect();
-    until("the gateway runs out", || gateway.log().contains("accept"));
+    until("the gateway runs out of descriptors", || gateway.log().contains("accept"));
     clients.truncate(4);
     let mut client = gateway.client();
     assert_eq!(client.ask(&saldo("e", "20")).status(), 200);
-    assert_eq!(gateway.log().matches("accept").count(), 1, "one line for all");
+    assert_eq!(gateway.log().matches("accept").count(), 1, "all failed accepts are logged in one line");
 }
 
 #[test]
@@ -184,10 +188,10 @@
     let server = Stub::start(|_| ok("served"));
     let agent = Agent::start();
     let known = list(1, true, &serving(&[&server]));
-    let few =
+    let small =
         config("127.0.0.1:0", agent.stub.addr, Some(&known)).replace(r#""sockets":256"#, r#""sockets":64"#);
-    let gateway = Running::start(&few);
-    // More than there is room for, each with the beginning of a request.
+    let gateway = Running::start(&small);
+    // More connections than the gateway admits, each with the beginning of a request.
     let mut stuck: Vec<Client> = (0..30).map(|_| gateway.client()).collect();
     stuck.iter_mut().for_each(|client| client.write("GET /saldo HTTP/1.1\r\nHost:"));
     assert_eq!(gateway.client().ask(&saldo("p", "4")).status(), 200);
@@ -197,37 +201,38 @@
 #[test]
 fn an_unparsable_request_gets_a_reason_and_a_close() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::before(&[&server]);
-    let long = format!("GET /saldo HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(100_000));
+    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let long_head = format!("GET /saldo HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(100_000));
     for (request, status, word) in [
         ("no such thing\r\n\r\n", 400, "unreadable"),
         ("GET /saldo HTTP/1.1\r\nContent-Length: -5\r\n\r\n", 400, "unreadable"),
-        (&long, 431, "too long"),
+        (&long_head, 431, "too long"),
     ] {
         let mut client = gateway.client();
-        // The answer may come before all is sent.
+        // The response may arrive before all of the request is sent.
         drop(std::io::Write::write_all(client.0.get_mut(), request.as_bytes()));
-        let answer = client.answer().expect("an answer");
+        let answer = client.read_response().expect("a response");
         assert_eq!((answer.status(), answer.header("connection")), (status, "close"), "{request:.60}");
         assert!(answer.text().contains(word), "{}", answer.text());
-        assert!(client.ends());
+        assert!(client.is_closed());
     }
-    // A declared length is enough, and the client that goes on sending can read the answer.
+    // A declared length is enough for a rejection, and a client that goes on sending can still read the
+    // response.
     let huge = abono("g", "2", "").replace("Content-Length: 0", "Content-Length: 60000000");
     let mut client = gateway.client();
     client.write(&huge);
     client.write(&"x".repeat(300_000));
-    assert_eq!(client.answer().expect("an answer").status(), 413);
-    assert!(client.ends());
+    assert_eq!(client.read_response().expect("a response").status(), 413);
+    assert!(client.is_closed());
     assert_eq!(server.requests(), 0);
 }
 
 #[test]
 fn ambiguous_framing_is_rejected_against_request_smuggling() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::before(&[&server]);
-    let hidden = saldo("hidden", "3");
-    let chunks = format!("0\r\n\r\n{hidden}");
+    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let smuggled = saldo("hidden", "3");
+    let chunks = format!("0\r\n\r\n{smuggled}");
     let length = |n: usize| format!("Content-Length: {n}");
     let coding = "Transfer-Encoding: chunked";
     for lengths in [
@@ -239,60 +244,67 @@
     ] {
         let mut client = gateway.client();
         client.write(&(abono("outer", "3", "").replace("Content-Length: 0", &lengths) + &chunks));
-        let answer = client.answer().expect("an answer");
+        let answer = client.read_response().expect("a response");
         assert_eq!((answer.status(), answer.header("connection")), (400, "close"), "{lengths}");
-        assert!(client.ends(), "{lengths}");
+        assert!(client.is_closed(), "{lengths}");
     }
     assert_eq!(server.requests(), 0);
-    // In chunks alone it is a request like any other, and another one may come right behind it.
+    // With chunked coding alone the request is valid, and another one may be pipelined after it.
     let mut client = gateway.client();
     let chunks = "2;a=b\r\npa\r\n2\r\ngo\r\n0\r\nA: b\r\n\r\n";
     let request = abono("c", "3", "").replace("Content-Length: 0", coding) + chunks;
     client.write(&(request + &saldo("behind", "3")));
     for body in ["pago", ""] {
-        let answer = client.answer().expect("an answer");
+        let answer = client.read_response().expect("a response");
         assert_eq!((answer.status(), answer.header("connection")), (200, ""));
-        assert_eq!(server.seen.lock().unwrap().iter().filter(|seen| seen.text() == body).count(), 1);
+        assert_eq!(
+            server.received.lock().unwrap().iter().filter(|request| request.text() == body).count(),
+            1
+        );
     }
     assert_eq!(server.requests(), 2);
 }
 
 #[test]
 fn the_trace_id_of_a_request_in_flight_is_reserved() {
-    let server = Stub::start(|_| Reply::Silence);
-    let (gateway, _agent) = Running::before(&[&server]);
+    let server = Stub::start(|_| Reply::NoAnswer);
+    let (gateway, _agent) = Running::with_servers(&[&server]);
     let mut first = gateway.client();
     first.write(&abono("same", "7", "pago"));
-    until("the server has it", || server.requests() == 1);
+    until("the server has the request", || server.requests() == 1);
     let mut second = gateway.client();
     let answer = second.ask(&saldo("same", "3"));
     assert_eq!(answer.status(), 400);
     assert!(answer.text().contains("x-trace-id"), "{}", answer.text());
-    server.speak(&ok("first"));
-    assert_eq!(first.answer().expect("an answer").text(), "first");
-    server.act(|_| ok("again"));
-    assert_eq!(second.ask(&saldo("same", "3")).text(), "again", "it is free once the first is over");
+    server.answer_pending(&ok("first"));
+    assert_eq!(first.read_response().expect("a response").text(), "first");
+    server.set_handler(|_| ok("again"));
+    assert_eq!(
+        second.ask(&saldo("same", "3")).text(),
+        "again",
+        "the id is free once the first request has ended"
+    );
 }
 
 #[test]
 fn slow_clients_time_out() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::before(&[&server]);
-    let mut mute = gateway.client();
+    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let mut silent = gateway.client();
     let mut slow_head = gateway.client();
     slow_head.write("GET /saldo HTTP/1.1\r\nX-Qos:");
     let mut slow_body = gateway.client();
     slow_body.write(&abono("s", "7", "pago").replace("Content-Length: 4", "Content-Length: 5"));
-    let mut kept = gateway.client();
-    assert_eq!(kept.ask(&saldo("k", "3")).status(), 200);
-    assert!(mute.ends(), "one that says nothing");
+    let mut idle = gateway.client();
+    assert_eq!(idle.ask(&saldo("k", "3")).status(), 200);
+    assert!(silent.is_closed(), "a connection without a request");
     for (what, mut client) in [("head", slow_head), ("body", slow_body)] {
-        let answer = client.answer().expect("an answer");
+        let answer = client.read_response().expect("a response");
         assert_eq!(answer.status(), 408, "{what}");
         assert!(answer.text().contains(what), "{}", answer.text());
-        assert!(client.ends(), "{what}");
+        assert!(client.is_closed(), "{what}");
     }
-    assert!(kept.ends(), "one that asks nothing more");
+    assert!(idle.is_closed(), "a connection without a further request");
     assert_eq!(server.requests(), 1);
 }
 
@@ -301,23 +313,23 @@
     let server = Stub::start(|_| ok("served"));
     let agent = Agent::start();
     let known = list(1, true, &serving(&[&server]));
-    let few =
+    let small =
         config("127.0.0.1:0", agent.stub.addr, Some(&known)).replace(r#""sockets":256"#, r#""sockets":64"#);
-    let gateway = Running::start(&few);
-    let mut good = gateway.client();
-    assert_eq!(good.ask(&saldo("g0", "3")).status(), 200);
-    let _mute: Vec<Client> = (0..300).map(|_| gateway.client()).collect();
-    // With each of them waited for in turn this would take half a minute, and longer than the client waits.
+    let gateway = Running::start(&small);
+    let mut active = gateway.client();
+    assert_eq!(active.ask(&saldo("g0", "3")).status(), 200);
+    let _silent: Vec<Client> = (0..300).map(|_| gateway.client()).collect();
+    // Waiting for each silent connection in turn would take half a minute, longer than the client waits.
     assert_eq!(gateway.client().ask(&saldo("g1", "4")).status(), 200);
-    assert!(!gateway.log().contains("accept"), "no want of descriptors: {}", gateway.log());
+    assert!(!gateway.log().contains("accept"), "the gateway has enough descriptors: {}", gateway.log());
 }
 
 #[test]
-fn unread_responses_are_abandoned() {
+fn clients_that_do_not_read_responses_are_disconnected() {
     let server = Stub::start(|_| ok(&"x".repeat(60 << 10)));
-    let (gateway, _agent) = Running::before(&[&server]);
+    let (gateway, _agent) = Running::with_servers(&[&server]);
     let mut client = gateway.client();
-    // More than the system takes for a connection.
+    // Together, the responses exceed the kernel's socket buffers.
     client.write(&(0..400).map(|n| saldo(&format!("u{n}"), "4")).collect::<String>());
     until("the gateway closes the connection", || std::io::Write::write(client.0.get_mut(), b"GET").is_err());
     assert!(server.requests() < 400);
@@ -325,18 +337,23 @@
 }
 
 #[test]
-fn connections_idle_after_one_request_yield_to_new_ones() {
+fn connections_idle_after_one_request_are_closed_for_new_ones() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::before(&[&server]);
-    // With 256 descriptors 134 are for clients, and 33 of these connections may be idle behind an answer.
+    let (gateway, _agent) = Running::with_servers(&[&server]);
+    // Of 256 descriptors, 134 are for clients, and 33 of these connections may be idle after a response.
     let mut clients: Vec<Client> = (0..60).map(|_| gateway.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         assert_eq!(client.ask(&saldo(&format!("o{n}"), "3")).status(), 200);
     }
-    // The longest idle have gone first: whoever asks again in the same order connects anew, and is served.
+    // The connections that were idle for longest were closed first: clients that send again in the same order
+    // must reconnect, and are served.
     for (n, client) in clients.iter_mut().take(20).enumerate() {
-        let before = client.0.get_ref().local_addr().expect("bound");
+        let before = client.0.get_ref().local_addr().expect("a bound socket");
         assert_eq!(client.ask(&saldo(&format!("p{n}"), "3")).status(), 200);
-        assert_ne!(client.0.get_ref().local_addr().expect("bound"), before, "client {n} kept its place");
+        assert_ne!(
+            client.0.get_ref().local_addr().expect("a bound socket"),
+            before,
+            "client {n} was not disconnected"
+        );
     }
 }
--- a/quota-gateway/server/tests/common/mod.rs
+++ b/quota-gateway/server/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The built gateway as a process, between small stub peers on loopback sockets.
-#![allow(dead_code)] // each test file uses its part
+//! Test harness: runs the built gateway as a process between stub peers on loopback sockets.
+#![allow(dead_code)] // each test file uses only some of the helpers
 
 pub mod scripted;
 
@@ -14,55 +14,59 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Bound of every wait; only a failure takes that long.
-pub const LONG: Duration = Duration::from_secs(30);
+/// The limit of every wait. Only a failing test waits that long.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A connection to a server that has just delivered a response is not reused for this long (`REUSE_DELAY` in `upstream/pool.rs`).
-pub const REST: Duration = Duration::from_millis(15);
+/// The gateway does not reuse a connection to a server for this long after a response on it (`REUSE_DELAY` in
+/// `upstream/pool.rs`).
+pub const REUSE_DELAY: Duration = Duration::from_millis(15);
 
-/// Waits until connections to servers may be used again.
-pub fn rest() {
-    thread::sleep(REST * 2);
+/// Waits until the gateway may reuse its connections to servers.
+pub fn wait_for_reuse() {
+    thread::sleep(REUSE_DELAY * 2);
 }
 
-/// Waits until `condition` holds.
+/// Polls until `condition` holds; panics with `what` after [`WAIT_TIMEOUT`].
 pub fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < LONG, "waited too long until {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// An HTTP message: the words of its first line, headers with names in lower case, body.
+/// An HTTP message: the words of its start line, its headers with lower-case names, and its body.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    pub line: Vec<String>,
+    pub start_line: Vec<String>,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// Reads one; `None` at the end of the connection, however it ends.
+    /// Reads a message; `None` if the connection was closed or reset.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut line = String::new();
         from.read_line(&mut line).ok().filter(|&n| n > 0)?;
-        let mut message =
-            Message { line: line.split_whitespace().map(str::to_owned).collect(), ..Message::default() };
+        let mut message = Message {
+            start_line: line.split_whitespace().map(str::to_owned).collect(),
+            ..Message::default()
+        };
         loop {
             let mut line = String::new();
             from.read_line(&mut line).ok().filter(|&n| n > 0)?;
             let Some((name, value)) = line.trim_end().split_once(':') else { break };
             message.headers.insert(name.to_ascii_lowercase(), value.trim().to_owned());
         }
-        let length = message.headers.get("content-length").map_or(0, |n| n.parse().expect("a length"));
+        let length =
+            message.headers.get("content-length").map_or(0, |n| n.parse().expect("a numeric length"));
         message.body = vec![0; length];
         from.read_exact(&mut message.body).ok()?;
         Some(message)
     }
 
     pub fn status(&self) -> u16 {
-        self.line[1].parse().expect("a status")
+        self.start_line[1].parse().expect("a numeric status")
     }
 
     pub fn header(&self, name: &str) -> &str {
@@ -74,86 +78,88 @@
     }
 }
 
-/// What a stub does with a request.
+/// The reaction of a stub to a request.
 #[derive(Clone)]
 pub enum Reply {
+    /// Sends a response with this status, these header lines and this body.
     Answer(u16, &'static str, String),
-    /// The same, and closes the connection without having said so.
+    /// Sends 200 with this body, and closes the connection without having announced it.
     AnswerAndClose(String),
-    /// Bytes as they are, and closes the connection.
-    Raw(&'static str),
-    /// Bytes as they are, and keeps the connection.
-    Open(String),
-    /// An answer, and other bytes a moment behind it.
-    Trailed(String, String),
-    /// Keeps the connection and says nothing.
-    Silence,
+    /// Sends these bytes unchanged, and closes the connection.
+    RawAndClose(&'static str),
+    /// Sends these bytes unchanged, and keeps the connection open.
+    RawKeepOpen(String),
+    /// Sends 200 with the first text as its body, and the second text as surplus bytes 50 ms later.
+    AnswerThenBytes(String, String),
+    /// Keeps the connection open and sends nothing.
+    NoAnswer,
 }
 
-/// 200 with this body.
+/// Status 200 with this body.
 pub fn ok(body: &str) -> Reply {
     Reply::Answer(200, "", body.to_owned())
 }
 
-type Act = dyn Fn(&Message) -> Reply + Send + Sync;
+type Handler = dyn Fn(&Message) -> Reply + Send + Sync;
 
-/// A server that answers by a function, and what it has seen.
+/// A server that answers with a handler function and records the requests that it receives.
 #[derive(Clone)]
 pub struct Stub {
     pub addr: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Message>>>,
+    pub received: Arc<Mutex<Vec<Message>>>,
+    /// Number of accepted connections.
     pub connections: Arc<AtomicUsize>,
-    /// Connections that the other side has closed.
-    pub ended: Arc<AtomicUsize>,
-    act: Arc<Mutex<Arc<Act>>>,
-    /// Connections whose request has had no answer.
-    silent: Arc<Mutex<Vec<TcpStream>>>,
+    /// Number of connections that the client has closed.
+    pub closed: Arc<AtomicUsize>,
+    handler: Arc<Mutex<Arc<Handler>>>,
+    /// Connections whose last request was not answered.
+    unanswered: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Stub {
-    pub fn start(act: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Stub {
-        Stub::on(TcpListener::bind("127.0.0.1:0").expect("a port"), act)
+    pub fn start(handler: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Stub {
+        Stub::on(TcpListener::bind("127.0.0.1:0").expect("bind a port"), handler)
     }
 
-    /// On a socket that listens already.
-    pub fn on(listener: TcpListener, act: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Stub {
+    /// Starts a stub on this listening socket.
+    pub fn on(listener: TcpListener, handler: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Stub {
         let stub = Stub {
-            addr: listener.local_addr().expect("bound"),
-            seen: Arc::default(),
+            addr: listener.local_addr().expect("a bound socket"),
+            received: Arc::default(),
             connections: Arc::default(),
-            ended: Arc::default(),
-            act: Arc::new(Mutex::new(Arc::new(act))),
-            silent: Arc::default(),
+            closed: Arc::default(),
+            handler: Arc::new(Mutex::new(Arc::new(handler))),
+            unanswered: Arc::default(),
         };
-        let all = stub.clone();
+        let acceptor = stub.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                all.connections.fetch_add(1, Ordering::SeqCst);
-                let one = all.clone();
-                thread::spawn(move || one.serve(stream));
+                acceptor.connections.fetch_add(1, Ordering::SeqCst);
+                let connection = acceptor.clone();
+                thread::spawn(move || connection.serve(stream));
             }
         });
         stub
     }
 
     fn serve(&self, stream: TcpStream) {
-        let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
+        let mut reader = BufReader::new(stream.try_clone().expect("duplicate the socket"));
         let mut writer = stream;
         while let Some(message) = Message::read(&mut reader) {
-            self.seen.lock().unwrap().push(message.clone());
-            let act = self.act.lock().unwrap().clone();
-            let (text, close) = match act(&message) {
-                Reply::Answer(status, headers, body) => (answer(status, headers, &body), false),
-                Reply::AnswerAndClose(body) => (answer(200, "", &body), true),
-                Reply::Raw(text) => (text.to_owned(), true),
-                Reply::Open(text) => (text, false),
-                Reply::Trailed(body, rest) => {
-                    writer.write_all(answer(200, "", &body).as_bytes()).expect("written");
+            self.received.lock().unwrap().push(message.clone());
+            let handler = self.handler.lock().unwrap().clone();
+            let (text, close) = match handler(&message) {
+                Reply::Answer(status, headers, body) => (response_text(status, headers, &body), false),
+                Reply::AnswerAndClose(body) => (response_text(200, "", &body), true),
+                Reply::RawAndClose(text) => (text.to_owned(), true),
+                Reply::RawKeepOpen(text) => (text, false),
+                Reply::AnswerThenBytes(body, surplus) => {
+                    writer.write_all(response_text(200, "", &body).as_bytes()).expect("write succeeds");
                     thread::sleep(Duration::from_millis(50));
-                    (rest, false)
+                    (surplus, false)
                 }
-                Reply::Silence => {
-                    self.silent.lock().unwrap().push(writer.try_clone().expect("a copy"));
+                Reply::NoAnswer => {
+                    self.unanswered.lock().unwrap().push(writer.try_clone().expect("duplicate the socket"));
                     continue;
                 }
             };
@@ -161,110 +167,121 @@
                 return;
             }
         }
-        self.ended.fetch_add(1, Ordering::SeqCst);
+        self.closed.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Answers by another function from now on.
-    pub fn act(&self, act: impl Fn(&Message) -> Reply + Send + Sync + 'static) {
-        *self.act.lock().unwrap() = Arc::new(act);
+    /// Answers with this handler from now on.
+    pub fn set_handler(&self, handler: impl Fn(&Message) -> Reply + Send + Sync + 'static) {
+        *self.handler.lock().unwrap() = Arc::new(handler);
     }
 
-    /// Answers the requests that had met silence.
-    pub fn speak(&self, reply: &Reply) {
-        let Reply::Answer(status, headers, body) = reply else { panic!("not an answer") };
-        for mut stream in self.silent.lock().unwrap().drain(..) {
-            stream.write_all(answer(*status, headers, body).as_bytes()).expect("written");
+    /// Answers the requests that were left unanswered so far.
+    pub fn answer_pending(&self, reply: &Reply) {
+        let Reply::Answer(status, headers, body) = reply else {
+            panic!("only Reply::Answer can be sent later")
+        };
+        for mut stream in self.unanswered.lock().unwrap().drain(..) {
+            stream.write_all(response_text(*status, headers, body).as_bytes()).expect("write succeeds");
         }
     }
 
-    /// The connection of the one request that has met silence.
-    pub fn silent_stream(&self) -> TcpStream {
+    /// Waits for a request that is left unanswered, and returns its connection.
+    pub fn take_unanswered(&self) -> TcpStream {
         let mut stream = None;
-        until("it is silent", || {
-            stream = self.silent.lock().unwrap().pop();
+        until("a request is left unanswered", || {
+            stream = self.unanswered.lock().unwrap().pop();
             stream.is_some()
         });
-        stream.expect("just seen")
+        stream.expect("set above")
     }
 
+    /// Number of requests received.
     pub fn requests(&self) -> usize {
-        self.seen.lock().unwrap().len()
+        self.received.lock().unwrap().len()
     }
 
-    pub fn last(&self) -> Message {
-        self.seen.lock().unwrap().last().cloned().expect("a request")
+    pub fn last_request(&self) -> Message {
+        self.received.lock().unwrap().last().cloned().expect("a request")
     }
 }
 
-pub fn answer(status: u16, headers: &str, body: &str) -> String {
+/// The text of a response with this status, these header lines and this body.
+pub fn response_text(status: u16, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status} Word\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len())
 }
 
-/// Discovery's agent: what it tells next, and the calls it has had.
+/// A stub discovery agent. A call waits until the test has queued a reply; a watch without one reports no
+/// changes after its wait.
 #[derive(Clone)]
 pub struct Agent {
     pub stub: Stub,
-    told: Arc<(Mutex<Telling>, Condvar)>,
+    queue: Arc<(Mutex<ReplyQueue>, Condvar)>,
 }
 
-/// What is to be told, and the number of the newest call: those before it may have been given up.
+/// Replies that are to be sent, the next one at the end.
 #[derive(Default)]
-struct Telling {
+struct ReplyQueue {
     replies: Vec<Reply>,
-    newest: usize,
+    /// Number of the newest call. Earlier calls may have been abandoned by the gateway, so they get no reply.
+    newest_call: usize,
 }
 
 impl Agent {
-    /// An agent that has nothing to tell until [`Agent::tell`].
+    /// Starts an agent that has no changes to report until [`Agent::queue_reply`] is called.
     pub fn start() -> Agent {
-        let told: Arc<(Mutex<Telling>, Condvar)> = Arc::default();
-        let waiting = told.clone();
+        let queue: Arc<(Mutex<ReplyQueue>, Condvar)> = Arc::default();
+        let call_queue = queue.clone();
         let stub = Stub::start(move |message| {
-            let (telling, news) = &*waiting;
-            let mut telling = telling.lock().unwrap();
-            telling.newest += 1;
-            let call = telling.newest;
-            let watch = watched(message);
-            let wait = watch.map_or(LONG, |(_, wait)| wait);
-            let moot = |t: &mut Telling| t.replies.is_empty() || t.newest != call;
-            let (mut telling, _) = news.wait_timeout_while(telling, wait, moot).unwrap();
-            if telling.newest != call {
-                return Reply::Silence;
+            let (queue, changed) = &*call_queue;
+            let mut queue = queue.lock().unwrap();
+            queue.newest_call += 1;
+            let call = queue.newest_call;
+            let watch = parse_watch(message);
+            let wait = watch.map_or(WAIT_TIMEOUT, |(_, wait)| wait);
+            let has_no_reply = |q: &mut ReplyQueue| q.replies.is_empty() || q.newest_call != call;
+            let (mut queue, _) = changed.wait_timeout_while(queue, wait, has_no_reply).unwrap();
+            if queue.newest_call != call {
+                return Reply::NoAnswer;
             }
-            let nothing = watch.map(|(since, _)| ok(&list(since, false, &[])));
-            telling.replies.pop().or(nothing).unwrap_or(Reply::Silence)
+            let no_changes = watch.map(|(since, _)| ok(&list(since, false, &[])));
+            queue.replies.pop().or(no_changes).unwrap_or(Reply::NoAnswer)
         });
-        Agent { stub, told }
+        Agent { stub, queue }
     }
 
-    /// Answers the watch that waits, or the next one.
-    pub fn tell(&self, reply: Reply) {
-        self.told.0.lock().unwrap().replies.insert(0, reply);
-        self.told.1.notify_all();
+    /// Sends this reply to the call that waits, or to the next one.
+    pub fn queue_reply(&self, reply: Reply) {
+        self.queue.0.lock().unwrap().replies.insert(0, reply);
+        self.queue.1.notify_all();
     }
 
-    /// Waits for the watch that follows on this version: what was told before has been taken in.
-    pub fn watched(&self, version: u64) {
+    /// Waits until the gateway watches for changes since this version. It has then applied all earlier
+    /// replies.
+    pub fn wait_for_watch(&self, version: u64) {
         let since = format!("/discovery/hosts?since={version}&timeout_ms=");
-        until("the next watch", || {
-            self.stub.seen.lock().unwrap().iter().any(|m| m.line[1].starts_with(&since))
+        until("the gateway watches the list from the expected version", || {
+            self.stub.received.lock().unwrap().iter().any(|m| m.start_line[1].starts_with(&since))
         });
     }
 }
 
-/// The version that a watch goes on from, and how long it waits; none of a call for the whole list.
-pub fn watched(call: &Message) -> Option<(u64, Duration)> {
-    let (since, wait) = call.line[1].split_once("?since=")?.1.split_once("&timeout_ms=")?;
-    Some((since.parse().expect("a version"), Duration::from_millis(wait.parse().expect("a wait"))))
+/// The version after which a watch asks for changes, and how long the agent may wait before it answers;
+/// `None` for a call for the full list.
+pub fn parse_watch(call: &Message) -> Option<(u64, Duration)> {
+    let (since, wait) = call.start_line[1].split_once("?since=")?.1.split_once("&timeout_ms=")?;
+    Some((
+        since.parse().expect("a numeric version"),
+        Duration::from_millis(wait.parse().expect("a wait in milliseconds")),
+    ))
 }
 
-/// A list of servers, by number and state.
+/// The JSON text of an endpoint list with these stubs and their states.
 pub fn list(version: u64, full: bool, servers: &[(&Stub, &str)]) -> String {
-    let hosts_of: Vec<_> = servers.iter().map(|(stub, state)| (stub.addr, *state)).collect();
-    hosts(version, full, &hosts_of)
+    let hosts_by_address: Vec<_> = servers.iter().map(|(stub, state)| (stub.addr, *state)).collect();
+    hosts(version, full, &hosts_by_address)
 }
 
-/// The same, by address.
+/// The JSON text of an endpoint list with these addresses and their states.
 pub fn hosts(version: u64, full: bool, servers: &[(SocketAddr, &str)]) -> String {
     let servers: Vec<String> = servers
         .iter()
@@ -278,13 +295,14 @@
     format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, servers.join(","))
 }
 
+/// The stubs, each with the state `SERVING`.
 pub fn serving<'a>(servers: &[&'a Stub]) -> Vec<(&'a Stub, &'static str)> {
     servers.iter().map(|stub| (*stub, "SERVING")).collect()
 }
 
-/// A configuration; `known` is a list or nothing.
-pub fn config(listen: &str, agent: SocketAddr, known: Option<&str>) -> String {
-    let known = known.map(|list| format!(r#""known":{list},"#)).unwrap_or_default();
+/// The JSON text of a configuration with this initial endpoint list, if any.
+pub fn config(listen: &str, agent: SocketAddr, initial_list: Option<&str>) -> String {
+    let known = initial_list.map(|list| format!(r#""known":{list},"#)).unwrap_or_default();
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{agent}","seed":"92094eb940cf389a","more":[1],{known}
 "limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},"settings":{{"FleetSize":1,"Me":0,"Zone":0,"Tick":2000000,
@@ -299,7 +317,7 @@
     )
 }
 
-/// A gateway that runs; killed when dropped.
+/// A running gateway process, which is killed when dropped.
 pub struct Running {
     pub child: Child,
     pub addr: SocketAddr,
@@ -307,42 +325,43 @@
     dir: PathBuf,
 }
 
-/// A folder of this test's own.
-pub fn folder() -> PathBuf {
+/// Creates a temporary directory for the calling test.
+pub fn temp_dir() -> PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let name = format!("marblecroft-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
     let dir = std::env::temp_dir().join(name);
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("create a directory");
     dir
 }
 
 impl Running {
     pub fn start(config: &str) -> Running {
-        Running::start_under("exec \"$0\"", config)
+        Running::start_in_shell("exec \"$0\"", config)
     }
 
-    /// Starts the program by a shell, which may set limits first.
-    pub fn start_under(script: &str, config: &str) -> Running {
+    /// Starts the program with a shell script, which may set resource limits first.
+    pub fn start_in_shell(script: &str, config: &str) -> Running {
         Running::start_with(script, config, &[])
     }
 
+    /// Starts the program with a shell script and these environment variables.
     pub fn start_with(script: &str, config: &str, variables: &[(&str, &str)]) -> Running {
-        Running::start_on(Stdio::inherit(), script, config, variables)
+        Running::spawn(Stdio::inherit(), script, config, variables)
     }
 
-    /// A gateway with a console that inherits this listening socket as descriptor 7, and shares this folder with
-    /// others.
+    /// Starts a gateway with a console. It inherits this listening socket as descriptor 7, and uses this
+    /// directory, which it shares with other processes, as `TMPDIR`.
     pub fn inheriting(listener: &TcpListener, shared: &Path, config: &str) -> Running {
-        let socket = OwnedFd::from(listener.try_clone().expect("a copy"));
-        let shared = shared.to_str().expect("UTF-8");
+        let socket = OwnedFd::from(listener.try_clone().expect("duplicate the socket"));
+        let shared = shared.to_str().expect("valid UTF-8");
         let variables = [("RELAY_FD", "7"), ("RELAY_CONSOLE", "127.0.0.1:0"), ("TMPDIR", shared)];
-        Running::start_on(socket.into(), "exec 7<&0 0</dev/null; exec \"$0\"", config, &variables)
+        Running::spawn(socket.into(), "exec 7<&0 0</dev/null; exec \"$0\"", config, &variables)
     }
 
-    fn start_on(input: Stdio, script: &str, config: &str, variables: &[(&str, &str)]) -> Running {
-        let dir = folder();
+    fn spawn(input: Stdio, script: &str, config: &str, variables: &[(&str, &str)]) -> Running {
+        let dir = temp_dir();
         let file = dir.join("config.json");
-        std::fs::write(&file, config).expect("written");
+        std::fs::write(&file, config).expect("write succeeds");
         let mut child = Command::new("/bin/sh")
             .args(["-c", script, env!("CARGO_BIN_EXE_marblecroft-quota-gateway")])
             .env("RELAY_CONFIG", &file)
@@ -354,27 +373,27 @@
             .envs(variables.iter().copied())
             .stderr(Stdio::piped())
             .spawn()
-            .expect("it starts");
+            .expect("start the gateway");
         let log: Arc<Mutex<String>> = Arc::default();
-        let (lines, errors) = (log.clone(), child.stderr.take().expect("piped"));
+        let (lines, errors) = (log.clone(), child.stderr.take().expect("a pipe for standard error"));
         thread::spawn(move || {
             for line in BufReader::new(errors).lines().map_while(Result::ok) {
                 *lines.lock().unwrap() += &(line + "\n");
             }
         });
         let mut addr = None;
-        until("it listens", || {
+        until("the gateway listens", || {
             let log = log.lock().unwrap();
             addr = log
                 .lines()
                 .find_map(|l| l.strip_prefix("marblecroft-quota-gateway: listening on ")?.parse().ok());
             addr.is_some()
         });
-        Running { child, addr: addr.expect("listening"), log, dir }
+        Running { child, addr: addr.expect("logged above"), log, dir }
     }
 
-    /// A gateway before these servers, with an agent that has nothing to tell.
-    pub fn before(servers: &[&Stub]) -> (Running, Agent) {
+    /// Starts a gateway whose initial endpoint list has these servers, with an agent that reports no changes.
+    pub fn with_servers(servers: &[&Stub]) -> (Running, Agent) {
         let agent = Agent::start();
         let known = list(1, true, &serving(servers));
         (Running::start(&config("127.0.0.1:0", agent.stub.addr, Some(&known))), agent)
@@ -384,9 +403,12 @@
         Client::connect(self.addr)
     }
 
-    /// A gateway with a console before these servers, whose settings are changed before. A class is added that must never
-    /// run twice, and no second copies are sent.
-    pub fn with_nomina(servers: &[SocketAddr], change: impl Fn(String) -> String) -> (Running, Agent) {
+    /// Starts a gateway with a console and these servers. The configuration has a non-idempotent class
+    /// (`nomina`) and sends no second copies; `change` edits it before the start.
+    pub fn with_non_idempotent_class(
+        servers: &[SocketAddr],
+        change: impl Fn(String) -> String,
+    ) -> (Running, Agent) {
         let agent = Agent::start();
         let serving: Vec<_> = servers.iter().map(|addr| (*addr, "SERVING")).collect();
         let config = config("127.0.0.1:0", agent.stub.addr, Some(&hosts(1, true, &serving)))
@@ -399,7 +421,7 @@
         (Running::start_with("exec \"$0\"", &change(config), &[("RELAY_CONSOLE", "127.0.0.1:0")]), agent)
     }
 
-    /// A gateway with a console before these servers.
+    /// Starts a gateway with a console and these servers.
     pub fn with_console(servers: &[&Stub]) -> (Running, Agent) {
         let agent = Agent::start();
         let known = list(1, true, &serving(servers));
@@ -407,29 +429,31 @@
         (Running::start_with("exec \"$0\"", &config, &[("RELAY_CONSOLE", "127.0.0.1:0")]), agent)
     }
 
+    /// The address of the operators' console.
     pub fn console(&self) -> SocketAddr {
         let log = self.log();
-        let named = log.lines().find_map(|l| l.strip_prefix("marblecroft-quota-gateway: console on "));
-        named.expect("a console").parse().expect("an address")
+        let address = log.lines().find_map(|l| l.strip_prefix("marblecroft-quota-gateway: console on "));
+        address.expect("the console's address in the log").parse().expect("a socket address")
     }
 
-    /// Calls as operators do.
-    pub fn called(&self, method: &str, path: &str) -> Message {
+    /// Sends a call to the console, and returns the response.
+    pub fn console_response(&self, method: &str, path: &str) -> Message {
         let mut caller = Client::connect(self.console());
         caller.write(&format!("{method} {path} HTTP/1.1\r\nHost: console\r\n\r\n"));
-        let answer = caller.answer().expect("an answer");
-        assert!(caller.ends(), "one call a connection");
+        let answer = caller.read_response().expect("a response");
+        assert!(caller.is_closed(), "the console serves one call per connection");
         answer
     }
 
-    /// The status of the answer.
-    pub fn call(&self, method: &str, path: &str) -> u16 {
-        self.called(method, path).status()
+    /// Sends a call to the console, and returns the status of the response.
+    pub fn console_status(&self, method: &str, path: &str) -> u16 {
+        self.console_response(method, path).status()
     }
 
-    /// The value that the console's metrics have for a series, written as it is there.
+    /// The value of a series on the console's metrics page. The series is given with its labels, as on the
+    /// page.
     pub fn metric(&self, series: &str) -> f64 {
-        let text = self.called("GET", "/metrics").text();
+        let text = self.console_response("GET", "/metrics").text();
         let value = text.lines().find_map(|line| line.strip_prefix(series)?.trim().parse().ok());
         value.unwrap_or_else(|| panic!("no {series} in\n{text}"))
     }
@@ -442,31 +466,33 @@
         self.signal("-TERM");
     }
 
-    /// Whether it takes no more clients.
-    pub fn client_is_refused(&self) -> bool {
+    /// Returns whether a new client's readiness check (`/up`) fails.
+    pub fn is_unready(&self) -> bool {
         let mut client = Client::connect(self.addr);
         client.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status() != 200
     }
 
-    /// Replaces the file of the configuration and says so.
+    /// Replaces the configuration file, and sends SIGHUP.
     pub fn reload(&self, config: &str) {
-        std::fs::write(self.dir.join("new.json"), config).expect("written");
-        std::fs::rename(self.dir.join("new.json"), self.dir.join("config.json")).expect("replaced");
+        std::fs::write(self.dir.join("new.json"), config).expect("write succeeds");
+        std::fs::rename(self.dir.join("new.json"), self.dir.join("config.json")).expect("rename the file");
         self.signal("-HUP");
     }
 
+    /// Sends a signal to the process; `signal` is an option of `kill`.
     pub fn signal(&self, signal: &str) {
         let sent = Command::new("kill").args([signal, &self.child.id().to_string()]).status();
-        assert!(sent.expect("kill runs").success());
+        assert!(sent.expect("run kill").success());
     }
 
+    /// Waits until the process exits.
     pub fn exit(&mut self) -> ExitStatus {
         let mut status = None;
-        until("it exits", || {
-            status = self.child.try_wait().expect("waited for");
+        until("the gateway exits", || {
+            status = self.child.try_wait().expect("wait for the process");
             status.is_some()
         });
-        status.expect("ended")
+        status.expect("exited above")
     }
 }
 
@@ -483,76 +509,78 @@
 
 impl Client {
     pub fn connect(addr: SocketAddr) -> Client {
-        let stream = TcpStream::connect(addr).expect("connected");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        let stream = TcpStream::connect(addr).expect("connect");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set the socket option");
         Client(BufReader::new(stream))
     }
 
     pub fn write(&mut self, request: &str) {
-        self.0.get_mut().write_all(request.as_bytes()).expect("written");
+        self.0.get_mut().write_all(request.as_bytes()).expect("write succeeds");
     }
 
-    pub fn answer(&mut self) -> Option<Message> {
+    /// Reads the next response; `None` if the connection ends first.
+    pub fn read_response(&mut self) -> Option<Message> {
         Message::read(&mut self.0)
     }
 
-    /// Asks as clients do: once more, on a new connection, where the gateway has closed an idle one meanwhile.
+    /// Sends a request and reads the response. Reconnects once if the gateway has closed the idle connection
+    /// meanwhile.
     pub fn ask(&mut self, request: &str) -> Message {
-        let addr = self.0.get_ref().peer_addr().expect("connected");
+        let addr = self.0.get_ref().peer_addr().expect("a connected socket");
         let written = self.0.get_mut().write_all(request.as_bytes());
-        if let Some(answer) = written.ok().and_then(|()| self.answer()) {
+        if let Some(answer) = written.ok().and_then(|()| self.read_response()) {
             return answer;
         }
         *self = Client::connect(addr);
         self.write(request);
-        self.answer().expect("an answer")
+        self.read_response().expect("a response")
     }
 
-    /// Asks on this connection alone.
-    pub fn ask_here(&mut self, request: &str) -> Message {
+    /// Sends a request and reads the response on this connection, without reconnecting.
+    pub fn ask_on_this_connection(&mut self, request: &str) -> Message {
         self.write(request);
-        self.answer().expect("an answer on the same connection")
+        self.read_response().expect("a response on the same connection")
     }
 
-    /// Whether the gateway closes the connection without another word.
-    pub fn ends(&mut self) -> bool {
-        let mut rest = Vec::new();
-        let end = self.0.read_to_end(&mut rest);
-        let ended = end.map_or_else(|e| e.kind() == std::io::ErrorKind::ConnectionReset, |_| true);
-        ended && rest.is_empty()
+    /// Returns whether the gateway closes the connection without sending anything more.
+    pub fn is_closed(&mut self) -> bool {
+        let mut surplus = Vec::new();
+        let end = self.0.read_to_end(&mut surplus);
+        let is_closed = end.map_or_else(|e| e.kind() == std::io::ErrorKind::ConnectionReset, |_| true);
+        is_closed && surplus.is_empty()
     }
 }
 
-const COMMON: &str = "Host: api.internal\r\nX-Contract: basico\r\nX-Client-Id: 00000000b4d65521\r\n\
+const COMMON_HEADERS: &str = "Host: api.internal\r\nX-Contract: basico\r\nX-Client-Id: 00000000b4d65521\r\n\
                       X-Metering: units=2,spread=1,first=0\r\nX-Unknown: 1\r\n";
 
-/// A trace id in its form, for a short name.
-pub fn trace(name: &str) -> String {
+/// The trace id for a short name: the name's bytes in hexadecimal, padded to 16 digits.
+pub fn trace_id(name: &str) -> String {
     format!("{:0>16}", name.bytes().map(|b| format!("{b:02x}")).collect::<String>())
 }
 
-/// A request of the class that is safe to repeat.
+/// A request of the idempotent class `saldo`; `wait` is the client's timeout in seconds.
 pub fn saldo(id: &str, wait: &str) -> String {
-    let id = trace(id);
-    format!("GET /saldo?of={id} HTTP/1.1\r\nX-Trace-Id: {id}\r\nX-Qos: saldo\r\nX-Expires-In: {wait}\r\n{COMMON}\r\n")
+    let id = trace_id(id);
+    format!("GET /saldo?of={id} HTTP/1.1\r\nX-Trace-Id: {id}\r\nX-Qos: saldo\r\nX-Expires-In: {wait}\r\n{COMMON_HEADERS}\r\n")
 }
 
-/// A request of the keyed class.
+/// A request of the class `abono`, which is idempotent by key.
 pub fn abono(id: &str, wait: &str, body: &str) -> String {
-    let id = trace(id);
+    let id = trace_id(id);
     format!(
         "POST /abono/new HTTP/1.1\r\nX-Trace-Id: {id}\r\nX-Qos: abono\r\nX-Expires-In: {wait}\r\n\
-         Idempotency-Key: key-{id}\r\nContent-Length: {}\r\n{COMMON}\r\n{body}",
+         Idempotency-Key: key-{id}\r\nContent-Length: {}\r\n{COMMON_HEADERS}\r\n{body}",
         body.len()
     )
 }
 
-/// A request of the class that must never run twice ([`Running::with_nomina`]).
+/// A request of the non-idempotent class `nomina` ([`Running::with_non_idempotent_class`]).
 pub fn nomina(id: &str, wait: &str, body: &str) -> String {
     abono(id, wait, body).replace("abono", "nomina")
 }
 
-/// Settings that no test changes.
-pub fn as_it_is(config: String) -> String {
+/// Returns the configuration unchanged.
+pub fn unchanged(config: String) -> String {
     config
 }
--- a/quota-gateway/server/tests/common/scripted.rs
+++ b/quota-gateway/server/tests/common/scripted.rs
@@ -1,32 +1,33 @@
-//! Peers that a test plays by hand: it says when a connection comes up, what is on it, and how it ends.
+//! Stub servers under a test's direct control: the test accepts each connection, writes its bytes and closes
+//! it.
 
-use super::{until, LONG};
+use super::{until, WAIT_TIMEOUT};
 use crate::common::Message;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A pay server whose connections the test takes one by one.
-pub struct Scripted {
+/// A pay server whose connections the test accepts one by one.
+pub struct ScriptedServer {
     pub addr: SocketAddr,
     listener: TcpListener,
 }
 
-impl Scripted {
-    pub fn start() -> Scripted {
-        Scripted::on(TcpListener::bind("127.0.0.1:0").expect("a port"))
+impl ScriptedServer {
+    pub fn start() -> ScriptedServer {
+        ScriptedServer::on(TcpListener::bind("127.0.0.1:0").expect("bind a port"))
     }
 
-    fn on(listener: TcpListener) -> Scripted {
-        listener.set_nonblocking(true).expect("set");
-        Scripted { addr: listener.local_addr().expect("bound"), listener }
+    fn on(listener: TcpListener) -> ScriptedServer {
+        listener.set_nonblocking(true).expect("set the socket option");
+        ScriptedServer { addr: listener.local_addr().expect("a bound socket"), listener }
     }
 
-    /// A connection that waits to be taken, if there is one.
-    pub fn waiting(&self) -> Option<Held> {
+    /// Accepts a queued connection, if there is one.
+    pub fn try_accept(&self) -> Option<ServerConnection> {
         match self.listener.accept() {
-            Ok((stream, _)) => Some(Held::new(stream)),
+            Ok((stream, _)) => Some(ServerConnection::new(stream)),
             Err(e) => {
                 assert_eq!(e.kind(), ErrorKind::WouldBlock);
                 None
@@ -34,94 +35,97 @@
         }
     }
 
-    /// The next connection.
-    pub fn accept(&self) -> Held {
-        let mut held = None;
-        until("a connection", || {
-            held = self.waiting();
-            held.is_some()
+    /// Waits for the next connection and accepts it.
+    pub fn accept(&self) -> ServerConnection {
+        let mut accepted = None;
+        until("a connection arrives", || {
+            accepted = self.try_accept();
+            accepted.is_some()
         });
-        held.expect("just seen")
+        accepted.expect("accepted above")
     }
 
-    /// The next connection, and the request that comes on it.
-    pub fn taken(&self) -> (Held, Message) {
-        let mut held = self.accept();
-        let message = held.request().expect("a request");
-        (held, message)
+    /// Accepts the next connection, and reads the first request on it.
+    pub fn accept_request(&self) -> (ServerConnection, Message) {
+        let mut connection = self.accept();
+        let message = connection.request().expect("a request");
+        (connection, message)
     }
 }
 
 /// One connection of a scripted server.
-pub struct Held(pub BufReader<TcpStream>);
+pub struct ServerConnection(pub BufReader<TcpStream>);
 
-impl Held {
-    fn new(stream: TcpStream) -> Held {
-        stream.set_nonblocking(false).expect("set");
-        stream.set_read_timeout(Some(LONG)).expect("set");
-        Held(BufReader::new(stream))
+impl ServerConnection {
+    fn new(stream: TcpStream) -> ServerConnection {
+        stream.set_nonblocking(false).expect("set the socket option");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set the socket option");
+        ServerConnection(BufReader::new(stream))
     }
 
-    /// The next request; none where the gateway ends the connection.
+    /// Reads the next request; `None` if the gateway closes the connection.
     pub fn request(&mut self) -> Option<Message> {
         Message::read(&mut self.0)
     }
 
-    pub fn say(&mut self, text: &str) {
-        self.0.get_mut().write_all(text.as_bytes()).expect("written");
+    pub fn write(&mut self, text: &str) {
+        self.0.get_mut().write_all(text.as_bytes()).expect("write succeeds");
     }
 
-    /// Whether bytes are there that nobody has read.
+    /// Returns whether received bytes have not been read yet.
     pub fn has_bytes(&self) -> bool {
         let mut byte = [0];
-        self.0.get_ref().set_nonblocking(true).expect("set");
+        self.0.get_ref().set_nonblocking(true).expect("set the socket option");
         let peeked = self.0.get_ref().peek(&mut byte);
-        self.0.get_ref().set_nonblocking(false).expect("set");
+        self.0.get_ref().set_nonblocking(false).expect("set the socket option");
         !self.0.buffer().is_empty() || matches!(peeked, Ok(n) if n > 0)
     }
 
-    /// What else comes on it until the gateway ends it, be it by a reset.
-    pub fn rest(mut self) -> String {
-        let mut rest = Vec::new();
-        if let Err(e) = self.0.read_to_end(&mut rest) {
-            assert_eq!(e.kind(), ErrorKind::ConnectionReset, "{e} behind {rest:?}");
+    /// Reads until the gateway closes or resets the connection, and returns the text.
+    pub fn read_to_close(mut self) -> String {
+        let mut text = Vec::new();
+        if let Err(e) = self.0.read_to_end(&mut text) {
+            assert_eq!(e.kind(), ErrorKind::ConnectionReset, "{e} after {text:?}");
         }
-        String::from_utf8_lossy(&rest).into_owned()
+        String::from_utf8_lossy(&text).into_owned()
     }
 
-    /// Ends it with a reset, as the system of a process does that was killed with work in hand.
+    /// Resets the connection, as the kernel does for a process that is killed with requests in flight.
     pub fn reset(self) {
-        SockRef::from(self.0.get_ref()).set_linger(Some(Duration::ZERO)).expect("set");
+        SockRef::from(self.0.get_ref()).set_linger(Some(Duration::ZERO)).expect("set the socket option");
     }
 }
 
-/// An address at which connections never come up: its queue is full, and nobody accepts.
-pub struct Hanging {
+/// A server whose connects hang: its listen queue is full, and no connection is accepted.
+pub struct HangingServer {
     pub addr: SocketAddr,
     listener: Socket,
     queued: Vec<TcpStream>,
 }
 
-impl Hanging {
-    pub fn new() -> Hanging {
-        let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        listener.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
-        listener.listen(0).expect("listening");
-        let addr = listener.local_addr().expect("bound").as_socket().expect("of IP");
+impl HangingServer {
+    pub fn new() -> HangingServer {
+        let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
+        listener
+            .bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("a socket address").into())
+            .expect("bind a port");
+        listener.listen(0).expect("listen");
+        let addr = listener.local_addr().expect("a bound socket").as_socket().expect("an IP address");
         let mut queued = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&addr, Duration::from_millis(100)) {
             queued.push(stream);
-            assert!(queued.len() < 100, "its queue has an end");
+            assert!(queued.len() < 100, "the listen queue does not fill up");
         }
-        Hanging { addr, listener, queued }
+        HangingServer { addr, listener, queued }
     }
 
-    /// Lets those come up that hang, when their system tries again; the server from now on.
-    pub fn release(self) -> Scripted {
-        let scripted = Scripted::on(self.listener.into());
+    /// Empties the listen queue, so that hanging connects succeed when the kernel retransmits them. Returns
+    /// the server, which accepts connections from now on.
+    pub fn release(self) -> ScriptedServer {
+        let server = ScriptedServer::on(self.listener.into());
         for _ in &self.queued {
-            drop(scripted.accept());
+            drop(server.accept());
         }
-        scripted
+        server
     }
 }
--- a/quota-gateway/server/tests/lifecycle.rs
+++ b/quota-gateway/server/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, SIGTERM, restart and the list of servers.
+//! Start, reload, SIGTERM and restart, and changes of the endpoint list.
 
 mod common;
 
@@ -6,21 +6,21 @@
 use std::process::Command;
 use std::sync::atomic::Ordering;
 
-/// What a start with this configuration says on standard error, and its exit code.
-fn refused(config: Option<&str>) -> (Option<i32>, String) {
-    let dir = folder();
+/// Starts the gateway with a configuration that it must reject; returns its exit code and its standard error.
+fn failed_start(config: Option<&str>) -> (Option<i32>, String) {
+    let dir = temp_dir();
     let file = dir.join("config.json");
     let mut command = Command::new(env!("CARGO_BIN_EXE_marblecroft-quota-gateway"));
     for name in ["RELAY_CONFIG", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONSOLE"] {
         command.env_remove(name);
     }
     if let Some(config) = config {
-        std::fs::write(&file, config).expect("written");
+        std::fs::write(&file, config).expect("write succeeds");
         command.env("RELAY_CONFIG", &file);
     }
-    let output = command.output().expect("it runs");
+    let output = command.output().expect("run the gateway");
     drop(std::fs::remove_dir_all(&dir));
-    (output.status.code(), String::from_utf8(output.stderr).expect("UTF-8"))
+    (output.status.code(), String::from_utf8(output.stderr).expect("valid UTF-8"))
 }
 
 #[test]
@@ -40,7 +40,7 @@
         (Some(good.replace(r#""settings":"#, r#""known":{"version":"x"},"settings":"#)), "known.version"),
     ];
     for (config, field) in cases {
-        let (code, errors) = refused(config.as_deref());
+        let (code, errors) = failed_start(config.as_deref());
         assert_eq!(code, Some(2), "{field}: {errors}");
         assert_eq!(errors.lines().count(), 1, "{errors}");
         assert!(errors.contains(field), "{field} in {errors}");
@@ -55,44 +55,54 @@
     let mut client = gateway.client();
     let up = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
     assert_eq!(client.ask(up).status(), 503);
-    until("it asks for the whole list", || agent.stub.requests() == 1);
-    assert_eq!(agent.stub.last().line[1], "/discovery/hosts");
-    agent.tell(ok(&list(7, true, &serving(&[&server]))));
-    until("it is ready", || client.ask(up).status() == 200);
+    until("the gateway requests the full list", || agent.stub.requests() == 1);
+    assert_eq!(agent.stub.last_request().start_line[1], "/discovery/hosts");
+    agent.queue_reply(ok(&list(7, true, &serving(&[&server]))));
+    until("the gateway is ready", || client.ask(up).status() == 200);
     assert_eq!(client.ask(&saldo("u", "3")).status(), 200);
 }
 
 #[test]
 fn changes_of_the_endpoint_list_are_applied() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b")), Stub::start(|_| ok("c"))];
-    let (gateway, agent) = Running::before(&[&servers[0]]);
+    let (gateway, agent) = Running::with_servers(&[&servers[0]]);
     let mut client = gateway.client();
-    agent.watched(1);
+    agent.wait_for_watch(1);
     assert_eq!(client.ask(&saldo("l1", "3")).text(), "a");
-    agent.tell(ok(&list(2, false, &[(&servers[0], "DRAINING"), (&servers[1], "SERVING")])));
-    agent.watched(2);
+    agent.queue_reply(ok(&list(2, false, &[(&servers[0], "DRAINING"), (&servers[1], "SERVING")])));
+    agent.wait_for_watch(2);
     for n in 0..10 {
-        assert_eq!(client.ask(&saldo(&format!("l2{n}"), "3")).text(), "b", "what drains gets nothing new");
+        assert_eq!(
+            client.ask(&saldo(&format!("l2{n}"), "3")).text(),
+            "b",
+            "a draining server gets no new requests"
+        );
     }
-    until("nothing idle is kept to what drains", || servers[0].ended.load(Ordering::SeqCst) == 1);
-    // A whole list: what is missing from it is gone.
-    agent.tell(ok(&list(3, true, &serving(&[&servers[2]]))));
-    agent.watched(3);
+    until("the idle connection to the draining server is closed", || {
+        servers[0].closed.load(Ordering::SeqCst) == 1
+    });
+    // Servers that are missing from a full list are removed.
+    agent.queue_reply(ok(&list(3, true, &serving(&[&servers[2]]))));
+    agent.wait_for_watch(3);
     for n in 0..10 {
         assert_eq!(client.ask(&saldo(&format!("l3{n}"), "3")).text(), "c");
     }
-    agent.tell(ok(&list(4, false, &[(&servers[2], "DELETED")])));
-    agent.watched(4);
+    agent.queue_reply(ok(&list(4, false, &[(&servers[2], "DELETED")])));
+    agent.wait_for_watch(4);
     assert!(matches!(client.ask(&saldo("l4", "3")).status(), 429 | 503), "no server is left");
 }
 
 #[test]
 fn an_agent_without_keep_alive_is_watched_too() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, agent) = Running::before(&[&server]);
+    let (gateway, agent) = Running::with_servers(&[&server]);
     for version in 2..6 {
-        agent.tell(Reply::Answer(200, "Connection: close\r\n", list(version, true, &serving(&[&server]))));
-        agent.watched(version);
+        agent.queue_reply(Reply::Answer(
+            200,
+            "Connection: close\r\n",
+            list(version, true, &serving(&[&server])),
+        ));
+        agent.wait_for_watch(version);
     }
     assert!(!gateway.log().contains("discovery"), "no call failed: {}", gateway.log());
 }
@@ -100,19 +110,19 @@
 #[test]
 fn the_old_endpoint_list_stays_in_force_while_discovery_fails() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
-    let (gateway, agent) = Running::before(&[&servers[0]]);
+    let (gateway, agent) = Running::with_servers(&[&servers[0]]);
     let mut client = gateway.client();
-    agent.watched(1);
+    agent.wait_for_watch(1);
     let calls = agent.stub.requests();
-    agent.tell(ok(r#"{"version":9,"full":true,"servers":[{"id":"s-1","addr":"nowhere"}]}"#));
-    agent.tell(Reply::Raw(""));
-    agent.tell(Reply::Answer(500, "", String::new()));
-    // Silence, then a call of its own accord.
-    agent.tell(Reply::Silence);
-    until("it asks again each time", || agent.stub.requests() >= calls + 4);
+    agent.queue_reply(ok(r#"{"version":9,"full":true,"servers":[{"id":"s-1","addr":"nowhere"}]}"#));
+    agent.queue_reply(Reply::RawAndClose(""));
+    agent.queue_reply(Reply::Answer(500, "", String::new()));
+    // The gateway abandons a call without an answer, and calls again by itself.
+    agent.queue_reply(Reply::NoAnswer);
+    until("the gateway calls again each time", || agent.stub.requests() >= calls + 4);
     assert_eq!(client.ask(&saldo("o1", "3")).text(), "a");
-    agent.tell(ok(&list(5, true, &serving(&[&servers[1]]))));
-    agent.watched(5);
+    agent.queue_reply(ok(&list(5, true, &serving(&[&servers[1]]))));
+    agent.wait_for_watch(5);
     assert_eq!(client.ask(&saldo("o2", "3")).text(), "b");
     assert_eq!(gateway.log().matches("malformed list").count(), 1, "{}", gateway.log());
 }
@@ -120,63 +130,69 @@
 #[test]
 fn after_a_failed_call_the_full_list_is_requested_until_it_arrives() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
-    let (gateway, agent) = Running::before(&[&servers[0]]);
-    agent.watched(1);
+    let (gateway, agent) = Running::with_servers(&[&servers[0]]);
+    agent.wait_for_watch(1);
     let calls = agent.stub.requests();
-    // The watch is cut off, and the agent says nothing to two further calls.
-    agent.tell(Reply::Raw(""));
-    agent.tell(Reply::Silence);
-    agent.tell(Reply::Silence);
-    until("it asks again each time", || agent.stub.requests() >= calls + 3);
-    for call in &agent.stub.seen.lock().unwrap()[calls..] {
-        assert_eq!(call.line[1], "/discovery/hosts", "a watch would wait for news");
+    // The watch is cut off, and the agent does not answer two further calls.
+    agent.queue_reply(Reply::RawAndClose(""));
+    agent.queue_reply(Reply::NoAnswer);
+    agent.queue_reply(Reply::NoAnswer);
+    until("the gateway calls again each time", || agent.stub.requests() >= calls + 3);
+    for call in &agent.stub.received.lock().unwrap()[calls..] {
+        assert_eq!(call.start_line[1], "/discovery/hosts", "a watch would wait for changes");
     }
-    agent.tell(ok(&list(5, true, &serving(&[&servers[1]]))));
-    agent.watched(5);
+    agent.queue_reply(ok(&list(5, true, &serving(&[&servers[1]]))));
+    agent.wait_for_watch(5);
     assert_eq!(gateway.client().ask(&saldo("w", "3")).text(), "b");
 }
 
-/// Discovery that turns calls away has too many of them: whole lists, asked for again and again, kept it there.
+/// Discovery rejects calls when it has too many of them. Requests for the full list after each rejection kept
+/// it overloaded.
 #[test]
 fn after_a_busy_response_the_watch_continues_from_the_current_version() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
-    let (gateway, agent) = Running::before(&[&servers[0]]);
-    agent.watched(1);
+    let (gateway, agent) = Running::with_servers(&[&servers[0]]);
+    agent.wait_for_watch(1);
     let calls = agent.stub.requests();
     for _ in 0..3 {
-        agent.tell(Reply::Answer(503, "", String::new()));
+        agent.queue_reply(Reply::Answer(503, "", String::new()));
     }
-    until("it asks again each time", || agent.stub.requests() >= calls + 3);
-    for call in &agent.stub.seen.lock().unwrap()[calls..] {
-        assert!(call.line[1].starts_with("/discovery/hosts?since=1&"), "{:?}", call.line);
+    until("the gateway calls again each time", || agent.stub.requests() >= calls + 3);
+    for call in &agent.stub.received.lock().unwrap()[calls..] {
+        assert!(call.start_line[1].starts_with("/discovery/hosts?since=1&"), "{:?}", call.start_line);
     }
-    agent.tell(ok(&list(5, true, &serving(&[&servers[1]]))));
-    agent.watched(5);
+    agent.queue_reply(ok(&list(5, true, &serving(&[&servers[1]]))));
+    agent.wait_for_watch(5);
     assert_eq!(gateway.client().ask(&saldo("w", "3")).text(), "b");
-    assert_eq!(gateway.log().matches("discovery: busy").count(), 1, "one line: {}", gateway.log());
+    assert_eq!(
+        gateway.log().matches("discovery: busy").count(),
+        1,
+        "all rejected calls are logged in one line: {}",
+        gateway.log()
+    );
 }
 
 #[test]
 fn sigterm_answers_accepted_and_still_arriving_requests() {
-    let server = Stub::start(|_| Reply::Silence);
-    let (mut gateway, _agent) = Running::before(&[&server]);
+    let server = Stub::start(|_| Reply::NoAnswer);
+    let (mut gateway, _agent) = Running::with_servers(&[&server]);
     let mut idle = gateway.client();
     assert_eq!(idle.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
-    let mut fresh = gateway.client();
-    let mut taken = gateway.client();
-    taken.write(&saldo("t1", "1.5"));
-    until("the server has it", || server.requests() == 1);
+    let mut unused = gateway.client();
+    let mut in_flight = gateway.client();
+    in_flight.write(&saldo("t1", "1.5"));
+    until("the server has the request", || server.requests() == 1);
     gateway.terminate();
-    assert!(idle.ends(), "an idle connection is closed");
-    let mut late = gateway.client();
-    server.act(|_| ok("served"));
-    // On a connection from before that has asked nothing yet, and on one that came after the signal.
-    for client in [&mut fresh, &mut late] {
+    assert!(idle.is_closed(), "an idle connection is closed");
+    let mut new = gateway.client();
+    server.set_handler(|_| ok("served"));
+    // A connection from before the signal that has sent no request yet, and one from after the signal.
+    for client in [&mut unused, &mut new] {
         let answer = client.ask(&saldo("t2", "3"));
         assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
-        assert!(client.ends());
+        assert!(client.is_closed());
     }
-    let answer = taken.answer().expect("what was taken is answered");
+    let answer = in_flight.read_response().expect("the request in flight is answered");
     assert_eq!(answer.header("connection"), "close");
     assert!(gateway.exit().success());
     assert!(std::net::TcpStream::connect(gateway.addr).is_err());
@@ -185,134 +201,135 @@
 #[test]
 fn a_killed_gateway_restarts_on_its_address() {
     let server = Stub::start(|_| ok("served"));
-    let (mut gateway, agent) = Running::before(&[&server]);
+    let (mut gateway, agent) = Running::with_servers(&[&server]);
     let addr = gateway.addr;
     let mut client = gateway.client();
     assert_eq!(client.ask(&saldo("k1", "3")).status(), 200);
-    gateway.child.kill().expect("killed");
+    gateway.child.kill().expect("kill the gateway");
     gateway.exit();
-    assert!(client.ends());
+    assert!(client.is_closed());
     let known = list(1, true, &serving(&[&server]));
-    let again = Running::start(&config(&addr.to_string(), agent.stub.addr, Some(&known)));
-    assert_eq!(again.addr, addr);
-    assert_eq!(again.client().ask(&saldo("k2", "3")).status(), 200);
+    let restarted = Running::start(&config(&addr.to_string(), agent.stub.addr, Some(&known)));
+    assert_eq!(restarted.addr, addr);
+    assert_eq!(restarted.client().ask(&saldo("k2", "3")).status(), 200);
 }
 
 #[test]
 fn sighup_changes_discovery_and_keeps_requests_and_connections() {
-    let servers = [Stub::start(|_| Reply::Silence), Stub::start(|_| ok("b"))];
+    let servers = [Stub::start(|_| Reply::NoAnswer), Stub::start(|_| ok("b"))];
     let (old, new) = (Agent::start(), Agent::start());
     let known = list(41, true, &serving(&[&servers[0]]));
     let old_addr = old.stub.addr.to_string();
-    // The variable names the old agent; after a reload the file goes before it.
+    // The environment variable names the old agent; after a reload the file takes precedence.
     let gateway = Running::start_with(
         "exec \"$0\"",
         &config("127.0.0.1:0", old.stub.addr, Some(&known)),
         &[("RELAY_DISCOVERY", &old_addr)],
     );
-    old.watched(41);
-    let mut taken = gateway.client();
-    taken.write(&saldo("r1", "3.5"));
-    until("the server has it", || servers[0].requests() == 1);
+    old.wait_for_watch(41);
+    let mut client = gateway.client();
+    client.write(&saldo("r1", "3.5"));
+    until("the server has the request", || servers[0].requests() == 1);
 
     gateway.reload("{");
-    until("the bad file is named", || gateway.log().contains("the old configuration stands"));
-    assert_eq!(old.stub.ended.load(Ordering::SeqCst), 0, "the old agent's watch goes on");
+    until("the invalid file is logged", || gateway.log().contains("the old configuration stands"));
+    assert_eq!(old.stub.closed.load(Ordering::SeqCst), 0, "the watch at the old agent continues");
 
     gateway.reload(&config("127.0.0.1:0", new.stub.addr, None));
-    until("the new agent is asked", || new.stub.requests() == 1);
-    assert_eq!(new.stub.last().line[1], "/discovery/hosts", "for the whole list");
-    servers[0].speak(&ok("a"));
-    assert_eq!(taken.answer().expect("what was open is answered").text(), "a");
-    // A version below the old one: the agents need not count alike.
-    new.tell(ok(&list(3, true, &serving(&[&servers[1]]))));
-    new.watched(3);
-    assert_eq!(taken.ask(&saldo("r2", "3")).text(), "b", "on the connection from before");
+    until("the new agent is called", || new.stub.requests() == 1);
+    assert_eq!(new.stub.last_request().start_line[1], "/discovery/hosts", "the call is for the full list");
+    servers[0].answer_pending(&ok("a"));
+    assert_eq!(client.read_response().expect("the request in flight is answered").text(), "a");
+    // A lower version than the old agent's: versions of different agents are not comparable.
+    new.queue_reply(ok(&list(3, true, &serving(&[&servers[1]]))));
+    new.wait_for_watch(3);
+    assert_eq!(client.ask(&saldo("r2", "3")).text(), "b", "on the same connection as before");
     let calls = old.stub.requests();
-    // Its answer to the watch that was in flight finds nobody.
-    old.tell(ok(&list(42, true, &serving(&[&servers[0]]))));
-    assert_eq!(taken.ask(&saldo("r3", "3")).text(), "b");
-    assert_eq!(old.stub.requests(), calls, "the old agent is asked nothing more");
-    // Once more, and back.
+    // The old agent's answer to the watch that was in flight is ignored.
+    old.queue_reply(ok(&list(42, true, &serving(&[&servers[0]]))));
+    assert_eq!(client.ask(&saldo("r3", "3")).text(), "b");
+    assert_eq!(old.stub.requests(), calls, "the old agent is not called again");
+    // Another reload switches back to the old agent.
     gateway.reload(&config("127.0.0.1:0", old.stub.addr, None));
-    until("the old agent is asked again", || old.stub.requests() == calls + 1);
-    assert_eq!(old.stub.last().line[1], "/discovery/hosts");
+    until("the old agent is called again", || old.stub.requests() == calls + 1);
+    assert_eq!(old.stub.last_request().start_line[1], "/discovery/hosts");
 }
 
 #[test]
 fn a_malformed_entry_does_not_invalidate_the_endpoint_list() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
-    let (gateway, agent) = Running::before(&[&servers[0]]);
-    agent.watched(1);
+    let (gateway, agent) = Running::with_servers(&[&servers[0]]);
+    agent.wait_for_watch(1);
     let mut client = gateway.client();
     assert_eq!(client.ask(&saldo("e0", "3")).text(), "a");
-    // Nobody knows what became of the first one, so it gets nothing new; the second one is readable.
-    let spoilt = list(2, false, &[(&servers[0], "ASLEEP"), (&servers[1], "SERVING")]);
-    agent.tell(ok(&spoilt));
-    agent.watched(2);
+    // The first entry's state is unknown, so its server gets no new requests; the second entry is valid.
+    let malformed = list(2, false, &[(&servers[0], "ASLEEP"), (&servers[1], "SERVING")]);
+    agent.queue_reply(ok(&malformed));
+    agent.wait_for_watch(2);
     for n in 0..10 {
         assert_eq!(client.ask(&saldo(&format!("e1{n}"), "3")).text(), "b");
     }
-    agent.tell(ok(&list(3, true, &[(&servers[1], "SERVING")]).replace("[{", "[7,{}, {")));
-    agent.watched(3);
+    agent.queue_reply(ok(&list(3, true, &[(&servers[1], "SERVING")]).replace("[{", "[7,{}, {")));
+    agent.wait_for_watch(3);
     assert_eq!(client.ask(&saldo("e2", "3")).text(), "b");
     assert_eq!(gateway.log().matches("cannot be read").count(), 1, "{}", gateway.log());
 }
 
 #[test]
 fn a_new_server_at_a_reused_address_gets_new_connections() {
-    let server = Stub::start(|_| Reply::Silence);
-    let (gateway, agent) = Running::before(&[&server]);
-    agent.watched(1);
-    let mut open = gateway.client();
-    open.write(&saldo("n0", "3.5"));
-    until("the server has it", || server.requests() == 1);
-    // The machine goes, and another one comes at its address while the attempt is still out.
-    let next = list(2, true, &serving(&[&server])).replace("\"id\":\"s-", "\"id\":\"t-");
-    agent.tell(ok(&next));
-    agent.watched(2);
-    server.speak(&ok("old"));
-    assert_eq!(open.answer().expect("an answer").text(), "old");
-    server.act(|_| ok("new"));
-    assert_eq!(open.ask(&saldo("n1", "3")).text(), "new");
-    assert_eq!(server.connections.load(Ordering::SeqCst), 2, "the old one's connection is not the new one's");
+    let server = Stub::start(|_| Reply::NoAnswer);
+    let (gateway, agent) = Running::with_servers(&[&server]);
+    agent.wait_for_watch(1);
+    let mut client = gateway.client();
+    client.write(&saldo("n0", "3.5"));
+    until("the server has the request", || server.requests() == 1);
+    // The server is replaced by another one at the same address while an attempt is in flight.
+    let replaced = list(2, true, &serving(&[&server])).replace("\"id\":\"s-", "\"id\":\"t-");
+    agent.queue_reply(ok(&replaced));
+    agent.wait_for_watch(2);
+    server.answer_pending(&ok("old"));
+    assert_eq!(client.read_response().expect("a response").text(), "old");
+    server.set_handler(|_| ok("new"));
+    assert_eq!(client.ask(&saldo("n1", "3")).text(), "new");
+    assert_eq!(server.connections.load(Ordering::SeqCst), 2, "the new server gets a new connection");
 }
 
 #[test]
 fn sigterm_waits_for_a_partial_first_request_but_not_for_silent_connections() {
     let server = Stub::start(|_| ok("served"));
-    let (mut gateway, _agent) = Running::before(&[&server]);
-    let _mute: Vec<Client> = (0..5).map(|_| gateway.client()).collect();
+    let (mut gateway, _agent) = Running::with_servers(&[&server]);
+    let _silent: Vec<Client> = (0..5).map(|_| gateway.client()).collect();
     let mut slow = gateway.client();
     let request = saldo("slow", "3");
     let (begun, rest) = request.split_at(30);
     slow.write(begun);
-    // Its first bytes are known to be here once a later request on another connection is answered.
+    // Once a later request on another connection is answered, the gateway has read these first bytes.
     assert_eq!(gateway.client().ask(&saldo("other", "3")).status(), 200);
     gateway.terminate();
-    until("it accepts no more", || std::net::TcpStream::connect(gateway.addr).is_err());
-    // It would have ended after a tenth of this, and heads have twice this and more.
+    until("the gateway stops accepting", || std::net::TcpStream::connect(gateway.addr).is_err());
+    // Without the partial request the gateway would have exited after a tenth of this time; a head may take
+    // more than twice as long.
     std::thread::sleep(std::time::Duration::from_secs(1));
     slow.write(rest);
-    let answer = slow.answer().expect("it is served");
+    let answer = slow.read_response().expect("the request is served");
     assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
     assert!(gateway.exit().success());
 }
 
 #[test]
 fn requests_in_flight_are_answered_before_the_process_must_exit() {
-    let server = Stub::start(|_| Reply::Silence);
+    let server = Stub::start(|_| Reply::NoAnswer);
     let agent = Agent::start();
     let known = list(1, true, &serving(&[&server]));
     let mut gateway = Running::start(&config("127.0.0.1:0", agent.stub.addr, Some(&known)));
-    // The class lets clients wait for 7.5 s; SIGKILL may come 3.7 s after SIGTERM.
+    // The class allows clients to wait for 7.5 s; SIGKILL may come 3.7 s after SIGTERM.
     let mut client = gateway.client();
     client.write(&abono("open", "7", "pago"));
-    until("the server has it", || server.requests() == 1);
-    let asked = std::time::Instant::now();
+    until("the server has the request", || server.requests() == 1);
+    let terminated_at = std::time::Instant::now();
     gateway.terminate();
-    let answer = client.answer().expect("an answer");
-    assert!(answer.status() >= 500, "{}: it may have run", answer.status());
-    assert!(asked.elapsed().as_millis() < 3700, "{:?}", asked.elapsed());
+    let answer = client.read_response().expect("a response");
+    assert!(answer.status() >= 500, "{}: the request may have run", answer.status());
+    assert!(terminated_at.elapsed().as_millis() < 3700, "{:?}", terminated_at.elapsed());
     assert!(gateway.exit().success());
 }
--- a/quota-gateway/server/tests/races.rs
+++ b/quota-gateway/server/tests/races.rs
@@ -1,9 +1,9 @@
-//! Orders in which things go wrong, forced on real connections: what comes between a decision and its carrying out, an
-//! answer and its taking, a request and the close of its connection (`docs/findings/races.md`).
+//! Races, forced on real connections: events between a decision and its execution, between a response and its
+//! reading, and between a request and the close of its connection (`docs/findings/races.md`).
 
 mod common;
 
-use common::scripted::{Hanging, Held, Scripted};
+use common::scripted::{HangingServer, ScriptedServer, ServerConnection};
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -14,318 +14,346 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-const UP: &str = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
+const UP_REQUEST: &str = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// A gateway with a console before these servers, that waits for long for a connection and sends no second copies; with
-/// a class that must never run twice.
-fn gateway(servers: &[SocketAddr], change: impl Fn(String) -> String) -> (Running, Agent) {
-    let (gateway, agent) = Running::with_nomina(servers, |config| {
+/// Starts a gateway with a console and these servers. It has a long connect timeout and a non-idempotent
+/// class, and sends no second copies.
+fn start_gateway(servers: &[SocketAddr], change: impl Fn(String) -> String) -> (Running, Agent) {
+    let (gateway, agent) = Running::with_non_idempotent_class(servers, |config| {
         change(config.replace(r#""ConnectTimeout":250000000"#, r#""ConnectTimeout":5000000000"#))
     });
-    agent.watched(1);
+    agent.wait_for_watch(1);
     (gateway, agent)
 }
 
-/// Once this returns, the gateway has seen all that had come before.
-fn seen_by(gateway: &Running) {
+/// Waits until the gateway has processed all events that arrived before the call.
+fn wait_until_processed(gateway: &Running) {
     for _ in 0..3 {
-        gateway.client().ask(UP);
+        gateway.client().ask(UP_REQUEST);
     }
 }
 
-fn id(message: &Message) -> &str {
+fn trace_id_of(message: &Message) -> &str {
     message.header("x-trace-id")
 }
 
 #[test]
-fn a_disconnect_behind_a_pipelined_request_is_noticed() {
-    // As much of it is read ahead as a head may hold; the second one is longer.
-    for further in [saldo("b", "3.5"), abono("b", "3.5", &"x".repeat(60_000))] {
-        let server = Scripted::start();
-        let (gateway, _agent) = gateway(&[server.addr], as_it_is);
+fn a_disconnect_after_a_pipelined_request_is_detected() {
+    // The gateway reads ahead as many bytes as a head may have; the second of these requests is longer.
+    for pipelined in [saldo("b", "3.5"), abono("b", "3.5", &"x".repeat(60_000))] {
+        let server = ScriptedServer::start();
+        let (gateway, _agent) = start_gateway(&[server.addr], unchanged);
         let mut client = gateway.client();
-        client.write(&(saldo("a", "3.5") + &further));
-        let (held, first) = server.taken();
-        assert_eq!(id(&first), trace("a"));
+        client.write(&(saldo("a", "3.5") + &pipelined));
+        let (connection, first) = server.accept_request();
+        assert_eq!(trace_id_of(&first), trace_id("a"));
         drop(client);
-        // Its attempt has gone with it, which is no end that its time would have made, and what it sent behind it goes
-        // nowhere.
-        let gone = r#"marblecroft_requests_total{class="saldo",end="client_gone"}"#;
-        until("it is known to have gone", || gateway.metric(gone) == 1.0);
-        assert_eq!(held.rest(), "", "nothing more on its connection");
+        // The attempt is cancelled because of the disconnect, not by a timeout, and the pipelined request is
+        // not sent.
+        let outcome = r#"marblecroft_requests_total{class="saldo",end="client_gone"}"#;
+        until("the disconnect is counted", || gateway.metric(outcome) == 1.0);
+        assert_eq!(connection.read_to_close(), "", "nothing more is sent on the connection");
         let mut other = gateway.client();
         other.write(&saldo("c", "3"));
-        let (mut held, next) = server.taken();
-        assert_eq!(id(&next), trace("c"), "the next that the server sees");
-        held.say(&answer(200, "", "c"));
-        assert_eq!(other.answer().expect("an answer").text(), "c");
+        let (mut connection, next) = server.accept_request();
+        assert_eq!(trace_id_of(&next), trace_id("c"), "the next request at the server");
+        connection.write(&response_text(200, "", "c"));
+        assert_eq!(other.read_response().expect("a response").text(), "c");
     }
 }
 
 #[test]
-fn a_request_is_not_sent_if_its_client_left_during_the_connect() {
+fn a_request_is_not_sent_if_its_client_disconnected_during_the_connect() {
     for cancel in [true, false] {
-        let (hanging, other) = (Hanging::new(), Stub::start(|_| ok("other")));
-        let (gateway, agent) = gateway(&[hanging.addr], |config| {
+        let (hanging, other) = (HangingServer::new(), Stub::start(|_| ok("other")));
+        let (gateway, agent) = start_gateway(&[hanging.addr], |config| {
             config.replace(r#""Cancel":true"#, &format!(r#""Cancel":{cancel}"#))
         });
         let mut client = gateway.client();
         client.write(&saldo("a", "4"));
-        seen_by(&gateway);
+        wait_until_processed(&gateway);
         drop(client);
-        seen_by(&gateway);
+        wait_until_processed(&gateway);
         let server = hanging.release();
         if !cancel {
-            // An attempt that may not be called off goes on to come up; nothing is written on it.
-            let held = server.accept();
-            seen_by(&gateway);
-            assert!(!held.has_bytes(), "sent on after its client had gone");
+            // An attempt that may not be cancelled completes its connect, but nothing is written on the
+            // connection.
+            let connection = server.accept();
+            wait_until_processed(&gateway);
+            assert!(!connection.has_bytes(), "nothing is sent after the client has disconnected");
         }
-        agent.tell(ok(&hosts(2, true, &[(other.addr, "SERVING")])));
-        agent.watched(2);
+        agent.queue_reply(ok(&hosts(2, true, &[(other.addr, "SERVING")])));
+        agent.wait_for_watch(2);
         assert_eq!(gateway.client().ask(&saldo("b", "3")).text(), "other");
         assert_eq!(
-            server.waiting().map(Held::rest).unwrap_or_default(),
+            server.try_accept().map(ServerConnection::read_to_close).unwrap_or_default(),
             "",
-            "sent on after its client had gone"
+            "nothing is sent after the client has disconnected"
         );
     }
 }
 
 #[test]
 fn a_server_that_drains_during_the_connect_gets_no_request() {
-    let (hanging, other) = (Hanging::new(), Stub::start(|_| ok("other")));
-    let (gateway, agent) = gateway(&[hanging.addr], as_it_is);
+    let (hanging, other) = (HangingServer::new(), Stub::start(|_| ok("other")));
+    let (gateway, agent) = start_gateway(&[hanging.addr], unchanged);
     let mut client = gateway.client();
     client.write(&nomina("a", "4", "pago"));
-    seen_by(&gateway);
-    agent.tell(ok(&hosts(2, true, &[(hanging.addr, "DRAINING"), (other.addr, "SERVING")])));
-    agent.watched(2);
+    wait_until_processed(&gateway);
+    agent.queue_reply(ok(&hosts(2, true, &[(hanging.addr, "DRAINING"), (other.addr, "SERVING")])));
+    agent.wait_for_watch(2);
     let server = hanging.release();
-    let held = server.accept();
-    let answer = client.answer().expect("an answer");
-    assert_eq!((answer.status(), answer.text().as_str()), (200, "other"), "another server has it, once");
-    assert_eq!(held.rest(), "", "nothing was written to what drains");
+    let connection = server.accept();
+    let answer = client.read_response().expect("a response");
+    assert_eq!(
+        (answer.status(), answer.text().as_str()),
+        (200, "other"),
+        "another server gets the request, once"
+    );
+    assert_eq!(connection.read_to_close(), "", "nothing was written to the draining server");
 }
 
 #[test]
 fn a_server_disabled_during_the_connect_gets_no_request() {
-    let (hanging, other) = (Hanging::new(), Stub::start(|_| ok("other")));
-    let (gateway, agent) = gateway(&[hanging.addr], as_it_is);
+    let (hanging, other) = (HangingServer::new(), Stub::start(|_| ok("other")));
+    let (gateway, agent) = start_gateway(&[hanging.addr], unchanged);
     let mut client = gateway.client();
     client.write(&nomina("a", "4", "pago"));
-    seen_by(&gateway);
-    agent.tell(ok(&hosts(2, false, &[(other.addr, "SERVING")])));
-    agent.watched(2);
-    let out = format!("/pay-servers/disable?name=s-{}", hanging.addr.port());
-    assert_eq!(gateway.call("PUT", &out), 200);
+    wait_until_processed(&gateway);
+    agent.queue_reply(ok(&hosts(2, false, &[(other.addr, "SERVING")])));
+    agent.wait_for_watch(2);
+    let disable = format!("/pay-servers/disable?name=s-{}", hanging.addr.port());
+    assert_eq!(gateway.console_status("PUT", &disable), 200);
     let server = hanging.release();
-    let held = server.accept();
-    let answer = client.answer().expect("an answer");
-    assert_eq!((answer.status(), answer.text().as_str()), (200, "other"), "another server has it, once");
-    assert!(!held.has_bytes(), "nothing was written to what is left out");
+    let connection = server.accept();
+    let answer = client.read_response().expect("a response");
+    assert_eq!(
+        (answer.status(), answer.text().as_str()),
+        (200, "other"),
+        "another server gets the request, once"
+    );
+    assert!(!connection.has_bytes(), "nothing was written to the disabled server");
 }
 
-/// The window counts from the first attempt; a connection for the next one that takes its time must not carry it past.
+/// The window counts from the first attempt. A retry whose connect completes after the window must not be
+/// sent.
 #[test]
 fn a_retry_connected_after_its_idempotency_window_is_not_sent() {
     let window = Duration::from_millis(600);
-    let (first, hanging) = (Scripted::start(), Hanging::new());
-    let (gateway, agent) =
-        gateway(&[first.addr], |config| config.replace(r#""KeyTtl":5000000000"#, r#""KeyTtl":600000000"#));
+    let (first, hanging) = (ScriptedServer::start(), HangingServer::new());
+    let (gateway, agent) = start_gateway(&[first.addr], |config| {
+        config.replace(r#""KeyTtl":5000000000"#, r#""KeyTtl":600000000"#)
+    });
     let mut client = gateway.client();
     client.write(&abono("a", "7", "pago"));
-    let (held, message) = first.taken();
-    let begun = Instant::now();
-    assert_eq!(id(&message), trace("a"));
-    agent.tell(ok(&hosts(2, true, &[(first.addr, "DRAINING"), (hanging.addr, "SERVING")])));
-    agent.watched(2);
-    // It may have run, so the next attempt begins at once; its connection comes up once the window is over.
-    held.reset();
-    sleep((begun + window + Duration::from_millis(20)).saturating_duration_since(Instant::now()));
+    let (connection, message) = first.accept_request();
+    let sent_at = Instant::now();
+    assert_eq!(trace_id_of(&message), trace_id("a"));
+    agent.queue_reply(ok(&hosts(2, true, &[(first.addr, "DRAINING"), (hanging.addr, "SERVING")])));
+    agent.wait_for_watch(2);
+    // The request may have run, so it is retried at once; the retry's connect completes after the end of the
+    // window.
+    connection.reset();
+    sleep((sent_at + window + Duration::from_millis(20)).saturating_duration_since(Instant::now()));
     let server = hanging.release();
-    let held = server.accept();
-    let answer = client.answer().expect("an answer");
-    assert!(answer.status() >= 500 && answer.status() != 503, "{}: it may have run", answer.status());
-    assert!(!held.has_bytes(), "written after the window");
+    let connection = server.accept();
+    let answer = client.read_response().expect("a response");
+    assert!(
+        answer.status() >= 500 && answer.status() != 503,
+        "{}: the request may have run",
+        answer.status()
+    );
+    assert!(!connection.has_bytes(), "nothing is written after the window");
 }
 
-/// The next request, wherever it comes: which of these connections it is on, new ones being added.
-fn next(server: &Scripted, held: &mut Vec<Held>) -> (usize, Message) {
+/// Waits for the next request on any of these connections or on a new one, which is added. Returns the
+/// connection's index and the request.
+fn next_request(server: &ScriptedServer, connections: &mut Vec<ServerConnection>) -> (usize, Message) {
     let mut at = None;
-    until("a request", || {
-        held.extend(server.waiting());
-        at = held.iter().position(Held::has_bytes);
+    until("a request arrives", || {
+        connections.extend(server.try_accept());
+        at = connections.iter().position(ServerConnection::has_bytes);
         at.is_some()
     });
-    let at = at.expect("just seen");
-    (at, held[at].request().expect("a request"))
+    let at = at.expect("found above");
+    (at, connections[at].request().expect("a request"))
 }
 
-/// A server sends its answer once more, some milliseconds late. On a connection that is in use again by then it would be
-/// taken for the next request's.
+/// Some servers send a response a second time, some milliseconds late. On a connection that is already in use
+/// again, the second copy would be taken for the next request's response.
 #[test]
 fn a_connection_is_not_reused_right_after_a_response() {
-    let server = Scripted::start();
-    let (gateway, _agent) = gateway(&[server.addr], as_it_is);
+    let server = ScriptedServer::start();
+    let (gateway, _agent) = start_gateway(&[server.addr], unchanged);
     let mut client = gateway.client();
-    let (mut held, mut answered) = (Vec::new(), Vec::new());
+    let (mut connections, mut answered_at) = (Vec::new(), Vec::new());
     for round in 0..60 {
         let name = format!("r{round}");
         client.write(&saldo(&name, "3"));
-        let (at, message) = next(&server, &mut held);
-        assert_eq!(id(&message), trace(&name));
-        answered.resize(held.len(), None);
-        let rested = answered[at].map(|answered: Instant| answered.elapsed());
-        assert!(rested.is_none_or(|rested| rested >= REST), "used again after {rested:?}");
-        answered[at] = Some(Instant::now());
-        held[at].say(&answer(200, "", &name));
-        assert_eq!(client.answer().expect("an answer").text(), name);
-        // Every third time nothing follows at once, so that connections are used again.
-        sleep(if round % 3 == 2 { REST * 2 } else { Duration::ZERO });
+        let (at, message) = next_request(&server, &mut connections);
+        assert_eq!(trace_id_of(&message), trace_id(&name));
+        answered_at.resize(connections.len(), None);
+        let idle = answered_at[at].map(|at: Instant| at.elapsed());
+        assert!(idle.is_none_or(|idle| idle >= REUSE_DELAY), "reused after {idle:?}");
+        answered_at[at] = Some(Instant::now());
+        connections[at].write(&response_text(200, "", &name));
+        assert_eq!(client.read_response().expect("a response").text(), name);
+        // A pause after every third request lets connections be reused.
+        sleep(if round % 3 == 2 { REUSE_DELAY * 2 } else { Duration::ZERO });
     }
-    assert!(held.len() < 20, "{} connections for 60 requests: they are used again", held.len());
+    assert!(connections.len() < 20, "{} connections for 60 requests: too few are reused", connections.len());
 }
 
-/// A client takes an answer slowly, and has sent more than the gateway reads before the connection ends: the system resets
-/// a connection that is closed over unread bytes, and with it goes what is still on its way.
+/// A client reads a response slowly, and has sent more than the gateway reads before it closes the
+/// connection. The kernel resets a connection that is closed with unread bytes, and a reset discards the part
+/// of the response that is in flight.
 #[test]
 fn unread_input_at_close_does_not_truncate_a_response() {
     const LENGTH: usize = 1 << 20;
-    let server = Scripted::start();
-    let (gateway, _agent) = gateway(&[server.addr], as_it_is);
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(8 << 10).expect("set");
-    socket.connect(&gateway.addr.into()).expect("connected");
+    let server = ScriptedServer::start();
+    let (gateway, _agent) = start_gateway(&[server.addr], unchanged);
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
+    socket.set_recv_buffer_size(8 << 10).expect("set the socket option");
+    socket.connect(&gateway.addr.into()).expect("connect");
     let stream: std::net::TcpStream = socket.into();
-    stream.set_read_timeout(Some(LONG)).expect("set");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set the socket option");
     let mut client = Client(std::io::BufReader::new(stream));
-    let behind: String = (0..400).map(|n| saldo(&format!("b{n}"), "3")).collect();
-    client.write(&(saldo("a", "3.5") + &behind));
-    let (mut held, message) = server.taken();
-    assert_eq!(id(&message), trace("a"));
-    assert_eq!(gateway.call("PUT", "/drain"), 200);
-    held.say(&answer(200, "", &"y".repeat(LENGTH)));
-    // The answer is with the systems, and the gateway has said that the connection ends behind it.
-    seen_by(&gateway);
+    let pipelined: String = (0..400).map(|n| saldo(&format!("b{n}"), "3")).collect();
+    client.write(&(saldo("a", "3.5") + &pipelined));
+    let (mut connection, message) = server.accept_request();
+    assert_eq!(trace_id_of(&message), trace_id("a"));
+    assert_eq!(gateway.console_status("PUT", "/drain"), 200);
+    connection.write(&response_text(200, "", &"y".repeat(LENGTH)));
+    // At this point the kernel holds the response, and the gateway has announced the close after it.
+    wait_until_processed(&gateway);
     sleep(Duration::from_millis(300));
-    let mut all = Vec::new();
-    client.0.read_to_end(&mut all).expect("the answer to its end, and no reset");
-    let text = String::from_utf8(all).expect("UTF-8");
-    let (head, body) = text.split_once("\r\n\r\n").expect("a head");
+    let mut bytes = Vec::new();
+    client.0.read_to_end(&mut bytes).expect("the complete response, without a reset");
+    let text = String::from_utf8(bytes).expect("valid UTF-8");
+    let (head, body) = text.split_once("\r\n\r\n").expect("a complete head");
     assert!(head.to_ascii_lowercase().contains("connection: close"), "{head}");
     assert_eq!(body.len(), LENGTH);
 }
 
 #[test]
 fn a_reset_response_of_unknown_length_is_not_served() {
-    let server = Scripted::start();
-    let (gateway, _agent) = gateway(&[server.addr], as_it_is);
+    let server = ScriptedServer::start();
+    let (gateway, _agent) = start_gateway(&[server.addr], unchanged);
     let mut client = gateway.client();
     for (round, text) in ["HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf", "HTTP/1.1 200 OK\r\n\r\nhalf"]
         .into_iter()
         .enumerate()
     {
         client.write(&nomina(&format!("a{round}"), "3", "pago"));
-        let (mut held, _) = server.taken();
-        held.say(text);
-        seen_by(&gateway);
-        held.reset();
-        let answer = client.answer().expect("an answer");
-        assert_eq!(answer.status(), 502, "it may have run, and what came of it is not known: {text:?}");
-        assert!(server.waiting().is_none(), "and is not run again");
+        let (mut connection, _) = server.accept_request();
+        connection.write(text);
+        wait_until_processed(&gateway);
+        connection.reset();
+        let answer = client.read_response().expect("a response");
+        assert_eq!(answer.status(), 502, "the request may have run, and its result is unknown: {text:?}");
+        assert!(server.try_accept().is_none(), "the request is not retried");
     }
 }
 
 #[test]
 fn a_lost_connection_is_classified_by_how_much_was_sent() {
-    for (what, breaks, sent_again) in [
-        // Nothing was taken of it, but all may have been: the system had it.
-        ("behind the accept", Break::AtOnce, false),
-        ("behind the request", Break::Behind(""), false),
-        ("in the status line", Break::Behind("HTTP/1.1 20"), false),
-        ("behind an interim answer", Break::Behind("HTTP/1.1 102 Wait\r\n\r\n"), false),
-        ("in the head", Break::Behind("HTTP/1.1 200 OK\r\nContent-Le"), false),
-        ("in the body", Break::Behind("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nser"), false),
-        // All but its last byte: it never ran, whatever class it is of.
+    for (what, reset_point, is_retried) in [
+        // The server read nothing, but the gateway cannot observe this: the server's kernel had the request,
+        // so it may have run.
+        ("after the accept", ResetPoint::AfterAccept, false),
+        ("after the request", ResetPoint::AfterSending(""), false),
+        ("in the status line", ResetPoint::AfterSending("HTTP/1.1 20"), false),
+        ("after an interim response", ResetPoint::AfterSending("HTTP/1.1 102 Wait\r\n\r\n"), false),
+        ("in the head", ResetPoint::AfterSending("HTTP/1.1 200 OK\r\nContent-Le"), false),
+        ("in the body", ResetPoint::AfterSending("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nser"), false),
+        // A complete rejection proves that the request never ran, so it is retried whatever its class; one
+        // without its last byte does not.
         (
-            "in a refusal",
-            Break::Behind("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 9\r\n\r\nf"),
+            "in a rejection",
+            ResetPoint::AfterSending("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 9\r\n\r\nf"),
             false,
         ),
         (
-            "behind a refusal",
-            Break::Behind("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 2\r\n\r\nno"),
+            "after a rejection",
+            ResetPoint::AfterSending("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 2\r\n\r\nno"),
             true,
         ),
     ] {
-        let server = Scripted::start();
-        let (gateway, _agent) = gateway(&[server.addr], as_it_is);
+        let server = ScriptedServer::start();
+        let (gateway, _agent) = start_gateway(&[server.addr], unchanged);
         let mut client = gateway.client();
         client.write(&nomina("a", "3", "pago"));
-        match breaks {
-            Break::AtOnce => server.accept().reset(),
-            Break::Behind(text) => {
-                let (mut first, _) = server.taken();
-                first.say(text);
-                if sent_again {
-                    // Be it on this connection or on another.
-                    let mut held = vec![first];
-                    let (at, message) = next(&server, &mut held);
-                    assert_eq!(id(&message), trace("a"));
-                    held[at].say(&answer(200, "", "served"));
-                    assert_eq!(client.answer().expect("an answer").text(), "served", "{what}");
+        match reset_point {
+            ResetPoint::AfterAccept => server.accept().reset(),
+            ResetPoint::AfterSending(text) => {
+                let (mut first, _) = server.accept_request();
+                first.write(text);
+                if is_retried {
+                    // The retry may come on this connection or on another one.
+                    let mut connections = vec![first];
+                    let (at, message) = next_request(&server, &mut connections);
+                    assert_eq!(trace_id_of(&message), trace_id("a"));
+                    connections[at].write(&response_text(200, "", "served"));
+                    assert_eq!(client.read_response().expect("a response").text(), "served", "{what}");
                     continue;
                 }
-                seen_by(&gateway);
+                wait_until_processed(&gateway);
                 first.reset();
             }
         }
-        if matches!(breaks, Break::AtOnce) {
-            // The last byte was written or was not: the one answer or a further attempt, never both.
-            let mut again = None;
-            until("an answer or a further attempt", || {
-                again = again.take().or_else(|| server.waiting());
-                again.is_some() || has_answer(&client)
+        if matches!(reset_point, ResetPoint::AfterAccept) {
+            // If the last byte was not written, the request is retried; else the client gets an error. Never
+            // both.
+            let mut retry = None;
+            until("a response or a retry", || {
+                retry = retry.take().or_else(|| server.try_accept());
+                retry.is_some() || has_answer(&client)
             });
-            if let Some(mut held) = again {
-                assert_eq!(id(&held.request().expect("a request")), trace("a"), "{what}");
-                held.say(&answer(200, "", "served"));
+            if let Some(mut connection) = retry {
+                assert_eq!(trace_id_of(&connection.request().expect("a request")), trace_id("a"), "{what}");
+                connection.write(&response_text(200, "", "served"));
             }
-            assert!(matches!(client.answer().expect("an answer").status(), 200 | 502), "{what}");
+            assert!(matches!(client.read_response().expect("a response").status(), 200 | 502), "{what}");
         } else {
-            assert_eq!(client.answer().expect("an answer").status(), 502, "{what}: it may have run");
-            assert!(server.waiting().is_none(), "{what}: it is not run again");
+            assert_eq!(
+                client.read_response().expect("a response").status(),
+                502,
+                "{what}: the request may have run"
+            );
+            assert!(server.try_accept().is_none(), "{what}: the request is not retried");
         }
     }
 }
 
-enum Break {
-    AtOnce,
-    /// Behind this much of an answer.
-    Behind(&'static str),
+/// When a server resets a connection.
+enum ResetPoint {
+    /// Right after the accept.
+    AfterAccept,
+    /// After reading the request and sending this text.
+    AfterSending(&'static str),
 }
 
+/// Returns whether a response, or the end of the connection, can be read.
 fn has_answer(client: &Client) -> bool {
     let stream = client.0.get_ref();
-    stream.set_nonblocking(true).expect("set");
+    stream.set_nonblocking(true).expect("set the socket option");
     let peeked = stream.peek(&mut [0]);
-    stream.set_nonblocking(false).expect("set");
+    stream.set_nonblocking(false).expect("set the socket option");
     peeked.is_ok()
 }
 
 #[test]
 fn repeated_sigterm_and_sighup_change_nothing() {
     for signals in [["-TERM", "-TERM"], ["-HUP", "-TERM"], ["-TERM", "-HUP"]] {
-        let server = Scripted::start();
-        let (mut gateway, _agent) = gateway(&[server.addr], as_it_is);
+        let server = ScriptedServer::start();
+        let (mut gateway, _agent) = start_gateway(&[server.addr], unchanged);
         let mut client = gateway.client();
         client.write(&nomina("a", "3", "pago"));
-        let (mut held, _) = server.taken();
+        let (mut connection, _) = server.accept_request();
         signals.iter().for_each(|signal| gateway.signal(signal));
-        until("it takes no more clients", || std::net::TcpStream::connect(gateway.addr).is_err());
-        held.say(&answer(200, "", "served"));
-        let answer = client.answer().expect("an answer");
+        until("the gateway stops accepting", || std::net::TcpStream::connect(gateway.addr).is_err());
+        connection.write(&response_text(200, "", "served"));
+        let answer = client.read_response().expect("a response");
         assert_eq!((answer.status(), answer.header("connection")), (200, "close"), "{signals:?}");
         assert!(gateway.exit().success(), "{signals:?}");
     }
@@ -335,18 +363,19 @@
 fn sigterm_before_the_first_endpoint_list_ends_the_process() {
     let agent = Agent::start();
     let mut gateway = Running::start(&config("127.0.0.1:0", agent.stub.addr, None));
-    until("it asks for the list", || agent.stub.requests() == 1);
+    until("the gateway requests the list", || agent.stub.requests() == 1);
     let mut client = gateway.client();
-    assert_eq!(client.ask(UP).status(), 503);
+    assert_eq!(client.ask(UP_REQUEST).status(), 503);
     gateway.terminate();
     assert!(gateway.exit().success());
 }
 
-/// A first request that lies in the listener's queue as SIGTERM comes has been taken by this machine.
+/// A first request whose connection is in the listen queue at SIGTERM counts as received: the kernel has
+/// accepted it.
 #[test]
 fn a_request_in_the_accept_queue_at_sigterm_is_answered() {
     let server = Stub::start(|_| ok("served"));
-    let (mut gateway, _agent) = gateway(&[server.addr], as_it_is);
+    let (mut gateway, _agent) = start_gateway(&[server.addr], unchanged);
     gateway.signal("-STOP");
     let mut queued: Vec<Client> = (0..20).map(|_| gateway.client()).collect();
     for (n, client) in queued.iter_mut().enumerate() {
@@ -354,82 +383,88 @@
     }
     gateway.terminate();
     gateway.signal("-CONT");
-    let answers: Vec<Message> = queued.iter_mut().map(|client| client.answer().expect("an answer")).collect();
-    // All at once are more than one server may have out.
+    let answers: Vec<Message> =
+        queued.iter_mut().map(|client| client.read_response().expect("a response")).collect();
+    // 20 requests at the same time exceed the limit of requests in flight per server, so some are
+    // rejected.
     assert!(answers.iter().all(|answer| matches!(answer.status(), 200 | 503)), "{answers:?}");
     assert_eq!(answers.iter().filter(|answer| answer.status() == 200).count(), server.requests());
     assert!(server.requests() > 0);
     assert!(gateway.exit().success());
 }
 
-/// Bytes come on a resting connection as the gateway ends it: the client has the end, not half an answer, and what it had
-/// sent goes nowhere.
+/// A request arrives on an idle connection while the gateway closes it. The client sees the close and no
+/// partial response, and the gateway does not forward the request.
 #[test]
 fn a_request_that_crosses_an_idle_close_is_served_at_most_once() {
     let server = Stub::start(|message| ok(message.header("x-trace-id")));
-    let (mut gateway, _agent) = gateway(&[server.addr], as_it_is);
-    let mut resting: Vec<Client> = (0..40).map(|_| gateway.client()).collect();
-    for (n, client) in resting.iter_mut().enumerate() {
-        assert_eq!(client.ask_here(&saldo(&format!("f{n}"), "3")).status(), 200);
+    let (mut gateway, _agent) = start_gateway(&[server.addr], unchanged);
+    let mut idle: Vec<Client> = (0..40).map(|_| gateway.client()).collect();
+    for (n, client) in idle.iter_mut().enumerate() {
+        assert_eq!(client.ask_on_this_connection(&saldo(&format!("f{n}"), "3")).status(), 200);
     }
     let before = server.requests();
     gateway.terminate();
-    // They are closed half a second later; these cross it, some before, some at, some behind it.
+    // The connections are closed half a second later. These requests are sent before, during and after the
+    // close.
     let mut served = 0;
-    for (n, client) in resting.iter_mut().enumerate() {
+    for (n, client) in idle.iter_mut().enumerate() {
         sleep(Duration::from_millis(25));
         let id = format!("s{n}");
         if std::io::Write::write_all(client.0.get_mut(), saldo(&id, "3").as_bytes()).is_err() {
             continue;
         }
-        if let Some(answer) = client.answer() {
-            assert_eq!((answer.status(), answer.text()), (200, trace(&id)));
-            assert!(client.ends());
+        if let Some(answer) = client.read_response() {
+            assert_eq!((answer.status(), answer.text()), (200, trace_id(&id)));
+            assert!(client.is_closed());
             served += 1;
         }
     }
     assert!(gateway.exit().success());
-    assert_eq!(server.requests() - before, served, "what had no answer was sent on nowhere");
-    assert!(served > 0 && served < resting.len(), "{served}: some come before the close, some behind");
+    assert_eq!(server.requests() - before, served, "requests without a response were not sent to the server");
+    assert!(served > 0 && served < idle.len(), "{served}: some requests precede the close, some follow it");
 }
 
-/// The pieces of a text that is cut at these places.
+/// The pieces of a text that is cut at these positions.
 fn pieces<'a>(text: &'a str, cuts: &[usize]) -> Vec<&'a str> {
     let mut cuts: Vec<usize> = cuts.iter().map(|cut| cut % text.len()).chain([0, text.len()]).collect();
     cuts.sort_unstable();
     cuts.windows(2).map(|ends| &text[ends[0]..ends[1]]).filter(|piece| !piece.is_empty()).collect()
 }
 
-/// Requests and answers come in pieces, each of which the gateway has read before the next is written.
+/// Requests and responses arrive in pieces, each of which the gateway has read before the next is written.
 #[test]
 fn messages_are_complete_wherever_segments_are_split() {
-    let server = Scripted::start();
-    let (gateway, _agent) = gateway(&[server.addr], as_it_is);
-    let (held, round) = (RefCell::new(Vec::new()), Cell::new(0));
+    let server = ScriptedServer::start();
+    let (gateway, _agent) = start_gateway(&[server.addr], unchanged);
+    let (connections, round) = (RefCell::new(Vec::new()), Cell::new(0));
     let chunked =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nser\r\n3;x=y\r\nved\r\n0\r\nA: b\r\n\r\n";
-    let answers = [answer(200, "X-Meter: 12\r\n", "served"), chunked.to_owned()];
+    let responses = [response_text(200, "X-Meter: 12\r\n", "served"), chunked.to_owned()];
     let cuts = || prop::collection::vec(0..400_usize, 0..5);
     let config = Config { cases: 40, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]));
-    let played = runner.run(&(cuts(), cuts(), 0..2_usize), |(asked, answered, form)| {
+    let result = runner.run(&(cuts(), cuts(), 0..2_usize), |(request_cuts, answer_cuts, form)| {
         round.set(round.get() + 1);
         let name = format!("p{}", round.get());
         let mut client = gateway.client();
-        for piece in pieces(&nomina(&name, "3.5", "pago 17"), &asked) {
+        for piece in pieces(&nomina(&name, "3.5", "pago 17"), &request_cuts) {
             client.write(piece);
-            seen_by(&gateway);
+            wait_until_processed(&gateway);
         }
-        let mut held = held.borrow_mut();
-        let (at, message) = next(&server, &mut held);
-        prop_assert_eq!((id(&message).to_owned(), message.text()), (trace(&name), "pago 17".to_owned()));
-        for piece in pieces(&answers[form], &answered) {
-            held[at].say(piece);
-            seen_by(&gateway);
+        let mut connections = connections.borrow_mut();
+        let (at, message) = next_request(&server, &mut connections);
+        prop_assert_eq!(
+            (trace_id_of(&message).to_owned(), message.text()),
+            (trace_id(&name), "pago 17".to_owned())
+        );
+        for piece in pieces(&responses[form], &answer_cuts) {
+            connections[at].write(piece);
+            wait_until_processed(&gateway);
         }
-        let answer = client.answer().expect("an answer");
+        let answer = client.read_response().expect("a response");
         prop_assert_eq!((answer.status(), answer.text()), (200, "served".to_owned()));
         Ok(())
     });
-    played.unwrap_or_else(|e| panic!("{e}"));
+    result.unwrap_or_else(|e| panic!("{e}"));
 }
--- a/quota-gateway/server/tests/silence.rs
+++ b/quota-gateway/server/tests/silence.rs
@@ -1,4 +1,5 @@
-//! Discovery falls silent and answers again: how soon a gateway hears what its agent holds, from every state it can be in.
+//! Discovery stops answering and recovers: how soon a gateway calls a recovered agent successfully, from
+//! every state that the gateway can be in.
 
 mod common;
 
@@ -10,174 +11,180 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// From this long after a change is told nothing new may go to a server that drains.
-const BINDS: Duration = Duration::from_millis(500);
+/// A draining server must get no new requests from this long after the change was published.
+const MAX_UPDATE_DELAY: Duration = Duration::from_millis(500);
 
-/// An agent as the platform's: it answers at once with what it holds, and while it is silent nothing, ever, to the calls
-/// that it has then.
+/// A discovery agent that can stop answering. It answers a call for the full list at once, and a watch after
+/// its wait. Calls that are in flight while it does not answer are never answered.
 #[derive(Clone, Default)]
-struct Platform {
-    silent: Arc<AtomicBool>,
+struct PausableAgent {
+    is_silent: Arc<AtomicBool>,
     /// When it last answered a call.
-    heard: Arc<Mutex<Option<Instant>>>,
+    last_answered_at: Arc<Mutex<Option<Instant>>>,
 }
 
-impl Platform {
-    fn answer(&self, call: &Message) -> Reply {
-        let watch = watched(call);
-        if let (Some((_, wait)), false) = (watch, self.silent.load(Ordering::SeqCst)) {
+impl PausableAgent {
+    fn respond(&self, call: &Message) -> Reply {
+        let watch = parse_watch(call);
+        if let (Some((_, wait)), false) = (watch, self.is_silent.load(Ordering::SeqCst)) {
             thread::sleep(wait);
         }
-        if self.silent.load(Ordering::SeqCst) {
-            return Reply::Silence;
+        if self.is_silent.load(Ordering::SeqCst) {
+            return Reply::NoAnswer;
         }
-        *self.heard.lock().unwrap() = Some(Instant::now());
+        *self.last_answered_at.lock().unwrap() = Some(Instant::now());
         ok(&list(watch.map_or(7, |(since, _)| since), watch.is_none(), &[]))
     }
 
-    fn start(silent: bool) -> (Platform, Stub) {
-        let platform = Platform::default();
-        platform.silent.store(silent, Ordering::SeqCst);
-        let answers = platform.clone();
-        (platform, Stub::start(move |call| answers.answer(call)))
+    fn start(is_silent: bool) -> (PausableAgent, Stub) {
+        let agent = PausableAgent::default();
+        agent.is_silent.store(is_silent, Ordering::SeqCst);
+        let handler = agent.clone();
+        (agent, Stub::start(move |call| handler.respond(call)))
     }
 
-    /// Speaks again, and waits for the first call that it answers; how long that takes.
-    fn speak(&self) -> Duration {
+    /// Answers again, and returns the time until the first call is answered.
+    fn resume(&self) -> Duration {
         let since = Instant::now();
-        self.silent.store(false, Ordering::SeqCst);
-        self.heard_since(since)
+        self.is_silent.store(false, Ordering::SeqCst);
+        self.time_to_answer_since(since)
     }
 
-    fn heard_since(&self, since: Instant) -> Duration {
+    /// Waits until a call is answered after `since`, and returns the time between.
+    fn time_to_answer_since(&self, since: Instant) -> Duration {
         let mut took = None;
-        until("it is asked again", || {
-            let heard = self.heard.lock().unwrap().filter(|heard| *heard > since);
-            took = heard.map(|heard| heard - since);
+        until("the agent answers a call", || {
+            let answered_at =
+                self.last_answered_at.lock().unwrap().filter(|answered_at| *answered_at > since);
+            took = answered_at.map(|answered_at| answered_at - since);
             took.is_some()
         });
-        took.expect("just heard")
+        took.expect("answered above")
     }
 
-    fn fall_silent(&self) {
-        self.heard_since(Instant::now());
-        self.silent.store(true, Ordering::SeqCst);
+    /// Stops answering, after one more answered call.
+    fn stop_answering(&self) {
+        self.time_to_answer_since(Instant::now());
+        self.is_silent.store(true, Ordering::SeqCst);
     }
 }
 
-fn before(agent: SocketAddr) -> Running {
+fn start_gateway(agent: SocketAddr) -> Running {
     let known = list(1, true, &[]);
     Running::start(&config("127.0.0.1:0", agent, Some(&known)))
 }
 
-/// The best of three plays: a busy machine makes one late, and a wait that is too long all three.
-fn soon(state: &str, play: impl Fn() -> Duration) {
-    let best = (0..3).map(|_| play()).min().expect("plays");
-    assert!(best < BINDS, "{state}: heard after {best:?}");
+/// Asserts that the shortest of three runs is within [`MAX_UPDATE_DELAY`]: a busy machine delays single runs,
+/// but a timeout that is too long delays all three.
+fn assert_prompt(state: &str, run: impl Fn() -> Duration) {
+    let shortest = (0..3).map(|_| run()).min().expect("three runs");
+    assert!(shortest < MAX_UPDATE_DELAY, "{state}: a call was answered after {shortest:?}");
 }
 
 #[test]
-fn a_recovered_agent_is_heard_in_time_whatever_call_was_unanswered() {
-    for (state, silence) in
-        [("a watch in flight", 10), ("a whole list in flight", 900), ("long silent", 2500)]
+fn a_recovered_agent_is_reached_in_time_whatever_call_was_unanswered() {
+    for (state, outage_ms) in
+        [("a watch in flight", 10), ("a full list in flight", 900), ("a long outage", 2500)]
     {
-        soon(state, || {
-            let (platform, stub) = Platform::start(false);
-            let _gateway = before(stub.addr);
-            platform.fall_silent();
-            thread::sleep(Duration::from_millis(silence));
-            platform.speak()
+        assert_prompt(state, || {
+            let (agent, stub) = PausableAgent::start(false);
+            let _gateway = start_gateway(stub.addr);
+            agent.stop_answering();
+            thread::sleep(Duration::from_millis(outage_ms));
+            agent.resume()
         });
     }
 }
 
 #[test]
-fn a_new_process_hears_an_agent_that_was_unresponsive_at_the_start() {
-    soon("a start", || {
-        let (platform, stub) = Platform::start(true);
-        let _gateway = before(stub.addr);
-        until("it has called", || stub.requests() > 0);
-        platform.speak()
+fn a_new_process_reaches_an_agent_that_was_unresponsive_at_the_start() {
+    assert_prompt("a start", || {
+        let (agent, stub) = PausableAgent::start(true);
+        let _gateway = start_gateway(stub.addr);
+        until("the gateway has called", || stub.requests() > 0);
+        agent.resume()
     });
 }
 
 #[test]
-fn an_agent_is_heard_after_hanging_or_refused_connects() {
+fn an_agent_is_reached_after_hanging_or_refused_connects() {
     for hanging in [true, false] {
-        soon(if hanging { "a connection that hangs" } else { "a pause" }, || {
-            let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+        assert_prompt(if hanging { "a connect that hangs" } else { "a refused connect" }, || {
+            let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
             let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
-            socket.bind(&any.into()).expect("bound");
-            let addr = socket.local_addr().unwrap().as_socket().expect("an address");
-            // A queue that is full lets no connection come up; a socket that does not listen refuses.
+            socket.bind(&any.into()).expect("bind the socket");
+            let addr = socket.local_addr().unwrap().as_socket().expect("a socket address");
+            // A full listen queue makes connects hang; a socket that does not listen refuses them.
             let mut queued = Vec::new();
             if hanging {
-                socket.listen(0).expect("listens");
+                socket.listen(0).expect("listen");
                 while let Ok(stream) = TcpStream::connect_timeout(&addr, Duration::from_millis(50)) {
                     queued.push(stream);
                 }
             }
-            let _gateway = before(addr);
+            let _gateway = start_gateway(addr);
             thread::sleep(Duration::from_millis(1500));
             let since = Instant::now();
             if !hanging {
-                socket.listen(64).expect("listens");
+                socket.listen(64).expect("listen");
             }
-            let platform = Platform::default();
-            let (answers, listener) = (platform.clone(), std::net::TcpListener::from(socket));
-            Stub::on(listener, move |call| answers.answer(call));
-            platform.heard_since(since)
+            let agent = PausableAgent::default();
+            let (handler, listener) = (agent.clone(), std::net::TcpListener::from(socket));
+            Stub::on(listener, move |call| handler.respond(call));
+            agent.time_to_answer_since(since)
         });
     }
 }
 
 #[test]
-fn another_address_is_heard_whatever_call_the_first_left_unanswered() {
-    soon("an address that changes", || {
-        let (first, stub) = Platform::start(false);
-        let gateway = before(stub.addr);
-        first.fall_silent();
-        let (second, other) = Platform::start(true);
-        gateway.reload(&config("127.0.0.1:0", other.addr, None));
-        until("the other is called", || other.requests() > 0);
-        second.speak()
+fn a_new_agent_address_is_reached_whatever_call_the_old_one_left_unanswered() {
+    assert_prompt("a changed address", || {
+        let (first, stub) = PausableAgent::start(false);
+        let gateway = start_gateway(stub.addr);
+        first.stop_answering();
+        let (second, second_stub) = PausableAgent::start(true);
+        gateway.reload(&config("127.0.0.1:0", second_stub.addr, None));
+        until("the second agent is called", || second_stub.requests() > 0);
+        second.resume()
     });
 }
 
-/// Clients that connect and say nothing come while discovery is down, more than there are descriptors, and stay.
+/// While discovery is down, more clients connect than there are descriptors, and stay connected without
+/// sending anything.
 #[test]
 fn idle_clients_that_use_all_descriptors_do_not_block_discovery() {
-    soon("a crowd", || {
-        let (platform, stub) = Platform::start(false);
-        let few = config("127.0.0.1:0", stub.addr, Some(&list(1, true, &[])))
+    assert_prompt("many idle clients", || {
+        let (agent, stub) = PausableAgent::start(false);
+        let small = config("127.0.0.1:0", stub.addr, Some(&list(1, true, &[])))
             .replace(r#""sockets":256"#, r#""sockets":64"#);
-        let gateway = Running::start_under("ulimit -n 64; exec \"$0\"", &few);
-        platform.fall_silent();
-        let crowd: Vec<TcpStream> =
-            (0..100).map(|_| TcpStream::connect(gateway.addr).expect("connected")).collect();
+        let gateway = Running::start_in_shell("ulimit -n 64; exec \"$0\"", &small);
+        agent.stop_answering();
+        let idle: Vec<TcpStream> =
+            (0..100).map(|_| TcpStream::connect(gateway.addr).expect("connect")).collect();
         thread::sleep(Duration::from_millis(1000));
-        let took = platform.speak();
-        assert_eq!(crowd.len(), 100);
+        let took = agent.resume();
+        assert_eq!(idle.len(), 100);
         assert!(!gateway.log().contains("accept:"), "descriptors are left: {}", gateway.log());
         took
     });
 }
 
-/// Where lists must be asked for each call costs: one at a time, and pauses that grow.
+/// Where lists are polled, each call has a cost: there is one call at a time, and the backoff grows.
 #[test]
 fn a_polled_endpoint_list_is_not_requested_more_often() {
-    let (platform, stub) = Platform::start(true);
+    let (agent, stub) = PausableAgent::start(true);
     let settings = config("127.0.0.1:0", stub.addr, Some(&list(1, true, &[])));
     let _gateway = Running::start(&settings.replace(r#""Discovery":"push""#, r#""Discovery":"ask""#));
-    until("it watches", || stub.requests() == 1);
+    until("the gateway watches the list", || stub.requests() == 1);
     thread::sleep(Duration::from_secs(2));
-    assert_eq!(stub.requests(), 1, "a watch of 2.5 s is waited for alone");
-    let call = stub.last();
-    assert_eq!(watched(&call), Some((1, Duration::from_millis(2500))));
-    // Silent, it is given up, and the whole list asked for in time for what counts as told 6 s after: once, whoever else asks.
-    until("the whole list is asked for", || stub.requests() == 2);
-    assert_eq!(watched(&stub.last()), None);
+    assert_eq!(stub.requests(), 1, "no other call is made during a watch of 2.5 s");
+    let call = stub.last_request();
+    assert_eq!(parse_watch(&call), Some((1, Duration::from_millis(2500))));
+    // The unanswered watch is abandoned and the full list is requested, early enough for the limit of 6 s
+    // within which a change must be received. It is requested once, however many other gateways request it.
+    until("the full list is requested", || stub.requests() == 2);
+    assert_eq!(parse_watch(&stub.last_request()), None);
     thread::sleep(Duration::from_secs(2));
-    assert_eq!(stub.requests(), 2, "a call that waits its turn is not given up for that");
-    drop(platform);
+    assert_eq!(stub.requests(), 2, "a call for the full list is not abandoned while it may still be queued");
+    drop(agent);
 }
--- a/quota-gateway/server/tests/time.rs
+++ b/quota-gateway/server/tests/time.rs
@@ -1,59 +1,63 @@
-//! One budget from the client to the last attempt: what servers are told, what is sent and what is not, where time went.
+//! Each request has one time budget, from the client to the last attempt: the time that servers are given,
+//! the attempts that are still made, and the metrics of the time spent.
 
 mod common;
 
-use common::scripted::Hanging;
+use common::scripted::HangingServer;
 use common::*;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// What is kept of a client's time for the answer's way back.
-const WAY_BACK: f64 = 0.010;
+/// The part of a client's timeout that is reserved for the transit of the response, in seconds.
+const RESPONSE_TRANSIT: f64 = 0.010;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// What a server was told that the request has left.
-fn told(message: &Message) -> f64 {
-    message.header("x-expires-in").parse().expect("seconds")
+/// The remaining time that a server was given for a request, in seconds.
+fn remaining_time(message: &Message) -> f64 {
+    message.header("x-expires-in").parse().expect("a number of seconds")
 }
 
-/// A gateway with a console before these servers, whose settings are changed before.
-fn gateway(servers: &[&Stub], change: impl Fn(String) -> String) -> (Running, Agent) {
+/// Starts a gateway with a console and these servers, whose configuration `change` edits before.
+fn start_gateway(servers: &[&Stub], change: impl Fn(String) -> String) -> (Running, Agent) {
     let addresses: Vec<_> = servers.iter().map(|stub| stub.addr).collect();
-    Running::with_nomina(&addresses, change)
+    Running::with_non_idempotent_class(&addresses, change)
 }
 
 #[test]
 fn each_attempt_is_advertised_the_time_remaining() {
-    let first = Arc::new(AtomicUsize::new(0));
-    let act = move |_: &Message| {
-        if first.fetch_add(1, Ordering::SeqCst) == 0 {
+    let count = Arc::new(AtomicUsize::new(0));
+    let handler = move |_: &Message| {
+        if count.fetch_add(1, Ordering::SeqCst) == 0 {
             sleep(ms(120));
             Reply::Answer(500, "", String::new())
         } else {
             ok("served")
         }
     };
-    let server = Stub::start(act);
-    let (gateway, _agent) = gateway(&[&server], as_it_is);
+    let server = Stub::start(handler);
+    let (gateway, _agent) = start_gateway(&[&server], unchanged);
     let mut client = gateway.client();
     assert_eq!(client.ask(&saldo("e", "1.400")).text(), "served");
-    let seen: Vec<f64> = server.seen.lock().unwrap().iter().map(told).collect();
-    assert_eq!(seen.len(), 2);
-    assert!(seen[0] <= 1.4 - WAY_BACK - 0.001 && seen[0] > 1.0, "its way back is kept: {seen:?}");
-    assert!(seen[1] <= seen[0] - 0.119, "the first attempt's time is gone: {seen:?}");
+    let remaining: Vec<f64> = server.received.lock().unwrap().iter().map(remaining_time).collect();
+    assert_eq!(remaining.len(), 2);
+    assert!(
+        remaining[0] <= 1.4 - RESPONSE_TRANSIT - 0.001 && remaining[0] > 1.0,
+        "the response transit is reserved: {remaining:?}"
+    );
+    assert!(remaining[1] <= remaining[0] - 0.119, "the first attempt's time is deducted: {remaining:?}");
     assert_eq!(gateway.metric(r#"marblecroft_attempts_total{attempt="first",class="saldo"}"#), 1.0);
     assert_eq!(gateway.metric(r#"marblecroft_attempts_total{attempt="further",class="saldo"}"#), 1.0);
     let spent = gateway.metric(r#"marblecroft_request_stage_seconds_sum{class="saldo",stage="attempt"}"#);
     assert!((0.119..1.4).contains(&spent), "{spent}");
 }
 
-/// Stops the process for a while in which something is written to it.
-fn stalled(gateway: &Running, span: Duration, meanwhile: impl FnOnce()) {
+/// Stops the process for this long, and calls `meanwhile` while it is stopped.
+fn while_stopped(gateway: &Running, span: Duration, meanwhile: impl FnOnce()) {
     gateway.signal("-STOP");
     meanwhile();
     sleep(span);
@@ -61,67 +65,76 @@
 }
 
 #[test]
-fn time_unread_in_the_system_is_charged_to_the_budget() {
+fn time_unread_in_the_kernel_is_charged_to_the_budget() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = gateway(&[&server], as_it_is);
-    let mut kept = gateway.client();
-    assert_eq!(kept.ask(&saldo("k0", "3")).text(), "served");
-    // On a kept connection, and on one that nobody could accept.
+    let (gateway, _agent) = start_gateway(&[&server], unchanged);
+    let mut reused = gateway.client();
+    assert_eq!(reused.ask(&saldo("k0", "3")).text(), "served");
+    // One request on an open connection, and one on a connection that is not accepted yet.
     let mut new = None;
-    stalled(&gateway, ms(400), || {
-        kept.write(&saldo("k1", "3"));
+    while_stopped(&gateway, ms(400), || {
+        reused.write(&saldo("k1", "3"));
         let mut client = gateway.client();
         client.write(&saldo("k2", "3"));
         new = Some(client);
     });
-    assert_eq!(kept.answer().expect("an answer").text(), "served");
-    assert_eq!(new.expect("connected").answer().expect("an answer").text(), "served");
-    let seen = server.seen.lock().unwrap();
+    assert_eq!(reused.read_response().expect("a response").text(), "served");
+    assert_eq!(new.expect("connected above").read_response().expect("a response").text(), "served");
+    let received = server.received.lock().unwrap();
     for name in ["k1", "k2"] {
-        let message = seen.iter().find(|m| m.header("x-trace-id") == trace(name)).expect("it came");
-        assert!(told(message) <= 3.0 - 0.390 - WAY_BACK, "{name} was told {}", told(message));
+        let message =
+            received.iter().find(|m| m.header("x-trace-id") == trace_id(name)).expect("it was sent");
+        assert!(
+            remaining_time(message) <= 3.0 - 0.390 - RESPONSE_TRANSIT,
+            "{name} had {}",
+            remaining_time(message)
+        );
     }
-    drop(seen);
+    drop(received);
     let unseen = gateway.metric(r#"marblecroft_request_stage_seconds_sum{class="saldo",stage="unseen"}"#);
-    assert!((0.78..8.0).contains(&unseen), "two lay there for 0.4 s each: {unseen}");
+    assert!((0.78..8.0).contains(&unseen), "two requests were unread for 0.4 s each: {unseen}");
 }
 
 #[test]
 fn a_request_read_after_its_deadline_is_answered_and_not_sent() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = gateway(&[&server], as_it_is);
+    let (gateway, _agent) = start_gateway(&[&server], unchanged);
     let mut client = gateway.client();
     assert_eq!(client.ask(&saldo("p0", "3")).text(), "served");
-    stalled(&gateway, ms(400), || client.write(&saldo("p1", "0.350")));
-    let answer = client.answer().expect("an answer");
+    while_stopped(&gateway, ms(400), || client.write(&saldo("p1", "0.350")));
+    let answer = client.read_response().expect("a response");
     assert_eq!(answer.status(), 503);
-    assert!(!answer.header("retry-after").is_empty(), "trying again is harmless");
-    assert_eq!(server.requests(), 1, "nobody waits for it any more");
+    assert!(!answer.header("retry-after").is_empty(), "the request may be retried");
+    assert_eq!(server.requests(), 1, "the client has stopped waiting");
     assert_eq!(
         gateway.metric(r#"marblecroft_requests_total{class="saldo",end="given_up_before_send"}"#),
         1.0
     );
 }
 
-/// The system tells when bytes came in its own ticks, of 10 ms at most.
+/// The resolution of the kernel's arrival times of received bytes: ticks of at most 10 ms.
 const ARRIVAL_TICK: Duration = Duration::from_millis(10);
 
 #[test]
 fn a_slow_head_is_measured_and_not_charged() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = gateway(&[&server], as_it_is);
+    let (gateway, _agent) = start_gateway(&[&server], unchanged);
     let mut client = gateway.client();
     let request = saldo("h", "3");
     let (head, rest) = request.split_at(40);
     client.write(head);
-    // Answered on a later connection: the gateway has read what came before, however late it was scheduled.
+    // Once a request on a later connection is answered, the gateway has read the head's first part, however
+    // late it was scheduled.
     assert_eq!(gateway.client().ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
     let first_part_read = Instant::now();
     sleep(ms(300));
     let pause = first_part_read.elapsed();
     client.write(rest);
-    assert_eq!(client.answer().expect("an answer").text(), "served");
-    assert!(told(&server.last()) > 2.7, "by the protocol its time begins with its last byte");
+    assert_eq!(client.read_response().expect("a response").text(), "served");
+    assert!(
+        remaining_time(&server.last_request()) > 2.7,
+        "by the protocol, the time counts from the request's last byte"
+    );
     let read = gateway.metric(r#"marblecroft_request_stage_seconds_sum{class="saldo",stage="read"}"#);
     assert!(((pause - ARRIVAL_TICK).as_secs_f64()..3.0).contains(&read), "{read} after a pause of {pause:?}");
 }
@@ -129,32 +142,40 @@
 #[test]
 fn a_slow_body_is_not_charged_and_100_continue_is_sent() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = gateway(&[&server], as_it_is);
+    let (gateway, _agent) = start_gateway(&[&server], unchanged);
     let mut client = gateway.client();
     let request = nomina("b", "1.000", "pago").replace("X-Qos", "Expect: 100-continue\r\nX-Qos");
-    client.write(request.strip_suffix("pago").expect("its body"));
-    let go_on = client.answer().expect("an interim answer");
-    assert_eq!(go_on.status(), 100);
-    // It comes as the time would end that began with the head.
+    client.write(request.strip_suffix("pago").expect("the body at the end"));
+    let interim = client.read_response().expect("an interim response");
+    assert_eq!(interim.status(), 100);
+    // The body arrives after the timeout of 1 s, counted from the head, has passed.
     sleep(ms(1050));
     client.write("pago");
-    assert_eq!(client.answer().expect("an answer").text(), "served");
-    assert!(told(&server.last()) > 0.7, "its time began with its last byte: {}", told(&server.last()));
+    assert_eq!(client.read_response().expect("a response").text(), "served");
+    assert!(
+        remaining_time(&server.last_request()) > 0.7,
+        "the time counts from the request's last byte: {}",
+        remaining_time(&server.last_request())
+    );
 }
 
 #[test]
 fn a_client_timeout_is_limited_by_its_class() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = gateway(&[&server], as_it_is);
+    let (gateway, _agent) = start_gateway(&[&server], unchanged);
     for (n, wait) in ["1e9", "4000000000.5", "4.0001"].into_iter().enumerate() {
         assert_eq!(gateway.client().ask(&saldo(&format!("w{n}"), wait)).status(), 200, "{wait}");
-        assert!(told(&server.last()) <= 4.0 - WAY_BACK, "{wait}: {}", told(&server.last()));
+        assert!(
+            remaining_time(&server.last_request()) <= 4.0 - RESPONSE_TRANSIT,
+            "{wait}: {}",
+            remaining_time(&server.last_request())
+        );
     }
     for (n, wait) in ["1e300", "-0.5", "NaN", "0", "-0", "", "1e-30", "0x1"].into_iter().enumerate() {
         assert_eq!(gateway.client().ask(&saldo(&format!("v{n}"), wait)).status(), 400, "{wait:?}");
     }
     assert_eq!(server.requests(), 3);
-    // Smaller than any way: answered at once, and never sent.
+    // Timeouts shorter than any transit: the request is answered at once and never sent.
     for wait in ["0.000001", "0.001", "0.010", "0.011"] {
         assert_eq!(gateway.client().ask(&saldo("small", wait)).status(), 503, "{wait}");
     }
@@ -163,42 +184,44 @@
 
 #[test]
 fn a_hanging_connect_keeps_time_for_another_server() {
-    let (warm, good, hanging) = (Stub::start(|_| ok("warm")), Stub::start(|_| ok("served")), Hanging::new());
-    let (gateway, agent) = gateway(&[&warm], as_it_is);
-    // It learns how quickly this class is answered.
+    let (warm, good, hanging) =
+        (Stub::start(|_| ok("warm")), Stub::start(|_| ok("served")), HangingServer::new());
+    let (gateway, agent) = start_gateway(&[&warm], unchanged);
+    // The gateway measures the response times of this class.
     let mut client = gateway.client();
     for n in 0..60 {
         assert_eq!(client.ask(&nomina(&format!("w{n}"), "3", "pago")).text(), "warm");
     }
-    agent.watched(1);
-    agent.tell(ok(&hosts(2, true, &[(hanging.addr, "SERVING"), (good.addr, "SERVING")])));
-    agent.watched(2);
-    // One of them meets the connect that hangs, which is given 250 ms by the settings; no request has that much.
-    let connects = r#"marblecroft_request_stage_seconds_sum{class="nomina",stage="connect"}"#;
+    agent.wait_for_watch(1);
+    agent.queue_reply(ok(&hosts(2, true, &[(hanging.addr, "SERVING"), (good.addr, "SERVING")])));
+    agent.wait_for_watch(2);
+    // Some request is sent to the server whose connect hangs. The settings allow 250 ms for a connect, which
+    // is more than any of these requests has left.
+    let connect_time = r#"marblecroft_request_stage_seconds_sum{class="nomina",stage="connect"}"#;
     for n in 0..40 {
         let answer = client.ask(&nomina(&format!("c{n}"), "0.250", "pago"));
         assert_eq!((answer.status(), answer.text().as_str()), (200, "served"), "request {n}");
-        if gateway.metric(connects) > 0.1 {
+        if gateway.metric(connect_time) > 0.1 {
             return;
         }
     }
-    panic!("none met the server that hangs");
+    panic!("no request was sent to the server whose connect hangs");
 }
 
 #[test]
 fn a_disconnect_during_a_connect_has_its_own_outcome() {
-    let (warm, hanging) = (Stub::start(|_| ok("warm")), Hanging::new());
-    let (gateway, agent) = gateway(&[&warm], as_it_is);
-    agent.watched(1);
-    agent.tell(ok(&hosts(2, true, &[(hanging.addr, "SERVING")])));
-    agent.watched(2);
+    let (warm, hanging) = (Stub::start(|_| ok("warm")), HangingServer::new());
+    let (gateway, agent) = start_gateway(&[&warm], unchanged);
+    agent.wait_for_watch(1);
+    agent.queue_reply(ok(&hosts(2, true, &[(hanging.addr, "SERVING")])));
+    agent.wait_for_watch(2);
     let mut client = gateway.client();
     client.write(&saldo("g", "3"));
-    // On another connection, so that the request is with the gateway.
+    // Once a request on another connection is answered, the gateway has read this one.
     assert_eq!(gateway.client().ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
     drop(client);
-    let gone = r#"marblecroft_requests_total{class="saldo",end="client_gone"}"#;
-    until("it is told", || gateway.metric(gone) == 1.0);
+    let outcome = r#"marblecroft_requests_total{class="saldo",end="client_gone"}"#;
+    until("the disconnect is counted", || gateway.metric(outcome) == 1.0);
     assert_eq!(
         gateway.metric(r#"marblecroft_attempts_total{attempt="first",class="saldo"}"#),
         0.0,
@@ -208,22 +231,26 @@
 
 #[test]
 fn a_response_without_its_body_does_not_delay_the_final_response() {
-    let server = Stub::start(|_| Reply::Open("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nser".to_owned()));
-    let (gateway, _agent) = gateway(&[&server], as_it_is);
-    let asked = Instant::now();
-    let answer = gateway.client().ask_here(&nomina("n", "0.450", "pago"));
-    assert!(answer.status() >= 500 && answer.header("retry-after").is_empty(), "it may have run: {answer:?}");
-    assert!(asked.elapsed() < ms(450), "its client still waits");
+    let server =
+        Stub::start(|_| Reply::RawKeepOpen("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nser".to_owned()));
+    let (gateway, _agent) = start_gateway(&[&server], unchanged);
+    let sent_at = Instant::now();
+    let answer = gateway.client().ask_on_this_connection(&nomina("n", "0.450", "pago"));
+    assert!(
+        answer.status() >= 500 && answer.header("retry-after").is_empty(),
+        "the request may have run: {answer:?}"
+    );
+    assert!(sent_at.elapsed() < ms(450), "the client still waits");
     assert_eq!(server.requests(), 1);
-    let ends = r#"marblecroft_requests_total{class="nomina",end="given_up_in_attempt"}"#;
-    until("it is counted", || gateway.metric(ends) == 1.0);
+    let outcome = r#"marblecroft_requests_total{class="nomina",end="given_up_in_attempt"}"#;
+    until("the outcome is counted", || gateway.metric(outcome) == 1.0);
 }
 
 #[test]
 fn a_non_idempotent_request_is_not_retried_whatever_time_remains() {
-    let servers = [Stub::start(|_| Reply::Raw("")), Stub::start(|_| Reply::Raw(""))];
-    let (gateway, _agent) = gateway(&[&servers[0], &servers[1]], as_it_is);
-    let answer = gateway.client().ask_here(&nomina("u", "4", "pago"));
+    let servers = [Stub::start(|_| Reply::RawAndClose("")), Stub::start(|_| Reply::RawAndClose(""))];
+    let (gateway, _agent) = start_gateway(&[&servers[0], &servers[1]], unchanged);
+    let answer = gateway.client().ask_on_this_connection(&nomina("u", "4", "pago"));
     assert!(answer.status() >= 500 && answer.header("retry-after").is_empty(), "{answer:?}");
     assert_eq!(servers[0].requests() + servers[1].requests(), 1);
     assert_eq!(gateway.metric(r#"marblecroft_attempts_total{attempt="further",class="nomina"}"#), 0.0);
@@ -231,64 +258,64 @@
 
 #[test]
 fn the_next_attempt_uses_a_replaced_endpoint_list() {
-    let (first, second) = (Stub::start(|_| Reply::Silence), Stub::start(|_| ok("second")));
-    let (gateway, agent) = gateway(&[&first], as_it_is);
-    agent.watched(1);
+    let (first, second) = (Stub::start(|_| Reply::NoAnswer), Stub::start(|_| ok("second")));
+    let (gateway, agent) = start_gateway(&[&first], unchanged);
+    agent.wait_for_watch(1);
     let mut client = gateway.client();
     client.write(&saldo("r", "3"));
-    until("the first server has it", || first.requests() == 1);
-    agent.tell(ok(&list(2, true, &serving(&[&second]))));
-    agent.watched(2);
-    first.speak(&Reply::Answer(500, "", String::new()));
-    assert_eq!(client.answer().expect("an answer").text(), "second");
-    assert!(told(&second.last()) < told(&first.last()));
+    until("the first server has the request", || first.requests() == 1);
+    agent.queue_reply(ok(&list(2, true, &serving(&[&second]))));
+    agent.wait_for_watch(2);
+    first.answer_pending(&Reply::Answer(500, "", String::new()));
+    assert_eq!(client.read_response().expect("a response").text(), "second");
+    assert!(remaining_time(&second.last_request()) < remaining_time(&first.last_request()));
 }
 
 #[test]
 fn after_sigterm_no_timeout_exceeds_the_process_exit() {
     let server = Stub::start(|_| ok("served"));
-    let (mut gateway, _agent) = gateway(&[&server], as_it_is);
+    let (mut gateway, _agent) = start_gateway(&[&server], unchanged);
     let mut client = gateway.client();
     assert_eq!(client.ask(&abono("t0", "7", "pago")).status(), 200);
-    assert!(told(&server.last()) > 6.0, "its class lets clients wait for 7.5 s");
-    // Begun before the signal, so that the process waits for the rest.
+    assert!(remaining_time(&server.last_request()) > 6.0, "the class allows clients to wait for 7.5 s");
+    // The request begins before the signal, so the process waits for the rest.
     let request = abono("t1", "7", "pago");
     let (head, rest) = request.split_at(60);
     client.write(head);
     sleep(ms(50));
     gateway.terminate();
-    until("it drains", || gateway.client_is_refused());
+    until("the gateway drains", || gateway.is_unready());
     client.write(rest);
-    assert_eq!(client.answer().expect("an answer").status(), 200);
+    assert_eq!(client.read_response().expect("a response").status(), 200);
     // SIGKILL may come 3.7 s after SIGTERM.
-    assert!(told(&server.last()) < 3.7, "{}", told(&server.last()));
+    assert!(remaining_time(&server.last_request()) < 3.7, "{}", remaining_time(&server.last_request()));
     assert!(gateway.exit().success());
 }
 
 #[test]
 fn sigterm_then_sighup_during_an_attempt_lose_nothing() {
-    let server = Stub::start(|_| Reply::Silence);
+    let server = Stub::start(|_| Reply::NoAnswer);
     let agent = Agent::start();
     let known = list(1, true, &serving(&[&server]));
     let config = config("127.0.0.1:0", agent.stub.addr, Some(&known));
     let mut gateway = Running::start(&config);
     let mut client = gateway.client();
     client.write(&saldo("s", "3"));
-    until("the server has it", || server.requests() == 1);
+    until("the server has the request", || server.requests() == 1);
     gateway.terminate();
     gateway.reload(&config);
-    until("it has read the file", || gateway.log().contains("new configuration"));
-    server.speak(&ok("served"));
-    assert_eq!(client.answer().expect("an answer").text(), "served");
+    until("the gateway has read the file", || gateway.log().contains("new configuration"));
+    server.answer_pending(&ok("served"));
+    assert_eq!(client.read_response().expect("a response").text(), "served");
     assert!(gateway.exit().success());
 }
 
 #[test]
 fn metrics_report_outcomes_while_discovery_and_callers_stall() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, agent) = gateway(&[&server], as_it_is);
-    // Discovery says nothing from here on, and callers at the console say half a word.
-    agent.watched(1);
+    let (gateway, agent) = start_gateway(&[&server], unchanged);
+    // From here on, discovery does not answer, and callers at the console stall in the middle of a command.
+    agent.wait_for_watch(1);
     let stalled: Vec<Client> = (0..16)
         .map(|_| {
             let mut caller = Client::connect(gateway.console());
@@ -300,49 +327,50 @@
     for n in 0..3 {
         assert_eq!(client.ask(&saldo(&format!("a{n}"), "3")).status(), 200);
     }
-    let beyond = saldo("q", "3").replace("basico", "nada").replace("b4d65521", "00000007");
-    assert_eq!(client.ask(&beyond).status(), 503, "its quota is used up");
-    server.act(|_| Reply::Silence);
+    let over_quota = saldo("q", "3").replace("basico", "nada").replace("b4d65521", "00000007");
+    assert_eq!(client.ask(&over_quota).status(), 503, "the customer's quota is used up");
+    server.set_handler(|_| Reply::NoAnswer);
     assert!(client.ask(&nomina("i", "0.400", "pago")).status() >= 500);
     let mut leaving = gateway.client();
     leaving.write(&saldo("l", "3"));
-    until("the server has it", || server.requests() == 5);
+    until("the server has the request", || server.requests() == 5);
     drop(leaving);
-    let ends = |class: &str, end: &str| {
+    let outcomes = |class: &str, end: &str| {
         gateway.metric(&format!(r#"marblecroft_requests_total{{class="{class}",end="{end}"}}"#))
     };
-    until("the client's leaving is seen", || ends("saldo", "client_gone") == 1.0);
-    assert_eq!(ends("saldo", "answered"), 3.0);
-    assert_eq!(ends("saldo", "given_up_before_send"), 1.0);
-    assert_eq!(ends("nomina", "given_up_in_attempt"), 1.0);
-    let asked = Instant::now();
-    let answer = gateway.called("GET", "/metrics");
-    assert!(asked.elapsed() < Duration::from_secs(1), "operators' calls have an answer within a second");
+    until("the disconnect is counted", || outcomes("saldo", "client_gone") == 1.0);
+    assert_eq!(outcomes("saldo", "answered"), 3.0);
+    assert_eq!(outcomes("saldo", "given_up_before_send"), 1.0);
+    assert_eq!(outcomes("nomina", "given_up_in_attempt"), 1.0);
+    let called_at = Instant::now();
+    let answer = gateway.console_response("GET", "/metrics");
+    assert!(called_at.elapsed() < Duration::from_secs(1), "operators' calls are answered within a second");
     assert!(answer.header("content-type").starts_with("text/plain; version=0.0.4"));
-    // A line is a comment, or a series and its value; their number does not grow with what is asked.
-    let series = |text: &str| {
+    // Each line is a comment, or a series and its value. The number of lines does not grow with the number of
+    // requests.
+    let has_only_series = |text: &str| {
         text.lines().filter(|line| !line.starts_with('#')).all(|line| {
             line.rsplit_once(' ')
                 .is_some_and(|(name, value)| name.starts_with("marblecroft_") && value.parse::<f64>().is_ok())
         })
     };
-    assert!(series(&answer.text()), "{}", answer.text());
+    assert!(has_only_series(&answer.text()), "{}", answer.text());
     let lines = answer.text().lines().count();
     for n in 0..20 {
         client.ask(&saldo(&format!("m{n}"), "0.001"));
     }
-    assert_eq!(gateway.called("GET", "/metrics").text().lines().count(), lines);
+    assert_eq!(gateway.console_response("GET", "/metrics").text().lines().count(), lines);
     drop(stalled);
 }
 
 #[test]
 fn a_response_broken_off_by_its_server_is_not_a_client_disconnect() {
-    let begun = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", 1 << 20, "x".repeat(100_000));
-    let server = Stub::start(move |_| Reply::Raw(Box::leak(begun.clone().into_boxed_str())));
-    let (gateway, _agent) = gateway(&[&server], as_it_is);
+    let partial = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", 1 << 20, "x".repeat(100_000));
+    let server = Stub::start(move |_| Reply::RawAndClose(Box::leak(partial.clone().into_boxed_str())));
+    let (gateway, _agent) = start_gateway(&[&server], unchanged);
     let mut client = gateway.client();
     client.write(&nomina("o", "3", "pago"));
-    assert!(client.answer().is_none(), "the client can tell that it is not whole");
-    let ends = r#"marblecroft_requests_total{class="nomina",end="given_up_in_attempt"}"#;
-    until("it is counted", || gateway.metric(ends) == 1.0);
+    assert!(client.read_response().is_none(), "the client sees that the response is incomplete");
+    let outcome = r#"marblecroft_requests_total{class="nomina",end="given_up_in_attempt"}"#;
+    until("the outcome is counted", || gateway.metric(outcome) == 1.0);
 }
--- a/quota-gateway/server/tests/upgrade.rs
+++ b/quota-gateway/server/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A new process beside the old one, on the listening socket that both inherit.
+//! Upgrades: a new process takes over from the old one, on the listening socket that both inherit.
 
 mod common;
 
@@ -8,35 +8,36 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 
-const UP: &str = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
+const UP_REQUEST: &str = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// What the processes of one gateway share.
-struct Platform {
+/// The listening socket, directory and configuration that the processes of one gateway share.
+struct UpgradeSite {
     listener: TcpListener,
     shared: PathBuf,
     config: String,
 }
 
-impl Platform {
-    fn new(servers: &[&Stub]) -> Platform {
-        let (listener, agent) = (TcpListener::bind("127.0.0.1:0").expect("a port"), Agent::start());
+impl UpgradeSite {
+    fn new(servers: &[&Stub]) -> UpgradeSite {
+        let (listener, agent) = (TcpListener::bind("127.0.0.1:0").expect("bind a port"), Agent::start());
         let known = list(1, true, &serving(servers));
-        let addr = listener.local_addr().expect("bound").to_string();
+        let addr = listener.local_addr().expect("a bound socket").to_string();
         let config = config(&addr, agent.stub.addr, Some(&known));
-        Platform { listener, shared: folder(), config }
+        UpgradeSite { listener, shared: temp_dir(), config }
     }
 
     fn start(&self) -> Running {
         Running::inheriting(&self.listener, &self.shared, &self.config)
     }
 
-    /// Where the processes meet.
-    fn meeting(&self) -> PathBuf {
-        self.shared.join(format!("mapledeck-{}.sock", self.listener.local_addr().expect("bound").port()))
+    /// The path of the handover socket.
+    fn socket_path(&self) -> PathBuf {
+        self.shared
+            .join(format!("mapledeck-{}.sock", self.listener.local_addr().expect("a bound socket").port()))
     }
 }
 
-impl Drop for Platform {
+impl Drop for UpgradeSite {
     fn drop(&mut self) {
         drop(std::fs::remove_dir_all(&self.shared));
     }
@@ -48,226 +49,244 @@
 
 #[test]
 fn the_new_process_continues_from_the_old_state_without_loss() {
-    let servers = [Stub::start(|_| ok("a")), Stub::start(|_| Reply::Silence)];
-    let platform = Platform::new(&[&servers[0], &servers[1]]);
-    let mut old = platform.start();
-    assert_eq!(old.call("PUT", &disable(&servers[0])), 200);
-    let (mut taken, mut kept) = (old.client(), old.client());
-    assert_eq!(kept.ask_here(UP).status(), 200);
-    taken.write(&saldo("t", "3"));
-    until("the server has it", || servers[1].requests() == 1);
+    let servers = [Stub::start(|_| ok("a")), Stub::start(|_| Reply::NoAnswer)];
+    let site = UpgradeSite::new(&[&servers[0], &servers[1]]);
+    let mut old = site.start();
+    assert_eq!(old.console_status("PUT", &disable(&servers[0])), 200);
+    let (mut in_flight, mut reused) = (old.client(), old.client());
+    assert_eq!(reused.ask_on_this_connection(UP_REQUEST).status(), 200);
+    in_flight.write(&saldo("t", "3"));
+    until("the server has the request", || servers[1].requests() == 1);
 
-    let mut new = platform.start();
-    until("the new one is ready", || new.call("GET", "/ready") == 200);
+    let mut new = site.start();
+    until("the new process is ready", || new.console_status("GET", "/ready") == 200);
     assert!(new.log().contains("takes over"), "{}", new.log());
     old.terminate();
-    until("the old one has heard of it", || old.call("GET", "/ready") == 503);
-    // In hand, on a connection that was kept, and on many new ones: all are served.
-    servers[1].speak(&ok("b"));
-    servers[1].act(|_| ok("b"));
-    let answer = taken.answer().expect("what was taken is answered");
+    until("the old process is no longer ready", || old.console_status("GET", "/ready") == 503);
+    // The request in flight, one on an open connection, and those on many new connections are all served.
+    servers[1].answer_pending(&ok("b"));
+    servers[1].set_handler(|_| ok("b"));
+    let answer = in_flight.read_response().expect("the request in flight is answered");
     assert_eq!((answer.text().as_str(), answer.header("connection")), ("b", "close"));
-    let answer = kept.ask_here(&saldo("k", "3"));
+    let answer = reused.ask_on_this_connection(&saldo("k", "3"));
     assert_eq!((answer.text().as_str(), answer.header("connection")), ("b", "close"));
     for n in 0..20 {
-        let answer = new.client().ask_here(&saldo(&format!("n{n}"), "3"));
-        assert_eq!((answer.status(), answer.text().as_str()), (200, "b"), "left out in the new one too");
-        assert_eq!(new.client().ask_here(UP).status(), 200, "the gateway is up all along");
+        let answer = new.client().ask_on_this_connection(&saldo(&format!("n{n}"), "3"));
+        assert_eq!(
+            (answer.status(), answer.text().as_str()),
+            (200, "b"),
+            "the server is disabled in the new process too"
+        );
+        assert_eq!(
+            new.client().ask_on_this_connection(UP_REQUEST).status(),
+            200,
+            "the gateway is up all the time"
+        );
     }
     assert!(old.exit().success());
-    assert_eq!(new.client().ask_here(&saldo("z", "3")).text(), "b");
+    assert_eq!(new.client().ask_on_this_connection(&saldo("z", "3")).text(), "b");
     assert_eq!(servers[0].requests(), 0);
-    // And once more.
-    let next = platform.start();
-    until("the next one is ready", || next.call("GET", "/ready") == 200);
+    // A second upgrade.
+    let next = site.start();
+    until("the next process is ready", || next.console_status("GET", "/ready") == 200);
     new.terminate();
     assert!(new.exit().success());
-    assert_eq!(next.client().ask_here(&saldo("y", "3")).text(), "b");
+    assert_eq!(next.client().ask_on_this_connection(&saldo("y", "3")).text(), "b");
     assert_eq!(servers[0].requests(), 0);
 }
 
 #[test]
 fn changes_reach_both_processes_during_an_upgrade() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
-    let platform = Platform::new(&[&servers[0], &servers[1]]);
-    let old = platform.start();
-    // Its connection is the old one's for as long as it lasts.
-    let mut of_old = old.client();
-    assert_eq!(of_old.ask_here(UP).status(), 200);
-    let mut new = platform.start();
-    until("the new one is ready", || new.call("GET", "/ready") == 200);
-    assert_eq!(new.call("PUT", &disable(&servers[0])), 200);
-    until("the old one has heard", || old.log().contains("Disable"));
+    let site = UpgradeSite::new(&[&servers[0], &servers[1]]);
+    let old = site.start();
+    // A connection that the old process serves until it closes.
+    let mut old_client = old.client();
+    assert_eq!(old_client.ask_on_this_connection(UP_REQUEST).status(), 200);
+    let mut new = site.start();
+    until("the new process is ready", || new.console_status("GET", "/ready") == 200);
+    assert_eq!(new.console_status("PUT", &disable(&servers[0])), 200);
+    until("the old process has applied the command", || old.log().contains("Disable"));
     for n in 0..10 {
-        assert_eq!(of_old.ask_here(&saldo(&format!("d{n}"), "3")).text(), "b");
+        assert_eq!(old_client.ask_on_this_connection(&saldo(&format!("d{n}"), "3")).text(), "b");
     }
-    assert_eq!(old.call("PUT", "/drain"), 200);
-    until("the new one has heard", || new.log().contains("Drain"));
+    assert_eq!(old.console_status("PUT", "/drain"), 200);
+    until("the new process has applied the command", || new.log().contains("Drain"));
     for _ in 0..10 {
-        assert_eq!(new.client().ask(UP).status(), 503, "whichever of them answers");
+        assert_eq!(new.client().ask(UP_REQUEST).status(), 503, "both processes report the drain");
     }
-    assert_eq!(new.call("PUT", "/undrain"), 200);
-    until("the old one has heard", || old.log().contains("Undrain"));
+    assert_eq!(new.console_status("PUT", "/undrain"), 200);
+    until("the old process has applied the command", || old.log().contains("Undrain"));
     for _ in 0..10 {
-        assert_eq!(new.client().ask(UP).status(), 200);
+        assert_eq!(new.client().ask(UP_REQUEST).status(), 200);
     }
-    // The new one dies: the old one serves on, alone.
-    new.child.kill().expect("killed");
+    // The new process is killed: the old one continues alone.
+    new.child.kill().expect("kill the gateway");
     new.exit();
-    until("the old one is alone", || old.log().contains("is gone"));
+    until("the old process detects the exit", || old.log().contains("is gone"));
     assert_eq!(old.client().ask(&saldo("e", "3")).text(), "b");
 }
 
 #[test]
 fn a_drained_gateway_stays_drained_across_an_upgrade() {
     let server = Stub::start(|_| ok("a"));
-    let platform = Platform::new(&[&server]);
-    let mut old = platform.start();
-    assert_eq!(old.call("PUT", "/drain"), 200);
-    let new = platform.start();
-    until("the new one is ready", || new.call("GET", "/ready") == 200);
+    let site = UpgradeSite::new(&[&server]);
+    let mut old = site.start();
+    assert_eq!(old.console_status("PUT", "/drain"), 200);
+    let new = site.start();
+    until("the new process is ready", || new.console_status("GET", "/ready") == 200);
     old.terminate();
     assert!(old.exit().success());
-    assert_eq!(new.client().ask(UP).status(), 503);
-    assert_eq!(new.call("PUT", "/undrain"), 200);
-    assert_eq!(new.client().ask(UP).status(), 200);
+    assert_eq!(new.client().ask(UP_REQUEST).status(), 503);
+    assert_eq!(new.console_status("PUT", "/undrain"), 200);
+    assert_eq!(new.client().ask(UP_REQUEST).status(), 200);
 }
 
 #[test]
 fn both_processes_share_one_quota() {
     let server = Stub::start(|_| ok("a"));
-    let mut platform = Platform::new(&[&server]);
-    // Room for six tries of two units, of which the last needs what the dearer class would.
-    platform.config =
-        platform.config.replace(r#""Rate":0.001,"Burst":0.001"#, r#""Rate":0.001,"Burst":13.5"#);
-    let few = |name: String| saldo(&name, "3").replace("X-Contract: basico", "X-Contract: nada");
-    let mut old = platform.start();
-    let mut of_old = old.client();
+    let mut site = UpgradeSite::new(&[&server]);
+    // A quota for six requests of two units each. A request is admitted only if the bucket holds its units
+    // scaled to the value of the most valuable class, so that the sixth one still needs more than two units.
+    site.config = site.config.replace(r#""Rate":0.001,"Burst":0.001"#, r#""Rate":0.001,"Burst":13.5"#);
+    let limited = |name: String| saldo(&name, "3").replace("X-Contract: basico", "X-Contract: nada");
+    let mut old = site.start();
+    let mut old_client = old.client();
     for n in 0..2 {
-        assert_eq!(of_old.ask_here(&few(format!("o{n}"))).status(), 200);
+        assert_eq!(old_client.ask_on_this_connection(&limited(format!("o{n}"))).status(), 200);
     }
-    let new = platform.start();
-    until("the new one is ready", || new.call("GET", "/ready") == 200);
-    // What the old one still sends on is the new one's to count as well.
+    let new = site.start();
+    until("the new process is ready", || new.console_status("GET", "/ready") == 200);
+    // The new process also counts the requests that the old one still sends.
     for n in 2..4 {
-        assert_eq!(of_old.ask_here(&few(format!("o{n}"))).status(), 200);
+        assert_eq!(old_client.ask_on_this_connection(&limited(format!("o{n}"))).status(), 200);
     }
     old.terminate();
     assert!(old.exit().success());
-    let mut of_new = new.client();
-    let statuses: Vec<u16> = (0..6).map(|n| of_new.ask(&few(format!("n{n}"))).status()).collect();
+    let mut new_client = new.client();
+    let statuses: Vec<u16> = (0..6).map(|n| new_client.ask(&limited(format!("n{n}"))).status()).collect();
     assert_eq!(statuses, [200, 200, 503, 503, 503, 503]);
     assert_eq!(server.requests(), 6);
 }
 
-/// What the living process at this place hands over, as another one would ask for it.
-fn estate(place: &Path) -> serde_json::Value {
-    let mut stream = UnixStream::connect(place).expect("connected");
-    stream.write_all(b"1\n").expect("written");
+/// Requests the handover snapshot from the process at this socket, as a new process does.
+fn fetch_snapshot(socket: &Path) -> serde_json::Value {
+    let mut stream = UnixStream::connect(socket).expect("connect");
+    stream.write_all(b"1\n").expect("write succeeds");
     let mut line = String::new();
-    BufReader::new(stream).read_line(&mut line).expect("an estate");
-    serde_json::from_str(&line).expect("JSON")
+    BufReader::new(stream).read_line(&mut line).expect("a snapshot");
+    serde_json::from_str(&line).expect("valid JSON")
 }
 
 #[test]
 fn a_wall_clock_change_does_not_shift_the_state_taken_over() {
     const HOUR: u64 = 3_600_000_000_000;
     let server = Stub::start(|_| ok("a"));
-    let platform = Platform::new(&[&server]);
-    let old = platform.start();
-    assert_eq!(old.call("PUT", &disable(&server)), 200);
-    let told = estate(&platform.meeting());
+    let site = UpgradeSite::new(&[&server]);
+    let old = site.start();
+    assert_eq!(old.console_status("PUT", &disable(&server)), 200);
+    let snapshot = fetch_snapshot(&site.socket_path());
     drop(old);
-    // The same from a process whose clock began when the wall clock was an hour ahead: all its instants are later.
+    // The same snapshot from a process that started when the wall clock was an hour ahead: all its instants
+    // are later.
     let later = |nanos: &serde_json::Value| nanos.as_u64().expect("an instant") + HOUR;
-    let mut ahead = told.clone();
-    ahead["origin"] = later(&told["origin"]).into();
-    ahead["memory"]["started"] = later(&told["memory"]["started"]).into();
+    let mut ahead = snapshot.clone();
+    ahead["origin"] = later(&snapshot["origin"]).into();
+    ahead["memory"]["started"] = later(&snapshot["memory"]["started"]).into();
     let (origin, started) = (ahead["origin"].clone(), ahead["memory"]["started"].clone());
-    drop(std::fs::remove_file(platform.meeting()));
-    let listener = UnixListener::bind(platform.meeting()).expect("bound");
-    let (done, held) = std::sync::mpsc::channel::<()>();
-    let living = std::thread::spawn(move || {
+    drop(std::fs::remove_file(site.socket_path()));
+    let listener = UnixListener::bind(site.socket_path()).expect("bind the socket");
+    let (done, is_done) = std::sync::mpsc::channel::<()>();
+    let old_process = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
-        let mut hello = String::new();
-        BufReader::new(stream.try_clone().expect("a copy")).read_line(&mut hello).expect("its version");
-        stream.write_all(format!("{ahead}\n").as_bytes()).expect("written");
-        assert!(held.recv().is_err(), "the test is over");
+        let mut version = String::new();
+        BufReader::new(stream.try_clone().expect("duplicate the socket"))
+            .read_line(&mut version)
+            .expect("the format version");
+        stream.write_all(format!("{ahead}\n").as_bytes()).expect("write succeeds");
+        assert!(is_done.recv().is_err(), "the sender is dropped at the end");
     });
-    let new = platform.start();
+    let new = site.start();
     assert!(new.log().contains("takes over"), "{}", new.log());
-    let told = estate(&platform.meeting());
-    assert_eq!(told["origin"], origin, "it goes on with the clock that the instants are on");
-    assert_eq!(told["memory"]["started"], started);
+    let snapshot = fetch_snapshot(&site.socket_path());
+    assert_eq!(snapshot["origin"], origin, "the clock's origin is taken over with the instants");
+    assert_eq!(snapshot["memory"]["started"], started);
     drop(done);
-    living.join().expect("ended");
+    old_process.join().expect("the thread ends");
 }
 
 #[test]
 fn an_upgrade_leaves_a_retry_with_the_old_process_and_its_budget() {
-    let servers = [Stub::start(|_| Reply::Silence), Stub::start(|_| Reply::Silence)];
-    let platform = Platform::new(&[&servers[0], &servers[1]]);
-    let mut old = platform.start();
+    let servers = [Stub::start(|_| Reply::NoAnswer), Stub::start(|_| Reply::NoAnswer)];
+    let site = UpgradeSite::new(&[&servers[0], &servers[1]]);
+    let mut old = site.start();
     let mut client = old.client();
     client.write(&saldo("m", "3.9"));
-    let asked = |stub: &Stub| stub.requests() == 1;
-    until("a server has it", || servers.iter().any(asked));
-    let (first, second) = if asked(&servers[0]) { (0, 1) } else { (1, 0) };
-    let new = platform.start();
-    until("the new one is ready", || new.call("GET", "/ready") == 200);
+    let has_request = |stub: &Stub| stub.requests() == 1;
+    until("a server has the request", || servers.iter().any(has_request));
+    let (first, second) = if has_request(&servers[0]) { (0, 1) } else { (1, 0) };
+    let new = site.start();
+    until("the new process is ready", || new.console_status("GET", "/ready") == 200);
     old.terminate();
-    servers[first].speak(&Reply::Answer(500, "", String::new()));
-    until("the other server has it", || asked(&servers[second]));
-    let told = |stub: &Stub| stub.last().header("x-expires-in").parse::<f64>().expect("seconds");
-    assert!(told(&servers[second]) < told(&servers[first]), "no time was gained");
-    servers[second].speak(&ok("second"));
-    assert_eq!(client.answer().expect("an answer").text(), "second");
+    servers[first].answer_pending(&Reply::Answer(500, "", String::new()));
+    until("the other server has the request", || has_request(&servers[second]));
+    let remaining_time =
+        |stub: &Stub| stub.last_request().header("x-expires-in").parse::<f64>().expect("a number of seconds");
+    assert!(
+        remaining_time(&servers[second]) < remaining_time(&servers[first]),
+        "the time budget is not extended"
+    );
+    servers[second].answer_pending(&ok("second"));
+    assert_eq!(client.read_response().expect("a response").text(), "second");
     assert!(old.exit().success());
     assert_eq!(servers[first].requests() + servers[second].requests(), 2);
 }
 
-/// Starts a process where something else stands at the meeting place; it must serve all the same.
-fn starts_afresh(prepare: impl FnOnce(&Path)) {
+/// Asserts that a process starts without a takeover and serves if the handover socket was prepared like this,
+/// and that the next process takes over from it.
+fn assert_fresh_start(prepare: impl FnOnce(&Path)) {
     let server = Stub::start(|_| ok("a"));
-    let platform = Platform::new(&[&server]);
-    prepare(&platform.meeting());
-    let first = platform.start();
-    until("it is ready", || first.call("GET", "/ready") == 200);
+    let site = UpgradeSite::new(&[&server]);
+    prepare(&site.socket_path());
+    let first = site.start();
+    until("the gateway is ready", || first.console_status("GET", "/ready") == 200);
     assert!(!first.log().contains("takes over"), "{}", first.log());
     assert_eq!(first.client().ask(&saldo("f", "3")).text(), "a");
-    // What stood there is no hindrance to the next one.
-    let next = platform.start();
+    // The next process can take over: the path was replaced by a working socket.
+    let next = site.start();
     assert!(next.log().contains("takes over"), "{}", next.log());
 }
 
 #[test]
 fn a_stale_socket_means_a_fresh_start() {
-    starts_afresh(|place| drop(UnixListener::bind(place).expect("bound")));
-    starts_afresh(|place| std::fs::write(place, "old").expect("written"));
+    assert_fresh_start(|path| drop(UnixListener::bind(path).expect("bind the socket")));
+    assert_fresh_start(|path| std::fs::write(path, "old").expect("write succeeds"));
 }
 
 #[test]
 fn a_malformed_or_missing_snapshot_means_a_fresh_start() {
-    let other = |answer: Option<Vec<u8>>| {
-        move |place: &Path| {
-            let listener = UnixListener::bind(place).expect("bound");
+    let old_process = |answer: Option<Vec<u8>>| {
+        move |path: &Path| {
+            let listener = UnixListener::bind(path).expect("bind the socket");
             std::thread::spawn(move || {
                 let (mut stream, _) = listener.accept().expect("a connection");
-                let mut hello = String::new();
-                drop(BufReader::new(stream.try_clone().expect("a copy")).read_line(&mut hello));
+                let mut version = String::new();
+                drop(
+                    BufReader::new(stream.try_clone().expect("duplicate the socket")).read_line(&mut version),
+                );
                 if let Some(answer) = answer {
                     drop(stream.write_all(&answer));
                 } else {
-                    std::thread::sleep(LONG);
+                    std::thread::sleep(WAIT_TIMEOUT);
                 }
             });
         }
     };
-    starts_afresh(other(Some(b"nonsense\n".to_vec())));
-    starts_afresh(other(Some(br#"{"version":1,"ids":{}"#.to_vec())));
-    starts_afresh(other(Some(br#"{"version":9,"ids":{},"draining":true,"memory":{}}"#.to_vec())));
-    starts_afresh(other(Some(vec![b'x'; 8 << 20])));
-    starts_afresh(other(None));
+    assert_fresh_start(old_process(Some(b"nonsense\n".to_vec())));
+    assert_fresh_start(old_process(Some(br#"{"version":1,"ids":{}"#.to_vec())));
+    assert_fresh_start(old_process(Some(br#"{"version":9,"ids":{},"draining":true,"memory":{}}"#.to_vec())));
+    assert_fresh_start(old_process(Some(vec![b'x'; 8 << 20])));
+    assert_fresh_start(old_process(None));
 }
 
 #[test]
@@ -285,16 +304,18 @@
 
 #[test]
 fn a_process_that_takes_over_no_endpoint_list_is_not_ready() {
-    let mut platform = Platform::new(&[]);
+    let mut site = UpgradeSite::new(&[]);
     let agent = Agent::start();
-    let addr = platform.listener.local_addr().expect("bound").to_string();
-    platform.config = config(&addr, agent.stub.addr, None);
-    let old = platform.start();
-    assert_eq!(old.call("GET", "/ready"), 503);
-    let new = platform.start();
+    let addr = site.listener.local_addr().expect("a bound socket").to_string();
+    site.config = config(&addr, agent.stub.addr, None);
+    let old = site.start();
+    assert_eq!(old.console_status("GET", "/ready"), 503);
+    let new = site.start();
     assert!(new.log().contains("takes over"), "{}", new.log());
-    assert_eq!(new.call("GET", "/ready"), 503);
-    // It asks by itself.
-    agent.tell(ok(&list(1, true, &[])));
-    until("it is ready", || new.call("GET", "/ready") == 200 || old.call("GET", "/ready") == 200);
+    assert_eq!(new.console_status("GET", "/ready"), 503);
+    // The new process requests the list itself.
+    agent.queue_reply(ok(&list(1, true, &[])));
+    until("the gateway is ready", || {
+        new.console_status("GET", "/ready") == 200 || old.console_status("GET", "/ready") == 200
+    });
 }
