--- a/quota-gateway/server/tests/clients.rs
+++ b/quota-gateway/server/tests/clients.rs
@@ -124,7 +124,7 @@
         answer.status()
     );
     assert_eq!(server.requests(), 1);
-    assert_eq!(client.ask(&unmarked).status(), 200, "the request is not marked as a retry");
+    assert_eq!(client.ask(&unmarked).status(), 200, "a request that is not marked as a retry is served");
 }
 
 #[test]
--- a/quota-gateway/server/tests/common/mod.rs
+++ b/quota-gateway/server/tests/common/mod.rs
@@ -44,7 +44,7 @@
 }
 
 impl Message {
-    /// Reads a message; `None` if the connection was closed or reset.
+    /// Reads a message; `None` if the connection ends first, by a close or a reset.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut line = String::new();
         from.read_line(&mut line).ok().filter(|&n| n > 0)?;
--- a/quota-gateway/server/tests/list.rs
+++ b/quota-gateway/server/tests/list.rs
@@ -40,8 +40,8 @@
 }
 
 impl DiscoveryService {
-    /// Starts the service on a port that is reserved before, because the gateway's configuration names it
-    /// before the service listens. A restarted service gets the port and the directory of its predecessor.
+    /// Starts the service on a reserved port, because the gateway's configuration names the port before the
+    /// service listens. A restarted service gets the port and the directory of its predecessor.
     fn start(dir: &Path, port: Port) -> DiscoveryService {
         let listen = port.addr;
         let file = dir.join("list.json");
@@ -131,8 +131,8 @@
     // A server joins, and gets requests.
     service.register(&stubs[2], "");
     until("the third server gets requests", || requests(&stubs[2]) > 0);
-    // A server drains: the service publishes this after the 20 ms for which it gathers changes, and half a
-    // second later the server gets no new requests.
+    // A server drains: the service publishes this after the 20 ms for which it gathers changes, and from half
+    // a second later the server gets no new requests.
     service.call_for_server("/discovery/drain", &stubs[0]);
     thread::sleep(Duration::from_millis(550));
     let before = requests(&stubs[0]);
@@ -231,7 +231,7 @@
     for n in 0..5 {
         assert_eq!(client.ask(&saldo(&format!("m2{n}"), "3")).text(), "b");
     }
-    // The other one stays unlisted until its removal delay has passed.
+    // The other one is not listed again, and is removed after the removal delay.
     agent.queue_reply(ok(&list(3, false, &[])));
     until("the suspect is removed", || {
         agent.queue_reply(ok(&list(3, false, &[])));
--- a/quota-gateway/server/tests/time.rs
+++ b/quota-gateway/server/tests/time.rs
@@ -22,7 +22,7 @@
     message.header("x-expires-in").parse().expect("a number of seconds")
 }
 
-/// Starts a gateway with a console and these servers, whose configuration `change` edits before.
+/// Starts a gateway with a console and these servers; `change` edits its configuration before the start.
 fn start_gateway(servers: &[&Stub], change: impl Fn(String) -> String) -> (Running, Agent) {
     let addresses: Vec<_> = servers.iter().map(|stub| stub.addr).collect();
     Running::with_non_idempotent_class(&addresses, change)
@@ -195,8 +195,8 @@
     agent.wait_for_watch(1);
     agent.queue_reply(ok(&hosts(2, true, &[(hanging.addr, "SERVING"), (good.addr, "SERVING")])));
     agent.wait_for_watch(2);
-    // Some request is sent to the server whose connect hangs. The settings allow 250 ms for a connect, which
-    // is more than any of these requests has left.
+    // One of the requests is sent to the server whose connect hangs. The settings allow 250 ms for a connect,
+    // which is more than any of these requests has left.
     let connect_time = r#"marblecroft_request_stage_seconds_sum{class="nomina",stage="connect"}"#;
     for n in 0..40 {
         let answer = client.ask(&nomina(&format!("c{n}"), "0.250", "pago"));
