--- a/testing/fault-injection/src/harness/candidates.rs
+++ b/testing/fault-injection/src/harness/candidates.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Mean interval between the actions of a lock owner.
+/// Interval between the actions of a lock owner. Each pause is drawn between half and twice of it.
 const ACTION_INTERVAL: Nanos = 20 * MS;
 /// Probability that an owner releases its lock after an action.
 const RELEASE_PROBABILITY: f64 = 0.004;
--- a/testing/fault-injection/src/harness/run/controllers.rs
+++ b/testing/fault-injection/src/harness/run/controllers.rs
@@ -59,8 +59,8 @@
                 context.record(Event::SharesDecided { token, revision, level, capacity });
             }
             if let Some((token, revision, body)) = new_decision::<ShardMap>(view, &keys, "books", &last[2]) {
-                let shard_settings = body.shards.iter().map(shard_record).collect();
-                context.record(Event::ShardMapDecided { token, revision, shards: shard_settings });
+                let shards = body.shards.iter().map(shard_record).collect();
+                context.record(Event::ShardMapDecided { token, revision, shards });
             }
         };
         let prefix = Keys::of(FLEET).prefix;
--- a/testing/fault-injection/tests/datagrams.rs
+++ b/testing/fault-injection/tests/datagrams.rs
@@ -20,7 +20,7 @@
 async fn process(datagrams: &Rc<Datagrams>, context: &Rc<RunContext>, end: End) -> (UdpSocket, SocketAddr) {
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port is free");
     let public = datagrams
-        .register(context, end, socket.local_addr().expect("bound"))
+        .register(context, end, socket.local_addr().expect("the socket is bound"))
         .await
         .expect("the process is registered");
     (socket, public)
@@ -28,8 +28,10 @@
 
 async fn receive(socket: &UdpSocket) -> (Vec<u8>, SocketAddr) {
     let mut buffer = [0; 64];
-    let (n, from) =
-        timeout(RECEIVE_TIMEOUT, socket.recv_from(&mut buffer)).await.expect("in time").expect("received");
+    let (n, from) = timeout(RECEIVE_TIMEOUT, socket.recv_from(&mut buffer))
+        .await
+        .expect("a datagram arrives in time")
+        .expect("the socket is readable");
     (buffer[..n].to_vec(), from)
 }
 
@@ -39,7 +41,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build_local(options);
     runtime.expect("the runtime starts").block_on(async {
         let scenario = Scenario::default();
-        let deployment = Deployment::draw(&scenario, 1).expect("draws");
+        let deployment = Deployment::draw(&scenario, 1).expect("the deployment can be drawn");
         let history = Writer::new(File::create("/dev/null").expect("/dev/null is writable"))
             .expect("the header is written");
         let context = RunContext::new(scenario, deployment, 1, history);
--- a/testing/fault-injection/tests/stand_ins.rs
+++ b/testing/fault-injection/tests/stand_ins.rs
@@ -334,7 +334,7 @@
         scenario.load.come_back = come_back;
         scenario.load.retries = 5;
         let deployment = Deployment::draw(&scenario, seed).expect("the deployment can be drawn");
-        let arrival = Arrivals::new(&scenario, &deployment, seed).and_then(|mut all| all.next()).expect("one");
+        let arrival = Arrivals::new(&scenario, &deployment, seed).and_then(|mut all| all.next()).expect("the load has a request");
         prop_assert_eq!(arrival.class, UNSAFE);
         let customer = &deployment.customers[arrival.customer as usize];
         let mut load_balancer = LoadBalancer::new(3);
