--- a/testing/fault-injection/src/harness/run/coordinators.rs
+++ b/testing/fault-injection/src/harness/run/coordinators.rs
@@ -68,7 +68,7 @@
             send(i, 0, wire::Request::Join { cluster }).await?;
         }
         // Like `marblecroft-coordination-server begin`, sends the request to all coordinators at once. One
-        // that already knows of the cluster rejects it.
+        // that is already in the cluster rejects it.
         let begin = || wire::Request::Begin { members: members.clone() };
         let replies = join_all((0..ports.len()).map(|i| send(i, cluster, begin()))).await;
         match replies.iter().any(|reply| matches!(reply, Ok(wire::Response::Done))) {
