--- a/control-plane/batch-state/tests/golden.rs
+++ b/control-plane/batch-state/tests/golden.rs
@@ -5,7 +5,7 @@
 #[path = "../../../testing/support/golden/encoding.rs"]
 mod encoding;
 
-use encoding::{check, unhex};
+use encoding::{check, decode_hex};
 use marblecroft_batch_state::{BatchState, Item, ItemOutcome, ItemResult, NewJob, Operation, Output};
 use marblecroft_chain_replication::StateMachine;
 use marblecroft_rpc::Bytes;
@@ -81,7 +81,7 @@
 #[test]
 fn a_stored_batch_state_is_restored_and_usable() {
     let line = include_str!("golden/state.hex").lines().next().expect("the fixture has a line");
-    let bytes = unhex(line.split(' ').nth(1).expect("the line has a value"));
+    let bytes = decode_hex(line.split(' ').nth(1).expect("the line has a value"));
     let mut batch = BatchState::restore(&bytes).expect("a valid snapshot");
     assert_eq!(batch.snapshot(), bytes);
     assert_eq!((batch.queued_tokens("nightly"), batch.queued_tokens("hourly")), (230, 0));
--- a/control-plane/control-state/tests/golden.rs
+++ b/control-plane/control-state/tests/golden.rs
@@ -5,7 +5,7 @@
 #[path = "../../../testing/support/golden/encoding.rs"]
 mod encoding;
 
-use encoding::{check, unhex};
+use encoding::{check, decode_hex};
 use marblecroft_chain_replication::{Member, StateMachine, View};
 use marblecroft_control_state::{ControlState, Operation, Output};
 use marblecroft_rpc::Bytes;
@@ -67,7 +67,7 @@
 #[test]
 fn a_stored_control_state_is_restored_and_usable() {
     let line = include_str!("golden/state.hex").lines().next().expect("the fixture has a line");
-    let bytes = unhex(line.split(' ').nth(1).expect("the line has a value"));
+    let bytes = decode_hex(line.split(' ').nth(1).expect("the line has a value"));
     let mut control = ControlState::restore(&bytes).expect("a valid snapshot");
     assert_eq!(control.snapshot(), bytes);
     assert_eq!((control.generation(), control.sequence()), (9, 2));
--- a/control-plane/wal/tests/golden.rs
+++ b/control-plane/wal/tests/golden.rs
@@ -4,7 +4,7 @@
 #[path = "../../../testing/support/golden/hex.rs"]
 mod hex;
 
-use hex::{hex, unhex};
+use hex::{decode_hex, hex};
 use marblecroft_wal::{Recovered, Wal, MAGIC};
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -43,7 +43,7 @@
 #[test]
 fn stored_segment_file_is_recovered() {
     let directory = create_directory("read");
-    let stored = unhex(include_str!("golden/segment.hex").trim_end());
+    let stored = decode_hex(include_str!("golden/segment.hex").trim_end());
     fs::write(directory.join(SEGMENT), &stored).expect("written");
     let (mut wal, recovered) = Wal::open(&directory).expect("opens");
     let expected = Recovered {
--- a/quota-gateway/coordination/benches/service.rs
+++ b/quota-gateway/coordination/benches/service.rs
@@ -93,7 +93,7 @@
         for i in 0..3 {
             let folder = root.join(i.to_string());
             fs::create_dir_all(&folder).expect("a folder is created");
-            let port = Port::held();
+            let port = Port::reserve();
             let addr = port.addr.to_string();
             let data = folder.join("data");
             let config = format!("listen = {addr:?}\ndata = {data:?}\n{extra_config}");
--- a/quota-gateway/coordination/tests/cluster.rs
+++ b/quota-gateway/coordination/tests/cluster.rs
@@ -31,7 +31,7 @@
     fn new(root: &Path, number: usize) -> Member {
         let folder = root.join(number.to_string());
         fs::create_dir_all(&folder).expect("a folder is created");
-        let port = Port::held();
+        let port = Port::reserve();
         let addr = port.addr.to_string();
         let config = format!(
             "listen = {addr:?}\ndata = {:?}\nheartbeat_ms = 50\nelection_ms = 300\nsnapshot_every = 100\nmetrics = \"127.0.0.1:0\"\n",
--- a/quota-gateway/discovery/tests/replicas.rs
+++ b/quota-gateway/discovery/tests/replicas.rs
@@ -17,7 +17,7 @@
 
 impl Member {
     fn new() -> Member {
-        let port = Port::held();
+        let port = Port::reserve();
         Member { folder: folder(), addr: port.addr, _port: port }
     }
 
--- a/quota-gateway/server/tests/list.rs
+++ b/quota-gateway/server/tests/list.rs
@@ -116,7 +116,7 @@
 fn requests_succeed_while_servers_change_and_the_discovery_service_fails() {
     let dir = temp_dir();
     let stubs: Vec<Stub> = (0..4).map(|_| Stub::start(|_| ok("served"))).collect();
-    let service = DiscoveryService::start(&dir, Port::held());
+    let service = DiscoveryService::start(&dir, Port::reserve());
     service.register(&stubs[0], "");
     service.register(&stubs[1], "");
     // The slow start is short, so that newly registered servers get requests at once.
@@ -177,10 +177,10 @@
 fn the_watch_fails_over_to_another_discovery_address() {
     let dir = temp_dir();
     let stubs = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
-    let service = DiscoveryService::start(&dir, Port::held());
+    let service = DiscoveryService::start(&dir, Port::reserve());
     service.register(&stubs[0], "");
     // The first address refuses connections.
-    let refusing = Port::held();
+    let refusing = Port::reserve();
     let settings = config("127.0.0.1:0", refusing.addr, None)
         .replace(r#""RampTime":14000000000"#, r#""RampTime":1000000"#);
     let settings = with_discovery_service(settings, &format!(r#""others":["{}"]"#, service.addr));
--- a/quota-gateway/server/tests/servers.rs
+++ b/quota-gateway/server/tests/servers.rs
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_refused_connection_proves_that_nothing_ran() {
-    let refusing = Port::held();
+    let refusing = Port::reserve();
     let mut stub = Stub::start(|_| ok("never asked"));
     stub.addr = refusing.addr;
     let (gateway, _agent) = Running::with_servers(&[&stub]);
--- a/testing/support/golden/encoding.rs
+++ b/testing/support/golden/encoding.rs
@@ -7,7 +7,7 @@
 #[path = "hex.rs"]
 mod hex;
 
-pub use hex::{hex, unhex};
+pub use hex::{decode_hex, hex};
 
 use marblecroft_rpc::{decode, encode, Message};
 use std::fmt::Debug;
@@ -20,7 +20,7 @@
     let written: String = values.iter().map(line).collect();
     assert!(written == fixture, "the encoding differs from the fixture; encoded:\n{written}");
     for (line, (name, value)) in fixture.lines().zip(values) {
-        let bytes = unhex(line.split(' ').nth(1).expect("a line has a name and bytes"));
+        let bytes = decode_hex(line.split(' ').nth(1).expect("a line has a name and bytes"));
         let read: T = decode(&bytes).expect(name);
         assert_eq!(&read, value, "{name} is decoded to another value");
         assert_eq!(encode(&read), bytes, "{name} is encoded to other bytes after decoding");
--- a/testing/support/golden/hex.rs
+++ b/testing/support/golden/hex.rs
@@ -10,7 +10,7 @@
 /// # Panics
 ///
 /// Panics if the text is not an even number of hexadecimal digits.
-pub fn unhex(text: &str) -> Vec<u8> {
+pub fn decode_hex(text: &str) -> Vec<u8> {
     let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
     (0..text.len()).step_by(2).map(digits).collect()
 }
--- a/testing/support/golden/storage.rs
+++ b/testing/support/golden/storage.rs
@@ -1,7 +1,7 @@
 //! Comparison of the storage writes of a chain member with recorded ones, shared by golden tests. A file that
 //! includes this module must also include the module `encoding`.
 
-use super::encoding::{hex, unhex};
+use super::encoding::{decode_hex, hex};
 use marblecroft_chain_replication::storage::Storage;
 use marblecroft_wal::Recovered;
 use std::cell::RefCell;
@@ -61,10 +61,10 @@
         let (kind, bytes) = line.split_once(' ').expect("a line has a kind and bytes");
         match kind {
             "segment" => {
-                found.snapshot = Some(unhex(bytes));
+                found.snapshot = Some(decode_hex(bytes));
                 found.records.clear();
             }
-            _ => found.records.push(unhex(bytes)),
+            _ => found.records.push(decode_hex(bytes)),
         }
     }
     found
--- a/testing/support/src/port.rs
+++ b/testing/support/src/port.rs
@@ -21,7 +21,7 @@
     /// # Panics
     ///
     /// Panics if the system has no free port.
-    pub fn held() -> Port {
+    pub fn reserve() -> Port {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).expect("create a socket");
         // SO_REUSEADDR lets the program bind the port beside this socket, which does not listen. All programs
         // that tests start set the option as well.
--- a/testing/support/src/port/tests.rs
+++ b/testing/support/src/port/tests.rs
@@ -5,7 +5,7 @@
 /// a program can listen on it.
 #[test]
 fn a_reserved_port_is_not_assigned_again_and_can_be_listened_on() {
-    let port = Port::held();
+    let port = Port::reserve();
     assert!(TcpStream::connect(port.addr).is_err(), "connection accepted before a program listens");
     let others: Vec<TcpListener> =
         (0..500).map(|_| TcpListener::bind("127.0.0.1:0").expect("bind a free port")).collect();
