--- a/quota-gateway/server/benches/cost.rs
+++ b/quota-gateway/server/benches/cost.rs
@@ -21,12 +21,12 @@
     let known = list(1, true, &serving(&[&server]));
     let script = "exec valgrind --tool=callgrind --callgrind-out-file=/dev/null \"$0\"";
     let config = config("127.0.0.1:0", agent.stub.addr, Some(&known));
-    let mut gateway = Running::start_with(script, &config, &[("RELAY_CONSOLE", "127.0.0.1:0")]);
+    let mut gateway = GatewayProcess::start_with(script, &config, &[("RELAY_CONSOLE", "127.0.0.1:0")]);
     let mut client = gateway.client();
     for n in 0..requests {
         let request =
             if n % 2 == 0 { saldo(&format!("{n}"), "3") } else { abono(&format!("{n}"), "3", "pago") };
-        let answer = client.ask(&request);
+        let answer = client.call(&request);
         assert_eq!(answer.status(), 200, "request {n}: {}", answer.text());
     }
     assert_eq!(server.requests(), requests, "each request was sent once");
--- a/quota-gateway/server/tests/size.rs
+++ b/quota-gateway/server/tests/body_streaming.rs
@@ -59,7 +59,7 @@
 }
 
 /// The peak resident memory of the process, in bytes.
-fn peak_memory(gateway: &Running) -> usize {
+fn peak_memory(gateway: &GatewayProcess) -> usize {
     let status =
         std::fs::read_to_string(format!("/proc/{}/status", gateway.child.id())).expect("the process runs");
     let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("a VmHWM line");
@@ -70,8 +70,8 @@
 fn long_responses_are_streamed_in_every_framing() {
     let text = numbered_body(LENGTH);
     let server = Stub::start(|_| ok(""));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
-    assert_eq!(gateway.client().ask(&saldo("warm", "3")).status(), 200);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
+    assert_eq!(gateway.client().call(&saldo("warm", "3")).status(), 200);
     let before = peak_memory(&gateway);
     let framings = [
         Reply::Answer(200, "", text.clone()),
@@ -106,20 +106,20 @@
 fn a_short_response_counts_only_if_it_is_complete() {
     let server =
         Stub::start(|_| Reply::RawAndClose("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end"));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
-    assert_eq!(client.ask(&abono("e", "3", "")).text(), "to the end", "the server announced the close");
+    assert_eq!(client.call(&abono("e", "3", "")).text(), "to the end", "the server announced the close");
     server.set_handler(|_| {
         Reply::RawAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\ncut o")
     });
-    let answer = client.ask(&abono("f", "3", ""));
+    let answer = client.call(&abono("f", "3", ""));
     assert_eq!(answer.status(), 502, "{}", answer.text());
 }
 
 #[test]
 fn a_streamed_response_is_not_retried_and_its_truncation_is_visible() {
     let server = Stub::start(|_| Reply::NoAnswer);
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     for (n, head) in ["Content-Length: 900000", "Transfer-Encoding: chunked"].into_iter().enumerate() {
         let part = numbered_body(200_000);
         let part =
@@ -145,7 +145,7 @@
 #[test]
 fn a_streamed_response_may_outlast_the_deadline() {
     let server = Stub::start(|_| Reply::NoAnswer);
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     client.write(&saldo("s", "0.5"));
     until("the server has the request", || server.requests() == 1);
@@ -175,7 +175,7 @@
 #[test]
 fn long_request_bodies_are_streamed_once_and_unchanged() {
     let server = Stub::start(|m| ok(&format!("{} {}", m.body.len(), m.header("content-length"))));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let text = numbered_body(LENGTH);
     let mut client = gateway.client();
     client.write(&abono("u", "3", &text));
@@ -184,7 +184,7 @@
     assert!(peak_memory(&gateway) < LENGTH, "{} bytes", peak_memory(&gateway));
     // Both connections are reused, the one to the server after the reuse delay.
     wait_for_reuse();
-    assert_eq!(client.ask_on_this_connection(&abono("v", "3", "short")).text(), "5 5");
+    assert_eq!(client.call_on_this_connection(&abono("v", "3", "short")).text(), "5 5");
     assert_eq!(server.connections.load(Ordering::SeqCst), 1);
 }
 
@@ -212,7 +212,7 @@
 #[test]
 fn a_truncated_streamed_body_never_runs() {
     let (server, received) = recording_server(usize::MAX);
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let request = abono("b", "3", &numbered_body(400_000));
     let mut client = gateway.client();
     client.write(&request[..200_000]);
@@ -221,7 +221,7 @@
     assert!(received.len() < request.len() - 100_000, "the server's connection ended before the body did");
     // A client that stalls gets 408, and the server's connection is closed too.
     let (server, received) = recording_server(usize::MAX);
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     client.write(&request[..200_000]);
     assert_eq!(client.read_response().expect("a response").status(), 408);
@@ -232,7 +232,7 @@
 #[test]
 fn a_partly_sent_streamed_body_is_not_retried() {
     let (server, received) = recording_server(100_000);
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     // The connection may be closed while the rest is still being written.
     drop(client.0.get_mut().write_all(abono("h", "3", &numbered_body(8_000_000)).as_bytes()));
--- a/quota-gateway/server/tests/clients.rs
+++ b/quota-gateway/server/tests/clients.rs
@@ -8,10 +8,10 @@
 #[test]
 fn a_request_is_forwarded_unchanged_and_its_response_body_returned() {
     let server = Stub::start(|m| ok(&format!("{} {}", m.header("x-trace-id"), m.text())));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
 
-    let answer = client.ask(&saldo("a1", "2.000"));
+    let answer = client.call(&saldo("a1", "2.000"));
     assert_eq!((answer.status(), answer.text().as_str()), (200, format!("{} ", trace_id("a1")).as_str()));
     let forwarded = server.last_request();
     assert_eq!(forwarded.start_line[..2], ["GET".to_owned(), format!("/saldo?of={}", trace_id("a1"))]);
@@ -20,7 +20,7 @@
     assert!(wait > 0.0 && wait < 2.0, "{wait}: the server is given less time than the client waits");
 
     wait_for_reuse();
-    let answer = client.ask(&abono("a2", "5", "pago 17"));
+    let answer = client.call(&abono("a2", "5", "pago 17"));
     assert_eq!(
         (answer.status(), answer.text().as_str()),
         (200, format!("{} pago 17", trace_id("a2")).as_str())
@@ -38,7 +38,7 @@
 #[test]
 fn a_malformed_request_is_rejected_and_reaches_no_server() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let good = saldo("b", "2");
     let without = |name: &str| {
         let lines = good.split_inclusive("\r\n").filter(|line| !line.starts_with(name));
@@ -83,7 +83,7 @@
         ("GET / HTTP/1.1\r\nHost: a\r\n\r\n".to_owned(), 404, "class"),
         ("POST /up HTTP/1.1\r\nHost: a\r\n\r\n".to_owned(), 400, "GET"),
     ] {
-        let answer = client.ask(&request);
+        let answer = client.call(&request);
         assert_eq!(answer.status(), status, "{request}");
         assert!(answer.text().contains(word), "{word} in {}", answer.text());
         assert_eq!(answer.text().trim_end().lines().count(), 1);
@@ -91,18 +91,18 @@
     // A body of more than 32 MiB is rejected: at once if its length is declared, and if it is chunked, once
     // that much has arrived.
     let too_long = abono("b", "2", "").replace("Content-Length: 0", "Content-Length: 33554433");
-    assert_eq!(gateway.client().ask(&too_long).status(), 413);
+    assert_eq!(gateway.client().call(&too_long).status(), 413);
     let accepted = "x".repeat(64 << 10);
-    assert_eq!(gateway.client().ask(&abono("b", "2", &accepted)).status(), 200);
+    assert_eq!(gateway.client().call(&abono("b", "2", &accepted)).status(), 200);
     assert_eq!(server.requests(), 1);
 }
 
 #[test]
 fn a_rejection_is_immediate_and_has_a_retry_after() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let over_quota = saldo("r", "2").replace("X-Contract: basico", "X-Contract: nada");
-    let answer = gateway.client().ask(&over_quota);
+    let answer = gateway.client().call(&over_quota);
     assert!(matches!(answer.status(), 429 | 503), "{}", answer.status());
     let wait: f64 = answer.header("retry-after").parse().expect("a number of seconds");
     assert!(wait > 0.0 && wait <= 0.5, "{wait}: Retry-After is at most MaxRetryAfter");
@@ -112,32 +112,32 @@
 #[test]
 fn a_retry_past_its_latency_target_is_rejected_and_reaches_no_server() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
-    assert_eq!(client.ask(&saldo("f", "4")).status(), 200, "a first attempt");
+    assert_eq!(client.call(&saldo("f", "4")).status(), 200, "a first attempt");
     let unmarked = saldo("s", "2");
     let marked = unmarked.replace("X-Unknown: 1", "X-Second-Try: 1");
-    let answer = client.ask(&marked);
+    let answer = client.call(&marked);
     assert!(
         matches!(answer.status(), 429 | 503),
         "{}: 2 of 4 s are left, and the latency target of 1.5 s has passed",
         answer.status()
     );
     assert_eq!(server.requests(), 1);
-    assert_eq!(client.ask(&unmarked).status(), 200, "a request that is not marked as a retry is served");
+    assert_eq!(client.call(&unmarked).status(), 200, "a request that is not marked as a retry is served");
 }
 
 #[test]
 fn a_client_disconnect_cancels_its_attempt() {
     let server = Stub::start(|_| Reply::NoAnswer);
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     client.write(&saldo("h", "4"));
     until("the server has the request", || server.requests() == 1);
     drop(client);
     until("the attempt's connection is closed", || server.closed.load(Ordering::SeqCst) == 1);
     server.set_handler(|_| ok("served"));
-    assert_eq!(gateway.client().ask(&saldo("i", "4")).status(), 200);
+    assert_eq!(gateway.client().call(&saldo("i", "4")).status(), 200);
     assert_eq!(
         server.connections.load(Ordering::SeqCst),
         2,
@@ -152,11 +152,11 @@
     let known = list(1, true, &serving(&[&server]));
     let small =
         config("127.0.0.1:0", agent.stub.addr, Some(&known)).replace(r#""sockets":256"#, r#""sockets":64"#);
-    let gateway = Running::start_in_shell("ulimit -n 64; exec \"$0\"", &small);
+    let gateway = GatewayProcess::start_in_shell("ulimit -n 64; exec \"$0\"", &small);
     let mut clients: Vec<Client> = Vec::new();
     for n in 0..80 {
         let mut client = gateway.client();
-        assert_eq!(client.ask(&saldo(&format!("c{n}"), "4")).status(), 200);
+        assert_eq!(client.call(&saldo(&format!("c{n}"), "4")).status(), 200);
         clients.push(client);
     }
     assert_eq!(server.requests(), 80);
@@ -170,16 +170,16 @@
     let agent = Agent::start();
     let known = list(1, true, &serving(&[&server]));
     // The process limit is lower than the configured number of sockets.
-    let gateway = Running::start_in_shell(
+    let gateway = GatewayProcess::start_in_shell(
         "ulimit -n 32; exec \"$0\"",
         &config("127.0.0.1:0", agent.stub.addr, Some(&known)),
     );
-    assert_eq!(gateway.client().ask(&saldo("d", "4")).status(), 200);
+    assert_eq!(gateway.client().call(&saldo("d", "4")).status(), 200);
     let mut clients: Vec<Client> = (0..60).map(|_| gateway.client()).collect();
     until("the gateway runs out of descriptors", || gateway.log().contains("accept"));
     clients.truncate(4);
     let mut client = gateway.client();
-    assert_eq!(client.ask(&saldo("e", "20")).status(), 200);
+    assert_eq!(client.call(&saldo("e", "20")).status(), 200);
     assert_eq!(gateway.log().matches("accept").count(), 1, "all failed accepts are logged in one line");
 }
 
@@ -190,18 +190,18 @@
     let known = list(1, true, &serving(&[&server]));
     let small =
         config("127.0.0.1:0", agent.stub.addr, Some(&known)).replace(r#""sockets":256"#, r#""sockets":64"#);
-    let gateway = Running::start(&small);
+    let gateway = GatewayProcess::start(&small);
     // More connections than the gateway admits, each with the beginning of a request.
     let mut stuck: Vec<Client> = (0..30).map(|_| gateway.client()).collect();
     stuck.iter_mut().for_each(|client| client.write("GET /saldo HTTP/1.1\r\nHost:"));
-    assert_eq!(gateway.client().ask(&saldo("p", "4")).status(), 200);
+    assert_eq!(gateway.client().call(&saldo("p", "4")).status(), 200);
     assert_eq!(server.requests(), 1);
 }
 
 #[test]
 fn an_unparsable_request_gets_a_reason_and_a_close() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let long_head = format!("GET /saldo HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(100_000));
     for (request, status, word) in [
         ("no such thing\r\n\r\n", 400, "unreadable"),
@@ -230,7 +230,7 @@
 #[test]
 fn ambiguous_framing_is_rejected_against_request_smuggling() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let smuggled = saldo("hidden", "3");
     let chunks = format!("0\r\n\r\n{smuggled}");
     let length = |n: usize| format!("Content-Length: {n}");
@@ -268,19 +268,19 @@
 #[test]
 fn the_trace_id_of_a_request_in_flight_is_reserved() {
     let server = Stub::start(|_| Reply::NoAnswer);
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut first = gateway.client();
     first.write(&abono("same", "7", "pago"));
     until("the server has the request", || server.requests() == 1);
     let mut second = gateway.client();
-    let answer = second.ask(&saldo("same", "3"));
+    let answer = second.call(&saldo("same", "3"));
     assert_eq!(answer.status(), 400);
     assert!(answer.text().contains("x-trace-id"), "{}", answer.text());
     server.answer_pending(&ok("first"));
     assert_eq!(first.read_response().expect("a response").text(), "first");
     server.set_handler(|_| ok("again"));
     assert_eq!(
-        second.ask(&saldo("same", "3")).text(),
+        second.call(&saldo("same", "3")).text(),
         "again",
         "the id is free once the first request has ended"
     );
@@ -289,14 +289,14 @@
 #[test]
 fn slow_clients_time_out() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut silent = gateway.client();
     let mut slow_head = gateway.client();
     slow_head.write("GET /saldo HTTP/1.1\r\nX-Qos:");
     let mut slow_body = gateway.client();
     slow_body.write(&abono("s", "7", "pago").replace("Content-Length: 4", "Content-Length: 5"));
     let mut idle = gateway.client();
-    assert_eq!(idle.ask(&saldo("k", "3")).status(), 200);
+    assert_eq!(idle.call(&saldo("k", "3")).status(), 200);
     assert!(silent.is_closed(), "a connection without a request");
     for (what, mut client) in [("head", slow_head), ("body", slow_body)] {
         let answer = client.read_response().expect("a response");
@@ -315,41 +315,41 @@
     let known = list(1, true, &serving(&[&server]));
     let small =
         config("127.0.0.1:0", agent.stub.addr, Some(&known)).replace(r#""sockets":256"#, r#""sockets":64"#);
-    let gateway = Running::start(&small);
+    let gateway = GatewayProcess::start(&small);
     let mut active = gateway.client();
-    assert_eq!(active.ask(&saldo("g0", "3")).status(), 200);
+    assert_eq!(active.call(&saldo("g0", "3")).status(), 200);
     let _silent: Vec<Client> = (0..300).map(|_| gateway.client()).collect();
     // Waiting for each silent connection in turn would take half a minute, longer than the client waits.
-    assert_eq!(gateway.client().ask(&saldo("g1", "4")).status(), 200);
+    assert_eq!(gateway.client().call(&saldo("g1", "4")).status(), 200);
     assert!(!gateway.log().contains("accept"), "the gateway has enough descriptors: {}", gateway.log());
 }
 
 #[test]
 fn clients_that_do_not_read_responses_are_disconnected() {
     let server = Stub::start(|_| ok(&"x".repeat(60 << 10)));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     // Together, the responses exceed the kernel's socket buffers.
     client.write(&(0..400).map(|n| saldo(&format!("u{n}"), "4")).collect::<String>());
     until("the gateway closes the connection", || std::io::Write::write(client.0.get_mut(), b"GET").is_err());
     assert!(server.requests() < 400);
-    assert_eq!(gateway.client().ask(&saldo("v", "4")).status(), 200);
+    assert_eq!(gateway.client().call(&saldo("v", "4")).status(), 200);
 }
 
 #[test]
 fn connections_idle_after_one_request_are_closed_for_new_ones() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     // Of 256 descriptors, 134 are for clients, and 33 of these connections may be idle after a response.
     let mut clients: Vec<Client> = (0..60).map(|_| gateway.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        assert_eq!(client.ask(&saldo(&format!("o{n}"), "3")).status(), 200);
+        assert_eq!(client.call(&saldo(&format!("o{n}"), "3")).status(), 200);
     }
     // The connections that were idle for longest were closed first: clients that send again in the same order
     // must reconnect, and are served.
     for (n, client) in clients.iter_mut().take(20).enumerate() {
         let before = client.0.get_ref().local_addr().expect("a bound socket");
-        assert_eq!(client.ask(&saldo(&format!("p{n}"), "3")).status(), 200);
+        assert_eq!(client.call(&saldo(&format!("p{n}"), "3")).status(), 200);
         assert_ne!(
             client.0.get_ref().local_addr().expect("a bound socket"),
             before,
--- a/quota-gateway/server/tests/common/mod.rs
+++ b/quota-gateway/server/tests/common/mod.rs
@@ -317,8 +317,8 @@
     )
 }
 
-/// A running gateway process, which is killed when dropped.
-pub struct Running {
+/// A gateway process, which is killed when dropped.
+pub struct GatewayProcess {
     pub child: Child,
     pub addr: SocketAddr,
     pub log: Arc<Mutex<String>>,
@@ -334,31 +334,31 @@
     dir
 }
 
-impl Running {
-    pub fn start(config: &str) -> Running {
-        Running::start_in_shell("exec \"$0\"", config)
+impl GatewayProcess {
+    pub fn start(config: &str) -> GatewayProcess {
+        GatewayProcess::start_in_shell("exec \"$0\"", config)
     }
 
     /// Starts the program with a shell script, which may set resource limits first.
-    pub fn start_in_shell(script: &str, config: &str) -> Running {
-        Running::start_with(script, config, &[])
+    pub fn start_in_shell(script: &str, config: &str) -> GatewayProcess {
+        GatewayProcess::start_with(script, config, &[])
     }
 
     /// Starts the program with a shell script and these environment variables.
-    pub fn start_with(script: &str, config: &str, variables: &[(&str, &str)]) -> Running {
-        Running::spawn(Stdio::inherit(), script, config, variables)
+    pub fn start_with(script: &str, config: &str, variables: &[(&str, &str)]) -> GatewayProcess {
+        GatewayProcess::spawn(Stdio::inherit(), script, config, variables)
     }
 
     /// Starts a gateway with a console. It inherits this listening socket as descriptor 7, and uses this
     /// directory, which it shares with other processes, as `TMPDIR`.
-    pub fn inheriting(listener: &TcpListener, shared: &Path, config: &str) -> Running {
+    pub fn inheriting(listener: &TcpListener, shared: &Path, config: &str) -> GatewayProcess {
         let socket = OwnedFd::from(listener.try_clone().expect("duplicate the socket"));
         let shared = shared.to_str().expect("valid UTF-8");
         let variables = [("RELAY_FD", "7"), ("RELAY_CONSOLE", "127.0.0.1:0"), ("TMPDIR", shared)];
-        Running::spawn(socket.into(), "exec 7<&0 0</dev/null; exec \"$0\"", config, &variables)
+        GatewayProcess::spawn(socket.into(), "exec 7<&0 0</dev/null; exec \"$0\"", config, &variables)
     }
 
-    fn spawn(input: Stdio, script: &str, config: &str, variables: &[(&str, &str)]) -> Running {
+    fn spawn(input: Stdio, script: &str, config: &str, variables: &[(&str, &str)]) -> GatewayProcess {
         let dir = temp_dir();
         let file = dir.join("config.json");
         std::fs::write(&file, config).expect("write succeeds");
@@ -389,14 +389,14 @@
                 .find_map(|l| l.strip_prefix("marblecroft-quota-gateway: listening on ")?.parse().ok());
             addr.is_some()
         });
-        Running { child, addr: addr.expect("logged above"), log, dir }
+        GatewayProcess { child, addr: addr.expect("logged above"), log, dir }
     }
 
     /// Starts a gateway whose initial endpoint list has these servers, with an agent that reports no changes.
-    pub fn with_servers(servers: &[&Stub]) -> (Running, Agent) {
+    pub fn with_servers(servers: &[&Stub]) -> (GatewayProcess, Agent) {
         let agent = Agent::start();
         let known = list(1, true, &serving(servers));
-        (Running::start(&config("127.0.0.1:0", agent.stub.addr, Some(&known))), agent)
+        (GatewayProcess::start(&config("127.0.0.1:0", agent.stub.addr, Some(&known))), agent)
     }
 
     pub fn client(&self) -> Client {
@@ -408,7 +408,7 @@
     pub fn with_non_idempotent_class(
         servers: &[SocketAddr],
         change: impl Fn(String) -> String,
-    ) -> (Running, Agent) {
+    ) -> (GatewayProcess, Agent) {
         let agent = Agent::start();
         let serving: Vec<_> = servers.iter().map(|addr| (*addr, "SERVING")).collect();
         let config = config("127.0.0.1:0", agent.stub.addr, Some(&hosts(1, true, &serving)))
@@ -418,15 +418,18 @@
                 r#""Profiles":[{"Name":"nomina","Aim":1500000000,"Deadline":4000000000,"Effect":"non_idempotent",
 "Importance":2.0},"#,
             );
-        (Running::start_with("exec \"$0\"", &change(config), &[("RELAY_CONSOLE", "127.0.0.1:0")]), agent)
+        (
+            GatewayProcess::start_with("exec \"$0\"", &change(config), &[("RELAY_CONSOLE", "127.0.0.1:0")]),
+            agent,
+        )
     }
 
     /// Starts a gateway with a console and these servers.
-    pub fn with_console(servers: &[&Stub]) -> (Running, Agent) {
+    pub fn with_console(servers: &[&Stub]) -> (GatewayProcess, Agent) {
         let agent = Agent::start();
         let known = list(1, true, &serving(servers));
         let config = config("127.0.0.1:0", agent.stub.addr, Some(&known));
-        (Running::start_with("exec \"$0\"", &config, &[("RELAY_CONSOLE", "127.0.0.1:0")]), agent)
+        (GatewayProcess::start_with("exec \"$0\"", &config, &[("RELAY_CONSOLE", "127.0.0.1:0")]), agent)
     }
 
     /// The address of the operators' console.
@@ -469,7 +472,7 @@
     /// Returns whether a new client's readiness check (`/up`) fails.
     pub fn is_unready(&self) -> bool {
         let mut client = Client::connect(self.addr);
-        client.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status() != 200
+        client.call("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status() != 200
     }
 
     /// Replaces the configuration file, and sends SIGHUP.
@@ -496,7 +499,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         drop(self.child.kill());
         drop(self.child.wait());
@@ -525,7 +528,7 @@
 
     /// Sends a request and reads the response. Reconnects once if the gateway has closed the idle connection
     /// meanwhile.
-    pub fn ask(&mut self, request: &str) -> Message {
+    pub fn call(&mut self, request: &str) -> Message {
         let addr = self.0.get_ref().peer_addr().expect("a connected socket");
         let written = self.0.get_mut().write_all(request.as_bytes());
         if let Some(answer) = written.ok().and_then(|()| self.read_response()) {
@@ -537,7 +540,7 @@
     }
 
     /// Sends a request and reads the response on this connection, without reconnecting.
-    pub fn ask_on_this_connection(&mut self, request: &str) -> Message {
+    pub fn call_on_this_connection(&mut self, request: &str) -> Message {
         self.write(request);
         self.read_response().expect("a response on the same connection")
     }
@@ -575,7 +578,7 @@
     )
 }
 
-/// A request of the non-idempotent class `nomina` ([`Running::with_non_idempotent_class`]).
+/// A request of the non-idempotent class `nomina` ([`GatewayProcess::with_non_idempotent_class`]).
 pub fn nomina(id: &str, wait: &str, body: &str) -> String {
     abono(id, wait, body).replace("abono", "nomina")
 }
--- a/quota-gateway/server/tests/silence.rs
+++ b/quota-gateway/server/tests/discovery_outages.rs
@@ -1,5 +1,5 @@
-//! Discovery stops answering and recovers: how soon a gateway calls a recovered agent successfully, from
-//! every state that the gateway can be in.
+//! Outages of discovery: how soon a gateway successfully calls an agent that has recovered, from every state
+//! that the gateway can be in.
 
 mod common;
 
@@ -18,7 +18,7 @@
 /// its wait. Calls that are in flight while it does not answer are never answered.
 #[derive(Clone, Default)]
 struct PausableAgent {
-    is_silent: Arc<AtomicBool>,
+    is_unresponsive: Arc<AtomicBool>,
     /// When it last answered a call.
     last_answered_at: Arc<Mutex<Option<Instant>>>,
 }
@@ -26,19 +26,19 @@
 impl PausableAgent {
     fn respond(&self, call: &Message) -> Reply {
         let watch = parse_watch(call);
-        if let (Some((_, wait)), false) = (watch, self.is_silent.load(Ordering::SeqCst)) {
+        if let (Some((_, wait)), false) = (watch, self.is_unresponsive.load(Ordering::SeqCst)) {
             thread::sleep(wait);
         }
-        if self.is_silent.load(Ordering::SeqCst) {
+        if self.is_unresponsive.load(Ordering::SeqCst) {
             return Reply::NoAnswer;
         }
         *self.last_answered_at.lock().unwrap() = Some(Instant::now());
         ok(&list(watch.map_or(7, |(since, _)| since), watch.is_none(), &[]))
     }
 
-    fn start(is_silent: bool) -> (PausableAgent, Stub) {
+    fn start(is_unresponsive: bool) -> (PausableAgent, Stub) {
         let agent = PausableAgent::default();
-        agent.is_silent.store(is_silent, Ordering::SeqCst);
+        agent.is_unresponsive.store(is_unresponsive, Ordering::SeqCst);
         let handler = agent.clone();
         (agent, Stub::start(move |call| handler.respond(call)))
     }
@@ -46,7 +46,7 @@
     /// Answers again, and returns the time until the first call is answered.
     fn resume(&self) -> Duration {
         let since = Instant::now();
-        self.is_silent.store(false, Ordering::SeqCst);
+        self.is_unresponsive.store(false, Ordering::SeqCst);
         self.time_to_answer_since(since)
     }
 
@@ -65,13 +65,13 @@
     /// Stops answering, after one more answered call.
     fn stop_answering(&self) {
         self.time_to_answer_since(Instant::now());
-        self.is_silent.store(true, Ordering::SeqCst);
+        self.is_unresponsive.store(true, Ordering::SeqCst);
     }
 }
 
-fn start_gateway(agent: SocketAddr) -> Running {
+fn start_gateway(agent: SocketAddr) -> GatewayProcess {
     let known = list(1, true, &[]);
-    Running::start(&config("127.0.0.1:0", agent, Some(&known)))
+    GatewayProcess::start(&config("127.0.0.1:0", agent, Some(&known)))
 }
 
 /// Asserts that the shortest of three runs is within [`MAX_UPDATE_DELAY`]: a busy machine delays single runs,
@@ -157,7 +157,7 @@
         let (agent, stub) = PausableAgent::start(false);
         let small = config("127.0.0.1:0", stub.addr, Some(&list(1, true, &[])))
             .replace(r#""sockets":256"#, r#""sockets":64"#);
-        let gateway = Running::start_in_shell("ulimit -n 64; exec \"$0\"", &small);
+        let gateway = GatewayProcess::start_in_shell("ulimit -n 64; exec \"$0\"", &small);
         agent.stop_answering();
         let idle: Vec<TcpStream> =
             (0..100).map(|_| TcpStream::connect(gateway.addr).expect("connect")).collect();
@@ -174,7 +174,7 @@
 fn a_polled_endpoint_list_is_not_requested_more_often() {
     let (agent, stub) = PausableAgent::start(true);
     let settings = config("127.0.0.1:0", stub.addr, Some(&list(1, true, &[])));
-    let _gateway = Running::start(&settings.replace(r#""Discovery":"push""#, r#""Discovery":"ask""#));
+    let _gateway = GatewayProcess::start(&settings.replace(r#""Discovery":"push""#, r#""Discovery":"ask""#));
     until("the gateway watches the list", || stub.requests() == 1);
     thread::sleep(Duration::from_secs(2));
     assert_eq!(stub.requests(), 1, "no other call is made during a watch of 2.5 s");
--- a/quota-gateway/server/tests/golden.rs
+++ b/quota-gateway/server/tests/golden.rs
@@ -50,8 +50,8 @@
         UpgradeSite::new(["127.0.0.1:1".to_owned(), "127.0.0.1:2".to_owned()])
     }
 
-    fn start(&self) -> Running {
-        Running::inheriting(&self.listener, &self.shared, &self.config)
+    fn start(&self) -> GatewayProcess {
+        GatewayProcess::inheriting(&self.listener, &self.shared, &self.config)
     }
 
     /// The path of the handover socket.
@@ -175,7 +175,7 @@
     let mut updates = Vec::new();
     assert_eq!(old.console_status("PUT", "/pay-servers/disable?name=s-b"), 200);
     updates.push(next_line(&mut reader));
-    assert_eq!(old.client().ask(&saldo("g", "3")).status(), 200);
+    assert_eq!(old.client().call(&saldo("g", "3")).status(), 200);
     updates.extend([next_line(&mut reader), next_line(&mut reader)]);
     for call in ["/drain", "/undrain", "/pay-servers/enable?name=s-b"] {
         assert_eq!(old.console_status("PUT", call), 200, "{call}");
@@ -237,7 +237,7 @@
 #[test]
 fn the_configuration_is_read_under_its_keys() {
     let good: Value = serde_json::from_str(&text("config.json")).expect("valid JSON");
-    let gateway = Running::start(&text("config.json"));
+    let gateway = GatewayProcess::start(&text("config.json"));
     assert!(gateway.addr.port() > 0, "the whole configuration is accepted");
     drop(gateway);
     let mut paths = Vec::new();
--- a/quota-gateway/server/tests/lifecycle.rs
+++ b/quota-gateway/server/tests/lifecycle.rs
@@ -51,29 +51,29 @@
 fn the_gateway_is_ready_once_it_has_an_endpoint_list() {
     let server = Stub::start(|_| ok("served"));
     let agent = Agent::start();
-    let gateway = Running::start(&config("127.0.0.1:0", agent.stub.addr, None));
+    let gateway = GatewayProcess::start(&config("127.0.0.1:0", agent.stub.addr, None));
     let mut client = gateway.client();
     let up = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
-    assert_eq!(client.ask(up).status(), 503);
+    assert_eq!(client.call(up).status(), 503);
     until("the gateway requests the full list", || agent.stub.requests() == 1);
     assert_eq!(agent.stub.last_request().start_line[1], "/discovery/hosts");
     agent.queue_reply(ok(&list(7, true, &serving(&[&server]))));
-    until("the gateway is ready", || client.ask(up).status() == 200);
-    assert_eq!(client.ask(&saldo("u", "3")).status(), 200);
+    until("the gateway is ready", || client.call(up).status() == 200);
+    assert_eq!(client.call(&saldo("u", "3")).status(), 200);
 }
 
 #[test]
 fn changes_of_the_endpoint_list_are_applied() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b")), Stub::start(|_| ok("c"))];
-    let (gateway, agent) = Running::with_servers(&[&servers[0]]);
+    let (gateway, agent) = GatewayProcess::with_servers(&[&servers[0]]);
     let mut client = gateway.client();
     agent.wait_for_watch(1);
-    assert_eq!(client.ask(&saldo("l1", "3")).text(), "a");
+    assert_eq!(client.call(&saldo("l1", "3")).text(), "a");
     agent.queue_reply(ok(&list(2, false, &[(&servers[0], "DRAINING"), (&servers[1], "SERVING")])));
     agent.wait_for_watch(2);
     for n in 0..10 {
         assert_eq!(
-            client.ask(&saldo(&format!("l2{n}"), "3")).text(),
+            client.call(&saldo(&format!("l2{n}"), "3")).text(),
             "b",
             "a draining server gets no new requests"
         );
@@ -85,17 +85,17 @@
     agent.queue_reply(ok(&list(3, true, &serving(&[&servers[2]]))));
     agent.wait_for_watch(3);
     for n in 0..10 {
-        assert_eq!(client.ask(&saldo(&format!("l3{n}"), "3")).text(), "c");
+        assert_eq!(client.call(&saldo(&format!("l3{n}"), "3")).text(), "c");
     }
     agent.queue_reply(ok(&list(4, false, &[(&servers[2], "DELETED")])));
     agent.wait_for_watch(4);
-    assert!(matches!(client.ask(&saldo("l4", "3")).status(), 429 | 503), "no server is left");
+    assert!(matches!(client.call(&saldo("l4", "3")).status(), 429 | 503), "no server is left");
 }
 
 #[test]
 fn an_agent_without_keep_alive_is_watched_too() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, agent) = Running::with_servers(&[&server]);
+    let (gateway, agent) = GatewayProcess::with_servers(&[&server]);
     for version in 2..6 {
         agent.queue_reply(Reply::Answer(
             200,
@@ -110,7 +110,7 @@
 #[test]
 fn the_old_endpoint_list_stays_in_force_while_discovery_fails() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
-    let (gateway, agent) = Running::with_servers(&[&servers[0]]);
+    let (gateway, agent) = GatewayProcess::with_servers(&[&servers[0]]);
     let mut client = gateway.client();
     agent.wait_for_watch(1);
     let calls = agent.stub.requests();
@@ -120,17 +120,17 @@
     // The gateway abandons a call without an answer, and calls again by itself.
     agent.queue_reply(Reply::NoAnswer);
     until("the gateway calls again each time", || agent.stub.requests() >= calls + 4);
-    assert_eq!(client.ask(&saldo("o1", "3")).text(), "a");
+    assert_eq!(client.call(&saldo("o1", "3")).text(), "a");
     agent.queue_reply(ok(&list(5, true, &serving(&[&servers[1]]))));
     agent.wait_for_watch(5);
-    assert_eq!(client.ask(&saldo("o2", "3")).text(), "b");
+    assert_eq!(client.call(&saldo("o2", "3")).text(), "b");
     assert_eq!(gateway.log().matches("malformed list").count(), 1, "{}", gateway.log());
 }
 
 #[test]
 fn after_a_failed_call_the_full_list_is_requested_until_it_arrives() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
-    let (gateway, agent) = Running::with_servers(&[&servers[0]]);
+    let (gateway, agent) = GatewayProcess::with_servers(&[&servers[0]]);
     agent.wait_for_watch(1);
     let calls = agent.stub.requests();
     // The watch is cut off, and the agent does not answer two further calls.
@@ -143,7 +143,7 @@
     }
     agent.queue_reply(ok(&list(5, true, &serving(&[&servers[1]]))));
     agent.wait_for_watch(5);
-    assert_eq!(gateway.client().ask(&saldo("w", "3")).text(), "b");
+    assert_eq!(gateway.client().call(&saldo("w", "3")).text(), "b");
 }
 
 /// Discovery rejects calls when it has too many of them. Requests for the full list after each rejection kept
@@ -151,7 +151,7 @@
 #[test]
 fn after_a_busy_response_the_watch_continues_from_the_current_version() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
-    let (gateway, agent) = Running::with_servers(&[&servers[0]]);
+    let (gateway, agent) = GatewayProcess::with_servers(&[&servers[0]]);
     agent.wait_for_watch(1);
     let calls = agent.stub.requests();
     for _ in 0..3 {
@@ -163,7 +163,7 @@
     }
     agent.queue_reply(ok(&list(5, true, &serving(&[&servers[1]]))));
     agent.wait_for_watch(5);
-    assert_eq!(gateway.client().ask(&saldo("w", "3")).text(), "b");
+    assert_eq!(gateway.client().call(&saldo("w", "3")).text(), "b");
     assert_eq!(
         gateway.log().matches("discovery: busy").count(),
         1,
@@ -175,9 +175,9 @@
 #[test]
 fn sigterm_answers_accepted_and_still_arriving_requests() {
     let server = Stub::start(|_| Reply::NoAnswer);
-    let (mut gateway, _agent) = Running::with_servers(&[&server]);
+    let (mut gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut idle = gateway.client();
-    assert_eq!(idle.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
+    assert_eq!(idle.call("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
     let mut unused = gateway.client();
     let mut in_flight = gateway.client();
     in_flight.write(&saldo("t1", "1.5"));
@@ -188,7 +188,7 @@
     server.set_handler(|_| ok("served"));
     // A connection from before the signal that has sent no request yet, and one from after the signal.
     for client in [&mut unused, &mut new] {
-        let answer = client.ask(&saldo("t2", "3"));
+        let answer = client.call(&saldo("t2", "3"));
         assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
         assert!(client.is_closed());
     }
@@ -201,17 +201,17 @@
 #[test]
 fn a_killed_gateway_restarts_on_its_address() {
     let server = Stub::start(|_| ok("served"));
-    let (mut gateway, agent) = Running::with_servers(&[&server]);
+    let (mut gateway, agent) = GatewayProcess::with_servers(&[&server]);
     let addr = gateway.addr;
     let mut client = gateway.client();
-    assert_eq!(client.ask(&saldo("k1", "3")).status(), 200);
+    assert_eq!(client.call(&saldo("k1", "3")).status(), 200);
     gateway.child.kill().expect("kill the gateway");
     gateway.exit();
     assert!(client.is_closed());
     let known = list(1, true, &serving(&[&server]));
-    let restarted = Running::start(&config(&addr.to_string(), agent.stub.addr, Some(&known)));
+    let restarted = GatewayProcess::start(&config(&addr.to_string(), agent.stub.addr, Some(&known)));
     assert_eq!(restarted.addr, addr);
-    assert_eq!(restarted.client().ask(&saldo("k2", "3")).status(), 200);
+    assert_eq!(restarted.client().call(&saldo("k2", "3")).status(), 200);
 }
 
 #[test]
@@ -221,7 +221,7 @@
     let known = list(41, true, &serving(&[&servers[0]]));
     let old_addr = old.stub.addr.to_string();
     // The environment variable names the old agent; after a reload the file takes precedence.
-    let gateway = Running::start_with(
+    let gateway = GatewayProcess::start_with(
         "exec \"$0\"",
         &config("127.0.0.1:0", old.stub.addr, Some(&known)),
         &[("RELAY_DISCOVERY", &old_addr)],
@@ -243,11 +243,11 @@
     // A lower version than the old agent's: versions of different agents are not comparable.
     new.queue_reply(ok(&list(3, true, &serving(&[&servers[1]]))));
     new.wait_for_watch(3);
-    assert_eq!(client.ask(&saldo("r2", "3")).text(), "b", "on the same connection as before");
+    assert_eq!(client.call(&saldo("r2", "3")).text(), "b", "on the same connection as before");
     let calls = old.stub.requests();
     // The old agent's answer to the watch that was in flight is ignored.
     old.queue_reply(ok(&list(42, true, &serving(&[&servers[0]]))));
-    assert_eq!(client.ask(&saldo("r3", "3")).text(), "b");
+    assert_eq!(client.call(&saldo("r3", "3")).text(), "b");
     assert_eq!(old.stub.requests(), calls, "the old agent is not called again");
     // Another reload switches back to the old agent.
     gateway.reload(&config("127.0.0.1:0", old.stub.addr, None));
@@ -258,27 +258,27 @@
 #[test]
 fn a_malformed_entry_does_not_invalidate_the_endpoint_list() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
-    let (gateway, agent) = Running::with_servers(&[&servers[0]]);
+    let (gateway, agent) = GatewayProcess::with_servers(&[&servers[0]]);
     agent.wait_for_watch(1);
     let mut client = gateway.client();
-    assert_eq!(client.ask(&saldo("e0", "3")).text(), "a");
+    assert_eq!(client.call(&saldo("e0", "3")).text(), "a");
     // The first entry's state is unknown, so its server gets no new requests; the second entry is valid.
     let malformed = list(2, false, &[(&servers[0], "ASLEEP"), (&servers[1], "SERVING")]);
     agent.queue_reply(ok(&malformed));
     agent.wait_for_watch(2);
     for n in 0..10 {
-        assert_eq!(client.ask(&saldo(&format!("e1{n}"), "3")).text(), "b");
+        assert_eq!(client.call(&saldo(&format!("e1{n}"), "3")).text(), "b");
     }
     agent.queue_reply(ok(&list(3, true, &[(&servers[1], "SERVING")]).replace("[{", "[7,{}, {")));
     agent.wait_for_watch(3);
-    assert_eq!(client.ask(&saldo("e2", "3")).text(), "b");
+    assert_eq!(client.call(&saldo("e2", "3")).text(), "b");
     assert_eq!(gateway.log().matches("cannot be read").count(), 1, "{}", gateway.log());
 }
 
 #[test]
 fn a_new_server_at_a_reused_address_gets_new_connections() {
     let server = Stub::start(|_| Reply::NoAnswer);
-    let (gateway, agent) = Running::with_servers(&[&server]);
+    let (gateway, agent) = GatewayProcess::with_servers(&[&server]);
     agent.wait_for_watch(1);
     let mut client = gateway.client();
     client.write(&saldo("n0", "3.5"));
@@ -290,21 +290,21 @@
     server.answer_pending(&ok("old"));
     assert_eq!(client.read_response().expect("a response").text(), "old");
     server.set_handler(|_| ok("new"));
-    assert_eq!(client.ask(&saldo("n1", "3")).text(), "new");
+    assert_eq!(client.call(&saldo("n1", "3")).text(), "new");
     assert_eq!(server.connections.load(Ordering::SeqCst), 2, "the new server gets a new connection");
 }
 
 #[test]
 fn sigterm_waits_for_a_partial_first_request_but_not_for_silent_connections() {
     let server = Stub::start(|_| ok("served"));
-    let (mut gateway, _agent) = Running::with_servers(&[&server]);
+    let (mut gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let _silent: Vec<Client> = (0..5).map(|_| gateway.client()).collect();
     let mut slow = gateway.client();
     let request = saldo("slow", "3");
     let (begun, rest) = request.split_at(30);
     slow.write(begun);
     // Once a later request on another connection is answered, the gateway has read these first bytes.
-    assert_eq!(gateway.client().ask(&saldo("other", "3")).status(), 200);
+    assert_eq!(gateway.client().call(&saldo("other", "3")).status(), 200);
     gateway.terminate();
     until("the gateway stops accepting", || std::net::TcpStream::connect(gateway.addr).is_err());
     // Without the partial request the gateway would have exited after a tenth of this time; a head may take
@@ -321,7 +321,7 @@
     let server = Stub::start(|_| Reply::NoAnswer);
     let agent = Agent::start();
     let known = list(1, true, &serving(&[&server]));
-    let mut gateway = Running::start(&config("127.0.0.1:0", agent.stub.addr, Some(&known)));
+    let mut gateway = GatewayProcess::start(&config("127.0.0.1:0", agent.stub.addr, Some(&known)));
     // The class allows clients to wait for 7.5 s; SIGKILL may come 3.7 s after SIGTERM.
     let mut client = gateway.client();
     client.write(&abono("open", "7", "pago"));
--- a/quota-gateway/server/tests/list.rs
+++ b/quota-gateway/server/tests/list.rs
@@ -101,7 +101,7 @@
         let (mut sent, mut failures) = (0, Vec::new());
         // The limit ends the thread if the test panics.
         while !stop.load(Ordering::SeqCst) && sent < 20_000 {
-            let answer = client.ask(&saldo(&format!("{sent:x}"), "3"));
+            let answer = client.call(&saldo(&format!("{sent:x}"), "3"));
             if answer.status() != 200 && failures.len() < 10 {
                 failures.push(format!("request {sent}: {} {}", answer.status(), answer.text()));
             }
@@ -122,7 +122,7 @@
     // The slow start is short, so that newly registered servers get requests at once.
     let settings = config("127.0.0.1:0", service.addr, None)
         .replace(r#""RampTime":14000000000"#, r#""RampTime":1000000"#);
-    let gateway = Running::start(&settings);
+    let gateway = GatewayProcess::start(&settings);
     until("the gateway is ready", || !gateway.is_unready());
     let stop = Arc::new(AtomicBool::new(false));
     let sender = send_requests(gateway.addr, stop.clone());
@@ -184,25 +184,25 @@
     let settings = config("127.0.0.1:0", refusing.addr, None)
         .replace(r#""RampTime":14000000000"#, r#""RampTime":1000000"#);
     let settings = with_discovery_service(settings, &format!(r#""others":["{}"]"#, service.addr));
-    let gateway = Running::start_with("exec \"$0\"", &settings, &[("RELAY_CONSOLE", "127.0.0.1:0")]);
+    let gateway = GatewayProcess::start_with("exec \"$0\"", &settings, &[("RELAY_CONSOLE", "127.0.0.1:0")]);
     until("the gateway is ready", || !gateway.is_unready());
-    assert_eq!(gateway.client().ask(&saldo("f1", "3")).text(), "a");
+    assert_eq!(gateway.client().call(&saldo("f1", "3")).text(), "a");
     assert!(gateway.metric("marblecroft_list_age_seconds") < WAIT_TIMEOUT.as_secs_f64());
     // The watch at the second address continues: changes arrive without another full list.
     service.call_for_server("/discovery/deregister", &stubs[0]);
     service.register(&stubs[1], "");
     let mut client = gateway.client();
-    until("the change is applied", || client.ask(&saldo("f2", "3")).text() == "b");
+    until("the change is applied", || client.call(&saldo("f2", "3")).text() == "b");
     // The service is away for a while, and restarts with its stored list.
     let (dir, port) = service.kill();
     let before = stubs[1].requests();
     until("requests are served by the old list", || {
-        client.ask(&saldo("f3", "3"));
+        client.call(&saldo("f3", "3"));
         stubs[1].requests() > before + 20
     });
     let _service = DiscoveryService::start(&dir, port);
     until("the list is up to date again", || gateway.metric("marblecroft_list_age_seconds") < 1.0);
-    assert_eq!(client.ask(&saldo("f4", "3")).text(), "b");
+    assert_eq!(client.call(&saldo("f4", "3")).text(), "b");
     drop(std::fs::remove_dir_all(dir));
 }
 
@@ -212,7 +212,7 @@
     let agent = Agent::start();
     let settings =
         with_discovery_service(config("127.0.0.1:0", agent.stub.addr, None), r#""missing_hold_ms":1500"#);
-    let gateway = Running::start_with("exec \"$0\"", &settings, &[("RELAY_CONSOLE", "127.0.0.1:0")]);
+    let gateway = GatewayProcess::start_with("exec \"$0\"", &settings, &[("RELAY_CONSOLE", "127.0.0.1:0")]);
     agent.queue_reply(ok(&list(
         1,
         true,
@@ -222,14 +222,14 @@
     agent.queue_reply(ok(&list(2, true, &[])));
     agent.wait_for_watch(2);
     let mut client = gateway.client();
-    assert_eq!(client.ask(&saldo("m1", "3")).status(), 200, "the missing servers are suspects, and serve");
+    assert_eq!(client.call(&saldo("m1", "3")).status(), 200, "the missing servers are suspects, and serve");
     assert_eq!(stubs[2].requests(), 0, "a server that drained is no suspect");
     assert_eq!(gateway.metric("marblecroft_list_suspects"), 2.0);
     // A server that is listed as deleted is removed at once.
     agent.queue_reply(ok(&list(3, false, &[(&stubs[0], "DELETED")])));
     agent.wait_for_watch(3);
     for n in 0..5 {
-        assert_eq!(client.ask(&saldo(&format!("m2{n}"), "3")).text(), "b");
+        assert_eq!(client.call(&saldo(&format!("m2{n}"), "3")).text(), "b");
     }
     // The other one is not listed again, and is removed after the removal delay.
     agent.queue_reply(ok(&list(3, false, &[])));
@@ -237,7 +237,7 @@
         agent.queue_reply(ok(&list(3, false, &[])));
         gateway.metric("marblecroft_list_suspects") == 0.0
     });
-    assert_eq!(client.ask(&saldo("m3", "3")).status(), 503, "no server is left");
+    assert_eq!(client.call(&saldo("m3", "3")).status(), 503, "no server is left");
 }
 
 #[test]
--- a/quota-gateway/server/tests/operations.rs
+++ b/quota-gateway/server/tests/operations.rs
@@ -16,17 +16,17 @@
 fn the_console_reports_ready_once_clients_are_accepted() {
     let agent = Agent::start();
     let config = config("127.0.0.1:0", agent.stub.addr, None);
-    let gateway = Running::start_with("exec \"$0\"", &config, &[("RELAY_CONSOLE", "127.0.0.1:0")]);
+    let gateway = GatewayProcess::start_with("exec \"$0\"", &config, &[("RELAY_CONSOLE", "127.0.0.1:0")]);
     assert_eq!(gateway.console_status("GET", "/ready"), 503, "there is no endpoint list yet");
     agent.queue_reply(ok(&list(1, true, &[])));
     until("the gateway is ready", || gateway.console_status("GET", "/ready") == 200);
-    assert_eq!(gateway.client().ask(UP_REQUEST).status(), 200);
+    assert_eq!(gateway.client().call(UP_REQUEST).status(), 200);
 }
 
 #[test]
 fn invalid_console_calls_fail_and_change_nothing() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::with_console(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_console(&[&server]);
     let id = server_id(&server);
     for (method, path, status) in [
         ("GET", "/".to_owned(), 404),
@@ -72,20 +72,20 @@
         assert!(!rest.starts_with("HTTP/1.1 2"), "{rest}");
     }
     let mut client = gateway.client();
-    assert_eq!(client.ask(&saldo("n", "3")).text(), "served", "none of the commands disabled the server");
-    assert_eq!(client.ask(UP_REQUEST).status(), 200);
+    assert_eq!(client.call(&saldo("n", "3")).text(), "served", "none of the commands disabled the server");
+    assert_eq!(client.call(UP_REQUEST).status(), 200);
 }
 
 #[test]
 fn silent_console_callers_delay_neither_calls_nor_clients() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::with_console(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_console(&[&server]);
     let mut stalled: Vec<Client> = (0..200).map(|_| Client::connect(gateway.console())).collect();
     for partial in &mut stalled[150..] {
         drop(partial.0.get_mut().write_all(b"PUT /dr"));
     }
     assert_eq!(gateway.console_status("GET", "/ready"), 200);
-    assert_eq!(gateway.client().ask(&saldo("q", "3")).status(), 200);
+    assert_eq!(gateway.client().call(&saldo("q", "3")).status(), 200);
     // A burst of such callers after a complete command does not prevent it from being read either.
     let mut complete = Client::connect(gateway.console());
     complete.write("GET /ready HTTP/1.1\r\nHost: console\r\n\r\n");
@@ -96,23 +96,23 @@
         let mut rest = Vec::new();
         drop(caller.0.read_to_end(&mut rest));
     }
-    assert_eq!(gateway.client().ask(UP_REQUEST).status(), 200, "no partial command drained the gateway");
+    assert_eq!(gateway.client().call(UP_REQUEST).status(), 200, "no partial command drained the gateway");
 }
 
 #[test]
 fn a_disabled_server_gets_no_requests_until_it_is_enabled() {
     let servers = [Stub::start(|_| ok("a")), Stub::start(|_| ok("b"))];
-    let (gateway, agent) = Running::with_console(&[&servers[0], &servers[1]]);
+    let (gateway, agent) = GatewayProcess::with_console(&[&servers[0], &servers[1]]);
     let disable = format!("/pay-servers/disable?name={}", server_id(&servers[0]));
     let enable = format!("/pay-servers/enable?name={}", server_id(&servers[0]));
     let mut client = gateway.client();
     let mut n = 0;
     let mut responses = |count: usize| -> Vec<String> {
-        let mut ask = || {
+        let mut send_request = || {
             n += 1;
-            client.ask(&saldo(&format!("x{n}"), "3")).text()
+            client.call(&saldo(&format!("x{n}"), "3")).text()
         };
-        (0..count).map(|_| ask()).collect()
+        (0..count).map(|_| send_request()).collect()
     };
     until("the first server is used", || responses(1) == ["a"]);
     assert_eq!(gateway.console_status("PUT", &disable), 200);
@@ -137,16 +137,16 @@
             200
         );
     }
-    assert!(matches!(gateway.client().ask(&saldo("none", "3")).status(), 429 | 503));
+    assert!(matches!(gateway.client().call(&saldo("none", "3")).status(), 429 | 503));
 }
 
 #[test]
 fn a_drained_gateway_serves_arriving_requests_and_closes_connections() {
     let server = Stub::start(|_| Reply::NoAnswer);
-    let (mut gateway, _agent) = Running::with_console(&[&server]);
+    let (mut gateway, _agent) = GatewayProcess::with_console(&[&server]);
     let (mut idle, mut reused) = (gateway.client(), gateway.client());
-    assert_eq!(idle.ask(UP_REQUEST).status(), 200);
-    assert_eq!(reused.ask(UP_REQUEST).status(), 200);
+    assert_eq!(idle.call(UP_REQUEST).status(), 200);
+    assert_eq!(reused.call(UP_REQUEST).status(), 200);
     let mut in_flight = gateway.client();
     in_flight.write(&saldo("d1", "3"));
     until("the server has the request", || server.requests() == 1);
@@ -165,7 +165,7 @@
     let answer = in_flight.read_response().expect("the request in flight is answered");
     assert_eq!((answer.text().as_str(), answer.header("connection")), ("taken", "close"));
     assert!(idle.is_closed(), "a connection that stays idle is closed");
-    let up = gateway.client().ask(UP_REQUEST);
+    let up = gateway.client().call(UP_REQUEST);
     assert_eq!((up.status(), up.header("connection")), (503, "close"));
     assert_eq!(gateway.console_status("GET", "/ready"), 200, "the process still accepts clients");
 
@@ -186,6 +186,6 @@
 
 #[test]
 fn without_a_configured_console_none_is_bound() {
-    let (gateway, _agent) = Running::with_servers(&[]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[]);
     assert!(!gateway.log().contains("console"));
 }
--- a/quota-gateway/server/tests/races.rs
+++ b/quota-gateway/server/tests/races.rs
@@ -18,8 +18,8 @@
 
 /// Starts a gateway with a console and these servers. It has a long connect timeout and a non-idempotent
 /// class, and sends no second copies.
-fn start_gateway(servers: &[SocketAddr], change: impl Fn(String) -> String) -> (Running, Agent) {
-    let (gateway, agent) = Running::with_non_idempotent_class(servers, |config| {
+fn start_gateway(servers: &[SocketAddr], change: impl Fn(String) -> String) -> (GatewayProcess, Agent) {
+    let (gateway, agent) = GatewayProcess::with_non_idempotent_class(servers, |config| {
         change(config.replace(r#""ConnectTimeout":250000000"#, r#""ConnectTimeout":5000000000"#))
     });
     agent.wait_for_watch(1);
@@ -27,9 +27,9 @@
 }
 
 /// Waits until the gateway has processed all events that arrived before the call.
-fn wait_until_processed(gateway: &Running) {
+fn wait_until_processed(gateway: &GatewayProcess) {
     for _ in 0..3 {
-        gateway.client().ask(UP_REQUEST);
+        gateway.client().call(UP_REQUEST);
     }
 }
 
@@ -84,7 +84,7 @@
         }
         agent.queue_reply(ok(&hosts(2, true, &[(other.addr, "SERVING")])));
         agent.wait_for_watch(2);
-        assert_eq!(gateway.client().ask(&saldo("b", "3")).text(), "other");
+        assert_eq!(gateway.client().call(&saldo("b", "3")).text(), "other");
         assert_eq!(
             server.try_accept().map(ServerConnection::read_to_close).unwrap_or_default(),
             "",
@@ -362,10 +362,10 @@
 #[test]
 fn sigterm_before_the_first_endpoint_list_ends_the_process() {
     let agent = Agent::start();
-    let mut gateway = Running::start(&config("127.0.0.1:0", agent.stub.addr, None));
+    let mut gateway = GatewayProcess::start(&config("127.0.0.1:0", agent.stub.addr, None));
     until("the gateway requests the list", || agent.stub.requests() == 1);
     let mut client = gateway.client();
-    assert_eq!(client.ask(UP_REQUEST).status(), 503);
+    assert_eq!(client.call(UP_REQUEST).status(), 503);
     gateway.terminate();
     assert!(gateway.exit().success());
 }
@@ -401,7 +401,7 @@
     let (mut gateway, _agent) = start_gateway(&[server.addr], unchanged);
     let mut idle: Vec<Client> = (0..40).map(|_| gateway.client()).collect();
     for (n, client) in idle.iter_mut().enumerate() {
-        assert_eq!(client.ask_on_this_connection(&saldo(&format!("f{n}"), "3")).status(), 200);
+        assert_eq!(client.call_on_this_connection(&saldo(&format!("f{n}"), "3")).status(), 200);
     }
     let before = server.requests();
     gateway.terminate();
--- a/quota-gateway/server/tests/time.rs
+++ b/quota-gateway/server/tests/request_budget.rs
@@ -23,9 +23,9 @@
 }
 
 /// Starts a gateway with a console and these servers; `change` edits its configuration before the start.
-fn start_gateway(servers: &[&Stub], change: impl Fn(String) -> String) -> (Running, Agent) {
+fn start_gateway(servers: &[&Stub], change: impl Fn(String) -> String) -> (GatewayProcess, Agent) {
     let addresses: Vec<_> = servers.iter().map(|stub| stub.addr).collect();
-    Running::with_non_idempotent_class(&addresses, change)
+    GatewayProcess::with_non_idempotent_class(&addresses, change)
 }
 
 #[test]
@@ -42,7 +42,7 @@
     let server = Stub::start(handler);
     let (gateway, _agent) = start_gateway(&[&server], unchanged);
     let mut client = gateway.client();
-    assert_eq!(client.ask(&saldo("e", "1.400")).text(), "served");
+    assert_eq!(client.call(&saldo("e", "1.400")).text(), "served");
     let remaining: Vec<f64> = server.received.lock().unwrap().iter().map(remaining_time).collect();
     assert_eq!(remaining.len(), 2);
     assert!(
@@ -57,7 +57,7 @@
 }
 
 /// Stops the process for this long, and calls `meanwhile` while it is stopped.
-fn while_stopped(gateway: &Running, span: Duration, meanwhile: impl FnOnce()) {
+fn while_stopped(gateway: &GatewayProcess, span: Duration, meanwhile: impl FnOnce()) {
     gateway.signal("-STOP");
     meanwhile();
     sleep(span);
@@ -69,7 +69,7 @@
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = start_gateway(&[&server], unchanged);
     let mut reused = gateway.client();
-    assert_eq!(reused.ask(&saldo("k0", "3")).text(), "served");
+    assert_eq!(reused.call(&saldo("k0", "3")).text(), "served");
     // One request on an open connection, and one on a connection that is not accepted yet.
     let mut new = None;
     while_stopped(&gateway, ms(400), || {
@@ -100,7 +100,7 @@
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = start_gateway(&[&server], unchanged);
     let mut client = gateway.client();
-    assert_eq!(client.ask(&saldo("p0", "3")).text(), "served");
+    assert_eq!(client.call(&saldo("p0", "3")).text(), "served");
     while_stopped(&gateway, ms(400), || client.write(&saldo("p1", "0.350")));
     let answer = client.read_response().expect("a response");
     assert_eq!(answer.status(), 503);
@@ -125,7 +125,7 @@
     client.write(head);
     // Once a request on a later connection is answered, the gateway has read the head's first part, however
     // late it was scheduled.
-    assert_eq!(gateway.client().ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
+    assert_eq!(gateway.client().call("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
     let first_part_read = Instant::now();
     sleep(ms(300));
     let pause = first_part_read.elapsed();
@@ -164,7 +164,7 @@
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = start_gateway(&[&server], unchanged);
     for (n, wait) in ["1e9", "4000000000.5", "4.0001"].into_iter().enumerate() {
-        assert_eq!(gateway.client().ask(&saldo(&format!("w{n}"), wait)).status(), 200, "{wait}");
+        assert_eq!(gateway.client().call(&saldo(&format!("w{n}"), wait)).status(), 200, "{wait}");
         assert!(
             remaining_time(&server.last_request()) <= 4.0 - RESPONSE_TRANSIT,
             "{wait}: {}",
@@ -172,12 +172,12 @@
         );
     }
     for (n, wait) in ["1e300", "-0.5", "NaN", "0", "-0", "", "1e-30", "0x1"].into_iter().enumerate() {
-        assert_eq!(gateway.client().ask(&saldo(&format!("v{n}"), wait)).status(), 400, "{wait:?}");
+        assert_eq!(gateway.client().call(&saldo(&format!("v{n}"), wait)).status(), 400, "{wait:?}");
     }
     assert_eq!(server.requests(), 3);
     // Timeouts shorter than any transit: the request is answered at once and never sent.
     for wait in ["0.000001", "0.001", "0.010", "0.011"] {
-        assert_eq!(gateway.client().ask(&saldo("small", wait)).status(), 503, "{wait}");
+        assert_eq!(gateway.client().call(&saldo("small", wait)).status(), 503, "{wait}");
     }
     assert_eq!(server.requests(), 3);
 }
@@ -190,7 +190,7 @@
     // The gateway measures the response times of this class.
     let mut client = gateway.client();
     for n in 0..60 {
-        assert_eq!(client.ask(&nomina(&format!("w{n}"), "3", "pago")).text(), "warm");
+        assert_eq!(client.call(&nomina(&format!("w{n}"), "3", "pago")).text(), "warm");
     }
     agent.wait_for_watch(1);
     agent.queue_reply(ok(&hosts(2, true, &[(hanging.addr, "SERVING"), (good.addr, "SERVING")])));
@@ -199,7 +199,7 @@
     // which is more than any of these requests has left.
     let connect_time = r#"marblecroft_request_stage_seconds_sum{class="nomina",stage="connect"}"#;
     for n in 0..40 {
-        let answer = client.ask(&nomina(&format!("c{n}"), "0.250", "pago"));
+        let answer = client.call(&nomina(&format!("c{n}"), "0.250", "pago"));
         assert_eq!((answer.status(), answer.text().as_str()), (200, "served"), "request {n}");
         if gateway.metric(connect_time) > 0.1 {
             return;
@@ -218,7 +218,7 @@
     let mut client = gateway.client();
     client.write(&saldo("g", "3"));
     // Once a request on another connection is answered, the gateway has read this one.
-    assert_eq!(gateway.client().ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
+    assert_eq!(gateway.client().call("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
     drop(client);
     let outcome = r#"marblecroft_requests_total{class="saldo",end="client_gone"}"#;
     until("the disconnect is counted", || gateway.metric(outcome) == 1.0);
@@ -235,7 +235,7 @@
         Stub::start(|_| Reply::RawKeepOpen("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nser".to_owned()));
     let (gateway, _agent) = start_gateway(&[&server], unchanged);
     let sent_at = Instant::now();
-    let answer = gateway.client().ask_on_this_connection(&nomina("n", "0.450", "pago"));
+    let answer = gateway.client().call_on_this_connection(&nomina("n", "0.450", "pago"));
     assert!(
         answer.status() >= 500 && answer.header("retry-after").is_empty(),
         "the request may have run: {answer:?}"
@@ -250,7 +250,7 @@
 fn a_non_idempotent_request_is_not_retried_whatever_time_remains() {
     let servers = [Stub::start(|_| Reply::RawAndClose("")), Stub::start(|_| Reply::RawAndClose(""))];
     let (gateway, _agent) = start_gateway(&[&servers[0], &servers[1]], unchanged);
-    let answer = gateway.client().ask_on_this_connection(&nomina("u", "4", "pago"));
+    let answer = gateway.client().call_on_this_connection(&nomina("u", "4", "pago"));
     assert!(answer.status() >= 500 && answer.header("retry-after").is_empty(), "{answer:?}");
     assert_eq!(servers[0].requests() + servers[1].requests(), 1);
     assert_eq!(gateway.metric(r#"marblecroft_attempts_total{attempt="further",class="nomina"}"#), 0.0);
@@ -276,7 +276,7 @@
     let server = Stub::start(|_| ok("served"));
     let (mut gateway, _agent) = start_gateway(&[&server], unchanged);
     let mut client = gateway.client();
-    assert_eq!(client.ask(&abono("t0", "7", "pago")).status(), 200);
+    assert_eq!(client.call(&abono("t0", "7", "pago")).status(), 200);
     assert!(remaining_time(&server.last_request()) > 6.0, "the class allows clients to wait for 7.5 s");
     // The request begins before the signal, so the process waits for the rest.
     let request = abono("t1", "7", "pago");
@@ -298,7 +298,7 @@
     let agent = Agent::start();
     let known = list(1, true, &serving(&[&server]));
     let config = config("127.0.0.1:0", agent.stub.addr, Some(&known));
-    let mut gateway = Running::start(&config);
+    let mut gateway = GatewayProcess::start(&config);
     let mut client = gateway.client();
     client.write(&saldo("s", "3"));
     until("the server has the request", || server.requests() == 1);
@@ -325,12 +325,12 @@
         .collect();
     let mut client = gateway.client();
     for n in 0..3 {
-        assert_eq!(client.ask(&saldo(&format!("a{n}"), "3")).status(), 200);
+        assert_eq!(client.call(&saldo(&format!("a{n}"), "3")).status(), 200);
     }
     let over_quota = saldo("q", "3").replace("basico", "nada").replace("b4d65521", "00000007");
-    assert_eq!(client.ask(&over_quota).status(), 503, "the customer's quota is used up");
+    assert_eq!(client.call(&over_quota).status(), 503, "the customer's quota is used up");
     server.set_handler(|_| Reply::NoAnswer);
-    assert!(client.ask(&nomina("i", "0.400", "pago")).status() >= 500);
+    assert!(client.call(&nomina("i", "0.400", "pago")).status() >= 500);
     let mut leaving = gateway.client();
     leaving.write(&saldo("l", "3"));
     until("the server has the request", || server.requests() == 5);
@@ -357,7 +357,7 @@
     assert!(has_only_series(&answer.text()), "{}", answer.text());
     let lines = answer.text().lines().count();
     for n in 0..20 {
-        client.ask(&saldo(&format!("m{n}"), "0.001"));
+        client.call(&saldo(&format!("m{n}"), "0.001"));
     }
     assert_eq!(gateway.console_response("GET", "/metrics").text().lines().count(), lines);
     drop(stalled);
--- a/quota-gateway/server/tests/servers.rs
+++ b/quota-gateway/server/tests/servers.rs
@@ -11,8 +11,8 @@
 /// its only server always reacts like this.
 fn keyed_request_outcome(reply: Reply) -> (u16, usize) {
     let server = Stub::start(move |_| reply.clone());
-    let (gateway, _agent) = Running::with_servers(&[&server]);
-    let answer = gateway.client().ask(&abono("k", "3", "pago"));
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
+    let answer = gateway.client().call(&abono("k", "3", "pago"));
     assert!(!answer.text().contains("secret"), "the client must not see a server's text: {}", answer.text());
     (answer.status(), server.requests())
 }
@@ -75,15 +75,15 @@
     let refusing = Port::reserve();
     let mut stub = Stub::start(|_| ok("never asked"));
     stub.addr = refusing.addr;
-    let (gateway, _agent) = Running::with_servers(&[&stub]);
-    assert!(is_rejection(gateway.client().ask(&abono("c", "3", "pago")).status()));
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&stub]);
+    assert!(is_rejection(gateway.client().call(&abono("c", "3", "pago")).status()));
 }
 
 #[test]
 fn an_unresponsive_server_does_not_delay_the_final_response() {
     let server = Stub::start(|_| Reply::NoAnswer);
-    let (gateway, _agent) = Running::with_servers(&[&server]);
-    let answer = gateway.client().ask(&abono("s", "0.8", "pago"));
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
+    let answer = gateway.client().call(&abono("s", "0.8", "pago"));
     assert!(answer.status() >= 500 && !is_rejection(answer.status()), "the request may have run");
     let attempts = server.requests();
     until("every attempt is cancelled", || server.closed.load(Ordering::SeqCst) == attempts);
@@ -93,18 +93,18 @@
 #[test]
 fn the_first_response_wins_and_the_other_attempt_is_cancelled() {
     let servers = [Stub::start(|_| ok("quick")), Stub::start(|_| ok("quick"))];
-    let (gateway, _agent) = Running::with_servers(&[&servers[0], &servers[1]]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&servers[0], &servers[1]]);
     let mut client = gateway.client();
     for n in 0..40 {
         wait_for_reuse();
-        assert_eq!(client.ask(&saldo(&format!("w{n}"), "4")).status(), 200);
+        assert_eq!(client.call(&saldo(&format!("w{n}"), "4")).status(), 200);
     }
     // From now on one server does not answer, and a second copy of its request goes to the other one.
     servers[0].set_handler(|_| Reply::NoAnswer);
     let before = servers[0].requests();
     for n in 0..200 {
         wait_for_reuse();
-        let answer = client.ask(&saldo(&format!("x{n}"), "4"));
+        let answer = client.call(&saldo(&format!("x{n}"), "4"));
         assert_eq!((answer.status(), answer.text().as_str()), (200, "quick"));
         if servers[0].requests() > before {
             break;
@@ -133,18 +133,18 @@
     // A long latency target, so that the second attempt meets it on a slow machine too.
     let generous = config("127.0.0.1:0", agent.stub.addr, Some(&known))
         .replace(r#""Aim":1500000000,"Deadline":4000000000"#, r#""Aim":5000000000,"Deadline":12000000000"#);
-    let gateway = Running::start(&generous);
+    let gateway = GatewayProcess::start(&generous);
     let mut others = gateway.client();
     for n in 0..40 {
-        assert_eq!(others.ask(&saldo(&format!("w{n}"), "4")).status(), 200);
+        assert_eq!(others.call(&saldo(&format!("w{n}"), "4")).status(), 200);
     }
     let mut client = gateway.client();
-    let pending = std::thread::spawn(move || client.ask(&saldo("lost", "12")));
+    let pending = std::thread::spawn(move || client.call(&saldo("lost", "12")));
     until("the server has the request", || lost_attempts.load(Ordering::SeqCst) == 1);
     // The server goes on answering the requests that arrive after the lost one.
     let mut n = 0;
     while !pending.is_finished() {
-        assert_eq!(others.ask(&saldo(&format!("x{n}"), "4")).text(), "other");
+        assert_eq!(others.call(&saldo(&format!("x{n}"), "4")).text(), "other");
         n += 1;
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
@@ -157,11 +157,11 @@
 #[test]
 fn a_connection_found_closed_is_replaced_within_the_same_attempt() {
     let server = Stub::start(|_| Reply::AnswerAndClose("served".to_owned()));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     for n in 1..=20 {
         // One attempt per request, idempotent by key: a retry would show as one more request at the server.
-        assert_eq!(client.ask(&abono(&format!("z{n}"), "3", "pago")).status(), 200);
+        assert_eq!(client.call(&abono(&format!("z{n}"), "3", "pago")).status(), 200);
         assert_eq!(server.requests(), n);
     }
 }
@@ -173,10 +173,10 @@
         3 => Reply::RawAndClose(""),
         _ => ok("served"),
     });
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     for n in 0..90 {
-        let answer = client.ask(&saldo(&format!("b{n}"), "3"));
+        let answer = client.call(&saldo(&format!("b{n}"), "3"));
         assert_eq!((answer.status(), answer.text().as_str()), (200, "served"), "request {n}");
     }
     assert!(server.requests() >= 90 + 25, "a quarter of the attempts was aborted");
@@ -186,10 +186,10 @@
 fn retries_of_rejected_requests_stay_few() {
     let full = Reply::Answer(503, "X-Never-Ran: 1\r\n", String::new());
     let server = Stub::start(move |_| full.clone());
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     for n in 0..20 {
-        assert!(is_rejection(client.ask(&saldo(&format!("f{n}"), "3")).status()));
+        assert!(is_rejection(client.call(&saldo(&format!("f{n}"), "3")).status()));
     }
     assert!(
         server.requests() <= 20 + 3,
@@ -205,39 +205,39 @@
     let known = list(1, true, &serving(&[&server]));
     let short = config("127.0.0.1:0", agent.stub.addr, Some(&known))
         .replace(r#""ConnIdle":15000000000"#, r#""ConnIdle":500000000"#);
-    let gateway = Running::start(&short);
-    assert_eq!(gateway.client().ask(&saldo("i", "3")).status(), 200);
+    let gateway = GatewayProcess::start(&short);
+    assert_eq!(gateway.client().call(&saldo("i", "3")).status(), 200);
     until("the gateway closes the idle connection", || server.closed.load(Ordering::SeqCst) == 1);
-    assert_eq!(gateway.client().ask(&saldo("j", "3")).status(), 200);
+    assert_eq!(gateway.client().call(&saldo("j", "3")).status(), 200);
     assert_eq!(server.connections.load(Ordering::SeqCst), 2);
 }
 
 #[test]
 fn a_connection_idle_for_too_long_is_not_reused() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
-    let mut ask = |id: String| client.ask(&abono(&id, "3", "pago")).status();
+    let mut send_abono = |id: String| client.call(&abono(&id, "3", "pago")).status();
     let connections = || server.connections.load(Ordering::SeqCst);
     // Emulates a server that has closed an idle connection, which the gateway detects only by its next
     // request.
     let mut rounds = 0;
     until("a new connection is opened in place of an idle one", || {
         rounds += 1;
-        assert_eq!(ask(format!("a{rounds}")), 200);
+        assert_eq!(send_abono(format!("a{rounds}")), 200);
         std::thread::sleep(Duration::from_secs(1));
         server.set_handler(|_| Reply::RawAndClose(""));
-        ask(format!("b{rounds}"));
+        send_abono(format!("b{rounds}"));
         server.set_handler(|_| ok("served"));
-        assert_eq!(ask(format!("c{rounds}")), 200);
+        assert_eq!(send_abono(format!("c{rounds}")), 200);
         std::thread::sleep(Duration::from_secs(1));
         let before = connections();
-        assert_eq!(ask(format!("d{rounds}")), 200);
+        assert_eq!(send_abono(format!("d{rounds}")), 200);
         connections() > before
     });
     let before = connections();
     wait_for_reuse();
-    assert_eq!(ask("e".to_owned()), 200);
+    assert_eq!(send_abono("e".to_owned()), 200);
     assert_eq!(connections(), before, "a connection that was just in use is still kept");
 }
 
@@ -245,10 +245,10 @@
 fn malformed_meters_and_reports_are_logged_once_and_ignored() {
     let bad = "X-Meter: much\r\nEndpoint-Load-Metrics: TEXT queue=\r\n";
     let server = Stub::start(move |_| Reply::Answer(200, bad, "served".to_owned()));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     for n in 0..3 {
-        assert_eq!(client.ask(&saldo(&format!("m{n}"), "3")).status(), 200);
+        assert_eq!(client.call(&saldo(&format!("m{n}"), "3")).status(), 200);
     }
     until("both headers are logged", || gateway.log().matches("malformed").count() >= 2);
     assert_eq!(gateway.log().matches("malformed meter").count(), 1);
@@ -261,17 +261,17 @@
     // of them.
     let report = "Endpoint-Load-Metrics: TEXT queue=5000, qps=1\r\n";
     let server = Stub::start(move |_| Reply::Answer(200, report, "served".to_owned()));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     until("the gateway sheds requests", || {
-        is_rejection(client.ask(&saldo("q", "3")).status()) || gateway.log().contains("shedding: true")
+        is_rejection(client.call(&saldo("q", "3")).status()) || gateway.log().contains("shedding: true")
     });
 }
 
 #[test]
 fn an_unresponsive_server_is_retried_on_a_new_connection() {
     let server = Stub::start(|_| ok("served"));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     // Two requests at the same time, so that two connections are kept.
     server.set_handler(|_| Reply::NoAnswer);
     let mut clients = [gateway.client(), gateway.client()];
@@ -285,10 +285,10 @@
     }
     // The server fails without closing its connections, and nothing arrives on them any more.
     wait_for_reuse();
-    let answer = gateway.client().ask(&abono("v2", "0.5", "pago"));
+    let answer = gateway.client().call(&abono("v2", "0.5", "pago"));
     assert!(answer.status() >= 500 && !is_rejection(answer.status()));
     server.set_handler(|_| ok("back"));
-    assert_eq!(gateway.client().ask(&abono("v3", "4", "pago")).text(), "back");
+    assert_eq!(gateway.client().call(&abono("v3", "4", "pago")).text(), "back");
     assert_eq!(
         server.connections.load(Ordering::SeqCst),
         3,
@@ -307,7 +307,7 @@
         format!("HTTP/1.1 200 OK\r\nA: {}", "x".repeat(100_000)),
     ] {
         let server = Stub::start(move |_| Reply::RawKeepOpen(malformed.clone()));
-        let (gateway, _agent) = Running::with_servers(&[&server]);
+        let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
         let mut client = gateway.client();
         client.write(&abono("e", "7.5", "pago"));
         until("the attempt's connection is closed", || server.closed.load(Ordering::SeqCst) >= 1);
@@ -325,11 +325,11 @@
         let interim = "HTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 103 Hint\r\nA: b\r\n\r\n";
         Reply::RawKeepOpen(interim.to_owned() + &response_text(200, "", "served"))
     });
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     for n in 0..3 {
         wait_for_reuse();
-        assert_eq!(client.ask(&saldo(&format!("i{n}"), "3")).text(), "served");
+        assert_eq!(client.call(&saldo(&format!("i{n}"), "3")).text(), "served");
     }
     assert_eq!(server.connections.load(Ordering::SeqCst), 1, "the connection is reusable");
 }
@@ -352,11 +352,11 @@
     ];
     for (what, reply) in replies {
         let server = Stub::start(move |m| reply(m.header("x-trace-id")));
-        let (gateway, _agent) = Running::with_servers(&[&server]);
+        let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
         let mut client = gateway.client();
         for n in 1..=5 {
             let id = format!("x{n}");
-            assert_eq!(client.ask(&abono(&id, "3", "pago")).text(), trace_id(&id), "{what}");
+            assert_eq!(client.call(&abono(&id, "3", "pago")).text(), trace_id(&id), "{what}");
             // The surplus bytes have arrived when the next request is sent.
             std::thread::sleep(std::time::Duration::from_millis(100));
         }
@@ -369,11 +369,11 @@
 fn implausible_load_reports_are_ignored() {
     let implausible = "X-Meter: 1e300\r\nEndpoint-Load-Metrics: TEXT queue=1e300, qps=1\r\n";
     let server = Stub::start(move |_| Reply::Answer(200, implausible, "served".to_owned()));
-    let (gateway, _agent) = Running::with_servers(&[&server]);
+    let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     for n in 0..40 {
         assert_eq!(
-            client.ask(&saldo(&format!("t{n}"), "3")).status(),
+            client.call(&saldo(&format!("t{n}"), "3")).status(),
             200,
             "if the report were used, the request would be rejected"
         );
--- a/quota-gateway/server/tests/upgrade.rs
+++ b/quota-gateway/server/tests/upgrade.rs
@@ -26,8 +26,8 @@
         UpgradeSite { listener, shared: temp_dir(), config }
     }
 
-    fn start(&self) -> Running {
-        Running::inheriting(&self.listener, &self.shared, &self.config)
+    fn start(&self) -> GatewayProcess {
+        GatewayProcess::inheriting(&self.listener, &self.shared, &self.config)
     }
 
     /// The path of the handover socket.
@@ -54,7 +54,7 @@
     let mut old = site.start();
     assert_eq!(old.console_status("PUT", &disable(&servers[0])), 200);
     let (mut in_flight, mut reused) = (old.client(), old.client());
-    assert_eq!(reused.ask_on_this_connection(UP_REQUEST).status(), 200);
+    assert_eq!(reused.call_on_this_connection(UP_REQUEST).status(), 200);
     in_flight.write(&saldo("t", "3"));
     until("the server has the request", || servers[1].requests() == 1);
 
@@ -68,30 +68,30 @@
     servers[1].set_handler(|_| ok("b"));
     let answer = in_flight.read_response().expect("the request in flight is answered");
     assert_eq!((answer.text().as_str(), answer.header("connection")), ("b", "close"));
-    let answer = reused.ask_on_this_connection(&saldo("k", "3"));
+    let answer = reused.call_on_this_connection(&saldo("k", "3"));
     assert_eq!((answer.text().as_str(), answer.header("connection")), ("b", "close"));
     for n in 0..20 {
-        let answer = new.client().ask_on_this_connection(&saldo(&format!("n{n}"), "3"));
+        let answer = new.client().call_on_this_connection(&saldo(&format!("n{n}"), "3"));
         assert_eq!(
             (answer.status(), answer.text().as_str()),
             (200, "b"),
             "the server is disabled in the new process too"
         );
         assert_eq!(
-            new.client().ask_on_this_connection(UP_REQUEST).status(),
+            new.client().call_on_this_connection(UP_REQUEST).status(),
             200,
             "the gateway is up all the time"
         );
     }
     assert!(old.exit().success());
-    assert_eq!(new.client().ask_on_this_connection(&saldo("z", "3")).text(), "b");
+    assert_eq!(new.client().call_on_this_connection(&saldo("z", "3")).text(), "b");
     assert_eq!(servers[0].requests(), 0);
     // A second upgrade.
     let next = site.start();
     until("the next process is ready", || next.console_status("GET", "/ready") == 200);
     new.terminate();
     assert!(new.exit().success());
-    assert_eq!(next.client().ask_on_this_connection(&saldo("y", "3")).text(), "b");
+    assert_eq!(next.client().call_on_this_connection(&saldo("y", "3")).text(), "b");
     assert_eq!(servers[0].requests(), 0);
 }
 
@@ -102,29 +102,29 @@
     let old = site.start();
     // A connection that the old process serves until it closes.
     let mut old_client = old.client();
-    assert_eq!(old_client.ask_on_this_connection(UP_REQUEST).status(), 200);
+    assert_eq!(old_client.call_on_this_connection(UP_REQUEST).status(), 200);
     let mut new = site.start();
     until("the new process is ready", || new.console_status("GET", "/ready") == 200);
     assert_eq!(new.console_status("PUT", &disable(&servers[0])), 200);
     until("the old process has applied the command", || old.log().contains("Disable"));
     for n in 0..10 {
-        assert_eq!(old_client.ask_on_this_connection(&saldo(&format!("d{n}"), "3")).text(), "b");
+        assert_eq!(old_client.call_on_this_connection(&saldo(&format!("d{n}"), "3")).text(), "b");
     }
     assert_eq!(old.console_status("PUT", "/drain"), 200);
     until("the new process has applied the command", || new.log().contains("Drain"));
     for _ in 0..10 {
-        assert_eq!(new.client().ask(UP_REQUEST).status(), 503, "both processes report the drain");
+        assert_eq!(new.client().call(UP_REQUEST).status(), 503, "both processes report the drain");
     }
     assert_eq!(new.console_status("PUT", "/undrain"), 200);
     until("the old process has applied the command", || old.log().contains("Undrain"));
     for _ in 0..10 {
-        assert_eq!(new.client().ask(UP_REQUEST).status(), 200);
+        assert_eq!(new.client().call(UP_REQUEST).status(), 200);
     }
     // The new process is killed: the old one continues alone.
     new.child.kill().expect("kill the gateway");
     new.exit();
     until("the old process detects the exit", || old.log().contains("is gone"));
-    assert_eq!(old.client().ask(&saldo("e", "3")).text(), "b");
+    assert_eq!(old.client().call(&saldo("e", "3")).text(), "b");
 }
 
 #[test]
@@ -137,9 +137,9 @@
     until("the new process is ready", || new.console_status("GET", "/ready") == 200);
     old.terminate();
     assert!(old.exit().success());
-    assert_eq!(new.client().ask(UP_REQUEST).status(), 503);
+    assert_eq!(new.client().call(UP_REQUEST).status(), 503);
     assert_eq!(new.console_status("PUT", "/undrain"), 200);
-    assert_eq!(new.client().ask(UP_REQUEST).status(), 200);
+    assert_eq!(new.client().call(UP_REQUEST).status(), 200);
 }
 
 #[test]
@@ -153,18 +153,18 @@
     let mut old = site.start();
     let mut old_client = old.client();
     for n in 0..2 {
-        assert_eq!(old_client.ask_on_this_connection(&limited(format!("o{n}"))).status(), 200);
+        assert_eq!(old_client.call_on_this_connection(&limited(format!("o{n}"))).status(), 200);
     }
     let new = site.start();
     until("the new process is ready", || new.console_status("GET", "/ready") == 200);
     // The new process also counts the requests that the old one still sends.
     for n in 2..4 {
-        assert_eq!(old_client.ask_on_this_connection(&limited(format!("o{n}"))).status(), 200);
+        assert_eq!(old_client.call_on_this_connection(&limited(format!("o{n}"))).status(), 200);
     }
     old.terminate();
     assert!(old.exit().success());
     let mut new_client = new.client();
-    let statuses: Vec<u16> = (0..6).map(|n| new_client.ask(&limited(format!("n{n}"))).status()).collect();
+    let statuses: Vec<u16> = (0..6).map(|n| new_client.call(&limited(format!("n{n}"))).status()).collect();
     assert_eq!(statuses, [200, 200, 503, 503, 503, 503]);
     assert_eq!(server.requests(), 6);
 }
@@ -251,7 +251,7 @@
     let first = site.start();
     until("the gateway is ready", || first.console_status("GET", "/ready") == 200);
     assert!(!first.log().contains("takes over"), "{}", first.log());
-    assert_eq!(first.client().ask(&saldo("f", "3")).text(), "a");
+    assert_eq!(first.client().call(&saldo("f", "3")).text(), "a");
     // The next process can take over: the path was replaced by a working socket.
     let next = site.start();
     assert!(next.log().contains("takes over"), "{}", next.log());
@@ -296,9 +296,10 @@
     let known = list(1, true, &serving(&[&server]));
     let config = config("127.0.0.1:0", agent.stub.addr, Some(&known));
     for fd in ["7", "2", "-1", "x", "4000000000"] {
-        let gateway = Running::start_with("exec 7</dev/null; exec \"$0\"", &config, &[("RELAY_FD", fd)]);
+        let gateway =
+            GatewayProcess::start_with("exec 7</dev/null; exec \"$0\"", &config, &[("RELAY_FD", fd)]);
         assert!(gateway.log().contains("RELAY_FD"), "{}", gateway.log());
-        assert_eq!(gateway.client().ask(&saldo("i", "3")).text(), "a", "{fd}");
+        assert_eq!(gateway.client().call(&saldo("i", "3")).text(), "a", "{fd}");
     }
 }
 
