--- a/quota-gateway/controller/src/config.rs
+++ b/quota-gateway/controller/src/config.rs
@@ -40,7 +40,7 @@
         }
         /// A name is empty, too long or has characters that are not allowed.
         Name(key: &'static str) {
-            display("{key}: 1 to {MAX_NAME_BYTES} letters, digits, '-', '_', '.'")
+            display("{key}: expected 1 to {MAX_NAME_BYTES} letters, digits, '-', '_', '.'")
         }
         /// An address is not a loopback address, and the configuration does not allow other addresses.
         NotLoopback(key: &'static str) {
@@ -48,11 +48,11 @@
         }
         /// The number of addresses of the coordination service is 0 or too large.
         Coordinators {
-            display("coordinators: 1 to {MAX_COORDINATORS} addresses")
+            display("coordinators: expected 1 to {MAX_COORDINATORS} addresses")
         }
         /// A number is out of range.
         OutOfRange(key: &'static str, min: u64, max: u64) {
-            display("{key}: from {min} to {max}")
+            display("{key}: expected a number from {min} to {max}")
         }
         /// The settings of the zone failover are invalid.
         Zones(cause: SettingsError) {
--- a/quota-gateway/controller/src/config/shard_map.rs
+++ b/quota-gateway/controller/src/config/shard_map.rs
@@ -18,11 +18,11 @@
     pub enum ShardMapConfigError {
         /// A number is out of range.
         OutOfRange(key: &'static str, min: u64, max: u64) {
-            display("{key}: from {min} to {max}")
+            display("{key}: expected a number from {min} to {max}")
         }
         /// The number of cells is 0 or too large.
         CellCount {
-            display("cells: 1 to {MAX_CELLS}")
+            display("cells: expected 1 to {MAX_CELLS} cells")
         }
         /// Two cells have the same number. The index is that of the second one.
         DuplicateCell(index: usize, number: Cell) {
--- a/quota-gateway/controller/src/zone_failover_role.rs
+++ b/quota-gateway/controller/src/zone_failover_role.rs
@@ -61,7 +61,7 @@
         }
         if self.core.rejected_failovers() > self.rejected_failovers {
             if self.rejected_failovers == 0 {
-                warn!("a zone seems to have failed, but remains: it is the last, or another region just failed over");
+                warn!("zone failover refused: no other zone is usable, or another region just failed over");
             }
             self.rejected_failovers = self.core.rejected_failovers();
         }
--- a/quota-gateway/coordination/src/service/leadership.rs
+++ b/quota-gateway/coordination/src/service/leadership.rs
@@ -74,8 +74,8 @@
         self.raft.metrics().borrow().state == ServerState::Leader
     }
 
-    /// Returns whether this process has taken over and still leads. A majority confirms this after the call
-    /// was made.
+    /// Returns whether this process has taken over and a majority has confirmed, after this call, that it
+    /// still leads.
     pub(super) async fn has_confirmed_leadership(&self) -> bool {
         let (confirmation, confirmed) = oneshot::channel();
         let is_requested = self.confirmations.send(confirmation).await.is_ok();
--- a/quota-gateway/core/src/decisions/in_flight_limits.rs
+++ b/quota-gateway/core/src/decisions/in_flight_limits.rs
@@ -11,14 +11,15 @@
 
 /// Attempts that all gateways together may always have in flight at a server, whatever its answer rate.
 const MIN_IN_FLIGHT_PER_SERVER: f64 = 3.0;
-/// The in-flight limit of one server is the number of attempts that it answers in this share of the mean
+/// The limit on attempts in flight at one server is the number that it answers in this share of the mean
 /// latency target, or in twice this share for the most valuable class.
 const SERVER_TARGET_SHARE: f64 = 0.08;
-/// The in-flight limit of all servers together is the number of attempts that they answer in this share of
+/// The limit on attempts in flight at all servers together is the number that they answer in this share of
 /// the mean latency target. It is larger than [`SERVER_TARGET_SHARE`] because one server may be busier than
 /// the rest.
 const TOTAL_TARGET_SHARE: f64 = 0.12;
-/// Multiple of the total limit for requests within their quota. It is above 1 because service is uneven.
+/// Multiple of the total limit for requests within their quota. It is above 1 because the rate of
+/// answers varies.
 const TOTAL_LIMIT_WITHIN_QUOTA: f64 = 1.5;
 /// Multiple of the total limit for requests over their quota, which are sent only if there is spare capacity.
 const TOTAL_LIMIT_OVER_QUOTA: f64 = 0.5;
@@ -29,7 +30,7 @@
 /// Limits on attempts in flight from this gateway at one server.
 #[derive(Clone, Copy)]
 pub(super) struct InFlightLimits {
-    /// The server's answer rate times this many seconds is its limit.
+    /// A server's limit is the number of attempts that it answers in this many seconds.
     pub(super) horizon_secs: f64,
     /// Lower bound of the limit for a server of mean capacity.
     pub(super) min_per_server: f64,
--- a/quota-gateway/core/src/decisions/quota.rs
+++ b/quota-gateway/core/src/decisions/quota.rs
@@ -22,8 +22,8 @@
 const METER_LAG_SECS: f64 = 1.0;
 /// Share of the quota left beyond the slices that all gateways together may use between two readings.
 const BEYOND_SLICE_SHARE: f64 = 0.5;
-/// Without a meter: time constant of a customer's demand in seconds. It is limited because the demand changes
-/// over time.
+/// Without a meter: time constant in seconds of the average of a customer's demand. A longer one would follow
+/// changes of the demand too slowly.
 const UNMETERED_TIME_CONSTANT_SECS: f64 = 10.0;
 /// Without a meter: seconds of quota that are added to a request's units to give its allowance. The
 /// probability of admission falls as the customer's recent demand grows relative to the allowance.
--- a/quota-gateway/core/tests/failures.rs
+++ b/quota-gateway/core/tests/failures.rs
@@ -1053,8 +1053,8 @@
 }
 
 /// Regression test: if the other servers were busy or gone, a retry with little time left went to a server
-/// many times slower than the others of its type. No answer could come in time, and the client waited in
-/// vain.
+/// many times slower than the others of its type. No answer could arrive in time, so the client waited until
+/// its deadline for nothing.
 #[test]
 fn a_retry_is_not_sent_to_a_server_too_slow_for_the_time_left() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 4);
--- a/quota-gateway/discovery/src/journal.rs
+++ b/quota-gateway/discovery/src/journal.rs
@@ -229,7 +229,8 @@
         }
         let (file, frame) = (self.file_name("log"), encode(&records)?);
         if let Err(e) = self.storage.append(&file, &frame) {
-            // A part of the frame may be in the file, and frames after it could not be read.
+            // The file may end with a part of the frame. Frames appended after it could not be read, so the
+            // part is removed.
             let undone = self.storage.truncate(&file, self.log_bytes).and_then(|()| self.storage.sync(&file));
             self.is_broken = undone.is_err();
             return Err(e);
--- a/quota-gateway/fair-share/src/allocator.rs
+++ b/quota-gateway/fair-share/src/allocator.rs
@@ -19,8 +19,8 @@
 /// to others. If it is unreachable for longer but still runs, the capacity may be exceeded
 /// (`docs/fair-share.md`).
 pub const GRANT_LIFETIME: Duration = Duration::from_secs(60);
-/// Changes up to this size are not published: relative for the level and the capacity, as a fraction of the
-/// capacity for a grant.
+/// Smaller changes are not published. Changes of the level and of the capacity are relative to their own
+/// value; changes of a grant are relative to the capacity.
 const MIN_RELATIVE_CHANGE: f64 = 0.002;
 
 /// The allocator of one owner of the role.
--- a/quota-gateway/server/src/config.rs
+++ b/quota-gateway/server/src/config.rs
@@ -63,7 +63,10 @@
         }
         /// The settings of the discovery service are out of range.
         ListService {
-            display("list_service: at most {MAX_OTHER_SERVICES} others, a share of 1 and {MAX_REMOVAL_DELAY_MS} ms")
+            display(
+                "list_service: expected at most {MAX_OTHER_SERVICES} others, a missing_share from 0 to 1 and \
+                 a missing_hold_ms of at most {MAX_REMOVAL_DELAY_MS}"
+            )
         }
         /// The settings of the fleet are out of range.
         Fleet(cause: FleetConfigError) {
--- a/quota-gateway/server/src/discovery/follow_timing.rs
+++ b/quota-gateway/server/src/discovery/follow_timing.rs
@@ -143,8 +143,9 @@
         }
     }
 
-    /// The longest time from the same instant until that call is answered or abandoned, also for gateways
-    /// that were rejected as busy.
+    /// The longest time between the instant at which discovery has a change and can be reached and the end of
+    /// the call of [`max_time_to_call`](Self::max_time_to_call), by an answer or a timeout. Also holds for
+    /// gateways that were rejected as busy.
     pub const fn update_bound(&self) -> Duration {
         let rejected = longest_pause(max_duration(self.backoff.max, self.max_call_spread()))
             .saturating_add(self.busy_timeout);
--- a/quota-gateway/server/src/fleet_decisions/fleet_config.rs
+++ b/quota-gateway/server/src/fleet_decisions/fleet_config.rs
@@ -16,15 +16,15 @@
     pub enum FleetConfigError {
         /// The fleet's name is empty or too long.
         Name {
-            display("stewards.fleet: 1 to {MAX_FLEET_NAME_BYTES} bytes")
+            display("stewards.fleet: expected 1 to {MAX_FLEET_NAME_BYTES} bytes")
         }
         /// There are no coordinators, or too many.
         Coordinators {
-            display("stewards.coordinators: 1 to {MAX_COORDINATORS} addresses")
+            display("stewards.coordinators: expected 1 to {MAX_COORDINATORS} addresses")
         }
         /// The report interval is out of range.
         ReportInterval {
-            display("stewards.report_ms: from {MIN_REPORT_MS} to {MAX_REPORT_MS}")
+            display("stewards.report_ms: expected a number from {MIN_REPORT_MS} to {MAX_REPORT_MS}")
         }
     }
 }
--- a/quota-gateway/server/src/shard_map.rs
+++ b/quota-gateway/server/src/shard_map.rs
@@ -19,11 +19,11 @@
 
 /// The header with the epoch of a write. Servers that do not use shards ignore it.
 pub const EPOCH: HeaderName = HeaderName::from_static("x-book-epoch");
-/// The header, set together with `X-Never-Ran`, with the epoch that the cell requires, if the write had
-/// another one. 0 means that the cell does not own the range.
+/// The header of a response to a write with another epoch than the cell requires: the required epoch. Set
+/// together with `X-Never-Ran`. 0 means that the cell does not own the range.
 const EPOCH_DUE: HeaderName = HeaderName::from_static("x-book-due");
-/// How long an attempt waits for a newer map before it ends: the pause of a move, the same as in cells that
-/// fence. The request's budget limits it further.
+/// How long an attempt waits for a newer map before it ends: the pause in writes during a migration, the same
+/// as in cells that fence. The request's budget limits it further.
 pub const MAX_MAP_UPDATE_WAIT: Duration = Duration::from_millis(300);
 
 /// The shard map, and the cell of each server.
--- a/quota-gateway/zone-failover/src/evidence.rs
+++ b/quota-gateway/zone-failover/src/evidence.rs
@@ -22,8 +22,8 @@
 const SUFFICIENT_LATEST_VOTES: f64 = 3.0;
 /// Minimum number of votes for an opinion.
 const MIN_VOTES: f64 = 1.0;
-/// Minimum number of gateways for clipping demand. With fewer, the mean of the others may itself be a wrong
-/// value.
+/// Minimum number of gateways for clipping demand. With fewer, a single wrong report could distort the mean
+/// of the others.
 const MIN_GATEWAYS_TO_CLIP: usize = 4;
 /// Upper bound of a gateway's demand relative to the mean of the others. Traffic is uneven, but not by more
 /// than this.
--- a/quota-gateway/zone-failover/src/settings.rs
+++ b/quota-gateway/zone-failover/src/settings.rs
@@ -181,7 +181,7 @@
         Duration::from_millis(doubled_ms.min(self.max_failover_ms.max(self.min_failover_ms)))
     }
 
-    /// Returns the time in which the traffic of a returning zone rises to all of its traffic.
+    /// Returns the time over which the traffic of a returning zone rises from none to all of its traffic.
     pub fn slow_start(&self) -> Duration {
         Duration::from_millis(self.slow_start_ms)
     }
