--- a/quota-gateway/controller/src/cell_client.rs
+++ b/quota-gateway/controller/src/cell_client.rs
@@ -4,7 +4,7 @@
 use marblecroft_shard_map::cell::{CellReply, CellRequest};
 use marblecroft_shard_map::map::Cell;
 use marblecroft_shard_map::migration::CellOperation;
-use marblecroft_shard_map::owner::CellAnswer;
+use marblecroft_shard_map::owner::CellAcknowledgement;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -34,7 +34,7 @@
     addresses: BTreeMap<Cell, SocketAddr>,
     idle: RefCell<BTreeMap<Cell, TcpStream>>,
     in_flight: RefCell<BTreeSet<CellOperation>>,
-    answers: RefCell<Vec<CellAnswer>>,
+    acknowledgements: RefCell<Vec<CellAcknowledgement>>,
     replied: Notify,
 }
 
@@ -46,14 +46,14 @@
             addresses,
             idle: RefCell::default(),
             in_flight: RefCell::default(),
-            answers: RefCell::default(),
+            acknowledgements: RefCell::default(),
             replied: Notify::new(),
         })
     }
 
     /// Returns the acknowledgements received since the last call.
-    pub fn take_answers(&self) -> Vec<CellAnswer> {
-        std::mem::take(&mut self.answers.borrow_mut())
+    pub fn take_acknowledgements(&self) -> Vec<CellAcknowledgement> {
+        std::mem::take(&mut self.acknowledgements.borrow_mut())
     }
 
     /// Waits until a request has ended, with or without a reply.
@@ -82,7 +82,7 @@
     /// the next attempt.
     async fn execute(&self, token: u64, operation: CellOperation) {
         match timeout(REQUEST_TIMEOUT, self.exchange(token, operation)).await {
-            Ok(Ok(CellReply::Done)) => self.answers.borrow_mut().push(answer(operation)),
+            Ok(Ok(CellReply::Done)) => self.acknowledgements.borrow_mut().push(acknowledgement(operation)),
             Ok(Ok(CellReply::Fenced { .. } | CellReply::Higher)) => sleep(REJECTED_DELAY).await,
             Ok(Ok(CellReply::InProgress) | Err(_)) | Err(_) => sleep(RETRY_DELAY).await,
         }
@@ -115,12 +115,12 @@
 }
 
 /// Returns the acknowledgement of an operation.
-fn answer(operation: CellOperation) -> CellAnswer {
+fn acknowledgement(operation: CellOperation) -> CellAcknowledgement {
     let ((first, _), epoch) = (operation.range(), operation.epoch());
     match operation {
-        CellOperation::Close { .. } => CellAnswer::Closed(first, epoch),
-        CellOperation::Copy { .. } => CellAnswer::Copied(first, epoch),
-        CellOperation::Open { .. } => CellAnswer::Opened(first, epoch),
+        CellOperation::Close { .. } => CellAcknowledgement::Closed(first, epoch),
+        CellOperation::Copy { .. } => CellAcknowledgement::Copied(first, epoch),
+        CellOperation::Open { .. } => CellAcknowledgement::Opened(first, epoch),
     }
 }
 
--- a/quota-gateway/controller/src/shard_map_role.rs
+++ b/quota-gateway/controller/src/shard_map_role.rs
@@ -147,8 +147,8 @@
         let cells = self.cell_status(zones.as_ref());
         self.apply_overrides(now, view, &cells);
         self.core.set_cells(cells);
-        for answer in self.cell_client.take_answers() {
-            self.core.handle_answer(now, answer);
+        for acknowledgement in self.cell_client.take_acknowledgements() {
+            self.core.handle_acknowledgement(now, acknowledgement);
         }
     }
 
--- a/quota-gateway/shard-map/src/cell.rs
+++ b/quota-gateway/shard-map/src/cell.rs
@@ -63,7 +63,7 @@
     pub fenced_requests: u64,
 }
 
-/// Action that the caller must take to answer a request.
+/// Action that the caller must take to handle a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CellAction {
     /// Send this reply.
--- a/quota-gateway/shard-map/src/migration.rs
+++ b/quota-gateway/shard-map/src/migration.rs
@@ -19,7 +19,7 @@
 pub enum CellOperation {
     /// Reject all writes, and acknowledge once no earlier one is in flight.
     Close {
-        /// The cell that carries it out.
+        /// The cell that executes it.
         cell: Cell,
         /// The range of firms.
         range: (Firm, Firm),
@@ -28,7 +28,7 @@
     },
     /// Copy all records of the range to another cell.
     Copy {
-        /// The cell that carries it out.
+        /// The cell that executes it.
         cell: Cell,
         /// The other cell.
         to: Cell,
@@ -39,7 +39,7 @@
     },
     /// Admit writes under the epoch.
     Open {
-        /// The cell that carries it out.
+        /// The cell that executes it.
         cell: Cell,
         /// The range of firms.
         range: (Firm, Firm),
@@ -49,7 +49,7 @@
 }
 
 impl CellOperation {
-    /// Returns the cell that carries it out.
+    /// Returns the cell that executes it.
     pub fn cell(&self) -> Cell {
         let (CellOperation::Close { cell, .. }
         | CellOperation::Copy { cell, .. }
@@ -196,8 +196,8 @@
         Ok(())
     }
 
-    /// Returns a shard and its migration if they are at this step and epoch. An answer under another epoch
-    /// belongs to another migration.
+    /// Returns a shard and its migration if they are at this step and epoch. An acknowledgement under another
+    /// epoch belongs to another migration.
     fn migration_at(
         &mut self,
         index: usize,
--- a/quota-gateway/shard-map/src/owner.rs
+++ b/quota-gateway/shard-map/src/owner.rs
@@ -1,4 +1,5 @@
-//! The owner of the shard map: plans migrations, and advances them as cells answer and older maps expire.
+//! The owner of the shard map: plans migrations, and advances them as cells acknowledge operations and older
+//! maps expire.
 
 mod propagation;
 
@@ -32,7 +33,7 @@
 
 /// A cell's acknowledgement of an operation, with the first firm of its range and its epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CellAnswer {
+pub enum CellAcknowledgement {
     /// The range is closed at this epoch, and no earlier write is in flight.
     Closed(Firm, Epoch),
     /// The new cell has all records of the range.
@@ -41,11 +42,11 @@
     Opened(Firm, Epoch),
 }
 
-impl CellAnswer {
+impl CellAcknowledgement {
     fn shard(self) -> (Firm, Epoch) {
-        let (CellAnswer::Closed(first, epoch)
-        | CellAnswer::Copied(first, epoch)
-        | CellAnswer::Opened(first, epoch)) = self;
+        let (CellAcknowledgement::Closed(first, epoch)
+        | CellAcknowledgement::Copied(first, epoch)
+        | CellAcknowledgement::Opened(first, epoch)) = self;
         (first, epoch)
     }
 }
@@ -138,29 +139,29 @@
     }
 
     /// Handles a cell's acknowledgement. Acknowledgements for another migration or step have no effect.
-    pub fn handle_answer(&mut self, now: Instant, answer: CellAnswer) {
-        let (first, epoch) = answer.shard();
+    pub fn handle_acknowledgement(&mut self, now: Instant, acknowledgement: CellAcknowledgement) {
+        let (first, epoch) = acknowledgement.shard();
         let Some(index) = self.map.find(first).filter(|&index| self.map.shards[index].first == first) else {
             return;
         };
         let shard = self.map.shards[index];
-        let is_opened = matches!(answer, CellAnswer::Opened(..));
+        let is_opened = matches!(acknowledgement, CellAcknowledgement::Opened(..));
         if is_opened && shard.is_open() && shard.epoch == epoch {
             self.opened.insert((first, epoch));
             return;
         }
-        let advanced = match answer {
-            CellAnswer::Closed(..) if self.timing.fencing => self.map.mark_drained(index, epoch),
-            CellAnswer::Closed(..) => Err(MigrationError::WrongState),
-            CellAnswer::Copied(..) => self.map.mark_copied(index, epoch),
-            CellAnswer::Opened(..) => self.complete(index, epoch),
+        let advanced = match acknowledgement {
+            CellAcknowledgement::Closed(..) if self.timing.fencing => self.map.mark_drained(index, epoch),
+            CellAcknowledgement::Closed(..) => Err(MigrationError::WrongState),
+            CellAcknowledgement::Copied(..) => self.map.mark_copied(index, epoch),
+            CellAcknowledgement::Opened(..) => self.complete(index, epoch),
         };
         if advanced.is_ok() {
             self.on_step(now, index);
         }
     }
 
-    /// Advances migrations whose next step needs no answer from a cell, and plans new ones.
+    /// Advances migrations whose next step needs no acknowledgement by a cell, and plans new ones.
     pub fn tick(&mut self, now: Instant) -> TickOutput {
         for index in 0..self.map.shards.len() {
             if self.advance(now, index).is_ok() {
@@ -172,8 +173,8 @@
         TickOutput { operations: self.operations(), is_map_changed: std::mem::take(&mut self.is_map_changed) }
     }
 
-    /// Advances a migration if its next step needs no answer from a cell, or abandons it. Returns an error if
-    /// it stays in its step.
+    /// Advances a migration if its next step needs no acknowledgement by a cell, or abandons it. Returns an
+    /// error if it stays in its step.
     fn advance(&mut self, now: Instant, index: usize) -> Result<(), MigrationError> {
         let shard = self.map.shards[index];
         let Migration { to, step } = shard.migration.ok_or(MigrationError::WrongState)?;
@@ -187,7 +188,7 @@
             MigrationStep::Fencing if self.has_old_epoch_expired(now, &shard) => {
                 self.map.mark_drained(index, shard.epoch)
             }
-            // If the old cell is the one that does not answer, abandoning only helps while it accepts writes.
+            // If the old cell is the one that does not respond, abandoning only helps while it accepts writes.
             MigrationStep::Drained
                 if (is_target_lost || self.is_overdue(now, &shard)) && self.accepts_writes(shard.cell) =>
             {
--- a/quota-gateway/shard-map/tests/fleet.rs
+++ b/quota-gateway/shard-map/tests/fleet.rs
@@ -5,7 +5,7 @@
 use marblecroft_shard_map::fencing::EpochFence;
 use marblecroft_shard_map::map::{Cell, Epoch, Firm, MigrationStep, Shard, ShardMap, FIRM_END};
 use marblecroft_shard_map::migration::CellOperation;
-use marblecroft_shard_map::owner::{CellAnswer, Owner, TickOutput, Timing};
+use marblecroft_shard_map::owner::{CellAcknowledgement, Owner, TickOutput, Timing};
 use marblecroft_shard_map::plan::{migrations_in_progress, CellStatus, Limits};
 use marblecroft_shard_map::ticket::Ticket;
 use proptest::prelude::*;
@@ -255,12 +255,12 @@
             {
                 let open = matches!(operation, CellOperation::Open { .. });
                 if self.cells.get_mut(&cell).unwrap().fence.set(range, epoch, open) {
-                    let answer = if open {
-                        CellAnswer::Opened(range.0, epoch)
+                    let acknowledgement = if open {
+                        CellAcknowledgement::Opened(range.0, epoch)
                     } else {
-                        CellAnswer::Closed(range.0, epoch)
+                        CellAcknowledgement::Closed(range.0, epoch)
                     };
-                    self.owner.handle_answer(now, answer);
+                    self.owner.handle_acknowledgement(now, acknowledgement);
                 }
             }
             CellOperation::Copy { cell, to, range, epoch }
@@ -273,7 +273,7 @@
                     .copied()
                     .collect();
                 self.cells.get_mut(&to).unwrap().records.extend(copied);
-                self.owner.handle_answer(now, CellAnswer::Copied(range.0, epoch));
+                self.owner.handle_acknowledgement(now, CellAcknowledgement::Copied(range.0, epoch));
             }
             _ => {}
         }
@@ -371,7 +371,7 @@
             let _ = fleet.owner.on_operator_command(at(fleet.now), FIRM_END / 24 * (i * 6 + 1), 5);
         }
         fleet.run(30 + seed * 20);
-        // The zone of cells 2 and 5 is lost. After 3 s its cells answer again, so that shards can be copied,
+        // The zone of cells 2 and 5 is lost. After 3 s its cells respond again, so that shards can be copied,
         // but accept no writes.
         for cell in [2, 5] {
             fleet.cells.get_mut(&cell).unwrap().is_lost = true;
--- a/quota-gateway/shard-map/tests/interleavings.rs
+++ b/quota-gateway/shard-map/tests/interleavings.rs
@@ -1,8 +1,8 @@
 //! Model-checks a migration in all interleavings of a small system: an old and a new cell, two gateways with
 //! maps of any age, two owners of which the first may resume after the second has taken over, and requests
 //! and writes that are delayed or lost. It covers cells that fence and cells that do not. The map, its steps
-//! and the fence are those of this crate. A model with any of the flaws in `each_flaw_is_detected` must
-//! violate a property.
+//! and the fence are those of this crate. A model with any of the mutations in
+//! `each_mutation_violates_a_property` must violate a property.
 
 use marblecroft_control_messages::published::Stamp;
 use marblecroft_shard_map::fencing::EpochFence;
@@ -13,9 +13,9 @@
 
 const ALL: (u64, u64) = (0, FIRM_END);
 
-/// A deliberate fault of the model, which must be detected.
+/// A fault that is deliberately introduced into the model, and must be detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Flaw {
+enum Mutation {
     None,
     /// A cell that should fence admits writes under any epoch.
     AdmitsAnyEpoch,
@@ -120,7 +120,7 @@
 
 struct MigrationModel {
     fencing: bool,
-    flaw: Flaw,
+    mutation: Mutation,
 }
 
 fn cell_index(cell: Cell) -> usize {
@@ -128,8 +128,8 @@
 }
 
 impl MigrationModel {
-    fn has_flaw(&self, flaw: Flaw) -> bool {
-        self.flaw == flaw
+    fn has_mutation(&self, mutation: Mutation) -> bool {
+        self.mutation == mutation
     }
 
     /// Returns whether the wait that replaces cell fencing has ended, so that a migration may leave the
@@ -139,9 +139,9 @@
             !gateway.is_map_valid || gateway.map.is_none_or(|(_, shard)| shard.epoch >= epoch)
         };
         let have_older_maps_expired =
-            self.has_flaw(Flaw::NoWaitForGateways) || state.gateways.iter().all(has_no_older_map);
+            self.has_mutation(Mutation::NoWaitForGateways) || state.gateways.iter().all(has_no_older_map);
         // Older tickets have expired, and the longest attempt has ended.
-        let have_attempts_ended = self.has_flaw(Flaw::NoWaitForAttempts)
+        let have_attempts_ended = self.has_mutation(Mutation::NoWaitForAttempts)
             || state.writes.iter().all(|(.., write_epoch)| *write_epoch >= epoch)
                 && state
                     .gateways
@@ -151,25 +151,25 @@
     }
 
     /// Advances the migration in an owner's copy of the map. Returns whether there was a step that needs no
-    /// answer.
+    /// acknowledgement by a cell.
     fn advance(&self, state: &State, map: &mut ShardMap) -> bool {
         let shard = map.shards[0];
         match shard.migration.map(|migration| migration.step) {
             None => shard.cell == 0 && !state.is_abandoned && map.plan(0, 1).is_ok(),
             Some(MigrationStep::Planned) => {
                 let is_raised = map.raise_epoch(0).is_ok();
-                if self.has_flaw(Flaw::DoesNotRaiseEpoch) {
+                if self.has_mutation(Mutation::DoesNotRaiseEpoch) {
                     map.shards[0].epoch -= 1;
                 }
                 is_raised
             }
-            Some(MigrationStep::Fencing) if self.has_flaw(Flaw::CopiesBeforeDrained) => {
+            Some(MigrationStep::Fencing) if self.has_mutation(Mutation::CopiesBeforeDrained) => {
                 map.mark_drained(0, shard.epoch).is_ok()
             }
             Some(MigrationStep::Fencing) if !self.fencing && self.has_wait_ended(state, shard.epoch) => {
                 map.mark_drained(0, shard.epoch).is_ok()
             }
-            Some(MigrationStep::Drained) if self.has_flaw(Flaw::CompletesBeforeCopied) => {
+            Some(MigrationStep::Drained) if self.has_mutation(Mutation::CompletesBeforeCopied) => {
                 map.mark_copied(0, shard.epoch).is_ok()
             }
             Some(MigrationStep::Copied) if !self.fencing => map.complete(0, shard.epoch).is_ok(),
@@ -182,7 +182,7 @@
         let stamp = Stamp { token: owner.token, revision: owner.revision + 1 };
         let is_fenced = owner.token < state.token;
         let is_stale = owner.revision != state.stamp.revision || is_fenced;
-        if is_stale && !(is_fenced && self.has_flaw(Flaw::AcceptsFormerOwner)) {
+        if is_stale && !(is_fenced && self.has_mutation(Mutation::AcceptsFormerOwner)) {
             // Rejected: the current owner reads the published map, and a former owner stops.
             if !is_fenced {
                 let (map, revision) = (state.map.clone(), state.stamp.revision);
@@ -205,11 +205,15 @@
         (state.owners[owner_index].map, state.owners[owner_index].revision) = (map, state.stamp.revision);
     }
 
-    /// Carries out an operation at its cell. Returns whether the cell acknowledges it.
-    fn carry_out(&self, state: &mut State, operation: CellOperation) -> bool {
+    /// Executes an operation at its cell. Returns whether the cell acknowledges it.
+    fn execute(&self, state: &mut State, operation: CellOperation) -> bool {
         match operation {
-            CellOperation::Close { cell, range, epoch } => self.set_fence(state, cell, range, epoch, false),
-            CellOperation::Open { cell, range, epoch } => self.set_fence(state, cell, range, epoch, true),
+            CellOperation::Close { cell, range, epoch } => {
+                self.set_range_epoch(state, cell, range, epoch, false)
+            }
+            CellOperation::Open { cell, range, epoch } => {
+                self.set_range_epoch(state, cell, range, epoch, true)
+            }
             CellOperation::Copy { cell, to, .. } => {
                 let copied = state.records[cell_index(cell)].clone();
                 state.records[cell_index(to)].extend(copied);
@@ -218,7 +222,14 @@
         }
     }
 
-    fn set_fence(&self, state: &mut State, cell: Cell, range: (u64, u64), epoch: Epoch, open: bool) -> bool {
+    fn set_range_epoch(
+        &self,
+        state: &mut State,
+        cell: Cell,
+        range: (u64, u64),
+        epoch: Epoch,
+        open: bool,
+    ) -> bool {
         state.fences[cell_index(cell)].set(range, epoch, open)
     }
 
@@ -285,7 +296,7 @@
                 .is_some_and(|migration| migration.step == MigrationStep::Copied && migration.to == 1);
             let is_completed = migration.is_none()
                 && owner.map.shards[0].cell == 1
-                && self.has_flaw(Flaw::AbandonsAfterCompletion);
+                && self.has_mutation(Mutation::AbandonsAfterCompletion);
             if !state.is_abandoned && (is_completed || migration.is_some() && !is_copied) {
                 actions.push(Action::Abandon(owner_index));
             }
@@ -319,7 +330,10 @@
             if gateway.ticket.is_some() {
                 actions.extend([Action::SendWrite(g), Action::ExpireTicket(g)]);
             }
-            if gateway.run == Run::Unknown && self.has_flaw(Flaw::RetriesUnknown) && gateway.attempts < 2 {
+            if gateway.run == Run::Unknown
+                && self.has_mutation(Mutation::RetriesUnknown)
+                && gateway.attempts < 2
+            {
                 actions.push(Action::RetryWrite(g));
             }
         }
@@ -346,7 +360,7 @@
             Action::Abandon(owner_index) => {
                 let mut map = state.owners[owner_index].map.clone();
                 let old_shard = map.shards[0];
-                if map.abandon(0).is_err() && self.has_flaw(Flaw::AbandonsAfterCompletion) {
+                if map.abandon(0).is_err() && self.has_mutation(Mutation::AbandonsAfterCompletion) {
                     let migration = Migration { to: 0, step: MigrationStep::Copied };
                     map.shards[0] = Shard {
                         cell: 0,
@@ -355,7 +369,7 @@
                         ..old_shard
                     };
                 }
-                if self.has_flaw(Flaw::AbandonsWithoutRaisingEpoch) {
+                if self.has_mutation(Mutation::AbandonsWithoutRaisingEpoch) {
                     map.shards[0].epoch = old_shard.epoch;
                 }
                 state.is_abandoned = true;
@@ -366,7 +380,7 @@
             }
             Action::HandleRequest(operation, is_delivered) => {
                 state.requests.remove(&operation);
-                if self.carry_out(&mut state, operation) && is_delivered {
+                if self.execute(&mut state, operation) && is_delivered {
                     self.acknowledge(&mut state, operation);
                 }
             }
@@ -379,7 +393,7 @@
             }
             Action::ExpireMap(g) => {
                 state.gateways[g].is_map_valid = false;
-                if !self.has_flaw(Flaw::TicketOutlivesMap) {
+                if !self.has_mutation(Mutation::TicketOutlivesMap) {
                     state.gateways[g].ticket = None;
                 }
             }
@@ -398,7 +412,7 @@
             Action::HandleWrite(run, cell, epoch, is_answered) => {
                 state.writes.remove(&(run, cell, epoch));
                 let is_admitted = !self.fencing
-                    || self.has_flaw(Flaw::AdmitsAnyEpoch)
+                    || self.has_mutation(Mutation::AdmitsAnyEpoch)
                     || state.fences[cell_index(cell)].admit(0, epoch).is_ok();
                 if is_admitted {
                     if state.drained_epochs.iter().any(|drained| epoch < *drained) {
@@ -483,10 +497,11 @@
 }
 
 /// Explores the model, and returns the number of states and the properties that do not hold.
-fn check_model(fencing: bool, flaw: Flaw) -> (usize, Vec<&'static str>) {
+fn check_model(fencing: bool, mutation: Mutation) -> (usize, Vec<&'static str>) {
     let threads = std::thread::available_parallelism().map_or(1, usize::from).min(4);
-    let builder = MigrationModel { fencing, flaw }.checker().threads(threads);
-    let builder = if flaw == Flaw::None { builder } else { builder.finish_when(HasDiscoveries::AnyFailures) };
+    let builder = MigrationModel { fencing, mutation }.checker().threads(threads);
+    let builder =
+        if mutation == Mutation::None { builder } else { builder.finish_when(HasDiscoveries::AnyFailures) };
     let checker = builder.spawn_bfs().join();
     let always = [
         "no write under an older epoch, no run written twice, no epoch that falls",
@@ -508,7 +523,7 @@
 
 #[test]
 fn a_migration_loses_nothing_and_writes_nothing_twice_with_cell_fencing() {
-    let (states, failed) = check_model(true, Flaw::None);
+    let (states, failed) = check_model(true, Mutation::None);
     println!("fencing: {states} states");
     assert!(failed.is_empty(), "{failed:?}");
     assert!(states > 10_000, "{states} states");
@@ -516,29 +531,29 @@
 
 #[test]
 fn a_migration_loses_nothing_and_writes_nothing_twice_without_cell_fencing() {
-    let (states, failed) = check_model(false, Flaw::None);
+    let (states, failed) = check_model(false, Mutation::None);
     println!("without fencing: {states} states");
     assert!(failed.is_empty(), "{failed:?}");
     assert!(states > 10_000, "{states} states");
 }
 
 #[test]
-fn each_flaw_is_detected() {
-    for (fencing, flaw) in [
-        (true, Flaw::AdmitsAnyEpoch),
-        (true, Flaw::CopiesBeforeDrained),
-        (true, Flaw::CompletesBeforeCopied),
-        (true, Flaw::DoesNotRaiseEpoch),
-        (true, Flaw::AbandonsWithoutRaisingEpoch),
-        (true, Flaw::AbandonsAfterCompletion),
-        (true, Flaw::AcceptsFormerOwner),
-        (true, Flaw::RetriesUnknown),
-        (false, Flaw::NoWaitForAttempts),
-        (false, Flaw::NoWaitForGateways),
-        (false, Flaw::AcceptsFormerOwner),
+fn each_mutation_violates_a_property() {
+    for (fencing, mutation) in [
+        (true, Mutation::AdmitsAnyEpoch),
+        (true, Mutation::CopiesBeforeDrained),
+        (true, Mutation::CompletesBeforeCopied),
+        (true, Mutation::DoesNotRaiseEpoch),
+        (true, Mutation::AbandonsWithoutRaisingEpoch),
+        (true, Mutation::AbandonsAfterCompletion),
+        (true, Mutation::AcceptsFormerOwner),
+        (true, Mutation::RetriesUnknown),
+        (false, Mutation::NoWaitForAttempts),
+        (false, Mutation::NoWaitForGateways),
+        (false, Mutation::AcceptsFormerOwner),
     ] {
-        let (states, failed) = check_model(fencing, flaw);
-        println!("{flaw:?}, fencing {fencing}: {states} states, {failed:?}");
-        assert!(!failed.is_empty(), "{flaw:?} with fencing {fencing} is not detected in {states} states");
+        let (states, failed) = check_model(fencing, mutation);
+        println!("{mutation:?}, fencing {fencing}: {states} states, {failed:?}");
+        assert!(!failed.is_empty(), "{mutation:?} with fencing {fencing} is not detected in {states} states");
     }
 }
--- a/quota-gateway/shard-map/tests/owner.rs
+++ b/quota-gateway/shard-map/tests/owner.rs
@@ -3,7 +3,7 @@
 use marblecroft_control_messages::published::Stamp;
 use marblecroft_shard_map::map::{MigrationStep, ShardMap};
 use marblecroft_shard_map::migration::CellOperation;
-use marblecroft_shard_map::owner::{CellAnswer, Owner, TickOutput, Timing};
+use marblecroft_shard_map::owner::{CellAcknowledgement, Owner, TickOutput, Timing};
 use marblecroft_shard_map::plan::Limits;
 use std::time::Duration;
 
@@ -70,10 +70,10 @@
     let operations = owner.tick(at(0)).operations;
     let is_open = |operation: &CellOperation| matches!(operation, CellOperation::Open { epoch: 1, .. });
     assert!(operations.len() == 2 && operations.iter().all(is_open), "{operations:?}");
-    owner.handle_answer(at(1), CellAnswer::Opened(0, 1));
+    owner.handle_acknowledgement(at(1), CellAcknowledgement::Opened(0, 1));
     let operations = owner.tick(at(2)).operations;
     assert!(matches!(operations[..], [CellOperation::Open { cell: 1, .. }]), "{operations:?}");
-    owner.handle_answer(at(3), CellAnswer::Opened(owner.map().shards[1].first, 1));
+    owner.handle_acknowledgement(at(3), CellAcknowledgement::Opened(owner.map().shards[1].first, 1));
     assert!(owner.tick(at(4)).operations.is_empty());
     // No such request is needed for a migration, which opens its new cell in its last step.
     owner.on_operator_command(at(5), 0, 1).expect("the shard is at another cell");
