--- a/quota-gateway/controller/src/config.rs
+++ b/quota-gateway/controller/src/config.rs
@@ -63,7 +63,7 @@
         InvalidCapacity {
             display("shares.capacity: expected a number from 0 to 1e12")
         }
-        /// Neither a capacity nor zones, from which it could be derived, are configured.
+        /// No capacity is configured, and there are no zones to derive it from.
         MissingCapacity {
             display("shares.capacity: required if zones is not configured")
         }
@@ -139,7 +139,8 @@
     /// For the zone failover. Long, because the loss of all controllers is no reason to revert a failover.
     pub zones_ms: u32,
     /// For the fair shares. Short, because demand changes within seconds.
-    pub shares_ms: u32,
+    #[serde(rename = "shares_ms")]
+    pub fair_share_ms: u32,
     /// For the shard map. Gateways with an expired shard map reject writes. If cells do not fence, a
     /// migration waits this long for a gateway that does not report.
     #[serde(rename = "books_ms")]
@@ -148,7 +149,7 @@
 
 impl Default for DecisionTtl {
     fn default() -> DecisionTtl {
-        DecisionTtl { zones_ms: 60_000, shares_ms: 5_000, shard_map_ms: 10_000 }
+        DecisionTtl { zones_ms: 60_000, fair_share_ms: 5_000, shard_map_ms: 10_000 }
     }
 }
 
@@ -235,7 +236,7 @@
             ("decide_ms", self.decision_interval_ms, 20, 10_000),
             ("connections", self.max_connections as u64, 1, 65_536),
             ("valid.zones_ms", self.ttl.zones_ms.into(), 1000, 600_000),
-            ("valid.shares_ms", self.ttl.shares_ms.into(), 1000, 600_000),
+            ("valid.shares_ms", self.ttl.fair_share_ms.into(), 1000, 600_000),
             ("valid.books_ms", self.ttl.shard_map_ms.into(), 1000, 600_000),
         ] {
             if !(min..=max).contains(&value) {
--- a/quota-gateway/controller/src/create_role.rs
+++ b/quota-gateway/controller/src/create_role.rs
@@ -30,7 +30,7 @@
         "shares" => {
             let capacity = config.fair_share?.capacity;
             let published = decode_decision::<ShareDecision>(fleet, name, published);
-            let ttl_ms = config.ttl.shares_ms;
+            let ttl_ms = config.ttl.fair_share_ms;
             Some(Box::new(FairShareRole::new(fleet, keys, ttl_ms, capacity, now, published.as_ref())))
         }
         "books" => {
--- a/quota-gateway/controller/src/decision_role.rs
+++ b/quota-gateway/controller/src/decision_role.rs
@@ -38,9 +38,11 @@
 
 /// Decodes the published decision of a role. Returns `None` if there is none, or if it cannot be decoded, for
 /// example because another version wrote it. The owner then decides without a previous decision.
-pub fn decode_decision<T: Body>(fleet: Fleet, duty: &str, published: Option<&[u8]>) -> Option<Decision<T>> {
+pub fn decode_decision<T: Body>(fleet: Fleet, role: &str, published: Option<&[u8]>) -> Option<Decision<T>> {
     let decision = decode::<Decision<T>>(fleet, published?);
-    decision.inspect_err(|why| warn!(duty, "{duty}: the published decision cannot be read: {why}")).ok()
+    decision
+        .inspect_err(|why| warn!(duty = role, "{role}: the published decision cannot be read: {why}"))
+        .ok()
 }
 
 /// Returns the published decision on the zones, or `None` if there is none or it cannot be decoded.
--- a/quota-gateway/controller/src/main.rs
+++ b/quota-gateway/controller/src/main.rs
@@ -74,13 +74,24 @@
     /// Return a held zone to service
     Return { zone: String },
     /// Print the owner and fencing token of each duty
-    Duties,
+    #[command(name = "duties")]
+    Roles,
     /// Assign a duty to this controller as long as it is running
-    Move { duty: String, to: String },
+    Move {
+        #[arg(value_name = "DUTY")]
+        role: String,
+        to: String,
+    },
     /// Leave a duty without an owner; its last decision remains until it expires
-    Pause { duty: String },
+    Pause {
+        #[arg(value_name = "DUTY")]
+        role: String,
+    },
     /// Remove the move or pause command of a duty
-    Resume { duty: String },
+    Resume {
+        #[arg(value_name = "DUTY")]
+        role: String,
+    },
 }
 
 fn main() -> ExitCode {
@@ -128,9 +139,9 @@
         OperatorCall::Zones => operator.print_zones().await,
         OperatorCall::Hold { zone } => operator.hold_zone(&zone).await,
         OperatorCall::Return { zone } => operator.release_zone(&zone).await,
-        OperatorCall::Duties => operator.print_roles().await,
-        OperatorCall::Move { duty, to } => operator.command_role(&duty, OperatorCommand::Move(to)).await,
-        OperatorCall::Pause { duty } => operator.command_role(&duty, OperatorCommand::Pause).await,
-        OperatorCall::Resume { duty } => operator.withdraw_command(&duty).await,
+        OperatorCall::Roles => operator.print_roles().await,
+        OperatorCall::Move { role, to } => operator.command_role(&role, OperatorCommand::Move(to)).await,
+        OperatorCall::Pause { role } => operator.command_role(&role, OperatorCommand::Pause).await,
+        OperatorCall::Resume { role } => operator.withdraw_command(&role).await,
     }
 }
--- a/quota-gateway/controller/src/metrics.rs
+++ b/quota-gateway/controller/src/metrics.rs
@@ -43,8 +43,8 @@
 
 fn register_roles(registry: &mut Registry, role_metrics: &RoleMetrics) {
     let owns = Family::<RoleLabels, Gauge>::default();
-    for (duty, token) in role_metrics.owned_roles.borrow().iter() {
-        owns.get_or_create(&RoleLabels { duty: duty.clone() }).set(gauge_value(*token));
+    for (role, token) in role_metrics.owned_roles.borrow().iter() {
+        owns.get_or_create(&RoleLabels { duty: role.clone() }).set(gauge_value(*token));
     }
     registry.register("owns", "Duties that are owned here, by the token", owns);
 }
--- a/quota-gateway/controller/tests/input.rs
+++ b/quota-gateway/controller/tests/input.rs
@@ -157,7 +157,7 @@
         assert_eq!(received.len(), marblecroft_controller::reports::MAX_QUEUED_REPORTS);
         drop(connections);
         wait_until(|| reports.connections.get() == 0).await;
-        // A role that has ended receives no more reports.
+        // After a role has dropped its receiver, it gets no further reports.
         drop(received);
         let mut connection = TcpStream::connect(addr).await.expect("connected");
         connection.write_all(&report(1)).await.expect("written");
