--- a/quota-gateway/membership/src/detector.rs
+++ b/quota-gateway/membership/src/detector.rs
@@ -170,26 +170,31 @@
     }
 
     /// Handles a message whose datagram has been authenticated.
-    pub fn handle_message(&mut self, now: Now, message: Message, out: &mut Vec<Output>) {
+    pub fn handle_message(&mut self, now: Now, message: Message, outputs: &mut Vec<Output>) {
         if self.is_stopped() {
             return;
         }
         let Message { from, from_addr, kind, updates } = message;
         self.view.members.on_message_from(&from, now);
         for update in updates {
-            self.apply_update(update, now, out);
+            self.apply_update(update, now, outputs);
         }
         match kind {
-            Kind::Ping { seq, target } => self.handle_ping(&from, from_addr, seq, &target, out),
+            Kind::Ping { seq, target } => self.handle_ping(&from, from_addr, seq, &target, outputs),
             Kind::Ack { seq } => {
                 if let Some(relayed) = self.relayed_probes.take(seq) {
                     // The wake time does not change. It may now be earlier than needed, which does no harm.
-                    return self.send(relayed.requester, Kind::Ack { seq: relayed.requester_seq }, None, out);
+                    return self.send(
+                        relayed.requester,
+                        Kind::Ack { seq: relayed.requester_seq },
+                        None,
+                        outputs,
+                    );
                 }
                 self.handle_ack(seq);
             }
             Kind::PingReq { seq, target, addr } => {
-                self.handle_ping_req(now, from_addr, seq, target, addr, out);
+                self.handle_ping_req(now, from_addr, seq, target, addr, outputs);
             }
             Kind::Nack { seq } => {
                 if let Some(probe) = &mut self.probe {
@@ -207,11 +212,11 @@
         from_addr: SocketAddrV4,
         seq: u32,
         target: &Name,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         // A ping to another member that had this address before must fail.
         if *target == self.config.name {
-            self.send(from_addr, Kind::Ack { seq }, Some(from), out);
+            self.send(from_addr, Kind::Ack { seq }, Some(from), outputs);
         }
     }
 
@@ -229,7 +234,7 @@
         requester_seq: u32,
         target: Name,
         target_addr: SocketAddrV4,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         if self.relayed_probes.is_full() || target == self.config.name {
             return;
@@ -237,18 +242,18 @@
         let seq = self.next_seq();
         let nack_at = now + self.periods(DIRECT_PROBE_SHARE * NACK_SHARE);
         self.relayed_probes.insert(seq, RelayedProbe { requester, requester_seq, nack_at });
-        self.send(target_addr, Kind::Ping { seq, target: target.clone() }, Some(&target), out);
+        self.send(target_addr, Kind::Ping { seq, target: target.clone() }, Some(&target), outputs);
     }
 
     /// Handles another member's full state, received as a result of [`Output::Synchronize`].
-    pub fn handle_full_state(&mut self, now: Now, records: Vec<Record>, out: &mut Vec<Output>) {
+    pub fn handle_full_state(&mut self, now: Now, records: Vec<Record>, outputs: &mut Vec<Output>) {
         if self.is_stopped() {
             return;
         }
         let suspected_by = self.config.name.fingerprint();
         let enqueued_before = self.view.dissemination.enqueued();
         for record in records {
-            self.apply_update(Update { record, suspected_by }, now, out);
+            self.apply_update(Update { record, suspected_by }, now, outputs);
         }
         if self.view.dissemination.enqueued() != enqueued_before {
             let follow_up_at = now + self.jittered_periods(FOLLOW_UP_SYNC_DELAY_PERIODS);
@@ -258,7 +263,7 @@
     }
 
     /// Leaves the cluster: announces the departure to some members, which gossip it, and stops.
-    pub fn leave(&mut self, out: &mut Vec<Output>) {
+    pub fn leave(&mut self, outputs: &mut Vec<Output>) {
         if std::mem::replace(&mut self.leaving, true) || self.displaced {
             return;
         }
@@ -266,13 +271,13 @@
         for name in self.view.members.sample_present(LEAVE_FANOUT, &mut self.random) {
             let Some(to) = self.addr_of(&name) else { continue };
             let message = Message { updates: vec![update.clone()], ..self.empty_message(Kind::Gossip) };
-            out.push(Output::Send { to, message });
+            outputs.push(Output::Send { to, message });
         }
     }
 
     /// Executes the actions that are due: nacks for relayed probes, indirect probes, the end of the period,
     /// expired suspicions and synchronization.
-    pub fn on_tick(&mut self, now: Now, out: &mut Vec<Output>) {
+    pub fn on_tick(&mut self, now: Now, outputs: &mut Vec<Output>) {
         if self.is_stopped() {
             self.wake_at = now + self.config.period;
             return;
@@ -282,17 +287,17 @@
             self.on_pause(delay, now);
         }
         while let Some(relayed) = self.relayed_probes.take_expired(now) {
-            self.send(relayed.requester, Kind::Nack { seq: relayed.requester_seq }, None, out);
+            self.send(relayed.requester, Kind::Nack { seq: relayed.requester_seq }, None, outputs);
         }
         if self.probe.as_ref().and_then(Probe::indirect_probes_at).is_some_and(|at| now >= at) {
-            self.request_indirect_probes(out);
+            self.request_indirect_probes(outputs);
         }
         if now >= self.period_ends_at {
-            self.on_period_end(now, out);
+            self.on_period_end(now, outputs);
         }
-        self.fail_expired_suspects(now, out);
+        self.fail_expired_suspects(now, outputs);
         if now >= self.next_sync_at {
-            self.synchronize(now, out);
+            self.synchronize(now, outputs);
         }
         self.update_wake_at();
     }
@@ -307,7 +312,7 @@
         self.period_ends_at = now + self.config.period;
     }
 
-    fn request_indirect_probes(&mut self, out: &mut Vec<Output>) {
+    fn request_indirect_probes(&mut self, outputs: &mut Vec<Output>) {
         let Some(probe) = &mut self.probe else { return };
         let (seq, target) = (probe.seq, probe.target.clone());
         // Suspects are not asked, since they may be slow themselves.
@@ -321,16 +326,16 @@
         for helper in helpers {
             if let Some(to) = self.addr_of(&helper) {
                 let kind = Kind::PingReq { seq, target: target.clone(), addr: target_addr };
-                self.send(to, kind, Some(&helper), out);
+                self.send(to, kind, Some(&helper), outputs);
             }
         }
     }
 
     /// Ends the protocol period: evaluates its probe, and starts the next period.
-    fn on_period_end(&mut self, now: Now, out: &mut Vec<Output>) {
+    fn on_period_end(&mut self, now: Now, outputs: &mut Vec<Output>) {
         if let Some(probe) = self.probe.take().filter(|probe| !probe.is_acknowledged()) {
             self.local_health.worsen(probe.missed_messages());
-            self.suspect(&probe.target, now, out);
+            self.suspect(&probe.target, now, outputs);
         }
         let multiplier = self.local_health.multiplier();
         self.period_ends_at = now + self.periods(multiplier);
@@ -343,32 +348,32 @@
         self.stats.probes += 1;
         let direct_deadline = now + self.periods(DIRECT_PROBE_SHARE * multiplier);
         self.probe = Some(Probe::new(target.clone(), seq, direct_deadline));
-        self.send(addr, Kind::Ping { seq, target: target.clone() }, Some(&target), out);
+        self.send(addr, Kind::Ping { seq, target: target.clone() }, Some(&target), outputs);
     }
 
-    fn suspect(&mut self, name: &Name, now: Now, out: &mut Vec<Output>) {
+    fn suspect(&mut self, name: &Name, now: Now, outputs: &mut Vec<Output>) {
         let Some(member) = self.view.members.get(name).filter(|member| member.record.state.is_present())
         else {
             return;
         };
         let record = Record { state: MemberState::Suspect, ..member.record.clone() };
         let suspected_by = self.config.name.fingerprint();
-        self.apply_update(Update { record, suspected_by }, now, out);
+        self.apply_update(Update { record, suspected_by }, now, outputs);
     }
 
-    fn fail_expired_suspects(&mut self, now: Now, out: &mut Vec<Output>) {
+    fn fail_expired_suspects(&mut self, now: Now, outputs: &mut Vec<Output>) {
         // All use the timeout for the current member count, although each failure lowers the count.
         for name in self.view.suspicions.expired(now, &self.suspicion_timeout()) {
             if let Some(member) = self.view.members.get(&name) {
                 let record = Record { state: MemberState::Failed, ..member.record.clone() };
-                self.apply_update(Update { record, suspected_by: 0 }, now, out);
+                self.apply_update(Update { record, suspected_by: 0 }, now, outputs);
             }
             self.view.suspicions.remove(&name);
         }
     }
 
     /// Synchronizes with a random member or a seed.
-    fn synchronize(&mut self, now: Now, out: &mut Vec<Output>) {
+    fn synchronize(&mut self, now: Now, outputs: &mut Vec<Output>) {
         let peer = self.view.members.sample_present(1, &mut self.random).pop();
         let mut with = peer.and_then(|name| self.addr_of(&name));
         let is_alone = with.is_none();
@@ -380,25 +385,25 @@
             with = seeds.get(seed).copied().or(with);
         }
         if let Some(with) = with.filter(|with| *with != self.config.addr) {
-            out.push(Output::Synchronize { with });
+            outputs.push(Output::Synchronize { with });
         }
         let interval = if is_alone { JOIN_SYNC_INTERVAL_PERIODS } else { SYNC_INTERVAL_PERIODS };
         self.next_sync_at = now + self.jittered_periods(interval);
     }
 
-    fn apply_update(&mut self, update: Update, now: Now, out: &mut Vec<Output>) {
+    fn apply_update(&mut self, update: Update, now: Now, outputs: &mut Vec<Output>) {
         if update.record.incarnation > MAX_INCARNATION {
             return;
         }
         if update.record.name == self.config.name {
-            return self.handle_claim_about_self(update.record, out);
+            return self.handle_claim_about_self(update.record, outputs);
         }
-        self.view.apply(update, now, &mut self.random, &mut self.stats, out);
+        self.view.apply(update, now, &mut self.random, &mut self.stats, outputs);
     }
 
     /// Refutes a claim of others about this member, unless it agrees with this member's own claim. The
     /// refutation has a higher incarnation, which overrides their claim (SWIM, section 4.2).
-    fn handle_claim_about_self(&mut self, claim: Record, out: &mut Vec<Output>) {
+    fn handle_claim_about_self(&mut self, claim: Record, outputs: &mut Vec<Output>) {
         if claim.incarnation < self.incarnation {
             return;
         }
@@ -409,7 +414,7 @@
             // higher address takes precedence, an arbitrary choice that is the same for all members.
             if (claim.incarnation, claim.addr) > (self.incarnation, self.config.addr) {
                 self.displaced = true;
-                out.push(Output::Displaced { by: claim.addr });
+                outputs.push(Output::Displaced { by: claim.addr });
                 return;
             }
         } else if claim.state == MemberState::Alive && claim.incarnation == self.incarnation {
@@ -427,7 +432,7 @@
 
     /// Sends a message with as many updates as fit. If the recipient is suspected, the suspicion is the first
     /// update, so that the recipient can refute it at once (Lifeguard's buddy system).
-    fn send(&mut self, to: SocketAddrV4, kind: Kind, recipient: Option<&Name>, out: &mut Vec<Output>) {
+    fn send(&mut self, to: SocketAddrV4, kind: Kind, recipient: Option<&Name>, outputs: &mut Vec<Output>) {
         let mut message = self.empty_message(kind);
         let suspect = recipient
             .and_then(|name| self.view.members.get(name))
@@ -439,7 +444,7 @@
         }
         let decades = self.decades();
         self.view.dissemination.piggyback(&mut message, decades);
-        out.push(Output::Send { to, message });
+        outputs.push(Output::Send { to, message });
     }
 
     fn empty_message(&self, kind: Kind) -> Message {
--- a/quota-gateway/membership/src/detector/view.rs
+++ b/quota-gateway/membership/src/detector/view.rs
@@ -29,11 +29,13 @@
         now: Now,
         random: &mut Random,
         stats: &mut Stats,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         match self.members.get(&update.record.name).map(|member| &member.record) {
-            None => self.apply_to_unknown(update, now, random, stats, out),
-            Some(current) if update.record.overrides(current) => self.apply_override(update, now, stats, out),
+            None => self.apply_to_unknown(update, now, random, stats, outputs),
+            Some(current) if update.record.overrides(current) => {
+                self.apply_override(update, now, stats, outputs)
+            }
             Some(current) => {
                 let same_suspicion = update.record.state == MemberState::Suspect
                     && update.record.incarnation == current.incarnation;
@@ -50,7 +52,7 @@
         now: Now,
         random: &mut Random,
         stats: &mut Stats,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         if self.members.is_full() {
             stats.ignored_updates += 1;
@@ -61,7 +63,7 @@
         // An absent member that was unknown is not reported as a change. It is inserted nevertheless, since
         // older updates that claim that it is present may still arrive.
         if record.state.is_present() {
-            out.push(state_change(record, None));
+            outputs.push(state_change(record, None));
             self.probe_schedule.insert_at_random(record.name.clone(), random);
         }
         if record.state == MemberState::Suspect {
@@ -71,7 +73,7 @@
         self.dissemination.enqueue(update);
     }
 
-    fn apply_override(&mut self, update: Update, now: Now, stats: &mut Stats, out: &mut Vec<Output>) {
+    fn apply_override(&mut self, update: Update, now: Now, stats: &mut Stats, outputs: &mut Vec<Output>) {
         let Update { record, suspected_by } = &update;
         let Some(before) = self.members.replace(record.clone(), now) else { return };
         if before == MemberState::Suspect && record.state == MemberState::Alive {
@@ -84,7 +86,7 @@
             self.suspicions.remove(&record.name);
         }
         if before != record.state {
-            out.push(state_change(record, Some(before)));
+            outputs.push(state_change(record, Some(before)));
         }
         if !before.is_present() && record.state.is_present() {
             self.probe_schedule.push_next(record.name.clone());
