--- a/quota-gateway/work-handoff/tests/interleavings.rs
+++ b/quota-gateway/work-handoff/tests/interleavings.rs
@@ -1,5 +1,5 @@
 //! Model checks the handoff of one request in all interleavings. The model has the owner, two successors, a
-//! server with or without receipts, and the coordination service (`ledger`) with its real state machine.
+//! server with or without receipts, and the coordination service with its real state machine.
 //! Calls, replies and attempts are delayed, gateways crash, pause and resume, and sessions expire while their
 //! gateways are running. Each mutation of the protocol must violate a property.
 
@@ -22,7 +22,7 @@
     None,
     /// An attempt is sent before its intent is acknowledged.
     SendBeforeIntent,
-    /// The ledger checks neither the token nor the revision of a write.
+    /// The coordination service accepts writes with any token and any revision.
     UnguardedWrite,
     /// A successor repeats a non-idempotent request that may have been executed.
     ResendNonIdempotent,
@@ -95,7 +95,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct System {
-    ledger: State,
+    coordination: State,
     gateways: Vec<Gateway>,
     messages: Vec<Message>,
     sealed: Token,
@@ -180,7 +180,7 @@
     }
 
     fn record(&self) -> Option<Entry> {
-        let value = self.ledger.value(&record_key().key())?;
+        let value = self.coordination.value(&record_key().key())?;
         let record = Record::decode(&value.value).expect("all writers encode records");
         Some(Entry { key: record_key(), revision: value.revision, record })
     }
@@ -234,7 +234,7 @@
                 );
             }
             (Phase::Owning, OWNER) => {
-                let entry = self.gateways[gateway].entry.clone().expect("it was accepted");
+                let entry = self.gateways[gateway].entry.clone().expect("the record of the accepted request");
                 self.write_intent(gateway, &entry, config);
             }
             (Phase::Owning, _) => {
@@ -304,17 +304,18 @@
     fn deliver(&mut self, message: Message, config: &Config) {
         match message {
             Message::Call(gateway, number, op) => {
-                let op: Op = postcard::from_bytes(&op).expect("its own");
+                let op: Op = postcard::from_bytes(&op).expect("an encoded message of the model");
                 let client = ClientId(gateway as u64 + 1);
                 let call = Command::Call { client, number, done: number - 1, op };
-                let outcome = self.ledger.apply(&call).expect("a call");
+                let outcome = self.coordination.apply(&call).expect("a call");
                 // A rejected intent charges no quota, because its attempt is never sent.
                 let charges_quota = std::mem::take(&mut self.gateways[gateway].charges_quota);
                 self.quota_charges += u8::from(charges_quota && matches!(outcome, Ok(Done::At(_))));
                 self.messages.push(Message::CallReply(gateway, bytes(&outcome)));
             }
             Message::CallReply(gateway, outcome) => {
-                let outcome: Outcome = postcard::from_bytes(&outcome).expect("its own");
+                let outcome: Outcome =
+                    postcard::from_bytes(&outcome).expect("an encoded message of the model");
                 self.handle_call_reply(gateway, &outcome);
             }
             Message::Attempt(gateway, token) => {
@@ -323,7 +324,7 @@
                 self.messages.push(Message::AttemptReply(gateway, !refused));
             }
             Message::AttemptReply(gateway, served) => {
-                let entry = self.gateways[gateway].entry.clone().expect("it has sent it");
+                let entry = self.gateways[gateway].entry.clone().expect("the record of the attempt");
                 if served {
                     // The response is sent to the client before the outcome is written.
                     self.reported[0] = true;
@@ -340,7 +341,7 @@
                 self.messages.push(Message::Receipt(gateway, ran));
             }
             Message::Receipt(gateway, ran) => {
-                let entry = self.gateways[gateway].entry.clone().expect("it was read");
+                let entry = self.gateways[gateway].entry.clone().expect("the record to seal");
                 let receipt = if ran { Receipt::Executed(vec![1]) } else { Receipt::Sealed };
                 let step = step_after_seal(&entry.record, receipt, Duration::ZERO);
                 self.execute(gateway, &entry, step, config);
@@ -363,15 +364,15 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<System> {
-        let mut ledger = State::default();
+        let mut coordination = State::default();
         for gateway in 0..3 {
             let client = ClientId(gateway as u64 + 1);
             let op = Op::Open { ttl_ms: 1000, name: format!("g{gateway}") };
-            ledger.apply(&Command::Call { client, number: 1, done: 0, op });
+            coordination.apply(&Command::Call { client, number: 1, done: 0, op });
         }
         let op = Op::Acquire { session: session(OWNER), lock: record_key().lock(), wait: false };
-        ledger.apply(&Command::Call { client: ClientId(1), number: 2, done: 1, op });
-        let token = ledger.locks().find_map(|(_, lock)| lock.holder).expect("granted").1;
+        coordination.apply(&Command::Call { client: ClientId(1), number: 2, done: 1, op });
+        let token = coordination.locks().find_map(|(_, lock)| lock.holder).expect("granted").1;
         let gateways = (0..3).map(|gateway| Gateway {
             is_running: true,
             is_paused: false,
@@ -384,7 +385,7 @@
             waited: false,
         });
         vec![System {
-            ledger,
+            coordination,
             gateways: gateways.collect(),
             messages: Vec::new(),
             sealed: 0,
@@ -397,7 +398,7 @@
     }
 
     fn actions(&self, system: &System, actions: &mut Vec<Action>) {
-        let is_lock_free = system.ledger.locks().all(|(_, lock)| lock.holder.is_none());
+        let is_lock_free = system.coordination.locks().all(|(_, lock)| lock.holder.is_none());
         for (i, gateway) in system.gateways.iter().enumerate() {
             let can_run = gateway.is_running && !gateway.is_paused;
             let is_ready = match gateway.phase {
@@ -483,7 +484,7 @@
                 if gateway.phase == Phase::Idle {
                     gateway.phase = Phase::Done;
                 }
-                system.ledger.apply(&Command::End { sessions: vec![session(i)] });
+                system.coordination.apply(&Command::End { sessions: vec![session(i)] });
             }
         }
         system.messages.sort();
