--- a/quota-gateway/discovery/src/client.rs
+++ b/quota-gateway/discovery/src/client.rs
@@ -28,7 +28,8 @@
 pub enum MergeOutcome {
     /// The list was merged. The caller applies the returned list, to which kept servers may have been added.
     Merged(HostList),
-    /// The list is older than the view, which does not change. The caller asks another service.
+    /// The list is older than the view, which does not change. The caller requests the list from another
+    /// service.
     Stale,
     /// The list contains only changes, and is from another store or epoch, so it cannot be merged. The caller
     /// requests the full list.
--- a/quota-gateway/discovery/src/config.rs
+++ b/quota-gateway/discovery/src/config.rs
@@ -90,14 +90,16 @@
     /// Number of concurrently waiting watches, 768 by default. Further ones are answered with 503.
     pub watches: usize,
     /// Full lists per second, and per burst, 400 by default. Further requests are answered with 503.
-    pub whole_lists_per_s: u32,
+    #[serde(rename = "whole_lists_per_s")]
+    pub full_lists_per_s: u32,
     /// How long, in milliseconds, changes are batched before watches are answered, 20 by default.
-    pub gather_ms: u64,
+    #[serde(rename = "gather_ms")]
+    pub batch_delay_ms: u64,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { connections: 1024, watches: 768, whole_lists_per_s: 400, gather_ms: 20 }
+        Limits { connections: 1024, watches: 768, full_lists_per_s: 400, batch_delay_ms: 20 }
     }
 }
 
@@ -135,8 +137,8 @@
             let reason = format!("must be from {MIN_STALENESS_MS} to {MAX_STALENESS_MS}");
             return Err(ConfigError::Value("stale_ms", reason));
         }
-        let Limits { connections, watches, whole_lists_per_s, gather_ms } = config.limits;
-        if connections == 0 || watches == 0 || whole_lists_per_s == 0 || gather_ms > MAX_BATCH_DELAY_MS {
+        let Limits { connections, watches, full_lists_per_s, batch_delay_ms } = config.limits;
+        if connections == 0 || watches == 0 || full_lists_per_s == 0 || batch_delay_ms > MAX_BATCH_DELAY_MS {
             let reason =
                 format!("each must be above 0, except gather_ms, which must be at most {MAX_BATCH_DELAY_MS}");
             return Err(ConfigError::Value("limits", reason));
--- a/quota-gateway/discovery/src/replication.rs
+++ b/quota-gateway/discovery/src/replication.rs
@@ -20,7 +20,7 @@
 
 /// The interval between polls of a peer.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// The timeout of a request to another process, in addition to the wait that the request asks for.
+/// The timeout of a request to another process, in addition to the wait that the request specifies.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a replica's request waits for changes. After the response, the replica is in sync as of the
 /// request.
--- a/quota-gateway/discovery/src/service.rs
+++ b/quota-gateway/discovery/src/service.rs
@@ -11,7 +11,7 @@
 
 use crate::config::Config;
 use crate::role::Role;
-use list_replies::{FullListBudget, ReplyCache};
+use list_replies::{FullListRateLimiter, ReplyCache};
 use marblecroft_discovery::format::ListRequest;
 use marblecroft_discovery::http::{
     ok_response, ApiRequest, HttpError, ReplicationRequest, ReplicationResponse,
@@ -88,7 +88,7 @@
     journal: RefCell<Journal<Folder>>,
     started_at: Instant,
     replies: RefCell<ReplyCache>,
-    full_list_budget: RefCell<FullListBudget>,
+    full_list_limiter: RefCell<FullListRateLimiter>,
     /// The version of which the watches were last notified.
     announced_version: watch::Sender<u64>,
     /// Whether a notification is scheduled. Changes until then are included in it.
@@ -109,7 +109,7 @@
     /// Returns the service for a store that was restored from this journal.
     pub fn new(config: Config, role: Role, store: Store, journal: Journal<Folder>) -> Rc<Service> {
         let started_at = Instant::now();
-        let full_list_budget = FullListBudget::new(config.limits.whole_lists_per_s, started_at);
+        let full_list_limiter = FullListRateLimiter::new(config.limits.full_lists_per_s, started_at);
         Rc::new(Service {
             role: RefCell::new(role),
             announced_version: watch::channel(store.version()).0,
@@ -117,7 +117,7 @@
             journal: RefCell::new(journal),
             started_at,
             replies: RefCell::default(),
-            full_list_budget: RefCell::new(full_list_budget),
+            full_list_limiter: RefCell::new(full_list_limiter),
             is_notification_scheduled: Cell::new(false),
             notification_scheduled: Notify::new(),
             lease_changed: Notify::new(),
@@ -253,7 +253,7 @@
         // A reader whose version is not covered by the history gets the full list, like a reader without a
         // version.
         let since = since.filter(|&since| store.has_history_since(since));
-        if since.is_none() && !self.full_list_budget.borrow_mut().try_take() {
+        if since.is_none() && !self.full_list_limiter.borrow_mut().try_acquire() {
             return Err(HttpError::busy("too many whole lists"));
         }
         Ok(self.replies.borrow_mut().get(&store, since))
@@ -325,8 +325,8 @@
         Ok(())
     }
 
-    /// Schedules a notification of the watches after `gather_ms`, so that changes in quick succession are
-    /// sent together.
+    /// Schedules a notification of the watches after `batch_delay_ms`, so that changes in quick succession
+    /// are sent together.
     fn schedule_notification(&self) {
         if !self.is_notification_scheduled.replace(true) {
             self.notification_scheduled.notify_one();
@@ -337,7 +337,7 @@
     pub async fn notify_watches(&self) {
         loop {
             self.notification_scheduled.notified().await;
-            sleep(Duration::from_millis(self.config.limits.gather_ms)).await;
+            sleep(Duration::from_millis(self.config.limits.batch_delay_ms)).await;
             self.is_notification_scheduled.set(false);
             self.announced_version.send_replace(self.store.borrow().version());
         }
--- a/quota-gateway/discovery/src/service/list_replies.rs
+++ b/quota-gateway/discovery/src/service/list_replies.rs
@@ -44,21 +44,21 @@
 }
 
 /// A token bucket that limits full lists. Its capacity is the number of tokens per second.
-pub struct FullListBudget {
+pub struct FullListRateLimiter {
     tokens_per_s: f64,
     tokens: f64,
     refilled_at: Instant,
 }
 
-impl FullListBudget {
+impl FullListRateLimiter {
     /// Returns a full bucket.
-    pub fn new(tokens_per_s: u32, now: Instant) -> FullListBudget {
+    pub fn new(tokens_per_s: u32, now: Instant) -> FullListRateLimiter {
         let tokens_per_s = f64::from(tokens_per_s);
-        FullListBudget { tokens_per_s, tokens: tokens_per_s, refilled_at: now }
+        FullListRateLimiter { tokens_per_s, tokens: tokens_per_s, refilled_at: now }
     }
 
     /// Takes a token. Returns whether there was one.
-    pub fn try_take(&mut self) -> bool {
+    pub fn try_acquire(&mut self) -> bool {
         let now = Instant::now();
         let refill = (now - self.refilled_at).as_secs_f64() * self.tokens_per_s;
         self.tokens = (self.tokens + refill).min(self.tokens_per_s);
--- a/quota-gateway/discovery/tests/service.rs
+++ b/quota-gateway/discovery/tests/service.rs
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn sigterm_answers_waiting_watches() {
+fn sigterm_completes_waiting_watches() {
     let folder = folder();
     let mut service = ServiceProcess::start(&folder, &config("127.0.0.1:0", &folder, ""));
     let mut watcher = service.client();
