--- a/quota-gateway/coordination/src/client/connection.rs
+++ b/quota-gateway/coordination/src/client/connection.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// The first and the longest backoff between attempts; each is jittered by up to 50% in both directions.
+/// The first and the longest backoff between attempts. Each is jittered by up to 50% in both directions.
 const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_RETRY_BACKOFF: Duration = Duration::from_millis(500);
 /// Delay before a call is sent to the leader that another process has named.
@@ -37,7 +37,7 @@
 /// The result of an attempt.
 enum Attempt {
     Finished(Box<Result<Reply, CallError>>),
-    /// Retry after the delay that the process has asked for, or else after the backoff.
+    /// Retry after the delay that the process has requested, or else after the backoff.
     Retry {
         after: Option<Duration>,
     },
@@ -88,15 +88,15 @@
         loop {
             let jittered_backoff = jittered(backoff);
             let attempt_deadline = (Instant::now() + attempt_timeout).min(deadline);
-            let pause = match self.attempt(&request, attempt_deadline).await {
+            let delay = match self.attempt(&request, attempt_deadline).await {
                 Attempt::Finished(result) => return *result,
                 Attempt::Retry { after } => after.unwrap_or(jittered_backoff),
             };
             backoff = (backoff * 2).min(MAX_RETRY_BACKOFF);
-            if Instant::now() + pause >= deadline {
+            if Instant::now() + delay >= deadline {
                 return Err(CallError::TimedOut);
             }
-            sleep(pause).await;
+            sleep(delay).await;
         }
     }
 
@@ -146,6 +146,6 @@
     }
 }
 
-fn jittered(pause: Duration) -> Duration {
-    pause.mul_f64(with_rng(|rng| rng.random_range(0.5..1.5)))
+fn jittered(backoff: Duration) -> Duration {
+    backoff.mul_f64(with_rng(|rng| rng.random_range(0.5..1.5)))
 }
--- a/quota-gateway/coordination/src/client/session.rs
+++ b/quota-gateway/coordination/src/client/session.rs
@@ -171,7 +171,8 @@
         let sessions = client.renewed_sessions();
         let Some(shortest_ttl) = sessions.iter().map(|session| session.ttl).min() else { return };
         let keys: Vec<SessionKey> = sessions.iter().map(|session| session.key).collect();
-        // Dropped, so that sessions without an owner are not kept alive during the pause.
+        // The references are dropped before the sleep. They would keep a session open although its owner has
+        // dropped it.
         drop(sessions);
         let interval = shortest_ttl / RENEWALS_PER_TTL;
         sleep(interval.mul_f64(jitter)).await;
--- a/quota-gateway/coordination/src/disk/faulty_file.rs
+++ b/quota-gateway/coordination/src/disk/faulty_file.rs
@@ -39,7 +39,7 @@
     fn sync_data(&self) -> io::Result<()> {
         let before = self.syncs.fetch_add(1, Ordering::Relaxed);
         if self.fails_after.is_some_and(|max_syncs| before >= max_syncs) {
-            return Err(io::Error::other("the trial's disk takes no more syncs"));
+            return Err(io::Error::other("injected disk fault: the sync failed"));
         }
         // Blocking is fine: this runs on the log's own thread, or before the process serves requests.
         thread::sleep(self.sync_delay);
--- a/quota-gateway/coordination/src/disk/overlay.rs
+++ b/quota-gateway/coordination/src/disk/overlay.rs
@@ -54,17 +54,17 @@
     }
 }
 
-/// The part of a byte range that is in one page.
-struct PagePart {
+/// A chunk of a byte range, which lies within one page.
+struct PageChunk {
     page_number: u64,
-    /// Offset of the part in the page.
+    /// Offset of the chunk in the page.
     offset_in_page: usize,
-    /// Position of the part in the byte range.
+    /// Position of the chunk in the byte range.
     range: Range<usize>,
 }
 
-/// Splits a byte range into its parts by page.
-fn page_parts(offset: u64, length: usize) -> impl Iterator<Item = PagePart> {
+/// Splits a byte range into chunks at page boundaries.
+fn page_chunks(offset: u64, length: usize) -> impl Iterator<Item = PageChunk> {
     let mut done = 0;
     std::iter::from_fn(move || {
         if done >= length {
@@ -72,10 +72,10 @@
         }
         let position = offset + done as u64;
         let offset_in_page = (position % PAGE_BYTES) as usize;
-        let part_length = (PAGE_BYTES as usize - offset_in_page).min(length - done);
-        let range = done..done + part_length;
-        done += part_length;
-        Some(PagePart { page_number: position / PAGE_BYTES, offset_in_page, range })
+        let chunk_length = (PAGE_BYTES as usize - offset_in_page).min(length - done);
+        let range = done..done + chunk_length;
+        done += chunk_length;
+        Some(PageChunk { page_number: position / PAGE_BYTES, offset_in_page, range })
     })
 }
 
@@ -89,7 +89,7 @@
         if offset + out.len() as u64 > layer.length {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        for PagePart { page_number, offset_in_page, range } in page_parts(offset, out.len()) {
+        for PageChunk { page_number, offset_in_page, range } in page_chunks(offset, out.len()) {
             let in_page = offset_in_page..offset_in_page + range.len();
             match layer.pages.get(&page_number) {
                 Some(page) => out[range].copy_from_slice(&page[in_page]),
@@ -116,7 +116,7 @@
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         let mut layer = self.layer();
-        for PagePart { page_number, offset_in_page, range } in page_parts(offset, data.len()) {
+        for PageChunk { page_number, offset_in_page, range } in page_chunks(offset, data.len()) {
             if !layer.pages.contains_key(&page_number) {
                 let page = self.read_page(layer.file_length, page_number)?;
                 layer.pages.insert(page_number, page);
--- a/quota-gateway/coordination/src/service/connections.rs
+++ b/quota-gateway/coordination/src/service/connections.rs
@@ -96,8 +96,8 @@
                 }
                 Err(ReadError::Closed(_)) => break,
             };
-            // While a peer does not read its replies, the channel is full and no more requests are read from
-            // the peer.
+            // While a peer does not read its replies, the channel is full, and no further requests of the peer
+            // are read.
             let Ok(permit) = replies.clone().reserve_owned().await else { break };
             let (service, budget) = (self.clone(), budget.clone());
             spawn_local(async move {
@@ -106,8 +106,8 @@
             });
         }
         drop(replies);
-        // Requests that were already read are still answered as long as the peer reads. No request takes
-        // longer than a watch.
+        // Replies to requests that were already read are still sent as long as the peer reads them. No request
+        // takes longer than a watch.
         drop(timeout(MAX_WATCH_WAIT, writer).await);
     }
 
--- a/quota-gateway/coordination/src/service/membership.rs
+++ b/quota-gateway/coordination/src/service/membership.rs
@@ -54,7 +54,7 @@
             Ok(learner) => learner,
             Err(error) => return self.membership_error(error),
         };
-        // The consensus crate treats a learner as caught up if it lags by no more entries than a threshold.
+        // The consensus crate treats a learner as caught up if its lag in entries does not exceed a threshold.
         // If the log is shorter than the threshold, this includes a learner that has no entry at all.
         if !self.has_replicated(node, learner.log_id.index).await {
             return self.not_serving();
--- a/quota-gateway/coordination/src/state/snapshot.rs
+++ b/quota-gateway/coordination/src/state/snapshot.rs
@@ -18,20 +18,20 @@
         }
         /// The bytes after the version are not an encoded state.
         Decode(cause: postcard::Error) {
-            display("no state: {cause}")
+            display("invalid snapshot: {cause}")
             source(cause)
         }
         /// There are bytes after the end of the state.
         TrailingBytes {
-            display("bytes follow on the state")
+            display("invalid snapshot: trailing bytes after the state")
         }
         /// The snapshot has another format version.
         UnknownVersion {
-            display("a version that this program does not read")
+            display("unsupported snapshot version")
         }
         /// The bytes end before the end of the version.
         Truncated {
-            display("too short for a snapshot")
+            display("snapshot truncated")
         }
     }
 }
--- a/quota-gateway/coordination/src/storage/mod.rs
+++ b/quota-gateway/coordination/src/storage/mod.rs
@@ -65,8 +65,8 @@
         LogStore::open_with_wrapper(folder, true, |file| file)
     }
 
-    /// Opens the store on a backend that `wrap` makes of the file's backend. Without `group_commit`, each
-    /// write has its own sync, so that the gain from shared syncs can be measured.
+    /// Opens the store on a backend that `wrap` creates from the file's backend. Without `group_commit`, each
+    /// write has its own sync, which is the baseline for benchmarks of group commit.
     ///
     /// # Errors
     ///
--- a/quota-gateway/coordination/src/storage/record.rs
+++ b/quota-gateway/coordination/src/storage/record.rs
@@ -18,7 +18,7 @@
 }
 
 impl Damage {
-    /// Damage that concerns the store as a whole instead of one record.
+    /// Returns the damage of a store that cannot be attributed to a single record.
     pub(super) fn of_store(reason: impl ToString) -> Damage {
         Damage { reason: reason.to_string(), bytes: Vec::new() }
     }
@@ -27,8 +27,8 @@
     pub(super) fn into_error(self, file: Option<&Path>) -> StoreError {
         let offset = file.and_then(|file| offset_of(&fs::read(file).ok()?, &self.bytes));
         StoreError::Damaged(match offset {
-            Some(offset) => format!("{} at byte {offset}; nothing was touched", self.reason),
-            None => format!("{}; nothing was touched", self.reason),
+            Some(offset) => format!("{} at byte {offset}; the file was not changed", self.reason),
+            None => format!("{}; the file was not changed", self.reason),
         })
     }
 }
@@ -52,7 +52,7 @@
 pub(super) fn decode<T: DeserializeOwned>(name: &str, bytes: &[u8]) -> Result<T, Damage> {
     let damage = |reason: &str| Damage { reason: format!("{name}: {reason}"), bytes: bytes.to_vec() };
     let Some((checksum, value)) = bytes.split_first_chunk::<CHECKSUM_BYTES>() else {
-        return Err(damage("is cut off"));
+        return Err(damage("record is truncated"));
     };
     if crc32fast::hash(value) != u32::from_le_bytes(*checksum) {
         return Err(damage("its checksum is wrong"));
