--- a/quota-gateway/zone-failover/src/allocation.rs
+++ b/quota-gateway/zone-failover/src/allocation.rs
@@ -43,7 +43,7 @@
     };
     // Allocate probes first, so that a zone whose capacity is used up later is still probed.
     allocation.allocate_probes();
-    allocation.allocate_own();
+    allocation.allocate_local();
     for is_own_region in [true, false] {
         for rank in 0..zone_count.saturating_sub(1) {
             allocation.allocate_nearest(is_own_region, rank);
@@ -95,7 +95,7 @@
         self.remaining = self.zones().map(remaining).collect();
     }
 
-    fn allocate_own(&mut self) {
+    fn allocate_local(&mut self) {
         let load = self.load;
         for zone in self.zones().filter(|&zone| !load.is_partitioned[zone][zone]) {
             self.remaining[zone] -= self.send(zone, zone, self.remaining[zone]);
--- a/quota-gateway/zone-failover/src/controller.rs
+++ b/quota-gateway/zone-failover/src/controller.rs
@@ -52,7 +52,8 @@
     evidence: Evidence,
     zones: Vec<Zone>,
     server_capacities: Vec<ServerCapacity>,
-    /// Time of the last failover of a whole region, and the name of the region.
+    /// Time of the last failover of a region, and the name of the region. A region fails over with its last
+    /// zone.
     last_region_failover: Option<(Instant, String)>,
     last_decision: Option<(Instant, ZonesDecision)>,
     state_changes: Vec<StateChange>,
--- a/quota-gateway/zone-failover/src/lib.rs
+++ b/quota-gateway/zone-failover/src/lib.rs
@@ -1,6 +1,6 @@
-//! Failover between zones and regions, decided by one owner for the whole fleet (`docs/zone-failover.md`). No
-//! I/O and no clock: the caller passes in reports, operator commands and instants. The same inputs give the
-//! same decision, byte for byte.
+//! Failover between zones and regions, decided by one owner per fleet (`docs/zone-failover.md`). No I/O and
+//! no clock: the caller passes in reports, operator commands and instants. The same inputs give the same
+//! decision, byte for byte.
 //!
 //! - [`settings`]: the zones, and the parameters of the decision.
 //! - [`evidence`]: aggregates the observations of gateways and bounds the influence of each gateway.
--- a/quota-gateway/zone-failover/tests/fleet.rs
+++ b/quota-gateway/zone-failover/tests/fleet.rs
@@ -18,7 +18,7 @@
 const TICK_MS: u64 = 100;
 const DECISION_TTL_MS: u32 = 10_000;
 
-/// A fault of a zone or of the whole fleet.
+/// A fault of one zone or of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     /// The pay servers of a zone are lost.
@@ -73,7 +73,7 @@
     last_decision: Option<ZonesDecision>,
     served: f64,
     requested: f64,
-    served_in_own_zone: f64,
+    served_in_local_zone: f64,
     failover_count: u32,
     failed_over_zones: BTreeSet<String>,
 }
@@ -123,7 +123,7 @@
             last_decision: None,
             served: 0.0,
             requested: 0.0,
-            served_in_own_zone: 0.0,
+            served_in_local_zone: 0.0,
             failover_count: 0,
             failed_over_zones: BTreeSet::new(),
         }
@@ -256,7 +256,7 @@
                     attempts.served += units * served_fraction;
                     attempts.rejected += units * (1.0 - served_fraction);
                     self.served += units * served_fraction;
-                    self.served_in_own_zone += if to == zone { units * served_fraction } else { 0.0 };
+                    self.served_in_local_zone += if to == zone { units * served_fraction } else { 0.0 };
                 }
             }
         }
@@ -288,7 +288,7 @@
             let attempts =
                 std::mem::replace(&mut self.gateways[g].attempts, vec![AttemptCounts::default(); zone_count]);
             let zones = attempts.into_iter().enumerate().map(|(z, attempts)| {
-                // Servers that are unreachable stay listed. Only the loss of the whole zone removes them.
+                // Servers that are unreachable stay listed. Only `Fault::ZoneLost` removes them.
                 let is_listed = !matches!(self.fault, Some(Fault::ZoneLost(lost)) if lost == z);
                 let servers = if is_listed { self.servers[z] } else { 0.0 };
                 ZoneObservation {
@@ -366,7 +366,7 @@
 
     /// Runs for `ms`, and returns the fraction of the requested units that was served.
     fn served_fraction(&mut self, ms: u64) -> f64 {
-        (self.served, self.requested, self.served_in_own_zone) = (0.0, 0.0, 0.0);
+        (self.served, self.requested, self.served_in_local_zone) = (0.0, 0.0, 0.0);
         self.run(ms);
         self.served / self.requested
     }
@@ -420,9 +420,9 @@
             let case = format!("seed {seed}, {gateways} gateways, {zones} zones, {fault:?}");
             assert!(before > 0.97, "{case}: {before} served before the fault");
             assert!(
-                fleet.served_in_own_zone / fleet.served > 0.95,
+                fleet.served_in_local_zone / fleet.served > 0.95,
                 "{case}: {} served in their own zone",
-                fleet.served_in_own_zone / fleet.served
+                fleet.served_in_local_zone / fleet.served
             );
             fleet.begin_fault(fault);
             // A failover takes one report per second, evidence that lasts for 900 ms, and the delay of the
