--- a/quota-gateway/shard-map/src/plan.rs
+++ b/quota-gateway/shard-map/src/plan.rs
@@ -1,4 +1,4 @@
-//! Chooses the shards to migrate and their new cells: away from cells that are draining or crowded, to the
+//! Chooses the shards to migrate and their new cells: away from cells that are draining or overloaded, to the
 //! nearest cell with capacity. Bounds the number of concurrent migrations and prevents flapping. Cells that
 //! do not accept writes or are draining, as in a suspect or failed-over zone, get no shards.
 
@@ -58,10 +58,10 @@
     pub max_concurrent: usize,
     /// Minimum time that a shard stays at a cell after its migration, unless the cell is draining.
     pub min_residence: Duration,
-    /// Utilization above which a cell is crowded, so that shards are migrated away.
-    pub crowded_above: f64,
-    /// Utilization up to which shards are migrated to a cell.
-    pub fill_up_to: f64,
+    /// Utilization above which a cell is overloaded, so that shards are migrated away.
+    pub overloaded_above: f64,
+    /// Maximum utilization of a cell after a shard has been migrated to it.
+    pub target_utilization: f64,
 }
 
 impl Default for Limits {
@@ -69,8 +69,8 @@
         Limits {
             max_concurrent: 4,
             min_residence: Duration::from_secs(60),
-            crowded_above: 0.9,
-            fill_up_to: 0.7,
+            overloaded_above: 0.9,
+            target_utilization: 0.7,
         }
     }
 }
@@ -165,7 +165,8 @@
         let number = self.map.shards[shard].cell;
         let from = self.cells.get(&number).filter(|from| self.should_leave(shard, from))?;
         let load = self.load(shard);
-        let has_capacity = |cell: &CellStatus| cell.load + load <= self.limits.fill_up_to * cell.capacity;
+        let has_capacity =
+            |cell: &CellStatus| cell.load + load <= self.limits.target_utilization * cell.capacity;
         self.cells
             .iter()
             .filter(|(other, cell)| **other != number && cell.accepts_shards() && has_capacity(cell))
@@ -181,8 +182,8 @@
     fn should_leave(&self, shard: usize, from: &CellStatus) -> bool {
         let arrived_recently =
             self.residence.get(shard).is_some_and(|residence| *residence < self.limits.min_residence);
-        let is_crowded = from.load > self.limits.crowded_above * from.capacity;
-        from.is_draining || is_crowded && !arrived_recently
+        let is_overloaded = from.load > self.limits.overloaded_above * from.capacity;
+        from.is_draining || is_overloaded && !arrived_recently
     }
 
     fn move_load(&mut self, shard: usize, to: Cell) {
