--- a/quota-gateway/coordination/src/client/calls.rs
+++ b/quota-gateway/coordination/src/client/calls.rs
@@ -44,8 +44,8 @@
     /// Returns the request of a call. It acknowledges the replies below the lowest number that is still
     /// pending.
     fn request(&self, number: u64, op: &Op) -> Request {
-        let done = self.pending.borrow().first().map_or(number, |first| *first) - 1;
-        Request::Call { client: self.id, number, done, op: op.clone() }
+        let acknowledged = self.pending.borrow().first().map_or(number, |first| *first) - 1;
+        Request::Call { client: self.id, number, acknowledged, op: op.clone() }
     }
 }
 
--- a/quota-gateway/coordination/src/client/connection.rs
+++ b/quota-gateway/coordination/src/client/connection.rs
@@ -135,7 +135,7 @@
             Response::Busy { after_ms } => {
                 Attempt::Retry { after: Some(jittered(Duration::from_millis(after_ms.into()))) }
             }
-            Response::No(reason) => Attempt::Finished(Box::new(Err(CallError::Rejected(reason)))),
+            Response::Rejected(reason) => Attempt::Finished(Box::new(Err(CallError::Rejected(reason)))),
             // The request may have taken effect. A retry with the same number returns its outcome.
             Response::Unknown(_) => {
                 self.disconnect();
--- a/quota-gateway/coordination/src/commands.rs
+++ b/quota-gateway/coordination/src/commands.rs
@@ -94,7 +94,7 @@
 fn check_done(address: &str, response: Response) -> Result<(), CommandError> {
     match response {
         Response::Done => Ok(()),
-        Response::No(reason) | Response::Unknown(reason) => {
+        Response::Rejected(reason) | Response::Unknown(reason) => {
             Err(CommandError::Rejected(address.to_owned(), reason))
         }
         other => Err(unexpected(address, other)),
@@ -208,7 +208,7 @@
             for lock in &locks {
                 println!(
                     "{} token {} session {} of {}, {} wait",
-                    lock.name, lock.token, lock.holder.0, lock.who, lock.waiting
+                    lock.name, lock.token, lock.holder.0, lock.owner_name, lock.waiting
                 );
             }
             Ok(())
@@ -223,7 +223,7 @@
             for session in &sessions {
                 println!(
                     "{} of {}, {} ms, {} locks",
-                    session.id.0, session.who, session.ttl_ms, session.locks
+                    session.id.0, session.owner_name, session.ttl_ms, session.locks
                 );
             }
             Ok(())
--- a/quota-gateway/coordination/src/service/leadership.rs
+++ b/quota-gateway/coordination/src/service/leadership.rs
@@ -123,7 +123,9 @@
     async fn take_over(&self) {
         let term = self.raft.metrics().borrow().current_term;
         let token = (self.env.wall_ms)().saturating_mul(TOKENS_PER_MS);
-        if self.raft.client_write(vec![Command::Floor { token }]).await.is_err() || !self.is_leader() {
+        if self.raft.client_write(vec![Command::RaiseTokenFloor { token }]).await.is_err()
+            || !self.is_leader()
+        {
             return;
         }
         let now = self.now();
@@ -143,7 +145,7 @@
         }
         info!(sessions = expired.len(), "sessions expired");
         self.metrics.count_expired_sessions(expired.len());
-        if self.raft.client_write(vec![Command::End { sessions: expired }]).await.is_err() {
+        if self.raft.client_write(vec![Command::ExpireSessions { sessions: expired }]).await.is_err() {
             // The next leader gives these sessions their full time to live again.
             self.leadership.replace(None);
         }
--- a/quota-gateway/coordination/src/service/membership.rs
+++ b/quota-gateway/coordination/src/service/membership.rs
@@ -20,7 +20,7 @@
     /// Assigns this process to a cluster, if it belongs to none yet.
     pub(super) async fn join(&self, cluster: u64) -> Response {
         match (self.cluster.get(), cluster) {
-            (_, 0) => Response::No("cluster: 0 names none".to_owned()),
+            (_, 0) => Response::Rejected("cluster: 0 names none".to_owned()),
             (own, cluster) if own == cluster => Response::Done,
             (0, cluster) => match self.log.join(cluster).await {
                 Ok(()) => {
@@ -29,7 +29,7 @@
                 }
                 Err(error) => Response::Unknown(error.to_string()),
             },
-            (own, _) => Response::No(format!("this process is of cluster {own:016x}")),
+            (own, _) => Response::Rejected(format!("this process is of cluster {own:016x}")),
         }
     }
 
@@ -39,7 +39,7 @@
             members.into_iter().map(|(node, address)| (node, BasicNode::new(address))).collect();
         match self.raft.initialize(members).await {
             Ok(()) => Response::Done,
-            Err(error) => Response::No(error.to_string()),
+            Err(error) => Response::Rejected(error.to_string()),
         }
     }
 
@@ -100,7 +100,7 @@
             RaftError::APIError(ClientWriteError::ChangeMembershipError(
                 ChangeMembershipError::InProgress(_),
             )) => Response::Busy { after_ms: MEMBERSHIP_CHANGE_DELAY_MS },
-            RaftError::APIError(error) => Response::No(error.to_string()),
+            RaftError::APIError(error) => Response::Rejected(error.to_string()),
             // The change may be in the log despite the error.
             RaftError::Fatal(error) => Response::Unknown(error.to_string()),
         }
--- a/quota-gateway/coordination/src/service/proposals.rs
+++ b/quota-gateway/coordination/src/service/proposals.rs
@@ -34,15 +34,15 @@
 
 impl Service {
     /// Applies a client's operation, once for each number.
-    pub(super) async fn call(&self, client: ClientId, number: u64, done: u64, op: Op) -> Response {
+    pub(super) async fn call(&self, client: ClientId, number: u64, acknowledged: u64, op: Op) -> Response {
         if !self.is_serving() {
             return self.not_serving();
         }
         self.last_call_at.borrow_mut().insert(client, Instant::now());
         let (result_sender, result) = oneshot::channel();
-        let command = Command::Call { client, number, done, op };
+        let command = Command::Call { client, number, acknowledged, op };
         if self.proposals.send(Proposal { command, result_sender }).await.is_err() {
-            return Response::No("the process ends".to_owned());
+            return Response::Rejected("the process ends".to_owned());
         }
         match result.await {
             Ok(ProposalResult::Applied(Err(Refused::Busy(after_ms)))) => {
--- a/quota-gateway/coordination/src/service/reads.rs
+++ b/quota-gateway/coordination/src/service/reads.rs
@@ -48,7 +48,7 @@
             for (key, value) in values {
                 bytes += key.len() + value.value.len() + VALUE_OVERHEAD_BYTES;
                 if bytes > MAX_VALUES_BYTES {
-                    return Response::No("prefix: more than an answer holds; ask for less".to_owned());
+                    return Response::Rejected("prefix: more than an answer holds; ask for less".to_owned());
                 }
                 listed.push((key.to_owned(), value.value.clone(), value.revision));
             }
@@ -93,11 +93,13 @@
                 state.sessions().map(|(id, session)| (id, session.name.as_str())).collect();
             let held = state.locks().filter_map(|(name, lock)| {
                 let (holder, token) = lock.holder?;
-                let who = owners.get(&holder).copied().unwrap_or_default().to_owned();
+                let owner_name = owners.get(&holder).copied().unwrap_or_default().to_owned();
                 let waiting = lock.waiting.len() as u32;
-                Some(LockStatus { name: name.to_owned(), holder, who, token, waiting })
+                Some(LockStatus { name: name.to_owned(), holder, owner_name, token, waiting })
             });
-            Response::Locks(held.take_while(|lock| size.fits(lock.name.len() + lock.who.len())).collect())
+            Response::Locks(
+                held.take_while(|lock| size.fits(lock.name.len() + lock.owner_name.len())).collect(),
+            )
         })
     }
 
@@ -107,11 +109,11 @@
         self.machine.with(|state| {
             let sessions = state.sessions().map(|(id, session)| SessionStatus {
                 id,
-                who: session.name.clone(),
+                owner_name: session.name.clone(),
                 ttl_ms: session.ttl_ms,
                 locks: session.locks().len() as u32,
             });
-            Response::Sessions(sessions.take_while(|session| size.fits(session.who.len())).collect())
+            Response::Sessions(sessions.take_while(|session| size.fits(session.owner_name.len())).collect())
         })
     }
 
@@ -123,7 +125,7 @@
             }
             match self.machine.with(|state| state.snapshot()) {
                 Ok(bytes) => drop(self.snapshot.replace(bytes)),
-                Err(error) => return Response::No(error.to_string()),
+                Err(error) => return Response::Rejected(error.to_string()),
             }
         }
         let snapshot = self.snapshot.borrow();
--- a/quota-gateway/coordination/src/service/requests.rs
+++ b/quota-gateway/coordination/src/service/requests.rs
@@ -44,7 +44,9 @@
             Request::Begin { members } => self.begin(members).await.into(),
             Request::Add { node, addr } => self.add(node, addr).await.into(),
             Request::Remove { node } => self.remove(node).await.into(),
-            Request::Call { client, number, done, op } => self.call(client, number, done, op).await.into(),
+            Request::Call { client, number, acknowledged, op } => {
+                self.call(client, number, acknowledged, op).await.into()
+            }
             Request::Renew { sessions } => self.renew(sessions).await.into(),
             Request::Read { prefix, stale } => {
                 self.with_reservation(budget, MAX_VALUES_BYTES, || self.read(&prefix, stale)).await
@@ -69,7 +71,7 @@
             }
             // `handle_request` has handled these.
             Request::Append(_) | Request::Vote(_) | Request::Install(_) => {
-                Response::No("answered above".into()).into()
+                Response::Rejected("answered above".into()).into()
             }
         }
     }
--- a/quota-gateway/coordination/src/state/apply.rs
+++ b/quota-gateway/coordination/src/state/apply.rs
@@ -7,12 +7,14 @@
     /// Applies a command. Returns the outcome of a client's call, or None for a command of the leader.
     pub fn apply(&mut self, command: &Command) -> Option<Outcome> {
         let outcome = match command {
-            Command::Call { client, number, done, op } => Some(self.call(*client, *number, *done, op)),
-            Command::End { sessions } => {
+            Command::Call { client, number, acknowledged, op } => {
+                Some(self.call(*client, *number, *acknowledged, op))
+            }
+            Command::ExpireSessions { sessions } => {
                 sessions.iter().for_each(|id| self.end_session(*id));
                 None
             }
-            Command::Floor { token } => {
+            Command::RaiseTokenFloor { token } => {
                 self.last_token = self.last_token.max(*token);
                 None
             }
--- a/quota-gateway/coordination/src/wire.rs
+++ b/quota-gateway/coordination/src/wire.rs
@@ -69,7 +69,8 @@
         /// The client's sequence number of the call, starting at 1.
         number: u64,
         /// The client has received the responses to all numbers up to and including this one.
-        done: u64,
+        #[serde(rename = "done")]
+        acknowledged: u64,
         /// The operation.
         op: Op,
     },
@@ -164,7 +165,8 @@
         after_ms: u32,
     },
     /// The request was rejected and not executed, for this reason in one line.
-    No(String),
+    #[serde(rename = "No")]
+    Rejected(String),
     /// It is unknown whether the request was executed, for this reason in one line.
     Unknown(String),
 }
@@ -212,7 +214,8 @@
     /// The session that holds it.
     pub holder: SessionId,
     /// The name of the session's owner.
-    pub who: String,
+    #[serde(rename = "who")]
+    pub owner_name: String,
     /// The token under which it is held.
     pub token: Token,
     /// Number of sessions that wait for it.
@@ -225,7 +228,8 @@
     /// The session.
     pub id: SessionId,
     /// The name of its owner.
-    pub who: String,
+    #[serde(rename = "who")]
+    pub owner_name: String,
     /// Its time to live in milliseconds.
     pub ttl_ms: u32,
     /// Number of locks that it holds or waits for.
--- a/quota-gateway/coordination/tests/golden.rs
+++ b/quota-gateway/coordination/tests/golden.rs
@@ -80,10 +80,11 @@
 
 /// One command of each kind, with a call for each operation.
 fn commands() -> Vec<Command> {
-    let call = |(number, (_, op))| Command::Call { client: ClientId(801), number, done: number / 2, op };
+    let call =
+        |(number, (_, op))| Command::Call { client: ClientId(801), number, acknowledged: number / 2, op };
     let mut commands: Vec<Command> = (11..).zip(ops()).map(call).collect();
-    commands.push(Command::End { sessions: vec![SESSION, SessionId(7002)] });
-    commands.push(Command::Floor { token: 505 });
+    commands.push(Command::ExpireSessions { sessions: vec![SESSION, SessionId(7002)] });
+    commands.push(Command::RaiseTokenFloor { token: 505 });
     commands.push(Command::ExpireClients { clients: vec![ClientId(802), ClientId(803)] });
     commands
 }
@@ -136,7 +137,7 @@
     .map(|(name, request)| (name.to_owned(), request))
     .collect();
     let call = |(name, op)| {
-        (format!("call-{name}"), Request::Call { client: ClientId(801), number: 12, done: 10, op })
+        (format!("call-{name}"), Request::Call { client: ClientId(801), number: 12, acknowledged: 10, op })
     };
     requests.extend(ops().into_iter().map(call));
     requests
@@ -186,11 +187,11 @@
     let lock = LockStatus {
         name: "lock-a".to_owned(),
         holder: SESSION,
-        who: "who".to_owned(),
+        owner_name: "who".to_owned(),
         token: 508,
         waiting: 4,
     };
-    let session = SessionStatus { id: SESSION, who: "who".to_owned(), ttl_ms: 5100, locks: 5 };
+    let session = SessionStatus { id: SESSION, owner_name: "who".to_owned(), ttl_ms: 5100, locks: 5 };
     let value = |key: &str, revision| (key.to_owned(), vec![6, 7], revision);
     vec![
         ("append-success", Response::Append(Ok(AppendEntriesResponse::Success))),
@@ -229,7 +230,7 @@
         ("part", Response::SnapshotChunk { total: 9000, bytes: vec![3, 2, 1] }),
         ("not-leader", Response::NotLeader { leader: Some("10.1.2.42:7400".to_owned()) }),
         ("busy", Response::Busy { after_ms: 250 }),
-        ("no", Response::No("a reason".to_owned())),
+        ("no", Response::Rejected("a reason".to_owned())),
         ("unknown", Response::Unknown("another reason".to_owned())),
     ]
 }
@@ -295,9 +296,14 @@
     let mut call = |state: &mut State, client: u64, op: Op| {
         let number = numbers.entry(client).or_default();
         *number += 1;
-        state.apply(&Command::Call { client: ClientId(client), number: *number, done: *number / 3, op })
+        state.apply(&Command::Call {
+            client: ClientId(client),
+            number: *number,
+            acknowledged: *number / 3,
+            op,
+        })
     };
-    state.apply(&Command::Floor { token: 500 });
+    state.apply(&Command::RaiseTokenFloor { token: 500 });
     for (name, ttl_ms) in [("one", 5100), ("two", 5200), ("three", 5300)] {
         call(&mut state, 801, Op::Open { ttl_ms, name: name.to_owned() })
             .expect("an outcome")
--- a/quota-gateway/coordination/tests/interleavings.rs
+++ b/quota-gateway/coordination/tests/interleavings.rs
@@ -119,7 +119,7 @@
         let client = &mut self.clients[index];
         client.calls += 1;
         let id = ClientId(index as u64);
-        let command = Command::Call { client: id, number: client.calls, done: client.calls - 1, op };
+        let command = Command::Call { client: id, number: client.calls, acknowledged: client.calls - 1, op };
         self.state.apply(&command)?.ok()
     }
 
@@ -301,7 +301,7 @@
             Step::EndSessions => {
                 let sessions: Vec<SessionId> = system.leases.expired(system.service_now()).collect();
                 sessions.iter().for_each(|id| system.leases.remove(*id));
-                system.state.apply(&Command::End { sessions });
+                system.state.apply(&Command::ExpireSessions { sessions });
             }
             Step::NewLeader => {
                 system.had_leader_change = true;
@@ -317,7 +317,7 @@
                 system.was_restored = true;
                 system.state = State::restore(&system.snapshot).ok()?;
                 if self.mutation != Mutation::TokensResetAtRestore {
-                    system.state.apply(&Command::Floor { token: FLOOR });
+                    system.state.apply(&Command::RaiseTokenFloor { token: FLOOR });
                 }
                 system.leases = Leases::default();
                 for client in &mut system.clients {
--- a/quota-gateway/coordination/tests/state.rs
+++ b/quota-gateway/coordination/tests/state.rs
@@ -40,9 +40,9 @@
     let call = (0..3u64, 0..3u64, prop_oneof![4 => op(), 1 => batch]);
     prop_oneof![
         // The test replaces the number by the client's next number, or, for 0, by its last number again.
-        12 => call.prop_map(|(client, repeat, op)| Command::Call { client: ClientId(client), number: repeat, done: 0, op }),
-        1 => prop::collection::vec((1..6u64).prop_map(SessionId), 1..3).prop_map(|sessions| Command::End { sessions }),
-        1 => (0..30u64).prop_map(|token| Command::Floor { token }),
+        12 => call.prop_map(|(client, repeat, op)| Command::Call { client: ClientId(client), number: repeat, acknowledged: 0, op }),
+        1 => prop::collection::vec((1..6u64).prop_map(SessionId), 1..3).prop_map(|sessions| Command::ExpireSessions { sessions }),
+        1 => (0..30u64).prop_map(|token| Command::RaiseTokenFloor { token }),
     ]
 }
 
@@ -244,7 +244,7 @@
                 Command::Call { client, op, .. } => {
                     let number = last_numbers.entry(client.0).or_insert(0);
                     *number += 1;
-                    Command::Call { client, number: *number, done: number.saturating_sub(3), op }
+                    Command::Call { client, number: *number, acknowledged: number.saturating_sub(3), op }
                 }
                 other => other,
             };
@@ -262,8 +262,8 @@
                     prop_assert_eq!(&outcome, &expected, "{:?}", op);
                     last_calls.insert(client.0, (command.clone(), outcome));
                 }
-                Command::End { sessions } => sessions.iter().for_each(|session| model.end_session(session.0)),
-                Command::Floor { token } => model.token = model.token.max(*token),
+                Command::ExpireSessions { sessions } => sessions.iter().for_each(|session| model.end_session(session.0)),
+                Command::RaiseTokenFloor { token } => model.token = model.token.max(*token),
                 Command::ExpireClients { .. } => {}
             }
             prop_assert_eq!(state.token_floor(), model.token);
@@ -305,17 +305,19 @@
     let mut number = 0;
     let mut call = |state: &mut State, op: Op| {
         number += 1;
-        state.apply(&Command::Call { client: ClientId(1), number, done: number - 1, op }).expect("an outcome")
+        state
+            .apply(&Command::Call { client: ClientId(1), number, acknowledged: number - 1, op })
+            .expect("an outcome")
     };
     let open = |name: &str| Op::Open { ttl_ms: 1000, name: name.to_owned() };
     let acquire = |n: u64| Op::Acquire { session: SessionId(n), lock: "a".to_owned(), wait: true };
     assert_eq!(call(&mut state, open("one")), Ok(Done::Opened(SessionId(1))));
     assert_eq!(call(&mut state, open("two")), Ok(Done::Opened(SessionId(2))));
-    assert_eq!(state.apply(&Command::Floor { token: Token::MAX - 2 }), None);
+    assert_eq!(state.apply(&Command::RaiseTokenFloor { token: Token::MAX - 2 }), None);
     assert_eq!(call(&mut state, acquire(1)), Ok(Done::Granted(Token::MAX - 1)));
     assert_eq!(call(&mut state, acquire(2)), Ok(Done::Waiting(0)));
     // The next session in the queue would need a higher token, so the lock becomes free instead.
-    state.apply(&Command::End { sessions: vec![SessionId(1)] });
+    state.apply(&Command::ExpireSessions { sessions: vec![SessionId(1)] });
     assert_eq!(locks(&state).len(), 0);
     assert_eq!(call(&mut state, acquire(2)), Err(Refused::Exhausted));
 }
@@ -325,7 +327,7 @@
 #[test]
 fn a_floor_keeps_tokens_increasing_after_a_restore_from_an_older_snapshot() {
     let acquire_token = |state: &mut State, client: u64| {
-        let call = |number, op| Command::Call { client: ClientId(client), number, done: 0, op };
+        let call = |number, op| Command::Call { client: ClientId(client), number, acknowledged: 0, op };
         let Some(Ok(Done::Opened(session))) =
             state.apply(&call(1, Op::Open { ttl_ms: 1000, name: "x".into() }))
         else {
@@ -338,7 +340,7 @@
         }
     };
     let mut state = State::default();
-    state.apply(&Command::Floor { token: 1_000 });
+    state.apply(&Command::RaiseTokenFloor { token: 1_000 });
     let snapshot = state.snapshot().expect("a snapshot");
     let highest = (1..50).map(|client| acquire_token(&mut state, client)).max().expect("a token");
     let mut restored = State::restore(&snapshot).expect("a valid snapshot");
@@ -346,17 +348,17 @@
         acquire_token(&mut restored.clone(), 99) <= highest,
         "without a floor, a token is granted a second time"
     );
-    restored.apply(&Command::Floor { token: 2_000 });
+    restored.apply(&Command::RaiseTokenFloor { token: 2_000 });
     assert!(acquire_token(&mut restored, 99) > highest);
 }
 
 #[test]
 fn a_repeated_call_of_an_expired_client_is_not_applied_again() {
     let mut state = State::default();
-    let open = |number, done| Command::Call {
+    let open = |number, acknowledged| Command::Call {
         client: ClientId(7),
         number,
-        done,
+        acknowledged,
         op: Op::Open { ttl_ms: 1000, name: "x".to_owned() },
     };
     assert!(matches!(state.apply(&open(1, 0)), Some(Ok(_))));
@@ -375,7 +377,7 @@
 #[test]
 fn a_number_that_was_used_for_another_operation_is_rejected() {
     let mut state = State::default();
-    let call = |op| Command::Call { client: ClientId(1), number: 1, done: 0, op };
+    let call = |op| Command::Call { client: ClientId(1), number: 1, acknowledged: 0, op };
     let open = |name: &str| Op::Open { ttl_ms: 1000, name: name.to_owned() };
     let first = state.apply(&call(open("one")));
     assert_eq!(state.apply(&call(open("one"))), first, "the repeated call has the same outcome");
@@ -393,7 +395,7 @@
     for number in 1..=40 {
         let key = format!("{}{number}", if number % 2 == 0 { "even" } else { "odd" });
         let op = Op::Put { key, value: vec![7; 1000], expect: None, owner: Owner::Nobody };
-        state.apply(&Command::Call { client: ClientId(1), number, done: number - 1, op });
+        state.apply(&Command::Call { client: ClientId(1), number, acknowledged: number - 1, op });
     }
     let (mut since, mut revisions, mut responses) = (0, Vec::new(), 0);
     while since < state.revision() {
--- a/quota-gateway/coordination/tests/storage.rs
+++ b/quota-gateway/coordination/tests/storage.rs
@@ -32,7 +32,7 @@
 }
 
 fn entry(index: u64) -> Entry<Types> {
-    let commands = vec![Command::Floor { token: index }];
+    let commands = vec![Command::RaiseTokenFloor { token: index }];
     Entry { log_id: LogId::new(CommittedLeaderId::new(1, 1), index), payload: EntryPayload::Normal(commands) }
 }
 
--- a/quota-gateway/work-handoff/tests/interleavings.rs
+++ b/quota-gateway/work-handoff/tests/interleavings.rs
@@ -306,7 +306,7 @@
             Message::Call(gateway, number, op) => {
                 let op: Op = postcard::from_bytes(&op).expect("an encoded message of the model");
                 let client = ClientId(gateway as u64 + 1);
-                let call = Command::Call { client, number, done: number - 1, op };
+                let call = Command::Call { client, number, acknowledged: number - 1, op };
                 let outcome = self.coordination.apply(&call).expect("a call");
                 // A rejected intent charges no quota, because its attempt is never sent.
                 let charges_quota = std::mem::take(&mut self.gateways[gateway].charges_quota);
@@ -368,10 +368,10 @@
         for gateway in 0..3 {
             let client = ClientId(gateway as u64 + 1);
             let op = Op::Open { ttl_ms: 1000, name: format!("g{gateway}") };
-            coordination.apply(&Command::Call { client, number: 1, done: 0, op });
+            coordination.apply(&Command::Call { client, number: 1, acknowledged: 0, op });
         }
         let op = Op::Acquire { session: session(OWNER), lock: record_key().lock(), wait: false };
-        coordination.apply(&Command::Call { client: ClientId(1), number: 2, done: 1, op });
+        coordination.apply(&Command::Call { client: ClientId(1), number: 2, acknowledged: 1, op });
         let token = coordination.locks().find_map(|(_, lock)| lock.holder).expect("granted").1;
         let gateways = (0..3).map(|gateway| Gateway {
             is_running: true,
@@ -484,7 +484,7 @@
                 if gateway.phase == Phase::Idle {
                     gateway.phase = Phase::Done;
                 }
-                system.coordination.apply(&Command::End { sessions: vec![session(i)] });
+                system.coordination.apply(&Command::ExpireSessions { sessions: vec![session(i)] });
             }
         }
         system.messages.sort();
