--- a/quota-gateway/zone-failover/src/controller.rs
+++ b/quota-gateway/zone-failover/src/controller.rs
@@ -61,10 +61,10 @@
 }
 
 impl FailoverController {
-    /// Creates a controller that resumes from the `standing` decision, if there is one. Zones keep their
+    /// Creates a controller that resumes from the `published` decision, if there is one. Zones keep their
     /// states, but the times in these states start again, as this owner has not observed anything yet.
-    pub fn new(settings: Settings, now: Instant, standing: Option<&ZonesDecision>) -> FailoverController {
-        let decided = |name: &str| standing.and_then(|decision| decision.zone(name));
+    pub fn new(settings: Settings, now: Instant, published: Option<&ZonesDecision>) -> FailoverController {
+        let decided = |name: &str| published.and_then(|decision| decision.zone(name));
         let zones = settings.zones.iter().map(|zone| {
             let decided = decided(&zone.name);
             let state = decided.map_or(ZoneState::Serving, |zone| zone.state);
@@ -80,7 +80,7 @@
             zones: zones.collect(),
             server_capacities: server_capacities.collect(),
             last_region_failover: None,
-            last_decision: standing.map(|decision| (now, decision.clone())),
+            last_decision: published.map(|decision| (now, decision.clone())),
             state_changes: Vec::new(),
             rejected_failovers: 0,
             settings,
--- a/quota-gateway/zone-failover/src/evidence/opinion.rs
+++ b/quota-gateway/zone-failover/src/evidence/opinion.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Opinion {
     /// Votes for the zone.
-    pub good: f64,
+    pub votes_for: f64,
     /// Votes against it.
-    pub bad: f64,
+    pub votes_against: f64,
     /// Votes that it is overloaded; they are also counted for or against it.
     pub overloaded: f64,
 }
@@ -33,9 +33,9 @@
         let failed = attempts.failed + attempts.connect_failed;
         let vote = (total / MIN_ATTEMPTS_PER_VOTE).min(1.0);
         if failed > MAX_FAILED_FRACTION * total {
-            self.bad += vote;
+            self.votes_against += vote;
         } else {
-            self.good += vote;
+            self.votes_for += vote;
         }
         if attempts.rejected + failed > MAX_REJECTED_FRACTION * total {
             self.overloaded += vote;
@@ -44,16 +44,16 @@
 
     /// Returns the sum of the votes for and against the zone.
     pub fn votes(&self) -> f64 {
-        self.good + self.bad
+        self.votes_for + self.votes_against
     }
 
     /// Returns whether most votes are against the zone.
     pub fn is_against(&self) -> bool {
-        self.bad > self.good
+        self.votes_against > self.votes_for
     }
 
     /// Returns whether there are votes for the zone, and at least as many as against it.
     pub fn is_for(&self) -> bool {
-        self.good > 0.0 && self.good >= self.bad
+        self.votes_for > 0.0 && self.votes_for >= self.votes_against
     }
 }
--- a/quota-gateway/zone-failover/src/verdict.rs
+++ b/quota-gateway/zone-failover/src/verdict.rs
@@ -76,16 +76,16 @@
             let opinion = self.evidence.opinion(from, zone);
             // Only the latest votes count for the zone, because earlier ones may be from before its loss.
             let latest = self.evidence.latest_opinion(from, zone);
-            zones_for += u32::from(latest.good > latest.bad);
+            zones_for += u32::from(latest.votes_for > latest.votes_against);
             zones_against += u32::from(opinion.is_against());
-            votes_against += opinion.bad;
+            votes_against += opinion.votes_against;
         }
         let votes_needed = MIN_VOTES_AGAINST.min(self.evidence.gateway_count() as f64).max(1.0);
         // Gateways that are served in another zone but not in their own have a working network, so their
         // votes suffice.
         let is_served_elsewhere = self.others(zone).any(|to| self.evidence.opinion(zone, to).is_for());
         let extra_votes = if own.is_against() && is_served_elsewhere { MIN_VOTES_AGAINST } else { 0.0 };
-        let total_against = own.bad + votes_against + extra_votes;
+        let total_against = own.votes_against + votes_against + extra_votes;
         if self.evidence.gateway_count() > 0 && self.evidence.servers(zone).listed <= 0.0 {
             return Verdict::WithoutServers;
         }
--- a/quota-gateway/zone-failover/tests/controller.rs
+++ b/quota-gateway/zone-failover/tests/controller.rs
@@ -141,8 +141,8 @@
     let mut controller = FailoverController::new(settings(2), ms(0), None);
     run(2, 0, 5, &mut controller, |_, _| vec![HEALTHY; 2]);
     controller.on_operator_command(ms(5000), &OperatorCommand::Hold("hall-1".to_owned()));
-    let standing = controller.tick(ms(5000)).expect("a state has changed");
-    let mut next = FailoverController::new(settings(2), ms(5000), Some(&standing));
+    let published = controller.tick(ms(5000)).expect("a state has changed");
+    let mut next = FailoverController::new(settings(2), ms(5000), Some(&published));
     next.handle_report(ms(5100), &report(0, 6, 0, &[FAILING, FAILING])).expect("a valid report");
     for at in (5100..7200).step_by(100) {
         assert_eq!(next.tick(ms(at)), None, "at {at} ms");
