--- a/quota-gateway/coordination/src/disk/overlay.rs
+++ b/quota-gateway/coordination/src/disk/overlay.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// A chunk of a byte range, which lies within one page.
+/// A chunk of a byte range that does not cross a page boundary.
 struct PageChunk {
     page_number: u64,
     /// Offset of the chunk in the page.
--- a/quota-gateway/coordination/tests/cluster.rs
+++ b/quota-gateway/coordination/tests/cluster.rs
@@ -411,8 +411,8 @@
         }
         let output = run(&["--at", &cluster.addrs().join(","), "begin"]);
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-        // The client is not registered with the new cluster. Its first calls fail with `Refused::Forgotten`,
-        // and the client then registers under a new incarnation.
+        // The client is not registered with the new cluster. Its first calls return `Refused::Forgotten`, and
+        // the client then registers under a new incarnation.
         let started_at = Instant::now();
         let session = loop {
             match client.session("one", TTL, WAIT_TIMEOUT).await {
