--- a/quota-gateway/core/src/api.rs
+++ b/quota-gateway/core/src/api.rs
@@ -75,11 +75,11 @@
 /// A request class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time has the full value.
+    /// A response within this time has the full value.
     pub latency_target: Duration,
     /// Longest time that a client waits, including its retries.
     pub deadline: Duration,
-    /// Value of an answer, relative to other classes.
+    /// Value of a response, relative to other classes.
     pub value: f64,
     /// The effect of executing a request twice.
     pub effect: Effect,
@@ -183,7 +183,8 @@
     /// It completes the requests in flight and accepts no new ones.
     Draining,
     /// It is no longer listed.
-    Gone,
+    #[serde(rename = "Gone")]
+    Unlisted,
 }
 
 /// An entry of the server list.
@@ -208,7 +209,7 @@
 /// Which servers a list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// All servers: a server that is not in the list is gone.
+    /// All servers: a server that is not in the list is unlisted.
     Full,
     /// Only the servers that changed.
     Delta,
@@ -230,11 +231,11 @@
 pub enum Status {
     /// Served.
     Ok,
-    /// The server answered with an error.
+    /// The server responded with an error.
     Error,
     /// Rejected by the server before execution.
     Rejected,
-    /// No answer in time.
+    /// No response in time.
     TimedOut,
     /// The connection could not be established: it was not executed.
     ConnectFailed,
@@ -281,7 +282,7 @@
     pub status: Status,
     /// Time since the attempt was sent.
     pub elapsed: Duration,
-    /// Whether the client has received its final answer.
+    /// Whether the client has received its final response.
     pub finished: bool,
     /// The customer's metered use over all gateways, as a share of its limit.
     pub metered_use: Option<f64>,
@@ -316,11 +317,12 @@
         customer: CustomerId,
         /// The server that it was sent to.
         server: ServerId,
-        /// Whether the server answered it.
+        /// Whether the server responded to it.
         answered: bool,
     },
-    /// The process has ended, and all of its attempts with it.
-    Gone,
+    /// The process has exited, and all of its attempts have ended with it.
+    #[serde(rename = "Gone")]
+    Exited,
 }
 
 /// Which servers may receive a request. Decided centrally for all gateways.
@@ -380,7 +382,7 @@
         /// The request's new deadline.
         deadline: Time,
     },
-    /// A streamed answer has begun: the request is no longer retried, cancelled or given up.
+    /// A streamed response has begun: the request is no longer retried, cancelled or given up.
     StreamStarted {
         /// The request.
         id: RequestId,
@@ -389,7 +391,7 @@
     },
     /// An attempt has ended.
     Outcome(Outcome),
-    /// The client has disconnected and needs no answer.
+    /// The client has disconnected and needs no response.
     ClientDisconnected(RequestId),
     /// An operator has disabled a server. This overrides the server list.
     ServerDisabled(ServerId),
@@ -424,14 +426,14 @@
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Final answer: the request was not executed, or retrying it is harmless.
+    /// Final response: the request was not executed, or retrying it is harmless.
     Reject {
         /// The request.
         id: RequestId,
         /// Retry-after for the client.
         retry_after: Duration,
     },
-    /// Final answer: the request may have been executed and must not be retried.
+    /// Final response: the request may have been executed and must not be retried.
     Fail {
         /// The request.
         id: RequestId,
--- a/quota-gateway/core/src/decisions.rs
+++ b/quota-gateway/core/src/decisions.rs
@@ -36,8 +36,8 @@
 use std::collections::BTreeMap;
 use timer::Timer;
 
-/// Weight of an answer in the mean latencies of classes and machine types: an average over about a dozen
-/// answers.
+/// Weight of a response in the mean latencies of classes and machine types: an average over about a dozen
+/// responses.
 const LATENCY_WEIGHT: f64 = 0.08;
 /// Number of response timeouts after which a lost attempt is retried and no longer counts as a latency
 /// sample.
@@ -56,12 +56,12 @@
 pub(crate) struct MachineKind {
     /// Mean latency relative to the means of the requests' classes.
     latency_ratio: f64,
-    /// Number of answers that were averaged.
-    answers: f64,
+    /// Number of responses that were averaged.
+    responses: f64,
 }
 
 impl MachineKind {
-    const UNKNOWN: MachineKind = MachineKind { latency_ratio: 1.0, answers: 1.0 };
+    const UNKNOWN: MachineKind = MachineKind { latency_ratio: 1.0, responses: 1.0 };
 }
 
 /// The decisions of one gateway, as a state machine without I/O.
@@ -83,9 +83,9 @@
     /// Mean latency of each class, in seconds.
     pub(crate) mean_latency: Vec<f64>,
     /// Longest client timeout seen on a request of each class that was not a retry, in seconds.
-    pub(crate) longest_first_wait: Vec<f64>,
+    pub(crate) longest_initial_timeout: Vec<f64>,
     /// Mean use of each plan's customers as a share of their quotas, from the meter readings that come with
-    /// answers.
+    /// responses.
     mean_quota_use: Vec<f64>,
     machine_kinds: BTreeMap<u32, MachineKind>,
     /// Failure rate of connects, by zone.
@@ -115,7 +115,7 @@
             shedder: Shedder::new(settings.priority_values()),
             mean_units: vec![1.0; settings.classes.len()],
             mean_latency: initial_latency.collect(),
-            longest_first_wait: vec![0.0; settings.classes.len()],
+            longest_initial_timeout: vec![0.0; settings.classes.len()],
             mean_quota_use: vec![1.0; settings.plans.len()],
             random: Random(seed),
             now: Time(0),
--- a/quota-gateway/core/src/decisions/admission.rs
+++ b/quota-gateway/core/src/decisions/admission.rs
@@ -1,8 +1,8 @@
 //! Admission: whether a request is admitted, and the retry-after of a rejected one.
 //!
-//! The checks, in this order: the time left for an answer, the customer's quota and rate limit, the request's
-//! placement, load shedding by value, and whether a server can take it. The first check that fails rejects
-//! the request and the others are skipped, which keeps rejections cheap.
+//! The checks, in this order: the time left for a response, the customer's quota and rate limit, the
+//! request's placement, load shedding by value, and whether a server can take it. The first check that fails
+//! rejects the request and the others are skipped, which keeps rejections cheap.
 
 use super::quota::QuotaRequest;
 use super::request::Request;
@@ -11,9 +11,9 @@
 use crate::arithmetic::{ewma, sanitize};
 use std::time::Duration;
 
-/// A retry whose timeout is below this share of the longest one of a first try has already used part of the
-/// class's deadline. The margin covers the time that the request takes to reach the gateway.
-const FIRST_TRY_WAIT_SHARE: f64 = 0.97;
+/// A retry whose timeout is below this share of the longest one of an initial request has already used part
+/// of the class's deadline. The margin covers the time that the request takes to reach the gateway.
+const INITIAL_REQUEST_TIMEOUT_SHARE: f64 = 0.97;
 /// Retry-after of a rejection, in latency targets of the class; an upper bound for rejections by quota. At a
 /// quarter, a client can retry up to three times within the target.
 const RETRY_AFTER_TARGET_SHARE: f64 = 0.25;
@@ -152,23 +152,23 @@
         self.send_attempt(id, server, actions);
     }
 
-    /// Estimates the seconds that the client has already waited in earlier tries. The class's deadline spans
-    /// all tries, so a retry with a shorter timeout than first tries of its class has only the rest of the
-    /// deadline.
+    /// Estimates the seconds that the client has already waited for earlier requests that this one retries.
+    /// The class's deadline spans the initial request and its retries, so a retry with a shorter timeout than
+    /// initial requests of its class has only the rest of the deadline.
     fn time_already_waited(&mut self, new: &NewRequest) -> f64 {
-        let wait = new.deadline.since(self.now);
-        let longest = &mut self.longest_first_wait[new.class.0];
+        let timeout = new.deadline.since(self.now);
+        let longest = &mut self.longest_initial_timeout[new.class.0];
         if !new.is_retry {
-            *longest = longest.max(wait);
+            *longest = longest.max(timeout);
         }
-        if !new.is_retry || wait >= FIRST_TRY_WAIT_SHARE * *longest {
+        if !new.is_retry || timeout >= INITIAL_REQUEST_TIMEOUT_SHARE * *longest {
             return 0.0;
         }
-        (self.settings.classes[new.class.0].deadline.as_secs_f64() - wait).max(0.0)
+        (self.settings.classes[new.class.0].deadline.as_secs_f64() - timeout).max(0.0)
     }
 
     /// Retry-after in seconds for which a retry can still be answered within the class's latency target. An
-    /// answer after the target has no value.
+    /// response after the target has no value.
     pub(super) fn default_retry_after_secs(&self, class: usize) -> f64 {
         RETRY_AFTER_TARGET_SHARE * self.latency_target(class)
     }
--- a/quota-gateway/core/src/decisions/attempts.rs
+++ b/quota-gateway/core/src/decisions/attempts.rs
@@ -1,6 +1,6 @@
 //! The attempts of a request: sending, checking for lost ones, retrying and giving up.
 //!
-//! Retries add load. They are limited by a retry budget, and sent only if the class allows it and an answer
+//! Retries add load. They are limited by a retry budget, and sent only if the class allows it and a response
 //! can still come within the latency target.
 
 use super::request::{Attempt, Request};
@@ -20,7 +20,7 @@
 const BROKEN_CONNECTION_RETRY_COST: f64 = 0.2;
 
 impl Gateway {
-    /// Sets the timer for a request's deadline, one tick early so that the final answer is in time.
+    /// Sets the timer for a request's deadline, one tick early so that the final response is in time.
     pub(super) fn set_deadline_timer(&self, id: RequestId, deadline: Time, actions: &mut Vec<Action>) {
         let early = Time(deadline.0.saturating_sub(self.settings.tick.as_nanos() as u64));
         actions.push(Action::Timer { at: early.max(self.now), token: Timer::Deadline(id).token() });
@@ -149,7 +149,7 @@
         })
     }
 
-    /// Gives the final answer when there is no further attempt: a rejection if a retry by the client is
+    /// Gives the final response when there is no further attempt: a rejection if a retry by the client is
     /// harmless, a failure otherwise.
     pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|r| r.open && !r.streaming) else { return };
@@ -164,7 +164,7 @@
         self.finish_request(id, None, actions);
     }
 
-    /// Checks an overdue attempt. If its server does not answer at all or has lost the attempt, the attempt
+    /// Checks an overdue attempt. If its server does not respond at all or has lost the attempt, the attempt
     /// is hedged or cancelled. Otherwise it is checked again later, when that may have changed or the retry
     /// budget may have been refilled.
     pub(super) fn check_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
@@ -179,8 +179,9 @@
         if is_early || self.settings.classes[class].effect == Effect::Unsafe {
             return;
         }
-        let is_unresponsive =
-            |server: &Server| server.last_answer < last.sent || server.info.lifecycle == Lifecycle::Gone;
+        let is_unresponsive = |server: &Server| {
+            server.last_response_at < last.sent || server.info.lifecycle == Lifecycle::Unlisted
+        };
         let is_given_up = server.is_none_or(is_unresponsive)
             || in_flight.is_some_and(|in_flight| in_flight.is_lost(self.now, LOST_RETRY_TIMEOUTS));
         if is_given_up && self.may_retry(id) {
--- a/quota-gateway/core/src/decisions/in_flight_limits.rs
+++ b/quota-gateway/core/src/decisions/in_flight_limits.rs
@@ -1,25 +1,25 @@
 //! Limits on this gateway's attempts in flight, at one server and at all servers together.
 //!
-//! By Little's law, the number of attempts that a server can have in flight is its answer rate times the time
-//! that an answer may take. Many gateways with one attempt each at every server would overload the servers as
-//! well, so the total is limited by the answer rate of all servers together, instead of by the larger of two
-//! limits at each server.
+//! By Little's law, the number of attempts that a server can have in flight is its response rate times the
+//! time that a response may take. Many gateways with one attempt each at every server would overload the
+//! servers as well, so the total is limited by the response rate of all servers together, instead of by the
+//! larger of two limits at each server.
 
 use super::request::Request;
 use super::{Gateway, LOST_RELEASE_TIMEOUTS};
 use crate::arithmetic::{ewma, sanitize};
 
-/// Attempts that all gateways together may always have in flight at a server, whatever its answer rate.
+/// Attempts that all gateways together may always have in flight at a server, whatever its response rate.
 const MIN_IN_FLIGHT_PER_SERVER: f64 = 3.0;
-/// The limit on attempts in flight at one server is the number that it answers in this share of the mean
+/// The limit on attempts in flight at one server is the number that it completes in this share of the mean
 /// latency target, or in twice this share for the most valuable class.
 const SERVER_TARGET_SHARE: f64 = 0.08;
-/// The limit on attempts in flight at all servers together is the number that they answer in this share of
+/// The limit on attempts in flight at all servers together is the number that they complete in this share of
 /// the mean latency target. It is larger than [`SERVER_TARGET_SHARE`] because one server may be busier than
 /// the rest.
 const TOTAL_TARGET_SHARE: f64 = 0.12;
-/// Multiple of the total limit for requests within their quota. It is above 1 because the rate of
-/// answers varies.
+/// Multiple of the total limit for requests within their quota. It is above 1 because the rate of responses
+/// varies.
 const TOTAL_LIMIT_WITHIN_QUOTA: f64 = 1.5;
 /// Multiple of the total limit for requests over their quota, which are sent only if there is spare capacity.
 const TOTAL_LIMIT_OVER_QUOTA: f64 = 0.5;
@@ -30,7 +30,7 @@
 /// Limits on attempts in flight from this gateway at one server.
 #[derive(Clone, Copy)]
 pub(super) struct InFlightLimits {
-    /// A server's limit is the number of attempts that it answers in this many seconds.
+    /// A server's limit is the number of attempts that it completes in this many seconds.
     pub(super) horizon_secs: f64,
     /// Lower bound of the limit for a server of mean capacity.
     pub(super) min_per_server: f64,
@@ -39,7 +39,7 @@
 /// Totals over all usable servers.
 struct Totals {
     in_flight: f64,
-    answers_per_sec: f64,
+    responses_per_sec: f64,
     relative_capacity: f64,
 }
 
@@ -55,8 +55,8 @@
         let totals = self.totals(mean_capacity);
         self.mean_in_flight = ewma(self.mean_in_flight, totals.in_flight, IN_FLIGHT_WEIGHT);
         let share = if request.within_quota { TOTAL_LIMIT_WITHIN_QUOTA } else { TOTAL_LIMIT_OVER_QUOTA };
-        let by_answers = TOTAL_TARGET_SHARE * target * totals.answers_per_sec;
-        let limit = share * by_answers.max(min_per_server * totals.relative_capacity);
+        let by_response_rate = TOTAL_TARGET_SHARE * target * totals.responses_per_sec;
+        let limit = share * by_response_rate.max(min_per_server * totals.relative_capacity);
         (self.mean_in_flight < limit)
             .then_some(InFlightLimits { horizon_secs: SERVER_TARGET_SHARE * target, min_per_server })
     }
@@ -71,7 +71,7 @@
     }
 
     fn totals(&self, mean_capacity: f64) -> Totals {
-        let mut totals = Totals { in_flight: 0.0, answers_per_sec: 0.0, relative_capacity: 0.0 };
+        let mut totals = Totals { in_flight: 0.0, responses_per_sec: 0.0, relative_capacity: 0.0 };
         for server in self.usable_servers() {
             // A lost attempt is no load, and counting it would take capacity from other requests until its
             // deadline.
@@ -79,7 +79,7 @@
             let here =
                 attempts.filter(|attempt| attempt.occupies_capacity(self.now, LOST_RELEASE_TIMEOUTS)).count();
             totals.in_flight += here as f64 + f64::from(server.elsewhere);
-            totals.answers_per_sec += server.answer_rate.get(self.now);
+            totals.responses_per_sec += server.response_rate.get(self.now);
             totals.relative_capacity += server.relative_capacity(mean_capacity);
         }
         totals
--- a/quota-gateway/core/src/decisions/load_balancing.rs
+++ b/quota-gateway/core/src/decisions/load_balancing.rs
@@ -56,9 +56,9 @@
 /// A server that may take the attempt.
 struct Candidate {
     cost: f64,
-    /// Expected latency of an answer in seconds.
+    /// Expected latency of a response in seconds.
     expected_latency: f64,
-    /// Whether its oldest attempt in flight is overdue, and it has answered nothing since that attempt was
+    /// Whether its oldest attempt in flight is overdue, and it has sent no response since that attempt was
     /// sent.
     is_unresponsive: bool,
     id: ServerId,
@@ -85,7 +85,7 @@
 
     /// Returns whether a server may take one more attempt, by its in-flight limit and its slow-start tokens.
     fn admits(&self, server: &mut Server, load: &ServerLoad) -> bool {
-        let limit = (self.limits.horizon_secs * server.answer_rate.get(self.now))
+        let limit = (self.limits.horizon_secs * server.response_rate.get(self.now))
             .max(self.limits.min_per_server * load.capacity)
             .max(MIN_IN_FLIGHT_PER_GATEWAY);
         if load.in_flight >= limit {
@@ -105,7 +105,7 @@
         let unanswered = server
             .in_flight
             .first()
-            .filter(|attempt| !attempt.body_in_transit && server.last_answer < attempt.sent_at);
+            .filter(|attempt| !attempt.body_in_transit && server.last_response_at < attempt.sent_at);
         let unanswered_secs = unanswered.map_or(0.0, |attempt| self.now.since(attempt.sent_at));
         let latency_ratio =
             server.decayed_latency_ratio(self.now, kind).max(unanswered_secs / self.typical_latency);
@@ -191,12 +191,12 @@
                 best = Some(candidate);
             }
         }
-        best.filter(|best| self.is_worth_sending(request, best)).map(|best| best.id)
+        best.filter(|best| self.can_succeed_in_time(request, best)).map(|best| best.id)
     }
 
     /// Returns whether an attempt at this server can still succeed in time. A first attempt may also go to a
-    /// slow server as long as it answers, because only its answers show when it has recovered.
-    fn is_worth_sending(&self, request: &Request, server: &Candidate) -> bool {
+    /// slow server as long as it responds, because only its responses show when it has recovered.
+    fn can_succeed_in_time(&self, request: &Request, server: &Candidate) -> bool {
         if request.attempts.is_empty() {
             return !server.is_unresponsive;
         }
--- a/quota-gateway/core/src/decisions/load_shedding.rs
+++ b/quota-gateway/core/src/decisions/load_shedding.rs
@@ -2,7 +2,7 @@
 //!
 //! A control loop adjusts the admitted fraction of the demand to keep the servers' occupancy at a target. The
 //! rest is shed, from the priorities of the lowest value first. The loop needs samples of occupancy or
-//! latency: with few answers it reacts slowly and its input is noisy.
+//! latency: with few responses it reacts slowly and its input is noisy.
 
 use crate::arithmetic::ewma;
 use serde::{Deserialize, Serialize};
@@ -11,8 +11,8 @@
 pub const STEP_SECS: f64 = 0.1;
 /// Number of samples that an assessment averages (Kasera: k).
 const SAMPLE_COUNT: usize = 3;
-/// Answers that an interval must contain to be a sample.
-const MIN_ANSWERS_PER_SAMPLE: f64 = 8.0;
+/// Responses that an interval must contain to be a sample.
+const MIN_RESPONSES_PER_SAMPLE: f64 = 8.0;
 /// The occupancy that the loop aims for.
 const TARGET_OCCUPANCY: f64 = 0.95;
 /// Lower bound of the admitted fraction.
@@ -51,7 +51,7 @@
 pub(crate) struct Sample {
     /// Length of the interval, in seconds.
     pub(crate) span: f64,
-    /// Number of answers.
+    /// Number of responses.
     pub(crate) count: f64,
     /// Admitted work.
     pub(crate) sent: f64,
@@ -112,7 +112,7 @@
         self.samples[SAMPLE_COUNT - 1].sent += cost;
     }
 
-    /// Records a latency, divided by its target, as `count` answers in the current interval.
+    /// Records a latency, divided by its target, as `count` responses in the current interval.
     pub fn record_latency(&mut self, count: f64, cost: f64, late: f64) {
         let sample = &mut self.samples[SAMPLE_COUNT - 1];
         let weight = cost * count;
@@ -123,11 +123,11 @@
     }
 
     /// Assesses the load at the end of a step (Kasera IV-B2). `reported` is the occupancy that the servers
-    /// report, if any; `lag` is the time in seconds until a change shows in the servers' answers; `idle` is
+    /// report, if any; `lag` is the time in seconds until a change shows in the servers' responses; `idle` is
     /// whether there are no requests in flight.
     ///
-    /// Differs from Kasera: an interval is a sample only once it contains enough answers, so that k samples
-    /// mean the same at a gateway that gets one answer per second. Otherwise noise would move the fraction,
+    /// Differs from Kasera: an interval is a sample only once it contains enough responses, so that k samples
+    /// mean the same at a gateway that gets one response per second. Otherwise noise would move the fraction,
     /// and since the fraction is bounded by 1, only downwards.
     pub fn assess(&mut self, reported: Option<f64>, lag: f64, idle: bool) {
         self.steps += 1;
@@ -137,9 +137,9 @@
         let open = &mut self.samples[SAMPLE_COUNT - 1];
         open.span += STEP_SECS;
         let span = open.span;
-        // Shed requests produce no answers. The required number of answers is scaled by the admitted
-        // fraction, because a low fraction could otherwise prevent the answers that are needed to raise it.
-        let is_full = open.count >= (MIN_ANSWERS_PER_SAMPLE * self.admitted_fraction).max(1.0);
+        // Shed requests produce no responses. The required number of responses is scaled by the admitted
+        // fraction, because a low fraction could otherwise prevent the responses that are needed to raise it.
+        let is_full = open.count >= (MIN_RESPONSES_PER_SAMPLE * self.admitted_fraction).max(1.0);
         if let Some(occupancy) = occupancy.filter(|_| is_full) {
             let can_apply_threshold = reported.is_some() && admitted_rate > 0.0;
             self.update_admitted_fraction(occupancy, admitted_rate, can_apply_threshold, span, lag);
@@ -195,8 +195,8 @@
             }
         }
         // Differs from Kasera: a step applies only the part of the correction that can already show in the
-        // servers' answers. This prevents oscillation when answers take many steps, but reduces the fraction
-        // later.
+        // servers' responses. This prevents oscillation when responses take many steps, but reduces the
+        // fraction later.
         self.admitted_fraction *= ratio.powf(span / (span + lag));
     }
 
@@ -205,10 +205,10 @@
         self.acceptance_threshold = Some(updated);
     }
 
-    /// Returns whether no latency was recorded for the time that all samples take to fill with one answer per
-    /// `lag` seconds.
+    /// Returns whether no latency was recorded for the time that all samples take to fill with one response
+    /// per `lag` seconds.
     fn has_no_recent_sample(&self, lag: f64) -> bool {
-        let timeout_secs = SAMPLE_COUNT as f64 * MIN_ANSWERS_PER_SAMPLE * STEP_SECS.max(lag);
+        let timeout_secs = SAMPLE_COUNT as f64 * MIN_RESPONSES_PER_SAMPLE * STEP_SECS.max(lag);
         self.seconds_without_sample > timeout_secs
     }
 
--- a/quota-gateway/core/src/decisions/outcomes.rs
+++ b/quota-gateway/core/src/decisions/outcomes.rs
@@ -6,12 +6,12 @@
 use crate::api::{Action, AttemptNo, CustomerId, Outcome, RequestId, ServerId, Status, Time};
 use crate::arithmetic::{ewma, sanitize};
 
-/// Weight of a meter reading in the mean use of its plan's customers. It averages over about thirty answers,
-/// because one reading covers only a request or two.
+/// Weight of a meter reading in the mean use of its plan's customers. It averages over about thirty
+/// responses, because one reading covers only a request or two.
 const QUOTA_USE_WEIGHT: f64 = 0.03;
-/// Weight of an answer in its server's latency ratio: an average over about five answers.
+/// Weight of a response in its server's latency ratio: an average over about five responses.
 const LATENCY_RATIO_WEIGHT: f64 = 0.2;
-/// Upper bound of one answer's latency ratio.
+/// Upper bound of one response's latency ratio.
 const MAX_LATENCY_RATIO: f64 = 20.0;
 
 /// An attempt and its request at the time when the attempt ended.
@@ -20,23 +20,23 @@
     sent: Time,
     class: usize,
     customer: CustomerId,
-    /// Whether the request had no final answer before.
+    /// Whether the request had no final response before.
     was_open: bool,
     within_quota: bool,
     /// Units that were taken from the quota for the request.
     units: f64,
     streaming: bool,
     body_in_flight: bool,
-    /// Whether the result is unrelated to the server's health: nothing was sent, or the client
-    /// disconnected. An attempt that the server does not answer ends with a timeout instead.
+    /// Whether the result is unrelated to the server's health: nothing was sent, or the client disconnected.
+    /// An attempt to which the server does not respond ends with a timeout instead.
     is_excluded_from_health: bool,
     /// Whether this is the request's first success.
     is_first_success: bool,
 }
 
 impl Gateway {
-    /// Handles the beginning of a streamed answer, which counts as the server's response. The rest of its
-    /// duration depends on its length and on the client.
+    /// Handles the beginning of a streamed response, whose latency is recorded now. The rest of its duration
+    /// depends on its length and on the client.
     pub(super) fn on_stream_started(&mut self, id: RequestId, attempt: AttemptNo) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -51,19 +51,19 @@
         self.on_response(server, class, sent, now.since(sent));
     }
 
-    /// Records that a server has answered an attempt after `elapsed` seconds.
+    /// Records that a server has responded to an attempt after `elapsed` seconds.
     fn on_response(&mut self, server: ServerId, class: usize, sent: Time, elapsed: f64) {
         let (now, typical) = (self.now, self.mean_latency[class].max(1e-6));
         let latency_ratio = elapsed / typical;
         self.record_latency_ratio(server, latency_ratio);
         if let Some(server) = self.servers.get_mut(&server) {
-            server.last_answer = now;
+            server.last_response_at = now;
             for overtaken in server.in_flight.iter_mut().filter(|attempt| attempt.sent_at < sent) {
                 let slowest = overtaken.slowest_overtaking_ratio;
                 overtaken.slowest_overtaking_ratio =
                     Some(slowest.map_or(latency_ratio, |slowest| slowest.max(latency_ratio)));
             }
-            server.answer_rate.add(now, 1.0);
+            server.response_rate.add(now, 1.0);
         }
         self.shedder.record_latency(1.0, self.relative_cost(class), elapsed / self.latency_target(class));
         self.mean_latency[class] = ewma(self.mean_latency[class], elapsed, LATENCY_WEIGHT);
@@ -75,8 +75,8 @@
         let Some(server) = self.servers.get_mut(&server).filter(|_| ratio > 0.0) else { return };
         let ratio = ratio.min(MAX_LATENCY_RATIO);
         let kind = self.machine_kinds.entry(server.info.kind).or_insert(MachineKind::UNKNOWN);
-        kind.answers += 1.0;
-        kind.latency_ratio = ewma(kind.latency_ratio, ratio, LATENCY_WEIGHT.max(1.0 / kind.answers));
+        kind.responses += 1.0;
+        kind.latency_ratio = ewma(kind.latency_ratio, ratio, LATENCY_WEIGHT.max(1.0 / kind.responses));
         server.record_latency_ratio(now, kind.latency_ratio, ratio, LATENCY_RATIO_WEIGHT);
     }
 
@@ -87,9 +87,9 @@
         let (target, cost) = (self.latency_target(ended.class), self.relative_cost(ended.class));
         let elapsed = outcome.elapsed.as_secs_f64();
         let typical = self.mean_latency[ended.class].max(1e-6);
-        self.settle_quota(&outcome, &ended);
+        self.reconcile_quota(&outcome, &ended);
         self.record_server_outcome(&outcome, &ended, actions);
-        // Attempts without an answer count as slow. Otherwise an overloaded server would be rated like the
+        // Attempts without a response count as slow. Otherwise an overloaded server would be rated like the
         // other machines of its type.
         let is_unanswered = matches!(outcome.status, Status::Rejected | Status::TimedOut | Status::Cancelled);
         if is_unanswered && !ended.is_excluded_from_health {
@@ -131,7 +131,7 @@
     }
 
     /// Updates the customer's quota with the meter reading and the actual units of an outcome.
-    fn settle_quota(&mut self, outcome: &Outcome, ended: &EndedAttempt) {
+    fn reconcile_quota(&mut self, outcome: &Outcome, ended: &EndedAttempt) {
         let (now, meter_period) = (self.now, self.settings.meter_period.as_secs_f64());
         let Some(customer) = self.customers.get_mut(&ended.customer) else { return };
         customer.in_flight = customer.in_flight.saturating_sub(u32::from(!ended.body_in_flight));
--- a/quota-gateway/core/src/decisions/quota.rs
+++ b/quota-gateway/core/src/decisions/quota.rs
@@ -120,9 +120,9 @@
         let gateways = f64::from(gateways.max(1));
         let unmetered_slice = unmetered_slice(&plan, gateways, meter_period);
         let slice = unmetered_slice.unwrap_or(1.0 / gateways);
-        let slice_holds_no_request = slice_holds_no_request(&plan, gateways, meter_period);
+        let is_unmetered_slice_too_small = is_unmetered_slice_too_small(&plan, gateways, meter_period);
         let time_constant =
-            if slice_holds_no_request { UNMETERED_TIME_CONSTANT_SECS } else { RATE_TIME_CONSTANT_SECS };
+            if is_unmetered_slice_too_small { UNMETERED_TIME_CONSTANT_SECS } else { RATE_TIME_CONSTANT_SECS };
         let rate_limit_tokens = plan.rate_limit * age + INITIAL_SLACK_SHARE * plan.rate_limit_slack;
         CustomerQuota {
             gateways,
@@ -269,14 +269,14 @@
         }
         let (limit, local) = (f64::from(self.plan.max_in_flight), self.in_flight_count());
         // The other gateways' attempts in flight are estimated from their use and the latency (Little's law).
-        // One attempt at each of many gateways can exceed the limit, especially when answers get slower.
+        // One attempt at each of many gateways can exceed the limit, especially when responses get slower.
         let others = if self.plan.rate > 0.0 { self.others_rate(now) * seconds } else { 0.0 };
         local + 1.0 <= (limit * self.share.max(0.5)).max(1.0) && local + 1.0 + others <= limit
     }
 }
 
 /// Returns whether there is no meter and the bucket of an equal slice is too small for a request of one unit.
-fn slice_holds_no_request(plan: &Plan, gateways: f64, meter_period: f64) -> bool {
+fn is_unmetered_slice_too_small(plan: &Plan, gateways: f64, meter_period: f64) -> bool {
     meter_period <= 0.0 && plan.rate > 0.0 && plan.burst < gateways
 }
 
@@ -286,5 +286,5 @@
     let cost = sanitize(plan.over_quota_cost - plan.over_quota_value);
     let enlarged = gateways.powf(-1.0 / (1.0 + 1.0 / cost));
     let is_bounded = enlarged >= 1.0 || enlarged * gateways <= MAX_UNMETERED_QUOTAS;
-    (slice_holds_no_request(plan, gateways, meter_period) && is_bounded).then_some(enlarged)
+    (is_unmetered_slice_too_small(plan, gateways, meter_period) && is_bounded).then_some(enlarged)
 }
--- a/quota-gateway/core/src/decisions/request.rs
+++ b/quota-gateway/core/src/decisions/request.rs
@@ -24,18 +24,18 @@
     pub(super) customer: CustomerId,
     /// When the client's timeout ends.
     pub(super) deadline: Time,
-    /// An answer after this has no value.
+    /// A response after this has no value.
     pub(super) latency_deadline: Time,
     /// Units that it counts against the quota.
     pub(super) units: f64,
     pub(super) within_quota: bool,
     pub(super) placement: Placement,
-    /// Whether it has no final answer yet.
+    /// Whether it has no final response yet.
     pub(super) open: bool,
     pub(super) client_disconnected: bool,
     /// Whether its body is still arriving.
     pub(super) body_in_flight: bool,
-    /// Whether a streamed answer has begun.
+    /// Whether a streamed response has begun.
     pub(super) streaming: bool,
     pub(super) attempts: Vec<Attempt>,
 }
--- a/quota-gateway/core/src/decisions/server.rs
+++ b/quota-gateway/core/src/decisions/server.rs
@@ -15,7 +15,7 @@
 /// Seconds for which a server that was enabled again counts as just started. It may have been restarted, and
 /// the server list takes up to five seconds to report that.
 pub(crate) const REENABLED_SLOW_START_SECS: f64 = 6.0;
-/// Time constant in seconds of the rates of requests, sends and answers.
+/// Time constant in seconds of the rates of requests, sends and responses.
 pub(crate) const RATE_TIME_CONSTANT_SECS: f64 = 3.0;
 /// Response timeout of an attempt, in mean latencies of its class.
 pub(crate) const RESPONSE_TIMEOUT_LATENCIES: f64 = 6.0;
@@ -30,7 +30,7 @@
 /// it stays below the server's capacity by a margin.
 const SLOW_START_BURST_SHARE: f64 = 0.5;
 
-/// An attempt that its server has not answered.
+/// An attempt to which its server has not responded.
 #[derive(Clone)]
 pub(crate) struct InFlightAttempt {
     pub(crate) id: RequestId,
@@ -40,18 +40,18 @@
     pub(crate) response_due_at: Time,
     /// The mean latency of its class when it was sent, in seconds.
     pub(crate) mean_latency_at_send: f64,
-    /// The highest latency ratio among answers to attempts that were sent to the server after this one.
+    /// The highest latency ratio among responses to attempts that were sent to the server after this one.
     pub(crate) slowest_overtaking_ratio: Option<f64>,
-    /// Whether the body of the request or of the answer is in transit. The attempt's age is then
-    /// unrelated to the server's performance.
+    /// Whether the body of the request or of the response is in transit. The attempt's age is then unrelated
+    /// to the server's performance.
     pub(crate) body_in_transit: bool,
 }
 
 impl InFlightAttempt {
-    /// Returns whether the server still answers but has lost this attempt: later attempts were answered, and
-    /// this one has taken `timeouts` response timeouts, scaled by the latency ratio of those answers.
+    /// Returns whether the server still responds but has lost this attempt: later attempts were answered, and
+    /// this one has taken `timeouts` response timeouts, scaled by the latency ratio of those responses.
     ///
-    /// This detects servers that drop some requests or never complete some answers, and dead connections.
+    /// This detects servers that drop some requests or never complete some responses, and dead connections.
     /// Requests that by their nature take many times as long as others are wrongly detected and cost a retry.
     /// A request that waits in the server's queue is not overtaken, and a slow server raises the scaled
     /// timeout.
@@ -83,7 +83,8 @@
     pub(crate) in_flight: Vec<InFlightAttempt>,
     /// Attempts that another process of this gateway has in flight at this server.
     pub(crate) elsewhere: u32,
-    pub(crate) last_answer: Time,
+    #[serde(rename = "last_answer")]
+    pub(crate) last_response_at: Time,
     /// Mean of latencies relative to the mean latency of their class over all servers.
     #[serde(rename = "slow")]
     pub(crate) latency_ratio: f64,
@@ -93,7 +94,7 @@
     #[serde(rename = "sick")]
     pub(crate) failures: BTreeMap<usize, FailureRate>,
     #[serde(rename = "answers")]
-    pub(crate) answer_rate: Rate,
+    pub(crate) response_rate: Rate,
     /// Queue length in the server's last report.
     pub(crate) queue: f64,
     pub(crate) queue_at: Time,
@@ -122,9 +123,9 @@
         Server {
             info,
             latency_ratio: TYPICAL_LATENCY_RATIO,
-            last_answer: now,
+            last_response_at: now,
             slow_start_refilled_at: now,
-            answer_rate: Rate::new(RATE_TIME_CONSTANT_SECS, now),
+            response_rate: Rate::new(RATE_TIME_CONSTANT_SECS, now),
             ..Server::default()
         }
     }
--- a/quota-gateway/core/src/decisions/server_list.rs
+++ b/quota-gateway/core/src/decisions/server_list.rs
@@ -20,7 +20,7 @@
         match scope {
             Scope::Failed => self.subscribe_due = self.settings.discovery == Discovery::Subscribe,
             Scope::Full => {
-                self.servers.values_mut().for_each(|server| server.info.lifecycle = Lifecycle::Gone)
+                self.servers.values_mut().for_each(|server| server.info.lifecycle = Lifecycle::Unlisted)
             }
             Scope::Delta => {}
         }
--- a/quota-gateway/core/src/decisions/step.rs
+++ b/quota-gateway/core/src/decisions/step.rs
@@ -34,8 +34,8 @@
     }
 
     /// Records unanswered attempts that are older than their class's mean latency, with their age as the
-    /// latency. Each counts as a fraction of an answer, at the rate at which answers of that latency would be
-    /// recorded.
+    /// latency. Each counts as a fraction of a response, at the rate at which responses of that latency would
+    /// be recorded.
     fn sample_unanswered(&mut self) {
         let mut samples = Vec::new();
         let attempts = self.usable_servers().flat_map(|server| &server.in_flight);
@@ -53,21 +53,21 @@
     }
 
     /// The mean occupancy that the servers report: their utilization, plus their queue length relative to the
-    /// answers of one second. `None` if no server reports its load.
+    /// responses of one second. `None` if no server reports its load.
     fn reported_occupancy(&self) -> Option<f64> {
         let (mut is_reported, mut sum, mut count) = (false, 0.0, 0.0);
         for server in self.usable_servers() {
             let queue = server.decayed_queue(self.now);
             is_reported = is_reported || server.utilization.is_some() || queue > MIN_REPORTED_QUEUE;
-            sum = sum + busy_share(server, queue) + queue / self.answer_rate_all_gateways(server);
+            sum = sum + busy_share(server, queue) + queue / self.response_rate_all_gateways(server);
             count += 1.0;
         }
         is_reported.then_some(sum / count)
     }
 
-    /// Estimated answers per second of a server to all gateways together.
-    fn answer_rate_all_gateways(&self, server: &Server) -> f64 {
-        (server.answer_rate.get(self.now) * f64::from(self.settings.gateways)).max(1.0)
+    /// Estimated responses per second of a server to all gateways together.
+    fn response_rate_all_gateways(&self, server: &Server) -> f64 {
+        (server.response_rate.get(self.now) * f64::from(self.settings.gateways)).max(1.0)
     }
 
     fn log_shedding(&mut self, actions: &mut Vec<Action>) {
@@ -81,13 +81,13 @@
         }
     }
 
-    /// Removes idle customers, and servers that are gone and that no request refers to. Without this, the
-    /// server map would grow without bound, since replacement servers have new ids.
+    /// Removes idle customers, and unlisted servers that no request refers to. Without this, the server map
+    /// would grow without bound, since replacement servers have new ids.
     fn expire(&mut self) {
         let (now, requests) = (self.now, &self.requests);
         let is_referenced =
             |id| requests.values().any(|r| r.attempts.iter().any(|attempt| attempt.server == id));
-        self.servers.retain(|&id, server| server.info.lifecycle != Lifecycle::Gone || is_referenced(id));
+        self.servers.retain(|&id, server| server.info.lifecycle != Lifecycle::Unlisted || is_referenced(id));
         self.customers.retain(|_, customer| {
             now.since(customer.refilled_at) < CUSTOMER_TTL_SECS || customer.in_flight > 0
         });
--- a/quota-gateway/core/src/decisions/tests.rs
+++ b/quota-gateway/core/src/decisions/tests.rs
@@ -1,4 +1,4 @@
-//! Tests that need access to private state: entries for departed servers and finished requests are removed.
+//! Tests that need access to private state: entries for unlisted servers and finished requests are removed.
 
 use super::step::STEPS_PER_SLICE_UPDATE;
 use super::timer::Timer;
@@ -6,13 +6,13 @@
 use crate::api::*;
 use std::time::Duration;
 
-fn list(gateway: &mut Gateway, now: u64, scope: Scope, id: u32, lifecycle: Lifecycle) {
+fn update_server(gateway: &mut Gateway, now: u64, scope: Scope, id: u32, lifecycle: Lifecycle) {
     let info = ServerInfo { id: ServerId(id), lifecycle, capacity: 1.0, ..ServerInfo::default() };
     gateway.handle(Time(now), Event::Servers { scope, servers: vec![info] }, &mut Vec::new());
 }
 
 #[test]
-fn departed_servers_are_removed_once_no_request_refers_to_them() {
+fn unlisted_servers_are_removed_once_no_request_refers_to_them() {
     let ms = Duration::from_millis;
     let effect = Effect::Keyed { group: DeduplicationScope::Cell, window: ms(5000) };
     let settings = Settings {
@@ -39,7 +39,7 @@
     let mut now = 0;
     // Each server is replaced by the next one.
     for id in 0..50 {
-        list(&mut gateway, now, Scope::Full, id, Lifecycle::Running);
+        update_server(&mut gateway, now, Scope::Full, id, Lifecycle::Running);
     }
     let request = NewRequest {
         id: RequestId(1),
@@ -55,7 +55,7 @@
     let mut actions = Vec::new();
     gateway.handle(Time(now), Event::Request(request), &mut actions);
     assert!(actions.iter().any(|a| matches!(a, Action::Send { server: ServerId(49), .. })));
-    list(&mut gateway, now, Scope::Delta, 49, Lifecycle::Gone);
+    update_server(&mut gateway, now, Scope::Delta, 49, Lifecycle::Unlisted);
     let mut steps = |gateway: &mut Gateway| {
         for _ in 0..STEPS_PER_SLICE_UPDATE {
             now += 100_000_000;
--- a/quota-gateway/core/src/state_transfer.rs
+++ b/quota-gateway/core/src/state_transfer.rs
@@ -48,14 +48,14 @@
         let (mut servers, mut customers) = (self.servers.clone(), self.customers.clone());
         servers.values_mut().for_each(|s| s.elsewhere += std::mem::take(&mut s.in_flight).len() as u32);
         customers.values_mut().for_each(|c| c.elsewhere += std::mem::take(&mut c.in_flight));
-        let classes = self.mean_units.iter().zip(&self.mean_latency).zip(&self.longest_first_wait);
+        let classes = self.mean_units.iter().zip(&self.mean_latency).zip(&self.longest_initial_timeout);
         StateSnapshot {
             started_at: self.started_at,
             servers,
             disabled: self.disabled.clone(),
             customers,
             shedder: self.shedder.clone(),
-            classes: classes.map(|((&units, &latency), &wait)| (units, latency, wait)).collect(),
+            classes: classes.map(|((&units, &latency), &timeout)| (units, latency, timeout)).collect(),
             mean_in_flight: self.mean_in_flight,
             recent_sends: self.recent_sends,
             retry_budget: self.retry_budget,
@@ -77,7 +77,7 @@
             self.shedder = Shedder { by_value, ..snapshot.shedder };
         }
         for (class, means) in snapshot.classes.into_iter().enumerate().take(self.settings.classes.len()) {
-            (self.mean_units[class], self.mean_latency[class], self.longest_first_wait[class]) = means;
+            (self.mean_units[class], self.mean_latency[class], self.longest_initial_timeout[class]) = means;
         }
         (self.mean_in_flight, self.recent_sends, self.retry_budget) =
             (snapshot.mean_in_flight, snapshot.recent_sends, snapshot.retry_budget);
@@ -107,12 +107,12 @@
                 if let Some(s) = self.servers.get_mut(&server) {
                     decrement(&mut s.elsewhere);
                     if answered {
-                        s.last_answer = now;
-                        s.answer_rate.add(now, 1.0);
+                        s.last_response_at = now;
+                        s.response_rate.add(now, 1.0);
                     }
                 }
             }
-            PeerProcessEvent::Gone => {
+            PeerProcessEvent::Exited => {
                 self.customers.values_mut().for_each(|c| c.elsewhere = 0);
                 self.servers.values_mut().for_each(|s| s.elsewhere = 0);
             }
--- a/quota-gateway/core/tests/common/mod.rs
+++ b/quota-gateway/core/tests/common/mod.rs
@@ -151,7 +151,7 @@
         self.handle(Event::Outcome(outcome(id, attempt, status, millis)))
     }
 
-    /// Sends one request, and answers it after `millis`. Returns its server, or `None` if it was not
+    /// Sends one request, and completes it after `millis`. Returns its server, or `None` if it was not
     /// admitted.
     pub fn serve(&mut self, class: usize, plan: usize, customer: u64, millis: u64) -> Option<ServerId> {
         let (id, actions) = self.request(class, plan, customer);
--- a/quota-gateway/core/tests/conformance.rs
+++ b/quota-gateway/core/tests/conformance.rs
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn every_clause_has_rows_and_every_row_holds() {
+fn every_clause_has_rows_and_every_row_passes() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/conformance");
     let read = |path: &Path| std::fs::read_to_string(path).expect("a readable table");
     let clauses: Clauses = toml::from_str(&read(&folder.join("clauses.toml"))).expect("valid clauses.toml");
--- a/quota-gateway/core/tests/failures.rs
+++ b/quota-gateway/core/tests/failures.rs
@@ -9,9 +9,9 @@
     vec![class(Effect::Safe, 1.0)]
 }
 
-/// A request whose server never answers gets exactly one final answer, before its deadline.
+/// A request whose server never responds gets exactly one final response, before its deadline.
 #[test]
-fn every_request_is_answered_in_time() {
+fn every_request_gets_a_response_in_time() {
     for effect in
         [Effect::Safe, keyed(DeduplicationScope::Zone), keyed(DeduplicationScope::All), Effect::Unsafe]
     {
@@ -220,7 +220,7 @@
     assert_eq!(soft, 40);
 }
 
-/// Invalid numbers in settings and reports cause no panic, and the gateway still answers.
+/// Invalid numbers in settings and reports cause no panic, and the gateway still responds.
 #[test]
 fn invalid_numbers_are_harmless() {
     let plan = Plan { rate: f64::NAN, burst: f64::NEG_INFINITY, price: f64::INFINITY, ..Plan::default() };
@@ -326,7 +326,7 @@
     assert!(hung > 0 && cancelled >= hung, "{cancelled} of {hung}");
 }
 
-/// Regression test: if one class failed at a server that served the others, any answer reset its failure
+/// Regression test: if one class failed at a server that served the others, any response reset its failure
 /// rate, and the class was still sent there.
 #[test]
 fn a_class_that_fails_at_a_server_is_sent_elsewhere_and_the_others_are_not() {
@@ -372,10 +372,10 @@
     assert!((20..=160).contains(&to_slow_start), "{to_slow_start}");
 }
 
-/// Regression test: at a gateway with few answers, a single slow one lowered the admitted fraction. Since the
-/// fraction is bounded by 1, such changes only ever lowered it.
+/// Regression test: at a gateway with few responses, a single slow one lowered the admitted fraction. Since
+/// the fraction is bounded by 1, such changes only ever lowered it.
 #[test]
-fn one_slow_answer_among_a_few_causes_no_shedding() {
+fn one_slow_response_among_a_few_causes_no_shedding() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 4);
     for i in 0..60 {
         harness.serve(0, 0, 1, if i % 12 == 11 { 1500 } else { 40 });
@@ -404,10 +404,10 @@
     assert!(admitted[1] <= 100, "{admitted:?}");
 }
 
-/// Regression test: requests with little time left used quota and server work although no answer could come
+/// Regression test: requests with little time left used quota and server work although no response could come
 /// in time.
 #[test]
-fn a_request_without_time_for_an_answer_is_rejected() {
+fn a_request_without_time_for_a_response_is_rejected() {
     let plan = Plan { rate: 0.001, burst: 40.0, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
     let mut harness = Harness::new(settings(safe_classes(), vec![plan, unlimited_plan()]), 4);
     for _ in 0..100 {
@@ -428,7 +428,7 @@
             body_in_flight: false,
         }))
     };
-    // Answers take 300 ms: 100 ms are too short, 250 ms may be enough.
+    // Responses take 300 ms: 100 ms are too short, 250 ms may be enough.
     let rejected_count = (0..50).filter(|_| rejected(&request_with_time_left(&mut harness, 100))).count();
     assert_eq!(rejected_count, 50);
     assert!(
@@ -438,7 +438,7 @@
 }
 
 /// Regression test: half of all requests were clients' retries, most of them past their latency target.
-/// Serving them had no value and used the quota of first tries.
+/// Serving them had no value and used the quota of initial requests.
 #[test]
 fn a_retry_past_its_latency_target_uses_no_quota() {
     let plan = Plan { rate: 0.001, burst: 40.0, price: 1.0, over_quota_cost: 1.0, ..Plan::default() };
@@ -463,21 +463,21 @@
         }
         admitted
     };
-    assert!(is_admitted(&mut harness, 2500, true), "no first try has shown the clients' timeout yet");
-    // The deadline is 3 s, first tries have a timeout of 2.4 s, and the latency target is 0.8 s.
+    assert!(is_admitted(&mut harness, 2500, true), "no initial request has shown the clients' timeout yet");
+    // The deadline is 3 s, initial requests have a timeout of 2.4 s, and the latency target is 0.8 s.
     assert!(is_admitted(&mut harness, 2400, false));
-    assert!(is_admitted(&mut harness, 2395, true), "its first try may have begun just now");
+    assert!(is_admitted(&mut harness, 2395, true), "its initial request may have begun just now");
     assert!(
         is_admitted(&mut harness, 2300, true),
-        "its first try began 0.7 s ago, which leaves time for an answer"
+        "its initial request began 0.7 s ago, which leaves time for a response"
     );
     let admitted_count = (0..30).filter(|n| is_admitted(&mut harness, 500 + 50 * n, true)).count();
-    assert_eq!(admitted_count, 0, "their first tries began more than 0.8 s ago");
-    assert!(is_admitted(&mut harness, 1000, false), "a first try may have a shorter timeout");
+    assert_eq!(admitted_count, 0, "their initial requests began more than 0.8 s ago");
+    assert!(is_admitted(&mut harness, 1000, false), "an initial request may have a shorter timeout");
     assert!((0..10).all(|_| is_admitted(&mut harness, 2400, false)), "the rejected requests used no quota");
 }
 
-/// Regression test: the retry-after was longer than the latency target, so the answer to the retry had no
+/// Regression test: the retry-after was longer than the latency target, so the response to the retry had no
 /// value, even if the units would have been available soon.
 #[test]
 fn the_retry_after_is_within_the_latency_target() {
@@ -501,7 +501,7 @@
     harness.advance(1890);
     let soon = retry_after_ms(&harness.request(0, 0, 7).1).expect("a rejection");
     assert!((90..=110).contains(&soon), "{soon} ms, the time until the unit is available");
-    // No server answers, until none can take another attempt.
+    // No server responds, until none can take another attempt.
     let full = (0..100).find_map(|_| retry_after_ms(&harness.request(0, 1, 1).1));
     assert_eq!(full, Some(200), "also for a rejection because of overload");
 }
@@ -608,7 +608,7 @@
 /// All gateways together stay within a rate limit, also across restarts: each gateway has its part, and the
 /// bucket of its part starts almost empty.
 #[test]
-fn a_rate_limit_holds_across_gateways_and_restarts() {
+fn a_rate_limit_is_enforced_across_gateways_and_restarts() {
     let plan = Plan {
         rate: 1e3,
         burst: 1e3,
@@ -777,7 +777,7 @@
         );
     }
     assert_eq!(new.serve(0, 0, 8, 10), None);
-    notify(&mut new, PeerProcessEvent::Gone);
+    notify(&mut new, PeerProcessEvent::Exited);
     assert_eq!(new.serve(0, 0, 8, 10), Some(ServerId(1)));
 }
 
@@ -809,7 +809,7 @@
         );
     }
     let actions = harness.advance(20_000);
-    assert!(!rejected(&actions) && !failed(&actions), "no answer while the body is arriving");
+    assert!(!rejected(&actions) && !failed(&actions), "no response while the body is arriving");
     let (id, attempt) = (RequestId(900), AttemptNo(0));
     let deadline = Time(harness.now + 3_000_000_000);
     harness.handle(Event::BodyWritten { id, attempt, deadline });
@@ -837,10 +837,10 @@
     assert!(sent_to(&after).is_some(), "no part of this body has been forwarded");
 }
 
-/// A streamed answer counts as an answer from its first byte on. The rest of it uses no capacity of its
+/// A streamed response counts as complete from its first byte on. The rest of it uses no capacity of its
 /// server.
 #[test]
-fn streamed_answers_take_no_capacity_and_are_not_slow() {
+fn streamed_responses_take_no_capacity_and_are_not_slow() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 1);
     for n in 0..40 {
         let (id, actions) = harness.request(0, 0, n);
@@ -851,7 +851,7 @@
     let actions = harness.advance(20_000);
     assert!(!actions.iter().any(|a| matches!(a, Action::Log(_) | Action::Cancel { .. })), "{actions:?}");
     assert!(harness.serve(0, 0, 99, 10).is_some());
-    // A streamed answer that breaks off is not retried.
+    // A streamed response that breaks off is not retried.
     let reset = Outcome { finished: true, ..outcome(RequestId(0), 0, Status::Reset, 20_000) };
     assert!(sent_to(&harness.handle(Event::Outcome(reset))).is_none());
 }
@@ -916,11 +916,11 @@
     }
 }
 
-/// After overload, the admitted fraction rises again even though a low fraction itself causes few answers.
+/// After overload, the admitted fraction rises again even though a low fraction itself causes few responses.
 #[test]
-fn a_low_admitted_fraction_recovers_with_few_answers() {
+fn a_low_admitted_fraction_recovers_with_few_responses() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 2);
-    // The servers do not answer for a while, so that the gateway reaches its in-flight limits.
+    // The servers do not respond for a while, so that the gateway reaches its in-flight limits.
     let mut admitted_ids = Vec::new();
     for _ in 0..200 {
         let (id, actions) = harness.request(0, 0, 1);
@@ -946,7 +946,7 @@
     assert!(later > 0.9, "{later} admitted three seconds later");
 }
 
-/// Returns the servers that each gateway sends to when all listed servers answer at once.
+/// Returns the servers that each gateway sends to when all listed servers respond at once.
 fn subsets(gateways: u32, listed: &[u32]) -> Vec<BTreeSet<u32>> {
     let subset = |gateway_index| {
         let config = Settings { gateways, gateway_index, ..settings(safe_classes(), vec![unlimited_plan()]) };
@@ -960,7 +960,7 @@
     (0..gateways).map(subset).collect()
 }
 
-/// A hundred gateways that each use sixty servers would have too few answers of each for statistics, and
+/// A hundred gateways that each use sixty servers would have too few responses of each for statistics, and
 /// would open thousands of connections. Instead, each prefers a few servers in every zone, all servers are
 /// preferred by about equally many gateways, and replacing a server changes few of the subsets.
 #[test]
@@ -1052,9 +1052,9 @@
     assert!((0.75 * expected_share..1.15 * expected_share).contains(&share), "{share} of {expected_share}");
 }
 
-/// Regression test: if the other servers were busy or gone, a retry with little time left went to a server
-/// many times slower than the others of its type. No answer could arrive in time, so the client waited until
-/// its deadline for nothing.
+/// Regression test: if the other servers were busy or unlisted, a retry with little time left went to a
+/// server many times slower than the others of its type. No response could arrive in time, so the client
+/// waited until its deadline for nothing.
 #[test]
 fn a_retry_is_not_sent_to_a_server_too_slow_for_the_time_left() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 4);
@@ -1099,7 +1099,7 @@
     );
 }
 
-/// If all servers are slow, they still get requests, because only their answers show that they have
+/// If all servers are slow, they still get requests, because only their responses show that they have
 /// recovered.
 #[test]
 fn servers_that_are_all_slow_still_get_requests() {
@@ -1110,7 +1110,7 @@
     for n in 0..30 {
         assert!(
             harness.serve(0, 0, 1, 780).is_some(),
-            "after {n} answers that took almost the latency target of 0.8 s"
+            "after {n} responses that took almost the latency target of 0.8 s"
         );
     }
 }
@@ -1144,8 +1144,8 @@
     }
 }
 
-/// Regression test: if there was no other server, a first attempt went to a server that had not answered for
-/// longer than the response timeout. No answer could be expected in time, and the client waited in vain.
+/// Regression test: if there was no other server, a first attempt went to a server that had not responded for
+/// longer than the response timeout. No response could be expected in time, and the client waited in vain.
 #[test]
 fn a_first_attempt_is_not_sent_if_even_the_best_server_is_unresponsive() {
     let mut harness = Harness::new(settings(vec![class(Effect::Unsafe, 1.0)], vec![unlimited_plan()]), 1);
@@ -1159,7 +1159,7 @@
     harness.advance(500);
     let (_, actions) = harness.request(0, 0, 4);
     assert!(rejected(&actions) && sent_to(&actions).is_none(), "rejected at once, with a retry-after");
-    // After one answer, the server gets requests again.
+    // After one response, the server gets requests again.
     harness.finish_attempt(id, 0, Status::Ok, 500);
     let (_, actions) = harness.request(0, 0, 5);
     assert!(sent_to(&actions).is_some());
--- a/quota-gateway/core/tests/invariants.rs
+++ b/quota-gateway/core/tests/invariants.rs
@@ -121,7 +121,7 @@
             Step::List { server: id, state } => {
                 let mut info = server(*id);
                 info.lifecycle =
-                    [Lifecycle::Running, Lifecycle::Running, Lifecycle::Draining, Lifecycle::Gone]
+                    [Lifecycle::Running, Lifecycle::Running, Lifecycle::Draining, Lifecycle::Unlisted]
                         [usize::from(*state)];
                 not_running.insert(info.id, info.lifecycle != Lifecycle::Running);
                 if *state == 1 {
@@ -175,7 +175,7 @@
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
                     let request = requests.get_mut(&id).expect("a known request");
-                    assert!(!request.answered, "two final answers");
+                    assert!(!request.answered, "two final responses");
                     if matches!(action, Action::Reject { .. }) {
                         let harmless = match classes[request.class].effect {
                             Effect::Safe | Effect::Keyed { group: DeduplicationScope::All, .. } => true,
@@ -195,7 +195,7 @@
         for (id, request) in &requests {
             assert!(
                 request.answered || request.disconnected || harness.now <= request.deadline + 8_000_000,
-                "{id:?} has no final answer"
+                "{id:?} has no final response"
             );
         }
     }
--- a/quota-gateway/core/tests/slow_start.rs
+++ b/quota-gateway/core/tests/slow_start.rs
@@ -71,7 +71,7 @@
     harnesses: Vec<Harness>,
     random: Random,
     now: u64,
-    answers: BinaryHeap<Reverse<(u64, usize, RequestId)>>,
+    responses: BinaryHeap<Reverse<(u64, usize, RequestId)>>,
     /// Time and server of each send.
     sent: Vec<(u64, ServerId)>,
 }
@@ -92,7 +92,7 @@
             harnesses,
             random: Random(seed),
             now: 0,
-            answers: BinaryHeap::new(),
+            responses: BinaryHeap::new(),
             sent: Vec::new(),
         }
     }
@@ -116,11 +116,11 @@
         let end = self.now + millis;
         while self.now < end {
             self.now += 1;
-            while let Some(&Reverse((at, gateway, id))) = self.answers.peek() {
+            while let Some(&Reverse((at, gateway, id))) = self.responses.peek() {
                 if at > self.now {
                     break;
                 }
-                self.answers.pop();
+                self.responses.pop();
                 self.at(gateway, at).finish_attempt(id, 0, Status::Ok, LATENCY_MS);
             }
             let mut due = rate / 1000.0;
@@ -131,7 +131,7 @@
                 let (id, actions) = self.at(gateway, now).request(0, 0, 1);
                 if let Some(server) = sent_to(&actions) {
                     self.sent.push((now, server));
-                    self.answers.push(Reverse((now + LATENCY_MS, gateway, id)));
+                    self.responses.push(Reverse((now + LATENCY_MS, gateway, id)));
                 }
             }
         }
--- a/quota-gateway/deadline/src/outcome_totals.rs
+++ b/quota-gateway/deadline/src/outcome_totals.rs
@@ -22,13 +22,13 @@
     /// Rejected or failed after at least one attempt.
     InAttempt,
     /// The client disconnected before it received the whole response.
-    ClientGone,
+    ClientDisconnected,
 }
 
 impl Outcome {
     /// All outcomes, in the order of their numbers.
     const ALL: [Outcome; 4] =
-        [Outcome::Answered, Outcome::BeforeSend, Outcome::InAttempt, Outcome::ClientGone];
+        [Outcome::Answered, Outcome::BeforeSend, Outcome::InAttempt, Outcome::ClientDisconnected];
 
     /// The value of the metric label `end`.
     fn name(self) -> &'static str {
@@ -36,7 +36,7 @@
             Outcome::Answered => "answered",
             Outcome::BeforeSend => "given_up_before_send",
             Outcome::InAttempt => "given_up_in_attempt",
-            Outcome::ClientGone => "client_gone",
+            Outcome::ClientDisconnected => "client_gone",
         }
     }
 }
--- a/quota-gateway/server/src/discovery.rs
+++ b/quota-gateway/server/src/discovery.rs
@@ -161,7 +161,7 @@
             lifecycle: match host.state {
                 State::Serving => Lifecycle::Running,
                 State::Draining => Lifecycle::Draining,
-                State::Deleted => Lifecycle::Gone,
+                State::Deleted => Lifecycle::Unlisted,
             },
             capacity: host.weight,
             started: (host.started_ms > 0).then(|| Time(host.started_ms.saturating_mul(1_000_000))),
@@ -169,14 +169,15 @@
         ServerChange { info, addr: host.addr }
     }
 
-    /// Handles an entry that cannot be read. If it names a server that is in use, that server counts as gone.
+    /// Handles an entry that cannot be read. If it names a server that is in use, that server counts as
+    /// unlisted.
     fn on_malformed_entry(&mut self, id: Option<String>) -> Option<ServerChange> {
         if !std::mem::replace(&mut self.has_logged_malformed_entry, true) {
             warn!("discovery: an entry cannot be read, further ones are not logged");
         }
         let id = self.ids.borrow_mut().number(&id?);
         let addr = self.engine.upstream.process_of(id)?.addr;
-        let info = ServerInfo { id, lifecycle: Lifecycle::Gone, ..ServerInfo::default() };
+        let info = ServerInfo { id, lifecycle: Lifecycle::Unlisted, ..ServerInfo::default() };
         Some(ServerChange { info, addr })
     }
 
--- a/quota-gateway/server/src/discovery/server_ids.rs
+++ b/quota-gateway/server/src/discovery/server_ids.rs
@@ -85,7 +85,7 @@
         }
         for info in servers {
             if let Some(server) = self.0.get_mut(&info.id.0) {
-                server.unlisted_since = (info.lifecycle == Lifecycle::Gone).then_some(now);
+                server.unlisted_since = (info.lifecycle == Lifecycle::Unlisted).then_some(now);
             }
         }
         for server in self.0.values_mut().filter(|server| server.unlisted_since.is_some()) {
--- a/quota-gateway/server/src/fleet_decisions/observations.rs
+++ b/quota-gateway/server/src/fleet_decisions/observations.rs
@@ -114,7 +114,7 @@
             self.servers.clear();
         }
         for server in servers {
-            if server.lifecycle == Lifecycle::Gone {
+            if server.lifecycle == Lifecycle::Unlisted {
                 self.servers.remove(&server.id);
             } else {
                 self.servers.insert(server.id, server.clone());
--- a/quota-gateway/server/src/handover.rs
+++ b/quota-gateway/server/src/handover.rs
@@ -111,7 +111,7 @@
         }
         links.remove(&sender);
         if !links.has_peers() {
-            self.engine.post(Event::PeerProcess(PeerProcessEvent::Gone));
+            self.engine.post(Event::PeerProcess(PeerProcessEvent::Exited));
             (self.on_shared)(false);
         }
         info!("the other process is gone");
--- a/quota-gateway/server/src/request_budget.rs
+++ b/quota-gateway/server/src/request_budget.rs
@@ -53,7 +53,7 @@
             class,
             budget: RefCell::new(Budget::new(client_timeout, begun_at)),
             awaits_outcome: Cell::new(false),
-            outcome_on_close: Cell::new(Outcome::ClientGone),
+            outcome_on_close: Cell::new(Outcome::ClientDisconnected),
         })
     }
 }
@@ -189,6 +189,10 @@
     /// response prematurely.
     fn drop(&mut self) {
         let outcome = self.outcome_on_close.get();
-        self.record_outcome(if outcome == Outcome::InAttempt { outcome } else { Outcome::ClientGone });
+        self.record_outcome(if outcome == Outcome::InAttempt {
+            outcome
+        } else {
+            Outcome::ClientDisconnected
+        });
     }
 }
--- a/quota-gateway/server/src/shard_map.rs
+++ b/quota-gateway/server/src/shard_map.rs
@@ -75,7 +75,7 @@
         }
         for server in servers {
             match server.lifecycle {
-                Lifecycle::Gone => {
+                Lifecycle::Unlisted => {
                     cells.remove(&server.id);
                 }
                 _ => {
--- a/quota-gateway/server/src/upstream/endpoints.rs
+++ b/quota-gateway/server/src/upstream/endpoints.rs
@@ -38,7 +38,7 @@
             listed.clear();
         }
         for (info, &(server, addr)) in servers.iter().zip(addresses) {
-            if info.lifecycle == Lifecycle::Gone {
+            if info.lifecycle == Lifecycle::Unlisted {
                 listed.remove(&server);
             } else {
                 let process = ServerProcess { server, addr, started_at: info.started };
--- a/quota-gateway/simulator-adapter/src/wire/convert.rs
+++ b/quota-gateway/simulator-adapter/src/wire/convert.rs
@@ -82,7 +82,7 @@
     let lifecycle = match member.lifecycle.as_str() {
         "Running" => decisions::Lifecycle::Running,
         "Stopping" => decisions::Lifecycle::Draining,
-        "Deleted" => decisions::Lifecycle::Gone,
+        "Deleted" => decisions::Lifecycle::Unlisted,
         _ => return Err(EventError::UnknownLifecycle(member.lifecycle)),
     };
     Ok(decisions::ServerInfo {
