--- a/quota-gateway/simulator-adapter/src/wire/convert.rs
+++ b/quota-gateway/simulator-adapter/src/wire/convert.rs
@@ -2,7 +2,7 @@
 
 use super::action::WireAction;
 use super::error::EventError;
-use super::event::{Member, NewRequest, Settled, WireEvent, RETRY_BIT};
+use super::event::{AttemptEnded, Member, NewRequest, WireEvent, RETRY_BIT};
 use marblecroft_quota_gateway_core as decisions;
 use std::time::Duration;
 
@@ -31,35 +31,36 @@
 pub fn read_event(event: WireEvent) -> Result<(String, Incoming), EventError> {
     Ok(match event {
         WireEvent::Init(init) => {
-            let settings = Box::new(init.boot_info.settings);
-            (init.gateway_id, Incoming::Start { seed: init.init_seed, settings })
+            let settings = Box::new(init.site.settings);
+            (init.gateway_id, Incoming::Start { seed: init.seed, settings })
         }
         WireEvent::PowerOff(event) => (event.gateway_id, Incoming::Stop),
         WireEvent::Sampled(event) | WireEvent::Message(event) | WireEvent::LedgerReply(event) => {
             (event.gateway_id, Incoming::Unused)
         }
-        WireEvent::Sync(sync) => {
-            let (scope, servers) = server_list(sync.scope, sync.members)?;
-            (sync.gateway_id, Incoming::Event(decisions::Event::Servers { scope, servers }))
+        WireEvent::ServerListUpdate(update) => {
+            let (scope, servers) = server_list(update.scope, update.members)?;
+            (update.gateway_id, Incoming::Event(decisions::Event::Servers { scope, servers }))
         }
         WireEvent::NewRequest(request) => {
             let event = decisions::Event::Request(new_request(&request)?);
             (request.gateway_id, Incoming::Event(event))
         }
         WireEvent::Headers(headers) => {
-            let (id, attempt) = (decisions::RequestId(headers.tid), decisions::AttemptNo(headers.send_no));
+            let (id, attempt) =
+                (decisions::RequestId(headers.request_id), decisions::AttemptNo(headers.attempt));
             (headers.gateway_id, Incoming::Event(decisions::Event::StreamStarted { id, attempt }))
         }
-        WireEvent::Settled(settled) => {
-            let event = decisions::Event::Outcome(outcome(&settled)?);
-            (settled.gateway_id, Incoming::Event(event))
+        WireEvent::AttemptEnded(ended) => {
+            let event = decisions::Event::Outcome(outcome(&ended)?);
+            (ended.gateway_id, Incoming::Event(event))
         }
-        WireEvent::Dropped(dropped) => {
-            let event = decisions::Event::ClientDisconnected(decisions::RequestId(dropped.tid));
-            (dropped.gateway_id, Incoming::Event(event))
+        WireEvent::ClientDisconnected(disconnected) => {
+            let event = decisions::Event::ClientDisconnected(decisions::RequestId(disconnected.request_id));
+            (disconnected.gateway_id, Incoming::Event(event))
         }
-        WireEvent::DeadlineHit(timer) => {
-            (timer.gateway_id, Incoming::Event(decisions::Event::Timer(decisions::Token(timer.r#ref))))
+        WireEvent::TimerExpired(timer) => {
+            (timer.gateway_id, Incoming::Event(decisions::Event::Timer(decisions::Token(timer.token))))
         }
     })
 }
@@ -87,25 +88,25 @@
     };
     Ok(decisions::ServerInfo {
         id: decisions::ServerId(member.server),
-        zone: member.area,
-        cell: member.group,
-        kind: member.family_type,
+        zone: member.zone,
+        cell: member.cell,
+        kind: member.kind,
         lifecycle,
-        capacity: member.capacity_hint,
-        started: (member.since > 0).then_some(decisions::Time(member.since)),
+        capacity: member.capacity,
+        started: (member.started_at > 0).then_some(decisions::Time(member.started_at)),
     })
 }
 
 fn new_request(request: &NewRequest) -> Result<decisions::NewRequest, EventError> {
     Ok(decisions::NewRequest {
-        id: decisions::RequestId(request.tid),
-        class: decisions::ClassId(request.category),
-        plan: decisions::PlanId(request.tier),
-        customer: customer(&request.client_id)?,
+        id: decisions::RequestId(request.request_id),
+        class: decisions::ClassId(request.class),
+        plan: decisions::PlanId(request.plan),
+        customer: customer(&request.customer)?,
         deadline: decisions::Time(request.deadline),
-        units: request.size_units,
-        gateways: request.n_entries as u32,
-        is_retry: request.bitmap & RETRY_BIT != 0,
+        units: request.units,
+        gateways: request.gateways as u32,
+        is_retry: request.flags & RETRY_BIT != 0,
         body_in_flight: false,
     })
 }
@@ -119,20 +120,20 @@
     id.map(decisions::CustomerId).map_err(|cause| EventError::InvalidClientId(client_id.to_owned(), cause))
 }
 
-fn outcome(settled: &Settled) -> Result<decisions::Outcome, EventError> {
+fn outcome(ended: &AttemptEnded) -> Result<decisions::Outcome, EventError> {
     Ok(decisions::Outcome {
-        id: decisions::RequestId(settled.tid),
-        attempt: decisions::AttemptNo(settled.send_no),
-        status: status(settled.status)?,
-        elapsed: Duration::from_nanos(settled.spent),
-        finished: settled.over,
+        id: decisions::RequestId(ended.request_id),
+        attempt: decisions::AttemptNo(ended.attempt),
+        status: status(ended.status)?,
+        elapsed: Duration::from_nanos(ended.elapsed),
+        finished: ended.is_finished,
         // On the wire, 0 means that there is no value, and 1 to 101 mean 0 to 100 percent.
-        metered_use: (settled.quota_use > 0).then(|| (settled.quota_use - 1) as f64 / 100.0),
-        actual_units: (settled.true_units > 0.0).then_some(settled.true_units),
+        metered_use: (ended.metered_use > 0).then(|| (ended.metered_use - 1) as f64 / 100.0),
+        actual_units: (ended.actual_units > 0.0).then_some(ended.actual_units),
         not_retryable: false,
         report: decisions::LoadReport {
-            queue: settled.server_stats.get("queue").copied(),
-            utilization: settled.server_stats.get("util").copied(),
+            queue: ended.load_report.get("queue").copied(),
+            utilization: ended.load_report.get("util").copied(),
         },
     })
 }
@@ -156,20 +157,20 @@
     let gateway_id = gateway.to_owned();
     match action {
         decisions::Action::Send { id, server, deadline, .. } => {
-            WireAction::Route { gateway_id, tid: id.0, try_until: deadline.0, server: server.0 }
+            WireAction::Send { gateway_id, request_id: id.0, deadline: deadline.0, server: server.0 }
         }
         decisions::Action::Cancel { id, attempt } => {
-            WireAction::UndoSend { gateway_id, tid: id.0, send_no: attempt.0 }
+            WireAction::Cancel { gateway_id, request_id: id.0, attempt: attempt.0 }
         }
         decisions::Action::Reject { id, retry_after } => {
             let retry_after = u64::try_from(retry_after.as_nanos()).unwrap_or(u64::MAX);
-            WireAction::Shed { gateway_id, tid: id.0, retry_after }
+            WireAction::Reject { gateway_id, request_id: id.0, retry_after }
         }
-        decisions::Action::Fail { id } => WireAction::RespondError { gateway_id, tid: id.0 },
+        decisions::Action::Fail { id } => WireAction::Fail { gateway_id, request_id: id.0 },
         decisions::Action::Timer { at, token } => {
-            WireAction::NotifyMe { gateway_id, alarm_time: at.0, r#ref: token.0 }
+            WireAction::SetTimer { gateway_id, due_at: at.0, token: token.0 }
         }
         decisions::Action::Subscribe => WireAction::Subscribe { gateway_id, active: true },
-        decisions::Action::Log(body_text) => WireAction::Log { gateway_id, body_text },
+        decisions::Action::Log(text) => WireAction::Log { gateway_id, text },
     }
 }
--- a/quota-gateway/simulator-adapter/src/wire/event.rs
+++ b/quota-gateway/simulator-adapter/src/wire/event.rs
@@ -1,5 +1,5 @@
-//! The wire format of events. The names of variants, and the names of fields in `PascalCase`, are part of the
-//! format.
+//! The wire format of events. The names in the `rename` attributes, or else the names of variants and the
+//! names of fields in `PascalCase`, are part of the format.
 
 use marblecroft_simulator_adapter::Site;
 use serde::Deserialize;
@@ -10,12 +10,16 @@
 pub enum WireEvent {
     Init(Box<Init>),
     PowerOff(InstanceEvent),
-    Sync(Sync),
+    #[serde(rename = "Sync")]
+    ServerListUpdate(ServerListUpdate),
     NewRequest(NewRequest),
     Headers(Headers),
-    Settled(Settled),
-    Dropped(Dropped),
-    DeadlineHit(DeadlineHit),
+    #[serde(rename = "Settled")]
+    AttemptEnded(AttemptEnded),
+    #[serde(rename = "Dropped")]
+    ClientDisconnected(ClientDisconnected),
+    #[serde(rename = "DeadlineHit")]
+    TimerExpired(TimerExpired),
     Sampled(InstanceEvent),
     Message(InstanceEvent),
     LedgerReply(InstanceEvent),
@@ -33,14 +37,16 @@
 #[serde(rename_all = "PascalCase")]
 pub struct Init {
     pub(super) gateway_id: String,
-    pub(super) init_seed: u64,
-    pub(super) boot_info: Site,
+    #[serde(rename = "InitSeed")]
+    pub(super) seed: u64,
+    #[serde(rename = "BootInfo")]
+    pub(super) site: Site,
 }
 
 /// A server list, or a change to it.
 #[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
-pub struct Sync {
+#[serde(rename = "Sync", rename_all = "PascalCase")]
+pub struct ServerListUpdate {
     pub(super) gateway_id: String,
     pub(super) scope: String,
     #[serde(default)]
@@ -52,17 +58,17 @@
 #[serde(rename_all = "PascalCase")]
 pub(super) struct Member {
     pub(super) server: u32,
-    #[serde(default)]
-    pub(super) area: u32,
-    #[serde(default)]
-    pub(super) family_type: u32,
-    #[serde(default)]
-    pub(super) group: u32,
+    #[serde(rename = "Area", default)]
+    pub(super) zone: u32,
+    #[serde(rename = "FamilyType", default)]
+    pub(super) kind: u32,
+    #[serde(rename = "Group", default)]
+    pub(super) cell: u32,
     pub(super) lifecycle: String,
-    #[serde(default)]
-    pub(super) capacity_hint: f64,
-    #[serde(default)]
-    pub(super) since: u64,
+    #[serde(rename = "CapacityHint", default)]
+    pub(super) capacity: f64,
+    #[serde(rename = "Since", default)]
+    pub(super) started_at: u64,
 }
 
 /// A client's request.
@@ -70,23 +76,24 @@
 #[serde(rename_all = "PascalCase")]
 pub struct NewRequest {
     pub(super) gateway_id: String,
-    pub(super) tid: u32,
-    #[serde(default)]
-    pub(super) category: usize,
-    #[serde(default)]
-    pub(super) tier: usize,
-    #[serde(default)]
-    pub(super) client_id: String,
+    #[serde(rename = "Tid")]
+    pub(super) request_id: u32,
+    #[serde(rename = "Category", default)]
+    pub(super) class: usize,
+    #[serde(rename = "Tier", default)]
+    pub(super) plan: usize,
+    #[serde(rename = "ClientId", default)]
+    pub(super) customer: String,
     pub(super) deadline: u64,
-    #[serde(default)]
-    pub(super) size_units: f64,
-    #[serde(default)]
-    pub(super) n_entries: f64,
-    #[serde(default)]
-    pub(super) bitmap: u32,
+    #[serde(rename = "SizeUnits", default)]
+    pub(super) units: f64,
+    #[serde(rename = "NEntries", default)]
+    pub(super) gateways: f64,
+    #[serde(rename = "Bitmap", default)]
+    pub(super) flags: u32,
 }
 
-/// The bit of [`NewRequest::bitmap`] that marks a client's retry.
+/// The bit of [`NewRequest::flags`] that marks a client's retry.
 pub(super) const RETRY_BIT: u32 = 2;
 
 /// The head of a streamed response has been received.
@@ -94,45 +101,49 @@
 #[serde(rename_all = "PascalCase")]
 pub struct Headers {
     pub(super) gateway_id: String,
-    pub(super) tid: u32,
-    #[serde(default)]
-    pub(super) send_no: u32,
+    #[serde(rename = "Tid")]
+    pub(super) request_id: u32,
+    #[serde(rename = "SendNo", default)]
+    pub(super) attempt: u32,
 }
 
 /// An attempt has ended.
 #[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
-pub struct Settled {
+#[serde(rename = "Settled", rename_all = "PascalCase")]
+pub struct AttemptEnded {
     pub(super) gateway_id: String,
-    pub(super) tid: u32,
-    #[serde(default)]
-    pub(super) send_no: u32,
+    #[serde(rename = "Tid")]
+    pub(super) request_id: u32,
+    #[serde(rename = "SendNo", default)]
+    pub(super) attempt: u32,
     #[serde(default)]
     pub(super) status: u32,
-    #[serde(default)]
-    pub(super) spent: u64,
-    #[serde(default)]
-    pub(super) over: bool,
-    #[serde(default)]
-    pub(super) quota_use: u64,
-    #[serde(default)]
-    pub(super) true_units: f64,
-    #[serde(default)]
-    pub(super) server_stats: BTreeMap<String, f64>,
+    #[serde(rename = "Spent", default)]
+    pub(super) elapsed: u64,
+    #[serde(rename = "Over", default)]
+    pub(super) is_finished: bool,
+    #[serde(rename = "QuotaUse", default)]
+    pub(super) metered_use: u64,
+    #[serde(rename = "TrueUnits", default)]
+    pub(super) actual_units: f64,
+    #[serde(rename = "ServerStats", default)]
+    pub(super) load_report: BTreeMap<String, f64>,
 }
 
 /// A client has disconnected.
 #[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
-pub struct Dropped {
+#[serde(rename = "Dropped", rename_all = "PascalCase")]
+pub struct ClientDisconnected {
     pub(super) gateway_id: String,
-    pub(super) tid: u32,
+    #[serde(rename = "Tid")]
+    pub(super) request_id: u32,
 }
 
 /// A timer is due.
 #[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
-pub struct DeadlineHit {
+#[serde(rename = "DeadlineHit", rename_all = "PascalCase")]
+pub struct TimerExpired {
     pub(super) gateway_id: String,
-    pub(super) r#ref: u64,
+    #[serde(rename = "Ref")]
+    pub(super) token: u64,
 }
