--- a/quota-gateway/deadline/src/budget.rs
+++ b/quota-gateway/deadline/src/budget.rs
@@ -13,7 +13,7 @@
 /// delays on a busy core.
 pub const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
 /// A response is abandoned if the client reads no byte of it for this time, whatever time remains. A slow
-/// reader may take as long as it needs for a response that came in time, but a reader that has gone must not
+/// reader may take as long as it needs for a response that came in time, but a disconnected reader must not
 /// keep its connection open forever.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// One connect may use the remaining time divided by this, so that as much is left to try another server. If
--- a/quota-gateway/deadline/tests/chain.rs
+++ b/quota-gateway/deadline/tests/chain.rs
@@ -46,7 +46,7 @@
     started_at: u64,
     /// Time in ms from the first byte until the last byte is read, and the part of it for which the last byte
     /// was unread.
-    reading: u64,
+    read_duration: u64,
     unread_for: u64,
     /// The process exits this many ms after the last byte was read.
     exits_after: Option<u64>,
@@ -83,17 +83,17 @@
         prop::collection::vec(attempts, 0..8),
         0..200_u64,
     )
-        .prop_map(|(client_timeout, started_at, reading, unread_for, exits_after, attempts, write)| {
-            Chain {
+        .prop_map(
+            |(client_timeout, started_at, read_duration, unread_for, exits_after, attempts, write)| Chain {
                 client_timeout,
                 started_at,
-                reading,
-                unread_for: unread_for.min(reading),
+                read_duration,
+                unread_for: unread_for.min(read_duration),
                 exits_after,
                 attempts,
                 write,
-            }
-        })
+            },
+        )
 }
 
 /// The result of a chain.
@@ -107,7 +107,7 @@
 /// when no time remains.
 fn run_chain(chain: &Chain) -> ChainResult {
     let mut budget = Budget::new(ms(chain.client_timeout), at(chain.started_at));
-    let mut now = at(chain.started_at + chain.reading);
+    let mut now = at(chain.started_at + chain.read_duration);
     budget.on_complete(now, ms(chain.unread_for));
     if let Some(exits_after) = chain.exits_after {
         budget.end_by(now.after(ms(exits_after)));
@@ -172,7 +172,7 @@
     runner
         .run(&chain(), |chain| {
             let result = run_chain(&chain);
-            let read_at = at(chain.started_at + chain.reading);
+            let read_at = at(chain.started_at + chain.read_duration);
             let usable_timeout = ms(chain.client_timeout).saturating_sub(RESPONSE_MARGIN);
             let max_charged = chain
                 .exits_after
@@ -188,7 +188,7 @@
             let total: Duration = spent.stages().map(|(_, took)| took).sum();
             prop_assert_eq!(
                 total,
-                ms(chain.reading + chain.write) + Duration::from_nanos(result.decided_at.0 - read_at.0)
+                ms(chain.read_duration + chain.write) + Duration::from_nanos(result.decided_at.0 - read_at.0)
             );
             prop_assert_eq!(spent.of(Stage::Write), ms(chain.write));
             for pair in result.sends.windows(2) {
--- a/quota-gateway/fair-share/tests/allocator.rs
+++ b/quota-gateway/fair-share/tests/allocator.rs
@@ -81,7 +81,7 @@
 /// Gateway 1 stops reporting. Its grant stays reserved until its decision must have expired, the reservation
 /// then shrinks to the equal share, and after a minute all of it is granted to gateway 0.
 #[test]
-fn the_grant_of_an_unreachable_gateway_stays_reserved_until_the_gateway_counts_as_gone() {
+fn the_grant_of_an_unreachable_gateway_stays_reserved_until_the_gateway_is_considered_dead() {
     let mut allocator = ShareAllocator::new(at(0), VALIDITY, SHRINK_INTERVAL, at(1000), None);
     allocator.set_capacity(100.0);
     let mut stamp = Stamp { token: 1, revision: 0 };
@@ -112,7 +112,8 @@
         other_grant <= 100.0 * (1.0 + SLACK) - reserved + 0.01,
         "second 14: {other_grant} granted while {reserved} are reserved"
     );
-    // The reservation has shrunk to the equal share, which stays reserved until the gateway counts as gone.
+    // The reservation has shrunk to the equal share, which stays reserved until the gateway is considered
+    // dead.
     assert!(
         (49.0..=55.0).contains(&grants_by_second[40].0),
         "grant of gateway 0 in second 40: {}",
@@ -120,7 +121,7 @@
     );
     assert!(
         grants_by_second[89].0 > 95.0,
-        "grant of gateway 0 in second 89, when gateway 1 counts as gone: {}",
+        "grant of gateway 0 in second 89, when gateway 1 is considered dead: {}",
         grants_by_second[89].0
     );
 }
--- a/quota-gateway/fair-share/tests/conformance.rs
+++ b/quota-gateway/fair-share/tests/conformance.rs
@@ -29,16 +29,17 @@
     /// For each firm its weight, and its demand at each gateway in units per second.
     firms: Vec<(f64, Vec<f64>)>,
     /// Maximum number of immediate retries of a rejected request.
-    #[serde(default)]
-    again: u32,
+    #[serde(default, rename = "again")]
+    max_immediate_retries: u32,
     /// Units per second that a firm's quota admits at each of its gateways.
     #[serde(default = "no_quota")]
     quota: f64,
     /// Number of seconds at the end without an allocator, so that the last decision expires.
-    #[serde(default)]
-    alone_s: u64,
+    #[serde(default, rename = "alone_s")]
+    seconds_without_allocator: u64,
     /// Units per second of each firm in the last second, within a twentieth of the capacity.
-    gets: Vec<f64>,
+    #[serde(rename = "gets")]
+    expected_rates: Vec<f64>,
 }
 
 fn no_quota() -> f64 {
@@ -50,7 +51,7 @@
 const REQUESTS_PER_SECOND: u64 = 100;
 
 impl Row {
-    fn play(&self) -> Result<(), String> {
+    fn run(&self) -> Result<(), String> {
         let gateways = self.firms.iter().map(|(_, demands)| demands.len()).max().unwrap_or(0);
         let mut limiters: Vec<ShareLimiter> = (0..gateways as u32).map(ShareLimiter::new).collect();
         let mut readers: Vec<DecisionReader<ShareDecision>> = vec![DecisionReader::default(); gateways];
@@ -58,7 +59,7 @@
         let mut allocator = ShareAllocator::new(at(0), VALIDITY, SHRINK_INTERVAL, at(1500), None);
         allocator.set_capacity(self.capacity);
         let seconds_with_allocator = 12;
-        let last_second = seconds_with_allocator + self.alone_s;
+        let last_second = seconds_with_allocator + self.seconds_without_allocator;
         let mut rates = vec![0.0; self.firms.len()];
         let mut revision = 0;
         for second in 0..=last_second {
@@ -74,7 +75,7 @@
                             rate_limit: self.quota,
                         };
                         let units = demand / REQUESTS_PER_SECOND as f64;
-                        for retry in 0..=self.again {
+                        for retry in 0..=self.max_immediate_retries {
                             if limiters[g].request(now, f as u64, quota, units, retry > 0) {
                                 limiters[g].charge(f as u64, units);
                                 rates[f] += if second == last_second { units } else { 0.0 };
@@ -124,7 +125,8 @@
             }
         }
         let is_close = |(actual, expected): (&f64, &f64)| (actual - expected).abs() <= 0.05 * self.capacity;
-        let matches = rates.len() == self.gets.len() && rates.iter().zip(&self.gets).all(is_close);
+        let matches =
+            rates.len() == self.expected_rates.len() && rates.iter().zip(&self.expected_rates).all(is_close);
         matches.then_some(()).ok_or_else(|| format!("units per second of each firm: {rates:.1?}"))
     }
 }
@@ -138,7 +140,7 @@
         id: row.id.clone(),
         clause: row.clause.clone(),
         because: row.because.clone(),
-        outcome: row.play(),
+        outcome: row.run(),
     });
     check_rows(&tables.clause, rows);
 }
--- a/quota-gateway/fair-share/tests/fleet.rs
+++ b/quota-gateway/fair-share/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Simulated fleets on a virtual clock: the demand of firms jumps, links lose, delay and duplicate messages,
-//! and allocators are replaced. The rates of the firms are compared with the exact solution. `SHARES_SEEDS`
-//! sets the number of seeds.
+//! and allocators are replaced. The rates of the firms are compared with the reference solution.
+//! `SHARES_SEEDS` sets the number of seeds.
 
 use marblecroft_control_messages::published::{Decision, DecisionReader, Stamp};
 use marblecroft_control_messages::report::{AppliedDecisions, Report};
@@ -282,8 +282,8 @@
         }
     }
 
-    /// Returns the firms and their exact shares.
-    fn exact_solution(&self) -> (Vec<Firm>, Vec<f64>) {
+    /// Returns the firms and their reference shares.
+    fn reference_solution(&self) -> (Vec<Firm>, Vec<f64>) {
         let firms: Vec<Firm> =
             self.firms.iter().map(|f| Firm { demand: f.demand, weight: f.weight }).collect();
         let shares = max_min_shares(&firms, self.capacity);
@@ -291,12 +291,12 @@
     }
 
     /// Returns the error and Jain's index. The error is the sum of the distances of all firms from their
-    /// exact shares, as a fraction of the capacity; with many firms that is far stricter than the largest
+    /// reference shares, as a fraction of the capacity; with many firms that is far stricter than the largest
     /// distance.
     fn error_and_jain_index(&mut self) -> (f64, f64) {
         self.compute_rates();
-        let (firms, exact_shares) = self.exact_solution();
-        let distance = exact_shares.iter().zip(&self.rates).map(|(a, b)| (a - b).abs()).sum::<f64>();
+        let (firms, reference_shares) = self.reference_solution();
+        let distance = reference_shares.iter().zip(&self.rates).map(|(a, b)| (a - b).abs()).sum::<f64>();
         (distance / self.capacity, jain_index(&firms, &self.rates))
     }
 
--- a/quota-gateway/fair-share/tests/levels_and_prices.rs
+++ b/quota-gateway/fair-share/tests/levels_and_prices.rs
@@ -25,7 +25,7 @@
     /// For each gateway its firms: their index, and their demand and weight at this gateway.
     local_firms: Vec<Vec<(usize, LocalFirm)>>,
     capacity: f64,
-    exact_shares: Vec<f64>,
+    reference_shares: Vec<f64>,
 }
 
 fn random_case(rng: &mut ChaCha8Rng, firms: usize) -> Case {
@@ -46,7 +46,7 @@
         }
     }
     let capacity = firms.iter().map(|firm| firm.demand).sum::<f64>() * rng.random_range(0.3..0.8);
-    Case { exact_shares: max_min_shares(&firms, capacity), firms, local_firms, capacity }
+    Case { reference_shares: max_min_shares(&firms, capacity), firms, local_firms, capacity }
 }
 
 impl Case {
@@ -55,13 +55,13 @@
     }
 
     /// Returns the error and the overshoot if all firms send at a level, both as fractions of the capacity.
-    /// The error is the sum of the distances of all firms from their exact shares.
+    /// The error is the sum of the distances of all firms from their reference shares.
     fn error_and_overshoot(&self, level: f64) -> (f64, f64) {
         let mut rates = vec![0.0; self.firms.len()];
         for (f, local) in self.local_firms.iter().flatten() {
             rates[*f] += local.demand.min(level * local.weight);
         }
-        let distance: f64 = self.exact_shares.iter().zip(&rates).map(|(a, b)| (a - b).abs()).sum();
+        let distance: f64 = self.reference_shares.iter().zip(&rates).map(|(a, b)| (a - b).abs()).sum();
         (distance / self.capacity, rates.iter().sum::<f64>() / self.capacity - 1.0)
     }
 
--- a/quota-gateway/server/benches/cost.rs
+++ b/quota-gateway/server/benches/cost.rs
@@ -18,7 +18,7 @@
 fn count_instructions(requests: usize) -> u64 {
     let server = Stub::start(|_| ok("served"));
     let agent = Agent::start();
-    let known = list(1, true, &serving(&[&server]));
+    let known = endpoint_list(1, true, &serving(&[&server]));
     let script = "exec valgrind --tool=callgrind --callgrind-out-file=/dev/null \"$0\"";
     let config = config("127.0.0.1:0", agent.stub.addr, Some(&known));
     let mut gateway = GatewayProcess::start_with(script, &config, &[("RELAY_CONSOLE", "127.0.0.1:0")]);
@@ -26,8 +26,8 @@
     for n in 0..requests {
         let request =
             if n % 2 == 0 { saldo(&format!("{n}"), "3") } else { abono(&format!("{n}"), "3", "pago") };
-        let answer = client.call(&request);
-        assert_eq!(answer.status(), 200, "request {n}: {}", answer.text());
+        let response = client.call(&request);
+        assert_eq!(response.status(), 200, "request {n}: {}", response.text());
     }
     assert_eq!(server.requests(), requests, "each request was sent once");
     gateway.terminate();
--- a/quota-gateway/server/src/config.rs
+++ b/quota-gateway/server/src/config.rs
@@ -62,7 +62,7 @@
             display("limits.sockets: {sockets} is less than {MIN_CONFIGURED_SOCKETS}")
         }
         /// The settings of the discovery service are out of range.
-        ListService {
+        DiscoveryService {
             display(
                 "list_service: expected at most {MAX_OTHER_SERVICES} others, a missing_share from 0 to 1 and \
                  a missing_hold_ms of at most {MAX_REMOVAL_DELAY_MS}"
@@ -92,13 +92,14 @@
     /// The limits of the process.
     pub limits: Limits,
     /// Set if the endpoint list comes from the project's own discovery service.
-    pub list_service: Option<DiscoveryService>,
+    #[serde(rename = "list_service")]
+    pub discovery_service: Option<DiscoveryService>,
     /// Set if the gateway is a member of a fleet; otherwise it makes all decisions locally.
     #[serde(rename = "stewards")]
     pub fleet: Option<FleetConfig>,
     /// The endpoint list that is used until one is fetched.
     #[serde(rename = "known")]
-    pub initial_list: Option<HostList>,
+    pub initial_endpoints: Option<HostList>,
     /// The settings of the core, and the names that the endpoint list uses.
     pub settings: Site,
     /// The format of log events on standard error.
@@ -192,8 +193,8 @@
         if config.limits.sockets < MIN_CONFIGURED_SOCKETS {
             return Err(ConfigError::TooFewSockets(config.limits.sockets));
         }
-        if config.list_service.as_ref().is_some_and(|service| !service.is_valid()) {
-            return Err(ConfigError::ListService);
+        if config.discovery_service.as_ref().is_some_and(|service| !service.is_valid()) {
+            return Err(ConfigError::DiscoveryService);
         }
         if let Some(fleet) = &config.fleet {
             fleet.check()?;
@@ -203,7 +204,7 @@
 
     /// The addresses of the discovery agents, in the order in which they are asked.
     pub fn agents(&self) -> Vec<SocketAddr> {
-        let others = self.list_service.iter().flat_map(|service| &service.others);
+        let others = self.discovery_service.iter().flat_map(|service| &service.others);
         std::iter::once(&self.discovery).chain(others).copied().collect()
     }
 
--- a/quota-gateway/server/src/discovery.rs
+++ b/quota-gateway/server/src/discovery.rs
@@ -1,22 +1,22 @@
 //! Follows the endpoint list and passes it to the engine.
 //!
 //! A watch asks the agent for changes since the version of the list in force. After a failure the next
-//! address is asked, with a backoff ([`follow_timing`]). The [`list_follower`] merges the lists that
+//! address is asked, with a backoff ([`follow_timing`]). The [`endpoint_follower`] merges the lists that
 //! [`call`](mod@call) returns if they come from the project's own discovery service, several processes of
 //! which may contradict each other. Then the list is applied: ids and names are mapped to numbers
 //! ([`server_ids`], [`name_table`]). While discovery fails, the old list stays in force.
 
 mod call;
+pub mod endpoint_follower;
 pub mod follow_timing;
-pub mod list_follower;
 mod name_table;
 pub mod server_ids;
 
 use crate::engine::Engine;
 use call::{call, Connection, FetchError, FetchRequest, Fetched, WatchFrom};
+use endpoint_follower::{EndpointFollower, MergeError};
 use follow_timing::{jitter, FollowTiming};
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use list_follower::{ListFollower, MergeError};
 use marblecroft_discovery::format::{Entry, Host, HostList, State};
 use marblecroft_quota_gateway_core::{
     Discovery as Method, Event, Lifecycle, Random, Scope, ServerInfo, Time,
@@ -52,7 +52,7 @@
     /// them.
     agents: watch::Receiver<Vec<SocketAddr>>,
     /// Set if the list comes from the project's own service.
-    service: Option<ListFollower>,
+    service: Option<EndpointFollower>,
     zones: NameTable,
     kinds: NameTable,
     ids: Rc<RefCell<ServerIds>>,
@@ -73,8 +73,8 @@
     backoff: Duration,
     /// Whether the current outage has been logged.
     is_outage_logged: bool,
-    /// Whether the full list is fetched next, because the last call failed.
-    needs_full_list: bool,
+    /// Whether the full list is fetched next because the last call failed.
+    needs_full_fetch: bool,
     /// Whether the last call was rejected with "busy".
     is_busy: bool,
 }
@@ -90,7 +90,7 @@
     pub fn new(
         engine: Rc<Engine>,
         agents: watch::Receiver<Vec<SocketAddr>>,
-        service: Option<ListFollower>,
+        service: Option<EndpointFollower>,
         settings: DiscoverySettings,
     ) -> Discovery {
         let timing = FollowTiming::of(settings.method, service.is_some());
@@ -125,13 +125,13 @@
         if servers.is_empty() {
             return false;
         }
-        self.on_list(HostList { version: 0, full: true, store: None, epoch: 0, servers });
+        self.on_endpoint_list(HostList { version: 0, full: true, store: None, epoch: 0, servers });
         self.version = None;
         true
     }
 
     /// Applies a list.
-    pub fn on_list(&mut self, list: HostList) {
+    pub fn on_endpoint_list(&mut self, list: HostList) {
         self.version = Some(list.version);
         let scope = if list.full { Scope::Full } else { Scope::Delta };
         let mut servers = Vec::with_capacity(list.servers.len());
@@ -181,32 +181,32 @@
         Some(ServerChange { info, addr })
     }
 
-    /// Follows the list forever. Calls `on_list_received` after each successful call.
-    pub async fn follow(mut self, on_list_received: impl Fn()) {
+    /// Follows the list forever. Calls `on_endpoints_received` after each successful call.
+    pub async fn follow(mut self, on_endpoints_received: impl Fn()) {
         let mut agents = self.agents.clone();
         loop {
             let addresses = agents.borrow_and_update().clone();
             tokio::select! {
                 // The call in flight and its connection are dropped together with the old agent.
                 changed = agents.changed() => if changed.is_err() { return },
-                () = self.watch(&addresses, &on_list_received) => {}
+                () = self.watch(&addresses, &on_endpoints_received) => {}
             }
             // A new agent's versions need not continue those of the old one, so the full list is fetched.
             // Until it arrives, the old list stays in force.
             self.version = None;
-            self.service.iter_mut().for_each(ListFollower::on_agents_changed);
+            self.service.iter_mut().for_each(EndpointFollower::on_agents_changed);
         }
     }
 
     /// Watches the list at one of these addresses until dropped. After a failure it moves on to the next
     /// address.
-    async fn watch(&mut self, addresses: &[SocketAddr], on_list_received: impl Fn()) {
+    async fn watch(&mut self, addresses: &[SocketAddr], on_endpoints_received: impl Fn()) {
         let mut state = WatchState {
             connection: None,
             address_index: 0,
             backoff: self.timing.backoff.first,
             is_outage_logged: false,
-            needs_full_list: false,
+            needs_full_fetch: false,
             is_busy: false,
         };
         if self.version.is_some() {
@@ -217,7 +217,7 @@
         loop {
             match self.fetch(addresses, &mut state).await {
                 // The next call follows at once: a watch continues only if it comes within 200 ms.
-                Ok(()) => on_list_received(),
+                Ok(()) => on_endpoints_received(),
                 Err(cause) => self.back_off(addresses, &mut state, &cause).await,
             }
         }
@@ -234,10 +234,10 @@
                 let list = self.merge(list).map_err(|e| e.to_string())?;
                 // A watch that ended without a change returns an empty delta, which is not applied.
                 if list.full || !list.servers.is_empty() || self.version != Some(list.version) {
-                    self.on_list(list);
+                    self.on_endpoint_list(list);
                 }
                 state.backoff = self.timing.backoff.first;
-                (state.is_outage_logged, state.needs_full_list) = (false, false);
+                (state.is_outage_logged, state.needs_full_fetch) = (false, false);
                 Ok(())
             }
             Err(FetchError::Busy(connection)) => {
@@ -246,7 +246,7 @@
                 Err("busy".to_owned())
             }
             Err(FetchError::Failed(cause)) => {
-                state.needs_full_list = true;
+                state.needs_full_fetch = true;
                 Err(cause)
             }
         }
@@ -254,7 +254,7 @@
 
     /// Returns a watch from the version in force, or a call for the full list.
     fn next_request(&self, state: &WatchState) -> FetchRequest {
-        let is_watch_possible = !state.needs_full_list || self.service.is_some();
+        let is_watch_possible = !state.needs_full_fetch || self.service.is_some();
         let watch_from = self
             .version
             .filter(|_| is_watch_possible)
@@ -338,13 +338,13 @@
 
     /// Removes servers that have been missing from the list for longer than the removal delay.
     fn remove_expired(&mut self) {
-        let removal = self.service.as_mut().and_then(ListFollower::remove_expired);
-        removal.into_iter().for_each(|list| self.on_list(list));
+        let removal = self.service.as_mut().and_then(EndpointFollower::remove_expired);
+        removal.into_iter().for_each(|list| self.on_endpoint_list(list));
     }
 
     /// The longest wait of a watch. It ends before the next missing server is to be removed.
     fn max_watch_wait(&self) -> Duration {
-        let until_removal = self.service.as_ref().and_then(ListFollower::until_next_removal);
+        let until_removal = self.service.as_ref().and_then(EndpointFollower::until_next_removal);
         until_removal.map_or(self.timing.wait, |removal| removal.min(self.timing.wait))
     }
 }
--- a/quota-gateway/server/src/discovery/list_follower.rs
+++ b/quota-gateway/server/src/discovery/endpoint_follower.rs
@@ -1,4 +1,4 @@
-//! Follows the list of the project's own discovery service, which several processes serve.
+//! Follows the endpoint list of the project's own discovery service, which several processes serve.
 //!
 //! One of them may lag behind or have lost its store, so their lists are merged by
 //! [`marblecroft_discovery::client::Follower`], which also delays the removal of many servers at the same
@@ -27,21 +27,21 @@
     }
 }
 
-/// Merges the lists of several processes.
-pub struct ListFollower {
+/// Merges the endpoint lists of several processes of the discovery service.
+pub struct EndpointFollower {
     follower: Follower,
     started_at: Instant,
-    metrics: Rc<ListMetrics>,
+    metrics: Rc<EndpointListMetrics>,
 }
 
 /// The metrics of how up to date the list is.
 #[derive(Default)]
-pub struct ListMetrics {
+pub struct EndpointListMetrics {
     last_update_at: Cell<Option<Instant>>,
     pending_removals: Cell<usize>,
 }
 
-impl ListMetrics {
+impl EndpointListMetrics {
     /// The current values.
     pub fn metrics(&self) -> [Metric; 2] {
         let age = self.last_update_at.get().map(|updated_at| updated_at.elapsed().as_secs_f64());
@@ -60,10 +60,10 @@
     }
 }
 
-impl ListFollower {
+impl EndpointFollower {
     /// Creates a follower without a list.
-    pub fn new(removal_policy: RemovalPolicy) -> ListFollower {
-        ListFollower {
+    pub fn new(removal_policy: RemovalPolicy) -> EndpointFollower {
+        EndpointFollower {
             follower: Follower::new(removal_policy),
             started_at: Instant::now(),
             metrics: Rc::default(),
@@ -71,7 +71,7 @@
     }
 
     /// The metrics, kept up to date.
-    pub fn metrics(&self) -> Rc<ListMetrics> {
+    pub fn metrics(&self) -> Rc<EndpointListMetrics> {
         self.metrics.clone()
     }
 
--- a/quota-gateway/server/src/discovery/follow_timing.rs
+++ b/quota-gateway/server/src/discovery/follow_timing.rs
@@ -104,7 +104,7 @@
 }
 
 /// Returns a pause with the largest jitter.
-const fn longest_pause(pause: Duration) -> Duration {
+const fn max_jittered(pause: Duration) -> Duration {
     pause.saturating_mul(3).checked_div(2).expect("no division by zero")
 }
 
@@ -126,28 +126,28 @@
     }
 
     /// The longest time between the instant at which discovery has a change and can be reached and the start
-    /// of a call that it can answer. At that instant a watch or another call may just have started and remain
-    /// unanswered, or a pause may have begun.
+    /// of a call to which it can respond. At that instant a watch or another call may just have started and
+    /// remain unanswered, or a pause may have begun.
     pub const fn max_time_to_call(&self) -> Duration {
         match self.hedge_after {
             Some(hedge_after) => {
-                max_duration(self.wait.saturating_add(hedge_after), longest_pause(self.backoff.max))
+                max_duration(self.wait.saturating_add(hedge_after), max_jittered(self.backoff.max))
             }
             None => {
                 let watch = self.wait.saturating_add(self.watch_timeout);
                 max_duration(
-                    watch.saturating_add(longest_pause(self.backoff.first)),
-                    self.timeout.saturating_add(longest_pause(self.backoff.max)),
+                    watch.saturating_add(max_jittered(self.backoff.first)),
+                    self.timeout.saturating_add(max_jittered(self.backoff.max)),
                 )
             }
         }
     }
 
     /// The longest time between the instant at which discovery has a change and can be reached and the end of
-    /// the call of [`max_time_to_call`](Self::max_time_to_call), by an answer or a timeout. Also holds for
+    /// the call of [`max_time_to_call`](Self::max_time_to_call), by a response or a timeout. Also holds for
     /// gateways that were rejected as busy.
     pub const fn update_bound(&self) -> Duration {
-        let rejected = longest_pause(max_duration(self.backoff.max, self.max_call_spread()))
+        let rejected = max_jittered(max_duration(self.backoff.max, self.max_call_spread()))
             .saturating_add(self.busy_timeout);
         max_duration(self.max_time_to_call().saturating_add(self.timeout), rejected)
     }
--- a/quota-gateway/server/src/discovery/server_ids.rs
+++ b/quota-gateway/server/src/discovery/server_ids.rs
@@ -18,10 +18,10 @@
 /// Numbers for the ids of servers. The number is a hash of the id, so that a server keeps its number across
 /// restarts of the gateway. On a collision the next free number is used.
 #[derive(Clone, Default, Serialize, Deserialize)]
-pub struct ServerIds(HashMap<u32, NumberedServer>);
+pub struct ServerIds(HashMap<u32, ServerEntry>);
 
 #[derive(Clone, Serialize, Deserialize)]
-struct NumberedServer {
+struct ServerEntry {
     id: String,
     /// The server's last entry, while it is listed.
     host: Option<Host>,
@@ -44,7 +44,7 @@
         self.0.entry(number).or_insert_with(|| {
             // The core's log lines identify servers by number.
             info!(server = %id, number, "server {id} has number {number}");
-            NumberedServer { id: id.to_owned(), host: None, disabled: false, unlisted_since: None }
+            ServerEntry { id: id.to_owned(), host: None, disabled: false, unlisted_since: None }
         });
         ServerId(number)
     }
--- a/quota-gateway/server/src/fleet_decisions.rs
+++ b/quota-gateway/server/src/fleet_decisions.rs
@@ -114,7 +114,7 @@
             Some(self.state.borrow_mut().zones.accept(queried_at, decision))
         });
         self.read_decision::<ShareDecision>(view, "shares", |decision| {
-            self.observer.install_shares(queried_at, decision)
+            self.observer.install_quota_shares(queried_at, decision)
         });
         self.read_decision::<ShardMap>(view, "books", |decision| {
             Some(self.shard_routing.as_ref()?.install(queried_at, decision))
@@ -138,7 +138,7 @@
                 let Stamp { token, revision } = decision.stamp;
                 match install(decision) {
                     Some(Acceptance::New) => {
-                        info!(token, revision, duty = role, "goes by {role} {token}.{revision}")
+                        info!(token, revision, duty = role, "applies decision {token}.{revision} on {role}")
                     }
                     Some(Acceptance::Stale) => {
                         info!(token, duty = role, "ignored a decision on {role}: a newer one is in force")
@@ -165,7 +165,7 @@
         loop {
             ticks.tick().await;
             let Some(engine) = self.engine.upgrade() else { return };
-            self.observer.apply_shares();
+            self.observer.apply_quota_shares();
             if let Some(shares) = self.changed_zone_shares() {
                 engine.post(Event::ZoneShares(shares));
             }
@@ -188,7 +188,7 @@
             if is_expired {
                 warn!("the decision on zones has expired; zones are selected without the fleet's shares");
             } else {
-                info!("goes by the fleet's decision on zones again");
+                info!("a decision on zones is in force again; zones are selected by the fleet's shares");
             }
         }
         if state.last_posted == shares {
--- a/quota-gateway/server/src/fleet_decisions/observer.rs
+++ b/quota-gateway/server/src/fleet_decisions/observer.rs
@@ -148,7 +148,7 @@
     }
 
     /// Installs a decision on quota shares; returns `None` if this gateway does not use them.
-    pub fn install_shares(
+    pub fn install_quota_shares(
         &self,
         queried_at: Duration,
         decision: Decision<ShareDecision>,
@@ -157,7 +157,7 @@
     }
 
     /// Recomputes the firms' limits. Called several times per second.
-    pub fn apply_shares(&self) {
+    pub fn apply_quota_shares(&self) {
         if let Some(shares) = &self.quota_shares {
             shares.apply(self.started_at.elapsed());
         }
--- a/quota-gateway/server/src/handover/snapshot.rs
+++ b/quota-gateway/server/src/handover/snapshot.rs
@@ -24,7 +24,7 @@
 const MAX_VERSION_BYTES: u64 = 4 << 10;
 /// An old process that does not respond within this time is considered to have failed. The new process must
 /// be ready within six seconds, and its operators must get a response within one.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The state of a process.
 #[derive(Serialize, Deserialize)]
@@ -68,7 +68,7 @@
     /// one or sends no request in time.
     pub async fn accept(stream: UnixStream) -> Option<PeerConnection> {
         let mut peer = PeerConnection::new(stream);
-        let version = timeout(ANSWER_TIMEOUT, read_line(&mut peer.reader, MAX_VERSION_BYTES)).await;
+        let version = timeout(RESPONSE_TIMEOUT, read_line(&mut peer.reader, MAX_VERSION_BYTES)).await;
         (version.ok()?.ok()? == VERSION.to_string()).then_some(peer)
     }
 }
@@ -85,7 +85,7 @@
 /// snapshot that cannot be read is used.
 pub async fn take_over(listen: SocketAddr) -> Option<(HandoverSnapshot, PeerConnection)> {
     let path = socket_path(listen);
-    match timeout(ANSWER_TIMEOUT, request_snapshot(&path)).await {
+    match timeout(RESPONSE_TIMEOUT, request_snapshot(&path)).await {
         Ok(Ok(taken)) => {
             info!(path = %path.display(), "takes over from the process at {}", path.display());
             return Some(taken);
--- a/quota-gateway/server/src/operations.rs
+++ b/quota-gateway/server/src/operations.rs
@@ -1,7 +1,7 @@
 //! Carries out the operators' commands.
 
 use crate::commands::{Change, Command, CommandError, CommandOutput};
-use crate::discovery::list_follower::ListMetrics;
+use crate::discovery::endpoint_follower::EndpointListMetrics;
 use crate::discovery::server_ids::ServerIds;
 use crate::engine::Engine;
 use crate::fleet_decisions::observer::Observer;
@@ -23,7 +23,7 @@
     /// The servers' ids and numbers.
     pub ids: Rc<RefCell<ServerIds>>,
     /// Set if the endpoint list comes from the project's own discovery service.
-    pub list_metrics: Option<Rc<ListMetrics>>,
+    pub endpoint_list_metrics: Option<Rc<EndpointListMetrics>>,
     /// Set if the gateway is a member of a fleet.
     pub fleet: Option<Rc<Observer>>,
 }
@@ -60,7 +60,7 @@
 
     /// The gauges of the endpoint list and of the fleet, if the configuration has them.
     fn gauges(&self) -> Vec<Metric> {
-        let list = self.list_metrics.iter().flat_map(|list| list.metrics());
+        let list = self.endpoint_list_metrics.iter().flat_map(|list| list.metrics());
         list.chain(self.fleet.iter().flat_map(|fleet| fleet.metrics())).collect()
     }
 
--- a/quota-gateway/server/src/process.rs
+++ b/quota-gateway/server/src/process.rs
@@ -8,7 +8,7 @@
 use crate::clock::Clock;
 use crate::config::{Config, ConnectionLimits};
 use crate::console::Console;
-use crate::discovery::list_follower::ListFollower;
+use crate::discovery::endpoint_follower::EndpointFollower;
 use crate::discovery::{Discovery, DiscoverySettings};
 use crate::engine::{Decide, Engine};
 use crate::fleet_decisions::observer::{Observer, ObserverSettings};
@@ -166,20 +166,21 @@
 
     let (agents_sender, agents) = watch::channel(config.agents());
     spawn_local(reload(hangup, agents_sender));
-    let follower = config.list_service.as_ref().map(|service| ListFollower::new(service.removal_policy()));
-    let list_metrics = follower.as_ref().map(ListFollower::metrics);
+    let follower =
+        config.discovery_service.as_ref().map(|service| EndpointFollower::new(service.removal_policy()));
+    let endpoint_list_metrics = follower.as_ref().map(EndpointFollower::metrics);
     let mut discovery = Discovery::new(core.engine.clone(), agents, follower, discovery_settings(&config));
     let operations = Rc::new(Operations {
         engine: core.engine.clone(),
         gateway: core.gateway.clone(),
         server: server.clone(),
         ids: discovery.ids(),
-        list_metrics,
+        endpoint_list_metrics,
         fleet: core.observer.clone(),
     });
-    let initial_list = config.initial_list.take();
+    let initial_endpoints = config.initial_endpoints.take();
     let handover = build_handover(config, &core, &server, &operations);
-    restore(&core, &server, &mut discovery, &handover, taken_over, initial_list);
+    restore(&core, &server, &mut discovery, &handover, taken_over, initial_endpoints);
     if is_replaceable {
         match handover.offer(listen) {
             Ok(offer) => {
@@ -240,7 +241,7 @@
     discovery: &mut Discovery,
     handover: &Rc<Handover>,
     taken_over: Option<(HandoverSnapshot, PeerConnection)>,
-    initial_list: Option<HostList>,
+    initial_endpoints: Option<HostList>,
 ) {
     if let Some((snapshot, peer)) = taken_over {
         core.gateway.borrow_mut().restore(snapshot.state);
@@ -251,8 +252,8 @@
             server.drain();
         }
         handover.join(peer);
-    } else if let Some(list) = initial_list {
-        discovery.on_list(list);
+    } else if let Some(list) = initial_endpoints {
+        discovery.on_endpoint_list(list);
         server.set_ready();
     }
 }
--- a/quota-gateway/server/src/shard_map.rs
+++ b/quota-gateway/server/src/shard_map.rs
@@ -23,7 +23,7 @@
 /// together with `X-Never-Ran`. 0 means that the cell does not own the range.
 const EPOCH_DUE: HeaderName = HeaderName::from_static("x-book-due");
 /// How long an attempt waits for a newer map before it ends: the pause in writes during a migration, the same
-/// as in cells that fence. The request's budget limits it further.
+/// as in cells that enforce fencing. The request's budget limits it further.
 pub const MAX_MAP_UPDATE_WAIT: Duration = Duration::from_millis(300);
 
 /// The shard map, and the cell of each server.
--- a/quota-gateway/server/src/upstream/response.rs
+++ b/quota-gateway/server/src/upstream/response.rs
@@ -169,7 +169,7 @@
             () = chunks.closed() => return Status::Cancelled,
         }
     }
-    // The receiver may already be gone if the announced length was delivered.
+    // The receiver may already have been dropped if the announced length was delivered.
     let _ = chunks.send(Chunk::End).await;
     Status::Ok
 }
--- a/quota-gateway/server/tests/body_streaming.rs
+++ b/quota-gateway/server/tests/body_streaming.rs
@@ -18,8 +18,8 @@
 }
 
 /// The body in chunked coding, with chunk extensions and a trailer.
-fn chunked(body: &str, piece: usize) -> String {
-    let chunks = body.as_bytes().chunks(piece);
+fn chunked(body: &str, chunk_size: usize) -> String {
+    let chunks = body.as_bytes().chunks(chunk_size);
     let text = |chunk| std::str::from_utf8(chunk).expect("valid UTF-8");
     let chunks = chunks.map(|c| format!("{:x};part=\"a;b\"\r\n{}\r\n", c.len(), text(c)));
     chunks.collect::<String>() + "0\r\nChecksum: none\r\n\r\n"
@@ -74,7 +74,7 @@
     assert_eq!(gateway.client().call(&saldo("warm", "3")).status(), 200);
     let before = peak_memory(&gateway);
     let framings = [
-        Reply::Answer(200, "", text.clone()),
+        Reply::Respond(200, "", text.clone()),
         Reply::RawKeepOpen(format!(
             "HTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
             chunked(&text, 100_000)
@@ -112,13 +112,13 @@
     server.set_handler(|_| {
         Reply::RawAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\ncut o")
     });
-    let answer = client.call(&abono("f", "3", ""));
-    assert_eq!(answer.status(), 502, "{}", answer.text());
+    let response = client.call(&abono("f", "3", ""));
+    assert_eq!(response.status(), 502, "{}", response.text());
 }
 
 #[test]
 fn a_streamed_response_is_not_retried_and_its_truncation_is_visible() {
-    let server = Stub::start(|_| Reply::NoAnswer);
+    let server = Stub::start(|_| Reply::NoResponse);
     let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     for (n, head) in ["Content-Length: 900000", "Transfer-Encoding: chunked"].into_iter().enumerate() {
         let part = numbered_body(200_000);
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_streamed_response_may_outlast_the_deadline() {
-    let server = Stub::start(|_| Reply::NoAnswer);
+    let server = Stub::start(|_| Reply::NoResponse);
     let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     client.write(&saldo("s", "0.5"));
@@ -197,10 +197,10 @@
     let received = thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
         let mut received = Vec::new();
-        let mut piece = [0; 65536];
+        let mut buffer = [0; 65536];
         while received.len() < bytes {
-            match stream.read(&mut piece) {
-                Ok(n) if n > 0 => received.extend_from_slice(&piece[..n]),
+            match stream.read(&mut buffer) {
+                Ok(n) if n > 0 => received.extend_from_slice(&buffer[..n]),
                 _ => return received,
             }
         }
@@ -236,8 +236,8 @@
     let mut client = gateway.client();
     // The connection may be closed while the rest is still being written.
     drop(client.0.get_mut().write_all(abono("h", "3", &numbered_body(8_000_000)).as_bytes()));
-    let answer = client.read_response().expect("a response");
-    assert!(matches!(answer.status(), 429 | 503), "{}: the request never ran", answer.status());
-    assert!(!answer.header("retry-after").is_empty());
+    let response = client.read_response().expect("a response");
+    assert!(matches!(response.status(), 429 | 503), "{}: the request never ran", response.status());
+    assert!(!response.header("retry-after").is_empty());
     received.join().expect("the server's thread ends");
 }
--- a/quota-gateway/server/tests/clients.rs
+++ b/quota-gateway/server/tests/clients.rs
@@ -11,8 +11,8 @@
     let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
 
-    let answer = client.call(&saldo("a1", "2.000"));
-    assert_eq!((answer.status(), answer.text().as_str()), (200, format!("{} ", trace_id("a1")).as_str()));
+    let response = client.call(&saldo("a1", "2.000"));
+    assert_eq!((response.status(), response.text().as_str()), (200, format!("{} ", trace_id("a1")).as_str()));
     let forwarded = server.last_request();
     assert_eq!(forwarded.start_line[..2], ["GET".to_owned(), format!("/saldo?of={}", trace_id("a1"))]);
     assert!(!forwarded.headers.contains_key("idempotency-key"));
@@ -20,9 +20,9 @@
     assert!(wait > 0.0 && wait < 2.0, "{wait}: the server is given less time than the client waits");
 
     wait_for_reuse();
-    let answer = client.call(&abono("a2", "5", "pago 17"));
+    let response = client.call(&abono("a2", "5", "pago 17"));
     assert_eq!(
-        (answer.status(), answer.text().as_str()),
+        (response.status(), response.text().as_str()),
         (200, format!("{} pago 17", trace_id("a2")).as_str())
     );
     let forwarded = server.last_request();
@@ -83,10 +83,10 @@
         ("GET / HTTP/1.1\r\nHost: a\r\n\r\n".to_owned(), 404, "class"),
         ("POST /up HTTP/1.1\r\nHost: a\r\n\r\n".to_owned(), 400, "GET"),
     ] {
-        let answer = client.call(&request);
-        assert_eq!(answer.status(), status, "{request}");
-        assert!(answer.text().contains(word), "{word} in {}", answer.text());
-        assert_eq!(answer.text().trim_end().lines().count(), 1);
+        let response = client.call(&request);
+        assert_eq!(response.status(), status, "{request}");
+        assert!(response.text().contains(word), "{word} in {}", response.text());
+        assert_eq!(response.text().trim_end().lines().count(), 1);
     }
     // A body of more than 32 MiB is rejected: at once if its length is declared, and if it is chunked, once
     // that much has arrived.
@@ -102,9 +102,9 @@
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let over_quota = saldo("r", "2").replace("X-Contract: basico", "X-Contract: nada");
-    let answer = gateway.client().call(&over_quota);
-    assert!(matches!(answer.status(), 429 | 503), "{}", answer.status());
-    let wait: f64 = answer.header("retry-after").parse().expect("a number of seconds");
+    let response = gateway.client().call(&over_quota);
+    assert!(matches!(response.status(), 429 | 503), "{}", response.status());
+    let wait: f64 = response.header("retry-after").parse().expect("a number of seconds");
     assert!(wait > 0.0 && wait <= 0.5, "{wait}: Retry-After is at most MaxRetryAfter");
     assert_eq!(server.requests(), 0);
 }
@@ -117,11 +117,11 @@
     assert_eq!(client.call(&saldo("f", "4")).status(), 200, "a first attempt");
     let unmarked = saldo("s", "2");
     let marked = unmarked.replace("X-Unknown: 1", "X-Second-Try: 1");
-    let answer = client.call(&marked);
+    let response = client.call(&marked);
     assert!(
-        matches!(answer.status(), 429 | 503),
+        matches!(response.status(), 429 | 503),
         "{}: 2 of 4 s are left, and the latency target of 1.5 s has passed",
-        answer.status()
+        response.status()
     );
     assert_eq!(server.requests(), 1);
     assert_eq!(client.call(&unmarked).status(), 200, "a request that is not marked as a retry is served");
@@ -129,7 +129,7 @@
 
 #[test]
 fn a_client_disconnect_cancels_its_attempt() {
-    let server = Stub::start(|_| Reply::NoAnswer);
+    let server = Stub::start(|_| Reply::NoResponse);
     let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     client.write(&saldo("h", "4"));
@@ -149,7 +149,7 @@
 fn more_clients_than_descriptors_are_all_served() {
     let server = Stub::start(|_| ok("served"));
     let agent = Agent::start();
-    let known = list(1, true, &serving(&[&server]));
+    let known = endpoint_list(1, true, &serving(&[&server]));
     let small =
         config("127.0.0.1:0", agent.stub.addr, Some(&known)).replace(r#""sockets":256"#, r#""sockets":64"#);
     let gateway = GatewayProcess::start_in_shell("ulimit -n 64; exec \"$0\"", &small);
@@ -168,7 +168,7 @@
 fn the_gateway_recovers_from_descriptor_exhaustion() {
     let server = Stub::start(|_| ok("served"));
     let agent = Agent::start();
-    let known = list(1, true, &serving(&[&server]));
+    let known = endpoint_list(1, true, &serving(&[&server]));
     // The process limit is lower than the configured number of sockets.
     let gateway = GatewayProcess::start_in_shell(
         "ulimit -n 32; exec \"$0\"",
@@ -187,7 +187,7 @@
 fn unfinished_heads_do_not_block_other_clients() {
     let server = Stub::start(|_| ok("served"));
     let agent = Agent::start();
-    let known = list(1, true, &serving(&[&server]));
+    let known = endpoint_list(1, true, &serving(&[&server]));
     let small =
         config("127.0.0.1:0", agent.stub.addr, Some(&known)).replace(r#""sockets":256"#, r#""sockets":64"#);
     let gateway = GatewayProcess::start(&small);
@@ -211,9 +211,9 @@
         let mut client = gateway.client();
         // The response may arrive before all of the request is sent.
         drop(std::io::Write::write_all(client.0.get_mut(), request.as_bytes()));
-        let answer = client.read_response().expect("a response");
-        assert_eq!((answer.status(), answer.header("connection")), (status, "close"), "{request:.60}");
-        assert!(answer.text().contains(word), "{}", answer.text());
+        let response = client.read_response().expect("a response");
+        assert_eq!((response.status(), response.header("connection")), (status, "close"), "{request:.60}");
+        assert!(response.text().contains(word), "{}", response.text());
         assert!(client.is_closed());
     }
     // A declared length is enough for a rejection, and a client that goes on sending can still read the
@@ -244,8 +244,8 @@
     ] {
         let mut client = gateway.client();
         client.write(&(abono("outer", "3", "").replace("Content-Length: 0", &lengths) + &chunks));
-        let answer = client.read_response().expect("a response");
-        assert_eq!((answer.status(), answer.header("connection")), (400, "close"), "{lengths}");
+        let response = client.read_response().expect("a response");
+        assert_eq!((response.status(), response.header("connection")), (400, "close"), "{lengths}");
         assert!(client.is_closed(), "{lengths}");
     }
     assert_eq!(server.requests(), 0);
@@ -255,8 +255,8 @@
     let request = abono("c", "3", "").replace("Content-Length: 0", coding) + chunks;
     client.write(&(request + &saldo("behind", "3")));
     for body in ["pago", ""] {
-        let answer = client.read_response().expect("a response");
-        assert_eq!((answer.status(), answer.header("connection")), (200, ""));
+        let response = client.read_response().expect("a response");
+        assert_eq!((response.status(), response.header("connection")), (200, ""));
         assert_eq!(
             server.received.lock().unwrap().iter().filter(|request| request.text() == body).count(),
             1
@@ -267,16 +267,16 @@
 
 #[test]
 fn the_trace_id_of_a_request_in_flight_is_reserved() {
-    let server = Stub::start(|_| Reply::NoAnswer);
+    let server = Stub::start(|_| Reply::NoResponse);
     let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut first = gateway.client();
     first.write(&abono("same", "7", "pago"));
     until("the server has the request", || server.requests() == 1);
     let mut second = gateway.client();
-    let answer = second.call(&saldo("same", "3"));
-    assert_eq!(answer.status(), 400);
-    assert!(answer.text().contains("x-trace-id"), "{}", answer.text());
-    server.answer_pending(&ok("first"));
+    let response = second.call(&saldo("same", "3"));
+    assert_eq!(response.status(), 400);
+    assert!(response.text().contains("x-trace-id"), "{}", response.text());
+    server.respond_to_pending(&ok("first"));
     assert_eq!(first.read_response().expect("a response").text(), "first");
     server.set_handler(|_| ok("again"));
     assert_eq!(
@@ -290,18 +290,18 @@
 fn slow_clients_time_out() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
-    let mut silent = gateway.client();
+    let mut unused = gateway.client();
     let mut slow_head = gateway.client();
     slow_head.write("GET /saldo HTTP/1.1\r\nX-Qos:");
     let mut slow_body = gateway.client();
     slow_body.write(&abono("s", "7", "pago").replace("Content-Length: 4", "Content-Length: 5"));
     let mut idle = gateway.client();
     assert_eq!(idle.call(&saldo("k", "3")).status(), 200);
-    assert!(silent.is_closed(), "a connection without a request");
+    assert!(unused.is_closed(), "a connection without a request");
     for (what, mut client) in [("head", slow_head), ("body", slow_body)] {
-        let answer = client.read_response().expect("a response");
-        assert_eq!(answer.status(), 408, "{what}");
-        assert!(answer.text().contains(what), "{}", answer.text());
+        let response = client.read_response().expect("a response");
+        assert_eq!(response.status(), 408, "{what}");
+        assert!(response.text().contains(what), "{}", response.text());
         assert!(client.is_closed(), "{what}");
     }
     assert!(idle.is_closed(), "a connection without a further request");
@@ -309,17 +309,17 @@
 }
 
 #[test]
-fn silent_connections_do_not_block_other_clients() {
+fn connections_without_a_request_do_not_block_other_clients() {
     let server = Stub::start(|_| ok("served"));
     let agent = Agent::start();
-    let known = list(1, true, &serving(&[&server]));
+    let known = endpoint_list(1, true, &serving(&[&server]));
     let small =
         config("127.0.0.1:0", agent.stub.addr, Some(&known)).replace(r#""sockets":256"#, r#""sockets":64"#);
     let gateway = GatewayProcess::start(&small);
     let mut active = gateway.client();
     assert_eq!(active.call(&saldo("g0", "3")).status(), 200);
-    let _silent: Vec<Client> = (0..300).map(|_| gateway.client()).collect();
-    // Waiting for each silent connection in turn would take half a minute, longer than the client waits.
+    let _idle: Vec<Client> = (0..300).map(|_| gateway.client()).collect();
+    // Waiting for each idle connection in turn would take half a minute, longer than the client waits.
     assert_eq!(gateway.client().call(&saldo("g1", "4")).status(), 200);
     assert!(!gateway.log().contains("accept"), "the gateway has enough descriptors: {}", gateway.log());
 }
--- a/quota-gateway/server/tests/common/mod.rs
+++ b/quota-gateway/server/tests/common/mod.rs
@@ -82,27 +82,27 @@
 #[derive(Clone)]
 pub enum Reply {
     /// Sends a response with this status, these header lines and this body.
-    Answer(u16, &'static str, String),
+    Respond(u16, &'static str, String),
     /// Sends 200 with this body, and closes the connection without having announced it.
-    AnswerAndClose(String),
+    RespondAndClose(String),
     /// Sends these bytes unchanged, and closes the connection.
     RawAndClose(&'static str),
     /// Sends these bytes unchanged, and keeps the connection open.
     RawKeepOpen(String),
     /// Sends 200 with the first text as its body, and the second text as surplus bytes 50 ms later.
-    AnswerThenBytes(String, String),
+    RespondThenBytes(String, String),
     /// Keeps the connection open and sends nothing.
-    NoAnswer,
+    NoResponse,
 }
 
 /// Status 200 with this body.
 pub fn ok(body: &str) -> Reply {
-    Reply::Answer(200, "", body.to_owned())
+    Reply::Respond(200, "", body.to_owned())
 }
 
 type Handler = dyn Fn(&Message) -> Reply + Send + Sync;
 
-/// A server that answers with a handler function and records the requests that it receives.
+/// A server that responds by a handler function and records the requests that it receives.
 #[derive(Clone)]
 pub struct Stub {
     pub addr: SocketAddr,
@@ -112,7 +112,7 @@
     /// Number of connections that the client has closed.
     pub closed: Arc<AtomicUsize>,
     handler: Arc<Mutex<Arc<Handler>>>,
-    /// Connections whose last request was not answered.
+    /// Connections whose last request has no response.
     unanswered: Arc<Mutex<Vec<TcpStream>>>,
 }
 
@@ -149,16 +149,16 @@
             self.received.lock().unwrap().push(message.clone());
             let handler = self.handler.lock().unwrap().clone();
             let (text, close) = match handler(&message) {
-                Reply::Answer(status, headers, body) => (response_text(status, headers, &body), false),
-                Reply::AnswerAndClose(body) => (response_text(200, "", &body), true),
+                Reply::Respond(status, headers, body) => (response_text(status, headers, &body), false),
+                Reply::RespondAndClose(body) => (response_text(200, "", &body), true),
                 Reply::RawAndClose(text) => (text.to_owned(), true),
                 Reply::RawKeepOpen(text) => (text, false),
-                Reply::AnswerThenBytes(body, surplus) => {
+                Reply::RespondThenBytes(body, surplus) => {
                     writer.write_all(response_text(200, "", &body).as_bytes()).expect("write succeeds");
                     thread::sleep(Duration::from_millis(50));
                     (surplus, false)
                 }
-                Reply::NoAnswer => {
+                Reply::NoResponse => {
                     self.unanswered.lock().unwrap().push(writer.try_clone().expect("duplicate the socket"));
                     continue;
                 }
@@ -170,15 +170,15 @@
         self.closed.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Answers with this handler from now on.
+    /// Responds by this handler from now on.
     pub fn set_handler(&self, handler: impl Fn(&Message) -> Reply + Send + Sync + 'static) {
         *self.handler.lock().unwrap() = Arc::new(handler);
     }
 
-    /// Answers the requests that were left unanswered so far.
-    pub fn answer_pending(&self, reply: &Reply) {
-        let Reply::Answer(status, headers, body) = reply else {
-            panic!("only Reply::Answer can be sent later")
+    /// Responds to the requests that were left unanswered so far.
+    pub fn respond_to_pending(&self, reply: &Reply) {
+        let Reply::Respond(status, headers, body) = reply else {
+            panic!("only Reply::Respond can be sent later")
         };
         for mut stream in self.unanswered.lock().unwrap().drain(..) {
             stream.write_all(response_text(*status, headers, body).as_bytes()).expect("write succeeds");
@@ -241,10 +241,10 @@
             let has_no_reply = |q: &mut ReplyQueue| q.replies.is_empty() || q.newest_call != call;
             let (mut queue, _) = changed.wait_timeout_while(queue, wait, has_no_reply).unwrap();
             if queue.newest_call != call {
-                return Reply::NoAnswer;
+                return Reply::NoResponse;
             }
-            let no_changes = watch.map(|(since, _)| ok(&list(since, false, &[])));
-            queue.replies.pop().or(no_changes).unwrap_or(Reply::NoAnswer)
+            let no_changes = watch.map(|(since, _)| ok(&endpoint_list(since, false, &[])));
+            queue.replies.pop().or(no_changes).unwrap_or(Reply::NoResponse)
         });
         Agent { stub, queue }
     }
@@ -265,7 +265,7 @@
     }
 }
 
-/// The version after which a watch asks for changes, and how long the agent may wait before it answers;
+/// The version after which a watch asks for changes, and how long the agent may wait before it responds;
 /// `None` for a call for the full list.
 pub fn parse_watch(call: &Message) -> Option<(u64, Duration)> {
     let (since, wait) = call.start_line[1].split_once("?since=")?.1.split_once("&timeout_ms=")?;
@@ -276,7 +276,7 @@
 }
 
 /// The JSON text of an endpoint list with these stubs and their states.
-pub fn list(version: u64, full: bool, servers: &[(&Stub, &str)]) -> String {
+pub fn endpoint_list(version: u64, full: bool, servers: &[(&Stub, &str)]) -> String {
     let hosts_by_address: Vec<_> = servers.iter().map(|(stub, state)| (stub.addr, *state)).collect();
     hosts(version, full, &hosts_by_address)
 }
@@ -395,7 +395,7 @@
     /// Starts a gateway whose initial endpoint list has these servers, with an agent that reports no changes.
     pub fn with_servers(servers: &[&Stub]) -> (GatewayProcess, Agent) {
         let agent = Agent::start();
-        let known = list(1, true, &serving(servers));
+        let known = endpoint_list(1, true, &serving(servers));
         (GatewayProcess::start(&config("127.0.0.1:0", agent.stub.addr, Some(&known))), agent)
     }
 
@@ -404,7 +404,7 @@
     }
 
     /// Starts a gateway with a console and these servers. The configuration has a non-idempotent class
-    /// (`nomina`) and sends no second copies; `change` edits it before the start.
+    /// (`nomina`) and does not hedge; `change` edits it before the start.
     pub fn with_non_idempotent_class(
         servers: &[SocketAddr],
         change: impl Fn(String) -> String,
@@ -427,7 +427,7 @@
     /// Starts a gateway with a console and these servers.
     pub fn with_console(servers: &[&Stub]) -> (GatewayProcess, Agent) {
         let agent = Agent::start();
-        let known = list(1, true, &serving(servers));
+        let known = endpoint_list(1, true, &serving(servers));
         let config = config("127.0.0.1:0", agent.stub.addr, Some(&known));
         (GatewayProcess::start_with("exec \"$0\"", &config, &[("RELAY_CONSOLE", "127.0.0.1:0")]), agent)
     }
@@ -443,9 +443,9 @@
     pub fn console_response(&self, method: &str, path: &str) -> Message {
         let mut caller = Client::connect(self.console());
         caller.write(&format!("{method} {path} HTTP/1.1\r\nHost: console\r\n\r\n"));
-        let answer = caller.read_response().expect("a response");
+        let response = caller.read_response().expect("a response");
         assert!(caller.is_closed(), "the console serves one call per connection");
-        answer
+        response
     }
 
     /// Sends a call to the console, and returns the status of the response.
@@ -531,8 +531,8 @@
     pub fn call(&mut self, request: &str) -> Message {
         let addr = self.0.get_ref().peer_addr().expect("a connected socket");
         let written = self.0.get_mut().write_all(request.as_bytes());
-        if let Some(answer) = written.ok().and_then(|()| self.read_response()) {
-            return answer;
+        if let Some(response) = written.ok().and_then(|()| self.read_response()) {
+            return response;
         }
         *self = Client::connect(addr);
         self.write(request);
--- a/quota-gateway/server/tests/discovery_outages.rs
+++ b/quota-gateway/server/tests/discovery_outages.rs
@@ -14,13 +14,13 @@
 /// A draining server must get no new requests from this long after the change was published.
 const MAX_UPDATE_DELAY: Duration = Duration::from_millis(500);
 
-/// A discovery agent that can stop answering. It answers a call for the full list at once, and a watch after
-/// its wait. Calls that are in flight while it does not answer are never answered.
+/// A discovery agent that can stop responding. It responds to a call for the full list at once, and to a
+/// watch after its wait. Calls that are in flight while it is unresponsive never get a response.
 #[derive(Clone, Default)]
 struct PausableAgent {
     is_unresponsive: Arc<AtomicBool>,
-    /// When it last answered a call.
-    last_answered_at: Arc<Mutex<Option<Instant>>>,
+    /// When it last responded to a call.
+    last_response_at: Arc<Mutex<Option<Instant>>>,
 }
 
 impl PausableAgent {
@@ -30,10 +30,10 @@
             thread::sleep(wait);
         }
         if self.is_unresponsive.load(Ordering::SeqCst) {
-            return Reply::NoAnswer;
+            return Reply::NoResponse;
         }
-        *self.last_answered_at.lock().unwrap() = Some(Instant::now());
-        ok(&list(watch.map_or(7, |(since, _)| since), watch.is_none(), &[]))
+        *self.last_response_at.lock().unwrap() = Some(Instant::now());
+        ok(&endpoint_list(watch.map_or(7, |(since, _)| since), watch.is_none(), &[]))
     }
 
     fn start(is_unresponsive: bool) -> (PausableAgent, Stub) {
@@ -43,34 +43,34 @@
         (agent, Stub::start(move |call| handler.respond(call)))
     }
 
-    /// Answers again, and returns the time until the first call is answered.
+    /// Responds again, and returns the time until the first call gets a response.
     fn resume(&self) -> Duration {
         let since = Instant::now();
         self.is_unresponsive.store(false, Ordering::SeqCst);
-        self.time_to_answer_since(since)
+        self.time_to_response_since(since)
     }
 
     /// Waits until a call is answered after `since`, and returns the time between.
-    fn time_to_answer_since(&self, since: Instant) -> Duration {
+    fn time_to_response_since(&self, since: Instant) -> Duration {
         let mut took = None;
-        until("the agent answers a call", || {
+        until("the agent responds to a call", || {
             let answered_at =
-                self.last_answered_at.lock().unwrap().filter(|answered_at| *answered_at > since);
+                self.last_response_at.lock().unwrap().filter(|answered_at| *answered_at > since);
             took = answered_at.map(|answered_at| answered_at - since);
             took.is_some()
         });
         took.expect("answered above")
     }
 
-    /// Stops answering, after one more answered call.
-    fn stop_answering(&self) {
-        self.time_to_answer_since(Instant::now());
+    /// Stops responding, after one more response.
+    fn stop_responding(&self) {
+        self.time_to_response_since(Instant::now());
         self.is_unresponsive.store(true, Ordering::SeqCst);
     }
 }
 
 fn start_gateway(agent: SocketAddr) -> GatewayProcess {
-    let known = list(1, true, &[]);
+    let known = endpoint_list(1, true, &[]);
     GatewayProcess::start(&config("127.0.0.1:0", agent, Some(&known)))
 }
 
@@ -89,7 +89,7 @@
         assert_prompt(state, || {
             let (agent, stub) = PausableAgent::start(false);
             let _gateway = start_gateway(stub.addr);
-            agent.stop_answering();
+            agent.stop_responding();
             thread::sleep(Duration::from_millis(outage_ms));
             agent.resume()
         });
@@ -131,7 +131,7 @@
             let agent = PausableAgent::default();
             let (handler, listener) = (agent.clone(), std::net::TcpListener::from(socket));
             Stub::on(listener, move |call| handler.respond(call));
-            agent.time_to_answer_since(since)
+            agent.time_to_response_since(since)
         });
     }
 }
@@ -141,7 +141,7 @@
     assert_prompt("a changed address", || {
         let (first, stub) = PausableAgent::start(false);
         let gateway = start_gateway(stub.addr);
-        first.stop_answering();
+        first.stop_responding();
         let (second, second_stub) = PausableAgent::start(true);
         gateway.reload(&config("127.0.0.1:0", second_stub.addr, None));
         until("the second agent is called", || second_stub.requests() > 0);
@@ -155,10 +155,10 @@
 fn idle_clients_that_use_all_descriptors_do_not_block_discovery() {
     assert_prompt("many idle clients", || {
         let (agent, stub) = PausableAgent::start(false);
-        let small = config("127.0.0.1:0", stub.addr, Some(&list(1, true, &[])))
+        let small = config("127.0.0.1:0", stub.addr, Some(&endpoint_list(1, true, &[])))
             .replace(r#""sockets":256"#, r#""sockets":64"#);
         let gateway = GatewayProcess::start_in_shell("ulimit -n 64; exec \"$0\"", &small);
-        agent.stop_answering();
+        agent.stop_responding();
         let idle: Vec<TcpStream> =
             (0..100).map(|_| TcpStream::connect(gateway.addr).expect("connect")).collect();
         thread::sleep(Duration::from_millis(1000));
@@ -173,7 +173,7 @@
 #[test]
 fn a_polled_endpoint_list_is_not_requested_more_often() {
     let (agent, stub) = PausableAgent::start(true);
-    let settings = config("127.0.0.1:0", stub.addr, Some(&list(1, true, &[])));
+    let settings = config("127.0.0.1:0", stub.addr, Some(&endpoint_list(1, true, &[])));
     let _gateway = GatewayProcess::start(&settings.replace(r#""Discovery":"push""#, r#""Discovery":"ask""#));
     until("the gateway watches the list", || stub.requests() == 1);
     thread::sleep(Duration::from_secs(2));
--- a/quota-gateway/server/tests/list.rs
+++ b/quota-gateway/server/tests/discovery_service.rs
@@ -101,9 +101,9 @@
         let (mut sent, mut failures) = (0, Vec::new());
         // The limit ends the thread if the test panics.
         while !stop.load(Ordering::SeqCst) && sent < 20_000 {
-            let answer = client.call(&saldo(&format!("{sent:x}"), "3"));
-            if answer.status() != 200 && failures.len() < 10 {
-                failures.push(format!("request {sent}: {} {}", answer.status(), answer.text()));
+            let response = client.call(&saldo(&format!("{sent:x}"), "3"));
+            if response.status() != 200 && failures.len() < 10 {
+                failures.push(format!("request {sent}: {} {}", response.status(), response.text()));
             }
             sent += 1;
             thread::sleep(Duration::from_millis(1));
@@ -213,28 +213,32 @@
     let settings =
         with_discovery_service(config("127.0.0.1:0", agent.stub.addr, None), r#""missing_hold_ms":1500"#);
     let gateway = GatewayProcess::start_with("exec \"$0\"", &settings, &[("RELAY_CONSOLE", "127.0.0.1:0")]);
-    agent.queue_reply(ok(&list(
+    agent.queue_reply(ok(&endpoint_list(
         1,
         true,
         &[(&stubs[0], "SERVING"), (&stubs[1], "SERVING"), (&stubs[2], "DRAINING")],
     )));
     agent.wait_for_watch(1);
-    agent.queue_reply(ok(&list(2, true, &[])));
+    agent.queue_reply(ok(&endpoint_list(2, true, &[])));
     agent.wait_for_watch(2);
     let mut client = gateway.client();
-    assert_eq!(client.call(&saldo("m1", "3")).status(), 200, "the missing servers are suspects, and serve");
-    assert_eq!(stubs[2].requests(), 0, "a server that drained is no suspect");
+    assert_eq!(
+        client.call(&saldo("m1", "3")).status(),
+        200,
+        "missing servers keep serving until they are removed"
+    );
+    assert_eq!(stubs[2].requests(), 0, "a drained server that is missing is removed at once");
     assert_eq!(gateway.metric("marblecroft_list_suspects"), 2.0);
     // A server that is listed as deleted is removed at once.
-    agent.queue_reply(ok(&list(3, false, &[(&stubs[0], "DELETED")])));
+    agent.queue_reply(ok(&endpoint_list(3, false, &[(&stubs[0], "DELETED")])));
     agent.wait_for_watch(3);
     for n in 0..5 {
         assert_eq!(client.call(&saldo(&format!("m2{n}"), "3")).text(), "b");
     }
     // The other one is not listed again, and is removed after the removal delay.
-    agent.queue_reply(ok(&list(3, false, &[])));
-    until("the suspect is removed", || {
-        agent.queue_reply(ok(&list(3, false, &[])));
+    agent.queue_reply(ok(&endpoint_list(3, false, &[])));
+    until("the missing server is removed", || {
+        agent.queue_reply(ok(&endpoint_list(3, false, &[])));
         gateway.metric("marblecroft_list_suspects") == 0.0
     });
     assert_eq!(client.call(&saldo("m3", "3")).status(), 503, "no server is left");
--- a/quota-gateway/server/tests/lifecycle.rs
+++ b/quota-gateway/server/tests/lifecycle.rs
@@ -57,7 +57,7 @@
     assert_eq!(client.call(up).status(), 503);
     until("the gateway requests the full list", || agent.stub.requests() == 1);
     assert_eq!(agent.stub.last_request().start_line[1], "/discovery/hosts");
-    agent.queue_reply(ok(&list(7, true, &serving(&[&server]))));
+    agent.queue_reply(ok(&endpoint_list(7, true, &serving(&[&server]))));
     until("the gateway is ready", || client.call(up).status() == 200);
     assert_eq!(client.call(&saldo("u", "3")).status(), 200);
 }
@@ -69,7 +69,7 @@
     let mut client = gateway.client();
     agent.wait_for_watch(1);
     assert_eq!(client.call(&saldo("l1", "3")).text(), "a");
-    agent.queue_reply(ok(&list(2, false, &[(&servers[0], "DRAINING"), (&servers[1], "SERVING")])));
+    agent.queue_reply(ok(&endpoint_list(2, false, &[(&servers[0], "DRAINING"), (&servers[1], "SERVING")])));
     agent.wait_for_watch(2);
     for n in 0..10 {
         assert_eq!(
@@ -82,12 +82,12 @@
         servers[0].closed.load(Ordering::SeqCst) == 1
     });
     // Servers that are missing from a full list are removed.
-    agent.queue_reply(ok(&list(3, true, &serving(&[&servers[2]]))));
+    agent.queue_reply(ok(&endpoint_list(3, true, &serving(&[&servers[2]]))));
     agent.wait_for_watch(3);
     for n in 0..10 {
         assert_eq!(client.call(&saldo(&format!("l3{n}"), "3")).text(), "c");
     }
-    agent.queue_reply(ok(&list(4, false, &[(&servers[2], "DELETED")])));
+    agent.queue_reply(ok(&endpoint_list(4, false, &[(&servers[2], "DELETED")])));
     agent.wait_for_watch(4);
     assert!(matches!(client.call(&saldo("l4", "3")).status(), 429 | 503), "no server is left");
 }
@@ -97,10 +97,10 @@
     let server = Stub::start(|_| ok("served"));
     let (gateway, agent) = GatewayProcess::with_servers(&[&server]);
     for version in 2..6 {
-        agent.queue_reply(Reply::Answer(
+        agent.queue_reply(Reply::Respond(
             200,
             "Connection: close\r\n",
-            list(version, true, &serving(&[&server])),
+            endpoint_list(version, true, &serving(&[&server])),
         ));
         agent.wait_for_watch(version);
     }
@@ -116,12 +116,12 @@
     let calls = agent.stub.requests();
     agent.queue_reply(ok(r#"{"version":9,"full":true,"servers":[{"id":"s-1","addr":"nowhere"}]}"#));
     agent.queue_reply(Reply::RawAndClose(""));
-    agent.queue_reply(Reply::Answer(500, "", String::new()));
-    // The gateway abandons a call without an answer, and calls again by itself.
-    agent.queue_reply(Reply::NoAnswer);
+    agent.queue_reply(Reply::Respond(500, "", String::new()));
+    // The gateway abandons a call without a response, and calls again by itself.
+    agent.queue_reply(Reply::NoResponse);
     until("the gateway calls again each time", || agent.stub.requests() >= calls + 4);
     assert_eq!(client.call(&saldo("o1", "3")).text(), "a");
-    agent.queue_reply(ok(&list(5, true, &serving(&[&servers[1]]))));
+    agent.queue_reply(ok(&endpoint_list(5, true, &serving(&[&servers[1]]))));
     agent.wait_for_watch(5);
     assert_eq!(client.call(&saldo("o2", "3")).text(), "b");
     assert_eq!(gateway.log().matches("malformed list").count(), 1, "{}", gateway.log());
@@ -133,15 +133,15 @@
     let (gateway, agent) = GatewayProcess::with_servers(&[&servers[0]]);
     agent.wait_for_watch(1);
     let calls = agent.stub.requests();
-    // The watch is cut off, and the agent does not answer two further calls.
+    // The watch is cut off, and the agent does not respond to two further calls.
     agent.queue_reply(Reply::RawAndClose(""));
-    agent.queue_reply(Reply::NoAnswer);
-    agent.queue_reply(Reply::NoAnswer);
+    agent.queue_reply(Reply::NoResponse);
+    agent.queue_reply(Reply::NoResponse);
     until("the gateway calls again each time", || agent.stub.requests() >= calls + 3);
     for call in &agent.stub.received.lock().unwrap()[calls..] {
         assert_eq!(call.start_line[1], "/discovery/hosts", "a watch would wait for changes");
     }
-    agent.queue_reply(ok(&list(5, true, &serving(&[&servers[1]]))));
+    agent.queue_reply(ok(&endpoint_list(5, true, &serving(&[&servers[1]]))));
     agent.wait_for_watch(5);
     assert_eq!(gateway.client().call(&saldo("w", "3")).text(), "b");
 }
@@ -155,13 +155,13 @@
     agent.wait_for_watch(1);
     let calls = agent.stub.requests();
     for _ in 0..3 {
-        agent.queue_reply(Reply::Answer(503, "", String::new()));
+        agent.queue_reply(Reply::Respond(503, "", String::new()));
     }
     until("the gateway calls again each time", || agent.stub.requests() >= calls + 3);
     for call in &agent.stub.received.lock().unwrap()[calls..] {
         assert!(call.start_line[1].starts_with("/discovery/hosts?since=1&"), "{:?}", call.start_line);
     }
-    agent.queue_reply(ok(&list(5, true, &serving(&[&servers[1]]))));
+    agent.queue_reply(ok(&endpoint_list(5, true, &serving(&[&servers[1]]))));
     agent.wait_for_watch(5);
     assert_eq!(gateway.client().call(&saldo("w", "3")).text(), "b");
     assert_eq!(
@@ -173,8 +173,8 @@
 }
 
 #[test]
-fn sigterm_answers_accepted_and_still_arriving_requests() {
-    let server = Stub::start(|_| Reply::NoAnswer);
+fn accepted_and_still_arriving_requests_are_served_after_sigterm() {
+    let server = Stub::start(|_| Reply::NoResponse);
     let (mut gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut idle = gateway.client();
     assert_eq!(idle.call("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
@@ -188,12 +188,12 @@
     server.set_handler(|_| ok("served"));
     // A connection from before the signal that has sent no request yet, and one from after the signal.
     for client in [&mut unused, &mut new] {
-        let answer = client.call(&saldo("t2", "3"));
-        assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
+        let response = client.call(&saldo("t2", "3"));
+        assert_eq!((response.status(), response.header("connection")), (200, "close"));
         assert!(client.is_closed());
     }
-    let answer = in_flight.read_response().expect("the request in flight is answered");
-    assert_eq!(answer.header("connection"), "close");
+    let response = in_flight.read_response().expect("the request in flight is answered");
+    assert_eq!(response.header("connection"), "close");
     assert!(gateway.exit().success());
     assert!(std::net::TcpStream::connect(gateway.addr).is_err());
 }
@@ -208,7 +208,7 @@
     gateway.child.kill().expect("kill the gateway");
     gateway.exit();
     assert!(client.is_closed());
-    let known = list(1, true, &serving(&[&server]));
+    let known = endpoint_list(1, true, &serving(&[&server]));
     let restarted = GatewayProcess::start(&config(&addr.to_string(), agent.stub.addr, Some(&known)));
     assert_eq!(restarted.addr, addr);
     assert_eq!(restarted.client().call(&saldo("k2", "3")).status(), 200);
@@ -216,9 +216,9 @@
 
 #[test]
 fn sighup_changes_discovery_and_keeps_requests_and_connections() {
-    let servers = [Stub::start(|_| Reply::NoAnswer), Stub::start(|_| ok("b"))];
+    let servers = [Stub::start(|_| Reply::NoResponse), Stub::start(|_| ok("b"))];
     let (old, new) = (Agent::start(), Agent::start());
-    let known = list(41, true, &serving(&[&servers[0]]));
+    let known = endpoint_list(41, true, &serving(&[&servers[0]]));
     let old_addr = old.stub.addr.to_string();
     // The environment variable names the old agent; after a reload the file takes precedence.
     let gateway = GatewayProcess::start_with(
@@ -238,15 +238,15 @@
     gateway.reload(&config("127.0.0.1:0", new.stub.addr, None));
     until("the new agent is called", || new.stub.requests() == 1);
     assert_eq!(new.stub.last_request().start_line[1], "/discovery/hosts", "the call is for the full list");
-    servers[0].answer_pending(&ok("a"));
+    servers[0].respond_to_pending(&ok("a"));
     assert_eq!(client.read_response().expect("the request in flight is answered").text(), "a");
     // A lower version than the old agent's: versions of different agents are not comparable.
-    new.queue_reply(ok(&list(3, true, &serving(&[&servers[1]]))));
+    new.queue_reply(ok(&endpoint_list(3, true, &serving(&[&servers[1]]))));
     new.wait_for_watch(3);
     assert_eq!(client.call(&saldo("r2", "3")).text(), "b", "on the same connection as before");
     let calls = old.stub.requests();
-    // The old agent's answer to the watch that was in flight is ignored.
-    old.queue_reply(ok(&list(42, true, &serving(&[&servers[0]]))));
+    // The old agent's response to the watch that was in flight is ignored.
+    old.queue_reply(ok(&endpoint_list(42, true, &serving(&[&servers[0]]))));
     assert_eq!(client.call(&saldo("r3", "3")).text(), "b");
     assert_eq!(old.stub.requests(), calls, "the old agent is not called again");
     // Another reload switches back to the old agent.
@@ -263,13 +263,13 @@
     let mut client = gateway.client();
     assert_eq!(client.call(&saldo("e0", "3")).text(), "a");
     // The first entry's state is unknown, so its server gets no new requests; the second entry is valid.
-    let malformed = list(2, false, &[(&servers[0], "ASLEEP"), (&servers[1], "SERVING")]);
+    let malformed = endpoint_list(2, false, &[(&servers[0], "ASLEEP"), (&servers[1], "SERVING")]);
     agent.queue_reply(ok(&malformed));
     agent.wait_for_watch(2);
     for n in 0..10 {
         assert_eq!(client.call(&saldo(&format!("e1{n}"), "3")).text(), "b");
     }
-    agent.queue_reply(ok(&list(3, true, &[(&servers[1], "SERVING")]).replace("[{", "[7,{}, {")));
+    agent.queue_reply(ok(&endpoint_list(3, true, &[(&servers[1], "SERVING")]).replace("[{", "[7,{}, {")));
     agent.wait_for_watch(3);
     assert_eq!(client.call(&saldo("e2", "3")).text(), "b");
     assert_eq!(gateway.log().matches("cannot be read").count(), 1, "{}", gateway.log());
@@ -277,17 +277,17 @@
 
 #[test]
 fn a_new_server_at_a_reused_address_gets_new_connections() {
-    let server = Stub::start(|_| Reply::NoAnswer);
+    let server = Stub::start(|_| Reply::NoResponse);
     let (gateway, agent) = GatewayProcess::with_servers(&[&server]);
     agent.wait_for_watch(1);
     let mut client = gateway.client();
     client.write(&saldo("n0", "3.5"));
     until("the server has the request", || server.requests() == 1);
     // The server is replaced by another one at the same address while an attempt is in flight.
-    let replaced = list(2, true, &serving(&[&server])).replace("\"id\":\"s-", "\"id\":\"t-");
+    let replaced = endpoint_list(2, true, &serving(&[&server])).replace("\"id\":\"s-", "\"id\":\"t-");
     agent.queue_reply(ok(&replaced));
     agent.wait_for_watch(2);
-    server.answer_pending(&ok("old"));
+    server.respond_to_pending(&ok("old"));
     assert_eq!(client.read_response().expect("a response").text(), "old");
     server.set_handler(|_| ok("new"));
     assert_eq!(client.call(&saldo("n1", "3")).text(), "new");
@@ -295,10 +295,10 @@
 }
 
 #[test]
-fn sigterm_waits_for_a_partial_first_request_but_not_for_silent_connections() {
+fn sigterm_waits_for_a_partial_first_request_but_not_for_connections_without_one() {
     let server = Stub::start(|_| ok("served"));
     let (mut gateway, _agent) = GatewayProcess::with_servers(&[&server]);
-    let _silent: Vec<Client> = (0..5).map(|_| gateway.client()).collect();
+    let _idle: Vec<Client> = (0..5).map(|_| gateway.client()).collect();
     let mut slow = gateway.client();
     let request = saldo("slow", "3");
     let (begun, rest) = request.split_at(30);
@@ -311,16 +311,16 @@
     // more than twice as long.
     std::thread::sleep(std::time::Duration::from_secs(1));
     slow.write(rest);
-    let answer = slow.read_response().expect("the request is served");
-    assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
+    let response = slow.read_response().expect("the request is served");
+    assert_eq!((response.status(), response.header("connection")), (200, "close"));
     assert!(gateway.exit().success());
 }
 
 #[test]
 fn requests_in_flight_are_answered_before_the_process_must_exit() {
-    let server = Stub::start(|_| Reply::NoAnswer);
+    let server = Stub::start(|_| Reply::NoResponse);
     let agent = Agent::start();
-    let known = list(1, true, &serving(&[&server]));
+    let known = endpoint_list(1, true, &serving(&[&server]));
     let mut gateway = GatewayProcess::start(&config("127.0.0.1:0", agent.stub.addr, Some(&known)));
     // The class allows clients to wait for 7.5 s; SIGKILL may come 3.7 s after SIGTERM.
     let mut client = gateway.client();
@@ -328,8 +328,8 @@
     until("the server has the request", || server.requests() == 1);
     let terminated_at = std::time::Instant::now();
     gateway.terminate();
-    let answer = client.read_response().expect("a response");
-    assert!(answer.status() >= 500, "{}: the request may have run", answer.status());
+    let response = client.read_response().expect("a response");
+    assert!(response.status() >= 500, "{}: the request may have run", response.status());
     assert!(terminated_at.elapsed().as_millis() < 3700, "{:?}", terminated_at.elapsed());
     assert!(gateway.exit().success());
 }
--- a/quota-gateway/server/tests/operations.rs
+++ b/quota-gateway/server/tests/operations.rs
@@ -18,7 +18,7 @@
     let config = config("127.0.0.1:0", agent.stub.addr, None);
     let gateway = GatewayProcess::start_with("exec \"$0\"", &config, &[("RELAY_CONSOLE", "127.0.0.1:0")]);
     assert_eq!(gateway.console_status("GET", "/ready"), 503, "there is no endpoint list yet");
-    agent.queue_reply(ok(&list(1, true, &[])));
+    agent.queue_reply(ok(&endpoint_list(1, true, &[])));
     until("the gateway is ready", || gateway.console_status("GET", "/ready") == 200);
     assert_eq!(gateway.client().call(UP_REQUEST).status(), 200);
 }
@@ -47,9 +47,9 @@
         // The response may arrive before all of the command is sent.
         let call = format!("{method} {path} HTTP/1.1\r\nHost: console\r\n\r\n");
         drop(caller.0.get_mut().write_all(call.as_bytes()));
-        let answer = caller.read_response().map(|answer| answer.status());
+        let response = caller.read_response().map(|response| response.status());
         let expected = if status == 431 { [Some(431), Some(414)] } else { [Some(status); 2] };
-        assert!(expected.contains(&answer), "{answer:?} to {method} {path:.60}");
+        assert!(expected.contains(&response), "{response:?} to {method} {path:.60}");
     }
     let disable = format!("PUT /pay-servers/disable?name={id} HTTP/1.1\r\n");
     for (call, status) in [
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn silent_console_callers_delay_neither_calls_nor_clients() {
+fn stalled_console_callers_delay_neither_calls_nor_clients() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = GatewayProcess::with_console(&[&server]);
     let mut stalled: Vec<Client> = (0..200).map(|_| Client::connect(gateway.console())).collect();
@@ -117,15 +117,15 @@
     until("the first server is used", || responses(1) == ["a"]);
     assert_eq!(gateway.console_status("PUT", &disable), 200);
     assert_eq!(gateway.console_status("PUT", &disable), 200, "the command may arrive twice");
-    assert!(responses(20).iter().all(|answer| answer == "b"));
+    assert!(responses(20).iter().all(|response| response == "b"));
     // The server is removed from the list, and added again with the same id.
     agent.wait_for_watch(1);
-    agent.queue_reply(ok(&list(2, false, &[(&servers[0], "DELETED")])));
+    agent.queue_reply(ok(&endpoint_list(2, false, &[(&servers[0], "DELETED")])));
     agent.wait_for_watch(2);
-    agent.queue_reply(ok(&list(3, true, &serving(&[&servers[0], &servers[1]]))));
+    agent.queue_reply(ok(&endpoint_list(3, true, &serving(&[&servers[0], &servers[1]]))));
     agent.wait_for_watch(3);
     assert!(
-        responses(20).iter().all(|answer| answer == "b"),
+        responses(20).iter().all(|response| response == "b"),
         "a change of the list does not enable the server"
     );
     assert_eq!(gateway.console_status("PUT", &enable), 200, "one command undoes both");
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_drained_gateway_serves_arriving_requests_and_closes_connections() {
-    let server = Stub::start(|_| Reply::NoAnswer);
+    let server = Stub::start(|_| Reply::NoResponse);
     let (mut gateway, _agent) = GatewayProcess::with_console(&[&server]);
     let (mut idle, mut reused) = (gateway.client(), gateway.client());
     assert_eq!(idle.call(UP_REQUEST).status(), 200);
@@ -153,17 +153,17 @@
     assert_eq!(gateway.console_status("PUT", "/drain"), 200);
     assert_eq!(gateway.console_status("PUT", "/drain"), 200);
     // The next request on a connection that is still open is served, and so is one on a new connection.
-    server.answer_pending(&ok("taken"));
+    server.respond_to_pending(&ok("taken"));
     server.set_handler(|_| ok("served"));
     for (client, request) in [(&mut reused, saldo("d2", "3")), (&mut gateway.client(), saldo("d3", "3"))] {
         wait_for_reuse();
         client.write(&request);
-        let answer = client.read_response().expect("the request is served");
-        assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
+        let response = client.read_response().expect("the request is served");
+        assert_eq!((response.status(), response.header("connection")), (200, "close"));
         assert!(client.is_closed());
     }
-    let answer = in_flight.read_response().expect("the request in flight is answered");
-    assert_eq!((answer.text().as_str(), answer.header("connection")), ("taken", "close"));
+    let response = in_flight.read_response().expect("the request in flight is answered");
+    assert_eq!((response.text().as_str(), response.header("connection")), ("taken", "close"));
     assert!(idle.is_closed(), "a connection that stays idle is closed");
     let up = gateway.client().call(UP_REQUEST);
     assert_eq!((up.status(), up.header("connection")), (503, "close"));
@@ -175,8 +175,8 @@
     for n in 0..3 {
         wait_for_reuse();
         client.write(&saldo(&format!("u{n}"), "3"));
-        let answer = client.read_response().expect("a response on the same connection");
-        assert_eq!((answer.status(), answer.header("connection")), (200, ""));
+        let response = client.read_response().expect("a response on the same connection");
+        assert_eq!((response.status(), response.header("connection")), (200, ""));
     }
     client.write(UP_REQUEST);
     assert_eq!(client.read_response().expect("a response").status(), 200);
--- a/quota-gateway/server/tests/races.rs
+++ b/quota-gateway/server/tests/races.rs
@@ -17,7 +17,7 @@
 const UP_REQUEST: &str = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
 /// Starts a gateway with a console and these servers. It has a long connect timeout and a non-idempotent
-/// class, and sends no second copies.
+/// class, and does not hedge.
 fn start_gateway(servers: &[SocketAddr], change: impl Fn(String) -> String) -> (GatewayProcess, Agent) {
     let (gateway, agent) = GatewayProcess::with_non_idempotent_class(servers, |config| {
         change(config.replace(r#""ConnectTimeout":250000000"#, r#""ConnectTimeout":5000000000"#))
@@ -104,9 +104,9 @@
     agent.wait_for_watch(2);
     let server = hanging.release();
     let connection = server.accept();
-    let answer = client.read_response().expect("a response");
+    let response = client.read_response().expect("a response");
     assert_eq!(
-        (answer.status(), answer.text().as_str()),
+        (response.status(), response.text().as_str()),
         (200, "other"),
         "another server gets the request, once"
     );
@@ -126,9 +126,9 @@
     assert_eq!(gateway.console_status("PUT", &disable), 200);
     let server = hanging.release();
     let connection = server.accept();
-    let answer = client.read_response().expect("a response");
+    let response = client.read_response().expect("a response");
     assert_eq!(
-        (answer.status(), answer.text().as_str()),
+        (response.status(), response.text().as_str()),
         (200, "other"),
         "another server gets the request, once"
     );
@@ -157,11 +157,11 @@
     sleep((sent_at + window + Duration::from_millis(20)).saturating_duration_since(Instant::now()));
     let server = hanging.release();
     let connection = server.accept();
-    let answer = client.read_response().expect("a response");
+    let response = client.read_response().expect("a response");
     assert!(
-        answer.status() >= 500 && answer.status() != 503,
+        response.status() >= 500 && response.status() != 503,
         "{}: the request may have run",
-        answer.status()
+        response.status()
     );
     assert!(!connection.has_bytes(), "nothing is written after the window");
 }
@@ -186,16 +186,16 @@
     let server = ScriptedServer::start();
     let (gateway, _agent) = start_gateway(&[server.addr], unchanged);
     let mut client = gateway.client();
-    let (mut connections, mut answered_at) = (Vec::new(), Vec::new());
+    let (mut connections, mut last_response_at) = (Vec::new(), Vec::new());
     for round in 0..60 {
         let name = format!("r{round}");
         client.write(&saldo(&name, "3"));
         let (at, message) = next_request(&server, &mut connections);
         assert_eq!(trace_id_of(&message), trace_id(&name));
-        answered_at.resize(connections.len(), None);
-        let idle = answered_at[at].map(|at: Instant| at.elapsed());
+        last_response_at.resize(connections.len(), None);
+        let idle = last_response_at[at].map(|at: Instant| at.elapsed());
         assert!(idle.is_none_or(|idle| idle >= REUSE_DELAY), "reused after {idle:?}");
-        answered_at[at] = Some(Instant::now());
+        last_response_at[at] = Some(Instant::now());
         connections[at].write(&response_text(200, "", &name));
         assert_eq!(client.read_response().expect("a response").text(), name);
         // A pause after every third request lets connections be reused.
@@ -249,8 +249,8 @@
         connection.write(text);
         wait_until_processed(&gateway);
         connection.reset();
-        let answer = client.read_response().expect("a response");
-        assert_eq!(answer.status(), 502, "the request may have run, and its result is unknown: {text:?}");
+        let response = client.read_response().expect("a response");
+        assert_eq!(response.status(), 502, "the request may have run, and its result is unknown: {text:?}");
         assert!(server.try_accept().is_none(), "the request is not retried");
     }
 }
@@ -307,7 +307,7 @@
             let mut retry = None;
             until("a response or a retry", || {
                 retry = retry.take().or_else(|| server.try_accept());
-                retry.is_some() || has_answer(&client)
+                retry.is_some() || has_response(&client)
             });
             if let Some(mut connection) = retry {
                 assert_eq!(trace_id_of(&connection.request().expect("a request")), trace_id("a"), "{what}");
@@ -334,7 +334,7 @@
 }
 
 /// Returns whether a response, or the end of the connection, can be read.
-fn has_answer(client: &Client) -> bool {
+fn has_response(client: &Client) -> bool {
     let stream = client.0.get_ref();
     stream.set_nonblocking(true).expect("set the socket option");
     let peeked = stream.peek(&mut [0]);
@@ -353,8 +353,8 @@
         signals.iter().for_each(|signal| gateway.signal(signal));
         until("the gateway stops accepting", || std::net::TcpStream::connect(gateway.addr).is_err());
         connection.write(&response_text(200, "", "served"));
-        let answer = client.read_response().expect("a response");
-        assert_eq!((answer.status(), answer.header("connection")), (200, "close"), "{signals:?}");
+        let response = client.read_response().expect("a response");
+        assert_eq!((response.status(), response.header("connection")), (200, "close"), "{signals:?}");
         assert!(gateway.exit().success(), "{signals:?}");
     }
 }
@@ -383,12 +383,12 @@
     }
     gateway.terminate();
     gateway.signal("-CONT");
-    let answers: Vec<Message> =
+    let responses: Vec<Message> =
         queued.iter_mut().map(|client| client.read_response().expect("a response")).collect();
     // 20 requests at the same time exceed the limit of requests in flight per server, so some are
     // rejected.
-    assert!(answers.iter().all(|answer| matches!(answer.status(), 200 | 503)), "{answers:?}");
-    assert_eq!(answers.iter().filter(|answer| answer.status() == 200).count(), server.requests());
+    assert!(responses.iter().all(|response| matches!(response.status(), 200 | 503)), "{responses:?}");
+    assert_eq!(responses.iter().filter(|response| response.status() == 200).count(), server.requests());
     assert!(server.requests() > 0);
     assert!(gateway.exit().success());
 }
@@ -414,8 +414,8 @@
         if std::io::Write::write_all(client.0.get_mut(), saldo(&id, "3").as_bytes()).is_err() {
             continue;
         }
-        if let Some(answer) = client.read_response() {
-            assert_eq!((answer.status(), answer.text()), (200, trace_id(&id)));
+        if let Some(response) = client.read_response() {
+            assert_eq!((response.status(), response.text()), (200, trace_id(&id)));
             assert!(client.is_closed());
             served += 1;
         }
@@ -425,14 +425,15 @@
     assert!(served > 0 && served < idle.len(), "{served}: some requests precede the close, some follow it");
 }
 
-/// The pieces of a text that is cut at these positions.
-fn pieces<'a>(text: &'a str, cuts: &[usize]) -> Vec<&'a str> {
+/// Splits a text at these positions.
+fn split_at_positions<'a>(text: &'a str, cuts: &[usize]) -> Vec<&'a str> {
     let mut cuts: Vec<usize> = cuts.iter().map(|cut| cut % text.len()).chain([0, text.len()]).collect();
     cuts.sort_unstable();
-    cuts.windows(2).map(|ends| &text[ends[0]..ends[1]]).filter(|piece| !piece.is_empty()).collect()
+    cuts.windows(2).map(|ends| &text[ends[0]..ends[1]]).filter(|segment| !segment.is_empty()).collect()
 }
 
-/// Requests and responses arrive in pieces, each of which the gateway has read before the next is written.
+/// Requests and responses arrive in several segments, each of which the gateway has read before the next is
+/// written.
 #[test]
 fn messages_are_complete_wherever_segments_are_split() {
     let server = ScriptedServer::start();
@@ -444,12 +445,12 @@
     let cuts = || prop::collection::vec(0..400_usize, 0..5);
     let config = Config { cases: 40, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]));
-    let result = runner.run(&(cuts(), cuts(), 0..2_usize), |(request_cuts, answer_cuts, form)| {
+    let result = runner.run(&(cuts(), cuts(), 0..2_usize), |(request_cuts, response_cuts, form)| {
         round.set(round.get() + 1);
         let name = format!("p{}", round.get());
         let mut client = gateway.client();
-        for piece in pieces(&nomina(&name, "3.5", "pago 17"), &request_cuts) {
-            client.write(piece);
+        for segment in split_at_positions(&nomina(&name, "3.5", "pago 17"), &request_cuts) {
+            client.write(segment);
             wait_until_processed(&gateway);
         }
         let mut connections = connections.borrow_mut();
@@ -458,12 +459,12 @@
             (trace_id_of(&message).to_owned(), message.text()),
             (trace_id(&name), "pago 17".to_owned())
         );
-        for piece in pieces(&responses[form], &answer_cuts) {
-            connections[at].write(piece);
+        for segment in split_at_positions(&responses[form], &response_cuts) {
+            connections[at].write(segment);
             wait_until_processed(&gateway);
         }
-        let answer = client.read_response().expect("a response");
-        prop_assert_eq!((answer.status(), answer.text()), (200, "served".to_owned()));
+        let response = client.read_response().expect("a response");
+        prop_assert_eq!((response.status(), response.text()), (200, "served".to_owned()));
         Ok(())
     });
     result.unwrap_or_else(|e| panic!("{e}"));
--- a/quota-gateway/server/tests/request_budget.rs
+++ b/quota-gateway/server/tests/request_budget.rs
@@ -34,7 +34,7 @@
     let handler = move |_: &Message| {
         if count.fetch_add(1, Ordering::SeqCst) == 0 {
             sleep(ms(120));
-            Reply::Answer(500, "", String::new())
+            Reply::Respond(500, "", String::new())
         } else {
             ok("served")
         }
@@ -102,9 +102,9 @@
     let mut client = gateway.client();
     assert_eq!(client.call(&saldo("p0", "3")).text(), "served");
     while_stopped(&gateway, ms(400), || client.write(&saldo("p1", "0.350")));
-    let answer = client.read_response().expect("a response");
-    assert_eq!(answer.status(), 503);
-    assert!(!answer.header("retry-after").is_empty(), "the request may be retried");
+    let response = client.read_response().expect("a response");
+    assert_eq!(response.status(), 503);
+    assert!(!response.header("retry-after").is_empty(), "the request may be retried");
     assert_eq!(server.requests(), 1, "the client has stopped waiting");
     assert_eq!(
         gateway.metric(r#"marblecroft_requests_total{class="saldo",end="given_up_before_send"}"#),
@@ -199,8 +199,8 @@
     // which is more than any of these requests has left.
     let connect_time = r#"marblecroft_request_stage_seconds_sum{class="nomina",stage="connect"}"#;
     for n in 0..40 {
-        let answer = client.call(&nomina(&format!("c{n}"), "0.250", "pago"));
-        assert_eq!((answer.status(), answer.text().as_str()), (200, "served"), "request {n}");
+        let response = client.call(&nomina(&format!("c{n}"), "0.250", "pago"));
+        assert_eq!((response.status(), response.text().as_str()), (200, "served"), "request {n}");
         if gateway.metric(connect_time) > 0.1 {
             return;
         }
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_disconnect_during_a_connect_has_its_own_outcome() {
+fn a_disconnect_during_a_connect_is_counted_as_a_disconnect() {
     let (warm, hanging) = (Stub::start(|_| ok("warm")), HangingServer::new());
     let (gateway, agent) = start_gateway(&[&warm], unchanged);
     agent.wait_for_watch(1);
@@ -235,10 +235,10 @@
         Stub::start(|_| Reply::RawKeepOpen("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nser".to_owned()));
     let (gateway, _agent) = start_gateway(&[&server], unchanged);
     let sent_at = Instant::now();
-    let answer = gateway.client().call_on_this_connection(&nomina("n", "0.450", "pago"));
+    let response = gateway.client().call_on_this_connection(&nomina("n", "0.450", "pago"));
     assert!(
-        answer.status() >= 500 && answer.header("retry-after").is_empty(),
-        "the request may have run: {answer:?}"
+        response.status() >= 500 && response.header("retry-after").is_empty(),
+        "the request may have run: {response:?}"
     );
     assert!(sent_at.elapsed() < ms(450), "the client still waits");
     assert_eq!(server.requests(), 1);
@@ -250,23 +250,23 @@
 fn a_non_idempotent_request_is_not_retried_whatever_time_remains() {
     let servers = [Stub::start(|_| Reply::RawAndClose("")), Stub::start(|_| Reply::RawAndClose(""))];
     let (gateway, _agent) = start_gateway(&[&servers[0], &servers[1]], unchanged);
-    let answer = gateway.client().call_on_this_connection(&nomina("u", "4", "pago"));
-    assert!(answer.status() >= 500 && answer.header("retry-after").is_empty(), "{answer:?}");
+    let response = gateway.client().call_on_this_connection(&nomina("u", "4", "pago"));
+    assert!(response.status() >= 500 && response.header("retry-after").is_empty(), "{response:?}");
     assert_eq!(servers[0].requests() + servers[1].requests(), 1);
     assert_eq!(gateway.metric(r#"marblecroft_attempts_total{attempt="further",class="nomina"}"#), 0.0);
 }
 
 #[test]
 fn the_next_attempt_uses_a_replaced_endpoint_list() {
-    let (first, second) = (Stub::start(|_| Reply::NoAnswer), Stub::start(|_| ok("second")));
+    let (first, second) = (Stub::start(|_| Reply::NoResponse), Stub::start(|_| ok("second")));
     let (gateway, agent) = start_gateway(&[&first], unchanged);
     agent.wait_for_watch(1);
     let mut client = gateway.client();
     client.write(&saldo("r", "3"));
     until("the first server has the request", || first.requests() == 1);
-    agent.queue_reply(ok(&list(2, true, &serving(&[&second]))));
+    agent.queue_reply(ok(&endpoint_list(2, true, &serving(&[&second]))));
     agent.wait_for_watch(2);
-    first.answer_pending(&Reply::Answer(500, "", String::new()));
+    first.respond_to_pending(&Reply::Respond(500, "", String::new()));
     assert_eq!(client.read_response().expect("a response").text(), "second");
     assert!(remaining_time(&second.last_request()) < remaining_time(&first.last_request()));
 }
@@ -294,9 +294,9 @@
 
 #[test]
 fn sigterm_then_sighup_during_an_attempt_lose_nothing() {
-    let server = Stub::start(|_| Reply::NoAnswer);
+    let server = Stub::start(|_| Reply::NoResponse);
     let agent = Agent::start();
-    let known = list(1, true, &serving(&[&server]));
+    let known = endpoint_list(1, true, &serving(&[&server]));
     let config = config("127.0.0.1:0", agent.stub.addr, Some(&known));
     let mut gateway = GatewayProcess::start(&config);
     let mut client = gateway.client();
@@ -305,7 +305,7 @@
     gateway.terminate();
     gateway.reload(&config);
     until("the gateway has read the file", || gateway.log().contains("new configuration"));
-    server.answer_pending(&ok("served"));
+    server.respond_to_pending(&ok("served"));
     assert_eq!(client.read_response().expect("a response").text(), "served");
     assert!(gateway.exit().success());
 }
@@ -314,7 +314,7 @@
 fn metrics_report_outcomes_while_discovery_and_callers_stall() {
     let server = Stub::start(|_| ok("served"));
     let (gateway, agent) = start_gateway(&[&server], unchanged);
-    // From here on, discovery does not answer, and callers at the console stall in the middle of a command.
+    // From here on, discovery does not respond, and callers at the console stall in the middle of a command.
     agent.wait_for_watch(1);
     let stalled: Vec<Client> = (0..16)
         .map(|_| {
@@ -329,7 +329,7 @@
     }
     let over_quota = saldo("q", "3").replace("basico", "nada").replace("b4d65521", "00000007");
     assert_eq!(client.call(&over_quota).status(), 503, "the customer's quota is used up");
-    server.set_handler(|_| Reply::NoAnswer);
+    server.set_handler(|_| Reply::NoResponse);
     assert!(client.call(&nomina("i", "0.400", "pago")).status() >= 500);
     let mut leaving = gateway.client();
     leaving.write(&saldo("l", "3"));
@@ -343,9 +343,9 @@
     assert_eq!(outcomes("saldo", "given_up_before_send"), 1.0);
     assert_eq!(outcomes("nomina", "given_up_in_attempt"), 1.0);
     let called_at = Instant::now();
-    let answer = gateway.console_response("GET", "/metrics");
+    let response = gateway.console_response("GET", "/metrics");
     assert!(called_at.elapsed() < Duration::from_secs(1), "operators' calls are answered within a second");
-    assert!(answer.header("content-type").starts_with("text/plain; version=0.0.4"));
+    assert!(response.header("content-type").starts_with("text/plain; version=0.0.4"));
     // Each line is a comment, or a series and its value. The number of lines does not grow with the number of
     // requests.
     let has_only_series = |text: &str| {
@@ -354,8 +354,8 @@
                 .is_some_and(|(name, value)| name.starts_with("marblecroft_") && value.parse::<f64>().is_ok())
         })
     };
-    assert!(has_only_series(&answer.text()), "{}", answer.text());
-    let lines = answer.text().lines().count();
+    assert!(has_only_series(&response.text()), "{}", response.text());
+    let lines = response.text().lines().count();
     for n in 0..20 {
         client.call(&saldo(&format!("m{n}"), "0.001"));
     }
--- a/quota-gateway/server/tests/servers.rs
+++ b/quota-gateway/server/tests/servers.rs
@@ -12,9 +12,13 @@
 fn keyed_request_outcome(reply: Reply) -> (u16, usize) {
     let server = Stub::start(move |_| reply.clone());
     let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
-    let answer = gateway.client().call(&abono("k", "3", "pago"));
-    assert!(!answer.text().contains("secret"), "the client must not see a server's text: {}", answer.text());
-    (answer.status(), server.requests())
+    let response = gateway.client().call(&abono("k", "3", "pago"));
+    assert!(
+        !response.text().contains("secret"),
+        "the client must not see a server's text: {}",
+        response.text()
+    );
+    (response.status(), server.requests())
 }
 
 fn is_rejection(status: u16) -> bool {
@@ -23,7 +27,7 @@
 
 #[test]
 fn unexecuted_requests_are_rejected_and_uncertain_ones_fail() {
-    let never_ran = |status| Reply::Answer(status, "X-Never-Ran: 1\r\n", "secret".to_owned());
+    let never_ran = |status| Reply::Respond(status, "X-Never-Ran: 1\r\n", "secret".to_owned());
     for status in [503, 504] {
         assert!(
             is_rejection(keyed_request_outcome(never_ran(status)).0),
@@ -31,11 +35,11 @@
         );
     }
     for (what, reply) in [
-        ("an error", Reply::Answer(500, "", "secret".to_owned())),
+        ("an error", Reply::Respond(500, "", "secret".to_owned())),
         ("an error with X-Never-Ran", never_ran(500)),
-        ("503 without X-Never-Ran", Reply::Answer(503, "", "secret".to_owned())),
-        ("504 with X-Never-Ran: 0", Reply::Answer(504, "X-Never-Ran: 0\r\n", "secret".to_owned())),
-        ("429 from a server", Reply::Answer(429, "", "secret".to_owned())),
+        ("503 without X-Never-Ran", Reply::Respond(503, "", "secret".to_owned())),
+        ("504 with X-Never-Ran: 0", Reply::Respond(504, "X-Never-Ran: 0\r\n", "secret".to_owned())),
+        ("429 from a server", Reply::Respond(429, "", "secret".to_owned())),
         ("a 200 that is cut off", Reply::RawAndClose("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nsecret")),
         ("a head that is cut off", Reply::RawAndClose("HTTP/1.1 200 OK\r\nContent-Le")),
         ("a reset", Reply::RawAndClose("")),
@@ -81,10 +85,10 @@
 
 #[test]
 fn an_unresponsive_server_does_not_delay_the_final_response() {
-    let server = Stub::start(|_| Reply::NoAnswer);
+    let server = Stub::start(|_| Reply::NoResponse);
     let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
-    let answer = gateway.client().call(&abono("s", "0.8", "pago"));
-    assert!(answer.status() >= 500 && !is_rejection(answer.status()), "the request may have run");
+    let response = gateway.client().call(&abono("s", "0.8", "pago"));
+    assert!(response.status() >= 500 && !is_rejection(response.status()), "the request may have run");
     let attempts = server.requests();
     until("every attempt is cancelled", || server.closed.load(Ordering::SeqCst) == attempts);
     assert_eq!(server.requests(), attempts, "nothing is sent after the final response");
@@ -99,20 +103,24 @@
         wait_for_reuse();
         assert_eq!(client.call(&saldo(&format!("w{n}"), "4")).status(), 200);
     }
-    // From now on one server does not answer, and a second copy of its request goes to the other one.
-    servers[0].set_handler(|_| Reply::NoAnswer);
+    // From now on one server does not respond, and its request is hedged at the other one.
+    servers[0].set_handler(|_| Reply::NoResponse);
     let before = servers[0].requests();
     for n in 0..200 {
         wait_for_reuse();
-        let answer = client.call(&saldo(&format!("x{n}"), "4"));
-        assert_eq!((answer.status(), answer.text().as_str()), (200, "quick"));
+        let response = client.call(&saldo(&format!("x{n}"), "4"));
+        assert_eq!((response.status(), response.text().as_str()), (200, "quick"));
         if servers[0].requests() > before {
             break;
         }
     }
     let id = servers[0].last_request().header("x-trace-id").to_owned();
-    assert_eq!(servers[0].requests(), before + 1, "the server that does not answer got one request");
-    assert_eq!(servers[1].last_request().header("x-trace-id"), id, "the copy went to the other server");
+    assert_eq!(servers[0].requests(), before + 1, "the unresponsive server got one request");
+    assert_eq!(
+        servers[1].last_request().header("x-trace-id"),
+        id,
+        "the hedged attempt went to the other server"
+    );
     until("the first attempt's connection is closed", || servers[0].closed.load(Ordering::SeqCst) == 1);
 }
 
@@ -123,13 +131,13 @@
     let server = Stub::start({
         let (lost_id, lost_attempts) = (lost_id.clone(), lost_attempts.clone());
         move |request| match request.header("x-trace-id") == lost_id {
-            true if lost_attempts.fetch_add(1, Ordering::SeqCst) == 0 => Reply::NoAnswer,
+            true if lost_attempts.fetch_add(1, Ordering::SeqCst) == 0 => Reply::NoResponse,
             true => ok("second"),
             false => ok("other"),
         }
     });
     let agent = Agent::start();
-    let known = list(1, true, &serving(&[&server]));
+    let known = endpoint_list(1, true, &serving(&[&server]));
     // A long latency target, so that the second attempt meets it on a slow machine too.
     let generous = config("127.0.0.1:0", agent.stub.addr, Some(&known))
         .replace(r#""Aim":1500000000,"Deadline":4000000000"#, r#""Aim":5000000000,"Deadline":12000000000"#);
@@ -141,22 +149,22 @@
     let mut client = gateway.client();
     let pending = std::thread::spawn(move || client.call(&saldo("lost", "12")));
     until("the server has the request", || lost_attempts.load(Ordering::SeqCst) == 1);
-    // The server goes on answering the requests that arrive after the lost one.
+    // The server keeps responding to the requests that arrive after the lost one.
     let mut n = 0;
     while !pending.is_finished() {
         assert_eq!(others.call(&saldo(&format!("x{n}"), "4")).text(), "other");
         n += 1;
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
-    let answer = pending.join().expect("the request is answered");
-    assert_eq!((answer.status(), answer.text().as_str()), (200, "second"));
+    let response = pending.join().expect("the request is answered");
+    assert_eq!((response.status(), response.text().as_str()), (200, "second"));
     assert_eq!(lost_attempts.load(Ordering::SeqCst), 2, "the request is sent once more");
     until("the lost attempt's connection is closed", || server.closed.load(Ordering::SeqCst) == 1);
 }
 
 #[test]
 fn a_connection_found_closed_is_replaced_within_the_same_attempt() {
-    let server = Stub::start(|_| Reply::AnswerAndClose("served".to_owned()));
+    let server = Stub::start(|_| Reply::RespondAndClose("served".to_owned()));
     let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     for n in 1..=20 {
@@ -176,15 +184,15 @@
     let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     for n in 0..90 {
-        let answer = client.call(&saldo(&format!("b{n}"), "3"));
-        assert_eq!((answer.status(), answer.text().as_str()), (200, "served"), "request {n}");
+        let response = client.call(&saldo(&format!("b{n}"), "3"));
+        assert_eq!((response.status(), response.text().as_str()), (200, "served"), "request {n}");
     }
     assert!(server.requests() >= 90 + 25, "a quarter of the attempts was aborted");
 }
 
 #[test]
 fn retries_of_rejected_requests_stay_few() {
-    let full = Reply::Answer(503, "X-Never-Ran: 1\r\n", String::new());
+    let full = Reply::Respond(503, "X-Never-Ran: 1\r\n", String::new());
     let server = Stub::start(move |_| full.clone());
     let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
@@ -202,7 +210,7 @@
 fn idle_connections_are_closed_before_the_server_closes_them() {
     let server = Stub::start(|_| ok("served"));
     let agent = Agent::start();
-    let known = list(1, true, &serving(&[&server]));
+    let known = endpoint_list(1, true, &serving(&[&server]));
     let short = config("127.0.0.1:0", agent.stub.addr, Some(&known))
         .replace(r#""ConnIdle":15000000000"#, r#""ConnIdle":500000000"#);
     let gateway = GatewayProcess::start(&short);
@@ -244,7 +252,7 @@
 #[test]
 fn malformed_meters_and_reports_are_logged_once_and_ignored() {
     let bad = "X-Meter: much\r\nEndpoint-Load-Metrics: TEXT queue=\r\n";
-    let server = Stub::start(move |_| Reply::Answer(200, bad, "served".to_owned()));
+    let server = Stub::start(move |_| Reply::Respond(200, bad, "served".to_owned()));
     let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     for n in 0..3 {
@@ -260,7 +268,7 @@
     // When all servers report a long queue, the decision core sheds requests; when none does, it admits all
     // of them.
     let report = "Endpoint-Load-Metrics: TEXT queue=5000, qps=1\r\n";
-    let server = Stub::start(move |_| Reply::Answer(200, report, "served".to_owned()));
+    let server = Stub::start(move |_| Reply::Respond(200, report, "served".to_owned()));
     let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     until("the gateway sheds requests", || {
@@ -273,20 +281,20 @@
     let server = Stub::start(|_| ok("served"));
     let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     // Two requests at the same time, so that two connections are kept.
-    server.set_handler(|_| Reply::NoAnswer);
+    server.set_handler(|_| Reply::NoResponse);
     let mut clients = [gateway.client(), gateway.client()];
     for (n, client) in clients.iter_mut().enumerate() {
         client.write(&saldo(&format!("v{n}"), "4"));
     }
     until("the server has both requests", || server.requests() == 2);
-    server.answer_pending(&ok("late"));
+    server.respond_to_pending(&ok("late"));
     for client in &mut clients {
         assert_eq!(client.read_response().expect("a response").text(), "late");
     }
     // The server fails without closing its connections, and nothing arrives on them any more.
     wait_for_reuse();
-    let answer = gateway.client().call(&abono("v2", "0.5", "pago"));
-    assert!(answer.status() >= 500 && !is_rejection(answer.status()));
+    let response = gateway.client().call(&abono("v2", "0.5", "pago"));
+    assert!(response.status() >= 500 && !is_rejection(response.status()));
     server.set_handler(|_| ok("back"));
     assert_eq!(gateway.client().call(&abono("v3", "4", "pago")).text(), "back");
     assert_eq!(
@@ -343,11 +351,11 @@
         ("at once", Box::new(move |body: &str| Reply::RawKeepOpen(response_text(200, "", body) + &surplus))),
         (
             "a moment later",
-            Box::new(move |body: &str| Reply::AnswerThenBytes(body.to_owned(), late_surplus.clone())),
+            Box::new(move |body: &str| Reply::RespondThenBytes(body.to_owned(), late_surplus.clone())),
         ),
         (
             "noise",
-            Box::new(|body: &str| Reply::AnswerThenBytes(body.to_owned(), "\u{0}\u{1}noise".to_owned())),
+            Box::new(|body: &str| Reply::RespondThenBytes(body.to_owned(), "\u{0}\u{1}noise".to_owned())),
         ),
     ];
     for (what, reply) in replies {
@@ -368,7 +376,7 @@
 #[test]
 fn implausible_load_reports_are_ignored() {
     let implausible = "X-Meter: 1e300\r\nEndpoint-Load-Metrics: TEXT queue=1e300, qps=1\r\n";
-    let server = Stub::start(move |_| Reply::Answer(200, implausible, "served".to_owned()));
+    let server = Stub::start(move |_| Reply::Respond(200, implausible, "served".to_owned()));
     let (gateway, _agent) = GatewayProcess::with_servers(&[&server]);
     let mut client = gateway.client();
     for n in 0..40 {
--- a/quota-gateway/server/tests/upgrade.rs
+++ b/quota-gateway/server/tests/upgrade.rs
@@ -20,7 +20,7 @@
 impl UpgradeSite {
     fn new(servers: &[&Stub]) -> UpgradeSite {
         let (listener, agent) = (TcpListener::bind("127.0.0.1:0").expect("bind a port"), Agent::start());
-        let known = list(1, true, &serving(servers));
+        let known = endpoint_list(1, true, &serving(servers));
         let addr = listener.local_addr().expect("a bound socket").to_string();
         let config = config(&addr, agent.stub.addr, Some(&known));
         UpgradeSite { listener, shared: temp_dir(), config }
@@ -49,7 +49,7 @@
 
 #[test]
 fn the_new_process_continues_from_the_old_state_without_loss() {
-    let servers = [Stub::start(|_| ok("a")), Stub::start(|_| Reply::NoAnswer)];
+    let servers = [Stub::start(|_| ok("a")), Stub::start(|_| Reply::NoResponse)];
     let site = UpgradeSite::new(&[&servers[0], &servers[1]]);
     let mut old = site.start();
     assert_eq!(old.console_status("PUT", &disable(&servers[0])), 200);
@@ -64,16 +64,16 @@
     old.terminate();
     until("the old process is no longer ready", || old.console_status("GET", "/ready") == 503);
     // The request in flight, one on an open connection, and those on many new connections are all served.
-    servers[1].answer_pending(&ok("b"));
+    servers[1].respond_to_pending(&ok("b"));
     servers[1].set_handler(|_| ok("b"));
-    let answer = in_flight.read_response().expect("the request in flight is answered");
-    assert_eq!((answer.text().as_str(), answer.header("connection")), ("b", "close"));
-    let answer = reused.call_on_this_connection(&saldo("k", "3"));
-    assert_eq!((answer.text().as_str(), answer.header("connection")), ("b", "close"));
+    let response = in_flight.read_response().expect("the request in flight is answered");
+    assert_eq!((response.text().as_str(), response.header("connection")), ("b", "close"));
+    let response = reused.call_on_this_connection(&saldo("k", "3"));
+    assert_eq!((response.text().as_str(), response.header("connection")), ("b", "close"));
     for n in 0..20 {
-        let answer = new.client().call_on_this_connection(&saldo(&format!("n{n}"), "3"));
+        let response = new.client().call_on_this_connection(&saldo(&format!("n{n}"), "3"));
         assert_eq!(
-            (answer.status(), answer.text().as_str()),
+            (response.status(), response.text().as_str()),
             (200, "b"),
             "the server is disabled in the new process too"
         );
@@ -216,8 +216,8 @@
 }
 
 #[test]
-fn an_upgrade_leaves_a_retry_with_the_old_process_and_its_budget() {
-    let servers = [Stub::start(|_| Reply::NoAnswer), Stub::start(|_| Reply::NoAnswer)];
+fn a_retry_during_an_upgrade_stays_in_the_old_process_with_its_budget() {
+    let servers = [Stub::start(|_| Reply::NoResponse), Stub::start(|_| Reply::NoResponse)];
     let site = UpgradeSite::new(&[&servers[0], &servers[1]]);
     let mut old = site.start();
     let mut client = old.client();
@@ -228,7 +228,7 @@
     let new = site.start();
     until("the new process is ready", || new.console_status("GET", "/ready") == 200);
     old.terminate();
-    servers[first].answer_pending(&Reply::Answer(500, "", String::new()));
+    servers[first].respond_to_pending(&Reply::Respond(500, "", String::new()));
     until("the other server has the request", || has_request(&servers[second]));
     let remaining_time =
         |stub: &Stub| stub.last_request().header("x-expires-in").parse::<f64>().expect("a number of seconds");
@@ -236,7 +236,7 @@
         remaining_time(&servers[second]) < remaining_time(&servers[first]),
         "the time budget is not extended"
     );
-    servers[second].answer_pending(&ok("second"));
+    servers[second].respond_to_pending(&ok("second"));
     assert_eq!(client.read_response().expect("a response").text(), "second");
     assert!(old.exit().success());
     assert_eq!(servers[first].requests() + servers[second].requests(), 2);
@@ -265,7 +265,7 @@
 
 #[test]
 fn a_malformed_or_missing_snapshot_means_a_fresh_start() {
-    let old_process = |answer: Option<Vec<u8>>| {
+    let old_process = |response: Option<Vec<u8>>| {
         move |path: &Path| {
             let listener = UnixListener::bind(path).expect("bind the socket");
             std::thread::spawn(move || {
@@ -274,8 +274,8 @@
                 drop(
                     BufReader::new(stream.try_clone().expect("duplicate the socket")).read_line(&mut version),
                 );
-                if let Some(answer) = answer {
-                    drop(stream.write_all(&answer));
+                if let Some(response) = response {
+                    drop(stream.write_all(&response));
                 } else {
                     std::thread::sleep(WAIT_TIMEOUT);
                 }
@@ -293,7 +293,7 @@
 fn a_descriptor_that_is_not_a_listening_socket_is_ignored() {
     let server = Stub::start(|_| ok("a"));
     let agent = Agent::start();
-    let known = list(1, true, &serving(&[&server]));
+    let known = endpoint_list(1, true, &serving(&[&server]));
     let config = config("127.0.0.1:0", agent.stub.addr, Some(&known));
     for fd in ["7", "2", "-1", "x", "4000000000"] {
         let gateway =
@@ -315,7 +315,7 @@
     assert!(new.log().contains("takes over"), "{}", new.log());
     assert_eq!(new.console_status("GET", "/ready"), 503);
     // The new process requests the list itself.
-    agent.queue_reply(ok(&list(1, true, &[])));
+    agent.queue_reply(ok(&endpoint_list(1, true, &[])));
     until("the gateway is ready", || {
         new.console_status("GET", "/ready") == 200 || old.console_status("GET", "/ready") == 200
     });
