--- a/quota-gateway/core/src/decisions/admission.rs
+++ b/quota-gateway/core/src/decisions/admission.rs
@@ -138,9 +138,9 @@
         let Some(server) = self.choose_server(&request).filter(|_| deadline > now) else {
             // Lack of capacity under the in-flight limits counts like a rejection by a server, so that the
             // admitted fraction falls and requests are shed by value.
-            let late = class.deadline.as_secs_f64() / self.latency_target(class_index);
+            let relative_latency = class.deadline.as_secs_f64() / self.latency_target(class_index);
             let cost = self.relative_cost(class_index);
-            self.shedder.record_latency(1.0, cost, late);
+            self.shedder.record_latency(1.0, cost, relative_latency);
             return self.reject(id, self.default_retry_after_secs(class_index), actions);
         };
         if let Some(customer) = self.customers.get_mut(&request.customer) {
--- a/quota-gateway/core/src/decisions/in_flight_limits.rs
+++ b/quota-gateway/core/src/decisions/in_flight_limits.rs
@@ -78,7 +78,7 @@
             let attempts = server.in_flight.iter();
             let here =
                 attempts.filter(|attempt| attempt.occupies_capacity(self.now, LOST_RELEASE_TIMEOUTS)).count();
-            totals.in_flight += here as f64 + f64::from(server.elsewhere);
+            totals.in_flight += here as f64 + f64::from(server.peer_in_flight);
             totals.responses_per_sec += server.response_rate.get(self.now);
             totals.relative_capacity += server.relative_capacity(mean_capacity);
         }
--- a/quota-gateway/core/src/decisions/load_shedding.rs
+++ b/quota-gateway/core/src/decisions/load_shedding.rs
@@ -56,8 +56,9 @@
     /// Admitted work.
     pub(crate) sent: f64,
     /// Sum of latencies divided by their targets, weighted by work.
-    pub(crate) late: f64,
-    /// Answered work, the sum of the weights of `late`.
+    #[serde(rename = "late")]
+    pub(crate) relative_latency: f64,
+    /// Answered work, the sum of the weights of `relative_latency`.
     pub(crate) weight: f64,
 }
 
@@ -112,13 +113,13 @@
         self.samples[SAMPLE_COUNT - 1].sent += cost;
     }
 
-    /// Records a latency, divided by its target, as `count` responses in the current interval.
-    pub fn record_latency(&mut self, count: f64, cost: f64, late: f64) {
+    /// Records a latency, relative to its target, as `count` responses in the current interval.
+    pub fn record_latency(&mut self, count: f64, cost: f64, relative_latency: f64) {
         let sample = &mut self.samples[SAMPLE_COUNT - 1];
         let weight = cost * count;
         sample.count += count;
         self.seconds_without_sample = 0.0;
-        sample.late += weight * late;
+        sample.relative_latency += weight * relative_latency;
         sample.weight += weight;
     }
 
@@ -172,7 +173,8 @@
     /// available or the result is zero.
     fn occupancy(&self, reported: Option<f64>) -> Option<f64> {
         let weight = self.sum(|sample| sample.weight);
-        let by_latency = (weight > 0.0).then(|| TARGET_OCCUPANCY * self.sum(|sample| sample.late) / weight);
+        let by_latency =
+            (weight > 0.0).then(|| TARGET_OCCUPANCY * self.sum(|sample| sample.relative_latency) / weight);
         reported.into_iter().chain(by_latency).reduce(f64::max).filter(|&occupancy| occupancy > 0.0)
     }
 
--- a/quota-gateway/core/src/decisions/quota.rs
+++ b/quota-gateway/core/src/decisions/quota.rs
@@ -39,21 +39,21 @@
 /// The average of the meter's readings for a customer.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 #[serde(from = "(f64, Time)", into = "(f64, Time)")]
-pub(crate) struct MeterReading {
+pub(crate) struct MeterAverage {
     /// The mean, in units per second.
     mean: f64,
     /// When the last reading was received.
     received_at: Time,
 }
 
-impl From<(f64, Time)> for MeterReading {
-    fn from((mean, received_at): (f64, Time)) -> MeterReading {
-        MeterReading { mean, received_at }
+impl From<(f64, Time)> for MeterAverage {
+    fn from((mean, received_at): (f64, Time)) -> MeterAverage {
+        MeterAverage { mean, received_at }
     }
 }
 
-impl From<MeterReading> for (f64, Time) {
-    fn from(reading: MeterReading) -> (f64, Time) {
+impl From<MeterAverage> for (f64, Time) {
+    fn from(reading: MeterAverage) -> (f64, Time) {
         (reading.mean, reading.received_at)
     }
 }
@@ -105,11 +105,12 @@
     /// The local use, delayed by the average age of the meter's readings.
     #[serde(rename = "own_then")]
     pub(crate) lagged_local_use: f64,
-    pub(crate) meter: Option<MeterReading>,
+    pub(crate) meter: Option<MeterAverage>,
     #[serde(rename = "out")]
     pub(crate) in_flight: u32,
     /// Attempts that another process of this gateway has in flight.
-    pub(crate) elsewhere: u32,
+    #[serde(rename = "elsewhere")]
+    pub(crate) peer_in_flight: u32,
 }
 
 impl CustomerQuota {
@@ -168,7 +169,7 @@
 
     /// Attempts in flight from this gateway.
     pub(crate) fn in_flight_count(&self) -> f64 {
-        f64::from(self.in_flight) + f64::from(self.elsewhere)
+        f64::from(self.in_flight) + f64::from(self.peer_in_flight)
     }
 
     /// Refills all buckets for the time since the last refill.
@@ -198,7 +199,7 @@
         // Most customers make only a request or two per period, so a single reading is a poor estimate of
         // their rate.
         let mean = self.meter.map_or(total, |reading| ewma(reading.mean, total, SHARE_WEIGHT));
-        self.meter = Some(MeterReading { mean, received_at: now });
+        self.meter = Some(MeterAverage { mean, received_at: now });
         // Use over the quota in the reported period was taken from the quota's bucket.
         let drained = (total - limit) * meter_period;
         self.inferred_tokens =
--- a/quota-gateway/core/src/decisions/server.rs
+++ b/quota-gateway/core/src/decisions/server.rs
@@ -82,7 +82,8 @@
     #[serde(skip)]
     pub(crate) in_flight: Vec<InFlightAttempt>,
     /// Attempts that another process of this gateway has in flight at this server.
-    pub(crate) elsewhere: u32,
+    #[serde(rename = "elsewhere")]
+    pub(crate) peer_in_flight: u32,
     #[serde(rename = "last_answer")]
     pub(crate) last_response_at: Time,
     /// Mean of latencies relative to the mean latency of their class over all servers.
@@ -148,7 +149,7 @@
     /// Attempts in flight from this gateway, except those whose body is in transit.
     pub(crate) fn in_flight_count(&self) -> f64 {
         let here = self.in_flight.iter().filter(|attempt| !attempt.body_in_transit).count();
-        here as f64 + f64::from(self.elsewhere)
+        here as f64 + f64::from(self.peer_in_flight)
     }
 
     /// Its capacity relative to `mean`.
--- a/quota-gateway/core/src/decisions/server_list.rs
+++ b/quota-gateway/core/src/decisions/server_list.rs
@@ -41,8 +41,8 @@
         let server = self.servers.entry(info.id).or_insert_with(|| new_server(info.clone()));
         if restarted {
             let in_flight = std::mem::take(&mut server.in_flight);
-            let (elsewhere, needs_probe) = (server.elsewhere, server.needs_probe);
-            *server = Server { in_flight, elsewhere, needs_probe, ..new_server(info) };
+            let (peer_in_flight, needs_probe) = (server.peer_in_flight, server.needs_probe);
+            *server = Server { in_flight, peer_in_flight, needs_probe, ..new_server(info) };
         } else {
             server.info = info;
         }
@@ -76,7 +76,7 @@
             let reenabled_at = info.started.is_none_or(|started| started < since).then_some(now);
             *server = Server {
                 in_flight,
-                elsewhere: server.elsewhere,
+                peer_in_flight: server.peer_in_flight,
                 reenabled_at,
                 needs_probe: true,
                 slow_start_tokens: self.random.uniform(),
--- a/quota-gateway/core/src/decisions/step.rs
+++ b/quota-gateway/core/src/decisions/step.rs
@@ -47,8 +47,8 @@
                 samples.push((STEP_SECS / age, self.relative_cost(class), age / self.latency_target(class)));
             }
         }
-        for (count, cost, late) in samples {
-            self.shedder.record_latency(count, cost, late);
+        for (count, cost, relative_latency) in samples {
+            self.shedder.record_latency(count, cost, relative_latency);
         }
     }
 
--- a/quota-gateway/core/src/state_transfer.rs
+++ b/quota-gateway/core/src/state_transfer.rs
@@ -46,8 +46,8 @@
     /// as those of another process.
     pub fn snapshot(&self) -> StateSnapshot {
         let (mut servers, mut customers) = (self.servers.clone(), self.customers.clone());
-        servers.values_mut().for_each(|s| s.elsewhere += std::mem::take(&mut s.in_flight).len() as u32);
-        customers.values_mut().for_each(|c| c.elsewhere += std::mem::take(&mut c.in_flight));
+        servers.values_mut().for_each(|s| s.peer_in_flight += std::mem::take(&mut s.in_flight).len() as u32);
+        customers.values_mut().for_each(|c| c.peer_in_flight += std::mem::take(&mut c.in_flight));
         let classes = self.mean_units.iter().zip(&self.mean_latency).zip(&self.longest_initial_timeout);
         StateSnapshot {
             started_at: self.started_at,
@@ -89,23 +89,23 @@
         match event {
             PeerProcessEvent::Sent { customer, plan, gateways, units, server } => {
                 if let Some(c) = self.customer(customer, plan, gateways) {
-                    c.elsewhere += 1;
+                    c.peer_in_flight += 1;
                     // The event does not report whether the request was within its quota, so it is counted as
                     // if it was. Requests over the quota are sent only for plans whose over-quota value
                     // exceeds the cost.
                     c.consume(now, sanitize(units), true);
                 }
                 if let Some(s) = self.servers.get_mut(&server) {
-                    (s.elsewhere, s.needs_probe) = (s.elsewhere + 1, false);
+                    (s.peer_in_flight, s.needs_probe) = (s.peer_in_flight + 1, false);
                     s.slow_start_tokens -= if s.warm_share(now, &self.settings) < 1.0 { 1.0 } else { 0.0 };
                 }
                 self.recent_sends += 1.0;
             }
             PeerProcessEvent::Ended { customer, server, answered } => {
                 let decrement = |count: &mut u32| *count = count.saturating_sub(1);
-                self.customers.entry(customer).and_modify(|c| decrement(&mut c.elsewhere));
+                self.customers.entry(customer).and_modify(|c| decrement(&mut c.peer_in_flight));
                 if let Some(s) = self.servers.get_mut(&server) {
-                    decrement(&mut s.elsewhere);
+                    decrement(&mut s.peer_in_flight);
                     if answered {
                         s.last_response_at = now;
                         s.response_rate.add(now, 1.0);
@@ -113,8 +113,8 @@
                 }
             }
             PeerProcessEvent::Exited => {
-                self.customers.values_mut().for_each(|c| c.elsewhere = 0);
-                self.servers.values_mut().for_each(|s| s.elsewhere = 0);
+                self.customers.values_mut().for_each(|c| c.peer_in_flight = 0);
+                self.servers.values_mut().for_each(|s| s.peer_in_flight = 0);
             }
         }
     }
--- a/quota-gateway/fair-share/src/allocator/allocation.rs
+++ b/quota-gateway/fair-share/src/allocator/allocation.rs
@@ -1,6 +1,6 @@
 //! Computes one decision: the level, and the grants of the reachable gateways.
 
-use crate::decision::{ShareDecision, MIN_WEIGHT, UNBOUND_LEVEL};
+use crate::decision::{ShareDecision, MIN_WEIGHT, UNLIMITED_LEVEL};
 use crate::demand_curve::{first_points, interpolate, points_around};
 use marblecroft_control_messages::report::Demand;
 
@@ -67,11 +67,11 @@
     if total_demand <= capacity {
         let spare_units = GRANTED_SPARE_FRACTION * (capacity - total_demand);
         let weight = sum_reachable(claims, |demand| demand.weight);
-        return (UNBOUND_LEVEL, TargetRule::WithSpare { spare_units, weight });
+        return (UNLIMITED_LEVEL, TargetRule::WithSpare { spare_units, weight });
     }
     match find_level(claims, capacity) {
-        Some(level) if level < UNBOUND_LEVEL => (level, TargetRule::AtLevel(level)),
-        level => (level.unwrap_or(UNBOUND_LEVEL), TargetRule::ProRata { capacity, total_demand }),
+        Some(level) if level < UNLIMITED_LEVEL => (level, TargetRule::AtLevel(level)),
+        level => (level.unwrap_or(UNLIMITED_LEVEL), TargetRule::ProRata { capacity, total_demand }),
     }
 }
 
@@ -119,7 +119,7 @@
 /// Returns the levels that gateways sample next. While no firm is limited, these are around the level that
 /// would use up the capacity at equal demand per weight, in case capacity becomes short.
 fn points_to_sample(level: f64, capacity: f64, weight: f64) -> Vec<f64> {
-    if level < UNBOUND_LEVEL {
+    if level < UNLIMITED_LEVEL {
         points_around(level)
     } else if weight > 0.0 && capacity > 0.0 {
         points_around(capacity / weight)
--- a/quota-gateway/fair-share/src/decision.rs
+++ b/quota-gateway/fair-share/src/decision.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The level that is published while capacity is not short; it limits no firm.
-pub const UNBOUND_LEVEL: f64 = 1e12;
+pub const UNLIMITED_LEVEL: f64 = 1e12;
 /// Maximum number of gateways in a decision.
 pub const MAX_GATEWAYS: usize = 4096;
 /// Lower bound of a sum of weights that is used as a divisor.
@@ -15,7 +15,7 @@
 /// The decision on quota shares.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShareDecision {
-    /// Units per second per unit of weight; [`UNBOUND_LEVEL`] while capacity is not short.
+    /// Units per second per unit of weight; [`UNLIMITED_LEVEL`] while capacity is not short.
     pub level: f64,
     /// Units per second that all gateways together may send.
     pub capacity: f64,
--- a/quota-gateway/fair-share/src/limiter.rs
+++ b/quota-gateway/fair-share/src/limiter.rs
@@ -4,7 +4,7 @@
 
 pub use firm::FirmQuota;
 
-use crate::decision::{ShareDecision, MIN_WEIGHT, UNBOUND_LEVEL};
+use crate::decision::{ShareDecision, MIN_WEIGHT, UNLIMITED_LEVEL};
 use crate::demand_curve::{first_points, level_for, sample, LocalFirm};
 use crate::token_bucket::TokenBucket;
 use firm::Firm;
@@ -133,11 +133,11 @@
     fn limit_firms(&mut self, now: Instant, level: f64, grant: f64) {
         let local_firms = self.local_firms(now);
         // Max-min sharing of the grant among the firms at this gateway.
-        let level = level.min(level_for(&local_firms, grant).unwrap_or(UNBOUND_LEVEL));
+        let level = level.min(level_for(&local_firms, grant).unwrap_or(UNLIMITED_LEVEL));
         for (firm, local) in self.firms.values_mut().zip(&local_firms) {
             // While no firm is limited, each may use up to the whole grant before the next decision.
             firm.allowed_rate =
-                if level >= UNBOUND_LEVEL { grant } else { (level * local.weight).min(grant) };
+                if level >= UNLIMITED_LEVEL { grant } else { (level * local.weight).min(grant) };
         }
     }
 
@@ -162,8 +162,8 @@
     let remaining = 1.0 - (expired_for.as_secs_f64() / SHRINK_INTERVAL.as_secs_f64()).min(1.0);
     // At this level all firms together use the capacity, each in proportion to its weight.
     let equal_level = decision.capacity / decision.weight.max(MIN_WEIGHT);
-    let level = if decision.level >= UNBOUND_LEVEL {
-        UNBOUND_LEVEL
+    let level = if decision.level >= UNLIMITED_LEVEL {
+        UNLIMITED_LEVEL
     } else {
         decision.level * remaining + equal_level * (1.0 - remaining)
     };
--- a/quota-gateway/server/src/body/request_body.rs
+++ b/quota-gateway/server/src/body/request_body.rs
@@ -26,7 +26,7 @@
     /// All of it was passed to the operating system for the server.
     Complete,
     /// The client did not send all of it.
-    BrokenOff,
+    Truncated,
     /// It is longer than [`MAX_BODY_BYTES`].
     TooLong,
 }
@@ -193,7 +193,7 @@
             match ready!(self.poll_client(cx)) {
                 Some(Ok(data)) => data,
                 Some(Err(e)) => {
-                    self.body.set_delivery(Delivery::BrokenOff);
+                    self.body.set_delivery(Delivery::Truncated);
                     return Poll::Ready(Some(Err(io::Error::other(e))));
                 }
                 None => {
--- a/quota-gateway/server/src/request_budget.rs
+++ b/quota-gateway/server/src/request_budget.rs
@@ -167,7 +167,7 @@
     }
 
     /// Records that the server ended its response prematurely.
-    pub fn on_response_broken_off(&self) {
+    pub fn on_response_truncated(&self) {
         self.outcome_on_close.set(Outcome::InAttempt);
     }
 
--- a/quota-gateway/server/src/server/responder.rs
+++ b/quota-gateway/server/src/server/responder.rs
@@ -90,7 +90,7 @@
 async fn body_rejection(body: &StreamedBody) -> Rejection {
     loop {
         match (body.delivery(), body.deadline()) {
-            (Delivery::BrokenOff, _) => return bad_request("a body that is cut off"),
+            (Delivery::Truncated, _) => return bad_request("a body that is cut off"),
             (Delivery::TooLong, _) => return payload_too_large(),
             (Delivery::Complete, _) | (_, None) => return std::future::pending().await,
             (_, Some(deadline)) if deadline > Instant::now() => body.changed(deadline).await,
--- a/quota-gateway/server/src/upstream/response.rs
+++ b/quota-gateway/server/src/upstream/response.rs
@@ -37,7 +37,7 @@
     /// The first bytes of a long body.
     Partial(Bytes),
     /// The body ended prematurely or stalled.
-    BrokenOff,
+    Incomplete,
 }
 
 impl Upstream {
@@ -65,7 +65,7 @@
         let start = if is_readable(&head.headers, length) {
             read_short(&mut body, &request.budget).await
         } else {
-            BodyStart::BrokenOff
+            BodyStart::Incomplete
         };
         let content_type = head.headers.get(CONTENT_TYPE).cloned();
         match start {
@@ -79,12 +79,12 @@
                 on_stream(ServedResponse { body: streamed, content_type });
                 end.status = forward(start, body, &chunks).await;
                 if end.status == Status::Reset {
-                    request.budget.on_response_broken_off();
+                    request.budget.on_response_truncated();
                 }
                 self.on_activity(process);
             }
             // A rejection that is incomplete or too long does not prove that the request was not executed.
-            BodyStart::Partial(_) | BodyStart::BrokenOff => end.status = Status::Reset,
+            BodyStart::Partial(_) | BodyStart::Incomplete => end.status = Status::Reset,
         }
         // If a part of the request is unsent, the server would read the next request as the rest of this one.
         if matches!(end.status, Status::Ok | Status::Rejected) && request.delivery() == Delivery::Complete {
@@ -142,7 +142,7 @@
             Ok(Ok(Some(data))) => received.extend_from_slice(&data),
             Ok(Ok(None)) => return BodyStart::Complete(received.into()),
             Err(_) if length.is_none() => return BodyStart::Partial(received.into()),
-            Ok(Err(_)) | Err(_) => return BodyStart::BrokenOff,
+            Ok(Err(_)) | Err(_) => return BodyStart::Incomplete,
         }
         if received.len() > MAX_BUFFERED_BYTES {
             return BodyStart::Partial(received.into());
--- a/quota-gateway/server/tests/request_budget.rs
+++ b/quota-gateway/server/tests/request_budget.rs
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn a_response_broken_off_by_its_server_is_not_a_client_disconnect() {
+fn a_response_truncated_by_its_server_is_not_a_client_disconnect() {
     let partial = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", 1 << 20, "x".repeat(100_000));
     let server = Stub::start(move |_| Reply::RawAndClose(Box::leak(partial.clone().into_boxed_str())));
     let (gateway, _agent) = start_gateway(&[&server], unchanged);
