--- a/quota-gateway/core/src/decisions/quota.rs
+++ b/quota-gateway/core/src/decisions/quota.rs
@@ -90,7 +90,7 @@
     /// Units in the bucket of the slice.
     #[serde(rename = "store")]
     pub(crate) slice_tokens: f64,
-    /// Units in the bucket of the whole quota, as inferred from the meter.
+    /// Units in the bucket of the full quota, as inferred from the meter.
     #[serde(rename = "level")]
     pub(crate) inferred_tokens: f64,
     /// Units in the bucket of this gateway's part of the rate limit.
@@ -233,15 +233,15 @@
             / (1.0 + UNMETERED_COST_WEIGHT * cost * seconds * seconds)
     }
 
-    /// Returns whether a request is within the rate: the bucket of the slice has enough units, or
-    /// that of the whole quota has.
+    /// Returns whether a request is within the rate: the bucket of the slice has enough units, or that of the
+    /// full quota has.
     pub(crate) fn is_within_rate(&self, now: Time, request: &QuotaRequest) -> bool {
         self.plan.rate <= 0.0
             || self.slice_tokens >= request.units
             || self.is_within_rate_beyond_slice(now, request)
     }
 
-    /// Differs from the design: admits requests beyond the slice while, by the meter, the bucket of the whole
+    /// Differs from the design: admits requests beyond the slice while, by the meter, the bucket of the full
     /// quota has enough units. Each gateway admits them at random, with a probability that falls with the
     /// demand. A customer without meter readings counts as an average customer of its plan if a single
     /// request at each of its gateways within [`CUSTOMER_TTL_SECS`] would exceed the quota.
--- a/quota-gateway/core/tests/failures.rs
+++ b/quota-gateway/core/tests/failures.rs
@@ -350,8 +350,8 @@
     assert!(harness.log.iter().any(|(_, a)| matches!(a, Action::Log(l) if l == "server 0 fails class 1")));
 }
 
-/// Regression test: a restarted server got no requests during its whole slow start, because each of hundreds
-/// of gateways waited for a whole token.
+/// Regression test: a restarted server got no requests during its entire slow start, because each of hundreds
+/// of gateways waited for a full token.
 #[test]
 fn hundreds_of_gateways_share_a_server_in_slow_start_at_random() {
     let mut to_slow_start = 0;
@@ -507,7 +507,7 @@
 }
 
 /// Regression test: a single request in a meter period gives a reading far above the rate. It counted as the
-/// customer's use for a minute, so the whole bucket seemed to be used up, and requests beyond the slice were
+/// customer's use for a minute, so the entire bucket seemed to be used up, and requests beyond the slice were
 /// rejected.
 #[test]
 fn one_high_meter_reading_does_not_empty_the_bucket() {
@@ -525,8 +525,8 @@
                 harness.handle(Event::Outcome(result));
                 harness.advance(3000);
             }
-            // This gateway's slice holds six units. The whole bucket holds more, unless other gateways use
-            // it.
+            // This gateway's slice holds six units. The bucket of the full quota holds more, unless other
+            // gateways use it.
             let served = (0..12).filter(|_| harness.serve(0, 0, 1, 1).is_some()).count();
             *admitted += served.saturating_sub(6);
         }
--- a/quota-gateway/core/tests/invariants.rs
+++ b/quota-gateway/core/tests/invariants.rs
@@ -15,7 +15,7 @@
     Finish { which: usize, status: u8 },
     Disconnect { which: usize },
     Pass { millis: u64 },
-    List { server: u32, state: u8 },
+    UpdateServer { server: u32, state: u8 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -25,7 +25,7 @@
         5 => (any::<usize>(), 0..12u8).prop_map(|(which, status)| Step::Finish { which, status }),
         1 => any::<usize>().prop_map(|which| Step::Disconnect { which }),
         4 => (1..400u64).prop_map(|millis| Step::Pass { millis }),
-        1 => (0..6u32, 0..4u8).prop_map(|(server, state)| Step::List { server, state }),
+        1 => (0..6u32, 0..4u8).prop_map(|(server, state)| Step::UpdateServer { server, state }),
     ]
 }
 
@@ -118,7 +118,7 @@
             Step::Pass { millis } => {
                 harness.advance(*millis);
             }
-            Step::List { server: id, state } => {
+            Step::UpdateServer { server: id, state } => {
                 let mut info = server(*id);
                 info.lifecycle =
                     [Lifecycle::Running, Lifecycle::Running, Lifecycle::Draining, Lifecycle::Unlisted]
--- a/quota-gateway/deadline/src/outcome_totals.rs
+++ b/quota-gateway/deadline/src/outcome_totals.rs
@@ -21,7 +21,7 @@
     BeforeSend,
     /// Rejected or failed after at least one attempt.
     InAttempt,
-    /// The client disconnected before it received the whole response.
+    /// The client disconnected before it received the complete response.
     ClientDisconnected,
 }
 
--- a/quota-gateway/fair-share/src/allocator.rs
+++ b/quota-gateway/fair-share/src/allocator.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time after which a gateway that decisions omit is considered dead, and the capacity reserved for it is
+/// Time after which a gateway that decisions omit is considered failed, and the capacity reserved for it is
 /// granted to others. If it is unreachable for longer but still runs, the capacity may be exceeded
 /// (`docs/fair-share.md`).
 pub const GRANT_LIFETIME: Duration = Duration::from_secs(60);
--- a/quota-gateway/fair-share/src/limiter.rs
+++ b/quota-gateway/fair-share/src/limiter.rs
@@ -135,7 +135,7 @@
         // Max-min sharing of the grant among the firms at this gateway.
         let level = level.min(level_for(&local_firms, grant).unwrap_or(UNLIMITED_LEVEL));
         for (firm, local) in self.firms.values_mut().zip(&local_firms) {
-            // While no firm is limited, each may use up to the whole grant before the next decision.
+            // While no firm is limited, each may use up to the full grant before the next decision.
             firm.allowed_rate =
                 if level >= UNLIMITED_LEVEL { grant } else { (level * local.weight).min(grant) };
         }
--- a/quota-gateway/fair-share/tests/allocator.rs
+++ b/quota-gateway/fair-share/tests/allocator.rs
@@ -81,7 +81,7 @@
 /// Gateway 1 stops reporting. Its grant stays reserved until its decision must have expired, the reservation
 /// then shrinks to the equal share, and after a minute all of it is granted to gateway 0.
 #[test]
-fn the_grant_of_an_unreachable_gateway_stays_reserved_until_the_gateway_is_considered_dead() {
+fn the_grant_of_an_unreachable_gateway_stays_reserved_until_the_gateway_is_considered_failed() {
     let mut allocator = ShareAllocator::new(at(0), VALIDITY, SHRINK_INTERVAL, at(1000), None);
     allocator.set_capacity(100.0);
     let mut stamp = Stamp { token: 1, revision: 0 };
@@ -113,7 +113,7 @@
         "second 14: {other_grant} granted while {reserved} are reserved"
     );
     // The reservation has shrunk to the equal share, which stays reserved until the gateway is considered
-    // dead.
+    // failed.
     assert!(
         (49.0..=55.0).contains(&grants_by_second[40].0),
         "grant of gateway 0 in second 40: {}",
@@ -121,7 +121,7 @@
     );
     assert!(
         grants_by_second[89].0 > 95.0,
-        "grant of gateway 0 in second 89, when gateway 1 is considered dead: {}",
+        "grant of gateway 0 in second 89, when gateway 1 is considered failed: {}",
         grants_by_second[89].0
     );
 }
--- a/quota-gateway/fair-share/tests/fleet.rs
+++ b/quota-gateway/fair-share/tests/fleet.rs
@@ -151,7 +151,7 @@
         for g in 0..self.gateways.len() {
             let firms_here = self.firms_at(g);
             let local_firms: Vec<LocalFirm> = firms_here.iter().map(|(.., local)| *local).collect();
-            // A new limiter, which gets the whole demand of each firm as one request.
+            // A new limiter, which gets the total demand of each firm as one request.
             let mut limiter = marblecroft_fair_share::limiter::ShareLimiter::new(g as u32);
             for (f, k, local) in &firms_here {
                 let quota = marblecroft_fair_share::limiter::FirmQuota {
--- a/quota-gateway/server/tests/golden.rs
+++ b/quota-gateway/server/tests/golden.rs
@@ -238,7 +238,7 @@
 fn the_configuration_is_read_under_its_keys() {
     let good: Value = serde_json::from_str(&text("config.json")).expect("valid JSON");
     let gateway = GatewayProcess::start(&text("config.json"));
-    assert!(gateway.addr.port() > 0, "the whole configuration is accepted");
+    assert!(gateway.addr.port() > 0, "the complete configuration is accepted");
     drop(gateway);
     let mut paths = Vec::new();
     collect_pointers("", &good, &mut paths);
--- a/quota-gateway/server/tests/operations.rs
+++ b/quota-gateway/server/tests/operations.rs
@@ -91,7 +91,7 @@
     complete.write("GET /ready HTTP/1.1\r\nHost: console\r\n\r\n");
     stalled.extend((0..100).map(|_| Client::connect(gateway.console())));
     assert_eq!(complete.read_response().expect("a response").status(), 200);
-    // Callers are closed when further ones connect, the oldest first, and the others when their time is up.
+    // Callers are closed when further ones connect, the oldest first, and the others when they time out.
     for mut caller in stalled {
         let mut rest = Vec::new();
         drop(caller.0.read_to_end(&mut rest));
