--- a/quota-gateway/deadline/src/budget.rs
+++ b/quota-gateway/deadline/src/budget.rs
@@ -1,7 +1,7 @@
 //! The deadline of one request, and the limits that it sets to every wait on the request's behalf.
 //!
 //! The client's timeout counts from the request's last byte ([`Budget::on_complete`]). From then on each
-//! connect, attempt and pause is limited to the time remaining, and each server is advertised what is left
+//! connect, attempt and backoff is limited to the time remaining, and each server is advertised what is left
 //! when its attempt is written, so that no server works on a response that nobody waits for. The budget reads
 //! no clock: callers pass the current time.
 
--- a/quota-gateway/server/src/console.rs
+++ b/quota-gateway/server/src/console.rs
@@ -38,7 +38,7 @@
 const MAX_HEAD_BYTES: usize = 8 << 10;
 /// The longest body, in bytes. No command needs a body; a short one is read and ignored.
 const MAX_BODY_BYTES: usize = 4 << 10;
-/// The pause after a failed accept.
+/// The delay after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Observes the bytes that a caller sends, for conditions that hyper does not report.
--- a/quota-gateway/server/src/discovery.rs
+++ b/quota-gateway/server/src/discovery.rs
@@ -274,8 +274,8 @@
             state.address_index = (state.address_index + 1) % addresses.len();
             state.connection = None;
         }
-        let pause = if state.is_busy { state.backoff.max(self.call_spread) } else { state.backoff };
-        sleep(FollowTiming::jittered(pause, &mut self.random)).await;
+        let delay = if state.is_busy { state.backoff.max(self.call_spread) } else { state.backoff };
+        sleep(FollowTiming::jittered(delay, &mut self.random)).await;
         state.backoff = (state.backoff * 2).min(self.timing.backoff.max);
     }
 
--- a/quota-gateway/server/src/discovery/follow_timing.rs
+++ b/quota-gateway/server/src/discovery/follow_timing.rs
@@ -3,12 +3,12 @@
 use marblecroft_quota_gateway_core::{Discovery as Method, Random};
 use std::time::Duration;
 
-/// The pauses after failed calls, before jitter. The pause doubles with each failure, up to the maximum.
+/// The delays after failed calls, before jitter. The delay doubles with each failure, up to the maximum.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Backoff {
-    /// The pause after the first failure since a success.
+    /// The delay after the first failure since a success.
     pub first: Duration,
-    /// The longest pause.
+    /// The longest delay.
     pub max: Duration,
 }
 
@@ -28,7 +28,7 @@
     /// The timeout of a call after a busy response. Such a call queues, and abandoning it too early wastes
     /// work of discovery and delays the other calls.
     pub busy_timeout: Duration,
-    /// The pauses after failed calls.
+    /// The delays after failed calls.
     pub backoff: Backoff,
     /// The time that discovery is expected to take for one gateway's new watch.
     pub stagger: Duration,
@@ -80,7 +80,7 @@
     stagger: Duration::ZERO,
 };
 
-/// The smallest factor of a jittered pause. The largest is greater by [`JITTER_SPAN`].
+/// The smallest factor of a jittered delay. The largest is greater by [`JITTER_SPAN`].
 const MIN_JITTER: f64 = 0.5;
 const JITTER_SPAN: f64 = 1.0;
 /// The longest time over which the calls of all gateways are spread. If there are too many gateways for it,
@@ -103,9 +103,9 @@
     }
 }
 
-/// Returns a pause with the largest jitter.
-const fn max_jittered(pause: Duration) -> Duration {
-    pause.saturating_mul(3).checked_div(2).expect("no division by zero")
+/// Returns a delay with the largest jitter.
+const fn max_jittered(delay: Duration) -> Duration {
+    delay.saturating_mul(3).checked_div(2).expect("no division by zero")
 }
 
 const _: () = {
@@ -127,7 +127,7 @@
 
     /// The longest time between the instant at which discovery has a change and can be reached and the start
     /// of a call to which it can respond. At that instant a watch or another call may just have started and
-    /// remain unanswered, or a pause may have begun.
+    /// remain unanswered, or a backoff may have begun.
     pub const fn max_time_to_call(&self) -> Duration {
         match self.hedge_after {
             Some(hedge_after) => {
@@ -152,9 +152,9 @@
         max_duration(self.max_time_to_call().saturating_add(self.timeout), rejected)
     }
 
-    /// Returns a pause with jitter, so that many gateways do not call at the same time.
-    pub fn jittered(pause: Duration, random: &mut Random) -> Duration {
-        pause.mul_f64(MIN_JITTER + JITTER_SPAN * random.uniform())
+    /// Returns a delay with jitter, so that many gateways do not call at the same time.
+    pub fn jittered(delay: Duration, random: &mut Random) -> Duration {
+        delay.mul_f64(MIN_JITTER + JITTER_SPAN * random.uniform())
     }
 
     const fn max_call_spread(&self) -> Duration {
--- a/quota-gateway/server/src/handover.rs
+++ b/quota-gateway/server/src/handover.rs
@@ -30,7 +30,7 @@
 
 /// The longest line of an update, in bytes.
 const MAX_UPDATE_BYTES: u64 = 4 << 10;
-/// The pause after a failed accept.
+/// The delay after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// This process's side of an upgrade.
--- a/quota-gateway/server/src/request_budget.rs
+++ b/quota-gateway/server/src/request_budget.rs
@@ -1,7 +1,7 @@
 //! The time budgets of requests on the process's clock, and the metrics of their use.
 //!
 //! The server begins a [`RequestBudget`] when it has read a request's head. The engine and the upstream query
-//! it for the time that each connect, attempt and pause may take. The outcome is recorded once: when the
+//! it for the time that each connect, attempt and backoff may take. The outcome is recorded once: when the
 //! response has been flushed, or when the budget is dropped because the connection is lost.
 
 use crate::clock::Clock;
--- a/quota-gateway/server/src/server/listener.rs
+++ b/quota-gateway/server/src/server/listener.rs
@@ -15,7 +15,7 @@
 pub const CLOSE_DELAY: Duration = Duration::from_millis(100);
 /// The interval of checks while there are too many connections and none can be closed.
 const OVER_LIMIT_RECHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// The pause after a failed accept, which usually means that no descriptor is free.
+/// The delay after a failed accept, which usually means that no descriptor is free.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// The fraction of the client connections that may be idle after a response. Clients also have a limited
 /// number of connections, and some send one request and keep the connection open: if all of these stayed open
@@ -52,9 +52,9 @@
         while self.clients.borrow().len() > self.max_connections.get() {
             self.is_over_limit.set(true);
             // The requested close may be delayed, so another connection is closed after a while.
-            let pause = if self.close_one_idle() { CLOSE_DELAY } else { OVER_LIMIT_RECHECK_INTERVAL };
+            let max_wait = if self.close_one_idle() { CLOSE_DELAY } else { OVER_LIMIT_RECHECK_INTERVAL };
             // The loop checks the number again in either case.
-            let _ = timeout(pause, self.slot_freed.notified()).await;
+            let _ = timeout(max_wait, self.slot_freed.notified()).await;
         }
         self.is_over_limit.set(false);
     }
