--- a/quota-gateway/core/src/decisions/quota.rs
+++ b/quota-gateway/core/src/decisions/quota.rs
@@ -39,21 +39,21 @@
 /// The average of the meter's readings for a customer.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 #[serde(from = "(f64, Time)", into = "(f64, Time)")]
-pub(crate) struct MeterReading {
+pub(crate) struct MeterAverage {
     /// The mean, in units per second.
     mean: f64,
     /// When the last reading was received.
     received_at: Time,
 }
 
-impl From<(f64, Time)> for MeterReading {
-    fn from((mean, received_at): (f64, Time)) -> MeterReading {
-        MeterReading { mean, received_at }
+impl From<(f64, Time)> for MeterAverage {
+    fn from((mean, received_at): (f64, Time)) -> MeterAverage {
+        MeterAverage { mean, received_at }
     }
 }
 
-impl From<MeterReading> for (f64, Time) {
-    fn from(reading: MeterReading) -> (f64, Time) {
+impl From<MeterAverage> for (f64, Time) {
+    fn from(reading: MeterAverage) -> (f64, Time) {
         (reading.mean, reading.received_at)
     }
 }
@@ -90,7 +90,7 @@
     /// Units in the bucket of the slice.
     #[serde(rename = "store")]
     pub(crate) slice_tokens: f64,
-    /// Units in the bucket of the whole quota, as inferred from the meter.
+    /// Units in the bucket of the full quota, as inferred from the meter.
     #[serde(rename = "level")]
     pub(crate) inferred_tokens: f64,
     /// Units in the bucket of this gateway's part of the rate limit.
@@ -105,11 +105,12 @@
     /// The local use, delayed by the average age of the meter's readings.
     #[serde(rename = "own_then")]
     pub(crate) lagged_local_use: f64,
-    pub(crate) meter: Option<MeterReading>,
+    pub(crate) meter: Option<MeterAverage>,
     #[serde(rename = "out")]
     pub(crate) in_flight: u32,
     /// Attempts that another process of this gateway has in flight.
-    pub(crate) elsewhere: u32,
+    #[serde(rename = "elsewhere")]
+    pub(crate) peer_in_flight: u32,
 }
 
 impl CustomerQuota {
@@ -120,9 +121,9 @@
         let gateways = f64::from(gateways.max(1));
         let unmetered_slice = unmetered_slice(&plan, gateways, meter_period);
         let slice = unmetered_slice.unwrap_or(1.0 / gateways);
-        let slice_holds_no_request = slice_holds_no_request(&plan, gateways, meter_period);
+        let is_unmetered_slice_too_small = is_unmetered_slice_too_small(&plan, gateways, meter_period);
         let time_constant =
-            if slice_holds_no_request { UNMETERED_TIME_CONSTANT_SECS } else { RATE_TIME_CONSTANT_SECS };
+            if is_unmetered_slice_too_small { UNMETERED_TIME_CONSTANT_SECS } else { RATE_TIME_CONSTANT_SECS };
         let rate_limit_tokens = plan.rate_limit * age + INITIAL_SLACK_SHARE * plan.rate_limit_slack;
         CustomerQuota {
             gateways,
@@ -168,7 +169,7 @@
 
     /// Attempts in flight from this gateway.
     pub(crate) fn in_flight_count(&self) -> f64 {
-        f64::from(self.in_flight) + f64::from(self.elsewhere)
+        f64::from(self.in_flight) + f64::from(self.peer_in_flight)
     }
 
     /// Refills all buckets for the time since the last refill.
@@ -198,7 +199,7 @@
         // Most customers make only a request or two per period, so a single reading is a poor estimate of
         // their rate.
         let mean = self.meter.map_or(total, |reading| ewma(reading.mean, total, SHARE_WEIGHT));
-        self.meter = Some(MeterReading { mean, received_at: now });
+        self.meter = Some(MeterAverage { mean, received_at: now });
         // Use over the quota in the reported period was taken from the quota's bucket.
         let drained = (total - limit) * meter_period;
         self.inferred_tokens =
@@ -232,15 +233,15 @@
             / (1.0 + UNMETERED_COST_WEIGHT * cost * seconds * seconds)
     }
 
-    /// Returns whether a request is within the rate: the bucket of the slice has enough units, or
-    /// that of the whole quota has.
+    /// Returns whether a request is within the rate: the bucket of the slice has enough units, or that of the
+    /// full quota has.
     pub(crate) fn is_within_rate(&self, now: Time, request: &QuotaRequest) -> bool {
         self.plan.rate <= 0.0
             || self.slice_tokens >= request.units
             || self.is_within_rate_beyond_slice(now, request)
     }
 
-    /// Differs from the design: admits requests beyond the slice while, by the meter, the bucket of the whole
+    /// Differs from the design: admits requests beyond the slice while, by the meter, the bucket of the full
     /// quota has enough units. Each gateway admits them at random, with a probability that falls with the
     /// demand. A customer without meter readings counts as an average customer of its plan if a single
     /// request at each of its gateways within [`CUSTOMER_TTL_SECS`] would exceed the quota.
@@ -269,14 +270,14 @@
         }
         let (limit, local) = (f64::from(self.plan.max_in_flight), self.in_flight_count());
         // The other gateways' attempts in flight are estimated from their use and the latency (Little's law).
-        // One attempt at each of many gateways can exceed the limit, especially when answers get slower.
+        // One attempt at each of many gateways can exceed the limit, especially when responses get slower.
         let others = if self.plan.rate > 0.0 { self.others_rate(now) * seconds } else { 0.0 };
         local + 1.0 <= (limit * self.share.max(0.5)).max(1.0) && local + 1.0 + others <= limit
     }
 }
 
 /// Returns whether there is no meter and the bucket of an equal slice is too small for a request of one unit.
-fn slice_holds_no_request(plan: &Plan, gateways: f64, meter_period: f64) -> bool {
+fn is_unmetered_slice_too_small(plan: &Plan, gateways: f64, meter_period: f64) -> bool {
     meter_period <= 0.0 && plan.rate > 0.0 && plan.burst < gateways
 }
 
@@ -286,5 +287,5 @@
     let cost = sanitize(plan.over_quota_cost - plan.over_quota_value);
     let enlarged = gateways.powf(-1.0 / (1.0 + 1.0 / cost));
     let is_bounded = enlarged >= 1.0 || enlarged * gateways <= MAX_UNMETERED_QUOTAS;
-    (slice_holds_no_request(plan, gateways, meter_period) && is_bounded).then_some(enlarged)
+    (is_unmetered_slice_too_small(plan, gateways, meter_period) && is_bounded).then_some(enlarged)
 }
--- a/quota-gateway/core/tests/invariants.rs
+++ b/quota-gateway/core/tests/invariants.rs
@@ -15,7 +15,7 @@
     Finish { which: usize, status: u8 },
     Disconnect { which: usize },
     Pass { millis: u64 },
-    List { server: u32, state: u8 },
+    UpdateServer { server: u32, state: u8 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -25,7 +25,7 @@
         5 => (any::<usize>(), 0..12u8).prop_map(|(which, status)| Step::Finish { which, status }),
         1 => any::<usize>().prop_map(|which| Step::Disconnect { which }),
         4 => (1..400u64).prop_map(|millis| Step::Pass { millis }),
-        1 => (0..6u32, 0..4u8).prop_map(|(server, state)| Step::List { server, state }),
+        1 => (0..6u32, 0..4u8).prop_map(|(server, state)| Step::UpdateServer { server, state }),
     ]
 }
 
@@ -118,10 +118,10 @@
             Step::Pass { millis } => {
                 harness.advance(*millis);
             }
-            Step::List { server: id, state } => {
+            Step::UpdateServer { server: id, state } => {
                 let mut info = server(*id);
                 info.lifecycle =
-                    [Lifecycle::Running, Lifecycle::Running, Lifecycle::Draining, Lifecycle::Gone]
+                    [Lifecycle::Running, Lifecycle::Running, Lifecycle::Draining, Lifecycle::Unlisted]
                         [usize::from(*state)];
                 not_running.insert(info.id, info.lifecycle != Lifecycle::Running);
                 if *state == 1 {
@@ -175,7 +175,7 @@
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
                     let request = requests.get_mut(&id).expect("a known request");
-                    assert!(!request.answered, "two final answers");
+                    assert!(!request.answered, "two final responses");
                     if matches!(action, Action::Reject { .. }) {
                         let harmless = match classes[request.class].effect {
                             Effect::Safe | Effect::Keyed { group: DeduplicationScope::All, .. } => true,
@@ -195,7 +195,7 @@
         for (id, request) in &requests {
             assert!(
                 request.answered || request.disconnected || harness.now <= request.deadline + 8_000_000,
-                "{id:?} has no final answer"
+                "{id:?} has no final response"
             );
         }
     }
