--- a/quota-gateway/server/tests/servers.rs
+++ b/quota-gateway/server/tests/servers.rs
@@ -7,6 +7,10 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
+/// Requests after which the gateway's mean latency has converged: its initial estimate is a share of the
+/// latency target, and each answer replaces 8 % of the mean.
+const WARM_UP_REQUESTS: usize = 120;
+
 /// The status of the final response to a request that is idempotent by key, and the number of attempts, if
 /// its only server always reacts like this.
 fn keyed_request_outcome(reply: Reply) -> (u16, usize) {
@@ -135,7 +139,7 @@
         .replace(r#""Aim":1500000000,"Deadline":4000000000"#, r#""Aim":5000000000,"Deadline":12000000000"#);
     let gateway = GatewayProcess::start(&generous);
     let mut others = gateway.client();
-    for n in 0..40 {
+    for n in 0..WARM_UP_REQUESTS {
         assert_eq!(others.call(&saldo(&format!("w{n}"), "4")).status(), 200);
     }
     let mut client = gateway.client();
