--- a/testing/fault-injection/src/harness/run/measurement.rs
+++ b/testing/fault-injection/src/harness/run/measurement.rs
@@ -14,12 +14,56 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(5);
 /// A check that is delayed by more than this is recorded.
 const MAX_LATENESS: Duration = Duration::from_millis(15);
+/// Readings of the two clocks, of which the narrowest is used.
+const CLOCK_READINGS: usize = 8;
 
 /// Returns the wall clock's time in microseconds since 1970.
 pub(super) fn unix_us() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
 
+/// A reading of the wall clock between two readings of the clock of the run.
+struct ClockReading {
+    before: Nanos,
+    unix_us: u64,
+    after: Nanos,
+}
+
+impl ClockReading {
+    fn take(wall_clock_us: impl Fn() -> u64, run_clock: impl Fn() -> Nanos) -> ClockReading {
+        let before = run_clock();
+        let unix_us = wall_clock_us();
+        let after = run_clock();
+        ClockReading { before, unix_us, after }
+    }
+
+    fn width(&self) -> Nanos {
+        self.after - self.before
+    }
+
+    /// Returns the wall clock's time at the start of the run.
+    fn run_start_unix_us(&self) -> u64 {
+        let run_time = self.before + self.width() / 2;
+        self.unix_us.saturating_sub(run_time / 1000)
+    }
+}
+
+/// Returns the wall clock's time at the start of the run in microseconds since 1970, from the wall clock in
+/// the same unit and from the clock of the run.
+///
+/// The two clocks cannot be read at the same instant, and the process may be preempted between the reads. The
+/// clocks are therefore read [`CLOCK_READINGS`] times, and the reading that took the least time is used.
+pub(super) fn run_start_unix_us(wall_clock_us: impl Fn() -> u64, run_clock: impl Fn() -> Nanos) -> u64 {
+    let mut narrowest = ClockReading::take(&wall_clock_us, &run_clock);
+    for _ in 1..CLOCK_READINGS {
+        let reading = ClockReading::take(&wall_clock_us, &run_clock);
+        if reading.width() < narrowest.width() {
+            narrowest = reading;
+        }
+    }
+    narrowest.run_start_unix_us()
+}
+
 /// Returns the user and system processor time of ended child processes (fields 16 and 17 of this process's
 /// `stat`). Clock ticks are 10 ms on all supported machines.
 pub(super) fn children_cpu() -> Nanos {
@@ -69,3 +113,6 @@
         eprint!("\r{at} s: {started} started, {served} served, {open} open ");
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/testing/fault-injection/src/harness/run/running_fleet.rs
+++ b/testing/fault-injection/src/harness/run/running_fleet.rs
@@ -1,6 +1,6 @@
 //! The running fleet, and the sequence of a run: start, load with faults, end.
 
-use super::measurement::{monitor_harness, progress, unix_us};
+use super::measurement::{monitor_harness, progress, run_start_unix_us, unix_us};
 use super::{RunSpec, MAX_STARTING};
 use crate::deployment::{Nanos, MS};
 use crate::endpoint::End;
@@ -158,7 +158,7 @@
             firms: deployment.customers.iter().map(|customer| customer.id).collect(),
             faults: deployment.faults.clone(),
             load_from,
-            unix_us: unix_us().saturating_sub(self.context.now() / 1000),
+            unix_us: run_start_unix_us(unix_us, || self.context.now()),
         }
     }
 
