--- a/quota-gateway/coordination/src/service/membership.rs
+++ b/quota-gateway/coordination/src/service/membership.rs
@@ -20,7 +20,7 @@
     /// Assigns this process to a cluster, if it belongs to none yet.
     pub(super) async fn join(&self, cluster: u64) -> Response {
         match (self.cluster.get(), cluster) {
-            (_, 0) => Response::No("cluster: 0 names none".to_owned()),
+            (_, 0) => Response::Rejected("cluster: 0 names none".to_owned()),
             (own, cluster) if own == cluster => Response::Done,
             (0, cluster) => match self.log.join(cluster).await {
                 Ok(()) => {
@@ -29,7 +29,7 @@
                 }
                 Err(error) => Response::Unknown(error.to_string()),
             },
-            (own, _) => Response::No(format!("this process is of cluster {own:016x}")),
+            (own, _) => Response::Rejected(format!("this process is of cluster {own:016x}")),
         }
     }
 
@@ -39,7 +39,7 @@
             members.into_iter().map(|(node, address)| (node, BasicNode::new(address))).collect();
         match self.raft.initialize(members).await {
             Ok(()) => Response::Done,
-            Err(error) => Response::No(error.to_string()),
+            Err(error) => Response::Rejected(error.to_string()),
         }
     }
 
@@ -54,7 +54,7 @@
             Ok(learner) => learner,
             Err(error) => return self.membership_error(error),
         };
-        // The consensus crate treats a learner as caught up if it lags by no more entries than a threshold.
+        // The consensus crate treats a learner as caught up if its lag in entries does not exceed a threshold.
         // If the log is shorter than the threshold, this includes a learner that has no entry at all.
         if !self.has_replicated(node, learner.log_id.index).await {
             return self.not_serving();
@@ -100,7 +100,7 @@
             RaftError::APIError(ClientWriteError::ChangeMembershipError(
                 ChangeMembershipError::InProgress(_),
             )) => Response::Busy { after_ms: MEMBERSHIP_CHANGE_DELAY_MS },
-            RaftError::APIError(error) => Response::No(error.to_string()),
+            RaftError::APIError(error) => Response::Rejected(error.to_string()),
             // The change may be in the log despite the error.
             RaftError::Fatal(error) => Response::Unknown(error.to_string()),
         }
--- a/quota-gateway/deadline/src/budget.rs
+++ b/quota-gateway/deadline/src/budget.rs
@@ -1,7 +1,7 @@
 //! The deadline of one request, and the limits that it sets to every wait on the request's behalf.
 //!
 //! The client's timeout counts from the request's last byte ([`Budget::on_complete`]). From then on each
-//! connect, attempt and pause is limited to the time remaining, and each server is advertised what is left
+//! connect, attempt and backoff is limited to the time remaining, and each server is advertised what is left
 //! when its attempt is written, so that no server works on a response that nobody waits for. The budget reads
 //! no clock: callers pass the current time.
 
@@ -13,7 +13,7 @@
 /// delays on a busy core.
 pub const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
 /// A response is abandoned if the client reads no byte of it for this time, whatever time remains. A slow
-/// reader may take as long as it needs for a response that came in time, but a reader that has gone must not
+/// reader may take as long as it needs for a response that came in time, but a disconnected reader must not
 /// keep its connection open forever.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// One connect may use the remaining time divided by this, so that as much is left to try another server. If
--- a/quota-gateway/server/src/handover.rs
+++ b/quota-gateway/server/src/handover.rs
@@ -30,7 +30,7 @@
 
 /// The longest line of an update, in bytes.
 const MAX_UPDATE_BYTES: u64 = 4 << 10;
-/// The pause after a failed accept.
+/// The delay after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// This process's side of an upgrade.
@@ -111,7 +111,7 @@
         }
         links.remove(&sender);
         if !links.has_peers() {
-            self.engine.post(Event::PeerProcess(PeerProcessEvent::Gone));
+            self.engine.post(Event::PeerProcess(PeerProcessEvent::Exited));
             (self.on_shared)(false);
         }
         info!("the other process is gone");
--- a/quota-gateway/server/src/request_budget.rs
+++ b/quota-gateway/server/src/request_budget.rs
@@ -1,7 +1,7 @@
 //! The time budgets of requests on the process's clock, and the metrics of their use.
 //!
 //! The server begins a [`RequestBudget`] when it has read a request's head. The engine and the upstream query
-//! it for the time that each connect, attempt and pause may take. The outcome is recorded once: when the
+//! it for the time that each connect, attempt and backoff may take. The outcome is recorded once: when the
 //! response has been flushed, or when the budget is dropped because the connection is lost.
 
 use crate::clock::Clock;
@@ -53,7 +53,7 @@
             class,
             budget: RefCell::new(Budget::new(client_timeout, begun_at)),
             awaits_outcome: Cell::new(false),
-            outcome_on_close: Cell::new(Outcome::ClientGone),
+            outcome_on_close: Cell::new(Outcome::ClientDisconnected),
         })
     }
 }
@@ -167,7 +167,7 @@
     }
 
     /// Records that the server ended its response prematurely.
-    pub fn on_response_broken_off(&self) {
+    pub fn on_response_truncated(&self) {
         self.outcome_on_close.set(Outcome::InAttempt);
     }
 
@@ -189,6 +189,10 @@
     /// response prematurely.
     fn drop(&mut self) {
         let outcome = self.outcome_on_close.get();
-        self.record_outcome(if outcome == Outcome::InAttempt { outcome } else { Outcome::ClientGone });
+        self.record_outcome(if outcome == Outcome::InAttempt {
+            outcome
+        } else {
+            Outcome::ClientDisconnected
+        });
     }
 }
