--- a/control-plane/chain-replication/src/agreement/proposal.rs
+++ b/control-plane/chain-replication/src/agreement/proposal.rs
@@ -66,7 +66,7 @@
     /// Voters that have granted this phase's request.
     granted_by: BTreeSet<u64>,
     /// Voters that have replied to this phase's request, or have failed to in time.
-    answered_by: BTreeSet<u64>,
+    replied_by: BTreeSet<u64>,
     highest_accepted: Option<Accepted>,
     preempted_by: u64,
 }
@@ -82,7 +82,7 @@
             lost_voters,
             phase: Phase::Prepare,
             granted_by: BTreeSet::new(),
-            answered_by: BTreeSet::new(),
+            replied_by: BTreeSet::new(),
             highest_accepted: None,
             preempted_by: 0,
         }
@@ -109,7 +109,7 @@
 
     /// Handles a voter's reply to the request of a phase; `None` if no reply arrived in time.
     pub fn handle_reply(&mut self, phase: Phase, identity: u64, reply: Option<VoteReply>) -> Step {
-        if phase != self.phase || !self.current.is_voter(identity) || !self.answered_by.insert(identity) {
+        if phase != self.phase || !self.current.is_voter(identity) || !self.replied_by.insert(identity) {
             return Step::Wait;
         }
         match (phase, reply) {
@@ -131,7 +131,7 @@
         if self.is_granted() {
             return self.start_next_phase();
         }
-        if self.answered_by.len() == self.current.voters.len() {
+        if self.replied_by.len() == self.current.voters.len() {
             return Step::Finished(Outcome::Undecided { preempted_by: self.preempted_by });
         }
         Step::Wait
@@ -157,7 +157,7 @@
         }
         self.phase = Phase::Accept;
         self.granted_by.clear();
-        self.answered_by.clear();
+        self.replied_by.clear();
         Step::SendRequest
     }
 }
--- a/control-plane/configuration/src/route.rs
+++ b/control-plane/configuration/src/route.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-/// The kind of a route's requests, which determines whether they may be repeated and how they are answered.
+/// The kind of a route's requests, which determines whether they may be retried and the form of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RouteType {
     /// Requests that may be executed more than once.
     Idempotent,
     /// Requests that must not be executed more than once.
     NonIdempotent,
-    /// Requests that are answered by a stream of events.
+    /// Requests whose response is a stream of events.
     Streaming,
     /// Jobs of many requests that are run in the background.
     Batch,
--- a/control-plane/core/src/coordinator/context.rs
+++ b/control-plane/core/src/coordinator/context.rs
@@ -108,12 +108,12 @@
         }
     }
 
-    pub(super) fn answer(&mut self, token: Token, reply: CoordinatorReply) {
-        self.outputs.push(Output::Answer { token, reply });
+    pub(super) fn reply(&mut self, token: Token, reply: CoordinatorReply) {
+        self.outputs.push(Output::Reply { token, reply });
     }
 
-    pub(super) fn answer_operator(&mut self, token: Token, reply: Reply) {
-        self.outputs.push(Output::AnswerOperator { token, reply });
+    pub(super) fn reply_to_operator(&mut self, token: Token, reply: Reply) {
+        self.outputs.push(Output::ReplyToOperator { token, reply });
     }
 
     /// Calls another coordinator.
--- a/control-plane/core/src/coordinator/io.rs
+++ b/control-plane/core/src/coordinator/io.rs
@@ -13,14 +13,14 @@
 pub enum Input {
     /// A call from another process.
     Request {
-        /// Identifies the call in [`Output::Answer`].
+        /// Identifies the call in [`Output::Reply`].
         token: Token,
         /// The request.
         request: CoordinatorRequest,
     },
     /// A call from the operator.
     Operator {
-        /// Identifies the call in [`Output::AnswerOperator`].
+        /// Identifies the call in [`Output::ReplyToOperator`].
         token: Token,
         /// The call.
         call: operator::Call,
@@ -45,14 +45,14 @@
 #[derive(Debug)]
 pub enum Output {
     /// Reply to a call from another process.
-    Answer {
+    Reply {
         /// The token of [`Input::Request`].
         token: Token,
         /// The reply.
         reply: CoordinatorReply,
     },
     /// Reply to a call from the operator.
-    AnswerOperator {
+    ReplyToOperator {
         /// The token of [`Input::Operator`].
         token: Token,
         /// The reply.
--- a/control-plane/core/src/coordinator/membership/task.rs
+++ b/control-plane/core/src/coordinator/membership/task.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Timeout of a request that is answered without writing to the disk.
+/// Timeout of a request that the recipient handles without writing to its disk.
 pub(super) const STATUS_TIMEOUT: Duration = Duration::from_millis(400);
 /// A task is abandoned after this time. Longer than the timeouts of its calls together: the status requests
 /// (400 ms) and the two phases of the vote (800 ms each).
--- a/control-plane/core/src/coordinator/mod.rs
+++ b/control-plane/core/src/coordinator/mod.rs
@@ -151,7 +151,7 @@
             CoordinatorRequest::Leave(identity) => self.membership.handle_leave(ctx, identity),
             CoordinatorRequest::Report(report) => self.stores.handle_report(ctx, now, report),
         };
-        ctx.answer(token, reply);
+        ctx.reply(token, reply);
     }
 
     fn handle_reply(&mut self, now: Duration, call: u64, reply: Option<CoordinatorReply>) {
@@ -182,7 +182,7 @@
                     self.context.call(to.address, request, within, CallPurpose::Chain(call));
                 }
                 ChainOutput::Reply { token, reply } => {
-                    self.context.answer(token, CoordinatorReply::Append(reply))
+                    self.context.reply(token, CoordinatorReply::Append(reply))
                 }
                 ChainOutput::Applied { token, result } => self.on_applied(now, token, result),
                 ChainOutput::Readable { token, result } => self.on_readable(now, token, result),
@@ -246,7 +246,7 @@
         while let Some(outputs) = self.context.client.advance(now) {
             self.handle_chain_outputs(now, outputs);
         }
-        self.pulls.answer_ready(&mut self.context, now);
+        self.pulls.reply_to_ready(&mut self.context, now);
         std::mem::take(&mut self.context.outputs)
     }
 
--- a/control-plane/core/src/coordinator/operator_calls.rs
+++ b/control-plane/core/src/coordinator/operator_calls.rs
@@ -31,11 +31,11 @@
 }
 
 impl<S: Storage> OperatorCalls<'_, S> {
-    /// Answers a call at once if the reply does not depend on the state; otherwise submits the call to the
+    /// Replies to a call at once if the reply does not depend on the state; otherwise submits the call to the
     /// chain.
     pub(super) fn handle(&mut self, token: Token, call: Call) {
         if let Err(reply) = self.submit(token, call) {
-            self.ctx.answer_operator(token, reply);
+            self.ctx.reply_to_operator(token, reply);
         }
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// Returns a redirect to the head if this process knows the head: a member by its lease, another process
-    /// by a recent query of the view. A redirect to a former head is harmless, because that process answers
+    /// by a recent query of the view. A redirect to a former head is harmless, because that process replies
     /// from its state only after a round of the chain has confirmed that the state is the newest.
     fn redirect(&self, url: &str) -> Reply {
         let is_head_known = self.ctx.has_valid_lease(self.now) || self.membership.has_recent_view(self.now);
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Answers a call after the chain has applied or rejected its operation.
+    /// Replies to a call after the chain has applied or rejected its operation.
     pub(super) fn on_applied(
         &mut self,
         caller: Caller,
@@ -95,7 +95,7 @@
             Ok(output) => reply::applied(pending, &output),
             Err(error) => self.rejection_reply(&caller, &error),
         };
-        self.ctx.answer_operator(caller.token, reply);
+        self.ctx.reply_to_operator(caller.token, reply);
     }
 
     /// Continues a call after the chain has confirmed or rejected its read.
@@ -123,7 +123,7 @@
             // These calls wait for an operation, never for a read.
             (Ok(()), PendingCall::Change { .. } | PendingCall::Retire) => Reply::status(500),
         };
-        self.ctx.answer_operator(caller.token, reply);
+        self.ctx.reply_to_operator(caller.token, reply);
     }
 
     fn rejection_reply(&self, caller: &Caller, error: &ProposalError) -> Reply {
--- a/control-plane/core/src/coordinator/pulls.rs
+++ b/control-plane/core/src/coordinator/pulls.rs
@@ -11,7 +11,7 @@
 
 /// Upper bound on the time that a pull waits, whatever the gateway requests.
 const MAX_PULL_WAIT: Duration = Duration::from_millis(2000);
-/// A coordinator without a valid lease answers a pull after this time, with no updates, so that the gateway
+/// A coordinator without a valid lease replies to a pull after this time, with no updates, so that the gateway
 /// tries another coordinator. Longer than the heartbeat interval (150 ms), because a heartbeat may renew the
 /// lease in the meantime.
 const STALE_PULL_TIMEOUT: Duration = Duration::from_millis(200);
@@ -39,7 +39,7 @@
     }
 }
 
-/// Pulls that have not been answered yet.
+/// Pulls without a reply so far.
 #[derive(Default)]
 pub(super) struct PendingPulls {
     pending: Vec<PendingPull>,
@@ -52,8 +52,8 @@
         self.pending.push(PendingPull { token, pull, received_at: now, deadline });
     }
 
-    /// Answers the pulls for which there are updates, and those that have timed out.
-    pub(super) fn answer_ready<S: Storage>(&mut self, ctx: &mut Context<S>, now: Duration) {
+    /// Replies to the pulls for which there are updates, and to those that have timed out.
+    pub(super) fn reply_to_ready<S: Storage>(&mut self, ctx: &mut Context<S>, now: Duration) {
         if self.pending.is_empty() {
             return;
         }
@@ -66,14 +66,14 @@
             let has_timed_out =
                 now >= pending.deadline || (!is_fresh && now >= pending.received_at + stale_timeout);
             match updates {
-                Some(updates) => ctx.answer(pending.token, CoordinatorReply::Updates(updates)),
+                Some(updates) => ctx.reply(pending.token, CoordinatorReply::Updates(updates)),
                 None if has_timed_out => {
                     let updates = ConfigurationUpdates {
                         fresh: is_fresh && ctx.chain().committed_machine().is_some(),
                         coordinators: ctx.member_addresses(),
                         ..ConfigurationUpdates::default()
                     };
-                    ctx.answer(pending.token, CoordinatorReply::Updates(updates));
+                    ctx.reply(pending.token, CoordinatorReply::Updates(updates));
                 }
                 None => self.pending.push(pending),
             }
--- a/control-plane/core/src/operator/reply.rs
+++ b/control-plane/core/src/operator/reply.rs
@@ -1,11 +1,11 @@
-//! Replies to the operator's calls that do not depend on which process answers.
+//! Replies to the operator's calls that do not depend on which process sends them.
 
 use super::PendingCall;
 use marblecroft_control_state::Output;
 use marblecroft_rpc::http::Reply;
 use tracing::info;
 
-/// Returns the reply to a call that cannot be answered at the moment and has changed nothing.
+/// Returns the reply to a call that cannot be carried out at the moment and has changed nothing.
 pub(crate) fn unavailable(reason: &str) -> Reply {
     Reply::text(503, reason)
 }
--- a/control-plane/core/src/store/context.rs
+++ b/control-plane/core/src/store/context.rs
@@ -54,13 +54,13 @@
         self.client.read_index(purpose, now + READ_TIMEOUT);
     }
 
-    pub(super) fn answer(&mut self, token: Token, reply: StoreReply) {
-        self.outputs.push(Output::Answer { token, reply });
+    pub(super) fn reply(&mut self, token: Token, reply: StoreReply) {
+        self.outputs.push(Output::Reply { token, reply });
     }
 
-    pub(super) fn answer_not_head(&mut self, token: Token) {
+    pub(super) fn reply_not_head(&mut self, token: Token) {
         let head = self.chain().head_address();
-        self.answer(token, StoreReply::NotHead(head));
+        self.reply(token, StoreReply::NotHead(head));
     }
 
     pub(super) fn call_store(
--- a/control-plane/core/src/store/io.rs
+++ b/control-plane/core/src/store/io.rs
@@ -11,7 +11,7 @@
 pub enum Input {
     /// A call from another process.
     Request {
-        /// Identifies the call in [`Output::Answer`].
+        /// Identifies the call in [`Output::Reply`].
         token: Token,
         /// The request.
         request: StoreRequest,
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub enum Output {
     /// Reply to a call from another process.
-    Answer {
+    Reply {
         /// The token of [`Input::Request`].
         token: Token,
         /// The reply.
--- a/control-plane/core/src/store/jobs.rs
+++ b/control-plane/core/src/store/jobs.rs
@@ -23,7 +23,7 @@
     if ctx.jobs().fits_quota(&job) {
         ctx.propose(now, Operation::SubmitJob(job), PendingOperation::SubmitJob { token });
     } else {
-        ctx.answer(token, StoreReply::OverQuota);
+        ctx.reply(token, StoreReply::OverQuota);
     }
 }
 
--- a/control-plane/core/src/store/mod.rs
+++ b/control-plane/core/src/store/mod.rs
@@ -10,7 +10,7 @@
 //!
 //! Modules:
 //!
-//! - `jobs`, `results`, `work`: requests of gateways, which only the head answers.
+//! - `jobs`, `results`, `work`: requests of gateways, which only the head serves.
 //! - `leases`: the assignment of items to gateways.
 //! - `reporting`, `state_transfer`: receive the view, and the state that a store needs before it joins.
 //! - `expiry`: removal of old jobs.
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Handles a request. Every member answers the first four kinds; only the head answers requests of
+    /// Handles a request. Every member serves the first four kinds; only the head serves requests of
     /// gateways.
     fn handle_request(&mut self, time: Time, token: Token, request: StoreRequest) {
         let now = time.monotonic;
@@ -141,15 +141,15 @@
             }
             StoreRequest::Status => {
                 let status = ctx.chain().status(now);
-                ctx.answer(token, StoreReply::Status(status));
+                ctx.reply(token, StoreReply::Status(status));
             }
             // A write of a suspended replica has failed, so its state may not be the one on its disk.
-            StoreRequest::Fetch if ctx.chain().replica().is_suspended() => ctx.answer_not_head(token),
+            StoreRequest::Fetch if ctx.chain().replica().is_suspended() => ctx.reply_not_head(token),
             StoreRequest::Fetch => {
                 let state = ctx.chain().replica().snapshot_message();
-                ctx.answer(token, StoreReply::State(state));
+                ctx.reply(token, StoreReply::State(state));
             }
-            _ if !ctx.chain().is_head() => ctx.answer_not_head(token),
+            _ if !ctx.chain().is_head() => ctx.reply_not_head(token),
             StoreRequest::SubmitJob(mut job) => {
                 job.accepted_at_ms = time.wall_ms;
                 jobs::submit(ctx, now, token, job);
@@ -208,7 +208,7 @@
                     };
                     self.context.call_store(to.address, request, within, CallPurpose::Chain(call));
                 }
-                ChainOutput::Reply { token, reply } => self.context.answer(token, StoreReply::Append(reply)),
+                ChainOutput::Reply { token, reply } => self.context.reply(token, StoreReply::Append(reply)),
                 ChainOutput::Applied { token, result } => self.on_applied(time.monotonic, token, result),
                 ChainOutput::Readable { token, result } => self.on_readable(time, token, result),
             }
@@ -218,8 +218,8 @@
     fn on_applied(&mut self, now: Duration, token: Token, result: Result<Outcome, ProposalError>) {
         let ctx = &mut self.context;
         match ctx.client.complete(token) {
-            Some(PendingOperation::SubmitJob { token }) => ctx.answer(token, jobs::submission_reply(result)),
-            Some(PendingOperation::EndJob { token }) => ctx.answer(token, jobs::end_reply(result)),
+            Some(PendingOperation::SubmitJob { token }) => ctx.reply(token, jobs::submission_reply(result)),
+            Some(PendingOperation::EndJob { token }) => ctx.reply(token, jobs::end_reply(result)),
             Some(PendingOperation::RecordResult { recording }) => {
                 self.work.on_result_recorded(ctx, now, recording, result.err())
             }
@@ -232,7 +232,7 @@
         let Some(pending) = ctx.client.complete(token) else { return };
         if let Err(error) = result {
             if let Some(token) = pending.read_token() {
-                ctx.answer(token, rejection_reply(error));
+                ctx.reply(token, rejection_reply(error));
             }
             return;
         }
@@ -244,7 +244,7 @@
             PendingOperation::ReadResults(read) => self.deferred_reads.on_readable(ctx, now, read),
             PendingOperation::ReadItemBody { token, job, item } => {
                 let reply = jobs::item_body_reply(ctx, &job, &item);
-                ctx.answer(token, reply);
+                ctx.reply(token, reply);
             }
             PendingOperation::GrantWork(work) => self.work.grant(ctx, time, work),
             PendingOperation::SubmitJob { .. }
--- a/control-plane/core/src/store/operations.rs
+++ b/control-plane/core/src/store/operations.rs
@@ -44,7 +44,7 @@
 }
 
 impl PendingOperation {
-    /// Returns the token of the request to answer if the state cannot be read; `None` for operations, which
+    /// Returns the token of the request to reply to if the state cannot be read; `None` for operations, which
     /// are not reads.
     pub(super) fn read_token(&self) -> Option<Token> {
         match self {
@@ -66,7 +66,7 @@
     pub(super) job: String,
     /// Index of the first result to return.
     pub(super) start: u64,
-    /// Time at which the request is answered even without results.
+    /// Time at which the reply is sent even without results.
     pub(super) deadline: Duration,
 }
 
--- a/control-plane/core/src/store/results.rs
+++ b/control-plane/core/src/store/results.rs
@@ -1,4 +1,4 @@
-//! Reads of a job's results. A read that finds no results is deferred and repeated until its deadline.
+//! Reads of a job's results. A read that finds no results is deferred and retried until its deadline.
 
 use super::context::Context;
 use super::operations::{PendingOperation, ResultsRead};
@@ -7,7 +7,7 @@
 use marblecroft_protocol::store::{NamedResult, ResultsPage, StoreReply};
 use std::time::Duration;
 
-/// Delay before a deferred read is repeated.
+/// Delay before a deferred read is retried.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// Upper bound on the size of the results on one page. It bounds the memory and the time that one reply
 /// takes; the caller requests the next page from the end of this one.
@@ -23,22 +23,22 @@
 pub(super) struct DeferredReads(Vec<DeferredRead>);
 
 impl DeferredReads {
-    /// Answers with the results of a job, or defers the read until there are some. The chain must have
+    /// Replies with the results of a job, or defers the read until there are some. The chain must have
     /// confirmed the read.
     pub(super) fn on_readable<S: Storage>(&mut self, ctx: &mut Context<S>, now: Duration, read: ResultsRead) {
         let Some(range) = results_from(ctx.jobs(), &read.job, read.start) else {
-            ctx.answer(read.token, StoreReply::NotFound);
+            ctx.reply(read.token, StoreReply::NotFound);
             return;
         };
         let remaining = read.deadline.saturating_sub(now);
         if !range.page.results.is_empty() || !range.is_open || remaining < READ_RETRY_INTERVAL {
-            ctx.answer(read.token, StoreReply::Results(range.page));
+            ctx.reply(read.token, StoreReply::Results(range.page));
         } else {
             self.0.push(DeferredRead { retry_at: now + READ_RETRY_INTERVAL, read });
         }
     }
 
-    /// Repeats the deferred reads that are due.
+    /// Retries the deferred reads that are due.
     pub(super) fn retry<S: Storage>(&mut self, ctx: &mut Context<S>, now: Duration) {
         for deferred in std::mem::take(&mut self.0) {
             if deferred.retry_at > now {
@@ -46,7 +46,7 @@
             } else if ctx.chain().is_head() {
                 ctx.read_index(now, PendingOperation::ReadResults(deferred.read));
             } else {
-                ctx.answer_not_head(deferred.read.token);
+                ctx.reply_not_head(deferred.read.token);
             }
         }
     }
--- a/control-plane/core/src/store/work.rs
+++ b/control-plane/core/src/store/work.rs
@@ -101,7 +101,7 @@
         }
         let Some(recording) = self.recordings.remove(id) else { return };
         match recording.error {
-            Some(e) => ctx.answer(recording.work.token, rejection_reply(e)),
+            Some(e) => ctx.reply(recording.work.token, rejection_reply(e)),
             None => ctx.read_index(now, PendingOperation::GrantWork(recording.work)),
         }
     }
@@ -132,7 +132,7 @@
             gateway_count: self.gateways.count(),
             live_requests: self.capacity.live_requests() as f32,
         };
-        ctx.answer(work.token, StoreReply::Work(reply));
+        ctx.reply(work.token, StoreReply::Work(reply));
     }
 
     /// Logs the numbers of open and leased items, as the head, every [`LOG_INTERVAL`].
--- a/control-plane/core/tests/stored.rs
+++ b/control-plane/core/tests/stored.rs
@@ -112,7 +112,7 @@
             input,
             || coordinator::Input::Wake,
             |output| match output {
-                coordinator::Output::AnswerOperator { reply, .. } => Some(reply),
+                coordinator::Output::ReplyToOperator { reply, .. } => Some(reply),
                 _ => None,
             },
         );
@@ -134,7 +134,7 @@
         input,
         || coordinator::Input::Wake,
         |output| match output {
-            coordinator::Output::Answer { reply: CoordinatorReply::Updates(updates), .. } => Some(updates),
+            coordinator::Output::Reply { reply: CoordinatorReply::Updates(updates), .. } => Some(updates),
             _ => None,
         },
     );
@@ -212,7 +212,7 @@
             input,
             || store::Input::Wake,
             |output| match output {
-                store::Output::Answer { reply, .. } => Some(reply),
+                store::Output::Reply { reply, .. } => Some(reply),
                 _ => None,
             },
         )
--- a/control-plane/server/src/coordinator.rs
+++ b/control-plane/server/src/coordinator.rs
@@ -95,13 +95,13 @@
         internal.runtime.request(&internal.requests, |token| Input::Request { token, request })
     })?;
     let operator = shared.clone();
-    http::serve(http::listen(operator_address)?, move |request| operator.answer_operator(request))?;
+    http::serve(http::listen(operator_address)?, move |request| operator.handle_operator_request(request))?;
     event_loop::run(&mut node, clock, &inputs, || Input::Wake, |output| shared.execute(output));
     Ok(())
 }
 
 impl Shared {
-    fn answer_operator(&self, request: Request) -> Reply {
+    fn handle_operator_request(&self, request: Request) -> Reply {
         let method = match request.method {
             tiny_http::Method::Get => Method::Get,
             tiny_http::Method::Post => Method::Post,
@@ -116,8 +116,8 @@
 
     fn execute(&self, output: Output) -> ControlFlow {
         match output {
-            Output::Answer { token, reply } => self.requests.deliver(token, reply),
-            Output::AnswerOperator { token, reply } => self.operator_calls.deliver(token, reply),
+            Output::Reply { token, reply } => self.requests.deliver(token, reply),
+            Output::ReplyToOperator { token, reply } => self.operator_calls.deliver(token, reply),
             Output::Call { call, to, request, timeout } => {
                 let caller = self.caller.clone();
                 self.runtime.spawn(move || {
--- a/control-plane/server/src/store.rs
+++ b/control-plane/server/src/store.rs
@@ -76,7 +76,7 @@
 impl Shared {
     fn execute(&self, output: Output) -> ControlFlow {
         match output {
-            Output::Answer { token, reply } => self.requests.deliver(token, reply),
+            Output::Reply { token, reply } => self.requests.deliver(token, reply),
             Output::CallStore { call, to, request, timeout } => {
                 let stores = self.stores.clone();
                 self.runtime.spawn(move || {
--- a/control-plane/server/tests/operator.rs
+++ b/control-plane/server/tests/operator.rs
@@ -163,9 +163,9 @@
     coordinator.kill();
     coordinator.start(false);
     assert_eq!(coordinator.read_configuration(), (200, third));
-    let reply = coordinator.call("POST", replace, Some("3"), &second).expect("answered");
+    let reply = coordinator.call("POST", replace, Some("3"), &second).expect("a reply");
     assert_eq!(reply, (200, String::new()), "a repeated replacement is acknowledged again");
-    let reply = coordinator.call("POST", update, Some("7"), &add_route).expect("answered");
+    let reply = coordinator.call("POST", update, Some("7"), &add_route).expect("a reply");
     assert_eq!(reply, (200, String::new()), "a repeated update is acknowledged again");
 }
 
--- a/control-plane/simulation/src/checker/configuration.rs
+++ b/control-plane/simulation/src/checker/configuration.rs
@@ -12,7 +12,7 @@
 /// A read that returned a configuration.
 #[derive(Clone, Copy, Debug)]
 struct Read {
-    answered_at: Duration,
+    completed_at: Duration,
     generation: u64,
 }
 
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Handles a read that was sent at `sent_at` and answered with `body` at `now`.
+    /// Handles a read that was sent at `sent_at` and returned `body` at `now`.
     pub fn on_read(&mut self, sent_at: Duration, now: Duration, body: &str) {
         self.findings.count("read");
         let Some(generation) = self.check_in_force(body, "read") else { return };
@@ -154,14 +154,14 @@
         let seen = self
             .reads
             .iter()
-            .filter(|read| read.answered_at <= sent_at)
+            .filter(|read| read.completed_at <= sent_at)
             .map(|read| read.generation)
             .max()
             .unwrap_or(0);
         if generation < seen {
             self.findings.report(format!("read of generation {generation} after an earlier read of {seen}"));
         }
-        self.reads.push(Read { answered_at: now, generation });
+        self.reads.push(Read { completed_at: now, generation });
     }
 
     /// Handles a fresh reply to a gateway's pull, after which `body` is the gateway's configuration.
--- a/control-plane/simulation/src/cluster/execution.rs
+++ b/control-plane/simulation/src/cluster/execution.rs
@@ -90,8 +90,8 @@
     ) {
         use coordinator::Output as Out;
         match output {
-            Out::Answer { token, reply } => self.respond(machine, token, Response::Coordinator(reply)),
-            Out::AnswerOperator { token, reply } => self.respond(machine, token, Response::Operator(reply)),
+            Out::Reply { token, reply } => self.respond(machine, token, Response::Coordinator(reply)),
+            Out::ReplyToOperator { token, reply } => self.respond(machine, token, Response::Operator(reply)),
             Out::Call { call, to, request, timeout } => {
                 self.call(machine, incarnation, call, to, Request::Coordinator(request), timeout);
             }
@@ -103,7 +103,7 @@
     pub(super) fn perform_store_output(&mut self, machine: usize, incarnation: u64, output: store::Output) {
         use store::Output as Out;
         match output {
-            Out::Answer { token, reply } => self.respond(machine, token, Response::Store(reply)),
+            Out::Reply { token, reply } => self.respond(machine, token, Response::Store(reply)),
             Out::CallStore { call, to, request, timeout } => {
                 self.call(machine, incarnation, call, to, Request::Store(request), timeout);
             }
@@ -120,9 +120,10 @@
             self.machines[machine].running.as_mut().and_then(|running| running.origins.remove(&token));
         match origin {
             Some(origin) => self.send_response(machine, origin, Some(response)),
-            None => self
-                .checker
-                .report(format!("{} answers a call twice, or an unknown call", self.machines[machine].name)),
+            None => self.checker.report(format!(
+                "{} replies to a call twice, or to an unknown call",
+                self.machines[machine].name
+            )),
         }
     }
 
--- a/control-plane/simulation/src/cluster/network.rs
+++ b/control-plane/simulation/src/cluster/network.rs
@@ -39,7 +39,7 @@
         request: Request,
         timeout: Duration,
     ) {
-        self.unanswered.insert(origin);
+        self.pending_calls.insert(origin);
         self.schedule_event(timeout, Event::ResponseArrives { origin, response: None });
         match self.links.fault(from, Some(to)) {
             Some(LinkFault::Drop) => return,
@@ -103,7 +103,7 @@
 
     /// Passes the first response to a call to the origin of the call; drops later ones.
     pub(super) fn handle_response(&mut self, origin: Origin, response: Option<Response>) {
-        if !self.unanswered.remove(&origin) {
+        if !self.pending_calls.remove(&origin) {
             return;
         }
         match origin {
--- a/control-plane/simulation/src/cluster/process.rs
+++ b/control-plane/simulation/src/cluster/process.rs
@@ -31,7 +31,7 @@
     Store(store::Output),
 }
 
-/// A running process, with its queued inputs and unanswered requests.
+/// A running process, with its queued inputs and the requests that it has not replied to.
 pub(super) struct RunningProcess {
     pub(super) process: Process,
     pub(super) incarnation: u64,
@@ -43,7 +43,7 @@
     /// Instant at which its timer fires.
     pub(super) wake_at: Option<Duration>,
     pub(super) inbox: VecDeque<Input>,
-    /// Origins of the requests that it has not answered, by token.
+    /// Origins of the requests that it has not replied to, by token.
     pub(super) origins: BTreeMap<Token, Origin>,
     pub(super) last_token: Token,
     /// Number of consecutive inputs after which it requested an immediate wake-up.
--- a/control-plane/simulation/src/cluster/state.rs
+++ b/control-plane/simulation/src/cluster/state.rs
@@ -97,8 +97,8 @@
     pub(super) events: EventQueue<Event>,
     /// Number of processes started so far.
     pub(super) incarnations: u64,
-    /// Origins of the calls that have no response yet.
-    pub(super) unanswered: BTreeSet<Origin>,
+    /// Origins of the calls without a response so far.
+    pub(super) pending_calls: BTreeSet<Origin>,
     /// Number of calls of clients so far.
     pub(super) client_calls: u64,
     pub(super) links: Links,
@@ -137,7 +137,7 @@
             clients: Vec::new(),
             events: EventQueue::new(),
             incarnations: 0,
-            unanswered: BTreeSet::new(),
+            pending_calls: BTreeSet::new(),
             client_calls: 0,
             links: Links::default(),
             message_fault_permille: 0,
--- a/data-plane/gateway/src/batch_api/mod.rs
+++ b/data-plane/gateway/src/batch_api/mod.rs
@@ -113,8 +113,8 @@
     }
 }
 
-/// Responds to a call on a job.
-pub async fn answer(gateway: &Rc<Gateway>, call: JobCall) -> Response<ResponseBody> {
+/// Handles a call on a job.
+pub async fn handle_call(gateway: &Rc<Gateway>, call: JobCall) -> Response<ResponseBody> {
     let (request, start) = match call {
         JobCall::ReadResults { job, start, wait_ms } => {
             (StoreRequest::ReadResults { job, start, wait_ms: wait_ms.min(MAX_WAIT_MS) }, start)
--- a/data-plane/gateway/src/readiness.rs
+++ b/data-plane/gateway/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Readiness checks of the platform. They are answered on separate threads, so that load on the
+//! Readiness checks of the platform. They are served on separate threads, so that load on the
 //! gateway's thread does not make it appear unready.
 
 use crate::state::State;
@@ -9,7 +9,7 @@
 
 const READINESS_PATH: &str = "/-/ready";
 
-/// Answers readiness checks on `address` until the process ends: status 200 if clients can be
+/// Serves readiness checks on `address` until the process ends: status 200 if clients can be
 /// served, otherwise 503.
 ///
 /// # Errors
--- a/data-plane/gateway/src/server/dispatch.rs
+++ b/data-plane/gateway/src/server/dispatch.rs
@@ -18,7 +18,7 @@
 /// Serves a request.
 pub(super) async fn dispatch(gateway: &Rc<Gateway>, request: BufferedRequest) -> Response<ResponseBody> {
     if let Some(call) = batch_api::JobCall::from_request(&request) {
-        return batch_api::answer(gateway, call).await;
+        return batch_api::handle_call(gateway, call).await;
     }
     if request.uri.path() == CONFIGURATION_READ_PATH {
         // A gateway cannot know that its configuration is the newest one.
--- a/data-plane/gateway/src/startup.rs
+++ b/data-plane/gateway/src/startup.rs
@@ -1,6 +1,6 @@
 //! Startup of a gateway process: its threads and tasks.
 //!
-//! The order of startup matters. Readiness checks are answered first, and fail until a
+//! The order of startup matters. Readiness checks are served first, and fail until a
 //! configuration and a server list have been received. The thread that fetches these runs before
 //! clients are served. The listener is opened last, when all tasks are running.
 
