--- a/control-plane/chain-replication/tests/cluster.rs
+++ b/control-plane/chain-replication/tests/cluster.rs
@@ -294,16 +294,16 @@
     /// learners up to a total of three members.
     fn propose(&mut self, node: u8, proposal_round: u64) {
         let Some(status) = self.status(node) else { return };
-        let own = status.view.members.iter().find(|member| member.identity == status.identity).cloned();
-        let Some(own) = own.filter(|_| status.complete) else { return };
+        let proposer = status.view.members.iter().find(|member| member.identity == status.identity).cloned();
+        let Some(proposer) = proposer.filter(|_| status.complete) else { return };
         let replies = |member: &Member| {
-            let status = self.request_status(own.address, member.address);
+            let status = self.request_status(proposer.address, member.address);
             status.is_some_and(|status| status.identity == member.identity)
         };
-        let others = status.view.members.iter().filter(|m| m.identity != own.identity && replies(m));
-        let mut members: Vec<Member> = std::iter::once(own.clone()).chain(others.cloned()).collect();
+        let others = status.view.members.iter().filter(|m| m.identity != proposer.identity && replies(m));
+        let mut members: Vec<Member> = std::iter::once(proposer.clone()).chain(others.cloned()).collect();
         for other in 0..NODES {
-            let learner = self.request_status(own.address, address(other));
+            let learner = self.request_status(proposer.address, address(other));
             let is_current = |learner: &Status| learner.view.number >= status.view.number;
             let learner =
                 learner.filter(|learner| !status.view.contains(learner.identity) && is_current(learner));
@@ -313,32 +313,39 @@
             members.push(member);
         }
         let view = View { number: status.view.number + 1, voters: members.clone(), members };
-        self.propose_view(node, &status, &own, view, proposal_round);
+        self.propose_view(node, &status, &proposer, view, proposal_round);
     }
 
     /// Makes a voter propose the view that it has accepted again, with a number above all that it has
     /// promised.
     fn propose_accepted(&mut self, node: u8) {
         let Some(status) = self.status(node) else { return };
-        let own = status.view.voters.iter().find(|voter| voter.identity == status.identity).cloned();
-        let Some((own, process)) = own.zip(self.running.get(&address(node))) else { return };
+        let proposer = status.view.voters.iter().find(|voter| voter.identity == status.identity).cloned();
+        let Some((proposer, process)) = proposer.zip(self.running.get(&address(node))) else { return };
         let vote = process.chain.replica().vote();
         let Some(accepted) = vote.accepted.clone() else { return };
         let proposal_round = vote.promised / 64;
-        self.propose_view(node, &status, &own, accepted.view, proposal_round);
+        self.propose_view(node, &status, &proposer, accepted.view, proposal_round);
     }
 
-    fn propose_view(&mut self, node: u8, status: &Status, own: &Member, view: View, proposal_round: u64) {
+    fn propose_view(
+        &mut self,
+        node: u8,
+        status: &Status,
+        proposer: &Member,
+        view: View,
+        proposal_round: u64,
+    ) {
         let voters = &status.view.voters;
-        let index = voters.iter().position(|voter| voter.identity == own.identity).expect("a voter");
+        let index = voters.iter().position(|voter| voter.identity == proposer.identity).expect("a voter");
         let is_lost = |voter: &&Member| {
-            let status = self.request_status(own.address, voter.address);
+            let status = self.request_status(proposer.address, voter.address);
             status.is_some_and(|status| status.identity != voter.identity)
         };
         let lost = voters.iter().filter(is_lost).map(|voter| voter.identity).collect();
         let proposal_number = next_proposal_number(proposal_round * 64, index);
         let proposal = Proposal::new(status.view.clone(), view, proposal_number, lost);
-        if let Some(Outcome::Decided(view)) = self.request_votes(own, proposal) {
+        if let Some(Outcome::Decided(view)) = self.request_votes(proposer, proposal) {
             self.record_view(&view);
             if let Some(process) = self.process(node) {
                 process.chain.install_view(&view);
@@ -347,16 +354,16 @@
     }
 
     /// Sends a proposal's requests to all voters, the proposer's own first.
-    fn request_votes(&mut self, own: &Member, mut proposal: Proposal) -> Option<Outcome> {
+    fn request_votes(&mut self, proposer: &Member, mut proposal: Proposal) -> Option<Outcome> {
         loop {
             let (request, phase) = (proposal.request(), proposal.phase());
             let mut members = proposal.current().voters.clone();
-            members.sort_by_key(|member| member.identity != own.identity);
+            members.sort_by_key(|member| member.identity != proposer.identity);
             let mut has_next_request = false;
             for member in members {
-                let reply = self.vote(own.address, &member, &request);
+                let reply = self.vote(proposer.address, &member, &request);
                 let granted = matches!(reply, Some(VoteReply::Promised(_) | VoteReply::Accepted));
-                if member.identity == own.identity && !granted {
+                if member.identity == proposer.identity && !granted {
                     return None;
                 }
                 match proposal.handle_reply(phase, member.identity, reply) {
--- a/control-plane/chain-replication/tests/failed_writes.rs
+++ b/control-plane/chain-replication/tests/failed_writes.rs
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn failed_install_leaves_the_stored_state() {
+fn failed_install_preserves_the_stored_state() {
     let disk = Disk::default();
     let mut replica = open(&disk, 2);
     let entry = first_append(vec![40]);
--- a/control-plane/chain-replication/tests/views_model.rs
+++ b/control-plane/chain-replication/tests/views_model.rs
@@ -205,12 +205,12 @@
 
 impl Agreement {
     fn next_number(&self, proposer: usize, proposals: u8, promised: ProposalNumber) -> ProposalNumber {
-        let own = if self.mutation == Mutation::NumbersShared { 0 } else { proposer as u8 };
+        let proposer_offset = if self.mutation == Mutation::NumbersShared { 0 } else { proposer as u8 };
         if self.mutation == Mutation::NumberReused {
-            return PROPOSERS as u8 + own;
+            return PROPOSERS as u8 + proposer_offset;
         }
         let rounds = (promised / PROPOSERS as u8).max(proposals) + 1;
-        rounds * PROPOSERS as u8 + own
+        rounds * PROPOSERS as u8 + proposer_offset
     }
 
     fn is_quorum(&self, granted: &BTreeSet<usize>, lost: &BTreeSet<usize>) -> bool {
@@ -239,16 +239,18 @@
             self.complete_write(&mut state.voters[voter]);
         }
         let accepted = state.voters[voter].vote.accepted;
-        let own = &mut state.proposers[proposer];
-        own.promised.insert(voter);
-        own.highest = own.highest.max(accepted);
-        if own.requested.is_none() && self.is_quorum(&own.promised, &own.lost) {
-            let accepted = own.highest.filter(|_| self.mutation != Mutation::AcceptedIgnored);
+        let proposer_state = &mut state.proposers[proposer];
+        proposer_state.promised.insert(voter);
+        proposer_state.highest = proposer_state.highest.max(accepted);
+        if proposer_state.requested.is_none()
+            && self.is_quorum(&proposer_state.promised, &proposer_state.lost)
+        {
+            let accepted = proposer_state.highest.filter(|_| self.mutation != Mutation::AcceptedIgnored);
             // Each proposal of a proposer is for a different view.
-            let own_view = proposer as View * 10 + own.proposals;
-            let own_view = if own.names_learner { own_view } else { own_view + WITHOUT_LEARNER };
-            let view = accepted.map_or(own_view, |accepted| accepted.1);
-            own.requested = Some(view);
+            let new_view = proposer as View * 10 + proposer_state.proposals;
+            let new_view = if proposer_state.names_learner { new_view } else { new_view + WITHOUT_LEARNER };
+            let view = accepted.map_or(new_view, |accepted| accepted.1);
+            proposer_state.requested = Some(view);
             state.accept_requests.insert((number, view));
         }
     }
@@ -286,9 +288,9 @@
         if !self.handle_accept(&mut state.voters[voter], number, view) {
             return;
         }
-        let own = &mut state.proposers[proposer];
-        own.accepted.insert(voter);
-        if self.is_quorum(&own.accepted, &own.lost) {
+        let proposer_state = &mut state.proposers[proposer];
+        proposer_state.accepted.insert(voter);
+        if self.is_quorum(&proposer_state.accepted, &proposer_state.lost) {
             let is_new = state.decided.insert(view);
             state.decided_without_majority |= is_new && state.lost_voters(view) > VOTERS / 2;
         }
@@ -332,13 +334,13 @@
                 continue;
             }
             // A proposer requests its own vote first in each phase.
-            let own_promised = proposer.promised.contains(&index);
-            let own_accepted = proposer.accepted.contains(&index);
+            let has_promised_itself = proposer.promised.contains(&index);
+            let has_accepted_itself = proposer.accepted.contains(&index);
             for voter in 0..VOTERS {
-                if proposer.requested.is_none() && (voter == index || own_promised) {
+                if proposer.requested.is_none() && (voter == index || has_promised_itself) {
                     actions.push(Action::Prepare { proposer: index, voter });
                 }
-                if proposer.requested.is_some() && (voter == index || own_accepted) {
+                if proposer.requested.is_some() && (voter == index || has_accepted_itself) {
                     actions.push(Action::Accept { proposer: index, voter });
                 }
             }
--- a/control-plane/core/src/coordinator/membership/head_replacement.rs
+++ b/control-plane/core/src/coordinator/membership/head_replacement.rs
@@ -51,10 +51,12 @@
         if view.head().is_some_and(is_healthy) && elapsed < RESPONSIVE_HEAD_GRACE + timeout {
             return;
         }
-        let Some(own) = view.members.iter().find(|member| member.identity == identity) else { return };
+        let Some(local_member) = view.members.iter().find(|member| member.identity == identity) else {
+            return;
+        };
         let others =
             view.members.iter().filter(|member| member.identity != identity && is_responsive(member));
-        let members: Vec<Member> = std::iter::once(own).chain(others).cloned().collect();
+        let members: Vec<Member> = std::iter::once(local_member).chain(others).cloned().collect();
         let voters = next_voters(&view, &members, statuses, ctx.settings.tolerated_machines);
         if self.keeps_enough_replicas(ctx, now, &members, statuses) {
             self.propose(ctx, now, members, voters, statuses);
--- a/control-plane/core/src/coordinator/membership/join.rs
+++ b/control-plane/core/src/coordinator/membership/join.rs
@@ -13,12 +13,12 @@
 impl Membership {
     /// Requests admission to the chain from the head.
     pub(super) fn send_join_request<S: Storage>(&self, ctx: &mut Context<S>) {
-        let own_address = ctx.settings.address;
-        let Some(head) = ctx.chain().head_address().filter(|head| *head != own_address) else {
+        let local_address = ctx.settings.address;
+        let Some(head) = ctx.chain().head_address().filter(|head| *head != local_address) else {
             return;
         };
         let member = Member {
-            address: own_address,
+            address: local_address,
             identity: ctx.identity(),
             node_name: ctx.settings.node_name.clone(),
         };
--- a/control-plane/core/src/coordinator/membership/proposal.rs
+++ b/control-plane/core/src/coordinator/membership/proposal.rs
@@ -34,8 +34,9 @@
         members: &[Member],
         statuses: &PeerStatuses,
     ) -> bool {
-        let (view, own) = (ctx.view(), ctx.identity());
-        let is_complete = |member: &&Member| member.identity == own || statuses.is_complete(member, view);
+        let (view, local_identity) = (ctx.view(), ctx.identity());
+        let is_complete =
+            |member: &&Member| member.identity == local_identity || statuses.is_complete(member, view);
         let stays = |member: &Member| members.iter().any(|other| other.identity == member.identity);
         let excludes_intact_disk =
             view.members.iter().any(|member| !stays(member) && !statuses.is_lost(member));
@@ -57,15 +58,16 @@
         statuses: &PeerStatuses,
     ) {
         let replica = ctx.chain().replica();
-        let (current, own) = (replica.view().clone(), replica.identity());
-        let rank = current.voters.iter().position(|voter| voter.identity == own).unwrap_or(0);
+        let (current, local_identity) = (replica.view().clone(), replica.identity());
+        let rank = current.voters.iter().position(|voter| voter.identity == local_identity).unwrap_or(0);
         let instance = current.number + 1;
         let promised = if replica.vote().instance == instance { replica.vote().promised } else { 0 };
         let identities = |matches: &dyn Fn(&Member) -> bool| -> BTreeSet<u64> {
             current.voters.iter().filter(|voter| matches(voter)).map(|voter| voter.identity).collect()
         };
         let lost = identities(&|voter| statuses.is_lost(voter));
-        let unresponsive = identities(&|voter| voter.identity != own && statuses.of_member(voter).is_none());
+        let unresponsive =
+            identities(&|voter| voter.identity != local_identity && statuses.of_member(voter).is_none());
         let view = View { number: instance, members, voters };
         info!(view = view.number, members = %view.addresses(), "view proposed");
         let proposal = Proposal::new(current, view, next_proposal_number(promised, rank), lost);
@@ -80,16 +82,16 @@
         let Some(Task::Proposing(proposal)) = &self.task else { return };
         let (request, phase) = (proposal.request(), proposal.phase());
         let voters = proposal.current().voters.clone();
-        let own = ctx.identity();
+        let local_identity = ctx.identity();
         let reply = ctx.chain_mut().with_replica(|replica| replica.handle_vote_request(&request));
         if !matches!(reply, VoteReply::Promised(_) | VoteReply::Accepted) {
-            warn!(?reply, "own vote was rejected");
+            warn!(?reply, "vote of this process was rejected");
             self.task = None;
             return;
         }
         let task = self.task_number;
-        self.handle_vote_reply(ctx, phase, own, Some(reply));
-        for member in voters.iter().filter(|voter| voter.identity != own) {
+        self.handle_vote_reply(ctx, phase, local_identity, Some(reply));
+        for member in voters.iter().filter(|voter| voter.identity != local_identity) {
             // A reply handled in this loop may have ended the phase.
             if !self.is_in_phase(task, phase) {
                 return;
--- a/control-plane/core/src/coordinator/pulls.rs
+++ b/control-plane/core/src/coordinator/pulls.rs
@@ -11,9 +11,9 @@
 
 /// Upper bound on the time that a pull waits, whatever the gateway requests.
 const MAX_PULL_WAIT: Duration = Duration::from_millis(2000);
-/// A coordinator without a valid lease replies to a pull after this time, with no updates, so that the gateway
-/// tries another coordinator. Longer than the heartbeat interval (150 ms), because a heartbeat may renew the
-/// lease in the meantime.
+/// A coordinator without a valid lease replies to a pull after this time, with no updates, so that the
+/// gateway tries another coordinator. Longer than the heartbeat interval (150 ms), because a heartbeat may
+/// renew the lease in the meantime.
 const STALE_PULL_TIMEOUT: Duration = Duration::from_millis(200);
 
 struct PendingPull {
--- a/control-plane/core/src/member.rs
+++ b/control-plane/core/src/member.rs
@@ -19,10 +19,10 @@
     (ip << 16) | u64::from(seed.port())
 }
 
-/// Returns the identity of the process at `own` and the first view; `None` if the process is not one of the
-/// founders. `address_of` maps a seed to the address at which its member is called.
+/// Returns the identity of the process at `local_address` and the first view; `None` if the process is not
+/// one of the founders. `address_of` maps a seed to the address at which its member is called.
 pub fn founding_view(
-    own: SocketAddr,
+    local_address: SocketAddr,
     seeds: &[SocketAddr],
     address_of: impl Fn(SocketAddr) -> SocketAddr,
 ) -> Option<(u64, View)> {
@@ -33,8 +33,8 @@
     };
     let members: Vec<Member> = seeds.iter().map(founder).collect();
     seeds
-        .contains(&own)
-        .then(|| (founder_identity(own), View { number: 1, voters: members.clone(), members }))
+        .contains(&local_address)
+        .then(|| (founder_identity(local_address), View { number: 1, voters: members.clone(), members }))
 }
 
 /// Opens the replica of a member from what was recovered from its disk. With an empty disk the member starts
--- a/control-plane/core/tests/golden.rs
+++ b/control-plane/core/tests/golden.rs
@@ -37,8 +37,8 @@
 fn identities_of_members_are_stable() {
     let seeds = [(1, 7700), (2, 7701)].map(|(last, port)| SocketAddr::from(([10, 9, 8, last], port)));
     let address_of = |seed: SocketAddr| SocketAddr::new(seed.ip(), 7800);
-    let (own, view) = founding_view(seeds[1], &seeds, address_of).expect("the process is a founder");
-    assert_eq!(own, 0x0a09_0802_1e15);
+    let (identity, view) = founding_view(seeds[1], &seeds, address_of).expect("the process is a founder");
+    assert_eq!(identity, 0x0a09_0802_1e15);
     let members: Vec<_> = view.members.iter().map(|member| (member.identity, member.address)).collect();
     let expected = [(0x0a09_0801_1e14, address_of(seeds[0])), (0x0a09_0802_1e15, address_of(seeds[1]))];
     assert_eq!(members, expected);
--- a/control-plane/rpc/src/server.rs
+++ b/control-plane/rpc/src/server.rs
@@ -24,9 +24,9 @@
     R: Message,
     F: Fn(Q) -> Option<R> + Send + Sync + 'static,
 {
-    let own_address = listener.local_addr()?;
+    let local_address = listener.local_addr()?;
     http::serve(listener, move |request| {
-        handle_call(&request.body, own_address, service, &handler).unwrap_or_else(|rejection| rejection)
+        handle_call(&request.body, local_address, service, &handler).unwrap_or_else(|rejection| rejection)
     })
 }
 
@@ -34,14 +34,14 @@
 /// the error. A rejected call was not executed, unless the handler was called and returned `None`.
 fn handle_call<Q: Message, R: Message>(
     body: &[u8],
-    own_address: SocketAddr,
+    local_address: SocketAddr,
     service: Service,
     handler: &impl Fn(Q) -> Option<R>,
 ) -> Result<Reply, Reply> {
     let envelope: Envelope = decode(body).map_err(|e| Reply::text(400, &e.to_string()))?;
     let call_id = envelope.call_id;
     let is_request = envelope.direction == Direction::Request;
-    if !is_request || call_id.callee != own_address || call_id.service != service {
+    if !is_request || call_id.callee != local_address || call_id.service != service {
         return Err(Reply::text(MISDIRECTED_REQUEST, "this call is for another process"));
     }
     let request = decode(&envelope.message.0).map_err(|e| Reply::text(400, &e.to_string()))?;
--- a/control-plane/server/src/coordinator.rs
+++ b/control-plane/server/src/coordinator.rs
@@ -27,8 +27,10 @@
 
 /// Returns the first view and this process's identity in it, or `None` if the process is not a founder.
 fn founding_view(settings: &Settings) -> Option<(u64, View)> {
-    let own = settings.bind.control_plane.filter(|_| settings.bootstrap)?;
-    member::founding_view(own, &settings.seeds, |seed| coordinator_address(seed, settings.ephemeral_ports))
+    let local_address = settings.bind.control_plane.filter(|_| settings.bootstrap)?;
+    member::founding_view(local_address, &settings.seeds, |seed| {
+        coordinator_address(seed, settings.ephemeral_ports)
+    })
 }
 
 fn core_settings(settings: &Settings, address: SocketAddr) -> CoreSettings {
@@ -36,7 +38,7 @@
         node_name: settings.node_name.clone(),
         address,
         seeds: seed_coordinators(settings),
-        operator_port: settings.bind.control_plane.map(|own| own.port()),
+        operator_port: settings.bind.control_plane.map(|address| address.port()),
         tolerated_machines: settings.tolerated_machines,
         grace_period: settings.bounds.grace_period,
         reads_server_list: settings.cloud_api.is_some(),
