--- a/common/settings/src/settings.rs
+++ b/common/settings/src/settings.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BindAddresses {
     /// For clients' requests (`bind_addresses.front`).
-    pub front: Option<SocketAddr>,
+    pub frontend: Option<SocketAddr>,
     /// For the platform's readiness checks (`bind_addresses.readiness`).
     pub readiness: Option<SocketAddr>,
     /// For the operator's API (`bind_addresses.control_plane`).
@@ -24,7 +24,7 @@
 impl BindAddresses {
     fn parse(fields: &Fields<'_>) -> Result<BindAddresses, Error> {
         Ok(BindAddresses {
-            front: fields.address("bind_addresses.front")?,
+            frontend: fields.address("bind_addresses.front")?,
             readiness: fields.address("bind_addresses.readiness")?,
             control_plane: fields.address("bind_addresses.control_plane")?,
         })
--- a/control-plane/configuration/src/route.rs
+++ b/control-plane/configuration/src/route.rs
@@ -60,8 +60,9 @@
 }
 
 impl Route {
-    /// Returns whether a request that may have been executed can be sent again.
-    pub fn may_run_twice(&self) -> bool {
+    /// Returns whether a request that may have been executed can be sent again: the type of the route is
+    /// idempotent, or its streams can be resumed.
+    pub fn is_idempotent(&self) -> bool {
         self.route_type == RouteType::Idempotent || self.resumable
     }
 }
--- a/data-plane/gateway/src/live/mod.rs
+++ b/data-plane/gateway/src/live/mod.rs
@@ -91,7 +91,7 @@
         uri: request.uri,
         headers,
         body: request.body,
-        idempotent: route.may_run_twice() && route.attempts > 1,
+        idempotent: route.is_idempotent() && route.attempts > 1,
     }
 }
 
@@ -122,7 +122,7 @@
         if self.executions + self.rejections > 0 {
             self.record_latency(self.route.timeout);
         }
-        if self.executions > 0 && !self.route.may_run_twice() {
+        if self.executions > 0 && !self.route.is_idempotent() {
             return local_reply(StatusCode::BAD_GATEWAY, "no server has answered");
         }
         if self.executions > 0 {
--- a/data-plane/gateway/src/live/request.rs
+++ b/data-plane/gateway/src/live/request.rs
@@ -44,12 +44,12 @@
 
     /// Returns whether the route allows another attempt after those that have ended.
     pub(super) fn may_retry(&self) -> bool {
-        self.route.may_run_twice() && self.executions < self.route.attempts
+        self.route.is_idempotent() && self.executions < self.route.attempts
     }
 
     /// Returns whether the route will allow another attempt after the current one.
     pub(super) fn may_retry_after_this(&self) -> bool {
-        self.route.may_run_twice() && self.executions + 1 < self.route.attempts
+        self.route.is_idempotent() && self.executions + 1 < self.route.attempts
     }
 
     /// Reports the latency of the request to admission control: the time to the first event of a
--- a/data-plane/gateway/src/load_exchange.rs
+++ b/data-plane/gateway/src/load_exchange.rs
@@ -31,22 +31,25 @@
 const ERROR_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Exchanges updates until the process ends. Returns immediately if updates are disabled or the
-/// socket cannot be bound; requests are then placed by the servers' own reports, without updates
-/// from peers.
+/// socket cannot be bound; requests are then placed by the load that servers report, without
+/// updates from peers.
 pub async fn run(gateway: Rc<Gateway>) {
     let min_interval = Duration::from_secs_f64(gateway.tuning.load_update_interval_ms / 1000.0);
     if min_interval.is_zero() {
         return;
     }
-    let own = load_address(gateway.settings.ip.into(), gateway.settings.ephemeral_ports);
-    let socket = match UdpSocket::bind(own).await {
+    let local_address = load_address(gateway.settings.ip.into(), gateway.settings.ephemeral_ports);
+    let socket = match UdpSocket::bind(local_address).await {
         Ok(socket) => socket,
         Err(e) => {
-            warn!(address = %own, error = %e, "load exchange disabled: cannot bind its socket");
+            warn!(address = %local_address, error = %e, "load exchange disabled: cannot bind its socket");
             return;
         }
     };
-    tokio::join!(send_updates(&gateway, &socket, own, min_interval), receive_updates(&gateway, &socket));
+    tokio::join!(
+        send_updates(&gateway, &socket, local_address, min_interval),
+        receive_updates(&gateway, &socket)
+    );
 }
 
 /// Returns the first sequence number of this process. It is derived from the wall clock, so that it
@@ -56,7 +59,12 @@
     u64::try_from(started_at.as_millis()).unwrap_or(0) << 20
 }
 
-async fn send_updates(gateway: &Gateway, socket: &UdpSocket, own: SocketAddr, min_interval: Duration) {
+async fn send_updates(
+    gateway: &Gateway,
+    socket: &UdpSocket,
+    local_address: SocketAddr,
+    min_interval: Duration,
+) {
     let mut sequence = initial_sequence();
     let (mut sent_change_count, mut sent_at) = (0, Instant::now());
     let mut interval = min_interval;
@@ -66,7 +74,7 @@
         if change_count == sent_change_count && sent_at.elapsed() < MAX_UPDATE_INTERVAL {
             continue;
         }
-        let peers = gateway.peers.except(own);
+        let peers = gateway.peers.except(local_address);
         if peers.is_empty() {
             continue;
         }
--- a/data-plane/gateway/src/peers.rs
+++ b/data-plane/gateway/src/peers.rs
@@ -23,9 +23,9 @@
         *self.addresses.borrow_mut() = addresses;
     }
 
-    /// Returns all addresses except `own`. The stores report the addresses of all gateways of the
-    /// zone, including the receiver's.
-    pub fn except(&self, own: SocketAddr) -> Vec<SocketAddr> {
-        self.addresses.borrow().iter().filter(|peer| **peer != own).copied().collect()
+    /// Returns all addresses except `local_address`. The stores report the addresses of all gateways
+    /// of the zone, including the receiver's.
+    pub fn except(&self, local_address: SocketAddr) -> Vec<SocketAddr> {
+        self.addresses.borrow().iter().filter(|peer| **peer != local_address).copied().collect()
     }
 }
--- a/data-plane/gateway/src/startup.rs
+++ b/data-plane/gateway/src/startup.rs
@@ -48,7 +48,7 @@
 ///
 /// Returns an error if the gateway cannot start.
 pub fn run(settings: Settings, tuning: Tuning) -> Result<(), StartError> {
-    let address = settings.bind.front.ok_or(StartError::MissingSetting("bind_addresses.front"))?;
+    let address = settings.bind.frontend.ok_or(StartError::MissingSetting("bind_addresses.front"))?;
     let readiness_address =
         settings.bind.readiness.ok_or(StartError::MissingSetting("bind_addresses.readiness"))?;
     let state = Arc::new(State::default());
--- a/data-plane/gateway/src/stores.rs
+++ b/data-plane/gateway/src/stores.rs
@@ -33,7 +33,7 @@
 
 /// The last store that replied as the head.
 #[derive(Clone, Copy)]
-struct KnownHead {
+struct CachedHead {
     /// Number of the view that was current when it replied.
     view: u64,
     address: SocketAddr,
@@ -44,7 +44,7 @@
 pub struct StoreClient {
     caller: Caller,
     state: Arc<State>,
-    head: Arc<Mutex<Option<KnownHead>>>,
+    head: Arc<Mutex<Option<CachedHead>>>,
 }
 
 impl StoreClient {
@@ -53,7 +53,7 @@
         StoreClient { caller: Caller::new(Service::Stores), state, head: Arc::default() }
     }
 
-    fn head(&self) -> MutexGuard<'_, Option<KnownHead>> {
+    fn head(&self) -> MutexGuard<'_, Option<CachedHead>> {
         // The value is replaced in a single assignment, so a panic while the lock is held cannot
         // leave it inconsistent.
         self.head.lock().unwrap_or_else(PoisonError::into_inner)
@@ -110,7 +110,7 @@
                 Ok(StoreReply::OutcomeUnknown) => *may_have_executed = true,
                 Ok(reply) => {
                     let view = self.state.snapshot().store_view.number;
-                    *self.head() = Some(KnownHead { view, address });
+                    *self.head() = Some(CachedHead { view, address });
                     return Some(reply);
                 }
                 Err(e) => *may_have_executed |= e.may_have_executed(),
--- a/data-plane/gateway/src/upstream/attempt.rs
+++ b/data-plane/gateway/src/upstream/attempt.rs
@@ -60,7 +60,7 @@
         may_send: impl Fn() -> bool,
     ) -> Result<UpstreamResponse, AttemptError> {
         let mut http_request = to_http_request(server, request);
-        let mut may_repeat = request.idempotent;
+        let mut may_retry = request.idempotent;
         loop {
             let (mut connection, is_reused) = match self.take(server, request.idempotent) {
                 Some(connection) => (connection, true),
@@ -78,10 +78,10 @@
                     Ok(response) => return Ok(UpstreamResponse { response, connection }),
                     Err(mut e) => match e.take_message() {
                         Some(unsent) => http_request = unsent,
-                        None if is_reused && may_repeat => {
+                        None if is_reused && may_retry => {
                             // The server had closed the idle connection. Tries once more at the
                             // same server.
-                            may_repeat = false;
+                            may_retry = false;
                             http_request = to_http_request(server, request);
                         }
                         None => return Err(AttemptError::MayHaveExecuted),
--- a/data-plane/gateway/src/upstream/classify/tests.rs
+++ b/data-plane/gateway/src/upstream/classify/tests.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 const SIGNED: (&str, &str) = ("x-response-signature", "s");
-const OWN_ID: (&str, &str) = ("x-request-id", "request");
+const MATCHING_ID: (&str, &str) = ("x-request-id", "request");
 const OTHER_ID: (&str, &str) = ("x-request-id", "other");
 const DECLINED: (&str, &str) = ("x-not-executed", "1");
 const ENCODED: (&str, &str) = ("content-encoding", "gzip");
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_signed_2xx_with_matching_or_missing_id_is_a_success() {
-    for headers in [&[SIGNED, OWN_ID][..], &[SIGNED]] {
+    for headers in [&[SIGNED, MATCHING_ID][..], &[SIGNED]] {
         assert_eq!(live(200, headers), SUCCESS);
         assert_eq!(batch(204, headers), SUCCESS);
     }
@@ -74,7 +74,7 @@
 
 #[test]
 fn a_response_without_signature_or_with_another_id_is_untrusted() {
-    for headers in [&[][..], &[OWN_ID], &[SIGNED, OTHER_ID]] {
+    for headers in [&[][..], &[MATCHING_ID], &[SIGNED, OTHER_ID]] {
         for (status, outcome) in
             [(200, ServerOutcome::Succeeded), (404, ServerOutcome::Succeeded), (503, ServerOutcome::Failed)]
         {
--- a/data-plane/routing/src/balance/balancer.rs
+++ b/data-plane/routing/src/balance/balancer.rs
@@ -54,7 +54,7 @@
         self.endpoints.retain(|_, endpoint| endpoint.listed || endpoint.in_flight > 0);
         // Uses the ids of the previous list, so that the tokens of a server that has just left are
         // still reported once.
-        self.unreported_tokens.retain_known(&self.ids_by_hash);
+        self.unreported_tokens.retain_servers(&self.ids_by_hash);
         self.ids_by_hash = self.endpoints.keys().map(|id| (fnv1a(id.as_bytes()), id.clone())).collect();
     }
 
--- a/data-plane/routing/src/balance/choose.rs
+++ b/data-plane/routing/src/balance/choose.rs
@@ -41,7 +41,7 @@
     /// Penalty for crossing zones.
     other_zone: f64,
     /// Penalty if the server probably has not cached the prompt's prefix.
-    cold_prefix: f64,
+    prefix_cache_miss: f64,
     /// Penalty for an ejected server.
     ejection: f64,
     /// Penalty for prompts that are still to be prefilled, during which decoding stalls.
@@ -57,7 +57,7 @@
         self.occupancy
             + self.failures
             + self.other_zone
-            + self.cold_prefix
+            + self.prefix_cache_miss
             + self.ejection
             + self.prefill
             + self.jitter
@@ -106,7 +106,7 @@
             },
             failures: endpoint.effective_failure_rate(tuning, now) * tuning.failure_penalty,
             other_zone: if is_local { 0.0 } else { tuning.other_zone_load },
-            cold_prefix: if is_affine { 0.0 } else { tuning.cold_prefix_penalty },
+            prefix_cache_miss: if is_affine { 0.0 } else { tuning.prefix_cache_miss_penalty },
             ejection: if endpoint.ejection.is_ejected(now) { EJECTION_COST } else { 0.0 },
             prefill: endpoint.unprefilled_tokens(tuning, now) / tuning.prefill_scale_tokens,
             jitter: random * tuning.jitter,
--- a/data-plane/routing/src/balance/load_exchange.rs
+++ b/data-plane/routing/src/balance/load_exchange.rs
@@ -29,7 +29,7 @@
     }
 
     /// Removes the tokens of servers that are not in `ids_by_hash`.
-    pub(super) fn retain_known(&mut self, ids_by_hash: &HashMap<u64, String>) {
+    pub(super) fn retain_servers(&mut self, ids_by_hash: &HashMap<u64, String>) {
         self.0.retain(|server, _| ids_by_hash.contains_key(server));
     }
 
--- a/data-plane/routing/src/tuning.rs
+++ b/data-plane/routing/src/tuning.rs
@@ -67,7 +67,7 @@
     "other_zone_load" => other_zone_load = 0.2;
     /// Penalty for a server that probably has not cached the prompt's shared prefix, as a share of
     /// its slots.
-    "not_kept_load" => cold_prefix_penalty = 0.08;
+    "not_kept_load" => prefix_cache_miss_penalty = 0.08;
     /// Assumed number of prompt tokens that a server prefills per millisecond.
     "read_per_ms" => prefill_tokens_per_ms = 60.0;
     /// Number of prompt tokens still to be prefilled that cost as much as all slots of the server,
