--- a/control-plane/batch-state/tests/batch.rs
+++ b/control-plane/batch-state/tests/batch.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn repeated_operations_change_nothing_and_quotas_are_enforced() {
+fn duplicate_operations_change_nothing_and_quotas_are_enforced() {
     let mut batch = BatchState::default();
     let end = |job: &str| Operation::EndJob { job: job.to_owned() };
     let transcript = [
--- a/control-plane/control-state/tests/control.rs
+++ b/control-plane/control-state/tests/control.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_repeated_update_is_acknowledged_after_999_later_ones() {
+fn a_resubmitted_update_is_acknowledged_after_999_later_ones() {
     let mut control = ControlState::default();
     assert_eq!(control.apply(replace(0, 1, &complete(1, ""))), Output::Accepted);
     let change = |base: u64| update(base, base + 1, &format!("\"upsert\":{{\"routes\":[{}]}}", route("a")));
--- a/control-plane/rpc/tests/calls.rs
+++ b/control-plane/rpc/tests/calls.rs
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn no_request_is_repeated_after_a_close_a_reset_a_truncated_response_or_a_timeout() {
+fn no_request_is_retried_after_a_close_a_reset_a_truncated_response_or_a_timeout() {
     for behaviour in [
         Behaviour::Close,
         Behaviour::Reset,
--- a/control-plane/simulation/src/clients/item_runner.rs
+++ b/control-plane/simulation/src/clients/item_runner.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    fn finish_one(&mut self, cluster: &mut Cluster) {
+    fn finish_next_item(&mut self, cluster: &mut Cluster) {
         let Some(item) = self.running.pop_front() else { return };
         self.run_count += 1;
         let outcome = format!("{} run {}", self.name, self.run_count);
@@ -45,7 +45,7 @@
 impl Client for ItemRunner {
     fn wake(&mut self, cluster: &mut Cluster, number: usize) {
         if cluster.rng.bool() {
-            self.finish_one(cluster);
+            self.finish_next_item(cluster);
         }
         let work = WorkRequest {
             gateway: self.name.clone(),
--- a/control-plane/simulation/src/disk.rs
+++ b/control-plane/simulation/src/disk.rs
@@ -89,8 +89,8 @@
         if contents.records.is_empty() {
             contents.snapshot = None;
         } else {
-            let kept = rng.usize(0..contents.records.len());
-            contents.records.truncate(kept);
+            let retained = rng.usize(0..contents.records.len());
+            contents.records.truncate(retained);
         }
     }
 
@@ -120,9 +120,9 @@
         for write in std::mem::take(&mut state.unsynced) {
             match write {
                 Write::Records(records) => {
-                    let kept = rng.usize(0..=records.len());
-                    let is_complete = kept == records.len();
-                    state.synced.records.extend(records.into_iter().take(kept));
+                    let retained = rng.usize(0..=records.len());
+                    let is_complete = retained == records.len();
+                    state.synced.records.extend(records.into_iter().take(retained));
                     if !is_complete {
                         return;
                     }
