--- a/common/settings/src/settings.rs
+++ b/common/settings/src/settings.rs
@@ -141,7 +141,7 @@
     pub ephemeral_ports: PortRange,
     /// Addresses of the operator API on up to three machines (`seeds`). Default: none.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the first start of the whole system (`bootstrap`). Default: false.
+    /// Whether this is the first start of the deployment (`bootstrap`). Default: false.
     pub bootstrap: bool,
     /// Resources of the process.
     pub limits: Limits,
--- a/common/transport/src/socket.rs
+++ b/common/transport/src/socket.rs
@@ -68,8 +68,8 @@
         Ok(Rc::new(Socket { stream, read_ahead: RefCell::default(), observer }))
     }
 
-    /// Returns whether there is no input: neither bytes to read nor the end of the connection. Asks the
-    /// kernel, because the runtime's readiness may not reflect bytes that have just arrived.
+    /// Returns whether there is no input, which is either bytes to read or the end of the connection. Queries
+    /// the kernel, because the runtime's readiness may not reflect bytes that have just arrived.
     pub fn has_no_input(&self) -> bool {
         let read_ahead = self.read_ahead.borrow();
         if read_ahead.is_closed || !read_ahead.bytes.is_empty() {
--- a/control-plane/chain-replication/src/agreement.rs
+++ b/control-plane/chain-replication/src/agreement.rs
@@ -7,15 +7,15 @@
 //!
 //! **Quorums, and voters that lost their disk.** A majority of the voters decides, as in Paxos. A voter whose
 //! disk is lost returns under another identity and never votes again, so with majorities alone a chain of two
-//! could not leave out a member that lost its disk. A proposer that has detected lost voters may therefore
+//! could not exclude a member that lost its disk. A proposer that has detected lost voters may therefore
 //! also count *all the others* as a quorum, provided that the lost voters are fewer than a majority. Paxos
 //! requires that any two quorums share an acceptor that still has its vote:
 //!
 //! - Two majorities share a voter.
 //! - A majority and all voters except the lost ones share one, since the lost ones are too few to be that
 //!   majority.
-//! - Of two quorums that leave out lost voters, the one of the later proposal contains no voter that the
-//!   earlier one left out, because that voter had been lost before. The later quorum is therefore a subset of
+//! - Of two quorums that exclude lost voters, the one of the later proposal contains no voter that the
+//!   earlier one excluded, because that voter had been lost before. The later quorum is therefore a subset of
 //!   the earlier one.
 //!
 //! In each case the shared voter also granted the later request, so its disk was not lost and it still has
--- a/control-plane/chain-replication/src/chain.rs
+++ b/control-plane/chain-replication/src/chain.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Gives up the lease, and reports this member as draining from now on. Called when the process is about
+    /// Releases the lease, and reports this member as draining from now on. Called when the process is about
     /// to exit.
     pub fn start_draining(&mut self) {
         self.draining = true;
--- a/control-plane/chain-replication/src/chain/rounds.rs
+++ b/control-plane/chain-replication/src/chain/rounds.rs
@@ -17,7 +17,7 @@
 /// Maximum number of messages to the successor in one round. A successor that rejects all of them with a
 /// mismatch has failed.
 const MAX_APPEND_ATTEMPTS: usize = 4;
-/// Pause after a round that failed, or that left operations uncommitted.
+/// Delay after a round that failed, or that left operations uncommitted.
 const RETRY_BACKOFF: Duration = Duration::from_millis(40);
 
 /// Why a round failed.
--- a/control-plane/chain-replication/src/chain/storage_recovery.rs
+++ b/control-plane/chain-replication/src/chain/storage_recovery.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Pause between two attempts. A disk may reject writes for seconds, and each attempt writes the complete
+/// Delay between two attempts. A disk may reject writes for seconds, and each attempt writes the complete
 /// state.
 const RECOVERY_BACKOFF: Duration = Duration::from_millis(250);
 
--- a/control-plane/chain-replication/src/config.rs
+++ b/control-plane/chain-replication/src/config.rs
@@ -27,7 +27,7 @@
     /// Time for which a member must keep failing before it is reported as
     /// [`Status::suspect`](crate::Status::suspect); typically 500 to 800 ms. It must exceed the duration of
     /// any lease that callers count from [`Chain::lease_confirmed_at`](crate::Chain::lease_confirmed_at),
-    /// with a margin for the rates of the clocks: the suspected member is left out of the next view, in which
-    /// operations are acknowledged without it. If the time is too long, the chain is repaired late.
+    /// with a margin for the rates of the clocks: the suspected member is excluded from the next view, in
+    /// which operations are acknowledged without it. If the time is too long, the chain is repaired late.
     pub suspect_timeout: Duration,
 }
--- a/control-plane/chain-replication/src/message.rs
+++ b/control-plane/chain-replication/src/message.rs
@@ -92,6 +92,6 @@
     /// A member further down the chain that has been failing for
     /// [`Config::suspect_timeout`](crate::Config::suspect_timeout) or longer.
     pub suspect: Option<SocketAddr>,
-    /// Whether its process is about to exit, and should be left out of the next view.
+    /// Whether its process is about to exit, and should be excluded from the next view.
     pub draining: bool,
 }
--- a/control-plane/configuration/src/lib.rs
+++ b/control-plane/configuration/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operator's configuration: routes, services and limits on clients.
 //!
 //! [`Configuration::parse`] parses the JSON and checks each part individually, and then whether the parts are
-//! consistent; an invalid configuration is rejected as a whole. [`Configuration::route`] finds the route of a
+//! consistent; no part of an invalid configuration is used. [`Configuration::route`] finds the route of a
 //! request. An [`Update`] changes named items of a configuration and results in the text of a new one, which
 //! is parsed and checked like any other.
 //!
--- a/control-plane/control-state/src/acceptance.rs
+++ b/control-plane/control-state/src/acceptance.rs
@@ -2,7 +2,7 @@
 //!
 //! A submission contains the generation that it is based on, so the second of two concurrent submissions is
 //! rejected with a conflict. A client that received no reply submits again. Because the digests of accepted
-//! submissions are retained, the repetition is acknowledged without being applied again, even if later
+//! submissions are retained, the resubmission is acknowledged without being applied again, even if later
 //! submissions have been accepted in between.
 
 use crate::operation::Output;
@@ -10,8 +10,8 @@
 use marblecroft_configuration::Update;
 use marblecroft_rpc::Bytes;
 
-/// Number of accepted submissions that are retained, so that repetitions of them are acknowledged. It cannot
-/// be determined whether an older submission was accepted.
+/// Number of accepted submissions that are retained, so that resubmissions of them are acknowledged. It
+/// cannot be determined whether an older submission was accepted.
 pub const MAX_RETAINED_GENERATIONS: usize = 20_000;
 
 /// Accepts a complete configuration, or rejects it.
@@ -47,10 +47,10 @@
     }
 }
 
-/// Returns the output of a submission that is a repetition or is rejected; `None` if it is to be applied.
+/// Returns the output of a submission that was accepted before or is rejected; `None` if it is to be applied.
 ///
-/// The order of the checks matters: a repetition is acknowledged whatever configuration is in force now, and
-/// a conflict is only reported if the submission was certainly not accepted before.
+/// The order of the checks matters: a resubmission is acknowledged whatever configuration is in force now,
+/// and a conflict is only reported if the submission was certainly not accepted before.
 fn check_generation(state: &ControlState, base: u64, generation: u64, submission: &[u8]) -> Option<Output> {
     if state.has_accepted(generation, submission) {
         Some(Output::Accepted)
--- a/control-plane/control-state/tests/control.rs
+++ b/control-plane/control-state/tests/control.rs
@@ -1,4 +1,4 @@
-//! Only one of two submissions with the same base is accepted, and repetitions of an accepted one are
+//! Only one of two submissions with the same base is accepted, and resubmissions of an accepted one are
 //! acknowledged.
 
 use marblecroft_chain_replication::{StateMachine, View};
--- a/control-plane/core/src/coordinator/mod.rs
+++ b/control-plane/core/src/coordinator/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! 1. The input itself.
 //! 2. The step of the membership.
-//! 3. The duties of the head: supervision of the stores and reading of the server list.
+//! 3. The tasks of the head: supervision of the stores and reading of the server list.
 //! 4. The chain. It is advanced until it emits nothing, because handling its outputs may submit further
 //!    operations.
 //! 5. The pulls, last so that they include what this input has committed.
--- a/control-plane/core/src/gateways.rs
+++ b/control-plane/core/src/gateways.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 /// Upper bound on the number of gateways that exchange load reports with each other, because each report goes
-/// to all of them. A larger zone is split into several groups of about equal size; longer intervals between
-/// load reports would do harm.
+/// to all of them. A larger zone is split into several groups of about equal size. Longer intervals between
+/// load reports are no alternative, because older reports would worsen the load balancing.
 pub const MAX_PEERS: usize = 24;
 /// A gateway that has not requested work for this time is no longer a peer.
 const GATEWAY_TTL: Duration = Duration::from_millis(3000);
--- a/control-plane/core/src/store/context.rs
+++ b/control-plane/core/src/store/context.rs
@@ -18,7 +18,7 @@
 /// Timeout of an operation. Longer than the 900 ms after which the coordinators exclude a failed member, so
 /// that an operation can still complete after the view change.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Timeout of a read. Shorter than that of an operation, because a read has no effect and can be repeated.
+/// Timeout of a read. Shorter than that of an operation, because a read has no effect and can be retried.
 const READ_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// The shared parts of a store.
--- a/control-plane/core/tests/stored.rs
+++ b/control-plane/core/tests/stored.rs
@@ -119,8 +119,8 @@
         (reply.status, String::from_utf8(reply.body).expect("the body is text"))
     };
     assert_eq!(operator(Method::Get, "/-/Config.Read", None, ""), (200, CHANGED.to_owned()));
-    let repeated = operator(Method::Post, "/-/Config.Update", Some("5"), CHANGE);
-    assert_eq!(repeated, (200, String::new()));
+    let resubmitted = operator(Method::Post, "/-/Config.Update", Some("5"), CHANGE);
+    assert_eq!(resubmitted, (200, String::new()));
     let conflict = operator(Method::Post, "/-/Config.Replace", Some("5"), &REPLACED.replace(":5", ":10"));
     assert_eq!(conflict, (412, "version 9 is current\n".to_owned()));
     let retired = operator(Method::Get, "/-/Retire.Read/store-7", None, "");
@@ -246,7 +246,7 @@
             zone_loads: Vec::new(),
         })
     };
-    // Repeats the request until an item is granted.
+    // Retries the request until an item is granted.
     let granted = (0..1000).find_map(|_| match call(work()) {
         StoreReply::Work(reply) => reply.granted.into_iter().next(),
         _ => None,
--- a/control-plane/protocol/src/coordinator.rs
+++ b/control-plane/protocol/src/coordinator.rs
@@ -33,8 +33,8 @@
         /// The position of the process's state.
         position: Position,
     },
-    /// Requests to be left out of the next view. Sent to the head by a member that is draining; contains the
-    /// member's identity.
+    /// Requests to be excluded from the next view. Sent to the head by a member that is draining; contains
+    /// the member's identity.
     Leave(u64),
     /// Requests everything that is newer than the sender's versions. Sent by gateways.
     Pull(Pull),
--- a/control-plane/protocol/src/store.rs
+++ b/control-plane/protocol/src/store.rs
@@ -25,7 +25,8 @@
     Status,
     /// Requests a snapshot of the state. Sent by a store that is to be added to the chain.
     Fetch,
-    /// Submits a job. Sent by a gateway for a client; idempotent, as the job is recognised by its id and content.
+    /// Submits a job. Sent by a gateway for a client; idempotent, as the job is recognized by its id and
+    /// content.
     SubmitJob(NewJob),
     /// Reads a job's results from a position on. Sent by a gateway for a client.
     ReadResults {
--- a/control-plane/rpc/src/caller.rs
+++ b/control-plane/rpc/src/caller.rs
@@ -1,11 +1,11 @@
 //! The calling side: sends one request and matches the response.
 //!
 //! A response is accepted only if its envelope repeats the call's id: caller, callee, service and number.
-//! Anything else (a late response on a kept-alive connection, another process on a reused address, an echo)
+//! Anything else (a late response on a reused connection, another process on a reused address, an echo)
 //! leaves the outcome unknown, and the connection pool is discarded, as further responses on its connections
 //! may belong to earlier calls.
 //!
-//! The caller never repeats a call, as only the layer above can determine whether a request is idempotent.
+//! The caller never retries a call, as only the layer above can determine whether a request is idempotent.
 //! [`CallError`] indicates whether the request may have been executed.
 
 use crate::envelope::{CallId, Direction, Envelope, Service};
--- a/control-plane/server/src/pending_replies.rs
+++ b/control-plane/server/src/pending_replies.rs
@@ -49,7 +49,7 @@
     /// Delivers the reply to the call with this token.
     pub fn deliver(&self, token: Token, reply: R) {
         if let Some(sender) = self.lock().senders.remove(&token) {
-            // The channel has capacity for the only reply, so this fails only if the caller has given up.
+            // The channel has capacity for the only reply, so this fails only if the caller has timed out.
             let _ = sender.try_send(reply);
         }
     }
--- a/control-plane/server/tests/operator.rs
+++ b/control-plane/server/tests/operator.rs
@@ -80,7 +80,7 @@
         Some((response.status().as_u16(), text))
     }
 
-    /// Repeats a call, as an operator would, until the body of the reply is none of `transient`.
+    /// Retries a call, as an operator would, until the body of the reply is none of `transient`.
     fn call_until(&self, call: (&str, &str, Option<&str>, &str), transient: &[&str]) -> (u16, String) {
         let deadline = Instant::now() + START_TIMEOUT;
         let (method, path, base, body) = call;
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Reads the configuration, and repeats the call until the coordinator has started.
+    /// Reads the configuration, and retries the call until the coordinator has started.
     fn read_configuration(&self) -> (u16, String) {
         self.call_until(("GET", "/-/Config.Read", None, ""), &[NO_HEAD])
     }
@@ -164,9 +164,9 @@
     coordinator.start(false);
     assert_eq!(coordinator.read_configuration(), (200, third));
     let reply = coordinator.call("POST", replace, Some("3"), &second).expect("a reply");
-    assert_eq!(reply, (200, String::new()), "a repeated replacement is acknowledged again");
+    assert_eq!(reply, (200, String::new()), "a resubmitted replacement is acknowledged again");
     let reply = coordinator.call("POST", update, Some("7"), &add_route).expect("a reply");
-    assert_eq!(reply, (200, String::new()), "a repeated update is acknowledged again");
+    assert_eq!(reply, (200, String::new()), "a resubmitted update is acknowledged again");
 }
 
 #[test]
--- a/control-plane/simulation/src/checker/jobs.rs
+++ b/control-plane/simulation/src/checker/jobs.rs
@@ -1,5 +1,5 @@
-//! Checks batch jobs: the quota of queued tokens is kept, replies are final, and results that were read do
-//! not change.
+//! Checks batch jobs: the quota of queued tokens is not exceeded, replies are final, and results that were
+//! read do not change.
 
 use super::findings::Findings;
 use std::collections::{BTreeMap, BTreeSet};
--- a/control-plane/simulation/src/cluster/execution.rs
+++ b/control-plane/simulation/src/cluster/execution.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Maximum number of consecutive inputs after each of which a process may request an immediate wake-up. A
-/// process that always does so would keep a processor busy.
+/// process that always does so would run in a busy loop.
 const MAX_IMMEDIATE_WAKES: u32 = 200;
 
 impl Cluster {
--- a/control-plane/simulation/src/faults/inject.rs
+++ b/control-plane/simulation/src/faults/inject.rs
@@ -1,4 +1,4 @@
-//! The injection of faults into single machines, links or the whole cluster.
+//! Injects faults into single machines, links or all machines of the cluster.
 
 use super::fault::{Fault, PartitionDirection, PartitionScope, Target};
 use super::loss::{count_as_lost, reserve_disk_loss};
--- a/control-plane/wal/src/recovery.rs
+++ b/control-plane/wal/src/recovery.rs
@@ -49,7 +49,7 @@
     }
     if recovered.snapshot.is_none() {
         // Only the first segment is written without a complete one before it. A failed start also uses up a
-        // number, so damage may be reported although nothing was lost, which is the safe side.
+        // number, so damage may be reported although nothing was lost. That is safer than a missed loss.
         recovered.damaged |= newest_segment > 1;
     }
     Ok(Recovery { recovered, newest_segment })
--- a/data-plane/gateway/src/batch_api/mod.rs
+++ b/data-plane/gateway/src/batch_api/mod.rs
@@ -1,10 +1,10 @@
 //! Batch API: clients submit jobs, read their results and end them through any gateway. The stores
-//! hold the jobs; a gateway holds no state between two calls.
+//! hold the jobs; a gateway keeps no state between two calls.
 //!
 //! `call` parses API calls and `document` reads and writes JSON. This module sends the request to
 //! the stores and maps their reply to an HTTP status. For a submission, a status that promises that
 //! nothing was executed (429, 503) is sent only if this is certain. If the outcome is unknown, the
-//! status is 504, and the client repeats the submission with the same id. Calls on a submitted job
+//! status is 504, and the client retries the submission with the same id. Calls on a submitted job
 //! get 503 in both cases.
 
 mod call;
@@ -33,7 +33,7 @@
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(3000);
 /// Time limit for all other calls.
 const READ_TIMEOUT: Duration = Duration::from_millis(2200);
-/// Maximum time for which the stores hold a read until results are available, in milliseconds.
+/// Maximum time for which the stores defer a read until results are available, in milliseconds.
 const MAX_WAIT_MS: u32 = 1000;
 /// `Retry-After` for clients whose job exceeds the quota, in seconds.
 const RETRY_AFTER_OVER_QUOTA: &str = "0.7";
@@ -49,7 +49,7 @@
 
 /// Returns the maximum number of tokens that may be queued on a route. The stores count an item
 /// until its result is recorded, which happens after the server has finished it, so they may use the
-/// whole overage.
+/// full overage.
 fn max_queued_tokens(configured: u64, overage: f64) -> u64 {
     // The conversion saturates.
     (configured as f64 * (1.0 + overage)).floor() as u64
--- a/data-plane/gateway/src/batch_runner/item.rs
+++ b/data-plane/gateway/src/batch_runner/item.rs
@@ -1,9 +1,9 @@
 //! Runs one item of a batch job: attempts at servers that have capacity, until there is a result.
 //!
 //! Attempts continue until the item completes or cannot be processed, its route no longer exists,
-//! the maximum number of failures of the route is reached, or its retention time is over. Only a
+//! the maximum number of failures of the route is reached, or its retention time has passed. Only a
 //! response with status 500 counts as a failure of the item. Everything else is attributed to a
-//! server or the network, and another server is tried. A stream that breaks off is resumed after
+//! server or the network, and another server is tried. An interrupted stream is resumed after
 //! the last event received.
 
 use crate::gateway::Gateway;
@@ -90,7 +90,7 @@
             let route = match self.route() {
                 RouteLookup::Found(route) => route,
                 RouteLookup::Removed => {
-                    debug!(item = %self.granted.item.id, "route is gone");
+                    debug!(item = %self.granted.item.id, "route no longer exists");
                     return ItemOutcome::DeadLettered;
                 }
                 RouteLookup::NoConfiguration => {
--- a/data-plane/gateway/src/gateway.rs
+++ b/data-plane/gateway/src/gateway.rs
@@ -99,7 +99,7 @@
         self.balancer.borrow_mut().on_outcome(&server.id, outcome, self.now());
     }
 
-    /// Records that an attempt brought no response. Also closes the idle connections to the server,
+    /// Records that an attempt got no response. Also closes the idle connections to the server,
     /// because they cannot be trusted either.
     pub fn on_attempt_failed(&self, server: &Server) {
         self.record_outcome(server, ServerOutcome::Failed);
--- a/data-plane/gateway/src/headers.rs
+++ b/data-plane/gateway/src/headers.rs
@@ -22,7 +22,7 @@
 pub const TOKEN_USAGE: &str = "x-token-usage";
 /// Segments of a prompt, as `ID:TOKENS,...`.
 pub const PREFIX_HASH: &str = "x-prefix-hash";
-/// Parameters of persistent connections, among them the time for which an idle one is kept.
+/// Parameters of persistent connections, among them the time for which an idle one is kept open.
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
--- a/data-plane/gateway/src/live/attempt.rs
+++ b/data-plane/gateway/src/live/attempt.rs
@@ -146,7 +146,7 @@
         AttemptOutcome::Response(response)
     }
 
-    /// Reads a body to its end. Returns `None` if it is too long, breaks off, or does not arrive
+    /// Reads a body to its end. Returns `None` if it is too long, is truncated, or does not arrive
     /// before the deadline.
     pub(super) async fn read_buffered(&self, body: Incoming) -> Option<Bytes> {
         let limited = Limited::new(body, MAX_BUFFERED_RESPONSE_BYTES);
--- a/data-plane/gateway/src/live/mod.rs
+++ b/data-plane/gateway/src/live/mod.rs
@@ -5,9 +5,9 @@
 //! 1. [`serve`] reads its id, deadline and prompt, and calls admission control. A request that is
 //!    shed causes no further work.
 //! 2. [`LiveRequest::run`] makes attempts (`attempt`), one after the other, until one succeeds, the
-//!    route allows no more, or the deadline has passed.
+//!    route allows no further attempt, or the deadline has passed.
 //! 3. A successful response is forwarded (`forward`): a plain response once it is complete, an
-//!    event stream event by event (`streaming`). A stream that breaks off is resumed at another
+//!    event stream event by event (`streaming`). An interrupted stream is resumed at another
 //!    server within the same response.
 //!
 //! A request is rejected with 429 or 503 only if no server has executed it, because these statuses
--- a/data-plane/gateway/src/live/streaming.rs
+++ b/data-plane/gateway/src/live/streaming.rs
@@ -1,6 +1,6 @@
 //! Forwarding of event streams, and resumption at another server.
 //!
-//! Only complete events are forwarded to the client. If a server breaks off or stops sending, the
+//! Only complete events are forwarded to the client. If a stream is interrupted or stalls, the
 //! next attempt asks another server to continue after the last forwarded event (`Last-Event-Id`),
 //! and its events follow in the same response. This requires that servers generate the same events
 //! for the same request. Routes that permit executing a request twice guarantee this.
@@ -33,13 +33,14 @@
             self.executions += 1;
             next = self.resume(last_event).await;
         }
-        debug!(id = %self.id, "event stream broke off and could not be resumed");
+        debug!(id = %self.id, "event stream was interrupted and could not be resumed");
         // Sending fails if the client has disconnected, and then no error is needed.
-        let _ = chunks.send(Err(io::Error::other("event stream broke off and could not be resumed"))).await;
+        let _ =
+            chunks.send(Err(io::Error::other("event stream was interrupted and could not be resumed"))).await;
     }
 
     /// Makes attempts to resume the stream after `last_event`. Returns `None` if the route allows
-    /// no more attempts or there is no server.
+    /// no further attempt or there is no server.
     async fn resume(&mut self, last_event: Option<u64>) -> Option<ServerResponse> {
         while self.may_retry() && self.rejections < MAX_REJECTIONS {
             match self.attempt(last_event).await {
--- a/data-plane/gateway/src/request.rs
+++ b/data-plane/gateway/src/request.rs
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the reply to send to the client if the body is too long, breaks off, or does not
+    /// Returns the reply to send to the client if the body is too long, is truncated, or does not
     /// arrive in time.
     pub async fn read(
         request: Request<Incoming>,
--- a/data-plane/gateway/src/stores.rs
+++ b/data-plane/gateway/src/stores.rs
@@ -1,8 +1,8 @@
 //! Client for calls to the stores, which are handled by the head of their replication chain.
 //!
-//! A call goes to the server that last replied as the head, or else to the first member of the
+//! A call goes to the store that last replied as the head, or else to the first member of the
 //! view. A store that is not the head returns the address of the head, and the call is redirected
-//! there. All requests to stores are idempotent, so a call is repeated until a head has replied or
+//! there. All requests to stores are idempotent, so a call is retried until a head has replied or
 //! the time limit is reached. In the latter case the outcome shows whether a store may have
 //! executed the request.
 
@@ -17,7 +17,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Interval between two rounds of attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Maximum number of attempts in one round: the known head and two redirections.
+/// Maximum number of attempts in one round: the cached head and two redirections.
 const MAX_ATTEMPTS_PER_ROUND: u32 = 3;
 
 /// How a call ended.
@@ -59,12 +59,12 @@
         self.head.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the address to call first: the known head of the current view, or else the first
+    /// Returns the address to call first: the cached head of the current view, or else the first
     /// member of the view.
     fn first_candidate(&self) -> Option<SocketAddr> {
         let view = self.state.snapshot().store_view;
-        let known = self.head().filter(|head| head.view == view.number).map(|head| head.address);
-        known.or_else(|| view.members.first().map(|member| member.address))
+        let cached = self.head().filter(|head| head.view == view.number).map(|head| head.address);
+        cached.or_else(|| view.members.first().map(|member| member.address))
     }
 
     /// Calls the head until it replies or `time_limit` has passed. Blocks the thread.
--- a/data-plane/gateway/src/upstream/attempt.rs
+++ b/data-plane/gateway/src/upstream/attempt.rs
@@ -28,7 +28,7 @@
     pub idempotent: bool,
 }
 
-/// Reason why an attempt brought no response.
+/// Reason why an attempt got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptError {
     /// Nothing was sent to the server.
--- a/data-plane/gateway/src/upstream/event_stream.rs
+++ b/data-plane/gateway/src/upstream/event_stream.rs
@@ -12,7 +12,7 @@
     Frame,
     /// The stream ended after a complete event.
     Complete,
-    /// The stream ended inside an event, or the connection broke off.
+    /// The stream ended inside an event, or the connection failed.
     Broken,
     /// No frame arrived in time.
     TimedOut,
--- a/data-plane/routing/src/balance/balancer.rs
+++ b/data-plane/routing/src/balance/balancer.rs
@@ -180,7 +180,7 @@
     /// has no available server.
     ///
     /// If no server reports its load, it is estimated from the live requests of all gateways,
-    /// distributed over all services by slots. This estimate leaves out batch items, because they
+    /// distributed over all services by slots. This estimate excludes batch items, because they
     /// yield to live requests anyway.
     pub fn occupancy(&self, service: &str, now: Timestamp) -> Option<f64> {
         let (mut load, mut slots, mut is_reported) = (0.0, 0.0, false);
--- a/data-plane/routing/src/balance/outlier.rs
+++ b/data-plane/routing/src/balance/outlier.rs
@@ -33,7 +33,7 @@
 pub enum ServerOutcome {
     /// The server responded, and the response shows no server fault.
     Succeeded,
-    /// The connection failed, the response broke off or timed out, or the response reports a server
+    /// The connection failed, the response was truncated or timed out, or the response reports a server
     /// fault.
     Failed,
     /// The server rejected the request because it has no capacity.
--- a/data-plane/routing/src/events.rs
+++ b/data-plane/routing/src/events.rs
@@ -1,6 +1,6 @@
 //! Splits a byte stream into server-sent events. Only the `id` and `data` fields are parsed.
 //!
-//! The gateway forwards only complete events, byte for byte. If a stream breaks off inside an
+//! The gateway forwards only complete events, byte for byte. If a stream is interrupted inside an
 //! event, it can be resumed at another server after the last complete event (`Last-Event-Id`), and
 //! the client never receives a partial event. The cost is that an event is buffered until its last
 //! byte has arrived.
--- a/data-plane/routing/tests/routing.rs
+++ b/data-plane/routing/tests/routing.rs
@@ -130,7 +130,7 @@
     assert_eq!(
         choose_at(&mut local, at(9000)).as_deref(),
         Some("near"),
-        "the load of a silent gateway expires"
+        "the load of a gateway that stops sending expires"
     );
 }
 
