--- a/control-plane/configuration/src/update.rs
+++ b/control-plane/configuration/src/update.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ListChange {
     /// Name of the member of the configuration that is the list.
-    list: String,
+    list_name: String,
     upsert: Vec<NamedItem>,
     /// Names of the items to remove.
     remove: Vec<String>,
@@ -97,26 +97,26 @@
     }
 
     /// Returns the change of a list; adds an empty one if there is none yet.
-    fn list_mut(&mut self, list: &str) -> &mut ListChange {
-        let known = self.lists.iter().position(|change| change.list == list);
-        let index = known.unwrap_or_else(|| {
-            self.lists.push(ListChange { list: list.to_owned(), ..ListChange::default() });
+    fn list_mut(&mut self, list_name: &str) -> &mut ListChange {
+        let existing = self.lists.iter().position(|change| change.list_name == list_name);
+        let index = existing.unwrap_or_else(|| {
+            self.lists.push(ListChange { list_name: list_name.to_owned(), ..ListChange::default() });
             self.lists.len() - 1
         });
         &mut self.lists[index]
     }
 
     fn parse_upsert(&mut self, text: &str) -> Result<(), UpdateError> {
-        for (list, value) in members(text)? {
-            self.list_mut(list).upsert.extend(parse_items(list, value)?);
+        for (list_name, value) in members(text)? {
+            self.list_mut(list_name).upsert.extend(parse_items(list_name, value)?);
         }
         Ok(())
     }
 
     fn parse_remove(&mut self, text: &str) -> Result<(), UpdateError> {
-        for (list, value) in members(text)? {
+        for (list_name, value) in members(text)? {
             let names = Vec::<String>::deserialize_json(value)?;
-            self.list_mut(list).remove.extend(names);
+            self.list_mut(list_name).remove.extend(names);
         }
         Ok(())
     }
@@ -126,7 +126,7 @@
         for change in &self.lists {
             let upserted = change.upsert.iter().map(|item| item.name.as_str());
             if let Some(name) = find_duplicate(upserted.chain(change.remove.iter().map(String::as_str))) {
-                return Err(UpdateError::DuplicateItem(name, change.list.clone()));
+                return Err(UpdateError::DuplicateItem(name, change.list_name.clone()));
             }
         }
         Ok(())
@@ -148,19 +148,19 @@
         let current = syntax::members(current).ok_or(UpdateError::NoConfiguration)?;
         let mut members = Vec::new();
         for (name, value) in &current {
-            let value = match self.lists.iter().find(|change| change.list == *name) {
+            let value = match self.lists.iter().find(|change| change.list_name == *name) {
                 Some(change) => change.apply(value)?,
                 None if *name == GENERATION => self.generation.to_string(),
                 None => (*value).to_owned(),
             };
             members.push(format!("\"{name}\":{value}"));
         }
-        let is_missing = |list: &str| !current.iter().any(|(name, _)| *name == list);
-        for change in self.lists.iter().filter(|change| is_missing(&change.list)) {
-            if !OPTIONAL_LISTS.contains(&change.list.as_str()) {
-                return Err(UpdateError::UnknownList(change.list.clone()));
+        let is_missing = |list_name: &str| !current.iter().any(|(name, _)| *name == list_name);
+        for change in self.lists.iter().filter(|change| is_missing(&change.list_name)) {
+            if !OPTIONAL_LISTS.contains(&change.list_name.as_str()) {
+                return Err(UpdateError::UnknownList(change.list_name.clone()));
             }
-            members.push(format!("\"{}\":{}", change.list, change.apply("[]")?));
+            members.push(format!("\"{}\":{}", change.list_name, change.apply("[]")?));
         }
         Ok(format!("{{{}}}", members.join(",")))
     }
@@ -168,10 +168,10 @@
 
 impl ListChange {
     /// Returns the text of the list that results from applying the change to the text of a list.
-    fn apply(&self, list: &str) -> Result<String, UpdateError> {
+    fn apply(&self, list_text: &str) -> Result<String, UpdateError> {
         let mut new_items = self.upsert.clone();
         let mut texts: Vec<String> = Vec::new();
-        for item in parse_items(&self.list, list)? {
+        for item in parse_items(&self.list_name, list_text)? {
             if self.remove.contains(&item.name) {
                 continue;
             }
@@ -188,9 +188,9 @@
     syntax::members(text).ok_or(UpdateError::NotAnObject)
 }
 
-/// Parses the items of a list. `list` is the name of the list, for error messages.
-fn parse_items(list: &str, text: &str) -> Result<Vec<NamedItem>, UpdateError> {
-    let elements = syntax::elements(text).ok_or_else(|| UpdateError::NotAList(list.to_owned()))?;
+/// Parses the items of a list. The name of the list is used in error messages.
+fn parse_items(list_name: &str, text: &str) -> Result<Vec<NamedItem>, UpdateError> {
+    let elements = syntax::elements(text).ok_or_else(|| UpdateError::NotAList(list_name.to_owned()))?;
     elements.into_iter().map(parse_item).collect()
 }
 
