--- a/control-plane/chain-replication/src/chain.rs
+++ b/control-plane/chain-replication/src/chain.rs
@@ -22,6 +22,7 @@
 
 use crate::config::Config;
 use crate::error::ProposalError;
+use crate::failure_detector::FailureDetector;
 use crate::in_flight::{InFlightAppend, RoundWaiters};
 use crate::lease::Lease;
 use crate::message::{Append, AppendReply, Install, Round, Status};
@@ -31,7 +32,6 @@
 use crate::replica::{AppendOutcome, Replica};
 use crate::state_machine::StateMachine;
 use crate::storage::Storage;
-use crate::suspicion::FailureDetector;
 use crate::view::View;
 use marblecroft_rpc::Bytes;
 use std::collections::HashMap;
--- a/control-plane/chain-replication/src/lib.rs
+++ b/control-plane/chain-replication/src/lib.rs
@@ -74,6 +74,7 @@
 pub mod chain;
 mod config;
 mod error;
+mod failure_detector;
 mod in_flight;
 mod lease;
 pub mod message;
@@ -84,7 +85,6 @@
 pub mod replica;
 mod state_machine;
 pub mod storage;
-mod suspicion;
 pub mod view;
 
 pub use chain::Chain;
