--- a/control-plane/core/src/store/context.rs
+++ b/control-plane/core/src/store/context.rs
@@ -18,7 +18,7 @@
 /// Timeout of an operation. Longer than the 900 ms after which the coordinators exclude a failed member, so
 /// that an operation can still complete after the view change.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Timeout of a read. Shorter than that of an operation, because a read has no effect and can be repeated.
+/// Timeout of a read. Shorter than that of an operation, because a read has no effect and can be retried.
 const READ_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// The shared parts of a store.
@@ -54,13 +54,13 @@
         self.client.read_index(purpose, now + READ_TIMEOUT);
     }
 
-    pub(super) fn answer(&mut self, token: Token, reply: StoreReply) {
-        self.outputs.push(Output::Answer { token, reply });
+    pub(super) fn reply(&mut self, token: Token, reply: StoreReply) {
+        self.outputs.push(Output::Reply { token, reply });
     }
 
-    pub(super) fn answer_not_head(&mut self, token: Token) {
+    pub(super) fn reply_not_head(&mut self, token: Token) {
         let head = self.chain().head_address();
-        self.answer(token, StoreReply::NotHead(head));
+        self.reply(token, StoreReply::NotHead(head));
     }
 
     pub(super) fn call_store(
--- a/control-plane/server/src/coordinator.rs
+++ b/control-plane/server/src/coordinator.rs
@@ -27,8 +27,10 @@
 
 /// Returns the first view and this process's identity in it, or `None` if the process is not a founder.
 fn founding_view(settings: &Settings) -> Option<(u64, View)> {
-    let own = settings.bind.control_plane.filter(|_| settings.bootstrap)?;
-    member::founding_view(own, &settings.seeds, |seed| coordinator_address(seed, settings.ephemeral_ports))
+    let local_address = settings.bind.control_plane.filter(|_| settings.bootstrap)?;
+    member::founding_view(local_address, &settings.seeds, |seed| {
+        coordinator_address(seed, settings.ephemeral_ports)
+    })
 }
 
 fn core_settings(settings: &Settings, address: SocketAddr) -> CoreSettings {
@@ -36,7 +38,7 @@
         node_name: settings.node_name.clone(),
         address,
         seeds: seed_coordinators(settings),
-        operator_port: settings.bind.control_plane.map(|own| own.port()),
+        operator_port: settings.bind.control_plane.map(|address| address.port()),
         tolerated_machines: settings.tolerated_machines,
         grace_period: settings.bounds.grace_period,
         reads_server_list: settings.cloud_api.is_some(),
@@ -95,13 +97,13 @@
         internal.runtime.request(&internal.requests, |token| Input::Request { token, request })
     })?;
     let operator = shared.clone();
-    http::serve(http::listen(operator_address)?, move |request| operator.answer_operator(request))?;
+    http::serve(http::listen(operator_address)?, move |request| operator.handle_operator_request(request))?;
     event_loop::run(&mut node, clock, &inputs, || Input::Wake, |output| shared.execute(output));
     Ok(())
 }
 
 impl Shared {
-    fn answer_operator(&self, request: Request) -> Reply {
+    fn handle_operator_request(&self, request: Request) -> Reply {
         let method = match request.method {
             tiny_http::Method::Get => Method::Get,
             tiny_http::Method::Post => Method::Post,
@@ -116,8 +118,8 @@
 
     fn execute(&self, output: Output) -> ControlFlow {
         match output {
-            Output::Answer { token, reply } => self.requests.deliver(token, reply),
-            Output::AnswerOperator { token, reply } => self.operator_calls.deliver(token, reply),
+            Output::Reply { token, reply } => self.requests.deliver(token, reply),
+            Output::ReplyToOperator { token, reply } => self.operator_calls.deliver(token, reply),
             Output::Call { call, to, request, timeout } => {
                 let caller = self.caller.clone();
                 self.runtime.spawn(move || {
--- a/data-plane/gateway/src/startup.rs
+++ b/data-plane/gateway/src/startup.rs
@@ -1,6 +1,6 @@
 //! Startup of a gateway process: its threads and tasks.
 //!
-//! The order of startup matters. Readiness checks are answered first, and fail until a
+//! The order of startup matters. Readiness checks are served first, and fail until a
 //! configuration and a server list have been received. The thread that fetches these runs before
 //! clients are served. The listener is opened last, when all tasks are running.
 
@@ -48,7 +48,7 @@
 ///
 /// Returns an error if the gateway cannot start.
 pub fn run(settings: Settings, tuning: Tuning) -> Result<(), StartError> {
-    let address = settings.bind.front.ok_or(StartError::MissingSetting("bind_addresses.front"))?;
+    let address = settings.bind.frontend.ok_or(StartError::MissingSetting("bind_addresses.front"))?;
     let readiness_address =
         settings.bind.readiness.ok_or(StartError::MissingSetting("bind_addresses.readiness"))?;
     let state = Arc::new(State::default());
