--- a/testing/fault-injection/src/checker/tries.rs
+++ b/testing/fault-injection/src/checker/attempts.rs
@@ -1,4 +1,5 @@
-//! Checks of tries and attempts: one final answer, no unsafe request runs twice, one attempt at a time.
+//! Checks of client attempts and of attempts at pay servers: one final answer, no unsafe request runs twice,
+//! one attempt at a time.
 
 use super::{seconds, Checker};
 use crate::deployment::{DrawnFault, Nanos, DRAIN_GRACE, MAX_ATTEMPTS, SECOND, UNSAFE};
@@ -10,8 +11,8 @@
 /// A fault can explain the loss of a request up to this long after its end.
 pub(super) const FAULT_AFTERMATH: Nanos = SECOND;
 
-/// A try of a request at a gateway.
-pub(super) struct Try {
+/// A client's attempt to send a request to a gateway.
+pub(super) struct ClientAttempt {
     pub(super) request: u32,
     pub(super) trace: Trace,
     pub(super) gateway: u16,
@@ -33,8 +34,8 @@
 
 impl Checker {
     pub(super) fn ended(&mut self, at: Nanos, trace: Trace, outcome: Outcome) {
-        let Some(&last) = self.last_try.get(&trace) else { return };
-        let it = &mut self.tries[last];
+        let Some(&last) = self.last_client_attempt.get(&trace) else { return };
+        let it = &mut self.client_attempts[last];
         if it.ended.is_some() {
             it.more_ends += 1;
             return;
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Whether a fault explains that a try at this gateway received no answer.
+    /// Whether a fault explains that a client attempt at this gateway received no answer.
     pub(super) fn explained_by_fault(&self, setup: &Setup, gateway: u16, from: Nanos, to: Nanos) -> bool {
         let end = End::Gateway(gateway);
         let affects = |fault: &DrawnFault| match fault.kind {
@@ -121,10 +122,10 @@
         by_fault || self.crashes.iter().any(|(of, at)| *of == end && to + FAULT_AFTERMATH >= *at)
     }
 
-    pub(super) fn check_tries(&mut self, setup: &Setup) {
+    pub(super) fn check_client_attempts(&mut self, setup: &Setup) {
         let mut traces: BTreeMap<u32, BTreeSet<Trace>> = BTreeMap::new();
-        for it in std::mem::take(&mut self.tries) {
-            let Try { trace, gateway, began, .. } = it;
+        for it in std::mem::take(&mut self.client_attempts) {
+            let ClientAttempt { trace, gateway, began, .. } = it;
             if it.more_ends > 0 {
                 self.broken("one_final_answer", || format!("{trace:016x} ended more than once"));
             }
@@ -147,7 +148,7 @@
                 traces.entry(it.request).or_default().insert(trace);
             }
         }
-        // A request must not run twice, not even in different tries.
+        // A request must not run twice, not even in different client attempts.
         for (request, traces) in traces {
             let ids = traces.iter().flat_map(|trace| self.attempts_of_trace.get(trace).into_iter().flatten());
             let ran = ids.filter_map(|id| self.attempts.get(id).filter(|attempt| attempt.ran));
--- a/testing/fault-injection/src/checker/ceilings.rs
+++ b/testing/fault-injection/src/checker/ceilings.rs
@@ -14,11 +14,11 @@
 }
 
 impl Checker {
-    /// Takes one unit for a try from the bucket of its customer's ceiling.
+    /// Takes one unit for a client attempt from the bucket of its customer's ceiling.
     pub(super) fn take_from_ceiling(&mut self, at: Nanos, trace: Trace) {
         let Some(setup) = &self.setup else { return };
-        let Some(&last) = self.last_try.get(&trace) else { return };
-        let Some(&(customer, _)) = self.requests.get(&self.tries[last].request) else { return };
+        let Some(&last) = self.last_client_attempt.get(&trace) else { return };
+        let Some(&(customer, _)) = self.requests.get(&self.client_attempts[last].request) else { return };
         let Some(quota) =
             setup.plans.get(customer as usize).and_then(|plan| setup.quotas.get(usize::from(*plan)))
         else {
--- a/testing/fault-injection/src/checker/findings.rs
+++ b/testing/fault-injection/src/checker/findings.rs
@@ -17,7 +17,7 @@
         if !self.finished {
             return Err(IncompleteHistory::Unfinished);
         }
-        self.check_tries(&setup);
+        self.check_client_attempts(&setup);
         self.check_registers();
         self.check_attempts();
         let mut findings = std::mem::take(&mut self.cases);
--- a/testing/fault-injection/src/checker/lists.rs
+++ b/testing/fault-injection/src/checker/lists.rs
@@ -1,6 +1,6 @@
 //! Checks of the lists of pay servers that gateways receive from the list service or its stand-in.
 
-use super::tries::FAULT_AFTERMATH;
+use super::attempts::FAULT_AFTERMATH;
 use super::{seconds, Checker, LIST_LACKS_SERVER};
 use crate::deployment::{DrawnFault, Nanos, SECOND};
 use crate::endpoint::Kind;
--- a/testing/fault-injection/src/checker/mod.rs
+++ b/testing/fault-injection/src/checker/mod.rs
@@ -4,24 +4,24 @@
 //! stated reason. No result depends on the speed of the machine: time limits are extended by the recorded
 //! delays of the harness.
 
+mod attempts;
 mod ceilings;
 mod findings;
 mod lists;
 mod locks;
 mod registers;
-mod tries;
 
 use crate::deployment::{Nanos, SECOND, SOCKET_SLACK};
 use crate::endpoint::End;
 use crate::history::{Event, ProcessChange, ServerState, Setup, TimedEvent, Trace};
 use crate::linear::{Call, Op};
+use attempts::{Attempt, ClientAttempt};
 use ceilings::Ceiling;
 use lists::Gateway;
 use locks::Owned;
 use registers::Watched;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
-use tries::{Attempt, Try};
 
 /// Names of all invariants, as used in reports.
 pub const INVARIANTS: [&str; 13] = [
@@ -63,8 +63,8 @@
 pub struct Checker {
     setup: Option<Box<Setup>>,
     requests: HashMap<u32, (u32, u8)>,
-    tries: Vec<Try>,
-    last_try: HashMap<Trace, usize>,
+    client_attempts: Vec<ClientAttempt>,
+    last_client_attempt: HashMap<Trace, usize>,
     attempts: HashMap<u64, Attempt>,
     attempts_of_trace: HashMap<Trace, Vec<u64>>,
     closed: HashMap<u64, Nanos>,
@@ -117,16 +117,24 @@
             Event::RequestStarted { request, customer, class, .. } => {
                 self.requests.insert(*request, (*customer, *class));
             }
-            Event::TryStarted { request, trace, gateway, .. } => {
-                self.last_try.insert(*trace, self.tries.len());
+            Event::AttemptStarted { request, trace, gateway, .. } => {
+                self.last_client_attempt.insert(*trace, self.client_attempts.len());
                 let (request, trace, gateway) = (*request, *trace, *gateway);
                 let (ended, more_ends, afterwards) = (None, 0, None);
-                self.tries.push(Try { request, trace, gateway, began: at, ended, more_ends, afterwards });
+                self.client_attempts.push(ClientAttempt {
+                    request,
+                    trace,
+                    gateway,
+                    began: at,
+                    ended,
+                    more_ends,
+                    afterwards,
+                });
             }
-            Event::TryEnded { trace, outcome } => self.ended(at, *trace, *outcome),
-            Event::TryEndedLate { trace, answered } => {
-                if let Some(&last) = self.last_try.get(trace) {
-                    self.tries[last].afterwards = Some((at, *answered));
+            Event::AttemptEnded { trace, outcome } => self.ended(at, *trace, *outcome),
+            Event::AttemptEndedLate { trace, answered } => {
+                if let Some(&last) = self.last_client_attempt.get(trace) {
+                    self.client_attempts[last].afterwards = Some((at, *answered));
                 }
             }
             Event::Closed { connection } => drop(self.closed.entry(*connection).or_insert(at)),
--- a/testing/fault-injection/src/decisions.rs
+++ b/testing/fault-injection/src/decisions.rs
@@ -145,7 +145,7 @@
                 self.applied.retain(|(of, _), _| of != gateway);
             }
             Event::Arrived { server, gateway, trace, .. } => self.arrived(at, *server, *gateway, *trace),
-            Event::TryEnded { trace, outcome: Outcome::Served { .. } } => drop(self.traces.remove(trace)),
+            Event::AttemptEnded { trace, outcome: Outcome::Served { .. } } => drop(self.traces.remove(trace)),
             Event::FaultBegan { .. } => drop(self.first_fault_at.get_or_insert(at)),
             Event::FaultEnded { .. } => self.last_fault_end = Some(at),
             _ => {}
@@ -183,9 +183,9 @@
         self.sends += 1;
         self.same_zone += u64::from(from == to);
         // Only first attempts count: repeated attempts are not limited by the decided capacities.
-        let tries = self.traces.entry(trace).or_default();
-        *tries += 1;
-        if *tries == 1 && from != to && !self.capacities.iter().all(Vec::is_empty) {
+        let attempts = self.traces.entry(trace).or_default();
+        *attempts += 1;
+        if *attempts == 1 && from != to && !self.capacities.iter().all(Vec::is_empty) {
             *self.cross_zone.entry((to, at / SECOND)).or_default() += 1;
         }
     }
--- a/testing/fault-injection/src/decisions/shards.rs
+++ b/testing/fault-injection/src/decisions/shards.rs
@@ -66,7 +66,7 @@
             Event::RequestStarted { request, class, .. } if *class == UNSAFE => {
                 self.unsafe_requests.insert(*request);
             }
-            Event::TryStarted { request, trace, .. } if self.unsafe_requests.contains(request) => {
+            Event::AttemptStarted { request, trace, .. } if self.unsafe_requests.contains(request) => {
                 self.requests.insert(*trace, *request);
             }
             Event::Arrived { attempt, trace, .. } if self.requests.contains_key(trace) => {
@@ -95,7 +95,7 @@
                     self.ran.entry(*trace).or_default().insert(*cell);
                 }
             }
-            Event::TryEnded { trace, outcome: Outcome::Served { attempt: Some(attempt) } } => {
+            Event::AttemptEnded { trace, outcome: Outcome::Served { attempt: Some(attempt) } } => {
                 if let Some((_, firm)) = self.writes.get(attempt) {
                     self.served.push((*trace, *firm));
                 }
--- a/testing/fault-injection/src/decisions/shares.rs
+++ b/testing/fault-injection/src/decisions/shares.rs
@@ -85,12 +85,12 @@
                     self.asked[second][*customer as usize] += 1.0;
                 }
             }
-            Event::TryStarted { request, trace, .. } => {
+            Event::AttemptStarted { request, trace, .. } => {
                 if let Some(customer) = self.customers.get(request) {
                     self.traces.insert(*trace, *customer);
                 }
             }
-            // Only the first attempt of a try counts towards the share.
+            // Only the first attempt at a pay server of each client attempt counts towards the share.
             Event::Arrived { trace, .. } if self.arrived.insert(*trace) => {
                 if let (Some(second), Some(customer)) = (self.second(at), self.traces.get(trace).copied()) {
                     self.sent[second][customer as usize] += 1.0;
--- a/testing/fault-injection/src/draw.rs
+++ b/testing/fault-injection/src/draw.rs
@@ -73,7 +73,8 @@
 #[derive(Deserialize)]
 struct Clients {
     retries: Range,
-    try_share: Range,
+    #[serde(rename = "try_share")]
+    min_timeout_share: Range,
     honour: Range,
     backoff_ms: Range,
 }
@@ -271,7 +272,7 @@
     figures.work_cv = sampler.sample(&format!("class {}.cv", safe.name), safe.cv)?;
     figures.aim_ms = safe.aim_ms as u64;
     figures.deadline_ms = safe.deadline_ms as u64;
-    figures.try_share = sampler.sample("clients.try_share", site.clients.try_share)?;
+    figures.min_timeout_share = sampler.sample("clients.try_share", site.clients.min_timeout_share)?;
     figures.backoff_ms = sampler.sample_integer("clients.backoff_ms", site.clients.backoff_ms)?;
     figures.honour = sampler.sample("clients.honour", site.clients.honour)?;
     figures.notice_ms = (sampler.sample("front.notice_s", site.front.notice_s)? * 1000.0) as u64;
--- a/testing/fault-injection/src/figures.rs
+++ b/testing/fault-injection/src/figures.rs
@@ -28,8 +28,8 @@
     pub scenario: String,
     /// The seed.
     pub seed: u64,
-    /// Number of requests, each with all its tries. The next five figures add up to it if every request has
-    /// ended.
+    /// Number of requests, each with all its client attempts. The next five figures add up to it if every
+    /// request has ended.
     pub requests: u64,
     /// Number of requests that were served.
     pub served: u64,
@@ -55,7 +55,7 @@
     pub peaks: BTreeMap<String, Option<f64>>,
     /// Whether each invariant holds, by name; null if it does not apply.
     pub invariants: BTreeMap<String, Option<bool>>,
-    /// Number of tries that were in flight at a gateway when a fault affected it.
+    /// Number of client attempts that were in flight at a gateway when a fault affected it.
     #[serde(rename = "in_hand")]
     pub in_flight: u64,
     /// Number of those whose connection ended without an answer.
@@ -67,8 +67,9 @@
     pub unsafe_lost_ran: u64,
     /// Share of the requests that ended without an answer.
     pub unanswered_share: f64,
-    /// Number of tries that reached no listener.
-    pub unreachable_tries: u64,
+    /// Number of client attempts that reached no listener.
+    #[serde(rename = "unreachable_tries")]
+    pub unreachable_client_attempts: u64,
     /// Number of pay servers' crashes because of overload.
     #[serde(rename = "fell")]
     pub overload_crashes: u64,
@@ -172,7 +173,7 @@
     ran: HashSet<Trace>,
     /// Last trace ids of the unsafe requests that ended without an answer.
     unsafe_lost: Vec<Trace>,
-    last_try: HashMap<u32, Trace>,
+    last_client_attempt: HashMap<u32, Trace>,
     good_answers: Vec<Nanos>,
     seconds: Vec<Second>,
     fault_starts: Vec<(u16, Nanos)>,
@@ -228,12 +229,12 @@
                     .iter_mut()
                     .for_each(|lateness| lateness.saturating_record((late / 1000).max(1)));
             }
-            Event::TryStarted { request, trace, gateway, .. } => {
-                self.last_try.insert(*request, *trace);
+            Event::AttemptStarted { request, trace, gateway, .. } => {
+                self.last_client_attempt.insert(*request, *trace);
                 self.open.insert(*trace, Open { request: *request, gateway: *gateway });
                 self.call(at, "tries");
             }
-            Event::TryEnded { trace, outcome } => self.ended(*trace, *outcome),
+            Event::AttemptEnded { trace, outcome } => self.ended(*trace, *outcome),
             Event::RequestEnded { request, outcome } => self.request_ended(at, *request, *outcome),
             Event::Arrived { attempt, trace, .. } => {
                 self.attempts.insert(*attempt, *trace);
@@ -284,7 +285,7 @@
 
     fn request_ended(&mut self, at: Nanos, request: u32, outcome: Outcome) {
         let Some((asked, class)) = self.requests.remove(&request) else { return };
-        let last = self.last_try.remove(&request);
+        let last = self.last_client_attempt.remove(&request);
         let aim = self.setup.as_ref().map_or(0, |setup| setup.latency_target);
         let latency = at - asked;
         let category = match outcome {
@@ -436,7 +437,7 @@
             unsafe_lost: self.unsafe_lost.len() as u64,
             unsafe_lost_ran: self.unsafe_lost.iter().filter(|trace| self.ran.contains(trace)).count() as u64,
             unanswered_share: round(self.unanswered as f64 / requests.max(1) as f64),
-            unreachable_tries: self.unreachable,
+            unreachable_client_attempts: self.unreachable,
             overload_crashes: self.overload_crashes,
             crashes: self.crashes,
             owner_gap_ms: self.owner_gap.map(|gap| gap / MS),
--- a/testing/fault-injection/src/follow.rs
+++ b/testing/fault-injection/src/follow.rs
@@ -52,16 +52,16 @@
             let mut push = |source: String, what: String| lines.push((at.at, source, what));
             match &at.event {
                 Event::Setup(setup) => origin = UNIX_EPOCH + Duration::from_micros(setup.unix_us),
-                Event::TryStarted { trace: of, request, gateway, timeout, .. } if *of == trace => {
+                Event::AttemptStarted { trace: of, request, gateway, timeout, .. } if *of == trace => {
                     push(
                         "client".to_owned(),
                         format!("request {request} to gateways[{gateway}], waits {} ms", timeout / 1_000_000),
                     );
                 }
-                Event::TryEnded { trace: of, outcome } if *of == trace => {
+                Event::AttemptEnded { trace: of, outcome } if *of == trace => {
                     push("client".to_owned(), format!("{outcome:?}"));
                 }
-                Event::TryEndedLate { trace: of, answered } if *of == trace => {
+                Event::AttemptEndedLate { trace: of, answered } if *of == trace => {
                     push("client".to_owned(), format!("after its timeout: answered {answered}"));
                 }
                 Event::Arrived { trace: of, attempt, server, gateway, .. } if *of == trace => {
--- a/testing/fault-injection/src/harness/clients.rs
+++ b/testing/fault-injection/src/harness/clients.rs
@@ -1,4 +1,4 @@
-//! Clients on sockets. Each try uses a pooled connection of the load balancer where one is idle.
+//! Clients on sockets. Each attempt uses a pooled connection of the load balancer where one is idle.
 
 use crate::deployment::{Nanos, CLASSES, MS, SAFE, SECOND};
 use crate::endpoint::End;
@@ -6,7 +6,9 @@
 use crate::harness::relay::{relay, Observer};
 use crate::harness::{address, RunContext};
 use crate::history::{Event, Outcome, Trace};
-use crate::stand_ins::clients::{Arrival, ClientBehavior, ClientRequest, LoadBalancer, NextStep, Try};
+use crate::stand_ins::clients::{
+    Arrival, ClientAttempt, ClientBehavior, ClientRequest, LoadBalancer, NextStep,
+};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -24,7 +26,8 @@
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
 /// Idle connections that the load balancer keeps to a gateway.
 const MAX_IDLE_CONNECTIONS: usize = 64;
-/// After its timeout a try waits this long for a late response: the invariants require that one comes.
+/// After its timeout a client attempt waits this long for a late response: the invariants require that one
+/// comes.
 const LATE_RESPONSE_WAIT: Duration = Duration::from_secs(10);
 /// Interval between health checks of a gateway that is not healthy.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -185,7 +188,7 @@
         matches!(timeout(HEALTH_CHECK_TIMEOUT, check).await, Ok(Ok(true)))
     }
 
-    /// Runs one request with all its tries.
+    /// Runs one request with all its client attempts.
     pub async fn run_request(self: Rc<Self>, arrival: Arrival, late: Nanos) {
         let Arrival { request, customer, class, .. } = arrival;
         let context = &self.context;
@@ -194,11 +197,11 @@
         context.record(Event::RequestStarted { request, customer, class, late });
         let profile = &context.deployment.customers[customer as usize];
         let mut client_request = ClientRequest::new(&arrival, self.behavior.clone(), context.now());
-        let mut next = client_request.first_try(context.now(), profile, &self.load_balancer.borrow());
+        let mut next = client_request.first_attempt(context.now(), profile, &self.load_balancer.borrow());
         let outcome = loop {
             context.sleep_until(context.now() + next.after).await;
             let (outcome, retry_after) = self.clone().attempt(request, customer, class, &next).await;
-            context.record(Event::TryEnded { trace: next.trace, outcome });
+            context.record(Event::AttemptEnded { trace: next.trace, outcome });
             match client_request.next_step(
                 context.now(),
                 outcome,
@@ -206,7 +209,7 @@
                 profile,
                 &self.load_balancer.borrow(),
             ) {
-                NextStep::Try(again) => next = again,
+                NextStep::Retry(again) => next = again,
                 NextStep::End(outcome) => break outcome,
             }
         };
@@ -218,7 +221,7 @@
         context.traces.borrow_mut().remove(&next.trace);
     }
 
-    fn request(&self, customer: u32, class: u8, next: &Try) -> Option<Request<Full<Bytes>>> {
+    fn request(&self, customer: u32, class: u8, next: &ClientAttempt) -> Option<Request<Full<Bytes>>> {
         let profile = &self.context.deployment.customers[customer as usize];
         let name = CLASSES[usize::from(class)];
         let (method, body) =
@@ -240,19 +243,19 @@
         request.body(Full::new(body)).ok()
     }
 
-    /// Runs one try until it ends or its client's timeout expires.
+    /// Runs one attempt until it ends or its client's timeout expires.
     async fn attempt(
         self: Rc<Self>,
         request_number: u32,
         customer: u32,
         class: u8,
-        next: &Try,
+        next: &ClientAttempt,
     ) -> (Outcome, Option<Nanos>) {
         let context = self.context.clone();
         let (gateway, trace) = (next.gateway, next.trace);
         let deadline = context.instant(context.now() + next.wait);
         context.traces.borrow_mut().insert(trace, (customer, class));
-        context.record(Event::TryStarted {
+        context.record(Event::AttemptStarted {
             request: request_number,
             trace,
             gateway,
@@ -282,7 +285,7 @@
                 // Keeps waiting after the timeout, to record whether the gateway responds at all.
                 spawn_local(async move {
                     let answered = matches!(timeout(LATE_RESPONSE_WAIT, exchange).await, Ok((Ok(_), _)));
-                    context.record(Event::TryEndedLate { trace, answered });
+                    context.record(Event::AttemptEndedLate { trace, answered });
                 });
                 return (Outcome::TimedOut, None);
             };
--- a/testing/fault-injection/src/harness/pay_servers.rs
+++ b/testing/fault-injection/src/harness/pay_servers.rs
@@ -35,7 +35,7 @@
 /// Trace ids whose units were counted are kept for this long.
 const COUNTED_RETENTION: Nanos = 60 * SECOND;
 
-/// The meter that all pay servers share, and the tries whose units it has counted.
+/// The meter that all pay servers share, and the client attempts whose units it has counted.
 pub struct Metering {
     meter: RefCell<Meter>,
     counted: RefCell<HashMap<Trace, Nanos>>,
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Counts the unit of a try at its first attempt.
+    /// Counts the unit of a client attempt when its first attempt arrives at a pay server.
     fn count_unit(&self, now: Nanos, trace: Trace, customer: u32) {
         let mut counted = self.counted.borrow_mut();
         if counted.insert(trace, now).is_none() {
--- a/testing/fault-injection/src/history.rs
+++ b/testing/fault-injection/src/history.rs
@@ -21,7 +21,7 @@
 /// Events are buffered up to about this many bytes before a frame is written.
 const FRAME_TARGET_BYTES: usize = 32 << 10;
 
-/// Trace id that a client assigns to a try; a client that lost its gateway may reuse it.
+/// Trace id that a client assigns to an attempt; a client that lost its gateway may reuse it.
 pub type Trace = u64;
 
 /// Facts about a run that the checkers need before the first event.
@@ -75,7 +75,7 @@
     pub unix_us: u64,
 }
 
-/// How a try ended for its client.
+/// How an attempt ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// Status 200 with the body of a pay server.
@@ -237,34 +237,35 @@
         /// Delay behind the schedule that the harness itself caused, in nanoseconds.
         late: Nanos,
     },
-    /// A client sends a try of a request.
-    TryStarted {
+    /// A client sends an attempt of a request to a gateway. The attempts of gateways at pay servers are the
+    /// events from `Arrived` to `Answered`.
+    AttemptStarted {
         /// Number of the request.
         request: u32,
-        /// The id of the try.
+        /// The id of the client attempt.
         trace: Trace,
         /// Number of the gateway.
         gateway: u16,
-        /// The client's timeout for the try, in nanoseconds.
+        /// The client's timeout for the attempt, in nanoseconds.
         timeout: Nanos,
-        /// Whether the try reuses the id of an earlier one whose gateway was lost.
+        /// Whether the attempt reuses the id of an earlier one whose gateway was lost.
         reuses_id: bool,
     },
-    /// A try has ended for its client, with a response or without one.
-    TryEnded {
-        /// The id of the try.
+    /// An attempt has ended for its client, with a response or without one.
+    AttemptEnded {
+        /// The id of the client attempt.
         trace: Trace,
-        /// How the try ended.
+        /// How the client attempt ended.
         outcome: Outcome,
     },
-    /// The connection of a try that had timed out has delivered a response or has ended.
-    TryEndedLate {
-        /// The id of the try.
+    /// The connection of a client attempt that had timed out has delivered a response or has ended.
+    AttemptEndedLate {
+        /// The id of the client attempt.
         trace: Trace,
         /// Whether a response arrived after the timeout; false if the connection ended without one.
         answered: bool,
     },
-    /// A request has ended, after its last try.
+    /// A request has ended, after its last client attempt.
     RequestEnded {
         /// Number of the request.
         request: u32,
@@ -289,7 +290,7 @@
     Arrived {
         /// Number of the attempt.
         attempt: u64,
-        /// The id of the try.
+        /// The id of the client attempt.
         trace: Trace,
         /// Number of the pay server.
         server: u16,
@@ -503,9 +504,9 @@
         /// Whether the cell accepted the write.
         admitted: bool,
     },
-    /// Recorded at the end of the run: the cells that hold what a try wrote.
+    /// Recorded at the end of the run: the cells that hold what a client attempt wrote.
     WriteLocations {
-        /// The id of the try.
+        /// The id of the client attempt.
         trace: Trace,
         /// Numbers of the cells.
         cells: Vec<u16>,
--- a/testing/fault-injection/src/report.rs
+++ b/testing/fault-injection/src/report.rs
@@ -134,7 +134,7 @@
         format!("{}, {} of them had run", s.unsafe_lost, s.unsafe_lost_ran),
     );
     row(&mut page, "clients left without an answer", format!("{:.2}%", s.unanswered_share * 100.0));
-    row(&mut page, "tries that reached no gateway", s.unreachable_tries.to_string());
+    row(&mut page, "tries that reached no gateway", s.unreachable_client_attempts.to_string());
     row(&mut page, "pay servers that crashed under load", s.overload_crashes.to_string());
     row(&mut page, "processes that exited by themselves", s.crashes.to_string());
     for (name, ms) in &s.latency_ms {
--- a/testing/fault-injection/src/scenario/site.rs
+++ b/testing/fault-injection/src/scenario/site.rs
@@ -15,9 +15,10 @@
     pub aim_ms: u64,
     /// The deadline of a request in milliseconds.
     pub deadline_ms: u64,
-    /// Minimum timeout of a client's try, as a share of the deadline.
-    pub try_share: f64,
-    /// A client's pause before a retry, in milliseconds.
+    /// Minimum timeout of a client attempt, as a share of the deadline.
+    #[serde(rename = "try_share")]
+    pub min_timeout_share: f64,
+    /// A client's backoff before a retry, in milliseconds.
     pub backoff_ms: u64,
     /// Share of the refusals whose `Retry-After` the clients honour.
     pub honour: f64,
@@ -83,7 +84,7 @@
             work_cv: 0.9,
             aim_ms: 1000,
             deadline_ms: 4000,
-            try_share: 0.75,
+            min_timeout_share: 0.75,
             backoff_ms: 200,
             honour: 0.65,
             notice_ms: 2500,
--- a/testing/fault-injection/src/scenario/validation.rs
+++ b/testing/fault-injection/src/scenario/validation.rs
@@ -77,7 +77,7 @@
         for (name, value, least, most) in [
             ("site.work_ms", site.work_ms, 0.1, 10_000.0),
             ("site.work_cv", site.work_cv, 0.0, 5.0),
-            ("site.try_share", site.try_share, 0.05, 1.0),
+            ("site.try_share", site.min_timeout_share, 0.05, 1.0),
             ("site.honour", site.honour, 0.0, 1.0),
             ("site.speed", site.speed, 0.01, 100.0),
             ("site.speed_cv", site.speed_cv, 0.0, 1.0),
--- a/testing/fault-injection/src/stand_ins/clients.rs
+++ b/testing/fault-injection/src/stand_ins/clients.rs
@@ -15,7 +15,7 @@
 use rand_chacha::ChaCha8Rng;
 
 /// A client does not retry if less time than this is left before its deadline.
-const MIN_TRY_TIME: Nanos = 50 * MS;
+const MIN_ATTEMPT_TIME: Nanos = 50 * MS;
 const MAX_RETRY_AFTER: Nanos = 500 * MS;
 /// A greedy client retries a rejected request after this time.
 const GREEDY_RETRY_DELAY: Nanos = 10 * MS;
@@ -25,9 +25,9 @@
 pub struct ClientBehavior {
     /// The deadline in nanoseconds.
     pub deadline: Nanos,
-    /// Minimum timeout of a try, as a share of the deadline.
-    pub try_share: f64,
-    /// The pause before a retry, in nanoseconds.
+    /// Minimum timeout of a client attempt, as a share of the deadline.
+    pub min_timeout_share: f64,
+    /// The backoff before a retry, in nanoseconds.
     pub backoff: Nanos,
     /// The share of rejections whose `Retry-After` is honoured.
     pub honour: f64,
@@ -42,7 +42,7 @@
     pub fn of(scenario: &Scenario) -> ClientBehavior {
         ClientBehavior {
             deadline: scenario.site.deadline_ms * MS,
-            try_share: scenario.site.try_share,
+            min_timeout_share: scenario.site.min_timeout_share,
             backoff: scenario.site.backoff_ms * MS,
             honour: scenario.site.honour,
             retries: scenario.load.retries,
@@ -176,30 +176,30 @@
 /// The next step of a client's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Start another try.
-    Try(Try),
+    /// Retry with this attempt.
+    Retry(ClientAttempt),
     /// The request has ended.
     End(Outcome),
 }
 
-/// One try of a request.
+/// An attempt of a client to send its request to a gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Try {
-    /// The pause before the try, in nanoseconds.
+pub struct ClientAttempt {
+    /// The backoff before the attempt, in nanoseconds.
     pub after: Nanos,
     /// The gateway.
     pub gateway: u16,
-    /// Trace id of the try.
+    /// Trace id of the attempt.
     pub trace: Trace,
-    /// Timeout of the try, in nanoseconds.
+    /// Timeout of the attempt, in nanoseconds.
     pub wait: Nanos,
-    /// Whether the try is a retry, which clients mark by a header.
+    /// Whether the attempt is a retry, which clients mark by a header.
     pub is_retry: bool,
-    /// Whether the try has the trace id of the try before it.
+    /// Whether the attempt has the trace id of the attempt before it.
     pub reuses_id: bool,
 }
 
-/// One request of a client, with all its tries.
+/// One request of a client, with all its client attempts.
 pub struct ClientRequest {
     behavior: ClientBehavior,
     class: u8,
@@ -224,19 +224,24 @@
         }
     }
 
-    /// Returns the first try.
-    pub fn first_try(&mut self, now: Nanos, customer: &Customer, load_balancer: &LoadBalancer) -> Try {
-        self.new_try(now, 0, false, customer, load_balancer)
+    /// Returns the first attempt.
+    pub fn first_attempt(
+        &mut self,
+        now: Nanos,
+        customer: &Customer,
+        load_balancer: &LoadBalancer,
+    ) -> ClientAttempt {
+        self.new_attempt(now, 0, false, customer, load_balancer)
     }
 
-    fn new_try(
+    fn new_attempt(
         &mut self,
         now: Nanos,
         after: Nanos,
         reuses_id: bool,
         customer: &Customer,
         load_balancer: &LoadBalancer,
-    ) -> Try {
+    ) -> ClientAttempt {
         let is_retry = self.last.is_some();
         let gateway = load_balancer.choose(
             customer,
@@ -246,14 +251,14 @@
         );
         let new_trace = self.rng.random();
         let trace = self.last.filter(|_| reuses_id).map_or(new_trace, |(_, trace)| trace);
-        let share = self.rng.random_range(self.behavior.try_share..=1.0);
-        let try_timeout = (self.behavior.deadline as f64 * share) as Nanos;
+        let share = self.rng.random_range(self.behavior.min_timeout_share..=1.0);
+        let attempt_timeout = (self.behavior.deadline as f64 * share) as Nanos;
         let remaining = (self.started_at + self.behavior.deadline).saturating_sub(now + after);
         self.last = Some((gateway, trace));
-        Try { after, gateway, trace, wait: try_timeout.min(remaining), is_retry, reuses_id }
+        ClientAttempt { after, gateway, trace, wait: attempt_timeout.min(remaining), is_retry, reuses_id }
     }
 
-    /// Returns the step that follows the end of a try.
+    /// Returns the step that follows the end of an attempt.
     pub fn next_step(
         &mut self,
         now: Nanos,
@@ -277,11 +282,17 @@
         if customer.greedy && outcome == Outcome::Refused {
             after = GREEDY_RETRY_DELAY;
         }
-        let in_time = now + after + MIN_TRY_TIME < self.started_at + self.behavior.deadline;
+        let in_time = now + after + MIN_ATTEMPT_TIME < self.started_at + self.behavior.deadline;
         if !retryable || self.retries_left == 0 || !in_time {
             return NextStep::End(outcome);
         }
         self.retries_left -= 1;
-        NextStep::Try(self.new_try(now, after, was_reset && self.behavior.come_back, customer, load_balancer))
+        NextStep::Retry(self.new_attempt(
+            now,
+            after,
+            was_reset && self.behavior.come_back,
+            customer,
+            load_balancer,
+        ))
     }
 }
--- a/testing/fault-injection/src/stand_ins/meter.rs
+++ b/testing/fault-injection/src/stand_ins/meter.rs
@@ -23,7 +23,7 @@
         Meter { delay, rates, used: HashMap::new() }
     }
 
-    /// Adds the units of a try.
+    /// Adds the units of a client attempt.
     pub fn add_units(&mut self, now: Nanos, customer: u32, units: f64) {
         let period = now / METER_PERIOD;
         let used = self.used.entry(customer).or_default();
--- a/testing/fault-injection/tests/history.rs
+++ b/testing/fault-injection/tests/history.rs
@@ -92,8 +92,8 @@
         self.at(at, Event::RequestStarted { request, customer: 0, class, late: 0 });
     }
 
-    fn tried(&mut self, at: Nanos, request: u32, trace: u64, gateway: u16) {
-        self.at(at, Event::TryStarted { request, trace, gateway, timeout: 3 * SECOND, reuses_id: false });
+    fn client_attempt_started(&mut self, at: Nanos, request: u32, trace: u64, gateway: u16) {
+        self.at(at, Event::AttemptStarted { request, trace, gateway, timeout: 3 * SECOND, reuses_id: false });
     }
 
     /// Adds an attempt that arrives and runs. Returns the numbers of the attempt and of its connection.
@@ -109,7 +109,7 @@
     }
 
     fn ended(&mut self, at: Nanos, request: u32, trace: u64, outcome: Outcome) {
-        self.at(at, Event::TryEnded { trace, outcome });
+        self.at(at, Event::AttemptEnded { trace, outcome });
         self.at(at, Event::RequestEnded { request, outcome });
     }
 
@@ -117,7 +117,7 @@
     fn served(&mut self, at: Nanos, request: u32, class: u8) {
         let trace = 1000 + u64::from(request);
         self.asked(at, request, class);
-        self.tried(at, request, trace, 0);
+        self.client_attempt_started(at, request, trace, 0);
         let (attempt, _) = self.arrived(at + MS, trace, 0, 0);
         self.answered(at + 50 * MS, attempt, Answer::Served);
         self.ended(at + 51 * MS, request, trace, Outcome::Served { attempt: Some(attempt) });
@@ -127,7 +127,7 @@
     fn lost_with_its_gateway(&mut self, request: u32) {
         let (at, trace) = (5 * SECOND - 20 * MS, 1000 + u64::from(request));
         self.asked(at, request, UNSAFE);
-        self.tried(at, request, trace, 1);
+        self.client_attempt_started(at, request, trace, 1);
         let (_, connection) = self.arrived(at + MS, trace, 1, 1);
         self.at(5 * SECOND, Event::FaultBegan { fault: 0 });
         self.at(5 * SECOND, Event::Closed { connection });
@@ -257,45 +257,45 @@
         ("one_final_answer", |s| {
             // The gateway runs but never answers.
             s.asked(10 * SECOND, 9, SAFE);
-            s.tried(10 * SECOND, 9, 9, 0);
+            s.client_attempt_started(10 * SECOND, 9, 9, 0);
             s.ended(13 * SECOND, 9, 9, Outcome::TimedOut);
-            s.at(15 * SECOND, Event::TryEndedLate { trace: 9, answered: false });
+            s.at(15 * SECOND, Event::AttemptEndedLate { trace: 9, answered: false });
         }),
         ("one_final_answer", |s| {
             // The fault that would explain the loss affects another gateway.
             s.asked(5 * SECOND, 9, SAFE);
-            s.tried(5 * SECOND, 9, 9, 0);
+            s.client_attempt_started(5 * SECOND, 9, 9, 0);
             s.ended(5 * SECOND + MS, 9, 9, Outcome::Reset { first: false });
         }),
         ("one_final_answer", |s| {
-            // A try ends twice.
-            s.at(9 * SECOND, Event::TryEnded { trace: 1004, outcome: Outcome::Refused });
+            // A client attempt ends twice.
+            s.at(9 * SECOND, Event::AttemptEnded { trace: 1004, outcome: Outcome::Refused });
         }),
         ("never_ran_twice", |s| {
             // A client that lost its gateway retries at another one, and the request runs again.
-            s.tried(7 * SECOND, 3, 1003, 0);
+            s.client_attempt_started(7 * SECOND, 3, 1003, 0);
             let (attempt, _) = s.arrived(7 * SECOND + MS, 1003, 0, 0);
             s.answered(7 * SECOND + 9 * MS, attempt, Answer::Served);
             s.at(
                 7 * SECOND + 9 * MS,
-                Event::TryEnded { trace: 1003, outcome: Outcome::Served { attempt: Some(attempt) } },
+                Event::AttemptEnded { trace: 1003, outcome: Outcome::Served { attempt: Some(attempt) } },
             );
         }),
         ("never_ran_twice", |s| {
             // The same with a new trace id: it is still the same request.
-            s.tried(7 * SECOND, 3, 77, 0);
+            s.client_attempt_started(7 * SECOND, 3, 77, 0);
             let (attempt, _) = s.arrived(7 * SECOND + MS, 77, 0, 0);
             s.answered(7 * SECOND + 9 * MS, attempt, Answer::Error);
-            s.at(7 * SECOND + 9 * MS, Event::TryEnded { trace: 77, outcome: Outcome::Failed });
+            s.at(7 * SECOND + 9 * MS, Event::AttemptEnded { trace: 77, outcome: Outcome::Failed });
         }),
         ("answers_belong", |s| {
             s.asked(10 * SECOND, 9, SAFE);
-            s.tried(10 * SECOND, 9, 9, 0);
+            s.client_attempt_started(10 * SECOND, 9, 9, 0);
             s.ended(10 * SECOND + MS, 9, 9, Outcome::Served { attempt: None });
         }),
         ("attempts_one_at_a_time", |s| {
             s.asked(10 * SECOND, 9, SAFE);
-            s.tried(10 * SECOND, 9, 9, 0);
+            s.client_attempt_started(10 * SECOND, 9, 9, 0);
             let (first, _) = s.arrived(10 * SECOND, 9, 0, 0);
             let (second, _) = s.arrived(10 * SECOND + 100 * MS, 9, 1, 0);
             s.answered(10 * SECOND + 200 * MS, first, Answer::Error);
@@ -304,7 +304,7 @@
         }),
         ("attempts_at_most_four", |s| {
             s.asked(10 * SECOND, 9, SAFE);
-            s.tried(10 * SECOND, 9, 9, 0);
+            s.client_attempt_started(10 * SECOND, 9, 9, 0);
             for i in 0..5 {
                 let (attempt, _) = s.arrived(10 * SECOND + i * 20 * MS, 9, 0, 0);
                 s.answered(10 * SECOND + i * 20 * MS + MS, attempt, Answer::Error);
@@ -489,7 +489,7 @@
         let is_down = (5 * SECOND..9 * SECOND).contains(&at);
         if is_down {
             history.asked(at, i, SAFE);
-            history.tried(at, i, u64::from(i), 0);
+            history.client_attempt_started(at, i, u64::from(i), 0);
             history.ended(at + MS, i, u64::from(i), Outcome::Refused);
         } else {
             history.served(at, i, SAFE);
--- a/testing/fault-injection/tests/in_common.rs
+++ b/testing/fault-injection/tests/in_common.rs
@@ -27,7 +27,7 @@
         self.next += 1;
         let (request, trace, attempt) = (self.next as u32, 1_000_000 + self.next, 2_000_000 + self.next);
         self.at(at, Event::RequestStarted { request, customer, class, late: 0 });
-        self.at(at, Event::TryStarted { request, trace, gateway: 0, timeout: SECOND, reuses_id: false });
+        self.at(at, Event::AttemptStarted { request, trace, gateway: 0, timeout: SECOND, reuses_id: false });
         if sent {
             self.at(at + MS, Event::Arrived { attempt, trace, server: 0, connection: 1, gateway: 0 });
         }
@@ -40,7 +40,10 @@
         let firm = FIRMS[customer as usize];
         self.at(at + 2 * MS, Event::ShardWrite { attempt, cell, firm, epoch, admitted: true });
         self.at(at + 3 * MS, Event::Ran { attempt });
-        self.at(at + 50 * MS, Event::TryEnded { trace, outcome: Outcome::Served { attempt: Some(attempt) } });
+        self.at(
+            at + 50 * MS,
+            Event::AttemptEnded { trace, outcome: Outcome::Served { attempt: Some(attempt) } },
+        );
         trace
     }
 
--- a/testing/fault-injection/tests/stand_ins.rs
+++ b/testing/fault-injection/tests/stand_ins.rs
@@ -322,9 +322,9 @@
         prop_assert!(delays.windows(2).any(|pair| pair[0] > pair[1]));
     }
 
-    /// Whatever the outcomes of its tries are, a request that must not run twice is retried only if nothing
-    /// can have run, unless its client retries with the same id. No client retries beyond its deadline or its
-    /// retry limit.
+    /// Whatever the outcomes of its attempts are, a request that must not run twice is retried only if
+    /// nothing can have run, unless its client retries with the same id. No client retries beyond its
+    /// deadline or its retry limit.
     #[test]
     fn clients_retry_only_as_their_class_allows(
         seed in any::<u64>(), outcomes in prop::collection::vec(0..6usize, 8), come_back in any::<bool>(),
@@ -341,9 +341,9 @@
         load_balancer.set(0, false);
         let (started_at, mut now) = (SECOND, SECOND);
         let mut request = ClientRequest::new(&arrival, ClientBehavior::of(&scenario), started_at);
-        let mut current = request.first_try(now, customer, &load_balancer);
-        for (tries, outcome) in outcomes.into_iter().enumerate() {
-            prop_assert!(tries <= 5 && current.gateway < 3);
+        let mut current = request.first_attempt(now, customer, &load_balancer);
+        for (attempts, outcome) in outcomes.into_iter().enumerate() {
+            prop_assert!(attempts <= 5 && current.gateway < 3);
             prop_assert!(now + current.after + current.wait <= started_at + 4 * SECOND);
             let outcome = [
                 Outcome::Served { attempt: None },
@@ -359,7 +359,7 @@
                     prop_assert_eq!(end_outcome, outcome);
                     return Ok(());
                 }
-                NextStep::Try(next) => {
+                NextStep::Retry(next) => {
                     let lost = matches!(outcome, Outcome::Reset { .. });
                     prop_assert!(
                         matches!(outcome, Outcome::Refused | Outcome::Unreachable) || (lost && come_back)
