--- a/testing/fault-injection/src/checker/attempts.rs
+++ b/testing/fault-injection/src/checker/attempts.rs
@@ -92,7 +92,7 @@
             }
         }
         if count == 1 {
-            self.take_from_ceiling(at, trace);
+            self.take_from_rate_limit(at, trace);
         }
     }
 
--- a/testing/fault-injection/src/checker/mod.rs
+++ b/testing/fault-injection/src/checker/mod.rs
@@ -5,10 +5,10 @@
 //! delays of the harness.
 
 mod attempts;
-mod ceilings;
 mod findings;
 mod lists;
 mod locks;
+mod rate_limits;
 mod registers;
 
 use crate::deployment::{Nanos, SECOND, SOCKET_SLACK};
@@ -16,9 +16,9 @@
 use crate::history::{Event, ProcessChange, ServerState, Setup, TimedEvent, Trace};
 use crate::linear::{Call, Op};
 use attempts::{Attempt, ClientAttempt};
-use ceilings::Ceiling;
 use lists::Gateway;
 use locks::Owned;
+use rate_limits::RateLimitBucket;
 use registers::Watched;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
@@ -73,7 +73,7 @@
     agent_states: HashMap<u16, (ServerState, Nanos)>,
     /// When each gateway's process was last started or resumed.
     started: HashMap<u16, Nanos>,
-    ceilings: HashMap<u32, Ceiling>,
+    rate_limits: HashMap<u32, RateLimitBucket>,
     registered: HashMap<u16, Nanos>,
     stalls: Vec<(Nanos, Nanos)>,
     fault_starts: HashMap<u16, Nanos>,
--- a/testing/fault-injection/src/deployment.rs
+++ b/testing/fault-injection/src/deployment.rs
@@ -84,12 +84,12 @@
     pub over_cost: f64,
     /// Maximum number of concurrent attempts; 0 for no limit.
     pub open: u32,
-    /// The hard ceiling in units a second; 0 for none.
-    pub ceiling_rate: f64,
-    /// Depth of the ceiling's token bucket, in units.
-    pub ceiling_depth: f64,
-    /// How far the ceiling may be exceeded, in units.
-    pub ceiling_slack: f64,
+    /// The hard rate limit in units a second; 0 for none.
+    pub rate_limit: f64,
+    /// Depth of the rate limit's token bucket, in units.
+    pub rate_limit_burst: f64,
+    /// How far the rate limit may be exceeded, in units.
+    pub rate_limit_slack: f64,
 }
 
 /// A pay server.
@@ -201,7 +201,7 @@
         let site = &scenario.site;
         let ns = |ms: u64| ms * MS;
         let profile = |name: &str, effect: &str, worth: f64| {
-            json!({"Name": name, "Aim": ns(site.aim_ms), "Deadline": ns(site.deadline_ms), "Effect": effect, "Group": "all",
+            json!({"Name": name, "Aim": ns(site.latency_target_ms), "Deadline": ns(site.deadline_ms), "Effect": effect, "Group": "all",
                 "Importance": worth, "KeyTtl": 0, "LateValue": 0.0, "Stream": false})
         };
         let plans: Vec<Value> = self
@@ -209,8 +209,8 @@
             .iter()
             .map(|quota| {
                 json!({"Name": quota.name, "Rate": quota.rate, "Burst": quota.burst, "AtOnce": quota.open,
-                    "NeverOverRate": quota.ceiling_rate, "NeverOverDepth": quota.ceiling_depth,
-                    "CapSlack": quota.ceiling_slack, "ValueFactor": quota.price, "OverCost": quota.over_cost,
+                    "NeverOverRate": quota.rate_limit, "NeverOverDepth": quota.rate_limit_burst,
+                    "CapSlack": quota.rate_limit_slack, "ValueFactor": quota.price, "OverCost": quota.over_cost,
                     "OverWorth": 0.0})
             })
             .collect();
@@ -225,9 +225,9 @@
             "Limits": {"Cancel": true, "ConnIdle": 15 * SECOND, "ConnectTimeout": 250 * MS,
                 "MaxAttempts": MAX_ATTEMPTS, "MaxRetryAfter": 500 * MS, "MostHeld": 20_000, "Peers": false, "Probes": true,
                 "RetryAfter": true, "SecondCopies": false, "StreamsPerConn": 1},
-            "Rules": {"AnswerSlack": 16 * MS, "AskEvery": 10 * SECOND, "ColdFrom": site.cold_from,
-                "DrainGrace": DRAIN_GRACE, "Fall": ns(site.fall_ms), "OverloadFactor": site.fall_multiple,
-                "RampTime": ns(site.cold_ms)},
+            "Rules": {"AnswerSlack": 16 * MS, "AskEvery": 10 * SECOND, "ColdFrom": site.initial_speed_share,
+                "DrainGrace": DRAIN_GRACE, "Fall": ns(site.overload_window_ms), "OverloadFactor": site.overload_multiple,
+                "RampTime": ns(site.warmup_ms)},
             "Fees": {"CrossZone": 0.01, "Probe": 0.01, "Waste": 0.08, "LateFail": 0.03},
             "Clients": {"MarksRetry": true}, "Report": {"Fields": [], "How": "off"}
         })
@@ -287,7 +287,11 @@
         let rate = plan.rate * scale;
         // A bucket that holds less than one request would never admit any.
         let burst = (rate * plan.burst_s).max(1.0);
-        let depth = if plan.ceiling > 0.0 { (rate * plan.ceiling * 1.3).max(2.0) } else { 0.0 };
+        let depth = if plan.rate_limit_multiple > 0.0 {
+            (rate * plan.rate_limit_multiple * 1.3).max(2.0)
+        } else {
+            0.0
+        };
         Quota {
             name: plan.name.clone(),
             rate,
@@ -295,9 +299,9 @@
             price: plan.price,
             over_cost: plan.over_cost,
             open: if plan.open == 0 { 0 } else { (f64::from(plan.open) * scale).ceil().max(2.0) as u32 },
-            ceiling_rate: rate * plan.ceiling,
-            ceiling_depth: depth,
-            ceiling_slack: if depth > 0.0 { (depth * 0.1).max(1.0) } else { 0.0 },
+            rate_limit: rate * plan.rate_limit_multiple,
+            rate_limit_burst: depth,
+            rate_limit_slack: if depth > 0.0 { (depth * 0.1).max(1.0) } else { 0.0 },
         }
     });
     (customers, quotas.collect())
@@ -360,9 +364,9 @@
             price: 1.0,
             over_cost: 1.0,
             open: 0,
-            ceiling_rate: 0.0,
-            ceiling_depth: 0.0,
-            ceiling_slack: 0.0,
+            rate_limit: 0.0,
+            rate_limit_burst: 0.0,
+            rate_limit_slack: 0.0,
         }
     });
     (customers, quotas.collect())
--- a/testing/fault-injection/src/draw.rs
+++ b/testing/fault-injection/src/draw.rs
@@ -1,5 +1,5 @@
 //! Draws a scenario from a site file: the operators publish their sites as ranges of values, and each seed
-//! draws another day.
+//! draws other values from them.
 //!
 //! Unknown keys are ignored, because the operators define the file's format, not this program. An inverted
 //! range, or a value that is not a number where one is needed, is rejected with the name of its field.
@@ -23,27 +23,31 @@
 
 #[derive(Deserialize)]
 struct SiteFile {
-    day: Day,
+    #[serde(rename = "day")]
+    scenario: ScenarioRanges,
     scale: Scale,
     load: Loads,
     net: Net,
-    front: Front,
+    #[serde(rename = "front")]
+    load_balancer: LoadBalancerRanges,
     clients: Clients,
     discovery: Discovery,
     tier: Vec<Tier>,
     class: Vec<Class>,
     tenant: Vec<Tenant>,
-    fam: Family,
+    #[serde(rename = "fam")]
+    quotas: QuotaRanges,
     #[serde(default)]
     rules: Rules,
-    #[serde(default)]
-    trouble: Vec<Trouble>,
+    #[serde(rename = "trouble", default)]
+    faults: Vec<SiteFault>,
 }
 
 #[derive(Deserialize)]
-struct Day {
+struct ScenarioRanges {
     length_s: Range,
-    troubles: Range,
+    #[serde(rename = "troubles")]
+    fault_count: Range,
 }
 
 #[derive(Deserialize)]
@@ -52,11 +56,13 @@
     balancers: Range,
 }
 
-/// The load of days without and with troubles, as shares of the fleet's capacity.
+/// The load of scenarios without and with faults, as shares of the fleet's capacity.
 #[derive(Deserialize)]
 struct Loads {
-    quiet: Range,
-    trouble: Range,
+    #[serde(rename = "quiet")]
+    without_faults: Range,
+    #[serde(rename = "trouble")]
+    with_faults: Range,
 }
 
 #[derive(Deserialize)]
@@ -66,8 +72,9 @@
 }
 
 #[derive(Deserialize)]
-struct Front {
-    notice_s: Range,
+struct LoadBalancerRanges {
+    #[serde(rename = "notice_s")]
+    failure_detection_s: Range,
 }
 
 #[derive(Deserialize)]
@@ -81,19 +88,23 @@
 
 #[derive(Deserialize)]
 struct Discovery {
-    notice_s: Range,
-    add_s: Range,
+    #[serde(rename = "notice_s")]
+    removal_delay_s: Range,
+    #[serde(rename = "add_s")]
+    add_delay_s: Range,
 }
 
 #[derive(Deserialize)]
 struct Rules {
-    fall_multiple: f64,
-    fall_ms: f64,
+    #[serde(rename = "fall_multiple")]
+    overload_multiple: f64,
+    #[serde(rename = "fall_ms")]
+    overload_window_ms: f64,
 }
 
 impl Default for Rules {
     fn default() -> Rules {
-        Rules { fall_multiple: 2.0, fall_ms: 3000.0 }
+        Rules { overload_multiple: 2.0, overload_window_ms: 3000.0 }
     }
 }
 
@@ -118,8 +129,10 @@
     queue_per_core: Range,
     thrash: Range,
     thrash_at: Range,
-    cold_from: Range,
-    cold_s: Range,
+    #[serde(rename = "cold_from")]
+    initial_speed_share: Range,
+    #[serde(rename = "cold_s")]
+    warmup_s: Range,
     error_rate: Range,
     #[serde(default)]
     cancel: Vec<String>,
@@ -131,7 +144,8 @@
     share: Range,
     work_ms: Range,
     cv: Range,
-    aim_ms: f64,
+    #[serde(rename = "aim_ms")]
+    latency_target_ms: f64,
     deadline_ms: f64,
     effect: String,
 }
@@ -143,37 +157,37 @@
 }
 
 #[derive(Deserialize)]
-struct Family {
+struct QuotaRanges {
     #[serde(default)]
     skew: Option<Range>,
     #[serde(default)]
     counter: bool,
     #[serde(default)]
     counter_per_s: Option<Range>,
-    #[serde(default)]
-    meter_late_ms: Option<Range>,
-    plan: Vec<FamilyPlan>,
+    #[serde(rename = "meter_late_ms", default)]
+    meter_delay_ms: Option<Range>,
+    plan: Vec<QuotaPlan>,
 }
 
 #[derive(Deserialize)]
-struct FamilyPlan {
+struct QuotaPlan {
     rate: Range,
     burst_s: Range,
     price: f64,
     over_cost: f64,
     #[serde(default)]
     open: Option<Range>,
-    #[serde(default)]
-    ceiling: Option<Range>,
+    #[serde(rename = "ceiling", default)]
+    rate_limit_multiple: Option<Range>,
 }
 
 #[derive(Deserialize)]
-struct Trouble {
+struct SiteFault {
     name: String,
     #[serde(default)]
     len_s: Option<Range>,
-    #[serde(default)]
-    part: Option<Range>,
+    #[serde(rename = "part", default)]
+    share: Option<Range>,
     #[serde(default)]
     size: Option<Range>,
     #[serde(default)]
@@ -218,13 +232,13 @@
 
 impl RangeSampler {
     fn sample(&mut self, name: &str, range: Range) -> Result<f64, SiteFileError> {
-        let [least, most] = match range {
+        let [min, max] = match range {
             Range::Fixed(value) => [value, value],
             Range::Between(bounds) => bounds,
         };
-        match least <= most && least.is_finite() && most.is_finite() {
-            true => Ok(least + (most - least) * self.rng.random::<f64>()),
-            false => Err(invalid(name, format!("the range [{least}, {most}] is inverted or not finite"))),
+        match min <= max && min.is_finite() && max.is_finite() {
+            true => Ok(min + (max - min) * self.rng.random::<f64>()),
+            false => Err(invalid(name, format!("the range [{min}, {max}] is inverted or not finite"))),
         }
     }
 
@@ -267,42 +281,46 @@
     let unsafe_class = site.class.iter().find(|class| class.effect == "unsafe");
     let unsafe_class = unsafe_class.ok_or_else(|| invalid("class", "no class has the effect \"unsafe\""))?;
 
-    let figures = &mut drawn.site;
-    figures.work_ms = sampler.sample(&format!("class {}.work_ms", safe.name), safe.work_ms)?;
-    figures.work_cv = sampler.sample(&format!("class {}.cv", safe.name), safe.cv)?;
-    figures.aim_ms = safe.aim_ms as u64;
-    figures.deadline_ms = safe.deadline_ms as u64;
-    figures.min_timeout_share = sampler.sample("clients.try_share", site.clients.min_timeout_share)?;
-    figures.backoff_ms = sampler.sample_integer("clients.backoff_ms", site.clients.backoff_ms)?;
-    figures.honour = sampler.sample("clients.honour", site.clients.honour)?;
-    figures.notice_ms = (sampler.sample("front.notice_s", site.front.notice_s)? * 1000.0) as u64;
-    figures.speed = sampler.sample("tier.kind.speed", machine.speed)? * machine.cores / 2.0;
-    figures.speed_cv = sampler.sample("tier.kind.speed_cv", machine.speed_cv)?;
-    figures.slots_per_core =
+    let parameters = &mut drawn.site;
+    parameters.work_ms = sampler.sample(&format!("class {}.work_ms", safe.name), safe.work_ms)?;
+    parameters.work_cv = sampler.sample(&format!("class {}.cv", safe.name), safe.cv)?;
+    parameters.latency_target_ms = safe.latency_target_ms as u64;
+    parameters.deadline_ms = safe.deadline_ms as u64;
+    parameters.min_timeout_share = sampler.sample("clients.try_share", site.clients.min_timeout_share)?;
+    parameters.backoff_ms = sampler.sample_integer("clients.backoff_ms", site.clients.backoff_ms)?;
+    parameters.honour = sampler.sample("clients.honour", site.clients.honour)?;
+    parameters.failure_detection_ms =
+        (sampler.sample("front.notice_s", site.load_balancer.failure_detection_s)? * 1000.0) as u64;
+    parameters.speed = sampler.sample("tier.kind.speed", machine.speed)? * machine.cores / 2.0;
+    parameters.speed_cv = sampler.sample("tier.kind.speed_cv", machine.speed_cv)?;
+    parameters.slots_per_core =
         sampler.sample_integer("tier.kind.slots_per_core", machine.slots_per_core)?.max(1) as u32;
-    figures.queue_per_core =
+    parameters.queue_per_core =
         sampler.sample_integer("tier.kind.queue_per_core", machine.queue_per_core)? as u32;
-    figures.thrash = sampler.sample("tier.kind.thrash", machine.thrash)?;
-    figures.thrash_at = sampler.sample("tier.kind.thrash_at", machine.thrash_at)?;
-    figures.error_rate = sampler.sample("tier.kind.error_rate", machine.error_rate)?;
-    figures.drops_queued = machine.cancel.choose(&mut sampler.rng).is_some_and(|way| way == "queued");
-    figures.cold_from = sampler.sample("tier.kind.cold_from", machine.cold_from)?;
-    figures.cold_ms = (sampler.sample("tier.kind.cold_s", machine.cold_s)? * 1000.0) as u64;
-    figures.fall_multiple = site.rules.fall_multiple;
-    figures.fall_ms = site.rules.fall_ms as u64;
-    figures.connections_per_core =
+    parameters.thrash = sampler.sample("tier.kind.thrash", machine.thrash)?;
+    parameters.thrash_at = sampler.sample("tier.kind.thrash_at", machine.thrash_at)?;
+    parameters.error_rate = sampler.sample("tier.kind.error_rate", machine.error_rate)?;
+    parameters.drops_queued = machine.cancel.choose(&mut sampler.rng).is_some_and(|way| way == "queued");
+    parameters.initial_speed_share = sampler.sample("tier.kind.cold_from", machine.initial_speed_share)?;
+    parameters.warmup_ms = (sampler.sample("tier.kind.cold_s", machine.warmup_s)? * 1000.0) as u64;
+    parameters.overload_multiple = site.rules.overload_multiple;
+    parameters.overload_window_ms = site.rules.overload_window_ms as u64;
+    parameters.connections_per_core =
         sampler.sample_integer("tier.conn.cap_per_core", tier.conn.cap_per_core)? as u32;
-    figures.handshake_us = sampler.sample_integer("tier.conn.handshake_us", tier.conn.handshake_us)?;
-    figures.meter_late_ms = sampler.sample_or("fam.meter_late_ms", site.fam.meter_late_ms, 800.0)? as u64;
-    figures.list_notice_ms = (sampler.sample("discovery.notice_s", site.discovery.notice_s)? * 1000.0) as u64;
-    figures.list_add_ms = (sampler.sample("discovery.add_s", site.discovery.add_s)? * 1000.0) as u64;
-    figures.counter_per_s = sampler.sample_or("fam.counter_per_s", site.fam.counter_per_s, 640.0)?;
-    figures.skew = sampler.sample_or("fam.skew", site.fam.skew, 0.7)?;
-    if site.tenant.len() != site.fam.plan.len() {
+    parameters.handshake_us = sampler.sample_integer("tier.conn.handshake_us", tier.conn.handshake_us)?;
+    parameters.meter_delay_ms =
+        sampler.sample_or("fam.meter_late_ms", site.quotas.meter_delay_ms, 800.0)? as u64;
+    parameters.discovery_removal_delay_ms =
+        (sampler.sample("discovery.notice_s", site.discovery.removal_delay_s)? * 1000.0) as u64;
+    parameters.discovery_add_delay_ms =
+        (sampler.sample("discovery.add_s", site.discovery.add_delay_s)? * 1000.0) as u64;
+    parameters.counter_per_s = sampler.sample_or("fam.counter_per_s", site.quotas.counter_per_s, 640.0)?;
+    parameters.skew = sampler.sample_or("fam.skew", site.quotas.skew, 0.7)?;
+    if site.tenant.len() != site.quotas.plan.len() {
         return Err(invalid("fam.plan", "the number of plans differs from the number of tenants"));
     }
     let mut plans = Vec::new();
-    for (tenant, plan) in site.tenant.iter().zip(&site.fam.plan) {
+    for (tenant, plan) in site.tenant.iter().zip(&site.quotas.plan) {
         let name = format!("fam.plan {}", tenant.name);
         plans.push(Plan {
             name: tenant.name.clone(),
@@ -312,59 +330,68 @@
             price: plan.price,
             over_cost: plan.over_cost,
             open: sampler.sample_or(&format!("{name}.open"), plan.open, 0.0)? as u32,
-            ceiling: sampler.sample_or(&format!("{name}.ceiling"), plan.ceiling, 0.0)?,
+            rate_limit_multiple: sampler.sample_or(
+                &format!("{name}.ceiling"),
+                plan.rate_limit_multiple,
+                0.0,
+            )?,
         });
     }
-    figures.plans = plans;
+    parameters.plans = plans;
 
     let fleet = &mut drawn.fleet;
     fleet.gateways = sampler.sample_integer("scale.balancers", site.scale.balancers)? as u32;
     fleet.pay_servers = sampler.sample_integer("scale.servers", site.scale.servers)? as u32;
-    fleet.counter = site.fam.counter;
+    fleet.counter = site.quotas.counter;
     if !site.net.zones.is_empty() {
         fleet.zones = site.net.zones.clone();
     }
-    let troubled = sampler.sample_integer("day.troubles", site.day.troubles)?.min(site.trouble.len() as u64);
-    let (name, busy) =
-        if troubled == 0 { ("load.quiet", site.load.quiet) } else { ("load.trouble", site.load.trouble) };
+    let fault_count =
+        sampler.sample_integer("day.troubles", site.scenario.fault_count)?.min(site.faults.len() as u64);
+    let (name, busy) = if fault_count == 0 {
+        ("load.quiet", site.load.without_faults)
+    } else {
+        ("load.trouble", site.load.with_faults)
+    };
     let share = sampler.sample(name, busy)?;
     let capacity_cores = 2.0 * f64::from(fleet.pay_servers) * drawn.site.speed;
     let load = &mut drawn.load;
     load.rate = (capacity_cores * share / (drawn.site.work_ms / 1000.0) * 10.0).round() / 10.0;
-    load.duration_ms = (sampler.sample("day.length_s", site.day.length_s)? * 1000.0) as u64;
+    load.duration_ms = (sampler.sample("day.length_s", site.scenario.length_s)? * 1000.0) as u64;
     load.customers = (load.rate * 0.7).ceil().max(1.0) as u32;
     let unsafe_share = sampler.sample(&format!("class {}.share", unsafe_class.name), unsafe_class.share)?;
     let safe_share = sampler.sample(&format!("class {}.share", safe.name), safe.share)?;
     load.unsafe_share = unsafe_share / (unsafe_share + safe_share);
     load.retries = sampler.sample_integer("clients.retries", site.clients.retries)? as u32;
 
-    // The troubles start at different times and are limited in length, so that no two overlap.
-    let mut names: Vec<&Trouble> = site.trouble.iter().collect();
-    for i in 0..troubled {
-        let at = (load.duration_ms as f64 * (0.2 + 0.7 * i as f64 / troubled as f64)) as u64;
-        let most = (load.duration_ms as f64 * 0.6 / troubled as f64) as u64;
-        let weights = names.choose_weighted(&mut sampler.rng, |trouble| trouble.weight.unwrap_or(1.0));
-        let trouble = *weights.map_err(|error| invalid("trouble.weight", error.to_string()))?;
-        names.retain(|other| !std::ptr::eq(*other, trouble));
-        drawn.faults.extend(fault(trouble, at, most, sampler)?);
+    // The faults start at different times and are limited in length, so that no two overlap.
+    let mut remaining: Vec<&SiteFault> = site.faults.iter().collect();
+    for i in 0..fault_count {
+        let at = (load.duration_ms as f64 * (0.2 + 0.7 * i as f64 / fault_count as f64)) as u64;
+        let max_ms = (load.duration_ms as f64 * 0.6 / fault_count as f64) as u64;
+        let chosen =
+            remaining.choose_weighted(&mut sampler.rng, |site_fault| site_fault.weight.unwrap_or(1.0));
+        let site_fault = *chosen.map_err(|error| invalid("trouble.weight", error.to_string()))?;
+        remaining.retain(|other| !std::ptr::eq(*other, site_fault));
+        drawn.faults.extend(fault(site_fault, at, max_ms, sampler)?);
     }
     drawn.expect = None::<Expect>;
     Ok(drawn)
 }
 
-/// Returns the fault for a trouble of the site; `None` if the trouble is in the load and not in the
+/// Returns the scenario's fault for a fault of the site; `None` if that affects the load and not the
 /// processes.
 fn fault(
-    trouble: &Trouble,
+    site_fault: &SiteFault,
     at_ms: u64,
-    most: u64,
+    max_ms: u64,
     sampler: &mut RangeSampler,
 ) -> Result<Option<Fault>, SiteFileError> {
-    let name = |field: &str| format!("trouble {}.{field}", trouble.name);
-    let length = sampler.sample_or(&name("len_s"), trouble.len_s, 2.0)?;
-    let part = sampler.sample_or(&name("part"), trouble.part, 0.3)?;
-    let size = sampler.sample_or(&name("size"), trouble.size, 1.0)?;
-    let for_ms = ((length * 1000.0) as u64).clamp(100, most.max(100));
+    let name = |field: &str| format!("trouble {}.{field}", site_fault.name);
+    let length = sampler.sample_or(&name("len_s"), site_fault.len_s, 2.0)?;
+    let share = sampler.sample_or(&name("part"), site_fault.share, 0.3)?;
+    let size = sampler.sample_or(&name("size"), site_fault.size, 1.0)?;
+    let for_ms = ((length * 1000.0) as u64).clamp(100, max_ms.max(100));
     let fault = |kind, target, share: Option<f64>, for_ms| Fault {
         at_ms,
         kind,
@@ -379,16 +406,16 @@
         jitter_ms: None,
         probability: None,
     };
-    Ok(match trouble.name.as_str() {
-        "balancer_crash" => Some(fault(FaultKind::Kill, Kind::Gateways, Some(part), for_ms)),
+    Ok(match site_fault.name.as_str() {
+        "balancer_crash" => Some(fault(FaultKind::Kill, Kind::Gateways, Some(share), for_ms)),
         "pauses" => Some(fault(
             FaultKind::Stop,
             Kind::PayServers,
-            Some(part),
+            Some(share),
             (size as u64).clamp(50, 500).min(for_ms),
         )),
         "flush" => Some(Fault { for_ms: None, ..fault(FaultKind::Wipe, Kind::Counter, None, 1) }),
-        // Other troubles change the load of some customers, which this program keeps steady.
+        // The other faults of a site change the load of some customers, which this program keeps steady.
         _ => None,
     })
 }
--- a/testing/fault-injection/src/harness/clients.rs
+++ b/testing/fault-injection/src/harness/clients.rs
@@ -152,7 +152,7 @@
     pub async fn track_health(self: Rc<Self>, gateway: u16) {
         let RequestTarget::Gateway(process) = &self.targets[usize::from(gateway)] else { return };
         let mut state = process.watch();
-        let notice = Duration::from_millis(self.context.scenario.site.notice_ms);
+        let notice = Duration::from_millis(self.context.scenario.site.failure_detection_ms);
         loop {
             while !self.is_healthy(gateway).await {
                 tokio::time::sleep(HEALTH_CHECK_INTERVAL).await;
--- a/testing/fault-injection/src/harness/lists.rs
+++ b/testing/fault-injection/src/harness/lists.rs
@@ -440,5 +440,5 @@
 /// Returns the delay until the list shows a new server, or the end of one.
 pub fn list_delay(context: &RunContext, is_new: bool) -> u64 {
     let site = &context.scenario.site;
-    (if is_new { site.list_add_ms } else { site.list_notice_ms }) * MS
+    (if is_new { site.discovery_add_delay_ms } else { site.discovery_removal_delay_ms }) * MS
 }
--- a/testing/fault-injection/src/harness/pay_servers.rs
+++ b/testing/fault-injection/src/harness/pay_servers.rs
@@ -48,7 +48,7 @@
         let deployment = &context.deployment;
         let rates = deployment.customers.iter().map(|customer| deployment.quotas[customer.plan].rate);
         Rc::new(Metering {
-            meter: RefCell::new(Meter::new(context.scenario.site.meter_late_ms * MS, rates.collect())),
+            meter: RefCell::new(Meter::new(context.scenario.site.meter_delay_ms * MS, rates.collect())),
             counted: RefCell::default(),
             last_sweep: Cell::new(0),
         })
--- a/testing/fault-injection/src/harness/run/controllers.rs
+++ b/testing/fault-injection/src/harness/run/controllers.rs
@@ -83,7 +83,7 @@
             "listen": SocketAddr::from((address::listen_addr(end), 0)),
             "reached_at": SocketAddr::from((address::REGISTERED, listener.port)),
             "coordinators": self.coordinator_addrs(end), "coordinators_at": address::seen_by(end), "session_ms": 1500,
-            "zones": {"places": zones, "ramp_ms": scenario.site.cold_ms.max(1)}});
+            "zones": {"places": zones, "ramp_ms": scenario.site.warmup_ms.max(1)}});
         if scenario.tenants.is_some() {
             config["shares"] = json!({});
         }
--- a/testing/fault-injection/src/harness/run/running_fleet.rs
+++ b/testing/fault-injection/src/harness/run/running_fleet.rs
@@ -134,7 +134,7 @@
             scenario: spec.name.clone(),
             seed: spec.seed,
             text: spec.text.clone(),
-            latency_target: site.aim_ms * MS,
+            latency_target: site.latency_target_ms * MS,
             deadline: site.deadline_ms * MS,
             duration: load.duration_ms * MS,
             gateways: fleet.gateways as u16,
--- a/testing/fault-injection/src/scenario/expect.rs
+++ b/testing/fault-injection/src/scenario/expect.rs
@@ -13,6 +13,6 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub full_service_within_ms: Option<u64>,
     /// Maximum number of requests that end without an answer.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub lost_at_most: Option<u64>,
+    #[serde(rename = "lost_at_most", skip_serializing_if = "Option::is_none")]
+    pub max_lost: Option<u64>,
 }
--- a/testing/fault-injection/src/scenario/load.rs
+++ b/testing/fault-injection/src/scenario/load.rs
@@ -18,7 +18,8 @@
     pub retries: u32,
     /// Whether a client that lost its gateway retries with the same trace id, even if its request may have
     /// run.
-    pub come_back: bool,
+    #[serde(rename = "come_back")]
+    pub retries_with_same_id: bool,
 }
 
 impl Default for Load {
@@ -29,7 +30,7 @@
             customers: 40,
             unsafe_share: 0.46,
             retries: 2,
-            come_back: false,
+            retries_with_same_id: false,
         }
     }
 }
--- a/testing/fault-injection/src/scenario/site.rs
+++ b/testing/fault-injection/src/scenario/site.rs
@@ -12,7 +12,8 @@
     /// Coefficient of variation of the work.
     pub work_cv: f64,
     /// The latency target in milliseconds.
-    pub aim_ms: u64,
+    #[serde(rename = "aim_ms")]
+    pub latency_target_ms: u64,
     /// The deadline of a request in milliseconds.
     pub deadline_ms: u64,
     /// Minimum timeout of a client attempt, as a share of the deadline.
@@ -23,7 +24,8 @@
     /// Share of the refusals whose `Retry-After` the clients honour.
     pub honour: f64,
     /// Delay after which the load balancer detects a failed gateway, in milliseconds.
-    pub notice_ms: u64,
+    #[serde(rename = "notice_ms")]
+    pub failure_detection_ms: u64,
     /// Mean speed of a pay server, relative to a reference core.
     pub speed: f64,
     /// Coefficient of variation of the speed.
@@ -41,23 +43,30 @@
     /// Whether a pay server drops queued work when its connection ends.
     pub drops_queued: bool,
     /// Speed of a pay server after its start, as a share of its full speed.
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub initial_speed_share: f64,
     /// Time from a pay server's start to its full speed, in milliseconds.
-    pub cold_ms: u64,
+    #[serde(rename = "cold_ms")]
+    pub warmup_ms: u64,
     /// Multiple of its capacity at which a pay server crashes if the load lasts for `fall_ms`.
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
     /// Duration of an overload after which a pay server crashes, in milliseconds.
-    pub fall_ms: u64,
+    #[serde(rename = "fall_ms")]
+    pub overload_window_ms: u64,
     /// Number of connections that a pay server accepts, for each core.
     pub connections_per_core: u32,
     /// Cost of a new connection at a pay server, in microseconds of one core.
     pub handshake_us: u64,
     /// Delay of the meter's reports, in milliseconds.
-    pub meter_late_ms: u64,
+    #[serde(rename = "meter_late_ms")]
+    pub meter_delay_ms: u64,
     /// Delay after which the list shows that a server drains or has failed, in milliseconds.
-    pub list_notice_ms: u64,
+    #[serde(rename = "list_notice_ms")]
+    pub discovery_removal_delay_ms: u64,
     /// Delay after which the list shows a new server, in milliseconds.
-    pub list_add_ms: u64,
+    #[serde(rename = "list_add_ms")]
+    pub discovery_add_delay_ms: u64,
     /// Calls a second that the counter can serve.
     pub counter_per_s: f64,
     /// Skew of the distribution of a customer's requests over its gateways; 0 distributes them evenly.
@@ -69,7 +78,7 @@
 
 impl Default for Site {
     fn default() -> Site {
-        let plan = |name: &str, share, rate, burst_s, price, over_cost, open, ceiling| Plan {
+        let plan = |name: &str, share, rate, burst_s, price, over_cost, open, rate_limit_multiple| Plan {
             name: name.to_owned(),
             share,
             rate,
@@ -77,17 +86,17 @@
             price,
             over_cost,
             open,
-            ceiling,
+            rate_limit_multiple,
         };
         Site {
             work_ms: 140.0,
             work_cv: 0.9,
-            aim_ms: 1000,
+            latency_target_ms: 1000,
             deadline_ms: 4000,
             min_timeout_share: 0.75,
             backoff_ms: 200,
             honour: 0.65,
-            notice_ms: 2500,
+            failure_detection_ms: 2500,
             speed: 1.0,
             speed_cv: 0.1,
             slots_per_core: 4,
@@ -96,15 +105,15 @@
             thrash_at: 5.0,
             error_rate: 0.0002,
             drops_queued: true,
-            cold_from: 0.33,
-            cold_ms: 12_000,
-            fall_multiple: 2.0,
-            fall_ms: 3000,
+            initial_speed_share: 0.33,
+            warmup_ms: 12_000,
+            overload_multiple: 2.0,
+            overload_window_ms: 3000,
             connections_per_core: 700,
             handshake_us: 1000,
-            meter_late_ms: 800,
-            list_notice_ms: 2000,
-            list_add_ms: 1000,
+            meter_delay_ms: 800,
+            discovery_removal_delay_ms: 2000,
+            discovery_add_delay_ms: 1000,
             counter_per_s: 640.0,
             skew: 0.7,
             plans: vec![
@@ -135,7 +144,7 @@
     /// Maximum number of concurrent attempts; 0 for no limit.
     #[serde(default)]
     pub open: u32,
-    /// The hard ceiling as a multiple of the rate; 0 for none.
-    #[serde(default)]
-    pub ceiling: f64,
+    /// The hard rate limit as a multiple of `rate`; 0 for none.
+    #[serde(rename = "ceiling", default)]
+    pub rate_limit_multiple: f64,
 }
--- a/testing/fault-injection/src/scenario/validation.rs
+++ b/testing/fault-injection/src/scenario/validation.rs
@@ -74,7 +74,7 @@
         within("load.customers", load.customers, 1, MAX_CUSTOMERS)?;
         within("load.unsafe_share", load.unsafe_share, 0.0, 1.0)?;
         within("load.retries", load.retries, 0, 10)?;
-        for (name, value, least, most) in [
+        for (name, value, min, max) in [
             ("site.work_ms", site.work_ms, 0.1, 10_000.0),
             ("site.work_cv", site.work_cv, 0.0, 5.0),
             ("site.try_share", site.min_timeout_share, 0.05, 1.0),
@@ -84,26 +84,26 @@
             ("site.thrash", site.thrash, 0.0, 10.0),
             ("site.thrash_at", site.thrash_at, 0.0, 1e6),
             ("site.error_rate", site.error_rate, 0.0, 1.0),
-            ("site.cold_from", site.cold_from, 0.01, 1.0),
-            ("site.fall_multiple", site.fall_multiple, 1.0, 1000.0),
+            ("site.cold_from", site.initial_speed_share, 0.01, 1.0),
+            ("site.fall_multiple", site.overload_multiple, 1.0, 1000.0),
             ("site.counter_per_s", site.counter_per_s, 1.0, 1e6),
             ("site.skew", site.skew, 0.0, 10.0),
         ] {
-            within(name, value, least, most)?;
+            within(name, value, min, max)?;
         }
-        for (name, value, least, most) in [
-            ("site.aim_ms", site.aim_ms, 1, 600_000),
-            ("site.deadline_ms", site.deadline_ms, site.aim_ms, 600_000),
+        for (name, value, min, max) in [
+            ("site.aim_ms", site.latency_target_ms, 1, 600_000),
+            ("site.deadline_ms", site.deadline_ms, site.latency_target_ms, 600_000),
             ("site.backoff_ms", site.backoff_ms, 0, 60_000),
-            ("site.notice_ms", site.notice_ms, 0, 600_000),
-            ("site.cold_ms", site.cold_ms, 0, 600_000),
-            ("site.fall_ms", site.fall_ms, 1, 600_000),
+            ("site.notice_ms", site.failure_detection_ms, 0, 600_000),
+            ("site.cold_ms", site.warmup_ms, 0, 600_000),
+            ("site.fall_ms", site.overload_window_ms, 1, 600_000),
             ("site.handshake_us", site.handshake_us, 0, 1_000_000),
-            ("site.meter_late_ms", site.meter_late_ms, 0, 60_000),
-            ("site.list_notice_ms", site.list_notice_ms, 0, 600_000),
-            ("site.list_add_ms", site.list_add_ms, 0, 600_000),
+            ("site.meter_late_ms", site.meter_delay_ms, 0, 60_000),
+            ("site.list_notice_ms", site.discovery_removal_delay_ms, 0, 600_000),
+            ("site.list_add_ms", site.discovery_add_delay_ms, 0, 600_000),
         ] {
-            within(name, value, least, most)?;
+            within(name, value, min, max)?;
         }
         within("site.slots_per_core", site.slots_per_core, 1, 1000)?;
         within("site.queue_per_core", site.queue_per_core, 0, 100_000)?;
@@ -115,7 +115,7 @@
             within(&format!("site.plan[{i}].share"), plan.share, 0.0, 1.0)?;
             within(&format!("site.plan[{i}].rate"), plan.rate, 0.01, 1e6)?;
             within(&format!("site.plan[{i}].burst_s"), plan.burst_s, 0.01, 3600.0)?;
-            within(&format!("site.plan[{i}].ceiling"), plan.ceiling, 0.0, 1000.0)?;
+            within(&format!("site.plan[{i}].ceiling"), plan.rate_limit_multiple, 0.0, 1000.0)?;
         }
         within("site.plan: shares in all", site.plans.iter().map(|plan| plan.share).sum(), 0.01, 16.0)?;
         if faults.len() > MAX_FAULTS {
@@ -235,11 +235,11 @@
 pub(super) fn within<T: PartialOrd + Display>(
     name: &str,
     value: T,
-    least: T,
-    most: T,
+    min: T,
+    max: T,
 ) -> Result<(), ScenarioError> {
-    match value >= least && value <= most {
+    match value >= min && value <= max {
         true => Ok(()),
-        false => Err(ScenarioError::invalid(name, format!("{value} is not from {least} to {most}"))),
+        false => Err(ScenarioError::invalid(name, format!("{value} is not from {min} to {max}"))),
     }
 }
--- a/testing/fault-injection/src/stand_ins/clients.rs
+++ b/testing/fault-injection/src/stand_ins/clients.rs
@@ -34,7 +34,7 @@
     /// Maximum number of retries of a request.
     pub retries: u32,
     /// Whether a client whose gateway was lost retries with the same id.
-    pub come_back: bool,
+    pub retries_with_same_id: bool,
 }
 
 impl ClientBehavior {
@@ -46,7 +46,7 @@
             backoff: scenario.site.backoff_ms * MS,
             honour: scenario.site.honour,
             retries: scenario.load.retries,
-            come_back: scenario.load.come_back,
+            retries_with_same_id: scenario.load.retries_with_same_id,
         }
     }
 }
@@ -273,7 +273,7 @@
             Outcome::Served { .. } | Outcome::Unknown => false,
             Outcome::Refused | Outcome::Unreachable => true,
             Outcome::Failed | Outcome::TimedOut => safe,
-            Outcome::Reset { .. } => safe || self.behavior.come_back,
+            Outcome::Reset { .. } => safe || self.behavior.retries_with_same_id,
         };
         let mut after = (self.behavior.backoff as f64 * self.rng.random_range(0.5..1.5)) as Nanos;
         if let Some(delay) = retry_after.filter(|_| self.rng.random::<f64>() < self.behavior.honour) {
@@ -290,7 +290,7 @@
         NextStep::Retry(self.new_attempt(
             now,
             after,
-            was_reset && self.behavior.come_back,
+            was_reset && self.behavior.retries_with_same_id,
             customer,
             load_balancer,
         ))
--- a/testing/fault-injection/src/stand_ins/pay_server.rs
+++ b/testing/fault-injection/src/stand_ins/pay_server.rs
@@ -68,7 +68,7 @@
     thrash: f64,
     thrash_at: f64,
     drops_queued: bool,
-    cold_from: f64,
+    initial_speed_share: f64,
     warmup: Nanos,
     overload_multiple: f64,
     overload_window: Nanos,
@@ -121,10 +121,10 @@
             thrash: site.thrash,
             thrash_at: site.thrash_at,
             drops_queued: site.drops_queued,
-            cold_from: site.cold_from,
-            warmup: site.cold_ms * MS,
-            overload_multiple: site.fall_multiple,
-            overload_window: site.fall_ms * MS,
+            initial_speed_share: site.initial_speed_share,
+            warmup: site.warmup_ms * MS,
+            overload_multiple: site.overload_multiple,
+            overload_window: site.overload_window_ms * MS,
             handshake: site.handshake_us as f64 * 1e3,
             max_connections: (f64::from(site.connections_per_core) * CORES) as usize,
             state: State::Serving,
@@ -145,7 +145,7 @@
             Some(started) if at < started + self.warmup => at.saturating_sub(started),
             _ => return 1.0,
         };
-        self.cold_from + (1.0 - self.cold_from) * since as f64 / self.warmup as f64
+        self.initial_speed_share + (1.0 - self.initial_speed_share) * since as f64 / self.warmup as f64
     }
 
     /// Returns the work that is done on each running job per nanosecond.
@@ -155,13 +155,13 @@
         self.speed * self.capacity_share(self.now) * (CORES / n).min(1.0) / slowdown
     }
 
-    fn least_work_left(&self) -> Option<f64> {
+    fn min_work_left(&self) -> Option<f64> {
         self.running.iter().map(|job| job.left).min_by(f64::total_cmp)
     }
 
     /// Returns the time of the next call of [`PayServer::advance`], if no other event comes before.
     pub fn due(&self) -> Option<Nanos> {
-        let left = self.least_work_left().filter(|_| !self.paused)?;
+        let left = self.min_work_left().filter(|_| !self.paused)?;
         let after = (left / self.rate()).ceil().max(1.0) as Nanos;
         let step = if self.capacity_share(self.now) < 1.0 { WARMING_STEP } else { Nanos::MAX };
         Some(self.now.saturating_add(after.min(step)))
@@ -227,7 +227,7 @@
     ) {
         self.advance(now, actions);
         let work = work + if first { self.handshake } else { 0.0 };
-        if self.is_overloaded_while_cold(now, work) {
+        if self.is_overloaded_during_warmup(now, work) {
             self.stop();
             actions.push(Action::OverloadCrash);
             return;
@@ -246,7 +246,7 @@
     }
 
     /// Whether the work that arrived in the window, with this work, is more than a cold pay server can bear.
-    fn is_overloaded_while_cold(&mut self, now: Nanos, work: f64) -> bool {
+    fn is_overloaded_during_warmup(&mut self, now: Nanos, work: f64) -> bool {
         let capacity_share = self.capacity_share(now);
         if capacity_share >= 1.0 {
             self.arrived_work.clear();
--- a/testing/fault-injection/src/verdict.rs
+++ b/testing/fault-injection/src/verdict.rs
@@ -66,7 +66,7 @@
             missed.push(format!("expect.full_service_within_ms: {took}, not {within}"));
         }
     }
-    if let Some(most) = expect.lost_at_most.filter(|most| summary.lost > *most) {
+    if let Some(most) = expect.max_lost.filter(|most| summary.lost > *most) {
         missed.push(format!("expect.lost_at_most: {} lost, not {most}", summary.lost));
     }
     missed
--- a/testing/fault-injection/tests/in_common.rs
+++ b/testing/fault-injection/tests/in_common.rs
@@ -67,9 +67,9 @@
         price: 1.0,
         over_cost: 1.0,
         open: 0,
-        ceiling_rate: 0.0,
-        ceiling_depth: 0.0,
-        ceiling_slack: 0.0,
+        rate_limit: 0.0,
+        rate_limit_burst: 0.0,
+        rate_limit_slack: 0.0,
     };
     let mut history = HistoryBuilder { events: Vec::new(), next: 0 };
     let setup = Setup {
--- a/testing/fault-injection/tests/stand_ins.rs
+++ b/testing/fault-injection/tests/stand_ins.rs
@@ -110,7 +110,7 @@
 
 #[test]
 fn a_cold_pay_server_is_slow_and_crashes_under_overload_only() {
-    let site = Site { cold_from: 0.25, cold_ms: 10_000, ..site() };
+    let site = Site { initial_speed_share: 0.25, warmup_ms: 10_000, ..site() };
     let mut first = TimedServer::new(&site, false, Some(0));
     let attempt = first.arrive(0);
     first.advance_to(2 * SECOND);
@@ -327,11 +327,11 @@
     /// deadline or its retry limit.
     #[test]
     fn clients_retry_only_as_their_class_allows(
-        seed in any::<u64>(), outcomes in prop::collection::vec(0..6usize, 8), come_back in any::<bool>(),
+        seed in any::<u64>(), outcomes in prop::collection::vec(0..6usize, 8), retries_with_same_id in any::<bool>(),
     ) {
         let mut scenario = Scenario::default();
         scenario.load.unsafe_share = 1.0;
-        scenario.load.come_back = come_back;
+        scenario.load.retries_with_same_id = retries_with_same_id;
         scenario.load.retries = 5;
         let deployment = Deployment::draw(&scenario, seed).expect("the deployment can be drawn");
         let arrival = Arrivals::new(&scenario, &deployment, seed).and_then(|mut all| all.next()).expect("the load has a request");
@@ -362,7 +362,7 @@
                 NextStep::Retry(next) => {
                     let lost = matches!(outcome, Outcome::Reset { .. });
                     prop_assert!(
-                        matches!(outcome, Outcome::Refused | Outcome::Unreachable) || (lost && come_back)
+                        matches!(outcome, Outcome::Refused | Outcome::Unreachable) || (lost && retries_with_same_id)
                     );
                     prop_assert_eq!(next.trace == current.trace, lost, "the id is reused only after a lost connection");
                     current = next;
