--- a/testing/fault-injection/src/checker/attempts.rs
+++ b/testing/fault-injection/src/checker/attempts.rs
@@ -76,10 +76,10 @@
                 format!("{trace:016x}: attempt {count} arrived at {}", seconds(at))
             });
         }
-        let known_state =
+        let received_state =
             self.gateways.get(&gateway).and_then(|gateway_state| gateway_state.states.get(&server)).copied();
-        let known_state = self.effective_state(gateway, server, known_state);
-        if let Some((ServerState::Draining | ServerState::Gone, since)) = known_state {
+        let received_state = self.effective_state(gateway, server, received_state);
+        if let Some((ServerState::Draining | ServerState::Gone, since)) = received_state {
             if at > since + DRAIN_GRACE + self.slack(at) {
                 self.broken("drains_kept", || {
                     format!(
--- a/testing/fault-injection/src/checker/lists.rs
+++ b/testing/fault-injection/src/checker/discovery.rs
@@ -1,16 +1,16 @@
-//! Checks of the lists of pay servers that gateways receive from the list service or its stand-in.
+//! Checks of the pay servers that gateways receive from the discovery service or its stand-in.
 
 use super::attempts::FAULT_AFTERMATH;
-use super::{seconds, Checker, LIST_LACKS_SERVER};
+use super::{seconds, Checker, REGISTRATION_MISSING};
 use crate::deployment::{DrawnFault, Nanos, SECOND};
 use crate::endpoint::Kind;
 use crate::history::ServerState;
 use std::collections::HashMap;
 
-/// Maximum replication lag of a replica of the list service.
+/// Maximum replication lag of a replica of the discovery service.
 const MAX_REPLICA_LAG: Nanos = 6 * SECOND;
 
-/// The lists that a gateway has received since its process was started.
+/// The servers that a gateway has received from discovery since its process was started.
 #[derive(Default)]
 pub(super) struct Gateway {
     pub(super) states: HashMap<u16, (ServerState, Nanos)>,
@@ -23,40 +23,44 @@
 impl Checker {
     /// Returns the state of a server that a gateway has received or counts as having received, and since
     /// when. The state at the platform's agent counts from the start of the gateway's process, unless a fault
-    /// affects the links to the list service.
+    /// affects the links to the discovery service.
     pub(super) fn effective_state(
         &self,
         gateway: u16,
         server: u16,
-        known_state: Option<(ServerState, Nanos)>,
+        received_state: Option<(ServerState, Nanos)>,
     ) -> Option<(ServerState, Nanos)> {
         let between = |fault: &DrawnFault| {
             fault.kind.of_links()
                 && (fault.from.is_empty()
-                    || fault.victims.iter().chain(&fault.from).any(|end| end.kind() == Kind::ListService))
+                    || fault
+                        .victims
+                        .iter()
+                        .chain(&fault.from)
+                        .any(|end| end.kind() == Kind::DiscoveryService))
         };
         if self.setup.as_ref().is_none_or(|setup| setup.faults.iter().any(between)) {
-            return known_state;
+            return received_state;
         }
         let agent_state = self.agent_states.get(&server).filter(|(state, _)| *state != ServerState::Serving);
         let started = self.started.get(&gateway).copied().unwrap_or(0);
         let agent_state = agent_state.map(|(state, since)| (*state, (*since).max(started)));
-        match (known_state, agent_state) {
+        match (received_state, agent_state) {
             (Some((ServerState::Draining | ServerState::Gone, received_at)), Some((_, since)))
                 if received_at <= since =>
             {
-                known_state
+                received_state
             }
             (_, Some(agent_state)) => Some(agent_state),
-            (known_state, None) => known_state,
+            (received_state, None) => received_state,
         }
     }
 
-    pub(super) fn list_received(
+    pub(super) fn discovery_received(
         &mut self,
         at: Nanos,
         gateway: u16,
-        list: u16,
+        process: u16,
         store: u64,
         full: bool,
         servers: &[(u16, ServerState)],
@@ -65,13 +69,13 @@
         if gateway_state.store.replace(store).is_some_and(|before| before != store) {
             gateway_state.store_changed = true;
         }
-        let processes = self.setup.as_ref().map_or(0, |setup| setup.list_processes);
+        let process_count = self.setup.as_ref().map_or(0, |setup| setup.discovery_processes);
         if full {
             let missing =
                 gateway_state.states.keys().filter(|old| !servers.iter().any(|(new, _)| new == *old)).count();
-            // A gateway that follows the list service may hold back a list that lacks more than half of the
-            // known servers at once, so such a list does not count as removing them.
-            if processes == 0 || missing * 2 <= gateway_state.states.len() {
+            // A gateway may ignore a response of the discovery service that lacks more than half of the known
+            // servers, so such a response does not count as removing them.
+            if process_count == 0 || missing * 2 <= gateway_state.states.len() {
                 for (old, state) in &mut gateway_state.states {
                     if !servers.iter().any(|(new, _)| new == old) && state.0 != ServerState::Gone {
                         *state = (ServerState::Gone, at);
@@ -87,8 +91,8 @@
             }
             state.0 = *now;
         }
-        if full && processes > 0 {
-            let lag = if list == 0 { FAULT_AFTERMATH } else { MAX_REPLICA_LAG };
+        if full && process_count > 0 {
+            let lag = if process == 0 { FAULT_AFTERMATH } else { MAX_REPLICA_LAG };
             let lacks = self
                 .registered
                 .iter()
@@ -98,9 +102,9 @@
                 .map(|(server, since)| (*server, *since))
                 .min();
             if let Some((server, since)) = lacks {
-                self.broken(LIST_LACKS_SERVER, || {
+                self.broken(REGISTRATION_MISSING, || {
                     format!(
-                        "pay_servers[{server}] was registered at {}, and the list sent at {} lacks it",
+                        "pay_servers[{server}] was registered at {}, and the response of discovery at {} lacks it",
                         seconds(since),
                         seconds(at)
                     )
--- a/testing/fault-injection/src/checker/findings.rs
+++ b/testing/fault-injection/src/checker/findings.rs
@@ -1,6 +1,6 @@
 //! The findings at the end of a history: which invariants hold, are violated, or do not apply.
 
-use super::{Checker, Finding, INVARIANTS, LIST_LACKS_SERVER};
+use super::{Checker, Finding, INVARIANTS, REGISTRATION_MISSING};
 use crate::endpoint::Kind;
 use crate::error::IncompleteHistory;
 use crate::scenario::FaultKind;
@@ -48,25 +48,28 @@
                 not_applicable.push((name, "the fleet has no coordinators"));
             }
         }
-        let mut lists = Vec::new();
-        if setup.list_processes == 0 {
-            lists.push((
+        let mut not_applicable_to_discovery = Vec::new();
+        if setup.discovery_processes == 0 {
+            not_applicable_to_discovery.push((
                 "nothing_acknowledged_lost",
-                "the fleet has no list service that acknowledges registrations",
+                "the fleet has no discovery service that acknowledges registrations",
             ));
-        } else if affects_members(Kind::ListService, &[FaultKind::Wipe]) {
-            lists.push(("nothing_acknowledged_lost", "a fault deletes the list service's folder"));
+        } else if affects_members(Kind::DiscoveryService, &[FaultKind::Wipe]) {
+            not_applicable_to_discovery
+                .push(("nothing_acknowledged_lost", "a fault deletes the discovery service's folder"));
         } else if affects_members(Kind::PayServers, &interruptions)
             || affects_links(Kind::PayServers)
-            || affects_links(Kind::ListService)
-            || affects_members(Kind::ListService, &[FaultKind::Stop, FaultKind::FullDisk])
+            || affects_links(Kind::DiscoveryService)
+            || affects_members(Kind::DiscoveryService, &[FaultKind::Stop, FaultKind::FullDisk])
         {
-            lists.push((
+            not_applicable_to_discovery.push((
                 "nothing_acknowledged_lost",
-                "leases may expire without renewals, so a server may leave the list",
+                "leases may expire without renewals, so a registered server may be removed",
             ));
         }
-        if let Some(lacks) = findings.remove(LIST_LACKS_SERVER).filter(|_| lists.is_empty()) {
+        if let Some(lacks) =
+            findings.remove(REGISTRATION_MISSING).filter(|_| not_applicable_to_discovery.is_empty())
+        {
             let all = findings.entry("nothing_acknowledged_lost").or_default();
             all.holds = Some(false);
             all.cases += lacks.cases;
@@ -75,7 +78,7 @@
         // The invariant also covers the coordinators' acknowledgements. It does not apply only if there are
         // no coordinators either.
         if setup.coordinators == 0 {
-            not_applicable.append(&mut lists);
+            not_applicable.append(&mut not_applicable_to_discovery);
         }
         for (name, why) in not_applicable {
             findings.insert(name, Finding { holds: None, why: vec![why.to_owned()], cases: 0 });
--- a/testing/fault-injection/src/checker/mod.rs
+++ b/testing/fault-injection/src/checker/mod.rs
@@ -5,8 +5,8 @@
 //! delays of the harness.
 
 mod attempts;
+mod discovery;
 mod findings;
-mod lists;
 mod locks;
 mod rate_limits;
 mod registers;
@@ -16,7 +16,7 @@
 use crate::history::{Event, ProcessChange, ServerState, Setup, TimedEvent, Trace};
 use crate::linear::{Call, Op};
 use attempts::{Attempt, ClientAttempt};
-use lists::Gateway;
+use discovery::Gateway;
 use locks::Owned;
 use rate_limits::RateLimitBucket;
 use registers::Watched;
@@ -43,9 +43,9 @@
 /// Maximum number of reported cases of one invariant.
 const MAX_CASES: usize = 5;
 
-/// Internal name of the violations of `nothing_acknowledged_lost` at the list service. They are merged at the
-/// end, when it is known whether the invariant applies to the list service.
-const LIST_LACKS_SERVER: &str = "list_lacks";
+/// Internal name of the violations of `nothing_acknowledged_lost` at the discovery service. They are merged
+/// at the end, when it is known whether the invariant applies to the discovery service.
+const REGISTRATION_MISSING: &str = "list_lacks";
 
 /// The finding on one invariant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -149,7 +149,7 @@
                     attempt.answered.get_or_insert((at, *answer));
                 }
             }
-            Event::ListRequested { gateway, since: Some(since) } => {
+            Event::DiscoveryRequested { gateway, since: Some(since) } => {
                 let gateway_state = self.gateways.entry(*gateway).or_default();
                 let (before, store_changed) = (gateway_state.since, gateway_state.store_changed);
                 gateway_state.since = *since;
@@ -164,8 +164,8 @@
                     });
                 }
             }
-            Event::ListReceived { gateway, list, store, full, servers, .. } => {
-                self.list_received(at, *gateway, *list, *store, *full, servers);
+            Event::DiscoveryReceived { gateway, process, store, full, servers, .. } => {
+                self.discovery_received(at, *gateway, *process, *store, *full, servers);
             }
             Event::AgentStateChanged { server, state } => {
                 self.agent_states.insert(*server, (*state, at));
@@ -207,7 +207,7 @@
             Event::FaultEnded { fault } => drop(self.fault_ends.insert(*fault, at)),
             Event::Stalled { late } => self.stalls.push((at, *late)),
             Event::Finished { .. } => self.finished = true,
-            Event::ListRequested { since: None, .. }
+            Event::DiscoveryRequested { since: None, .. }
             | Event::RequestEnded { .. }
             | Event::Opened { .. }
             | Event::Probed { .. }
--- a/testing/fault-injection/src/deployment.rs
+++ b/testing/fault-injection/src/deployment.rs
@@ -95,7 +95,7 @@
 /// A pay server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PayServer {
-    /// Id of the server in lists.
+    /// Id of the server in discovery.
     pub id: String,
     /// Index of the server's zone.
     pub zone: usize,
--- a/testing/fault-injection/src/endpoint.rs
+++ b/testing/fault-injection/src/endpoint.rs
@@ -14,7 +14,8 @@
     /// Stand-ins for pay servers.
     PayServers,
     /// Processes of the discovery service, or the stand-in for the platform's discovery.
-    ListService,
+    #[serde(rename = "list_service")]
+    DiscoveryService,
     /// Processes of the coordination service.
     Coordinators,
     /// The stand-in for the shared counter.
@@ -34,7 +35,7 @@
         Kind::Clients,
         Kind::Gateways,
         Kind::PayServers,
-        Kind::ListService,
+        Kind::DiscoveryService,
         Kind::Coordinators,
         Kind::Counter,
         Kind::Candidates,
@@ -48,7 +49,7 @@
             Kind::Clients => "clients",
             Kind::Gateways => "gateways",
             Kind::PayServers => "pay_servers",
-            Kind::ListService => "list_service",
+            Kind::DiscoveryService => "list_service",
             Kind::Coordinators => "coordinators",
             Kind::Counter => "counter",
             Kind::Candidates => "candidates",
@@ -68,7 +69,7 @@
     /// A pay server, by its number.
     PayServer(u16),
     /// A process of the discovery service, by its number.
-    ListService(u16),
+    DiscoveryService(u16),
     /// The shared counter.
     Counter,
     /// A process of the coordination service, by its number.
@@ -88,7 +89,7 @@
             End::Clients => Kind::Clients,
             End::Gateway(_) => Kind::Gateways,
             End::PayServer(_) => Kind::PayServers,
-            End::ListService(_) => Kind::ListService,
+            End::DiscoveryService(_) => Kind::DiscoveryService,
             End::Counter => Kind::Counter,
             End::Coordinator(_) => Kind::Coordinators,
             End::Candidate(_) => Kind::Candidates,
@@ -104,7 +105,7 @@
             Kind::Clients => End::Clients,
             Kind::Gateways => End::Gateway(index),
             Kind::PayServers => End::PayServer(index),
-            Kind::ListService => End::ListService(index),
+            Kind::DiscoveryService => End::DiscoveryService(index),
             Kind::Counter => End::Counter,
             Kind::Coordinators => End::Coordinator(index),
             Kind::Candidates => End::Candidate(index),
@@ -120,7 +121,7 @@
             End::Clients | End::Counter => f.write_str(self.kind().name()),
             End::Gateway(i)
             | End::PayServer(i)
-            | End::ListService(i)
+            | End::DiscoveryService(i)
             | End::Coordinator(i)
             | End::Candidate(i)
             | End::Controller(i)
--- a/testing/fault-injection/src/figures.rs
+++ b/testing/fault-injection/src/figures.rs
@@ -247,7 +247,7 @@
                 self.call(at, "connections")
             }
             Event::Probed { .. } => self.call(at, "probes"),
-            Event::ListRequested { .. } => self.call(at, "list_calls"),
+            Event::DiscoveryRequested { .. } => self.call(at, "list_calls"),
             Event::Renewed { .. } => self.call(at, "renewals"),
             Event::CounterCalled { .. } => self.call(at, "counts"),
             Event::Granted { .. } => self.call(at, "claims"),
--- a/testing/fault-injection/src/harness.rs
+++ b/testing/fault-injection/src/harness.rs
@@ -5,7 +5,7 @@
 pub mod cells;
 pub mod clients;
 pub mod datagrams;
-pub mod lists;
+pub mod discovery;
 pub mod pay_servers;
 pub mod process;
 pub mod registers;
--- a/testing/fault-injection/src/harness/address.rs
+++ b/testing/fault-injection/src/harness/address.rs
@@ -11,8 +11,8 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use tokio::net::TcpListener;
 
-/// Servers and controllers register under this address. In lists it is replaced by the address for the
-/// reader, which has the same length.
+/// Servers and controllers register under this address. In discovery responses it is replaced by the address
+/// for the reader, which has the same length.
 pub const REGISTERED: Ipv4Addr = Ipv4Addr::new(127, 100, 100, 100);
 
 /// Returns the address with this number. The last two parts have three digits each, so all addresses of a
@@ -25,7 +25,7 @@
 pub fn seen_by(end: End) -> Ipv4Addr {
     match end {
         End::Gateway(i) => numbered_addr(101, i),
-        End::ListService(i) => numbered_addr(104, i),
+        End::DiscoveryService(i) => numbered_addr(104, i),
         End::Candidate(i) => numbered_addr(105, i),
         End::Coordinator(i) => numbered_addr(106, i),
         End::Controller(i) => numbered_addr(110, i),
@@ -38,7 +38,7 @@
 pub fn listen_addr(end: End) -> Ipv4Addr {
     match end {
         End::Gateway(i) => numbered_addr(102, i),
-        End::ListService(i) => numbered_addr(103, i),
+        End::DiscoveryService(i) => numbered_addr(103, i),
         End::Coordinator(i) => numbered_addr(107, i),
         End::Controller(i) => numbered_addr(111, i),
         End::Clients | End::Counter | End::PayServer(_) | End::Candidate(_) | End::Cell(_) => {
@@ -54,7 +54,7 @@
     let index = u16::from(high - 100) * 100 + u16::from(low - 100);
     match block {
         101 => Some(End::Gateway(index)),
-        104 => Some(End::ListService(index)),
+        104 => Some(End::DiscoveryService(index)),
         105 => Some(End::Candidate(index)),
         106 => Some(End::Coordinator(index)),
         110 => Some(End::Controller(index)),
--- a/testing/fault-injection/src/harness/cells.rs
+++ b/testing/fault-injection/src/harness/cells.rs
@@ -3,7 +3,7 @@
 
 use crate::deployment::UNSAFE;
 use crate::endpoint::End;
-use crate::harness::lists::LinkListener;
+use crate::harness::discovery::LinkListener;
 use crate::harness::RunContext;
 use crate::history::{Event, Trace};
 use crate::stand_ins::cell::{Cell, NextStep};
--- a/testing/fault-injection/src/harness/lists.rs
+++ b/testing/fault-injection/src/harness/discovery.rs
@@ -1,16 +1,16 @@
-//! Sources of the server list: the stand-in for the platform's discovery, or proxies for the processes of the
-//! list service. Also the shared counter. A gateway calls each of them at the addresses made for that
-//! gateway.
+//! Service discovery for gateways: the stand-in for the platform's discovery, or proxies for the processes of
+//! the discovery service. Also the shared counter. A gateway calls each of them at the addresses made for
+//! that gateway.
 
 use crate::deployment::MS;
 use crate::endpoint::End;
-use crate::harness::pay_servers::{block_cut_callers, response_with_mark};
+use crate::harness::pay_servers::{block_cut_callers, response_with_flag_header};
 use crate::harness::process::Process;
 use crate::harness::relay::{relay, Observer, Side, Tap};
 use crate::harness::{address, RunContext};
 use crate::history::{Event, ServerState};
 use crate::stand_ins::counter::Counter;
-use crate::stand_ins::list::{server_state, List};
+use crate::stand_ins::discovery::{server_state, Discovery};
 use bytes::{Bytes, BytesMut};
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -143,17 +143,20 @@
 pub struct DiscoveryStandIn {
     /// Its listener.
     pub listener: Rc<LinkListener>,
-    /// The logic of the list.
-    pub list: RefCell<List>,
+    /// The logic of discovery.
+    pub core: RefCell<Discovery>,
     changed: Notify,
 }
 
 impl DiscoveryStandIn {
     /// Starts the stand-in.
     pub fn new(context: &Rc<RunContext>) -> io::Result<Rc<DiscoveryStandIn>> {
-        let listener = LinkListener::open(context, End::ListService(0))?;
-        let discovery =
-            Rc::new(DiscoveryStandIn { listener, list: RefCell::new(List::new(1)), changed: Notify::new() });
+        let listener = LinkListener::open(context, End::DiscoveryService(0))?;
+        let discovery = Rc::new(DiscoveryStandIn {
+            listener,
+            core: RefCell::new(Discovery::new(1)),
+            changed: Notify::new(),
+        });
         let serving = discovery.clone();
         let service = move |pipe, from| {
             let discovery = serving.clone();
@@ -172,14 +175,14 @@
     }
 
     fn is_suspended(context: &RunContext) -> bool {
-        context.is_suspended(End::ListService(0))
+        context.is_suspended(End::DiscoveryService(0))
     }
 
-    /// Sets an entry of the list. Once discovery is not suspended, the gateways' agents have the entry,
+    /// Sets the entry of a server. Once discovery is not suspended, the gateways' agents have the entry,
     /// whatever requests are in flight, and an event records that.
     pub fn set(&self, number: u16, host: Host) {
         let (context, state) = (self.listener.context.clone(), server_state(host.state));
-        self.list.borrow_mut().set(number, host);
+        self.core.borrow_mut().set(number, host);
         self.changed.notify_waiters();
         spawn_local(async move {
             context.wait_until(|context| !DiscoveryStandIn::is_suspended(context)).await;
@@ -193,16 +196,18 @@
         from: End,
     ) -> Result<Response<Full<Bytes>>, io::Error> {
         let context = &self.listener.context;
-        let End::Gateway(gateway) = from else { return Ok(response_with_mark(404, "", String::new())) };
+        let End::Gateway(gateway) = from else {
+            return Ok(response_with_flag_header(404, "", String::new()));
+        };
         if request.uri().path() != HOSTS {
-            return Ok(response_with_mark(404, "", "no such path".to_owned()));
+            return Ok(response_with_flag_header(404, "", "no such path".to_owned()));
         }
         let list_request = match ListRequest::parse(request.uri().query().unwrap_or_default()) {
             Ok(list_request) => list_request,
-            Err(e) => return Ok(response_with_mark(400, "", e.to_string())),
+            Err(e) => return Ok(response_with_flag_header(400, "", e.to_string())),
         };
         let since = if let ListRequest::Watch { since, .. } = list_request { Some(since) } else { None };
-        context.record(Event::ListRequested { gateway, since });
+        context.record(Event::DiscoveryRequested { gateway, since });
         if let ListRequest::Watch { wait, .. } = list_request {
             // The request is answered at a change or at its timeout. If discovery is suspended meanwhile, it
             // is never answered.
@@ -211,21 +216,29 @@
                 _ = timeout(wait, self.wait_for_change(list_request)) => {}
             }
         }
-        let response = self.list.borrow().respond(list_request);
-        let mut response = response.unwrap_or_else(|| crate::stand_ins::list::ListResponse {
-            version: self.list.borrow().version(),
+        let response = self.core.borrow().respond(list_request);
+        let mut response = response.unwrap_or_else(|| crate::stand_ins::discovery::DiscoveryResponse {
+            version: self.core.borrow().version(),
             full: false,
             servers: Vec::new(),
         });
         let servers = response.server_states();
         let (version, full) = (response.version, response.full);
-        context.record(Event::ListReceived { gateway, list: 0, store: 1, epoch: 1, version, full, servers });
+        context.record(Event::DiscoveryReceived {
+            gateway,
+            process: 0,
+            store: 1,
+            epoch: 1,
+            version,
+            full,
+            servers,
+        });
         let body = response.body(address::seen_by(from)).map_err(io::Error::other)?;
         Ok(Response::new(Full::new(body.into())))
     }
 
     async fn wait_for_change(&self, list_request: ListRequest) {
-        while self.list.borrow().respond(list_request).is_none() {
+        while self.core.borrow().respond(list_request).is_none() {
             self.changed.notified().await;
         }
     }
@@ -245,18 +258,23 @@
     })
 }
 
-/// Proxies connections to a process of the list service and records the lists that gateways receive.
-pub fn proxy_list_process(
+/// Proxies connections to a process of the discovery service and records the responses that gateways receive.
+pub fn proxy_discovery_process(
     listener: &Rc<LinkListener>,
-    list: u16,
+    process_number: u16,
     process: &Rc<Process>,
     numbers: Rc<HashMap<String, u16>>,
 ) {
     let context = listener.context.clone();
     proxy_process(listener, process, move |from| match from {
         End::Gateway(gateway) => Observer {
-            from_caller: Some(record_list_requests(context.clone(), gateway)),
-            to_caller: Some(rewrite_and_record_lists(context.clone(), gateway, list, numbers.clone())),
+            from_caller: Some(record_discovery_requests(context.clone(), gateway)),
+            to_caller: Some(rewrite_and_record_responses(
+                context.clone(),
+                gateway,
+                process_number,
+                numbers.clone(),
+            )),
             ..Observer::default()
         },
         _ => Observer::default(),
@@ -284,23 +302,23 @@
     }));
 }
 
-/// Records the list requests of a gateway.
-fn record_list_requests(context: Rc<RunContext>, gateway: u16) -> Tap {
+/// Records the discovery requests of a gateway.
+fn record_discovery_requests(context: Rc<RunContext>, gateway: u16) -> Tap {
     tap_http_messages(move |line, _| {
         let query = line.split(' ').nth(1).and_then(|target| target.strip_prefix(HOSTS));
         if let Some(Ok(list_request)) = query.map(|query| ListRequest::parse(query.trim_start_matches('?'))) {
             let since = if let ListRequest::Watch { since, .. } = list_request { Some(since) } else { None };
-            context.record(Event::ListRequested { gateway, since });
+            context.record(Event::DiscoveryRequested { gateway, since });
         }
     })
 }
 
-/// Records the lists that a gateway receives, and replaces the address under which servers register by the
-/// address at which this gateway reaches them.
-fn rewrite_and_record_lists(
+/// Records the discovery responses that a gateway receives, and replaces the address under which servers
+/// register by the address at which this gateway reaches them.
+fn rewrite_and_record_responses(
     context: Rc<RunContext>,
     gateway: u16,
-    list: u16,
+    process_number: u16,
     numbers: Rc<HashMap<String, u16>>,
 ) -> Tap {
     let registered = address::REGISTERED.to_string();
@@ -311,8 +329,8 @@
                 body[at..at + seen_by_gateway.len()].copy_from_slice(seen_by_gateway.as_bytes());
             }
         }
-        let Ok(list_body) = serde_json::from_slice::<HostList>(body) else { return };
-        let servers: Vec<(u16, ServerState)> = list_body
+        let Ok(response) = serde_json::from_slice::<HostList>(body) else { return };
+        let servers: Vec<(u16, ServerState)> = response
             .servers
             .iter()
             .filter_map(|entry| match entry {
@@ -320,13 +338,13 @@
                 Entry::Malformed(_) => None,
             })
             .collect();
-        context.record(Event::ListReceived {
+        context.record(Event::DiscoveryReceived {
             gateway,
-            list,
-            store: list_body.store.unwrap_or(0),
-            epoch: list_body.epoch,
-            version: list_body.version,
-            full: list_body.full,
+            process: process_number,
+            store: response.store.unwrap_or(0),
+            epoch: response.epoch,
+            version: response.version,
+            full: response.full,
             servers,
         });
     })
@@ -437,8 +455,8 @@
     format!("{}:{port}", IpAddr::V4(address::seen_by(from)))
 }
 
-/// Returns the delay until the list shows a new server, or the end of one.
-pub fn list_delay(context: &RunContext, is_new: bool) -> u64 {
+/// Returns the delay until discovery shows a new server, or the removal of one.
+pub fn discovery_delay(context: &RunContext, is_new: bool) -> u64 {
     let site = &context.scenario.site;
     (if is_new { site.discovery_add_delay_ms } else { site.discovery_removal_delay_ms }) * MS
 }
--- a/testing/fault-injection/src/harness/pay_servers.rs
+++ b/testing/fault-injection/src/harness/pay_servers.rs
@@ -253,18 +253,22 @@
         let path = request.uri().path().to_owned();
         if path == "/alive" || path == "/metrics/load" {
             self.context.record(Event::Probed { server: self.number, gateway });
-            return Ok(response_with_mark(if path == "/alive" { 200 } else { 404 }, "", String::new()));
+            return Ok(response_with_flag_header(
+                if path == "/alive" { 200 } else { 404 },
+                "",
+                String::new(),
+            ));
         }
         let header = |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok());
         let Some(trace) = header("x-trace-id").map(str::to_owned) else {
-            return Ok(response_with_mark(404, "", "no such path".to_owned()));
+            return Ok(response_with_flag_header(404, "", "no such path".to_owned()));
         };
         let token = header("x-fence").and_then(|token| token.parse().ok()).unwrap_or(0);
         let trace = if trace.len() == 16 { Trace::from_str_radix(&trace, 16).ok() } else { None };
         let sender = trace.and_then(|trace| Some((trace, *self.context.traces.borrow().get(&trace)?)));
         let epoch = header("x-book-epoch").and_then(|epoch| epoch.parse().ok());
         let Some((trace, (customer, class))) = sender else {
-            return Ok(response_with_mark(400, "", "an id that no client sent".to_owned()));
+            return Ok(response_with_flag_header(400, "", "an id that no client sent".to_owned()));
         };
         if path == "/receipts/seal" {
             return Ok(self.seal(trace, token));
@@ -280,7 +284,7 @@
                 Ok(()) => drop(self.writes.borrow_mut().insert(attempt, trace)),
                 Err(mismatch) => {
                     self.context.record(Event::Answered { attempt, answer: Answer::NeverRan });
-                    let refused = response_with_mark(503, "x-never-ran", String::new());
+                    let refused = response_with_flag_header(503, "x-never-ran", String::new());
                     return Ok(with_header(
                         refused,
                         "x-book-due",
@@ -306,13 +310,13 @@
         self.context.record(Event::Answered { attempt, answer });
         let meter = self.metering.meter.borrow().reported_percent(now, customer);
         let response = match answer {
-            Answer::Served => response_with_mark(
+            Answer::Served => response_with_flag_header(
                 200,
                 "",
                 format!("attempt={attempt} trace={trace:016x} server={}", self.number),
             ),
-            Answer::Error => response_with_mark(500, "", String::new()),
-            Answer::NeverRan => response_with_mark(503, "x-never-ran", String::new()),
+            Answer::Error => response_with_flag_header(500, "", String::new()),
+            Answer::NeverRan => response_with_flag_header(503, "x-never-ran", String::new()),
         };
         Ok(match meter {
             Some(percent) => with_header(response, "x-meter", &percent.to_string()),
@@ -325,14 +329,14 @@
         let receipt = self.core.borrow_mut().seal(self.context.now(), trace, min_token, &mut actions);
         self.perform(actions);
         match receipt {
-            None => response_with_mark(404, "", "no receipts here".to_owned()),
-            Some(Receipt::Ran(attempt)) => response_with_mark(
+            None => response_with_flag_header(404, "", "no receipts here".to_owned()),
+            Some(Receipt::Ran(attempt)) => response_with_flag_header(
                 200,
                 "",
                 format!("ran attempt={attempt} trace={trace:016x} server={}", self.number),
             ),
-            Some(Receipt::InProgress) => response_with_mark(200, "", "out".to_owned()),
-            Some(Receipt::Sealed) => response_with_mark(200, "", "sealed".to_owned()),
+            Some(Receipt::InProgress) => response_with_flag_header(200, "", "out".to_owned()),
+            Some(Receipt::Sealed) => response_with_flag_header(200, "", "sealed".to_owned()),
         }
     }
 
@@ -399,12 +403,13 @@
 /// connections, they are accepted and reset.
 pub fn block_cut_callers(context: &RunContext, listener: &TcpListener, to: End) {
     let gateways = (0..context.scenario.fleet.gateways as u16).map(End::Gateway);
-    let list_processes = (0..context.scenario.fleet.list_service as u16).map(End::ListService);
+    let discovery_processes =
+        (0..context.scenario.fleet.discovery_processes as u16).map(End::DiscoveryService);
     let coordinators = (0..context.scenario.fleet.coordinators as u16).map(End::Coordinator);
     let candidates = (0..context.scenario.count(Kind::Candidates) as u16).map(End::Candidate);
     let controllers = (0..context.scenario.fleet.controllers as u16).map(End::Controller);
     let cut: Vec<_> = gateways
-        .chain(list_processes)
+        .chain(discovery_processes)
         .chain(controllers)
         .chain(coordinators)
         .chain(candidates)
@@ -416,11 +421,11 @@
     }
 }
 
-/// Returns a response with a header that is set to `1`, if `mark` names one.
-pub fn response_with_mark(status: u16, mark: &str, body: String) -> Response<Full<Bytes>> {
+/// Returns a response with the header `flag` set to `1`, unless `flag` is empty.
+pub fn response_with_flag_header(status: u16, flag: &str, body: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    match mark {
+    match flag {
         "" => response,
         name => with_header(response, name, "1"),
     }
--- a/testing/fault-injection/src/harness/run/controllers.rs
+++ b/testing/fault-injection/src/harness/run/controllers.rs
@@ -7,7 +7,7 @@
 use crate::endpoint::End;
 use crate::error::RunError;
 use crate::harness::address;
-use crate::harness::lists::{addr_for, proxy_process};
+use crate::harness::discovery::{addr_for, proxy_process};
 use crate::harness::relay::Observer;
 use crate::history::{Event, ShardRecord, ShardStep, ZoneState};
 use futures_util::future::join_all;
--- a/testing/fault-injection/src/harness/run/coordinators.rs
+++ b/testing/fault-injection/src/harness/run/coordinators.rs
@@ -6,7 +6,7 @@
 use crate::endpoint::End;
 use crate::error::RunError;
 use crate::harness::candidates::{Candidates, CLUSTER_START_TIMEOUT};
-use crate::harness::lists::{addr_for, proxy_process};
+use crate::harness::discovery::{addr_for, proxy_process};
 use crate::harness::relay::Observer;
 use crate::harness::{address, registers};
 use futures_util::future::join_all;
--- a/testing/fault-injection/src/harness/run/discovery.rs
+++ b/testing/fault-injection/src/harness/run/discovery.rs
@@ -1,4 +1,4 @@
-//! The list service or the discovery stand-in, and the registrations of pay servers.
+//! The discovery service or its stand-in, and the registrations of pay servers.
 
 use super::measurement::unix_us;
 use super::running_fleet::RunningFleet;
@@ -6,7 +6,7 @@
 use crate::endpoint::End;
 use crate::error::RunError;
 use crate::harness::address;
-use crate::harness::lists::{addr_for, list_delay, proxy_list_process};
+use crate::harness::discovery::{addr_for, discovery_delay, proxy_discovery_process};
 use crate::harness::relay::{relay, Observer};
 use crate::history::{Event, ProcessChange};
 use bytes::Bytes;
@@ -27,8 +27,8 @@
 use tokio::time::timeout;
 
 impl RunningFleet {
-    /// Starts the list service or the discovery stand-in, and registers the pay servers.
-    pub(super) async fn start_list_service(self: &Rc<Self>) -> Result<(), RunError> {
+    /// Starts the discovery service or its stand-in, and registers the pay servers.
+    pub(super) async fn start_discovery_service(self: &Rc<Self>) -> Result<(), RunError> {
         if let Some(discovery) = &self.discovery {
             for i in 0..self.servers.len() as u16 {
                 let host = self.host_entry(i, State::Serving, address::REGISTERED);
@@ -38,11 +38,14 @@
         }
         let servers = self.context.deployment.servers.iter().enumerate();
         let numbers: Rc<HashMap<_, _>> = Rc::new(servers.map(|(i, s)| (s.id.clone(), i as u16)).collect());
-        for (i, (process, listener)) in self.lists.iter().enumerate() {
-            proxy_list_process(listener, i as u16, process, numbers.clone());
+        for (i, (process, listener)) in self.discovery_processes.iter().enumerate() {
+            proxy_discovery_process(listener, i as u16, process, numbers.clone());
         }
         // The writer waits for its peers, so all processes start together.
-        for started in join_all((0..self.lists.len() as u16).map(|i| self.start_list_process(i))).await {
+        for started in
+            join_all((0..self.discovery_processes.len() as u16).map(|i| self.start_discovery_process(i)))
+                .await
+        {
             started?;
         }
         let registering = (0..self.servers.len() as u16).map(|i| async move {
@@ -51,29 +54,30 @@
             }
         });
         let registered = timeout(Duration::from_secs(60), join_all(registering)).await;
-        registered
-            .map_err(|_| RunError::NotInTime("the list service did not accept the registrations in time"))?;
+        registered.map_err(|_| {
+            RunError::NotInTime("the discovery service did not accept the registrations in time")
+        })?;
         for i in 0..self.servers.len() as u16 {
             spawn_local(self.clone().renew_registration(i));
         }
         Ok(())
     }
 
-    pub(super) async fn start_list_process(&self, number: u16) -> Result<(), RunError> {
-        let end = End::ListService(number);
+    pub(super) async fn start_discovery_process(&self, number: u16) -> Result<(), RunError> {
+        let end = End::DiscoveryService(number);
         let folder = self.dir.join("tmp").join(end.to_string());
-        let peers: Vec<String> = (0..self.ports.lists.len())
+        let peers: Vec<String> = (0..self.ports.discovery.len())
             .filter(|i| *i != usize::from(number))
-            .map(|i| addr_for(end, self.ports.lists[i]))
+            .map(|i| addr_for(end, self.ports.discovery[i]))
             .collect();
         let mut config = json!({"listen": SocketAddr::from((address::listen_addr(end), 0)), "data": folder.join("data"),
             "peers": peers, "limits": {"connections": 4096, "watches": 2048}});
         if number > 0 {
-            config["follow"] = json!(addr_for(end, self.ports.lists[0]));
-            config["peers"] = json!([addr_for(end, self.ports.lists[0])]);
+            config["follow"] = json!(addr_for(end, self.ports.discovery[0]));
+            config["peers"] = json!([addr_for(end, self.ports.discovery[0])]);
         }
         let path = folder.join("config.json");
-        let process = &self.lists[usize::from(number)].0;
+        let process = &self.discovery_processes[usize::from(number)].0;
         process
             .start(|command| {
                 fs::create_dir_all(&folder)?;
@@ -86,13 +90,18 @@
         Ok(())
     }
 
-    /// Calls the writer of the list service as a pay server, over the link between them. Returns the status
-    /// of the response.
-    pub(super) async fn call_list_service(&self, number: u16, operation: &str, body: Value) -> Option<u16> {
-        let (context, from, to) = (self.context.clone(), End::PayServer(number), End::ListService(0));
+    /// Calls the writer of the discovery service as a pay server, over the link between them. Returns the
+    /// status of the response.
+    pub(super) async fn call_discovery_service(
+        &self,
+        number: u16,
+        operation: &str,
+        body: Value,
+    ) -> Option<u16> {
+        let (context, from, to) = (self.context.clone(), End::PayServer(number), End::DiscoveryService(0));
         let exchange = async move {
             context.wait_until(|context| context.can_connect(from, to) || context.is_reset(from, to)).await;
-            let addr = self.lists.first()?.0.addr().filter(|_| !context.is_reset(from, to))?;
+            let addr = self.discovery_processes.first()?.0.addr().filter(|_| !context.is_reset(from, to))?;
             let mut tcp = TcpStream::connect(addr).await.ok()?;
             let (mut outer, inner) = tokio::io::duplex(16 << 10);
             let passing = spawn_local(async move {
@@ -115,15 +124,15 @@
         let host = self.host_entry(number, State::Serving, address::REGISTERED);
         let body = json!({"id": host.id, "addr": host.addr, "zone": host.zone, "kind": host.kind, "cell": host.cell,
             "weight": 1.0, "lease_ms": LEASE_MS});
-        let status = self.call_list_service(number, "register", body).await;
+        let status = self.call_discovery_service(number, "register", body).await;
         if status == Some(200) {
-            self.context.record(Event::Registered { server: number, list: 0 });
+            self.context.record(Event::Registered { server: number, process: 0 });
             return true;
         }
         if status == Some(409) {
             // The earlier registration, with another address, has not expired yet.
             let id = &self.context.deployment.servers[usize::from(number)].id;
-            self.call_list_service(number, "deregister", json!({ "id": id })).await;
+            self.call_discovery_service(number, "deregister", json!({ "id": id })).await;
         }
         false
     }
@@ -139,21 +148,21 @@
                 continue;
             }
             self.context.record(Event::Renewed { server: number });
-            if self.call_list_service(number, "renew", json!({ "id": id })).await == Some(404) {
+            if self.call_discovery_service(number, "renew", json!({ "id": id })).await == Some(404) {
                 self.register(number).await;
             }
         }
     }
 
-    /// Marks a server as draining or deleted in the list. The discovery stand-in is updated after a delay.
-    pub(super) async fn remove_from_list(&self, number: u16, state: State) {
+    /// Marks a server as draining or deleted in discovery. The stand-in is updated after a delay.
+    pub(super) async fn remove_from_discovery(&self, number: u16, state: State) {
         if let Some(discovery) = &self.discovery {
-            self.context.sleep_until(self.context.now() + list_delay(&self.context, false)).await;
+            self.context.sleep_until(self.context.now() + discovery_delay(&self.context, false)).await;
             let host = self.host_entry(number, state, address::REGISTERED);
             discovery.set(number, host);
         } else if state == State::Draining {
             let id = &self.context.deployment.servers[usize::from(number)].id;
-            self.call_list_service(number, "drain", json!({ "id": id })).await;
+            self.call_discovery_service(number, "drain", json!({ "id": id })).await;
         }
         if state == State::Deleted {
             // A server that registers itself stops renewing its lease, which then expires.
@@ -170,7 +179,7 @@
         self.context
             .record(Event::ProcessChanged { end: End::PayServer(number), change: ProcessChange::Started });
         if let Some(discovery) = &self.discovery {
-            self.context.sleep_until(self.context.now() + list_delay(&self.context, true)).await;
+            self.context.sleep_until(self.context.now() + discovery_delay(&self.context, true)).await;
             let host = self.host_entry(number, State::Serving, address::REGISTERED);
             discovery.set(number, host);
         } else {
--- a/testing/fault-injection/src/harness/run/faults.rs
+++ b/testing/fault-injection/src/harness/run/faults.rs
@@ -5,7 +5,7 @@
 use crate::deployment::{random_stream, DrawnFault, Nanos, RandomStream};
 use crate::endpoint::End;
 use crate::error::RunError;
-use crate::harness::lists::list_delay;
+use crate::harness::discovery::discovery_delay;
 use crate::harness::process::Process;
 use crate::history::{Event, ProcessChange};
 use crate::scenario::{FaultKind, LEADER, ROLES};
@@ -84,23 +84,24 @@
                     end: End::PayServer(number),
                     change: ProcessChange::Ended,
                 });
-                // The list does not show the end of a server that is restarted before the end is noticed.
+                // Discovery does not show the failure of a server that is restarted before the failure is
+                // detected.
                 self.registered.borrow_mut()[usize::from(number)] = false;
-                let noticed_after = list_delay(&self.context, false);
+                let noticed_after = discovery_delay(&self.context, false);
                 if fault.until.is_none_or(|until| until > fault.at + noticed_after) {
                     let fleet = self.clone();
-                    spawn_local(async move { fleet.remove_from_list(number, State::Deleted).await });
+                    spawn_local(async move { fleet.remove_from_discovery(number, State::Deleted).await });
                 }
             }
         }
     }
 
     async fn remove_after_drain(self: Rc<Self>, number: u16, permanent: bool) {
-        self.remove_from_list(number, State::Draining).await;
+        self.remove_from_discovery(number, State::Draining).await;
         if permanent {
             self.context.sleep_until(self.context.now() + DRAIN_TIME).await;
             self.servers[usize::from(number)].kill();
-            self.remove_from_list(number, State::Deleted).await;
+            self.remove_from_discovery(number, State::Deleted).await;
         }
     }
 
@@ -204,7 +205,7 @@
         }
         match victim {
             End::Gateway(i) => self.start_gateway(i, !wiped).await,
-            End::ListService(i) => self.start_list_process(i).await,
+            End::DiscoveryService(i) => self.start_discovery_process(i).await,
             End::Controller(i) => self.start_controller(i).await,
             End::Coordinator(i) => {
                 self.start_coordinator(i).await?;
@@ -219,7 +220,7 @@
 
     pub(super) fn block_cut_callers(&self) {
         self.servers.iter().for_each(|server| server.block_cut_callers());
-        let listeners = self.lists.iter().chain(&self.coordinators).chain(&self.controllers);
+        let listeners = self.discovery_processes.iter().chain(&self.coordinators).chain(&self.controllers);
         listeners.for_each(|(_, listener)| listener.block_cut_callers());
         self.counter.iter().for_each(|counter| counter.listener.block_cut_callers());
         self.discovery.iter().for_each(|discovery| discovery.listener.block_cut_callers());
--- a/testing/fault-injection/src/harness/run/gateways.rs
+++ b/testing/fault-injection/src/harness/run/gateways.rs
@@ -6,14 +6,14 @@
 use crate::endpoint::End;
 use crate::error::RunError;
 use crate::harness::address;
-use crate::harness::lists::addr_for;
+use crate::harness::discovery::addr_for;
 use marblecroft_discovery::format::{Host, HostListRef, State};
 use serde_json::{json, Value};
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddr};
 
 impl RunningFleet {
-    /// Returns the list entry of a server, with this address.
+    /// Returns the discovery entry of a server, with this address.
     pub(super) fn host_entry(&self, number: u16, state: State, ip: Ipv4Addr) -> Host {
         let (port, started_ms) = self.server_instances.borrow()[usize::from(number)];
         let server = &self.context.deployment.servers[usize::from(number)];
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Returns a complete list of the current servers, as a gateway that ran before would have cached it.
-    pub(super) fn cached_list(&self, end: End) -> Value {
+    /// Returns all current servers, as a gateway that ran before would have cached them.
+    pub(super) fn cached_servers(&self, end: End) -> Value {
         let hosts: Vec<Host> = (0..self.servers.len() as u16)
             .filter(|i| self.registered.borrow()[usize::from(*i)])
             .map(|i| self.host_entry(i, State::Serving, address::seen_by(end)))
@@ -40,24 +40,25 @@
         json!(HostListRef { version: 0, full: true, store: 0, epoch: 0, servers })
     }
 
-    pub(super) async fn start_gateway(&self, number: u16, with_list: bool) -> Result<(), RunError> {
+    pub(super) async fn start_gateway(&self, number: u16, with_cached_servers: bool) -> Result<(), RunError> {
         let (context, end) = (&self.context, End::Gateway(number));
         self.starts.set(self.starts.get() + 1);
         let seed = context.deployment.gateway_seeds[usize::from(number)].wrapping_add(self.starts.get());
         let mut config = json!({
             "name": format!("n{number}"), "listen": SocketAddr::from((address::listen_addr(end), 0)),
-            "discovery": addr_for(end, self.ports.lists[0]), "seed": format!("{seed:016x}"),
+            "discovery": addr_for(end, self.ports.discovery[0]), "seed": format!("{seed:016x}"),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "settings": context.deployment.settings(&context.scenario, number),
         });
         if let Some(port) = self.ports.counter {
             config["counter"] = json!(addr_for(end, port));
         }
-        if with_list {
-            config["known"] = self.cached_list(end);
+        if with_cached_servers {
+            config["known"] = self.cached_servers(end);
         }
-        if !self.lists.is_empty() {
-            let others: Vec<String> = self.ports.lists[1..].iter().map(|port| addr_for(end, *port)).collect();
+        if !self.discovery_processes.is_empty() {
+            let others: Vec<String> =
+                self.ports.discovery[1..].iter().map(|port| addr_for(end, *port)).collect();
             config["list_service"] = json!({"others": others});
         }
         if !self.controllers.is_empty() {
--- a/testing/fault-injection/src/harness/run/mod.rs
+++ b/testing/fault-injection/src/harness/run/mod.rs
@@ -40,7 +40,7 @@
 const MAX_STARTING: usize = 16;
 /// After a permanent fault, a draining server ends after this time.
 const DRAIN_TIME: Nanos = 4 * SECOND;
-/// Lease of a registration at the list service.
+/// Lease of a registration at the discovery service.
 const LEASE_MS: u64 = 3000;
 /// Interval between renewals of a registration.
 const RENEW_INTERVAL: Duration = Duration::from_millis(900);
@@ -93,7 +93,7 @@
 /// Returns the maximum number of connections, pipes and files of the harness itself.
 fn descriptors_needed(scenario: &Scenario) -> u64 {
     let fleet = &scenario.fleet;
-    // For each gateway: 8 for its pipe, its watch of the list and its counter connection; up to 24 for the
+    // For each gateway: 8 for its pipe, its watch of discovery and its counter connection; up to 24 for the
     // servers that it uses; 20 for the load balancer's connections to it.
     let each = 8 + u64::from(fleet.pay_servers.min(24)) + 20;
     256 + u64::from(fleet.pay_servers) * 2 + u64::from(fleet.gateways) * each
--- a/testing/fault-injection/src/harness/run/running_fleet.rs
+++ b/testing/fault-injection/src/harness/run/running_fleet.rs
@@ -8,7 +8,7 @@
 use crate::harness::candidates::{Candidates, CLUSTER_START_TIMEOUT};
 use crate::harness::cells::Cells;
 use crate::harness::clients::Clients;
-use crate::harness::lists::{CounterStandIn, DiscoveryStandIn, LinkListener};
+use crate::harness::discovery::{CounterStandIn, DiscoveryStandIn, LinkListener};
 use crate::harness::pay_servers::Server;
 use crate::harness::process::Process;
 use crate::harness::RunContext;
@@ -32,7 +32,7 @@
     pub(super) context: Rc<RunContext>,
     pub(super) clients: Rc<Clients>,
     pub(super) gateways: Vec<Rc<Process>>,
-    pub(super) lists: Vec<(Rc<Process>, Rc<LinkListener>)>,
+    pub(super) discovery_processes: Vec<(Rc<Process>, Rc<LinkListener>)>,
     pub(super) coordinators: Vec<(Rc<Process>, Rc<LinkListener>)>,
     pub(super) controllers: Vec<(Rc<Process>, Rc<LinkListener>)>,
     pub(super) cells: Rc<Cells>,
@@ -52,10 +52,10 @@
     pub(super) failure: RefCell<Option<RunError>>,
 }
 
-/// Ports of the list service and the counter, for gateways.
+/// Ports of the discovery service and the counter, for gateways.
 #[derive(Clone)]
 pub(super) struct Ports {
-    pub(super) lists: Vec<u16>,
+    pub(super) discovery: Vec<u16>,
     pub(super) counter: Option<u16>,
 }
 
@@ -63,7 +63,7 @@
     pub(super) async fn run_scenario(self: Rc<Self>, spec: &RunSpec) -> Result<(), RunError> {
         let context = self.context.clone();
         spawn_local(monitor_harness(context.clone()));
-        self.start_list_service().await?;
+        self.start_discovery_service().await?;
         self.start_coordinators().await?;
         self.start_controllers().await?;
         let permits = Rc::new(Semaphore::new(MAX_STARTING));
@@ -98,7 +98,7 @@
             let fleet = self.clone();
             spawn_local(async move {
                 server.overload_crash.notified().await;
-                fleet.remove_from_list(server.number, State::Deleted).await;
+                fleet.remove_from_discovery(server.number, State::Deleted).await;
             });
         }
         spawn_local(self.clone().send_shard_moves(load_from));
@@ -140,7 +140,7 @@
             gateways: fleet.gateways as u16,
             quotas: deployment.quotas.clone(),
             plans: deployment.customers.iter().map(|customer| customer.plan as u8).collect(),
-            list_processes: fleet.list_service as u16,
+            discovery_processes: fleet.discovery_processes as u16,
             coordinators: fleet.coordinators as u16,
             zones: fleet.zones.clone(),
             controllers: fleet.controllers as u16,
@@ -172,7 +172,9 @@
     pub(super) fn process(&self, end: End) -> Option<Rc<Process>> {
         match end {
             End::Gateway(i) => self.gateways.get(usize::from(i)).cloned(),
-            End::ListService(i) => self.lists.get(usize::from(i)).map(|(process, _)| process.clone()),
+            End::DiscoveryService(i) => {
+                self.discovery_processes.get(usize::from(i)).map(|(process, _)| process.clone())
+            }
             End::Coordinator(i) => self.coordinators.get(usize::from(i)).map(|(process, _)| process.clone()),
             End::Controller(i) => self.controllers.get(usize::from(i)).map(|(process, _)| process.clone()),
             _ => None,
@@ -183,7 +185,7 @@
     pub(super) fn listeners(&self, end: End) -> Vec<Rc<LinkListener>> {
         match end {
             End::Counter => self.counter.iter().map(|counter| counter.listener.clone()).collect(),
-            End::ListService(_) => {
+            End::DiscoveryService(_) => {
                 self.discovery.iter().map(|discovery| discovery.listener.clone()).collect()
             }
             End::Cell(i) => self.cells.listeners.get(usize::from(i)).cloned().into_iter().collect(),
@@ -194,7 +196,11 @@
     /// Kills all processes.
     pub(super) async fn kill_processes(&self) {
         let all = self.gateways.iter().chain(
-            self.lists.iter().chain(&self.coordinators).chain(&self.controllers).map(|(process, _)| process),
+            self.discovery_processes
+                .iter()
+                .chain(&self.coordinators)
+                .chain(&self.controllers)
+                .map(|(process, _)| process),
         );
         join_all(all.filter(|process| process.is_running()).map(|process| process.kill())).await;
         // Removes the files of the processes, but not the logs and the history.
--- a/testing/fault-injection/src/harness/run/setup.rs
+++ b/testing/fault-injection/src/harness/run/setup.rs
@@ -7,7 +7,7 @@
 use crate::error::RunError;
 use crate::harness::cells::Cells;
 use crate::harness::clients::{Clients, RequestTarget};
-use crate::harness::lists::{CounterStandIn, DiscoveryStandIn, LinkListener};
+use crate::harness::discovery::{CounterStandIn, DiscoveryStandIn, LinkListener};
 use crate::harness::pay_servers::{Metering, Server};
 use crate::harness::process::Process;
 use crate::harness::RunContext;
@@ -48,12 +48,16 @@
         };
         (0..count as u16).map(new_process).collect::<Result<Vec<_>, RunError>>()
     };
-    let lists = processes(scenario.fleet.list_service, End::ListService, "marblecroft-discovery")?;
+    let discovery_processes =
+        processes(scenario.fleet.discovery_processes, End::DiscoveryService, "marblecroft-discovery")?;
     let coordinators =
         processes(scenario.fleet.coordinators, End::Coordinator, "marblecroft-coordination-server")?;
     let controllers = processes(scenario.fleet.controllers, End::Controller, "marblecroft-controller")?;
-    let discovery =
-        if lists.is_empty() { Some(DiscoveryStandIn::new(context).map_err(RunError::Listen)?) } else { None };
+    let discovery = if discovery_processes.is_empty() {
+        Some(DiscoveryStandIn::new(context).map_err(RunError::Listen)?)
+    } else {
+        None
+    };
     let gateway = match &scenario.fleet.program {
         Some(path) if path.is_file() => path.clone(),
         Some(path) => return Err(RunError::NamedProgramMissing(path.clone())),
@@ -64,9 +68,9 @@
         .map(|end| Process::new(context, end, spec.harness.clone(), gateway.clone(), log(end)))
         .collect();
     let ports = Ports {
-        lists: match &discovery {
+        discovery: match &discovery {
             Some(discovery) => vec![discovery.listener.port],
-            None => lists.iter().map(|(_, listener)| listener.port).collect(),
+            None => discovery_processes.iter().map(|(_, listener)| listener.port).collect(),
         },
         counter: counter.as_ref().map(|counter| counter.listener.port),
     };
@@ -81,7 +85,7 @@
         context: context.clone(),
         clients: Clients::new(context, targets),
         gateways,
-        lists,
+        discovery_processes,
         coordinators,
         controllers,
         cells,
--- a/testing/fault-injection/src/history.rs
+++ b/testing/fault-injection/src/history.rs
@@ -45,8 +45,8 @@
     pub quotas: Vec<Quota>,
     /// Index of each customer's plan in `quotas`.
     pub plans: Vec<u8>,
-    /// Number of processes of the list service.
-    pub list_processes: u16,
+    /// Number of processes of the discovery service.
+    pub discovery_processes: u16,
     /// Number of coordinators.
     pub coordinators: u16,
     /// The zones; gateways and pay servers are assigned to them round-robin.
@@ -128,7 +128,7 @@
     Continued,
 }
 
-/// State of a pay server in a list.
+/// State of a pay server in discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerState {
     /// The server accepts requests.
@@ -323,36 +323,36 @@
         /// Number of the pay server.
         server: u16,
     },
-    /// A gateway requests the list of pay servers.
-    ListRequested {
+    /// A gateway requests the pay servers from discovery.
+    DiscoveryRequested {
         /// Number of the gateway.
         gateway: u16,
         /// The version that the gateway has, if any.
         since: Option<u64>,
     },
-    /// A gateway receives a list of pay servers.
-    ListReceived {
+    /// A gateway receives pay servers from discovery.
+    DiscoveryReceived {
         /// Number of the gateway.
         gateway: u16,
-        /// Number of the list service's process that sent it.
-        list: u16,
+        /// Number of the discovery service's process that sent it.
+        process: u16,
         /// Id of the store that numbers the versions.
         store: u64,
         /// The epoch.
         epoch: u64,
         /// The version.
         version: u64,
-        /// Whether it is a complete list; otherwise it contains changes only.
+        /// Whether it contains all servers; otherwise it contains changes only.
         full: bool,
         /// Numbers and states of the servers.
         servers: Vec<(u16, ServerState)>,
     },
-    /// The list service acknowledged a registration.
+    /// The discovery service acknowledged a registration.
     Registered {
         /// Number of the pay server.
         server: u16,
-        /// Number of the list service's process that acknowledged it.
-        list: u16,
+        /// Number of the discovery service's process that acknowledged it.
+        process: u16,
     },
     /// A pay server has renewed its registration.
     Renewed {
--- a/testing/fault-injection/src/scenario/fleet.rs
+++ b/testing/fault-injection/src/scenario/fleet.rs
@@ -17,9 +17,10 @@
     pub zones: Vec<String>,
     /// Whether pay servers can seal a trace id and report the result of its request.
     pub receipts: bool,
-    /// Number of processes of the list service, 0 to 3. With 0, the stand-in for the platform's discovery
-    /// serves the list.
-    pub list_service: u32,
+    /// Number of processes of the discovery service, 0 to 3. With 0, the stand-in for the platform's
+    /// discovery answers the gateways.
+    #[serde(rename = "list_service")]
+    pub discovery_processes: u32,
     /// Number of processes of the coordination service: 0, 3 or 5.
     pub coordinators: u32,
     /// The n-th table is merged into the configuration of the n-th coordinator.
@@ -59,7 +60,7 @@
             pay_servers: 9,
             zones: ["hall-a", "hall-b", "hall-c"].map(str::to_owned).to_vec(),
             receipts: false,
-            list_service: 0,
+            discovery_processes: 0,
             coordinators: 0,
             coordinator_config: Vec::new(),
             counter: true,
--- a/testing/fault-injection/src/scenario/site.rs
+++ b/testing/fault-injection/src/scenario/site.rs
@@ -61,10 +61,10 @@
     /// Delay of the meter's reports, in milliseconds.
     #[serde(rename = "meter_late_ms")]
     pub meter_delay_ms: u64,
-    /// Delay after which the list shows that a server drains or has failed, in milliseconds.
+    /// Delay after which discovery shows that a server drains or has failed, in milliseconds.
     #[serde(rename = "list_notice_ms")]
     pub discovery_removal_delay_ms: u64,
-    /// Delay after which the list shows a new server, in milliseconds.
+    /// Delay after which discovery shows a new server, in milliseconds.
     #[serde(rename = "list_add_ms")]
     pub discovery_add_delay_ms: u64,
     /// Calls a second that the counter can serve.
--- a/testing/fault-injection/src/scenario/topology.rs
+++ b/testing/fault-injection/src/scenario/topology.rs
@@ -19,7 +19,7 @@
             Kind::Clients => 1,
             Kind::Gateways => self.fleet.gateways,
             Kind::PayServers => self.fleet.pay_servers,
-            Kind::ListService => self.fleet.list_service.max(1),
+            Kind::DiscoveryService => self.fleet.discovery_processes.max(1),
             Kind::Coordinators => self.fleet.coordinators,
             Kind::Counter => u32::from(self.fleet.counter),
             Kind::Controllers => self.fleet.controllers,
@@ -58,8 +58,10 @@
         match end {
             End::Gateway(i) | End::PayServer(i) | End::Cell(i) => Some(usize::from(i) % zones),
             End::Coordinator(i) | End::Controller(i) => self.spread_over_zones(usize::from(i)),
-            End::ListService(i) if self.fleet.list_service > 0 => self.spread_over_zones(usize::from(i)),
-            End::Clients | End::Counter | End::Candidate(_) | End::ListService(_) => None,
+            End::DiscoveryService(i) if self.fleet.discovery_processes > 0 => {
+                self.spread_over_zones(usize::from(i))
+            }
+            End::Clients | End::Counter | End::Candidate(_) | End::DiscoveryService(_) => None,
         }
     }
 
--- a/testing/fault-injection/src/scenario/validation.rs
+++ b/testing/fault-injection/src/scenario/validation.rs
@@ -8,7 +8,7 @@
 pub const MAX_GATEWAYS: u32 = 300;
 /// Maximum number of pay servers.
 pub const MAX_PAY_SERVERS: u32 = 200;
-const MAX_LIST_PROCESSES: u32 = 3;
+const MAX_DISCOVERY_PROCESSES: u32 = 3;
 const MAX_CUSTOMERS: u32 = 20_000;
 const MAX_RATE: f64 = 20_000.0;
 const MAX_DURATION_MS: u64 = 30 * 60 * 1000;
@@ -27,7 +27,7 @@
             ));
         }
         within("fleet.pay_servers", fleet.pay_servers, 1, MAX_PAY_SERVERS)?;
-        within("fleet.list_service", fleet.list_service, 0, MAX_LIST_PROCESSES)?;
+        within("fleet.list_service", fleet.discovery_processes, 0, MAX_DISCOVERY_PROCESSES)?;
         if ![0, 3, 5].contains(&fleet.coordinators) {
             return Err(ScenarioError::invalid(
                 "fleet.coordinators",
@@ -173,17 +173,18 @@
         within("delay_ms", fault.delay_ms.unwrap_or(0), 0, 60_000)?;
         within("jitter_ms", fault.jitter_ms.unwrap_or(0), 0, 60_000)?;
         within("probability", fault.probability.unwrap_or(0.0), 0.0, 1.0)?;
-        let is_stand_in = kind == Kind::ListService && self.fleet.list_service == 0;
+        let is_stand_in = kind == Kind::DiscoveryService && self.fleet.discovery_processes == 0;
         match (fault.kind, kind) {
-            (FaultKind::FullDisk, Kind::ListService) if !is_stand_in => Ok(()),
+            (FaultKind::FullDisk, Kind::DiscoveryService) if !is_stand_in => Ok(()),
             (FaultKind::FullDisk, Kind::Coordinators) => Ok(()),
             (FaultKind::Stop, Kind::Candidates) => Ok(()),
             (_, Kind::Candidates) if !fault.kind.of_links() => {
                 Err(ScenarioError::invalid("kind", "candidates can only be stopped or lose their links"))
             }
-            (FaultKind::FullDisk, _) => {
-                Err(ScenarioError::invalid("kind", "only the list service and the coordinators have a disk"))
-            }
+            (FaultKind::FullDisk, _) => Err(ScenarioError::invalid(
+                "kind",
+                "only the discovery service and the coordinators have a disk",
+            )),
             (kind, _) if kind.of_links() => Ok(()),
             (_, Kind::Clients) => Err(ScenarioError::invalid("target", "clients can only lose their links")),
             (FaultKind::Term, Kind::Counter | Kind::Cells) => {
--- a/testing/fault-injection/src/stand_ins.rs
+++ b/testing/fault-injection/src/stand_ins.rs
@@ -4,6 +4,6 @@
 pub mod cell;
 pub mod clients;
 pub mod counter;
-pub mod list;
+pub mod discovery;
 pub mod meter;
 pub mod pay_server;
--- a/testing/fault-injection/src/stand_ins/list.rs
+++ b/testing/fault-injection/src/stand_ins/discovery.rs
@@ -1,7 +1,7 @@
-//! The platform's discovery: the versioned list of pay servers, and the responses to gateways.
+//! The platform's discovery: the versioned set of pay servers, and the responses to gateways.
 //!
-//! Models: complete lists, changes since a version, servers that are draining or deleted, addresses that
-//! differ between gateways, delays until the list shows a change. Leaves out: an agent per gateway that may
+//! Models: complete responses, changes since a version, servers that are draining or deleted, addresses that
+//! differ between gateways, delays until a change becomes visible. Leaves out: an agent per gateway that may
 //! be behind the others, and lost changes.
 
 use crate::history::ServerState;
@@ -10,25 +10,25 @@
 use std::net::Ipv4Addr;
 
 /// Servers by their number, each with the version of its last change.
-pub struct List {
+pub struct Discovery {
     version: u64,
     entries: BTreeMap<u16, (Host, u64)>,
 }
 
 /// A response to a gateway.
-pub struct ListResponse {
-    /// Version of the list.
+pub struct DiscoveryResponse {
+    /// Version of the set of servers.
     pub version: u64,
-    /// Whether the response contains the complete list, not only changes.
+    /// Whether the response contains all servers, not only changes.
     pub full: bool,
     /// The servers, by number.
     pub servers: Vec<(u16, Host)>,
 }
 
-impl List {
-    /// Returns an empty list with this version.
-    pub fn new(version: u64) -> List {
-        List { version, entries: BTreeMap::new() }
+impl Discovery {
+    /// Returns a discovery service without servers, at this version.
+    pub fn new(version: u64) -> Discovery {
+        Discovery { version, entries: BTreeMap::new() }
     }
 
     /// Returns the newest version.
@@ -43,10 +43,10 @@
     }
 
     /// Returns the response to a request, or `None` for a watch that has the current version.
-    pub fn respond(&self, request: ListRequest) -> Option<ListResponse> {
+    pub fn respond(&self, request: ListRequest) -> Option<DiscoveryResponse> {
         let since = match request {
-            // A higher version than the current one is not from this list, so the response is the complete
-            // list.
+            // A higher version than the current one is from another store, so the response contains all
+            // servers.
             ListRequest::Watch { since, .. } if since <= self.version => Some(since),
             _ => None,
         };
@@ -59,11 +59,11 @@
         };
         let servers = self.entries.iter().filter(|(_, (host, version))| includes(host, *version));
         let servers = servers.map(|(number, (host, _))| (*number, host.clone())).collect();
-        Some(ListResponse { version: self.version, full: since.is_none(), servers })
+        Some(DiscoveryResponse { version: self.version, full: since.is_none(), servers })
     }
 }
 
-impl ListResponse {
+impl DiscoveryResponse {
     /// Returns the response body, with the address at which the caller reaches the servers.
     pub fn body(&mut self, host_ip: Ipv4Addr) -> serde_json::Result<Vec<u8>> {
         self.servers.iter_mut().for_each(|(_, host)| host.addr.set_ip(host_ip.into()));
--- a/testing/fault-injection/tests/fleet.rs
+++ b/testing/fault-injection/tests/fleet.rs
@@ -198,8 +198,8 @@
 }
 
 /// A discovery agent that stops responding never answers the requests that reached it meanwhile. If the
-/// stand-in answered them after the fault, a gateway would get a list at once instead of having to request it
-/// again.
+/// stand-in answered them after the fault, a gateway would get the servers at once instead of having to
+/// request them again.
 #[test]
 fn requests_to_suspended_discovery_are_never_answered() {
     let dir = TempDir::new();
@@ -219,20 +219,20 @@
         let end = End::Gateway(gateway);
         let mut after = events[fault_end..].iter();
         let received =
-            after.position(|e| matches!(e, Event::ListReceived { gateway: to, .. } if *to == gateway));
-        let received = fault_end + received.expect("the gateway receives a list again");
-        let opened = |e: &Event| matches!(e, Event::Opened { from, to, .. } if *from == end && *to == End::ListService(0));
+            after.position(|e| matches!(e, Event::DiscoveryReceived { gateway: to, .. } if *to == gateway));
+        let received = fault_end + received.expect("the gateway receives the servers again");
+        let opened = |e: &Event| matches!(e, Event::Opened { from, to, .. } if *from == end && *to == End::DiscoveryService(0));
         assert!(
             events[fault_end..received].iter().any(opened),
-            "gateway {gateway} received a list on a connection from before the fault"
+            "gateway {gateway} received the servers on a connection from before the fault"
         );
     }
 }
 
-/// Gateways reach the processes of the list service over links too, and the processes lose no acknowledged
-/// registration in a restart.
+/// Gateways reach the processes of the discovery service over links too, and the processes lose no
+/// acknowledged registration in a restart.
 #[test]
-fn the_list_service_keeps_acknowledged_registrations_across_a_restart() {
+fn the_discovery_service_keeps_acknowledged_registrations_across_a_restart() {
     let dir = TempDir::new();
     let scenario = "[fleet]\nlist_service = 2\npay_servers = 4\n[load]\nrate = 30.0\nduration_ms = 5000\n\
                     [[fault]]\nat_ms = 1500\nkind = \"restart\"\ntarget = \"list_service[0]\"\nfor_ms = 300\n";
@@ -271,10 +271,10 @@
     assert_eq!(harness(&["check", &path(&dir.0)]).status.code(), Some(2));
 }
 
-/// With a full disk, the list service refuses what it cannot write and logs that. It accepts writes again
-/// once there is space.
+/// With a full disk, the discovery service refuses what it cannot write and logs that. It accepts writes
+/// again once there is space.
 #[test]
-fn the_list_service_survives_a_full_disk() {
+fn the_discovery_service_survives_a_full_disk() {
     let dir = TempDir::new();
     let scenario = "[fleet]\nlist_service = 1\npay_servers = 3\n[load]\nrate = 10.0\nduration_ms = 5000\n\
                     [[fault]]\nat_ms = 500\nkind = \"full_disk\"\ntarget = \"list_service\"\nfor_ms = 2000\n\
--- a/testing/fault-injection/tests/history.rs
+++ b/testing/fault-injection/tests/history.rs
@@ -35,7 +35,7 @@
             rate_limit_slack: 1.0,
         }],
         plans: vec![0],
-        list_processes: 1,
+        discovery_processes: 1,
         coordinators: 3,
         zones: vec!["hall-a".to_owned()],
         faults: vec![DrawnFault {
@@ -56,7 +56,8 @@
     }
 }
 
-/// Builds a history, which starts with the setup, registrations and lists that all histories here have.
+/// Builds a history, which starts with the setup, registrations and discovery responses that all histories
+/// here have.
 struct HistoryBuilder {
     events: Vec<TimedEvent>,
     next: u64,
@@ -67,10 +68,22 @@
         let mut history = HistoryBuilder { events: Vec::new(), next: 1 };
         history.at(0, Event::Setup(Box::new(setup())));
         for server in 0..2 {
-            history.at(1, Event::Registered { server, list: 0 });
+            history.at(1, Event::Registered { server, process: 0 });
         }
-        history.list(2 * MS, 0, 10, true, &[(0, ServerState::Serving), (1, ServerState::Serving)]);
-        history.list(2 * MS, 1, 10, true, &[(0, ServerState::Serving), (1, ServerState::Serving)]);
+        history.discovery_received(
+            2 * MS,
+            0,
+            10,
+            true,
+            &[(0, ServerState::Serving), (1, ServerState::Serving)],
+        );
+        history.discovery_received(
+            2 * MS,
+            1,
+            10,
+            true,
+            &[(0, ServerState::Serving), (1, ServerState::Serving)],
+        );
         history
     }
 
@@ -78,9 +91,19 @@
         self.events.push(TimedEvent { at, event });
     }
 
-    fn list(&mut self, at: Nanos, gateway: u16, version: u64, full: bool, servers: &[(u16, ServerState)]) {
+    fn discovery_received(
+        &mut self,
+        at: Nanos,
+        gateway: u16,
+        version: u64,
+        full: bool,
+        servers: &[(u16, ServerState)],
+    ) {
         let servers = servers.to_vec();
-        self.at(at, Event::ListReceived { gateway, list: 0, store: 7, epoch: 1, version, full, servers });
+        self.at(
+            at,
+            Event::DiscoveryReceived { gateway, process: 0, store: 7, epoch: 1, version, full, servers },
+        );
     }
 
     fn number(&mut self) -> u64 {
@@ -312,10 +335,10 @@
             s.ended(11 * SECOND, 9, 9, Outcome::Failed);
         }),
         ("drains_kept", |s| {
-            s.list(10 * SECOND, 0, 11, false, &[(0, ServerState::Draining)]);
-            s.list(10 * SECOND + 400 * MS, 0, 12, false, &[(0, ServerState::Gone)]);
-            // The grace period starts with the first list that shows the server as draining, and has passed
-            // with the slack.
+            s.discovery_received(10 * SECOND, 0, 11, false, &[(0, ServerState::Draining)]);
+            s.discovery_received(10 * SECOND + 400 * MS, 0, 12, false, &[(0, ServerState::Gone)]);
+            // The grace period starts with the first response that shows the server as draining, and has
+            // passed with the slack.
             s.served(10 * SECOND + 560 * MS, 9, SAFE);
         }),
         ("ceilings_kept", |s| {
@@ -324,15 +347,15 @@
             }
         }),
         ("list_never_back", |s| {
-            s.at(10 * SECOND, Event::ListRequested { gateway: 0, since: Some(12) });
-            s.at(11 * SECOND, Event::ListRequested { gateway: 0, since: Some(11) });
+            s.at(10 * SECOND, Event::DiscoveryRequested { gateway: 0, since: Some(12) });
+            s.at(11 * SECOND, Event::DiscoveryRequested { gateway: 0, since: Some(11) });
         }),
         ("nothing_acknowledged_lost", |s| {
-            s.list(10 * SECOND, 0, 13, true, &[(0, ServerState::Serving)]);
+            s.discovery_received(10 * SECOND, 0, 13, true, &[(0, ServerState::Serving)]);
         }),
         ("drains_kept", |s| {
-            // A complete list that lacks a server also means that the server was removed.
-            s.list(10 * SECOND, 0, 13, true, &[(1, ServerState::Serving)]);
+            // A complete response that lacks a server also means that the server was removed.
+            s.discovery_received(10 * SECOND, 0, 13, true, &[(1, ServerState::Serving)]);
             s.served(11 * SECOND, 9, SAFE);
         }),
     ];
@@ -359,7 +382,7 @@
 fn time_limits_are_extended_by_delays_of_the_harness() {
     let late_by = |stalled_at: Nanos| {
         let mut history = HistoryBuilder::good();
-        history.list(10 * SECOND, 0, 11, false, &[(0, ServerState::Draining)]);
+        history.discovery_received(10 * SECOND, 0, 11, false, &[(0, ServerState::Draining)]);
         history.served(10 * SECOND + 650 * MS, 9, SAFE);
         history.at(stalled_at, Event::Stalled { late: 200 * MS });
         history.findings()["drains_kept"].holds
@@ -377,7 +400,8 @@
         let mut setup = setup();
         setup.faults.retain(|_| fault.is_some());
         for drawn in &mut setup.faults {
-            (drawn.kind, drawn.victims) = (fault.expect("the fault was retained"), vec![End::ListService(0)]);
+            (drawn.kind, drawn.victims) =
+                (fault.expect("the fault was retained"), vec![End::DiscoveryService(0)]);
         }
         history.at(3 * MS, Event::Setup(Box::new(setup)));
         history.at(9 * SECOND, Event::AgentStateChanged { server: 0, state: ServerState::Draining });
@@ -388,7 +412,7 @@
         history.findings()["drains_kept"].holds
     };
     let late = 9 * SECOND + 600 * MS;
-    assert_eq!(holds(None, None, late), Some(false), "the gateway never requested the list");
+    assert_eq!(holds(None, None, late), Some(false), "the gateway never requested the servers");
     assert_eq!(holds(None, None, 9 * SECOND + 500 * MS), Some(true), "within the grace period");
     assert_eq!(
         holds(None, Some(9 * SECOND + 300 * MS), late),
--- a/testing/fault-injection/tests/stand_ins.rs
+++ b/testing/fault-injection/tests/stand_ins.rs
@@ -12,7 +12,7 @@
     Arrivals, ClientBehavior, ClientRequest, LoadBalancer, NextStep,
 };
 use marblecroft_fault_injection::stand_ins::counter::Counter;
-use marblecroft_fault_injection::stand_ins::list::List;
+use marblecroft_fault_injection::stand_ins::discovery::Discovery;
 use marblecroft_fault_injection::stand_ins::meter::Meter;
 use marblecroft_fault_injection::stand_ins::pay_server::{Action, PayServer, Receipt};
 use proptest::prelude::*;
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn the_list_returns_changes_since_a_version_or_else_the_complete_list() {
+fn discovery_returns_changes_since_a_version_or_else_all_servers() {
     let host = |id: &str, state| Host {
         id: id.to_owned(),
         addr: "127.100.100.100:80".parse().expect("an address"),
@@ -239,14 +239,14 @@
         weight: 1.0,
         started_ms: 0,
     };
-    let mut list = List::new(5);
-    list.set(0, host("a", State::Serving));
-    list.set(1, host("b", State::Serving));
-    let since = list.version();
+    let mut discovery = Discovery::new(5);
+    discovery.set(0, host("a", State::Serving));
+    discovery.set(1, host("b", State::Serving));
+    let since = discovery.version();
     let watch = |since| ListRequest::Watch { since, wait: Duration::ZERO };
-    assert!(list.respond(watch(since)).is_none());
-    list.set(1, host("b", State::Deleted));
-    let mut changes = list.respond(watch(since)).expect("a change");
+    assert!(discovery.respond(watch(since)).is_none());
+    discovery.set(1, host("b", State::Deleted));
+    let mut changes = discovery.respond(watch(since)).expect("a change");
     assert!(!changes.full);
     assert_eq!(changes.servers.iter().map(|(number, _)| *number).collect::<Vec<_>>(), [1]);
     let body = changes.body("127.101.100.103".parse().expect("an address")).expect("JSON");
@@ -254,9 +254,9 @@
         String::from_utf8_lossy(&body).contains("127.101.100.103:80"),
         "the address is the one for the reader"
     );
-    for request in [ListRequest::Full, watch(list.version() + 9)] {
-        let full_list = list.respond(request).expect("a list");
-        assert!(full_list.full && full_list.servers.len() == 1, "only changes contain deleted servers");
+    for request in [ListRequest::Full, watch(discovery.version() + 9)] {
+        let response = discovery.respond(request).expect("a response");
+        assert!(response.full && response.servers.len() == 1, "only changes contain deleted servers");
     }
 }
 
@@ -280,16 +280,17 @@
 
 #[test]
 fn cuts_have_directions_and_sides_and_end() {
-    let (g0, g1, pay, list) = (End::Gateway(0), End::Gateway(1), End::PayServer(0), End::ListService(0));
+    let (g0, g1, pay, discovery) =
+        (End::Gateway(0), End::Gateway(1), End::PayServer(0), End::DiscoveryService(0));
     let mut link_faults = LinkFaults::default();
     link_faults.begin(0, &fault(FaultKind::Cut, vec![pay], vec![g0], true));
     assert!(!link_faults.link_state(g0, pay).open && link_faults.link_state(pay, g0).open, "one way");
     assert!(!link_faults.can_connect(g0, pay), "a connection needs both directions");
-    assert!(link_faults.can_connect(g1, pay) && link_faults.can_connect(g0, list));
+    assert!(link_faults.can_connect(g1, pay) && link_faults.can_connect(g0, discovery));
     link_faults.begin(1, &fault(FaultKind::Cut, vec![g1], Vec::new(), false));
     assert!(
-        !link_faults.link_state(g1, list).open
-            && !link_faults.link_state(list, g1).open
+        !link_faults.link_state(g1, discovery).open
+            && !link_faults.link_state(discovery, g1).open
             && !link_faults.link_state(End::Clients, g1).open
     );
     link_faults.end(0);
