--- a/testing/fault-injection/src/checker/attempts.rs
+++ b/testing/fault-injection/src/checker/attempts.rs
@@ -79,7 +79,7 @@
         let received_state =
             self.gateways.get(&gateway).and_then(|gateway_state| gateway_state.states.get(&server)).copied();
         let received_state = self.effective_state(gateway, server, received_state);
-        if let Some((ServerState::Draining | ServerState::Gone, since)) = received_state {
+        if let Some((ServerState::Draining | ServerState::Removed, since)) = received_state {
             if at > since + DRAIN_GRACE + self.slack(at) {
                 self.broken("drains_kept", || {
                     format!(
--- a/testing/fault-injection/src/checker/discovery.rs
+++ b/testing/fault-injection/src/checker/discovery.rs
@@ -46,7 +46,7 @@
         let started = self.started.get(&gateway).copied().unwrap_or(0);
         let agent_state = agent_state.map(|(state, since)| (*state, (*since).max(started)));
         match (received_state, agent_state) {
-            (Some((ServerState::Draining | ServerState::Gone, received_at)), Some((_, since)))
+            (Some((ServerState::Draining | ServerState::Removed, received_at)), Some((_, since)))
                 if received_at <= since =>
             {
                 received_state
@@ -77,8 +77,8 @@
             // servers, so such a response does not count as removing them.
             if process_count == 0 || missing * 2 <= gateway_state.states.len() {
                 for (old, state) in &mut gateway_state.states {
-                    if !servers.iter().any(|(new, _)| new == old) && state.0 != ServerState::Gone {
-                        *state = (ServerState::Gone, at);
+                    if !servers.iter().any(|(new, _)| new == old) && state.0 != ServerState::Removed {
+                        *state = (ServerState::Removed, at);
                     }
                 }
             }
--- a/testing/fault-injection/src/checker/locks.rs
+++ b/testing/fault-injection/src/checker/locks.rs
@@ -14,10 +14,10 @@
 impl Checker {
     /// Checks a grant: its token must be higher than each token whose holder received it before this
     /// candidate sent its request.
-    pub(super) fn granted(&mut self, at: Nanos, candidate: u16, lock: u16, token: u64, asked: Nanos) {
+    pub(super) fn granted(&mut self, at: Nanos, candidate: u16, lock: u16, token: u64, requested_at: Nanos) {
         let owned = self.locks.entry(lock).or_default();
         let not_above = owned.grants.iter().find(|(received, who, other)| {
-            (*received < asked && *other > token) || (*other == token && *who != candidate)
+            (*received < requested_at && *other > token) || (*other == token && *who != candidate)
         });
         if let Some((received, who, other)) = not_above.copied() {
             self.broken("tokens_rise", || {
--- a/testing/fault-injection/src/checker/mod.rs
+++ b/testing/fault-injection/src/checker/mod.rs
@@ -180,8 +180,8 @@
                 (_, ProcessChange::Crashed) => self.crashes.push((*end, at)),
                 _ => {}
             },
-            Event::Granted { candidate, lock, token, asked } => {
-                self.granted(at, *candidate, *lock, *token, *asked)
+            Event::Granted { candidate, lock, token, requested_at } => {
+                self.granted(at, *candidate, *lock, *token, *requested_at)
             }
             Event::ActionStarted { candidate, lock, token } => self.acts(at, *candidate, *lock, *token),
             Event::Effect { lock, token, admitted: true, .. } => {
--- a/testing/fault-injection/src/checker/registers.rs
+++ b/testing/fault-injection/src/checker/registers.rs
@@ -48,8 +48,8 @@
         };
         let Some(watch) = watches.last_mut() else { return };
         let in_order = changes.windows(2).all(|pair| pair[0].0 < pair[1].0);
-        let behind = changes.iter().all(|(revision, ..)| *revision > since && *revision <= upto);
-        if since != watch.upto || upto < since || !in_order || !behind {
+        let in_range = changes.iter().all(|(revision, ..)| *revision > since && *revision <= upto);
+        if since != watch.upto || upto < since || !in_order || !in_range {
             self.broken("nothing_acknowledged_lost", || {
                 format!(
                     "candidates[{watcher}] watches from {since} and received changes up to {upto} out of order at {}",
@@ -74,9 +74,9 @@
             }
         }
         for (register, calls) in &by_register {
-            match linear::judge(calls) {
-                linear::Verdict::Linear => {}
-                linear::Verdict::Not => self.broken("nothing_acknowledged_lost", || {
+            match linear::check_linearizability(calls) {
+                linear::Verdict::Linearizable => {}
+                linear::Verdict::NotLinearizable => self.broken("nothing_acknowledged_lost", || {
                     format!("register-{register}: no order of its {} calls explains their results", calls.len())
                 }),
                 linear::Verdict::Undecided => self.broken("nothing_acknowledged_lost", || {
--- a/testing/fault-injection/src/compare.rs
+++ b/testing/fault-injection/src/compare.rs
@@ -3,7 +3,7 @@
 use crate::error::RecordingError;
 use crate::figures::Summary;
 use crate::harness::run::{HISTORY, SUMMARY};
-use crate::verdict::judge;
+use crate::verdict::check_run;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fs;
@@ -32,7 +32,7 @@
     let path = dir.join(SUMMARY);
     match fs::read(&path) {
         Ok(text) => serde_json::from_slice(&text).map_err(|error| RecordingError::Summary(path, error)),
-        Err(_) => Ok(judge(dir)?.0.summary),
+        Err(_) => Ok(check_run(dir)?.0.summary),
     }
 }
 
@@ -78,14 +78,14 @@
     names.dedup();
     let mut table = format!(
         "{:<38} {:>30} {:>30}\n",
-        "median (least to most)",
+        "median (min to max)",
         format!("{} runs", sides[0].len()),
         format!("{} runs", sides[1].len())
     );
     for name in names {
         let cell = |runs: &[BTreeMap<String, f64>]| match quantiles_over(runs, name) {
-            Some((least, median, most)) if least == most => format!("{median:.4}"),
-            Some((least, median, most)) => format!("{median:.4} ({least:.4} to {most:.4})"),
+            Some((min, median, max)) if min == max => format!("{median:.4}"),
+            Some((min, median, max)) => format!("{median:.4} ({min:.4} to {max:.4})"),
             None => "-".to_owned(),
         };
         table += &format!("{name:<38} {:>30} {:>30}\n", cell(&figures_of_runs[0]), cell(&figures_of_runs[1]));
--- a/testing/fault-injection/src/decisions.rs
+++ b/testing/fault-injection/src/decisions.rs
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct DecisionFigures {
     /// The share of attempts that went to a pay server of the gateway's own zone.
-    pub near_share: Option<f64>,
+    pub same_zone_share: Option<f64>,
     /// Time from the start of the first fault to the first decision that fails a zone over, in milliseconds.
     pub time_to_failover_ms: Option<u64>,
     /// Time from the end of the last fault to the first decision with all zones serving, in milliseconds.
@@ -126,7 +126,7 @@
                 self.published(at, DecisionKind::Shares, (*token, *revision));
             }
             Event::ShardMapDecided { token, revision, .. } => {
-                self.published(at, DecisionKind::Books, (*token, *revision));
+                self.published(at, DecisionKind::ShardMap, (*token, *revision));
             }
             Event::DecisionApplied { gateway, kind, token, revision } => {
                 let now = (*token, *revision);
@@ -167,7 +167,7 @@
             capacities.push((at, *units));
         }
         self.states = zones.iter().map(|(state, _)| *state).collect();
-        let out = self.states.contains(&ZoneState::Out);
+        let out = self.states.contains(&ZoneState::FailedOver);
         if out && self.first_fault_at.is_some() {
             self.failover_at.get_or_insert(at);
         }
@@ -210,8 +210,8 @@
             .iter()
             .filter_map(|((zone, second), sent)| {
                 let capacity = self.max_capacity(*zone, *second)?;
-                let most = capacity * (1.0 + SLACK_SHARE) + CHANCE_ROOTS * capacity.sqrt() + CHANCE_ROOTS;
-                (*sent as f64 > most).then_some((*zone, *second, *sent, capacity))
+                let max_sent = capacity * (1.0 + SLACK_SHARE) + CHANCE_ROOTS * capacity.sqrt() + CHANCE_ROOTS;
+                (*sent as f64 > max_sent).then_some((*zone, *second, *sent, capacity))
             })
             .collect();
         for (zone, second, sent, capacity) in over {
@@ -232,7 +232,7 @@
         let since = |to: Option<Nanos>, from: Option<Nanos>| Some(to?.saturating_sub(from?) / MS);
         let decides = controllers > 0;
         let figures = DecisionFigures {
-            near_share: (self.sends > 0 && self.zones() > 1)
+            same_zone_share: (self.sends > 0 && self.zones() > 1)
                 .then(|| self.same_zone as f64 / self.sends as f64),
             time_to_failover_ms: since(self.failover_at, self.first_fault_at),
             time_to_return_ms: since(self.return_at, self.last_fault_end),
--- a/testing/fault-injection/src/decisions/shards.rs
+++ b/testing/fault-injection/src/decisions/shards.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShardFigures {
     pub moves: Option<u64>,
-    pub move_pause_ms: Option<u64>,
+    pub max_move_downtime_ms: Option<u64>,
     pub late_writes_refused: Option<u64>,
 }
 
@@ -31,7 +31,7 @@
     /// By the first firm of a shard: since when it accepts no pay runs.
     closed_since: HashMap<u64, Nanos>,
     moves: u64,
-    longest_pause: Nanos,
+    max_downtime: Nanos,
     refused: u64,
     /// The cell and the firm of each accepted write, by attempt.
     writes: HashMap<u64, (u16, u64)>,
@@ -40,7 +40,7 @@
     requests: HashMap<Trace, u32>,
     unsafe_requests: HashSet<u32>,
     served: Vec<(Trace, u64)>,
-    holds: HashMap<Trace, Vec<u16>>,
+    write_locations: HashMap<Trace, Vec<u16>>,
     changed: Nanos,
     end: Nanos,
     wiped: bool,
@@ -100,7 +100,9 @@
                     self.served.push((*trace, *firm));
                 }
             }
-            Event::WriteLocations { trace, cells } => drop(self.holds.insert(*trace, cells.clone())),
+            Event::WriteLocations { trace, cells } => {
+                drop(self.write_locations.insert(*trace, cells.clone()))
+            }
             _ => {}
         }
     }
@@ -112,7 +114,7 @@
             let open = shard.step <= ShardStep::Planned;
             if open {
                 if let Some(since) = self.closed_since.remove(&shard.first) {
-                    self.longest_pause = self.longest_pause.max(at - since);
+                    self.max_downtime = self.max_downtime.max(at - since);
                     self.moves += 1;
                 }
             } else {
@@ -120,8 +122,9 @@
             }
             // From the step `Drained` on no write under an earlier epoch may take effect.
             let closed = shard.step >= ShardStep::Drained || (open && shard.epoch > 1);
-            let known = self.drained.range(..=shard.first).next_back().map_or(0, |(_, (epoch, _))| *epoch);
-            if closed && known < shard.epoch {
+            let required_epoch =
+                self.drained.range(..=shard.first).next_back().map_or(0, |(_, (epoch, _))| *epoch);
+            if closed && required_epoch < shard.epoch {
                 let after = self.drained.range(..end).next_back().map_or((0, 0), |(_, after)| *after);
                 self.drained.retain(|first, _| !(shard.first..end).contains(first));
                 self.drained.insert(shard.first, (shard.epoch, at));
@@ -149,20 +152,20 @@
             let served = std::mem::take(&mut self.served);
             for (trace, firm) in served {
                 let Some(shard) = self.shard(firm).copied() else { continue };
-                let held = self.holds.get(&trace).cloned().unwrap_or_default();
+                let locations = self.write_locations.get(&trace).cloned().unwrap_or_default();
                 // From the step `Copied` on the new cell has the data; before, the old one does.
-                let late = self.changed + END_GRACE > self.end && shard.step != ShardStep::Stable;
-                let there = if shard.step == ShardStep::Copied { shard.to } else { shard.cell };
-                if !late && !held.contains(&there) {
+                let in_progress = self.changed + END_GRACE > self.end && shard.step != ShardStep::Stable;
+                let expected_cell = if shard.step == ShardStep::Copied { shard.to } else { shard.cell };
+                if !in_progress && !locations.contains(&expected_cell) {
                     violations.add("nothing_lost_in_moves", || {
-                        format!("{trace:016x} of firm {firm} was acknowledged and is in cells {held:?}, not in {there}")
+                        format!("{trace:016x} of firm {firm} was acknowledged and is in cells {locations:?}, not in {expected_cell}")
                     });
                 }
             }
         }
         ShardFigures {
             moves: Some(self.moves),
-            move_pause_ms: (self.moves > 0).then_some(self.longest_pause / MS),
+            max_move_downtime_ms: (self.moves > 0).then_some(self.max_downtime / MS),
             late_writes_refused: Some(self.refused),
         }
     }
--- a/testing/fault-injection/src/decisions/shares.rs
+++ b/testing/fault-injection/src/decisions/shares.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShareFigures {
     pub share_error: Option<f64>,
-    pub time_to_shares_ms: Option<u64>,
+    pub time_to_fair_shares_ms: Option<u64>,
 }
 
 #[derive(Default)]
@@ -40,12 +40,12 @@
     traces: HashMap<Trace, u32>,
     arrived: HashSet<Trace>,
     /// Number of requests by second of the load and firm.
-    asked: Vec<Vec<f64>>,
+    requested: Vec<Vec<f64>>,
     /// Number of requests that were sent to pay servers, by second of the load and firm.
     sent: Vec<Vec<f64>>,
     /// The capacity that all firms together may use, and when it was decided.
     capacity: Vec<(Nanos, f64)>,
-    moved: Vec<Nanos>,
+    transitions: Vec<Nanos>,
     end: Nanos,
 }
 
@@ -58,14 +58,14 @@
         // A firm's weight is its price times its contracted rate, as in the gateways.
         let weight = |plan: &u8| setup.quotas.get(usize::from(*plan)).map_or(0.0, |q| q.price * q.rate);
         self.weights = setup.plans.iter().map(weight).collect();
-        self.moved.push(setup.load_from);
-        self.moved.extend(self.shift);
+        self.transitions.push(setup.load_from);
+        self.transitions.extend(self.shift);
     }
 
     fn second(&mut self, at: Nanos) -> Option<usize> {
         let second = usize::try_from(at.checked_sub(self.from).filter(|_| at < self.end)? / SECOND).ok()?;
         let n = self.weights.len();
-        for all in [&mut self.asked, &mut self.sent] {
+        for all in [&mut self.requested, &mut self.sent] {
             if all.len() <= second {
                 all.resize(second + 1, vec![0.0; n]);
             }
@@ -82,7 +82,7 @@
             Event::RequestStarted { request, customer, .. } => {
                 self.customers.insert(*request, *customer);
                 if let Some(second) = self.second(at) {
-                    self.asked[second][*customer as usize] += 1.0;
+                    self.requested[second][*customer as usize] += 1.0;
                 }
             }
             Event::AttemptStarted { request, trace, .. } => {
@@ -97,7 +97,7 @@
                 }
             }
             Event::SharesDecided { capacity, .. } => self.capacity.push((at, *capacity)),
-            Event::FaultBegan { .. } | Event::FaultEnded { .. } => self.moved.push(at),
+            Event::FaultBegan { .. } | Event::FaultEnded { .. } => self.transitions.push(at),
             _ => {}
         }
     }
@@ -130,31 +130,31 @@
             // A decision from before the load applies to the first windows; windows without a decision are
             // skipped.
             let Some(capacity) = self.capacity_in(from, to) else { continue };
-            let asked = ShareChecker::sums(&self.asked[second..second + WINDOW_SECONDS]);
+            let requested = ShareChecker::sums(&self.requested[second..second + WINDOW_SECONDS]);
             let sent = ShareChecker::sums(&self.sent[second..second + WINDOW_SECONDS]);
             let sum: f64 = sent.iter().sum();
-            let most = capacity * (1.0 + SLACK_SHARE) * (seconds + 1.0);
-            let calm = self.moved.iter().all(|moved| to <= *moved || from >= *moved + TRANSITION);
-            if sum > most + CHANCE_ROOTS * most.sqrt() {
+            let max_sum = capacity * (1.0 + SLACK_SHARE) * (seconds + 1.0);
+            let is_steady = self.transitions.iter().all(|start| to <= *start || from >= *start + TRANSITION);
+            if sum > max_sum + CHANCE_ROOTS * max_sum.sqrt() {
                 violations.add("shares_within_capacity", || {
                     format!("{sum} were sent on in the {WINDOW_SECONDS} s from second {second}, and all firms may send {capacity:.1} a second")
                 });
             }
-            let firms: Vec<Firm> = asked
+            let firms: Vec<Firm> = requested
                 .iter()
                 .zip(&self.weights)
                 .map(|(demand, weight)| Firm { demand: *demand, weight: *weight })
                 .collect();
             let exact = max_min_shares(&firms, capacity * seconds);
-            let far = |(sent, exact): (&f64, &f64)| (sent - exact).abs() / (capacity * seconds);
-            let error = sent.iter().zip(&exact).map(far).fold(0.0, f64::max);
-            if calm {
+            let deviation = |(sent, exact): (&f64, &f64)| (sent - exact).abs() / (capacity * seconds);
+            let error = sent.iter().zip(&exact).map(deviation).fold(0.0, f64::max);
+            if is_steady {
                 errors.push(error);
                 for (firm, (sent, firm_demand)) in sent.iter().zip(&firms).enumerate() {
-                    let least = firm_demand.demand.min(capacity * seconds * firm_demand.weight / all);
-                    if *sent < FLOOR_SHARE * least - CHANCE_ROOTS * least.sqrt() - 1.0 {
+                    let min_share = firm_demand.demand.min(capacity * seconds * firm_demand.weight / all);
+                    if *sent < FLOOR_SHARE * min_share - CHANCE_ROOTS * min_share.sqrt() - 1.0 {
                         violations.add("share_floor", || {
-                            format!("firm {firm} had {sent} sent on in the {WINDOW_SECONDS} s from second {second}, and its minimum share is {least:.1}")
+                            format!("firm {firm} had {sent} sent on in the {WINDOW_SECONDS} s from second {second}, and its minimum share is {min_share:.1}")
                         });
                     }
                 }
@@ -167,7 +167,7 @@
         errors.sort_by(f64::total_cmp);
         ShareFigures {
             share_error: errors.get(errors.len() / 2).copied(),
-            time_to_shares_ms: settled.zip(self.shift).map(|(at, shift)| (at - shift) / MS),
+            time_to_fair_shares_ms: settled.zip(self.shift).map(|(at, shift)| (at - shift) / MS),
         }
     }
 }
--- a/testing/fault-injection/src/deployment.rs
+++ b/testing/fault-injection/src/deployment.rs
@@ -262,8 +262,8 @@
                 x if x < 0.91 => rng.random_range(0.8..0.95),
                 _ => rng.random_range(1.5..3.0),
             };
-            let most = if gateways <= 4 { 4 } else { 9 };
-            let size = rng.random_range(2..=most).min(gateways);
+            let max_size = if gateways <= 4 { 4 } else { 9 };
+            let size = rng.random_range(2..=max_size).min(gateways);
             let weight = use_of_quota * site.plans[plan].rate;
             customers.push(Customer {
                 id: rng.random_range(0..1u64 << 33),
@@ -327,8 +327,8 @@
             let greedy = i < tenants.greedy as usize;
             let demand =
                 weight(i) / all * if greedy { GREEDY_DEMAND_FACTOR } else { rng.random_range(0.3..1.5) };
-            let most = if gateways <= 4 { 4 } else { 9 };
-            let size = rng.random_range(2..=most).min(gateways);
+            let max_size = if gateways <= 4 { 4 } else { 9 };
+            let size = rng.random_range(2..=max_size).min(gateways);
             Customer {
                 id: rng.random_range(0..1u64 << 33),
                 plan: plans.iter().position(|plan| *plan == weight(i)).unwrap_or(0),
--- a/testing/fault-injection/src/figures.rs
+++ b/testing/fault-injection/src/figures.rs
@@ -82,7 +82,8 @@
     /// Latency by quantile, in milliseconds.
     pub latency_ms: BTreeMap<String, f64>,
     /// The share of attempts that went to a pay server of the gateway's own zone.
-    pub near_share: Option<f64>,
+    #[serde(rename = "near_share")]
+    pub same_zone_share: Option<f64>,
     /// Time from the start of the first fault to the first decision that fails a zone over, in milliseconds.
     pub time_to_failover_ms: Option<u64>,
     /// Time from the end of the last fault to the first decision with all zones serving, in milliseconds.
@@ -93,11 +94,13 @@
     /// the median over all windows outside transitions.
     pub share_error: Option<f64>,
     /// Time from the shift of demand until that deviation is within 5%, in milliseconds.
-    pub time_to_shares_ms: Option<u64>,
+    #[serde(rename = "time_to_shares_ms")]
+    pub time_to_fair_shares_ms: Option<u64>,
     /// Number of completed shard migrations.
     pub moves: Option<u64>,
     /// Longest time for which a shard accepted no writes, in milliseconds.
-    pub move_pause_ms: Option<u64>,
+    #[serde(rename = "move_pause_ms")]
+    pub max_move_downtime_ms: Option<u64>,
     /// Number of writes that cells rejected because of their epoch.
     pub late_writes_refused: Option<u64>,
     /// Figures of the harness itself.
@@ -113,9 +116,11 @@
     /// 99.9% quantile of the delay with which requests were sent, in milliseconds.
     pub late_p999_ms: f64,
     /// Maximum delay with which requests were sent, in milliseconds.
-    pub late_most_ms: f64,
+    #[serde(rename = "late_most_ms")]
+    pub max_late_ms: f64,
     /// Highest share of a second for which the harness' only thread was busy.
-    pub busy_most: f64,
+    #[serde(rename = "busy_most")]
+    pub max_busy_share: f64,
     /// Processor time of the harness, in seconds.
     #[serde(rename = "lab_cpu_s")]
     pub harness_cpu_s: f64,
@@ -174,7 +179,7 @@
     /// Last trace ids of the unsafe requests that ended without an answer.
     unsafe_lost: Vec<Trace>,
     last_client_attempt: HashMap<u32, Trace>,
-    good_answers: Vec<Nanos>,
+    good_responses: Vec<Nanos>,
     seconds: Vec<Second>,
     fault_starts: Vec<(u16, Nanos)>,
     fault_ends: Vec<(u16, Nanos)>,
@@ -263,7 +268,8 @@
             Event::FaultBegan { fault } => self.fault_began(at, *fault),
             Event::FaultEnded { fault } => self.fault_ends.push((*fault, at)),
             Event::HarnessCpu { cpu } if self.setup.is_some() => {
-                self.harness.busy_most = self.harness.busy_most.max(round(*cpu as f64 / SECOND as f64));
+                self.harness.max_busy_share =
+                    self.harness.max_busy_share.max(round(*cpu as f64 / SECOND as f64));
             }
             Event::Finished { harness_cpu, fleet_cpu } => {
                 let s = |nanos: Nanos| nanos as f64 / SECOND as f64;
@@ -284,10 +290,10 @@
     }
 
     fn request_ended(&mut self, at: Nanos, request: u32, outcome: Outcome) {
-        let Some((asked, class)) = self.requests.remove(&request) else { return };
+        let Some((started_at, class)) = self.requests.remove(&request) else { return };
         let last = self.last_client_attempt.remove(&request);
-        let aim = self.setup.as_ref().map_or(0, |setup| setup.latency_target);
-        let latency = at - asked;
+        let latency_target = self.setup.as_ref().map_or(0, |setup| setup.latency_target);
+        let latency = at - started_at;
         let category = match outcome {
             Outcome::Served { .. } => 0,
             Outcome::Refused => 1,
@@ -303,13 +309,13 @@
         }
         if category == 0 {
             self.latency.iter_mut().for_each(|h| h.saturating_record((latency / 1000).max(1)));
-            if latency <= aim {
-                self.good_answers.push(at);
+            if latency <= latency_target {
+                self.good_responses.push(at);
             }
         }
         if let Some(second) = self.second(at) {
             match category {
-                0 if latency <= aim => second.good += 1,
+                0 if latency <= latency_target => second.good += 1,
                 0 => second.late += 1,
                 1 => second.refused += 1,
                 2 | 3 => second.failed += 1,
@@ -362,8 +368,8 @@
     /// Returns the answers within the latency target a second, between two instants; `None` if they are less
     /// than a second apart.
     fn goodput(&self, from: Nanos, to: Nanos) -> Option<f64> {
-        let count = self.good_answers.partition_point(|at| *at < to)
-            - self.good_answers.partition_point(|at| *at < from);
+        let count = self.good_responses.partition_point(|at| *at < to)
+            - self.good_responses.partition_point(|at| *at < from);
         (to >= from + SECOND).then(|| count as f64 * SECOND as f64 / (to - from) as f64)
     }
 
@@ -374,7 +380,7 @@
         decisions: &DecisionFigures,
     ) -> Option<Summary> {
         let setup = self.setup.clone()?;
-        self.good_answers.sort_unstable();
+        self.good_responses.sort_unstable();
         let (from, to) = (setup.load_from, setup.load_from + setup.duration);
         let first = self.fault_starts.iter().map(|(_, at)| *at).min();
         let over = self.fault_ends.iter().map(|(_, at)| *at).max();
@@ -384,11 +390,11 @@
         let full = over.zip(before).and_then(|(over, before)| {
             let windows =
                 (0..).map(|i| over + i * FULL_SERVICE_STEP).take_while(|at| at + FULL_SERVICE_WINDOW <= to);
-            let mut whole = windows.filter(|at| {
+            let mut full_windows = windows.filter(|at| {
                 self.goodput(*at, at + FULL_SERVICE_WINDOW)
                     .is_some_and(|goodput| goodput >= FULL_SERVICE_SHARE * before)
             });
-            whole.next().map(|at| (at - over) / MS)
+            full_windows.next().map(|at| (at - over) / MS)
         });
         let steady_seconds = usize::try_from((steady_to - from) / SECOND).unwrap_or(0);
         let peaks = CALLS.iter().map(|name| {
@@ -398,8 +404,11 @@
                 .take((setup.duration / SECOND) as usize)
                 .map(|second| second.calls.get(name).copied().unwrap_or(0) as f64)
                 .collect();
-            let calm = rates.get(1..steady_seconds).filter(|calm| !calm.is_empty()).unwrap_or(&rates);
-            let steady = calm.iter().sum::<f64>() / calm.len().max(1) as f64;
+            let steady_rates = rates
+                .get(1..steady_seconds)
+                .filter(|steady_rates| !steady_rates.is_empty())
+                .unwrap_or(&rates);
+            let steady = steady_rates.iter().sum::<f64>() / steady_rates.len().max(1) as f64;
             let later =
                 if first.is_some() { rates.get(steady_seconds..).unwrap_or_default() } else { &rates };
             let highest = later.iter().copied().fold(0.0, f64::max);
@@ -415,7 +424,7 @@
         let latency_ms =
             latency_ms.iter().map(|(name, q)| ((*name).to_owned(), quantiles(&self.latency, *q))).collect();
         self.harness.late_p999_ms = quantiles(&self.lateness, 0.999);
-        self.harness.late_most_ms = quantiles(&self.lateness, 1.0);
+        self.harness.max_late_ms = quantiles(&self.lateness, 1.0);
         let requests = self.counts.iter().sum::<u64>() + self.requests.len() as u64;
         Some(Summary {
             scenario: setup.scenario.clone(),
@@ -443,14 +452,14 @@
             owner_gap_ms: self.owner_gap.map(|gap| gap / MS),
             late_effects: self.late_effects,
             latency_ms,
-            near_share: decisions.near_share.map(round),
+            same_zone_share: decisions.same_zone_share.map(round),
             time_to_failover_ms: decisions.time_to_failover_ms,
             time_to_return_ms: decisions.time_to_return_ms,
             late_decisions_refused: decisions.late_decisions_refused,
             share_error: decisions.shares.share_error.map(round),
-            time_to_shares_ms: decisions.shares.time_to_shares_ms,
+            time_to_fair_shares_ms: decisions.shares.time_to_fair_shares_ms,
             moves: decisions.shards.moves,
-            move_pause_ms: decisions.shards.move_pause_ms,
+            max_move_downtime_ms: decisions.shards.max_move_downtime_ms,
             late_writes_refused: decisions.shards.late_writes_refused,
             harness: self.harness.clone(),
         })
--- a/testing/fault-injection/src/follow.rs
+++ b/testing/fault-injection/src/follow.rs
@@ -29,9 +29,11 @@
         let source =
             entry.path().file_stem().map_or_else(String::new, |stem| stem.to_string_lossy().into_owned());
         let file = File::open(entry.path()).map_err(|error| RecordingError::File(entry.path(), error))?;
-        let log_line =
-            BufReader::new(file).lines().map_while(Result::ok).filter_map(|line| log_line(&line, trace));
-        lines.extend(log_line.map(|(at, what)| (at, source.clone(), what)));
+        let entries = BufReader::new(file)
+            .lines()
+            .map_while(Result::ok)
+            .filter_map(|line| parse_log_line(&line, trace));
+        lines.extend(entries.map(|(at, what)| (at, source.clone(), what)));
     }
     lines.sort();
     let begin = lines.first().map_or(UNIX_EPOCH, |(at, ..)| *at);
@@ -42,10 +44,10 @@
         .collect())
 }
 
-type Line = (SystemTime, String, String);
+type LogEntry = (SystemTime, String, String);
 
 /// Returns the lines on the recorded events of a request.
-fn events_of(path: &Path, trace: Trace) -> Result<Vec<Line>, RecordingError> {
+fn events_of(path: &Path, trace: Trace) -> Result<Vec<LogEntry>, RecordingError> {
     let (mut origin, mut lines, mut attempts) = (UNIX_EPOCH, Vec::new(), HashSet::new());
     Reader::open(path)?
         .each(|at| {
@@ -81,13 +83,13 @@
             }
         })
         .map_err(|damage| RecordingError::Damaged(path.to_owned(), damage))?;
-    let placed =
+    let entries =
         lines.into_iter().map(|(at, source, what)| (origin + Duration::from_nanos(at), source, what));
-    Ok(placed.collect())
+    Ok(entries.collect())
 }
 
 /// Returns the time and the text of a log line if it is about the request.
-fn log_line(line: &str, trace: Trace) -> Option<(SystemTime, String)> {
+fn parse_log_line(line: &str, trace: Trace) -> Option<(SystemTime, String)> {
     let fields: Value = serde_json::from_str(line).ok()?;
     let of = Trace::from_str_radix(fields.get("trace")?.as_str()?, 16).ok()?;
     let at = humantime::parse_rfc3339(fields.get("timestamp")?.as_str()?).ok()?;
--- a/testing/fault-injection/src/harness/candidates.rs
+++ b/testing/fault-injection/src/harness/candidates.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Interval between the actions of a lock owner. Each pause is drawn between half and twice of it.
+/// Interval between the actions of a lock owner. Each interval is drawn between half and twice of it.
 const ACTION_INTERVAL: Nanos = 20 * MS;
 /// Probability that an owner releases its lock after an action.
 const RELEASE_PROBABILITY: f64 = 0.004;
@@ -92,7 +92,7 @@
     /// Acts under a lock until it is no longer valid or is released.
     async fn act_while_held(&self, candidate: u16, lock: u16, requested_at: Nanos, held: Lock) {
         let token = held.token();
-        self.context.record(Event::Granted { candidate, lock, token, asked: requested_at });
+        self.context.record(Event::Granted { candidate, lock, token, requested_at });
         self.owners.borrow_mut().insert(lock, candidate);
         let mut rng = random_stream(self.context.seed ^ token, RandomStream::Candidates);
         while let Some(token) = held.valid_token() {
--- a/testing/fault-injection/src/harness/cells.rs
+++ b/testing/fault-injection/src/harness/cells.rs
@@ -140,7 +140,7 @@
 
     /// Returns the cells that hold a write.
     pub fn cells_with(&self, firm: Firm, trace: Trace) -> Vec<u16> {
-        let holds = |cell: &RefCell<Cell>| cell.borrow().holds(firm, trace);
-        (0..).zip(&self.cells).filter(|(_, cell)| holds(cell)).map(|(number, _)| number).collect()
+        let contains = |cell: &RefCell<Cell>| cell.borrow().contains(firm, trace);
+        (0..).zip(&self.cells).filter(|(_, cell)| contains(cell)).map(|(number, _)| number).collect()
     }
 }
--- a/testing/fault-injection/src/harness/discovery.rs
+++ b/testing/fault-injection/src/harness/discovery.rs
@@ -248,12 +248,12 @@
 /// that they are never answered.
 fn drop_while_suspended(context: Rc<RunContext>) -> Tap {
     let mut dropping = false;
-    Box::new(move |piece| {
+    Box::new(move |chunk| {
         dropping |= DiscoveryStandIn::is_suspended(&context);
         if dropping {
             Bytes::new()
         } else {
-            piece
+            chunk
         }
     })
 }
@@ -355,11 +355,11 @@
 fn tap_http_messages(mut inspect: impl FnMut(&str, &mut [u8]) + 'static) -> Tap {
     let mut received = BytesMut::new();
     let mut unreadable = false;
-    Box::new(move |piece| {
+    Box::new(move |chunk| {
         if unreadable {
-            return piece;
+            return chunk;
         }
-        received.extend_from_slice(&piece);
+        received.extend_from_slice(&chunk);
         let mut passed_on = BytesMut::new();
         loop {
             match message_extent(&received) {
--- a/testing/fault-injection/src/harness/pay_servers.rs
+++ b/testing/fault-injection/src/harness/pay_servers.rs
@@ -174,10 +174,10 @@
     }
 
     /// Suspends or resumes the process; its operating system still accepts connections.
-    pub fn pause(&self, paused: bool) {
+    pub fn set_suspended(&self, suspended: bool) {
         let mut actions = Vec::new();
-        self.core.borrow_mut().pause(self.context.now(), paused, &mut actions);
-        self.context.change_link_faults(|rules| rules.set_suspended(self.end(), paused));
+        self.core.borrow_mut().set_suspended(self.context.now(), suspended, &mut actions);
+        self.context.change_link_faults(|rules| rules.set_suspended(self.end(), suspended));
         self.perform(actions);
     }
 
--- a/testing/fault-injection/src/harness/process.rs
+++ b/testing/fault-injection/src/harness/process.rs
@@ -192,7 +192,7 @@
             let kind = match kind {
                 "zones" => DecisionKind::Zones,
                 "shares" => DecisionKind::Shares,
-                "books" => DecisionKind::Books,
+                "books" => DecisionKind::ShardMap,
                 _ => return None,
             };
             let (token, revision) = stamp.split_once('.')?;
@@ -257,10 +257,10 @@
     }
 
     /// Suspends or resumes the process.
-    pub fn pause(&self, paused: bool) {
-        if self.suspended.replace(paused) != paused && self.is_running() {
-            self.signal(if paused { Signal::STOP } else { Signal::CONT });
-            self.record(if paused { ProcessChange::Stopped } else { ProcessChange::Continued });
+    pub fn set_suspended(&self, suspended: bool) {
+        if self.suspended.replace(suspended) != suspended && self.is_running() {
+            self.signal(if suspended { Signal::STOP } else { Signal::CONT });
+            self.record(if suspended { ProcessChange::Stopped } else { ProcessChange::Continued });
         }
     }
 
--- a/testing/fault-injection/src/harness/registers.rs
+++ b/testing/fault-injection/src/harness/registers.rs
@@ -78,8 +78,8 @@
             CallResult::NoEffect | CallResult::Unknown => {}
         }
         context.record(Event::CallReturned { call, result });
-        let pause = registers.every_ms * MS;
-        context.sleep_until(context.now() + rng.random_range(pause / 2..=pause * 3 / 2)).await;
+        let interval = registers.every_ms * MS;
+        context.sleep_until(context.now() + rng.random_range(interval / 2..=interval * 3 / 2)).await;
     }
 }
 
--- a/testing/fault-injection/src/harness/run/controllers.rs
+++ b/testing/fault-injection/src/harness/run/controllers.rs
@@ -145,13 +145,17 @@
         let cells: Vec<u32> = (0..self.context.scenario.fleet.cells).collect();
         let initial_map = ShardMap::even(shard_settings.count as usize, &cells);
         let mut moves = shard_settings.moves.clone();
-        moves.sort_by_key(|moved| moved.at_ms);
-        for moved in moves {
-            self.context.sleep_until(load_from + moved.at_ms * MS).await;
-            let Some(shard) = initial_map.shards.get(moved.shard as usize) else { continue };
+        moves.sort_by_key(|requested_move| requested_move.at_ms);
+        for requested_move in moves {
+            self.context.sleep_until(load_from + requested_move.at_ms * MS).await;
+            let Some(shard) = initial_map.shards.get(requested_move.shard as usize) else { continue };
             let key = Keys::of(FLEET).shard_override(&shard.first.to_string());
-            let put =
-                Op::Put { key, value: encode_value(&moved.to_cell), expect: None, owner: Owner::Nobody };
+            let put = Op::Put {
+                key,
+                value: encode_value(&requested_move.to_cell),
+                expect: None,
+                owner: Owner::Nobody,
+            };
             let client = client.clone();
             spawn_local(async move { drop(client.call(put, Duration::from_secs(20)).await) });
         }
@@ -196,8 +200,8 @@
     match state {
         DecidedState::Serving => ZoneState::Serving,
         DecidedState::Suspect => ZoneState::Suspect,
-        DecidedState::FailedOver => ZoneState::Out,
+        DecidedState::FailedOver => ZoneState::FailedOver,
         DecidedState::Returning => ZoneState::Returning,
-        DecidedState::HeldByOperator => ZoneState::HeldOut,
+        DecidedState::HeldByOperator => ZoneState::HeldByOperator,
     }
 }
--- a/testing/fault-injection/src/harness/run/faults.rs
+++ b/testing/fault-injection/src/harness/run/faults.rs
@@ -73,7 +73,7 @@
     fn fault_pay_server(self: &Rc<Self>, number: u16, fault: &DrawnFault) {
         let server = &self.servers[usize::from(number)];
         match fault.kind {
-            FaultKind::Stop => server.pause(true),
+            FaultKind::Stop => server.set_suspended(true),
             FaultKind::Term => {
                 server.drain();
                 spawn_local(self.clone().remove_after_drain(number, fault.until.is_none()));
@@ -125,7 +125,7 @@
 
     fn fault_process(&self, process: &Rc<Process>, kind: FaultKind) {
         match kind {
-            FaultKind::Stop => process.pause(true),
+            FaultKind::Stop => process.set_suspended(true),
             FaultKind::Term => process.terminate(),
             FaultKind::FullDisk => {
                 process.expect_end(matches!(process.end, End::Coordinator(_)));
@@ -169,7 +169,7 @@
     fn recover_pay_server(self: &Rc<Self>, number: u16, kind: FaultKind) {
         let server = &self.servers[usize::from(number)];
         if kind == FaultKind::Stop {
-            server.pause(false);
+            server.set_suspended(false);
             return;
         }
         server.kill();
@@ -181,7 +181,7 @@
     async fn recover_process(&self, process: &Rc<Process>, kind: FaultKind) -> Result<(), RunError> {
         match kind {
             FaultKind::Stop => {
-                process.pause(false);
+                process.set_suspended(false);
                 Ok(())
             }
             // A coordinator that cannot write to its disk exits; its supervisor restarts it.
--- a/testing/fault-injection/src/history.rs
+++ b/testing/fault-injection/src/history.rs
@@ -136,7 +136,7 @@
     /// The server is draining.
     Draining,
     /// The server has been removed.
-    Gone,
+    Removed,
 }
 
 /// State of a zone in a decision.
@@ -147,11 +147,11 @@
     /// The zone may have failed.
     Suspect,
     /// The zone has failed over.
-    Out,
+    FailedOver,
     /// The zone's traffic is being ramped up after a failover.
     Returning,
     /// An operator keeps the zone out of service.
-    HeldOut,
+    HeldByOperator,
 }
 
 /// Step of a shard's migration in a shard map.
@@ -192,7 +192,7 @@
     /// Fair shares.
     Shares,
     /// The shard map.
-    Books,
+    ShardMap,
 }
 
 /// Result of a call on a register of the coordination service.
@@ -375,7 +375,7 @@
         /// The fencing token.
         token: u64,
         /// When the candidate requested the lock.
-        asked: Nanos,
+        requested_at: Nanos,
     },
     /// A candidate has verified by its own clock that it still holds a lock, and is about to act under it.
     ActionStarted {
--- a/testing/fault-injection/src/linear.rs
+++ b/testing/fault-injection/src/linear.rs
@@ -55,9 +55,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The history is linearizable.
-    Linear,
+    Linearizable,
     /// No order of the calls explains the results.
-    Not,
+    NotLinearizable,
     /// The search found no such order within its limit of steps, or the history is malformed.
     Undecided,
 }
@@ -136,7 +136,7 @@
 }
 
 /// Checks the calls on one register that initially has no value.
-pub fn judge(calls: &[Call]) -> Verdict {
+pub fn check_linearizability(calls: &[Call]) -> Verdict {
     // The search recurses once for each call; the default stack of a thread is too small for long histories.
     let calls = calls.to_vec();
     let search = std::thread::Builder::new().stack_size(STACK).spawn(move || search(&calls));
@@ -187,8 +187,8 @@
         }
     }
     match tester.is_consistent() {
-        true => Verdict::Linear,
+        true => Verdict::Linearizable,
         false if steps.get() > MAX_SEARCH_STEPS => Verdict::Undecided,
-        false => Verdict::Not,
+        false => Verdict::NotLinearizable,
     }
 }
--- a/testing/fault-injection/src/main.rs
+++ b/testing/fault-injection/src/main.rs
@@ -8,7 +8,7 @@
 use marblecroft_fault_injection::harness::process::exec_program;
 use marblecroft_fault_injection::harness::run::{default_dir, run, RunSpec, SUMMARY};
 use marblecroft_fault_injection::scenario::{Scenario, ScenarioError};
-use marblecroft_fault_injection::verdict::{judge, Verdict};
+use marblecroft_fault_injection::verdict::{check_run, Verdict};
 use marblecroft_fault_injection::{compare, draw, report};
 use quick_error::quick_error;
 use std::ffi::OsString;
@@ -64,8 +64,8 @@
     /// Writes DIR/report.html, a self-contained page
     Report { dir: PathBuf },
     /// Becomes one of the fleet's processes; used by the harness itself
-    #[command(hide = true)]
-    Hold { parent: i32, program: OsString, args: Vec<OsString> },
+    #[command(name = "hold", hide = true)]
+    Exec { parent: i32, program: OsString, args: Vec<OsString> },
     /// Compares two runs, or two folders of runs
     Compare { one: PathBuf, other: PathBuf },
 }
@@ -175,14 +175,14 @@
             Ok(EXIT_HOLDS)
         }
         Command::Check { dir, json, trace: None } => {
-            let (verdict, _) = judge(&dir)?;
+            let (verdict, _) = check_run(&dir)?;
             Ok(print_verdict(&verdict, json))
         }
         Command::Report { dir } => {
             write_report(&dir)?;
             Ok(EXIT_HOLDS)
         }
-        Command::Hold { parent, program, args } => {
+        Command::Exec { parent, program, args } => {
             let error = exec_program(parent, &program, &args);
             Err(CommandError::Output(PathBuf::from(program), error))
         }
@@ -215,7 +215,7 @@
     tracing_subscriber::fmt().json().with_writer(log).init();
     let harness = std::env::current_exe().map_err(failed)?;
     run(&RunSpec { name: name.to_owned(), text, seed, dir: dir.clone(), harness })?;
-    let (verdict, _) = judge(&dir).map_err(CommandError::Verdict)?;
+    let (verdict, _) = check_run(&dir).map_err(CommandError::Verdict)?;
     let path = dir.join(SUMMARY);
     fs::write(&path, serde_json::to_vec_pretty(&verdict.summary)?)
         .map_err(|error| CommandError::Output(path, error))?;
@@ -236,7 +236,7 @@
 }
 
 fn write_report(dir: &Path) -> Result<(), CommandError> {
-    let (verdict, figures) = judge(dir)?;
+    let (verdict, figures) = check_run(dir)?;
     let page = report::page(&verdict, &figures).map_err(CommandError::Verdict)?;
     let path = dir.join("report.html");
     fs::write(&path, page).map_err(|error| CommandError::Output(path.clone(), error))?;
--- a/testing/fault-injection/src/report.rs
+++ b/testing/fault-injection/src/report.rs
@@ -19,11 +19,11 @@
     RGBColor(204, 121, 167),
     RGBColor(86, 180, 233),
 ];
-/// Factor by which the time axis is extended, so that the legend covers no line.
+/// Factor by which the time axis is extended, so that the legend covers no curve.
 const LEGEND_FACTOR: f64 = 1.14;
 const FAULT_COLOUR: RGBColor = RGBColor(190, 30, 45);
 
-struct Line {
+struct Series {
     name: String,
     points: Vec<(f64, f64)>,
 }
@@ -38,7 +38,7 @@
     let setup = figures.setup().ok_or_else(no_setup)?;
     let length = setup.duration / SECOND;
     let seconds = &figures.seconds()[..figures.seconds().len().min(length as usize)];
-    let of = |name: &str, value: &dyn Fn(&Second) -> Option<f64>| Line {
+    let series = |name: &str, value: &dyn Fn(&Second) -> Option<f64>| Series {
         name: name.to_owned(),
         points: seconds
             .iter()
@@ -48,27 +48,28 @@
     };
     let count = |value: fn(&Second) -> u64| move |second: &Second| Some(value(second) as f64);
     let outcomes = [
-        of("good", &count(|s| s.good)),
-        of("late", &count(|s| s.late)),
-        of("refused", &count(|s| s.refused)),
-        of("failed", &count(|s| s.failed)),
-        of("lost", &count(|s| s.lost)),
+        series("good", &count(|s| s.good)),
+        series("late", &count(|s| s.late)),
+        series("refused", &count(|s| s.refused)),
+        series("failed", &count(|s| s.failed)),
+        series("lost", &count(|s| s.lost)),
     ];
     let latencies =
-        [("50%", 0.5), ("90%", 0.9), ("99%", 0.99)].map(|(name, share)| of(name, &|s| s.latency(share)));
-    let calls: Vec<Line> = ["tries", "attempts", "connections", "list_calls", "probes", "renewals", "counts"]
-        .into_iter()
-        .map(|name| of(name, &|s| Some(s.calls.get(name).copied().unwrap_or(0) as f64)))
-        .filter(|line| line.points.iter().any(|(_, rate)| *rate > 0.0))
-        .collect();
+        [("50%", 0.5), ("90%", 0.9), ("99%", 0.99)].map(|(name, share)| series(name, &|s| s.latency(share)));
+    let calls: Vec<Series> =
+        ["tries", "attempts", "connections", "list_calls", "probes", "renewals", "counts"]
+            .into_iter()
+            .map(|name| series(name, &|s| Some(s.calls.get(name).copied().unwrap_or(0) as f64)))
+            .filter(|series| series.points.iter().any(|(_, rate)| *rate > 0.0))
+            .collect();
     let marks = figures.marks();
     let length = length as f64;
     let plots = [
-        ("Requests that ended, a second", plot("a second", length, &outcomes, &marks)?),
+        ("Requests that ended, per second", plot("per second", length, &outcomes, &marks)?),
         ("Latency of served requests, in ms", plot("ms", length, &latencies, &marks)?),
         (
-            "Tries by clients, and calls by gateways and servers, a second",
-            plot("a second", length, &calls, &marks)?,
+            "Attempts by clients, and calls by gateways and servers, per second",
+            plot("per second", length, &calls, &marks)?,
         ),
     ];
     let mut page = String::from(HEAD);
@@ -94,10 +95,10 @@
         rate(s.goodput_before),
         rate(s.goodput_after)
     );
-    page += "<h2>Faults</h2><table><tr><th>number<th>what<th>whom<th>from, in s<th>to, in s</tr>";
+    page += "<h2>Faults</h2><table><tr><th>number<th>kind<th>targets<th>start, in s<th>end, in s</tr>";
     for (number, from, to) in &marks {
         let Some(fault) = setup.faults.get(usize::from(*number)) else { continue };
-        let to = to.map_or("for good".to_owned(), |to| format!("{to:.2}"));
+        let to = to.map_or("permanent".to_owned(), |to| format!("{to:.2}"));
         let _ = write!(
             page,
             "<tr><td>{number}<td>{:?}<td>{}<td>{from:.2}<td>{to}</tr>",
@@ -109,7 +110,7 @@
     for (title, svg) in plots {
         let _ = write!(page, "<h2>{title}</h2>{svg}");
     }
-    page += "<h2>Invariants</h2><table><tr><th>invariant<th>verdict<th>why, or the first cases</tr>";
+    page += "<h2>Invariants</h2><table><tr><th>invariant<th>verdict<th>reason, or the first cases</tr>";
     for (name, finding) in &verdict.findings {
         let (class, word) = match finding.holds {
             Some(true) => ("holds", "holds"),
@@ -125,32 +126,32 @@
     };
     row(
         &mut page,
-        "tries in flight at a gateway hit by a fault",
+        "client attempts in flight at a gateway hit by a fault",
         format!("{}, {} of them lost", s.in_flight, s.in_flight_lost),
     );
     row(
         &mut page,
-        "must not run twice, and their clients received no answer",
+        "unsafe requests whose clients received no response",
         format!("{}, {} of them had run", s.unsafe_lost, s.unsafe_lost_ran),
     );
-    row(&mut page, "clients left without an answer", format!("{:.2}%", s.unanswered_share * 100.0));
-    row(&mut page, "tries that reached no gateway", s.unreachable_client_attempts.to_string());
-    row(&mut page, "pay servers that crashed under load", s.overload_crashes.to_string());
-    row(&mut page, "processes that exited by themselves", s.crashes.to_string());
+    row(&mut page, "requests that ended without a response", format!("{:.2}%", s.unanswered_share * 100.0));
+    row(&mut page, "client attempts that reached no gateway", s.unreachable_client_attempts.to_string());
+    row(&mut page, "pay servers that crashed under overload", s.overload_crashes.to_string());
+    row(&mut page, "processes that exited unexpectedly", s.crashes.to_string());
     for (name, ms) in &s.latency_ms {
         row(&mut page, &format!("latency {name}"), format!("{ms} ms"));
     }
     for name in CALLS {
         let peak = s.peaks.get(name).copied().flatten();
-        let peak = peak.map_or("none were made".to_owned(), |peak| format!("{peak} times the steady rate"));
+        let peak = peak.map_or("no calls".to_owned(), |peak| format!("{peak} times the steady rate"));
         row(&mut page, &format!("peak of {name}"), peak);
     }
     row(
         &mut page,
         "the harness itself",
         format!(
-            "{} events; up to {:.0}% of its thread; requests left {} ms late at 99.9%, {} ms at most; {} s of processor time, the fleet {} s, in {:.1} s",
-            s.harness.events, s.harness.busy_most * 100.0, s.harness.late_p999_ms, s.harness.late_most_ms, s.harness.harness_cpu_s, s.harness.fleet_cpu_s, s.harness.wall_s
+            "{} events; thread up to {:.0}% busy; requests sent {} ms late at the 99.9% quantile, at most {} ms; {} s of processor time, the fleet {} s, in {:.1} s",
+            s.harness.events, s.harness.max_busy_share * 100.0, s.harness.late_p999_ms, s.harness.max_late_ms, s.harness.harness_cpu_s, s.harness.fleet_cpu_s, s.harness.wall_s
         ),
     );
     let _ = write!(page, "</table><h2>Scenario</h2><pre>{}</pre></html>", escape(&setup.text));
@@ -178,11 +179,11 @@
 fn plot(
     unit: &str,
     length: f64,
-    lines: &[Line],
+    all_series: &[Series],
     marks: &[(u16, f64, Option<f64>)],
 ) -> Result<String, RecordingError> {
     let failed = |error: &dyn std::fmt::Display| RecordingError::Plot(error.to_string());
-    let top = lines.iter().flat_map(|line| &line.points).map(|(_, y)| *y).fold(1.0, f64::max) * 1.1;
+    let top = all_series.iter().flat_map(|series| &series.points).map(|(_, y)| *y).fold(1.0, f64::max) * 1.1;
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
@@ -206,13 +207,13 @@
             chart.draw_series([edge]).map_err(|e| failed(&e))?;
             chart.draw_series([name]).map_err(|e| failed(&e))?;
         }
-        for (i, line) in lines.iter().enumerate() {
+        for (i, series) in all_series.iter().enumerate() {
             let colour = COLOURS[i % COLOURS.len()];
-            let drawn = LineSeries::new(line.points.iter().copied(), colour.stroke_width(2));
+            let drawn = LineSeries::new(series.points.iter().copied(), colour.stroke_width(2));
             chart
                 .draw_series(drawn)
                 .map_err(|e| failed(&e))?
-                .label(line.name.clone())
+                .label(series.name.clone())
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 14, y)], colour.stroke_width(2)));
         }
         chart
--- a/testing/fault-injection/src/scenario/tenancy.rs
+++ b/testing/fault-injection/src/scenario/tenancy.rs
@@ -71,8 +71,8 @@
             return server / 4;
         }
         let zone = server % zones;
-        let here = self.cells_in(zone);
-        zone + zones * (server / zones % here.max(1))
+        let cells_here = self.cells_in(zone);
+        zone + zones * (server / zones % cells_here.max(1))
     }
 
     /// Returns the number of cells in a zone.
@@ -95,7 +95,7 @@
             if fleet.controllers == 0 {
                 return Err(ScenarioError::invalid(
                     "tenants",
-                    "shares are decided by stewards, and the fleet has none",
+                    "fair shares are decided by stewards, and the fleet has none",
                 ));
             }
             within("tenants.firms", tenants.firms, 1, MAX_FIRMS)?;
@@ -116,10 +116,10 @@
             if shards.moves.len() > MAX_MOVES {
                 return Err(ScenarioError::invalid("books.move", format!("at most {MAX_MOVES}")));
             }
-            for (i, moved) in shards.moves.iter().enumerate() {
-                within(&format!("books.move[{i}].at_ms"), moved.at_ms, 0, self.load.duration_ms)?;
-                within(&format!("books.move[{i}].book"), moved.shard, 0, shards.count - 1)?;
-                within(&format!("books.move[{i}].to_cell"), moved.to_cell, 0, fleet.cells - 1)?;
+            for (i, requested_move) in shards.moves.iter().enumerate() {
+                within(&format!("books.move[{i}].at_ms"), requested_move.at_ms, 0, self.load.duration_ms)?;
+                within(&format!("books.move[{i}].book"), requested_move.shard, 0, shards.count - 1)?;
+                within(&format!("books.move[{i}].to_cell"), requested_move.to_cell, 0, fleet.cells - 1)?;
             }
         }
         Ok(())
--- a/testing/fault-injection/src/stand_ins/cell.rs
+++ b/testing/fault-injection/src/stand_ins/cell.rs
@@ -82,7 +82,7 @@
     }
 
     /// Whether the cell holds a write.
-    pub fn holds(&self, firm: Firm, trace: Trace) -> bool {
+    pub fn contains(&self, firm: Firm, trace: Trace) -> bool {
         self.records.contains(&(firm, trace))
     }
 }
--- a/testing/fault-injection/src/stand_ins/discovery.rs
+++ b/testing/fault-injection/src/stand_ins/discovery.rs
@@ -88,6 +88,6 @@
     match state {
         State::Serving => ServerState::Serving,
         State::Draining => ServerState::Draining,
-        State::Deleted => ServerState::Gone,
+        State::Deleted => ServerState::Removed,
     }
 }
--- a/testing/fault-injection/src/stand_ins/pay_server.rs
+++ b/testing/fault-injection/src/stand_ins/pay_server.rs
@@ -76,7 +76,7 @@
     /// Maximum number of connections.
     pub max_connections: usize,
     state: State,
-    paused: bool,
+    suspended: bool,
     /// Time of the cold start; `None` for a warm pay server.
     started: Option<Nanos>,
     running: Vec<Job>,
@@ -93,17 +93,17 @@
 struct Seals {
     sealed: HashMap<Trace, u64>,
     ran: HashMap<Trace, u64>,
-    order: VecDeque<(Nanos, Trace)>,
+    by_age: VecDeque<(Nanos, Trace)>,
 }
 
 impl Seals {
     fn remove_expired(&mut self, now: Nanos) {
         while self
-            .order
+            .by_age
             .front()
-            .is_some_and(|(at, _)| at + RECEIPT_RETENTION < now || self.order.len() > MAX_RECEIPTS)
+            .is_some_and(|(at, _)| at + RECEIPT_RETENTION < now || self.by_age.len() > MAX_RECEIPTS)
         {
-            if let Some((_, trace)) = self.order.pop_front() {
+            if let Some((_, trace)) = self.by_age.pop_front() {
                 self.sealed.remove(&trace);
                 self.ran.remove(&trace);
             }
@@ -128,7 +128,7 @@
             handshake: site.handshake_us as f64 * 1e3,
             max_connections: (f64::from(site.connections_per_core) * CORES) as usize,
             state: State::Serving,
-            paused: false,
+            suspended: false,
             started,
             running: Vec::new(),
             queue: VecDeque::new(),
@@ -161,7 +161,7 @@
 
     /// Returns the time of the next call of [`PayServer::advance`], if no other event comes before.
     pub fn due(&self) -> Option<Nanos> {
-        let left = self.min_work_left().filter(|_| !self.paused)?;
+        let left = self.min_work_left().filter(|_| !self.suspended)?;
         let after = (left / self.rate()).ceil().max(1.0) as Nanos;
         let step = if self.capacity_share(self.now) < 1.0 { WARMING_STEP } else { Nanos::MAX };
         Some(self.now.saturating_add(after.min(step)))
@@ -186,7 +186,7 @@
             for (attempt, trace, fails) in done {
                 if let Some(seals) = &mut self.seals {
                     seals.ran.insert(trace, attempt);
-                    seals.order.push_back((now, trace));
+                    seals.by_age.push_back((now, trace));
                     seals.remove_expired(now);
                 }
                 actions.push(Action::Finished(attempt, if fails { Answer::Error } else { Answer::Served }));
@@ -196,7 +196,7 @@
     }
 
     fn work(&mut self, until: Nanos) {
-        if !self.paused && !self.running.is_empty() {
+        if !self.suspended && !self.running.is_empty() {
             let done = self.rate() * (until - self.now) as f64;
             self.running.iter_mut().for_each(|job| job.left -= done);
         }
@@ -234,13 +234,13 @@
         }
         let sealed = self.seals.as_ref().and_then(|seals| seals.sealed.get(&trace));
         let fenced = sealed.is_some_and(|min_token| token < *min_token);
-        let room = self.running.len() < self.slots || self.queue.len() < self.max_queued;
-        if self.state != State::Serving || fenced || !room {
+        let has_capacity = self.running.len() < self.slots || self.queue.len() < self.max_queued;
+        if self.state != State::Serving || fenced || !has_capacity {
             actions.push(Action::Finished(attempt, Answer::NeverRan));
             return;
         }
         self.queue.push_back(Job { attempt, trace, left: work, fails });
-        if !self.paused {
+        if !self.suspended {
             self.start_waiting(actions);
         }
     }
@@ -285,10 +285,10 @@
     }
 
     /// Suspends or resumes the pay server.
-    pub fn pause(&mut self, now: Nanos, paused: bool, actions: &mut Vec<Action>) {
+    pub fn set_suspended(&mut self, now: Nanos, suspended: bool, actions: &mut Vec<Action>) {
         self.advance(now, actions);
-        self.paused = paused;
-        if !paused {
+        self.suspended = suspended;
+        if !suspended {
             self.start_waiting(actions);
         }
     }
@@ -314,7 +314,7 @@
         let seals = self.seals.as_mut()?;
         let highest = seals.sealed.entry(trace).or_insert(0);
         *highest = min_token.max(*highest);
-        seals.order.push_back((now, trace));
+        seals.by_age.push_back((now, trace));
         seals.remove_expired(now);
         Some(match seals.ran.get(&trace) {
             Some(attempt) => Receipt::Ran(*attempt),
--- a/testing/fault-injection/src/verdict.rs
+++ b/testing/fault-injection/src/verdict.rs
@@ -28,7 +28,7 @@
 /// # Errors
 ///
 /// See [`RecordingError`].
-pub fn judge(dir: &Path) -> Result<(Verdict, Figures), RecordingError> {
+pub fn check_run(dir: &Path) -> Result<(Verdict, Figures), RecordingError> {
     let path = dir.join(HISTORY);
     let (mut checker, mut figures, mut decisions) =
         (Checker::default(), Figures::new(), DecisionChecker::default());
@@ -66,8 +66,8 @@
             missed.push(format!("expect.full_service_within_ms: {took}, not {within}"));
         }
     }
-    if let Some(most) = expect.max_lost.filter(|most| summary.lost > *most) {
-        missed.push(format!("expect.lost_at_most: {} lost, not {most}", summary.lost));
+    if let Some(max) = expect.max_lost.filter(|max| summary.lost > *max) {
+        missed.push(format!("expect.lost_at_most: {} lost, not {max}", summary.lost));
     }
     missed
 }
@@ -97,27 +97,29 @@
                 or_never(s.time_to_full_service_ms)
             ),
             format!(
-                "in hand when struck: {}, lost of them: {}; must not run twice and unknown to their clients: {}, had run: {}",
+                "in flight at a gateway hit by a fault: {}, of which lost: {}; unsafe requests without a response: {}, of which had run: {}",
                 s.in_flight, s.in_flight_lost, s.unsafe_lost, s.unsafe_lost_ran
             ),
         ];
-        if let (Some(near), Some(late)) = (s.near_share, s.late_decisions_refused) {
+        if let (Some(same_zone), Some(late)) = (s.same_zone_share, s.late_decisions_refused) {
             lines.push(format!(
-                "near share {near:.3}; failover after {}, return after {}; late decisions refused: {late}",
+                "same-zone share {same_zone:.3}; failover after {}, return after {}; late decisions refused: {late}",
                 or_never(s.time_to_failover_ms),
                 or_never(s.time_to_return_ms)
             ));
         }
         if let Some(error) = s.share_error {
             lines.push(format!(
-                "shares: {:.1}% of the capacity from exact; within 5% of it {} after demand moved",
+                "fair shares: deviation of {:.1}% of the capacity from the exact solution; within 5% after the shift of demand: {}",
                 error * 100.0,
-                or_never(s.time_to_shares_ms)
+                or_never(s.time_to_fair_shares_ms)
             ));
         }
         if let (Some(moves), Some(late)) = (s.moves, s.late_writes_refused) {
-            let pause = s.move_pause_ms.map_or("-".to_owned(), |ms| format!("{ms} ms"));
-            lines.push(format!("books: {moves} moves, longest pause {pause}, late writes refused: {late}"));
+            let downtime = s.max_move_downtime_ms.map_or("-".to_owned(), |ms| format!("{ms} ms"));
+            lines.push(format!(
+                "shards: {moves} migrations, longest downtime {downtime}, late writes refused: {late}"
+            ));
         }
         for (name, finding) in &self.findings {
             let word = match finding.holds {
@@ -131,12 +133,12 @@
             lines.push(format!("  {name}: {word}{cases}{why}"));
         }
         if s.crashes > 0 {
-            lines.push(format!("BROKEN: {} processes ended by themselves", s.crashes));
+            lines.push(format!("BROKEN: {} processes exited unexpectedly", s.crashes));
         }
-        if s.harness.busy_most > MAX_HARNESS_LOAD {
+        if s.harness.max_busy_share > MAX_HARNESS_LOAD {
             lines.push(format!(
                 "the harness itself was up to {:.0}% busy: use a lower rate, or its own delays affect the figures",
-                s.harness.busy_most * 100.0
+                s.harness.max_busy_share * 100.0
             ));
         }
         lines.extend(self.missed.iter().map(|missed| format!("MISSED: {missed}")));
--- a/testing/fault-injection/tests/history.rs
+++ b/testing/fault-injection/tests/history.rs
@@ -111,7 +111,7 @@
         self.next
     }
 
-    fn asked(&mut self, at: Nanos, request: u32, class: u8) {
+    fn request_started(&mut self, at: Nanos, request: u32, class: u8) {
         self.at(at, Event::RequestStarted { request, customer: 0, class, late: 0 });
     }
 
@@ -139,7 +139,7 @@
     /// Adds a request that is served correctly.
     fn served(&mut self, at: Nanos, request: u32, class: u8) {
         let trace = 1000 + u64::from(request);
-        self.asked(at, request, class);
+        self.request_started(at, request, class);
         self.client_attempt_started(at, request, trace, 0);
         let (attempt, _) = self.arrived(at + MS, trace, 0, 0);
         self.answered(at + 50 * MS, attempt, Answer::Served);
@@ -149,7 +149,7 @@
     /// Adds a request that is lost because a fault kills its gateway.
     fn lost_with_its_gateway(&mut self, request: u32) {
         let (at, trace) = (5 * SECOND - 20 * MS, 1000 + u64::from(request));
-        self.asked(at, request, UNSAFE);
+        self.request_started(at, request, UNSAFE);
         self.client_attempt_started(at, request, trace, 1);
         let (_, connection) = self.arrived(at + MS, trace, 1, 1);
         self.at(5 * SECOND, Event::FaultBegan { fault: 0 });
@@ -163,11 +163,11 @@
     /// Adds a lock that passes from one candidate to another. The first one's last effect arrives late and is
     /// refused.
     fn lock_handover(&mut self) {
-        self.at(SECOND, Event::Granted { candidate: 0, lock: 0, token: 5, asked: SECOND - MS });
+        self.at(SECOND, Event::Granted { candidate: 0, lock: 0, token: 5, requested_at: SECOND - MS });
         self.at(2 * SECOND, Event::ActionStarted { candidate: 0, lock: 0, token: 5 });
         self.at(2 * SECOND, Event::Effect { candidate: 0, lock: 0, token: 5, admitted: true });
         self.at(3 * SECOND, Event::ActionStarted { candidate: 0, lock: 0, token: 5 });
-        self.at(5 * SECOND, Event::Granted { candidate: 1, lock: 0, token: 6, asked: 4 * SECOND });
+        self.at(5 * SECOND, Event::Granted { candidate: 1, lock: 0, token: 6, requested_at: 4 * SECOND });
         self.at(5 * SECOND, Event::ActionStarted { candidate: 1, lock: 0, token: 6 });
         self.at(5 * SECOND, Event::Effect { candidate: 1, lock: 0, token: 6, admitted: true });
         self.at(6 * SECOND, Event::Effect { candidate: 0, lock: 0, token: 5, admitted: false });
@@ -271,22 +271,22 @@
         }),
         ("tokens_rise", |s| {
             // The token is lower than that of a grant that was received before the request.
-            s.at(9 * SECOND, Event::Granted { candidate: 0, lock: 0, token: 4, asked: 8 * SECOND });
+            s.at(9 * SECOND, Event::Granted { candidate: 0, lock: 0, token: 4, requested_at: 8 * SECOND });
         }),
         ("tokens_rise", |s| {
             // Two candidates receive the same token, even if their requests overlapped.
-            s.at(9 * SECOND, Event::Granted { candidate: 0, lock: 0, token: 6, asked: 4 * SECOND });
+            s.at(9 * SECOND, Event::Granted { candidate: 0, lock: 0, token: 6, requested_at: 4 * SECOND });
         }),
         ("one_final_answer", |s| {
             // The gateway runs but never answers.
-            s.asked(10 * SECOND, 9, SAFE);
+            s.request_started(10 * SECOND, 9, SAFE);
             s.client_attempt_started(10 * SECOND, 9, 9, 0);
             s.ended(13 * SECOND, 9, 9, Outcome::TimedOut);
             s.at(15 * SECOND, Event::AttemptEndedLate { trace: 9, answered: false });
         }),
         ("one_final_answer", |s| {
             // The fault that would explain the loss affects another gateway.
-            s.asked(5 * SECOND, 9, SAFE);
+            s.request_started(5 * SECOND, 9, SAFE);
             s.client_attempt_started(5 * SECOND, 9, 9, 0);
             s.ended(5 * SECOND + MS, 9, 9, Outcome::Reset { first: false });
         }),
@@ -312,12 +312,12 @@
             s.at(7 * SECOND + 9 * MS, Event::AttemptEnded { trace: 77, outcome: Outcome::Failed });
         }),
         ("answers_belong", |s| {
-            s.asked(10 * SECOND, 9, SAFE);
+            s.request_started(10 * SECOND, 9, SAFE);
             s.client_attempt_started(10 * SECOND, 9, 9, 0);
             s.ended(10 * SECOND + MS, 9, 9, Outcome::Served { attempt: None });
         }),
         ("attempts_one_at_a_time", |s| {
-            s.asked(10 * SECOND, 9, SAFE);
+            s.request_started(10 * SECOND, 9, SAFE);
             s.client_attempt_started(10 * SECOND, 9, 9, 0);
             let (first, _) = s.arrived(10 * SECOND, 9, 0, 0);
             let (second, _) = s.arrived(10 * SECOND + 100 * MS, 9, 1, 0);
@@ -326,7 +326,7 @@
             s.ended(10 * SECOND + 201 * MS, 9, 9, Outcome::Served { attempt: Some(second) });
         }),
         ("attempts_at_most_four", |s| {
-            s.asked(10 * SECOND, 9, SAFE);
+            s.request_started(10 * SECOND, 9, SAFE);
             s.client_attempt_started(10 * SECOND, 9, 9, 0);
             for i in 0..5 {
                 let (attempt, _) = s.arrived(10 * SECOND + i * 20 * MS, 9, 0, 0);
@@ -336,7 +336,7 @@
         }),
         ("drains_kept", |s| {
             s.discovery_received(10 * SECOND, 0, 11, false, &[(0, ServerState::Draining)]);
-            s.discovery_received(10 * SECOND + 400 * MS, 0, 12, false, &[(0, ServerState::Gone)]);
+            s.discovery_received(10 * SECOND + 400 * MS, 0, 12, false, &[(0, ServerState::Removed)]);
             // The grace period starts with the first response that shows the server as draining, and has
             // passed with the slack.
             s.served(10 * SECOND + 560 * MS, 9, SAFE);
@@ -428,12 +428,12 @@
 #[test]
 fn violations_of_decision_invariants_are_detected() {
     let zones = |state: ZoneState| vec![(ZoneState::Serving, 20.0), (state, 20.0)];
-    let judge_history = |corrupt: fn(&mut HistoryBuilder)| {
+    let check_history = |corrupt: fn(&mut HistoryBuilder)| {
         let mut history = HistoryBuilder { events: Vec::new(), next: 1 };
         let mut setup = setup();
         (setup.zones, setup.controllers) = (vec!["hall-a".to_owned(), "hall-b".to_owned()], 3);
         history.at(0, Event::Setup(Box::new(setup)));
-        for (at, state) in [(1, ZoneState::Serving), (7, ZoneState::Out), (12, ZoneState::Serving)] {
+        for (at, state) in [(1, ZoneState::Serving), (7, ZoneState::FailedOver), (12, ZoneState::Serving)] {
             let revision = at;
             history.at(at * SECOND, Event::ZonesDecided { token: 5, revision, zones: zones(state) });
             history.at(
@@ -453,11 +453,11 @@
         history.events.iter().for_each(|event| decided.take(event));
         decided.findings()
     };
-    let (findings, figures) = judge_history(|_| {});
+    let (findings, figures) = check_history(|_| {});
     // The invariants of shares and shards do not apply here; `in_common.rs` tests them.
     assert!(findings.values().all(|finding| finding.holds != Some(false)), "{findings:?}");
     assert_eq!(findings.len(), decisions::INVARIANTS.len());
-    assert_eq!((figures.near_share, figures.late_decisions_refused), (Some(0.9), Some(0)));
+    assert_eq!((figures.same_zone_share, figures.late_decisions_refused), (Some(0.9), Some(0)));
     assert_eq!((figures.time_to_failover_ms, figures.time_to_return_ms), (Some(2000), Some(3000)));
     let cases: [(&str, Corruption); 3] = [
         ("decision_never_back", |s| {
@@ -479,13 +479,13 @@
         }),
     ];
     for (name, corrupt) in cases {
-        let (findings, _) = judge_history(corrupt);
+        let (findings, _) = check_history(corrupt);
         let broken: Vec<_> =
             findings.iter().filter(|(_, f)| f.holds == Some(false)).map(|(name, _)| *name).collect();
         assert_eq!(broken, [name]);
     }
     // A restarted gateway may start with any decision.
-    let (findings, _) = judge_history(|s| {
+    let (findings, _) = check_history(|s| {
         s.at(8 * SECOND, Event::ProcessChanged { end: End::Gateway(0), change: ProcessChange::Started });
         s.at(
             8 * SECOND,
@@ -512,7 +512,7 @@
         let at = u64::from(i) * 100 * MS;
         let is_down = (5 * SECOND..9 * SECOND).contains(&at);
         if is_down {
-            history.asked(at, i, SAFE);
+            history.request_started(at, i, SAFE);
             history.client_attempt_started(at, i, u64::from(i), 0);
             history.ended(at + MS, i, u64::from(i), Outcome::Refused);
         } else {
--- a/testing/fault-injection/tests/in_common.rs
+++ b/testing/fault-injection/tests/in_common.rs
@@ -23,7 +23,7 @@
     }
 
     /// Adds a request of a firm, which arrives at a server if `sent`. Returns its attempt and trace.
-    fn asked(&mut self, at: Nanos, customer: u32, class: u8, sent: bool) -> (u64, u64) {
+    fn request(&mut self, at: Nanos, customer: u32, class: u8, sent: bool) -> (u64, u64) {
         self.next += 1;
         let (request, trace, attempt) = (self.next as u32, 1_000_000 + self.next, 2_000_000 + self.next);
         self.at(at, Event::RequestStarted { request, customer, class, late: 0 });
@@ -36,7 +36,7 @@
 
     /// Adds a pay run that is written at a cell under an epoch and acknowledged. Returns its trace.
     fn written(&mut self, at: Nanos, customer: u32, cell: u16, epoch: u64) -> u64 {
-        let (attempt, trace) = self.asked(at, customer, UNSAFE, true);
+        let (attempt, trace) = self.request(at, customer, UNSAFE, true);
         let firm = FIRMS[customer as usize];
         self.at(at + 2 * MS, Event::ShardWrite { attempt, cell, firm, epoch, admitted: true });
         self.at(at + 3 * MS, Event::Ran { attempt });
@@ -57,7 +57,7 @@
     }
 }
 
-fn judge_history(
+fn check_history(
     corrupt: impl FnOnce(&mut HistoryBuilder),
 ) -> (BTreeMap<&'static str, Finding>, DecisionFigures) {
     let quota = |rate| Quota {
@@ -93,8 +93,8 @@
     for second in 0..LENGTH {
         for n in 0..20 {
             let at = second * SECOND + n * 50 * MS;
-            history.asked(at, 0, SAFE, n < 5);
-            history.asked(at + 10 * MS, 1, SAFE, n < 15);
+            history.request(at, 0, SAFE, n < 5);
+            history.request(at + 10 * MS, 1, SAFE, n < 15);
         }
     }
     // Shard 0 is migrated from cell 0 to cell 1 within 80 ms.
@@ -119,17 +119,17 @@
 
 #[test]
 fn violations_of_share_and_shard_invariants_are_detected() {
-    let (findings, figures) = judge_history(|_| {});
+    let (findings, figures) = check_history(|_| {});
     assert!(findings.values().all(|finding| finding.holds == Some(true)), "{findings:?}");
     assert!(figures.shares.share_error.is_some_and(|error| error < 0.01), "{figures:?}");
-    assert_eq!(figures.shares.time_to_shares_ms, Some(0));
-    assert_eq!((figures.shards.moves, figures.shards.move_pause_ms), (Some(1), Some(80)));
+    assert_eq!(figures.shares.time_to_fair_shares_ms, Some(0));
+    assert_eq!((figures.shards.moves, figures.shards.max_move_downtime_ms), (Some(1), Some(80)));
     assert_eq!(figures.shards.late_writes_refused, Some(0));
     type Corruption = fn(&mut HistoryBuilder);
     let cases: [(&str, Corruption); 5] = [
         ("shares_within_capacity", |s| {
             for n in 0..200 {
-                s.asked(2 * SECOND + n * 2 * MS, 0, SAFE, true);
+                s.request(2 * SECOND + n * 2 * MS, 0, SAFE, true);
             }
         }),
         ("share_floor", |s| {
@@ -166,13 +166,13 @@
         }),
     ];
     for (name, corrupt) in cases {
-        let (findings, _) = judge_history(corrupt);
+        let (findings, _) = check_history(corrupt);
         let broken: Vec<_> =
             findings.iter().filter(|(_, f)| f.holds == Some(false)).map(|(name, _)| *name).collect();
         assert_eq!(broken, [name]);
     }
     // A write under the old epoch before the shard is drained is valid: it is copied with the shard.
-    let (findings, _) = judge_history(|s| {
+    let (findings, _) = check_history(|s| {
         let trace = s.written(5 * SECOND + 10 * MS, 0, 0, 1);
         s.at(LENGTH * SECOND, Event::WriteLocations { trace, cells: vec![0, 1] });
     });
--- a/testing/fault-injection/tests/linear.rs
+++ b/testing/fault-injection/tests/linear.rs
@@ -1,7 +1,7 @@
 //! Tests of the linearizability check: histories of a correct register are accepted with any overlap of
 //! calls, and each kind of incorrect history is rejected.
 
-use marblecroft_fault_injection::linear::{judge, Call, Op, Ret, Verdict};
+use marblecroft_fault_injection::linear::{check_linearizability, Call, Op, Ret, Verdict};
 use proptest::prelude::*;
 
 fn call(client: u16, from: u64, to: u64, op: Op, ret: Ret) -> Call {
@@ -26,48 +26,56 @@
     let first = call(1, 0, 10, put(1, Some(0)), Ret::Written(3));
     let second = call(2, 20, 30, put(2, Some(3)), Ret::Written(5));
     let cases: Vec<(&str, Vec<Call>, Verdict)> = vec![
-        ("no calls", vec![], Verdict::Linear),
-        ("sequential calls", vec![first, second, call(1, 40, 50, Op::Read, value(2, 5))], Verdict::Linear),
+        ("no calls", vec![], Verdict::Linearizable),
+        (
+            "sequential calls",
+            vec![first, second, call(1, 40, 50, Op::Read, value(2, 5))],
+            Verdict::Linearizable,
+        ),
         (
             "a read concurrent with a write returns the old value",
             vec![first, call(2, 5, 9, Op::Read, none)],
-            Verdict::Linear,
+            Verdict::Linearizable,
         ),
         (
             "a read after a write returns the old value",
             vec![first, call(2, 11, 12, Op::Read, none)],
-            Verdict::Not,
+            Verdict::NotLinearizable,
+        ),
+        (
+            "a stale read",
+            vec![first, second, call(1, 31, 40, Op::Read, value(1, 3))],
+            Verdict::NotLinearizable,
         ),
-        ("a stale read", vec![first, second, call(1, 31, 40, Op::Read, value(1, 3))], Verdict::Not),
         (
             "two reads concurrent with a write return the new and then the old value",
             vec![first, call(2, 1, 2, Op::Read, value(1, 3)), call(3, 4, 5, Op::Read, none)],
-            Verdict::Not,
+            Verdict::NotLinearizable,
         ),
         (
             "two writes at the same expected revision",
             vec![first, second, call(3, 20, 30, put(3, Some(3)), Ret::Written(6))],
-            Verdict::Not,
+            Verdict::NotLinearizable,
         ),
         (
             "a revision that decreases",
             vec![first, call(2, 20, 30, put(2, None), Ret::Written(2))],
-            Verdict::Not,
+            Verdict::NotLinearizable,
         ),
         (
             "a conflict without a concurrent write",
             vec![first, call(2, 20, 30, put(2, Some(3)), Ret::Conflict(4))],
-            Verdict::Not,
+            Verdict::NotLinearizable,
         ),
         (
             "a write with an unknown result may have taken effect",
             vec![first, lost(2, 20, 9, Some(3)), call(1, 40, 50, Op::Read, value(9, 7))],
-            Verdict::Linear,
+            Verdict::Linearizable,
         ),
         (
             "a write with an unknown result may have had no effect",
             vec![first, lost(2, 20, 9, Some(3)), call(1, 40, 50, Op::Read, value(1, 3))],
-            Verdict::Linear,
+            Verdict::Linearizable,
         ),
         (
             "a write with an unknown result must not take effect and vanish",
@@ -77,17 +85,17 @@
                 call(1, 40, 50, Op::Read, value(9, 7)),
                 call(1, 60, 70, Op::Read, value(1, 3)),
             ],
-            Verdict::Not,
+            Verdict::NotLinearizable,
         ),
         (
             "a write must not take effect before its call",
             vec![first, call(1, 12, 15, Op::Read, value(9, 7)), lost(2, 20, 9, Some(3))],
-            Verdict::Not,
+            Verdict::NotLinearizable,
         ),
         (
             "a write with an unknown result must not take effect at another than the expected revision",
             vec![first, lost(2, 20, 9, Some(2)), call(1, 40, 50, Op::Read, value(9, 7))],
-            Verdict::Not,
+            Verdict::NotLinearizable,
         ),
         (
             "one client with two concurrent calls",
@@ -96,7 +104,7 @@
         ),
     ];
     for (what, calls, expected) in cases {
-        assert_eq!(judge(&calls), expected, "{what}");
+        assert_eq!(check_linearizability(&calls), expected, "{what}");
     }
 }
 
@@ -132,14 +140,14 @@
             let answer = (!gives_up).then_some((to, ret));
             calls.push(Call { client: who as u16, from, op, answer });
         }
-        prop_assert_eq!(judge(&calls), Verdict::Linear);
+        prop_assert_eq!(check_linearizability(&calls), Verdict::Linearizable);
         let written = calls.iter().any(|call| matches!(call.answer, Some((_, Ret::Written(_)))));
         if written {
             let end = 100 * calls.len() as u64 + 1000;
             calls.push(call(9, end, end + 1, Op::Read, Ret::Value { value: None, revision: 0 }));
             // With too many possible orders the verdict is `Undecided`, which the checker reports as a
             // violation too.
-            prop_assert_ne!(judge(&calls), Verdict::Linear);
+            prop_assert_ne!(check_linearizability(&calls), Verdict::Linearizable);
         }
     }
 }
--- a/testing/fault-injection/tests/scenarios.rs
+++ b/testing/fault-injection/tests/scenarios.rs
@@ -80,12 +80,13 @@
     assert!(Deployment::draw(&Scenario::parse(&format!("{cut}{cut}")).expect("valid scenario"), 1).is_ok());
 }
 
-const HERD: &str = "[fleet]\ngateways = 30\npay_servers = 20\n[load]\nrate = 140.0\ncustomers = 100\n\
+const THUNDERING_HERD: &str =
+    "[fleet]\ngateways = 30\npay_servers = 20\n[load]\nrate = 140.0\ncustomers = 100\n\
                     [[fault]]\nat_ms = 5000\nkind = \"kill\"\ntarget = \"gateways\"\nshare = 0.7";
 
 #[test]
 fn the_same_seed_draws_the_same_deployment_and_another_seed_a_different_one() {
-    let scenario = Scenario::parse(HERD).expect("valid scenario");
+    let scenario = Scenario::parse(THUNDERING_HERD).expect("valid scenario");
     let drawn = |seed| {
         let deployment = Deployment::draw(&scenario, seed).expect("drawn");
         let arrivals: Vec<_> = Arrivals::new(&scenario, &deployment, seed).expect("arrivals").collect();
@@ -100,7 +101,7 @@
 
 #[test]
 fn the_load_has_the_configured_rate_and_plans_have_their_shares_of_it() {
-    let scenario = Scenario::parse(HERD).expect("valid scenario");
+    let scenario = Scenario::parse(THUNDERING_HERD).expect("valid scenario");
     let deployment = Deployment::draw(&scenario, 3).expect("drawn");
     let arrivals: Vec<_> = Arrivals::new(&scenario, &deployment, 3).expect("arrivals").collect();
     assert_eq!(arrivals.len(), 2800);
@@ -112,8 +113,8 @@
     let unsafe_share = arrivals.iter().filter(|arrival| arrival.class == 1).count() as f64 / 2800.0;
     assert!((0.41..0.51).contains(&unsafe_share), "{unsafe_share}");
     for plan in 0..3 {
-        let asked: f64 = deployment.customers.iter().filter(|c| c.plan == plan).map(|c| c.weight).sum();
-        assert!((0.1..0.6).contains(&asked), "share of plan {plan}: {asked}");
+        let share: f64 = deployment.customers.iter().filter(|c| c.plan == plan).map(|c| c.weight).sum();
+        assert!((0.1..0.6).contains(&share), "share of plan {plan}: {share}");
     }
     assert!(deployment.customers.iter().all(|customer| (2..=9).contains(&customer.gateway_weights.len())));
     let victims: Vec<End> = deployment.faults[0].victims.clone();
--- a/testing/fault-injection/tests/stand_ins.rs
+++ b/testing/fault-injection/tests/stand_ins.rs
@@ -150,10 +150,10 @@
 fn a_suspended_pay_server_does_nothing_until_it_is_resumed() {
     let mut pay = TimedServer::new(&site(), false, None);
     let attempt = pay.arrive(0);
-    pay.server.pause(0, true, &mut Vec::new());
+    pay.server.set_suspended(0, true, &mut Vec::new());
     pay.advance_to(5 * SECOND);
     assert_eq!(pay.outcome_of(attempt), None);
-    pay.server.pause(5 * SECOND, false, &mut Vec::new());
+    pay.server.set_suspended(5 * SECOND, false, &mut Vec::new());
     pay.advance_to(6 * SECOND);
     let at = pay.outcome_of(attempt).expect("served").0;
     assert!((5 * SECOND + 99 * MS..=5 * SECOND + 101 * MS).contains(&at), "{at}");
