--- a/testing/fault-injection/src/checker/attempts.rs
+++ b/testing/fault-injection/src/checker/attempts.rs
@@ -3,7 +3,7 @@
 
 use super::{seconds, Checker};
 use crate::deployment::{DrawnFault, Nanos, DRAIN_GRACE, MAX_ATTEMPTS, SECOND, UNSAFE};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::history::{Answer, Outcome, ServerState, Setup, Trace};
 use crate::scenario::FaultKind;
 use std::collections::{BTreeMap, BTreeSet};
@@ -98,18 +98,18 @@
 
     /// Whether a fault explains that a client attempt at this gateway received no answer.
     pub(super) fn explained_by_fault(&self, setup: &Setup, gateway: u16, from: Nanos, to: Nanos) -> bool {
-        let end = End::Gateway(gateway);
+        let endpoint = Endpoint::Gateway(gateway);
         let affects = |fault: &DrawnFault| match fault.kind {
             FaultKind::Kill | FaultKind::Restart | FaultKind::Wipe | FaultKind::Stop => {
-                fault.victims.contains(&end)
+                fault.victims.contains(&endpoint)
             }
             // On SIGTERM a gateway answers all requests that it has received before it exits.
             FaultKind::Term | FaultKind::FullDisk => false,
             FaultKind::Cut | FaultKind::Delay | FaultKind::Lose | FaultKind::Duplicate => {
-                let between = |a: End, b: End| {
+                let between = |a: Endpoint, b: Endpoint| {
                     fault.victims.contains(&a) && (fault.from.is_empty() || fault.from.contains(&b))
                 };
-                between(end, End::Clients) || between(End::Clients, end)
+                between(endpoint, Endpoint::Clients) || between(Endpoint::Clients, endpoint)
             }
         };
         let by_fault = setup.faults.iter().enumerate().any(|(i, fault)| {
@@ -119,7 +119,7 @@
                 self.fault_ends.get(&i).filter(|_| fault.until.is_some()).copied().unwrap_or(Nanos::MAX);
             affects(fault) && from <= over.saturating_add(FAULT_AFTERMATH) && to >= began
         });
-        by_fault || self.crashes.iter().any(|(of, at)| *of == end && to + FAULT_AFTERMATH >= *at)
+        by_fault || self.crashes.iter().any(|(of, at)| *of == endpoint && to + FAULT_AFTERMATH >= *at)
     }
 
     pub(super) fn check_client_attempts(&mut self, setup: &Setup) {
--- a/testing/fault-injection/src/checker/discovery.rs
+++ b/testing/fault-injection/src/checker/discovery.rs
@@ -37,7 +37,7 @@
                         .victims
                         .iter()
                         .chain(&fault.from)
-                        .any(|end| end.kind() == Kind::DiscoveryService))
+                        .any(|endpoint| endpoint.kind() == Kind::DiscoveryService))
         };
         if self.setup.as_ref().is_none_or(|setup| setup.faults.iter().any(between)) {
             return received_state;
--- a/testing/fault-injection/src/checker/mod.rs
+++ b/testing/fault-injection/src/checker/mod.rs
@@ -12,7 +12,7 @@
 mod registers;
 
 use crate::deployment::{Nanos, SECOND, SOCKET_SLACK};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::history::{Event, ProcessChange, ServerState, Setup, TimedEvent, Trace};
 use crate::linear::{Call, Op};
 use attempts::{Attempt, ClientAttempt};
@@ -78,7 +78,7 @@
     stalls: Vec<(Nanos, Nanos)>,
     fault_starts: HashMap<u16, Nanos>,
     fault_ends: HashMap<u16, Nanos>,
-    crashes: Vec<(End, Nanos)>,
+    crashes: Vec<(Endpoint, Nanos)>,
     locks: HashMap<u16, Owned>,
     /// Calls on registers by number, which is the order of their starts.
     calls: BTreeMap<u64, (u16, Call)>,
@@ -171,13 +171,13 @@
                 self.agent_states.insert(*server, (*state, at));
             }
             Event::Registered { server, .. } => drop(self.registered.insert(*server, at)),
-            Event::ProcessChanged { end, change } => match (end, change) {
-                (End::Gateway(gateway), ProcessChange::Started) => {
+            Event::ProcessChanged { endpoint, change } => match (endpoint, change) {
+                (Endpoint::Gateway(gateway), ProcessChange::Started) => {
                     self.gateways.remove(gateway);
                     self.started.insert(*gateway, at);
                 }
-                (End::Gateway(gateway), ProcessChange::Continued) => drop(self.started.insert(*gateway, at)),
-                (_, ProcessChange::Crashed) => self.crashes.push((*end, at)),
+                (Endpoint::Gateway(i), ProcessChange::Continued) => drop(self.started.insert(*i, at)),
+                (_, ProcessChange::Crashed) => self.crashes.push((*endpoint, at)),
                 _ => {}
             },
             Event::Granted { candidate, lock, token, requested_at } => {
--- a/testing/fault-injection/src/decisions.rs
+++ b/testing/fault-injection/src/decisions.rs
@@ -7,7 +7,7 @@
 
 use crate::checker::Finding;
 use crate::deployment::{Nanos, MS, SECOND};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::history::{DecisionKind, Event, Outcome, ProcessChange, Setup, TimedEvent, Trace, ZoneState};
 use std::collections::{BTreeMap, HashMap};
 
@@ -141,7 +141,10 @@
                 }
             }
             Event::DecisionRefused { .. } => self.refused += 1,
-            Event::ProcessChanged { end: End::Gateway(gateway), change: ProcessChange::Started } => {
+            Event::ProcessChanged {
+                endpoint: Endpoint::Gateway(gateway),
+                change: ProcessChange::Started,
+            } => {
                 self.applied.retain(|(of, _), _| of != gateway);
             }
             Event::Arrived { server, gateway, trace, .. } => self.arrived(at, *server, *gateway, *trace),
--- a/testing/fault-injection/src/deployment.rs
+++ b/testing/fault-injection/src/deployment.rs
@@ -2,7 +2,7 @@
 //! each gateway and the victims of each fault. The same scenario and seed give the same deployment, load and
 //! faults on every machine.
 
-use crate::endpoint::{End, Kind};
+use crate::endpoint::{Endpoint, Kind};
 use crate::scenario::tenancy::Tenants;
 use crate::scenario::{Fault, FaultKind, Scenario, ScenarioError, Target};
 use rand::seq::{index, SliceRandom};
@@ -115,13 +115,13 @@
     /// End of the fault; `None` if it is permanent.
     pub until: Option<Nanos>,
     /// The processes and stand-ins that the fault affects.
-    pub victims: Vec<End>,
+    pub victims: Vec<Endpoint>,
     /// The lock or role whose owner is the victim, or `leader`. The owner is looked up when the fault starts.
     pub owner: Option<String>,
     /// The lock or role whose owner is the other side of a fault of links.
     pub from_owner: Option<String>,
     /// The other side of a fault of links; empty for all others.
-    pub from: Vec<End>,
+    pub from: Vec<Endpoint>,
     /// Whether only one direction fails.
     pub one_way: bool,
     /// Whether connections are reset.
@@ -375,7 +375,7 @@
 fn draw_faults(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Result<Vec<DrawnFault>, ScenarioError> {
     let mut drawn: Vec<DrawnFault> = Vec::new();
     // Start, end and number of each fault during which a process is down or suspended.
-    let mut outages: BTreeMap<End, Vec<(Nanos, Nanos, usize)>> = BTreeMap::new();
+    let mut outages: BTreeMap<Endpoint, Vec<(Nanos, Nanos, usize)>> = BTreeMap::new();
     for (i, fault) in scenario.faults.iter().enumerate() {
         let victims = members(scenario, &fault.target);
         let count = match (fault.share, fault.count) {
@@ -383,7 +383,7 @@
             (_, Some(count)) => count as usize,
             _ => victims.len(),
         };
-        let mut chosen: Vec<End> =
+        let mut chosen: Vec<Endpoint> =
             index::sample(rng, victims.len(), count.min(victims.len())).iter().map(|k| victims[k]).collect();
         chosen.sort_unstable();
         let at = fault.at_ms * MS;
@@ -426,14 +426,16 @@
     fault.probability.unwrap_or(default)
 }
 
-fn members(scenario: &Scenario, target: &Target) -> Vec<End> {
+fn members(scenario: &Scenario, target: &Target) -> Vec<Endpoint> {
     match target {
-        Target::All(kind) => (0..scenario.count(*kind)).filter_map(|i| End::of(*kind, i)).collect(),
-        Target::One(kind, index) => End::of(*kind, *index).into_iter().collect(),
+        Target::All(kind) => (0..scenario.count(*kind)).filter_map(|i| Endpoint::of(*kind, i)).collect(),
+        Target::One(kind, index) => Endpoint::of(*kind, *index).into_iter().collect(),
         Target::Zone(_) | Target::Region(_) => Kind::ALL
             .into_iter()
-            .flat_map(|kind| (0..scenario.count(kind)).filter_map(move |i| End::of(kind, i)))
-            .filter(|end| scenario.zone_of(*end).is_some_and(|zone| scenario.is_zone_in(zone, target)))
+            .flat_map(|kind| (0..scenario.count(kind)).filter_map(move |i| Endpoint::of(kind, i)))
+            .filter(|endpoint| {
+                scenario.zone_of(*endpoint).is_some_and(|zone| scenario.is_zone_in(zone, target))
+            })
             .collect(),
         // Looked up when the fault starts.
         Target::Owner(_) => Vec::new(),
--- a/testing/fault-injection/src/endpoint.rs
+++ b/testing/fault-injection/src/endpoint.rs
@@ -61,7 +61,7 @@
 
 /// An endpoint of a link: a process or a stand-in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum End {
+pub enum Endpoint {
     /// All clients, and the load balancer in front of the gateways.
     Clients,
     /// A gateway, by its number.
@@ -82,50 +82,50 @@
     Cell(u16),
 }
 
-impl End {
+impl Endpoint {
     /// Returns the kind of the endpoint.
     pub fn kind(self) -> Kind {
         match self {
-            End::Clients => Kind::Clients,
-            End::Gateway(_) => Kind::Gateways,
-            End::PayServer(_) => Kind::PayServers,
-            End::DiscoveryService(_) => Kind::DiscoveryService,
-            End::Counter => Kind::Counter,
-            End::Coordinator(_) => Kind::Coordinators,
-            End::Candidate(_) => Kind::Candidates,
-            End::Controller(_) => Kind::Controllers,
-            End::Cell(_) => Kind::Cells,
+            Endpoint::Clients => Kind::Clients,
+            Endpoint::Gateway(_) => Kind::Gateways,
+            Endpoint::PayServer(_) => Kind::PayServers,
+            Endpoint::DiscoveryService(_) => Kind::DiscoveryService,
+            Endpoint::Counter => Kind::Counter,
+            Endpoint::Coordinator(_) => Kind::Coordinators,
+            Endpoint::Candidate(_) => Kind::Candidates,
+            Endpoint::Controller(_) => Kind::Controllers,
+            Endpoint::Cell(_) => Kind::Cells,
         }
     }
 
     /// Returns a member of a kind by its number; `None` where the number is out of range.
-    pub(crate) fn of(kind: Kind, index: u32) -> Option<End> {
+    pub(crate) fn of(kind: Kind, index: u32) -> Option<Endpoint> {
         let index = u16::try_from(index).ok()?;
         Some(match kind {
-            Kind::Clients => End::Clients,
-            Kind::Gateways => End::Gateway(index),
-            Kind::PayServers => End::PayServer(index),
-            Kind::DiscoveryService => End::DiscoveryService(index),
-            Kind::Counter => End::Counter,
-            Kind::Coordinators => End::Coordinator(index),
-            Kind::Candidates => End::Candidate(index),
-            Kind::Controllers => End::Controller(index),
-            Kind::Cells => End::Cell(index),
+            Kind::Clients => Endpoint::Clients,
+            Kind::Gateways => Endpoint::Gateway(index),
+            Kind::PayServers => Endpoint::PayServer(index),
+            Kind::DiscoveryService => Endpoint::DiscoveryService(index),
+            Kind::Counter => Endpoint::Counter,
+            Kind::Coordinators => Endpoint::Coordinator(index),
+            Kind::Candidates => Endpoint::Candidate(index),
+            Kind::Controllers => Endpoint::Controller(index),
+            Kind::Cells => Endpoint::Cell(index),
         })
     }
 }
 
-impl Display for End {
+impl Display for Endpoint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            End::Clients | End::Counter => f.write_str(self.kind().name()),
-            End::Gateway(i)
-            | End::PayServer(i)
-            | End::DiscoveryService(i)
-            | End::Coordinator(i)
-            | End::Candidate(i)
-            | End::Controller(i)
-            | End::Cell(i) => {
+            Endpoint::Clients | Endpoint::Counter => f.write_str(self.kind().name()),
+            Endpoint::Gateway(i)
+            | Endpoint::PayServer(i)
+            | Endpoint::DiscoveryService(i)
+            | Endpoint::Coordinator(i)
+            | Endpoint::Candidate(i)
+            | Endpoint::Controller(i)
+            | Endpoint::Cell(i) => {
                 write!(f, "{}[{i}]", self.kind().name())
             }
         }
--- a/testing/fault-injection/src/error.rs
+++ b/testing/fault-injection/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of running a scenario and of reading a recorded run.
 
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::history::Damage;
 use crate::scenario::ScenarioError;
 use quick_error::quick_error;
@@ -38,8 +38,8 @@
             source(error)
         }
         /// A restarted pay server cannot listen.
-        ListenAgain(end: End, error: io::Error) {
-            display("{} cannot listen again: {}", end, error)
+        ListenAgain(endpoint: Endpoint, error: io::Error) {
+            display("{} cannot listen again: {}", endpoint, error)
             source(error)
         }
         /// A program is missing in this program's folder.
@@ -51,8 +51,8 @@
             display("fleet.program: {} is missing", path.display())
         }
         /// A process cannot be started.
-        Start(end: End, program: PathBuf, reason: String) {
-            display("{}: {}: {}", end, program.display(), reason)
+        Start(endpoint: Endpoint, program: PathBuf, reason: String) {
+            display("{}: {}: {}", endpoint, program.display(), reason)
         }
         /// A part of a process's configuration cannot be encoded.
         Configuration(field: &'static str, reason: String) {
@@ -64,8 +64,8 @@
             source(error)
         }
         /// A coordinator that lost its disk cannot be replaced.
-        Replacement(end: End, reason: String) {
-            display("{}: {}", end, reason)
+        Replacement(endpoint: Endpoint, reason: String) {
+            display("{}: {}", endpoint, reason)
         }
         /// A step of the run has not finished in time.
         NotInTime(what: &'static str) {
--- a/testing/fault-injection/src/figures.rs
+++ b/testing/fault-injection/src/figures.rs
@@ -3,7 +3,7 @@
 use crate::checker::Finding;
 use crate::decisions::DecisionFigures;
 use crate::deployment::{Nanos, MS, SECOND, UNSAFE};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::history::{Event, Outcome, Setup, TimedEvent, Trace};
 use crate::scenario::FaultKind;
 use hdrhistogram::Histogram;
@@ -248,7 +248,7 @@
             Event::Ran { attempt } => {
                 self.ran.extend(self.attempts.get(attempt));
             }
-            Event::Opened { from: End::Gateway(_), to: End::PayServer(_), .. } => {
+            Event::Opened { from: Endpoint::Gateway(_), to: Endpoint::PayServer(_), .. } => {
                 self.call(at, "connections")
             }
             Event::Probed { .. } => self.call(at, "probes"),
@@ -335,9 +335,9 @@
         if fault.kind.of_links() || fault.kind == FaultKind::FullDisk {
             return;
         }
-        let victims: HashSet<End> = fault.victims.iter().copied().collect();
+        let victims: HashSet<Endpoint> = fault.victims.iter().copied().collect();
         let affected = self.open.iter().filter(|(_, open)| {
-            victims.contains(&End::Gateway(open.gateway)) && self.requests.contains_key(&open.request)
+            victims.contains(&Endpoint::Gateway(open.gateway)) && self.requests.contains_key(&open.request)
         });
         let affected: Vec<Trace> = affected.map(|(trace, _)| *trace).collect();
         self.in_flight_total += affected.len() as u64;
--- a/testing/fault-injection/src/harness.rs
+++ b/testing/fault-injection/src/harness.rs
@@ -13,7 +13,7 @@
 pub mod run;
 
 use crate::deployment::{Deployment, Nanos, RandomStream};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::error::RunError;
 use crate::history::{Event, TimedEvent, Trace, Writer};
 use crate::link::{LinkFaults, LinkState};
@@ -119,7 +119,7 @@
     }
 
     /// Returns the state of a link in one direction.
-    pub fn link_state(&self, from: End, to: End) -> LinkState {
+    pub fn link_state(&self, from: Endpoint, to: Endpoint) -> LinkState {
         let link_faults = self.link_faults.borrow();
         if link_faults.is_empty() {
             return LinkState::CLEAR;
@@ -128,18 +128,18 @@
     }
 
     /// Whether a process or a stand-in is suspended.
-    pub fn is_suspended(&self, end: End) -> bool {
-        self.link_faults.borrow().is_suspended(end)
+    pub fn is_suspended(&self, endpoint: Endpoint) -> bool {
+        self.link_faults.borrow().is_suspended(endpoint)
     }
 
     /// Whether a connection between two endpoints can be established.
-    pub fn can_connect(&self, from: End, to: End) -> bool {
+    pub fn can_connect(&self, from: Endpoint, to: Endpoint) -> bool {
         let link_faults = self.link_faults.borrow();
         link_faults.is_empty() || link_faults.can_connect(from, to)
     }
 
     /// Whether connections between two endpoints are reset.
-    pub fn is_reset(&self, from: End, to: End) -> bool {
+    pub fn is_reset(&self, from: Endpoint, to: Endpoint) -> bool {
         let link_faults = self.link_faults.borrow();
         !link_faults.is_empty() && link_faults.is_reset(from, to)
     }
--- a/testing/fault-injection/src/harness/address.rs
+++ b/testing/fault-injection/src/harness/address.rs
@@ -5,7 +5,7 @@
 //! port. Each stand-in has one listener on all addresses of the loopback device only, and the local address
 //! of an accepted socket identifies the caller.
 
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use socket2::{Domain, Protocol, SockAddr, SockFilter, SockRef, Socket, Type};
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -22,44 +22,46 @@
 }
 
 /// Returns the address at which an endpoint reaches the stand-ins.
-pub fn seen_by(end: End) -> Ipv4Addr {
-    match end {
-        End::Gateway(i) => numbered_addr(101, i),
-        End::DiscoveryService(i) => numbered_addr(104, i),
-        End::Candidate(i) => numbered_addr(105, i),
-        End::Coordinator(i) => numbered_addr(106, i),
-        End::Controller(i) => numbered_addr(110, i),
-        End::Cell(i) => numbered_addr(112, i),
-        End::Clients | End::Counter | End::PayServer(_) => numbered_addr(109, 0),
+pub fn seen_by(endpoint: Endpoint) -> Ipv4Addr {
+    match endpoint {
+        Endpoint::Gateway(i) => numbered_addr(101, i),
+        Endpoint::DiscoveryService(i) => numbered_addr(104, i),
+        Endpoint::Candidate(i) => numbered_addr(105, i),
+        Endpoint::Coordinator(i) => numbered_addr(106, i),
+        Endpoint::Controller(i) => numbered_addr(110, i),
+        Endpoint::Cell(i) => numbered_addr(112, i),
+        Endpoint::Clients | Endpoint::Counter | Endpoint::PayServer(_) => numbered_addr(109, 0),
     }
 }
 
 /// Returns the address on which an endpoint listens; the operating system assigns the port.
-pub fn listen_addr(end: End) -> Ipv4Addr {
-    match end {
-        End::Gateway(i) => numbered_addr(102, i),
-        End::DiscoveryService(i) => numbered_addr(103, i),
-        End::Coordinator(i) => numbered_addr(107, i),
-        End::Controller(i) => numbered_addr(111, i),
-        End::Clients | End::Counter | End::PayServer(_) | End::Candidate(_) | End::Cell(_) => {
-            Ipv4Addr::LOCALHOST
-        }
+pub fn listen_addr(endpoint: Endpoint) -> Ipv4Addr {
+    match endpoint {
+        Endpoint::Gateway(i) => numbered_addr(102, i),
+        Endpoint::DiscoveryService(i) => numbered_addr(103, i),
+        Endpoint::Coordinator(i) => numbered_addr(107, i),
+        Endpoint::Controller(i) => numbered_addr(111, i),
+        Endpoint::Clients
+        | Endpoint::Counter
+        | Endpoint::PayServer(_)
+        | Endpoint::Candidate(_)
+        | Endpoint::Cell(_) => Ipv4Addr::LOCALHOST,
     }
 }
 
 /// Returns the caller that uses this address.
-pub fn caller_by_addr(addr: IpAddr) -> Option<End> {
+pub fn caller_by_addr(addr: IpAddr) -> Option<Endpoint> {
     let IpAddr::V4(addr) = addr else { return None };
     let [127, block, high @ 100..=199, low @ 100..=199] = addr.octets() else { return None };
     let index = u16::from(high - 100) * 100 + u16::from(low - 100);
     match block {
-        101 => Some(End::Gateway(index)),
-        104 => Some(End::DiscoveryService(index)),
-        105 => Some(End::Candidate(index)),
-        106 => Some(End::Coordinator(index)),
-        110 => Some(End::Controller(index)),
-        112 => Some(End::Cell(index)),
-        109 => Some(End::Clients),
+        101 => Some(Endpoint::Gateway(index)),
+        104 => Some(Endpoint::DiscoveryService(index)),
+        105 => Some(Endpoint::Candidate(index)),
+        106 => Some(Endpoint::Coordinator(index)),
+        110 => Some(Endpoint::Controller(index)),
+        112 => Some(Endpoint::Cell(index)),
+        109 => Some(Endpoint::Clients),
         _ => None,
     }
 }
--- a/testing/fault-injection/src/harness/candidates.rs
+++ b/testing/fault-injection/src/harness/candidates.rs
@@ -6,7 +6,7 @@
 //! itself and its duration.
 
 use crate::deployment::{random_stream, Nanos, RandomStream, MS, SECOND};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::harness::RunContext;
 use crate::history::Event;
 use marblecroft_coordination::client::{Client, Lock};
@@ -49,9 +49,9 @@
     }
 
     /// Returns the candidate that acts under the lock of this name.
-    pub fn lock_owner(&self, name: &str) -> Option<End> {
+    pub fn lock_owner(&self, name: &str) -> Option<Endpoint> {
         let lock: u16 = name.strip_prefix("lock-")?.parse().ok()?;
-        self.owners.borrow().get(&lock).map(|candidate| End::Candidate(*candidate))
+        self.owners.borrow().get(&lock).map(|candidate| Endpoint::Candidate(*candidate))
     }
 
     /// Opens one session after the other, and acts under the locks that it acquires.
@@ -118,8 +118,8 @@
 
     /// Waits while a candidate is suspended.
     async fn wait_while_suspended(&self, candidate: u16) {
-        let end = End::Candidate(candidate);
-        self.context.wait_until(|context| !context.is_suspended(end)).await;
+        let endpoint = Endpoint::Candidate(candidate);
+        self.context.wait_until(|context| !context.is_suspended(endpoint)).await;
     }
 }
 
--- a/testing/fault-injection/src/harness/cells.rs
+++ b/testing/fault-injection/src/harness/cells.rs
@@ -2,7 +2,7 @@
 //! them.
 
 use crate::deployment::UNSAFE;
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::harness::discovery::LinkListener;
 use crate::harness::RunContext;
 use crate::history::{Event, Trace};
@@ -33,8 +33,9 @@
     pub fn new(context: &Rc<RunContext>, fleet: &str) -> io::Result<Rc<Cells>> {
         let scenario = &context.scenario;
         let count = scenario.fleet.cells as u16;
-        let listeners =
-            (0..count).map(|i| LinkListener::open(context, End::Cell(i))).collect::<io::Result<Vec<_>>>()?;
+        let listeners = (0..count)
+            .map(|i| LinkListener::open(context, Endpoint::Cell(i)))
+            .collect::<io::Result<Vec<_>>>()?;
         let cells = Rc::new(Cells {
             context: context.clone(),
             fleet: Fleet::named(fleet),
@@ -75,7 +76,7 @@
     /// Copies records to another cell, if the link to it is open.
     fn copy(&self, from: u16, to: u32, records: Vec<(Firm, Trace)>) -> CellReply {
         let Ok(to) = u16::try_from(to) else { return CellReply::InProgress };
-        let is_open = self.context.link_state(End::Cell(from), End::Cell(to)).open;
+        let is_open = self.context.link_state(Endpoint::Cell(from), Endpoint::Cell(to)).open;
         let is_up = self.listeners.get(usize::from(to)).is_some_and(|listener| listener.is_accepting());
         match self.cell(to).filter(|_| is_open && is_up) {
             Some(cell) => {
--- a/testing/fault-injection/src/harness/clients.rs
+++ b/testing/fault-injection/src/harness/clients.rs
@@ -1,7 +1,7 @@
 //! Clients on sockets. Each attempt uses a pooled connection of the load balancer where one is idle.
 
 use crate::deployment::{Nanos, CLASSES, MS, SAFE, SECOND};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::harness::process::Process;
 use crate::harness::relay::{relay, Observer};
 use crate::harness::{address, RunContext};
@@ -53,10 +53,10 @@
 }
 
 impl RequestTarget {
-    fn end(&self) -> End {
+    fn endpoint(&self) -> Endpoint {
         match self {
-            RequestTarget::Gateway(process) => process.end,
-            RequestTarget::PayServer(number, _) => End::PayServer(*number),
+            RequestTarget::Gateway(process) => process.endpoint,
+            RequestTarget::PayServer(number, _) => Endpoint::PayServer(*number),
         }
     }
 
@@ -65,7 +65,7 @@
             RequestTarget::Gateway(process) => process.addr(),
             RequestTarget::PayServer(number, instances) => {
                 let (port, _) = instances.borrow()[usize::from(*number)];
-                Some((address::seen_by(End::Clients), port).into())
+                Some((address::seen_by(Endpoint::Clients), port).into())
             }
         }
     }
@@ -114,18 +114,22 @@
     /// Connects to a gateway over the link to it.
     async fn connect(&self, gateway: u16) -> Result<Connection, ()> {
         let target = &self.targets[usize::from(gateway)];
-        let (context, to) = (self.context.clone(), target.end());
+        let (context, to) = (self.context.clone(), target.endpoint());
         context
-            .wait_until(|context| context.can_connect(End::Clients, to) || context.is_reset(End::Clients, to))
+            .wait_until(|context| {
+                context.can_connect(Endpoint::Clients, to) || context.is_reset(Endpoint::Clients, to)
+            })
             .await;
         let addr = target.addr();
-        let addr = addr.filter(|_| !context.is_reset(End::Clients, to)).ok_or(())?;
+        let addr = addr.filter(|_| !context.is_reset(Endpoint::Clients, to)).ok_or(())?;
         let mut tcp = TcpStream::connect(addr).await.map_err(drop)?;
         drop(tcp.set_nodelay(true));
         let (mut outer, inner) = tokio::io::duplex(PIPE_BYTES);
         let delivered = Rc::new(Cell::new(0));
         let observer = Observer { delivered: delivered.clone(), ..Observer::default() };
-        spawn_local(async move { relay(&context, &mut tcp, to, &mut outer, End::Clients, observer).await });
+        spawn_local(
+            async move { relay(&context, &mut tcp, to, &mut outer, Endpoint::Clients, observer).await },
+        );
         let (sender, connection) = http1::handshake(TokioIo::new(inner)).await.map_err(drop)?;
         spawn_local(async move { drop(connection.await) });
         Ok(Connection { sender, delivered, used: false })
@@ -158,7 +162,7 @@
                 tokio::time::sleep(HEALTH_CHECK_INTERVAL).await;
             }
             self.context.record(Event::ProcessChanged {
-                end: End::Gateway(gateway),
+                endpoint: Endpoint::Gateway(gateway),
                 change: crate::history::ProcessChange::Ready,
             });
             self.load_balancer.borrow_mut().set(gateway, true);
--- a/testing/fault-injection/src/harness/discovery.rs
+++ b/testing/fault-injection/src/harness/discovery.rs
@@ -3,7 +3,7 @@
 //! that gateway.
 
 use crate::deployment::MS;
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::harness::pay_servers::{block_cut_callers, response_with_flag_header};
 use crate::harness::process::Process;
 use crate::harness::relay::{relay, Observer, Side, Tap};
@@ -40,7 +40,7 @@
 /// its own.
 pub struct LinkListener {
     context: Rc<RunContext>,
-    to: End,
+    to: Endpoint,
     /// The port of the listener.
     pub port: u16,
     listener: TcpListener,
@@ -51,7 +51,7 @@
 
 impl LinkListener {
     /// Opens a listener in front of a process or a stand-in.
-    pub fn open(context: &Rc<RunContext>, to: End) -> io::Result<Rc<LinkListener>> {
+    pub fn open(context: &Rc<RunContext>, to: Endpoint) -> io::Result<Rc<LinkListener>> {
         let (listener, port) = address::listen()?;
         let accepting = Cell::new(true);
         let generation = watch::Sender::new(0);
@@ -81,7 +81,7 @@
     pub fn serve<F: std::future::Future<Output = ()> + 'static>(
         self: Rc<Self>,
         pipe: usize,
-        service: impl Fn(DuplexStream, End) -> F + 'static,
+        service: impl Fn(DuplexStream, Endpoint) -> F + 'static,
     ) {
         self.serve_observed(pipe, service, Observer::default);
     }
@@ -90,7 +90,7 @@
     pub fn serve_observed<F: std::future::Future<Output = ()> + 'static>(
         self: Rc<Self>,
         pipe: usize,
-        service: impl Fn(DuplexStream, End) -> F + 'static,
+        service: impl Fn(DuplexStream, Endpoint) -> F + 'static,
         observer: impl Fn() -> Observer + 'static,
     ) {
         let listener = self.clone();
@@ -106,7 +106,7 @@
         }));
     }
 
-    async fn accept_each(self: Rc<Self>, serve: impl Fn(TcpStream, End)) {
+    async fn accept_each(self: Rc<Self>, serve: impl Fn(TcpStream, Endpoint)) {
         while let Ok((tcp, _)) = self.listener.accept().await {
             let caller = tcp.local_addr().ok().and_then(|addr| address::caller_by_addr(addr.ip()));
             match caller.filter(|from| self.accepting.get() && !self.context.is_reset(*from, self.to)) {
@@ -120,7 +120,7 @@
     async fn relay_to_service(
         self: Rc<Self>,
         mut tcp: TcpStream,
-        from: End,
+        from: Endpoint,
         serving: impl std::future::Future<Output = ()> + 'static,
         mut outer: DuplexStream,
         observer: Observer,
@@ -151,7 +151,7 @@
 impl DiscoveryStandIn {
     /// Starts the stand-in.
     pub fn new(context: &Rc<RunContext>) -> io::Result<Rc<DiscoveryStandIn>> {
-        let listener = LinkListener::open(context, End::DiscoveryService(0))?;
+        let listener = LinkListener::open(context, Endpoint::DiscoveryService(0))?;
         let discovery = Rc::new(DiscoveryStandIn {
             listener,
             core: RefCell::new(Discovery::new(1)),
@@ -175,7 +175,7 @@
     }
 
     fn is_suspended(context: &RunContext) -> bool {
-        context.is_suspended(End::DiscoveryService(0))
+        context.is_suspended(Endpoint::DiscoveryService(0))
     }
 
     /// Sets the entry of a server. Once discovery is not suspended, the gateways' agents have the entry,
@@ -193,10 +193,10 @@
     async fn handle_request(
         self: Rc<Self>,
         request: Request<Incoming>,
-        from: End,
+        from: Endpoint,
     ) -> Result<Response<Full<Bytes>>, io::Error> {
         let context = &self.listener.context;
-        let End::Gateway(gateway) = from else {
+        let Endpoint::Gateway(gateway) = from else {
             return Ok(response_with_flag_header(404, "", String::new()));
         };
         if request.uri().path() != HOSTS {
@@ -267,7 +267,7 @@
 ) {
     let context = listener.context.clone();
     proxy_process(listener, process, move |from| match from {
-        End::Gateway(gateway) => Observer {
+        Endpoint::Gateway(gateway) => Observer {
             from_caller: Some(record_discovery_requests(context.clone(), gateway)),
             to_caller: Some(rewrite_and_record_responses(
                 context.clone(),
@@ -285,7 +285,7 @@
 pub fn proxy_process(
     listener: &Rc<LinkListener>,
     process: &Rc<Process>,
-    observer: impl Fn(End) -> Observer + 'static,
+    observer: impl Fn(Endpoint) -> Observer + 'static,
 ) {
     let (accepting, process, observer) = (listener.clone(), process.clone(), Rc::new(observer));
     spawn_local(listener.clone().accept_each(move |mut tcp, from| {
@@ -322,7 +322,7 @@
     numbers: Rc<HashMap<String, u16>>,
 ) -> Tap {
     let registered = address::REGISTERED.to_string();
-    let seen_by_gateway = address::seen_by(End::Gateway(gateway)).to_string();
+    let seen_by_gateway = address::seen_by(Endpoint::Gateway(gateway)).to_string();
     tap_http_messages(move |_, body| {
         for at in 0..body.len().saturating_sub(registered.len()) {
             if body[at..].starts_with(registered.as_bytes()) {
@@ -424,7 +424,7 @@
 impl CounterStandIn {
     /// Starts the stand-in.
     pub fn new(context: &Rc<RunContext>) -> io::Result<Rc<CounterStandIn>> {
-        let listener = LinkListener::open(context, End::Counter)?;
+        let listener = LinkListener::open(context, Endpoint::Counter)?;
         let core = RefCell::new(Counter::new(context.scenario.site.counter_per_s));
         let counter = Rc::new(CounterStandIn { listener, core });
         let serving = counter.clone();
@@ -435,9 +435,9 @@
         Ok(counter)
     }
 
-    async fn serve(&self, pipe: DuplexStream, from: End) -> io::Result<()> {
+    async fn serve(&self, pipe: DuplexStream, from: Endpoint) -> io::Result<()> {
         let context = &self.listener.context;
-        let End::Gateway(gateway) = from else { return Ok(()) };
+        let Endpoint::Gateway(gateway) = from else { return Ok(()) };
         let (read, mut write) = tokio::io::split(pipe);
         let mut lines = BufReader::with_capacity(MAX_LINE_BYTES, read).lines();
         while let Some(line) = lines.next_line().await? {
@@ -451,7 +451,7 @@
 }
 
 /// Returns the address at which a caller reaches the listener on a port.
-pub fn addr_for(from: End, port: u16) -> String {
+pub fn addr_for(from: Endpoint, port: u16) -> String {
     format!("{}:{port}", IpAddr::V4(address::seen_by(from)))
 }
 
--- a/testing/fault-injection/src/harness/pay_servers.rs
+++ b/testing/fault-injection/src/harness/pay_servers.rs
@@ -1,7 +1,7 @@
 //! The pay servers on sockets: HTTP/1.1 as specified for pay servers, with one listener each.
 
 use crate::deployment::{sample_gamma, Nanos, MS, SECOND};
-use crate::endpoint::{End, Kind};
+use crate::endpoint::{Endpoint, Kind};
 use crate::harness::cells::Cells;
 use crate::harness::relay::{relay, Observer, Side};
 use crate::harness::{address, RunContext};
@@ -126,8 +126,8 @@
         PayServer::new(site, speed, fleet.receipts, context.now(), started)
     }
 
-    fn end(&self) -> End {
-        End::PayServer(self.number)
+    fn endpoint(&self) -> Endpoint {
+        Endpoint::PayServer(self.number)
     }
 
     fn cell(&self) -> u16 {
@@ -177,14 +177,14 @@
     pub fn set_suspended(&self, suspended: bool) {
         let mut actions = Vec::new();
         self.core.borrow_mut().set_suspended(self.context.now(), suspended, &mut actions);
-        self.context.change_link_faults(|rules| rules.set_suspended(self.end(), suspended));
+        self.context.change_link_faults(|rules| rules.set_suspended(self.endpoint(), suspended));
         self.perform(actions);
     }
 
     /// Drops connection attempts of callers whose link to this server is cut.
     pub fn block_cut_callers(&self) {
         if let Some((listener, _)) = &*self.listener.borrow() {
-            block_cut_callers(&self.context, listener, self.end());
+            block_cut_callers(&self.context, listener, self.endpoint());
         }
     }
 
@@ -194,7 +194,7 @@
             let Some(from) = caller else { continue };
             // The number of connections to a machine is limited.
             if self.connections.get() >= self.core.borrow().max_connections
-                || self.context.is_reset(from, self.end())
+                || self.context.is_reset(from, self.endpoint())
             {
                 tcp.abort();
                 continue;
@@ -203,10 +203,10 @@
         }
     }
 
-    async fn connection(self: Rc<Self>, mut tcp: TcpStream, from: End) {
+    async fn connection(self: Rc<Self>, mut tcp: TcpStream, from: Endpoint) {
         drop(tcp.set_nodelay(true));
-        let (to, number) = (self.end(), self.context.next_id());
-        let gateway = if let End::Gateway(gateway) = from { gateway } else { NO_GATEWAY };
+        let (to, number) = (self.endpoint(), self.context.next_id());
+        let gateway = if let Endpoint::Gateway(gateway) = from { gateway } else { NO_GATEWAY };
         self.context.record(Event::Opened { connection: number, from, to });
         self.connections.set(self.connections.get() + 1);
         let (mut outer, inner) = tokio::io::duplex(PIPE_BYTES);
@@ -401,13 +401,13 @@
 
 /// Drops connection attempts over a cut link to an endpoint. Over a link with a fault that resets
 /// connections, they are accepted and reset.
-pub fn block_cut_callers(context: &RunContext, listener: &TcpListener, to: End) {
-    let gateways = (0..context.scenario.fleet.gateways as u16).map(End::Gateway);
+pub fn block_cut_callers(context: &RunContext, listener: &TcpListener, to: Endpoint) {
+    let gateways = (0..context.scenario.fleet.gateways as u16).map(Endpoint::Gateway);
     let discovery_processes =
-        (0..context.scenario.fleet.discovery_processes as u16).map(End::DiscoveryService);
-    let coordinators = (0..context.scenario.fleet.coordinators as u16).map(End::Coordinator);
-    let candidates = (0..context.scenario.count(Kind::Candidates) as u16).map(End::Candidate);
-    let controllers = (0..context.scenario.fleet.controllers as u16).map(End::Controller);
+        (0..context.scenario.fleet.discovery_processes as u16).map(Endpoint::DiscoveryService);
+    let coordinators = (0..context.scenario.fleet.coordinators as u16).map(Endpoint::Coordinator);
+    let candidates = (0..context.scenario.count(Kind::Candidates) as u16).map(Endpoint::Candidate);
+    let controllers = (0..context.scenario.fleet.controllers as u16).map(Endpoint::Controller);
     let cut: Vec<_> = gateways
         .chain(discovery_processes)
         .chain(controllers)
--- a/testing/fault-injection/src/harness/process.rs
+++ b/testing/fault-injection/src/harness/process.rs
@@ -1,6 +1,6 @@
 //! Processes of the fleet: starts, monitors and signals them. They end with the harness, however it ends.
 
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::error::RunError;
 use crate::harness::RunContext;
 use crate::history::{DecisionKind, Event, ProcessChange};
@@ -40,7 +40,7 @@
 /// A process of the fleet, which may be running or not.
 pub struct Process {
     /// The endpoint of the process.
-    pub end: End,
+    pub endpoint: Endpoint,
     context: Rc<RunContext>,
     /// The program of the harness, which executes `program` in its place.
     launcher: PathBuf,
@@ -58,13 +58,13 @@
     /// Returns a process that is not started yet.
     pub fn new(
         context: &Rc<RunContext>,
-        end: End,
+        endpoint: Endpoint,
         launcher: PathBuf,
         program: PathBuf,
         log: PathBuf,
     ) -> Rc<Process> {
         Rc::new(Process {
-            end,
+            endpoint,
             context: context.clone(),
             launcher,
             program,
@@ -106,7 +106,7 @@
     }
 
     fn record(&self, change: ProcessChange) {
-        self.context.record(Event::ProcessChanged { end: self.end, change });
+        self.context.record(Event::ProcessChanged { endpoint: self.endpoint, change });
     }
 
     /// Starts the process and waits until it listens.
@@ -119,7 +119,7 @@
         prepare: impl FnOnce(&mut Command) -> io::Result<()>,
     ) -> Result<(), RunError> {
         let start_error = |reason: &dyn std::fmt::Display| {
-            RunError::Start(self.end, self.program.clone(), reason.to_string())
+            RunError::Start(self.endpoint, self.program.clone(), reason.to_string())
         };
         let mut command = Command::new(&self.launcher);
         command.arg("hold").arg(std::process::id().to_string()).arg(&self.program);
@@ -198,11 +198,11 @@
             let (token, revision) = stamp.split_once('.')?;
             Some((kind, token.parse().ok()?, revision.parse().ok()?))
         });
-        match (self.end, stamp) {
-            (End::Gateway(gateway), Some((kind, token, revision))) => {
+        match (self.endpoint, stamp) {
+            (Endpoint::Gateway(gateway), Some((kind, token, revision))) => {
                 self.context.record(Event::DecisionApplied { gateway, kind, token, revision });
             }
-            (End::Controller(controller), _) if text.contains("came too late and is refused") => {
+            (Endpoint::Controller(controller), _) if text.contains("came too late and is refused") => {
                 self.context.record(Event::DecisionRefused { controller });
             }
             _ => {}
@@ -216,7 +216,7 @@
         if !end_expected {
             self.unclean_exits.set(self.unclean_exits.get() + 1);
             let status = status.map_or_else(|e| e.to_string(), |status| status.to_string());
-            tracing::error!(end = %self.end, status, "process exited unexpectedly");
+            tracing::error!(end = %self.endpoint, status, "process exited unexpectedly");
             self.crash_status.replace(Some(status));
         }
         self.state.send_replace(State::Down);
@@ -225,7 +225,7 @@
     fn signal(&self, signal: Signal) {
         if let State::Up(pid, _) | State::Starting(pid) = *self.state.borrow() {
             if let Err(e) = kill_process(pid, signal) {
-                tracing::warn!(end = %self.end, error = %e, "cannot send a signal to the process");
+                tracing::warn!(end = %self.endpoint, error = %e, "cannot send a signal to the process");
             }
         }
     }
--- a/testing/fault-injection/src/harness/registers.rs
+++ b/testing/fault-injection/src/harness/registers.rs
@@ -6,7 +6,7 @@
 //! large values, and values that a lock or a session owns.
 
 use crate::deployment::{random_stream, Nanos, RandomStream, MS};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::harness::RunContext;
 use crate::history::{CallResult, Event};
 use marblecroft_coordination::client::{CallError, Client};
@@ -38,7 +38,7 @@
     let mut rng = random_stream(context.seed ^ u64::from(number) << 32, RandomStream::Registers);
     let mut known_revisions = vec![0; registers.registers as usize];
     loop {
-        context.wait_until(|context| !context.is_suspended(End::Candidate(number))).await;
+        context.wait_until(|context| !context.is_suspended(Endpoint::Candidate(number))).await;
         let register = rng.random_range(0..registers.registers) as u16;
         let key = format!("{PREFIX}{register}");
         let call = context.next_id();
@@ -96,7 +96,7 @@
         };
         context.record(Event::Watched { watcher: number, since: None, upto: since, changes: Vec::new() });
         loop {
-            context.wait_until(|context| !context.is_suspended(End::Candidate(number))).await;
+            context.wait_until(|context| !context.is_suspended(Endpoint::Candidate(number))).await;
             match client.changes_since(PREFIX, since, CALL_TIMEOUT).await {
                 Ok(Changes::Changes { upto, changes }) => {
                     let register_changes = changes.iter().filter_map(|(revision, change)| match change {
--- a/testing/fault-injection/src/harness/relay.rs
+++ b/testing/fault-injection/src/harness/relay.rs
@@ -4,7 +4,7 @@
 //! Both arrive once the link is open again.
 
 use crate::deployment::Nanos;
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::harness::RunContext;
 use bytes::{Bytes, BytesMut};
 use socket2::SockRef;
@@ -57,9 +57,9 @@
 pub async fn relay<A: Side, B: Side>(
     context: &RunContext,
     a: &mut A,
-    from: End,
+    from: Endpoint,
     b: &mut B,
-    to: End,
+    to: Endpoint,
     mut observer: Observer,
 ) {
     let ended = {
@@ -102,8 +102,8 @@
 #[allow(clippy::too_many_arguments)] // both ends of one direction and its observers
 async fn relay_direction(
     context: &RunContext,
-    from: End,
-    to: End,
+    from: Endpoint,
+    to: Endpoint,
     mut read: impl AsyncRead + Unpin,
     mut write: impl AsyncWrite + Unpin,
     mut tap: Option<Tap>,
--- a/testing/fault-injection/src/harness/run/controllers.rs
+++ b/testing/fault-injection/src/harness/run/controllers.rs
@@ -4,7 +4,7 @@
 use super::running_fleet::RunningFleet;
 use super::{CALL_TIMEOUT, FLEET};
 use crate::deployment::{Nanos, MS};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::error::RunError;
 use crate::harness::address;
 use crate::harness::discovery::{addr_for, proxy_process};
@@ -40,8 +40,8 @@
         for started in join_all((0..self.controllers.len() as u16).map(|i| self.start_controller(i))).await {
             started?;
         }
-        let (ip, context) = (address::seen_by(End::Clients), self.context.clone());
-        let client = Client::behind_translator(self.coordinator_addrs(End::Clients), Some(ip.into()));
+        let (ip, context) = (address::seen_by(Endpoint::Clients), self.context.clone());
+        let client = Client::behind_translator(self.coordinator_addrs(Endpoint::Clients), Some(ip.into()));
         self.coordination_client.replace(Some(client.clone()));
         let (keys, clock) = (Keys::of(FLEET), context.clone());
         let last: [Cell<Option<(u64, u64)>>; 3] = Default::default();
@@ -69,10 +69,10 @@
     }
 
     pub(super) async fn start_controller(&self, number: u16) -> Result<(), RunError> {
-        let (end, scenario) = (End::Controller(number), &self.context.scenario);
+        let (endpoint, scenario) = (Endpoint::Controller(number), &self.context.scenario);
         let (process, listener) = &self.controllers[usize::from(number)];
-        let folder = self.dir.join("tmp").join(end.to_string());
-        let zone = scenario.zone_of(end).and_then(|zone| scenario.all_zones().get(zone).copied());
+        let folder = self.dir.join("tmp").join(endpoint.to_string());
+        let zone = scenario.zone_of(endpoint).and_then(|zone| scenario.all_zones().get(zone).copied());
         let zones: Vec<Value> = scenario
             .fleet
             .zones
@@ -80,9 +80,9 @@
             .map(|zone| json!({"name": zone, "region": scenario.region(zone)}))
             .collect();
         let mut config = json!({"fleet": FLEET, "name": format!("steward-{number}"), "zone": zone.unwrap_or_default(),
-            "listen": SocketAddr::from((address::listen_addr(end), 0)),
+            "listen": SocketAddr::from((address::listen_addr(endpoint), 0)),
             "reached_at": SocketAddr::from((address::REGISTERED, listener.port)),
-            "coordinators": self.coordinator_addrs(end), "coordinators_at": address::seen_by(end), "session_ms": 1500,
+            "coordinators": self.coordinator_addrs(endpoint), "coordinators_at": address::seen_by(endpoint), "session_ms": 1500,
             "zones": {"places": zones, "ramp_ms": scenario.site.warmup_ms.max(1)}});
         if scenario.tenants.is_some() {
             config["shares"] = json!({});
@@ -90,7 +90,7 @@
         if let Some(shard_settings) = &scenario.shards {
             let cells = (0..).zip(&self.cells.listeners).map(|(number, listener)| {
                 let zone = &scenario.fleet.zones[scenario.zone_of_cell(number)];
-                json!({"number": number, "zone": zone, "region": scenario.region(zone), "at": addr_for(end, listener.port)})
+                json!({"number": number, "zone": zone, "region": scenario.region(zone), "at": addr_for(endpoint, listener.port)})
             });
             let cells: Vec<Value> = cells.collect();
             config["books"] = json!({"count": shard_settings.count, "cells": cells, "fencing": scenario.fleet.fencing,
@@ -107,13 +107,13 @@
     }
 
     /// Returns the controller that owns a role, according to its record in the coordination service.
-    pub(super) async fn role_owner(&self, role: &str) -> Option<End> {
+    pub(super) async fn role_owner(&self, role: &str) -> Option<Endpoint> {
         let client = self.coordination_client.borrow().clone()?;
         let key = Keys::of(FLEET).owner(role);
         let (_, values) = client.read(&key, CALL_TIMEOUT).await.ok()?;
         let (_, value, _) = values.into_iter().find(|(name, ..)| *name == key)?;
         let number = decode_value::<RoleOwner>(&value)?.candidate.strip_prefix("steward-")?.parse().ok()?;
-        Some(End::Controller(number))
+        Some(Endpoint::Controller(number))
     }
 
     /// Waits for the first decisions on shards and shares, without which the load cannot start.
--- a/testing/fault-injection/src/harness/run/coordinators.rs
+++ b/testing/fault-injection/src/harness/run/coordinators.rs
@@ -3,7 +3,7 @@
 use super::process_config::merge;
 use super::running_fleet::RunningFleet;
 use super::{CALL_TIMEOUT, RENEW_INTERVAL, REPLACE_TIMEOUT};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::error::RunError;
 use crate::harness::candidates::{Candidates, CLUSTER_START_TIMEOUT};
 use crate::harness::discovery::{addr_for, proxy_process};
@@ -38,7 +38,7 @@
             .map_err(|_| RunError::NotInTime("the coordinators did not form a cluster in time"))?
             .map_err(RunError::Cluster)?;
         let client = |candidate| {
-            let ip = address::seen_by(End::Candidate(candidate));
+            let ip = address::seen_by(Endpoint::Candidate(candidate));
             let addrs = ports.iter().map(|port| format!("{ip}:{port}")).collect();
             Client::behind_translator(addrs, Some(ip.into()))
         };
@@ -48,8 +48,8 @@
     }
 
     /// Returns the addresses at which an endpoint reaches the coordinators.
-    pub(super) fn coordinator_addrs(&self, end: End) -> Vec<String> {
-        self.coordinators.iter().map(|(_, listener)| addr_for(end, listener.port)).collect()
+    pub(super) fn coordinator_addrs(&self, endpoint: Endpoint) -> Vec<String> {
+        self.coordinators.iter().map(|(_, listener)| addr_for(endpoint, listener.port)).collect()
     }
 
     /// Forms the cluster, like an operator's `begin`. It bypasses the links, which are for the endpoints of
@@ -78,9 +78,9 @@
     }
 
     pub(super) async fn start_coordinator(&self, number: u16) -> Result<(), RunError> {
-        let end = End::Coordinator(number);
-        let folder = self.dir.join("tmp").join(end.to_string());
-        let mut config = json!({"listen": SocketAddr::from((address::listen_addr(end), 0)), "peers_at": address::seen_by(end),
+        let endpoint = Endpoint::Coordinator(number);
+        let folder = self.dir.join("tmp").join(endpoint.to_string());
+        let mut config = json!({"listen": SocketAddr::from((address::listen_addr(endpoint), 0)), "peers_at": address::seen_by(endpoint),
             "data": folder.join("data"), "heartbeat_ms": 50, "election_ms": 300});
         if let Some(more) = self.context.scenario.fleet.coordinator_config.get(usize::from(number)) {
             merge(
@@ -99,14 +99,14 @@
         let (process, listener) = &self.coordinators[usize::from(number)];
         let addr = format!("{}:{}", address::REGISTERED, listener.port);
         let failed = |reason: &dyn std::fmt::Display| {
-            RunError::Replacement(End::Coordinator(number), reason.to_string())
+            RunError::Replacement(Endpoint::Coordinator(number), reason.to_string())
         };
         let own_addr = process.addr().ok_or_else(|| failed(&"the process has ended again"))?.to_string();
         let reply = async { wire::Channel::connect(&own_addr, 0).await?.call(wire::Request::Identity).await };
         let wire::Response::Identity { node, .. } = reply.await.map_err(|e| failed(&e))? else {
             return Err(failed(&"the coordinator did not return its identity"));
         };
-        let ip = address::seen_by(End::Clients);
+        let ip = address::seen_by(Endpoint::Clients);
         let ports = self.coordinators.iter().map(|(_, listener)| listener.port);
         let client =
             Client::behind_translator(ports.map(|port| format!("{ip}:{port}")).collect(), Some(ip.into()));
@@ -139,18 +139,18 @@
     }
 
     /// Returns the leader, according to the coordinators' own status; the requests bypass the links.
-    pub(super) async fn leader(&self) -> Option<End> {
+    pub(super) async fn leader(&self) -> Option<Endpoint> {
         let replies = self.coordinators.iter().enumerate().map(|(i, (process, _))| async move {
             let addr = process.addr()?.to_string();
             let status_call =
                 async { wire::Channel::connect(&addr, 0).await?.call(wire::Request::Status).await };
             match timeout(CALL_TIMEOUT, status_call).await {
                 Ok(Ok(wire::Response::Status(status))) if status.leads => {
-                    Some((status.term, End::Coordinator(i as u16)))
+                    Some((status.term, Endpoint::Coordinator(i as u16)))
                 }
                 _ => None,
             }
         });
-        join_all(replies).await.into_iter().flatten().max().map(|(_, end)| end)
+        join_all(replies).await.into_iter().flatten().max().map(|(_, endpoint)| endpoint)
     }
 }
--- a/testing/fault-injection/src/harness/run/discovery.rs
+++ b/testing/fault-injection/src/harness/run/discovery.rs
@@ -3,7 +3,7 @@
 use super::measurement::unix_us;
 use super::running_fleet::RunningFleet;
 use super::{CALL_TIMEOUT, LEASE_MS, RENEW_INTERVAL};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::error::RunError;
 use crate::harness::address;
 use crate::harness::discovery::{addr_for, discovery_delay, proxy_discovery_process};
@@ -64,17 +64,17 @@
     }
 
     pub(super) async fn start_discovery_process(&self, number: u16) -> Result<(), RunError> {
-        let end = End::DiscoveryService(number);
-        let folder = self.dir.join("tmp").join(end.to_string());
+        let endpoint = Endpoint::DiscoveryService(number);
+        let folder = self.dir.join("tmp").join(endpoint.to_string());
         let peers: Vec<String> = (0..self.ports.discovery.len())
             .filter(|i| *i != usize::from(number))
-            .map(|i| addr_for(end, self.ports.discovery[i]))
+            .map(|i| addr_for(endpoint, self.ports.discovery[i]))
             .collect();
-        let mut config = json!({"listen": SocketAddr::from((address::listen_addr(end), 0)), "data": folder.join("data"),
+        let mut config = json!({"listen": SocketAddr::from((address::listen_addr(endpoint), 0)), "data": folder.join("data"),
             "peers": peers, "limits": {"connections": 4096, "watches": 2048}});
         if number > 0 {
-            config["follow"] = json!(addr_for(end, self.ports.discovery[0]));
-            config["peers"] = json!([addr_for(end, self.ports.discovery[0])]);
+            config["follow"] = json!(addr_for(endpoint, self.ports.discovery[0]));
+            config["peers"] = json!([addr_for(endpoint, self.ports.discovery[0])]);
         }
         let path = folder.join("config.json");
         let process = &self.discovery_processes[usize::from(number)].0;
@@ -86,7 +86,7 @@
                 Ok(())
             })
             .await?;
-        self.context.record(Event::ProcessChanged { end, change: ProcessChange::Ready });
+        self.context.record(Event::ProcessChanged { endpoint, change: ProcessChange::Ready });
         Ok(())
     }
 
@@ -98,7 +98,8 @@
         operation: &str,
         body: Value,
     ) -> Option<u16> {
-        let (context, from, to) = (self.context.clone(), End::PayServer(number), End::DiscoveryService(0));
+        let (context, from, to) =
+            (self.context.clone(), Endpoint::PayServer(number), Endpoint::DiscoveryService(0));
         let exchange = async move {
             context.wait_until(|context| context.can_connect(from, to) || context.is_reset(from, to)).await;
             let addr = self.discovery_processes.first()?.0.addr().filter(|_| !context.is_reset(from, to))?;
@@ -173,11 +174,13 @@
     /// Restarts a server, cold and on a new port.
     pub(super) async fn restart_pay_server(&self, number: u16) -> Result<(), RunError> {
         let port = self.servers[usize::from(number)].start(true);
-        let port = port.map_err(|error| RunError::ListenAgain(End::PayServer(number), error))?;
+        let port = port.map_err(|error| RunError::ListenAgain(Endpoint::PayServer(number), error))?;
         let started = unix_us() / 1000;
         self.server_instances.borrow_mut()[usize::from(number)] = (port, started);
-        self.context
-            .record(Event::ProcessChanged { end: End::PayServer(number), change: ProcessChange::Started });
+        self.context.record(Event::ProcessChanged {
+            endpoint: Endpoint::PayServer(number),
+            change: ProcessChange::Started,
+        });
         if let Some(discovery) = &self.discovery {
             self.context.sleep_until(self.context.now() + discovery_delay(&self.context, true)).await;
             let host = self.host_entry(number, State::Serving, address::REGISTERED);
--- a/testing/fault-injection/src/harness/run/faults.rs
+++ b/testing/fault-injection/src/harness/run/faults.rs
@@ -3,7 +3,7 @@
 use super::running_fleet::RunningFleet;
 use super::DRAIN_TIME;
 use crate::deployment::{random_stream, DrawnFault, Nanos, RandomStream};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::error::RunError;
 use crate::harness::discovery::discovery_delay;
 use crate::harness::process::Process;
@@ -42,7 +42,7 @@
     }
 
     /// Returns the current owner of a lock or a role, or the leader of the coordinators.
-    pub(super) async fn resolve_owner(&self, name: &str) -> Option<End> {
+    pub(super) async fn resolve_owner(&self, name: &str) -> Option<Endpoint> {
         let owner = match name {
             LEADER => self.leader().await,
             name if ROLES.contains(&name) => self.role_owner(name).await,
@@ -63,7 +63,7 @@
         }
         for &victim in &fault.victims {
             match (victim, self.process(victim)) {
-                (End::PayServer(server), _) => self.fault_pay_server(server, fault),
+                (Endpoint::PayServer(server), _) => self.fault_pay_server(server, fault),
                 (_, Some(process)) => self.fault_process(&process, fault.kind),
                 (_, None) => self.fault_stand_in(victim, fault.kind),
             }
@@ -81,7 +81,7 @@
             _ => {
                 server.kill();
                 self.context.record(Event::ProcessChanged {
-                    end: End::PayServer(number),
+                    endpoint: Endpoint::PayServer(number),
                     change: ProcessChange::Ended,
                 });
                 // Discovery does not show the failure of a server that is restarted before the failure is
@@ -105,9 +105,9 @@
         }
     }
 
-    fn fault_stand_in(&self, victim: End, kind: FaultKind) {
+    fn fault_stand_in(&self, victim: Endpoint, kind: FaultKind) {
         match (kind, victim) {
-            (FaultKind::Wipe, End::Counter) => {
+            (FaultKind::Wipe, Endpoint::Counter) => {
                 let mut rng = random_stream(self.context.seed, RandomStream::Counter);
                 self.counter.iter().for_each(|counter| counter.core.borrow_mut().lose_share(1.0, &mut rng));
             }
@@ -116,7 +116,7 @@
             }
             (kind, _) => {
                 self.listeners(victim).iter().for_each(|listener| listener.set_accepting(false));
-                if let (FaultKind::Wipe, End::Cell(number)) = (kind, victim) {
+                if let (FaultKind::Wipe, Endpoint::Cell(number)) = (kind, victim) {
                     self.cells.wipe(number);
                 }
             }
@@ -128,7 +128,7 @@
             FaultKind::Stop => process.set_suspended(true),
             FaultKind::Term => process.terminate(),
             FaultKind::FullDisk => {
-                process.expect_end(matches!(process.end, End::Coordinator(_)));
+                process.expect_end(matches!(process.endpoint, Endpoint::Coordinator(_)));
                 let result = process.fill_disk(true);
                 self.record_failure(result.map_err(|error| RunError::File(self.dir.clone(), error)));
             }
@@ -149,7 +149,7 @@
         }
         let recoveries = fault.victims.iter().map(|&victim| async move {
             match (victim, self.process(victim)) {
-                (End::PayServer(server), _) => {
+                (Endpoint::PayServer(server), _) => {
                     self.recover_pay_server(server, fault.kind);
                     Ok(())
                 }
@@ -185,7 +185,7 @@
                 Ok(())
             }
             // A coordinator that cannot write to its disk exits; its supervisor restarts it.
-            FaultKind::FullDisk if !process.is_running() => self.restart(process.end, false).await,
+            FaultKind::FullDisk if !process.is_running() => self.restart(process.endpoint, false).await,
             FaultKind::FullDisk => {
                 process.expect_end(false);
                 let result = process.fill_disk(false);
@@ -193,21 +193,21 @@
             }
             kind => {
                 process.wait_ended().await;
-                self.restart(process.end, kind == FaultKind::Wipe).await
+                self.restart(process.endpoint, kind == FaultKind::Wipe).await
             }
         }
     }
 
-    pub(super) async fn restart(&self, victim: End, wiped: bool) -> Result<(), RunError> {
+    pub(super) async fn restart(&self, victim: Endpoint, wiped: bool) -> Result<(), RunError> {
         if wiped {
             let folder = self.dir.join("tmp").join(victim.to_string());
             fs::remove_dir_all(&folder).map_err(|error| RunError::File(folder, error))?;
         }
         match victim {
-            End::Gateway(i) => self.start_gateway(i, !wiped).await,
-            End::DiscoveryService(i) => self.start_discovery_process(i).await,
-            End::Controller(i) => self.start_controller(i).await,
-            End::Coordinator(i) => {
+            Endpoint::Gateway(i) => self.start_gateway(i, !wiped).await,
+            Endpoint::DiscoveryService(i) => self.start_discovery_process(i).await,
+            Endpoint::Controller(i) => self.start_controller(i).await,
+            Endpoint::Coordinator(i) => {
                 self.start_coordinator(i).await?;
                 if wiped {
                     self.replace_coordinator(i).await?;
--- a/testing/fault-injection/src/harness/run/gateways.rs
+++ b/testing/fault-injection/src/harness/run/gateways.rs
@@ -3,7 +3,7 @@
 use super::process_config::merge;
 use super::running_fleet::RunningFleet;
 use super::FLEET;
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::error::RunError;
 use crate::harness::address;
 use crate::harness::discovery::addr_for;
@@ -30,10 +30,10 @@
     }
 
     /// Returns all current servers, as a gateway that ran before would have cached them.
-    pub(super) fn cached_servers(&self, end: End) -> Value {
+    pub(super) fn cached_servers(&self, endpoint: Endpoint) -> Value {
         let hosts: Vec<Host> = (0..self.servers.len() as u16)
             .filter(|i| self.registered.borrow()[usize::from(*i)])
-            .map(|i| self.host_entry(i, State::Serving, address::seen_by(end)))
+            .map(|i| self.host_entry(i, State::Serving, address::seen_by(endpoint)))
             .collect();
         // Every store has a version above 0, so the first watch returns all entries.
         let servers = hosts.iter().collect();
@@ -41,29 +41,29 @@
     }
 
     pub(super) async fn start_gateway(&self, number: u16, with_cached_servers: bool) -> Result<(), RunError> {
-        let (context, end) = (&self.context, End::Gateway(number));
+        let (context, endpoint) = (&self.context, Endpoint::Gateway(number));
         self.starts.set(self.starts.get() + 1);
         let seed = context.deployment.gateway_seeds[usize::from(number)].wrapping_add(self.starts.get());
         let mut config = json!({
-            "name": format!("n{number}"), "listen": SocketAddr::from((address::listen_addr(end), 0)),
-            "discovery": addr_for(end, self.ports.discovery[0]), "seed": format!("{seed:016x}"),
+            "name": format!("n{number}"), "listen": SocketAddr::from((address::listen_addr(endpoint), 0)),
+            "discovery": addr_for(endpoint, self.ports.discovery[0]), "seed": format!("{seed:016x}"),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "settings": context.deployment.settings(&context.scenario, number),
         });
         if let Some(port) = self.ports.counter {
-            config["counter"] = json!(addr_for(end, port));
+            config["counter"] = json!(addr_for(endpoint, port));
         }
         if with_cached_servers {
-            config["known"] = self.cached_servers(end);
+            config["known"] = self.cached_servers(endpoint);
         }
         if !self.discovery_processes.is_empty() {
             let others: Vec<String> =
-                self.ports.discovery[1..].iter().map(|port| addr_for(end, *port)).collect();
+                self.ports.discovery[1..].iter().map(|port| addr_for(endpoint, *port)).collect();
             config["list_service"] = json!({"others": others});
         }
         if !self.controllers.is_empty() {
-            config["stewards"] = json!({"fleet": FLEET, "gateway": number, "coordinators": self.coordinator_addrs(end),
-                "at": address::seen_by(end), "shares": context.scenario.tenants.is_some(),
+            config["stewards"] = json!({"fleet": FLEET, "gateway": number, "coordinators": self.coordinator_addrs(endpoint),
+                "at": address::seen_by(endpoint), "shares": context.scenario.tenants.is_some(),
                 "books": context.scenario.shards.is_some()});
         }
         if let Some(overrides) = &context.scenario.fleet.gateway_config {
@@ -73,7 +73,7 @@
                     .map_err(|error| RunError::Configuration("fleet.gateway_config", error.to_string()))?,
             );
         }
-        let folder = self.dir.join("tmp").join(end.to_string());
+        let folder = self.dir.join("tmp").join(endpoint.to_string());
         let path = folder.join("config.json");
         let process = &self.gateways[usize::from(number)];
         process
--- a/testing/fault-injection/src/harness/run/process_config.rs
+++ b/testing/fault-injection/src/harness/run/process_config.rs
@@ -27,7 +27,8 @@
             Ok(())
         };
         process.start(prepare).await?;
-        self.context.record(Event::ProcessChanged { end: process.end, change: ProcessChange::Ready });
+        self.context
+            .record(Event::ProcessChanged { endpoint: process.endpoint, change: ProcessChange::Ready });
         Ok(())
     }
 }
--- a/testing/fault-injection/src/harness/run/running_fleet.rs
+++ b/testing/fault-injection/src/harness/run/running_fleet.rs
@@ -3,7 +3,7 @@
 use super::measurement::{monitor_harness, progress, unix_us};
 use super::{RunSpec, MAX_STARTING};
 use crate::deployment::{Nanos, MS};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::error::RunError;
 use crate::harness::candidates::{Candidates, CLUSTER_START_TIMEOUT};
 use crate::harness::cells::Cells;
@@ -169,26 +169,30 @@
         }
     }
 
-    pub(super) fn process(&self, end: End) -> Option<Rc<Process>> {
-        match end {
-            End::Gateway(i) => self.gateways.get(usize::from(i)).cloned(),
-            End::DiscoveryService(i) => {
+    pub(super) fn process(&self, endpoint: Endpoint) -> Option<Rc<Process>> {
+        match endpoint {
+            Endpoint::Gateway(i) => self.gateways.get(usize::from(i)).cloned(),
+            Endpoint::DiscoveryService(i) => {
                 self.discovery_processes.get(usize::from(i)).map(|(process, _)| process.clone())
             }
-            End::Coordinator(i) => self.coordinators.get(usize::from(i)).map(|(process, _)| process.clone()),
-            End::Controller(i) => self.controllers.get(usize::from(i)).map(|(process, _)| process.clone()),
+            Endpoint::Coordinator(i) => {
+                self.coordinators.get(usize::from(i)).map(|(process, _)| process.clone())
+            }
+            Endpoint::Controller(i) => {
+                self.controllers.get(usize::from(i)).map(|(process, _)| process.clone())
+            }
             _ => None,
         }
     }
 
     /// Returns the listeners of a stand-in other than a pay server.
-    pub(super) fn listeners(&self, end: End) -> Vec<Rc<LinkListener>> {
-        match end {
-            End::Counter => self.counter.iter().map(|counter| counter.listener.clone()).collect(),
-            End::DiscoveryService(_) => {
+    pub(super) fn listeners(&self, endpoint: Endpoint) -> Vec<Rc<LinkListener>> {
+        match endpoint {
+            Endpoint::Counter => self.counter.iter().map(|counter| counter.listener.clone()).collect(),
+            Endpoint::DiscoveryService(_) => {
                 self.discovery.iter().map(|discovery| discovery.listener.clone()).collect()
             }
-            End::Cell(i) => self.cells.listeners.get(usize::from(i)).cloned().into_iter().collect(),
+            Endpoint::Cell(i) => self.cells.listeners.get(usize::from(i)).cloned().into_iter().collect(),
             _ => Vec::new(),
         }
     }
--- a/testing/fault-injection/src/harness/run/setup.rs
+++ b/testing/fault-injection/src/harness/run/setup.rs
@@ -3,7 +3,7 @@
 use super::measurement::{children_cpu, own_cpu};
 use super::running_fleet::{Ports, RunningFleet};
 use super::{RunSpec, FLEET};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::error::RunError;
 use crate::harness::cells::Cells;
 use crate::harness::clients::{Clients, RequestTarget};
@@ -39,20 +39,21 @@
             false => Err(RunError::ProgramMissing(path)),
         }
     };
-    let log = |end: End| spec.dir.join("logs").join(format!("{end}.log"));
-    let processes = |count: u32, end_of: fn(u16) -> End, name: &str| {
+    let log = |endpoint: Endpoint| spec.dir.join("logs").join(format!("{endpoint}.log"));
+    let processes = |count: u32, endpoint_of: fn(u16) -> Endpoint, name: &str| {
         let new_process = |number| {
-            let end = end_of(number);
-            let process = Process::new(context, end, spec.harness.clone(), program(name)?, log(end));
-            Ok((process, LinkListener::open(context, end).map_err(RunError::Listen)?))
+            let endpoint = endpoint_of(number);
+            let process =
+                Process::new(context, endpoint, spec.harness.clone(), program(name)?, log(endpoint));
+            Ok((process, LinkListener::open(context, endpoint).map_err(RunError::Listen)?))
         };
         (0..count as u16).map(new_process).collect::<Result<Vec<_>, RunError>>()
     };
     let discovery_processes =
-        processes(scenario.fleet.discovery_processes, End::DiscoveryService, "marblecroft-discovery")?;
+        processes(scenario.fleet.discovery_processes, Endpoint::DiscoveryService, "marblecroft-discovery")?;
     let coordinators =
-        processes(scenario.fleet.coordinators, End::Coordinator, "marblecroft-coordination-server")?;
-    let controllers = processes(scenario.fleet.controllers, End::Controller, "marblecroft-controller")?;
+        processes(scenario.fleet.coordinators, Endpoint::Coordinator, "marblecroft-coordination-server")?;
+    let controllers = processes(scenario.fleet.controllers, Endpoint::Controller, "marblecroft-controller")?;
     let discovery = if discovery_processes.is_empty() {
         Some(DiscoveryStandIn::new(context).map_err(RunError::Listen)?)
     } else {
@@ -64,8 +65,8 @@
         None => program("marblecroft-quota-gateway")?,
     };
     let gateways: Vec<Rc<Process>> = (0..scenario.fleet.gateways as u16)
-        .map(End::Gateway)
-        .map(|end| Process::new(context, end, spec.harness.clone(), gateway.clone(), log(end)))
+        .map(Endpoint::Gateway)
+        .map(|endpoint| Process::new(context, endpoint, spec.harness.clone(), gateway.clone(), log(endpoint)))
         .collect();
     let ports = Ports {
         discovery: match &discovery {
--- a/testing/fault-injection/src/history.rs
+++ b/testing/fault-injection/src/history.rs
@@ -5,7 +5,7 @@
 //! encoded with `postcard`. A reader rejects lengths above [`MAX_FRAME_BYTES`].
 
 use crate::deployment::{DrawnFault, Nanos, Quota};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::error::RecordingError;
 use serde::{Deserialize, Serialize};
 use std::fs::File;
@@ -277,9 +277,9 @@
         /// Number of the connection.
         connection: u64,
         /// The end that opened it.
-        from: End,
+        from: Endpoint,
         /// The end that accepted it.
-        to: End,
+        to: Endpoint,
     },
     /// The end that opened a connection has closed it or has terminated.
     Closed {
@@ -431,7 +431,7 @@
     /// The state of a process or a stand-in has changed.
     ProcessChanged {
         /// The process or stand-in.
-        end: End,
+        endpoint: Endpoint,
         /// The change.
         change: ProcessChange,
     },
--- a/testing/fault-injection/src/link.rs
+++ b/testing/fault-injection/src/link.rs
@@ -1,7 +1,7 @@
 //! The effect of the active faults on the links between endpoints, without I/O.
 
 use crate::deployment::{DrawnFault, Nanos, MS};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::scenario::FaultKind;
 use rand::Rng;
 use std::collections::BTreeSet;
@@ -64,14 +64,14 @@
 #[derive(Default)]
 pub struct LinkFaults {
     active: Vec<(usize, Rule)>,
-    suspended: BTreeSet<End>,
+    suspended: BTreeSet<Endpoint>,
 }
 
 struct Rule {
     kind: FaultKind,
-    target: BTreeSet<End>,
+    target: BTreeSet<Endpoint>,
     /// The other side of the links; empty for all endpoints that are not in `target`.
-    from: BTreeSet<End>,
+    from: BTreeSet<Endpoint>,
     one_way: bool,
     reset: bool,
     delay: Nanos,
@@ -80,10 +80,10 @@
 }
 
 impl Rule {
-    fn applies(&self, from: End, to: End) -> bool {
-        let other = |end: End| match self.from.is_empty() {
-            true => !self.target.contains(&end),
-            false => self.from.contains(&end),
+    fn applies(&self, from: Endpoint, to: Endpoint) -> bool {
+        let other = |endpoint: Endpoint| match self.from.is_empty() {
+            true => !self.target.contains(&endpoint),
+            false => self.from.contains(&endpoint),
         };
         (self.target.contains(&to) && other(from))
             || (!self.one_way && self.target.contains(&from) && other(to))
@@ -112,16 +112,16 @@
     }
 
     /// Suspends or resumes a process or a stand-in.
-    pub fn set_suspended(&mut self, end: End, suspended: bool) {
+    pub fn set_suspended(&mut self, endpoint: Endpoint, suspended: bool) {
         if suspended {
-            self.suspended.insert(end);
+            self.suspended.insert(endpoint);
         } else {
-            self.suspended.remove(&end);
+            self.suspended.remove(&endpoint);
         }
     }
 
     /// Returns the state of the link from one endpoint to another. Concurrent faults are combined.
-    pub fn link_state(&self, from: End, to: End) -> LinkState {
+    pub fn link_state(&self, from: Endpoint, to: Endpoint) -> LinkState {
         let mut path = LinkState::CLEAR;
         if self.suspended.contains(&to) || self.suspended.contains(&from) {
             path.open = false;
@@ -149,17 +149,17 @@
     }
 
     /// Whether a connection between two endpoints can be established, which needs both directions.
-    pub fn can_connect(&self, from: End, to: End) -> bool {
+    pub fn can_connect(&self, from: Endpoint, to: Endpoint) -> bool {
         self.link_state(from, to).connects && self.link_state(to, from).connects
     }
 
     /// Whether a process or a stand-in is suspended.
-    pub fn is_suspended(&self, end: End) -> bool {
-        self.suspended.contains(&end)
+    pub fn is_suspended(&self, endpoint: Endpoint) -> bool {
+        self.suspended.contains(&endpoint)
     }
 
     /// Whether connections between two endpoints are reset.
-    pub fn is_reset(&self, from: End, to: End) -> bool {
+    pub fn is_reset(&self, from: Endpoint, to: Endpoint) -> bool {
         self.link_state(from, to).reset || self.link_state(to, from).reset
     }
 
--- a/testing/fault-injection/src/scenario/topology.rs
+++ b/testing/fault-injection/src/scenario/topology.rs
@@ -1,7 +1,7 @@
 //! Placement of a scenario's processes and stand-ins in zones and regions.
 
 use super::{Scenario, Target};
-use crate::endpoint::{End, Kind};
+use crate::endpoint::{Endpoint, Kind};
 
 impl Scenario {
     /// Returns the number of processes that clients call: the gateways, or the pay servers where there are
@@ -53,15 +53,18 @@
 
     /// Returns the zone of a process or a stand-in, as an index into [`Scenario::all_zones`]; `None` for
     /// those outside all zones.
-    pub fn zone_of(&self, end: End) -> Option<usize> {
+    pub fn zone_of(&self, endpoint: Endpoint) -> Option<usize> {
         let zones = self.fleet.zones.len();
-        match end {
-            End::Gateway(i) | End::PayServer(i) | End::Cell(i) => Some(usize::from(i) % zones),
-            End::Coordinator(i) | End::Controller(i) => self.spread_over_zones(usize::from(i)),
-            End::DiscoveryService(i) if self.fleet.discovery_processes > 0 => {
+        match endpoint {
+            Endpoint::Gateway(i) | Endpoint::PayServer(i) | Endpoint::Cell(i) => Some(usize::from(i) % zones),
+            Endpoint::Coordinator(i) | Endpoint::Controller(i) => self.spread_over_zones(usize::from(i)),
+            Endpoint::DiscoveryService(i) if self.fleet.discovery_processes > 0 => {
                 self.spread_over_zones(usize::from(i))
             }
-            End::Clients | End::Counter | End::Candidate(_) | End::DiscoveryService(_) => None,
+            Endpoint::Clients
+            | Endpoint::Counter
+            | Endpoint::Candidate(_)
+            | Endpoint::DiscoveryService(_) => None,
         }
     }
 
--- a/testing/fault-injection/tests/clusters.rs
+++ b/testing/fault-injection/tests/clusters.rs
@@ -13,7 +13,7 @@
 use marblecroft_coordination::wire::{Channel, Request, Response};
 use marblecroft_fault_injection::checker::{Checker, Finding};
 use marblecroft_fault_injection::deployment::{Deployment, DrawnFault, MS, SECOND};
-use marblecroft_fault_injection::endpoint::End;
+use marblecroft_fault_injection::endpoint::Endpoint;
 use marblecroft_fault_injection::figures::Figures;
 use marblecroft_fault_injection::harness::candidates::Candidates;
 use marblecroft_fault_injection::harness::relay::{relay, Observer};
@@ -74,17 +74,17 @@
 
 struct Links {
     context: Rc<RunContext>,
-    from: End,
+    from: Endpoint,
     endpoints: Endpoints,
     task_runner: TaskRunner,
 }
 
-fn name(end: End) -> String {
-    end.to_string()
+fn name(endpoint: Endpoint) -> String {
+    endpoint.to_string()
 }
 
-fn end_of(name: &str) -> Option<End> {
-    (0..5).map(End::Coordinator).find(|end| end.to_string() == name)
+fn endpoint_of(name: &str) -> Option<Endpoint> {
+    (0..5).map(Endpoint::Coordinator).find(|endpoint| endpoint.to_string() == name)
 }
 
 impl Network for Links {
@@ -93,7 +93,7 @@
             (self.context.clone(), self.from, self.endpoints.clone(), self.task_runner.clone());
         let addr = addr.to_owned();
         Box::pin(async move {
-            let to = end_of(&addr).ok_or(io::ErrorKind::NotFound)?;
+            let to = endpoint_of(&addr).ok_or(io::ErrorKind::NotFound)?;
             sleep(Duration::from_micros(200)).await;
             context.wait_until(|context| context.can_connect(from, to)).await;
             let endpoint = endpoints.borrow().get(&addr).cloned().ok_or(io::ErrorKind::ConnectionRefused)?;
@@ -152,7 +152,7 @@
 }
 
 struct Node {
-    end: End,
+    endpoint: Endpoint,
     env: Env,
     disk_image: RefCell<Vec<u8>>,
     disk: RefCell<MemoryDisk>,
@@ -179,7 +179,7 @@
 }
 
 impl Cluster {
-    fn env(&self, from: End, clock_rate: f64) -> Env {
+    fn env(&self, from: Endpoint, clock_rate: f64) -> Env {
         let wall = self.wall.clone();
         let origin = tokio::time::Instant::now();
         Env {
@@ -206,10 +206,10 @@
             crashes: Cell::new(0),
         };
         for i in 0..context.scenario.fleet.coordinators as u16 {
-            let end = End::Coordinator(i);
-            let env = cluster.env(end, clock_rate(&mut rng));
+            let endpoint = Endpoint::Coordinator(i);
+            let env = cluster.env(endpoint, clock_rate(&mut rng));
             cluster.nodes.push(Node {
-                end,
+                endpoint,
                 env,
                 disk_image: RefCell::default(),
                 disk: RefCell::new(MemoryDisk::new(Vec::new())),
@@ -251,7 +251,7 @@
         });
         node.process.replace(Some(process.clone()));
         let (connections, mut accepted) = mpsc::unbounded_channel::<ConnectionHalves>();
-        self.endpoints.borrow_mut().insert(name(node.end), connections);
+        self.endpoints.borrow_mut().insert(name(node.endpoint), connections);
         let (env, sync_time, has_failed) =
             (node.env.clone(), node.sync_time.clone(), node.has_failed.clone());
         let set = LocalSet::new();
@@ -289,13 +289,13 @@
         self.crashes.set(self.crashes.get() + 1);
         // Saves the disk's content first, so that tasks that are dropped cannot add to it.
         node.disk_image.replace(node.disk.borrow().after_crash(&mut *self.rng.borrow_mut()));
-        self.endpoints.borrow_mut().remove(&name(node.end));
+        self.endpoints.borrow_mut().remove(&name(node.endpoint));
         process.kill();
     }
 
     /// Forms the cluster, like an operator's `begin`.
     async fn form_cluster(&self) -> io::Result<()> {
-        let env = self.env(End::Clients, 1.0);
+        let env = self.env(Endpoint::Clients, 1.0);
         let call = |addr: String, cluster: u64, request: Request| {
             let env = env.clone();
             async move { Channel::connect_in(&env, &addr, cluster).await?.call(request).await }
@@ -303,12 +303,14 @@
         let cluster = self.context.seed | 1;
         let mut members = BTreeMap::new();
         for node in &self.nodes {
-            if let Response::Identity { node: id, .. } = call(name(node.end), 0, Request::Identity).await? {
-                members.insert(id, name(node.end));
+            if let Response::Identity { node: id, .. } =
+                call(name(node.endpoint), 0, Request::Identity).await?
+            {
+                members.insert(id, name(node.endpoint));
             }
-            call(name(node.end), 0, Request::Join { cluster }).await?;
+            call(name(node.endpoint), 0, Request::Join { cluster }).await?;
         }
-        match call(name(self.nodes[0].end), cluster, Request::Begin { members }).await? {
+        match call(name(self.nodes[0].endpoint), cluster, Request::Begin { members }).await? {
             Response::Done => Ok(()),
             other => Err(io::Error::other(format!("{other:?}"))),
         }
@@ -343,8 +345,8 @@
         &self,
         number: usize,
         kind: FaultKind,
-        victims: Vec<End>,
-        from: Vec<End>,
+        victims: Vec<Endpoint>,
+        from: Vec<Endpoint>,
         one_way: bool,
     ) {
         let fault = DrawnFault {
@@ -369,8 +371,9 @@
         let draw = |from: u64, to: u64| self.rng.borrow_mut().random_range(from..to);
         let size = self.nodes.len();
         let i = draw(0, size as u64) as usize;
-        let end = self.nodes[i].end;
-        let others: Vec<End> = self.nodes.iter().map(|node| node.end).filter(|other| *other != end).collect();
+        let endpoint = self.nodes[i].endpoint;
+        let others: Vec<Endpoint> =
+            self.nodes.iter().map(|node| node.endpoint).filter(|other| *other != endpoint).collect();
         let duration = Duration::from_millis(draw(50, 2500));
         let mut ends_link_fault = false;
         match draw(0, 11) {
@@ -391,30 +394,30 @@
                 self.nodes[i].sync_time.set(Duration::from_millis(2));
             }
             4 => {
-                self.add_link_fault(number, FaultKind::Cut, vec![end], others, false);
+                self.add_link_fault(number, FaultKind::Cut, vec![endpoint], others, false);
                 ends_link_fault = true;
             }
             5 => {
-                self.add_link_fault(number, FaultKind::Cut, vec![end], others, true);
+                self.add_link_fault(number, FaultKind::Cut, vec![endpoint], others, true);
                 ends_link_fault = true;
             }
             6 => {
-                self.add_link_fault(number, FaultKind::Cut, others, vec![end], true);
+                self.add_link_fault(number, FaultKind::Cut, others, vec![endpoint], true);
                 ends_link_fault = true;
             }
             // Responses to clients are lost.
             7 => {
-                let clients = (0..9).map(End::Candidate).collect();
-                self.add_link_fault(number, FaultKind::Cut, clients, vec![end], true);
+                let clients = (0..9).map(Endpoint::Candidate).collect();
+                self.add_link_fault(number, FaultKind::Cut, clients, vec![endpoint], true);
                 ends_link_fault = true;
             }
             8 => {
-                self.add_link_fault(number, FaultKind::Lose, vec![end], Vec::new(), false);
+                self.add_link_fault(number, FaultKind::Lose, vec![endpoint], Vec::new(), false);
                 ends_link_fault = true;
             }
             // A candidate is suspended, possibly between a check and an action.
             9 => {
-                let candidate = End::Candidate(draw(0, 3) as u16);
+                let candidate = Endpoint::Candidate(draw(0, 3) as u16);
                 self.context.change_link_faults(|link_faults| link_faults.set_suspended(candidate, true));
                 sleep(duration * 2).await;
                 self.context.change_link_faults(|link_faults| link_faults.set_suspended(candidate, false));
@@ -506,16 +509,16 @@
         let formed = timeout(Duration::from_secs(20), cluster.form_cluster()).await;
         formed.expect("the cluster forms in time").expect("the cluster forms");
         // All messages are delayed by a small random time, so they may be reordered.
-        let all: Vec<End> = cluster.nodes.iter().map(|node| node.end).collect();
+        let all: Vec<Endpoint> = cluster.nodes.iter().map(|node| node.endpoint).collect();
         cluster.add_link_fault(usize::MAX, FaultKind::Delay, all, Vec::new(), false);
-        let addrs: Vec<String> = cluster.nodes.iter().map(|node| name(node.end)).collect();
+        let addrs: Vec<String> = cluster.nodes.iter().map(|node| name(node.endpoint)).collect();
         let rates = RefCell::new(StdRng::seed_from_u64(seed ^ 0xc10c));
         let client = |candidate: u16| {
             let mut clock_rate = clock_rate(&mut rates.borrow_mut());
             if mutation == Mutation::SlowClocks && candidate < 2 {
                 clock_rate = 0.5;
             }
-            Client::in_env(cluster.env(End::Candidate(candidate), clock_rate), addrs.clone(), None)
+            Client::in_env(cluster.env(Endpoint::Candidate(candidate), clock_rate), addrs.clone(), None)
         };
         let candidates = Candidates::start(&context, client);
         registers::start(&context, context.scenario.owners.candidates as u16, client);
@@ -545,7 +548,7 @@
                 // The owner of a lock is cut off, so that its session expires while it continues to act.
                 let owner = candidates.lock_owner("lock-0").into_iter().collect::<Vec<_>>();
                 if !owner.is_empty() {
-                    let all = cluster.nodes.iter().map(|node| node.end).collect();
+                    let all = cluster.nodes.iter().map(|node| node.endpoint).collect();
                     cluster.add_link_fault(number, FaultKind::Cut, owner, all, false);
                     sleep(Duration::from_secs(2)).await;
                     context.change_link_faults(|link_faults| link_faults.end(number));
--- a/testing/fault-injection/tests/datagrams.rs
+++ b/testing/fault-injection/tests/datagrams.rs
@@ -2,7 +2,7 @@
 //! of the others, and a one-way cut applies in its direction only.
 
 use marblecroft_fault_injection::deployment::{Deployment, DrawnFault};
-use marblecroft_fault_injection::endpoint::End;
+use marblecroft_fault_injection::endpoint::Endpoint;
 use marblecroft_fault_injection::harness::datagrams::Datagrams;
 use marblecroft_fault_injection::harness::RunContext;
 use marblecroft_fault_injection::history::Writer;
@@ -17,10 +17,14 @@
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Registers a process with a new socket, and returns the socket and the public address.
-async fn process(datagrams: &Rc<Datagrams>, context: &Rc<RunContext>, end: End) -> (UdpSocket, SocketAddr) {
+async fn process(
+    datagrams: &Rc<Datagrams>,
+    context: &Rc<RunContext>,
+    endpoint: Endpoint,
+) -> (UdpSocket, SocketAddr) {
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port is free");
     let public = datagrams
-        .register(context, end, socket.local_addr().expect("the socket is bound"))
+        .register(context, endpoint, socket.local_addr().expect("the socket is bound"))
         .await
         .expect("the process is registered");
     (socket, public)
@@ -46,8 +50,8 @@
             .expect("the header is written");
         let context = RunContext::new(scenario, deployment, 1, history);
         let datagrams = Rc::new(Datagrams::default());
-        let (a, a_public) = process(&datagrams, &context, End::Gateway(0)).await;
-        let (b, b_public) = process(&datagrams, &context, End::Gateway(1)).await;
+        let (a, a_public) = process(&datagrams, &context, Endpoint::Gateway(0)).await;
+        let (b, b_public) = process(&datagrams, &context, Endpoint::Gateway(1)).await;
         a.send_to(b"one", b_public).await.expect("the datagram is sent");
         assert_eq!(receive(&b).await, (b"one".to_vec(), a_public));
 
@@ -55,10 +59,10 @@
             kind: FaultKind::Cut,
             at: 0,
             until: None,
-            victims: vec![End::Gateway(1)],
+            victims: vec![Endpoint::Gateway(1)],
             owner: None,
             from_owner: None,
-            from: vec![End::Gateway(0)],
+            from: vec![Endpoint::Gateway(0)],
             one_way: true,
             reset: false,
             delay: 0,
@@ -81,7 +85,7 @@
         );
 
         // The process restarts on another port and keeps its public address.
-        let (restarted, public_again) = process(&datagrams, &context, End::Gateway(1)).await;
+        let (restarted, public_again) = process(&datagrams, &context, Endpoint::Gateway(1)).await;
         assert_eq!(public_again, b_public);
         a.send_to(b"four", b_public).await.expect("the datagram is sent");
         assert_eq!(receive(&restarted).await.0, b"four");
--- a/testing/fault-injection/tests/fleet.rs
+++ b/testing/fault-injection/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! End-to-end tests of the program: real gateways, output and exit codes.
 
-use marblecroft_fault_injection::endpoint::End;
+use marblecroft_fault_injection::endpoint::Endpoint;
 use marblecroft_fault_injection::history::{Event, Reader};
 use serde_json::Value;
 use std::fs;
@@ -216,12 +216,12 @@
     let fault_end =
         events.iter().position(|e| matches!(e, Event::FaultEnded { .. })).expect("the fault ends");
     for gateway in 0..2 {
-        let end = End::Gateway(gateway);
+        let endpoint = Endpoint::Gateway(gateway);
         let mut after = events[fault_end..].iter();
         let received =
             after.position(|e| matches!(e, Event::DiscoveryReceived { gateway: to, .. } if *to == gateway));
         let received = fault_end + received.expect("the gateway receives the servers again");
-        let opened = |e: &Event| matches!(e, Event::Opened { from, to, .. } if *from == end && *to == End::DiscoveryService(0));
+        let opened = |e: &Event| matches!(e, Event::Opened { from, to, .. } if *from == endpoint && *to == Endpoint::DiscoveryService(0));
         assert!(
             events[fault_end..received].iter().any(opened),
             "gateway {gateway} received the servers on a connection from before the fault"
--- a/testing/fault-injection/tests/history.rs
+++ b/testing/fault-injection/tests/history.rs
@@ -4,7 +4,7 @@
 use marblecroft_fault_injection::checker::{Checker, Finding, INVARIANTS};
 use marblecroft_fault_injection::decisions::{self, DecisionChecker};
 use marblecroft_fault_injection::deployment::{DrawnFault, Nanos, Quota, MS, SAFE, SECOND, UNSAFE};
-use marblecroft_fault_injection::endpoint::End;
+use marblecroft_fault_injection::endpoint::Endpoint;
 use marblecroft_fault_injection::figures::Figures;
 use marblecroft_fault_injection::history::{
     Answer, CallResult, DecisionKind, Event, Outcome, ProcessChange, Reader, ServerState, Setup, TimedEvent,
@@ -42,7 +42,7 @@
             kind: FaultKind::Kill,
             at: 5 * SECOND,
             until: Some(6 * SECOND),
-            victims: vec![End::Gateway(1)],
+            victims: vec![Endpoint::Gateway(1)],
             owner: None,
             from_owner: None,
             from: Vec::new(),
@@ -154,9 +154,15 @@
         let (_, connection) = self.arrived(at + MS, trace, 1, 1);
         self.at(5 * SECOND, Event::FaultBegan { fault: 0 });
         self.at(5 * SECOND, Event::Closed { connection });
-        self.at(5 * SECOND, Event::ProcessChanged { end: End::Gateway(1), change: ProcessChange::Ended });
+        self.at(
+            5 * SECOND,
+            Event::ProcessChanged { endpoint: Endpoint::Gateway(1), change: ProcessChange::Ended },
+        );
         self.ended(5 * SECOND + MS, request, trace, Outcome::Reset { first: false });
-        self.at(6 * SECOND, Event::ProcessChanged { end: End::Gateway(1), change: ProcessChange::Started });
+        self.at(
+            6 * SECOND,
+            Event::ProcessChanged { endpoint: Endpoint::Gateway(1), change: ProcessChange::Started },
+        );
         self.at(6 * SECOND, Event::FaultEnded { fault: 0 });
     }
 
@@ -401,12 +407,15 @@
         setup.faults.retain(|_| fault.is_some());
         for drawn in &mut setup.faults {
             (drawn.kind, drawn.victims) =
-                (fault.expect("the fault was retained"), vec![End::DiscoveryService(0)]);
+                (fault.expect("the fault was retained"), vec![Endpoint::DiscoveryService(0)]);
         }
         history.at(3 * MS, Event::Setup(Box::new(setup)));
         history.at(9 * SECOND, Event::AgentStateChanged { server: 0, state: ServerState::Draining });
         if let Some(at) = started {
-            history.at(at, Event::ProcessChanged { end: End::Gateway(0), change: ProcessChange::Started });
+            history.at(
+                at,
+                Event::ProcessChanged { endpoint: Endpoint::Gateway(0), change: ProcessChange::Started },
+            );
         }
         history.served(sent_at, 9, SAFE);
         history.findings()["drains_kept"].holds
@@ -486,7 +495,10 @@
     }
     // A restarted gateway may start with any decision.
     let (findings, _) = check_history(|s| {
-        s.at(8 * SECOND, Event::ProcessChanged { end: End::Gateway(0), change: ProcessChange::Started });
+        s.at(
+            8 * SECOND,
+            Event::ProcessChanged { endpoint: Endpoint::Gateway(0), change: ProcessChange::Started },
+        );
         s.at(
             8 * SECOND,
             Event::DecisionApplied { gateway: 0, kind: DecisionKind::Zones, token: 5, revision: 1 },
--- a/testing/fault-injection/tests/scenarios.rs
+++ b/testing/fault-injection/tests/scenarios.rs
@@ -3,7 +3,7 @@
 
 use marblecroft_fault_injection::deployment::Deployment;
 use marblecroft_fault_injection::draw::draw;
-use marblecroft_fault_injection::endpoint::End;
+use marblecroft_fault_injection::endpoint::Endpoint;
 use marblecroft_fault_injection::scenario::Scenario;
 use marblecroft_fault_injection::stand_ins::clients::Arrivals;
 use std::collections::BTreeMap;
@@ -117,7 +117,7 @@
         assert!((0.1..0.6).contains(&share), "share of plan {plan}: {share}");
     }
     assert!(deployment.customers.iter().all(|customer| (2..=9).contains(&customer.gateway_weights.len())));
-    let victims: Vec<End> = deployment.faults[0].victims.clone();
+    let victims: Vec<Endpoint> = deployment.faults[0].victims.clone();
     assert!(victims.windows(2).all(|pair| pair[0] < pair[1]));
     // Random streams are independent: removing the fault does not change the customers.
     let calm = Scenario { faults: Vec::new(), ..scenario };
--- a/testing/fault-injection/tests/stand_ins.rs
+++ b/testing/fault-injection/tests/stand_ins.rs
@@ -4,7 +4,7 @@
 use marblecroft_fault_injection::deployment::{
     random_stream, Deployment, DrawnFault, Nanos, RandomStream, MS, SECOND, UNSAFE,
 };
-use marblecroft_fault_injection::endpoint::End;
+use marblecroft_fault_injection::endpoint::Endpoint;
 use marblecroft_fault_injection::history::{Answer, Outcome};
 use marblecroft_fault_injection::link::{LinkFaults, LinkState};
 use marblecroft_fault_injection::scenario::{FaultKind, Scenario, Site};
@@ -260,7 +260,7 @@
     }
 }
 
-fn fault(kind: FaultKind, victims: Vec<End>, from: Vec<End>, one_way: bool) -> DrawnFault {
+fn fault(kind: FaultKind, victims: Vec<Endpoint>, from: Vec<Endpoint>, one_way: bool) -> DrawnFault {
     let (delay, jitter) = if kind == FaultKind::Delay { (30 * MS, 20 * MS) } else { (0, 0) };
     DrawnFault {
         kind,
@@ -281,7 +281,7 @@
 #[test]
 fn cuts_have_directions_and_sides_and_end() {
     let (g0, g1, pay, discovery) =
-        (End::Gateway(0), End::Gateway(1), End::PayServer(0), End::DiscoveryService(0));
+        (Endpoint::Gateway(0), Endpoint::Gateway(1), Endpoint::PayServer(0), Endpoint::DiscoveryService(0));
     let mut link_faults = LinkFaults::default();
     link_faults.begin(0, &fault(FaultKind::Cut, vec![pay], vec![g0], true));
     assert!(!link_faults.link_state(g0, pay).open && link_faults.link_state(pay, g0).open, "one way");
@@ -291,7 +291,7 @@
     assert!(
         !link_faults.link_state(g1, discovery).open
             && !link_faults.link_state(discovery, g1).open
-            && !link_faults.link_state(End::Clients, g1).open
+            && !link_faults.link_state(Endpoint::Clients, g1).open
     );
     link_faults.end(0);
     assert_eq!(link_faults.link_state(g0, pay), LinkState::CLEAR);
@@ -308,7 +308,7 @@
     /// and are only delayed.
     #[test]
     fn faults_apply_to_datagrams_and_streams_as_configured(seed in any::<u64>()) {
-        let (a, b) = (End::Gateway(0), End::Gateway(1));
+        let (a, b) = (Endpoint::Gateway(0), Endpoint::Gateway(1));
         let mut link_faults = LinkFaults::default();
         link_faults.begin(0, &fault(FaultKind::Lose, vec![b], vec![a], false));
         link_faults.begin(1, &fault(FaultKind::Duplicate, vec![b], vec![a], false));
