--- a/testing/fault-injection/src/checker/attempts.rs
+++ b/testing/fault-injection/src/checker/attempts.rs
@@ -35,19 +35,19 @@
 impl Checker {
     pub(super) fn ended(&mut self, at: Nanos, trace: Trace, outcome: Outcome) {
         let Some(&last) = self.last_client_attempt.get(&trace) else { return };
-        let it = &mut self.client_attempts[last];
-        if it.ended.is_some() {
-            it.more_ends += 1;
+        let client_attempt = &mut self.client_attempts[last];
+        if client_attempt.ended.is_some() {
+            client_attempt.more_ends += 1;
             return;
         }
-        it.ended = Some((at, outcome));
+        client_attempt.ended = Some((at, outcome));
         if let Outcome::Served { attempt } = outcome {
             let source = attempt.and_then(|attempt| self.attempts.get(&attempt));
             let belongs = source.is_some_and(|source| {
                 source.trace == trace && matches!(source.answered, Some((_, Answer::Served)))
             });
             if !belongs {
-                self.broken("answers_belong", || {
+                self.add_violation("answers_belong", || {
                     format!(
                         "{trace:016x} was served at {} with a body that no pay server sent for it",
                         seconds(at)
@@ -72,7 +72,7 @@
         attempts.push(attempt);
         let count = attempts.len();
         if count > MAX_ATTEMPTS as usize {
-            self.broken("attempts_at_most_four", || {
+            self.add_violation("attempts_at_most_four", || {
                 format!("{trace:016x}: attempt {count} arrived at {}", seconds(at))
             });
         }
@@ -81,7 +81,7 @@
         let received_state = self.effective_state(gateway, server, received_state);
         if let Some((ServerState::Draining | ServerState::Removed, since)) = received_state {
             if at > since + DRAIN_GRACE + self.slack(at) {
-                self.broken("drains_kept", || {
+                self.add_violation("drains_kept", || {
                     format!(
                         "{trace:016x}: gateways[{gateway}] received at {} that pay_servers[{server}] is draining or removed, \
                          and sent to it at {}",
@@ -124,12 +124,12 @@
 
     pub(super) fn check_client_attempts(&mut self, setup: &Setup) {
         let mut traces: BTreeMap<u32, BTreeSet<Trace>> = BTreeMap::new();
-        for it in std::mem::take(&mut self.client_attempts) {
-            let ClientAttempt { trace, gateway, began, .. } = it;
-            if it.more_ends > 0 {
-                self.broken("one_final_answer", || format!("{trace:016x} ended more than once"));
+        for client_attempt in std::mem::take(&mut self.client_attempts) {
+            let ClientAttempt { trace, gateway, began, .. } = client_attempt;
+            if client_attempt.more_ends > 0 {
+                self.add_violation("one_final_answer", || format!("{trace:016x} ended more than once"));
             }
-            let lost = match (it.ended, it.afterwards) {
+            let lost = match (client_attempt.ended, client_attempt.afterwards) {
                 (None, _) => Some((Nanos::MAX, "never ended")),
                 // By the operators' rules a first request of a connection that is closed without an answer is
                 // not lost.
@@ -139,13 +139,13 @@
             };
             if let Some((at, how)) = lost {
                 if !self.explained_by_fault(setup, gateway, began, at) {
-                    self.broken("one_final_answer", || {
+                    self.add_violation("one_final_answer", || {
                         format!("{trace:016x} {how} by gateways[{gateway}], sent to it at {}", seconds(began))
                     });
                 }
             }
-            if self.requests.get(&it.request).is_some_and(|(_, class)| *class == UNSAFE) {
-                traces.entry(it.request).or_default().insert(trace);
+            if self.requests.get(&client_attempt.request).is_some_and(|(_, class)| *class == UNSAFE) {
+                traces.entry(client_attempt.request).or_default().insert(trace);
             }
         }
         // A request must not run twice, not even in different client attempts.
@@ -156,7 +156,7 @@
             if runs.len() < 2 {
                 continue;
             }
-            self.broken("never_ran_twice", || {
+            self.add_violation("never_ran_twice", || {
                 let runs: Vec<String> =
                     runs.iter().map(|(at, trace)| format!("{trace:016x} at {}", seconds(*at))).collect();
                 format!("request {request} ran {} times: {}", runs.len(), runs.join(", "))
@@ -179,7 +179,7 @@
         }
         overlaps.sort_unstable();
         for (at, trace) in overlaps {
-            self.broken("attempts_one_at_a_time", || {
+            self.add_violation("attempts_one_at_a_time", || {
                 format!("{trace:016x}: an attempt arrived at {} while another one was in flight", seconds(at))
             });
         }
--- a/testing/fault-injection/src/checker/discovery.rs
+++ b/testing/fault-injection/src/checker/discovery.rs
@@ -102,7 +102,7 @@
                 .map(|(server, since)| (*server, *since))
                 .min();
             if let Some((server, since)) = lacks {
-                self.broken(REGISTRATION_MISSING, || {
+                self.add_violation(REGISTRATION_MISSING, || {
                     format!(
                         "pay_servers[{server}] was registered at {}, and the response of discovery at {} lacks it",
                         seconds(since),
--- a/testing/fault-injection/src/checker/locks.rs
+++ b/testing/fault-injection/src/checker/locks.rs
@@ -1,11 +1,11 @@
-//! Checks of the coordination service's locks: one owner at a time, and rising tokens.
+//! Checks of the coordination service's locks: one owner at a time, and increasing fencing tokens.
 
 use super::{seconds, Checker};
 use crate::deployment::Nanos;
 
 /// The grants of a lock and the highest token of an accepted effect.
 #[derive(Default)]
-pub(super) struct Owned {
+pub(super) struct LockGrants {
     /// Time at which the holder received the grant, holder and token.
     pub(super) grants: Vec<(Nanos, u16, u64)>,
     pub(super) highest: u64,
@@ -15,12 +15,12 @@
     /// Checks a grant: its token must be higher than each token whose holder received it before this
     /// candidate sent its request.
     pub(super) fn granted(&mut self, at: Nanos, candidate: u16, lock: u16, token: u64, requested_at: Nanos) {
-        let owned = self.locks.entry(lock).or_default();
-        let not_above = owned.grants.iter().find(|(received, who, other)| {
+        let lock_grants = self.locks.entry(lock).or_default();
+        let not_lower = lock_grants.grants.iter().find(|(received, who, other)| {
             (*received < requested_at && *other > token) || (*other == token && *who != candidate)
         });
-        if let Some((received, who, other)) = not_above.copied() {
-            self.broken("tokens_rise", || {
+        if let Some((received, who, other)) = not_lower.copied() {
+            self.add_violation("tokens_rise", || {
                 format!(
                     "lock-{lock}: candidates[{candidate}] has token {token} at {}, and candidates[{who}] had {other} at {}",
                     seconds(at),
@@ -33,11 +33,12 @@
 
     /// Checks an action of a holder that considers itself the owner: no other candidate may have received a
     /// later grant before.
-    pub(super) fn acts(&mut self, at: Nanos, candidate: u16, lock: u16, token: u64) {
-        let owned = self.locks.entry(lock).or_default();
-        let later = owned.grants.iter().find(|(_, who, other)| *other > token && *who != candidate).copied();
+    pub(super) fn action_started(&mut self, at: Nanos, candidate: u16, lock: u16, token: u64) {
+        let lock_grants = self.locks.entry(lock).or_default();
+        let later =
+            lock_grants.grants.iter().find(|(_, who, other)| *other > token && *who != candidate).copied();
         if let Some((received, who, other)) = later {
-            self.broken("one_owner", || {
+            self.add_violation("one_owner", || {
                 format!(
                     "lock-{lock}: candidates[{candidate}] acts under token {token} at {}, and candidates[{who}] has {other} since {}",
                     seconds(at),
--- a/testing/fault-injection/src/checker/mod.rs
+++ b/testing/fault-injection/src/checker/mod.rs
@@ -17,7 +17,7 @@
 use crate::linear::{Call, Op};
 use attempts::{Attempt, ClientAttempt};
 use discovery::Gateway;
-use locks::Owned;
+use locks::LockGrants;
 use rate_limits::RateLimitBucket;
 use registers::Watched;
 use serde::Serialize;
@@ -79,7 +79,7 @@
     fault_starts: HashMap<u16, Nanos>,
     fault_ends: HashMap<u16, Nanos>,
     crashes: Vec<(Endpoint, Nanos)>,
-    locks: HashMap<u16, Owned>,
+    locks: HashMap<u16, LockGrants>,
     /// Calls on registers by number, which is the order of their starts.
     calls: BTreeMap<u64, (u16, Call)>,
     watches: BTreeMap<u16, Vec<Watched>>,
@@ -93,7 +93,7 @@
 }
 
 impl Checker {
-    pub(super) fn broken(&mut self, name: &'static str, case: impl FnOnce() -> String) {
+    pub(super) fn add_violation(&mut self, name: &'static str, case: impl FnOnce() -> String) {
         let finding = self.cases.entry(name).or_default();
         finding.holds = Some(false);
         finding.cases += 1;
@@ -156,7 +156,7 @@
                 gateway_state.store_changed = false;
                 if *since < before && !store_changed {
                     let gateway = *gateway;
-                    self.broken("list_never_back", || {
+                    self.add_violation("list_never_back", || {
                         format!(
                             "gateways[{gateway}] went back from version {before} to {since} at {}",
                             seconds(at)
@@ -183,14 +183,16 @@
             Event::Granted { candidate, lock, token, requested_at } => {
                 self.granted(at, *candidate, *lock, *token, *requested_at)
             }
-            Event::ActionStarted { candidate, lock, token } => self.acts(at, *candidate, *lock, *token),
+            Event::ActionStarted { candidate, lock, token } => {
+                self.action_started(at, *candidate, *lock, *token)
+            }
             Event::Effect { lock, token, admitted: true, .. } => {
                 let (lock, token) = (*lock, *token);
-                let owned = self.locks.entry(lock).or_default();
-                let highest = owned.highest;
-                owned.highest = highest.max(token);
+                let lock_grants = self.locks.entry(lock).or_default();
+                let highest = lock_grants.highest;
+                lock_grants.highest = highest.max(token);
                 if token < highest {
-                    self.broken("fenced", || {
+                    self.add_violation("fenced", || {
                         format!("lock-{lock}: an effect under token {token} was accepted after one under {highest} at {}", seconds(at))
                     });
                 }
--- a/testing/fault-injection/src/checker/rate_limits.rs
+++ b/testing/fault-injection/src/checker/rate_limits.rs
@@ -36,7 +36,7 @@
         let late = (RATE_LIMIT_SLACK + self.slack(at) - SOCKET_SLACK) as f64 / SECOND as f64;
         let min_level = -quota.rate_limit_slack - late * rate;
         if level < min_level {
-            self.broken("ceilings_kept", || {
+            self.add_violation("ceilings_kept", || {
                 format!(
                     "{trace:016x}: customer {customer} exceeded its rate limit at {}: level {level:.2}, allowed down to {min_level:.2}",
                     seconds(at)
--- a/testing/fault-injection/src/checker/registers.rs
+++ b/testing/fault-injection/src/checker/registers.rs
@@ -50,7 +50,7 @@
         let in_order = changes.windows(2).all(|pair| pair[0].0 < pair[1].0);
         let in_range = changes.iter().all(|(revision, ..)| *revision > since && *revision <= upto);
         if since != watch.upto || upto < since || !in_order || !in_range {
-            self.broken("nothing_acknowledged_lost", || {
+            self.add_violation("nothing_acknowledged_lost", || {
                 format!(
                     "candidates[{watcher}] watches from {since} and received changes up to {upto} out of order at {}",
                     seconds(at)
@@ -76,10 +76,10 @@
         for (register, calls) in &by_register {
             match linear::check_linearizability(calls) {
                 linear::Verdict::Linearizable => {}
-                linear::Verdict::NotLinearizable => self.broken("nothing_acknowledged_lost", || {
+                linear::Verdict::NotLinearizable => self.add_violation("nothing_acknowledged_lost", || {
                     format!("register-{register}: no order of its {} calls explains their results", calls.len())
                 }),
-                linear::Verdict::Undecided => self.broken("nothing_acknowledged_lost", || {
+                linear::Verdict::Undecided => self.add_violation("nothing_acknowledged_lost", || {
                     format!("register-{register}: the search for an order of its calls that explains their results is undecided")
                 }),
             }
@@ -98,7 +98,7 @@
                         continue;
                     }
                     if watch.changes.get(&revision) != Some(&(register, value)) {
-                        self.broken("nothing_acknowledged_lost", || {
+                        self.add_violation("nothing_acknowledged_lost", || {
                             format!(
                                 "candidates[{watcher}] did not receive revision {revision} of register-{register}, acknowledged at {}",
                                 seconds(at)
--- a/testing/fault-injection/src/decisions.rs
+++ b/testing/fault-injection/src/decisions.rs
@@ -1,4 +1,4 @@
-//! Checks and figures of the controllers' decisions, based on the history alone: no gateway goes back to an
+//! Checks and figures of the controllers' decisions, based on the history alone: no gateway reverts to an
 //! older decision, none is published under an older token, and no zone receives more from other zones than
 //! its capacity. Shares and shards have modules of their own.
 
--- a/testing/fault-injection/src/decisions/shares.rs
+++ b/testing/fault-injection/src/decisions/shares.rs
@@ -11,14 +11,14 @@
 /// because it has only one or two requests of a firm.
 const WINDOW_SECONDS: usize = 4;
 /// Share by which the sum may exceed the capacity, which is the slack of the controllers' decisions. In
-/// addition the firms' token buckets may release one second's worth in a window. It is also the deviation from
-/// the exact solution up to which shares count as settled after a shift of demand.
+/// addition the firms' token buckets may release one second's worth in a window. It is also the deviation
+/// from the exact solution up to which shares count as converged after a shift of demand.
 const SLACK_SHARE: f64 = 0.05;
 /// Time for which shares may be in transition after the start or end of a fault, a shift of demand, and the
 /// start of the load.
 const TRANSITION: Nanos = 8 * SECOND;
 /// Part of its minimum share that a firm must receive, less the allowance for random variation and one
-/// request, because requests are whole.
+/// request, because a request is not divisible.
 const FLOOR_SHARE: f64 = 0.75;
 /// Allowance for random variation, in square roots of the expected number of requests.
 const CHANCE_ROOTS: f64 = 3.0;
@@ -123,7 +123,7 @@
         let seconds = WINDOW_SECONDS as f64;
         let all: f64 = self.weights.iter().sum();
         let mut errors: Vec<f64> = Vec::new();
-        let mut settled: Option<Nanos> = None;
+        let mut converged_at: Option<Nanos> = None;
         for second in 0..self.sent.len().saturating_sub(WINDOW_SECONDS - 1) {
             let from = self.from + second as Nanos * SECOND;
             let to = from + WINDOW_SECONDS as Nanos * SECOND;
@@ -161,13 +161,13 @@
             }
             let after = self.shift.filter(|shift| from >= *shift);
             if after.is_some() && error <= SLACK_SHARE {
-                settled.get_or_insert(from);
+                converged_at.get_or_insert(from);
             }
         }
         errors.sort_by(f64::total_cmp);
         ShareFigures {
             share_error: errors.get(errors.len() / 2).copied(),
-            time_to_fair_shares_ms: settled.zip(self.shift).map(|(at, shift)| (at - shift) / MS),
+            time_to_fair_shares_ms: converged_at.zip(self.shift).map(|(at, shift)| (at - shift) / MS),
         }
     }
 }
--- a/testing/fault-injection/src/deployment.rs
+++ b/testing/fault-injection/src/deployment.rs
@@ -74,7 +74,7 @@
 pub struct Quota {
     /// Name of the plan.
     pub name: String,
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
     /// Depth of the token bucket, in units.
     pub burst: f64,
@@ -84,7 +84,7 @@
     pub over_cost: f64,
     /// Maximum number of concurrent attempts; 0 for no limit.
     pub open: u32,
-    /// The hard rate limit in units a second; 0 for none.
+    /// The hard rate limit in units per second; 0 for none.
     pub rate_limit: f64,
     /// Depth of the rate limit's token bucket, in units.
     pub rate_limit_burst: f64,
--- a/testing/fault-injection/src/draw.rs
+++ b/testing/fault-injection/src/draw.rs
@@ -1,5 +1,5 @@
 //! Draws a scenario from a site file: the operators publish their sites as ranges of values, and each seed
-//! draws other values from them.
+//! draws different values from them.
 //!
 //! Unknown keys are ignored, because the operators define the file's format, not this program. An inverted
 //! range, or a value that is not a number where one is needed, is rejected with the name of its field.
--- a/testing/fault-injection/src/figures.rs
+++ b/testing/fault-injection/src/figures.rs
@@ -45,9 +45,9 @@
     pub lost: u64,
     /// Number of unsafe requests that ran more than once.
     pub ran_twice: u64,
-    /// Answers within the latency target a second, before the first fault.
+    /// Responses within the latency target per second, before the first fault.
     pub goodput_before: Option<f64>,
-    /// Answers within the latency target a second, after the end of the last fault.
+    /// Responses within the latency target per second, after the end of the last fault.
     pub goodput_after: Option<f64>,
     /// Time from the end of the last fault to full service, in milliseconds.
     pub time_to_full_service_ms: Option<u64>,
@@ -355,7 +355,7 @@
     }
 
     /// Returns the number, start and end of each fault, in seconds of the load; permanent faults have no end.
-    pub fn marks(&self) -> Vec<(u16, f64, Option<f64>)> {
+    pub fn fault_spans(&self) -> Vec<(u16, f64, Option<f64>)> {
         let Some(setup) = &self.setup else { return Vec::new() };
         let second = |at: Nanos| at.saturating_sub(setup.load_from) as f64 / SECOND as f64;
         let over = |fault: u16| {
@@ -365,8 +365,8 @@
         self.fault_starts.iter().map(|(fault, at)| (*fault, second(*at), over(*fault))).collect()
     }
 
-    /// Returns the answers within the latency target a second, between two instants; `None` if they are less
-    /// than a second apart.
+    /// Returns the responses within the latency target per second, between two instants; `None` if they are
+    /// less than a second apart.
     fn goodput(&self, from: Nanos, to: Nanos) -> Option<f64> {
         let count = self.good_responses.partition_point(|at| *at < to)
             - self.good_responses.partition_point(|at| *at < from);
--- a/testing/fault-injection/src/harness/candidates.rs
+++ b/testing/fault-injection/src/harness/candidates.rs
@@ -83,7 +83,7 @@
                 })
                 .collect();
             for task in tasks {
-                // A panic in a task is a defect of the harness, which the task itself reports.
+                // A panic in a task is a defect of the harness; the panic hook has reported it.
                 drop(task.await);
             }
         }
--- a/testing/fault-injection/src/harness/registers.rs
+++ b/testing/fault-injection/src/harness/registers.rs
@@ -1,6 +1,6 @@
 //! Clients of the coordination service that read, write and watch registers, and record the results. The
 //! recorded history is checked for linearizability, for lost acknowledged writes, and for watches that miss
-//! changes or go back.
+//! changes or revert to an older revision.
 //!
 //! Models: contending readers and conditional writers, calls that time out, watchers that resume. Leaves out:
 //! large values, and values that a lock or a session owns.
--- a/testing/fault-injection/src/harness/run/faults.rs
+++ b/testing/fault-injection/src/harness/run/faults.rs
@@ -38,7 +38,7 @@
             self.end_fault(number, &fault).await;
         }
         self.context.record(Event::FaultEnded { fault: number as u16 });
-        tracing::info!(number, kind = ?fault.kind, "a fault is over");
+        tracing::info!(number, kind = ?fault.kind, "a fault has ended");
     }
 
     /// Returns the current owner of a lock or a role, or the leader of the coordinators.
--- a/testing/fault-injection/src/history.rs
+++ b/testing/fault-injection/src/history.rs
@@ -468,7 +468,7 @@
         token: u64,
         /// The revision.
         revision: u64,
-        /// The state of each zone, and its capacity in units a second.
+        /// The state of each zone, and its capacity in units per second.
         zones: Vec<(ZoneState, f64)>,
     },
     /// A decision on fair shares was published.
@@ -479,7 +479,7 @@
         revision: u64,
         /// The level of service.
         level: f64,
-        /// The units a second that all firms together may send to pay servers.
+        /// The units per second that all firms together may send to pay servers.
         capacity: f64,
     },
     /// A shard map was published.
--- a/testing/fault-injection/src/lib.rs
+++ b/testing/fault-injection/src/lib.rs
@@ -1,5 +1,5 @@
 //! Fault injection for a fleet on one machine: runs many processes of the programs, injects faults between
-//! them, records a history of the events on every side, and judges it. `docs/fault-injection.md` describes
+//! them, records a history of the events on every side, and checks it. `docs/fault-injection.md` describes
 //! the usage and the limits.
 //!
 //! - [`scenario`], [`draw`], [`deployment`], [`endpoint`]: the scenario, and what is drawn for it from a
--- a/testing/fault-injection/src/main.rs
+++ b/testing/fault-injection/src/main.rs
@@ -71,11 +71,11 @@
 }
 
 /// Every invariant and expectation holds.
-const EXIT_HOLDS: u8 = 0;
+const EXIT_SUCCESS: u8 = 0;
 /// An invariant is violated, an expectation is missed, or a process has crashed.
-const EXIT_BROKEN: u8 = 1;
+const EXIT_VIOLATED: u8 = 1;
 /// The command line or its input cannot be used.
-const EXIT_UNUSABLE: u8 = 2;
+const EXIT_INVALID_INPUT: u8 = 2;
 /// The harness failed.
 const EXIT_FAILED: u8 = 3;
 
@@ -138,7 +138,7 @@
             | CommandError::SiteFile(..)
             | CommandError::Input(..)
             | CommandError::Recording(_)
-            | CommandError::Run(RunError::Scenario(_)) => EXIT_UNUSABLE,
+            | CommandError::Run(RunError::Scenario(_)) => EXIT_INVALID_INPUT,
             CommandError::Run(_)
             | CommandError::Verdict(_)
             | CommandError::Output(..)
@@ -168,11 +168,11 @@
         Command::Draw { site, seed } => {
             let drawn = draw::draw(&read(&site)?, seed);
             print!("{}", drawn.map_err(|error| CommandError::SiteFile(site, error))?);
-            Ok(EXIT_HOLDS)
+            Ok(EXIT_SUCCESS)
         }
         Command::Check { dir, trace: Some(trace), .. } => {
             follow(&dir, &trace)?.iter().for_each(|line| println!("{line}"));
-            Ok(EXIT_HOLDS)
+            Ok(EXIT_SUCCESS)
         }
         Command::Check { dir, json, trace: None } => {
             let (verdict, _) = check_run(&dir)?;
@@ -180,7 +180,7 @@
         }
         Command::Report { dir } => {
             write_report(&dir)?;
-            Ok(EXIT_HOLDS)
+            Ok(EXIT_SUCCESS)
         }
         Command::Exec { parent, program, args } => {
             let error = exec_program(parent, &program, &args);
@@ -188,7 +188,7 @@
         }
         Command::Compare { one, other } => {
             print!("{}", compare::compare(&one, &other)?);
-            Ok(EXIT_HOLDS)
+            Ok(EXIT_SUCCESS)
         }
     }
 }
@@ -228,10 +228,10 @@
     if json {
         println!("{}", serde_json::json!(verdict.summary));
     }
-    if verdict.holds() {
-        EXIT_HOLDS
+    if verdict.passed() {
+        EXIT_SUCCESS
     } else {
-        EXIT_BROKEN
+        EXIT_VIOLATED
     }
 }
 
--- a/testing/fault-injection/src/report.rs
+++ b/testing/fault-injection/src/report.rs
@@ -62,21 +62,21 @@
             .map(|name| series(name, &|s| Some(s.calls.get(name).copied().unwrap_or(0) as f64)))
             .filter(|series| series.points.iter().any(|(_, rate)| *rate > 0.0))
             .collect();
-    let marks = figures.marks();
+    let fault_spans = figures.fault_spans();
     let length = length as f64;
     let plots = [
-        ("Requests that ended, per second", plot("per second", length, &outcomes, &marks)?),
-        ("Latency of served requests, in ms", plot("ms", length, &latencies, &marks)?),
+        ("Requests that ended, per second", plot("per second", length, &outcomes, &fault_spans)?),
+        ("Latency of served requests, in ms", plot("ms", length, &latencies, &fault_spans)?),
         (
             "Attempts by clients, and calls by gateways and servers, per second",
-            plot("per second", length, &calls, &marks)?,
+            plot("per second", length, &calls, &fault_spans)?,
         ),
     ];
     let mut page = String::from(HEAD);
     let s = &verdict.summary;
     let title = escape(&format!("{}, seed {}", s.scenario, s.seed));
     let _ = write!(page, "<title>{title}</title><h1>{title}</h1>");
-    let word = if verdict.holds() {
+    let word = if verdict.passed() {
         "All invariants and expectations hold."
     } else {
         "An invariant or an expectation is violated, or a process has crashed."
@@ -96,7 +96,7 @@
         rate(s.goodput_after)
     );
     page += "<h2>Faults</h2><table><tr><th>number<th>kind<th>targets<th>start, in s<th>end, in s</tr>";
-    for (number, from, to) in &marks {
+    for (number, from, to) in &fault_spans {
         let Some(fault) = setup.faults.get(usize::from(*number)) else { continue };
         let to = to.map_or("permanent".to_owned(), |to| format!("{to:.2}"));
         let _ = write!(
@@ -180,7 +180,7 @@
     unit: &str,
     length: f64,
     all_series: &[Series],
-    marks: &[(u16, f64, Option<f64>)],
+    fault_spans: &[(u16, f64, Option<f64>)],
 ) -> Result<String, RecordingError> {
     let failed = |error: &dyn std::fmt::Display| RecordingError::Plot(error.to_string());
     let top = all_series.iter().flat_map(|series| &series.points).map(|(_, y)| *y).fold(1.0, f64::max) * 1.1;
@@ -196,7 +196,7 @@
         let mut mesh = chart.configure_mesh();
         mesh.x_desc("seconds of the load").y_desc(unit).light_line_style(WHITE);
         mesh.draw().map_err(|e| failed(&e))?;
-        for (number, from, to) in marks {
+        for (number, from, to) in fault_spans {
             let to = to.unwrap_or(length).clamp(*from, length);
             let band = Rectangle::new([(*from, 0.0), (to, top)], FAULT_COLOUR.mix(0.10).filled());
             let edge = PathElement::new([(*from, 0.0), (*from, top)], FAULT_COLOUR.mix(0.8));
--- a/testing/fault-injection/src/scenario/load.rs
+++ b/testing/fault-injection/src/scenario/load.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Requests a second, not counting retries; an open loop that does not depend on the responses.
+    /// Requests per second, not counting retries; an open loop that does not depend on the responses.
     pub rate: f64,
     /// Duration of the load in milliseconds.
     pub duration_ms: u64,
--- a/testing/fault-injection/src/scenario/site.rs
+++ b/testing/fault-injection/src/scenario/site.rs
@@ -48,7 +48,7 @@
     /// Time from a pay server's start to its full speed, in milliseconds.
     #[serde(rename = "cold_ms")]
     pub warmup_ms: u64,
-    /// Multiple of its capacity at which a pay server crashes if the load lasts for `fall_ms`.
+    /// Multiple of its capacity at which a pay server crashes if the load lasts for `overload_window_ms`.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
     /// Duration of an overload after which a pay server crashes, in milliseconds.
@@ -67,7 +67,7 @@
     /// Delay after which discovery shows a new server, in milliseconds.
     #[serde(rename = "list_add_ms")]
     pub discovery_add_delay_ms: u64,
-    /// Calls a second that the counter can serve.
+    /// Calls per second that the counter can serve.
     pub counter_per_s: f64,
     /// Skew of the distribution of a customer's requests over its gateways; 0 distributes them evenly.
     pub skew: f64,
@@ -133,7 +133,7 @@
     pub name: String,
     /// The plan's share of the usage.
     pub share: f64,
-    /// Units a second, before they are scaled to the load.
+    /// units per second, before they are scaled to the load.
     pub rate: f64,
     /// Depth of the token bucket, in seconds of the rate.
     pub burst_s: f64,
--- a/testing/fault-injection/src/stand_ins/clients.rs
+++ b/testing/fault-injection/src/stand_ins/clients.rs
@@ -2,9 +2,9 @@
 //!
 //! Models: an open loop (requests are sent on schedule, whatever the responses are); a set of gateways for
 //! each customer, used unevenly; client timeouts; retries after rejections, failures and unreachable
-//! gateways, as far as the class allows; `Retry-After`; a load balancer that notices late that a gateway has
-//! ended; retries with the same id. Leaves out: shifts of the busiest gateway, spikes of single customers,
-//! clients that cancel early.
+//! gateways, as far as the class allows; `Retry-After`; a load balancer that detects with a delay that a
+//! gateway has ended; retries with the same id. Leaves out: shifts of the busiest gateway, spikes of single
+//! customers, clients that cancel early.
 
 use crate::deployment::{random_stream, Customer, Deployment, Nanos, RandomStream, MS, SAFE, SECOND, UNSAFE};
 use crate::history::{Outcome, Trace};
@@ -17,7 +17,7 @@
 /// A client does not retry if less time than this is left before its deadline.
 const MIN_ATTEMPT_TIME: Nanos = 50 * MS;
 const MAX_RETRY_AFTER: Nanos = 500 * MS;
-/// A greedy client retries a rejected request after this time.
+/// A greedy client retries a rejected request after this delay.
 const GREEDY_RETRY_DELAY: Nanos = 10 * MS;
 
 /// How clients behave.
--- a/testing/fault-injection/src/stand_ins/meter.rs
+++ b/testing/fault-injection/src/stand_ins/meter.rs
@@ -9,10 +9,10 @@
 /// Periods that are kept for a customer; the oldest is far older than any that is reported.
 const MAX_PERIODS: usize = 256;
 
-/// Meters the units of the customers, and reports them late.
+/// Meters the units of the customers, and reports them with a delay.
 pub struct Meter {
     delay: Nanos,
-    /// Rates of the customers' plans, in units a second.
+    /// Rates of the customers' plans, in units per second.
     rates: Vec<f64>,
     used: HashMap<u32, VecDeque<(u64, f64)>>,
 }
--- a/testing/fault-injection/src/stand_ins/pay_server.rs
+++ b/testing/fault-injection/src/stand_ins/pay_server.rs
@@ -2,9 +2,9 @@
 //!
 //! Models: cores that are shared by the running jobs, up to a number of slots; a queue for further jobs, and
 //! `X-Never-Ran` if it is full; slower work on an overcommitted machine; a warm-up period after a cold start;
-//! a crash under overload while cold; draining; running jobs that continue and queued jobs that are dropped
-//! after their connection has ended; the work of a new connection; suspension; receipts, if the scenario
-//! enables them.
+//! a crash under overload during the warm-up; draining; running jobs that continue and queued jobs that are
+//! dropped after their connection has ended; the work of a new connection; suspension; receipts, if the
+//! scenario enables them.
 //!
 //! Leaves out: memory, garbage collection, disks and the services behind a pay server; the round trips of the
 //! handshake (its work is included); caches that warm up by use and not by time. A restarted pay server has a
@@ -112,7 +112,8 @@
 }
 
 impl PayServer {
-    /// Returns a pay server of this speed. `started` is the time of a cold start.
+    /// Returns a pay server of this speed. `started` is the time of its cold start; without it the pay server
+    /// is warm.
     pub fn new(site: &Site, speed: f64, receipts: bool, now: Nanos, started: Option<Nanos>) -> PayServer {
         PayServer {
             speed,
@@ -245,7 +246,8 @@
         }
     }
 
-    /// Whether the work that arrived in the window, with this work, is more than a cold pay server can bear.
+    /// Whether the work that arrived within the window, including this work, exceeds what a pay server can
+    /// handle during its warm-up.
     fn is_overloaded_during_warmup(&mut self, now: Nanos, work: f64) -> bool {
         let capacity_share = self.capacity_share(now);
         if capacity_share >= 1.0 {
--- a/testing/fault-injection/src/verdict.rs
+++ b/testing/fault-injection/src/verdict.rs
@@ -74,7 +74,7 @@
 
 impl Verdict {
     /// Whether no invariant is violated, no expectation is missed, and no process has crashed.
-    pub fn holds(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.summary.crashes == 0
             && self.missed.is_empty()
             && self.findings.values().all(|finding| finding.holds != Some(false))
--- a/testing/fault-injection/tests/history.rs
+++ b/testing/fault-injection/tests/history.rs
@@ -268,7 +268,7 @@
             s.at(10 * SECOND, Event::Watched { watcher: 9, since: Some(16), upto: 18, changes: Vec::new() });
         }),
         ("nothing_acknowledged_lost", |s| {
-            // A watcher goes back to an older revision.
+            // A watcher reverts to an older revision.
             s.at(10 * SECOND, Event::Watched { watcher: 9, since: Some(16), upto: 12, changes: Vec::new() });
         }),
         ("one_owner", |s| s.at(7 * SECOND, Event::ActionStarted { candidate: 0, lock: 0, token: 5 })),
@@ -386,15 +386,15 @@
 /// Time limits are extended by the delays of the harness itself, and only near the time of the delay.
 #[test]
 fn time_limits_are_extended_by_delays_of_the_harness() {
-    let late_by = |stalled_at: Nanos| {
+    let drains_kept_with_stall = |stalled_at: Nanos| {
         let mut history = HistoryBuilder::good();
         history.discovery_received(10 * SECOND, 0, 11, false, &[(0, ServerState::Draining)]);
         history.served(10 * SECOND + 650 * MS, 9, SAFE);
         history.at(stalled_at, Event::Stalled { late: 200 * MS });
         history.findings()["drains_kept"].holds
     };
-    assert_eq!(late_by(10 * SECOND + 600 * MS), Some(true));
-    assert_eq!(late_by(14 * SECOND), Some(false));
+    assert_eq!(drains_kept_with_stall(10 * SECOND + 600 * MS), Some(true));
+    assert_eq!(drains_kept_with_stall(14 * SECOND), Some(false));
 }
 
 /// The state at the platform's agents counts as received by a gateway from the start of its process, without
@@ -463,7 +463,7 @@
         decided.findings()
     };
     let (findings, figures) = check_history(|_| {});
-    // The invariants of shares and shards do not apply here; `in_common.rs` tests them.
+    // The invariants of shares and shards do not apply here; `fair_shares_and_shards.rs` tests them.
     assert!(findings.values().all(|finding| finding.holds != Some(false)), "{findings:?}");
     assert_eq!(findings.len(), decisions::INVARIANTS.len());
     assert_eq!((figures.same_zone_share, figures.late_decisions_refused), (Some(0.9), Some(0)));
@@ -508,7 +508,7 @@
 }
 
 #[test]
-fn a_truncated_history_is_not_judged() {
+fn a_truncated_history_is_not_checked() {
     let mut checker = Checker::default();
     let events = HistoryBuilder::good().events();
     events[..events.len() - 1].iter().for_each(|event| checker.observe(event));
@@ -542,7 +542,7 @@
     let summary = figures.summary(&findings, &Default::default()).expect("the history has a setup");
     assert_eq!((summary.requests, summary.served, summary.refused), (200, 160, 40));
     assert_eq!(summary.goodput_before, Some(10.0));
-    // Service is full from 9 s on. The windows are 100 ms apart, and one that lacks one answer in twenty
+    // Service is full from 9 s on. The windows are 100 ms apart, and one that lacks one response in twenty
     // counts as full.
     let took = summary.time_to_full_service_ms.expect("full service within the run");
     assert!((2900..=3100).contains(&took), "{took}");
@@ -550,15 +550,15 @@
 
 proptest! {
     /// A reader returns the events that were written. If any byte is changed or the file is truncated
-    /// anywhere, the reader reports a place and does not panic.
+    /// anywhere, the reader reports the byte offset and does not panic.
     #[test]
     fn damage_is_reported_with_its_byte(
-        lates in prop::collection::vec(0..u64::MAX, 1..200), place in 0.0..1.0f64, flip in 1..=255u8, cut in any::<bool>(),
+        delays in prop::collection::vec(0..u64::MAX, 1..200), position in 0.0..1.0f64, flip in 1..=255u8, cut in any::<bool>(),
     ) {
         let mut bytes = Vec::new();
         let mut writer = Writer::new(&mut bytes).expect("in memory");
         let events: Vec<TimedEvent> =
-            lates.iter().map(|late| TimedEvent { at: late / 2, event: Event::Stalled { late: *late } }).collect();
+            delays.iter().map(|late| TimedEvent { at: late / 2, event: Event::Stalled { late: *late } }).collect();
         for (i, event) in events.iter().enumerate() {
             writer.add(event).expect("in memory");
             if i % 7 == 0 {
@@ -572,7 +572,7 @@
             (events, ended)
         };
         prop_assert_eq!(read(&bytes), (events.clone(), Ok(())));
-        let at = (place * bytes.len() as f64) as usize;
+        let at = (position * bytes.len() as f64) as usize;
         if cut {
             bytes.truncate(at);
         } else {
--- a/testing/fault-injection/tests/stand_ins.rs
+++ b/testing/fault-injection/tests/stand_ins.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_cold_pay_server_is_slow_and_crashes_under_overload_only() {
+fn after_a_cold_start_a_pay_server_is_slow_and_crashes_only_under_overload() {
     let site = Site { initial_speed_share: 0.25, warmup_ms: 10_000, ..site() };
     let mut first = TimedServer::new(&site, false, Some(0));
     let attempt = first.arrive(0);
