--- a/testing/fault-injection/src/harness/pay_servers.rs
+++ b/testing/fault-injection/src/harness/pay_servers.rs
@@ -273,7 +273,7 @@
         if path == "/receipts/seal" {
             return Ok(self.seal(trace, token));
         }
-        // An attempt arrives once its whole body is received.
+        // An attempt counts as arrived once its body has been received completely.
         Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await.map_err(io::Error::other)?;
         let now = self.context.now();
         let attempt = self.context.next_id();
--- a/testing/fault-injection/src/history.rs
+++ b/testing/fault-injection/src/history.rs
@@ -87,7 +87,7 @@
     Refused,
     /// Any other response.
     Failed,
-    /// The response says that it is unknown whether the request ran.
+    /// According to the response it is unknown whether the request ran.
     Unknown,
     /// The connection was not established, or no part of the request was received.
     Unreachable,
@@ -184,7 +184,7 @@
     pub to: u16,
 }
 
-/// Kinds of decisions that the controllers make for the whole fleet.
+/// Kinds of fleet-wide decisions that the controllers make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DecisionKind {
     /// Zone failover.
--- a/testing/fault-injection/src/stand_ins/clients.rs
+++ b/testing/fault-injection/src/stand_ins/clients.rs
@@ -129,38 +129,38 @@
     }
 }
 
-/// The load balancer, with the gateways that it considers alive.
+/// The load balancer, with its view of which gateways are healthy.
 pub struct LoadBalancer {
-    alive: Vec<bool>,
+    healthy: Vec<bool>,
 }
 
 impl LoadBalancer {
-    /// Returns a load balancer that considers all gateways alive.
+    /// Returns a load balancer that regards all gateways as healthy.
     pub fn new(gateways: usize) -> LoadBalancer {
-        LoadBalancer { alive: vec![true; gateways] }
+        LoadBalancer { healthy: vec![true; gateways] }
     }
 
-    /// Sets whether a gateway is considered alive.
-    pub fn set(&mut self, gateway: u16, alive: bool) {
-        self.alive[usize::from(gateway)] = alive;
+    /// Sets whether a gateway is regarded as healthy.
+    pub fn set(&mut self, gateway: u16, healthy: bool) {
+        self.healthy[usize::from(gateway)] = healthy;
     }
 
-    /// Chooses a gateway of the customer's set: one that is alive and not `excluded`, if there is any;
-    /// otherwise one that is alive; otherwise any.
+    /// Chooses a gateway of the customer's set: a healthy one that is not `excluded`, or else a healthy one,
+    /// or else any.
     fn choose(&self, customer: &Customer, shifted: bool, excluded: Option<u16>, rng: &mut impl Rng) -> u16 {
         let first = if shifted { customer.after_shift.1 } else { customer.first_gateway };
-        let gateway_at = |i: usize| ((usize::from(first) + i) % self.alive.len()) as u16;
+        let gateway_at = |i: usize| ((usize::from(first) + i) % self.healthy.len()) as u16;
         let set: Vec<(u16, f64)> =
             customer.gateway_weights.iter().enumerate().map(|(i, w)| (gateway_at(i), *w)).collect();
         let usable = |other_only: bool| {
             let usable = set.iter().filter(move |(gateway, _)| {
-                self.alive[usize::from(*gateway)] && !(other_only && excluded == Some(*gateway))
+                self.healthy[usize::from(*gateway)] && !(other_only && excluded == Some(*gateway))
             });
             usable.copied().collect::<Vec<_>>()
         };
         let others = usable(true);
-        let alive = if others.is_empty() { usable(false) } else { others };
-        let choices = if alive.is_empty() { set } else { alive };
+        let healthy = if others.is_empty() { usable(false) } else { others };
+        let choices = if healthy.is_empty() { set } else { healthy };
         let total: f64 = choices.iter().map(|(_, weight)| weight).sum();
         let mut drawn = rng.random::<f64>() * total;
         for (gateway, weight) in &choices {
--- a/testing/fault-injection/tests/clusters.rs
+++ b/testing/fault-injection/tests/clusters.rs
@@ -1,4 +1,4 @@
-//! Deterministic simulation of whole clusters of the coordination service, on a virtual clock and from a
+//! Deterministic simulation of complete clusters of the coordination service, on a virtual clock and from a
 //! seed. The code of the real processes runs over links that are cut and slow, on disks that crash, tear
 //! writes, fail and are slow, with clocks that drift apart. The histories are checked like those of real
 //! processes. `CLUSTER_SEEDS=1000 cargo test -p marblecroft-fault-injection --test clusters` runs more seeds
--- a/testing/fault-injection/tests/datagrams.rs
+++ b/testing/fault-injection/tests/datagrams.rs
@@ -73,7 +73,7 @@
         a.send_to(b"lost", b_public).await.expect("the datagram is sent");
         b.send_to(b"two", a_public).await.expect("the datagram is sent");
         assert_eq!(receive(&a).await, (b"two".to_vec(), b_public), "the other direction is open");
-        // The datagram that was sent during the cut has been forwarded or dropped by now.
+        // The datagram that was sent during the cut has already been forwarded or dropped.
         context.change_link_faults(|link_faults| link_faults.end(0));
         let unknown_sender = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port is free");
         unknown_sender.send_to(b"strange", b_public).await.expect("the datagram is sent");
