--- a/testing/fault-injection/src/checker/attempts.rs
+++ b/testing/fault-injection/src/checker/attempts.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Whether a fault explains that a client attempt at this gateway received no answer.
+    /// Whether a fault explains that a client attempt at this gateway received no response.
     pub(super) fn explained_by_fault(&self, setup: &Setup, gateway: u16, from: Nanos, to: Nanos) -> bool {
         let endpoint = Endpoint::Gateway(gateway);
         let affects = |fault: &DrawnFault| match fault.kind {
@@ -131,8 +131,8 @@
             }
             let lost = match (client_attempt.ended, client_attempt.afterwards) {
                 (None, _) => Some((Nanos::MAX, "never ended")),
-                // By the operators' rules a first request of a connection that is closed without an answer is
-                // not lost.
+                // By the operators' rules a first request of a connection that is closed without a response
+                // is not lost.
                 (Some((at, Outcome::Reset { first: false })), _) => Some((at, "was cut off unanswered")),
                 (Some((_, Outcome::TimedOut)), Some((at, false))) => Some((at, "was never answered")),
                 _ => None,
--- a/testing/fault-injection/src/checker/mod.rs
+++ b/testing/fault-injection/src/checker/mod.rs
@@ -199,7 +199,7 @@
             }
             Event::CallStarted { client, call, register, put } => {
                 let op = put.map_or(Op::Read, |(value, expect)| Op::Put { value, expect });
-                self.calls.insert(*call, (*register, Call { client: *client, from: at, op, answer: None }));
+                self.calls.insert(*call, (*register, Call { client: *client, from: at, op, response: None }));
             }
             Event::CallReturned { call, result: returned } => self.returned(at, *call, *returned),
             Event::Watched { watcher, since, upto, changes } => {
--- a/testing/fault-injection/src/checker/registers.rs
+++ b/testing/fault-injection/src/checker/registers.rs
@@ -17,7 +17,7 @@
 
 impl Checker {
     /// Records the result of a call on a register. A call without effect is dropped, as if it had never been
-    /// made. A call with an unknown result is kept without an answer.
+    /// made. A call with an unknown result is kept without a response.
     pub(super) fn returned(&mut self, at: Nanos, call: u64, returned: CallResult) {
         let ret = match returned {
             CallResult::Value { value, revision } => Ret::Value { value, revision },
@@ -30,7 +30,7 @@
             CallResult::Unknown => return,
         };
         if let Some((_, call)) = self.calls.get_mut(&call) {
-            call.answer = Some((at, ret));
+            call.response = Some((at, ret));
         }
     }
 
@@ -68,8 +68,8 @@
     pub(super) fn check_registers(&mut self) {
         let mut by_register: BTreeMap<u16, Vec<Call>> = BTreeMap::new();
         for (register, call) in std::mem::take(&mut self.calls).into_values() {
-            // A read without an answer has no effect and proves nothing.
-            if call.answer.is_some() || call.op != Op::Read {
+            // A read without a response has no effect and proves nothing.
+            if call.response.is_some() || call.op != Op::Read {
                 by_register.entry(register).or_default().push(call);
             }
         }
@@ -90,7 +90,8 @@
                     .iter()
                     .flat_map(|(register, calls)| calls.iter().map(move |call| (*register, call)))
                 {
-                    let (Op::Put { value, .. }, Some((at, Ret::Written(revision)))) = (call.op, call.answer)
+                    let (Op::Put { value, .. }, Some((at, Ret::Written(revision)))) =
+                        (call.op, call.response)
                     else {
                         continue;
                     };
--- a/testing/fault-injection/src/figures.rs
+++ b/testing/fault-injection/src/figures.rs
@@ -58,14 +58,14 @@
     /// Number of client attempts that were in flight at a gateway when a fault affected it.
     #[serde(rename = "in_hand")]
     pub in_flight: u64,
-    /// Number of those whose connection ended without an answer.
+    /// Number of those whose connection ended without a response.
     #[serde(rename = "in_hand_lost")]
     pub in_flight_lost: u64,
-    /// Number of unsafe requests whose client received no answer.
+    /// Number of unsafe requests whose client received no response.
     pub unsafe_lost: u64,
     /// Number of those that had run.
     pub unsafe_lost_ran: u64,
-    /// Share of the requests that ended without an answer.
+    /// Share of the requests that ended without a response.
     pub unanswered_share: f64,
     /// Number of client attempts that reached no listener.
     #[serde(rename = "unreachable_tries")]
@@ -176,7 +176,7 @@
     in_flight: HashSet<Trace>,
     attempts: HashMap<u64, Trace>,
     ran: HashSet<Trace>,
-    /// Last trace ids of the unsafe requests that ended without an answer.
+    /// Last trace ids of the unsafe requests that ended without a response.
     unsafe_lost: Vec<Trace>,
     last_client_attempt: HashMap<u32, Trace>,
     good_responses: Vec<Nanos>,
--- a/testing/fault-injection/src/harness/cells.rs
+++ b/testing/fault-injection/src/harness/cells.rs
@@ -52,7 +52,7 @@
         Ok(cells)
     }
 
-    /// Answers requests until the connection ends or a request is invalid.
+    /// Responds to requests until the connection ends or a request is invalid.
     async fn serve(self: Rc<Self>, number: u16, mut pipe: DuplexStream) -> io::Result<()> {
         let invalid = |why| io::Error::other(format!("{why}"));
         loop {
--- a/testing/fault-injection/src/harness/run/coordinators.rs
+++ b/testing/fault-injection/src/harness/run/coordinators.rs
@@ -110,7 +110,7 @@
         let ports = self.coordinators.iter().map(|(_, listener)| listener.port);
         let client =
             Client::behind_translator(ports.map(|port| format!("{ip}:{port}")).collect(), Some(ip.into()));
-        // The new coordinator answers too; it is in no cluster yet.
+        // The new coordinator responds too; it is in no cluster yet.
         let status = loop {
             match client
                 .send_request(|| wire::Request::Status, REPLACE_TIMEOUT)
--- a/testing/fault-injection/src/harness/run/discovery.rs
+++ b/testing/fault-injection/src/harness/run/discovery.rs
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Restarts a server, cold and on a new port.
+    /// Restarts a server on a new port, with a cold start.
     pub(super) async fn restart_pay_server(&self, number: u16) -> Result<(), RunError> {
         let port = self.servers[usize::from(number)].start(true);
         let port = port.map_err(|error| RunError::ListenAgain(Endpoint::PayServer(number), error))?;
--- a/testing/fault-injection/src/linear.rs
+++ b/testing/fault-injection/src/linear.rs
@@ -38,7 +38,7 @@
     Conflict(u64),
 }
 
-/// A call. Without an answer it may have taken effect at any time after its start, or never.
+/// A call. Without a response it may have taken effect at any time after its start, or never.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
     /// Number of the client.
@@ -48,7 +48,7 @@
     /// The operation.
     pub op: Op,
     /// Time of the return, and the result.
-    pub answer: Option<(Nanos, Ret)>,
+    pub response: Option<(Nanos, Ret)>,
 }
 
 /// Whether a history is linearizable.
@@ -96,7 +96,7 @@
     type Op = Op;
     type Ret = Ret;
 
-    /// Applies a call without an answer; its revision is unknown.
+    /// Applies a call without a response; its revision is unknown.
     fn invoke(&mut self, op: &Op) -> Ret {
         self.step();
         if let Op::Put { value, expect } = *op {
@@ -153,20 +153,21 @@
     let mut edges: Vec<(Nanos, bool, usize)> = Vec::new();
     for (i, call) in calls.iter().enumerate() {
         edges.push((call.from, false, i));
-        edges.extend(call.answer.map(|(to, _)| (to, true, i)));
+        edges.extend(call.response.map(|(to, _)| (to, true, i)));
     }
     edges.sort_unstable();
     let steps = Rc::new(Cell::new(0));
     let register = Register { value: None, revision: 0, exact: true, steps: steps.clone() };
     let mut tester = LinearizabilityTester::new(register);
-    // A client continues after a call without an answer; the tester then needs another thread for the client.
+    // A client continues after a call without a response; the tester then needs another thread for the
+    // client.
     let mut thread_of: HashMap<u16, u32> = HashMap::new();
     let mut open: BTreeMap<usize, u32> = BTreeMap::new();
     let mut next = 0;
     for (_, ends, i) in edges {
         let call = &calls[i];
         let taken = if ends {
-            let Some((thread, (_, ret))) = open.remove(&i).zip(call.answer) else {
+            let Some((thread, (_, ret))) = open.remove(&i).zip(call.response) else {
                 return Verdict::Undecided;
             };
             tester.on_return(thread, ret).is_ok()
@@ -175,7 +176,7 @@
                 next += 1;
                 next
             });
-            if call.answer.is_none() {
+            if call.response.is_none() {
                 thread_of.remove(&call.client);
             }
             open.insert(i, thread);
--- a/testing/fault-injection/src/scenario/expect.rs
+++ b/testing/fault-injection/src/scenario/expect.rs
@@ -12,7 +12,7 @@
     /// Maximum time from the end of the last fault to full service, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub full_service_within_ms: Option<u64>,
-    /// Maximum number of requests that end without an answer.
+    /// Maximum number of requests that end without a response.
     #[serde(rename = "lost_at_most", skip_serializing_if = "Option::is_none")]
     pub max_lost: Option<u64>,
 }
--- a/testing/fault-injection/src/scenario/fleet.rs
+++ b/testing/fault-injection/src/scenario/fleet.rs
@@ -18,7 +18,7 @@
     /// Whether pay servers can seal a trace id and report the result of its request.
     pub receipts: bool,
     /// Number of processes of the discovery service, 0 to 3. With 0, the stand-in for the platform's
-    /// discovery answers the gateways.
+    /// discovery responds to the gateways.
     #[serde(rename = "list_service")]
     pub discovery_processes: u32,
     /// Number of processes of the coordination service: 0, 3 or 5.
--- a/testing/fault-injection/tests/history.rs
+++ b/testing/fault-injection/tests/history.rs
@@ -284,7 +284,7 @@
             s.at(9 * SECOND, Event::Granted { candidate: 0, lock: 0, token: 6, requested_at: 4 * SECOND });
         }),
         ("one_final_answer", |s| {
-            // The gateway runs but never answers.
+            // The gateway runs but never responds.
             s.request_started(10 * SECOND, 9, SAFE);
             s.client_attempt_started(10 * SECOND, 9, 9, 0);
             s.ended(13 * SECOND, 9, 9, Outcome::TimedOut);
--- a/testing/fault-injection/tests/linear.rs
+++ b/testing/fault-injection/tests/linear.rs
@@ -5,11 +5,11 @@
 use proptest::prelude::*;
 
 fn call(client: u16, from: u64, to: u64, op: Op, ret: Ret) -> Call {
-    Call { client, from, op, answer: Some((to, ret)) }
+    Call { client, from, op, response: Some((to, ret)) }
 }
 
 fn lost(client: u16, from: u64, value: u64, expect: Option<u64>) -> Call {
-    Call { client, from, op: Op::Put { value, expect }, answer: None }
+    Call { client, from, op: Op::Put { value, expect }, response: None }
 }
 
 fn put(value: u64, expect: Option<u64>) -> Op {
@@ -137,11 +137,11 @@
             // A write that its client gave up has no result; only other clients' reads show its effect.
             let gives_up = lose && op != Op::Read && lost < 2;
             lost += u32::from(gives_up);
-            let answer = (!gives_up).then_some((to, ret));
-            calls.push(Call { client: who as u16, from, op, answer });
+            let response = (!gives_up).then_some((to, ret));
+            calls.push(Call { client: who as u16, from, op, response });
         }
         prop_assert_eq!(check_linearizability(&calls), Verdict::Linearizable);
-        let written = calls.iter().any(|call| matches!(call.answer, Some((_, Ret::Written(_)))));
+        let written = calls.iter().any(|call| matches!(call.response, Some((_, Ret::Written(_)))));
         if written {
             let end = 100 * calls.len() as u64 + 1000;
             calls.push(call(9, end, end + 1, Op::Read, Ret::Value { value: None, revision: 0 }));
