--- a/testing/fault-injection/src/checker/mod.rs
+++ b/testing/fault-injection/src/checker/mod.rs
@@ -4,24 +4,24 @@
 //! stated reason. No result depends on the speed of the machine: time limits are extended by the recorded
 //! delays of the harness.
 
-mod ceilings;
+mod attempts;
+mod discovery;
 mod findings;
-mod lists;
 mod locks;
+mod rate_limits;
 mod registers;
-mod tries;
 
 use crate::deployment::{Nanos, SECOND, SOCKET_SLACK};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::history::{Event, ProcessChange, ServerState, Setup, TimedEvent, Trace};
 use crate::linear::{Call, Op};
-use ceilings::Ceiling;
-use lists::Gateway;
-use locks::Owned;
+use attempts::{Attempt, ClientAttempt};
+use discovery::Gateway;
+use locks::LockGrants;
+use rate_limits::RateLimitBucket;
 use registers::Watched;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
-use tries::{Attempt, Try};
 
 /// Names of all invariants, as used in reports.
 pub const INVARIANTS: [&str; 13] = [
@@ -43,9 +43,9 @@
 /// Maximum number of reported cases of one invariant.
 const MAX_CASES: usize = 5;
 
-/// Internal name of the violations of `nothing_acknowledged_lost` at the list service. They are merged at the
-/// end, when it is known whether the invariant applies to the list service.
-const LIST_LACKS_SERVER: &str = "list_lacks";
+/// Internal name of the violations of `nothing_acknowledged_lost` at the discovery service. They are merged
+/// at the end, when it is known whether the invariant applies to the discovery service.
+const REGISTRATION_MISSING: &str = "list_lacks";
 
 /// The finding on one invariant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -63,8 +63,8 @@
 pub struct Checker {
     setup: Option<Box<Setup>>,
     requests: HashMap<u32, (u32, u8)>,
-    tries: Vec<Try>,
-    last_try: HashMap<Trace, usize>,
+    client_attempts: Vec<ClientAttempt>,
+    last_client_attempt: HashMap<Trace, usize>,
     attempts: HashMap<u64, Attempt>,
     attempts_of_trace: HashMap<Trace, Vec<u64>>,
     closed: HashMap<u64, Nanos>,
@@ -73,13 +73,13 @@
     agent_states: HashMap<u16, (ServerState, Nanos)>,
     /// When each gateway's process was last started or resumed.
     started: HashMap<u16, Nanos>,
-    ceilings: HashMap<u32, Ceiling>,
+    rate_limits: HashMap<u32, RateLimitBucket>,
     registered: HashMap<u16, Nanos>,
     stalls: Vec<(Nanos, Nanos)>,
     fault_starts: HashMap<u16, Nanos>,
     fault_ends: HashMap<u16, Nanos>,
-    crashes: Vec<(End, Nanos)>,
-    locks: HashMap<u16, Owned>,
+    crashes: Vec<(Endpoint, Nanos)>,
+    locks: HashMap<u16, LockGrants>,
     /// Calls on registers by number, which is the order of their starts.
     calls: BTreeMap<u64, (u16, Call)>,
     watches: BTreeMap<u16, Vec<Watched>>,
@@ -93,7 +93,7 @@
 }
 
 impl Checker {
-    pub(super) fn broken(&mut self, name: &'static str, case: impl FnOnce() -> String) {
+    pub(super) fn add_violation(&mut self, name: &'static str, case: impl FnOnce() -> String) {
         let finding = self.cases.entry(name).or_default();
         finding.holds = Some(false);
         finding.cases += 1;
@@ -117,16 +117,24 @@
             Event::RequestStarted { request, customer, class, .. } => {
                 self.requests.insert(*request, (*customer, *class));
             }
-            Event::TryStarted { request, trace, gateway, .. } => {
-                self.last_try.insert(*trace, self.tries.len());
+            Event::AttemptStarted { request, trace, gateway, .. } => {
+                self.last_client_attempt.insert(*trace, self.client_attempts.len());
                 let (request, trace, gateway) = (*request, *trace, *gateway);
                 let (ended, more_ends, afterwards) = (None, 0, None);
-                self.tries.push(Try { request, trace, gateway, began: at, ended, more_ends, afterwards });
+                self.client_attempts.push(ClientAttempt {
+                    request,
+                    trace,
+                    gateway,
+                    began: at,
+                    ended,
+                    more_ends,
+                    afterwards,
+                });
             }
-            Event::TryEnded { trace, outcome } => self.ended(at, *trace, *outcome),
-            Event::TryEndedLate { trace, answered } => {
-                if let Some(&last) = self.last_try.get(trace) {
-                    self.tries[last].afterwards = Some((at, *answered));
+            Event::AttemptEnded { trace, outcome } => self.ended(at, *trace, *outcome),
+            Event::AttemptEndedLate { trace, answered } => {
+                if let Some(&last) = self.last_client_attempt.get(trace) {
+                    self.client_attempts[last].afterwards = Some((at, *answered));
                 }
             }
             Event::Closed { connection } => drop(self.closed.entry(*connection).or_insert(at)),
@@ -141,14 +149,14 @@
                     attempt.answered.get_or_insert((at, *answer));
                 }
             }
-            Event::ListRequested { gateway, since: Some(since) } => {
+            Event::DiscoveryRequested { gateway, since: Some(since) } => {
                 let gateway_state = self.gateways.entry(*gateway).or_default();
                 let (before, store_changed) = (gateway_state.since, gateway_state.store_changed);
                 gateway_state.since = *since;
                 gateway_state.store_changed = false;
                 if *since < before && !store_changed {
                     let gateway = *gateway;
-                    self.broken("list_never_back", || {
+                    self.add_violation("list_never_back", || {
                         format!(
                             "gateways[{gateway}] went back from version {before} to {since} at {}",
                             seconds(at)
@@ -156,40 +164,42 @@
                     });
                 }
             }
-            Event::ListReceived { gateway, list, store, full, servers, .. } => {
-                self.list_received(at, *gateway, *list, *store, *full, servers);
+            Event::DiscoveryReceived { gateway, process, store, full, servers, .. } => {
+                self.discovery_received(at, *gateway, *process, *store, *full, servers);
             }
             Event::AgentStateChanged { server, state } => {
                 self.agent_states.insert(*server, (*state, at));
             }
             Event::Registered { server, .. } => drop(self.registered.insert(*server, at)),
-            Event::ProcessChanged { end, change } => match (end, change) {
-                (End::Gateway(gateway), ProcessChange::Started) => {
+            Event::ProcessChanged { endpoint, change } => match (endpoint, change) {
+                (Endpoint::Gateway(gateway), ProcessChange::Started) => {
                     self.gateways.remove(gateway);
                     self.started.insert(*gateway, at);
                 }
-                (End::Gateway(gateway), ProcessChange::Continued) => drop(self.started.insert(*gateway, at)),
-                (_, ProcessChange::Crashed) => self.crashes.push((*end, at)),
+                (Endpoint::Gateway(i), ProcessChange::Continued) => drop(self.started.insert(*i, at)),
+                (_, ProcessChange::Crashed) => self.crashes.push((*endpoint, at)),
                 _ => {}
             },
-            Event::Granted { candidate, lock, token, asked } => {
-                self.granted(at, *candidate, *lock, *token, *asked)
+            Event::Granted { candidate, lock, token, requested_at } => {
+                self.granted(at, *candidate, *lock, *token, *requested_at)
+            }
+            Event::ActionStarted { candidate, lock, token } => {
+                self.action_started(at, *candidate, *lock, *token)
             }
-            Event::ActionStarted { candidate, lock, token } => self.acts(at, *candidate, *lock, *token),
             Event::Effect { lock, token, admitted: true, .. } => {
                 let (lock, token) = (*lock, *token);
-                let owned = self.locks.entry(lock).or_default();
-                let highest = owned.highest;
-                owned.highest = highest.max(token);
+                let lock_grants = self.locks.entry(lock).or_default();
+                let highest = lock_grants.highest;
+                lock_grants.highest = highest.max(token);
                 if token < highest {
-                    self.broken("fenced", || {
+                    self.add_violation("fenced", || {
                         format!("lock-{lock}: an effect under token {token} was accepted after one under {highest} at {}", seconds(at))
                     });
                 }
             }
             Event::CallStarted { client, call, register, put } => {
                 let op = put.map_or(Op::Read, |(value, expect)| Op::Put { value, expect });
-                self.calls.insert(*call, (*register, Call { client: *client, from: at, op, answer: None }));
+                self.calls.insert(*call, (*register, Call { client: *client, from: at, op, response: None }));
             }
             Event::CallReturned { call, result: returned } => self.returned(at, *call, *returned),
             Event::Watched { watcher, since, upto, changes } => {
@@ -199,7 +209,7 @@
             Event::FaultEnded { fault } => drop(self.fault_ends.insert(*fault, at)),
             Event::Stalled { late } => self.stalls.push((at, *late)),
             Event::Finished { .. } => self.finished = true,
-            Event::ListRequested { since: None, .. }
+            Event::DiscoveryRequested { since: None, .. }
             | Event::RequestEnded { .. }
             | Event::Opened { .. }
             | Event::Probed { .. }
--- a/testing/fault-injection/src/harness/candidates.rs
+++ b/testing/fault-injection/src/harness/candidates.rs
@@ -6,7 +6,7 @@
 //! itself and its duration.
 
 use crate::deployment::{random_stream, Nanos, RandomStream, MS, SECOND};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::harness::RunContext;
 use crate::history::Event;
 use marblecroft_coordination::client::{Client, Lock};
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Interval between the actions of a lock owner. Each pause is drawn between half and twice of it.
+/// Interval between the actions of a lock owner. Each interval is drawn between half and twice of it.
 const ACTION_INTERVAL: Nanos = 20 * MS;
 /// Probability that an owner releases its lock after an action.
 const RELEASE_PROBABILITY: f64 = 0.004;
@@ -49,9 +49,9 @@
     }
 
     /// Returns the candidate that acts under the lock of this name.
-    pub fn lock_owner(&self, name: &str) -> Option<End> {
+    pub fn lock_owner(&self, name: &str) -> Option<Endpoint> {
         let lock: u16 = name.strip_prefix("lock-")?.parse().ok()?;
-        self.owners.borrow().get(&lock).map(|candidate| End::Candidate(*candidate))
+        self.owners.borrow().get(&lock).map(|candidate| Endpoint::Candidate(*candidate))
     }
 
     /// Opens one session after the other, and acts under the locks that it acquires.
@@ -83,7 +83,7 @@
                 })
                 .collect();
             for task in tasks {
-                // A panic in a task is a defect of the harness, which the task itself reports.
+                // A panic in a task is a defect of the harness; the panic hook has reported it.
                 drop(task.await);
             }
         }
@@ -92,7 +92,7 @@
     /// Acts under a lock until it is no longer valid or is released.
     async fn act_while_held(&self, candidate: u16, lock: u16, requested_at: Nanos, held: Lock) {
         let token = held.token();
-        self.context.record(Event::Granted { candidate, lock, token, asked: requested_at });
+        self.context.record(Event::Granted { candidate, lock, token, requested_at });
         self.owners.borrow_mut().insert(lock, candidate);
         let mut rng = random_stream(self.context.seed ^ token, RandomStream::Candidates);
         while let Some(token) = held.valid_token() {
@@ -118,8 +118,8 @@
 
     /// Waits while a candidate is suspended.
     async fn wait_while_suspended(&self, candidate: u16) {
-        let end = End::Candidate(candidate);
-        self.context.wait_until(|context| !context.is_suspended(end)).await;
+        let endpoint = Endpoint::Candidate(candidate);
+        self.context.wait_until(|context| !context.is_suspended(endpoint)).await;
     }
 }
 
--- a/testing/fault-injection/src/harness/cells.rs
+++ b/testing/fault-injection/src/harness/cells.rs
@@ -2,8 +2,8 @@
 //! them.
 
 use crate::deployment::UNSAFE;
-use crate::endpoint::End;
-use crate::harness::lists::LinkListener;
+use crate::endpoint::Endpoint;
+use crate::harness::discovery::LinkListener;
 use crate::harness::RunContext;
 use crate::history::{Event, Trace};
 use crate::stand_ins::cell::{Cell, NextStep};
@@ -33,8 +33,9 @@
     pub fn new(context: &Rc<RunContext>, fleet: &str) -> io::Result<Rc<Cells>> {
         let scenario = &context.scenario;
         let count = scenario.fleet.cells as u16;
-        let listeners =
-            (0..count).map(|i| LinkListener::open(context, End::Cell(i))).collect::<io::Result<Vec<_>>>()?;
+        let listeners = (0..count)
+            .map(|i| LinkListener::open(context, Endpoint::Cell(i)))
+            .collect::<io::Result<Vec<_>>>()?;
         let cells = Rc::new(Cells {
             context: context.clone(),
             fleet: Fleet::named(fleet),
@@ -51,7 +52,7 @@
         Ok(cells)
     }
 
-    /// Answers requests until the connection ends or a request is invalid.
+    /// Responds to requests until the connection ends or a request is invalid.
     async fn serve(self: Rc<Self>, number: u16, mut pipe: DuplexStream) -> io::Result<()> {
         let invalid = |why| io::Error::other(format!("{why}"));
         loop {
@@ -75,7 +76,7 @@
     /// Copies records to another cell, if the link to it is open.
     fn copy(&self, from: u16, to: u32, records: Vec<(Firm, Trace)>) -> CellReply {
         let Ok(to) = u16::try_from(to) else { return CellReply::InProgress };
-        let is_open = self.context.link_state(End::Cell(from), End::Cell(to)).open;
+        let is_open = self.context.link_state(Endpoint::Cell(from), Endpoint::Cell(to)).open;
         let is_up = self.listeners.get(usize::from(to)).is_some_and(|listener| listener.is_accepting());
         match self.cell(to).filter(|_| is_open && is_up) {
             Some(cell) => {
@@ -140,7 +141,7 @@
 
     /// Returns the cells that hold a write.
     pub fn cells_with(&self, firm: Firm, trace: Trace) -> Vec<u16> {
-        let holds = |cell: &RefCell<Cell>| cell.borrow().holds(firm, trace);
-        (0..).zip(&self.cells).filter(|(_, cell)| holds(cell)).map(|(number, _)| number).collect()
+        let contains = |cell: &RefCell<Cell>| cell.borrow().contains(firm, trace);
+        (0..).zip(&self.cells).filter(|(_, cell)| contains(cell)).map(|(number, _)| number).collect()
     }
 }
--- a/testing/fault-injection/src/harness/lists.rs
+++ b/testing/fault-injection/src/harness/discovery.rs
@@ -1,16 +1,16 @@
-//! Sources of the server list: the stand-in for the platform's discovery, or proxies for the processes of the
-//! list service. Also the shared counter. A gateway calls each of them at the addresses made for that
-//! gateway.
+//! Service discovery for gateways: the stand-in for the platform's discovery, or proxies for the processes of
+//! the discovery service. Also the shared counter. A gateway calls each of them at the addresses made for
+//! that gateway.
 
 use crate::deployment::MS;
-use crate::endpoint::End;
-use crate::harness::pay_servers::{block_cut_callers, response_with_mark};
+use crate::endpoint::Endpoint;
+use crate::harness::pay_servers::{block_cut_callers, response_with_flag_header};
 use crate::harness::process::Process;
 use crate::harness::relay::{relay, Observer, Side, Tap};
 use crate::harness::{address, RunContext};
 use crate::history::{Event, ServerState};
 use crate::stand_ins::counter::Counter;
-use crate::stand_ins::list::{server_state, List};
+use crate::stand_ins::discovery::{server_state, Discovery};
 use bytes::{Bytes, BytesMut};
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -40,7 +40,7 @@
 /// its own.
 pub struct LinkListener {
     context: Rc<RunContext>,
-    to: End,
+    to: Endpoint,
     /// The port of the listener.
     pub port: u16,
     listener: TcpListener,
@@ -51,7 +51,7 @@
 
 impl LinkListener {
     /// Opens a listener in front of a process or a stand-in.
-    pub fn open(context: &Rc<RunContext>, to: End) -> io::Result<Rc<LinkListener>> {
+    pub fn open(context: &Rc<RunContext>, to: Endpoint) -> io::Result<Rc<LinkListener>> {
         let (listener, port) = address::listen()?;
         let accepting = Cell::new(true);
         let generation = watch::Sender::new(0);
@@ -81,7 +81,7 @@
     pub fn serve<F: std::future::Future<Output = ()> + 'static>(
         self: Rc<Self>,
         pipe: usize,
-        service: impl Fn(DuplexStream, End) -> F + 'static,
+        service: impl Fn(DuplexStream, Endpoint) -> F + 'static,
     ) {
         self.serve_observed(pipe, service, Observer::default);
     }
@@ -90,7 +90,7 @@
     pub fn serve_observed<F: std::future::Future<Output = ()> + 'static>(
         self: Rc<Self>,
         pipe: usize,
-        service: impl Fn(DuplexStream, End) -> F + 'static,
+        service: impl Fn(DuplexStream, Endpoint) -> F + 'static,
         observer: impl Fn() -> Observer + 'static,
     ) {
         let listener = self.clone();
@@ -106,7 +106,7 @@
         }));
     }
 
-    async fn accept_each(self: Rc<Self>, serve: impl Fn(TcpStream, End)) {
+    async fn accept_each(self: Rc<Self>, serve: impl Fn(TcpStream, Endpoint)) {
         while let Ok((tcp, _)) = self.listener.accept().await {
             let caller = tcp.local_addr().ok().and_then(|addr| address::caller_by_addr(addr.ip()));
             match caller.filter(|from| self.accepting.get() && !self.context.is_reset(*from, self.to)) {
@@ -120,7 +120,7 @@
     async fn relay_to_service(
         self: Rc<Self>,
         mut tcp: TcpStream,
-        from: End,
+        from: Endpoint,
         serving: impl std::future::Future<Output = ()> + 'static,
         mut outer: DuplexStream,
         observer: Observer,
@@ -143,17 +143,20 @@
 pub struct DiscoveryStandIn {
     /// Its listener.
     pub listener: Rc<LinkListener>,
-    /// The logic of the list.
-    pub list: RefCell<List>,
+    /// The logic of discovery.
+    pub core: RefCell<Discovery>,
     changed: Notify,
 }
 
 impl DiscoveryStandIn {
     /// Starts the stand-in.
     pub fn new(context: &Rc<RunContext>) -> io::Result<Rc<DiscoveryStandIn>> {
-        let listener = LinkListener::open(context, End::ListService(0))?;
-        let discovery =
-            Rc::new(DiscoveryStandIn { listener, list: RefCell::new(List::new(1)), changed: Notify::new() });
+        let listener = LinkListener::open(context, Endpoint::DiscoveryService(0))?;
+        let discovery = Rc::new(DiscoveryStandIn {
+            listener,
+            core: RefCell::new(Discovery::new(1)),
+            changed: Notify::new(),
+        });
         let serving = discovery.clone();
         let service = move |pipe, from| {
             let discovery = serving.clone();
@@ -172,14 +175,14 @@
     }
 
     fn is_suspended(context: &RunContext) -> bool {
-        context.is_suspended(End::ListService(0))
+        context.is_suspended(Endpoint::DiscoveryService(0))
     }
 
-    /// Sets an entry of the list. Once discovery is not suspended, the gateways' agents have the entry,
+    /// Sets the entry of a server. Once discovery is not suspended, the gateways' agents have the entry,
     /// whatever requests are in flight, and an event records that.
     pub fn set(&self, number: u16, host: Host) {
         let (context, state) = (self.listener.context.clone(), server_state(host.state));
-        self.list.borrow_mut().set(number, host);
+        self.core.borrow_mut().set(number, host);
         self.changed.notify_waiters();
         spawn_local(async move {
             context.wait_until(|context| !DiscoveryStandIn::is_suspended(context)).await;
@@ -190,19 +193,21 @@
     async fn handle_request(
         self: Rc<Self>,
         request: Request<Incoming>,
-        from: End,
+        from: Endpoint,
     ) -> Result<Response<Full<Bytes>>, io::Error> {
         let context = &self.listener.context;
-        let End::Gateway(gateway) = from else { return Ok(response_with_mark(404, "", String::new())) };
+        let Endpoint::Gateway(gateway) = from else {
+            return Ok(response_with_flag_header(404, "", String::new()));
+        };
         if request.uri().path() != HOSTS {
-            return Ok(response_with_mark(404, "", "no such path".to_owned()));
+            return Ok(response_with_flag_header(404, "", "no such path".to_owned()));
         }
         let list_request = match ListRequest::parse(request.uri().query().unwrap_or_default()) {
             Ok(list_request) => list_request,
-            Err(e) => return Ok(response_with_mark(400, "", e.to_string())),
+            Err(e) => return Ok(response_with_flag_header(400, "", e.to_string())),
         };
         let since = if let ListRequest::Watch { since, .. } = list_request { Some(since) } else { None };
-        context.record(Event::ListRequested { gateway, since });
+        context.record(Event::DiscoveryRequested { gateway, since });
         if let ListRequest::Watch { wait, .. } = list_request {
             // The request is answered at a change or at its timeout. If discovery is suspended meanwhile, it
             // is never answered.
@@ -211,21 +216,29 @@
                 _ = timeout(wait, self.wait_for_change(list_request)) => {}
             }
         }
-        let response = self.list.borrow().respond(list_request);
-        let mut response = response.unwrap_or_else(|| crate::stand_ins::list::ListResponse {
-            version: self.list.borrow().version(),
+        let response = self.core.borrow().respond(list_request);
+        let mut response = response.unwrap_or_else(|| crate::stand_ins::discovery::DiscoveryResponse {
+            version: self.core.borrow().version(),
             full: false,
             servers: Vec::new(),
         });
         let servers = response.server_states();
         let (version, full) = (response.version, response.full);
-        context.record(Event::ListReceived { gateway, list: 0, store: 1, epoch: 1, version, full, servers });
+        context.record(Event::DiscoveryReceived {
+            gateway,
+            process: 0,
+            store: 1,
+            epoch: 1,
+            version,
+            full,
+            servers,
+        });
         let body = response.body(address::seen_by(from)).map_err(io::Error::other)?;
         Ok(Response::new(Full::new(body.into())))
     }
 
     async fn wait_for_change(&self, list_request: ListRequest) {
-        while self.list.borrow().respond(list_request).is_none() {
+        while self.core.borrow().respond(list_request).is_none() {
             self.changed.notified().await;
         }
     }
@@ -235,28 +248,33 @@
 /// that they are never answered.
 fn drop_while_suspended(context: Rc<RunContext>) -> Tap {
     let mut dropping = false;
-    Box::new(move |piece| {
+    Box::new(move |chunk| {
         dropping |= DiscoveryStandIn::is_suspended(&context);
         if dropping {
             Bytes::new()
         } else {
-            piece
+            chunk
         }
     })
 }
 
-/// Proxies connections to a process of the list service and records the lists that gateways receive.
-pub fn proxy_list_process(
+/// Proxies connections to a process of the discovery service and records the responses that gateways receive.
+pub fn proxy_discovery_process(
     listener: &Rc<LinkListener>,
-    list: u16,
+    process_number: u16,
     process: &Rc<Process>,
     numbers: Rc<HashMap<String, u16>>,
 ) {
     let context = listener.context.clone();
     proxy_process(listener, process, move |from| match from {
-        End::Gateway(gateway) => Observer {
-            from_caller: Some(record_list_requests(context.clone(), gateway)),
-            to_caller: Some(rewrite_and_record_lists(context.clone(), gateway, list, numbers.clone())),
+        Endpoint::Gateway(gateway) => Observer {
+            from_caller: Some(record_discovery_requests(context.clone(), gateway)),
+            to_caller: Some(rewrite_and_record_responses(
+                context.clone(),
+                gateway,
+                process_number,
+                numbers.clone(),
+            )),
             ..Observer::default()
         },
         _ => Observer::default(),
@@ -267,7 +285,7 @@
 pub fn proxy_process(
     listener: &Rc<LinkListener>,
     process: &Rc<Process>,
-    observer: impl Fn(End) -> Observer + 'static,
+    observer: impl Fn(Endpoint) -> Observer + 'static,
 ) {
     let (accepting, process, observer) = (listener.clone(), process.clone(), Rc::new(observer));
     spawn_local(listener.clone().accept_each(move |mut tcp, from| {
@@ -284,35 +302,35 @@
     }));
 }
 
-/// Records the list requests of a gateway.
-fn record_list_requests(context: Rc<RunContext>, gateway: u16) -> Tap {
+/// Records the discovery requests of a gateway.
+fn record_discovery_requests(context: Rc<RunContext>, gateway: u16) -> Tap {
     tap_http_messages(move |line, _| {
         let query = line.split(' ').nth(1).and_then(|target| target.strip_prefix(HOSTS));
         if let Some(Ok(list_request)) = query.map(|query| ListRequest::parse(query.trim_start_matches('?'))) {
             let since = if let ListRequest::Watch { since, .. } = list_request { Some(since) } else { None };
-            context.record(Event::ListRequested { gateway, since });
+            context.record(Event::DiscoveryRequested { gateway, since });
         }
     })
 }
 
-/// Records the lists that a gateway receives, and replaces the address under which servers register by the
-/// address at which this gateway reaches them.
-fn rewrite_and_record_lists(
+/// Records the discovery responses that a gateway receives, and replaces the address under which servers
+/// register by the address at which this gateway reaches them.
+fn rewrite_and_record_responses(
     context: Rc<RunContext>,
     gateway: u16,
-    list: u16,
+    process_number: u16,
     numbers: Rc<HashMap<String, u16>>,
 ) -> Tap {
     let registered = address::REGISTERED.to_string();
-    let seen_by_gateway = address::seen_by(End::Gateway(gateway)).to_string();
+    let seen_by_gateway = address::seen_by(Endpoint::Gateway(gateway)).to_string();
     tap_http_messages(move |_, body| {
         for at in 0..body.len().saturating_sub(registered.len()) {
             if body[at..].starts_with(registered.as_bytes()) {
                 body[at..at + seen_by_gateway.len()].copy_from_slice(seen_by_gateway.as_bytes());
             }
         }
-        let Ok(list_body) = serde_json::from_slice::<HostList>(body) else { return };
-        let servers: Vec<(u16, ServerState)> = list_body
+        let Ok(response) = serde_json::from_slice::<HostList>(body) else { return };
+        let servers: Vec<(u16, ServerState)> = response
             .servers
             .iter()
             .filter_map(|entry| match entry {
@@ -320,13 +338,13 @@
                 Entry::Malformed(_) => None,
             })
             .collect();
-        context.record(Event::ListReceived {
+        context.record(Event::DiscoveryReceived {
             gateway,
-            list,
-            store: list_body.store.unwrap_or(0),
-            epoch: list_body.epoch,
-            version: list_body.version,
-            full: list_body.full,
+            process: process_number,
+            store: response.store.unwrap_or(0),
+            epoch: response.epoch,
+            version: response.version,
+            full: response.full,
             servers,
         });
     })
@@ -337,11 +355,11 @@
 fn tap_http_messages(mut inspect: impl FnMut(&str, &mut [u8]) + 'static) -> Tap {
     let mut received = BytesMut::new();
     let mut unreadable = false;
-    Box::new(move |piece| {
+    Box::new(move |chunk| {
         if unreadable {
-            return piece;
+            return chunk;
         }
-        received.extend_from_slice(&piece);
+        received.extend_from_slice(&chunk);
         let mut passed_on = BytesMut::new();
         loop {
             match message_extent(&received) {
@@ -406,7 +424,7 @@
 impl CounterStandIn {
     /// Starts the stand-in.
     pub fn new(context: &Rc<RunContext>) -> io::Result<Rc<CounterStandIn>> {
-        let listener = LinkListener::open(context, End::Counter)?;
+        let listener = LinkListener::open(context, Endpoint::Counter)?;
         let core = RefCell::new(Counter::new(context.scenario.site.counter_per_s));
         let counter = Rc::new(CounterStandIn { listener, core });
         let serving = counter.clone();
@@ -417,9 +435,9 @@
         Ok(counter)
     }
 
-    async fn serve(&self, pipe: DuplexStream, from: End) -> io::Result<()> {
+    async fn serve(&self, pipe: DuplexStream, from: Endpoint) -> io::Result<()> {
         let context = &self.listener.context;
-        let End::Gateway(gateway) = from else { return Ok(()) };
+        let Endpoint::Gateway(gateway) = from else { return Ok(()) };
         let (read, mut write) = tokio::io::split(pipe);
         let mut lines = BufReader::with_capacity(MAX_LINE_BYTES, read).lines();
         while let Some(line) = lines.next_line().await? {
@@ -433,12 +451,12 @@
 }
 
 /// Returns the address at which a caller reaches the listener on a port.
-pub fn addr_for(from: End, port: u16) -> String {
+pub fn addr_for(from: Endpoint, port: u16) -> String {
     format!("{}:{port}", IpAddr::V4(address::seen_by(from)))
 }
 
-/// Returns the delay until the list shows a new server, or the end of one.
-pub fn list_delay(context: &RunContext, is_new: bool) -> u64 {
+/// Returns the delay until discovery shows a new server, or the removal of one.
+pub fn discovery_delay(context: &RunContext, is_new: bool) -> u64 {
     let site = &context.scenario.site;
-    (if is_new { site.list_add_ms } else { site.list_notice_ms }) * MS
+    (if is_new { site.discovery_add_delay_ms } else { site.discovery_removal_delay_ms }) * MS
 }
--- a/testing/fault-injection/src/harness/pay_servers.rs
+++ b/testing/fault-injection/src/harness/pay_servers.rs
@@ -1,7 +1,7 @@
 //! The pay servers on sockets: HTTP/1.1 as specified for pay servers, with one listener each.
 
 use crate::deployment::{sample_gamma, Nanos, MS, SECOND};
-use crate::endpoint::{End, Kind};
+use crate::endpoint::{Endpoint, Kind};
 use crate::harness::cells::Cells;
 use crate::harness::relay::{relay, Observer, Side};
 use crate::harness::{address, RunContext};
@@ -35,7 +35,7 @@
 /// Trace ids whose units were counted are kept for this long.
 const COUNTED_RETENTION: Nanos = 60 * SECOND;
 
-/// The meter that all pay servers share, and the tries whose units it has counted.
+/// The meter that all pay servers share, and the client attempts whose units it has counted.
 pub struct Metering {
     meter: RefCell<Meter>,
     counted: RefCell<HashMap<Trace, Nanos>>,
@@ -48,13 +48,13 @@
         let deployment = &context.deployment;
         let rates = deployment.customers.iter().map(|customer| deployment.quotas[customer.plan].rate);
         Rc::new(Metering {
-            meter: RefCell::new(Meter::new(context.scenario.site.meter_late_ms * MS, rates.collect())),
+            meter: RefCell::new(Meter::new(context.scenario.site.meter_delay_ms * MS, rates.collect())),
             counted: RefCell::default(),
             last_sweep: Cell::new(0),
         })
     }
 
-    /// Counts the unit of a try at its first attempt.
+    /// Counts the unit of a client attempt when its first attempt arrives at a pay server.
     fn count_unit(&self, now: Nanos, trace: Trace, customer: u32) {
         let mut counted = self.counted.borrow_mut();
         if counted.insert(trace, now).is_none() {
@@ -126,8 +126,8 @@
         PayServer::new(site, speed, fleet.receipts, context.now(), started)
     }
 
-    fn end(&self) -> End {
-        End::PayServer(self.number)
+    fn endpoint(&self) -> Endpoint {
+        Endpoint::PayServer(self.number)
     }
 
     fn cell(&self) -> u16 {
@@ -174,17 +174,17 @@
     }
 
     /// Suspends or resumes the process; its operating system still accepts connections.
-    pub fn pause(&self, paused: bool) {
+    pub fn set_suspended(&self, suspended: bool) {
         let mut actions = Vec::new();
-        self.core.borrow_mut().pause(self.context.now(), paused, &mut actions);
-        self.context.change_link_faults(|rules| rules.set_suspended(self.end(), paused));
+        self.core.borrow_mut().set_suspended(self.context.now(), suspended, &mut actions);
+        self.context.change_link_faults(|rules| rules.set_suspended(self.endpoint(), suspended));
         self.perform(actions);
     }
 
     /// Drops connection attempts of callers whose link to this server is cut.
     pub fn block_cut_callers(&self) {
         if let Some((listener, _)) = &*self.listener.borrow() {
-            block_cut_callers(&self.context, listener, self.end());
+            block_cut_callers(&self.context, listener, self.endpoint());
         }
     }
 
@@ -194,7 +194,7 @@
             let Some(from) = caller else { continue };
             // The number of connections to a machine is limited.
             if self.connections.get() >= self.core.borrow().max_connections
-                || self.context.is_reset(from, self.end())
+                || self.context.is_reset(from, self.endpoint())
             {
                 tcp.abort();
                 continue;
@@ -203,10 +203,10 @@
         }
     }
 
-    async fn connection(self: Rc<Self>, mut tcp: TcpStream, from: End) {
+    async fn connection(self: Rc<Self>, mut tcp: TcpStream, from: Endpoint) {
         drop(tcp.set_nodelay(true));
-        let (to, number) = (self.end(), self.context.next_id());
-        let gateway = if let End::Gateway(gateway) = from { gateway } else { NO_GATEWAY };
+        let (to, number) = (self.endpoint(), self.context.next_id());
+        let gateway = if let Endpoint::Gateway(gateway) = from { gateway } else { NO_GATEWAY };
         self.context.record(Event::Opened { connection: number, from, to });
         self.connections.set(self.connections.get() + 1);
         let (mut outer, inner) = tokio::io::duplex(PIPE_BYTES);
@@ -253,23 +253,27 @@
         let path = request.uri().path().to_owned();
         if path == "/alive" || path == "/metrics/load" {
             self.context.record(Event::Probed { server: self.number, gateway });
-            return Ok(response_with_mark(if path == "/alive" { 200 } else { 404 }, "", String::new()));
+            return Ok(response_with_flag_header(
+                if path == "/alive" { 200 } else { 404 },
+                "",
+                String::new(),
+            ));
         }
         let header = |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok());
         let Some(trace) = header("x-trace-id").map(str::to_owned) else {
-            return Ok(response_with_mark(404, "", "no such path".to_owned()));
+            return Ok(response_with_flag_header(404, "", "no such path".to_owned()));
         };
         let token = header("x-fence").and_then(|token| token.parse().ok()).unwrap_or(0);
         let trace = if trace.len() == 16 { Trace::from_str_radix(&trace, 16).ok() } else { None };
         let sender = trace.and_then(|trace| Some((trace, *self.context.traces.borrow().get(&trace)?)));
         let epoch = header("x-book-epoch").and_then(|epoch| epoch.parse().ok());
         let Some((trace, (customer, class))) = sender else {
-            return Ok(response_with_mark(400, "", "an id that no client sent".to_owned()));
+            return Ok(response_with_flag_header(400, "", "an id that no client sent".to_owned()));
         };
         if path == "/receipts/seal" {
             return Ok(self.seal(trace, token));
         }
-        // An attempt arrives once its whole body is received.
+        // An attempt counts as arrived once its body has been received completely.
         Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await.map_err(io::Error::other)?;
         let now = self.context.now();
         let attempt = self.context.next_id();
@@ -280,7 +284,7 @@
                 Ok(()) => drop(self.writes.borrow_mut().insert(attempt, trace)),
                 Err(mismatch) => {
                     self.context.record(Event::Answered { attempt, answer: Answer::NeverRan });
-                    let refused = response_with_mark(503, "x-never-ran", String::new());
+                    let refused = response_with_flag_header(503, "x-never-ran", String::new());
                     return Ok(with_header(
                         refused,
                         "x-book-due",
@@ -306,13 +310,13 @@
         self.context.record(Event::Answered { attempt, answer });
         let meter = self.metering.meter.borrow().reported_percent(now, customer);
         let response = match answer {
-            Answer::Served => response_with_mark(
+            Answer::Served => response_with_flag_header(
                 200,
                 "",
                 format!("attempt={attempt} trace={trace:016x} server={}", self.number),
             ),
-            Answer::Error => response_with_mark(500, "", String::new()),
-            Answer::NeverRan => response_with_mark(503, "x-never-ran", String::new()),
+            Answer::Error => response_with_flag_header(500, "", String::new()),
+            Answer::NeverRan => response_with_flag_header(503, "x-never-ran", String::new()),
         };
         Ok(match meter {
             Some(percent) => with_header(response, "x-meter", &percent.to_string()),
@@ -325,14 +329,14 @@
         let receipt = self.core.borrow_mut().seal(self.context.now(), trace, min_token, &mut actions);
         self.perform(actions);
         match receipt {
-            None => response_with_mark(404, "", "no receipts here".to_owned()),
-            Some(Receipt::Ran(attempt)) => response_with_mark(
+            None => response_with_flag_header(404, "", "no receipts here".to_owned()),
+            Some(Receipt::Ran(attempt)) => response_with_flag_header(
                 200,
                 "",
                 format!("ran attempt={attempt} trace={trace:016x} server={}", self.number),
             ),
-            Some(Receipt::InProgress) => response_with_mark(200, "", "out".to_owned()),
-            Some(Receipt::Sealed) => response_with_mark(200, "", "sealed".to_owned()),
+            Some(Receipt::InProgress) => response_with_flag_header(200, "", "out".to_owned()),
+            Some(Receipt::Sealed) => response_with_flag_header(200, "", "sealed".to_owned()),
         }
     }
 
@@ -397,14 +401,15 @@
 
 /// Drops connection attempts over a cut link to an endpoint. Over a link with a fault that resets
 /// connections, they are accepted and reset.
-pub fn block_cut_callers(context: &RunContext, listener: &TcpListener, to: End) {
-    let gateways = (0..context.scenario.fleet.gateways as u16).map(End::Gateway);
-    let list_processes = (0..context.scenario.fleet.list_service as u16).map(End::ListService);
-    let coordinators = (0..context.scenario.fleet.coordinators as u16).map(End::Coordinator);
-    let candidates = (0..context.scenario.count(Kind::Candidates) as u16).map(End::Candidate);
-    let controllers = (0..context.scenario.fleet.controllers as u16).map(End::Controller);
+pub fn block_cut_callers(context: &RunContext, listener: &TcpListener, to: Endpoint) {
+    let gateways = (0..context.scenario.fleet.gateways as u16).map(Endpoint::Gateway);
+    let discovery_processes =
+        (0..context.scenario.fleet.discovery_processes as u16).map(Endpoint::DiscoveryService);
+    let coordinators = (0..context.scenario.fleet.coordinators as u16).map(Endpoint::Coordinator);
+    let candidates = (0..context.scenario.count(Kind::Candidates) as u16).map(Endpoint::Candidate);
+    let controllers = (0..context.scenario.fleet.controllers as u16).map(Endpoint::Controller);
     let cut: Vec<_> = gateways
-        .chain(list_processes)
+        .chain(discovery_processes)
         .chain(controllers)
         .chain(coordinators)
         .chain(candidates)
@@ -416,11 +421,11 @@
     }
 }
 
-/// Returns a response with a header that is set to `1`, if `mark` names one.
-pub fn response_with_mark(status: u16, mark: &str, body: String) -> Response<Full<Bytes>> {
+/// Returns a response with the header `flag` set to `1`, unless `flag` is empty.
+pub fn response_with_flag_header(status: u16, flag: &str, body: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    match mark {
+    match flag {
         "" => response,
         name => with_header(response, name, "1"),
     }
--- a/testing/fault-injection/src/harness/registers.rs
+++ b/testing/fault-injection/src/harness/registers.rs
@@ -1,12 +1,12 @@
 //! Clients of the coordination service that read, write and watch registers, and record the results. The
 //! recorded history is checked for linearizability, for lost acknowledged writes, and for watches that miss
-//! changes or go back.
+//! changes or revert to an older revision.
 //!
 //! Models: contending readers and conditional writers, calls that time out, watchers that resume. Leaves out:
 //! large values, and values that a lock or a session owns.
 
 use crate::deployment::{random_stream, Nanos, RandomStream, MS};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::harness::RunContext;
 use crate::history::{CallResult, Event};
 use marblecroft_coordination::client::{CallError, Client};
@@ -38,7 +38,7 @@
     let mut rng = random_stream(context.seed ^ u64::from(number) << 32, RandomStream::Registers);
     let mut known_revisions = vec![0; registers.registers as usize];
     loop {
-        context.wait_until(|context| !context.is_suspended(End::Candidate(number))).await;
+        context.wait_until(|context| !context.is_suspended(Endpoint::Candidate(number))).await;
         let register = rng.random_range(0..registers.registers) as u16;
         let key = format!("{PREFIX}{register}");
         let call = context.next_id();
@@ -78,8 +78,8 @@
             CallResult::NoEffect | CallResult::Unknown => {}
         }
         context.record(Event::CallReturned { call, result });
-        let pause = registers.every_ms * MS;
-        context.sleep_until(context.now() + rng.random_range(pause / 2..=pause * 3 / 2)).await;
+        let interval = registers.every_ms * MS;
+        context.sleep_until(context.now() + rng.random_range(interval / 2..=interval * 3 / 2)).await;
     }
 }
 
@@ -96,7 +96,7 @@
         };
         context.record(Event::Watched { watcher: number, since: None, upto: since, changes: Vec::new() });
         loop {
-            context.wait_until(|context| !context.is_suspended(End::Candidate(number))).await;
+            context.wait_until(|context| !context.is_suspended(Endpoint::Candidate(number))).await;
             match client.changes_since(PREFIX, since, CALL_TIMEOUT).await {
                 Ok(Changes::Changes { upto, changes }) => {
                     let register_changes = changes.iter().filter_map(|(revision, change)| match change {
--- a/testing/fault-injection/src/harness/run/faults.rs
+++ b/testing/fault-injection/src/harness/run/faults.rs
@@ -3,9 +3,9 @@
 use super::running_fleet::RunningFleet;
 use super::DRAIN_TIME;
 use crate::deployment::{random_stream, DrawnFault, Nanos, RandomStream};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::error::RunError;
-use crate::harness::lists::list_delay;
+use crate::harness::discovery::discovery_delay;
 use crate::harness::process::Process;
 use crate::history::{Event, ProcessChange};
 use crate::scenario::{FaultKind, LEADER, ROLES};
@@ -38,11 +38,11 @@
             self.end_fault(number, &fault).await;
         }
         self.context.record(Event::FaultEnded { fault: number as u16 });
-        tracing::info!(number, kind = ?fault.kind, "a fault is over");
+        tracing::info!(number, kind = ?fault.kind, "a fault has ended");
     }
 
     /// Returns the current owner of a lock or a role, or the leader of the coordinators.
-    pub(super) async fn resolve_owner(&self, name: &str) -> Option<End> {
+    pub(super) async fn resolve_owner(&self, name: &str) -> Option<Endpoint> {
         let owner = match name {
             LEADER => self.leader().await,
             name if ROLES.contains(&name) => self.role_owner(name).await,
@@ -63,7 +63,7 @@
         }
         for &victim in &fault.victims {
             match (victim, self.process(victim)) {
-                (End::PayServer(server), _) => self.fault_pay_server(server, fault),
+                (Endpoint::PayServer(server), _) => self.fault_pay_server(server, fault),
                 (_, Some(process)) => self.fault_process(&process, fault.kind),
                 (_, None) => self.fault_stand_in(victim, fault.kind),
             }
@@ -73,7 +73,7 @@
     fn fault_pay_server(self: &Rc<Self>, number: u16, fault: &DrawnFault) {
         let server = &self.servers[usize::from(number)];
         match fault.kind {
-            FaultKind::Stop => server.pause(true),
+            FaultKind::Stop => server.set_suspended(true),
             FaultKind::Term => {
                 server.drain();
                 spawn_local(self.clone().remove_after_drain(number, fault.until.is_none()));
@@ -81,32 +81,33 @@
             _ => {
                 server.kill();
                 self.context.record(Event::ProcessChanged {
-                    end: End::PayServer(number),
+                    endpoint: Endpoint::PayServer(number),
                     change: ProcessChange::Ended,
                 });
-                // The list does not show the end of a server that is restarted before the end is noticed.
+                // Discovery does not show the failure of a server that is restarted before the failure is
+                // detected.
                 self.registered.borrow_mut()[usize::from(number)] = false;
-                let noticed_after = list_delay(&self.context, false);
+                let noticed_after = discovery_delay(&self.context, false);
                 if fault.until.is_none_or(|until| until > fault.at + noticed_after) {
                     let fleet = self.clone();
-                    spawn_local(async move { fleet.remove_from_list(number, State::Deleted).await });
+                    spawn_local(async move { fleet.remove_from_discovery(number, State::Deleted).await });
                 }
             }
         }
     }
 
     async fn remove_after_drain(self: Rc<Self>, number: u16, permanent: bool) {
-        self.remove_from_list(number, State::Draining).await;
+        self.remove_from_discovery(number, State::Draining).await;
         if permanent {
             self.context.sleep_until(self.context.now() + DRAIN_TIME).await;
             self.servers[usize::from(number)].kill();
-            self.remove_from_list(number, State::Deleted).await;
+            self.remove_from_discovery(number, State::Deleted).await;
         }
     }
 
-    fn fault_stand_in(&self, victim: End, kind: FaultKind) {
+    fn fault_stand_in(&self, victim: Endpoint, kind: FaultKind) {
         match (kind, victim) {
-            (FaultKind::Wipe, End::Counter) => {
+            (FaultKind::Wipe, Endpoint::Counter) => {
                 let mut rng = random_stream(self.context.seed, RandomStream::Counter);
                 self.counter.iter().for_each(|counter| counter.core.borrow_mut().lose_share(1.0, &mut rng));
             }
@@ -115,7 +116,7 @@
             }
             (kind, _) => {
                 self.listeners(victim).iter().for_each(|listener| listener.set_accepting(false));
-                if let (FaultKind::Wipe, End::Cell(number)) = (kind, victim) {
+                if let (FaultKind::Wipe, Endpoint::Cell(number)) = (kind, victim) {
                     self.cells.wipe(number);
                 }
             }
@@ -124,10 +125,10 @@
 
     fn fault_process(&self, process: &Rc<Process>, kind: FaultKind) {
         match kind {
-            FaultKind::Stop => process.pause(true),
+            FaultKind::Stop => process.set_suspended(true),
             FaultKind::Term => process.terminate(),
             FaultKind::FullDisk => {
-                process.expect_end(matches!(process.end, End::Coordinator(_)));
+                process.expect_end(matches!(process.endpoint, Endpoint::Coordinator(_)));
                 let result = process.fill_disk(true);
                 self.record_failure(result.map_err(|error| RunError::File(self.dir.clone(), error)));
             }
@@ -148,7 +149,7 @@
         }
         let recoveries = fault.victims.iter().map(|&victim| async move {
             match (victim, self.process(victim)) {
-                (End::PayServer(server), _) => {
+                (Endpoint::PayServer(server), _) => {
                     self.recover_pay_server(server, fault.kind);
                     Ok(())
                 }
@@ -168,7 +169,7 @@
     fn recover_pay_server(self: &Rc<Self>, number: u16, kind: FaultKind) {
         let server = &self.servers[usize::from(number)];
         if kind == FaultKind::Stop {
-            server.pause(false);
+            server.set_suspended(false);
             return;
         }
         server.kill();
@@ -180,11 +181,11 @@
     async fn recover_process(&self, process: &Rc<Process>, kind: FaultKind) -> Result<(), RunError> {
         match kind {
             FaultKind::Stop => {
-                process.pause(false);
+                process.set_suspended(false);
                 Ok(())
             }
             // A coordinator that cannot write to its disk exits; its supervisor restarts it.
-            FaultKind::FullDisk if !process.is_running() => self.restart(process.end, false).await,
+            FaultKind::FullDisk if !process.is_running() => self.restart(process.endpoint, false).await,
             FaultKind::FullDisk => {
                 process.expect_end(false);
                 let result = process.fill_disk(false);
@@ -192,21 +193,21 @@
             }
             kind => {
                 process.wait_ended().await;
-                self.restart(process.end, kind == FaultKind::Wipe).await
+                self.restart(process.endpoint, kind == FaultKind::Wipe).await
             }
         }
     }
 
-    pub(super) async fn restart(&self, victim: End, wiped: bool) -> Result<(), RunError> {
+    pub(super) async fn restart(&self, victim: Endpoint, wiped: bool) -> Result<(), RunError> {
         if wiped {
             let folder = self.dir.join("tmp").join(victim.to_string());
             fs::remove_dir_all(&folder).map_err(|error| RunError::File(folder, error))?;
         }
         match victim {
-            End::Gateway(i) => self.start_gateway(i, !wiped).await,
-            End::ListService(i) => self.start_list_process(i).await,
-            End::Controller(i) => self.start_controller(i).await,
-            End::Coordinator(i) => {
+            Endpoint::Gateway(i) => self.start_gateway(i, !wiped).await,
+            Endpoint::DiscoveryService(i) => self.start_discovery_process(i).await,
+            Endpoint::Controller(i) => self.start_controller(i).await,
+            Endpoint::Coordinator(i) => {
                 self.start_coordinator(i).await?;
                 if wiped {
                     self.replace_coordinator(i).await?;
@@ -219,7 +220,7 @@
 
     pub(super) fn block_cut_callers(&self) {
         self.servers.iter().for_each(|server| server.block_cut_callers());
-        let listeners = self.lists.iter().chain(&self.coordinators).chain(&self.controllers);
+        let listeners = self.discovery_processes.iter().chain(&self.coordinators).chain(&self.controllers);
         listeners.for_each(|(_, listener)| listener.block_cut_callers());
         self.counter.iter().for_each(|counter| counter.listener.block_cut_callers());
         self.discovery.iter().for_each(|discovery| discovery.listener.block_cut_callers());
--- a/testing/fault-injection/src/history.rs
+++ b/testing/fault-injection/src/history.rs
@@ -5,7 +5,7 @@
 //! encoded with `postcard`. A reader rejects lengths above [`MAX_FRAME_BYTES`].
 
 use crate::deployment::{DrawnFault, Nanos, Quota};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::error::RecordingError;
 use serde::{Deserialize, Serialize};
 use std::fs::File;
@@ -21,7 +21,7 @@
 /// Events are buffered up to about this many bytes before a frame is written.
 const FRAME_TARGET_BYTES: usize = 32 << 10;
 
-/// Trace id that a client assigns to a try; a client that lost its gateway may reuse it.
+/// Trace id that a client assigns to an attempt; a client that lost its gateway may reuse it.
 pub type Trace = u64;
 
 /// Facts about a run that the checkers need before the first event.
@@ -45,8 +45,8 @@
     pub quotas: Vec<Quota>,
     /// Index of each customer's plan in `quotas`.
     pub plans: Vec<u8>,
-    /// Number of processes of the list service.
-    pub list_processes: u16,
+    /// Number of processes of the discovery service.
+    pub discovery_processes: u16,
     /// Number of coordinators.
     pub coordinators: u16,
     /// The zones; gateways and pay servers are assigned to them round-robin.
@@ -75,7 +75,7 @@
     pub unix_us: u64,
 }
 
-/// How a try ended for its client.
+/// How an attempt ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// Status 200 with the body of a pay server.
@@ -87,7 +87,7 @@
     Refused,
     /// Any other response.
     Failed,
-    /// The response says that it is unknown whether the request ran.
+    /// According to the response it is unknown whether the request ran.
     Unknown,
     /// The connection was not established, or no part of the request was received.
     Unreachable,
@@ -128,7 +128,7 @@
     Continued,
 }
 
-/// State of a pay server in a list.
+/// State of a pay server in discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerState {
     /// The server accepts requests.
@@ -136,7 +136,7 @@
     /// The server is draining.
     Draining,
     /// The server has been removed.
-    Gone,
+    Removed,
 }
 
 /// State of a zone in a decision.
@@ -147,11 +147,11 @@
     /// The zone may have failed.
     Suspect,
     /// The zone has failed over.
-    Out,
+    FailedOver,
     /// The zone's traffic is being ramped up after a failover.
     Returning,
     /// An operator keeps the zone out of service.
-    HeldOut,
+    HeldByOperator,
 }
 
 /// Step of a shard's migration in a shard map.
@@ -184,7 +184,7 @@
     pub to: u16,
 }
 
-/// Kinds of decisions that the controllers make for the whole fleet.
+/// Kinds of fleet-wide decisions that the controllers make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DecisionKind {
     /// Zone failover.
@@ -192,7 +192,7 @@
     /// Fair shares.
     Shares,
     /// The shard map.
-    Books,
+    ShardMap,
 }
 
 /// Result of a call on a register of the coordination service.
@@ -237,34 +237,35 @@
         /// Delay behind the schedule that the harness itself caused, in nanoseconds.
         late: Nanos,
     },
-    /// A client sends a try of a request.
-    TryStarted {
+    /// A client sends an attempt of a request to a gateway. The attempts of gateways at pay servers are the
+    /// events from `Arrived` to `Answered`.
+    AttemptStarted {
         /// Number of the request.
         request: u32,
-        /// The id of the try.
+        /// The id of the client attempt.
         trace: Trace,
         /// Number of the gateway.
         gateway: u16,
-        /// The client's timeout for the try, in nanoseconds.
+        /// The client's timeout for the attempt, in nanoseconds.
         timeout: Nanos,
-        /// Whether the try reuses the id of an earlier one whose gateway was lost.
+        /// Whether the attempt reuses the id of an earlier one whose gateway was lost.
         reuses_id: bool,
     },
-    /// A try has ended for its client, with a response or without one.
-    TryEnded {
-        /// The id of the try.
+    /// An attempt has ended for its client, with a response or without one.
+    AttemptEnded {
+        /// The id of the client attempt.
         trace: Trace,
-        /// How the try ended.
+        /// How the client attempt ended.
         outcome: Outcome,
     },
-    /// The connection of a try that had timed out has delivered a response or has ended.
-    TryEndedLate {
-        /// The id of the try.
+    /// The connection of a client attempt that had timed out has delivered a response or has ended.
+    AttemptEndedLate {
+        /// The id of the client attempt.
         trace: Trace,
         /// Whether a response arrived after the timeout; false if the connection ended without one.
         answered: bool,
     },
-    /// A request has ended, after its last try.
+    /// A request has ended, after its last client attempt.
     RequestEnded {
         /// Number of the request.
         request: u32,
@@ -276,9 +277,9 @@
         /// Number of the connection.
         connection: u64,
         /// The end that opened it.
-        from: End,
+        from: Endpoint,
         /// The end that accepted it.
-        to: End,
+        to: Endpoint,
     },
     /// The end that opened a connection has closed it or has terminated.
     Closed {
@@ -289,7 +290,7 @@
     Arrived {
         /// Number of the attempt.
         attempt: u64,
-        /// The id of the try.
+        /// The id of the client attempt.
         trace: Trace,
         /// Number of the pay server.
         server: u16,
@@ -322,36 +323,36 @@
         /// Number of the pay server.
         server: u16,
     },
-    /// A gateway requests the list of pay servers.
-    ListRequested {
+    /// A gateway requests the pay servers from discovery.
+    DiscoveryRequested {
         /// Number of the gateway.
         gateway: u16,
         /// The version that the gateway has, if any.
         since: Option<u64>,
     },
-    /// A gateway receives a list of pay servers.
-    ListReceived {
+    /// A gateway receives pay servers from discovery.
+    DiscoveryReceived {
         /// Number of the gateway.
         gateway: u16,
-        /// Number of the list service's process that sent it.
-        list: u16,
+        /// Number of the discovery service's process that sent it.
+        process: u16,
         /// Id of the store that numbers the versions.
         store: u64,
         /// The epoch.
         epoch: u64,
         /// The version.
         version: u64,
-        /// Whether it is a complete list; otherwise it contains changes only.
+        /// Whether it contains all servers; otherwise it contains changes only.
         full: bool,
         /// Numbers and states of the servers.
         servers: Vec<(u16, ServerState)>,
     },
-    /// The list service acknowledged a registration.
+    /// The discovery service acknowledged a registration.
     Registered {
         /// Number of the pay server.
         server: u16,
-        /// Number of the list service's process that acknowledged it.
-        list: u16,
+        /// Number of the discovery service's process that acknowledged it.
+        process: u16,
     },
     /// A pay server has renewed its registration.
     Renewed {
@@ -374,7 +375,7 @@
         /// The fencing token.
         token: u64,
         /// When the candidate requested the lock.
-        asked: Nanos,
+        requested_at: Nanos,
     },
     /// A candidate has verified by its own clock that it still holds a lock, and is about to act under it.
     ActionStarted {
@@ -430,7 +431,7 @@
     /// The state of a process or a stand-in has changed.
     ProcessChanged {
         /// The process or stand-in.
-        end: End,
+        endpoint: Endpoint,
         /// The change.
         change: ProcessChange,
     },
@@ -467,7 +468,7 @@
         token: u64,
         /// The revision.
         revision: u64,
-        /// The state of each zone, and its capacity in units a second.
+        /// The state of each zone, and its capacity in units per second.
         zones: Vec<(ZoneState, f64)>,
     },
     /// A decision on fair shares was published.
@@ -478,7 +479,7 @@
         revision: u64,
         /// The level of service.
         level: f64,
-        /// The units a second that all firms together may send to pay servers.
+        /// The units per second that all firms together may send to pay servers.
         capacity: f64,
     },
     /// A shard map was published.
@@ -503,9 +504,9 @@
         /// Whether the cell accepted the write.
         admitted: bool,
     },
-    /// Recorded at the end of the run: the cells that hold what a try wrote.
+    /// Recorded at the end of the run: the cells that hold what a client attempt wrote.
     WriteLocations {
-        /// The id of the try.
+        /// The id of the client attempt.
         trace: Trace,
         /// Numbers of the cells.
         cells: Vec<u16>,
--- a/testing/fault-injection/src/stand_ins/clients.rs
+++ b/testing/fault-injection/src/stand_ins/clients.rs
@@ -2,9 +2,9 @@
 //!
 //! Models: an open loop (requests are sent on schedule, whatever the responses are); a set of gateways for
 //! each customer, used unevenly; client timeouts; retries after rejections, failures and unreachable
-//! gateways, as far as the class allows; `Retry-After`; a load balancer that notices late that a gateway has
-//! ended; retries with the same id. Leaves out: shifts of the busiest gateway, spikes of single customers,
-//! clients that cancel early.
+//! gateways, as far as the class allows; `Retry-After`; a load balancer that detects with a delay that a
+//! gateway has ended; retries with the same id. Leaves out: shifts of the busiest gateway, spikes of single
+//! customers, clients that cancel early.
 
 use crate::deployment::{random_stream, Customer, Deployment, Nanos, RandomStream, MS, SAFE, SECOND, UNSAFE};
 use crate::history::{Outcome, Trace};
@@ -15,9 +15,9 @@
 use rand_chacha::ChaCha8Rng;
 
 /// A client does not retry if less time than this is left before its deadline.
-const MIN_TRY_TIME: Nanos = 50 * MS;
+const MIN_ATTEMPT_TIME: Nanos = 50 * MS;
 const MAX_RETRY_AFTER: Nanos = 500 * MS;
-/// A greedy client retries a rejected request after this time.
+/// A greedy client retries a rejected request after this delay.
 const GREEDY_RETRY_DELAY: Nanos = 10 * MS;
 
 /// How clients behave.
@@ -25,16 +25,16 @@
 pub struct ClientBehavior {
     /// The deadline in nanoseconds.
     pub deadline: Nanos,
-    /// Minimum timeout of a try, as a share of the deadline.
-    pub try_share: f64,
-    /// The pause before a retry, in nanoseconds.
+    /// Minimum timeout of a client attempt, as a share of the deadline.
+    pub min_timeout_share: f64,
+    /// The backoff before a retry, in nanoseconds.
     pub backoff: Nanos,
     /// The share of rejections whose `Retry-After` is honoured.
     pub honour: f64,
     /// Maximum number of retries of a request.
     pub retries: u32,
     /// Whether a client whose gateway was lost retries with the same id.
-    pub come_back: bool,
+    pub retries_with_same_id: bool,
 }
 
 impl ClientBehavior {
@@ -42,11 +42,11 @@
     pub fn of(scenario: &Scenario) -> ClientBehavior {
         ClientBehavior {
             deadline: scenario.site.deadline_ms * MS,
-            try_share: scenario.site.try_share,
+            min_timeout_share: scenario.site.min_timeout_share,
             backoff: scenario.site.backoff_ms * MS,
             honour: scenario.site.honour,
             retries: scenario.load.retries,
-            come_back: scenario.load.come_back,
+            retries_with_same_id: scenario.load.retries_with_same_id,
         }
     }
 }
@@ -129,38 +129,38 @@
     }
 }
 
-/// The load balancer, with the gateways that it considers alive.
+/// The load balancer, with its view of which gateways are healthy.
 pub struct LoadBalancer {
-    alive: Vec<bool>,
+    healthy: Vec<bool>,
 }
 
 impl LoadBalancer {
-    /// Returns a load balancer that considers all gateways alive.
+    /// Returns a load balancer that regards all gateways as healthy.
     pub fn new(gateways: usize) -> LoadBalancer {
-        LoadBalancer { alive: vec![true; gateways] }
+        LoadBalancer { healthy: vec![true; gateways] }
     }
 
-    /// Sets whether a gateway is considered alive.
-    pub fn set(&mut self, gateway: u16, alive: bool) {
-        self.alive[usize::from(gateway)] = alive;
+    /// Sets whether a gateway is regarded as healthy.
+    pub fn set(&mut self, gateway: u16, healthy: bool) {
+        self.healthy[usize::from(gateway)] = healthy;
     }
 
-    /// Chooses a gateway of the customer's set: one that is alive and not `excluded`, if there is any;
-    /// otherwise one that is alive; otherwise any.
+    /// Chooses a gateway of the customer's set: a healthy one that is not `excluded`, or else a healthy one,
+    /// or else any.
     fn choose(&self, customer: &Customer, shifted: bool, excluded: Option<u16>, rng: &mut impl Rng) -> u16 {
         let first = if shifted { customer.after_shift.1 } else { customer.first_gateway };
-        let gateway_at = |i: usize| ((usize::from(first) + i) % self.alive.len()) as u16;
+        let gateway_at = |i: usize| ((usize::from(first) + i) % self.healthy.len()) as u16;
         let set: Vec<(u16, f64)> =
             customer.gateway_weights.iter().enumerate().map(|(i, w)| (gateway_at(i), *w)).collect();
         let usable = |other_only: bool| {
             let usable = set.iter().filter(move |(gateway, _)| {
-                self.alive[usize::from(*gateway)] && !(other_only && excluded == Some(*gateway))
+                self.healthy[usize::from(*gateway)] && !(other_only && excluded == Some(*gateway))
             });
             usable.copied().collect::<Vec<_>>()
         };
         let others = usable(true);
-        let alive = if others.is_empty() { usable(false) } else { others };
-        let choices = if alive.is_empty() { set } else { alive };
+        let healthy = if others.is_empty() { usable(false) } else { others };
+        let choices = if healthy.is_empty() { set } else { healthy };
         let total: f64 = choices.iter().map(|(_, weight)| weight).sum();
         let mut drawn = rng.random::<f64>() * total;
         for (gateway, weight) in &choices {
@@ -176,30 +176,30 @@
 /// The next step of a client's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Start another try.
-    Try(Try),
+    /// Retry with this attempt.
+    Retry(ClientAttempt),
     /// The request has ended.
     End(Outcome),
 }
 
-/// One try of a request.
+/// An attempt of a client to send its request to a gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Try {
-    /// The pause before the try, in nanoseconds.
+pub struct ClientAttempt {
+    /// The backoff before the attempt, in nanoseconds.
     pub after: Nanos,
     /// The gateway.
     pub gateway: u16,
-    /// Trace id of the try.
+    /// Trace id of the attempt.
     pub trace: Trace,
-    /// Timeout of the try, in nanoseconds.
+    /// Timeout of the attempt, in nanoseconds.
     pub wait: Nanos,
-    /// Whether the try is a retry, which clients mark by a header.
+    /// Whether the attempt is a retry, which clients mark by a header.
     pub is_retry: bool,
-    /// Whether the try has the trace id of the try before it.
+    /// Whether the attempt has the trace id of the attempt before it.
     pub reuses_id: bool,
 }
 
-/// One request of a client, with all its tries.
+/// One request of a client, with all its client attempts.
 pub struct ClientRequest {
     behavior: ClientBehavior,
     class: u8,
@@ -224,19 +224,24 @@
         }
     }
 
-    /// Returns the first try.
-    pub fn first_try(&mut self, now: Nanos, customer: &Customer, load_balancer: &LoadBalancer) -> Try {
-        self.new_try(now, 0, false, customer, load_balancer)
+    /// Returns the first attempt.
+    pub fn first_attempt(
+        &mut self,
+        now: Nanos,
+        customer: &Customer,
+        load_balancer: &LoadBalancer,
+    ) -> ClientAttempt {
+        self.new_attempt(now, 0, false, customer, load_balancer)
     }
 
-    fn new_try(
+    fn new_attempt(
         &mut self,
         now: Nanos,
         after: Nanos,
         reuses_id: bool,
         customer: &Customer,
         load_balancer: &LoadBalancer,
-    ) -> Try {
+    ) -> ClientAttempt {
         let is_retry = self.last.is_some();
         let gateway = load_balancer.choose(
             customer,
@@ -246,14 +251,14 @@
         );
         let new_trace = self.rng.random();
         let trace = self.last.filter(|_| reuses_id).map_or(new_trace, |(_, trace)| trace);
-        let share = self.rng.random_range(self.behavior.try_share..=1.0);
-        let try_timeout = (self.behavior.deadline as f64 * share) as Nanos;
+        let share = self.rng.random_range(self.behavior.min_timeout_share..=1.0);
+        let attempt_timeout = (self.behavior.deadline as f64 * share) as Nanos;
         let remaining = (self.started_at + self.behavior.deadline).saturating_sub(now + after);
         self.last = Some((gateway, trace));
-        Try { after, gateway, trace, wait: try_timeout.min(remaining), is_retry, reuses_id }
+        ClientAttempt { after, gateway, trace, wait: attempt_timeout.min(remaining), is_retry, reuses_id }
     }
 
-    /// Returns the step that follows the end of a try.
+    /// Returns the step that follows the end of an attempt.
     pub fn next_step(
         &mut self,
         now: Nanos,
@@ -268,7 +273,7 @@
             Outcome::Served { .. } | Outcome::Unknown => false,
             Outcome::Refused | Outcome::Unreachable => true,
             Outcome::Failed | Outcome::TimedOut => safe,
-            Outcome::Reset { .. } => safe || self.behavior.come_back,
+            Outcome::Reset { .. } => safe || self.behavior.retries_with_same_id,
         };
         let mut after = (self.behavior.backoff as f64 * self.rng.random_range(0.5..1.5)) as Nanos;
         if let Some(delay) = retry_after.filter(|_| self.rng.random::<f64>() < self.behavior.honour) {
@@ -277,11 +282,17 @@
         if customer.greedy && outcome == Outcome::Refused {
             after = GREEDY_RETRY_DELAY;
         }
-        let in_time = now + after + MIN_TRY_TIME < self.started_at + self.behavior.deadline;
+        let in_time = now + after + MIN_ATTEMPT_TIME < self.started_at + self.behavior.deadline;
         if !retryable || self.retries_left == 0 || !in_time {
             return NextStep::End(outcome);
         }
         self.retries_left -= 1;
-        NextStep::Try(self.new_try(now, after, was_reset && self.behavior.come_back, customer, load_balancer))
+        NextStep::Retry(self.new_attempt(
+            now,
+            after,
+            was_reset && self.behavior.retries_with_same_id,
+            customer,
+            load_balancer,
+        ))
     }
 }
--- a/testing/fault-injection/tests/history.rs
+++ b/testing/fault-injection/tests/history.rs
@@ -4,7 +4,7 @@
 use marblecroft_fault_injection::checker::{Checker, Finding, INVARIANTS};
 use marblecroft_fault_injection::decisions::{self, DecisionChecker};
 use marblecroft_fault_injection::deployment::{DrawnFault, Nanos, Quota, MS, SAFE, SECOND, UNSAFE};
-use marblecroft_fault_injection::endpoint::End;
+use marblecroft_fault_injection::endpoint::Endpoint;
 use marblecroft_fault_injection::figures::Figures;
 use marblecroft_fault_injection::history::{
     Answer, CallResult, DecisionKind, Event, Outcome, ProcessChange, Reader, ServerState, Setup, TimedEvent,
@@ -30,19 +30,19 @@
             price: 1.0,
             over_cost: 1.0,
             open: 0,
-            ceiling_rate: 2.0,
-            ceiling_depth: 4.0,
-            ceiling_slack: 1.0,
+            rate_limit: 2.0,
+            rate_limit_burst: 4.0,
+            rate_limit_slack: 1.0,
         }],
         plans: vec![0],
-        list_processes: 1,
+        discovery_processes: 1,
         coordinators: 3,
         zones: vec!["hall-a".to_owned()],
         faults: vec![DrawnFault {
             kind: FaultKind::Kill,
             at: 5 * SECOND,
             until: Some(6 * SECOND),
-            victims: vec![End::Gateway(1)],
+            victims: vec![Endpoint::Gateway(1)],
             owner: None,
             from_owner: None,
             from: Vec::new(),
@@ -56,7 +56,8 @@
     }
 }
 
-/// Builds a history, which starts with the setup, registrations and lists that all histories here have.
+/// Builds a history, which starts with the setup, registrations and discovery responses that all histories
+/// here have.
 struct HistoryBuilder {
     events: Vec<TimedEvent>,
     next: u64,
@@ -67,10 +68,22 @@
         let mut history = HistoryBuilder { events: Vec::new(), next: 1 };
         history.at(0, Event::Setup(Box::new(setup())));
         for server in 0..2 {
-            history.at(1, Event::Registered { server, list: 0 });
+            history.at(1, Event::Registered { server, process: 0 });
         }
-        history.list(2 * MS, 0, 10, true, &[(0, ServerState::Serving), (1, ServerState::Serving)]);
-        history.list(2 * MS, 1, 10, true, &[(0, ServerState::Serving), (1, ServerState::Serving)]);
+        history.discovery_received(
+            2 * MS,
+            0,
+            10,
+            true,
+            &[(0, ServerState::Serving), (1, ServerState::Serving)],
+        );
+        history.discovery_received(
+            2 * MS,
+            1,
+            10,
+            true,
+            &[(0, ServerState::Serving), (1, ServerState::Serving)],
+        );
         history
     }
 
@@ -78,9 +91,19 @@
         self.events.push(TimedEvent { at, event });
     }
 
-    fn list(&mut self, at: Nanos, gateway: u16, version: u64, full: bool, servers: &[(u16, ServerState)]) {
+    fn discovery_received(
+        &mut self,
+        at: Nanos,
+        gateway: u16,
+        version: u64,
+        full: bool,
+        servers: &[(u16, ServerState)],
+    ) {
         let servers = servers.to_vec();
-        self.at(at, Event::ListReceived { gateway, list: 0, store: 7, epoch: 1, version, full, servers });
+        self.at(
+            at,
+            Event::DiscoveryReceived { gateway, process: 0, store: 7, epoch: 1, version, full, servers },
+        );
     }
 
     fn number(&mut self) -> u64 {
@@ -88,12 +111,12 @@
         self.next
     }
 
-    fn asked(&mut self, at: Nanos, request: u32, class: u8) {
+    fn request_started(&mut self, at: Nanos, request: u32, class: u8) {
         self.at(at, Event::RequestStarted { request, customer: 0, class, late: 0 });
     }
 
-    fn tried(&mut self, at: Nanos, request: u32, trace: u64, gateway: u16) {
-        self.at(at, Event::TryStarted { request, trace, gateway, timeout: 3 * SECOND, reuses_id: false });
+    fn client_attempt_started(&mut self, at: Nanos, request: u32, trace: u64, gateway: u16) {
+        self.at(at, Event::AttemptStarted { request, trace, gateway, timeout: 3 * SECOND, reuses_id: false });
     }
 
     /// Adds an attempt that arrives and runs. Returns the numbers of the attempt and of its connection.
@@ -109,15 +132,15 @@
     }
 
     fn ended(&mut self, at: Nanos, request: u32, trace: u64, outcome: Outcome) {
-        self.at(at, Event::TryEnded { trace, outcome });
+        self.at(at, Event::AttemptEnded { trace, outcome });
         self.at(at, Event::RequestEnded { request, outcome });
     }
 
     /// Adds a request that is served correctly.
     fn served(&mut self, at: Nanos, request: u32, class: u8) {
         let trace = 1000 + u64::from(request);
-        self.asked(at, request, class);
-        self.tried(at, request, trace, 0);
+        self.request_started(at, request, class);
+        self.client_attempt_started(at, request, trace, 0);
         let (attempt, _) = self.arrived(at + MS, trace, 0, 0);
         self.answered(at + 50 * MS, attempt, Answer::Served);
         self.ended(at + 51 * MS, request, trace, Outcome::Served { attempt: Some(attempt) });
@@ -126,25 +149,31 @@
     /// Adds a request that is lost because a fault kills its gateway.
     fn lost_with_its_gateway(&mut self, request: u32) {
         let (at, trace) = (5 * SECOND - 20 * MS, 1000 + u64::from(request));
-        self.asked(at, request, UNSAFE);
-        self.tried(at, request, trace, 1);
+        self.request_started(at, request, UNSAFE);
+        self.client_attempt_started(at, request, trace, 1);
         let (_, connection) = self.arrived(at + MS, trace, 1, 1);
         self.at(5 * SECOND, Event::FaultBegan { fault: 0 });
         self.at(5 * SECOND, Event::Closed { connection });
-        self.at(5 * SECOND, Event::ProcessChanged { end: End::Gateway(1), change: ProcessChange::Ended });
+        self.at(
+            5 * SECOND,
+            Event::ProcessChanged { endpoint: Endpoint::Gateway(1), change: ProcessChange::Ended },
+        );
         self.ended(5 * SECOND + MS, request, trace, Outcome::Reset { first: false });
-        self.at(6 * SECOND, Event::ProcessChanged { end: End::Gateway(1), change: ProcessChange::Started });
+        self.at(
+            6 * SECOND,
+            Event::ProcessChanged { endpoint: Endpoint::Gateway(1), change: ProcessChange::Started },
+        );
         self.at(6 * SECOND, Event::FaultEnded { fault: 0 });
     }
 
     /// Adds a lock that passes from one candidate to another. The first one's last effect arrives late and is
     /// refused.
     fn lock_handover(&mut self) {
-        self.at(SECOND, Event::Granted { candidate: 0, lock: 0, token: 5, asked: SECOND - MS });
+        self.at(SECOND, Event::Granted { candidate: 0, lock: 0, token: 5, requested_at: SECOND - MS });
         self.at(2 * SECOND, Event::ActionStarted { candidate: 0, lock: 0, token: 5 });
         self.at(2 * SECOND, Event::Effect { candidate: 0, lock: 0, token: 5, admitted: true });
         self.at(3 * SECOND, Event::ActionStarted { candidate: 0, lock: 0, token: 5 });
-        self.at(5 * SECOND, Event::Granted { candidate: 1, lock: 0, token: 6, asked: 4 * SECOND });
+        self.at(5 * SECOND, Event::Granted { candidate: 1, lock: 0, token: 6, requested_at: 4 * SECOND });
         self.at(5 * SECOND, Event::ActionStarted { candidate: 1, lock: 0, token: 6 });
         self.at(5 * SECOND, Event::Effect { candidate: 1, lock: 0, token: 6, admitted: true });
         self.at(6 * SECOND, Event::Effect { candidate: 0, lock: 0, token: 5, admitted: false });
@@ -239,7 +268,7 @@
             s.at(10 * SECOND, Event::Watched { watcher: 9, since: Some(16), upto: 18, changes: Vec::new() });
         }),
         ("nothing_acknowledged_lost", |s| {
-            // A watcher goes back to an older revision.
+            // A watcher reverts to an older revision.
             s.at(10 * SECOND, Event::Watched { watcher: 9, since: Some(16), upto: 12, changes: Vec::new() });
         }),
         ("one_owner", |s| s.at(7 * SECOND, Event::ActionStarted { candidate: 0, lock: 0, token: 5 })),
@@ -248,54 +277,54 @@
         }),
         ("tokens_rise", |s| {
             // The token is lower than that of a grant that was received before the request.
-            s.at(9 * SECOND, Event::Granted { candidate: 0, lock: 0, token: 4, asked: 8 * SECOND });
+            s.at(9 * SECOND, Event::Granted { candidate: 0, lock: 0, token: 4, requested_at: 8 * SECOND });
         }),
         ("tokens_rise", |s| {
             // Two candidates receive the same token, even if their requests overlapped.
-            s.at(9 * SECOND, Event::Granted { candidate: 0, lock: 0, token: 6, asked: 4 * SECOND });
+            s.at(9 * SECOND, Event::Granted { candidate: 0, lock: 0, token: 6, requested_at: 4 * SECOND });
         }),
         ("one_final_answer", |s| {
-            // The gateway runs but never answers.
-            s.asked(10 * SECOND, 9, SAFE);
-            s.tried(10 * SECOND, 9, 9, 0);
+            // The gateway runs but never responds.
+            s.request_started(10 * SECOND, 9, SAFE);
+            s.client_attempt_started(10 * SECOND, 9, 9, 0);
             s.ended(13 * SECOND, 9, 9, Outcome::TimedOut);
-            s.at(15 * SECOND, Event::TryEndedLate { trace: 9, answered: false });
+            s.at(15 * SECOND, Event::AttemptEndedLate { trace: 9, answered: false });
         }),
         ("one_final_answer", |s| {
             // The fault that would explain the loss affects another gateway.
-            s.asked(5 * SECOND, 9, SAFE);
-            s.tried(5 * SECOND, 9, 9, 0);
+            s.request_started(5 * SECOND, 9, SAFE);
+            s.client_attempt_started(5 * SECOND, 9, 9, 0);
             s.ended(5 * SECOND + MS, 9, 9, Outcome::Reset { first: false });
         }),
         ("one_final_answer", |s| {
-            // A try ends twice.
-            s.at(9 * SECOND, Event::TryEnded { trace: 1004, outcome: Outcome::Refused });
+            // A client attempt ends twice.
+            s.at(9 * SECOND, Event::AttemptEnded { trace: 1004, outcome: Outcome::Refused });
         }),
         ("never_ran_twice", |s| {
             // A client that lost its gateway retries at another one, and the request runs again.
-            s.tried(7 * SECOND, 3, 1003, 0);
+            s.client_attempt_started(7 * SECOND, 3, 1003, 0);
             let (attempt, _) = s.arrived(7 * SECOND + MS, 1003, 0, 0);
             s.answered(7 * SECOND + 9 * MS, attempt, Answer::Served);
             s.at(
                 7 * SECOND + 9 * MS,
-                Event::TryEnded { trace: 1003, outcome: Outcome::Served { attempt: Some(attempt) } },
+                Event::AttemptEnded { trace: 1003, outcome: Outcome::Served { attempt: Some(attempt) } },
             );
         }),
         ("never_ran_twice", |s| {
             // The same with a new trace id: it is still the same request.
-            s.tried(7 * SECOND, 3, 77, 0);
+            s.client_attempt_started(7 * SECOND, 3, 77, 0);
             let (attempt, _) = s.arrived(7 * SECOND + MS, 77, 0, 0);
             s.answered(7 * SECOND + 9 * MS, attempt, Answer::Error);
-            s.at(7 * SECOND + 9 * MS, Event::TryEnded { trace: 77, outcome: Outcome::Failed });
+            s.at(7 * SECOND + 9 * MS, Event::AttemptEnded { trace: 77, outcome: Outcome::Failed });
         }),
         ("answers_belong", |s| {
-            s.asked(10 * SECOND, 9, SAFE);
-            s.tried(10 * SECOND, 9, 9, 0);
+            s.request_started(10 * SECOND, 9, SAFE);
+            s.client_attempt_started(10 * SECOND, 9, 9, 0);
             s.ended(10 * SECOND + MS, 9, 9, Outcome::Served { attempt: None });
         }),
         ("attempts_one_at_a_time", |s| {
-            s.asked(10 * SECOND, 9, SAFE);
-            s.tried(10 * SECOND, 9, 9, 0);
+            s.request_started(10 * SECOND, 9, SAFE);
+            s.client_attempt_started(10 * SECOND, 9, 9, 0);
             let (first, _) = s.arrived(10 * SECOND, 9, 0, 0);
             let (second, _) = s.arrived(10 * SECOND + 100 * MS, 9, 1, 0);
             s.answered(10 * SECOND + 200 * MS, first, Answer::Error);
@@ -303,8 +332,8 @@
             s.ended(10 * SECOND + 201 * MS, 9, 9, Outcome::Served { attempt: Some(second) });
         }),
         ("attempts_at_most_four", |s| {
-            s.asked(10 * SECOND, 9, SAFE);
-            s.tried(10 * SECOND, 9, 9, 0);
+            s.request_started(10 * SECOND, 9, SAFE);
+            s.client_attempt_started(10 * SECOND, 9, 9, 0);
             for i in 0..5 {
                 let (attempt, _) = s.arrived(10 * SECOND + i * 20 * MS, 9, 0, 0);
                 s.answered(10 * SECOND + i * 20 * MS + MS, attempt, Answer::Error);
@@ -312,10 +341,10 @@
             s.ended(11 * SECOND, 9, 9, Outcome::Failed);
         }),
         ("drains_kept", |s| {
-            s.list(10 * SECOND, 0, 11, false, &[(0, ServerState::Draining)]);
-            s.list(10 * SECOND + 400 * MS, 0, 12, false, &[(0, ServerState::Gone)]);
-            // The grace period starts with the first list that shows the server as draining, and has passed
-            // with the slack.
+            s.discovery_received(10 * SECOND, 0, 11, false, &[(0, ServerState::Draining)]);
+            s.discovery_received(10 * SECOND + 400 * MS, 0, 12, false, &[(0, ServerState::Removed)]);
+            // The grace period starts with the first response that shows the server as draining, and has
+            // passed with the slack.
             s.served(10 * SECOND + 560 * MS, 9, SAFE);
         }),
         ("ceilings_kept", |s| {
@@ -324,15 +353,15 @@
             }
         }),
         ("list_never_back", |s| {
-            s.at(10 * SECOND, Event::ListRequested { gateway: 0, since: Some(12) });
-            s.at(11 * SECOND, Event::ListRequested { gateway: 0, since: Some(11) });
+            s.at(10 * SECOND, Event::DiscoveryRequested { gateway: 0, since: Some(12) });
+            s.at(11 * SECOND, Event::DiscoveryRequested { gateway: 0, since: Some(11) });
         }),
         ("nothing_acknowledged_lost", |s| {
-            s.list(10 * SECOND, 0, 13, true, &[(0, ServerState::Serving)]);
+            s.discovery_received(10 * SECOND, 0, 13, true, &[(0, ServerState::Serving)]);
         }),
         ("drains_kept", |s| {
-            // A complete list that lacks a server also means that the server was removed.
-            s.list(10 * SECOND, 0, 13, true, &[(1, ServerState::Serving)]);
+            // A complete response that lacks a server also means that the server was removed.
+            s.discovery_received(10 * SECOND, 0, 13, true, &[(1, ServerState::Serving)]);
             s.served(11 * SECOND, 9, SAFE);
         }),
     ];
@@ -357,15 +386,15 @@
 /// Time limits are extended by the delays of the harness itself, and only near the time of the delay.
 #[test]
 fn time_limits_are_extended_by_delays_of_the_harness() {
-    let late_by = |stalled_at: Nanos| {
+    let drains_kept_with_stall = |stalled_at: Nanos| {
         let mut history = HistoryBuilder::good();
-        history.list(10 * SECOND, 0, 11, false, &[(0, ServerState::Draining)]);
+        history.discovery_received(10 * SECOND, 0, 11, false, &[(0, ServerState::Draining)]);
         history.served(10 * SECOND + 650 * MS, 9, SAFE);
         history.at(stalled_at, Event::Stalled { late: 200 * MS });
         history.findings()["drains_kept"].holds
     };
-    assert_eq!(late_by(10 * SECOND + 600 * MS), Some(true));
-    assert_eq!(late_by(14 * SECOND), Some(false));
+    assert_eq!(drains_kept_with_stall(10 * SECOND + 600 * MS), Some(true));
+    assert_eq!(drains_kept_with_stall(14 * SECOND), Some(false));
 }
 
 /// The state at the platform's agents counts as received by a gateway from the start of its process, without
@@ -377,18 +406,22 @@
         let mut setup = setup();
         setup.faults.retain(|_| fault.is_some());
         for drawn in &mut setup.faults {
-            (drawn.kind, drawn.victims) = (fault.expect("the fault was retained"), vec![End::ListService(0)]);
+            (drawn.kind, drawn.victims) =
+                (fault.expect("the fault was retained"), vec![Endpoint::DiscoveryService(0)]);
         }
         history.at(3 * MS, Event::Setup(Box::new(setup)));
         history.at(9 * SECOND, Event::AgentStateChanged { server: 0, state: ServerState::Draining });
         if let Some(at) = started {
-            history.at(at, Event::ProcessChanged { end: End::Gateway(0), change: ProcessChange::Started });
+            history.at(
+                at,
+                Event::ProcessChanged { endpoint: Endpoint::Gateway(0), change: ProcessChange::Started },
+            );
         }
         history.served(sent_at, 9, SAFE);
         history.findings()["drains_kept"].holds
     };
     let late = 9 * SECOND + 600 * MS;
-    assert_eq!(holds(None, None, late), Some(false), "the gateway never requested the list");
+    assert_eq!(holds(None, None, late), Some(false), "the gateway never requested the servers");
     assert_eq!(holds(None, None, 9 * SECOND + 500 * MS), Some(true), "within the grace period");
     assert_eq!(
         holds(None, Some(9 * SECOND + 300 * MS), late),
@@ -404,12 +437,12 @@
 #[test]
 fn violations_of_decision_invariants_are_detected() {
     let zones = |state: ZoneState| vec![(ZoneState::Serving, 20.0), (state, 20.0)];
-    let judge_history = |corrupt: fn(&mut HistoryBuilder)| {
+    let check_history = |corrupt: fn(&mut HistoryBuilder)| {
         let mut history = HistoryBuilder { events: Vec::new(), next: 1 };
         let mut setup = setup();
         (setup.zones, setup.controllers) = (vec!["hall-a".to_owned(), "hall-b".to_owned()], 3);
         history.at(0, Event::Setup(Box::new(setup)));
-        for (at, state) in [(1, ZoneState::Serving), (7, ZoneState::Out), (12, ZoneState::Serving)] {
+        for (at, state) in [(1, ZoneState::Serving), (7, ZoneState::FailedOver), (12, ZoneState::Serving)] {
             let revision = at;
             history.at(at * SECOND, Event::ZonesDecided { token: 5, revision, zones: zones(state) });
             history.at(
@@ -429,11 +462,11 @@
         history.events.iter().for_each(|event| decided.take(event));
         decided.findings()
     };
-    let (findings, figures) = judge_history(|_| {});
-    // The invariants of shares and shards do not apply here; `in_common.rs` tests them.
+    let (findings, figures) = check_history(|_| {});
+    // The invariants of shares and shards do not apply here; `fair_shares_and_shards.rs` tests them.
     assert!(findings.values().all(|finding| finding.holds != Some(false)), "{findings:?}");
     assert_eq!(findings.len(), decisions::INVARIANTS.len());
-    assert_eq!((figures.near_share, figures.late_decisions_refused), (Some(0.9), Some(0)));
+    assert_eq!((figures.same_zone_share, figures.late_decisions_refused), (Some(0.9), Some(0)));
     assert_eq!((figures.time_to_failover_ms, figures.time_to_return_ms), (Some(2000), Some(3000)));
     let cases: [(&str, Corruption); 3] = [
         ("decision_never_back", |s| {
@@ -455,14 +488,17 @@
         }),
     ];
     for (name, corrupt) in cases {
-        let (findings, _) = judge_history(corrupt);
+        let (findings, _) = check_history(corrupt);
         let broken: Vec<_> =
             findings.iter().filter(|(_, f)| f.holds == Some(false)).map(|(name, _)| *name).collect();
         assert_eq!(broken, [name]);
     }
     // A restarted gateway may start with any decision.
-    let (findings, _) = judge_history(|s| {
-        s.at(8 * SECOND, Event::ProcessChanged { end: End::Gateway(0), change: ProcessChange::Started });
+    let (findings, _) = check_history(|s| {
+        s.at(
+            8 * SECOND,
+            Event::ProcessChanged { endpoint: Endpoint::Gateway(0), change: ProcessChange::Started },
+        );
         s.at(
             8 * SECOND,
             Event::DecisionApplied { gateway: 0, kind: DecisionKind::Zones, token: 5, revision: 1 },
@@ -472,7 +508,7 @@
 }
 
 #[test]
-fn a_truncated_history_is_not_judged() {
+fn a_truncated_history_is_not_checked() {
     let mut checker = Checker::default();
     let events = HistoryBuilder::good().events();
     events[..events.len() - 1].iter().for_each(|event| checker.observe(event));
@@ -488,8 +524,8 @@
         let at = u64::from(i) * 100 * MS;
         let is_down = (5 * SECOND..9 * SECOND).contains(&at);
         if is_down {
-            history.asked(at, i, SAFE);
-            history.tried(at, i, u64::from(i), 0);
+            history.request_started(at, i, SAFE);
+            history.client_attempt_started(at, i, u64::from(i), 0);
             history.ended(at + MS, i, u64::from(i), Outcome::Refused);
         } else {
             history.served(at, i, SAFE);
@@ -506,7 +542,7 @@
     let summary = figures.summary(&findings, &Default::default()).expect("the history has a setup");
     assert_eq!((summary.requests, summary.served, summary.refused), (200, 160, 40));
     assert_eq!(summary.goodput_before, Some(10.0));
-    // Service is full from 9 s on. The windows are 100 ms apart, and one that lacks one answer in twenty
+    // Service is full from 9 s on. The windows are 100 ms apart, and one that lacks one response in twenty
     // counts as full.
     let took = summary.time_to_full_service_ms.expect("full service within the run");
     assert!((2900..=3100).contains(&took), "{took}");
@@ -514,15 +550,15 @@
 
 proptest! {
     /// A reader returns the events that were written. If any byte is changed or the file is truncated
-    /// anywhere, the reader reports a place and does not panic.
+    /// anywhere, the reader reports the byte offset and does not panic.
     #[test]
     fn damage_is_reported_with_its_byte(
-        lates in prop::collection::vec(0..u64::MAX, 1..200), place in 0.0..1.0f64, flip in 1..=255u8, cut in any::<bool>(),
+        delays in prop::collection::vec(0..u64::MAX, 1..200), position in 0.0..1.0f64, flip in 1..=255u8, cut in any::<bool>(),
     ) {
         let mut bytes = Vec::new();
         let mut writer = Writer::new(&mut bytes).expect("in memory");
         let events: Vec<TimedEvent> =
-            lates.iter().map(|late| TimedEvent { at: late / 2, event: Event::Stalled { late: *late } }).collect();
+            delays.iter().map(|late| TimedEvent { at: late / 2, event: Event::Stalled { late: *late } }).collect();
         for (i, event) in events.iter().enumerate() {
             writer.add(event).expect("in memory");
             if i % 7 == 0 {
@@ -536,7 +572,7 @@
             (events, ended)
         };
         prop_assert_eq!(read(&bytes), (events.clone(), Ok(())));
-        let at = (place * bytes.len() as f64) as usize;
+        let at = (position * bytes.len() as f64) as usize;
         if cut {
             bytes.truncate(at);
         } else {
