--- a/control-plane/configuration/src/route.rs
+++ b/control-plane/configuration/src/route.rs
@@ -62,7 +62,7 @@
 impl Route {
     /// Returns whether a request that may have been executed can be sent again: the type of the route is
     /// idempotent, or its streams can be resumed.
-    pub fn is_idempotent(&self) -> bool {
+    pub fn allows_reexecution(&self) -> bool {
         self.route_type == RouteType::Idempotent || self.resumable
     }
 }
--- a/data-plane/gateway/src/batch_api/mod.rs
+++ b/data-plane/gateway/src/batch_api/mod.rs
@@ -47,9 +47,9 @@
     call.await.unwrap_or(CallOutcome::MayHaveExecuted)
 }
 
-/// Returns the maximum number of tokens that may be queued on a route. The stores count an item
-/// until its result is recorded, which happens after the server has finished it, so they may use the
-/// full overage.
+/// Returns the maximum number of tokens that may be queued on a route. It includes the full overage,
+/// because the stores count an item until its result is recorded, some time after the server has
+/// finished it.
 fn max_queued_tokens(configured: u64, overage: f64) -> u64 {
     // The conversion saturates.
     (configured as f64 * (1.0 + overage)).floor() as u64
--- a/data-plane/gateway/src/batch_runner/item.rs
+++ b/data-plane/gateway/src/batch_runner/item.rs
@@ -36,8 +36,8 @@
 const FAILURE_BACKOFF: Duration = Duration::from_millis(60);
 /// An attempt is abandoned if the server sends nothing for this time.
 const FRAME_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Added to the retention time of an item before it is dead-lettered, because the clocks of gateway
-/// and store may differ.
+/// Margin for clock skew between gateway and store: an item is dead-lettered only this long after its
+/// retention time.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(10);
 
 /// A running item.
@@ -103,7 +103,7 @@
             }
             let service = self.gateway.service_of(&route, &self.granted.item.id);
             let Some(server) = self.choose(&service, &attempted) else {
-                // Servers that have already been tried may be chosen again.
+                // The next iteration may choose servers that have already been tried.
                 attempted.clear();
                 sleep(NO_CAPACITY_BACKOFF).await;
                 continue;
@@ -165,7 +165,7 @@
             uri: item.path.parse().ok()?,
             headers,
             body: Bytes::from(item.body.0.clone()),
-            idempotent: true,
+            allows_reexecution: true,
         })
     }
 
--- a/data-plane/gateway/src/gateway.rs
+++ b/data-plane/gateway/src/gateway.rs
@@ -33,7 +33,7 @@
     pub balancer: RefCell<LoadBalancer>,
     /// The other gateways of the zone.
     pub peers: PeerGateways,
-    /// Placement constants.
+    /// Constants of server selection and load estimation.
     pub tuning: Tuning,
     /// Admission control for live requests.
     pub admission: RefCell<Admission>,
@@ -42,7 +42,7 @@
     pub in_flight: Cell<usize>,
     /// Moving average of the live requests at servers.
     pub live_concurrency: MeanConcurrency,
-    /// Zero of the clock of placement and admission.
+    /// Origin of the monotonic clock that load balancing and admission control use.
     started_at: Instant,
 }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Returns the current time on the clock of placement and admission.
+    /// Returns the current time on the clock that load balancing and admission control use.
     pub fn now(&self) -> Timestamp {
         self.started_at.elapsed()
     }
@@ -82,7 +82,7 @@
             }
             point -= backend.weight;
         }
-        // Rounding errors can move the point past the last weight.
+        // Because of rounding errors, the loop can end without a match.
         let last = route.backends.iter().rev().find(|backend| backend.weight > 0.0);
         last.map(|backend| backend.service.clone()).unwrap_or_default()
     }
--- a/data-plane/gateway/src/live/mod.rs
+++ b/data-plane/gateway/src/live/mod.rs
@@ -35,7 +35,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The deadline for the response is this long before the client's own timeout.
+/// Margin between the deadline for the response and the time limit of the client or the route.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
 /// `Retry-After` for clients whose request is shed, in seconds.
 const RETRY_AFTER_OVERLOAD: &str = "0.5";
@@ -72,8 +72,8 @@
     live.run().await
 }
 
-/// Returns the deadline for the response: the client's `X-Timeout-Ms` or the route's time limit,
-/// whichever is earlier, minus the margin.
+/// Returns the deadline for the response: the time of receipt plus the shorter of the client's
+/// `X-Timeout-Ms` ([`DEFAULT_TIMEOUT`] if absent) and the route's time limit, minus the margin.
 fn deadline(request: &BufferedRequest, route: &Route) -> Instant {
     let stated = request.header(TIMEOUT_MS.as_str()).and_then(|ms| ms.trim().parse::<f64>().ok());
     let time_limit =
@@ -91,7 +91,7 @@
         uri: request.uri,
         headers,
         body: request.body,
-        idempotent: route.is_idempotent() && route.attempts > 1,
+        allows_reexecution: route.allows_reexecution() && route.attempts > 1,
     }
 }
 
@@ -122,7 +122,7 @@
         if self.executions + self.rejections > 0 {
             self.record_latency(self.route.timeout);
         }
-        if self.executions > 0 && !self.route.is_idempotent() {
+        if self.executions > 0 && !self.route.allows_reexecution() {
             return local_reply(StatusCode::BAD_GATEWAY, "no server has answered");
         }
         if self.executions > 0 {
--- a/data-plane/gateway/src/live/request.rs
+++ b/data-plane/gateway/src/live/request.rs
@@ -18,7 +18,7 @@
 pub(super) struct LiveRequest {
     pub(super) gateway: Rc<Gateway>,
     pub(super) route: Arc<Route>,
-    /// Service chosen according to the weights of the route.
+    /// Service selected according to the weights of the route.
     pub(super) service: String,
     /// The request to send to servers.
     pub(super) request: UpstreamRequest,
@@ -44,12 +44,12 @@
 
     /// Returns whether the route allows another attempt after those that have ended.
     pub(super) fn may_retry(&self) -> bool {
-        self.route.is_idempotent() && self.executions < self.route.attempts
+        self.route.allows_reexecution() && self.executions < self.route.attempts
     }
 
     /// Returns whether the route will allow another attempt after the current one.
     pub(super) fn may_retry_after_this(&self) -> bool {
-        self.route.is_idempotent() && self.executions + 1 < self.route.attempts
+        self.route.allows_reexecution() && self.executions + 1 < self.route.attempts
     }
 
     /// Reports the latency of the request to admission control: the time to the first event of a
--- a/data-plane/gateway/src/live/tests.rs
+++ b/data-plane/gateway/src/live/tests.rs
@@ -62,5 +62,5 @@
     let names: Vec<&str> = sent.headers.keys().map(HeaderName::as_str).collect();
     assert_eq!(names, ["x-own"]);
     assert_eq!((sent.method, sent.uri.to_string()), (Method::PUT, "/p?q".to_owned()));
-    assert_eq!((&sent.body[..], sent.idempotent), (&b"body"[..], true));
+    assert_eq!((&sent.body[..], sent.allows_reexecution), (&b"body"[..], true));
 }
--- a/data-plane/gateway/src/upstream/attempt.rs
+++ b/data-plane/gateway/src/upstream/attempt.rs
@@ -23,9 +23,9 @@
     pub headers: HeaderMap,
     /// The complete body.
     pub body: Bytes,
-    /// Whether the request may be executed twice, so that it may be sent again after a missing
-    /// response or a reset.
-    pub idempotent: bool,
+    /// Whether the request may be sent again after an attempt that may have executed it, such as one
+    /// that ended with a reset or without a response.
+    pub allows_reexecution: bool,
 }
 
 /// Reason why an attempt got no response.
@@ -60,9 +60,9 @@
         may_send: impl Fn() -> bool,
     ) -> Result<UpstreamResponse, AttemptError> {
         let mut http_request = to_http_request(server, request);
-        let mut may_retry = request.idempotent;
+        let mut may_retry = request.allows_reexecution;
         loop {
-            let (mut connection, is_reused) = match self.take(server, request.idempotent) {
+            let (mut connection, is_reused) = match self.take(server, request.allows_reexecution) {
                 Some(connection) => (connection, true),
                 None => {
                     let opened =
@@ -79,8 +79,8 @@
                     Err(mut e) => match e.take_message() {
                         Some(unsent) => http_request = unsent,
                         None if is_reused && may_retry => {
-                            // The server had closed the idle connection. Tries once more at the
-                            // same server.
+                            // The server had probably closed the idle connection. Retries once at
+                            // the same server.
                             may_retry = false;
                             http_request = to_http_request(server, request);
                         }
--- a/data-plane/gateway/src/upstream/mod.rs
+++ b/data-plane/gateway/src/upstream/mod.rs
@@ -3,8 +3,8 @@
 //! [`ConnectionPool::send`] (`attempt`) takes an idle connection from the `pool`, or opens a new
 //! one, and makes one attempt at one server. `classify` classifies the head of the response, and
 //! `event_stream` reads its events. A caller that has read a body to its end returns the connection
-//! to the pool. All others drop the connection, which closes it and thereby cancels the attempt at
-//! the server. The callers, [`crate::live`] and [`crate::batch_runner`], choose the server and
+//! to the pool. All others drop the connection, which closes it and cancels the attempt at the
+//! server. The callers, [`crate::live`] and [`crate::batch_runner`], choose the server and
 //! decide whether to make another attempt.
 
 mod attempt;
--- a/data-plane/gateway/src/upstream/pool.rs
+++ b/data-plane/gateway/src/upstream/pool.rs
@@ -4,9 +4,9 @@
 //! server may be closing it, or may already have dropped it silently, while the request is being
 //! sent. It is then unknown whether the request was executed. For requests that must not be
 //! executed twice, the pool therefore only uses connections that have been idle for a short time.
-//! For idempotent requests, which can simply be sent again, it uses longer idle ones too. It also
-//! limits the number of idle connections, because a server accepts a limited number of connections
-//! from all gateways together and resets the rest.
+//! For requests that may be executed again, it uses longer idle ones too. It also limits the number
+//! of idle connections, because a server accepts a limited number of connections from all gateways
+//! together and resets the rest.
 
 use crate::headers::KEEP_ALIVE;
 use http_body_util::Full;
@@ -28,7 +28,8 @@
 const REUSE_DELAY: Duration = Duration::from_millis(15);
 /// Maximum idle time of a connection that is used for a request that must not be executed twice.
 const SHORT_IDLE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Maximum idle time for idempotent requests, if servers accept enough connections.
+/// Maximum idle time of a connection that is used for a request that may be executed again, if
+/// servers accept enough connections.
 const LONG_IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Share of a server's connections that all gateways together may keep idle for the long timeout.
 const LONG_IDLE_SHARE: f64 = 0.4;
@@ -97,15 +98,15 @@
     }
 
     /// Removes an idle connection from the pool, to be used for a request.
-    pub(super) fn take(&self, server: &Server, is_idempotent: bool) -> Option<Connection> {
+    pub(super) fn take(&self, server: &Server, allows_reexecution: bool) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&PoolKey::of(server))?;
         let now = Instant::now();
         connections.retain(|idle| idle.is_usable(now));
         let is_past_reuse_delay = |idle: &IdleConnection| idle.idle_time(now) >= REUSE_DELAY;
-        // Idempotent requests take the connection that has been idle longest, and leave the others
-        // to requests that are not idempotent.
-        let index = if is_idempotent {
+        // Requests that may be executed again take the connection that has been idle longest, and
+        // leave the others to requests that must not be.
+        let index = if allows_reexecution {
             connections.iter().position(is_past_reuse_delay)?
         } else {
             connections
