--- a/common/logging/src/lib.rs
+++ b/common/logging/src/lib.rs
@@ -1,4 +1,4 @@
-//! Logging to standard error, one event a line.
+//! Logging to standard error, one event per line.
 //!
 //! Programs log with `tracing`. A text line consists of the program's name and the event's message, followed
 //! by the event's fields in programs whose messages are constant texts. A JSON line always has the fields.
--- a/common/transport/src/socket.rs
+++ b/common/transport/src/socket.rs
@@ -28,17 +28,17 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Number of bytes that one system call reads at most.
+/// Maximum number of bytes that one system call reads.
 const CHUNK_BYTES: usize = 16 << 10;
-/// Number of bytes that are read ahead of hyper's reads. Enough for a complete head.
+/// Maximum number of bytes that are read ahead of hyper's reads. Enough for a complete head.
 const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
 /// Interval at which a socket whose read-ahead buffer is full is checked for whether the peer has closed it.
 /// A request must not be forwarded if its client disconnected more than 100 ms ago. Each check costs a system
 /// call, but the buffer is full only if a client floods the connection.
 const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(40);
-/// Time for which input of a closing connection is read at most.
+/// Maximum time for which input of a closing connection is read.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Number of bytes of a closing connection that are read at most. Enough for a long body.
+/// Maximum number of bytes that are read from a closing connection. Enough for a long body.
 const MAX_LINGER_BYTES: usize = 32 << 20;
 
 /// A socket that hyper uses and its owner observes.
--- a/control-plane/batch-state/src/job.rs
+++ b/control-plane/batch-state/src/job.rs
@@ -9,7 +9,7 @@
 /// A job as it was submitted.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct NewJob {
-    /// The client's id of the job.
+    /// Id of the job, assigned by the client.
     pub id: String,
     /// Name of the route on which the job was submitted.
     pub route: String,
@@ -135,8 +135,8 @@
         indices.zip(&self.items).filter(|(_, stored)| !stored.has_result).map(|(index, _)| index)
     }
 
-    /// Records the outcome of an item unless it has one. Returns the number of tokens that are no longer
-    /// queued.
+    /// Records the outcome of an item unless one is recorded already. Returns the number of tokens that are no
+    /// longer queued.
     pub(crate) fn record(&mut self, item: u32, outcome: ItemOutcome) -> u64 {
         let pending = self.items.get_mut(item as usize).filter(|stored| !stored.has_result);
         let Some(stored) = pending else { return 0 };
@@ -144,7 +144,7 @@
         stored.drop_request();
         let tokens = stored.item.tokens;
         self.results.push(ItemResult { item, outcome });
-        // When a job is ended, the tokens of all its items are released.
+        // `end` has already released the tokens of all items without a result.
         if self.ended {
             0
         } else {
--- a/control-plane/batch-state/src/lease.rs
+++ b/control-plane/batch-state/src/lease.rs
@@ -67,7 +67,7 @@
         self.deviation += RUN_TIME_WEIGHT * (error.abs() - self.deviation);
     }
 
-    /// Returns the time within which most items complete.
+    /// Returns the estimated time within which most items complete.
     fn upper_estimate(&self) -> Duration {
         Duration::from_secs_f64((self.mean + DEVIATION_FACTOR * self.deviation).max(0.0))
     }
@@ -82,7 +82,7 @@
 
 impl Leases {
     /// Renews the leases on `running`, which are all the items that the gateway runs. Returns those that the
-    /// gateway must stop, because another gateway has leased them or they are not to be run any more.
+    /// gateway must stop, because another gateway has leased them or they must no longer be run.
     pub fn renew(&mut self, terms: &LeaseTerms<'_>, batch: &BatchState, running: Vec<ItemId>) -> Vec<ItemId> {
         self.release_unreported(terms.gateway, &running);
         let mut stopped = Vec::new();
@@ -98,8 +98,8 @@
         stopped
     }
 
-    /// Releases the gateway's leases on items that it does not report as running, because the reply that
-    /// granted them was lost, or the items have ended.
+    /// Releases the gateway's leases on items that it does not report as running: the reply that granted them
+    /// was lost, or the items have ended.
     fn release_unreported(&mut self, gateway: &str, running: &[ItemId]) {
         let reported: HashSet<&ItemId> = running.iter().collect();
         self.leases.retain(|id, lease| lease.gateway != gateway || reported.contains(id));
--- a/control-plane/batch-state/src/operation.rs
+++ b/control-plane/batch-state/src/operation.rs
@@ -11,7 +11,7 @@
 pub enum Operation {
     /// Accepts a job if its tokens fit the route's quota.
     SubmitJob(NewJob),
-    /// Records an item's outcome, unless the item has one or its job is unknown.
+    /// Records an item's outcome. Ignored if the item already has one or its job is unknown.
     RecordResult {
         /// Id of the job.
         job: String,
@@ -20,7 +20,7 @@
         /// The outcome of the item.
         outcome: ItemOutcome,
     },
-    /// Ends a job: its items are not run any more.
+    /// Ends a job: its remaining items are not run.
     EndJob {
         /// Id of the job.
         job: String,
--- a/control-plane/chain-replication/src/chain.rs
+++ b/control-plane/chain-replication/src/chain.rs
@@ -40,7 +40,7 @@
 use storage_recovery::StorageRecovery;
 use tracing::{info, warn};
 
-/// The role of a member at its last input. After a change some requests cannot be completed any more.
+/// The role of a member at its last input. After a change some requests can no longer be completed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Role {
     view: u64,
--- a/control-plane/chain-replication/src/chain/rounds.rs
+++ b/control-plane/chain-replication/src/chain/rounds.rs
@@ -1,4 +1,5 @@
-//! Rounds. A round is one attempt to bring the members down the chain to this member's state.
+//! Replication rounds. A round is one attempt to update all members further down the chain to this member's
+//! state.
 
 use super::Chain;
 use crate::error::ProposalError;
@@ -24,7 +25,7 @@
 enum RoundFailure {
     /// The member at this address does not reply or rejects the round.
     Member(SocketAddr),
-    /// There is a newer view, or this member's state was replaced or is not complete any more.
+    /// There is a newer view, or this member's state was replaced or is no longer complete.
     Superseded,
 }
 
@@ -111,8 +112,8 @@
         outputs.push(Output::Call { call: self.last_call, to: successor, message, within });
     }
 
-    /// Returns the message that brings a member from a position to this member's; `None` if only a complete
-    /// state can.
+    /// Returns the append that advances a member from position `previous` to this member's position; `None` if
+    /// that member needs the complete state.
     fn append_since(&self, previous: Position) -> Option<Append> {
         Some(Append {
             view: self.replica.view().clone(),
@@ -124,7 +125,7 @@
         })
     }
 
-    /// Whether the reply to this call is still valid. It refers to the state that was sent, and proves
+    /// Returns whether the reply to this call is still valid. It refers to the state that was sent, and proves
     /// nothing about a state that has replaced it, or about a chain with other members.
     fn is_current(&self, call: &InFlightAppend) -> bool {
         call.view == self.replica.view().number
--- a/control-plane/chain-replication/src/chain/storage_recovery.rs
+++ b/control-plane/chain-replication/src/chain/storage_recovery.rs
@@ -10,8 +10,8 @@
 /// state.
 const RECOVERY_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Set in every random identity, and in no founder's: those consist of an address and a port, which take 48
-/// bits.
+/// Set in every random identity, and in no founder's identity: that consists of an address and a port, which
+/// take 48 bits.
 const RANDOM_IDENTITY_BIT: u64 = 1 << 63;
 
 /// Returns a random identity for a member that is not a founder, from 64 random bits.
@@ -19,8 +19,8 @@
     bits | RANDOM_IDENTITY_BIT
 }
 
-/// Paces the attempts to read the storage again, and provides the identity that the member takes if it turns
-/// out that the storage has lost data.
+/// Schedules the attempts to read the storage again, and provides the identity that the member takes if the
+/// storage has lost data.
 pub(super) struct StorageRecovery {
     next_attempt_at: Duration,
     /// Random bits for the next replacement identity; incremented after each one that was used.
--- a/control-plane/chain-replication/src/config.rs
+++ b/control-plane/chain-replication/src/config.rs
@@ -10,8 +10,9 @@
     /// rounds. An interval that is too short only costs messages.
     pub heartbeat_interval: Duration,
     /// Time that one member may take for its part of a round; typically 350 to 400 ms. The timeout of a call
-    /// down the chain is this time for every member from the callee to the tail, and once more. If it is too
-    /// short, members with slow disks count as failed; if it is too long, failed members are detected late.
+    /// down the chain is this time multiplied by one more than the number of members from the callee to the
+    /// tail. If it is too short, members with slow disks count as failed; if it is too long, failed members
+    /// are detected late.
     pub append_timeout: Duration,
     /// Timeout for the transfer of a complete state to one member; typically 3 to 4 s. If it is too short, a
     /// member with a large state can never catch up; if it is too long, a member that fails during the
--- a/control-plane/chain-replication/src/pending.rs
+++ b/control-plane/chain-replication/src/pending.rs
@@ -113,7 +113,7 @@
         outputs.extend(std::mem::take(&mut self.queue).into_iter().map(rejected));
     }
 
-    /// Fails the ordered operations once this member cannot determine any more whether they will be
+    /// Fails the ordered operations once this member can no longer determine whether they will be
     /// committed.
     pub fn abandon_uncommitted(&mut self, outputs: &mut Vec<Output<R>>) {
         let unknown = |uncommitted: UncommittedOperation<R>| Output::Applied {
--- a/control-plane/chain-replication/src/replica/recovery.rs
+++ b/control-plane/chain-replication/src/replica/recovery.rs
@@ -116,7 +116,7 @@
     fn replay(&mut self, record: Record) {
         match record {
             Record::Entry(entry) => {
-                // No submitter waits for the outputs any more.
+                // No submitter waits for the outputs any longer.
                 let _ = self.apply(entry.0);
             }
             Record::View { view, complete } => {
--- a/control-plane/chain-replication/tests/failed_writes.rs
+++ b/control-plane/chain-replication/tests/failed_writes.rs
@@ -1,5 +1,5 @@
-//! A failed write may be durable. After one, a member does nothing until it has read its storage again and
-//! started a segment with the recovered state.
+//! A failed write may be durable. After a failed write, a member does nothing until it has read its storage
+//! again and started a segment with the recovered state.
 
 mod common;
 #[path = "common/disk.rs"]
@@ -134,7 +134,7 @@
     assert!(chain.with_replica(|replica| replica.install_as_learner(&state)).is_err());
     assert!(!chain.status(Duration::ZERO).complete);
 
-    // Recovery attempts are paced, and the first one after the disk works again succeeds.
+    // Recovery attempts are separated by a backoff, and the first one after the disk works again succeeds.
     outputs.clear();
     chain.advance(Duration::ZERO, &mut outputs);
     let next = chain.next_wake();
@@ -163,7 +163,7 @@
         };
         assert!(outputs.iter().any(is_unknown), "{outputs:?}");
         assert!(!chain.is_head() && chain.lease_confirmed_at().is_none());
-        // While it is suspended, the head orders nothing.
+        // A suspended head rejects operations.
         chain.propose(8, 1, Duration::MAX);
         outputs.clear();
         chain.advance(Duration::from_millis(1), &mut outputs);
--- a/control-plane/chain-replication/tests/views_model.rs
+++ b/control-plane/chain-replication/tests/views_model.rs
@@ -321,7 +321,7 @@
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         for (index, proposer) in state.proposers.iter().enumerate() {
             if state.voters[index].lost && self.mutation != Mutation::IdentityRetainedAfterDiskLoss {
-                // A proposer that has lost its disk is not a voter any more.
+                // A proposer that has lost its disk is no longer a voter.
                 continue;
             }
             if proposer.proposals < self.bounds.proposals[index] {
--- a/control-plane/configuration/src/configuration.rs
+++ b/control-plane/configuration/src/configuration.rs
@@ -13,9 +13,9 @@
     pub generation: u64,
     /// Limits on clients.
     pub limits: ClientLimits,
-    /// By name.
+    /// Services by name.
     services: HashMap<String, Service>,
-    /// By host in lower case; the longest prefix first.
+    /// Routes by host in lower case; those of a host are sorted by path prefix, longest first.
     routes: HashMap<String, Vec<Arc<Route>>>,
 }
 
--- a/control-plane/core/src/coordinator/operator_calls.rs
+++ b/control-plane/core/src/coordinator/operator_calls.rs
@@ -106,7 +106,7 @@
         result: Result<(), ProposalError>,
     ) {
         let reply = match (result, pending) {
-            // Nothing was proposed, so nothing can have been changed.
+            // Nothing was proposed yet, so the state is certainly unchanged and the status is not 504.
             (Err(ProposalError::OutcomeUnknown), _) => {
                 Reply::text(503, "the newest state could not be confirmed")
             }
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Returns the reply to a retirement that is not to be proposed, because it is rejected or the machine is
-    /// retired already. Returns `None` if the retirement is to be proposed.
+    /// Returns the reply to a retirement that is rejected, or whose machine is retired already. Returns `None`
+    /// if the retirement must be proposed.
     fn retirement_rejection(&self, node: &str) -> Option<Reply> {
         let control = self.ctx.chain().replica().machine();
         if control.is_retired(node) {
--- a/control-plane/core/src/coordinator/store_supervision.rs
+++ b/control-plane/core/src/coordinator/store_supervision.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Returns whether this process led when it handled its last input.
+    /// Returns whether this process was the head when it handled its last input.
     pub(super) fn is_active(&self) -> bool {
         self.leading_since.is_some()
     }
--- a/control-plane/core/src/server_list_reader.rs
+++ b/control-plane/core/src/server_list_reader.rs
@@ -60,7 +60,7 @@
         Step::Read
     }
 
-    /// Discards the fencing token, because this process may not read any more.
+    /// Discards the fencing token, because this process may no longer read.
     pub fn stop(&mut self) {
         self.token = None;
     }
--- a/control-plane/protocol/src/store.rs
+++ b/control-plane/protocol/src/store.rs
@@ -160,7 +160,7 @@
 pub struct WorkReply {
     /// Items that are newly leased to the gateway.
     pub granted: Vec<GrantedItem>,
-    /// Items that the gateway must stop, as they are leased to another gateway or must not be run any more.
+    /// Items that the gateway must stop, as they are leased to another gateway or must no longer be run.
     pub stop: Vec<ItemId>,
     /// Duration of the leases in milliseconds. It counts from when the gateway sent the request, so that the gateway's
     /// leases never outlast the head's.
--- a/control-plane/rpc/src/http/server.rs
+++ b/control-plane/rpc/src/http/server.rs
@@ -14,7 +14,7 @@
 use tiny_http::{Header, Request as Incoming, Response, Server};
 use tracing::warn;
 
-/// Maximum number of bytes of a body that are read; a snapshot of a store's state must fit.
+/// Number of bytes after which the rest of a body is ignored; a snapshot of a store's state must fit.
 const MAX_BODY_BYTES: u64 = 512 << 20;
 /// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 256;
@@ -25,7 +25,7 @@
 /// Interval between further keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Listens on `address`. Accepted connections detect a peer that has disappeared without closing them.
+/// Listens on `address`. TCP keepalive detects peers that disappear without closing their connection.
 ///
 /// # Errors
 ///
--- a/control-plane/server/src/pending_replies.rs
+++ b/control-plane/server/src/pending_replies.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Time after which a call without a reply is abandoned. Longer than the longest call, an operation followed
-/// by a read, which takes 3.7 s.
+/// by a read, which takes up to 3.7 s.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Waiting<R> {
--- a/control-plane/simulation/src/cluster/message.rs
+++ b/control-plane/simulation/src/cluster/message.rs
@@ -32,7 +32,7 @@
 pub enum Origin {
     /// One incarnation of the process of a machine.
     Machine {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
         /// The incarnation of its process.
         incarnation: u64,
@@ -41,7 +41,7 @@
     },
     /// A client.
     Client {
-        /// The client.
+        /// Index of the client.
         client: usize,
         /// The number of the call.
         call: u64,
--- a/control-plane/simulation/src/cluster/network.rs
+++ b/control-plane/simulation/src/cluster/network.rs
@@ -30,7 +30,7 @@
         self.message_fault_permille > 0 && self.rng.u32(0..1000) < self.message_fault_permille
     }
 
-    /// Sends a request. Its origin receives the first of a response, a reset and a timeout.
+    /// Sends a request. Its origin receives only the earliest of a response, a reset and a timeout.
     pub(super) fn send_request(
         &mut self,
         from: Option<usize>,
--- a/control-plane/simulation/src/faults/fault.rs
+++ b/control-plane/simulation/src/faults/fault.rs
@@ -43,7 +43,7 @@
 pub enum Fault {
     /// The process is killed, with or without a power loss of its machine, and restarted.
     Kill {
-        /// The machine.
+        /// The affected machine.
         target: Target,
         /// Whether the machine loses power.
         power: bool,
@@ -52,31 +52,31 @@
     },
     /// The machine loses power and its disk, and restarts with an empty disk.
     Wipe {
-        /// The machine.
+        /// The affected machine.
         target: Target,
         /// Time until the restart.
         restart_after: Duration,
     },
     /// A bit flips in synced data; the process is restarted.
     CorruptDisk {
-        /// The machine.
+        /// The affected machine.
         target: Target,
     },
     /// The process is suspended.
     Freeze {
-        /// The machine.
+        /// The affected machine.
         target: Target,
         /// Duration of the fault.
         duration: Duration,
     },
     /// A suspended process continues.
     Thaw {
-        /// The machine.
+        /// Index of the affected machine.
         machine: usize,
     },
     /// Links of a machine fail.
     Partition {
-        /// The machine.
+        /// The affected machine.
         target: Target,
         /// The machines and clients that the machine is partitioned from.
         scope: PartitionScope,
@@ -89,29 +89,29 @@
     },
     /// Half of the machines of a role are partitioned from the other half.
     Split {
-        /// The role.
+        /// Role of the affected machines.
         role: Role,
         /// Duration of the fault.
         duration: Duration,
     },
     /// All links of a machine work again.
     Heal {
-        /// The machine.
+        /// Index of the affected machine.
         machine: usize,
     },
     /// The process receives SIGTERM, and is restarted 4.5 seconds later.
     Terminate {
-        /// The machine.
+        /// The affected machine.
         target: Target,
     },
     /// The machine is removed permanently, and an empty one is added at another address.
     Replace {
-        /// The machine.
+        /// The affected machine.
         target: Target,
     },
     /// An empty machine is added.
     Add {
-        /// The role.
+        /// Role of the new machine.
         role: Role,
     },
     /// All processes are killed at the same instant, and restarted within a second.
@@ -126,7 +126,7 @@
     },
     /// Each write takes `sync_time`.
     SlowDisk {
-        /// The machine.
+        /// The affected machine.
         target: Target,
         /// Duration of a write and its sync.
         sync_time: Duration,
@@ -135,14 +135,14 @@
     },
     /// Writes fail.
     FailingDisk {
-        /// The machine.
+        /// The affected machine.
         target: Target,
         /// Duration of the fault.
         duration: Duration,
     },
     /// The disk works again at its usual speed.
     RepairDisk {
-        /// The machine.
+        /// Index of the affected machine.
         machine: usize,
     },
     /// Messages are lost, late or duplicated.
--- a/control-plane/simulation/src/faults/loss.rs
+++ b/control-plane/simulation/src/faults/loss.rs
@@ -1,5 +1,5 @@
-//! Tracks the machines that count as lost, so that no more machines are lost at the same time than the
-//! deployment tolerates.
+//! Tracks the machines that count as lost, so that the number of machines lost at the same time does not
+//! exceed the number that the deployment tolerates.
 
 use crate::cluster::Cluster;
 use std::time::Duration;
--- a/control-plane/simulation/src/scenarios.rs
+++ b/control-plane/simulation/src/scenarios.rs
@@ -100,7 +100,7 @@
 /// The lines of a day that are the same in all scenarios generated from it.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Template {
-    /// Thresholds and traffic.
+    /// TOML lines that set thresholds and traffic.
     shared_lines: String,
 }
 
--- a/control-plane/simulation/tests/partitions.rs
+++ b/control-plane/simulation/tests/partitions.rs
@@ -1,6 +1,7 @@
 //! A machine is partitioned for 20 seconds while changes are submitted: once, twice, and while another
-//! machine is replaced, joins or terminates. It must not serve an old configuration, and must not acknowledge
-//! or reject a change against the decision of the cluster. The same holds for a frozen machine that resumes.
+//! machine is replaced, joins or terminates. It must not serve an old configuration, must not
+//! acknowledge a change that the cluster rejects, and must not reject one that the cluster accepts. The same
+//! holds for a frozen machine that resumes.
 
 #[allow(dead_code, reason = "not every test file uses all of the helpers")]
 mod common;
--- a/control-plane/simulation/tests/resubmitted_changes.rs
+++ b/control-plane/simulation/tests/resubmitted_changes.rs
@@ -45,7 +45,7 @@
                 tolerated_machines: 1,
                 diskless_coordinators: 0,
             };
-            // The fault occurs at different stages of the changes in flight.
+            // Each step injects the fault at a different stage of the changes in flight.
             let at = 6.0 + 0.0037 * f64::from(step);
             let faults = vec![(at, fault), (at + 14.0, fault)];
             let mut scenario = Scenario::new(format!("{fault:?}"), spec, faults, 28.0);
--- a/control-plane/wal/src/record.rs
+++ b/control-plane/wal/src/record.rs
@@ -52,14 +52,14 @@
     payload
 }
 
-/// Whether the bytes of a complete segment contain an intact marker at the offset `from` or after it. A
+/// Returns whether the bytes of a complete segment contain an intact marker at the offset `from` or after it. A
 /// marker contains its own offset, so a copy of it elsewhere, for example within a payload, does not count.
 pub(crate) fn has_append_marker(bytes: &[u8], segment: u64, from: usize) -> bool {
     let is_marker = |offset: usize| {
         let payload = decode_record(&bytes[offset..]).map(|record| record.payload);
         payload == Some(&append_marker(segment, offset as u64)[..])
     };
-    // The length before a marker is always the same, which excludes most offsets.
+    // All markers have the same length field. Comparing it first rules out most offsets.
     let length = (MARKER_BYTES as u32).to_le_bytes();
     (from..bytes.len()).any(|offset| bytes[offset..].starts_with(&length) && is_marker(offset))
 }
--- a/control-plane/wal/src/recovery.rs
+++ b/control-plane/wal/src/recovery.rs
@@ -48,8 +48,9 @@
         recovered.damaged |= has_appends(&bytes, number);
     }
     if recovered.snapshot.is_none() {
-        // Only the first segment is written without a complete one before it. A failed start also uses up a
-        // number, so damage may be reported although nothing was lost. That is safer than a missed loss.
+        // A complete older segment exists while any segment but the first is written. A failed write of the
+        // first segment also uses a number, so damage may be reported although nothing was lost. This is safer
+        // than an undetected loss.
         recovered.damaged |= newest_segment > 1;
     }
     Ok(Recovery { recovered, newest_segment })
--- a/control-plane/wal/src/segment.rs
+++ b/control-plane/wal/src/segment.rs
@@ -37,7 +37,7 @@
     Ok(Some(Segment { snapshot: first.payload.to_vec(), records, torn_bytes: rest.len(), is_damaged }))
 }
 
-/// Whether records were ever appended to a segment whose snapshot is not intact.
+/// Returns whether records were ever appended to a segment whose snapshot is not intact.
 pub(crate) fn has_appends(bytes: &[u8], number: u64) -> bool {
     has_append_marker(bytes, number, MAGIC.len())
 }
@@ -46,7 +46,8 @@
 fn check_version(bytes: &[u8], number: u64) -> Result<(), WalError> {
     let version = bytes.strip_prefix(MAGIC_PREFIX).and_then(|rest| rest.first().copied());
     match version {
-        // Version 0 means a torn header, and markers of this format mean that the version is damaged.
+        // A version of 0 is a torn header. If the segment has append markers of the current format, the
+        // version byte is damaged.
         Some(version) if version != 0 && !has_appends(bytes, number) => {
             Err(WalError::UnknownFormat(number, version))
         }
--- a/control-plane/wal/src/wal.rs
+++ b/control-plane/wal/src/wal.rs
@@ -64,8 +64,9 @@
         let mut bytes = Vec::with_capacity(MAGIC.len() + RECORD_HEADER_BYTES + snapshot.len());
         bytes.extend_from_slice(&MAGIC);
         encode_record(snapshot, &mut bytes)?;
-        // The number is used up even if the write fails, so that no torn segment is overwritten. Nothing more
-        // is appended to the older segment, as this one may still replace it after a failed write.
+        // The number is used even if the write fails, so that no torn segment is overwritten. The older segment
+        // accepts no further records: a segment whose write failed may be durable nevertheless, and a recovery
+        // would then ignore the older one.
         self.segment_number = number;
         self.file = None;
         let path = segment_path(&self.directory, number);
