--- a/testing/fault-injection/src/checker/attempts.rs
+++ b/testing/fault-injection/src/checker/attempts.rs
@@ -4,7 +4,7 @@
 use super::{seconds, Checker};
 use crate::deployment::{DrawnFault, Nanos, DRAIN_GRACE, MAX_ATTEMPTS, SECOND, UNSAFE};
 use crate::endpoint::Endpoint;
-use crate::history::{Answer, Outcome, ServerState, Setup, Trace};
+use crate::history::{Outcome, ServerOutcome, ServerState, Setup, Trace};
 use crate::scenario::FaultKind;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -29,7 +29,7 @@
     pub(super) connection: u64,
     pub(super) arrived: Nanos,
     pub(super) ran: bool,
-    pub(super) answered: Option<(Nanos, Answer)>,
+    pub(super) ended: Option<(Nanos, ServerOutcome)>,
 }
 
 impl Checker {
@@ -44,7 +44,7 @@
         if let Outcome::Served { attempt } = outcome {
             let source = attempt.and_then(|attempt| self.attempts.get(&attempt));
             let belongs = source.is_some_and(|source| {
-                source.trace == trace && matches!(source.answered, Some((_, Answer::Served)))
+                source.trace == trace && matches!(source.ended, Some((_, ServerOutcome::Served)))
             });
             if !belongs {
                 self.add_violation("answers_belong", || {
@@ -66,8 +66,8 @@
         connection: u64,
         gateway: u16,
     ) {
-        let (ran, answered) = (false, None);
-        self.attempts.insert(attempt, Attempt { trace, connection, arrived: at, ran, answered });
+        let (ran, ended) = (false, None);
+        self.attempts.insert(attempt, Attempt { trace, connection, arrived: at, ran, ended });
         let attempts = self.attempts_of_trace.entry(trace).or_default();
         attempts.push(attempt);
         let count = attempts.len();
@@ -131,8 +131,8 @@
             }
             let lost = match (client_attempt.ended, client_attempt.afterwards) {
                 (None, _) => Some((Nanos::MAX, "never ended")),
-                // By the operators' rules a first request of a connection that is closed without a response
-                // is not lost.
+                // By the operators' rules, the first request on a connection does not count as lost if the
+                // connection is closed without a response.
                 (Some((at, Outcome::Reset { first: false })), _) => Some((at, "was cut off unanswered")),
                 (Some((_, Outcome::TimedOut)), Some((at, false))) => Some((at, "was never answered")),
                 _ => None,
@@ -169,10 +169,10 @@
         for (trace, ids) in &self.attempts_of_trace {
             let attempts: Vec<&Attempt> = ids.iter().filter_map(|id| self.attempts.get(id)).collect();
             for pair in attempts.windows(2) {
-                let answered = pair[0].answered.map_or(Nanos::MAX, |(at, _)| at);
+                let ended = pair[0].ended.map_or(Nanos::MAX, |(at, _)| at);
                 let closed = self.closed.get(&pair[0].connection).copied().unwrap_or(Nanos::MAX);
                 let next = pair[1].arrived;
-                if answered.min(closed) > next + self.slack(next) {
+                if ended.min(closed) > next + self.slack(next) {
                     overlaps.push((next, *trace));
                 }
             }
--- a/testing/fault-injection/src/checker/mod.rs
+++ b/testing/fault-injection/src/checker/mod.rs
@@ -69,7 +69,7 @@
     attempts_of_trace: HashMap<Trace, Vec<u64>>,
     closed: HashMap<u64, Nanos>,
     gateways: HashMap<u16, Gateway>,
-    /// The state of each server at the platform's agents, and since when it is this state.
+    /// The state of each server at the platform's agents, and when the server entered it.
     agent_states: HashMap<u16, (ServerState, Nanos)>,
     /// When each gateway's process was last started or resumed.
     started: HashMap<u16, Nanos>,
@@ -144,9 +144,9 @@
             Event::Ran { attempt } => {
                 self.attempts.get_mut(attempt).into_iter().for_each(|attempt| attempt.ran = true)
             }
-            Event::Answered { attempt, answer } => {
+            Event::Responded { attempt, outcome } => {
                 if let Some(attempt) = self.attempts.get_mut(attempt) {
-                    attempt.answered.get_or_insert((at, *answer));
+                    attempt.ended.get_or_insert((at, *outcome));
                 }
             }
             Event::DiscoveryRequested { gateway, since: Some(since) } => {
--- a/testing/fault-injection/src/follow.rs
+++ b/testing/fault-injection/src/follow.rs
@@ -16,7 +16,7 @@
 /// Fields of a log line that are omitted, because they are printed elsewhere or are always the same.
 const OMITTED_FIELDS: [&str; 5] = ["timestamp", "level", "message", "target", "trace"];
 
-/// Returns the lines on a request, ordered by time.
+/// Returns the events and log lines of a request as text, ordered by time.
 ///
 /// # Errors
 ///
@@ -46,7 +46,7 @@
 
 type LogEntry = (SystemTime, String, String);
 
-/// Returns the lines on the recorded events of a request.
+/// Returns the recorded events of a request as lines of text.
 fn events_of(path: &Path, trace: Trace) -> Result<Vec<LogEntry>, RecordingError> {
     let (mut origin, mut lines, mut attempts) = (UNIX_EPOCH, Vec::new(), HashSet::new());
     Reader::open(path)?
@@ -76,8 +76,8 @@
                 Event::Ran { attempt } if attempts.contains(attempt) => {
                     push("pay server".to_owned(), format!("attempt {attempt} runs"));
                 }
-                Event::Answered { attempt, answer } if attempts.contains(attempt) => {
-                    push("pay server".to_owned(), format!("attempt {attempt}: {answer:?}"));
+                Event::Responded { attempt, outcome } if attempts.contains(attempt) => {
+                    push("pay server".to_owned(), format!("attempt {attempt}: {outcome:?}"));
                 }
                 _ => {}
             }
--- a/testing/fault-injection/src/harness/pay_servers.rs
+++ b/testing/fault-injection/src/harness/pay_servers.rs
@@ -5,7 +5,7 @@
 use crate::harness::cells::Cells;
 use crate::harness::relay::{relay, Observer, Side};
 use crate::harness::{address, RunContext};
-use crate::history::{Answer, Event, Trace};
+use crate::history::{Event, ServerOutcome, Trace};
 use crate::scenario::Scenario;
 use crate::stand_ins::meter::Meter;
 use crate::stand_ins::pay_server::{Action, PayServer, Receipt};
@@ -84,7 +84,7 @@
     /// Trace ids of the writes that wait or run here, by attempt.
     writes: RefCell<HashMap<u64, Trace>>,
     core: RefCell<PayServer>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
+    waiting: RefCell<HashMap<u64, oneshot::Sender<ServerOutcome>>>,
     wake: Notify,
     process: watch::Sender<ProcessState>,
     listener: RefCell<Option<(Rc<TcpListener>, AbortHandle)>>,
@@ -283,7 +283,7 @@
             match self.cells.admit(self.cell(), attempt, firm, epoch) {
                 Ok(()) => drop(self.writes.borrow_mut().insert(attempt, trace)),
                 Err(mismatch) => {
-                    self.context.record(Event::Answered { attempt, answer: Answer::NeverRan });
+                    self.context.record(Event::Responded { attempt, outcome: ServerOutcome::NeverRan });
                     let refused = response_with_flag_header(503, "x-never-ran", String::new());
                     return Ok(with_header(
                         refused,
@@ -294,8 +294,8 @@
             }
         }
         self.metering.count_unit(now, trace, customer);
-        let (answered, answer) = oneshot::channel();
-        self.waiting.borrow_mut().insert(attempt, answered);
+        let (outcome_sender, outcome) = oneshot::channel();
+        self.waiting.borrow_mut().insert(attempt, outcome_sender);
         // The work is drawn for each trace id, and the failure for each attempt.
         let site = &self.context.scenario.site;
         let work = sample_gamma(site.work_ms * 1e6, site.work_cv, &mut ChaCha8Rng::seed_from_u64(trace));
@@ -304,19 +304,19 @@
         self.core.borrow_mut().arrive(now, attempt, trace, work, first, fails, token, &mut actions);
         let withdrawal = WithdrawOnDrop { server: self.clone(), attempt };
         self.perform(actions);
-        let answer = answer.await.map_err(io::Error::other)?;
+        let outcome = outcome.await.map_err(io::Error::other)?;
         drop(withdrawal);
         let now = self.context.now();
-        self.context.record(Event::Answered { attempt, answer });
+        self.context.record(Event::Responded { attempt, outcome });
         let meter = self.metering.meter.borrow().reported_percent(now, customer);
-        let response = match answer {
-            Answer::Served => response_with_flag_header(
+        let response = match outcome {
+            ServerOutcome::Served => response_with_flag_header(
                 200,
                 "",
                 format!("attempt={attempt} trace={trace:016x} server={}", self.number),
             ),
-            Answer::Error => response_with_flag_header(500, "", String::new()),
-            Answer::NeverRan => response_with_flag_header(503, "x-never-ran", String::new()),
+            ServerOutcome::Error => response_with_flag_header(500, "", String::new()),
+            ServerOutcome::NeverRan => response_with_flag_header(503, "x-never-ran", String::new()),
         };
         Ok(match meter {
             Some(percent) => with_header(response, "x-meter", &percent.to_string()),
@@ -348,11 +348,11 @@
                     let trace = self.writes.borrow().get(&attempt).copied();
                     trace.into_iter().for_each(|trace| self.cells.ran(self.cell(), attempt, trace));
                 }
-                Action::Finished(attempt, answer) => {
+                Action::Finished(attempt, outcome) => {
                     self.end_write(attempt);
                     let waiting = self.waiting.borrow_mut().remove(&attempt);
                     // The connection of the attempt may have ended.
-                    let _ = waiting.map(|waiting| waiting.send(answer));
+                    let _ = waiting.map(|waiting| waiting.send(outcome));
                 }
                 Action::OverloadCrash => {
                     self.context.record(Event::OverloadCrash { server: self.number });
--- a/testing/fault-injection/src/history.rs
+++ b/testing/fault-injection/src/history.rs
@@ -35,13 +35,13 @@
     pub text: String,
     /// The latency target in nanoseconds.
     pub latency_target: Nanos,
-    /// The deadline in nanoseconds.
+    /// The deadline of a request in nanoseconds.
     pub deadline: Nanos,
     /// The duration of the load in nanoseconds.
     pub duration: Nanos,
     /// Number of gateways.
     pub gateways: u16,
-    /// The plans.
+    /// The quotas of the plans.
     pub quotas: Vec<Quota>,
     /// Index of each customer's plan in `quotas`.
     pub plans: Vec<u8>,
@@ -100,14 +100,14 @@
     TimedOut,
 }
 
-/// How an attempt ended at its pay server.
+/// How a pay server responded to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
-    /// A response of a pay server.
+pub enum ServerOutcome {
+    /// The attempt ran and succeeded.
     Served,
-    /// An error response.
+    /// The attempt ran and failed.
     Error,
-    /// The attempt was dropped before it ran.
+    /// The attempt was rejected without running.
     NeverRan,
 }
 
@@ -234,11 +234,11 @@
         customer: u32,
         /// Class of the request.
         class: u8,
-        /// Delay behind the schedule that the harness itself caused, in nanoseconds.
+        /// How late the harness sends the request, relative to its scheduled time, in nanoseconds.
         late: Nanos,
     },
-    /// A client sends an attempt of a request to a gateway. The attempts of gateways at pay servers are the
-    /// events from `Arrived` to `Answered`.
+    /// A client sends an attempt of a request to a gateway. The gateways' own attempts at pay servers are
+    /// recorded by `Arrived`, `Ran` and `Responded`.
     AttemptStarted {
         /// Number of the request.
         request: u32,
@@ -304,12 +304,12 @@
         /// Number of the attempt.
         attempt: u64,
     },
-    /// An attempt has ended at its pay server.
-    Answered {
+    /// A pay server responds to an attempt.
+    Responded {
         /// Number of the attempt.
         attempt: u64,
-        /// How the attempt ended.
-        answer: Answer,
+        /// The kind of response.
+        outcome: ServerOutcome,
     },
     /// A gateway has sent a health probe to a pay server.
     Probed {
--- a/testing/fault-injection/src/stand_ins/pay_server.rs
+++ b/testing/fault-injection/src/stand_ins/pay_server.rs
@@ -11,7 +11,7 @@
 //! new port, as a new machine would.
 
 use crate::deployment::{Nanos, MS, SECOND};
-use crate::history::{Answer, Trace};
+use crate::history::{ServerOutcome, Trace};
 use crate::scenario::Site;
 use std::collections::{HashMap, VecDeque};
 
@@ -29,7 +29,7 @@
     /// The attempt starts to run.
     Started(u64),
     /// The attempt has ended.
-    Finished(u64, Answer),
+    Finished(u64, ServerOutcome),
     /// The pay server crashes under overload: all its jobs are lost, and it stays down.
     OverloadCrash,
 }
@@ -190,7 +190,10 @@
                     seals.by_age.push_back((now, trace));
                     seals.remove_expired(now);
                 }
-                actions.push(Action::Finished(attempt, if fails { Answer::Error } else { Answer::Served }));
+                actions.push(Action::Finished(
+                    attempt,
+                    if fails { ServerOutcome::Error } else { ServerOutcome::Served },
+                ));
             }
             self.start_waiting(actions);
         }
@@ -237,7 +240,7 @@
         let fenced = sealed.is_some_and(|min_token| token < *min_token);
         let has_capacity = self.running.len() < self.slots || self.queue.len() < self.max_queued;
         if self.state != State::Serving || fenced || !has_capacity {
-            actions.push(Action::Finished(attempt, Answer::NeverRan));
+            actions.push(Action::Finished(attempt, ServerOutcome::NeverRan));
             return;
         }
         self.queue.push_back(Job { attempt, trace, left: work, fails });
--- a/testing/fault-injection/tests/history.rs
+++ b/testing/fault-injection/tests/history.rs
@@ -7,8 +7,8 @@
 use marblecroft_fault_injection::endpoint::Endpoint;
 use marblecroft_fault_injection::figures::Figures;
 use marblecroft_fault_injection::history::{
-    Answer, CallResult, DecisionKind, Event, Outcome, ProcessChange, Reader, ServerState, Setup, TimedEvent,
-    Writer, ZoneState,
+    CallResult, DecisionKind, Event, Outcome, ProcessChange, Reader, ServerOutcome, ServerState, Setup,
+    TimedEvent, Writer, ZoneState,
 };
 use marblecroft_fault_injection::scenario::FaultKind;
 use proptest::prelude::*;
@@ -127,8 +127,8 @@
         (attempt, connection)
     }
 
-    fn answered(&mut self, at: Nanos, attempt: u64, answer: Answer) {
-        self.at(at, Event::Answered { attempt, answer });
+    fn responded(&mut self, at: Nanos, attempt: u64, outcome: ServerOutcome) {
+        self.at(at, Event::Responded { attempt, outcome });
     }
 
     fn ended(&mut self, at: Nanos, request: u32, trace: u64, outcome: Outcome) {
@@ -142,7 +142,7 @@
         self.request_started(at, request, class);
         self.client_attempt_started(at, request, trace, 0);
         let (attempt, _) = self.arrived(at + MS, trace, 0, 0);
-        self.answered(at + 50 * MS, attempt, Answer::Served);
+        self.responded(at + 50 * MS, attempt, ServerOutcome::Served);
         self.ended(at + 51 * MS, request, trace, Outcome::Served { attempt: Some(attempt) });
     }
 
@@ -276,7 +276,8 @@
             s.at(7 * SECOND, Event::Effect { candidate: 0, lock: 0, token: 5, admitted: true });
         }),
         ("tokens_rise", |s| {
-            // The token is lower than that of a grant that was received before the request.
+            // The token is lower than that of an earlier grant, which was received before this lock request
+            // was sent.
             s.at(9 * SECOND, Event::Granted { candidate: 0, lock: 0, token: 4, requested_at: 8 * SECOND });
         }),
         ("tokens_rise", |s| {
@@ -304,7 +305,7 @@
             // A client that lost its gateway retries at another one, and the request runs again.
             s.client_attempt_started(7 * SECOND, 3, 1003, 0);
             let (attempt, _) = s.arrived(7 * SECOND + MS, 1003, 0, 0);
-            s.answered(7 * SECOND + 9 * MS, attempt, Answer::Served);
+            s.responded(7 * SECOND + 9 * MS, attempt, ServerOutcome::Served);
             s.at(
                 7 * SECOND + 9 * MS,
                 Event::AttemptEnded { trace: 1003, outcome: Outcome::Served { attempt: Some(attempt) } },
@@ -314,7 +315,7 @@
             // The same with a new trace id: it is still the same request.
             s.client_attempt_started(7 * SECOND, 3, 77, 0);
             let (attempt, _) = s.arrived(7 * SECOND + MS, 77, 0, 0);
-            s.answered(7 * SECOND + 9 * MS, attempt, Answer::Error);
+            s.responded(7 * SECOND + 9 * MS, attempt, ServerOutcome::Error);
             s.at(7 * SECOND + 9 * MS, Event::AttemptEnded { trace: 77, outcome: Outcome::Failed });
         }),
         ("answers_belong", |s| {
@@ -327,8 +328,8 @@
             s.client_attempt_started(10 * SECOND, 9, 9, 0);
             let (first, _) = s.arrived(10 * SECOND, 9, 0, 0);
             let (second, _) = s.arrived(10 * SECOND + 100 * MS, 9, 1, 0);
-            s.answered(10 * SECOND + 200 * MS, first, Answer::Error);
-            s.answered(10 * SECOND + 200 * MS, second, Answer::Served);
+            s.responded(10 * SECOND + 200 * MS, first, ServerOutcome::Error);
+            s.responded(10 * SECOND + 200 * MS, second, ServerOutcome::Served);
             s.ended(10 * SECOND + 201 * MS, 9, 9, Outcome::Served { attempt: Some(second) });
         }),
         ("attempts_at_most_four", |s| {
@@ -336,7 +337,7 @@
             s.client_attempt_started(10 * SECOND, 9, 9, 0);
             for i in 0..5 {
                 let (attempt, _) = s.arrived(10 * SECOND + i * 20 * MS, 9, 0, 0);
-                s.answered(10 * SECOND + i * 20 * MS + MS, attempt, Answer::Error);
+                s.responded(10 * SECOND + i * 20 * MS + MS, attempt, ServerOutcome::Error);
             }
             s.ended(11 * SECOND, 9, 9, Outcome::Failed);
         }),
--- a/testing/fault-injection/tests/stand_ins.rs
+++ b/testing/fault-injection/tests/stand_ins.rs
@@ -5,7 +5,7 @@
     random_stream, Deployment, DrawnFault, Nanos, RandomStream, MS, SECOND, UNSAFE,
 };
 use marblecroft_fault_injection::endpoint::Endpoint;
-use marblecroft_fault_injection::history::{Answer, Outcome};
+use marblecroft_fault_injection::history::{Outcome, ServerOutcome};
 use marblecroft_fault_injection::link::{LinkFaults, LinkState};
 use marblecroft_fault_injection::scenario::{FaultKind, Scenario, Site};
 use marblecroft_fault_injection::stand_ins::clients::{
@@ -65,9 +65,9 @@
         self.next
     }
 
-    fn outcome_of(&self, attempt: u64) -> Option<(Nanos, Answer)> {
+    fn outcome_of(&self, attempt: u64) -> Option<(Nanos, ServerOutcome)> {
         self.actions.iter().find_map(|(at, action)| match action {
-            Action::Finished(of, answer) if *of == attempt => Some((*at, *answer)),
+            Action::Finished(of, outcome) if *of == attempt => Some((*at, *outcome)),
             _ => None,
         })
     }
@@ -79,7 +79,7 @@
     fn served(&self) -> usize {
         self.actions
             .iter()
-            .filter(|(_, action)| matches!(action, Action::Finished(_, Answer::Served)))
+            .filter(|(_, action)| matches!(action, Action::Finished(_, ServerOutcome::Served)))
             .count()
     }
 }
@@ -100,8 +100,11 @@
     }
     // Slots and queue hold 8 and 40 attempts. The others are rejected at once and never run.
     let many: Vec<u64> = (0..60).map(|_| pay.arrive(0)).collect();
-    let rejected: Vec<u64> =
-        many.iter().copied().filter(|a| matches!(pay.outcome_of(*a), Some((_, Answer::NeverRan)))).collect();
+    let rejected: Vec<u64> = many
+        .iter()
+        .copied()
+        .filter(|a| matches!(pay.outcome_of(*a), Some((_, ServerOutcome::NeverRan))))
+        .collect();
     assert_eq!(rejected.len(), 12);
     pay.advance_to(10 * SECOND);
     assert!(rejected.iter().all(|attempt| !pay.ran(*attempt)));
@@ -140,7 +143,7 @@
     pay.server.drain();
     let after_drain = pay.arrive(0);
     pay.advance_to(5 * SECOND);
-    assert_eq!(pay.outcome_of(after_drain).map(|(_, answer)| answer), Some(Answer::NeverRan));
+    assert_eq!(pay.outcome_of(after_drain).map(|(_, outcome)| outcome), Some(ServerOutcome::NeverRan));
     assert!(pay.outcome_of(attempts[0]).is_some(), "running work continues");
     assert!(!pay.ran(attempts[9]), "queued work is dropped");
     assert_eq!(pay.served(), 9);
@@ -177,7 +180,7 @@
         "a seal with a lower token does not lower the required token"
     );
     let old = pay.arrive(4);
-    assert_eq!(pay.outcome_of(old).map(|(_, answer)| answer), Some(Answer::NeverRan));
+    assert_eq!(pay.outcome_of(old).map(|(_, outcome)| outcome), Some(ServerOutcome::NeverRan));
     pay.next -= 1;
     let new = pay.arrive(5);
     assert!(pay.ran(new));
