--- a/testing/fault-injection/src/decisions.rs
+++ b/testing/fault-injection/src/decisions.rs
@@ -47,7 +47,8 @@
 /// Share by which the requests from other zones may exceed a zone's decided capacity: demand may grow by it
 /// before a gateway limits what it sends to other zones.
 const SLACK_SHARE: f64 = 0.25;
-/// Allowance for random variation: this many square roots of the capacity, plus this many requests.
+/// Factor of the allowance for random variation in the requests of a second, which is this factor times the
+/// square root of the capacity, plus the factor itself.
 const CHANCE_ROOTS: f64 = 4.0;
 /// Time for which gateways may still apply a decision after the next one was published.
 const MAX_DECISION_LAG: Nanos = 3 * SECOND;
@@ -78,8 +79,8 @@
     violations: Violations,
     shares: shares::ShareChecker,
     shards: shards::ShardChecker,
-    /// Token and revision of the decision of each kind that each gateway applies, since its process was
-    /// started.
+    /// Token and revision of the decision that a gateway last applied since its process was started, by
+    /// gateway and kind of decision.
     applied: HashMap<(u16, DecisionKind), (u64, u64)>,
     /// Token and revision of the last published decision of each kind.
     last: BTreeMap<DecisionKind, (u64, u64)>,
--- a/testing/fault-injection/src/decisions/shares.rs
+++ b/testing/fault-injection/src/decisions/shares.rs
@@ -10,9 +10,10 @@
 /// Length of the windows over which demand and sent requests are summed, in seconds. A second is too short,
 /// because it has only one or two requests of a firm.
 const WINDOW_SECONDS: usize = 4;
-/// Share by which the sum may exceed the capacity, which is the slack of the controllers' decisions. In
-/// addition the firms' token buckets may release one second's worth in a window. It is also the deviation
-/// from the exact solution up to which shares count as converged after a shift of demand.
+/// Share by which the requests that all firms sent may exceed the capacity, which is the slack of the
+/// controllers' decisions. In addition the firms' token buckets may release one second's worth in a window.
+/// Shares also count as converged after a shift of demand if they deviate by at most this share of the
+/// capacity from the exact solution.
 const SLACK_SHARE: f64 = 0.05;
 /// Time for which shares may be in transition after the start or end of a fault, a shift of demand, and the
 /// start of the load.
--- a/testing/fault-injection/src/deployment.rs
+++ b/testing/fault-injection/src/deployment.rs
@@ -149,9 +149,9 @@
     pub faults: Vec<DrawnFault>,
 }
 
-/// The class that may run more than once.
+/// The class of requests that may run more than once.
 pub const SAFE: u8 = 0;
-/// The class that must never run twice.
+/// The class of requests that must never run twice.
 pub const UNSAFE: u8 = 1;
 /// Names of the classes, by number.
 pub const CLASSES: [&str; 2] = ["payslip-read", "pay-run-submit"];
@@ -160,7 +160,7 @@
 pub const MAX_ATTEMPTS: u32 = 4;
 /// Time for which gateways may still send to a draining server.
 pub const DRAIN_GRACE: Nanos = 500 * MS;
-/// Extension of the rules' time limits for the delays of sockets.
+/// Extension of the invariants' time limits, to allow for the delays of sockets.
 pub const SOCKET_SLACK: Nanos = 50 * MS;
 /// Interval between two reports of the meter.
 pub const METER_PERIOD: Nanos = 500 * MS;
@@ -374,7 +374,7 @@
 
 fn draw_faults(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Result<Vec<DrawnFault>, ScenarioError> {
     let mut drawn: Vec<DrawnFault> = Vec::new();
-    // Start, end and number of each fault during which a process is down or suspended.
+    // For each process, the start, end and index of the faults during which it is down or suspended.
     let mut outages: BTreeMap<Endpoint, Vec<(Nanos, Nanos, usize)>> = BTreeMap::new();
     for (i, fault) in scenario.faults.iter().enumerate() {
         let victims = members(scenario, &fault.target);
--- a/testing/fault-injection/src/draw.rs
+++ b/testing/fault-injection/src/draw.rs
@@ -379,8 +379,7 @@
     Ok(drawn)
 }
 
-/// Returns the scenario's fault for a fault of the site; `None` if that affects the load and not the
-/// processes.
+/// Returns the scenario's fault for a fault of the site, or `None` if the site's fault affects only the load.
 fn fault(
     site_fault: &SiteFault,
     at_ms: u64,
@@ -415,7 +414,7 @@
             (size as u64).clamp(50, 500).min(for_ms),
         )),
         "flush" => Some(Fault { for_ms: None, ..fault(FaultKind::Wipe, Kind::Counter, None, 1) }),
-        // The other faults of a site change the load of some customers, which this program keeps steady.
+        // The other faults of a site change the load of some customers. The load of a scenario is constant.
         _ => None,
     })
 }
--- a/testing/fault-injection/src/figures.rs
+++ b/testing/fault-injection/src/figures.rs
@@ -58,24 +58,25 @@
     /// Number of client attempts that were in flight at a gateway when a fault affected it.
     #[serde(rename = "in_hand")]
     pub in_flight: u64,
-    /// Number of those whose connection ended without a response.
+    /// Number of these attempts whose connection ended without a response.
     #[serde(rename = "in_hand_lost")]
     pub in_flight_lost: u64,
     /// Number of unsafe requests whose client received no response.
     pub unsafe_lost: u64,
-    /// Number of those that had run.
+    /// Number of these requests that had run.
     pub unsafe_lost_ran: u64,
     /// Share of the requests that ended without a response.
     pub unanswered_share: f64,
     /// Number of client attempts that reached no listener.
     #[serde(rename = "unreachable_tries")]
     pub unreachable_client_attempts: u64,
-    /// Number of pay servers' crashes because of overload.
+    /// Number of crashes of pay servers because of overload.
     #[serde(rename = "fell")]
     pub overload_crashes: u64,
     /// Number of processes that exited by themselves.
     pub crashes: u64,
-    /// Longest time between two actions under the same lock, in milliseconds; null without any.
+    /// Longest time between consecutive actions under the same lock, in milliseconds; null if there
+    /// were none.
     pub owner_gap_ms: Option<u64>,
     /// Number of effects that arrived too late and were refused.
     pub late_effects: u64,
--- a/testing/fault-injection/src/harness/candidates.rs
+++ b/testing/fault-injection/src/harness/candidates.rs
@@ -77,7 +77,7 @@
                             }
                             candidates.context.sleep_until(candidates.context.now() + RETRY_INTERVAL).await;
                         }
-                        // A late renewal must not extend a session under which nothing is done any more.
+                        // A late renewal must not extend a session that is no longer used.
                         session.let_lapse();
                     })
                 })
@@ -102,7 +102,7 @@
             let admitted = self.resources.borrow_mut()[usize::from(lock)].admit(token).is_ok();
             self.context.record(Event::Effect { candidate, lock, token, admitted });
             if rng.random::<f64>() < RELEASE_PROBABILITY {
-                // Nothing is done under the lock any more, even if the release does not reach the service.
+                // The candidate stops acting under the lock even if the release does not reach the service.
                 drop(held.release(CALL_TIMEOUT).await);
                 break;
             }
--- a/testing/fault-injection/src/harness/clients.rs
+++ b/testing/fault-injection/src/harness/clients.rs
@@ -26,8 +26,8 @@
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
 /// Idle connections that the load balancer keeps to a gateway.
 const MAX_IDLE_CONNECTIONS: usize = 64;
-/// After its timeout a client attempt waits this long for a late response: the invariants require that one
-/// comes.
+/// Time for which a client attempt still waits for a late response after its timeout. The invariant
+/// `one_final_answer` requires that one arrives.
 const LATE_RESPONSE_WAIT: Duration = Duration::from_secs(10);
 /// Interval between health checks of a gateway that is not healthy.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
--- a/testing/fault-injection/src/harness/discovery.rs
+++ b/testing/fault-injection/src/harness/discovery.rs
@@ -178,8 +178,8 @@
         context.is_suspended(Endpoint::DiscoveryService(0))
     }
 
-    /// Sets the entry of a server. Once discovery is not suspended, the gateways' agents have the entry,
-    /// whatever requests are in flight, and an event records that.
+    /// Sets the entry of a server. As soon as discovery is not suspended, records an event that the gateways'
+    /// agents have the entry; this does not depend on any request of a gateway.
     pub fn set(&self, number: u16, host: Host) {
         let (context, state) = (self.listener.context.clone(), server_state(host.state));
         self.core.borrow_mut().set(number, host);
--- a/testing/fault-injection/src/harness/relay.rs
+++ b/testing/fault-injection/src/harness/relay.rs
@@ -128,7 +128,7 @@
                 context.wait_until(|context| context.link_state(from, to).open).await;
                 context.sleep_until(due).await;
             }, if !in_transit.is_empty() => {
-                // The link may have been cut while the chunk was in transit; then the chunk keeps waiting.
+                // If the link was cut while the chunk was in transit, the chunk waits until the link is open.
                 if context.link_state(from, to).open {
                     if let Some((_, chunk)) = in_transit.pop_front() {
                         buffered -= chunk.len();
--- a/testing/fault-injection/src/harness/run/mod.rs
+++ b/testing/fault-injection/src/harness/run/mod.rs
@@ -36,9 +36,9 @@
 
 /// The fleet's name in the coordination service.
 const FLEET: &str = "lab";
-/// Gateways that start concurrently: more would only wait for each other.
+/// Maximum number of gateways that start concurrently; with more, they would only slow each other down.
 const MAX_STARTING: usize = 16;
-/// After a permanent fault, a draining server ends after this time.
+/// Time from the start of draining until the server is killed, if the fault that drains it is permanent.
 const DRAIN_TIME: Nanos = 4 * SECOND;
 /// Lease of a registration at the discovery service.
 const LEASE_MS: u64 = 3000;
@@ -99,7 +99,7 @@
     256 + u64::from(fleet.pay_servers) * 2 + u64::from(fleet.gateways) * each
 }
 
-/// Returns the folder of a run for which none is given.
+/// Returns the default output folder of a run.
 pub fn default_dir(name: &str, seed: u64) -> PathBuf {
     Path::new("target").join("lab").join(format!("{name}-{seed}"))
 }
--- a/testing/fault-injection/src/linear.rs
+++ b/testing/fault-injection/src/linear.rs
@@ -70,9 +70,9 @@
 #[derive(Clone, Debug)]
 struct Register {
     value: Option<u64>,
-    /// The lower bound of the revision.
+    /// The revision if `exact` is set; otherwise the revision is higher than this.
     revision: u64,
-    /// Whether the revision is equal to its lower bound.
+    /// Whether the revision is known exactly.
     exact: bool,
     steps: Rc<Cell<u64>>,
 }
--- a/testing/fault-injection/src/scenario/error.rs
+++ b/testing/fault-injection/src/scenario/error.rs
@@ -18,7 +18,7 @@
 }
 
 quick_error! {
-    /// A text that is not a target of a fault.
+    /// The text of a fault's target cannot be parsed.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum TargetError {
         /// The index in brackets is not a number.
--- a/testing/fault-injection/src/scenario/fault.rs
+++ b/testing/fault-injection/src/scenario/fault.rs
@@ -20,26 +20,26 @@
     /// The number of the target's members that are affected, drawn at random.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub count: Option<u32>,
-    /// For faults of links: the other side of the links; all other processes without it.
+    /// For faults of links: the other side of the links; by default all other processes.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub from: Option<Target>,
     /// Affects only the direction from `from` to the target.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub one_way: bool,
-    /// Duration of the fault in milliseconds; permanent without it.
+    /// Duration of the fault in milliseconds; if it is missing, the fault is permanent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub for_ms: Option<u64>,
-    /// For `cut`: resets existing and new connections; without it data is silently dropped.
+    /// For `cut`: resets existing and new connections. If it is false, no data passes and nothing is reset.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub reset: bool,
-    /// For `delay`: added delay in each direction, in milliseconds; 100 without it.
+    /// For `delay`: added delay in each direction, in milliseconds; 100 by default.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub delay_ms: Option<u64>,
     /// For `delay`: maximum of the random delay on top of `delay_ms`, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub jitter_ms: Option<u64>,
-    /// For `lose` and `duplicate`: the share of datagrams; 0.3 without it. Data that a stream loses arrives
-    /// 200 ms later instead.
+    /// For `lose` and `duplicate`: the share of datagrams that are lost or duplicated; 0.3 by default. Lost
+    /// data of a stream is retransmitted: it arrives 200 ms later.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub probability: Option<f64>,
 }
--- a/testing/fault-injection/src/scenario/fleet.rs
+++ b/testing/fault-injection/src/scenario/fleet.rs
@@ -11,7 +11,7 @@
     /// Number of gateways, 0 to 300. With 0, clients call the pay servers directly, which measures the
     /// harness itself.
     pub gateways: u32,
-    /// Number of stand-ins for pay servers, 1 to 200.
+    /// Number of simulated pay servers, 1 to 200.
     pub pay_servers: u32,
     /// The zones, at least one. Gateways and pay servers are assigned to them round-robin.
     pub zones: Vec<String>,
@@ -34,7 +34,7 @@
     /// Merged into each gateway's configuration.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub gateway_config: Option<toml::Table>,
-    /// Zones by region; without it all zones are in one region.
+    /// Zones by region; by default all zones are in one region.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub regions: BTreeMap<String, Vec<String>>,
     /// An additional zone without gateways and pay servers.
--- a/testing/fault-injection/src/scenario/site.rs
+++ b/testing/fault-injection/src/scenario/site.rs
@@ -133,7 +133,7 @@
     pub name: String,
     /// The plan's share of the usage.
     pub share: f64,
-    /// units per second, before they are scaled to the load.
+    /// Units per second, before they are scaled to the load.
     pub rate: f64,
     /// Depth of the token bucket, in seconds of the rate.
     pub burst_s: f64,
--- a/testing/fault-injection/src/scenario/tenancy.rs
+++ b/testing/fault-injection/src/scenario/tenancy.rs
@@ -15,8 +15,8 @@
     pub weights: Vec<f64>,
     /// Number of firms that request five times their fair share, and retry at once after a refusal.
     pub greedy: u32,
-    /// When demand shifts to other firms and gateways, in milliseconds after the start of the load; never
-    /// without it.
+    /// When demand shifts to other firms and gateways, in milliseconds after the start of the load; by
+    /// default it never shifts.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub shift_at_ms: Option<u64>,
 }
--- a/testing/fault-injection/src/stand_ins/discovery.rs
+++ b/testing/fault-injection/src/stand_ins/discovery.rs
@@ -42,7 +42,8 @@
         self.entries.insert(number, (host, self.version));
     }
 
-    /// Returns the response to a request, or `None` for a watch that has the current version.
+    /// Returns the response to a request. Returns `None` for a watch whose sender already has the current
+    /// version.
     pub fn respond(&self, request: ListRequest) -> Option<DiscoveryResponse> {
         let since = match request {
             // A higher version than the current one is from another store, so the response contains all
--- a/testing/fault-injection/src/verdict.rs
+++ b/testing/fault-injection/src/verdict.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Load of the harness' thread, as a share, above which its own delays affect the measured figures.
+/// CPU utilization of the harness' thread above which the delays of the harness itself affect the figures.
 const MAX_HARNESS_LOAD: f64 = 0.8;
 
 /// The verdict on a run.
--- a/testing/fault-injection/tests/clusters.rs
+++ b/testing/fault-injection/tests/clusters.rs
@@ -1,6 +1,6 @@
 //! Deterministic simulation of complete clusters of the coordination service, on a virtual clock and from a
-//! seed. The code of the real processes runs over links that are cut and slow, on disks that crash, tear
-//! writes, fail and are slow, with clocks that drift apart. The histories are checked like those of real
+//! seed. The code of the real processes runs over links that are cut or slow, on disks that crash, tear
+//! writes, fail or are slow, with clocks that drift apart. The histories are checked like those of real
 //! processes. `CLUSTER_SEEDS=1000 cargo test -p marblecroft-fault-injection --test clusters` runs more seeds
 //! than the default.
 
@@ -325,8 +325,8 @@
         let put = Op::Put { key: key.clone(), value: value.clone(), expect: None, owner: Owner::Nobody };
         writer.call(put, limit).await.expect("the write succeeds");
         (0..self.nodes.len()).for_each(|i| self.kill(i));
-        // Restarts each process 20 ms after the one before. The first messages of a leader that restarts
-        // first then find no receiver, and are sent again much later than it can confirm its leadership.
+        // Restarts each process 20 ms after the one before. If the leader restarts first, its first messages
+        // find no receiver and are sent again only long after it can have confirmed its leadership.
         let first = self.rng.borrow_mut().random_range(0..self.nodes.len());
         for i in 0..self.nodes.len() {
             sleep(Duration::from_millis(20)).await;
@@ -530,7 +530,8 @@
                 cluster.nodes.iter().for_each(|node| node.disk.borrow().ignore_syncs(true));
             }
             if mutation == Mutation::TokensReset && number == 4 {
-                // All disks and the time are lost: the only case in which tokens may decrease, as documented.
+                // All disks are lost and the wall clock is set back: the only case in which tokens may
+                // decrease, as documented.
                 (0..cluster.nodes.len()).for_each(|i| cluster.kill(i));
                 cluster.nodes.iter().for_each(|node| node.disk_image.borrow_mut().clear());
                 cluster.wall.set(0);
--- a/testing/support/golden/mod.rs
+++ b/testing/support/golden/mod.rs
@@ -1,7 +1,7 @@
 //! Comparison with recorded bytes, shared by the crates' `tests/golden.rs`.
 //!
 //! A fixture is a file in the `tests/golden/` folder of the crate that includes this module. Binary data is
-//! stored as lowercase hexadecimal in lines of 32 bytes, JSON without conversion. This module never writes a
+//! stored as lowercase hexadecimal in lines of 32 bytes, and JSON as plain text. This module never writes a
 //! fixture: when a format changes on purpose, its fixture is replaced by hand together with the change of the
 //! format's version.
 #![allow(dead_code)] // not every test file uses all of the helpers
--- a/testing/support/src/conformance.rs
+++ b/testing/support/src/conformance.rs
@@ -1,12 +1,12 @@
-//! Conformance tables: rows of input and expected output, each derived from a clause of a design page.
+//! Conformance tables: rows of input and expected output, each derived from a clause of a design document.
 //!
 //! The caller evaluates each row; [`check_rows`] checks that all rows passed and that every clause has one. A
 //! row names its clause and the reason for its expectation, so that a failure can be traced to the design
-//! page.
+//! document.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The result of one row.
+/// The result of one row of a conformance table.
 pub struct RowResult {
     /// Identifier of the row, unique in its table.
     pub id: String,
--- a/testing/support/tests/known_red.rs
+++ b/testing/support/tests/known_red.rs
@@ -6,8 +6,9 @@
 
 const LISTING: &str = "first: test\nmodule::second: test\nthird: test\nfourth: test\ntwice: test\ntwice: test\n\n6 tests, 0 benchmarks\n";
 
-/// Runs `.ci/known-red` on a file of these lines, or without a file. Returns the arguments that skip tests,
-/// or the error that was printed. Checks that all lines of an accepted file are printed.
+/// Runs `.ci/known-red` on a file with these lines; with `None` the file does not exist. Returns the
+/// arguments that skip tests, or the error that was printed. Checks that all lines of a valid file are
+/// printed.
 fn skip_arguments(name: &str, lines: Option<&str>) -> Result<Vec<String>, String> {
     let folder = std::env::temp_dir().join(format!("known-red-{}-{name}", std::process::id()));
     fs::create_dir_all(&folder).expect("create the folder");
