--- a/testing/fault-injection/src/history.rs
+++ b/testing/fault-injection/src/history.rs
@@ -477,7 +477,7 @@
         token: u64,
         /// The revision.
         revision: u64,
-        /// The level of service.
+        /// The units per second that a firm may send per unit of its weight.
         level: f64,
         /// The units per second that all firms together may send to pay servers.
         capacity: f64,
