--- a/quota-gateway/discovery/src/client.rs
+++ b/quota-gateway/discovery/src/client.rs
@@ -16,9 +16,9 @@
 /// The policy for full lists from which many known servers are missing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RemovalPolicy {
-    /// The share of the known servers, from 0 to 1. If more of them are missing, they are removed only after
-    /// the delay.
-    pub share: f64,
+    /// The fraction of the known servers, from 0 to 1, that may be missing from a list and be removed at once.
+    /// If more are missing, they are removed only after the delay.
+    pub max_missing_fraction: f64,
     /// How long the missing servers are kept, unless a list contains them again.
     pub removal_delay: Duration,
 }
@@ -127,9 +127,10 @@
         let is_listed =
             |id: &str| entries.iter().any(|entry| matches!(entry, Entry::Readable(host) if host.id == id));
         let missing: Vec<String> = self.servers.keys().filter(|id| !is_listed(id)).cloned().collect();
-        let is_sudden = missing.len() as f64 > self.removal_policy.share * self.servers.len() as f64;
+        let is_sudden =
+            missing.len() as f64 > self.removal_policy.max_missing_fraction * self.servers.len() as f64;
         for id in missing {
-            // A draining server is expected to leave.
+            // A server that is not serving is expected to leave.
             let is_draining = self.servers.get(&id).is_none_or(|host| host.state != State::Serving);
             if is_draining || !(is_sudden || self.removal_due_at.contains_key(&id)) {
                 self.remove(&id);
--- a/quota-gateway/discovery/src/config.rs
+++ b/quota-gateway/discovery/src/config.rs
@@ -89,7 +89,8 @@
     pub connections: usize,
     /// Number of concurrently waiting watches, 768 by default. Further ones are answered with 503.
     pub watches: usize,
-    /// Full lists per second, and per burst, 400 by default. Further requests are answered with 503.
+    /// Rate of full lists per second, which is also the burst size; 400 by default. Further requests are
+    /// answered with 503.
     #[serde(rename = "whole_lists_per_s")]
     pub full_lists_per_s: u32,
     /// How long, in milliseconds, changes are batched before watches are answered, 20 by default.
--- a/quota-gateway/discovery/src/connection.rs
+++ b/quota-gateway/discovery/src/connection.rs
@@ -22,7 +22,7 @@
 /// The time limit for writing a response. A client that reads nothing keeps at most one response in memory,
 /// for this time.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The time limit for the last responses after SIGTERM.
+/// The time limit for responses that are pending at SIGTERM.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 /// The maximum time for reading the rest of an invalid request before its connection is closed.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
--- a/quota-gateway/discovery/tests/follow.rs
+++ b/quota-gateway/discovery/tests/follow.rs
@@ -10,7 +10,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const REMOVAL_POLICY: RemovalPolicy = RemovalPolicy { share: 0.5, removal_delay: Duration::from_secs(10) };
+const REMOVAL_POLICY: RemovalPolicy =
+    RemovalPolicy { max_missing_fraction: 0.5, removal_delay: Duration::from_secs(10) };
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
--- a/quota-gateway/server/src/body/response_body.rs
+++ b/quota-gateway/server/src/body/response_body.rs
@@ -14,7 +14,7 @@
 pub enum Chunk {
     /// The next bytes.
     Data(Bytes),
-    /// The regular end.
+    /// The end of a complete body.
     End,
 }
 
--- a/quota-gateway/server/src/body/transfer_rate.rs
+++ b/quota-gateway/server/src/body/transfer_rate.rs
@@ -1,9 +1,9 @@
 //! Detects senders that are too slow.
 //!
-//! A long body takes a long time, so a fixed timeout would be wrong. Instead the sender must make progress:
-//! it may take at most [`MAX_GAP`] before the first byte and between two, and must reach a minimum rate over
-//! all the time that the reader spent waiting for it. Time in which the reader did not ask for more is not
-//! counted.
+//! The time for a body depends on its length, so there is no fixed timeout. Instead the sender must make
+//! progress: it may take at most [`MAX_GAP`] before the first byte and between two bytes, and must reach a
+//! minimum rate over the time that the reader spent waiting for it. Time in which the reader did not wait is
+//! not counted.
 
 use std::time::{Duration, Instant};
 
--- a/quota-gateway/server/src/config.rs
+++ b/quota-gateway/server/src/config.rs
@@ -9,7 +9,7 @@
 use marblecroft_discovery::client::RemovalPolicy;
 use marblecroft_discovery::format::HostList;
 use marblecroft_logging::LogConfig;
-use marblecroft_simulator_adapter::Site;
+use marblecroft_simulator_adapter::GatewaySettings;
 use quick_error::quick_error;
 use serde::Deserialize;
 use std::env::VarError;
@@ -101,7 +101,7 @@
     #[serde(rename = "known")]
     pub initial_endpoints: Option<HostList>,
     /// The settings of the core, and the names that the endpoint list uses.
-    pub settings: Site,
+    pub settings: GatewaySettings,
     /// The format of log events on standard error.
     #[serde(default)]
     pub log: LogConfig,
@@ -131,10 +131,10 @@
 }
 
 impl DiscoveryService {
-    /// The policy for servers that disappear together.
+    /// The policy for full lists from which many known servers are missing.
     pub fn removal_policy(&self) -> RemovalPolicy {
         RemovalPolicy {
-            share: self.missing_fraction,
+            max_missing_fraction: self.missing_fraction,
             removal_delay: Duration::from_millis(self.removal_delay_ms),
         }
     }
--- a/quota-gateway/server/src/handover/snapshot.rs
+++ b/quota-gateway/server/src/handover/snapshot.rs
@@ -52,9 +52,9 @@
 
 /// A connection to another process of this gateway, before updates are exchanged on it.
 pub struct PeerConnection {
-    /// The reader of the other process's lines.
+    /// Reads lines from the other process.
     pub reader: BufReader<OwnedReadHalf>,
-    /// The writer of lines to the other process.
+    /// Writes lines to the other process.
     pub writer: OwnedWriteHalf,
 }
 
--- a/quota-gateway/server/src/operations.rs
+++ b/quota-gateway/server/src/operations.rs
@@ -14,7 +14,7 @@
 
 /// The parts of the gateway that commands read or change.
 pub struct Operations {
-    /// Handles the events that changes cause.
+    /// The engine, which handles the events of commands that change the gateway.
     pub engine: Rc<Engine>,
     /// The core, which provides the retry budget.
     pub gateway: Rc<RefCell<Gateway>>,
--- a/quota-gateway/server/src/process.rs
+++ b/quota-gateway/server/src/process.rs
@@ -99,26 +99,30 @@
 impl Core {
     /// Builds the core and the engine, and starts the fleet member if the configuration has a fleet.
     fn build(config: &mut Config, clock: Clock, has_console: bool, limits: &ConnectionLimits) -> Core {
-        let site = &config.settings;
+        let gateway_settings = &config.settings;
         let started_at = std::time::Instant::now();
-        let budgets = RequestBudgets::new(clock, has_console.then_some(site.classes.as_slice()));
+        let budgets = RequestBudgets::new(clock, has_console.then_some(gateway_settings.classes.as_slice()));
         let uses_shard_map = config.fleet.as_ref().is_some_and(|fleet| fleet.uses_shard_map);
         let shard_routing = uses_shard_map.then(|| ShardRouting::new(started_at));
-        let upstream =
-            Upstream::new(site.connect_timeout, site.idle_timeout, limits.servers, shard_routing.clone());
-        let gateway = Rc::new(RefCell::new(Gateway::new(site.settings.clone(), config.seed)));
+        let upstream = Upstream::new(
+            gateway_settings.connect_timeout,
+            gateway_settings.idle_timeout,
+            limits.servers,
+            shard_routing.clone(),
+        );
+        let gateway = Rc::new(RefCell::new(Gateway::new(gateway_settings.settings.clone(), config.seed)));
         let observer = config.fleet.as_ref().map(|fleet| {
             Observer::new(ObserverSettings {
-                zones: site.zones.clone(),
-                settings: site.settings.clone(),
+                zones: gateway_settings.zones.clone(),
+                settings: gateway_settings.settings.clone(),
                 quota_share_gateway: fleet.quota_share_gateway(),
                 shard_routing: shard_routing.clone(),
                 started_at,
             })
         });
         let decide = decide_with(gateway.clone(), observer.clone());
-        let engine = Engine::new(decide, clock, budgets, upstream, site.settings.max_attempts);
-        let zone = site.settings.zone;
+        let engine = Engine::new(decide, clock, budgets, upstream, gateway_settings.settings.max_attempts);
+        let zone = gateway_settings.settings.zone;
         if let (Some(fleet_config), Some(observer)) = (config.fleet.take(), observer.clone()) {
             let settings = MemberSettings {
                 config: fleet_config,
@@ -204,12 +208,12 @@
 }
 
 fn discovery_settings(config: &Config) -> DiscoverySettings {
-    let site = &config.settings;
+    let gateway_settings = &config.settings;
     DiscoverySettings {
-        zones: site.zones.clone(),
-        kinds: site.kinds.clone(),
-        method: site.settings.discovery,
-        gateways: site.settings.gateways,
+        zones: gateway_settings.zones.clone(),
+        kinds: gateway_settings.kinds.clone(),
+        method: gateway_settings.settings.discovery,
+        gateways: gateway_settings.settings.gateways,
         seed: config.seed,
     }
 }
--- a/quota-gateway/server/src/server.rs
+++ b/quota-gateway/server/src/server.rs
@@ -15,7 +15,7 @@
 
 use crate::engine::Engine;
 use connection::ClientConnection;
-use marblecroft_simulator_adapter::Site;
+use marblecroft_simulator_adapter::GatewaySettings;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -37,7 +37,7 @@
 /// The server for clients.
 pub struct ClientServer {
     engine: Rc<Engine>,
-    site: Site,
+    gateway_settings: GatewaySettings,
     max_connections: Cell<usize>,
     /// Whether an endpoint list is in force.
     is_ready: Cell<bool>,
@@ -55,10 +55,14 @@
 
 impl ClientServer {
     /// Creates a server that accepts at most `max_connections` connections.
-    pub fn new(engine: Rc<Engine>, site: Site, max_connections: usize) -> Rc<ClientServer> {
+    pub fn new(
+        engine: Rc<Engine>,
+        gateway_settings: GatewaySettings,
+        max_connections: usize,
+    ) -> Rc<ClientServer> {
         Rc::new(ClientServer {
             engine,
-            site,
+            gateway_settings,
             max_connections: Cell::new(max_connections),
             is_ready: Cell::new(false),
             is_accepting: Cell::new(false),
--- a/quota-gateway/server/src/server/draining.rs
+++ b/quota-gateway/server/src/server/draining.rs
@@ -50,7 +50,7 @@
         let is_gateway_up = is_replaced && !self.is_draining();
         self.drain_state.set(if is_gateway_up { DrainState::Replaced } else { DrainState::Exiting });
         self.request_close_all();
-        let classes = &self.site.settings.classes;
+        let classes = &self.gateway_settings.settings.classes;
         let max_deadline = classes.iter().map(|class| class.deadline).max().unwrap_or_default();
         let until_kill = max_deadline.min(MAX_KILL_DEADLINE) + KILL_GRACE;
         self.engine.set_process_end(self.engine.clock.now().after(until_kill));
--- a/quota-gateway/server/src/server/request_reader.rs
+++ b/quota-gateway/server/src/server/request_reader.rs
@@ -16,7 +16,7 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request, StatusCode};
 use marblecroft_quota_gateway_core::{ClassId, CustomerId, Effect, NewRequest, PlanId, RequestId};
-use marblecroft_simulator_adapter::Site;
+use marblecroft_simulator_adapter::GatewaySettings;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -85,7 +85,7 @@
         socket: &ClientSocket,
     ) -> Result<AdmittedRequest<'_>, Rejection> {
         let (parts, body) = request.into_parts();
-        let head = read_head(&self.site, &parts)?;
+        let head = read_head(&self.gateway_settings, &parts)?;
         let open_trace_id = self
             .reserve_trace_id(head.trace_id)
             .ok_or_else(|| bad_request(format!("{TRACE_ID} is that of an open request")))?;
@@ -134,18 +134,18 @@
 }
 
 /// Validates a head.
-fn read_head(site: &Site, parts: &Parts) -> Result<RequestHead, Rejection> {
+fn read_head(gateway_settings: &GatewaySettings, parts: &Parts) -> Result<RequestHead, Rejection> {
     let headers = &parts.headers;
     let index_of = |names: &[String], name: &str| names.iter().position(|known| known == name);
     let path_class = parts.uri.path().split('/').nth(1).unwrap_or_default();
-    let class = index_of(&site.classes, path_class).ok_or_else(|| Rejection {
+    let class = index_of(&gateway_settings.classes, path_class).ok_or_else(|| Rejection {
         status: StatusCode::NOT_FOUND,
         reason: format!("no class {path_class:?}"),
     })?;
-    if index_of(&site.classes, single_value(headers, &CLASS)?) != Some(class) {
+    if index_of(&gateway_settings.classes, single_value(headers, &CLASS)?) != Some(class) {
         return Err(bad_request(format!("{CLASS} is not the class of the path")));
     }
-    let plan = index_of(&site.plans, single_value(headers, &PLAN)?)
+    let plan = index_of(&gateway_settings.plans, single_value(headers, &PLAN)?)
         .ok_or_else(|| bad_request(format!("{PLAN} names no plan")))?;
     let trace_id = parse_id(single_value(headers, &TRACE_ID)?).ok_or_else(|| unreadable(&TRACE_ID))?;
     let customer = parse_id(single_value(headers, &CUSTOMER)?)
@@ -154,11 +154,11 @@
         .ok_or_else(|| unreadable(&CUSTOMER))?;
     let client_timeout =
         parse_seconds(single_value(headers, &EXPIRES_IN)?).ok_or_else(|| unreadable(&EXPIRES_IN))?;
-    let metering =
-        parse_metering(site, single_value(headers, &METERING)?).ok_or_else(|| unreadable(&METERING))?;
-    check_method(site.settings.classes[class].effect, path_class, parts)?;
+    let metering = parse_metering(gateway_settings, single_value(headers, &METERING)?)
+        .ok_or_else(|| unreadable(&METERING))?;
+    check_method(gateway_settings.settings.classes[class].effect, path_class, parts)?;
     // The settings limit the timeout of a class, so that no request stays open forever.
-    let client_timeout = client_timeout.min(site.settings.classes[class].deadline);
+    let client_timeout = client_timeout.min(gateway_settings.settings.classes[class].deadline);
     Ok(RequestHead { class, plan, trace_id, customer, client_timeout, metering })
 }
 
@@ -238,7 +238,7 @@
 
 /// Parses `units=2,spread=3,first=1`: the units, the number of gateways over which the customer spreads its
 /// requests, and the first of them, which must be an existing gateway.
-fn parse_metering(site: &Site, text: &str) -> Option<Metering> {
+fn parse_metering(gateway_settings: &GatewaySettings, text: &str) -> Option<Metering> {
     let (mut units, mut spread, mut first) = (None, None, None);
     for pair in text.split(',') {
         let (name, value) = pair.split_once('=')?;
@@ -253,7 +253,7 @@
             return None;
         }
     }
-    let settings = &site.settings;
+    let settings = &gateway_settings.settings;
     let max_units = if settings.max_units > 0.0 { settings.max_units } else { f64::MAX };
     first.filter(|&first| first < settings.gateways)?;
     Some(Metering {
--- a/quota-gateway/server/src/upstream/pool.rs
+++ b/quota-gateway/server/src/upstream/pool.rs
@@ -20,8 +20,8 @@
 /// A reset that follows the write within the time of a connect, or within this time if that is longer, is
 /// taken for an earlier close by the server. A reset that aborts work comes later.
 const MIN_IMMEDIATE_RESET: Duration = Duration::from_millis(2);
-/// The shortest idle time after which a reset is taken for an earlier close. Limits the damage of aborts that
-/// are mistaken for closes.
+/// The shortest idle time from which an early close reduces the idle limit. Keeps the limit from becoming too
+/// short if an aborted request is mistaken for an early close.
 const MIN_OBSERVED_IDLE: Duration = Duration::from_millis(20);
 /// After an early close, the idle limit doubles in each such interval, up to the configured limit.
 const IDLE_RECOVERY_INTERVAL: Duration = Duration::from_secs(10);
--- a/quota-gateway/simulator-adapter/src/lib.rs
+++ b/quota-gateway/simulator-adapter/src/lib.rs
@@ -7,5 +7,5 @@
 mod settings;
 mod settings_error;
 
-pub use settings::Site;
+pub use settings::GatewaySettings;
 pub use settings_error::SettingsError;
--- a/quota-gateway/simulator-adapter/src/settings.rs
+++ b/quota-gateway/simulator-adapter/src/settings.rs
@@ -15,10 +15,10 @@
 /// Default idle timeout of connections to servers, in nanoseconds.
 const DEFAULT_IDLE_TIMEOUT: u64 = 15_000_000_000;
 
-/// The settings of one gateway.
+/// The settings of one gateway, converted from the settings object.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(try_from = "SettingsObject")]
-pub struct Site {
+pub struct GatewaySettings {
     /// Settings of the decision logic.
     pub settings: decisions::Settings,
     /// Names of the request classes, in the order of [`decisions::Settings::classes`].
@@ -162,11 +162,11 @@
     cross_zone_price: f64,
 }
 
-impl TryFrom<SettingsObject> for Site {
+impl TryFrom<SettingsObject> for GatewaySettings {
     type Error = SettingsError;
 
-    fn try_from(mut object: SettingsObject) -> Result<Site, SettingsError> {
-        Ok(Site {
+    fn try_from(mut object: SettingsObject) -> Result<GatewaySettings, SettingsError> {
+        Ok(GatewaySettings {
             classes: object.classes.iter().map(|class| class.name.clone()).collect(),
             plans: object.plans.iter().map(|plan| plan.name.clone()).collect(),
             zones: std::mem::take(&mut object.zones),
--- a/quota-gateway/simulator-adapter/src/wire/convert.rs
+++ b/quota-gateway/simulator-adapter/src/wire/convert.rs
@@ -31,7 +31,7 @@
 pub fn read_event(event: WireEvent) -> Result<(String, Incoming), EventError> {
     Ok(match event {
         WireEvent::Init(init) => {
-            let settings = Box::new(init.site.settings);
+            let settings = Box::new(init.gateway_settings.settings);
             (init.gateway_id, Incoming::Start { seed: init.seed, settings })
         }
         WireEvent::PowerOff(event) => (event.gateway_id, Incoming::Stop),
--- a/quota-gateway/simulator-adapter/src/wire/event.rs
+++ b/quota-gateway/simulator-adapter/src/wire/event.rs
@@ -1,7 +1,7 @@
 //! The wire format of events. The names in the `rename` attributes, or else the names of variants and the
 //! names of fields in `PascalCase`, are part of the format.
 
-use marblecroft_simulator_adapter::Site;
+use marblecroft_simulator_adapter::GatewaySettings;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
@@ -40,7 +40,7 @@
     #[serde(rename = "InitSeed")]
     pub(super) seed: u64,
     #[serde(rename = "BootInfo")]
-    pub(super) site: Site,
+    pub(super) gateway_settings: GatewaySettings,
 }
 
 /// A server list, or a change to it.
