--- a/quota-gateway/coordination/src/client/calls.rs
+++ b/quota-gateway/coordination/src/client/calls.rs
@@ -3,7 +3,7 @@
 use super::error::CallError;
 use super::{Client, ATTEMPT_TIMEOUT};
 use crate::env::with_rng;
-use crate::state::{Changes, ClientId, Done, Op, Refused, Revision};
+use crate::state::{Changes, ClientId, Done, Op, OperationError, Revision};
 use crate::wire::{Request, Response};
 use rand::Rng;
 use std::cell::{Cell, RefCell};
@@ -81,7 +81,7 @@
         }
         let request = |cluster: u64| {
             if only_in.is_some_and(|only| only != cluster) {
-                return Err(Refused::NoSession);
+                return Err(OperationError::NoSession);
             }
             Ok(incarnation.request(number, &op))
         };
@@ -91,7 +91,8 @@
         let Response::Outcome(outcome) = reply.response else {
             return Err(unexpected(&reply.response));
         };
-        if outcome == Err(Refused::Forgotten) && Rc::ptr_eq(&self.0.incarnation.borrow(), &incarnation) {
+        if outcome == Err(OperationError::Forgotten) && Rc::ptr_eq(&self.0.incarnation.borrow(), &incarnation)
+        {
             self.0.incarnation.replace(Incarnation::begin());
         }
         let done = outcome.map_err(CallError::Refused)?;
--- a/quota-gateway/coordination/src/client/connection.rs
+++ b/quota-gateway/coordination/src/client/connection.rs
@@ -7,7 +7,7 @@
 use super::Client;
 use crate::env::with_rng;
 use crate::peers::translated;
-use crate::state::Refused;
+use crate::state::OperationError;
 use crate::wire::{Channel, Request, Response};
 use rand::Rng;
 use std::io;
@@ -80,7 +80,7 @@
     /// cluster.
     pub(super) async fn call_leader(
         &self,
-        request: impl Fn(u64) -> Result<Request, Refused>,
+        request: impl Fn(u64) -> Result<Request, OperationError>,
         attempt_timeout: Duration,
         deadline: Instant,
     ) -> Result<Reply, CallError> {
@@ -102,21 +102,21 @@
 
     async fn attempt(
         &self,
-        request: &impl Fn(u64) -> Result<Request, Refused>,
+        request: &impl Fn(u64) -> Result<Request, OperationError>,
         deadline: Instant,
     ) -> Attempt {
         let call = async {
             let connection = self.connect().await?;
             let request = match request(connection.cluster) {
                 Ok(request) => request,
-                Err(refused) => return Ok(Err(refused)),
+                Err(error) => return Ok(Err(error)),
             };
             let response = connection.channel.call(request).await?;
             io::Result::Ok(Ok(Reply { response, cluster: connection.cluster }))
         };
         match timeout_at(deadline, call).await {
             Ok(Ok(Ok(reply))) => self.handle_reply(reply),
-            Ok(Ok(Err(refused))) => Attempt::Finished(Box::new(Err(CallError::Refused(refused)))),
+            Ok(Ok(Err(error))) => Attempt::Finished(Box::new(Err(CallError::Refused(error)))),
             Ok(Err(_)) | Err(_) => {
                 self.disconnect();
                 Attempt::Retry { after: None }
--- a/quota-gateway/coordination/src/client/error.rs
+++ b/quota-gateway/coordination/src/client/error.rs
@@ -1,14 +1,14 @@
 //! Errors of the client's calls.
 
-use crate::state::Refused;
+use crate::state::OperationError;
 use quick_error::quick_error;
 
 quick_error! {
     /// The reason why a call has no result. The variant shows whether the operation may have taken effect.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum CallError {
-        /// The state machine refused the operation. The state has not changed.
-        Refused(reason: Refused) {
+        /// The state machine rejected the operation with this error. The state has not changed.
+        Refused(reason: OperationError) {
             display("refused: {:?}", reason)
         }
         /// The service rejected the request, for this reason in one line. The state has not changed.
--- a/quota-gateway/coordination/src/client/lock.rs
+++ b/quota-gateway/coordination/src/client/lock.rs
@@ -91,7 +91,7 @@
     ) -> Result<Revision, CallError> {
         let remaining = deadline.saturating_duration_since(Instant::now());
         match bounded(deadline, self.0.client.changes_since(lock, revision, remaining)).await? {
-            Changes::Changes { upto, .. } => Ok(upto),
+            Changes::Changes { last_revision, .. } => Ok(last_revision),
             Changes::Lost { now } => Ok(now),
         }
     }
--- a/quota-gateway/coordination/src/client/session.rs
+++ b/quota-gateway/coordination/src/client/session.rs
@@ -39,7 +39,7 @@
     /// The time until which the session is certainly open. The token of this lease is unused.
     lease: Cell<HeldLease>,
     has_ended: Cell<bool>,
-    is_lapsing: Cell<bool>,
+    has_stopped_renewing: Cell<bool>,
 }
 
 impl SessionState {
@@ -58,7 +58,7 @@
     }
 
     fn is_renewed(&self) -> bool {
-        !self.has_ended.get() && !self.is_lapsing.get()
+        !self.has_ended.get() && !self.has_stopped_renewing.get()
     }
 }
 
@@ -72,9 +72,9 @@
         self.0.id()
     }
 
-    /// Stops the renewals. The session then expires; until its lease ends, its locks are still valid.
-    pub fn let_lapse(&self) {
-        self.0.is_lapsing.set(true);
+    /// Stops renewing the session, so that it expires. Its locks remain valid until its lease ends.
+    pub fn stop_renewing(&self) {
+        self.0.has_stopped_renewing.set(true);
     }
 
     /// Returns whether the session is certainly open.
@@ -86,8 +86,9 @@
     ///
     /// # Errors
     ///
-    /// See [`CallError`]. The error is [`Refused::NoSession`](crate::state::Refused::NoSession) if the
-    /// cluster was created again or restored since the session was opened.
+    /// See [`CallError`]. The error is
+    /// [`OperationError::NoSession`](crate::state::OperationError::NoSession) if the cluster was created
+    /// again or restored since the session was opened.
     pub async fn call(&self, op: Op, within: Duration) -> Result<Done, CallError> {
         let executed = self.0.client.execute(op, Some(self.0.cluster()), within).await?;
         Ok(executed.done)
@@ -124,7 +125,7 @@
             ttl,
             lease: Cell::new(HeldLease::granted_at_request(requested_at, ttl, Token::default())),
             has_ended: Cell::new(false),
-            is_lapsing: Cell::new(false),
+            has_stopped_renewing: Cell::new(false),
         });
         let is_first = self.0.sessions.borrow().is_empty();
         self.0.sessions.borrow_mut().insert(key, Rc::downgrade(&state));
--- a/quota-gateway/coordination/src/raft_types.rs
+++ b/quota-gateway/coordination/src/raft_types.rs
@@ -32,7 +32,7 @@
         AsyncRuntime = Runtime,
 );
 
-/// The runtime of the consensus: tokio, with random numbers from this crate's only source, so that the run of
+/// The runtime of the consensus: tokio, with all random numbers from this crate's own source, so that a run of
 /// a complete cluster can be replayed from a seed.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Runtime;
--- a/quota-gateway/coordination/src/service/proposals.rs
+++ b/quota-gateway/coordination/src/service/proposals.rs
@@ -4,7 +4,7 @@
 use super::Service;
 use crate::metrics::RejectionReason;
 use crate::raft::Raft;
-use crate::state::{bounds, ClientId, Command, Op, Outcome, Refused};
+use crate::state::{bounds, ClientId, Command, Op, OperationError, Outcome};
 use crate::wire::Response;
 use openraft::error::{ClientWriteError, RaftError};
 use tokio::sync::{mpsc, oneshot};
@@ -45,7 +45,7 @@
             return Response::Rejected("the process ends".to_owned());
         }
         match result.await {
-            Ok(ProposalResult::Applied(Err(Refused::Busy(after_ms)))) => {
+            Ok(ProposalResult::Applied(Err(OperationError::Busy(after_ms)))) => {
                 self.metrics.count_rejection(RejectionReason::State);
                 Response::Busy { after_ms }
             }
--- a/quota-gateway/coordination/src/service/requests.rs
+++ b/quota-gateway/coordination/src/service/requests.rs
@@ -21,7 +21,7 @@
     /// Handles a request.
     pub(super) async fn handle_request(&self, request: Request, budget: &ResponseBudget) -> Reply {
         self.metrics.count_request(&request);
-        // Calls of the consensus need no limit here: each process sends one at a time.
+        // Raft calls need no limit here, because each process sends one at a time.
         let request = match request {
             Request::Append(rpc) => return Response::Append(self.raft.append_entries(rpc).await).into(),
             Request::Vote(rpc) => return Response::Vote(self.raft.vote(rpc).await).into(),
--- a/quota-gateway/coordination/src/state.rs
+++ b/quota-gateway/coordination/src/state.rs
@@ -30,6 +30,6 @@
 mod values;
 
 pub use change::{Change, Changes};
-pub use command::{ClientId, Command, Done, Op, Outcome, Owner, Refused, Revision, SessionId, Token};
+pub use command::{ClientId, Command, Done, Op, OperationError, Outcome, Owner, Revision, SessionId, Token};
 pub use snapshot::{SnapshotError, VERSION};
 pub use tables::{Lock, Session, State, Value};
--- a/quota-gateway/coordination/src/state/calls.rs
+++ b/quota-gateway/coordination/src/state/calls.rs
@@ -2,7 +2,7 @@
 //! make the RPCs linearizable (D. Ongaro, "Consensus: Bridging Theory and Practice", 2014, section 6.3).
 
 use super::bounds;
-use super::command::{ClientId, Op, Outcome, Refused};
+use super::command::{ClientId, Op, OperationError, Outcome};
 use super::tables::{CachedReply, Client, State};
 use super::validate::BUSY_DELAY_MS;
 
@@ -12,7 +12,7 @@
         if let Some(reply) = self.cached_reply(id, number) {
             return match reply.request_crc == request_crc {
                 true => reply.outcome.clone(),
-                false => Err(Refused::Bad("number: it was used for something else".to_owned())),
+                false => Err(OperationError::Bad("number: it was used for something else".to_owned())),
             };
         }
         self.admit_call(id, number, acknowledged)?;
@@ -28,14 +28,14 @@
     }
 
     /// Registers a new client, or drops the cached replies that a registered client has acknowledged.
-    fn admit_call(&mut self, id: ClientId, number: u64, acknowledged: u64) -> Result<(), Refused> {
+    fn admit_call(&mut self, id: ClientId, number: u64, acknowledged: u64) -> Result<(), OperationError> {
         let is_full = self.clients.len() >= bounds::MAX_CLIENTS;
         match self.clients.get_mut(&id) {
             Some(client) => client.admit(number, acknowledged),
             // The first call of a new client has number 1. An unregistered client that sends another number
             // has expired, and its call may have taken effect before it expired.
-            None if number != 1 => Err(Refused::Forgotten),
-            None if is_full => Err(Refused::Busy(BUSY_DELAY_MS)),
+            None if number != 1 => Err(OperationError::Forgotten),
+            None if is_full => Err(OperationError::Busy(BUSY_DELAY_MS)),
             None => {
                 self.clients.insert(id, Client::default());
                 Ok(())
@@ -45,14 +45,14 @@
 }
 
 impl Client {
-    fn admit(&mut self, number: u64, acknowledged: u64) -> Result<(), Refused> {
+    fn admit(&mut self, number: u64, acknowledged: u64) -> Result<(), OperationError> {
         if number <= self.acknowledged {
-            return Err(Refused::Forgotten);
+            return Err(OperationError::Forgotten);
         }
         self.acknowledged = self.acknowledged.max(acknowledged.min(number - 1));
         self.replies = self.replies.split_off(&(self.acknowledged + 1));
         match self.replies.len() >= bounds::MAX_CACHED_REPLIES {
-            true => Err(Refused::Busy(BUSY_DELAY_MS)),
+            true => Err(OperationError::Busy(BUSY_DELAY_MS)),
             false => Ok(()),
         }
     }
--- a/quota-gateway/coordination/src/state/change.rs
+++ b/quota-gateway/coordination/src/state/change.rs
@@ -51,8 +51,8 @@
 pub enum Changes {
     /// All changes after the requested revision, up to this one.
     Changes {
-        /// The revision to continue from.
-        upto: Revision,
+        /// The last revision that the changes cover. The next watch continues after it.
+        last_revision: Revision,
         /// The changes with their revisions, in order.
         changes: Vec<(Revision, Change)>,
     },
--- a/quota-gateway/coordination/src/state/command.rs
+++ b/quota-gateway/coordination/src/state/command.rs
@@ -153,9 +153,9 @@
     All(Vec<Done>),
 }
 
-/// The reason why an operation was rejected. The state has not changed.
+/// The error of an operation that was not applied. The state has not changed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Refused {
+pub enum OperationError {
     /// The session has ended or never existed.
     NoSession,
     /// Another session holds the lock, under this token.
@@ -176,4 +176,4 @@
 }
 
 /// The outcome of an operation.
-pub type Outcome = Result<Done, Refused>;
+pub type Outcome = Result<Done, OperationError>;
--- a/quota-gateway/coordination/src/state/history.rs
+++ b/quota-gateway/coordination/src/state/history.rs
@@ -33,17 +33,17 @@
         if !self.is_retained(since) {
             return Changes::Lost { now: self.revision };
         }
-        let (mut bytes, mut upto, mut changes) = (0, self.revision, Vec::new());
+        let (mut bytes, mut last_revision, mut changes) = (0, self.revision, Vec::new());
         for (revision, change) in self.changes_after(prefix, since) {
             let value = if let Change::Value { value, .. } = change { value.len() } else { 0 };
             bytes += change.name().len() + value + CHANGE_OVERHEAD_BYTES;
             if bytes > max_bytes && !changes.is_empty() {
-                upto = changes.last().map_or(since, |(revision, _)| *revision);
+                last_revision = changes.last().map_or(since, |(revision, _)| *revision);
                 break;
             }
             changes.push((*revision, change.clone()));
         }
-        Changes::Changes { upto, changes }
+        Changes::Changes { last_revision, changes }
     }
 
     fn is_retained(&self, since: Revision) -> bool {
--- a/quota-gateway/coordination/src/state/locks.rs
+++ b/quota-gateway/coordination/src/state/locks.rs
@@ -2,7 +2,7 @@
 
 use super::bounds;
 use super::change::Change;
-use super::command::{Done, Outcome, Refused, SessionId, Token};
+use super::command::{Done, OperationError, Outcome, SessionId, Token};
 use super::tables::State;
 use super::validate::{check_name, BUSY_DELAY_MS};
 
@@ -13,7 +13,7 @@
         match self.locks.get(name).and_then(|lock| lock.holder) {
             // Idempotent: the holder gets its current token.
             Some((holder, token)) if holder == session => Ok(Done::Granted(token)),
-            Some((_, token)) if !wait => Err(Refused::Held(token)),
+            Some((_, token)) if !wait => Err(OperationError::Held(token)),
             Some(_) => self.enqueue(session, name),
             None => self.grant(session, name),
         }
@@ -25,7 +25,7 @@
             return Ok(Done::Waiting(position as u32));
         }
         if lock.waiting.len() >= bounds::MAX_WAITERS {
-            return Err(Refused::Busy(BUSY_DELAY_MS));
+            return Err(OperationError::Busy(BUSY_DELAY_MS));
         }
         let position = lock.waiting.len() as u32;
         lock.waiting.push_back(session);
@@ -35,7 +35,7 @@
 
     fn grant(&mut self, session: SessionId, name: &str) -> Outcome {
         if !self.locks.contains_key(name) && self.locks.len() >= bounds::MAX_LOCKS {
-            return Err(Refused::Busy(BUSY_DELAY_MS));
+            return Err(OperationError::Busy(BUSY_DELAY_MS));
         }
         let token = self.issue_token()?;
         self.open_session(session)?.locks.push(name.to_owned());
@@ -46,9 +46,9 @@
 
     /// Issues a token that was never issued before. `Token::MAX` is never issued, because no higher token
     /// could follow.
-    fn issue_token(&mut self) -> Result<Token, Refused> {
+    fn issue_token(&mut self) -> Result<Token, OperationError> {
         if self.last_token >= Token::MAX - 1 {
-            return Err(Refused::Exhausted);
+            return Err(OperationError::Exhausted);
         }
         self.last_token += 1;
         Ok(self.last_token)
@@ -57,7 +57,7 @@
     pub(super) fn release(&mut self, session: SessionId, name: &str) -> Outcome {
         let locks = &mut self.open_session(session)?.locks;
         let Some(position) = locks.iter().position(|lock| lock == name) else {
-            return Err(Refused::Fenced(self.current_token(name)));
+            return Err(OperationError::Fenced(self.current_token(name)));
         };
         locks.remove(position);
         self.detach_from_lock(session, name);
@@ -66,7 +66,7 @@
 
     pub(super) fn revoke(&mut self, name: &str) -> Outcome {
         let holder = self.locks.get(name).and_then(|lock| lock.holder);
-        let (session, _) = holder.ok_or(Refused::Fenced(0))?;
+        let (session, _) = holder.ok_or(OperationError::Fenced(0))?;
         self.release(session, name)
     }
 
@@ -93,10 +93,10 @@
         self.locks.get(name).and_then(|lock| lock.holder).map_or(0, |(_, token)| token)
     }
 
-    pub(super) fn check_token(&self, name: &str, token: Token) -> Result<(), Refused> {
+    pub(super) fn check_token(&self, name: &str, token: Token) -> Result<(), OperationError> {
         match self.current_token(name) {
             current if current == token && token != 0 => Ok(()),
-            current => Err(Refused::Fenced(current)),
+            current => Err(OperationError::Fenced(current)),
         }
     }
 }
--- a/quota-gateway/coordination/src/state/operations.rs
+++ b/quota-gateway/coordination/src/state/operations.rs
@@ -1,7 +1,7 @@
 //! Applies operations; batches are atomic.
 
 use super::bounds;
-use super::command::{Done, Op, Outcome, Refused};
+use super::command::{Done, Op, OperationError, Outcome};
 use super::tables::State;
 use super::undo::UndoLog;
 
@@ -18,7 +18,7 @@
         let value_bytes = |op: &Op| if let Op::Put { value, .. } = op { value.len() } else { 0 };
         let bytes: usize = ops.iter().map(value_bytes).sum();
         if ops.len() > bounds::MAX_BATCH_OPS || bytes > bounds::MAX_BATCH_BYTES {
-            return Err(Refused::Bad("batch".to_owned()));
+            return Err(OperationError::Bad("batch".to_owned()));
         }
         let mut undo = UndoLog::begin(self);
         let mut results = Vec::with_capacity(ops.len());
@@ -26,9 +26,9 @@
             undo.save(self, op);
             match self.apply_single_op(op) {
                 Ok(result) => results.push(result),
-                Err(refused) => {
+                Err(error) => {
                     undo.roll_back(self);
-                    return Err(refused);
+                    return Err(error);
                 }
             }
         }
@@ -45,7 +45,7 @@
             Op::Put { key, value, expect, owner } => self.put(key, value, *expect, owner),
             Op::Delete { key, expect, owner } => self.delete(key, *expect, owner),
             Op::Check { lock, token } => self.check_token(lock, *token).map(|()| Done::Nothing),
-            Op::Batch(_) => Err(Refused::Bad("batch in a batch".to_owned())),
+            Op::Batch(_) => Err(OperationError::Bad("batch in a batch".to_owned())),
         }
     }
 }
--- a/quota-gateway/coordination/src/state/sessions.rs
+++ b/quota-gateway/coordination/src/state/sessions.rs
@@ -3,7 +3,7 @@
 
 use super::bounds;
 use super::change::Change;
-use super::command::{Done, Outcome, Refused, SessionId};
+use super::command::{Done, OperationError, Outcome, SessionId};
 use super::tables::{Session, State};
 use super::validate::{check_name, BUSY_DELAY_MS};
 
@@ -12,10 +12,10 @@
         check_name("name", name)?;
         let ttls_ms = bounds::MIN_SESSION_TTL.as_millis()..=bounds::MAX_SESSION_TTL.as_millis();
         if !ttls_ms.contains(&u128::from(ttl_ms)) {
-            return Err(Refused::Bad("ttl_ms".to_owned()));
+            return Err(OperationError::Bad("ttl_ms".to_owned()));
         }
         if self.sessions.len() >= bounds::MAX_SESSIONS {
-            return Err(Refused::Busy(BUSY_DELAY_MS));
+            return Err(OperationError::Busy(BUSY_DELAY_MS));
         }
         self.last_session += 1;
         let id = SessionId(self.last_session);
--- a/quota-gateway/coordination/src/state/tables.rs
+++ b/quota-gateway/coordination/src/state/tables.rs
@@ -1,7 +1,7 @@
 //! Tables of the replicated state, and read access to them.
 
 use super::change::Change;
-use super::command::{ClientId, Outcome, Refused, Revision, SessionId, Token};
+use super::command::{ClientId, OperationError, Outcome, Revision, SessionId, Token};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -117,7 +117,7 @@
         self.last_token
     }
 
-    pub(super) fn open_session(&mut self, id: SessionId) -> Result<&mut Session, Refused> {
-        self.sessions.get_mut(&id).ok_or(Refused::NoSession)
+    pub(super) fn open_session(&mut self, id: SessionId) -> Result<&mut Session, OperationError> {
+        self.sessions.get_mut(&id).ok_or(OperationError::NoSession)
     }
 }
--- a/quota-gateway/coordination/src/state/values.rs
+++ b/quota-gateway/coordination/src/state/values.rs
@@ -2,7 +2,7 @@
 
 use super::bounds;
 use super::change::Change;
-use super::command::{Done, Outcome, Owner, Refused, Revision};
+use super::command::{Done, OperationError, Outcome, Owner, Revision};
 use super::tables::{State, Value};
 use super::validate::{check_name, BUSY_DELAY_MS};
 
@@ -15,13 +15,13 @@
         owner: &Owner,
     ) -> Outcome {
         if value.len() > bounds::MAX_VALUE_BYTES {
-            return Err(Refused::Bad("value".to_owned()));
+            return Err(OperationError::Bad("value".to_owned()));
         }
         self.check_write(key, expect, owner)?;
         let old = self.values.get(key).map_or(0, |old| old.value.len() + key.len());
         let bytes = self.value_bytes - old + value.len() + key.len();
         if bytes > bounds::MAX_TOTAL_VALUE_BYTES {
-            return Err(Refused::Busy(BUSY_DELAY_MS));
+            return Err(OperationError::Busy(BUSY_DELAY_MS));
         }
         self.detach_from_session(key);
         let session = if let Owner::Session(id) = owner { Some(*id) } else { None };
@@ -38,7 +38,7 @@
     pub(super) fn delete(&mut self, key: &str, expect: Option<Revision>, owner: &Owner) -> Outcome {
         self.check_write(key, expect, owner)?;
         if !self.values.contains_key(key) {
-            return Err(Refused::Conflict(0));
+            return Err(OperationError::Conflict(0));
         }
         self.detach_from_session(key);
         self.remove_value(key);
@@ -46,7 +46,12 @@
     }
 
     /// Checks the conditions of a write or a deletion.
-    fn check_write(&mut self, key: &str, expect: Option<Revision>, owner: &Owner) -> Result<(), Refused> {
+    fn check_write(
+        &mut self,
+        key: &str,
+        expect: Option<Revision>,
+        owner: &Owner,
+    ) -> Result<(), OperationError> {
         check_name("key", key)?;
         match owner {
             Owner::Nobody => {}
@@ -55,7 +60,7 @@
         }
         let current = self.values.get(key).map_or(0, |value| value.revision);
         match expect.is_some_and(|expect| expect != current) {
-            true => Err(Refused::Conflict(current)),
+            true => Err(OperationError::Conflict(current)),
             false => Ok(()),
         }
     }
--- a/quota-gateway/coordination/tests/cluster.rs
+++ b/quota-gateway/coordination/tests/cluster.rs
@@ -2,7 +2,7 @@
 //! restarted, started without their disk, and restored from a snapshot.
 
 use marblecroft_coordination::client::{CallError, Client};
-use marblecroft_coordination::state::{Changes, Done, Op, Owner, Refused, Token};
+use marblecroft_coordination::state::{Changes, Done, Op, OperationError, Owner, Token};
 use marblecroft_coordination::wire::{encode, Channel, Message, Request, Response, Status};
 use marblecroft_test_support::Port;
 use std::fs;
@@ -205,7 +205,7 @@
         let token_after_resume = held.valid_token();
         // The first session is no longer renewed. The second session gets the lock only after the first lease
         // expired.
-        first.let_lapse();
+        first.stop_renewing();
         let next = second.acquire("list", WAIT_TIMEOUT).await;
         let old_token = held.valid_token();
         let next = next.expect("a grant").valid_token().expect("the lock is held");
@@ -343,10 +343,10 @@
             }
             while seen.len() < written.0 as usize {
                 match watcher.changes_since("chain", since, WAIT_TIMEOUT).await.expect("changes") {
-                    Changes::Changes { upto, changes } => {
-                        assert!(upto >= since);
+                    Changes::Changes { last_revision, changes } => {
+                        assert!(last_revision >= since);
                         seen.extend(changes.iter().map(|(revision, _)| *revision));
-                        since = upto;
+                        since = last_revision;
                     }
                     Changes::Lost { .. } => panic!("the changes are still retained"),
                 }
@@ -357,7 +357,7 @@
         let batch = Op::Batch(vec![put("other", 1, 0), put("chain", 1, 0)]);
         assert_eq!(
             writer.call(batch, WAIT_TIMEOUT).await,
-            Err(CallError::Refused(Refused::Conflict(written.1)))
+            Err(CallError::Refused(OperationError::Conflict(written.1)))
         );
         assert!(watcher.read("other", WAIT_TIMEOUT).await.expect("the values").1.is_empty());
     });
@@ -411,13 +411,13 @@
         }
         let output = run(&["--at", &cluster.addrs().join(","), "begin"]);
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-        // The client is not registered with the new cluster. Its first calls return `Refused::Forgotten`, and
-        // the client then registers under a new incarnation.
+        // The client is not registered with the new cluster. Its first calls return
+        // `OperationError::Forgotten`, and the client then registers under a new incarnation.
         let started_at = Instant::now();
         let session = loop {
             match client.session("one", TTL, WAIT_TIMEOUT).await {
                 Ok(session) => break session,
-                Err(CallError::Refused(Refused::Forgotten)) => {}
+                Err(CallError::Refused(OperationError::Forgotten)) => {}
                 Err(e) => panic!("{e}"),
             }
             assert!(started_at.elapsed() < WAIT_TIMEOUT);
@@ -463,9 +463,9 @@
             tokio::time::sleep(TTL / 20).await;
         }
         let acquired = earlier.acquire("list", WAIT_TIMEOUT).await.map(|lock| lock.token());
-        assert_eq!(acquired, Err(CallError::Refused(Refused::NoSession)));
+        assert_eq!(acquired, Err(CallError::Refused(OperationError::NoSession)));
         let closed = earlier.close(WAIT_TIMEOUT).await;
-        assert_eq!(closed, Err(CallError::Refused(Refused::NoSession)));
+        assert_eq!(closed, Err(CallError::Refused(OperationError::NoSession)));
         assert!(later.acquire("list", WAIT_TIMEOUT).await.expect("a grant").token() > held.token());
     });
 }
--- a/quota-gateway/coordination/tests/golden.rs
+++ b/quota-gateway/coordination/tests/golden.rs
@@ -11,7 +11,7 @@
 use golden::{bytes, from_hex, hex, same_bytes, same_text, text};
 use marblecroft_coordination::raft::{NodeId, Types};
 use marblecroft_coordination::state::{
-    Change, Changes, ClientId, Command, Done, Op, Owner, Refused, SessionId, State,
+    Change, Changes, ClientId, Command, Done, Op, OperationError, Owner, SessionId, State,
 };
 use marblecroft_coordination::storage::{LogStore, StoredSnapshot};
 use marblecroft_coordination::wire::{
@@ -205,14 +205,14 @@
         ("identity", Response::Identity { node: 41, cluster: CLUSTER }),
         ("done", Response::Done),
         ("outcome-done", Response::Outcome(Ok(Done::All(done)))),
-        ("refused-no-session", Response::Outcome(Err(Refused::NoSession))),
-        ("refused-held", Response::Outcome(Err(Refused::Held(509)))),
-        ("refused-fenced", Response::Outcome(Err(Refused::Fenced(510)))),
-        ("refused-conflict", Response::Outcome(Err(Refused::Conflict(912)))),
-        ("refused-busy", Response::Outcome(Err(Refused::Busy(500)))),
-        ("refused-bad", Response::Outcome(Err(Refused::Bad("field".to_owned())))),
-        ("refused-forgotten", Response::Outcome(Err(Refused::Forgotten))),
-        ("refused-exhausted", Response::Outcome(Err(Refused::Exhausted))),
+        ("refused-no-session", Response::Outcome(Err(OperationError::NoSession))),
+        ("refused-held", Response::Outcome(Err(OperationError::Held(509)))),
+        ("refused-fenced", Response::Outcome(Err(OperationError::Fenced(510)))),
+        ("refused-conflict", Response::Outcome(Err(OperationError::Conflict(912)))),
+        ("refused-busy", Response::Outcome(Err(OperationError::Busy(500)))),
+        ("refused-bad", Response::Outcome(Err(OperationError::Bad("field".to_owned())))),
+        ("refused-forgotten", Response::Outcome(Err(OperationError::Forgotten))),
+        ("refused-exhausted", Response::Outcome(Err(OperationError::Exhausted))),
         ("renewed", Response::Renewed(vec![SESSION])),
         (
             "values",
@@ -222,7 +222,7 @@
                 age_ms: Some(17),
             },
         ),
-        ("news-changes", Response::Changes(Changes::Changes { upto: 914, changes })),
+        ("news-changes", Response::Changes(Changes::Changes { last_revision: 914, changes })),
         ("news-lost", Response::Changes(Changes::Lost { now: 915 })),
         ("status", Response::Status(status())),
         ("locks", Response::Locks(vec![lock])),
@@ -334,7 +334,7 @@
         outcomes.push(call(&mut state, 802, op).expect("an outcome"));
     }
     assert_eq!(outcomes[0], Ok(Done::Granted(501)));
-    assert_eq!(outcomes[9], Err(Refused::Held(502)));
+    assert_eq!(outcomes[9], Err(OperationError::Held(502)));
     assert_eq!(outcomes.iter().filter(|outcome| outcome.is_err()).count(), 2, "{outcomes:?}");
     state
 }
--- a/quota-gateway/coordination/tests/state.rs
+++ b/quota-gateway/coordination/tests/state.rs
@@ -3,7 +3,7 @@
 //! tests of single rules.
 
 use marblecroft_coordination::state::{
-    Changes, ClientId, Command, Done, Op, Outcome, Owner, Refused, SessionId, State, Token, VERSION,
+    Changes, ClientId, Command, Done, Op, OperationError, Outcome, Owner, SessionId, State, Token, VERSION,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -67,11 +67,11 @@
         self.locks.iter().find(|(lock, ..)| lock == name).map_or(0, |(_, (_, token), _)| *token)
     }
 
-    fn check_session(&self, session: SessionId) -> Result<(), Refused> {
+    fn check_session(&self, session: SessionId) -> Result<(), OperationError> {
         if self.sessions.contains(&session.0) {
             Ok(())
         } else {
-            Err(Refused::NoSession)
+            Err(OperationError::NoSession)
         }
     }
 
@@ -107,7 +107,7 @@
 
     fn apply(&mut self, op: &Op) -> Outcome {
         match op {
-            Op::Open { ttl_ms, .. } if *ttl_ms < 500 => Err(Refused::Bad("ttl_ms".to_owned())),
+            Op::Open { ttl_ms, .. } if *ttl_ms < 500 => Err(OperationError::Bad("ttl_ms".to_owned())),
             Op::Open { .. } => {
                 self.opened += 1;
                 self.revision += 1;
@@ -123,7 +123,7 @@
                 self.check_session(*session)?;
                 match self.locks.iter_mut().find(|(name, ..)| name == lock) {
                     Some((_, (holder, token), _)) if *holder == session.0 => Ok(Done::Granted(*token)),
-                    Some((_, (_, token), _)) if !wait => Err(Refused::Held(*token)),
+                    Some((_, (_, token), _)) if !wait => Err(OperationError::Held(*token)),
                     Some((_, _, waiting)) => {
                         let position =
                             waiting.iter().position(|waiter| *waiter == session.0).unwrap_or_else(|| {
@@ -148,7 +148,7 @@
                     name == lock && (*holder == session.0 || waiting.contains(&session.0))
                 });
                 if !holds_or_waits {
-                    return Err(Refused::Fenced(self.current_token(lock)));
+                    return Err(OperationError::Fenced(self.current_token(lock)));
                 }
                 self.release(session.0, lock);
                 Ok(Done::Nothing)
@@ -156,7 +156,7 @@
             Op::Revoke { lock } => {
                 let holder =
                     self.locks.iter().find(|(name, ..)| name == lock).map(|(_, (holder, _), _)| *holder);
-                self.release(holder.ok_or(Refused::Fenced(0))?, lock);
+                self.release(holder.ok_or(OperationError::Fenced(0))?, lock);
                 Ok(Done::Nothing)
             }
             Op::Put { key, expect, owner, .. } | Op::Delete { key, expect, owner } => {
@@ -173,13 +173,13 @@
                 };
                 let current = self.values.get(key).map_or(0, |value| value.1);
                 if expect.is_some_and(|expect| expect != current) {
-                    return Err(Refused::Conflict(current));
+                    return Err(OperationError::Conflict(current));
                 }
                 if let Op::Put { value, .. } = op {
                     self.revision += 1;
                     self.values.insert(key.clone(), (value.clone(), self.revision, session));
                 } else {
-                    self.values.remove(key).ok_or(Refused::Conflict(0))?;
+                    self.values.remove(key).ok_or(OperationError::Conflict(0))?;
                     self.revision += 1;
                 }
                 Ok(Done::At(self.revision))
@@ -187,7 +187,8 @@
             Op::Check { lock, token } => self.check_token(lock, *token).map(|()| Done::Nothing),
             Op::Batch(ops) => {
                 let before = self.clone();
-                let results: Result<Vec<Done>, Refused> = ops.iter().map(|op| self.apply(op)).collect();
+                let results: Result<Vec<Done>, OperationError> =
+                    ops.iter().map(|op| self.apply(op)).collect();
                 if results.is_err() {
                     *self = before;
                 }
@@ -196,11 +197,11 @@
         }
     }
 
-    fn check_token(&self, name: &str, token: Token) -> Result<(), Refused> {
+    fn check_token(&self, name: &str, token: Token) -> Result<(), OperationError> {
         if self.current_token(name) == token {
             Ok(())
         } else {
-            Err(Refused::Fenced(self.current_token(name)))
+            Err(OperationError::Fenced(self.current_token(name)))
         }
     }
 
@@ -280,10 +281,10 @@
             let values: BTreeMap<String, Vec<u8>> = state.read("").1.into_iter().map(|(k, v)| (k.to_owned(), v.value.clone())).collect();
             prop_assert_eq!(values, model.values.iter().map(|(k, v)| (k.clone(), v.0.clone())).collect::<BTreeMap<_, _>>());
             // A watch from the previous revision reports every change up to the current revision.
-            let Changes::Changes { upto, changes } = state.changes("", before.revision(), usize::MAX) else { panic!("the changes are still retained") };
-            prop_assert_eq!(upto, state.revision());
+            let Changes::Changes { last_revision, changes } = state.changes("", before.revision(), usize::MAX) else { panic!("the changes are still retained") };
+            prop_assert_eq!(last_revision, state.revision());
             let revisions: Vec<u64> = changes.iter().map(|(revision, _)| *revision).collect();
-            prop_assert_eq!(revisions, (before.revision() + 1..=upto).collect::<Vec<_>>());
+            prop_assert_eq!(revisions, (before.revision() + 1..=last_revision).collect::<Vec<_>>());
         }
     }
 
@@ -319,7 +320,7 @@
     // The next session in the queue would need a higher token, so the lock becomes free instead.
     state.apply(&Command::ExpireSessions { sessions: vec![SessionId(1)] });
     assert_eq!(locks(&state).len(), 0);
-    assert_eq!(call(&mut state, acquire(2)), Err(Refused::Exhausted));
+    assert_eq!(call(&mut state, acquire(2)), Err(OperationError::Exhausted));
 }
 
 /// A cluster that is created again or restored from an older snapshot must grant only tokens above those that
@@ -365,11 +366,11 @@
     assert!(matches!(state.apply(&open(2, 1)), Some(Ok(_))));
     assert_eq!(
         state.apply(&open(1, 0)),
-        Some(Err(Refused::Forgotten)),
+        Some(Err(OperationError::Forgotten)),
         "the client has acknowledged this reply"
     );
     state.apply(&Command::ExpireClients { clients: vec![ClientId(7)] });
-    assert_eq!(state.apply(&open(2, 1)), Some(Err(Refused::Forgotten)));
+    assert_eq!(state.apply(&open(2, 1)), Some(Err(OperationError::Forgotten)));
     assert_eq!(state.sessions().count(), 2);
 }
 
@@ -383,7 +384,7 @@
     assert_eq!(state.apply(&call(open("one"))), first, "the repeated call has the same outcome");
     let before = state.snapshot().expect("a snapshot");
     assert!(
-        matches!(state.apply(&call(open("two"))), Some(Err(Refused::Bad(reason))) if reason.starts_with("number"))
+        matches!(state.apply(&call(open("two"))), Some(Err(OperationError::Bad(reason))) if reason.starts_with("number"))
     );
     assert_eq!(state.snapshot().expect("a snapshot"), before);
 }
@@ -399,12 +400,12 @@
     }
     let (mut since, mut revisions, mut responses) = (0, Vec::new(), 0);
     while since < state.revision() {
-        let Changes::Changes { upto, changes } = state.changes("even", since, 5000) else {
+        let Changes::Changes { last_revision, changes } = state.changes("even", since, 5000) else {
             panic!("the changes are still retained")
         };
-        assert!(upto > since && changes.len() <= 4);
+        assert!(last_revision > since && changes.len() <= 4);
         revisions.extend(changes.iter().map(|(revision, _)| *revision));
-        (since, responses) = (upto, responses + 1);
+        (since, responses) = (last_revision, responses + 1);
     }
     assert_eq!(revisions, (1..=20).map(|n| n * 2).collect::<Vec<_>>());
     assert_eq!(responses, 5);
--- a/quota-gateway/singleton-roles/src/run/candidate.rs
+++ b/quota-gateway/singleton-roles/src/run/candidate.rs
@@ -129,7 +129,7 @@
     while session.is_alive() {
         sleep(LOCK_CHECK_INTERVAL).await;
     }
-    session.let_lapse();
+    session.stop_renewing();
     for task in runners {
         // Each runner ends because the session has ended. An error means that it panicked, so it has ended
         // too.
--- a/quota-gateway/singleton-roles/src/run/follow.rs
+++ b/quota-gateway/singleton-roles/src/run/follow.rs
@@ -26,9 +26,9 @@
         loop {
             let requested_at = clock();
             match client.changes_since(&prefix, since, RENEW_INTERVAL).await {
-                Ok(Changes::Changes { upto, changes }) => {
+                Ok(Changes::Changes { last_revision, changes }) => {
                     view.apply_changes(requested_at, changes);
-                    since = upto;
+                    since = last_revision;
                     on_view(&view);
                 }
                 Ok(Changes::Lost { .. }) => break,
--- a/quota-gateway/singleton-roles/src/run/lease.rs
+++ b/quota-gateway/singleton-roles/src/run/lease.rs
@@ -4,7 +4,7 @@
 use super::timing::CALL_TIMEOUT;
 use crate::keys::Keys;
 use marblecroft_coordination::client::{CallError, Client, Lock};
-use marblecroft_coordination::state::{Op, Owner, Refused};
+use marblecroft_coordination::state::{Op, OperationError, Owner};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -60,7 +60,7 @@
         // One attempt only: a retry could overwrite a later publication.
         match self.client.call(put, CALL_TIMEOUT).await {
             Ok(_) => PublishOutcome::Published,
-            Err(CallError::Refused(Refused::Fenced(_))) => {
+            Err(CallError::Refused(OperationError::Fenced(_))) => {
                 self.fenced_writes.set(self.fenced_writes.get() + 1);
                 warn!(duty = %self.role, token,
                     "{}: a publication under token {token} came too late and is refused", self.role);
--- a/testing/fault-injection/src/harness/candidates.rs
+++ b/testing/fault-injection/src/harness/candidates.rs
@@ -78,7 +78,7 @@
                             candidates.context.sleep_until(candidates.context.now() + RETRY_INTERVAL).await;
                         }
                         // A late renewal must not extend a session under which nothing is done any more.
-                        session.let_lapse();
+                        session.stop_renewing();
                     })
                 })
                 .collect();
--- a/testing/fault-injection/src/harness/registers.rs
+++ b/testing/fault-injection/src/harness/registers.rs
@@ -10,7 +10,7 @@
 use crate::harness::RunContext;
 use crate::history::{CallResult, Event};
 use marblecroft_coordination::client::{CallError, Client};
-use marblecroft_coordination::state::{Change, Changes, Done, Op, Owner, Refused};
+use marblecroft_coordination::state::{Change, Changes, Done, Op, OperationError, Owner};
 use rand::Rng;
 use std::rc::Rc;
 use std::time::Duration;
@@ -63,8 +63,12 @@
                 let value = value.to_le_bytes().to_vec();
                 match client.call(Op::Put { key, value, expect, owner: Owner::Nobody }, CALL_TIMEOUT).await {
                     Ok(Done::At(revision)) => CallResult::Written { revision },
-                    Err(CallError::Refused(Refused::Conflict(revision))) => CallResult::Conflict { revision },
-                    Err(CallError::Refused(Refused::Forgotten) | CallError::TimedOut) => CallResult::Unknown,
+                    Err(CallError::Refused(OperationError::Conflict(revision))) => {
+                        CallResult::Conflict { revision }
+                    }
+                    Err(CallError::Refused(OperationError::Forgotten) | CallError::TimedOut) => {
+                        CallResult::Unknown
+                    }
                     Ok(_) | Err(CallError::Refused(_) | CallError::Rejected(_)) => CallResult::NoEffect,
                 }
             }
@@ -98,7 +102,7 @@
         loop {
             context.wait_until(|context| !context.is_suspended(Endpoint::Candidate(number))).await;
             match client.changes_since(PREFIX, since, CALL_TIMEOUT).await {
-                Ok(Changes::Changes { upto, changes }) => {
+                Ok(Changes::Changes { last_revision, changes }) => {
                     let register_changes = changes.iter().filter_map(|(revision, change)| match change {
                         Change::Value { key, value } => {
                             let register = key.strip_prefix(PREFIX)?.parse().ok()?;
@@ -107,8 +111,13 @@
                         _ => None,
                     });
                     let changes = register_changes.collect();
-                    context.record(Event::Watched { watcher: number, since: Some(since), upto, changes });
-                    since = upto;
+                    context.record(Event::Watched {
+                        watcher: number,
+                        since: Some(since),
+                        upto: last_revision,
+                        changes,
+                    });
+                    since = last_revision;
                 }
                 Ok(Changes::Lost { .. }) => break,
                 Err(_) => context.sleep_until(context.now() + RETRY_INTERVAL).await,
