--- a/quota-gateway/control-messages/src/frame.rs
+++ b/quota-gateway/control-messages/src/frame.rs
@@ -155,8 +155,8 @@
     /// The [`DecodeError`] of the first check that fails.
     pub fn read(fleet: Fleet, bytes: &[u8]) -> Result<Header, DecodeError> {
         let header: &[u8; HEADER_BYTES] = bytes.first_chunk().ok_or(DecodeError::Truncated)?;
-        let integer = |from: usize, upto: usize| {
-            header[from..upto].iter().rev().fold(0_u64, |n, byte| n << 8 | u64::from(*byte))
+        let integer = |from: usize, to: usize| {
+            header[from..to].iter().rev().fold(0_u64, |n, byte| n << 8 | u64::from(*byte))
         };
         if header[..4] != MAGIC {
             return Err(DecodeError::BadMagic);
--- a/quota-gateway/controller/src/config.rs
+++ b/quota-gateway/controller/src/config.rs
@@ -136,12 +136,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DecisionTtl {
-    /// For the zone failover. Long, because the loss of all controllers is no reason to revert a failover.
+    /// TTL of zone failover decisions. Long, because the loss of all controllers is no reason to revert a
+    /// failover.
     pub zones_ms: u32,
-    /// For the fair shares. Short, because demand changes within seconds.
+    /// TTL of fair-share decisions. Short, because demand changes within seconds.
     #[serde(rename = "shares_ms")]
     pub fair_share_ms: u32,
-    /// For the shard map. Gateways with an expired shard map reject writes. If cells do not fence, a
+    /// TTL of shard maps. Gateways with an expired shard map reject writes. If cells do not fence, a
     /// migration waits this long for a gateway that does not report.
     #[serde(rename = "books_ms")]
     pub shard_map_ms: u32,
--- a/quota-gateway/controller/src/config/shard_map.rs
+++ b/quota-gateway/controller/src/config/shard_map.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShardMapConfig {
-    /// The number of shards of the first map. They are equally wide.
+    /// The number of shards of the first map. Their ranges have the same size.
     #[serde(rename = "count", default = "default_shard_count")]
     pub shard_count: usize,
     /// The cells.
--- a/quota-gateway/core/src/api.rs
+++ b/quota-gateway/core/src/api.rs
@@ -61,7 +61,7 @@
 pub enum Effect {
     /// None: the request is idempotent.
     Safe,
-    /// None within a set of servers and a period: servers drop a repeated request by its key.
+    /// None at the servers of a group within a period, because they deduplicate requests by key.
     Keyed {
         /// The set of servers that share their keys.
         group: DeduplicationScope,
@@ -298,7 +298,7 @@
 /// and slow start treat the two processes as one gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerProcessEvent {
-    /// It has sent an attempt.
+    /// The process has sent an attempt.
     Sent {
         /// The customer of the request.
         customer: CustomerId,
@@ -311,7 +311,7 @@
         /// The server that it was sent to.
         server: ServerId,
     },
-    /// An attempt that it had sent has ended.
+    /// An attempt that the process had sent has ended.
     Ended {
         /// The customer of the request.
         customer: CustomerId,
--- a/quota-gateway/core/src/decisions.rs
+++ b/quota-gateway/core/src/decisions.rs
@@ -4,7 +4,7 @@
 //! [`load_shedding`]), [`load_balancing`] (among the servers of [`server_list`], subject to
 //! [`in_flight_limits`] and [`retry_constraint`]), [`attempts`] and [`outcomes`]. [`step`] runs periodically.
 //!
-//! "Kasera" stands for Kasera et al., "Robust Multiclass Signaling Overload Control" (ICNP 2005). Comments
+//! "Kasera" refers to Kasera et al., "Robust Multiclass Signaling Overload Control" (ICNP 2005). Comments
 //! that start with "Differs from" mark where the code differs from that paper or from the operators' design
 //! page.
 
--- a/quota-gateway/core/src/decisions/load_balancing.rs
+++ b/quota-gateway/core/src/decisions/load_balancing.rs
@@ -21,14 +21,14 @@
 const FAILURE_COST_WEIGHT: f64 = 40.0;
 /// Weight of the price of crossing zones.
 const CROSS_ZONE_COST_WEIGHT: f64 = 4.0;
-/// Factor for a second attempt at the same server.
+/// Cost factor for a second attempt at the same server.
 const SAME_SERVER_COST: f64 = 10.0;
 /// Weight of the random jitter.
 const JITTER_COST_WEIGHT: f64 = 0.1;
-/// Factor for a server outside of this gateway's subset. Such a server is selected when the servers of the
-/// subset have about two attempts in flight.
+/// Cost factor for a server outside of this gateway's subset. Such a server is selected when the servers of
+/// the subset have about two attempts in flight.
 const OUTSIDE_SUBSET_COST: f64 = 3.0;
-/// Factor for a server in slow start that has tokens left, so that it gets its share.
+/// Cost factor for a server in slow start that has tokens left, so that it gets its share.
 const WARMING_UP_COST: f64 = 0.5;
 /// Attempts that a server may always have in flight from this gateway. With an equal share of one, a gateway
 /// that gets more than its share of the traffic would reach the limit by chance. The limit on the total still
--- a/quota-gateway/core/src/decisions/server.rs
+++ b/quota-gateway/core/src/decisions/server.rs
@@ -52,7 +52,7 @@
     /// this one has taken `timeouts` response timeouts, scaled by the latency ratio of those responses.
     ///
     /// This detects servers that drop some requests or never complete some responses, and dead connections.
-    /// Requests that by their nature take many times as long as others are wrongly detected and cost a retry.
+    /// Requests that inherently take many times as long as others are wrongly detected and cost a retry.
     /// A request that waits in the server's queue is not overtaken, and a slow server raises the scaled
     /// timeout.
     pub(crate) fn is_lost(&self, now: Time, timeouts: f64) -> bool {
--- a/quota-gateway/core/tests/conformance.rs
+++ b/quota-gateway/core/tests/conformance.rs
@@ -2,8 +2,8 @@
 //! outcomes, run against the public interface. `conformance/clauses.toml` lists the clauses. A clause without
 //! a row, or a row without a clause, is a failure.
 //!
-//! The admitted fraction f is measured from outside: `count` requests of one priority are sent at one instant
-//! and cancelled at once. The share of them that is admitted is f, to within one request.
+//! To measure the admitted fraction f through the public interface, `count` requests of one priority are sent
+//! at one instant and cancelled at once. The fraction of them that is admitted is f, to within one request.
 
 mod common;
 
--- a/quota-gateway/core/tests/failures.rs
+++ b/quota-gateway/core/tests/failures.rs
@@ -122,7 +122,7 @@
 }
 
 /// Regression test: a queue length reported once, by servers that got no more requests, kept the admitted
-/// fraction at its minimum for good.
+/// fraction at its minimum permanently.
 #[test]
 fn stale_load_reports_decay() {
     let mut harness = Harness::new(settings(safe_classes(), vec![unlimited_plan()]), 4);
@@ -1133,7 +1133,7 @@
             harness.advance(20);
             assert!(harness.gateway.retry_budget() >= 0.0);
         }
-        // A tenth of a retry is earned with each first attempt and up to ten are saved, each at this cost.
+        // Each first attempt adds 0.1 to the retry budget, which holds up to 10; a retry consumes `cost`.
         let max_retries = (0.1 * f64::from(first_attempts) + 10.0) / cost;
         assert!(f64::from(retries) <= max_retries, "{status:?}: {retries} of {first_attempts}");
         assert!(
--- a/quota-gateway/deadline/src/budget.rs
+++ b/quota-gateway/deadline/src/budget.rs
@@ -115,9 +115,9 @@
         self.remaining(now).map_or(max_wait, |remaining| max_wait.min(remaining / CONNECT_DIVISOR))
     }
 
-    /// Enters [`Stage::Attempt`] and returns the timeout to advertise to the server: whole milliseconds until
-    /// the earlier of the deadline and `attempt_ends_at`, less the `response_transit` time of the server's
-    /// response. It never grows from one attempt to the next.
+    /// Enters [`Stage::Attempt`] and returns the timeout to advertise to the server, in whole milliseconds: the
+    /// time until the earlier of the deadline and `attempt_ends_at`, less the `response_transit` time of the
+    /// server's response. It never increases from one attempt to the next.
     ///
     /// Returns `None`, and counts no attempt, when the request must not be sent: no time remains, or its
     /// response is decided.
@@ -157,8 +157,8 @@
         self.enter(now, Stage::Waiting);
     }
 
-    /// Records that the response is decided and enters [`Stage::Write`]. Returns whether this is the first
-    /// decision; later ones are not valid.
+    /// Records that the response is decided and enters [`Stage::Write`]. Returns `false` if a response was
+    /// already decided; this one is then not valid.
     pub fn decide(&mut self, now: Time) -> bool {
         self.enter(now, Stage::Write);
         !std::mem::replace(&mut self.is_decided, true)
--- a/quota-gateway/deadline/src/outcome_totals.rs
+++ b/quota-gateway/deadline/src/outcome_totals.rs
@@ -141,8 +141,8 @@
         Ok(OutcomeTotals { registry, classes, retry_budget, gauges: RefCell::default() })
     }
 
-    /// Counts an attempt of a request of this class: its first, or a retry. An unknown class is ignored, here
-    /// and below.
+    /// Counts a first attempt or a retry of a request of this class. This method and those below ignore an
+    /// unknown class.
     pub fn record_attempt(&self, class: usize, is_first: bool) {
         if let Some(class) = self.classes.get(class) {
             if is_first { &class.first_attempts } else { &class.retries }.inc();
--- a/quota-gateway/deadline/src/stage.rs
+++ b/quota-gateway/deadline/src/stage.rs
@@ -70,7 +70,7 @@
         *self.0[stage as usize].get_or_insert_default() += elapsed;
     }
 
-    /// Takes from the time of `stage`, at most all of it. A stage that was not entered stays so.
+    /// Subtracts from the time of `stage`, down to zero. Has no effect on a stage that was not entered.
     pub(crate) fn subtract(&mut self, stage: Stage, excess: Duration) {
         let spent = &mut self.0[stage as usize];
         *spent = spent.map(|spent| spent.saturating_sub(excess));
--- a/quota-gateway/deadline/tests/chain.rs
+++ b/quota-gateway/deadline/tests/chain.rs
@@ -44,9 +44,9 @@
 struct Chain {
     client_timeout: u64,
     started_at: u64,
-    /// Time in ms from the first byte until the last byte is read, and the part of it for which the last byte
-    /// was unread.
+    /// Time in ms from the first byte until the last byte is read.
     read_duration: u64,
+    /// The part of `read_duration`, in ms, between the arrival and the read of the last byte.
     unread_for: u64,
     /// The process exits this many ms after the last byte was read.
     exits_after: Option<u64>,
@@ -193,7 +193,8 @@
             prop_assert_eq!(spent.of(Stage::Write), ms(chain.write));
             for pair in result.sends.windows(2) {
                 prop_assert!(pair[1].1 <= pair[0].1, "advertised more than the attempt before");
-                // A shorter transit time than in the attempt before offsets at most the maximum transit time.
+                // A shorter transit time than that of the previous attempt can make up for elapsed time, but
+                // only up to the maximum transit time.
                 let elapsed = Duration::from_nanos(pair[1].0 .0 - pair[0].0 .0);
                 prop_assert!(
                     elapsed <= MAX_RESPONSE_TRANSIT || pair[1].1 < pair[0].1,
--- a/quota-gateway/fair-share/src/allocator/allocation.rs
+++ b/quota-gateway/fair-share/src/allocator/allocation.rs
@@ -116,8 +116,8 @@
     targets.into_iter().map(grant).collect()
 }
 
-/// Returns the levels that gateways sample next. While no firm is limited, these are around the level that
-/// would use up the capacity at equal demand per weight, in case capacity becomes short.
+/// Returns the levels that gateways sample next. While no firm is limited, these are around the level at which
+/// the capacity would be used up if all firms were limited, in case capacity becomes short.
 fn points_to_sample(level: f64, capacity: f64, weight: f64) -> Vec<f64> {
     if level < UNLIMITED_LEVEL {
         points_around(level)
--- a/quota-gateway/fair-share/src/allocator/gateway.rs
+++ b/quota-gateway/fair-share/src/allocator/gateway.rs
@@ -72,11 +72,11 @@
         self.grants.iter().map(|(_, units)| *units).fold(0.0, f64::max)
     }
 
-    /// Returns the maximum units per second that it may be sending.
+    /// Returns the maximum units per second that the gateway may be sending.
     ///
-    /// While decisions omit it, it limits itself to its `equal_share` if it reads one of them. If it reads
-    /// none, the last decision that has a grant for it expires after `validity`, and it then shrinks to its
-    /// equal share within `shrink_interval`.
+    /// If the newest decisions contain no grant for the gateway and it reads one of them, it limits itself to
+    /// its `equal_share`. If it reads none of them, its last decision with a grant expires after `validity`,
+    /// and the gateway then reduces its rate to its equal share within `shrink_interval`.
     pub(super) fn reserved(
         &self,
         now: Instant,
--- a/quota-gateway/fair-share/src/token_bucket.rs
+++ b/quota-gateway/fair-share/src/token_bucket.rs
@@ -18,8 +18,8 @@
         TokenBucket { tokens: 0.0, refilled_at: now }
     }
 
-    /// Adds the tokens for the time since the last refill, at `rate` units per second. The bucket always has
-    /// room for a request of `units`, at any rate, because a request cannot be split.
+    /// Adds the tokens for the time since the last refill, at `rate` units per second. Whatever the rate, the
+    /// capacity is at least the `units` of the current request, because a request cannot be split.
     pub(crate) fn refill(&mut self, now: Instant, rate: f64, units: f64) {
         let capacity = (rate * CAPACITY_SECONDS).max(units);
         let gained = rate * now.saturating_sub(self.refilled_at).as_secs_f64();
--- a/quota-gateway/fair-share/tests/fleet.rs
+++ b/quota-gateway/fair-share/tests/fleet.rs
@@ -375,8 +375,8 @@
         fleet.run(12_000, true, &case);
         let (error, index) = fleet.error_and_jain_index();
         assert!(error < 0.05, "{case}: error {error} and Jain index {index} after the partitions");
-        // After the capacity halves, the sum is within it again once every gateway has applied a smaller
-        // grant.
+        // After the capacity halves, the sum of all rates is within it again once every gateway has applied a
+        // smaller grant.
         fleet.capacity *= 0.5;
         fleet.allocator.set_capacity(fleet.capacity);
         fleet.run(3000, false, &case);
--- a/quota-gateway/fair-share/tests/levels_and_prices.rs
+++ b/quota-gateway/fair-share/tests/levels_and_prices.rs
@@ -16,8 +16,8 @@
 
 const GATEWAYS: usize = 30;
 const ROUNDS: usize = 60;
-/// Exponents of that ratio. Larger ones oscillate, and smaller ones converge more slowly
-/// (`docs/fair-share.md`).
+/// Exponents of the ratio of the capacity to the total, for the prices algorithm. Larger ones
+/// oscillate, and smaller ones converge more slowly (`docs/fair-share.md`).
 const GAINS: [f64; 3] = [0.3, 0.6, 1.0];
 
 struct Case {
--- a/quota-gateway/membership/src/detector.rs
+++ b/quota-gateway/membership/src/detector.rs
@@ -38,20 +38,20 @@
 
 /// The number of helpers that are asked to probe a member that does not acknowledge (SWIM: k).
 const INDIRECT_PROBES: usize = 3;
-/// The share of a protocol period for the direct probe. The rest is for the indirect probes.
+/// The fraction of a protocol period for the direct probe. The rest is for the indirect probes.
 const DIRECT_PROBE_SHARE: f64 = 0.4;
-/// The share of the direct probe's time after which a helper responds with a nack (Lifeguard).
+/// The fraction of the direct probe's timeout after which a helper responds with a nack (Lifeguard).
 const NACK_SHARE: f64 = 0.8;
 /// How long absent members are kept in the table, so that old updates do not mark them as present again. This
 /// is longer than an update is gossiped: more than twice the longest suspicion among a thousand members.
 const ABSENT_RETENTION_PERIODS: f64 = 200.0;
 /// The mean interval between synchronizations with a random member.
 const SYNC_INTERVAL_PERIODS: f64 = 30.0;
-/// The mean delay until the next synchronization after one that provided updates.
+/// The mean delay until the next synchronization if the last one provided updates.
 const FOLLOW_UP_SYNC_DELAY_PERIODS: f64 = 2.0;
 /// The mean interval between synchronizations while no other member is present.
 const JOIN_SYNC_INTERVAL_PERIODS: f64 = 1.0;
-/// The share of synchronizations with a seed, whether or not the seed counts as present.
+/// The fraction of synchronizations that are made with a seed, whether or not the seed counts as present.
 const SEED_SYNC_SHARE: f64 = 0.2;
 /// The delay of a tick beyond which this process is assumed to have been paused.
 const PAUSE_THRESHOLD_PERIODS: f64 = 0.5;
--- a/quota-gateway/shard-map/src/owner.rs
+++ b/quota-gateway/shard-map/src/owner.rs
@@ -188,7 +188,7 @@
             MigrationStep::Fencing if self.has_old_epoch_expired(now, &shard) => {
                 self.map.mark_drained(index, shard.epoch)
             }
-            // If the old cell is the one that does not respond, abandoning only helps while it accepts writes.
+            // Abandoning returns the shard to the old cell, which is useful only if that cell accepts writes.
             MigrationStep::Drained
                 if (is_target_lost || self.is_overdue(now, &shard)) && self.accepts_writes(shard.cell) =>
             {
@@ -199,8 +199,8 @@
         }
     }
 
-    /// Returns whether no gateway can write under the epoch before the migration any more. Always false if
-    /// cells fence.
+    /// Returns whether no gateway can still write under the epoch that was valid before the migration. Always
+    /// false if cells fence.
     fn has_old_epoch_expired(&self, now: Instant, shard: &Shard) -> bool {
         !self.timing.fencing
             && self.propagation.has_old_epoch_expired(now, shard.first, shard.epoch, &self.timing)
@@ -238,7 +238,7 @@
         let since = |first: &Firm| self.resident_since.get(first).copied().unwrap_or(self.started_at);
         let residence: Vec<Duration> =
             self.map.shards.iter().map(|shard| now.saturating_sub(since(&shard.first))).collect();
-        // Gateways do not report the load of each shard.
+        // No loads of shards are passed, because gateways do not report them.
         for planned in plan_migrations(&self.map, &self.cells, &[], &residence, &self.limits) {
             if self.map.plan(planned.shard, planned.to).is_ok() {
                 self.on_step(now, planned.shard);
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Removes acknowledgements of shards that are not open under that epoch any more.
+    /// Removes acknowledgements of shards that are no longer open under the acknowledged epoch.
     fn remove_closed(&mut self) {
         let open = self.map.shards.iter().filter(|shard| shard.is_open());
         let open: BTreeSet<(Firm, Epoch)> = open.map(|shard| (shard.first, shard.epoch)).collect();
--- a/quota-gateway/shard-map/src/owner/propagation.rs
+++ b/quota-gateway/shard-map/src/owner/propagation.rs
@@ -19,11 +19,11 @@
     stamp: Stamp,
     /// Time at which that map was published.
     published_at: Instant,
-    /// Time at which each gateway first reported that map or a later one. Later reports add no information.
+    /// Time at which each gateway first reported that map or a later one. Its later reports are ignored.
     applied_at: BTreeMap<u32, Instant>,
 }
 
-/// The maps that gateways have applied, and the raised epochs that are still current.
+/// The maps that gateways have applied, and the raised epochs that no later epoch has replaced.
 #[derive(Default)]
 pub(super) struct Propagation {
     /// Stamp of the map in the newest report of each gateway.
@@ -60,10 +60,11 @@
         self.raised.retain(|(first, epoch), _| epochs.get(first).is_some_and(|current| current <= epoch));
     }
 
-    /// Returns whether no gateway can write under the epoch before this one any more.
+    /// Returns whether no gateway can still write under the epoch that this raised epoch replaced.
     ///
-    /// A gateway that has applied the raised epoch can only have earlier attempts in flight. A gateway that
-    /// has not applied it, or is unknown, may use an older map until that map expires.
+    /// A gateway that has applied the raised epoch can still have attempts under the old epoch in flight, but
+    /// starts no new ones. A gateway that has not applied it, or is unknown, may use an older map until that
+    /// map expires.
     pub(super) fn has_old_epoch_expired(
         &self,
         now: Instant,
--- a/quota-gateway/shard-map/src/plan.rs
+++ b/quota-gateway/shard-map/src/plan.rs
@@ -31,7 +31,7 @@
 }
 
 impl CellStatus {
-    /// Returns whether shards may be migrated to it.
+    /// Returns whether shards may be migrated to this cell.
     pub(crate) fn accepts_shards(&self) -> bool {
         self.accepts_writes && !self.is_draining
     }
--- a/quota-gateway/work-handoff/tests/interleavings.rs
+++ b/quota-gateway/work-handoff/tests/interleavings.rs
@@ -38,7 +38,7 @@
 struct Config {
     class: RequestClass,
     has_receipts: bool,
-    /// The request is recorded as accepted before the intent is written, which takes two writes.
+    /// Whether the request is first recorded as accepted and then, by a second write, with its intent.
     queued: bool,
     faults: u8,
     /// Number of attempts that the server rejects without executing them.
