--- a/quota-gateway/control-messages/src/frame.rs
+++ b/quota-gateway/control-messages/src/frame.rs
@@ -62,7 +62,7 @@
     UnsupportedVersion,
     /// The message belongs to another fleet.
     WrongFleet,
-    /// The message has another kind than the receiver expects.
+    /// The kind of the message is not the one that the receiver expects.
     UnexpectedKind,
     /// The payload exceeds [`MAX_PAYLOAD_BYTES`], or is longer than specified in the header.
     TooLong,
--- a/quota-gateway/coordination/src/client/session.rs
+++ b/quota-gateway/coordination/src/client/session.rs
@@ -82,7 +82,7 @@
         self.0.is_alive()
     }
 
-    /// Calls the service to apply an operation that names this session once.
+    /// Calls the service to apply an operation that names this session. It is applied at most once.
     ///
     /// # Errors
     ///
--- a/quota-gateway/coordination/src/raft_types.rs
+++ b/quota-gateway/coordination/src/raft_types.rs
@@ -32,8 +32,8 @@
         AsyncRuntime = Runtime,
 );
 
-/// The runtime of the consensus: tokio, with all random numbers from this crate's own source, so that a run of
-/// a complete cluster can be replayed from a seed.
+/// The runtime of the consensus: tokio, with all random numbers from this crate's own source, so that a run
+/// of a complete cluster can be replayed from a seed.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Runtime;
 
--- a/quota-gateway/coordination/tests/state.rs
+++ b/quota-gateway/coordination/tests/state.rs
@@ -281,7 +281,10 @@
             let values: BTreeMap<String, Vec<u8>> = state.read("").1.into_iter().map(|(k, v)| (k.to_owned(), v.value.clone())).collect();
             prop_assert_eq!(values, model.values.iter().map(|(k, v)| (k.clone(), v.0.clone())).collect::<BTreeMap<_, _>>());
             // A watch from the previous revision reports every change up to the current revision.
-            let Changes::Changes { last_revision, changes } = state.changes("", before.revision(), usize::MAX) else { panic!("the changes are still retained") };
+            let Changes::Changes { last_revision, changes } = state.changes("", before.revision(), usize::MAX)
+            else {
+                panic!("the changes are still retained")
+            };
             prop_assert_eq!(last_revision, state.revision());
             let revisions: Vec<u64> = changes.iter().map(|(revision, _)| *revision).collect();
             prop_assert_eq!(revisions, (before.revision() + 1..=last_revision).collect::<Vec<_>>());
@@ -383,9 +386,10 @@
     let first = state.apply(&call(open("one")));
     assert_eq!(state.apply(&call(open("one"))), first, "the repeated call has the same outcome");
     let before = state.snapshot().expect("a snapshot");
-    assert!(
-        matches!(state.apply(&call(open("two"))), Some(Err(OperationError::Bad(reason))) if reason.starts_with("number"))
-    );
+    assert!(matches!(
+        state.apply(&call(open("two"))),
+        Some(Err(OperationError::Bad(reason))) if reason.starts_with("number")
+    ));
     assert_eq!(state.snapshot().expect("a snapshot"), before);
 }
 
--- a/quota-gateway/deadline/src/budget.rs
+++ b/quota-gateway/deadline/src/budget.rs
@@ -60,8 +60,8 @@
     }
 
     /// Records that the last byte was read `now` and had arrived `unread_for` earlier, which is when the
-    /// client's timeout starts. For a body that is streamed to a server, the last byte has reached the
-    /// server. Only the first call counts.
+    /// client's timeout starts. For a body that is streamed, this is called when the server has received the
+    /// last byte. Only the first call has an effect.
     pub fn on_complete(&mut self, now: Time, unread_for: Duration) {
         if self.complete_at.is_some() {
             return;
@@ -115,9 +115,9 @@
         self.remaining(now).map_or(max_wait, |remaining| max_wait.min(remaining / CONNECT_DIVISOR))
     }
 
-    /// Enters [`Stage::Attempt`] and returns the timeout to advertise to the server, in whole milliseconds: the
-    /// time until the earlier of the deadline and `attempt_ends_at`, less the `response_transit` time of the
-    /// server's response. It never increases from one attempt to the next.
+    /// Enters [`Stage::Attempt`] and returns the timeout to advertise to the server, in whole milliseconds:
+    /// the time until the earlier of the deadline and `attempt_ends_at`, less the `response_transit` time of
+    /// the server's response. It never increases from one attempt to the next.
     ///
     /// Returns `None`, and counts no attempt, when the request must not be sent: no time remains, or its
     /// response is decided.
--- a/quota-gateway/deadline/src/outcome_totals.rs
+++ b/quota-gateway/deadline/src/outcome_totals.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// Upper bounds of the histogram buckets, in seconds: from the delay that a busy core adds to beyond the
-/// longest deadline and [`STALL_TIMEOUT`](crate::STALL_TIMEOUT).
+/// Upper bounds of the histogram buckets, in seconds. The lowest is the delay that a busy core adds; the
+/// highest exceeds the longest deadline and [`STALL_TIMEOUT`](crate::STALL_TIMEOUT).
 const BUCKET_BOUNDS_SECS: [f64; 10] = [0.001, 0.005, 0.025, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0];
 
 /// The series of one class of requests.
--- a/quota-gateway/discovery/src/client.rs
+++ b/quota-gateway/discovery/src/client.rs
@@ -16,8 +16,8 @@
 /// The policy for full lists from which many known servers are missing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RemovalPolicy {
-    /// The fraction of the known servers, from 0 to 1, that may be missing from a list and be removed at once.
-    /// If more are missing, they are removed only after the delay.
+    /// The fraction of the known servers, from 0 to 1, that may be missing from a list and be removed at
+    /// once. If more are missing, they are removed only after the delay.
     pub max_missing_fraction: f64,
     /// How long the missing servers are kept, unless a list contains them again.
     pub removal_delay: Duration,
--- a/quota-gateway/fair-share/src/allocator/allocation.rs
+++ b/quota-gateway/fair-share/src/allocator/allocation.rs
@@ -4,8 +4,8 @@
 use crate::demand_curve::{first_points, interpolate, points_around};
 use marblecroft_control_messages::report::Demand;
 
-/// Fraction of the capacity by which the sum of the grants that gateways may still apply may exceed the
-/// capacity while grants move between gateways.
+/// While grants move between gateways, the sum of all grants that may still be applied can exceed the
+/// capacity by this fraction.
 pub const SLACK: f64 = 0.05;
 /// Fraction of the unused capacity that is granted by weight, so that demand can grow before the next
 /// decision.
@@ -116,8 +116,8 @@
     targets.into_iter().map(grant).collect()
 }
 
-/// Returns the levels that gateways sample next. While no firm is limited, these are around the level at which
-/// the capacity would be used up if all firms were limited, in case capacity becomes short.
+/// Returns the levels that gateways sample next. While no firm is limited, these are around the level at
+/// which the capacity would be used up if all firms were limited, in case capacity becomes short.
 fn points_to_sample(level: f64, capacity: f64, weight: f64) -> Vec<f64> {
     if level < UNLIMITED_LEVEL {
         points_around(level)
--- a/quota-gateway/membership/src/detector.rs
+++ b/quota-gateway/membership/src/detector.rs
@@ -86,8 +86,8 @@
     /// Returns the detector of a starting member.
     ///
     /// The incarnation should exceed that of the member's former processes. The wall-clock time in
-    /// milliseconds is suitable. If the incarnation is too low, the member overrides the others' claims about
-    /// its former process with a higher one.
+    /// milliseconds is suitable. If the incarnation is too low, the member refutes the others' claims about
+    /// its former process by raising its incarnation.
     pub fn new(config: Config, incarnation: u64, seed: u64, now: Now) -> FailureDetector {
         let mut random = Random(seed);
         // The random offset spreads the periods of members that start together.
--- a/quota-gateway/shard-map/src/map.rs
+++ b/quota-gateway/shard-map/src/map.rs
@@ -26,7 +26,7 @@
     Fencing,
     /// No write under the old epoch can take effect any more, so the records can be copied.
     Drained,
-    /// The new cell has all records of the old one. The migration cannot be abandoned any more.
+    /// The new cell has all records of the old one. The migration can no longer be abandoned.
     Copied,
 }
 
--- a/quota-gateway/zone-failover/src/controller.rs
+++ b/quota-gateway/zone-failover/src/controller.rs
@@ -18,8 +18,8 @@
 /// Time after which a decision is published even without a significant change, so that slowly rising
 /// capacities are published too.
 const MAX_DECISION_INTERVAL: Duration = Duration::from_secs(2);
-/// Lower bound of the traffic that the return of a zone is scaled from, as a fraction of its capacity. Its
-/// own demand may be too low for that, because its clients may have moved to other zones.
+/// The open capacity of a returning zone is scaled from its demand, but at least from this fraction of its
+/// capacity, because its clients may have moved to other zones.
 const MIN_RETURN_FRACTION: f64 = 0.25;
 /// Number of servers that a zone is assumed to have before the first reports. Too many is safe, because the
 /// capacity per server is then underestimated.
--- a/quota-gateway/zone-failover/src/zone.rs
+++ b/quota-gateway/zone-failover/src/zone.rs
@@ -62,7 +62,7 @@
     ) {
         self.lost_since = match verdict {
             Verdict::Lost | Verdict::WithoutServers => self.lost_since.or(Some(now)),
-            // A zone that gets no traffic is not observed any more, so the last evidence against it remains
+            // A zone that gets no traffic is no longer observed, so the last evidence against it remains
             // in force.
             Verdict::Unobserved => self.lost_since,
             Verdict::Healthy | Verdict::Inconclusive => None,
