--- a/quota-gateway/deadline/src/outcome_totals.rs
+++ b/quota-gateway/deadline/src/outcome_totals.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// Upper bounds of the histogram buckets, in seconds: from the delay that a busy core adds to beyond the
-/// longest deadline and [`STALL_TIMEOUT`](crate::STALL_TIMEOUT).
+/// Upper bounds of the histogram buckets, in seconds. The lowest is the delay that a busy core adds; the
+/// highest exceeds the longest deadline and [`STALL_TIMEOUT`](crate::STALL_TIMEOUT).
 const BUCKET_BOUNDS_SECS: [f64; 10] = [0.001, 0.005, 0.025, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0];
 
 /// The series of one class of requests.
@@ -141,8 +141,8 @@
         Ok(OutcomeTotals { registry, classes, retry_budget, gauges: RefCell::default() })
     }
 
-    /// Counts an attempt of a request of this class: its first, or a retry. An unknown class is ignored, here
-    /// and below.
+    /// Counts a first attempt or a retry of a request of this class. This method and those below ignore an
+    /// unknown class.
     pub fn record_attempt(&self, class: usize, is_first: bool) {
         if let Some(class) = self.classes.get(class) {
             if is_first { &class.first_attempts } else { &class.retries }.inc();
