--- a/common/settings/src/settings.rs
+++ b/common/settings/src/settings.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BindAddresses {
     /// For clients' requests (`bind_addresses.front`).
-    pub front: Option<SocketAddr>,
+    pub frontend: Option<SocketAddr>,
     /// For the platform's readiness checks (`bind_addresses.readiness`).
     pub readiness: Option<SocketAddr>,
     /// For the operator's API (`bind_addresses.control_plane`).
@@ -24,7 +24,7 @@
 impl BindAddresses {
     fn parse(fields: &Fields<'_>) -> Result<BindAddresses, Error> {
         Ok(BindAddresses {
-            front: fields.address("bind_addresses.front")?,
+            frontend: fields.address("bind_addresses.front")?,
             readiness: fields.address("bind_addresses.readiness")?,
             control_plane: fields.address("bind_addresses.control_plane")?,
         })
@@ -141,7 +141,7 @@
     pub ephemeral_ports: PortRange,
     /// Addresses of the operator API on up to three machines (`seeds`). Default: none.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the first start of the whole system (`bootstrap`). Default: false.
+    /// Whether this is the first start of the deployment (`bootstrap`). Default: false.
     pub bootstrap: bool,
     /// Resources of the process.
     pub limits: Limits,
--- a/control-plane/protocol/src/store.rs
+++ b/control-plane/protocol/src/store.rs
@@ -25,7 +25,8 @@
     Status,
     /// Requests a snapshot of the state. Sent by a store that is to be added to the chain.
     Fetch,
-    /// Submits a job. Sent by a gateway for a client; idempotent, as the job is recognised by its id and content.
+    /// Submits a job. Sent by a gateway for a client; idempotent, as the job is recognized by its id and
+    /// content.
     SubmitJob(NewJob),
     /// Reads a job's results from a position on. Sent by a gateway for a client.
     ReadResults {
@@ -159,7 +160,7 @@
 pub struct WorkReply {
     /// Items that are newly leased to the gateway.
     pub granted: Vec<GrantedItem>,
-    /// Items that the gateway must stop, as they are leased to another gateway or must not be run any more.
+    /// Items that the gateway must stop, as they are leased to another gateway or must no longer be run.
     pub stop: Vec<ItemId>,
     /// Duration of the leases in milliseconds. It counts from when the gateway sent the request, so that the gateway's
     /// leases never outlast the head's.
--- a/control-plane/server/src/pending_replies.rs
+++ b/control-plane/server/src/pending_replies.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Time after which a call without a reply is abandoned. Longer than the longest call, an operation followed
-/// by a read, which takes 3.7 s.
+/// by a read, which takes up to 3.7 s.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Waiting<R> {
@@ -49,7 +49,7 @@
     /// Delivers the reply to the call with this token.
     pub fn deliver(&self, token: Token, reply: R) {
         if let Some(sender) = self.lock().senders.remove(&token) {
-            // The channel has capacity for the only reply, so this fails only if the caller has given up.
+            // The channel has capacity for the only reply, so this fails only if the caller has timed out.
             let _ = sender.try_send(reply);
         }
     }
--- a/data-plane/gateway/src/batch_runner/item.rs
+++ b/data-plane/gateway/src/batch_runner/item.rs
@@ -1,9 +1,9 @@
 //! Runs one item of a batch job: attempts at servers that have capacity, until there is a result.
 //!
 //! Attempts continue until the item completes or cannot be processed, its route no longer exists,
-//! the maximum number of failures of the route is reached, or its retention time is over. Only a
+//! the maximum number of failures of the route is reached, or its retention time has passed. Only a
 //! response with status 500 counts as a failure of the item. Everything else is attributed to a
-//! server or the network, and another server is tried. A stream that breaks off is resumed after
+//! server or the network, and another server is tried. An interrupted stream is resumed after
 //! the last event received.
 
 use crate::gateway::Gateway;
@@ -36,8 +36,8 @@
 const FAILURE_BACKOFF: Duration = Duration::from_millis(60);
 /// An attempt is abandoned if the server sends nothing for this time.
 const FRAME_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Added to the retention time of an item before it is dead-lettered, because the clocks of gateway
-/// and store may differ.
+/// Margin for clock skew between gateway and store: an item is dead-lettered only this long after its
+/// retention time.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(10);
 
 /// A running item.
@@ -90,7 +90,7 @@
             let route = match self.route() {
                 RouteLookup::Found(route) => route,
                 RouteLookup::Removed => {
-                    debug!(item = %self.granted.item.id, "route is gone");
+                    debug!(item = %self.granted.item.id, "route no longer exists");
                     return ItemOutcome::DeadLettered;
                 }
                 RouteLookup::NoConfiguration => {
@@ -103,7 +103,7 @@
             }
             let service = self.gateway.service_of(&route, &self.granted.item.id);
             let Some(server) = self.choose(&service, &attempted) else {
-                // Servers that have already been tried may be chosen again.
+                // The next iteration may choose servers that have already been tried.
                 attempted.clear();
                 sleep(NO_CAPACITY_BACKOFF).await;
                 continue;
@@ -165,7 +165,7 @@
             uri: item.path.parse().ok()?,
             headers,
             body: Bytes::from(item.body.0.clone()),
-            idempotent: true,
+            allows_reexecution: true,
         })
     }
 
--- a/data-plane/routing/src/balance/balancer.rs
+++ b/data-plane/routing/src/balance/balancer.rs
@@ -54,7 +54,7 @@
         self.endpoints.retain(|_, endpoint| endpoint.listed || endpoint.in_flight > 0);
         // Uses the ids of the previous list, so that the tokens of a server that has just left are
         // still reported once.
-        self.unreported_tokens.retain_known(&self.ids_by_hash);
+        self.unreported_tokens.retain_servers(&self.ids_by_hash);
         self.ids_by_hash = self.endpoints.keys().map(|id| (fnv1a(id.as_bytes()), id.clone())).collect();
     }
 
@@ -180,7 +180,7 @@
     /// has no available server.
     ///
     /// If no server reports its load, it is estimated from the live requests of all gateways,
-    /// distributed over all services by slots. This estimate leaves out batch items, because they
+    /// distributed over all services by slots. This estimate excludes batch items, because they
     /// yield to live requests anyway.
     pub fn occupancy(&self, service: &str, now: Timestamp) -> Option<f64> {
         let (mut load, mut slots, mut is_reported) = (0.0, 0.0, false);
--- a/quota-gateway/control-messages/src/frame.rs
+++ b/quota-gateway/control-messages/src/frame.rs
@@ -62,7 +62,7 @@
     UnsupportedVersion,
     /// The message belongs to another fleet.
     WrongFleet,
-    /// The message has another kind than the receiver expects.
+    /// The kind of the message is not the one that the receiver expects.
     UnexpectedKind,
     /// The payload exceeds [`MAX_PAYLOAD_BYTES`], or is longer than specified in the header.
     TooLong,
@@ -155,8 +155,8 @@
     /// The [`DecodeError`] of the first check that fails.
     pub fn read(fleet: Fleet, bytes: &[u8]) -> Result<Header, DecodeError> {
         let header: &[u8; HEADER_BYTES] = bytes.first_chunk().ok_or(DecodeError::Truncated)?;
-        let integer = |from: usize, upto: usize| {
-            header[from..upto].iter().rev().fold(0_u64, |n, byte| n << 8 | u64::from(*byte))
+        let integer = |from: usize, to: usize| {
+            header[from..to].iter().rev().fold(0_u64, |n, byte| n << 8 | u64::from(*byte))
         };
         if header[..4] != MAGIC {
             return Err(DecodeError::BadMagic);
--- a/testing/fault-injection/src/checker/registers.rs
+++ b/testing/fault-injection/src/checker/registers.rs
@@ -17,7 +17,7 @@
 
 impl Checker {
     /// Records the result of a call on a register. A call without effect is dropped, as if it had never been
-    /// made. A call with an unknown result is kept without an answer.
+    /// made. A call with an unknown result is kept without a response.
     pub(super) fn returned(&mut self, at: Nanos, call: u64, returned: CallResult) {
         let ret = match returned {
             CallResult::Value { value, revision } => Ret::Value { value, revision },
@@ -30,7 +30,7 @@
             CallResult::Unknown => return,
         };
         if let Some((_, call)) = self.calls.get_mut(&call) {
-            call.answer = Some((at, ret));
+            call.response = Some((at, ret));
         }
     }
 
@@ -48,9 +48,9 @@
         };
         let Some(watch) = watches.last_mut() else { return };
         let in_order = changes.windows(2).all(|pair| pair[0].0 < pair[1].0);
-        let behind = changes.iter().all(|(revision, ..)| *revision > since && *revision <= upto);
-        if since != watch.upto || upto < since || !in_order || !behind {
-            self.broken("nothing_acknowledged_lost", || {
+        let in_range = changes.iter().all(|(revision, ..)| *revision > since && *revision <= upto);
+        if since != watch.upto || upto < since || !in_order || !in_range {
+            self.add_violation("nothing_acknowledged_lost", || {
                 format!(
                     "candidates[{watcher}] watches from {since} and received changes up to {upto} out of order at {}",
                     seconds(at)
@@ -68,18 +68,18 @@
     pub(super) fn check_registers(&mut self) {
         let mut by_register: BTreeMap<u16, Vec<Call>> = BTreeMap::new();
         for (register, call) in std::mem::take(&mut self.calls).into_values() {
-            // A read without an answer has no effect and proves nothing.
-            if call.answer.is_some() || call.op != Op::Read {
+            // A read without a response has no effect and proves nothing.
+            if call.response.is_some() || call.op != Op::Read {
                 by_register.entry(register).or_default().push(call);
             }
         }
         for (register, calls) in &by_register {
-            match linear::judge(calls) {
-                linear::Verdict::Linear => {}
-                linear::Verdict::Not => self.broken("nothing_acknowledged_lost", || {
+            match linear::check_linearizability(calls) {
+                linear::Verdict::Linearizable => {}
+                linear::Verdict::NotLinearizable => self.add_violation("nothing_acknowledged_lost", || {
                     format!("register-{register}: no order of its {} calls explains their results", calls.len())
                 }),
-                linear::Verdict::Undecided => self.broken("nothing_acknowledged_lost", || {
+                linear::Verdict::Undecided => self.add_violation("nothing_acknowledged_lost", || {
                     format!("register-{register}: the search for an order of its calls that explains their results is undecided")
                 }),
             }
@@ -90,7 +90,8 @@
                     .iter()
                     .flat_map(|(register, calls)| calls.iter().map(move |call| (*register, call)))
                 {
-                    let (Op::Put { value, .. }, Some((at, Ret::Written(revision)))) = (call.op, call.answer)
+                    let (Op::Put { value, .. }, Some((at, Ret::Written(revision)))) =
+                        (call.op, call.response)
                     else {
                         continue;
                     };
@@ -98,7 +99,7 @@
                         continue;
                     }
                     if watch.changes.get(&revision) != Some(&(register, value)) {
-                        self.broken("nothing_acknowledged_lost", || {
+                        self.add_violation("nothing_acknowledged_lost", || {
                             format!(
                                 "candidates[{watcher}] did not receive revision {revision} of register-{register}, acknowledged at {}",
                                 seconds(at)
--- a/testing/fault-injection/src/decisions.rs
+++ b/testing/fault-injection/src/decisions.rs
@@ -1,4 +1,4 @@
-//! Checks and figures of the controllers' decisions, based on the history alone: no gateway goes back to an
+//! Checks and figures of the controllers' decisions, based on the history alone: no gateway reverts to an
 //! older decision, none is published under an older token, and no zone receives more from other zones than
 //! its capacity. Shares and shards have modules of their own.
 
@@ -7,7 +7,7 @@
 
 use crate::checker::Finding;
 use crate::deployment::{Nanos, MS, SECOND};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::history::{DecisionKind, Event, Outcome, ProcessChange, Setup, TimedEvent, Trace, ZoneState};
 use std::collections::{BTreeMap, HashMap};
 
@@ -47,7 +47,8 @@
 /// Share by which the requests from other zones may exceed a zone's decided capacity: demand may grow by it
 /// before a gateway limits what it sends to other zones.
 const SLACK_SHARE: f64 = 0.25;
-/// Allowance for random variation: this many square roots of the capacity, plus this many requests.
+/// Factor of the allowance for random variation in the requests of a second, which is this factor times the
+/// square root of the capacity, plus the factor itself.
 const CHANCE_ROOTS: f64 = 4.0;
 /// Time for which gateways may still apply a decision after the next one was published.
 const MAX_DECISION_LAG: Nanos = 3 * SECOND;
@@ -58,7 +59,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct DecisionFigures {
     /// The share of attempts that went to a pay server of the gateway's own zone.
-    pub near_share: Option<f64>,
+    pub same_zone_share: Option<f64>,
     /// Time from the start of the first fault to the first decision that fails a zone over, in milliseconds.
     pub time_to_failover_ms: Option<u64>,
     /// Time from the end of the last fault to the first decision with all zones serving, in milliseconds.
@@ -78,8 +79,8 @@
     violations: Violations,
     shares: shares::ShareChecker,
     shards: shards::ShardChecker,
-    /// Token and revision of the decision of each kind that each gateway applies, since its process was
-    /// started.
+    /// Token and revision of the decision that a gateway last applied since its process was started, by
+    /// gateway and kind of decision.
     applied: HashMap<(u16, DecisionKind), (u64, u64)>,
     /// Token and revision of the last published decision of each kind.
     last: BTreeMap<DecisionKind, (u64, u64)>,
@@ -126,7 +127,7 @@
                 self.published(at, DecisionKind::Shares, (*token, *revision));
             }
             Event::ShardMapDecided { token, revision, .. } => {
-                self.published(at, DecisionKind::Books, (*token, *revision));
+                self.published(at, DecisionKind::ShardMap, (*token, *revision));
             }
             Event::DecisionApplied { gateway, kind, token, revision } => {
                 let now = (*token, *revision);
@@ -141,11 +142,14 @@
                 }
             }
             Event::DecisionRefused { .. } => self.refused += 1,
-            Event::ProcessChanged { end: End::Gateway(gateway), change: ProcessChange::Started } => {
+            Event::ProcessChanged {
+                endpoint: Endpoint::Gateway(gateway),
+                change: ProcessChange::Started,
+            } => {
                 self.applied.retain(|(of, _), _| of != gateway);
             }
             Event::Arrived { server, gateway, trace, .. } => self.arrived(at, *server, *gateway, *trace),
-            Event::TryEnded { trace, outcome: Outcome::Served { .. } } => drop(self.traces.remove(trace)),
+            Event::AttemptEnded { trace, outcome: Outcome::Served { .. } } => drop(self.traces.remove(trace)),
             Event::FaultBegan { .. } => drop(self.first_fault_at.get_or_insert(at)),
             Event::FaultEnded { .. } => self.last_fault_end = Some(at),
             _ => {}
@@ -167,7 +171,7 @@
             capacities.push((at, *units));
         }
         self.states = zones.iter().map(|(state, _)| *state).collect();
-        let out = self.states.contains(&ZoneState::Out);
+        let out = self.states.contains(&ZoneState::FailedOver);
         if out && self.first_fault_at.is_some() {
             self.failover_at.get_or_insert(at);
         }
@@ -183,9 +187,9 @@
         self.sends += 1;
         self.same_zone += u64::from(from == to);
         // Only first attempts count: repeated attempts are not limited by the decided capacities.
-        let tries = self.traces.entry(trace).or_default();
-        *tries += 1;
-        if *tries == 1 && from != to && !self.capacities.iter().all(Vec::is_empty) {
+        let attempts = self.traces.entry(trace).or_default();
+        *attempts += 1;
+        if *attempts == 1 && from != to && !self.capacities.iter().all(Vec::is_empty) {
             *self.cross_zone.entry((to, at / SECOND)).or_default() += 1;
         }
     }
@@ -210,8 +214,8 @@
             .iter()
             .filter_map(|((zone, second), sent)| {
                 let capacity = self.max_capacity(*zone, *second)?;
-                let most = capacity * (1.0 + SLACK_SHARE) + CHANCE_ROOTS * capacity.sqrt() + CHANCE_ROOTS;
-                (*sent as f64 > most).then_some((*zone, *second, *sent, capacity))
+                let max_sent = capacity * (1.0 + SLACK_SHARE) + CHANCE_ROOTS * capacity.sqrt() + CHANCE_ROOTS;
+                (*sent as f64 > max_sent).then_some((*zone, *second, *sent, capacity))
             })
             .collect();
         for (zone, second, sent, capacity) in over {
@@ -232,7 +236,7 @@
         let since = |to: Option<Nanos>, from: Option<Nanos>| Some(to?.saturating_sub(from?) / MS);
         let decides = controllers > 0;
         let figures = DecisionFigures {
-            near_share: (self.sends > 0 && self.zones() > 1)
+            same_zone_share: (self.sends > 0 && self.zones() > 1)
                 .then(|| self.same_zone as f64 / self.sends as f64),
             time_to_failover_ms: since(self.failover_at, self.first_fault_at),
             time_to_return_ms: since(self.return_at, self.last_fault_end),
--- a/testing/fault-injection/src/decisions/shares.rs
+++ b/testing/fault-injection/src/decisions/shares.rs
@@ -10,15 +10,16 @@
 /// Length of the windows over which demand and sent requests are summed, in seconds. A second is too short,
 /// because it has only one or two requests of a firm.
 const WINDOW_SECONDS: usize = 4;
-/// Share by which the sum may exceed the capacity, which is the slack of the controllers' decisions. In
-/// addition the firms' token buckets may release one second's worth in a window. It is also the deviation from
-/// the exact solution up to which shares count as settled after a shift of demand.
+/// Share by which the requests that all firms sent may exceed the capacity, which is the slack of the
+/// controllers' decisions. In addition the firms' token buckets may release one second's worth in a window.
+/// Shares also count as converged after a shift of demand if they deviate by at most this share of the
+/// capacity from the exact solution.
 const SLACK_SHARE: f64 = 0.05;
 /// Time for which shares may be in transition after the start or end of a fault, a shift of demand, and the
 /// start of the load.
 const TRANSITION: Nanos = 8 * SECOND;
 /// Part of its minimum share that a firm must receive, less the allowance for random variation and one
-/// request, because requests are whole.
+/// request, because a request is not divisible.
 const FLOOR_SHARE: f64 = 0.75;
 /// Allowance for random variation, in square roots of the expected number of requests.
 const CHANCE_ROOTS: f64 = 3.0;
@@ -27,7 +28,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShareFigures {
     pub share_error: Option<f64>,
-    pub time_to_shares_ms: Option<u64>,
+    pub time_to_fair_shares_ms: Option<u64>,
 }
 
 #[derive(Default)]
@@ -40,12 +41,12 @@
     traces: HashMap<Trace, u32>,
     arrived: HashSet<Trace>,
     /// Number of requests by second of the load and firm.
-    asked: Vec<Vec<f64>>,
+    requested: Vec<Vec<f64>>,
     /// Number of requests that were sent to pay servers, by second of the load and firm.
     sent: Vec<Vec<f64>>,
     /// The capacity that all firms together may use, and when it was decided.
     capacity: Vec<(Nanos, f64)>,
-    moved: Vec<Nanos>,
+    transitions: Vec<Nanos>,
     end: Nanos,
 }
 
@@ -58,14 +59,14 @@
         // A firm's weight is its price times its contracted rate, as in the gateways.
         let weight = |plan: &u8| setup.quotas.get(usize::from(*plan)).map_or(0.0, |q| q.price * q.rate);
         self.weights = setup.plans.iter().map(weight).collect();
-        self.moved.push(setup.load_from);
-        self.moved.extend(self.shift);
+        self.transitions.push(setup.load_from);
+        self.transitions.extend(self.shift);
     }
 
     fn second(&mut self, at: Nanos) -> Option<usize> {
         let second = usize::try_from(at.checked_sub(self.from).filter(|_| at < self.end)? / SECOND).ok()?;
         let n = self.weights.len();
-        for all in [&mut self.asked, &mut self.sent] {
+        for all in [&mut self.requested, &mut self.sent] {
             if all.len() <= second {
                 all.resize(second + 1, vec![0.0; n]);
             }
@@ -82,22 +83,22 @@
             Event::RequestStarted { request, customer, .. } => {
                 self.customers.insert(*request, *customer);
                 if let Some(second) = self.second(at) {
-                    self.asked[second][*customer as usize] += 1.0;
+                    self.requested[second][*customer as usize] += 1.0;
                 }
             }
-            Event::TryStarted { request, trace, .. } => {
+            Event::AttemptStarted { request, trace, .. } => {
                 if let Some(customer) = self.customers.get(request) {
                     self.traces.insert(*trace, *customer);
                 }
             }
-            // Only the first attempt of a try counts towards the share.
+            // Only the first attempt at a pay server of each client attempt counts towards the share.
             Event::Arrived { trace, .. } if self.arrived.insert(*trace) => {
                 if let (Some(second), Some(customer)) = (self.second(at), self.traces.get(trace).copied()) {
                     self.sent[second][customer as usize] += 1.0;
                 }
             }
             Event::SharesDecided { capacity, .. } => self.capacity.push((at, *capacity)),
-            Event::FaultBegan { .. } | Event::FaultEnded { .. } => self.moved.push(at),
+            Event::FaultBegan { .. } | Event::FaultEnded { .. } => self.transitions.push(at),
             _ => {}
         }
     }
@@ -123,51 +124,51 @@
         let seconds = WINDOW_SECONDS as f64;
         let all: f64 = self.weights.iter().sum();
         let mut errors: Vec<f64> = Vec::new();
-        let mut settled: Option<Nanos> = None;
+        let mut converged_at: Option<Nanos> = None;
         for second in 0..self.sent.len().saturating_sub(WINDOW_SECONDS - 1) {
             let from = self.from + second as Nanos * SECOND;
             let to = from + WINDOW_SECONDS as Nanos * SECOND;
             // A decision from before the load applies to the first windows; windows without a decision are
             // skipped.
             let Some(capacity) = self.capacity_in(from, to) else { continue };
-            let asked = ShareChecker::sums(&self.asked[second..second + WINDOW_SECONDS]);
+            let requested = ShareChecker::sums(&self.requested[second..second + WINDOW_SECONDS]);
             let sent = ShareChecker::sums(&self.sent[second..second + WINDOW_SECONDS]);
             let sum: f64 = sent.iter().sum();
-            let most = capacity * (1.0 + SLACK_SHARE) * (seconds + 1.0);
-            let calm = self.moved.iter().all(|moved| to <= *moved || from >= *moved + TRANSITION);
-            if sum > most + CHANCE_ROOTS * most.sqrt() {
+            let max_sum = capacity * (1.0 + SLACK_SHARE) * (seconds + 1.0);
+            let is_steady = self.transitions.iter().all(|start| to <= *start || from >= *start + TRANSITION);
+            if sum > max_sum + CHANCE_ROOTS * max_sum.sqrt() {
                 violations.add("shares_within_capacity", || {
                     format!("{sum} were sent on in the {WINDOW_SECONDS} s from second {second}, and all firms may send {capacity:.1} a second")
                 });
             }
-            let firms: Vec<Firm> = asked
+            let firms: Vec<Firm> = requested
                 .iter()
                 .zip(&self.weights)
                 .map(|(demand, weight)| Firm { demand: *demand, weight: *weight })
                 .collect();
             let exact = max_min_shares(&firms, capacity * seconds);
-            let far = |(sent, exact): (&f64, &f64)| (sent - exact).abs() / (capacity * seconds);
-            let error = sent.iter().zip(&exact).map(far).fold(0.0, f64::max);
-            if calm {
+            let deviation = |(sent, exact): (&f64, &f64)| (sent - exact).abs() / (capacity * seconds);
+            let error = sent.iter().zip(&exact).map(deviation).fold(0.0, f64::max);
+            if is_steady {
                 errors.push(error);
                 for (firm, (sent, firm_demand)) in sent.iter().zip(&firms).enumerate() {
-                    let least = firm_demand.demand.min(capacity * seconds * firm_demand.weight / all);
-                    if *sent < FLOOR_SHARE * least - CHANCE_ROOTS * least.sqrt() - 1.0 {
+                    let min_share = firm_demand.demand.min(capacity * seconds * firm_demand.weight / all);
+                    if *sent < FLOOR_SHARE * min_share - CHANCE_ROOTS * min_share.sqrt() - 1.0 {
                         violations.add("share_floor", || {
-                            format!("firm {firm} had {sent} sent on in the {WINDOW_SECONDS} s from second {second}, and its minimum share is {least:.1}")
+                            format!("firm {firm} had {sent} sent on in the {WINDOW_SECONDS} s from second {second}, and its minimum share is {min_share:.1}")
                         });
                     }
                 }
             }
             let after = self.shift.filter(|shift| from >= *shift);
             if after.is_some() && error <= SLACK_SHARE {
-                settled.get_or_insert(from);
+                converged_at.get_or_insert(from);
             }
         }
         errors.sort_by(f64::total_cmp);
         ShareFigures {
             share_error: errors.get(errors.len() / 2).copied(),
-            time_to_shares_ms: settled.zip(self.shift).map(|(at, shift)| (at - shift) / MS),
+            time_to_fair_shares_ms: converged_at.zip(self.shift).map(|(at, shift)| (at - shift) / MS),
         }
     }
 }
--- a/testing/fault-injection/src/deployment.rs
+++ b/testing/fault-injection/src/deployment.rs
@@ -2,7 +2,7 @@
 //! each gateway and the victims of each fault. The same scenario and seed give the same deployment, load and
 //! faults on every machine.
 
-use crate::endpoint::{End, Kind};
+use crate::endpoint::{Endpoint, Kind};
 use crate::scenario::tenancy::Tenants;
 use crate::scenario::{Fault, FaultKind, Scenario, ScenarioError, Target};
 use rand::seq::{index, SliceRandom};
@@ -74,7 +74,7 @@
 pub struct Quota {
     /// Name of the plan.
     pub name: String,
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
     /// Depth of the token bucket, in units.
     pub burst: f64,
@@ -84,18 +84,18 @@
     pub over_cost: f64,
     /// Maximum number of concurrent attempts; 0 for no limit.
     pub open: u32,
-    /// The hard ceiling in units a second; 0 for none.
-    pub ceiling_rate: f64,
-    /// Depth of the ceiling's token bucket, in units.
-    pub ceiling_depth: f64,
-    /// How far the ceiling may be exceeded, in units.
-    pub ceiling_slack: f64,
+    /// The hard rate limit in units per second; 0 for none.
+    pub rate_limit: f64,
+    /// Depth of the rate limit's token bucket, in units.
+    pub rate_limit_burst: f64,
+    /// How far the rate limit may be exceeded, in units.
+    pub rate_limit_slack: f64,
 }
 
 /// A pay server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PayServer {
-    /// Id of the server in lists.
+    /// Id of the server in discovery.
     pub id: String,
     /// Index of the server's zone.
     pub zone: usize,
@@ -115,13 +115,13 @@
     /// End of the fault; `None` if it is permanent.
     pub until: Option<Nanos>,
     /// The processes and stand-ins that the fault affects.
-    pub victims: Vec<End>,
+    pub victims: Vec<Endpoint>,
     /// The lock or role whose owner is the victim, or `leader`. The owner is looked up when the fault starts.
     pub owner: Option<String>,
     /// The lock or role whose owner is the other side of a fault of links.
     pub from_owner: Option<String>,
     /// The other side of a fault of links; empty for all others.
-    pub from: Vec<End>,
+    pub from: Vec<Endpoint>,
     /// Whether only one direction fails.
     pub one_way: bool,
     /// Whether connections are reset.
@@ -149,9 +149,9 @@
     pub faults: Vec<DrawnFault>,
 }
 
-/// The class that may run more than once.
+/// The class of requests that may run more than once.
 pub const SAFE: u8 = 0;
-/// The class that must never run twice.
+/// The class of requests that must never run twice.
 pub const UNSAFE: u8 = 1;
 /// Names of the classes, by number.
 pub const CLASSES: [&str; 2] = ["payslip-read", "pay-run-submit"];
@@ -160,7 +160,7 @@
 pub const MAX_ATTEMPTS: u32 = 4;
 /// Time for which gateways may still send to a draining server.
 pub const DRAIN_GRACE: Nanos = 500 * MS;
-/// Extension of the rules' time limits for the delays of sockets.
+/// Extension of the invariants' time limits, to allow for the delays of sockets.
 pub const SOCKET_SLACK: Nanos = 50 * MS;
 /// Interval between two reports of the meter.
 pub const METER_PERIOD: Nanos = 500 * MS;
@@ -201,7 +201,7 @@
         let site = &scenario.site;
         let ns = |ms: u64| ms * MS;
         let profile = |name: &str, effect: &str, worth: f64| {
-            json!({"Name": name, "Aim": ns(site.aim_ms), "Deadline": ns(site.deadline_ms), "Effect": effect, "Group": "all",
+            json!({"Name": name, "Aim": ns(site.latency_target_ms), "Deadline": ns(site.deadline_ms), "Effect": effect, "Group": "all",
                 "Importance": worth, "KeyTtl": 0, "LateValue": 0.0, "Stream": false})
         };
         let plans: Vec<Value> = self
@@ -209,8 +209,8 @@
             .iter()
             .map(|quota| {
                 json!({"Name": quota.name, "Rate": quota.rate, "Burst": quota.burst, "AtOnce": quota.open,
-                    "NeverOverRate": quota.ceiling_rate, "NeverOverDepth": quota.ceiling_depth,
-                    "CapSlack": quota.ceiling_slack, "ValueFactor": quota.price, "OverCost": quota.over_cost,
+                    "NeverOverRate": quota.rate_limit, "NeverOverDepth": quota.rate_limit_burst,
+                    "CapSlack": quota.rate_limit_slack, "ValueFactor": quota.price, "OverCost": quota.over_cost,
                     "OverWorth": 0.0})
             })
             .collect();
@@ -225,9 +225,9 @@
             "Limits": {"Cancel": true, "ConnIdle": 15 * SECOND, "ConnectTimeout": 250 * MS,
                 "MaxAttempts": MAX_ATTEMPTS, "MaxRetryAfter": 500 * MS, "MostHeld": 20_000, "Peers": false, "Probes": true,
                 "RetryAfter": true, "SecondCopies": false, "StreamsPerConn": 1},
-            "Rules": {"AnswerSlack": 16 * MS, "AskEvery": 10 * SECOND, "ColdFrom": site.cold_from,
-                "DrainGrace": DRAIN_GRACE, "Fall": ns(site.fall_ms), "OverloadFactor": site.fall_multiple,
-                "RampTime": ns(site.cold_ms)},
+            "Rules": {"AnswerSlack": 16 * MS, "AskEvery": 10 * SECOND, "ColdFrom": site.initial_speed_share,
+                "DrainGrace": DRAIN_GRACE, "Fall": ns(site.overload_window_ms), "OverloadFactor": site.overload_multiple,
+                "RampTime": ns(site.warmup_ms)},
             "Fees": {"CrossZone": 0.01, "Probe": 0.01, "Waste": 0.08, "LateFail": 0.03},
             "Clients": {"MarksRetry": true}, "Report": {"Fields": [], "How": "off"}
         })
@@ -262,8 +262,8 @@
                 x if x < 0.91 => rng.random_range(0.8..0.95),
                 _ => rng.random_range(1.5..3.0),
             };
-            let most = if gateways <= 4 { 4 } else { 9 };
-            let size = rng.random_range(2..=most).min(gateways);
+            let max_size = if gateways <= 4 { 4 } else { 9 };
+            let size = rng.random_range(2..=max_size).min(gateways);
             let weight = use_of_quota * site.plans[plan].rate;
             customers.push(Customer {
                 id: rng.random_range(0..1u64 << 33),
@@ -287,7 +287,11 @@
         let rate = plan.rate * scale;
         // A bucket that holds less than one request would never admit any.
         let burst = (rate * plan.burst_s).max(1.0);
-        let depth = if plan.ceiling > 0.0 { (rate * plan.ceiling * 1.3).max(2.0) } else { 0.0 };
+        let depth = if plan.rate_limit_multiple > 0.0 {
+            (rate * plan.rate_limit_multiple * 1.3).max(2.0)
+        } else {
+            0.0
+        };
         Quota {
             name: plan.name.clone(),
             rate,
@@ -295,9 +299,9 @@
             price: plan.price,
             over_cost: plan.over_cost,
             open: if plan.open == 0 { 0 } else { (f64::from(plan.open) * scale).ceil().max(2.0) as u32 },
-            ceiling_rate: rate * plan.ceiling,
-            ceiling_depth: depth,
-            ceiling_slack: if depth > 0.0 { (depth * 0.1).max(1.0) } else { 0.0 },
+            rate_limit: rate * plan.rate_limit_multiple,
+            rate_limit_burst: depth,
+            rate_limit_slack: if depth > 0.0 { (depth * 0.1).max(1.0) } else { 0.0 },
         }
     });
     (customers, quotas.collect())
@@ -323,8 +327,8 @@
             let greedy = i < tenants.greedy as usize;
             let demand =
                 weight(i) / all * if greedy { GREEDY_DEMAND_FACTOR } else { rng.random_range(0.3..1.5) };
-            let most = if gateways <= 4 { 4 } else { 9 };
-            let size = rng.random_range(2..=most).min(gateways);
+            let max_size = if gateways <= 4 { 4 } else { 9 };
+            let size = rng.random_range(2..=max_size).min(gateways);
             Customer {
                 id: rng.random_range(0..1u64 << 33),
                 plan: plans.iter().position(|plan| *plan == weight(i)).unwrap_or(0),
@@ -360,9 +364,9 @@
             price: 1.0,
             over_cost: 1.0,
             open: 0,
-            ceiling_rate: 0.0,
-            ceiling_depth: 0.0,
-            ceiling_slack: 0.0,
+            rate_limit: 0.0,
+            rate_limit_burst: 0.0,
+            rate_limit_slack: 0.0,
         }
     });
     (customers, quotas.collect())
@@ -370,8 +374,8 @@
 
 fn draw_faults(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Result<Vec<DrawnFault>, ScenarioError> {
     let mut drawn: Vec<DrawnFault> = Vec::new();
-    // Start, end and number of each fault during which a process is down or suspended.
-    let mut outages: BTreeMap<End, Vec<(Nanos, Nanos, usize)>> = BTreeMap::new();
+    // For each process, the start, end and index of the faults during which it is down or suspended.
+    let mut outages: BTreeMap<Endpoint, Vec<(Nanos, Nanos, usize)>> = BTreeMap::new();
     for (i, fault) in scenario.faults.iter().enumerate() {
         let victims = members(scenario, &fault.target);
         let count = match (fault.share, fault.count) {
@@ -379,7 +383,7 @@
             (_, Some(count)) => count as usize,
             _ => victims.len(),
         };
-        let mut chosen: Vec<End> =
+        let mut chosen: Vec<Endpoint> =
             index::sample(rng, victims.len(), count.min(victims.len())).iter().map(|k| victims[k]).collect();
         chosen.sort_unstable();
         let at = fault.at_ms * MS;
@@ -422,14 +426,16 @@
     fault.probability.unwrap_or(default)
 }
 
-fn members(scenario: &Scenario, target: &Target) -> Vec<End> {
+fn members(scenario: &Scenario, target: &Target) -> Vec<Endpoint> {
     match target {
-        Target::All(kind) => (0..scenario.count(*kind)).filter_map(|i| End::of(*kind, i)).collect(),
-        Target::One(kind, index) => End::of(*kind, *index).into_iter().collect(),
+        Target::All(kind) => (0..scenario.count(*kind)).filter_map(|i| Endpoint::of(*kind, i)).collect(),
+        Target::One(kind, index) => Endpoint::of(*kind, *index).into_iter().collect(),
         Target::Zone(_) | Target::Region(_) => Kind::ALL
             .into_iter()
-            .flat_map(|kind| (0..scenario.count(kind)).filter_map(move |i| End::of(kind, i)))
-            .filter(|end| scenario.zone_of(*end).is_some_and(|zone| scenario.is_zone_in(zone, target)))
+            .flat_map(|kind| (0..scenario.count(kind)).filter_map(move |i| Endpoint::of(kind, i)))
+            .filter(|endpoint| {
+                scenario.zone_of(*endpoint).is_some_and(|zone| scenario.is_zone_in(zone, target))
+            })
             .collect(),
         // Looked up when the fault starts.
         Target::Owner(_) => Vec::new(),
--- a/testing/fault-injection/src/figures.rs
+++ b/testing/fault-injection/src/figures.rs
@@ -3,7 +3,7 @@
 use crate::checker::Finding;
 use crate::decisions::DecisionFigures;
 use crate::deployment::{Nanos, MS, SECOND, UNSAFE};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::history::{Event, Outcome, Setup, TimedEvent, Trace};
 use crate::scenario::FaultKind;
 use hdrhistogram::Histogram;
@@ -28,8 +28,8 @@
     pub scenario: String,
     /// The seed.
     pub seed: u64,
-    /// Number of requests, each with all its tries. The next five figures add up to it if every request has
-    /// ended.
+    /// Number of requests, each with all its client attempts. The next five figures add up to it if every
+    /// request has ended.
     pub requests: u64,
     /// Number of requests that were served.
     pub served: u64,
@@ -45,9 +45,9 @@
     pub lost: u64,
     /// Number of unsafe requests that ran more than once.
     pub ran_twice: u64,
-    /// Answers within the latency target a second, before the first fault.
+    /// Responses within the latency target per second, before the first fault.
     pub goodput_before: Option<f64>,
-    /// Answers within the latency target a second, after the end of the last fault.
+    /// Responses within the latency target per second, after the end of the last fault.
     pub goodput_after: Option<f64>,
     /// Time from the end of the last fault to full service, in milliseconds.
     pub time_to_full_service_ms: Option<u64>,
@@ -55,33 +55,36 @@
     pub peaks: BTreeMap<String, Option<f64>>,
     /// Whether each invariant holds, by name; null if it does not apply.
     pub invariants: BTreeMap<String, Option<bool>>,
-    /// Number of tries that were in flight at a gateway when a fault affected it.
+    /// Number of client attempts that were in flight at a gateway when a fault affected it.
     #[serde(rename = "in_hand")]
     pub in_flight: u64,
-    /// Number of those whose connection ended without an answer.
+    /// Number of these attempts whose connection ended without a response.
     #[serde(rename = "in_hand_lost")]
     pub in_flight_lost: u64,
-    /// Number of unsafe requests whose client received no answer.
+    /// Number of unsafe requests whose client received no response.
     pub unsafe_lost: u64,
-    /// Number of those that had run.
+    /// Number of these requests that had run.
     pub unsafe_lost_ran: u64,
-    /// Share of the requests that ended without an answer.
+    /// Share of the requests that ended without a response.
     pub unanswered_share: f64,
-    /// Number of tries that reached no listener.
-    pub unreachable_tries: u64,
-    /// Number of pay servers' crashes because of overload.
+    /// Number of client attempts that reached no listener.
+    #[serde(rename = "unreachable_tries")]
+    pub unreachable_client_attempts: u64,
+    /// Number of crashes of pay servers because of overload.
     #[serde(rename = "fell")]
     pub overload_crashes: u64,
     /// Number of processes that exited by themselves.
     pub crashes: u64,
-    /// Longest time between two actions under the same lock, in milliseconds; null without any.
+    /// Longest time between consecutive actions under the same lock, in milliseconds; null if there
+    /// were none.
     pub owner_gap_ms: Option<u64>,
     /// Number of effects that arrived too late and were refused.
     pub late_effects: u64,
     /// Latency by quantile, in milliseconds.
     pub latency_ms: BTreeMap<String, f64>,
     /// The share of attempts that went to a pay server of the gateway's own zone.
-    pub near_share: Option<f64>,
+    #[serde(rename = "near_share")]
+    pub same_zone_share: Option<f64>,
     /// Time from the start of the first fault to the first decision that fails a zone over, in milliseconds.
     pub time_to_failover_ms: Option<u64>,
     /// Time from the end of the last fault to the first decision with all zones serving, in milliseconds.
@@ -92,11 +95,13 @@
     /// the median over all windows outside transitions.
     pub share_error: Option<f64>,
     /// Time from the shift of demand until that deviation is within 5%, in milliseconds.
-    pub time_to_shares_ms: Option<u64>,
+    #[serde(rename = "time_to_shares_ms")]
+    pub time_to_fair_shares_ms: Option<u64>,
     /// Number of completed shard migrations.
     pub moves: Option<u64>,
     /// Longest time for which a shard accepted no writes, in milliseconds.
-    pub move_pause_ms: Option<u64>,
+    #[serde(rename = "move_pause_ms")]
+    pub max_move_downtime_ms: Option<u64>,
     /// Number of writes that cells rejected because of their epoch.
     pub late_writes_refused: Option<u64>,
     /// Figures of the harness itself.
@@ -112,9 +117,11 @@
     /// 99.9% quantile of the delay with which requests were sent, in milliseconds.
     pub late_p999_ms: f64,
     /// Maximum delay with which requests were sent, in milliseconds.
-    pub late_most_ms: f64,
+    #[serde(rename = "late_most_ms")]
+    pub max_late_ms: f64,
     /// Highest share of a second for which the harness' only thread was busy.
-    pub busy_most: f64,
+    #[serde(rename = "busy_most")]
+    pub max_busy_share: f64,
     /// Processor time of the harness, in seconds.
     #[serde(rename = "lab_cpu_s")]
     pub harness_cpu_s: f64,
@@ -170,10 +177,10 @@
     in_flight: HashSet<Trace>,
     attempts: HashMap<u64, Trace>,
     ran: HashSet<Trace>,
-    /// Last trace ids of the unsafe requests that ended without an answer.
+    /// Last trace ids of the unsafe requests that ended without a response.
     unsafe_lost: Vec<Trace>,
-    last_try: HashMap<u32, Trace>,
-    good_answers: Vec<Nanos>,
+    last_client_attempt: HashMap<u32, Trace>,
+    good_responses: Vec<Nanos>,
     seconds: Vec<Second>,
     fault_starts: Vec<(u16, Nanos)>,
     fault_ends: Vec<(u16, Nanos)>,
@@ -228,12 +235,12 @@
                     .iter_mut()
                     .for_each(|lateness| lateness.saturating_record((late / 1000).max(1)));
             }
-            Event::TryStarted { request, trace, gateway, .. } => {
-                self.last_try.insert(*request, *trace);
+            Event::AttemptStarted { request, trace, gateway, .. } => {
+                self.last_client_attempt.insert(*request, *trace);
                 self.open.insert(*trace, Open { request: *request, gateway: *gateway });
                 self.call(at, "tries");
             }
-            Event::TryEnded { trace, outcome } => self.ended(*trace, *outcome),
+            Event::AttemptEnded { trace, outcome } => self.ended(*trace, *outcome),
             Event::RequestEnded { request, outcome } => self.request_ended(at, *request, *outcome),
             Event::Arrived { attempt, trace, .. } => {
                 self.attempts.insert(*attempt, *trace);
@@ -242,11 +249,11 @@
             Event::Ran { attempt } => {
                 self.ran.extend(self.attempts.get(attempt));
             }
-            Event::Opened { from: End::Gateway(_), to: End::PayServer(_), .. } => {
+            Event::Opened { from: Endpoint::Gateway(_), to: Endpoint::PayServer(_), .. } => {
                 self.call(at, "connections")
             }
             Event::Probed { .. } => self.call(at, "probes"),
-            Event::ListRequested { .. } => self.call(at, "list_calls"),
+            Event::DiscoveryRequested { .. } => self.call(at, "list_calls"),
             Event::Renewed { .. } => self.call(at, "renewals"),
             Event::CounterCalled { .. } => self.call(at, "counts"),
             Event::Granted { .. } => self.call(at, "claims"),
@@ -262,7 +269,8 @@
             Event::FaultBegan { fault } => self.fault_began(at, *fault),
             Event::FaultEnded { fault } => self.fault_ends.push((*fault, at)),
             Event::HarnessCpu { cpu } if self.setup.is_some() => {
-                self.harness.busy_most = self.harness.busy_most.max(round(*cpu as f64 / SECOND as f64));
+                self.harness.max_busy_share =
+                    self.harness.max_busy_share.max(round(*cpu as f64 / SECOND as f64));
             }
             Event::Finished { harness_cpu, fleet_cpu } => {
                 let s = |nanos: Nanos| nanos as f64 / SECOND as f64;
@@ -283,10 +291,10 @@
     }
 
     fn request_ended(&mut self, at: Nanos, request: u32, outcome: Outcome) {
-        let Some((asked, class)) = self.requests.remove(&request) else { return };
-        let last = self.last_try.remove(&request);
-        let aim = self.setup.as_ref().map_or(0, |setup| setup.latency_target);
-        let latency = at - asked;
+        let Some((started_at, class)) = self.requests.remove(&request) else { return };
+        let last = self.last_client_attempt.remove(&request);
+        let latency_target = self.setup.as_ref().map_or(0, |setup| setup.latency_target);
+        let latency = at - started_at;
         let category = match outcome {
             Outcome::Served { .. } => 0,
             Outcome::Refused => 1,
@@ -302,13 +310,13 @@
         }
         if category == 0 {
             self.latency.iter_mut().for_each(|h| h.saturating_record((latency / 1000).max(1)));
-            if latency <= aim {
-                self.good_answers.push(at);
+            if latency <= latency_target {
+                self.good_responses.push(at);
             }
         }
         if let Some(second) = self.second(at) {
             match category {
-                0 if latency <= aim => second.good += 1,
+                0 if latency <= latency_target => second.good += 1,
                 0 => second.late += 1,
                 1 => second.refused += 1,
                 2 | 3 => second.failed += 1,
@@ -328,9 +336,9 @@
         if fault.kind.of_links() || fault.kind == FaultKind::FullDisk {
             return;
         }
-        let victims: HashSet<End> = fault.victims.iter().copied().collect();
+        let victims: HashSet<Endpoint> = fault.victims.iter().copied().collect();
         let affected = self.open.iter().filter(|(_, open)| {
-            victims.contains(&End::Gateway(open.gateway)) && self.requests.contains_key(&open.request)
+            victims.contains(&Endpoint::Gateway(open.gateway)) && self.requests.contains_key(&open.request)
         });
         let affected: Vec<Trace> = affected.map(|(trace, _)| *trace).collect();
         self.in_flight_total += affected.len() as u64;
@@ -348,7 +356,7 @@
     }
 
     /// Returns the number, start and end of each fault, in seconds of the load; permanent faults have no end.
-    pub fn marks(&self) -> Vec<(u16, f64, Option<f64>)> {
+    pub fn fault_spans(&self) -> Vec<(u16, f64, Option<f64>)> {
         let Some(setup) = &self.setup else { return Vec::new() };
         let second = |at: Nanos| at.saturating_sub(setup.load_from) as f64 / SECOND as f64;
         let over = |fault: u16| {
@@ -358,11 +366,11 @@
         self.fault_starts.iter().map(|(fault, at)| (*fault, second(*at), over(*fault))).collect()
     }
 
-    /// Returns the answers within the latency target a second, between two instants; `None` if they are less
-    /// than a second apart.
+    /// Returns the responses within the latency target per second, between two instants; `None` if they are
+    /// less than a second apart.
     fn goodput(&self, from: Nanos, to: Nanos) -> Option<f64> {
-        let count = self.good_answers.partition_point(|at| *at < to)
-            - self.good_answers.partition_point(|at| *at < from);
+        let count = self.good_responses.partition_point(|at| *at < to)
+            - self.good_responses.partition_point(|at| *at < from);
         (to >= from + SECOND).then(|| count as f64 * SECOND as f64 / (to - from) as f64)
     }
 
@@ -373,7 +381,7 @@
         decisions: &DecisionFigures,
     ) -> Option<Summary> {
         let setup = self.setup.clone()?;
-        self.good_answers.sort_unstable();
+        self.good_responses.sort_unstable();
         let (from, to) = (setup.load_from, setup.load_from + setup.duration);
         let first = self.fault_starts.iter().map(|(_, at)| *at).min();
         let over = self.fault_ends.iter().map(|(_, at)| *at).max();
@@ -383,11 +391,11 @@
         let full = over.zip(before).and_then(|(over, before)| {
             let windows =
                 (0..).map(|i| over + i * FULL_SERVICE_STEP).take_while(|at| at + FULL_SERVICE_WINDOW <= to);
-            let mut whole = windows.filter(|at| {
+            let mut full_windows = windows.filter(|at| {
                 self.goodput(*at, at + FULL_SERVICE_WINDOW)
                     .is_some_and(|goodput| goodput >= FULL_SERVICE_SHARE * before)
             });
-            whole.next().map(|at| (at - over) / MS)
+            full_windows.next().map(|at| (at - over) / MS)
         });
         let steady_seconds = usize::try_from((steady_to - from) / SECOND).unwrap_or(0);
         let peaks = CALLS.iter().map(|name| {
@@ -397,8 +405,11 @@
                 .take((setup.duration / SECOND) as usize)
                 .map(|second| second.calls.get(name).copied().unwrap_or(0) as f64)
                 .collect();
-            let calm = rates.get(1..steady_seconds).filter(|calm| !calm.is_empty()).unwrap_or(&rates);
-            let steady = calm.iter().sum::<f64>() / calm.len().max(1) as f64;
+            let steady_rates = rates
+                .get(1..steady_seconds)
+                .filter(|steady_rates| !steady_rates.is_empty())
+                .unwrap_or(&rates);
+            let steady = steady_rates.iter().sum::<f64>() / steady_rates.len().max(1) as f64;
             let later =
                 if first.is_some() { rates.get(steady_seconds..).unwrap_or_default() } else { &rates };
             let highest = later.iter().copied().fold(0.0, f64::max);
@@ -414,7 +425,7 @@
         let latency_ms =
             latency_ms.iter().map(|(name, q)| ((*name).to_owned(), quantiles(&self.latency, *q))).collect();
         self.harness.late_p999_ms = quantiles(&self.lateness, 0.999);
-        self.harness.late_most_ms = quantiles(&self.lateness, 1.0);
+        self.harness.max_late_ms = quantiles(&self.lateness, 1.0);
         let requests = self.counts.iter().sum::<u64>() + self.requests.len() as u64;
         Some(Summary {
             scenario: setup.scenario.clone(),
@@ -436,20 +447,20 @@
             unsafe_lost: self.unsafe_lost.len() as u64,
             unsafe_lost_ran: self.unsafe_lost.iter().filter(|trace| self.ran.contains(trace)).count() as u64,
             unanswered_share: round(self.unanswered as f64 / requests.max(1) as f64),
-            unreachable_tries: self.unreachable,
+            unreachable_client_attempts: self.unreachable,
             overload_crashes: self.overload_crashes,
             crashes: self.crashes,
             owner_gap_ms: self.owner_gap.map(|gap| gap / MS),
             late_effects: self.late_effects,
             latency_ms,
-            near_share: decisions.near_share.map(round),
+            same_zone_share: decisions.same_zone_share.map(round),
             time_to_failover_ms: decisions.time_to_failover_ms,
             time_to_return_ms: decisions.time_to_return_ms,
             late_decisions_refused: decisions.late_decisions_refused,
             share_error: decisions.shares.share_error.map(round),
-            time_to_shares_ms: decisions.shares.time_to_shares_ms,
+            time_to_fair_shares_ms: decisions.shares.time_to_fair_shares_ms,
             moves: decisions.shards.moves,
-            move_pause_ms: decisions.shards.move_pause_ms,
+            max_move_downtime_ms: decisions.shards.max_move_downtime_ms,
             late_writes_refused: decisions.shards.late_writes_refused,
             harness: self.harness.clone(),
         })
--- a/testing/fault-injection/src/harness/clients.rs
+++ b/testing/fault-injection/src/harness/clients.rs
@@ -1,12 +1,14 @@
-//! Clients on sockets. Each try uses a pooled connection of the load balancer where one is idle.
+//! Clients on sockets. Each attempt uses a pooled connection of the load balancer where one is idle.
 
 use crate::deployment::{Nanos, CLASSES, MS, SAFE, SECOND};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::harness::process::Process;
 use crate::harness::relay::{relay, Observer};
 use crate::harness::{address, RunContext};
 use crate::history::{Event, Outcome, Trace};
-use crate::stand_ins::clients::{Arrival, ClientBehavior, ClientRequest, LoadBalancer, NextStep, Try};
+use crate::stand_ins::clients::{
+    Arrival, ClientAttempt, ClientBehavior, ClientRequest, LoadBalancer, NextStep,
+};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -24,7 +26,8 @@
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
 /// Idle connections that the load balancer keeps to a gateway.
 const MAX_IDLE_CONNECTIONS: usize = 64;
-/// After its timeout a try waits this long for a late response: the invariants require that one comes.
+/// Time for which a client attempt still waits for a late response after its timeout. The invariant
+/// `one_final_answer` requires that one arrives.
 const LATE_RESPONSE_WAIT: Duration = Duration::from_secs(10);
 /// Interval between health checks of a gateway that is not healthy.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -50,10 +53,10 @@
 }
 
 impl RequestTarget {
-    fn end(&self) -> End {
+    fn endpoint(&self) -> Endpoint {
         match self {
-            RequestTarget::Gateway(process) => process.end,
-            RequestTarget::PayServer(number, _) => End::PayServer(*number),
+            RequestTarget::Gateway(process) => process.endpoint,
+            RequestTarget::PayServer(number, _) => Endpoint::PayServer(*number),
         }
     }
 
@@ -62,7 +65,7 @@
             RequestTarget::Gateway(process) => process.addr(),
             RequestTarget::PayServer(number, instances) => {
                 let (port, _) = instances.borrow()[usize::from(*number)];
-                Some((address::seen_by(End::Clients), port).into())
+                Some((address::seen_by(Endpoint::Clients), port).into())
             }
         }
     }
@@ -111,18 +114,22 @@
     /// Connects to a gateway over the link to it.
     async fn connect(&self, gateway: u16) -> Result<Connection, ()> {
         let target = &self.targets[usize::from(gateway)];
-        let (context, to) = (self.context.clone(), target.end());
+        let (context, to) = (self.context.clone(), target.endpoint());
         context
-            .wait_until(|context| context.can_connect(End::Clients, to) || context.is_reset(End::Clients, to))
+            .wait_until(|context| {
+                context.can_connect(Endpoint::Clients, to) || context.is_reset(Endpoint::Clients, to)
+            })
             .await;
         let addr = target.addr();
-        let addr = addr.filter(|_| !context.is_reset(End::Clients, to)).ok_or(())?;
+        let addr = addr.filter(|_| !context.is_reset(Endpoint::Clients, to)).ok_or(())?;
         let mut tcp = TcpStream::connect(addr).await.map_err(drop)?;
         drop(tcp.set_nodelay(true));
         let (mut outer, inner) = tokio::io::duplex(PIPE_BYTES);
         let delivered = Rc::new(Cell::new(0));
         let observer = Observer { delivered: delivered.clone(), ..Observer::default() };
-        spawn_local(async move { relay(&context, &mut tcp, to, &mut outer, End::Clients, observer).await });
+        spawn_local(
+            async move { relay(&context, &mut tcp, to, &mut outer, Endpoint::Clients, observer).await },
+        );
         let (sender, connection) = http1::handshake(TokioIo::new(inner)).await.map_err(drop)?;
         spawn_local(async move { drop(connection.await) });
         Ok(Connection { sender, delivered, used: false })
@@ -149,13 +156,13 @@
     pub async fn track_health(self: Rc<Self>, gateway: u16) {
         let RequestTarget::Gateway(process) = &self.targets[usize::from(gateway)] else { return };
         let mut state = process.watch();
-        let notice = Duration::from_millis(self.context.scenario.site.notice_ms);
+        let notice = Duration::from_millis(self.context.scenario.site.failure_detection_ms);
         loop {
             while !self.is_healthy(gateway).await {
                 tokio::time::sleep(HEALTH_CHECK_INTERVAL).await;
             }
             self.context.record(Event::ProcessChanged {
-                end: End::Gateway(gateway),
+                endpoint: Endpoint::Gateway(gateway),
                 change: crate::history::ProcessChange::Ready,
             });
             self.load_balancer.borrow_mut().set(gateway, true);
@@ -185,7 +192,7 @@
         matches!(timeout(HEALTH_CHECK_TIMEOUT, check).await, Ok(Ok(true)))
     }
 
-    /// Runs one request with all its tries.
+    /// Runs one request with all its client attempts.
     pub async fn run_request(self: Rc<Self>, arrival: Arrival, late: Nanos) {
         let Arrival { request, customer, class, .. } = arrival;
         let context = &self.context;
@@ -194,11 +201,11 @@
         context.record(Event::RequestStarted { request, customer, class, late });
         let profile = &context.deployment.customers[customer as usize];
         let mut client_request = ClientRequest::new(&arrival, self.behavior.clone(), context.now());
-        let mut next = client_request.first_try(context.now(), profile, &self.load_balancer.borrow());
+        let mut next = client_request.first_attempt(context.now(), profile, &self.load_balancer.borrow());
         let outcome = loop {
             context.sleep_until(context.now() + next.after).await;
             let (outcome, retry_after) = self.clone().attempt(request, customer, class, &next).await;
-            context.record(Event::TryEnded { trace: next.trace, outcome });
+            context.record(Event::AttemptEnded { trace: next.trace, outcome });
             match client_request.next_step(
                 context.now(),
                 outcome,
@@ -206,7 +213,7 @@
                 profile,
                 &self.load_balancer.borrow(),
             ) {
-                NextStep::Try(again) => next = again,
+                NextStep::Retry(again) => next = again,
                 NextStep::End(outcome) => break outcome,
             }
         };
@@ -218,7 +225,7 @@
         context.traces.borrow_mut().remove(&next.trace);
     }
 
-    fn request(&self, customer: u32, class: u8, next: &Try) -> Option<Request<Full<Bytes>>> {
+    fn request(&self, customer: u32, class: u8, next: &ClientAttempt) -> Option<Request<Full<Bytes>>> {
         let profile = &self.context.deployment.customers[customer as usize];
         let name = CLASSES[usize::from(class)];
         let (method, body) =
@@ -240,19 +247,19 @@
         request.body(Full::new(body)).ok()
     }
 
-    /// Runs one try until it ends or its client's timeout expires.
+    /// Runs one attempt until it ends or its client's timeout expires.
     async fn attempt(
         self: Rc<Self>,
         request_number: u32,
         customer: u32,
         class: u8,
-        next: &Try,
+        next: &ClientAttempt,
     ) -> (Outcome, Option<Nanos>) {
         let context = self.context.clone();
         let (gateway, trace) = (next.gateway, next.trace);
         let deadline = context.instant(context.now() + next.wait);
         context.traces.borrow_mut().insert(trace, (customer, class));
-        context.record(Event::TryStarted {
+        context.record(Event::AttemptStarted {
             request: request_number,
             trace,
             gateway,
@@ -282,7 +289,7 @@
                 // Keeps waiting after the timeout, to record whether the gateway responds at all.
                 spawn_local(async move {
                     let answered = matches!(timeout(LATE_RESPONSE_WAIT, exchange).await, Ok((Ok(_), _)));
-                    context.record(Event::TryEndedLate { trace, answered });
+                    context.record(Event::AttemptEndedLate { trace, answered });
                 });
                 return (Outcome::TimedOut, None);
             };
--- a/testing/fault-injection/src/harness/registers.rs
+++ b/testing/fault-injection/src/harness/registers.rs
@@ -1,16 +1,16 @@
 //! Clients of the coordination service that read, write and watch registers, and record the results. The
 //! recorded history is checked for linearizability, for lost acknowledged writes, and for watches that miss
-//! changes or go back.
+//! changes or revert to an older revision.
 //!
 //! Models: contending readers and conditional writers, calls that time out, watchers that resume. Leaves out:
 //! large values, and values that a lock or a session owns.
 
 use crate::deployment::{random_stream, Nanos, RandomStream, MS};
-use crate::endpoint::End;
+use crate::endpoint::Endpoint;
 use crate::harness::RunContext;
 use crate::history::{CallResult, Event};
 use marblecroft_coordination::client::{CallError, Client};
-use marblecroft_coordination::state::{Change, Changes, Done, Op, Owner, Refused};
+use marblecroft_coordination::state::{Change, Changes, Done, Op, OperationError, Owner};
 use rand::Rng;
 use std::rc::Rc;
 use std::time::Duration;
@@ -38,7 +38,7 @@
     let mut rng = random_stream(context.seed ^ u64::from(number) << 32, RandomStream::Registers);
     let mut known_revisions = vec![0; registers.registers as usize];
     loop {
-        context.wait_until(|context| !context.is_suspended(End::Candidate(number))).await;
+        context.wait_until(|context| !context.is_suspended(Endpoint::Candidate(number))).await;
         let register = rng.random_range(0..registers.registers) as u16;
         let key = format!("{PREFIX}{register}");
         let call = context.next_id();
@@ -63,8 +63,12 @@
                 let value = value.to_le_bytes().to_vec();
                 match client.call(Op::Put { key, value, expect, owner: Owner::Nobody }, CALL_TIMEOUT).await {
                     Ok(Done::At(revision)) => CallResult::Written { revision },
-                    Err(CallError::Refused(Refused::Conflict(revision))) => CallResult::Conflict { revision },
-                    Err(CallError::Refused(Refused::Forgotten) | CallError::TimedOut) => CallResult::Unknown,
+                    Err(CallError::Refused(OperationError::Conflict(revision))) => {
+                        CallResult::Conflict { revision }
+                    }
+                    Err(CallError::Refused(OperationError::Forgotten) | CallError::TimedOut) => {
+                        CallResult::Unknown
+                    }
                     Ok(_) | Err(CallError::Refused(_) | CallError::Rejected(_)) => CallResult::NoEffect,
                 }
             }
@@ -78,8 +82,8 @@
             CallResult::NoEffect | CallResult::Unknown => {}
         }
         context.record(Event::CallReturned { call, result });
-        let pause = registers.every_ms * MS;
-        context.sleep_until(context.now() + rng.random_range(pause / 2..=pause * 3 / 2)).await;
+        let interval = registers.every_ms * MS;
+        context.sleep_until(context.now() + rng.random_range(interval / 2..=interval * 3 / 2)).await;
     }
 }
 
@@ -96,9 +100,9 @@
         };
         context.record(Event::Watched { watcher: number, since: None, upto: since, changes: Vec::new() });
         loop {
-            context.wait_until(|context| !context.is_suspended(End::Candidate(number))).await;
+            context.wait_until(|context| !context.is_suspended(Endpoint::Candidate(number))).await;
             match client.changes_since(PREFIX, since, CALL_TIMEOUT).await {
-                Ok(Changes::Changes { upto, changes }) => {
+                Ok(Changes::Changes { last_revision, changes }) => {
                     let register_changes = changes.iter().filter_map(|(revision, change)| match change {
                         Change::Value { key, value } => {
                             let register = key.strip_prefix(PREFIX)?.parse().ok()?;
@@ -107,8 +111,13 @@
                         _ => None,
                     });
                     let changes = register_changes.collect();
-                    context.record(Event::Watched { watcher: number, since: Some(since), upto, changes });
-                    since = upto;
+                    context.record(Event::Watched {
+                        watcher: number,
+                        since: Some(since),
+                        upto: last_revision,
+                        changes,
+                    });
+                    since = last_revision;
                 }
                 Ok(Changes::Lost { .. }) => break,
                 Err(_) => context.sleep_until(context.now() + RETRY_INTERVAL).await,
--- a/testing/fault-injection/src/main.rs
+++ b/testing/fault-injection/src/main.rs
@@ -8,7 +8,7 @@
 use marblecroft_fault_injection::harness::process::exec_program;
 use marblecroft_fault_injection::harness::run::{default_dir, run, RunSpec, SUMMARY};
 use marblecroft_fault_injection::scenario::{Scenario, ScenarioError};
-use marblecroft_fault_injection::verdict::{judge, Verdict};
+use marblecroft_fault_injection::verdict::{check_run, Verdict};
 use marblecroft_fault_injection::{compare, draw, report};
 use quick_error::quick_error;
 use std::ffi::OsString;
@@ -64,18 +64,18 @@
     /// Writes DIR/report.html, a self-contained page
     Report { dir: PathBuf },
     /// Becomes one of the fleet's processes; used by the harness itself
-    #[command(hide = true)]
-    Hold { parent: i32, program: OsString, args: Vec<OsString> },
+    #[command(name = "hold", hide = true)]
+    Exec { parent: i32, program: OsString, args: Vec<OsString> },
     /// Compares two runs, or two folders of runs
     Compare { one: PathBuf, other: PathBuf },
 }
 
 /// Every invariant and expectation holds.
-const EXIT_HOLDS: u8 = 0;
+const EXIT_SUCCESS: u8 = 0;
 /// An invariant is violated, an expectation is missed, or a process has crashed.
-const EXIT_BROKEN: u8 = 1;
+const EXIT_VIOLATED: u8 = 1;
 /// The command line or its input cannot be used.
-const EXIT_UNUSABLE: u8 = 2;
+const EXIT_INVALID_INPUT: u8 = 2;
 /// The harness failed.
 const EXIT_FAILED: u8 = 3;
 
@@ -138,7 +138,7 @@
             | CommandError::SiteFile(..)
             | CommandError::Input(..)
             | CommandError::Recording(_)
-            | CommandError::Run(RunError::Scenario(_)) => EXIT_UNUSABLE,
+            | CommandError::Run(RunError::Scenario(_)) => EXIT_INVALID_INPUT,
             CommandError::Run(_)
             | CommandError::Verdict(_)
             | CommandError::Output(..)
@@ -168,27 +168,27 @@
         Command::Draw { site, seed } => {
             let drawn = draw::draw(&read(&site)?, seed);
             print!("{}", drawn.map_err(|error| CommandError::SiteFile(site, error))?);
-            Ok(EXIT_HOLDS)
+            Ok(EXIT_SUCCESS)
         }
         Command::Check { dir, trace: Some(trace), .. } => {
             follow(&dir, &trace)?.iter().for_each(|line| println!("{line}"));
-            Ok(EXIT_HOLDS)
+            Ok(EXIT_SUCCESS)
         }
         Command::Check { dir, json, trace: None } => {
-            let (verdict, _) = judge(&dir)?;
+            let (verdict, _) = check_run(&dir)?;
             Ok(print_verdict(&verdict, json))
         }
         Command::Report { dir } => {
             write_report(&dir)?;
-            Ok(EXIT_HOLDS)
+            Ok(EXIT_SUCCESS)
         }
-        Command::Hold { parent, program, args } => {
+        Command::Exec { parent, program, args } => {
             let error = exec_program(parent, &program, &args);
             Err(CommandError::Output(PathBuf::from(program), error))
         }
         Command::Compare { one, other } => {
             print!("{}", compare::compare(&one, &other)?);
-            Ok(EXIT_HOLDS)
+            Ok(EXIT_SUCCESS)
         }
     }
 }
@@ -215,7 +215,7 @@
     tracing_subscriber::fmt().json().with_writer(log).init();
     let harness = std::env::current_exe().map_err(failed)?;
     run(&RunSpec { name: name.to_owned(), text, seed, dir: dir.clone(), harness })?;
-    let (verdict, _) = judge(&dir).map_err(CommandError::Verdict)?;
+    let (verdict, _) = check_run(&dir).map_err(CommandError::Verdict)?;
     let path = dir.join(SUMMARY);
     fs::write(&path, serde_json::to_vec_pretty(&verdict.summary)?)
         .map_err(|error| CommandError::Output(path, error))?;
@@ -228,15 +228,15 @@
     if json {
         println!("{}", serde_json::json!(verdict.summary));
     }
-    if verdict.holds() {
-        EXIT_HOLDS
+    if verdict.passed() {
+        EXIT_SUCCESS
     } else {
-        EXIT_BROKEN
+        EXIT_VIOLATED
     }
 }
 
 fn write_report(dir: &Path) -> Result<(), CommandError> {
-    let (verdict, figures) = judge(dir)?;
+    let (verdict, figures) = check_run(dir)?;
     let page = report::page(&verdict, &figures).map_err(CommandError::Verdict)?;
     let path = dir.join("report.html");
     fs::write(&path, page).map_err(|error| CommandError::Output(path.clone(), error))?;
--- a/testing/fault-injection/src/scenario/fleet.rs
+++ b/testing/fault-injection/src/scenario/fleet.rs
@@ -11,15 +11,16 @@
     /// Number of gateways, 0 to 300. With 0, clients call the pay servers directly, which measures the
     /// harness itself.
     pub gateways: u32,
-    /// Number of stand-ins for pay servers, 1 to 200.
+    /// Number of simulated pay servers, 1 to 200.
     pub pay_servers: u32,
     /// The zones, at least one. Gateways and pay servers are assigned to them round-robin.
     pub zones: Vec<String>,
     /// Whether pay servers can seal a trace id and report the result of its request.
     pub receipts: bool,
-    /// Number of processes of the list service, 0 to 3. With 0, the stand-in for the platform's discovery
-    /// serves the list.
-    pub list_service: u32,
+    /// Number of processes of the discovery service, 0 to 3. With 0, the stand-in for the platform's
+    /// discovery responds to the gateways.
+    #[serde(rename = "list_service")]
+    pub discovery_processes: u32,
     /// Number of processes of the coordination service: 0, 3 or 5.
     pub coordinators: u32,
     /// The n-th table is merged into the configuration of the n-th coordinator.
@@ -33,7 +34,7 @@
     /// Merged into each gateway's configuration.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub gateway_config: Option<toml::Table>,
-    /// Zones by region; without it all zones are in one region.
+    /// Zones by region; by default all zones are in one region.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub regions: BTreeMap<String, Vec<String>>,
     /// An additional zone without gateways and pay servers.
@@ -59,7 +60,7 @@
             pay_servers: 9,
             zones: ["hall-a", "hall-b", "hall-c"].map(str::to_owned).to_vec(),
             receipts: false,
-            list_service: 0,
+            discovery_processes: 0,
             coordinators: 0,
             coordinator_config: Vec::new(),
             counter: true,
--- a/testing/fault-injection/src/scenario/load.rs
+++ b/testing/fault-injection/src/scenario/load.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Requests a second, not counting retries; an open loop that does not depend on the responses.
+    /// Requests per second, not counting retries; an open loop that does not depend on the responses.
     pub rate: f64,
     /// Duration of the load in milliseconds.
     pub duration_ms: u64,
@@ -18,7 +18,8 @@
     pub retries: u32,
     /// Whether a client that lost its gateway retries with the same trace id, even if its request may have
     /// run.
-    pub come_back: bool,
+    #[serde(rename = "come_back")]
+    pub retries_with_same_id: bool,
 }
 
 impl Default for Load {
@@ -29,7 +30,7 @@
             customers: 40,
             unsafe_share: 0.46,
             retries: 2,
-            come_back: false,
+            retries_with_same_id: false,
         }
     }
 }
--- a/testing/fault-injection/src/stand_ins/pay_server.rs
+++ b/testing/fault-injection/src/stand_ins/pay_server.rs
@@ -2,16 +2,16 @@
 //!
 //! Models: cores that are shared by the running jobs, up to a number of slots; a queue for further jobs, and
 //! `X-Never-Ran` if it is full; slower work on an overcommitted machine; a warm-up period after a cold start;
-//! a crash under overload while cold; draining; running jobs that continue and queued jobs that are dropped
-//! after their connection has ended; the work of a new connection; suspension; receipts, if the scenario
-//! enables them.
+//! a crash under overload during the warm-up; draining; running jobs that continue and queued jobs that are
+//! dropped after their connection has ended; the work of a new connection; suspension; receipts, if the
+//! scenario enables them.
 //!
 //! Leaves out: memory, garbage collection, disks and the services behind a pay server; the round trips of the
 //! handshake (its work is included); caches that warm up by use and not by time. A restarted pay server has a
 //! new port, as a new machine would.
 
 use crate::deployment::{Nanos, MS, SECOND};
-use crate::history::{Answer, Trace};
+use crate::history::{ServerOutcome, Trace};
 use crate::scenario::Site;
 use std::collections::{HashMap, VecDeque};
 
@@ -29,7 +29,7 @@
     /// The attempt starts to run.
     Started(u64),
     /// The attempt has ended.
-    Finished(u64, Answer),
+    Finished(u64, ServerOutcome),
     /// The pay server crashes under overload: all its jobs are lost, and it stays down.
     OverloadCrash,
 }
@@ -68,7 +68,7 @@
     thrash: f64,
     thrash_at: f64,
     drops_queued: bool,
-    cold_from: f64,
+    initial_speed_share: f64,
     warmup: Nanos,
     overload_multiple: f64,
     overload_window: Nanos,
@@ -76,7 +76,7 @@
     /// Maximum number of connections.
     pub max_connections: usize,
     state: State,
-    paused: bool,
+    suspended: bool,
     /// Time of the cold start; `None` for a warm pay server.
     started: Option<Nanos>,
     running: Vec<Job>,
@@ -93,17 +93,17 @@
 struct Seals {
     sealed: HashMap<Trace, u64>,
     ran: HashMap<Trace, u64>,
-    order: VecDeque<(Nanos, Trace)>,
+    by_age: VecDeque<(Nanos, Trace)>,
 }
 
 impl Seals {
     fn remove_expired(&mut self, now: Nanos) {
         while self
-            .order
+            .by_age
             .front()
-            .is_some_and(|(at, _)| at + RECEIPT_RETENTION < now || self.order.len() > MAX_RECEIPTS)
+            .is_some_and(|(at, _)| at + RECEIPT_RETENTION < now || self.by_age.len() > MAX_RECEIPTS)
         {
-            if let Some((_, trace)) = self.order.pop_front() {
+            if let Some((_, trace)) = self.by_age.pop_front() {
                 self.sealed.remove(&trace);
                 self.ran.remove(&trace);
             }
@@ -112,7 +112,8 @@
 }
 
 impl PayServer {
-    /// Returns a pay server of this speed. `started` is the time of a cold start.
+    /// Returns a pay server of this speed. `started` is the time of its cold start; without it the pay server
+    /// is warm.
     pub fn new(site: &Site, speed: f64, receipts: bool, now: Nanos, started: Option<Nanos>) -> PayServer {
         PayServer {
             speed,
@@ -121,14 +122,14 @@
             thrash: site.thrash,
             thrash_at: site.thrash_at,
             drops_queued: site.drops_queued,
-            cold_from: site.cold_from,
-            warmup: site.cold_ms * MS,
-            overload_multiple: site.fall_multiple,
-            overload_window: site.fall_ms * MS,
+            initial_speed_share: site.initial_speed_share,
+            warmup: site.warmup_ms * MS,
+            overload_multiple: site.overload_multiple,
+            overload_window: site.overload_window_ms * MS,
             handshake: site.handshake_us as f64 * 1e3,
             max_connections: (f64::from(site.connections_per_core) * CORES) as usize,
             state: State::Serving,
-            paused: false,
+            suspended: false,
             started,
             running: Vec::new(),
             queue: VecDeque::new(),
@@ -145,7 +146,7 @@
             Some(started) if at < started + self.warmup => at.saturating_sub(started),
             _ => return 1.0,
         };
-        self.cold_from + (1.0 - self.cold_from) * since as f64 / self.warmup as f64
+        self.initial_speed_share + (1.0 - self.initial_speed_share) * since as f64 / self.warmup as f64
     }
 
     /// Returns the work that is done on each running job per nanosecond.
@@ -155,13 +156,13 @@
         self.speed * self.capacity_share(self.now) * (CORES / n).min(1.0) / slowdown
     }
 
-    fn least_work_left(&self) -> Option<f64> {
+    fn min_work_left(&self) -> Option<f64> {
         self.running.iter().map(|job| job.left).min_by(f64::total_cmp)
     }
 
     /// Returns the time of the next call of [`PayServer::advance`], if no other event comes before.
     pub fn due(&self) -> Option<Nanos> {
-        let left = self.least_work_left().filter(|_| !self.paused)?;
+        let left = self.min_work_left().filter(|_| !self.suspended)?;
         let after = (left / self.rate()).ceil().max(1.0) as Nanos;
         let step = if self.capacity_share(self.now) < 1.0 { WARMING_STEP } else { Nanos::MAX };
         Some(self.now.saturating_add(after.min(step)))
@@ -186,17 +187,20 @@
             for (attempt, trace, fails) in done {
                 if let Some(seals) = &mut self.seals {
                     seals.ran.insert(trace, attempt);
-                    seals.order.push_back((now, trace));
+                    seals.by_age.push_back((now, trace));
                     seals.remove_expired(now);
                 }
-                actions.push(Action::Finished(attempt, if fails { Answer::Error } else { Answer::Served }));
+                actions.push(Action::Finished(
+                    attempt,
+                    if fails { ServerOutcome::Error } else { ServerOutcome::Served },
+                ));
             }
             self.start_waiting(actions);
         }
     }
 
     fn work(&mut self, until: Nanos) {
-        if !self.paused && !self.running.is_empty() {
+        if !self.suspended && !self.running.is_empty() {
             let done = self.rate() * (until - self.now) as f64;
             self.running.iter_mut().for_each(|job| job.left -= done);
         }
@@ -227,26 +231,27 @@
     ) {
         self.advance(now, actions);
         let work = work + if first { self.handshake } else { 0.0 };
-        if self.is_overloaded_while_cold(now, work) {
+        if self.is_overloaded_during_warmup(now, work) {
             self.stop();
             actions.push(Action::OverloadCrash);
             return;
         }
         let sealed = self.seals.as_ref().and_then(|seals| seals.sealed.get(&trace));
         let fenced = sealed.is_some_and(|min_token| token < *min_token);
-        let room = self.running.len() < self.slots || self.queue.len() < self.max_queued;
-        if self.state != State::Serving || fenced || !room {
-            actions.push(Action::Finished(attempt, Answer::NeverRan));
+        let has_capacity = self.running.len() < self.slots || self.queue.len() < self.max_queued;
+        if self.state != State::Serving || fenced || !has_capacity {
+            actions.push(Action::Finished(attempt, ServerOutcome::NeverRan));
             return;
         }
         self.queue.push_back(Job { attempt, trace, left: work, fails });
-        if !self.paused {
+        if !self.suspended {
             self.start_waiting(actions);
         }
     }
 
-    /// Whether the work that arrived in the window, with this work, is more than a cold pay server can bear.
-    fn is_overloaded_while_cold(&mut self, now: Nanos, work: f64) -> bool {
+    /// Whether the work that arrived within the window, including this work, exceeds what a pay server can
+    /// handle during its warm-up.
+    fn is_overloaded_during_warmup(&mut self, now: Nanos, work: f64) -> bool {
         let capacity_share = self.capacity_share(now);
         if capacity_share >= 1.0 {
             self.arrived_work.clear();
@@ -285,10 +290,10 @@
     }
 
     /// Suspends or resumes the pay server.
-    pub fn pause(&mut self, now: Nanos, paused: bool, actions: &mut Vec<Action>) {
+    pub fn set_suspended(&mut self, now: Nanos, suspended: bool, actions: &mut Vec<Action>) {
         self.advance(now, actions);
-        self.paused = paused;
-        if !paused {
+        self.suspended = suspended;
+        if !suspended {
             self.start_waiting(actions);
         }
     }
@@ -314,7 +319,7 @@
         let seals = self.seals.as_mut()?;
         let highest = seals.sealed.entry(trace).or_insert(0);
         *highest = min_token.max(*highest);
-        seals.order.push_back((now, trace));
+        seals.by_age.push_back((now, trace));
         seals.remove_expired(now);
         Some(match seals.ran.get(&trace) {
             Some(attempt) => Receipt::Ran(*attempt),
--- a/testing/fault-injection/tests/stand_ins.rs
+++ b/testing/fault-injection/tests/stand_ins.rs
@@ -4,15 +4,15 @@
 use marblecroft_fault_injection::deployment::{
     random_stream, Deployment, DrawnFault, Nanos, RandomStream, MS, SECOND, UNSAFE,
 };
-use marblecroft_fault_injection::endpoint::End;
-use marblecroft_fault_injection::history::{Answer, Outcome};
+use marblecroft_fault_injection::endpoint::Endpoint;
+use marblecroft_fault_injection::history::{Outcome, ServerOutcome};
 use marblecroft_fault_injection::link::{LinkFaults, LinkState};
 use marblecroft_fault_injection::scenario::{FaultKind, Scenario, Site};
 use marblecroft_fault_injection::stand_ins::clients::{
     Arrivals, ClientBehavior, ClientRequest, LoadBalancer, NextStep,
 };
 use marblecroft_fault_injection::stand_ins::counter::Counter;
-use marblecroft_fault_injection::stand_ins::list::List;
+use marblecroft_fault_injection::stand_ins::discovery::Discovery;
 use marblecroft_fault_injection::stand_ins::meter::Meter;
 use marblecroft_fault_injection::stand_ins::pay_server::{Action, PayServer, Receipt};
 use proptest::prelude::*;
@@ -65,9 +65,9 @@
         self.next
     }
 
-    fn outcome_of(&self, attempt: u64) -> Option<(Nanos, Answer)> {
+    fn outcome_of(&self, attempt: u64) -> Option<(Nanos, ServerOutcome)> {
         self.actions.iter().find_map(|(at, action)| match action {
-            Action::Finished(of, answer) if *of == attempt => Some((*at, *answer)),
+            Action::Finished(of, outcome) if *of == attempt => Some((*at, *outcome)),
             _ => None,
         })
     }
@@ -79,7 +79,7 @@
     fn served(&self) -> usize {
         self.actions
             .iter()
-            .filter(|(_, action)| matches!(action, Action::Finished(_, Answer::Served)))
+            .filter(|(_, action)| matches!(action, Action::Finished(_, ServerOutcome::Served)))
             .count()
     }
 }
@@ -100,8 +100,11 @@
     }
     // Slots and queue hold 8 and 40 attempts. The others are rejected at once and never run.
     let many: Vec<u64> = (0..60).map(|_| pay.arrive(0)).collect();
-    let rejected: Vec<u64> =
-        many.iter().copied().filter(|a| matches!(pay.outcome_of(*a), Some((_, Answer::NeverRan)))).collect();
+    let rejected: Vec<u64> = many
+        .iter()
+        .copied()
+        .filter(|a| matches!(pay.outcome_of(*a), Some((_, ServerOutcome::NeverRan))))
+        .collect();
     assert_eq!(rejected.len(), 12);
     pay.advance_to(10 * SECOND);
     assert!(rejected.iter().all(|attempt| !pay.ran(*attempt)));
@@ -109,8 +112,8 @@
 }
 
 #[test]
-fn a_cold_pay_server_is_slow_and_crashes_under_overload_only() {
-    let site = Site { cold_from: 0.25, cold_ms: 10_000, ..site() };
+fn after_a_cold_start_a_pay_server_is_slow_and_crashes_only_under_overload() {
+    let site = Site { initial_speed_share: 0.25, warmup_ms: 10_000, ..site() };
     let mut first = TimedServer::new(&site, false, Some(0));
     let attempt = first.arrive(0);
     first.advance_to(2 * SECOND);
@@ -140,7 +143,7 @@
     pay.server.drain();
     let after_drain = pay.arrive(0);
     pay.advance_to(5 * SECOND);
-    assert_eq!(pay.outcome_of(after_drain).map(|(_, answer)| answer), Some(Answer::NeverRan));
+    assert_eq!(pay.outcome_of(after_drain).map(|(_, outcome)| outcome), Some(ServerOutcome::NeverRan));
     assert!(pay.outcome_of(attempts[0]).is_some(), "running work continues");
     assert!(!pay.ran(attempts[9]), "queued work is dropped");
     assert_eq!(pay.served(), 9);
@@ -150,10 +153,10 @@
 fn a_suspended_pay_server_does_nothing_until_it_is_resumed() {
     let mut pay = TimedServer::new(&site(), false, None);
     let attempt = pay.arrive(0);
-    pay.server.pause(0, true, &mut Vec::new());
+    pay.server.set_suspended(0, true, &mut Vec::new());
     pay.advance_to(5 * SECOND);
     assert_eq!(pay.outcome_of(attempt), None);
-    pay.server.pause(5 * SECOND, false, &mut Vec::new());
+    pay.server.set_suspended(5 * SECOND, false, &mut Vec::new());
     pay.advance_to(6 * SECOND);
     let at = pay.outcome_of(attempt).expect("served").0;
     assert!((5 * SECOND + 99 * MS..=5 * SECOND + 101 * MS).contains(&at), "{at}");
@@ -177,7 +180,7 @@
         "a seal with a lower token does not lower the required token"
     );
     let old = pay.arrive(4);
-    assert_eq!(pay.outcome_of(old).map(|(_, answer)| answer), Some(Answer::NeverRan));
+    assert_eq!(pay.outcome_of(old).map(|(_, outcome)| outcome), Some(ServerOutcome::NeverRan));
     pay.next -= 1;
     let new = pay.arrive(5);
     assert!(pay.ran(new));
@@ -228,7 +231,7 @@
 }
 
 #[test]
-fn the_list_returns_changes_since_a_version_or_else_the_complete_list() {
+fn discovery_returns_changes_since_a_version_or_else_all_servers() {
     let host = |id: &str, state| Host {
         id: id.to_owned(),
         addr: "127.100.100.100:80".parse().expect("an address"),
@@ -239,14 +242,14 @@
         weight: 1.0,
         started_ms: 0,
     };
-    let mut list = List::new(5);
-    list.set(0, host("a", State::Serving));
-    list.set(1, host("b", State::Serving));
-    let since = list.version();
+    let mut discovery = Discovery::new(5);
+    discovery.set(0, host("a", State::Serving));
+    discovery.set(1, host("b", State::Serving));
+    let since = discovery.version();
     let watch = |since| ListRequest::Watch { since, wait: Duration::ZERO };
-    assert!(list.respond(watch(since)).is_none());
-    list.set(1, host("b", State::Deleted));
-    let mut changes = list.respond(watch(since)).expect("a change");
+    assert!(discovery.respond(watch(since)).is_none());
+    discovery.set(1, host("b", State::Deleted));
+    let mut changes = discovery.respond(watch(since)).expect("a change");
     assert!(!changes.full);
     assert_eq!(changes.servers.iter().map(|(number, _)| *number).collect::<Vec<_>>(), [1]);
     let body = changes.body("127.101.100.103".parse().expect("an address")).expect("JSON");
@@ -254,13 +257,13 @@
         String::from_utf8_lossy(&body).contains("127.101.100.103:80"),
         "the address is the one for the reader"
     );
-    for request in [ListRequest::Full, watch(list.version() + 9)] {
-        let full_list = list.respond(request).expect("a list");
-        assert!(full_list.full && full_list.servers.len() == 1, "only changes contain deleted servers");
+    for request in [ListRequest::Full, watch(discovery.version() + 9)] {
+        let response = discovery.respond(request).expect("a response");
+        assert!(response.full && response.servers.len() == 1, "only changes contain deleted servers");
     }
 }
 
-fn fault(kind: FaultKind, victims: Vec<End>, from: Vec<End>, one_way: bool) -> DrawnFault {
+fn fault(kind: FaultKind, victims: Vec<Endpoint>, from: Vec<Endpoint>, one_way: bool) -> DrawnFault {
     let (delay, jitter) = if kind == FaultKind::Delay { (30 * MS, 20 * MS) } else { (0, 0) };
     DrawnFault {
         kind,
@@ -280,17 +283,18 @@
 
 #[test]
 fn cuts_have_directions_and_sides_and_end() {
-    let (g0, g1, pay, list) = (End::Gateway(0), End::Gateway(1), End::PayServer(0), End::ListService(0));
+    let (g0, g1, pay, discovery) =
+        (Endpoint::Gateway(0), Endpoint::Gateway(1), Endpoint::PayServer(0), Endpoint::DiscoveryService(0));
     let mut link_faults = LinkFaults::default();
     link_faults.begin(0, &fault(FaultKind::Cut, vec![pay], vec![g0], true));
     assert!(!link_faults.link_state(g0, pay).open && link_faults.link_state(pay, g0).open, "one way");
     assert!(!link_faults.can_connect(g0, pay), "a connection needs both directions");
-    assert!(link_faults.can_connect(g1, pay) && link_faults.can_connect(g0, list));
+    assert!(link_faults.can_connect(g1, pay) && link_faults.can_connect(g0, discovery));
     link_faults.begin(1, &fault(FaultKind::Cut, vec![g1], Vec::new(), false));
     assert!(
-        !link_faults.link_state(g1, list).open
-            && !link_faults.link_state(list, g1).open
-            && !link_faults.link_state(End::Clients, g1).open
+        !link_faults.link_state(g1, discovery).open
+            && !link_faults.link_state(discovery, g1).open
+            && !link_faults.link_state(Endpoint::Clients, g1).open
     );
     link_faults.end(0);
     assert_eq!(link_faults.link_state(g0, pay), LinkState::CLEAR);
@@ -307,7 +311,7 @@
     /// and are only delayed.
     #[test]
     fn faults_apply_to_datagrams_and_streams_as_configured(seed in any::<u64>()) {
-        let (a, b) = (End::Gateway(0), End::Gateway(1));
+        let (a, b) = (Endpoint::Gateway(0), Endpoint::Gateway(1));
         let mut link_faults = LinkFaults::default();
         link_faults.begin(0, &fault(FaultKind::Lose, vec![b], vec![a], false));
         link_faults.begin(1, &fault(FaultKind::Duplicate, vec![b], vec![a], false));
@@ -322,16 +326,16 @@
         prop_assert!(delays.windows(2).any(|pair| pair[0] > pair[1]));
     }
 
-    /// Whatever the outcomes of its tries are, a request that must not run twice is retried only if nothing
-    /// can have run, unless its client retries with the same id. No client retries beyond its deadline or its
-    /// retry limit.
+    /// Whatever the outcomes of its attempts are, a request that must not run twice is retried only if
+    /// nothing can have run, unless its client retries with the same id. No client retries beyond its
+    /// deadline or its retry limit.
     #[test]
     fn clients_retry_only_as_their_class_allows(
-        seed in any::<u64>(), outcomes in prop::collection::vec(0..6usize, 8), come_back in any::<bool>(),
+        seed in any::<u64>(), outcomes in prop::collection::vec(0..6usize, 8), retries_with_same_id in any::<bool>(),
     ) {
         let mut scenario = Scenario::default();
         scenario.load.unsafe_share = 1.0;
-        scenario.load.come_back = come_back;
+        scenario.load.retries_with_same_id = retries_with_same_id;
         scenario.load.retries = 5;
         let deployment = Deployment::draw(&scenario, seed).expect("the deployment can be drawn");
         let arrival = Arrivals::new(&scenario, &deployment, seed).and_then(|mut all| all.next()).expect("the load has a request");
@@ -341,9 +345,9 @@
         load_balancer.set(0, false);
         let (started_at, mut now) = (SECOND, SECOND);
         let mut request = ClientRequest::new(&arrival, ClientBehavior::of(&scenario), started_at);
-        let mut current = request.first_try(now, customer, &load_balancer);
-        for (tries, outcome) in outcomes.into_iter().enumerate() {
-            prop_assert!(tries <= 5 && current.gateway < 3);
+        let mut current = request.first_attempt(now, customer, &load_balancer);
+        for (attempts, outcome) in outcomes.into_iter().enumerate() {
+            prop_assert!(attempts <= 5 && current.gateway < 3);
             prop_assert!(now + current.after + current.wait <= started_at + 4 * SECOND);
             let outcome = [
                 Outcome::Served { attempt: None },
@@ -359,10 +363,10 @@
                     prop_assert_eq!(end_outcome, outcome);
                     return Ok(());
                 }
-                NextStep::Try(next) => {
+                NextStep::Retry(next) => {
                     let lost = matches!(outcome, Outcome::Reset { .. });
                     prop_assert!(
-                        matches!(outcome, Outcome::Refused | Outcome::Unreachable) || (lost && come_back)
+                        matches!(outcome, Outcome::Refused | Outcome::Unreachable) || (lost && retries_with_same_id)
                     );
                     prop_assert_eq!(next.trace == current.trace, lost, "the id is reused only after a lost connection");
                     current = next;
