--- a/quota-gateway/coordination/src/state/command.rs
+++ b/quota-gateway/coordination/src/state/command.rs
@@ -110,20 +110,17 @@
         /// The client's sequence number of this call, starting at 1. A number takes effect once.
         number: u64,
         /// The client has received the replies to all numbers up to and including this one.
-        #[serde(rename = "done")]
         acknowledged: u64,
         /// The operation.
         op: Op,
     },
     /// Sessions have expired according to the leader's clock.
-    #[serde(rename = "End")]
     ExpireSessions {
         /// The sessions.
         sessions: Vec<SessionId>,
     },
     /// A new leader has taken over, possibly of a service that was restored from a snapshot. Tokens that are
     /// granted after this command are higher than its token.
-    #[serde(rename = "Floor")]
     RaiseTokenFloor {
         /// The lower bound of later tokens.
         token: Token,
--- a/quota-gateway/coordination/src/wire.rs
+++ b/quota-gateway/coordination/src/wire.rs
@@ -69,7 +69,6 @@
         /// The client's sequence number of the call, starting at 1.
         number: u64,
         /// The client has received the responses to all numbers up to and including this one.
-        #[serde(rename = "done")]
         acknowledged: u64,
         /// The operation.
         op: Op,
@@ -165,7 +164,6 @@
         after_ms: u32,
     },
     /// The request was rejected and not executed, for this reason in one line.
-    #[serde(rename = "No")]
     Rejected(String),
     /// It is unknown whether the request was executed, for this reason in one line.
     Unknown(String),
@@ -214,7 +212,6 @@
     /// The session that holds it.
     pub holder: SessionId,
     /// The name of the session's owner.
-    #[serde(rename = "who")]
     pub owner_name: String,
     /// The token under which it is held.
     pub token: Token,
@@ -228,7 +225,6 @@
     /// The session.
     pub id: SessionId,
     /// The name of its owner.
-    #[serde(rename = "who")]
     pub owner_name: String,
     /// Its time to live in milliseconds.
     pub ttl_ms: u32,
